--- a/internal/simulation/repeat_test.go
+++ b/internal/simulation/repeat_test.go
@@ -19,13 +19,18 @@
 	content  uint64
 }
 
+// newArrival returns the arrival of a packet.
+func newArrival(at time.Duration, from, to string, data []byte) arrival {
+	h := fnv.New64a()
+	_, _ = h.Write(data)
+	return arrival{at, from, to, h.Sum64()}
+}
+
 // arrivals plays steps for a while, and returns everything that arrived anywhere.
 func arrivals(t *testing.T, seed uint64, controllers int, w config.Workers, steps []step, options ...func(*live)) (all []arrival) {
 	play(t, seed, controllers, w, func(l *live) {
 		l.net.Tap(func(from, to string, data []byte) {
-			h := fnv.New64a()
-			_, _ = h.Write(data)
-			all = append(all, arrival{l.now(), from, to, h.Sum64()})
+			all = append(all, newArrival(l.now(), from, to, data))
 		})
 		l.settle(9)
 		l.playSteps(steps)
