--- a/internal/coordination/scheduler/score.go
+++ b/internal/coordination/scheduler/score.go
@@ -25,7 +25,7 @@
 		}
 	}
 	if j.spec.Spread {
-		l.most = (j.spec.Tasks + 1) / 2
+		l.most = (j.spec.TaskCount + 1) / 2
 	}
 	return l
 }
@@ -36,7 +36,7 @@
 
 // fits is the predicate: whether the job allows the machine at all.
 func (c *Core) fits(now time.Duration, j *job, x *candidate, l *limits) bool {
-	if x.m.Spot && !j.spec.Spot || !x.kind.Allows(&j.spec) || !l.allow(x.m.Zone) || j.avoids()[x.m.Name] {
+	if x.m.Spot && !j.spec.SpotAllowed || !x.kind.AllowedBy(&j.spec) || !l.allow(x.m.Zone) || j.avoids()[x.m.Name] {
 		return false
 	}
 	return !c.reserved(now, x.m, j.spec.ID)
@@ -64,7 +64,7 @@
 	warm := c.machines.FetchTimeWithout(now, x.m, &j.spec, yields)
 	s := warm.Seconds() + c.machines.SlowsWithout(now, x.m, &j.spec, yields).Seconds()
 	cap := partition.CapacityOf(x.kind)
-	if aim := c.waitAim(j.spec.Class); math.IsInf(aim, 1) || warm > config.Seconds(max(aim, x.kind.BootS)) {
+	if aim := c.waitAim(j.spec.Class); math.IsInf(aim, 1) || warm > config.Seconds(max(aim, x.kind.BootSeconds)) {
 		// No aim presses, or the fetch outlasts the aim and a boot. The next of its kind will want
 		// to start here without one, so room beside it, free or held by arrays,
 		// is worth having: half the fetch at most, as a warm machine stays better.
@@ -77,25 +77,25 @@
 		s += x.free.Minus(j.need).Share(cap)
 	}
 	if j.spec.Spread && l.perZone != nil {
-		s += float64(l.perZone[x.m.Zone]) / float64(j.spec.Tasks)
+		s += float64(l.perZone[x.m.Zone]) / float64(j.spec.TaskCount)
 	}
 	if x.m.Spot {
-		if j.spec.CheckpointS > 0 {
+		if j.spec.CheckpointIntervalSeconds > 0 {
 			s--
 		} else {
-			s += x.kind.BootS
+			s += x.kind.BootSeconds
 		}
 	}
 	if j.failedOn[x.m.Name] {
-		s += 10 * x.kind.BootS
+		s += 10 * x.kind.BootSeconds
 	}
-	return s + float64(len(x.m.Errors))*x.kind.BootS + c.distrust(j, x.m.Zone)
+	return s + float64(len(x.m.Errors))*x.kind.BootSeconds + c.distrust(j, x.m.Zone)
 }
 
 // pick chooses the machine for a task. attempted says that one was passed over
 // just for this task's sake, so that another task may still have it.
 func (c *Core) pick(now time.Duration, j *job, task int, l *limits) (best *candidate, attempted bool) {
-	id := protocol.TaskID{Job: j.spec.ID, Task: task}
+	id := protocol.TaskID{JobID: j.spec.ID, Index: task}
 	best = c.find.best(now, j, l, func(x *candidate) bool {
 		if !j.need.Fits(c.room(x, j)) || !c.fits(now, j, x, l) {
 			return false
@@ -120,7 +120,7 @@
 	}
 	return func(pl *partition.Placement) bool {
 		return pl.Level >= j.level+2 && pl.Job != nil && pl.Job.Shape == protocol.Array && pl.Job.Image != j.spec.Image &&
-			(!pl.Written || pl.State == protocol.Fetching) // one from an earlier term may run unseen
+			(!pl.Written || pl.State == protocol.TaskFetching) // one from an earlier term may run unseen
 	}
 }
 
@@ -131,7 +131,7 @@
 		return
 	}
 	for _, pl := range c.placementsOn(x.m) {
-		if o := c.jobs[pl.Task.Job]; o != nil && !pl.Stopping && yields(pl) {
+		if o := c.jobs[pl.Task.JobID]; o != nil && !pl.Stopping && yields(pl) {
 			c.log.Info("stopped fetching", "task", pl.Task, "for", j.spec.ID, "machine", pl.Machine)
 			c.stop(now, o, pl, 0)
 		}
--- a/internal/coordination/scheduler/settle_test.go
+++ b/internal/coordination/scheduler/settle_test.go
@@ -47,8 +47,8 @@
 func (s *slowStore) endOne() {
 	for _, name := range sortedNames(s.tasks) {
 		for id, t := range s.tasks[name] {
-			if id.Task == 0 {
-				t.State, t.Cause = protocol.Exited, protocol.CauseDone
+			if id.Index == 0 {
+				t.State, t.Cause = protocol.TaskExited, protocol.CauseDone
 				s.tasks[name][id] = t
 			}
 		}
@@ -63,7 +63,7 @@
 	}
 }
 
-func sortedNames(m map[string]map[protocol.TaskID]protocol.TaskReport) (names []string) {
+func sortedNames(m map[string]map[protocol.TaskID]protocol.TaskStatus) (names []string) {
 	for name := range m {
 		names = append(names, name)
 	}
@@ -117,7 +117,7 @@
 	for len(s.open) > 0 {
 		w := s.open[0]
 		s.open = s.open[1:]
-		order = append(order, w.Txn.Then[0].Put)
+		order = append(order, w.Txn.Then[0].PutKey)
 		s.rev++
 		s.step(Written{Write: w.ID, OK: true, Rev: s.rev})
 	}
@@ -136,7 +136,7 @@
 	for task := range 100 {
 		j.touch(task, 0)
 	}
-	j.granted = []*partition.Placement{{Task: protocol.TaskID{Job: "j-1", Task: 95}}}
+	j.granted = []*partition.Placement{{Task: protocol.TaskID{JobID: "j-1", Index: 95}}}
 	if got := j.pagesToWrite(3); !slices.Equal(got, []int{0, 1, 9}) {
 		t.Errorf("pages %v, want the one of the start and two more", got)
 	}
--- a/internal/coordination/scheduler/takeover_test.go
+++ b/internal/coordination/scheduler/takeover_test.go
@@ -19,16 +19,16 @@
 	j.Image, j.ImageGB = "big", 50
 	b.job(j)
 	b.cycle()
-	id := protocol.TaskID{Job: "j-1"}
+	id := protocol.TaskID{JobID: "j-1"}
 	for range 15 {
 		b.machine("m2", "a", false, running(id, 1))
 		b.cycle()
 	}
-	var warm []protocol.Pair
+	var warm []protocol.KeyValue
 	for _, txn := range b.last {
 		for _, op := range txn.Then {
-			if op.Put == storage.ImagesKey(0) {
-				warm = []protocol.Pair{{Key: op.Put, Value: op.Value, Version: 1}}
+			if op.PutKey == storage.ImagesKey(0) {
+				warm = []protocol.KeyValue{{Key: op.PutKey, Value: op.Value, Revision: 1}}
 			}
 		}
 	}
@@ -43,7 +43,7 @@
 	j.ID = "j-2"
 	next.job(j)
 	next.cycle()
-	if got := next.on[protocol.TaskID{Job: "j-2"}]; got != "m2" {
+	if got := next.on[protocol.TaskID{JobID: "j-2"}]; got != "m2" {
 		t.Errorf("the task went to %q", got)
 	}
 }
@@ -56,15 +56,15 @@
 		{Kind: "wait", Class: "big", WithinS: 20, Share: 0.9}, {Kind: "finished", Class: "big", WithinS: 30, Share: 0.9},
 	})
 	const wallMS = 100_000
-	var live []protocol.Pair
+	var live []protocol.KeyValue
 	for id, waitedMS := range map[string]int64{"j-1": 25_000, "j-2": 5_000} {
 		gang := spec(id, protocol.Gang, "urgent", 1, 8)
-		gang.Class, gang.EstimateS = "big", 20
+		gang.Class, gang.EstimateSeconds = "big", 20
 		value, err := protocol.Encode(storage.LiveRecord{Job: gang, AtMS: wallMS - waitedMS})
 		if err != nil {
 			t.Fatal(err)
 		}
-		live = append(live, protocol.Pair{Key: storage.LiveKey(id), Value: value, Version: 3})
+		live = append(live, protocol.KeyValue{Key: storage.LiveKey(id), Value: value, Revision: 3})
 	}
 	b.c = New(0, b.c.cfg, b.c.log, Term{Number: 6, Stamp: 2}, Records{Types: []protocol.MachineType{*b.c.machines.Type("g8")}, Live: live}, wallMS, nil)
 	b.machine("m1", "a", false)
@@ -92,7 +92,7 @@
 				r := b.report(name)
 				for _, e := range b.c.Step(b.now, Reported{Tag: name, Report: r, Relayed: i < x.relayed}) {
 					if a, ok := e.(Answer); ok {
-						b.take(name, a.Body.Token, a.Body.Commands)
+						b.take(name, a.Body.FencingToken, a.Body.Commands)
 					}
 				}
 			}
@@ -128,7 +128,7 @@
 	b.setObjectives(cfg)
 	j := spec("j-1", protocol.Service, "normal", 2, 4)
 	j.Class = "quick"
-	var live []protocol.Pair
+	var live []protocol.KeyValue
 	for i := range 40 {
 		if i%8 == 0 {
 			j.ID = fmt.Sprintf("j-%d", i)
@@ -137,16 +137,16 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			live = append(live, protocol.Pair{Key: storage.LiveKey(j.ID), Value: raw, Version: b.rev})
+			live = append(live, protocol.KeyValue{Key: storage.LiveKey(j.ID), Value: raw, Revision: b.rev})
 		}
 		b.machine("m1", "a", false)
 		b.cycle()
 	}
-	var warm []protocol.Pair
+	var warm []protocol.KeyValue
 	for _, txn := range b.last {
 		for _, op := range txn.Then {
-			if op.Put == storage.ImagesKey(0) {
-				warm = []protocol.Pair{{Key: op.Put, Value: op.Value, Version: 1}}
+			if op.PutKey == storage.ImagesKey(0) {
+				warm = []protocol.KeyValue{{Key: op.PutKey, Value: op.Value, Revision: 1}}
 			}
 		}
 	}
@@ -181,7 +181,7 @@
 	if len(asked) != 1 || asked["m1"] != 1 {
 		t.Errorf("asked %v, want only the machine that runs and has not been heard", asked)
 	}
-	b.zone["m1"], b.tasks["m1"] = "a", map[protocol.TaskID]protocol.TaskReport{}
+	b.zone["m1"], b.tasks["m1"] = "a", map[protocol.TaskID]protocol.TaskStatus{}
 	r := b.report("m1")
 	b.do(Inspected{Report: r})
 	b.machine("m0", "a", false)
--- a/internal/coordination/scheduler/turns_test.go
+++ b/internal/coordination/scheduler/turns_test.go
@@ -58,7 +58,7 @@
 
 // place puts a task of a job on a machine, so that its team uses more.
 func place(b *bench, j *job) {
-	b.c.machines.Adopt(0, &partition.Placement{Task: protocol.TaskID{Job: j.spec.ID}, Attempt: 1, Machine: "m-" + j.spec.ID, Need: j.need,
+	b.c.machines.Adopt(0, &partition.Placement{Task: protocol.TaskID{JobID: j.spec.ID}, Attempt: 1, Machine: "m-" + j.spec.ID, Need: j.need,
 		Team: j.spec.Team, Level: j.level, Job: &j.spec})
 }
 
@@ -121,7 +121,7 @@
 	for _, tasks := range b.tasks {
 		for id, t := range tasks {
 			if b.stopped(id) {
-				t.State, t.Cause = protocol.Exited, protocol.CauseStopped
+				t.State, t.Cause = protocol.TaskExited, protocol.CauseStopped
 				tasks[id] = t
 			}
 		}
--- a/internal/coordination/scheduler/workers.go
+++ b/internal/coordination/scheduler/workers.go
@@ -14,7 +14,7 @@
 	if c.outdated(r) {
 		return
 	}
-	answer := protocol.ReportAnswer{Token: protocol.Token(c.term, 0), Commands: []protocol.Command{}}
+	answer := protocol.WorkerHeartbeatReply{FencingToken: protocol.FencingToken(c.term, 0), Commands: []protocol.Command{}}
 	if c.fleet.Gone(r.Machine) {
 		c.emit(Answer{e.Tag, answer})
 		return
@@ -26,7 +26,7 @@
 			answer.Commands = cmds
 		}
 	}
-	answer.Token = c.machines.Token(m)
+	answer.FencingToken = c.machines.Token(m)
 	c.emit(Answer{e.Tag, answer})
 }
 
@@ -61,8 +61,8 @@
 }
 
 // outdated says whether a worker has seen a later term, and if so ends ours.
-func (c *Core) outdated(r *protocol.Report) bool {
-	t := protocol.TermOf(r.Token)
+func (c *Core) outdated(r *protocol.WorkerHeartbeat) bool {
+	t := protocol.TermOfToken(r.FencingToken)
 	if t > c.term {
 		c.emit(Depose{Term: t, Reason: "a worker has seen a later term"})
 	}
@@ -70,7 +70,7 @@
 }
 
 // heard takes in what a machine says, in whichever way it came.
-func (c *Core) heard(now time.Duration, r *protocol.Report) (m *partition.Machine, newer bool) {
+func (c *Core) heard(now time.Duration, r *protocol.WorkerHeartbeat) (m *partition.Machine, newer bool) {
 	if c.outdated(r) || c.fleet.Gone(r.Machine) {
 		return nil, false
 	}
@@ -98,7 +98,7 @@
 			continue
 		}
 		m.Busy = true
-		c.emit(Order{Machine: m.Name, Addr: m.Addr, Orders: protocol.Orders{Token: c.machines.Token(m), Session: m.Session, Commands: cmds}})
+		c.emit(Order{Machine: m.Name, Addr: m.Addr, Orders: protocol.CommandBatch{FencingToken: c.machines.Token(m), Incarnation: m.Session, Commands: cmds}})
 	}
 }
 
--- a/internal/coordination/scheduler/zonebench_test.go
+++ b/internal/coordination/scheduler/zonebench_test.go
@@ -25,8 +25,8 @@
 	silent    map[string]bool // machines that are not heard
 	session   map[string]uint64
 	decisions []zones.Decision
-	records   map[string]protocol.Pair // of zone return, as written
-	orders    simulation.OrderOracle
+	records   map[string]protocol.KeyValue // of zone return, as written
+	orders    simulation.RecoveryOrderOracle
 	loans     *simulation.LoanOracle
 	barred    map[string]map[string]bool // machines that jobs could not have in the last cycle
 	refuse    func(Write) bool           // writes that the state service does not answer
@@ -35,7 +35,7 @@
 
 func newZoneBench(order *zones.Order, teams ...config.Team) *zoneBench {
 	b := &zoneBench{bench: newBench(teams, "a", "b"), order: order, silent: map[string]bool{}, session: map[string]uint64{},
-		records: map[string]protocol.Pair{}, loans: simulation.NewLoanOracle()}
+		records: map[string]protocol.KeyValue{}, loans: simulation.NewLoanOracle()}
 	b.c.cfg.Quota.CoreShare = 1
 	b.c.cfg.Workers.CancelS = 12 // so that a loan that is never repaid is written off soon
 	b.takeOver(5)
@@ -44,7 +44,7 @@
 
 // takeOver begins a term with what the last one recorded.
 func (b *zoneBench) takeOver(term uint64) {
-	var pages []protocol.Pair
+	var pages []protocol.KeyValue
 	for _, p := range b.records {
 		pages = append(pages, p)
 	}
@@ -65,10 +65,10 @@
 				b.step(OrdersDone{Machine: o.Machine})
 				continue
 			}
-			b.take(o.Machine, o.Orders.Token, o.Orders.Commands)
+			b.take(o.Machine, o.Orders.FencingToken, o.Orders.Commands)
 			b.step(OrdersDone{Machine: o.Machine, OK: true, Report: b.reportOf(o.Machine)})
 		case Answer:
-			b.take(o.Tag.(string), o.Body.Token, o.Body.Commands)
+			b.take(o.Tag.(string), o.Body.FencingToken, o.Body.Commands)
 		case Fleet:
 			b.callCloud(o.Effect)
 		}
@@ -80,7 +80,7 @@
 	case fleet.List:
 		b.after(Listed{Asked: b.now, Failed: true})
 	case fleet.Rent:
-		b.after(Rented{Request: e.Rental.Request, Asked: b.now, Refused: true})
+		b.after(Rented{Request: e.Rental.RequestID, Asked: b.now, Refused: true})
 	case fleet.Release:
 		for _, name := range e.Names {
 			b.removeMachine(name)
@@ -106,17 +106,17 @@
 	b.rev++
 	zone := false
 	for _, op := range w.Txn.Then {
-		if strings.HasPrefix(op.Put, storage.ZoneReturnPrefix) {
-			b.records[op.Put] = protocol.Pair{Key: op.Put, Value: op.Value, Version: b.rev}
+		if strings.HasPrefix(op.PutKey, storage.ZoneReturnPrefix) {
+			b.records[op.PutKey] = protocol.KeyValue{Key: op.PutKey, Value: op.Value, Revision: b.rev}
 			zone = true
 		}
-		if strings.HasPrefix(op.Delete, storage.ZoneReturnPrefix) {
-			delete(b.records, op.Delete)
+		if strings.HasPrefix(op.DeleteKey, storage.ZoneReturnPrefix) {
+			delete(b.records, op.DeleteKey)
 			zone = true
 		}
 	}
 	if zone {
-		b.loans.Records(b.recordedLoans(), b.lenderFacts)
+		b.loans.CheckRecords(b.recordedLoans(), b.lenderFacts)
 	}
 	b.step(Written{Write: w.ID, OK: true, Rev: b.rev})
 }
@@ -133,15 +133,15 @@
 }
 
 // lenderFacts tells of a loan's lender, from the core's books when the loan was made.
-func (b *zoneBench) lenderFacts(row storage.LoanRow) simulation.LenderFacts {
+func (b *zoneBench) lenderFacts(row storage.LoanRow) simulation.LenderObservation {
 	lender, borrower := b.c.jobs[row.Lender], b.c.jobs[row.Borrower]
-	return simulation.LenderFacts{LenderLevel: lender.level, BorrowerLevel: borrower.level,
-		Protected: withinGuarantee(b.c.cfg.Team(lender.spec.Team), b.c.machines.Usage(lender.spec.Team))}
+	return simulation.LenderObservation{LenderLevel: lender.level, BorrowerLevel: borrower.level,
+		ProtectedByQuota: withinGuarantee(b.c.cfg.Team(lender.spec.Team), b.c.machines.Usage(lender.spec.Team))}
 }
 
-func (b *zoneBench) reportOf(name string) *protocol.Report {
+func (b *zoneBench) reportOf(name string) *protocol.WorkerHeartbeat {
 	r := b.report(name)
-	r.Session = max(1, b.session[name])
+	r.Incarnation = max(1, b.session[name])
 	return r
 }
 
@@ -165,7 +165,7 @@
 	b.barred = b.barredMachines() // some are free for another attempt once the cycle is over
 	b.step(Tick{})
 	if b.c.recovering() {
-		b.orders.Cycle(b.startsSince(before, used), b.waitingJobs(), b.rooms())
+		b.orders.CheckCycle(b.startsSince(before, used), b.waitingJobs(), b.rooms())
 	}
 }
 
@@ -181,10 +181,10 @@
 func (b *zoneBench) moveTasks() {
 	for name, tasks := range b.tasks {
 		for id, t := range tasks {
-			if _, stopped := b.stops[id]; stopped && t.State != protocol.Exited {
-				t.State, t.Cause = protocol.Exited, protocol.CauseStopped
+			if _, stopped := b.stops[id]; stopped && t.State != protocol.TaskExited {
+				t.State, t.Cause = protocol.TaskExited, protocol.CauseStopped
 				delete(b.stops, id)
-			} else if t.State == protocol.Fetching && !b.silent[name] {
+			} else if t.State == protocol.TaskFetching && !b.silent[name] {
 				t.State = protocol.TaskRunning
 			}
 			tasks[id] = t
@@ -209,14 +209,14 @@
 
 // startsSince returns what was placed since, with what teams used before. What fits into its
 // team's guarantee besides that waits for nobody.
-func (b *zoneBench) startsSince(before map[placement]bool, used map[string]partition.Need) (starts []simulation.ReturnStart) {
+func (b *zoneBench) startsSince(before map[placement]bool, used map[string]partition.Need) (starts []simulation.PlacedTask) {
 	for _, j := range b.c.jobs {
 		team := used[j.spec.Team]
 		for _, pl := range placements(j) {
 			if !before[placement{pl.Task, pl.Attempt}] {
 				team = team.Plus(pl.Need)
 				guaranteed := withinGuarantee(b.c.cfg.Team(pl.Team), team)
-				starts = append(starts, simulation.ReturnStart{Job: b.returnJob(j), Machine: pl.Machine, Guaranteed: guaranteed})
+				starts = append(starts, simulation.PlacedTask{Job: b.returnJob(j), Machine: pl.Machine, WithinQuota: guaranteed})
 			}
 		}
 	}
@@ -225,9 +225,9 @@
 
 // waitingJobs returns the jobs that wait for room, but those that stand back for another
 // reason: their team's limit, a record under way, or that backfill is allowed just now.
-func (b *zoneBench) waitingJobs() (waiting []simulation.ReturnJob) {
+func (b *zoneBench) waitingJobs() (waiting []simulation.WaitingJob) {
 	for _, j := range b.c.jobs {
-		if !b.c.waits(b.now, j) || b.c.allowance(j) == 0 || j.spec.Shape == protocol.Gang && (b.c.allowance(j) < j.spec.Tasks || j.short%(shortCycles+1) == 0) {
+		if !b.c.waits(b.now, j) || b.c.allowance(j) == 0 || j.spec.Shape == protocol.Gang && (b.c.allowance(j) < j.spec.TaskCount || j.short%(shortCycles+1) == 0) {
 			continue
 		}
 		waiting = append(waiting, b.returnJob(j))
@@ -243,33 +243,33 @@
 		barred[id] = map[string]bool{}
 		b.c.machines.Each(func(m *partition.Machine) {
 			for t := j.nextPending(0); t >= 0; t = j.nextPending(t + 1) {
-				barred[id][m.Name] = barred[id][m.Name] || m.HasAttempt(protocol.TaskID{Job: id, Task: t})
+				barred[id][m.Name] = barred[id][m.Name] || m.HasAttempt(protocol.TaskID{JobID: id, Index: t})
 			}
 		})
 	}
 	return barred
 }
 
-func (b *zoneBench) returnJob(j *job) simulation.ReturnJob {
-	r := simulation.ReturnJob{ID: j.spec.ID, Position: b.order.Position(j.spec.Class, j.spec.Team), Level: j.level, Need: j.need, Tasks: 1, PerZone: map[string]int{}}
+func (b *zoneBench) returnJob(j *job) simulation.WaitingJob {
+	r := simulation.WaitingJob{ID: j.spec.ID, Position: b.order.Position(j.spec.Class, j.spec.Team), PriorityLevel: j.level, Resources: j.need, Tasks: 1, MaxPerZone: map[string]int{}}
 	if j.spec.Shape == protocol.Gang {
-		r.Tasks, r.SameZone = j.spec.Tasks, j.spec.SameZone
+		r.Tasks, r.SameZone = j.spec.TaskCount, j.spec.SameZone
 	}
-	r.Barred = b.barred[j.spec.ID]
+	r.ExcludedMachines = b.barred[j.spec.ID]
 	l := b.c.limits(j)
 	for _, zone := range []string{"a", "b"} {
 		if l.allow(zone) {
-			r.PerZone[zone] = min(j.spec.Tasks, l.most-l.perZone[zone])
+			r.MaxPerZone[zone] = min(j.spec.TaskCount, l.most-l.perZone[zone])
 		}
 	}
 	return r
 }
 
-func (b *zoneBench) rooms() map[string]simulation.ReturnRoom {
-	rooms := map[string]simulation.ReturnRoom{}
+func (b *zoneBench) rooms() map[string]simulation.FreeMachine {
+	rooms := map[string]simulation.FreeMachine{}
 	b.c.machines.Each(func(m *partition.Machine) {
 		if b.c.machines.Open(b.now, m) && m.Reserved == "" {
-			rooms[m.Name] = simulation.ReturnRoom{Zone: m.Zone, Free: b.c.machines.Free(m)}
+			rooms[m.Name] = simulation.FreeMachine{Zone: m.Zone, Free: b.c.machines.Free(m)}
 		}
 	})
 	return rooms
@@ -295,7 +295,7 @@
 			delete(b.silent, name)
 			b.session[name]++
 			b.session[name] = max(2, b.session[name])
-			b.tasks[name] = map[protocol.TaskID]protocol.TaskReport{}
+			b.tasks[name] = map[protocol.TaskID]protocol.TaskStatus{}
 		}
 	}
 }
@@ -333,9 +333,9 @@
 		j.Spread = shape == protocol.Service && rapid.Bool().Draw(t, "spread")
 		j.SameZone = shape == protocol.Gang && rapid.Bool().Draw(t, "same")
 		if rapid.Bool().Draw(t, "saves") {
-			j.CheckpointS, j.SaveS = 10, 2
+			j.CheckpointIntervalSeconds, j.SaveSeconds = 10, 2
 		}
-		gpus -= j.Tasks * int(j.GPUs)
+		gpus -= j.TaskCount * int(j.GPUs)
 		b.step(JobSet{Record: storage.LiveRecord{Job: j, AtMS: b.now.Milliseconds()}, Stamp: uint64(i + 1)})
 	}
 }
@@ -372,8 +372,8 @@
 	if len(ends) == 0 || slices.ContainsFunc(ends, func(e zones.End) bool { return e != want }) {
 		t.Errorf("loans ended as %v, want %s:\n%s", ends, want, strings.Join(b.describe(), "\n"))
 	}
-	b.loans.Calm()
-	if len(b.loans.Broken) > 0 {
-		t.Error(b.loans.Broken[0])
+	b.loans.CheckAllClosed()
+	if len(b.loans.Violations) > 0 {
+		t.Error(b.loans.Violations[0])
 	}
 }
--- a/internal/coordination/scheduler/zonerecords.go
+++ b/internal/coordination/scheduler/zonerecords.go
@@ -78,7 +78,7 @@
 // recoverZoneReturn takes over what an earlier leader recorded. A page that cannot be read, or
 // is of a newer format, is reported and left alone: its loans count as ended, which harms no
 // job, as a lender waits for room like any other.
-func (c *Core) recoverZoneReturn(now time.Duration, pages []protocol.Pair) {
+func (c *Core) recoverZoneReturn(now time.Duration, pages []protocol.KeyValue) {
 	z := c.returning
 	for _, p := range pages {
 		number, err := strconv.Atoi(strings.TrimPrefix(p.Key, storage.ZoneReturnPrefix))
@@ -92,7 +92,7 @@
 			c.decide(zones.RecordLeftAlone{Key: p.Key, Reason: err.Error()})
 			continue
 		}
-		z.records.stamps[number] = p.Version
+		z.records.stamps[number] = p.Revision
 		for _, row := range rec.Zones {
 			since := now - time.Duration(max(0, c.wallMS-row.SinceMS))*time.Millisecond
 			z.monitor.Restore(zones.Zone{Name: row.Name, State: zones.State(row.State), Since: since, Flaps: row.Flaps})
@@ -259,10 +259,10 @@
 // they hold then.
 func (c *Core) zoneTransaction(now time.Duration, name string) (protocol.Txn, map[int]string) {
 	z := c.returning
-	txn := protocol.Txn{If: []protocol.Cond{{Key: storage.TermKey, Version: c.termStamp}}}
+	txn := protocol.Txn{If: []protocol.Compare{{Key: storage.TermKey, Revision: c.termStamp}}}
 	contents := map[int]string{}
 	add := func(number int, content string, op protocol.Op) {
-		txn.If = append(txn.If, protocol.Cond{Key: storage.ZoneReturnKey(number), Version: z.records.stamps[number]})
+		txn.If = append(txn.If, protocol.Compare{Key: storage.ZoneReturnKey(number), Revision: z.records.stamps[number]})
 		txn.Then = append(txn.Then, op)
 		contents[number] = content
 	}
@@ -273,7 +273,7 @@
 		page := pages[number]
 		if page == nil {
 			if z.records.stamps[number] != 0 {
-				add(number, "", protocol.Op{Delete: storage.ZoneReturnKey(number)})
+				add(number, "", protocol.Op{DeleteKey: storage.ZoneReturnKey(number)})
 			}
 			continue
 		}
@@ -291,7 +291,7 @@
 			c.log.Error("zone return record", "err", err)
 			continue
 		}
-		add(number, string(plain), protocol.Op{Put: storage.ZoneReturnKey(number), Value: value})
+		add(number, string(plain), protocol.Op{PutKey: storage.ZoneReturnKey(number), Value: value})
 	}
 	return txn, contents
 }
@@ -300,9 +300,9 @@
 // transaction knows it again when its answer is lost. A page that is deleted has no mark.
 func verifiedBy(txn protocol.Txn, name string) (key, mark string) {
 	for _, op := range txn.Then {
-		if op.Put != "" {
-			return op.Put, name
+		if op.PutKey != "" {
+			return op.PutKey, name
 		}
 	}
-	return txn.Then[0].Delete, ""
+	return txn.Then[0].DeleteKey, ""
 }
--- a/internal/coordination/scheduler/zonereturn.go
+++ b/internal/coordination/scheduler/zonereturn.go
@@ -40,7 +40,7 @@
 )
 
 // startZoneReturn turns zone return on, with what an earlier leader recorded.
-func (c *Core) startZoneReturn(now time.Duration, order *zones.Order, pages []protocol.Pair) {
+func (c *Core) startZoneReturn(now time.Duration, order *zones.Order, pages []protocol.KeyValue) {
 	names := c.zones(&protocol.Job{})
 	z := &zoneReturn{
 		order: order, several: len(names) > 1, untaken: map[zones.LentTask]bool{}, left: map[string]string{}, lentBy: map[string]int{}, records: newZoneRecords(),
--- a/internal/coordination/scheduler/zonereturn_test.go
+++ b/internal/coordination/scheduler/zonereturn_test.go
@@ -33,7 +33,7 @@
 		perZone := rapid.SampledFrom([]int{2, 3, 4, 5}).Draw(t, "machines")
 		for i := range 2 * perZone {
 			name := fmt.Sprintf("m%02d", i)
-			b.tasks[name], b.zone[name] = map[protocol.TaskID]protocol.TaskReport{}, []string{"a", "b"}[i%2]
+			b.tasks[name], b.zone[name] = map[protocol.TaskID]protocol.TaskStatus{}, []string{"a", "b"}[i%2]
 		}
 		b.seconds(2)
 		b.drawJobs(t, 2*perZone*rapid.SampledFrom([]int{5, 7, 8, 9, 12}).Draw(t, "load"))
@@ -49,14 +49,14 @@
 			b.giveBack(func(int) bool { return true })
 		}
 		b.seconds(20*12 + 100) // until what is never repaid is written off
-		made += b.loans.Seen
-		if b.loans.Seen > mostLoans {
-			t.Fatalf("%d loans: room goes to and fro\n%s", b.loans.Seen, strings.Join(b.describe(), "\n"))
+		made += b.loans.LoanCount
+		if b.loans.LoanCount > mostLoans {
+			t.Fatalf("%d loans: room goes to and fro\n%s", b.loans.LoanCount, strings.Join(b.describe(), "\n"))
 		}
 		fenced += countOf[zones.MachineFenced](b.decisions)
 		lost += countOf[zones.OrderInForce](b.decisions) - 1
-		b.loans.Calm()
-		if broken := append(b.orders.Broken, b.loans.Broken...); len(broken) > 0 {
+		b.loans.CheckAllClosed()
+		if broken := append(b.orders.Violations, b.loans.Violations...); len(broken) > 0 {
 			t.Fatalf("%s\n%s", broken[0], strings.Join(b.describe(), "\n"))
 		}
 		if n := len(b.recordedLoans()); n > 0 {
@@ -83,18 +83,18 @@
 	for name, value := range map[string][]byte{"newer": newer, "not a record": {0xc1}, "a number": {7}, "out of form": wrong} {
 		b := newZoneBench(zones.DefaultOrder(), config.Team{Name: "red"})
 		key := storage.ZoneReturnKey(0)
-		b.records[key] = protocol.Pair{Key: key, Value: value, Version: 9}
+		b.records[key] = protocol.KeyValue{Key: key, Value: value, Revision: 9}
 		b.takeOver(6)
 		b.seconds(3)
 		if countOf[zones.RecordLeftAlone](b.decisions) != 1 || b.c.returning.monitor.State("a") != zones.Available {
 			t.Errorf("%s: %v", name, b.describe())
 		}
-		if got := b.records[key]; got.Version != 9 || string(got.Value) != string(value) {
+		if got := b.records[key]; got.Revision != 9 || string(got.Value) != string(value) {
 			t.Errorf("%s was written over", name)
 		}
 		b.c.returning.records.dirty[b.c.returning.records.first()] = true
 		b.seconds(3)
-		if got := b.records[key]; got.Version != 9 || b.records[storage.ZoneReturnKey(1)].Version == 0 {
+		if got := b.records[key]; got.Revision != 9 || b.records[storage.ZoneReturnKey(1)].Revision == 0 {
 			t.Errorf("%s: records %v", name, b.records)
 		}
 	}
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -82,7 +82,7 @@
 	base := min(lease, cancel/4)
 	t := election.Times{
 		Beat: base / 40, Silent: base / 5, TTL: max(3*base/10, 100*time.Millisecond),
-		Hold: base / 2, Step: base / 50, Confirm: api.Confirm,
+		Hold: base / 2, Step: base / 50, Confirm: api.MaxIntentAge,
 	}
 	t.Hold = min(t.Hold, max((cancel-lease)/4, 4*t.Beat))
 	// Whoever does not know of a cancellation renews a lease for the last time within
@@ -255,7 +255,7 @@
 	for ctx.Err() == nil && !c.api.Ready() {
 		types, err := c.cloud.Types(ctx, c.store)
 		if err == nil {
-			c.api.SetTypes(types)
+			c.api.SetMachineTypes(types)
 			return
 		}
 		c.log.Info("machine types not read", "err", err)
--- a/internal/daemon/fence.go
+++ b/internal/daemon/fence.go
@@ -96,8 +96,8 @@
 
 func (c *Controller) askPeer(ctx context.Context, peer string, machines []string) fencing.PeerAnswer {
 	a := fencing.PeerAnswer{Answered: true, Counted: c.heardLately(peer)}
-	for _, asked := range protocol.MeshMachines(machines) {
-		r, err := c.mesh.Call(ctx, peer, protocol.MeshMessage{Kind: protocol.MeshHeard, Machines: asked})
+	for _, asked := range protocol.SplitMachineNames(machines) {
+		r, err := c.mesh.Call(ctx, peer, protocol.PeerMessage{Kind: protocol.PeerLiveMachinesQuery, Machines: asked})
 		if err != nil {
 			a.Answered = false
 			return a
@@ -118,7 +118,7 @@
 // releaseSilent returns machines to the cloud. What fails is tried again after the next
 // assessment.
 func (c *Controller) releaseSilent(ctx context.Context, machines []string) {
-	for names := range slices.Chunk(machines, protocol.MaxRelease) {
+	for names := range slices.Chunk(machines, protocol.MaxMachinesPerRelease) {
 		c.log.Info("fencing silent machines without a leader", "machines", names)
 		if err := c.cloud.Release(ctx, c.cloud.Turn(), names); err != nil {
 			c.log.Info("release unanswered", "machines", len(names), "err", err)
--- a/internal/daemon/lead.go
+++ b/internal/daemon/lead.go
@@ -42,7 +42,7 @@
 	case election.Lead:
 		l := leader.Start(ctx, leader.Deps{
 			Cfg: &c.cfg.Deploy, Log: c.log, Store: c.store, Random: c.random, Cloud: c.cloud, Workers: c.workers, Now: c.now,
-			Types: c.api.SetTypes, ZoneReturn: c.features.ZoneReturn, Timing: c.features.Timing,
+			Types: c.api.SetMachineTypes, ZoneReturn: c.features.ZoneReturn, Timing: c.features.Timing,
 			Confirmed: func() bool {
 				v := c.view.Load()
 				return v.Leading && v.Term == e.Term && c.now() < v.Until
@@ -88,7 +88,7 @@
 		return fail(err)
 	}
 	var rec storage.TermRecord
-	if tp.Version != 0 {
+	if tp.Revision != 0 {
 		if rec, err = storage.DecodeTerm(tp.Value); err != nil {
 			return fail(err)
 		}
@@ -103,7 +103,7 @@
 	if err != nil {
 		return fail(err)
 	}
-	if rec.Term > e.Over && lp.Version != 0 && rec.Node != c.cfg.Node {
+	if rec.Term > e.Over && lp.Revision != 0 && rec.Node != c.cfg.Node {
 		c.box.Send(election.Key{Present: true, Node: rec.Node, Term: rec.Term})
 		return election.Claimed{}
 	}
@@ -123,8 +123,8 @@
 		return fail(err)
 	}
 	rev, ok, err := c.store.Txn(ctx, storage.Urgent, protocol.Txn{
-		If:   []protocol.Cond{{Key: storage.TermKey, Version: tp.Version}, {Key: storage.LeaderKey, Version: lp.Version}},
-		Then: []protocol.Op{{Put: storage.TermKey, Value: value}, {Put: storage.LeaderKey, Value: lvalue, Lease: lease}},
+		If:   []protocol.Compare{{Key: storage.TermKey, Revision: tp.Revision}, {Key: storage.LeaderKey, Revision: lp.Revision}},
+		Then: []protocol.Op{{PutKey: storage.TermKey, Value: value}, {PutKey: storage.LeaderKey, Value: lvalue, LeaseID: lease}},
 	})
 	if err != nil || !ok {
 		return fail(fmt.Errorf("transaction ok=%v: %w", ok, err))
@@ -144,9 +144,9 @@
 				c.random.Pause(ctx, "watch leader", c.times.Beat)
 				continue
 			}
-			c.leaderKey(p.Value, p.Version)
-			rev, fresh = max(rev, p.Version), true
-			if p.Version == 0 {
+			c.leaderKey(p.Value, p.Revision)
+			rev, fresh = max(rev, p.Revision), true
+			if p.Revision == 0 {
 				pairs, r, err := c.store.List(ctx, storage.LeaderKey)
 				if err != nil {
 					fresh = false
@@ -155,7 +155,7 @@
 				}
 				rev = max(rev, r)
 				for _, p := range pairs {
-					c.leaderKey(p.Value, p.Version)
+					c.leaderKey(p.Value, p.Revision)
 				}
 			}
 		}
@@ -167,10 +167,10 @@
 		}
 		rev = max(rev, ev.Revision)
 		for _, e := range ev.Events {
-			if e.Delete != "" {
+			if e.DeleteKey != "" {
 				c.leaderKey(nil, 0)
 			} else {
-				c.leaderKey(e.Value, e.Version)
+				c.leaderKey(e.Value, e.Revision)
 			}
 		}
 	}
--- a/internal/daemon/levels.go
+++ b/internal/daemon/levels.go
@@ -52,7 +52,7 @@
 	case featurelevel.Reached:
 		c.log.Info("feature level in force", "level", e.Level)
 		c.store.SetLimits(c.cfg.Deploy.State.Lowest())
-		c.api.SetLevel(e.Level)
+		c.api.SetFeatureLevel(e.Level)
 	}
 }
 
@@ -78,13 +78,13 @@
 			c.log.Error("feature level out of form", "err", err)
 			continue
 		}
-		listed.Nodes[node] = featurelevel.Recorded{Level: featurelevel.Level(rec.Level), Version: p.Version}
+		listed.Nodes[node] = featurelevel.Recorded{Level: featurelevel.Level(rec.Level), Version: p.Revision}
 	}
 	term, err := c.store.Get(ctx, storage.Urgent, storage.TermKey)
 	if err != nil {
 		return fail(err)
 	}
-	if term.Version != 0 {
+	if term.Revision != 0 {
 		rec, err := storage.DecodeTerm(term.Value)
 		if err != nil {
 			return fail(err)
@@ -104,6 +104,6 @@
 	}
 	key := storage.LevelKey(c.cfg.Node)
 	_, ok, err := c.store.Txn(ctx, storage.Urgent, protocol.Txn{
-		If: []protocol.Cond{{Key: key, Version: e.Version}}, Then: []protocol.Op{{Put: key, Value: value}}})
+		If: []protocol.Compare{{Key: key, Revision: e.Version}}, Then: []protocol.Op{{PutKey: key, Value: value}}})
 	c.log.Info("feature level recorded", "level", e.Level, "ok", ok, "err", err)
 }
--- a/internal/daemon/ownerreports.go
+++ b/internal/daemon/ownerreports.go
@@ -18,7 +18,7 @@
 // ownerReport takes a report by who owns its machine, and says whether it has answered it: the owner answers what
 // tells nothing new and passes the rest on to the leader, others send the worker to its owner. What is not answered
 // here goes as without owners.
-func (c *Controller) ownerReport(w http.ResponseWriter, r *http.Request, l *leader.Leader, v *election.View, rep *protocol.Report, raw []byte) bool {
+func (c *Controller) ownerReport(w http.ResponseWriter, r *http.Request, l *leader.Leader, v *election.View, rep *protocol.WorkerHeartbeat, raw []byte) bool {
 	if c.owners == nil {
 		return false
 	}
@@ -97,13 +97,13 @@
 }
 
 // answerAsOwner answers a report of a machine that this controller owns.
-func (c *Controller) answerAsOwner(w http.ResponseWriter, r *http.Request, table *ownership.Table, v *election.View, rep *protocol.Report, raw []byte) {
+func (c *Controller) answerAsOwner(w http.ResponseWriter, r *http.Request, table *ownership.Table, v *election.View, rep *protocol.WorkerHeartbeat, raw []byte) {
 	o := c.owners
 	o.mu.Lock()
 	news := o.reports.News(c.now(), rep, v.Term)
 	o.mu.Unlock()
 	if !news {
-		transport.Answer(w, http.StatusOK, ownership.Answer(rep, c.withdrawn))
+		transport.WriteResponse(w, http.StatusOK, ownership.Answer(rep, c.withdrawn))
 		o.mu.Lock()
 		o.reports.Answered(rep)
 		o.mu.Unlock()
@@ -111,7 +111,7 @@
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), reportPatience)
 	defer cancel()
-	if c.passOn(ctx, w, v.Leader, protocol.MeshMessage{Kind: protocol.MeshReport, Body: raw, Epoch: table.Epoch}) {
+	if c.passOn(ctx, w, v.Leader, protocol.PeerMessage{Kind: protocol.PeerForwardedHeartbeat, Body: raw, OwnershipEpoch: table.Epoch}) {
 		o.mu.Lock()
 		o.reports.Passed(c.now(), rep)
 		o.mu.Unlock()
@@ -147,13 +147,13 @@
 		part := alive[:min(len(alive), maxDigest)]
 		alive = alive[len(part):]
 		sent := c.now()
-		m := protocol.MeshMessage{Kind: protocol.MeshAlive, Epoch: table.Epoch, Life: c.intents.Life()}
+		m := protocol.PeerMessage{Kind: protocol.PeerUnchangedHeartbeats, OwnershipEpoch: table.Epoch, Incarnation: c.intents.Life()}
 		for _, a := range part {
 			m.Machines = append(m.Machines, a.Machine)
-			m.Sessions, m.Numbers = append(m.Sessions, a.Session), append(m.Numbers, a.Seq)
+			m.MachineIncarnations, m.HeartbeatSequences = append(m.MachineIncarnations, a.Session), append(m.HeartbeatSequences, a.Seq)
 		}
 		r, err := c.mesh.Call(ctx, leader, m)
-		if err != nil || r.Epoch != table.Epoch {
+		if err != nil || r.OwnershipEpoch != table.Epoch {
 			c.log.Debug("digest not acknowledged", "leader", leader, "epoch", table.Epoch, "err", err)
 			return
 		}
@@ -168,33 +168,33 @@
 }
 
 // maxDigest is how many machines one message tells of, so that it fits a frame.
-const maxDigest = protocol.MaxMeshMachines
+const maxDigest = protocol.MaxMachinesPerMessage
 
 // takeDigest takes in which machines an owner has answered. A digest of another epoch, or of a controller that owns
 // nothing in this one, is not acknowledged: whoever sent it stops answering as an owner.
-func (c *Controller) takeDigest(m, reply *protocol.MeshMessage) {
+func (c *Controller) takeDigest(m, reply *protocol.PeerMessage) {
 	l := c.leading.Load()
 	if c.owners == nil || l == nil || !l.Ready() {
 		return
 	}
 	table := c.owners.table.Load()
-	if table == nil || m.Epoch != table.Epoch {
+	if table == nil || m.OwnershipEpoch != table.Epoch {
 		return
 	}
-	if owner, ok := table.Member(m.From); !ok || owner.Is.Life != m.Life {
+	if owner, ok := table.Member(m.From); !ok || owner.Is.Life != m.Incarnation {
 		return
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), c.times.Silent/2)
 	defer cancel()
-	machines := make([]scheduler.AliveMachine, len(m.Sessions))
+	machines := make([]scheduler.AliveMachine, len(m.MachineIncarnations))
 	for i := range machines {
-		machines[i] = scheduler.AliveMachine{Name: m.Machines[i], Session: m.Sessions[i], Seq: m.Numbers[i]}
+		machines[i] = scheduler.AliveMachine{Name: m.Machines[i], Session: m.MachineIncarnations[i], Seq: m.HeartbeatSequences[i]}
 	}
 	passOn, ok := l.Alive(ctx, machines)
 	if !ok || c.leading.Load() != l {
 		return
 	}
-	reply.Epoch, reply.Machines = table.Epoch, passOn
+	reply.OwnershipEpoch, reply.Machines = table.Epoch, passOn
 	c.owners.mu.Lock()
 	defer c.owners.mu.Unlock()
 	c.owners.digests[m.From] = c.now()
--- a/internal/daemon/owners.go
+++ b/internal/daemon/owners.go
@@ -65,7 +65,7 @@
 	}
 	c.owners.box.Run(ctx, times.Interval, step, func() {
 		l := c.leading.Load()
-		step(ownership.Leads{Leading: l != nil && l.Ready() && c.api.Level() >= featurelevel.Pipelines})
+		step(ownership.Leads{Leading: l != nil && l.Ready() && c.api.FeatureLevel() >= featurelevel.Pipelines})
 		step(ownership.Is{Incarnation: c.incarnation()})
 		step(ownership.Tick{})
 	})
@@ -126,8 +126,8 @@
 	// Two survivors that hold the same verdict write on the same versions: one of them fails, and so does a
 	// transaction that comes late.
 	_, ok, err := c.store.Txn(ctx, storage.Decide, protocol.Txn{
-		If:   []protocol.Cond{{Key: storage.TermKey, Version: term.Version}, {Key: storage.OwnershipKey, Version: r.Version}},
-		Then: []protocol.Op{{Put: storage.OwnershipKey, Value: value}},
+		If:   []protocol.Compare{{Key: storage.TermKey, Revision: term.Revision}, {Key: storage.OwnershipKey, Revision: r.Version}},
+		Then: []protocol.Op{{PutKey: storage.OwnershipKey, Value: value}},
 	})
 	if err == nil && !ok {
 		err = errOvertaken
@@ -175,7 +175,7 @@
 				c.owners.box.Send(ownership.InForce{})
 			}
 			for _, p := range pairs {
-				c.ownershipRead(p.Value, p.Version)
+				c.ownershipRead(p.Value, p.Revision)
 			}
 			rev, fresh = r, true
 		}
@@ -187,8 +187,8 @@
 		}
 		rev = max(rev, ev.Revision)
 		for _, e := range ev.Events {
-			if e.Put == storage.OwnershipKey {
-				c.ownershipRead(e.Value, e.Version)
+			if e.PutKey == storage.OwnershipKey {
+				c.ownershipRead(e.Value, e.Revision)
 			}
 		}
 	}
@@ -242,24 +242,24 @@
 
 // addOwnership puts into a heartbeat, or its answer, that this controller can own machines, and if it leads, by which
 // epoch it goes.
-func (c *Controller) addOwnership(m *protocol.MeshMessage) {
+func (c *Controller) addOwnership(m *protocol.PeerMessage) {
 	if c.owners == nil {
 		return
 	}
 	// One that has just begun may have forgotten cancellations, and could not answer anybody.
-	m.Owns = c.intents.Whole(c.now()) && !c.owners.leaving.Load()
+	m.CanOwn = c.intents.Whole(c.now()) && !c.owners.leaving.Load()
 	if t := c.owners.table.Load(); t != nil && c.leading.Load() != nil {
-		m.Epoch = t.Epoch
+		m.OwnershipEpoch = t.Epoch
 	}
 }
 
 // hearOwnership takes in what a peer's heartbeat says of ownership.
-func (c *Controller) hearOwnership(m *protocol.MeshMessage) {
-	if c.owners == nil || m.Life == 0 {
+func (c *Controller) hearOwnership(m *protocol.PeerMessage) {
+	if c.owners == nil || m.Incarnation == 0 {
 		return
 	}
-	c.owners.box.Send(ownership.Heard{Owns: m.Owns, Member: ownership.Member{Node: m.From, Is: suspicion.Incarnation{Life: m.Life, Number: m.Incarnation}}})
+	c.owners.box.Send(ownership.Heard{Owns: m.CanOwn, Member: ownership.Member{Node: m.From, Is: suspicion.Incarnation{Life: m.Incarnation, Number: m.Refutations}}})
 	if m.Leader == m.From {
-		c.owners.leader.Store(&leaderEpoch{node: m.From, epoch: m.Epoch})
+		c.owners.leader.Store(&leaderEpoch{node: m.From, epoch: m.OwnershipEpoch})
 	}
 }
--- a/internal/daemon/peers.go
+++ b/internal/daemon/peers.go
@@ -44,7 +44,7 @@
 	if !c.hearsMajority(now) {
 		return time.Time{}, errUnsafe // the user is told at once when to come back
 	}
-	own, err := c.intents.Announce(now, api.Confirm/4, job)
+	own, err := c.intents.Announce(now, api.MaxIntentAge/4, job)
 	if err != nil {
 		return time.Time{}, err
 	}
@@ -87,12 +87,12 @@
 }
 
 // takeIntents takes in the intents that a peer's message brings.
-func (c *Controller) takeIntents(m *protocol.MeshMessage, reply bool) cancellation.Taken {
+func (c *Controller) takeIntents(m *protocol.PeerMessage, reply bool) cancellation.Taken {
 	now := c.now()
 	t := c.intents.Take(now, m, reply)
 	if l := c.leading.Load(); l != nil {
 		for _, n := range t.News {
-			l.Withdrawn(n.Job, now)
+			l.Withdrawn(n.JobID, now)
 		}
 	}
 	return t
@@ -108,7 +108,7 @@
 		defer cancel()
 		list, ok = l.Statuses(ctx, ids)
 	} else if v.Leader != "" && v.Leader != c.cfg.Node {
-		r, err := c.mesh.Call(ctx, v.Leader, protocol.MeshMessage{Kind: protocol.MeshStatus, Jobs: ids})
+		r, err := c.mesh.Call(ctx, v.Leader, protocol.PeerMessage{Kind: protocol.PeerStatusQuery, JobIDs: ids})
 		if ok = err == nil; ok {
 			list = r.Statuses
 		}
@@ -121,11 +121,11 @@
 }
 
 // answerPeer answers a peer's message.
-func (c *Controller) answerPeer(m *protocol.MeshMessage) *protocol.MeshMessage {
+func (c *Controller) answerPeer(m *protocol.PeerMessage) *protocol.PeerMessage {
 	v := c.view.Load()
-	reply := &protocol.MeshMessage{Kind: protocol.MeshReply}
+	reply := &protocol.PeerMessage{Kind: protocol.PeerReply}
 	switch m.Kind {
-	case protocol.MeshBeat:
+	case protocol.PeerHeartbeat:
 		c.heardPeer(m)
 		c.hearSuspicions(m)
 		c.hearOwnership(m)
@@ -135,31 +135,31 @@
 		if m.Leader == m.From && m.Term >= v.Term {
 			reply.Term, reply.Leader = m.Term, m.From // what we shall have taken in
 		}
-		reply.StateOK, reply.Renews = c.stateOK(), c.renews()
-		reply.Level = int(c.features.level())
-		c.intents.Fill(c.now(), m.From, m.Life, reply)
+		reply.StoreReachable, reply.RenewsLeases = c.stateOK(), c.renews()
+		reply.FeatureLevel = int(c.features.level())
+		c.intents.Fill(c.now(), m.From, m.Incarnation, reply)
 		c.addSuspicions(reply)
 		c.addOwnership(reply)
-	case protocol.MeshStatus:
-		if m.Target != "" {
+	case protocol.PeerStatusQuery:
+		if m.ProbeTarget != "" {
 			c.answerProbe(m, reply)
 		} else if l := c.leading.Load(); l != nil {
 			ctx, cancel := context.WithTimeout(context.Background(), c.times.Silent/2)
 			defer cancel()
 			// A peer of an older version asks about one.
-			if m.Job != "" {
-				m.Jobs = []string{m.Job}
+			if m.JobID != "" {
+				m.JobIDs = []string{m.JobID}
 			}
-			reply.Statuses, _ = l.Statuses(ctx, m.Jobs)
-			if m.Job != "" && len(reply.Statuses) > 0 {
+			reply.Statuses, _ = l.Statuses(ctx, m.JobIDs)
+			if m.JobID != "" && len(reply.Statuses) > 0 {
 				reply.Status, reply.Statuses = &reply.Statuses[0], nil
 			}
 		}
-	case protocol.MeshHeard:
+	case protocol.PeerLiveMachinesQuery:
 		reply.Machines = c.machinesHeard(m.Machines)
-	case protocol.MeshAlive:
+	case protocol.PeerUnchangedHeartbeats:
 		c.takeDigest(m, reply)
-	case protocol.MeshReport:
+	case protocol.PeerForwardedHeartbeat:
 		reply.Body = c.answerReport(m)
 	}
 	return reply
@@ -171,15 +171,15 @@
 	return c.store.Answered() && c.store.SilentFor() < c.times.Silent/2
 }
 
-func (c *Controller) heardPeer(m *protocol.MeshMessage) {
+func (c *Controller) heardPeer(m *protocol.PeerMessage) {
 	c.peerHeard.Store(int64(c.now()))
-	c.levelBox.Send(featurelevel.Heard{Node: m.From, Level: featurelevel.Level(m.Level)})
-	if m.StateOK {
+	c.levelBox.Send(featurelevel.Heard{Node: m.From, Level: featurelevel.Level(m.FeatureLevel)})
+	if m.StoreReachable {
 		c.peersOK.Store(int64(c.now()))
 	}
 	c.peersMu.Lock()
 	defer c.peersMu.Unlock()
-	if m.Renews {
+	if m.RenewsLeases {
 		c.renewers[m.From] = c.now()
 	} else {
 		delete(c.renewers, m.From)
@@ -219,7 +219,7 @@
 			t.Reset(interval)
 		}
 		sent := c.now()
-		m := protocol.MeshMessage{Kind: protocol.MeshBeat, Term: v.Term, Leader: v.Leader, StateOK: c.stateOK(), Renews: c.renews(), Level: int(c.features.level())}
+		m := protocol.PeerMessage{Kind: protocol.PeerHeartbeat, Term: v.Term, Leader: v.Leader, StoreReachable: c.stateOK(), RenewsLeases: c.renews(), FeatureLevel: int(c.features.level())}
 		c.intents.Fill(sent, peer, 0, &m)
 		c.addSuspicions(&m)
 		c.addOwnership(&m)
@@ -255,13 +255,13 @@
 }
 
 // answeredBeat takes in a peer's answer to a beat that was sent at the given time.
-func (c *Controller) answeredBeat(r *protocol.MeshMessage, sent time.Duration) {
+func (c *Controller) answeredBeat(r *protocol.PeerMessage, sent time.Duration) {
 	c.heardPeer(r)
 	c.hearSuspicions(r)
 	c.hearOwnership(r)
 	t := c.takeIntents(r, true)
 	c.peersMu.Lock()
-	p := election.Peer{At: sent, StateOK: r.StateOK, Leader: r.Leader, Known: c.peers[r.From].Known}
+	p := election.Peer{At: sent, StateOK: r.StoreReachable, Leader: r.Leader, Known: c.peers[r.From].Known}
 	if t.Complete && t.Whole {
 		p.Known = sent
 	}
--- a/internal/daemon/reports.go
+++ b/internal/daemon/reports.go
@@ -24,13 +24,13 @@
 	}
 	raw, err := transport.ReadBody(w, r)
 	if err != nil {
-		transport.Answer(w, http.StatusBadRequest, protocol.Problem{Error: err.Error()})
+		transport.WriteResponse(w, http.StatusBadRequest, protocol.ErrorResponse{Error: err.Error()})
 		return
 	}
-	rep, err := protocol.DecodeReport(raw)
+	rep, err := protocol.DecodeWorkerHeartbeat(raw)
 	if err != nil {
 		c.log.Info("report refused", "remote", r.RemoteAddr, "err", err)
-		transport.Answer(w, http.StatusBadRequest, protocol.Problem{Error: err.Error()})
+		transport.WriteResponse(w, http.StatusBadRequest, protocol.ErrorResponse{Error: err.Error()})
 		return
 	}
 	if nobody || l != nil && !l.Ready() {
@@ -44,7 +44,7 @@
 	if standby {
 		// Nobody can lead: keep the tasks alive, with the token that the worker
 		// has, but for those whose users may have been told that they are cancelled.
-		transport.Answer(w, http.StatusOK, protocol.ReportAnswer{Token: rep.Token, Commands: rep.StopsOf(c.withdrawn)})
+		transport.WriteResponse(w, http.StatusOK, protocol.WorkerHeartbeatReply{FencingToken: rep.FencingToken, Commands: rep.StopCommands(c.withdrawn)})
 		return
 	}
 	if c.ownerReport(w, r, l, view, rep, raw) {
@@ -54,7 +54,7 @@
 	defer cancel()
 	if l == nil {
 		// With owners a worker may have the leader's word from one of those.
-		met := protocol.TermOf(rep.Token) == view.Term && !c.machinesAreOwned(view)
+		met := protocol.TermOfToken(rep.FencingToken) == view.Term && !c.machinesAreOwned(view)
 		if c.redirects.Relay(rep.Machine, leader, met, c.now()) {
 			c.relay(ctx, w, leader, raw)
 		} else {
@@ -69,17 +69,17 @@
 		c.redirect(w, "")
 		return
 	}
-	transport.Answer(w, http.StatusOK, a)
+	transport.WriteResponse(w, http.StatusOK, a)
 }
 
 // relay passes a report to the leader and its answer to the worker, so the 200
 // carries the leader's word.
 func (c *Controller) relay(ctx context.Context, w http.ResponseWriter, leader string, raw []byte) {
-	c.passOn(ctx, w, leader, protocol.MeshMessage{Kind: protocol.MeshReport, Body: raw})
+	c.passOn(ctx, w, leader, protocol.PeerMessage{Kind: protocol.PeerForwardedHeartbeat, Body: raw})
 }
 
 // passOn passes a report to the leader and its answer to the worker, and says whether there was one.
-func (c *Controller) passOn(ctx context.Context, w http.ResponseWriter, leader string, m protocol.MeshMessage) bool {
+func (c *Controller) passOn(ctx context.Context, w http.ResponseWriter, leader string, m protocol.PeerMessage) bool {
 	reply, err := c.mesh.Call(ctx, leader, m)
 	if err != nil || len(reply.Body) == 0 {
 		c.redirect(w, "")
@@ -92,12 +92,12 @@
 }
 
 // answerReport answers a report that another controller passed on.
-func (c *Controller) answerReport(m *protocol.MeshMessage) []byte {
+func (c *Controller) answerReport(m *protocol.PeerMessage) []byte {
 	l := c.leading.Load()
 	if l == nil {
 		return nil
 	}
-	rep, err := protocol.DecodeReport(m.Body)
+	rep, err := protocol.DecodeWorkerHeartbeat(m.Body)
 	if err != nil {
 		c.log.Info("report refused", "from", m.From, "err", err)
 		return nil
@@ -105,7 +105,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), reportPatience)
 	defer cancel()
 	// An owner ends the connections of machines that may well be in our reach; others pass on what can't reach us.
-	a, ok := l.Report(ctx, rep, m.Epoch == 0)
+	a, ok := l.Report(ctx, rep, m.OwnershipEpoch == 0)
 	if !ok || c.leading.Load() != l || !c.aware() {
 		return nil
 	}
@@ -129,8 +129,8 @@
 // redirect sends a worker to the leader, or away if none is known.
 func (c *Controller) redirect(w http.ResponseWriter, leader string) {
 	if leader == "" {
-		transport.Answer(w, http.StatusServiceUnavailable, protocol.Problem{Error: "no leader is known here"})
+		transport.WriteResponse(w, http.StatusServiceUnavailable, protocol.ErrorResponse{Error: "no leader is known here"})
 		return
 	}
-	transport.Answer(w, http.StatusMisdirectedRequest, protocol.Redirect{Leader: leader})
+	transport.WriteResponse(w, http.StatusMisdirectedRequest, protocol.Redirect{Leader: leader})
 }
--- a/internal/daemon/suspicion.go
+++ b/internal/daemon/suspicion.go
@@ -70,8 +70,8 @@
 			heard = -1
 		}
 		out.opinions = append(out.opinions, protocol.PeerOpinion{
-			Node: name, Life: o.Of.Life, Incarnation: o.Of.Number, HeardMS: heard, Suspected: o.Suspected,
-			SuspectedMS: o.SuspectedFor.Milliseconds(), Phi: o.Phi, Failed: o.Failed, Probed: o.Probed,
+			Controller: name, Incarnation: o.Of.Life, Refutations: o.Of.Number, HeardAgoMS: heard, Suspected: o.Suspected,
+			SuspectedForMS: o.SuspectedFor.Milliseconds(), Phi: o.Phi, Failed: o.Failed, UnreachableThrough: o.Probed,
 		})
 	}
 	s.said.Store(out)
@@ -93,11 +93,11 @@
 
 // probeThrough asks a peer whether it reaches a controller. No answer tells nothing.
 func (c *Controller) probeThrough(ctx context.Context, target, through string) {
-	r, err := c.mesh.Call(ctx, through, protocol.MeshMessage{Kind: protocol.MeshStatus, Target: target})
-	if err != nil || r.Reached == nil {
+	r, err := c.mesh.Call(ctx, through, protocol.PeerMessage{Kind: protocol.PeerStatusQuery, ProbeTarget: target})
+	if err != nil || r.TargetReached == nil {
 		return
 	}
-	c.suspicions.box.Send(suspicion.Probed{Target: target, Through: through, Reached: *r.Reached})
+	c.suspicions.box.Send(suspicion.Probed{Target: target, Through: through, Reached: *r.TargetReached})
 }
 
 // probeShare is the part of a call's time, as its inverse, that a probe on behalf of a peer may take:
@@ -106,34 +106,34 @@
 
 // answerProbe answers whether a controller is reached from here. Any answer of it will do, also of
 // one without suspicions.
-func (c *Controller) answerProbe(m *protocol.MeshMessage, reply *protocol.MeshMessage) {
-	if c.suspicions == nil || m.Target == "" || m.Target == c.cfg.Node {
+func (c *Controller) answerProbe(m *protocol.PeerMessage, reply *protocol.PeerMessage) {
+	if c.suspicions == nil || m.ProbeTarget == "" || m.ProbeTarget == c.cfg.Node {
 		return
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), c.times.Silent/2/probeShare)
 	defer cancel()
-	_, err := c.mesh.Call(ctx, m.Target, protocol.MeshMessage{Kind: protocol.MeshStatus, Target: m.Target})
+	_, err := c.mesh.Call(ctx, m.ProbeTarget, protocol.PeerMessage{Kind: protocol.PeerStatusQuery, ProbeTarget: m.ProbeTarget})
 	reached := err == nil
-	reply.Reached = &reached
+	reply.TargetReached = &reached
 }
 
 // addSuspicions puts into a heartbeat, or its answer, what this controller holds of the others.
-func (c *Controller) addSuspicions(m *protocol.MeshMessage) {
+func (c *Controller) addSuspicions(m *protocol.PeerMessage) {
 	if c.suspicions == nil {
 		return
 	}
 	if s := c.suspicions.said.Load(); s != nil {
-		m.Incarnation, m.Health, m.Opinions = s.is.Number, s.health, s.opinions
+		m.Refutations, m.HealthScore, m.Opinions = s.is.Number, s.health, s.opinions
 	}
 }
 
 // hearSuspicions takes in a peer's heartbeat, or its answer to ours. Opinions that are out of form are
 // dropped, and with them whatever they could consent to.
-func (c *Controller) hearSuspicions(m *protocol.MeshMessage) {
-	if c.suspicions == nil || m.Life == 0 {
+func (c *Controller) hearSuspicions(m *protocol.PeerMessage) {
+	if c.suspicions == nil || m.Incarnation == 0 {
 		return
 	}
-	heard := suspicion.Heard{Peer: m.From, Is: suspicion.Incarnation{Life: m.Life, Number: m.Incarnation}, Health: max(0, m.Health), Counts: m.Whole}
+	heard := suspicion.Heard{Peer: m.From, Is: suspicion.Incarnation{Life: m.Incarnation, Number: m.Refutations}, Health: max(0, m.HealthScore), Counts: m.Recovered}
 	if err := protocol.CheckOpinions(m.Opinions); err != nil {
 		c.suspicions.refusals.Do(func() { c.log.Info("opinions refused", "from", m.From, "err", err) })
 	} else {
@@ -145,13 +145,13 @@
 func opinionsOf(list []protocol.PeerOpinion) map[string]suspicion.Opinion {
 	out := make(map[string]suspicion.Opinion, len(list))
 	for _, o := range list {
-		heard := time.Duration(o.HeardMS) * time.Millisecond
-		if o.HeardMS < 0 {
+		heard := time.Duration(o.HeardAgoMS) * time.Millisecond
+		if o.HeardAgoMS < 0 {
 			heard = -1
 		}
-		out[o.Node] = suspicion.Opinion{
-			Of: suspicion.Incarnation{Life: o.Life, Number: o.Incarnation}, HeardAgo: heard, Suspected: o.Suspected,
-			SuspectedFor: time.Duration(o.SuspectedMS) * time.Millisecond, Phi: o.Phi, Failed: o.Failed, Probed: o.Probed,
+		out[o.Controller] = suspicion.Opinion{
+			Of: suspicion.Incarnation{Life: o.Incarnation, Number: o.Refutations}, HeardAgo: heard, Suspected: o.Suspected,
+			SuspectedFor: time.Duration(o.SuspectedForMS) * time.Millisecond, Phi: o.Phi, Failed: o.Failed, Probed: o.UnreachableThrough,
 		}
 	}
 	return out
--- a/internal/protocol/codec.go
+++ b/internal/protocol/codec.go
@@ -17,8 +17,8 @@
 // ContentType is that of every HTTP body.
 const ContentType = "application/msgpack"
 
-// MaxBody bounds request bodies, and responses to workers and users.
-const MaxBody = 64 << 10
+// MaxBodyBytes bounds request bodies, and responses to workers and users.
+const MaxBodyBytes = 64 << 10
 
 // ErrMalformed is wrapped by every complaint about a message's form.
 var ErrMalformed = errors.New("malformed")
@@ -76,8 +76,8 @@
 }
 
 var (
-	cborEnc = must(cbor.EncOptions{}.EncMode())
-	cborDec = must(cbor.DecOptions{MaxNestedLevels: 16, MaxArrayElements: 1 << 16, MaxMapPairs: 1 << 10}.DecMode())
+	cborEncMode = must(cbor.EncOptions{}.EncMode())
+	cborDecMode = must(cbor.DecOptions{MaxNestedLevels: 16, MaxArrayElements: 1 << 16, MaxMapPairs: 1 << 10}.DecMode())
 )
 
 func must[T any](v T, err error) T {
--- a/internal/protocol/compatibility_test.go
+++ b/internal/protocol/compatibility_test.go
@@ -9,33 +9,33 @@
 	"pinebay/internal/testkit"
 )
 
-// TestProductionMesh: every message between controllers as the version in production sends it is read, and
+// TestPeerMessagesAsInProduction: every message between controllers as the version in production sends it is read, and
 // written the same but for the feature level, a field that production ignores.
-func TestProductionMesh(t *testing.T) {
-	for name, want := range map[string]MeshMessage{
-		"beat": {Kind: MeshBeat, ID: 9, From: "bothy-1", Term: 7, Leader: "bothy-1", StateOK: true, Life: 77, Whole: true, Base: 2, Expired: 1,
-			Intents: []Intent{{Job: "j-000398", Mark: 5}}, HeldLife: 66, Held: 4},
-		"beat-reply":   {Kind: MeshReply, ID: 9, From: "bothy-2", Term: 7, Leader: "bothy-1", StateOK: true, Renews: true, Life: 66, More: true},
-		"status":       {Kind: MeshStatus, ID: 10, From: "bothy-2", Jobs: []string{"j-000412"}},
-		"status-reply": {Kind: MeshReply, ID: 10, From: "bothy-1", Statuses: []JobStatus{{ID: "j-000412", Standing: Running, Done: 3, Running: 13}}},
-		"report":       {Kind: MeshReport, ID: 11, From: "bothy-2", Body: []byte{0x80}},
-		"heard":        {Kind: MeshHeard, ID: 12, From: "bothy-2", Machines: []string{"host-000231"}},
+func TestPeerMessagesAsInProduction(t *testing.T) {
+	for name, want := range map[string]PeerMessage{
+		"beat": {Kind: PeerHeartbeat, ID: 9, From: "bothy-1", Term: 7, Leader: "bothy-1", StoreReachable: true, Incarnation: 77, Recovered: true, IntentOffset: 2, ExpiredIntents: 1,
+			Intents: []CancellationIntent{{JobID: "j-000398", AnnouncementID: 5}}, AckedIncarnation: 66, AckedIntents: 4},
+		"beat-reply":   {Kind: PeerReply, ID: 9, From: "bothy-2", Term: 7, Leader: "bothy-1", StoreReachable: true, RenewsLeases: true, Incarnation: 66, MoreIntents: true},
+		"status":       {Kind: PeerStatusQuery, ID: 10, From: "bothy-2", JobIDs: []string{"j-000412"}},
+		"status-reply": {Kind: PeerReply, ID: 10, From: "bothy-1", Statuses: []JobStatus{{ID: "j-000412", State: JobRunning, DoneTasks: 3, RunningTasks: 13}}},
+		"report":       {Kind: PeerForwardedHeartbeat, ID: 11, From: "bothy-2", Body: []byte{0x80}},
+		"heard":        {Kind: PeerLiveMachinesQuery, ID: 12, From: "bothy-2", Machines: []string{"host-000231"}},
 	} {
 		raw := testkit.Production(t, name)
-		written, err := EncodeMesh(&want)
+		written, err := EncodePeerMessage(&want)
 		if err != nil || !bytes.Equal(written, raw) {
 			t.Errorf("%s is written otherwise: %x, want %x, %v", name, written, raw, err)
 		}
-		if got, err := DecodeMesh(raw); err != nil || !reflect.DeepEqual(*got, want) {
+		if got, err := DecodePeerMessage(raw); err != nil || !reflect.DeepEqual(*got, want) {
 			t.Errorf("%s is read as %+v: %v", name, got, err)
 		}
 	}
 }
 
-// TestAwaitsInForm: awaited jobs are read each once; null and a missing list are none, and a complaint names the
+// TestDependenciesOfSubmissions: awaited jobs are read each once; null and a missing list are none, and a complaint names the
 // field.
-func TestAwaitsInForm(t *testing.T) {
-	job := Job{ID: "j-1", Class: "c", Team: "red", Shape: Array, Priority: "normal", Tasks: 1, CPUs: 1, Image: "i"}
+func TestDependenciesOfSubmissions(t *testing.T) {
+	job := Job{ID: "j-1", Class: "c", Team: "red", Shape: Array, Priority: "normal", TaskCount: 1, CPUs: 1, Image: "i"}
 	for name, x := range map[string]struct {
 		awaits any
 		want   []string
@@ -70,15 +70,15 @@
 			}
 			continue
 		}
-		if err != nil || len(got.Awaits) != len(x.want) || len(x.want) > 0 && !reflect.DeepEqual(got.Awaits, x.want) {
+		if err != nil || len(got.Dependencies) != len(x.want) || len(x.want) > 0 && !reflect.DeepEqual(got.Dependencies, x.want) {
 			t.Errorf("%s: %v, %v", name, got, err)
 		}
 	}
 }
 
-// TestDigestsInForm: what an owner tells of machines is taken only with a session and a number for each, and no more
+// TestUnchangedHeartbeatLists: what an owner tells of machines is taken only with a session and a number for each, and no more
 // machines than a message may name.
-func TestDigestsInForm(t *testing.T) {
+func TestUnchangedHeartbeatLists(t *testing.T) {
 	for name, x := range map[string]struct {
 		machines, sessions, numbers int
 		ok                          bool
@@ -89,13 +89,13 @@
 		"a number missing":  {3, 3, 2, false},
 		"both missing":      {3, 2, 2, false},
 		"no machines":       {0, 1, 1, false},
-		"too many":          {MaxMeshMachines + 1, MaxMeshMachines + 1, MaxMeshMachines + 1, false},
+		"too many":          {MaxMachinesPerMessage + 1, MaxMachinesPerMessage + 1, MaxMachinesPerMessage + 1, false},
 	} {
-		raw, err := EncodeMesh(&MeshMessage{Kind: MeshAlive, From: "b", Epoch: 3, Machines: make([]string, x.machines), Sessions: make([]uint64, x.sessions), Numbers: make([]uint64, x.numbers)})
+		raw, err := EncodePeerMessage(&PeerMessage{Kind: PeerUnchangedHeartbeats, From: "b", OwnershipEpoch: 3, Machines: make([]string, x.machines), MachineIncarnations: make([]uint64, x.sessions), HeartbeatSequences: make([]uint64, x.numbers)})
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, err := DecodeMesh(raw); (err == nil) != x.ok {
+		if _, err := DecodePeerMessage(raw); (err == nil) != x.ok {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
--- a/internal/protocol/cost_test.go
+++ b/internal/protocol/cost_test.go
@@ -5,33 +5,33 @@
 	"testing"
 )
 
-// heartbeat is one of a quiet deployment.
-func heartbeat() *MeshMessage {
-	return &MeshMessage{Kind: MeshBeat, ID: 7, From: "controller-0", Term: 3, Leader: "controller-0", StateOK: true, Life: 1 << 60, Whole: true, HeldLife: 1 << 59}
+// testPeerHeartbeat is one of a quiet deployment.
+func testPeerHeartbeat() *PeerMessage {
+	return &PeerMessage{Kind: PeerHeartbeat, ID: 7, From: "controller-0", Term: 3, Leader: "controller-0", StoreReachable: true, Incarnation: 1 << 60, Recovered: true, AckedIncarnation: 1 << 59}
 }
 
-// quietReport is a worker's with the given number of running tasks.
-func quietReport(tasks int) *Report {
-	r := &Report{Machine: "host-000001", Addr: "10.1.0.1:9000", Type: "g8", Zone: "a", Session: 1, Seq: 9, Token: Token(3, 1)}
+// testWorkerHeartbeat is a worker's with the given number of running tasks.
+func testWorkerHeartbeat(tasks int) *WorkerHeartbeat {
+	r := &WorkerHeartbeat{Machine: "host-000001", Addr: "10.1.0.1:9000", Type: "g8", Zone: "a", Incarnation: 1, Sequence: 9, FencingToken: FencingToken(3, 1)}
 	for i := range tasks {
-		r.Tasks = append(r.Tasks, TaskReport{Name: fmt.Sprintf("j-000001/%d", i), Attempt: 1, State: TaskRunning})
+		r.Tasks = append(r.Tasks, TaskStatus{TaskName: fmt.Sprintf("j-000001/%d", i), Attempt: 1, State: TaskRunning})
 	}
 	return r
 }
 
-// TestCostOfAHeartbeat: a heartbeat is small and costs few allocations on both sides.
-func TestCostOfAHeartbeat(t *testing.T) {
+// TestCostOfAPeerHeartbeat: a heartbeat is small and costs few allocations on both sides.
+func TestCostOfAPeerHeartbeat(t *testing.T) {
 	const mostBytes, mostAllocations = 75, 8
-	raw, err := EncodeMesh(heartbeat())
+	raw, err := EncodePeerMessage(testPeerHeartbeat())
 	if err != nil {
 		t.Fatal(err)
 	}
 	allocations := testing.AllocsPerRun(200, func() {
-		out, err := EncodeMesh(heartbeat())
+		out, err := EncodePeerMessage(testPeerHeartbeat())
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, err := DecodeMesh(out); err != nil {
+		if _, err := DecodePeerMessage(out); err != nil {
 			t.Fatal(err)
 		}
 	})
@@ -41,17 +41,17 @@
 	}
 }
 
-// TestCostOfAReport: decoding a report costs a fixed number of allocations and a few for
+// TestCostOfAWorkerHeartbeat: decoding a report costs a fixed number of allocations and a few for
 // each task.
-func TestCostOfAReport(t *testing.T) {
+func TestCostOfAWorkerHeartbeat(t *testing.T) {
 	const fixed, perTask = 8, 4
 	for _, tasks := range []int{0, 8, 64} {
-		raw, err := Encode(quietReport(tasks))
+		raw, err := Encode(testWorkerHeartbeat(tasks))
 		if err != nil {
 			t.Fatal(err)
 		}
 		allocations := testing.AllocsPerRun(200, func() {
-			if _, err := DecodeReport(raw); err != nil {
+			if _, err := DecodeWorkerHeartbeat(raw); err != nil {
 				t.Fatal(err)
 			}
 		})
@@ -64,17 +64,17 @@
 
 // BenchmarkMessages shows what the messages of a quiet deployment cost to write and read.
 func BenchmarkMessages(b *testing.B) {
-	job := &Job{ID: "j-000001", Class: "c", Team: "t", Shape: Array, Priority: "normal", Tasks: 20, CPUs: 8, GPUs: 1, MemoryGB: 40, Image: "img-01", ImageGB: 40}
+	job := &Job{ID: "j-000001", Class: "c", Team: "t", Shape: Array, Priority: "normal", TaskCount: 20, CPUs: 8, GPUs: 1, MemoryGB: 40, Image: "img-01", ImageGB: 40}
 	rows := []struct {
 		name   string
 		encode func() ([]byte, error)
 		decode func([]byte) error
 	}{
-		{"heartbeat", func() ([]byte, error) { return EncodeMesh(heartbeat()) }, func(raw []byte) error { _, err := DecodeMesh(raw); return err }},
-		{"report-8", func() ([]byte, error) { return Encode(quietReport(8)) }, func(raw []byte) error { _, err := DecodeReport(raw); return err }},
-		{"answer", func() ([]byte, error) { return Encode(ReportAnswer{Token: 1}) }, func(raw []byte) error { return Decode(raw, &ReportAnswer{}) }},
+		{"heartbeat", func() ([]byte, error) { return EncodePeerMessage(testPeerHeartbeat()) }, func(raw []byte) error { _, err := DecodePeerMessage(raw); return err }},
+		{"report-8", func() ([]byte, error) { return Encode(testWorkerHeartbeat(8)) }, func(raw []byte) error { _, err := DecodeWorkerHeartbeat(raw); return err }},
+		{"answer", func() ([]byte, error) { return Encode(WorkerHeartbeatReply{FencingToken: 1}) }, func(raw []byte) error { return Decode(raw, &WorkerHeartbeatReply{}) }},
 		{"submission", func() ([]byte, error) { return Encode(job) }, func(raw []byte) error { _, err := DecodeJob(raw); return err }},
-		{"status", func() ([]byte, error) { return Encode(JobStatus{ID: "j-000001", Standing: Running}) }, func(raw []byte) error { return Decode(raw, &JobStatus{}) }},
+		{"status", func() ([]byte, error) { return Encode(JobStatus{ID: "j-000001", State: JobRunning}) }, func(raw []byte) error { return Decode(raw, &JobStatus{}) }},
 	}
 	for _, row := range rows {
 		raw, err := row.encode()
--- a/internal/scale/fleet.go
+++ b/internal/scale/fleet.go
@@ -33,7 +33,7 @@
 		r.upProcess(m)
 		return
 	}
-	w := r.world.Add(r.now(), m.Name, m.Zone, m.Spot, &r.types[0], r.cfg.Lease)
+	w := r.world.AddMachine(r.now(), m.Name, m.Zone, m.Spot, &r.types[0], r.cfg.Lease)
 	host, _, err := net.SplitHostPort(m.Addr)
 	if err != nil {
 		r.fail(fmt.Errorf("worker's address: %w", err))
@@ -41,8 +41,8 @@
 	}
 	network := meteredNetwork{from: net.ParseIP(host), bytes: &r.meter.bytes[LinkReports]}
 	a := simulation.NewAgent(r.ctx, r.surroundings, w, m.Addr, transport.NewClient(network, 1, 2, idleWorkerConnection))
-	a.OnReport = func(*protocol.Report) { r.meter.Message(LinkReports, "report") }
-	a.OnAnswer = func(took time.Duration, status int) {
+	a.OnHeartbeat = func(*protocol.WorkerHeartbeat) { r.meter.Message(LinkReports, "report") }
+	a.OnReply = func(took time.Duration, status int) {
 		r.meter.Took(ReportAnswered, took)
 		if status == http.StatusOK {
 			r.answered(a)
@@ -80,7 +80,7 @@
 		delete(r.agents, host)
 		delete(r.names, name)
 	}
-	r.world.Remove(name)
+	r.world.RemoveMachine(name)
 }
 
 // serveCommands passes a command to the worker whose address it was sent to.
--- a/internal/scale/load.go
+++ b/internal/scale/load.go
@@ -55,9 +55,9 @@
 	defer r.mu.Unlock()
 	r.jobs++
 	return protocol.Job{
-		ID: fmt.Sprintf("j-%06d", r.jobs), Class: class, Team: team, Shape: shape, Priority: "normal", Tasks: tasks,
+		ID: fmt.Sprintf("j-%06d", r.jobs), Class: class, Team: team, Shape: shape, Priority: "normal", TaskCount: tasks,
 		CPUs: taskCPUs, MemoryGB: taskMemoryGB, Image: fmt.Sprintf("image-%02d", r.rng.IntN(images)), ImageGB: imageGB,
-		EstimateS: r.cfg.RunTime.Seconds(),
+		EstimateSeconds: r.cfg.RunTime.Seconds(),
 	}
 }
 
@@ -73,7 +73,7 @@
 	for team := range r.load.Teams {
 		for left := perTeam; left > 0; left -= standingTasks {
 			j := r.newJob(classStanding, protocol.Service, min(left, standingTasks), teamName(team))
-			j.EstimateS = 0
+			j.EstimateSeconds = 0
 			r.wg.Go(func() { r.user(j) })
 		}
 	}
@@ -162,8 +162,8 @@
 	r.mu.Unlock()
 	j := r.newJob(classGang, protocol.Gang, n, team)
 	j.SameZone = true
-	j.Types = []string{machineType} // hollow workers of a gang find each other, processes don't
-	j.CheckpointS, j.SaveS = r.cfg.RunTime.Seconds()/4, 1
+	j.MachineTypes = []string{machineType} // hollow workers of a gang find each other, processes don't
+	j.CheckpointIntervalSeconds, j.SaveSeconds = r.cfg.RunTime.Seconds()/4, 1
 	return j
 }
 
@@ -187,7 +187,7 @@
 // follow asks for an accepted job until it is over.
 func (r *run) follow(id string) {
 	for r.sleep(pollInterval) == nil {
-		if status, st := r.users.Request(r.ctx, r.anyController(), simulation.Asks, id, nil); status == http.StatusOK && st.Standing.Final() {
+		if status, st := r.users.Request(r.ctx, r.anyController(), simulation.RequestQuery, id, nil); status == http.StatusOK && st.State.Final() {
 			return
 		}
 	}
@@ -196,7 +196,7 @@
 // submit submits a job until it is accepted, and says whether it was.
 func (r *run) submit(j *protocol.Job) bool {
 	for r.ctx.Err() == nil {
-		status, _ := r.users.Request(r.ctx, r.anyController(), simulation.Submits, j.ID, j)
+		status, _ := r.users.Request(r.ctx, r.anyController(), simulation.RequestSubmit, j.ID, j)
 		switch status {
 		case http.StatusOK, http.StatusCreated:
 			r.accepted.Add(1)
@@ -216,7 +216,7 @@
 // cancelJob calls a job off until told that it is over.
 func (r *run) cancelJob(id string) {
 	for r.ctx.Err() == nil {
-		if status, st := r.users.Request(r.ctx, r.anyController(), simulation.Cancels, id, nil); status == http.StatusOK && st.Standing.Final() {
+		if status, st := r.users.Request(r.ctx, r.anyController(), simulation.RequestCancel, id, nil); status == http.StatusOK && st.State.Final() {
 			return
 		}
 		if r.sleep(retryPause) != nil {
@@ -245,22 +245,22 @@
 
 // started takes in a task's start; the lock is held.
 func (r *run) started(now time.Duration, id protocol.TaskID) {
-	if id.Task != 0 {
+	if id.Index != 0 {
 		return
 	}
-	if freed, awaited := r.world.FreedAt(r.world.Jobs[id.Job]); awaited {
-		delete(r.waiting, id.Job)
+	if freed, awaited := r.world.UnblockedAt(r.world.Jobs[id.JobID]); awaited {
+		delete(r.waiting, id.JobID)
 		r.meter.Took(FreedStarted, now-freed)
 		return
 	}
-	at, ok := r.waiting[id.Job]
+	at, ok := r.waiting[id.JobID]
 	switch {
 	case !ok:
 		// It runs before its user has the answer, or runs again.
-		r.waiting[id.Job] = -1
+		r.waiting[id.JobID] = -1
 	case at >= 0:
-		delete(r.waiting, id.Job)
-		r.meter.Took(latencyOf(r.world.Jobs[id.Job].Class), now-at)
+		delete(r.waiting, id.JobID)
+		r.meter.Took(latencyOf(r.world.Jobs[id.JobID].Class), now-at)
 	}
 }
 
@@ -275,11 +275,11 @@
 func (r *run) userAnswered(kind string, took time.Duration, status int) {
 	r.meter.Message(LinkUsers, fmt.Sprintf("%s %d", kind, status))
 	switch kind {
-	case simulation.Submits:
+	case simulation.RequestSubmit:
 		r.meter.Took(SubmissionAnswered, took)
-	case simulation.Asks:
+	case simulation.RequestQuery:
 		r.meter.Took(QuestionAnswered, took)
-	case simulation.Cancels:
+	case simulation.RequestCancel:
 		r.meter.Took(CancellationAnswered, took)
 	}
 }
@@ -288,8 +288,8 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	j := r.world.Jobs[id]
-	for i := range j.Tasks {
-		if !r.world.Done[protocol.TaskID{Job: id, Task: i}] {
+	for i := range j.TaskCount {
+		if !r.world.Done[protocol.TaskID{JobID: id, Index: i}] {
 			return false
 		}
 	}
--- a/internal/scale/measure.go
+++ b/internal/scale/measure.go
@@ -16,7 +16,7 @@
 	process  map[string]usage
 	workers  []usage // of workers that are processes
 	self     usage
-	state    simulation.StateUse
+	state    simulation.StoreUsage
 	bytes    [links]int64
 	messages [links]int64
 	kinds    map[string]int64
@@ -26,7 +26,7 @@
 }
 
 func (r *run) sample() (sample, error) {
-	s := sample{at: time.Now(), process: map[string]usage{}, state: r.state.Use(), kinds: r.meter.kindsNow(),
+	s := sample{at: time.Now(), process: map[string]usage{}, state: r.state.Usage(), kinds: r.meter.kindsNow(),
 		answers: r.answers.Load(), accepted: r.accepted.Load()}
 	if p := r.leader(); p != nil {
 		s.leader = p.node
--- a/internal/scale/pipelines.go
+++ b/internal/scale/pipelines.go
@@ -16,10 +16,10 @@
 	var before []string
 	for i, tasks := range pipelineTasks {
 		j := r.newJob(classPipeline, protocol.Array, tasks, urgentTeam)
-		j.Priority, j.Awaits = "best_effort", before
+		j.Priority, j.Dependencies = "best_effort", before
 		if i == len(pipelineTasks)-1 {
 			j.Priority = "urgent"
-			j.DeadlineS = float64(2*len(pipelineTasks)) * r.cfg.RunTime.Seconds()
+			j.DeadlineSeconds = float64(2*len(pipelineTasks)) * r.cfg.RunTime.Seconds()
 		}
 		r.mu.Lock()
 		r.world.Jobs[j.ID] = &j
@@ -37,7 +37,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if j := r.world.Jobs[id]; j != nil {
-		return j.Awaits
+		return j.Dependencies
 	}
 	return nil
 }
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -38,11 +38,11 @@
 	types []protocol.MachineType
 
 	controllers  []*controllerProcess
-	state        *simulation.State
+	state        *simulation.Store
 	cloud        *simulation.Cloud
-	ledger       *simulation.Ledger
-	users        *simulation.Users
-	surroundings *simulation.Surroundings
+	ledger       *simulation.AnswerChecker
+	users        *simulation.UserClient
+	surroundings *simulation.Environment
 
 	mu      sync.Mutex // guards what follows
 	rng     *rand.Rand
@@ -82,9 +82,9 @@
 	slots := float64(int(load.TasksPerWorker*roomFactor + 1))
 	r := &run{
 		cfg: cfg, load: load, log: log, began: time.Now(), meter: NewMeter(), rng: rand.New(rand.NewPCG(cfg.Seed, uint64(load.Workers))),
-		agents: map[string]*simulation.Agent{}, names: map[string]string{}, waiting: map[string]time.Duration{}, processes: map[string]*runningWorker{}, state: simulation.NewState(),
+		agents: map[string]*simulation.Agent{}, names: map[string]string{}, waiting: map[string]time.Duration{}, processes: map[string]*runningWorker{}, state: simulation.NewStore(),
 		types: []protocol.MachineType{{Name: machineType, CPUs: slots * taskCPUs, GPUs: machineGPUs, MemoryGB: slots * taskMemoryGB,
-			CacheGB: images * imageGB, FetchGBPerS: fetchGBPerS, Price: 10, SpotPrice: 5, BootS: bootS, Zones: zoneNames(load.Zones)}},
+			CacheGB: images * imageGB, FetchGBPerSecond: fetchGBPerS, HourlyPrice: 10, HourlySpotPrice: 5, BootSeconds: bootS, Zones: zoneNames(load.Zones)}},
 	}
 	if cfg.WorkerProcesses > 0 {
 		process := r.types[0]
@@ -93,15 +93,15 @@
 	}
 	r.teams = teamsOf(load)
 	r.ctx, r.stop = context.WithCancelCause(ctx)
-	r.state.Limit(cfg.stateLimits())
+	r.state.SetLimits(cfg.stateLimits())
 	r.newWorld()
 	r.newCloud()
-	r.ledger = simulation.NewLedger(r.allDone, r.toldCancelled)
-	r.ledger.Awaits, r.ledger.CancelS = r.awaits, r.world.CancelS
+	r.ledger = simulation.NewAnswerChecker(r.allDone, r.toldCancelled)
+	r.ledger.Dependencies, r.ledger.CancelTimeout = r.awaits, r.world.CancelTimeout
 	network := meteredNetwork{from: []byte{127, 0, 0, 1}, bytes: &r.meter.bytes[LinkUsers]}
-	r.users = &simulation.Users{Client: transport.NewClient(network, usersConnections, usersConnections, time.Minute), Ledger: r.ledger,
-		Now: r.now, Fault: r.fail, OnAnswer: r.userAnswered}
-	r.surroundings = &simulation.Surroundings{Lock: &r.mu, Now: r.now, Random: random.New(cfg.Seed), Interval: cfg.Report, Fault: r.fail}
+	r.users = &simulation.UserClient{Client: transport.NewClient(network, usersConnections, usersConnections, time.Minute), Checker: r.ledger,
+		Now: r.now, OnError: r.fail, OnAnswer: r.userAnswered}
+	r.surroundings = &simulation.Environment{Lock: &r.mu, Now: r.now, Random: random.New(cfg.Seed), HeartbeatInterval: cfg.Report, OnError: r.fail}
 	for node := range load.Controllers {
 		s := settingsFor(cfg, load, r.teams, node, cfg.stateAddr(), cfg.cloudAddr())
 		p, err := newController(cfg, dir, s)
@@ -109,7 +109,7 @@
 			return nil, err
 		}
 		r.controllers = append(r.controllers, p)
-		r.surroundings.Controllers = append(r.surroundings.Controllers, simulation.Controller{Node: p.node, Addr: p.addr})
+		r.surroundings.Controllers = append(r.surroundings.Controllers, simulation.Controller{Name: p.node, Addr: p.addr})
 	}
 	return r, nil
 }
@@ -128,34 +128,34 @@
 	r.world = simulation.NewWorld(4*r.cfg.Lease, fetch, r.cfg.RunTime)
 	// News of a cancellation and the last command before it may be under way for as long as a
 	// direct command may take.
-	r.world.UnderWay = r.cfg.Report
+	r.world.CommandTransitTime = r.cfg.Report
 	r.world.RunTimeOf = r.runTime
 	r.world.OnStart = r.started
 	for _, t := range r.teams {
-		r.world.Limits[t.Name] = [2]float64{t.CPUsMax, t.GPUsMax}
+		r.world.TeamLimits[t.Name] = [2]float64{t.CPUsMax, t.GPUsMax}
 	}
 }
 
 // runTime is a half to one and a half times the mean, always the same for a task.
 func (r *run) runTime(id protocol.TaskID) time.Duration {
 	h := fnv.New32a()
-	fmt.Fprint(h, id.Job, id.Task)
+	fmt.Fprint(h, id.JobID, id.Index)
 	const parts = 1 << 10
 	return r.cfg.RunTime/2 + r.cfg.RunTime*time.Duration(h.Sum32()%parts)/parts
 }
 
 func (r *run) newCloud() {
 	r.cloud = simulation.NewCloud(&r.mu, r.now)
-	r.cloud.Types, r.cloud.Lag = r.types, config.Seconds(r.cfg.cloudLimits().ListLagS)
+	r.cloud.Types, r.cloud.ListLag = r.types, config.Seconds(r.cfg.cloudLimits().ListLagS)
 	r.cloud.Capacity = func(protocol.Rental) int { return 0 }
-	r.cloud.Boot = func(string) time.Duration { return 0 }
+	r.cloud.BootTime = func(string) time.Duration { return 0 }
 	r.cloud.Address = func(number int) string {
 		if process := number - r.load.Workers; process > 0 {
 			return fmt.Sprintf("%s:%d", processIP(process), r.cfg.processPort())
 		}
 		return fmt.Sprintf("%s:%d", workerIP(number), r.cfg.workersPort())
 	}
-	r.cloud.Up, r.cloud.Down = r.up, r.down
+	r.cloud.StartWorker, r.cloud.StopWorker = r.up, r.down
 }
 
 func (r *run) now() time.Duration { return time.Since(r.began) }
@@ -224,10 +224,10 @@
 // judge returns the first broken rule.
 func (r *run) judge() error {
 	r.mu.Lock()
-	broken := append([]string{}, r.world.Broken...)
+	broken := append([]string{}, r.world.Violations...)
 	late := r.world.LateStarts
 	r.mu.Unlock()
-	broken = append(broken, r.ledger.Breaches()...)
+	broken = append(broken, r.ledger.Violations()...)
 	if late > 0 {
 		broken = append(broken, fmt.Sprintf("%d starts after a confirmed cancellation", late))
 	}
@@ -263,7 +263,7 @@
 func (r *run) leader() *controllerProcess {
 	pair := r.state.Get(storage.LeaderKey)
 	var rec storage.LeaderRecord
-	if pair.Version == 0 || protocol.Decode(pair.Value, &rec) != nil {
+	if pair.Revision == 0 || protocol.Decode(pair.Value, &rec) != nil {
 		return nil
 	}
 	for _, p := range r.controllers {
--- a/internal/scale/scale.go
+++ b/internal/scale/scale.go
@@ -62,7 +62,7 @@
 	r.mu.Lock()
 	result.Starts = r.world.Starts
 	r.mu.Unlock()
-	result.Answers = r.ledger.Told
+	result.Answers = r.ledger.BindingAnswers
 	if err != nil {
 		result.Stopped = err.Error()
 	}
@@ -115,7 +115,7 @@
 func (r *run) tasksOn() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.world.OnMachines()
+	return r.world.TasksOnMachines()
 }
 
 func errorUnless(ok bool, what string) error {
--- a/internal/scale/scale_test.go
+++ b/internal/scale/scale_test.go
@@ -215,7 +215,7 @@
 		t.Fatal(err)
 	}
 	for _, team := range r.teams {
-		r.world.Limits[team.Name] = [2]float64{1, 0}
+		r.world.TeamLimits[team.Name] = [2]float64{1, 0}
 	}
 	var result SizeResult
 	err = r.play(&result)
@@ -360,8 +360,8 @@
 // of one that ended before.
 func TestMirrorIsJudged(t *testing.T) {
 	kind := &protocol.MachineType{Name: processType, CPUs: 8, MemoryGB: 8}
-	report := func(machine string, state protocol.TaskState) *protocol.Report {
-		return &protocol.Report{Machine: machine, Tasks: []protocol.TaskReport{{Name: "j-1/0", Attempt: 1, State: state}}}
+	report := func(machine string, state protocol.TaskState) *protocol.WorkerHeartbeat {
+		return &protocol.WorkerHeartbeat{Machine: machine, Tasks: []protocol.TaskStatus{{TaskName: "j-1/0", Attempt: 1, State: state}}}
 	}
 	const second = time.Second
 	for name, x := range map[string]struct {
@@ -370,32 +370,32 @@
 		on       int
 	}{
 		"one after the other": {func(w *simulation.World) {
-			w.Mirror(second, report("a", protocol.TaskRunning))
-			w.Mirror(second, report("a", protocol.Exited))
-			w.Mirror(second, report("b", protocol.TaskRunning))
+			w.ApplyHeartbeat(second, report("a", protocol.TaskRunning))
+			w.ApplyHeartbeat(second, report("a", protocol.TaskExited))
+			w.ApplyHeartbeat(second, report("b", protocol.TaskRunning))
 		}, 0, 1},
 		"a lease ran out": {func(w *simulation.World) {
-			w.Mirror(second, report("a", protocol.TaskRunning))
-			w.Mirror(second, &protocol.Report{Machine: "a"})
-			w.Mirror(second, report("b", protocol.TaskRunning))
+			w.ApplyHeartbeat(second, report("a", protocol.TaskRunning))
+			w.ApplyHeartbeat(second, &protocol.WorkerHeartbeat{Machine: "a"})
+			w.ApplyHeartbeat(second, report("b", protocol.TaskRunning))
 		}, 0, 1},
 		"both at once": {func(w *simulation.World) {
-			w.Mirror(second, report("a", protocol.TaskRunning))
-			w.Mirror(second, report("b", protocol.TaskRunning))
+			w.ApplyHeartbeat(second, report("a", protocol.TaskRunning))
+			w.ApplyHeartbeat(second, report("b", protocol.TaskRunning))
 		}, 1, 2},
 		"cancelled": {func(w *simulation.World) {
-			w.Mirror(second, report("a", protocol.TaskRunning))
+			w.ApplyHeartbeat(second, report("a", protocol.TaskRunning))
 			w.Cancelled["j-1"] = second
 			w.Advance(20 * second)
 		}, 1, 1},
 	} {
 		w := simulation.NewWorld(10*second, second, second)
-		w.Jobs["j-1"] = &protocol.Job{ID: "j-1", Shape: protocol.Array, Tasks: 1, CPUs: 1}
-		w.AddMirror(0, "a", "zone", kind)
-		w.AddMirror(0, "b", "zone", kind)
+		w.Jobs["j-1"] = &protocol.Job{ID: "j-1", Shape: protocol.Array, TaskCount: 1, CPUs: 1}
+		w.AddMirrored(0, "a", "zone", kind)
+		w.AddMirrored(0, "b", "zone", kind)
 		x.steps(w)
-		if len(w.Broken) != x.breaches || w.OnMachines() != x.on {
-			t.Errorf("%s: broken %v, %d on machines", name, w.Broken, w.OnMachines())
+		if len(w.Violations) != x.breaches || w.TasksOnMachines() != x.on {
+			t.Errorf("%s: broken %v, %d on machines", name, w.Violations, w.TasksOnMachines())
 		}
 	}
 }
--- a/internal/scale/trouble.go
+++ b/internal/scale/trouble.go
@@ -34,8 +34,8 @@
 		return r.mute(func(i int) bool { return i%part == 0 }), nil
 	},
 	StateOutage: func(r *run) (func() error, error) {
-		r.state.Outage(true)
-		return func() error { r.state.Outage(false); return nil }, nil
+		r.state.SetOutage(true)
+		return func() error { r.state.SetOutage(false); return nil }, nil
 	},
 	AllBack: func(r *run) (func() error, error) {
 		return r.mute(func(int) bool { return true }), nil
@@ -84,7 +84,7 @@
 	for i, host := range slices.Sorted(maps.Keys(r.agents)) {
 		if which(i) {
 			a := r.agents[host]
-			a.Mute = true
+			a.HeartbeatsLost = true
 			muted = append(muted, a)
 		}
 	}
@@ -92,7 +92,7 @@
 		r.mu.Lock()
 		defer r.mu.Unlock()
 		for _, a := range muted {
-			a.Mute = false
+			a.HeartbeatsLost = false
 		}
 		return nil
 	}
--- a/internal/scale/workerprocess.go
+++ b/internal/scale/workerprocess.go
@@ -49,13 +49,13 @@
 	ctx, stop := context.WithCancelCause(ctx)
 	defer stop(nil)
 	w := &workerProcess{cfg: cfg, began: time.Now(), stop: stop,
-		client: &http.Client{Timeout: protocol.ReportPatience}}
+		client: &http.Client{Timeout: protocol.HeartbeatTimeout}}
 	w.world = simulation.NewWorld(0, fetch, cfg.RunTime)
-	w.world.Lookup = w.lookup
-	worker := w.world.Add(0, cfg.Name, cfg.Zone, false, &cfg.Type, cfg.Lease)
-	s := &simulation.Surroundings{Lock: &w.mu, Now: w.now, Random: random.New(cfg.Seed), Controllers: cfg.Controllers, Interval: cfg.Report, Fault: func(err error) { stop(err) }}
+	w.world.LookupJob = w.lookup
+	worker := w.world.AddMachine(0, cfg.Name, cfg.Zone, false, &cfg.Type, cfg.Lease)
+	s := &simulation.Environment{Lock: &w.mu, Now: w.now, Random: random.New(cfg.Seed), Controllers: cfg.Controllers, HeartbeatInterval: cfg.Report, OnError: func(err error) { stop(err) }}
 	a := simulation.NewAgent(ctx, s, worker, cfg.Addr, transport.NewClient(transport.TCP{}, 1, 2, idleWorkerConnection))
-	a.OnTell = w.tell
+	a.OnTaskStatus = w.tell
 	l, err := net.Listen("tcp4", cfg.Addr)
 	if err != nil {
 		return fmt.Errorf("%w: %w", ErrConfig, err)
@@ -98,7 +98,7 @@
 		starts := w.world.Starts
 		w.world.Advance(w.now())
 		if w.world.Starts > starts {
-			w.tell(worker.Peek())
+			w.tell(worker.PeekHeartbeat())
 		}
 		w.mu.Unlock()
 	}
@@ -121,7 +121,7 @@
 
 // tell tells the observer of the worker's tasks; without an observer there is no judging, so the
 // worker ends.
-func (w *workerProcess) tell(r *protocol.Report) {
+func (w *workerProcess) tell(r *protocol.WorkerHeartbeat) {
 	raw, err := json.Marshal(r)
 	if err != nil {
 		w.stop(err)
@@ -139,13 +139,13 @@
 func (r *run) serveObserver(w http.ResponseWriter, q *http.Request) {
 	if q.URL.Path == observedPath {
 		raw, err := io.ReadAll(q.Body)
-		var report protocol.Report
+		var report protocol.WorkerHeartbeat
 		if err != nil || json.Unmarshal(raw, &report) != nil {
 			w.WriteHeader(http.StatusBadRequest)
 			return
 		}
 		r.mu.Lock()
-		r.world.Mirror(r.now(), &report)
+		r.world.ApplyHeartbeat(r.now(), &report)
 		r.mu.Unlock()
 		return
 	}
@@ -172,7 +172,7 @@
 		r.fail(err)
 		return
 	}
-	r.world.AddMirror(r.now(), m.Name, m.Zone, &kind)
+	r.world.AddMirrored(r.now(), m.Name, m.Zone, &kind)
 	cmd := exec.Command(r.cfg.WorkerProgram, r.cfg.WorkerArgs...)
 	cmd.Env = append(os.Environ(), WorkerVariable+"="+string(raw))
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
--- a/internal/simulation/cloud.go
+++ b/internal/simulation/cloud.go
@@ -15,17 +15,17 @@
 // Cloud rents out machines. All its functions are called with its lock held.
 type Cloud struct {
 	Types []protocol.MachineType
-	// Lag is by how much its list is late.
-	Lag time.Duration
+	// ListLag is by how much its list is late.
+	ListLag time.Duration
 	// Capacity is how many machines a rental gets.
 	Capacity func(protocol.Rental) int
-	// Boot is how long a machine takes to come up.
-	Boot func(name string) time.Duration
+	// BootTime is how long a machine takes to come up.
+	BootTime func(name string) time.Duration
 	// Address is where the worker of the machine with that number listens.
 	Address func(number int) string
-	// Up brings up a machine's worker, and Down ends it.
-	Up   func(protocol.ListedMachine)
-	Down func(name string)
+	// StartWorker brings up a machine's worker, and Down ends it.
+	StartWorker func(protocol.ListedMachine)
+	StopWorker  func(name string)
 
 	lock     sync.Locker
 	now      func() time.Duration
@@ -70,12 +70,12 @@
 		return
 	}
 	c.lock.Lock()
-	status, body := c.answer(r, raw)
+	status, body := c.handle(r, raw)
 	c.lock.Unlock()
-	writeAnswer(w, status, body)
+	writeResponse(w, status, body)
 }
 
-func (c *Cloud) answer(r *http.Request, raw []byte) (int, any) {
+func (c *Cloud) handle(r *http.Request, raw []byte) (int, any) {
 	switch {
 	case r.URL.Path == "/machine_types":
 		return http.StatusOK, protocol.MachineTypes{Types: c.Types}
@@ -84,36 +84,36 @@
 	case r.URL.Path == "/machines":
 		var q protocol.Rental
 		if err := protocol.Decode(raw, &q); err != nil {
-			return http.StatusBadRequest, protocol.Problem{Error: err.Error()}
+			return http.StatusBadRequest, protocol.ErrorResponse{Error: err.Error()}
 		}
 		names := c.rent(q)
 		if len(names) == 0 {
-			return http.StatusServiceUnavailable, protocol.Problem{Error: "no capacity"}
+			return http.StatusServiceUnavailable, protocol.ErrorResponse{Error: "no capacity"}
 		}
 		return http.StatusOK, protocol.MachineNames{Machines: names}
 	case r.URL.Path == "/machines/release":
 		var q protocol.MachineNames
 		if err := protocol.Decode(raw, &q); err != nil {
-			return http.StatusBadRequest, protocol.Problem{Error: err.Error()}
+			return http.StatusBadRequest, protocol.ErrorResponse{Error: err.Error()}
 		}
 		for _, name := range q.Machines {
 			c.Remove(name)
 		}
 		return http.StatusOK, protocol.MachineNames{Machines: q.Machines}
 	}
-	return http.StatusNotFound, protocol.Problem{Error: "no such path"}
+	return http.StatusNotFound, protocol.ErrorResponse{Error: "no such path"}
 }
 
 // list returns a page of the list as it was Lag ago.
 func (c *Cloud) list(from, limit string) (page protocol.MachineList) {
-	most := protocol.MaxListed
+	most := protocol.MaxMachinesPerPage
 	if n, err := strconv.Atoi(limit); err == nil {
 		most = min(most, n)
 	}
 	now := c.now()
 	first := sort.Search(len(c.machines), func(i int) bool { return c.machines[i].Name > from })
 	for _, m := range c.machines[first:] {
-		if now-m.rentedAt < c.Lag || m.gone && now-m.goneAt > c.Lag {
+		if now-m.rentedAt < c.ListLag || m.gone && now-m.goneAt > c.ListLag {
 			continue
 		}
 		if len(page.Machines) >= most {
@@ -125,7 +125,7 @@
 		if m.up || m.gone {
 			listed.State = protocol.MachineRunning
 		}
-		listed.AgeS = (now - m.rentedAt).Seconds()
+		listed.AgeSeconds = (now - m.rentedAt).Seconds()
 		page.Machines = append(page.Machines, listed)
 	}
 	return page
@@ -133,21 +133,21 @@
 
 // rent carries out a rental once, however often it is asked for.
 func (c *Cloud) rent(q protocol.Rental) []string {
-	if names, ok := c.requests[q.Request]; ok {
+	if names, ok := c.requests[q.RequestID]; ok {
 		return names
 	}
 	var names []string
 	for range min(c.Capacity(q), q.Count) {
-		m := c.add(q.Type, q.Zone, q.Spot)
+		m := c.add(q.MachineType, q.Zone, q.Spot)
 		names = append(names, m.Name)
-		time.AfterFunc(c.Boot(m.Name), func() {
+		time.AfterFunc(c.BootTime(m.Name), func() {
 			c.lock.Lock()
 			defer c.lock.Unlock()
 			c.bringUp(m)
 		})
 	}
 	if len(names) > 0 {
-		c.requests[q.Request] = names
+		c.requests[q.RequestID] = names
 	}
 	return names
 }
@@ -155,7 +155,7 @@
 // Start brings up a machine that was there before anybody rented one.
 func (c *Cloud) Start(kind, zone string, spot bool) {
 	m := c.add(kind, zone, spot)
-	m.rentedAt -= c.Lag // it is listed already
+	m.rentedAt -= c.ListLag // it is listed already
 	c.bringUp(m)
 }
 
@@ -173,7 +173,7 @@
 		return
 	}
 	m.up = true
-	c.Up(m.ListedMachine)
+	c.StartWorker(m.ListedMachine)
 }
 
 // Remove takes a machine away.
@@ -184,12 +184,12 @@
 	}
 	m.gone, m.goneAt = true, c.now()
 	if m.up {
-		c.Down(name)
+		c.StopWorker(name)
 	}
 }
 
-// writeAnswer sends a message as a response.
-func writeAnswer(w http.ResponseWriter, status int, body any) {
+// writeResponse sends a message as a response.
+func writeResponse(w http.ResponseWriter, status int, body any) {
 	raw, err := protocol.Encode(body)
 	if err != nil {
 		status = http.StatusInternalServerError
--- /dev/null
+++ b/internal/simulation/cluster_cloud_test.go
@@ -0,0 +1,33 @@
+package simulation
+
+import (
+	"fmt"
+	"time"
+
+	"pinebay/internal/config"
+	"pinebay/internal/protocol"
+)
+
+// The cloud.
+
+func (l *cluster) newCloud() *Cloud {
+	c := NewCloud(&l.mu, l.now)
+	c.Types, c.ListLag = l.types, config.Seconds(l.cfg.Cloud.ListLagS)
+	c.BootTime = func(name string) time.Duration { return l.bootTime(name) }
+	c.Capacity = l.rentalCapacity
+	c.Address = func(number int) string { return fmt.Sprintf("10.1.0.%d:9000", number) }
+	c.StartWorker, c.StopWorker = l.startWorker, l.stopWorker
+	return c
+}
+
+// rentalCapacity is how many machines a rental gets; l.mu is held.
+func (l *cluster) rentalCapacity(q protocol.Rental) int {
+	if l.deadZones[q.Zone] {
+		return 0
+	}
+	most := min(q.Count, l.cloudCapacity-len(l.workers))
+	if l.zoneCapacity == 0 {
+		return most
+	}
+	return min(most, l.zoneCapacity-l.cloud.Count(q.Zone))
+}
--- /dev/null
+++ b/internal/simulation/cluster_test.go
@@ -0,0 +1,337 @@
+package simulation
+
+import (
+	"bytes"
+	"context"
+	"fmt"
+	"io"
+	"log/slog"
+	"net/http"
+	"os"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"pinebay/internal/config"
+	"pinebay/internal/daemon"
+	"pinebay/internal/protocol"
+	"pinebay/internal/random"
+	"pinebay/internal/storage"
+	"pinebay/internal/transport"
+)
+
+// cluster is a deployment of real controllers in simulated time, against the stand-ins
+// over an in-memory network. Its oracles are the world, which checks every start and
+// cancellation, and the ledger, which checks every answer to a user.
+type cluster struct {
+	t           *testing.T
+	start       time.Time
+	net         *Network
+	store       *Store
+	answers     *AnswerChecker
+	controllers []*controller
+	cfg         config.Deployment
+	types       []protocol.MachineType
+	log         *slog.Logger
+	logs        *bytes.Buffer
+	logWriter   *lockedWriter // guards logs
+	users       *UserClient
+	ctx         context.Context
+	stop        context.CancelFunc
+	wg          sync.WaitGroup
+
+	mu                sync.Mutex // guards what follows
+	random            *random.Source
+	world             *World
+	workers           map[string]*workerProcess
+	cloud             *Cloud
+	bootTime          func(machine string) time.Duration
+	onHeartbeat       func(r *protocol.WorkerHeartbeat) // sees every report that is sent
+	blockedLinks      map[string]int                    // "from>to" to how often it is cut
+	jobIDs            []string
+	queryAfterAnswers bool
+	occurred          map[string]int // what the troubles have come to
+	// features are what is turned on, on all controllers but those that it is off on.
+	features      func(node int) daemon.Features
+	deadZones     map[string]bool // zones in which nothing can be rented
+	cloudCapacity int             // machines that the cloud has
+	zoneCapacity  int             // those of one zone; 0: no bound of its own
+}
+
+type controller struct {
+	name, ip string
+	host     *Host
+	stop     context.CancelFunc
+	settings config.Settings
+	process  *daemon.Controller
+	features daemon.Features
+	up       bool
+}
+
+const (
+	stateAddr = "10.2.0.1:2379"
+	cloudAddr = "10.2.0.2:8443"
+	usersHost = "10.3.0.1"
+)
+
+// times are the workers' times of a deployment.
+var (
+	fastTimings = config.Workers{ReportS: 1, LeaseS: 10, GangWaitS: 45, GangPeerS: 4, CancelS: 40}
+	slowTimings = config.Workers{ReportS: 3, LeaseS: 29, GangWaitS: 60, GangPeerS: 5, CancelS: 59}
+)
+
+func newCluster(t *testing.T, seed uint64, controllers int, w config.Workers, options ...func(*cluster)) *cluster {
+	l := &cluster{
+		t: t, start: time.Now(), net: NewNetwork(seed), store: NewStore(), random: random.New(seed),
+		cfg: config.Deployment{
+			Nodes: controllers, Zones: []string{"a", "b"}, ClockOffMS: 250,
+			Teams:   []config.Team{{Name: "red", GPUsMax: 40}, {Name: "blue", GPUs: 8, GPUsMax: 24}},
+			Workers: w, State: config.State{RPS: 150, WriteRPS: 40, ValueKB: 8, TxnOps: 16},
+			Cloud:      config.Cloud{RPS: 2, ListLagS: 4},
+			Quota:      config.Quota{CoreShare: 0.1, RAMMB: 70, MaxSockets: 500},
+			Objectives: []config.Objective{{Kind: "wait", Class: "daemon", WithinS: 5, Share: 0.9}},
+		},
+		types: []protocol.MachineType{{Name: "g8", CPUs: 64, GPUs: 8, MemoryGB: 256, CacheGB: 100, FetchGBPerSecond: 4, HourlyPrice: 10,
+			HourlySpotPrice: 4, BootSeconds: 8, Zones: []string{"a", "b"}}},
+		logs: &bytes.Buffer{}, workers: map[string]*workerProcess{}, blockedLinks: map[string]int{}, occurred: map[string]int{},
+		features: func(int) daemon.Features { return daemon.Features{} }, deadZones: map[string]bool{}, cloudCapacity: 12,
+	}
+	for _, option := range options {
+		option(l)
+	}
+	l.ctx, l.stop = context.WithCancel(t.Context())
+	l.world = NewWorld(config.Seconds(w.CancelS), time.Second, 80*time.Second)
+	for _, team := range l.cfg.Teams {
+		l.world.TeamLimits[team.Name] = [2]float64{team.CPUsMax, team.GPUsMax}
+	}
+	l.bootTime = func(name string) time.Duration { return 4*time.Second + l.randomDuration("boot "+name, 6*time.Second) }
+	l.answers = NewAnswerChecker(l.allTasksDone, l.recordCancelled)
+	l.answers.Dependencies, l.answers.CancelTimeout = l.dependencies, config.Seconds(w.CancelS)
+	level := slog.LevelInfo
+	if os.Getenv("LOG_LEVEL") == "debug" {
+		level = slog.LevelDebug
+	}
+	l.logWriter = &lockedWriter{w: l.logs}
+	l.log = slog.New(slog.NewTextHandler(l.logWriter, &slog.HandlerOptions{Level: level}))
+	l.users = &UserClient{Client: transport.NewClient(l.net.Host(usersHost), 64, 256, time.Minute), Checker: l.answers, Now: l.now,
+		OnError: func(err error) { l.t.Error(err) }}
+	l.cloud = l.newCloud()
+	l.net.SetBlocked(func(from, to string) bool {
+		l.mu.Lock()
+		defer l.mu.Unlock()
+		return l.blockedLinks[from+">"+to] > 0 || l.blockedLinks[from+">*"] > 0 || l.blockedLinks["*>"+to] > 0
+	})
+	l.serve(stateAddr, l.store)
+	l.serve(cloudAddr, l.cloud)
+	for i := range controllers {
+		ip := fmt.Sprintf("10.0.0.%d", i+1)
+		s := config.Settings{Node: fmt.Sprintf("n-%d", i), Location: "a", Listen: ip + ":8080", MeshAddr: ip + ":8081",
+			Outside: config.Outside{Cloud: cloudAddr, State: stateAddr}, Deploy: l.cfg}
+		for k := range controllers {
+			if k != i {
+				s.Seeds = append(s.Seeds, config.Peer{Node: fmt.Sprintf("n-%d", k), Location: "a", Addr: fmt.Sprintf("10.0.0.%d:8081", k+1)})
+			}
+		}
+		l.controllers = append(l.controllers, &controller{name: s.Node, ip: ip, settings: s, features: l.features(i)})
+	}
+	for _, n := range l.controllers {
+		l.startController(n)
+		time.Sleep(ms) // whom it reaches must not depend on which of them listens first
+	}
+	l.spawn(func() {
+		for l.ctx.Err() == nil {
+			time.Sleep(50 * ms)
+			l.store.Advance(l.now())
+			l.mu.Lock()
+			l.world.Advance(l.now())
+			l.mu.Unlock()
+		}
+	})
+	return l
+}
+
+type lockedWriter struct {
+	mu sync.Mutex
+	w  io.Writer
+}
+
+func (w *lockedWriter) Write(p []byte) (int, error) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return w.w.Write(p)
+}
+
+// logCount returns how often a text stands in the logs so far.
+func (l *cluster) logCount(text string) int {
+	l.logWriter.mu.Lock()
+	defer l.logWriter.mu.Unlock()
+	return strings.Count(l.logs.String(), text)
+}
+
+func (l *cluster) spawn(f func()) {
+	l.wg.Add(1)
+	go func() { defer l.wg.Done(); f() }()
+}
+
+func (l *cluster) now() time.Duration { return time.Since(l.start) }
+
+// randomDuration, draw and chance draw for a purpose.
+
+func (l *cluster) randomDuration(purpose string, d time.Duration) time.Duration {
+	return l.random.UpTo(purpose, d)
+}
+
+func (l *cluster) randomInt(purpose string, n int) int { return l.random.For(purpose).IntN(n) }
+
+func (l *cluster) chance(purpose string, share float64) bool {
+	return l.random.For(purpose).Float64() < share
+}
+
+func (l *cluster) recordOccurrence(what string) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.occurred[what]++
+}
+
+func (l *cluster) occurrences(what string) int {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.occurred[what]
+}
+
+// serve runs an outside service.
+func (l *cluster) serve(addr string, h http.Handler) *Host {
+	host := l.net.Host(HostOf(addr))
+	ln, err := host.Listen(addr)
+	if err != nil {
+		l.t.Fatal(err)
+	}
+	srv := &http.Server{Handler: h, ErrorLog: slog.NewLogLogger(slog.DiscardHandler, slog.LevelError)}
+	l.spawn(func() { _ = srv.Serve(ln) })
+	context.AfterFunc(l.ctx, func() { srv.Close(); host.Kill() })
+	return host
+}
+
+// startController starts a controller's process.
+func (l *cluster) startController(n *controller) {
+	n.host = l.net.Host(n.ip)
+	ctx, stop := context.WithCancel(l.ctx)
+	n.stop, n.up = stop, true
+	process := daemon.New(n.host, l.random.Named(fmt.Sprint(n.name, l.now())), &n.settings, n.features, l.log)
+	n.process = process
+	l.spawn(func() {
+		if err := process.Run(ctx); err != nil && ctx.Err() == nil {
+			l.t.Errorf("%s ended: %v", n.name, err)
+		}
+	})
+}
+
+// crash ends a controller's process, which is back after a while.
+func (l *cluster) crash(n *controller, back time.Duration) {
+	if !n.up {
+		return
+	}
+	l.recordOccurrence("crash")
+	n.up = false
+	n.stop() // before its listeners are gone, or it would say that it ended by itself
+	n.host.Kill()
+	time.AfterFunc(back+l.randomDuration("back "+n.name, ms), func() {
+		if l.ctx.Err() == nil {
+			l.startController(n)
+		}
+	})
+}
+
+// shutDown ends everything.
+func (l *cluster) shutDown() {
+	l.stop()
+	for _, n := range l.controllers {
+		n.host.Kill()
+	}
+	l.mu.Lock()
+	l.cloud.Close()
+	for _, r := range l.workers {
+		r.Stop()
+	}
+	l.mu.Unlock()
+	l.net.Close()
+	l.wg.Wait()
+	time.Sleep(time.Minute) // what still waits for its time
+}
+
+// leader returns the controller that the state service names, or the last one named.
+func (l *cluster) leader() *controller {
+	p := l.store.Get(storage.LeaderKey)
+	if p.Revision == 0 {
+		p = l.store.Get(storage.TermKey)
+	}
+	var rec struct {
+		Node string `msgpack:"node"`
+	}
+	if p.Revision != 0 && protocol.Decode(p.Value, &rec) == nil {
+		for _, n := range l.controllers {
+			if n.name == rec.Node {
+				return n
+			}
+		}
+	}
+	return l.controllers[0]
+}
+
+func (l *cluster) term() uint64 {
+	p := l.store.Get(storage.TermKey)
+	if p.Revision == 0 {
+		return 0
+	}
+	rec, err := storage.DecodeTerm(p.Value)
+	if err != nil {
+		l.t.Errorf("term record: %v", err)
+	}
+	return rec.Term
+}
+
+// others returns the controllers but the given one.
+func (l *cluster) others(n *controller) (out []*controller) {
+	for _, o := range l.controllers {
+		if o != n {
+			out = append(out, o)
+		}
+	}
+	return out
+}
+
+// blockLink makes what one host sends to the other wait; "*" is any host. It returns what
+// ends the cut.
+func (l *cluster) blockLink(from, to string) func() {
+	change := func(by int) {
+		l.mu.Lock()
+		l.blockedLinks[from+">"+to] += by
+		l.mu.Unlock()
+		l.net.RecheckBlocked()
+	}
+	change(1)
+	return func() {
+		change(-1)
+		l.mu.Lock()
+		defer l.mu.Unlock()
+		for _, r := range l.workers {
+			if r.ip == from || r.ip == to {
+				r.model.ExcusedUntil = l.now() + s // what was held back arrives now
+			}
+		}
+	}
+}
+
+// isolateFrom cuts controllers from each other, both ways, and returns what ends it.
+func (l *cluster) isolateFrom(n *controller, others ...*controller) func() {
+	var ends []func()
+	for _, o := range others {
+		ends = append(ends, l.blockLink(n.ip, o.ip), l.blockLink(o.ip, n.ip))
+	}
+	return func() {
+		for _, f := range ends {
+			f()
+		}
+	}
+}
--- /dev/null
+++ b/internal/simulation/cluster_worker_test.go
@@ -0,0 +1,89 @@
+package simulation
+
+import (
+	"context"
+	"log/slog"
+	"net/http"
+	"time"
+
+	"pinebay/internal/config"
+	"pinebay/internal/protocol"
+	"pinebay/internal/transport"
+)
+
+// Workers.
+
+// workerProcess is a machine with its worker's process.
+type workerProcess struct {
+	*Agent
+	cluster *cluster
+	model   *Worker
+	machine protocol.ListedMachine
+	ip      string
+	host    *Host
+}
+
+// startWorker starts a machine's worker; l.mu is held.
+func (l *cluster) startWorker(m protocol.ListedMachine) {
+	r := &workerProcess{cluster: l, machine: m, ip: HostOf(m.Addr)}
+	r.model = l.world.AddMachine(l.now(), m.Name, m.Zone, m.Spot, &l.types[0], config.Seconds(l.cfg.Workers.LeaseS))
+	l.workers[m.Name] = r
+	r.host = l.net.Host(r.ip)
+	r.Agent = NewAgent(l.ctx, l.environment(), r.model, m.Addr, transport.NewClient(r.host, 2, 4, time.Minute))
+	r.OnHeartbeat = func(rep *protocol.WorkerHeartbeat) {
+		if l.onHeartbeat != nil {
+			l.onHeartbeat(rep)
+		}
+		if r.HeartbeatsLost {
+			l.occurred["mute"]++
+		}
+	}
+	ln, err := r.host.Listen(m.Addr)
+	if err != nil {
+		l.t.Error(err)
+		return
+	}
+	srv := &http.Server{Handler: r.Agent, ErrorLog: slog.NewLogLogger(slog.DiscardHandler, slog.LevelError)}
+	l.spawn(func() { _ = srv.Serve(ln) })
+	context.AfterFunc(r.ctx, func() { srv.Close(); r.host.Kill() })
+	at := l.randomInt("first "+m.Name, len(l.controllers))
+	l.spawn(func() { r.Run(at) })
+}
+
+// stopWorker ends a machine's worker; l.mu is held.
+func (l *cluster) stopWorker(name string) {
+	if r := l.workers[name]; r != nil {
+		r.Stop()
+		delete(l.workers, name)
+	}
+	l.world.RemoveMachine(name)
+}
+
+// environment is what the workers share.
+func (l *cluster) environment() *Environment {
+	s := &Environment{Lock: &l.mu, Now: l.now, Random: l.random.Named("workers"), HeartbeatInterval: config.Seconds(l.cfg.Workers.ReportS), OnError: func(err error) { l.t.Error(err) }}
+	for _, n := range l.controllers {
+		s.Controllers = append(s.Controllers, Controller{Name: n.name, Addr: n.ip + ":8080"})
+	}
+	return s
+}
+
+// hang makes the machine execute nothing for a while; l.mu is held.
+func (r *workerProcess) hang(d time.Duration) {
+	r.Hang()
+	r.cluster.occurred["hang"]++
+	time.AfterFunc(d, func() {
+		r.cluster.mu.Lock()
+		defer r.cluster.mu.Unlock()
+		r.Resume(s)
+	})
+}
+
+// deliverCopy sends a copy of a report to a controller; nobody hears the answer.
+func (l *cluster) deliverCopy(rep *protocol.WorkerHeartbeat, to *controller) {
+	c := transport.NewClient(l.net.Host("10.1.9.9"), 4, 4, time.Second)
+	if status, _, err := c.Do(l.ctx, protocol.HeartbeatTimeout, http.MethodPost, "http://"+to.ip+":8080/v1/report", rep); err == nil && status == http.StatusOK {
+		l.recordOccurrence("late report taken")
+	}
+	l.recordOccurrence("late report")
+}
--- a/internal/simulation/intents_test.go
+++ b/internal/simulation/intents_test.go
@@ -11,35 +11,35 @@
 // TestCancellationThatIsNotSafeIsRefusedAtOnce: a controller that reaches the service but
 // none of the others tells users of cancellations when to come back, without holding them.
 func TestCancellationThatIsNotSafeIsRefusedAtOnce(t *testing.T) {
-	play(t, 10, 3, brisk, func(l *live) {
-		l.settle(6)
+	runScenario(t, 10, 3, fastTimings, func(l *cluster) {
+		l.startJobs(6)
 		n := l.others(l.leader())[0]
-		heal := l.apart(n, l.others(n)...)
+		heal := l.isolateFrom(n, l.others(n)...)
 		time.Sleep(4 * s)
-		id, sent := l.running()[0], l.now()
-		if status, _ := l.request(n, Cancels, id); status != 503 || l.now()-sent > 100*ms {
+		id, sent := l.runningJobs()[0], l.now()
+		if status, _ := l.request(n, RequestCancel, id); status != 503 || l.now()-sent > 100*ms {
 			t.Errorf("%d after %v", status, l.now()-sent)
 		}
-		if !l.cancel(id, l.others(n), 2*s) {
+		if !l.cancelUntilFinal(id, l.others(n), 2*s) {
 			t.Error("the others could not cancel it")
 		}
-		if status, _ := l.request(n, Asks, id); status != 503 {
+		if status, _ := l.request(n, RequestQuery, id); status != 503 {
 			t.Errorf("news of it, alone: %d", status)
 		}
 		heal()
 		time.Sleep(4 * s)
-		if status, st := l.request(n, Cancels, id); status != 200 || st.Standing != protocol.Cancelled {
+		if status, st := l.request(n, RequestCancel, id); status != 200 || st.State != protocol.JobCancelled {
 			t.Errorf("together again: %d %v", status, st)
 		}
 	})
 }
 
-// outlast ends an outage, and demands that all is well some minutes later.
-func (l *live) outlast() {
+// endOutage ends an outage, and demands that all is well some minutes later.
+func (l *cluster) endOutage() {
 	l.t.Helper()
-	l.state.Outage(false)
+	l.store.SetOutage(false)
 	time.Sleep(4 * time.Minute)
-	l.calm()
+	l.checkAllServed()
 }
 
 // TestForgottenIntents: the leader, out of reach of the service, cannot be told of a
@@ -47,22 +47,22 @@
 // begins anew and is in contact with the leader again. By its word the leader must not
 // go on.
 func TestForgottenIntents(t *testing.T) {
-	play(t, 8, 3, brisk, func(l *live) {
-		l.settle(12)
+	runScenario(t, 8, 3, fastTimings, func(l *cluster) {
+		l.startJobs(12)
 		old := l.leader()
 		n, p := l.others(old)[0], l.others(old)[1]
-		heal := leaderApart(l)
+		heal := isolateLeader(l)
 		time.Sleep(200 * ms)
 		if l.cancelRunning(6, []*controller{n}, 400*ms) == 0 {
 			t.Error("nothing was cancelled: the scenario shows nothing")
 		}
-		l.state.Outage(true)
+		l.store.SetOutage(true)
 		l.crash(n, 90*s)
 		l.crash(p, 200*ms)
 		time.Sleep(500 * ms)
 		heal()
 		time.Sleep(60 * s)
-		l.outlast()
+		l.endOutage()
 	})
 }
 
@@ -70,8 +70,8 @@
 // is out for all just as the next leader has won its term and read nothing yet. It keeps
 // tasks alive by the others' word, and must not those of which it has intents.
 func TestLeaderWithoutRecords(t *testing.T) {
-	play(t, 9, 3, brisk, func(l *live) {
-		l.settle(12)
+	runScenario(t, 9, 3, fastTimings, func(l *cluster) {
+		l.startJobs(12)
 		old, term := l.leader(), l.term()
 		l.crash(old, 90*s)
 		told := make(chan int, 1)
@@ -79,15 +79,15 @@
 		for l.term() == term && l.ctx.Err() == nil {
 			time.Sleep(ms)
 		}
-		l.state.Outage(true)
+		l.store.SetOutage(true)
 		if <-told == 0 {
 			t.Error("nothing was cancelled: the scenario shows nothing")
 		}
 		time.Sleep(60 * s)
-		if n := len(l.running()); n == 0 {
+		if n := len(l.runningJobs()); n == 0 {
 			t.Error("nothing was kept alive: the scenario shows nothing")
 		}
-		l.outlast()
+		l.endOutage()
 	})
 }
 
@@ -96,20 +96,20 @@
 // service refuses the leader by then, and is out for all right after somebody has read
 // of the cancellation and told the user. Who tells announces it anew.
 func TestLateCancellationIsToldWithANewIntent(t *testing.T) {
-	play(t, 7, 3, brisk, func(l *live) {
-		l.settle(12)
+	runScenario(t, 7, 3, fastTimings, func(l *cluster) {
+		l.startJobs(12)
 		old := l.leader()
 		late := 8 * s
-		mend := writes(1, func(*live, string) Fate { return Fate{Late: late} })(l)
-		ids := l.running()[:4]
+		mend := faultyWrites(1, func(*cluster, string) Outcome { return Outcome{Delay: late} })(l)
+		ids := l.runningJobs()[:4]
 		for _, id := range ids {
-			l.go_(func() { l.request(l.others(old)[0], Cancels, id) })
+			l.spawn(func() { l.request(l.others(old)[0], RequestCancel, id) })
 		}
 		time.Sleep(s)
 		mend()
 		time.Sleep(late - 2*s) // the intents are over for the leader; the jobs run again
 		again := 0
-		for _, id := range l.running() {
+		for _, id := range l.runningJobs() {
 			if slices.Contains(ids, id) {
 				again++
 			}
@@ -117,18 +117,18 @@
 		if again == 0 {
 			t.Error("no job ran again: the scenario shows nothing")
 		}
-		l.state.Refuse(old.ip, true)
+		l.store.SetRefused(old.ip, true)
 		time.Sleep(1500 * ms)
 		for _, id := range ids {
-			l.request(l.others(old)[0], Asks, id)
+			l.request(l.others(old)[0], RequestQuery, id)
 		}
-		if l.count("cancelled") == 0 {
+		if l.occurrences("cancelled") == 0 {
 			t.Error("no cancellation was told: the scenario shows nothing")
 		}
-		l.state.Outage(true)
+		l.store.SetOutage(true)
 		time.Sleep(60 * s)
-		l.state.Refuse(old.ip, false)
-		l.outlast()
+		l.store.SetRefused(old.ip, false)
+		l.endOutage()
 	})
 }
 
@@ -137,6 +137,6 @@
 // one of the job's tasks hangs. Nobody can lead, so nobody knows of the placement; the
 // machine is returned since nobody hears it.
 func TestNobodyLeftToFence(t *testing.T) {
-	g := gap{before: 1700 * ms, outage: 1.5, crash: true, after: "killed", worker: "hung"}
-	play(t, 5054, 3, slow, g.play)
+	g := storeGap{before: 1700 * ms, outage: 1.5, crash: true, after: "killed", worker: "hung"}
+	runScenario(t, 5054, 3, slowTimings, g.run)
 }
--- a/internal/simulation/network.go
+++ b/internal/simulation/network.go
@@ -16,34 +16,34 @@
 // cut from one host to another holds it back: what is under way when the cut ends
 // arrives then, in order, also when its sender has given up or ended meanwhile.
 type Network struct {
-	mu        sync.Mutex
-	random    *random.Source
-	listeners map[string]*listener
-	cut       func(from, to string) bool
-	changed   chan struct{} // closed when cuts have changed
-	done      chan struct{}
-	ports     int
-	slow      map[string]time.Duration // hosts that take so much longer for what they send and receive
-	packets   map[route]int
-	tap       func(from, to string, data []byte)
+	mu         sync.Mutex
+	random     *random.Source
+	listeners  map[string]*listener
+	blocked    func(from, to string) bool
+	changed    chan struct{} // closed when cuts have changed
+	done       chan struct{}
+	ports      int
+	extraDelay map[string]time.Duration // hosts that take so much longer for what they send and receive
+	packets    map[link]int
+	tap        func(from, to string, data []byte)
 }
 
-// route is a direction between two hosts.
-type route struct{ from, to string }
+// link is a direction between two hosts.
+type link struct{ from, to string }
 
 // NewNetwork returns a network without hosts.
 func NewNetwork(seed uint64) *Network {
 	return &Network{random: random.New(seed).Named("network"), listeners: map[string]*listener{},
-		cut: func(string, string) bool { return false }, changed: make(chan struct{}), done: make(chan struct{}),
-		slow: map[string]time.Duration{}, packets: map[route]int{}}
+		blocked: func(string, string) bool { return false }, changed: make(chan struct{}), done: make(chan struct{}),
+		extraDelay: map[string]time.Duration{}, packets: map[link]int{}}
 }
 
-// Slow makes a host short of processor time: what it sends and receives takes so much
+// SetExtraDelay makes a host short of processor time: what it sends and receives takes so much
 // longer. 0 ends that.
-func (n *Network) Slow(host string, by time.Duration) {
+func (n *Network) SetExtraDelay(host string, by time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.slow[host] = by
+	n.extraDelay[host] = by
 }
 
 // Tap has a function see everything that arrives.
@@ -53,7 +53,7 @@
 	n.tap = tap
 }
 
-func (n *Network) arrived(from, to string, data []byte) {
+func (n *Network) notifyTap(from, to string, data []byte) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.tap != nil {
@@ -65,27 +65,27 @@
 func (n *Network) Packets(from, to string) int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.packets[route{from, to}]
+	return n.packets[link{from, to}]
 }
 
-// count notes a packet, and returns how long it takes.
-func (n *Network) count(from, to string) time.Duration {
+// countPacket notes a packet, and returns how long it takes.
+func (n *Network) countPacket(from, to string) time.Duration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.packets[route{from, to}]++
-	return n.slow[from] + n.slow[to]
+	n.packets[link{from, to}]++
+	return n.extraDelay[from] + n.extraDelay[to]
 }
 
-// Cut replaces the rule that says which hosts cannot send to which.
-func (n *Network) Cut(cut func(from, to string) bool) {
+// SetBlocked replaces the rule that says which hosts cannot send to which.
+func (n *Network) SetBlocked(cut func(from, to string) bool) {
 	n.mu.Lock()
-	n.cut = cut
+	n.blocked = cut
 	n.mu.Unlock()
-	n.Changed()
+	n.RecheckBlocked()
 }
 
-// Changed has what is held back look again at the rule.
-func (n *Network) Changed() {
+// RecheckBlocked has what is held back look again at the rule.
+func (n *Network) RecheckBlocked() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	close(n.changed)
@@ -95,12 +95,12 @@
 // Close ends everything that is under way.
 func (n *Network) Close() { close(n.done) }
 
-// passable waits until the host can send to the other; ok is false when the network is closed or the
+// waitUntilPassable waits until the host can send to the other; ok is false when the network is closed or the
 // time is up, and held says that a cut was in the way.
-func (n *Network) passable(from, to string, stop <-chan struct{}) (held, ok bool) {
+func (n *Network) waitUntilPassable(from, to string, stop <-chan struct{}) (held, ok bool) {
 	for ; ; held = true {
 		n.mu.Lock()
-		cut, changed := n.cut, n.changed
+		cut, changed := n.blocked, n.changed
 		n.mu.Unlock()
 		// The cut is asked without the lock: it takes one of its own, whose holder may be
 		// waiting for this one.
@@ -119,24 +119,24 @@
 
 // The least time that something takes from one host to another, and by how much more it may.
 const (
-	leastDelay = time.Millisecond / 2
-	moreDelay  = 3 * time.Millisecond / 2
+	minDelay    = time.Millisecond / 2
+	delayJitter = 3 * time.Millisecond / 2
 )
 
 // delay is how long something takes from one host to another. It follows from what is sent and when,
 // so that it is the same in every run, whichever of several goroutines is first to send.
 func (n *Network) delay(from, to string, sent []byte) time.Duration {
-	return leastDelay + n.random.UpTo(from+">"+to+" "+string(sent), moreDelay)
+	return minDelay + n.random.UpTo(from+">"+to+" "+string(sent), delayJitter)
 }
 
 // Host is one process's access to the network.
 type Host struct {
-	net   *Network
-	name  string
-	mu    sync.Mutex
-	dead  bool
-	conns map[*conn]bool
-	ls    []*listener
+	net       *Network
+	name      string
+	mu        sync.Mutex
+	dead      bool
+	conns     map[*conn]bool
+	listeners []*listener
 }
 
 // Host returns access for a process on the host of that name.
@@ -146,8 +146,8 @@
 func (h *Host) Kill() {
 	h.mu.Lock()
 	h.dead = true
-	conns, ls := h.conns, h.ls
-	h.conns, h.ls = map[*conn]bool{}, nil
+	conns, ls := h.conns, h.listeners
+	h.conns, h.listeners = map[*conn]bool{}, nil
 	h.mu.Unlock()
 	for _, l := range ls {
 		l.Close()
@@ -157,7 +157,7 @@
 	}
 }
 
-func (h *Host) adopt(c *conn) bool {
+func (h *Host) register(c *conn) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.dead {
@@ -195,7 +195,7 @@
 	}
 	h.net.listeners[address] = l
 	h.mu.Lock()
-	h.ls = append(h.ls, l)
+	h.listeners = append(h.listeners, l)
 	h.mu.Unlock()
 	return l, nil
 }
@@ -245,7 +245,7 @@
 // that it doesn't matter which of two requests finds the idle connection and which one opens another.
 func (h *Host) Dial(ctx context.Context, address string) (net.Conn, error) {
 	to := HostOf(address)
-	if _, ok := h.net.passable(h.name, to, ctx.Done()); !ok {
+	if _, ok := h.net.waitUntilPassable(h.name, to, ctx.Done()); !ok {
 		return nil, fmt.Errorf("dial %s: %w", address, context.DeadlineExceeded)
 	}
 	h.net.mu.Lock()
@@ -261,7 +261,7 @@
 	here := &conn{Conn: mine, local: local, remote: l.addr}
 	there := &conn{Conn: theirs, local: l.addr, remote: local}
 	shut := func() { mine.Close(); theirs.Close(); a.Close(); b.Close() }
-	if !h.adopt(here) || !l.host.adopt(there) {
+	if !h.register(here) || !l.host.register(there) {
 		shut()
 		return nil, fmt.Errorf("dial %s: refused", address)
 	}
@@ -281,9 +281,9 @@
 	due  time.Time
 }
 
-// packetGap is the least time between two packets of a connection. What arrived at the same moment, a
+// minPacketInterval is the least time between two packets of a connection. What arrived at the same moment, a
 // request and the end of its connection, say, would be taken in in either order.
-const packetGap = 20 * time.Microsecond
+const minPacketInterval = 20 * time.Microsecond
 
 // carry moves what one end sends to the other, late and in order.
 func (n *Network) carry(in, out net.Conn, from, to string) {
@@ -293,8 +293,8 @@
 		var last time.Time // when the packet before arrived
 		for p := range queue {
 			time.Sleep(time.Until(p.due))
-			time.Sleep(time.Until(last.Add(packetGap)))
-			held, ok := n.passable(from, to, nil)
+			time.Sleep(time.Until(last.Add(minPacketInterval)))
+			held, ok := n.waitUntilPassable(from, to, nil)
 			if !ok || p.data == nil {
 				return
 			}
@@ -302,7 +302,7 @@
 				// What waited on many connections doesn't all arrive at once, not even what was sent twice.
 				time.Sleep(n.delay(from, to, append(p.due.AppendFormat(nil, time.RFC3339Nano), p.data...)))
 			}
-			n.arrived(from, to, p.data)
+			n.notifyTap(from, to, p.data)
 			if _, err := out.Write(p.data); err != nil {
 				return
 			}
@@ -315,7 +315,7 @@
 		k, err := in.Read(buf)
 		p := packet{due: time.Now().Add(n.delay(from, to, buf[:k]))}
 		if k > 0 {
-			p.due = p.due.Add(n.count(from, to))
+			p.due = p.due.Add(n.countPacket(from, to))
 			p.data = append([]byte{}, buf[:k]...)
 			select {
 			case queue <- p:
--- a/internal/simulation/occupancy.go
+++ b/internal/simulation/occupancy.go
@@ -39,8 +39,8 @@
 	return [2]float64{}
 }
 
-// enter counts a task that gets onto its machine.
-func (o *occupancy) enter(id protocol.TaskID, j *protocol.Job, zone string) {
+// add counts a task that gets onto its machine.
+func (o *occupancy) add(id protocol.TaskID, j *protocol.Job, zone string) {
 	o.tasks[id]++
 	if o.zones[j.ID] == nil {
 		o.zones[j.ID] = map[string]int{}
@@ -56,8 +56,8 @@
 	u.amount[1] += j.GPUs
 }
 
-// leave takes a task off the counts.
-func (o *occupancy) leave(id protocol.TaskID, j *protocol.Job, zone string) {
+// remove takes a task off the counts.
+func (o *occupancy) remove(id protocol.TaskID, j *protocol.Job, zone string) {
 	if o.tasks[id]--; o.tasks[id] == 0 {
 		delete(o.tasks, id)
 	}
@@ -77,20 +77,20 @@
 	}
 }
 
-// join counts a task of a gang that waits for the others or runs.
-func (o *occupancy) join(t *Task) {
-	key := gangAttempt{t.ID.Job, t.Attempt}
+// joinGang counts a task of a gang that waits for the others or runs.
+func (o *occupancy) joinGang(t *Task) {
+	key := gangAttempt{t.ID.JobID, t.Attempt}
 	if o.gangs[key] == nil {
 		o.gangs[key] = map[int]*Task{}
 	}
-	o.gangs[key][t.ID.Task] = t
+	o.gangs[key][t.ID.Index] = t
 }
 
-// part takes a task off its gang.
-func (o *occupancy) part(t *Task) {
-	key := gangAttempt{t.ID.Job, t.Attempt}
-	if o.gangs[key][t.ID.Task] == t {
-		delete(o.gangs[key], t.ID.Task)
+// leaveGang takes a task off its gang.
+func (o *occupancy) leaveGang(t *Task) {
+	key := gangAttempt{t.ID.JobID, t.Attempt}
+	if o.gangs[key][t.ID.Index] == t {
+		delete(o.gangs[key], t.ID.Index)
 	}
 	if len(o.gangs[key]) == 0 {
 		delete(o.gangs, key)
@@ -103,11 +103,11 @@
 	for _, t := range o.gangs[gangAttempt{job, attempt}] {
 		tasks = append(tasks, t)
 	}
-	slices.SortFunc(tasks, func(a, b *Task) int { return cmp.Compare(a.ID.Task, b.ID.Task) })
+	slices.SortFunc(tasks, func(a, b *Task) int { return cmp.Compare(a.ID.Index, b.ID.Index) })
 	return tasks
 }
 
-// together says whether all tasks of a gang's attempt wait for each other or run.
-func (o *occupancy) together(j *protocol.Job, attempt uint64) bool {
-	return len(o.gangs[gangAttempt{j.ID, attempt}]) == j.Tasks
+// gangComplete says whether all tasks of a gang's attempt wait for each other or run.
+func (o *occupancy) gangComplete(j *protocol.Job, attempt uint64) bool {
+	return len(o.gangs[gangAttempt{j.ID, attempt}]) == j.TaskCount
 }
--- a/internal/simulation/owners_test.go
+++ b/internal/simulation/owners_test.go
@@ -13,34 +13,34 @@
 
 // Lines of the log.
 const (
-	inForce   = "ownership epoch in force"
-	epochOver = "ownership epoch is over"
+	logEpochInEffect = "ownership epoch in force"
+	logEpochEnded    = "ownership epoch is over"
 )
 
 // standstill makes a controller look as if it stood still for a while: nothing that it sends arrives, and nothing
 // reaches it, until all of it comes at once.
-func standstill(which func(*live) *controller) trouble {
-	return func(l *live) func() {
+func standstill(which func(*cluster) *controller) fault {
+	return func(l *cluster) func() {
 		n := which(l)
-		l.note("standstill")
-		out, in := l.cut(n.ip, "*"), l.cut("*", n.ip)
+		l.recordOccurrence("standstill")
+		out, in := l.blockLink(n.ip, "*"), l.blockLink("*", n.ip)
 		return func() { out(); in() }
 	}
 }
 
-func theLeader(l *live) *controller { return l.leader() }
+func currentLeader(l *cluster) *controller { return l.leader() }
 
-// secondFollower returns another controller than aFollower.
-func secondFollower(l *live) *controller { return l.others(l.leader())[1] }
+// secondFollower returns another controller than firstFollower.
+func secondFollower(l *cluster) *controller { return l.others(l.leader())[1] }
 
 // crashFollower ends a controller that does not lead.
-func crashFollower(back time.Duration) func(*live) {
-	return func(l *live) { l.crash(aFollower(l), back) }
+func crashFollower(back time.Duration) func(*cluster) {
+	return func(l *cluster) { l.crash(firstFollower(l), back) }
 }
 
-// together has several steps happen at one moment.
-func together(steps ...func(*live)) func(*live) {
-	return func(l *live) {
+// atOnce has several steps happen at one moment.
+func atOnce(steps ...func(*cluster)) func(*cluster) {
+	return func(l *cluster) {
 		for _, do := range steps {
 			do(l)
 		}
@@ -48,10 +48,10 @@
 }
 
 // ownershipWrites lets the transactions that change the owners meet a fate.
-func ownershipWrites(fate Fate) trouble {
-	return func(l *live) func() {
-		l.state.SetFate(fateOf(l, storage.OwnershipKey, fate))
-		return func() { l.state.SetFate(nil) }
+func ownershipWrites(fate Outcome) fault {
+	return func(l *cluster) func() {
+		l.store.SetOutcomes(outcomeForKey(l, storage.OwnershipKey, fate))
+		return func() { l.store.SetOutcomes(nil) }
 	}
 }
 
@@ -64,33 +64,33 @@
 	happened    []string
 	told        []string
 }{
-	{"quiet", 3, brisk, []step{{0, storm(30 * s)}}, nil, nil},
-	{"an owner ends", 3, brisk, []step{{0, crashFollower(25 * s)}, {1 * s, cancels(2, 0)}}, []string{"crash", "cancelled"}, []string{isVerdict}},
-	{"an owner ends and is back within a moment", 3, brisk, []step{{0, crashFollower(300 * ms)}, {5 * s, crashFollower(300 * ms)}}, []string{"crash"}, nil},
-	{"the leader ends", 3, brisk, []step{{0, crashLeader(25 * s)}, {2 * s, cancels(2, 0)}}, []string{"crash", "cancelled"}, []string{isVerdict}},
-	{"two of five at once", 5, brisk, []step{{0, together(crashLeader(25*s), crashFollower(25*s))}, {3 * s, cancels(3, 0)}}, []string{"crash", "cancelled"}, []string{isVerdict}},
-	{"an owner stands still for longer than the suspicion window", 3, brisk, []step{{0, during(20*s, standstill(aFollower))}, {200 * ms, cancels(3, 0)}, {4 * s, cancels(3, 0)}, {19900 * ms, cancels(2, 0)}},
-		[]string{"standstill", "cancelled"}, []string{isVerdict, epochOver}},
-	{"the same, slowly", 5, slow, []step{{0, during(60*s, standstill(aFollower))}, {200 * ms, cancels(3, 0)}, {30 * s, cancels(3, 0)}}, []string{"standstill", "cancelled"}, []string{isVerdict, epochOver}},
-	{"the leader stands still", 3, brisk, []step{{0, during(25*s, standstill(theLeader))}, {1 * s, cancels(3, 0)}, {10 * s, cancels(3, 0)}}, []string{"standstill", "cancelled"}, []string{isVerdict}},
-	{"an owner stands still again and again", 3, brisk, []step{{0, during(12*s, standstill(aFollower))}, {25 * s, during(12*s, standstill(aFollower))}, {50 * s, during(12*s, standstill(aFollower))}, {52 * s, cancels(3, 0)}},
-		[]string{"standstill", "cancelled"}, []string{isVerdict}},
-	{"one link is cut", 3, brisk, []step{{0, during(40*s, linkCut)}, {5 * s, cancels(3, 0)}}, []string{"link", "cancelled"}, nil},
-	{"slow owners", 3, brisk, []step{{0, during(40*s, slowController(200*ms, aFollower))}, {5 * s, cancels(3, 0)}}, []string{"slow", "cancelled"}, nil},
-	{"all end during a verdict", 3, brisk, []step{{0, crashFollower(25 * s)}, {4500 * ms, crashAll(2 * s)}, {6 * s, cancels(2, 0)}}, []string{"crash", "cancelled"}, nil},
-	{"the verdict's transaction is carried out and its answer lost", 3, brisk, []step{{0, during(30*s, ownershipWrites(Fate{}))}, {0, crashFollower(25 * s)}, {5 * s, cancels(2, 0)}}, []string{"crash", "ownership write"}, []string{isVerdict}},
-	{"the verdict's transaction comes late, from a deposed leader", 3, brisk, []step{{0, during(12*s, ownershipWrites(Fate{Late: 9 * s}))}, {0, crashFollower(25 * s)}, {6 * s, crashLeader(5 * s)}, {7 * s, cancels(2, 0)}},
+	{"quiet", 3, fastTimings, []step{{0, submissionStorm(30 * s)}}, nil, nil},
+	{"an owner ends", 3, fastTimings, []step{{0, crashFollower(25 * s)}, {1 * s, cancelJobs(2, 0)}}, []string{"crash", "cancelled"}, []string{logVerdict}},
+	{"an owner ends and is back within a moment", 3, fastTimings, []step{{0, crashFollower(300 * ms)}, {5 * s, crashFollower(300 * ms)}}, []string{"crash"}, nil},
+	{"the leader ends", 3, fastTimings, []step{{0, crashLeader(25 * s)}, {2 * s, cancelJobs(2, 0)}}, []string{"crash", "cancelled"}, []string{logVerdict}},
+	{"two of five at once", 5, fastTimings, []step{{0, atOnce(crashLeader(25*s), crashFollower(25*s))}, {3 * s, cancelJobs(3, 0)}}, []string{"crash", "cancelled"}, []string{logVerdict}},
+	{"an owner stands still for longer than the suspicion window", 3, fastTimings, []step{{0, during(20*s, standstill(firstFollower))}, {200 * ms, cancelJobs(3, 0)}, {4 * s, cancelJobs(3, 0)}, {19900 * ms, cancelJobs(2, 0)}},
+		[]string{"standstill", "cancelled"}, []string{logVerdict, logEpochEnded}},
+	{"the same, slowly", 5, slowTimings, []step{{0, during(60*s, standstill(firstFollower))}, {200 * ms, cancelJobs(3, 0)}, {30 * s, cancelJobs(3, 0)}}, []string{"standstill", "cancelled"}, []string{logVerdict, logEpochEnded}},
+	{"the leader stands still", 3, fastTimings, []step{{0, during(25*s, standstill(currentLeader))}, {1 * s, cancelJobs(3, 0)}, {10 * s, cancelJobs(3, 0)}}, []string{"standstill", "cancelled"}, []string{logVerdict}},
+	{"an owner stands still again and again", 3, fastTimings, []step{{0, during(12*s, standstill(firstFollower))}, {25 * s, during(12*s, standstill(firstFollower))}, {50 * s, during(12*s, standstill(firstFollower))}, {52 * s, cancelJobs(3, 0)}},
+		[]string{"standstill", "cancelled"}, []string{logVerdict}},
+	{"one link is cut", 3, fastTimings, []step{{0, during(40*s, blockLeaderLink)}, {5 * s, cancelJobs(3, 0)}}, []string{"link", "cancelled"}, nil},
+	{"slow owners", 3, fastTimings, []step{{0, during(40*s, slowController(200*ms, firstFollower))}, {5 * s, cancelJobs(3, 0)}}, []string{"slow", "cancelled"}, nil},
+	{"all end during a verdict", 3, fastTimings, []step{{0, crashFollower(25 * s)}, {4500 * ms, crashAllControllers(2 * s)}, {6 * s, cancelJobs(2, 0)}}, []string{"crash", "cancelled"}, nil},
+	{"the verdict's transaction is carried out and its answer lost", 3, fastTimings, []step{{0, during(30*s, ownershipWrites(Outcome{}))}, {0, crashFollower(25 * s)}, {5 * s, cancelJobs(2, 0)}}, []string{"crash", "ownership write"}, []string{logVerdict}},
+	{"the verdict's transaction comes late, from a deposed leader", 3, fastTimings, []step{{0, during(12*s, ownershipWrites(Outcome{Delay: 9 * s}))}, {0, crashFollower(25 * s)}, {6 * s, crashLeader(5 * s)}, {7 * s, cancelJobs(2, 0)}},
 		[]string{"crash", "ownership write"}, nil},
-	{"the new owner ends within its handover", 5, brisk, []step{{0, crashFollower(40 * s)}, {5 * s, crashFollower(20 * s)}, {8 * s, cancels(3, 0)}}, []string{"crash", "cancelled"}, []string{isVerdict}},
-	{"the leader is refused, then the service is out", 3, brisk, []step{{0, during(60*s, refuseLeader)}, {500 * ms, cancels(4, 0)}, {1500 * ms, during(50*s, outage)}, {4 * s, cancels(2, 0)}}, []string{"refused", "outage"}, nil},
-	{"an owner stands still in an outage", 5, brisk, []step{{0, during(50*s, outage)}, {2 * s, during(20*s, standstill(aFollower))}, {3 * s, cancels(3, 0)}}, []string{"outage", "standstill"}, nil},
-	{"workers reach only an owner that is cut from the others", 3, brisk, []step{{0, during(30*s, zoneCut)}, {3 * s, cancels(4, 0)}}, []string{"zone", "cancelled"}, nil},
-	{"machines are deaf and mute", 3, brisk, []step{{0, during(20*s, deaf(3))}, {0, during(20*s, mute(3))}, {2 * s, cancels(4, 0)}, {8 * s, crashFollower(5 * s)}}, []string{"deaf", "cancelled"}, nil},
-	{"cancelled and hung as an owner ends", 3, brisk, []step{{0, cancels(4, 60*s)}, {100 * ms, crashFollower(20 * s)}, {1 * s, cancels(3, 0)}}, []string{"hang", "cancelled", "crash"}, nil},
-	{"old reports and late transactions", 3, brisk, []step{{0, during(60*s, lateReports(0.3))}, {0, during(40*s, lateWrites(0.2))}, {0, pipelines(8)}, {5 * s, crashFollower(5 * s)}, {12 * s, crashLeader(5 * s)}, {20 * s, cancels(3, 0)}},
+	{"the new owner ends within its handover", 5, fastTimings, []step{{0, crashFollower(40 * s)}, {5 * s, crashFollower(20 * s)}, {8 * s, cancelJobs(3, 0)}}, []string{"crash", "cancelled"}, []string{logVerdict}},
+	{"the leader is refused, then the service is out", 3, fastTimings, []step{{0, during(60*s, refuseLeader)}, {500 * ms, cancelJobs(4, 0)}, {1500 * ms, during(50*s, storeOutage)}, {4 * s, cancelJobs(2, 0)}}, []string{"refused", "outage"}, nil},
+	{"an owner stands still in an outage", 5, fastTimings, []step{{0, during(50*s, storeOutage)}, {2 * s, during(20*s, standstill(firstFollower))}, {3 * s, cancelJobs(3, 0)}}, []string{"outage", "standstill"}, nil},
+	{"workers reach only an owner that is cut from the others", 3, fastTimings, []step{{0, during(30*s, isolateZone)}, {3 * s, cancelJobs(4, 0)}}, []string{"zone", "cancelled"}, nil},
+	{"machines are deaf and mute", 3, fastTimings, []step{{0, during(20*s, holdReplies(3))}, {0, during(20*s, loseHeartbeats(3))}, {2 * s, cancelJobs(4, 0)}, {8 * s, crashFollower(5 * s)}}, []string{"deaf", "cancelled"}, nil},
+	{"cancelled and hung as an owner ends", 3, fastTimings, []step{{0, cancelJobs(4, 60*s)}, {100 * ms, crashFollower(20 * s)}, {1 * s, cancelJobs(3, 0)}}, []string{"hang", "cancelled", "crash"}, nil},
+	{"old reports and late transactions", 3, fastTimings, []step{{0, during(60*s, duplicateHeartbeats(0.3))}, {0, during(40*s, delayedWrites(0.2))}, {0, pipelines(8)}, {5 * s, crashFollower(5 * s)}, {12 * s, crashLeader(5 * s)}, {20 * s, cancelJobs(3, 0)}},
 		[]string{"late report", "crash"}, nil},
-	{"pipelines, and owners that end in turn", 5, brisk, []step{{0, pipelines(12)}, {3 * s, crashFollower(5 * s)}, {12 * s, crashLeader(5 * s)}, {20 * s, during(15*s, standstill(secondFollower))}, {24 * s, cancels(3, 0)}}, []string{"pipeline", "crash"}, nil},
-	{"ten leaders", 3, brisk, []step{{0, apartEnds(6)}, {0, crashLeader(5 * s)}, {8 * s, crashLeader(5 * s)}, {16 * s, crashLeader(300 * ms)}, {20 * s, cancels(3, 20*s)}, {24 * s, crashLeader(5 * s)}, {32 * s, crashLeader(300 * ms)}, {40 * s, crashLeader(5 * s)}},
+	{"pipelines, and owners that end in turn", 5, fastTimings, []step{{0, pipelines(12)}, {3 * s, crashFollower(5 * s)}, {12 * s, crashLeader(5 * s)}, {20 * s, during(15*s, standstill(secondFollower))}, {24 * s, cancelJobs(3, 0)}}, []string{"pipeline", "crash"}, nil},
+	{"ten leaders", 3, fastTimings, []step{{0, staggeredCompletions(6)}, {0, crashLeader(5 * s)}, {8 * s, crashLeader(5 * s)}, {16 * s, crashLeader(300 * ms)}, {20 * s, cancelJobs(3, 20*s)}, {24 * s, crashLeader(5 * s)}, {32 * s, crashLeader(300 * ms)}, {40 * s, crashLeader(5 * s)}},
 		[]string{"crash"}, nil},
 }
 
@@ -100,16 +100,16 @@
 	for i, x := range ownerScenarios {
 		t.Run(x.name, func(t *testing.T) {
 			t.Parallel()
-			play(t, uint64(900+i), x.controllers, x.w, func(l *live) {
+			runScenario(t, uint64(900+i), x.controllers, x.w, func(l *cluster) {
 				time.Sleep(60 * s) // until all count for majorities, and own machines
-				l.carryOut(x.steps, x.happened)
+				l.runToCompletion(x.steps, x.happened)
 				l.checkOwnership()
-				for _, line := range append(x.told, inForce) {
+				for _, line := range append(x.told, logEpochInEffect) {
 					if l.logCount(line) == 0 {
 						t.Errorf("the log does not say %q", line)
 					}
 				}
-			}, ownershipOn(everywhere))
+			}, withOwnership(everywhere))
 		})
 	}
 }
@@ -122,18 +122,18 @@
 	for i, x := range []struct {
 		name    string
 		steps   []step
-		options []func(*live)
+		options []func(*cluster)
 	}{
-		{"on at one", []step{{0, crashLeader(5 * s)}, {20 * s, cancels(3, 0)}, {25 * s, crashLeader(5 * s)}}, []func(*live){ownershipOn(one)}},
-		{"on at two", []step{{0, crashLeader(5 * s)}, {20 * s, cancels(3, 0)}, {25 * s, crashFollower(20 * s)}, {50 * s, crashLeader(5 * s)}}, []func(*live){ownershipOn(two)}},
-		{"with an upgrade from production in the midst", []step{{0, limitsFall}, {0, upgrade([]int{2, 0, 1}, 8*s, 5*s)}, {4 * s, cancels(3, 0)}, {24 * s, pipelines(6)}, {40 * s, crashFollower(20 * s)}},
-			[]func(*live){limitsToFall, func(l *live) {
+		{"on at one", []step{{0, crashLeader(5 * s)}, {20 * s, cancelJobs(3, 0)}, {25 * s, crashLeader(5 * s)}}, []func(*cluster){withOwnership(one)}},
+		{"on at two", []step{{0, crashLeader(5 * s)}, {20 * s, cancelJobs(3, 0)}, {25 * s, crashFollower(20 * s)}, {50 * s, crashLeader(5 * s)}}, []func(*cluster){withOwnership(two)}},
+		{"with an upgrade from production in the midst", []step{{0, lowerLimitsOnceUpgraded}, {0, upgrade([]int{2, 0, 1}, 8*s, 5*s)}, {4 * s, cancelJobs(3, 0)}, {24 * s, pipelines(6)}, {40 * s, crashFollower(20 * s)}},
+			[]func(*cluster){announceLowerLimits, func(l *cluster) {
 				l.features = func(int) daemon.Features { return daemon.Features{HoldLevel: true, Ownership: true} }
 			}}},
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			t.Parallel()
-			play(t, uint64(940+i), 3, brisk, func(l *live) { l.carryOut(x.steps, nil) }, x.options...)
+			runScenario(t, uint64(940+i), 3, fastTimings, func(l *cluster) { l.runToCompletion(x.steps, nil) }, x.options...)
 		})
 	}
 }
@@ -142,20 +142,20 @@
 // only when they tell something; without, all are. No rule rests on that: it is what ownership is for.
 func TestOwnersTakeTheLoad(t *testing.T) {
 	const machines = 12
-	connections := func(options ...func(*live)) (leader, most int) {
-		play(t, 950, 3, brisk, func(l *live) {
-			l.settle(9)
+	connections := func(options ...func(*cluster)) (leader, most int) {
+		runScenario(t, 950, 3, fastTimings, func(l *cluster) {
+			l.startJobs(9)
 			for range 6 {
-				l.user(l.job("daemon", 2, 2))
+				l.submit(l.newJob("daemon", 2, 2))
 			}
 			time.Sleep(2 * time.Minute)
 			before := map[string]int{}
-			for _, n := range l.nodes {
-				before[n.name] = l.reportsTo(n)
+			for _, n := range l.controllers {
+				before[n.name] = l.workerPacketsTo(n)
 			}
 			time.Sleep(time.Minute)
-			for _, n := range l.nodes {
-				got := l.reportsTo(n) - before[n.name]
+			for _, n := range l.controllers {
+				got := l.workerPacketsTo(n) - before[n.name]
 				if n == l.leader() {
 					leader = got
 				}
@@ -165,7 +165,7 @@
 		return leader, most
 	}
 	without, _ := connections()
-	with, most := connections(ownershipOn(everywhere))
+	with, most := connections(withOwnership(everywhere))
 	t.Logf("reports to the leader in a minute, of %d machines at the most: %d without owners, %d with; most to one controller %d", machines, without, with, most)
 	if with > without*2/3 || most > without*2/3 {
 		t.Errorf("reports to the leader in a minute: %d without owners, %d with; most to one controller %d", without, with, most)
@@ -175,23 +175,23 @@
 // TestOwnersThatLeave: all controllers but the leader are asked to end, one after the other, and come back. Their workers
 // have moved when they end: nobody reports to them any more, no lease ends, and nothing is started anew.
 func TestOwnersThatLeave(t *testing.T) {
-	play(t, 970, 5, brisk, func(l *live) {
+	runScenario(t, 970, 5, fastTimings, func(l *cluster) {
 		time.Sleep(60 * s)
-		l.settle(9)
+		l.startJobs(9)
 		time.Sleep(30 * s)
 		for _, n := range l.others(l.leader()) {
 			n.process.Drain(l.ctx)
-			before := l.reportsTo(n)
+			before := l.workerPacketsTo(n)
 			time.Sleep(2 * s)
-			if got := l.reportsTo(n) - before; got > 0 {
+			if got := l.workerPacketsTo(n) - before; got > 0 {
 				t.Errorf("%s gets %d packets of workers after it has left", n.name, got)
 			}
 			l.crash(n, 5*s)
 			time.Sleep(60 * s)
 		}
 		l.mu.Lock()
-		for name, r := range l.rigs {
-			if r.w.Session > 1 {
+		for name, r := range l.workers {
+			if r.model.Incarnation > 1 {
 				t.Errorf("the lease of %s has ended", name)
 			}
 		}
@@ -201,26 +201,26 @@
 		}
 		l.checkOwnership()
 		time.Sleep(4 * time.Minute)
-		l.calm()
-	}, ownershipOn(everywhere))
+		l.checkAllServed()
+	}, withOwnership(everywhere))
 }
 
 // TestVerdictIsInForceOnce: two survivors reach the verdict at once, and the record of one of them alone is in force:
 // epochs follow one another, each with one set of owners, on every controller.
 func TestVerdictIsInForceOnce(t *testing.T) {
-	play(t, 960, 5, brisk, func(l *live) {
-		l.settle(9)
+	runScenario(t, 960, 5, fastTimings, func(l *cluster) {
+		l.startJobs(9)
 		time.Sleep(60 * s)
-		n := aFollower(l)
+		n := firstFollower(l)
 		l.crash(n, 60*s)
 		time.Sleep(30 * s)
-		l.logged.mu.Lock()
+		l.logWriter.mu.Lock()
 		lines := strings.Split(l.logs.String(), "\n")
-		l.logged.mu.Unlock()
+		l.logWriter.mu.Unlock()
 		owners := map[string]string{}
 		verdicts := 0
 		for _, line := range lines {
-			if !strings.Contains(line, inForce) {
+			if !strings.Contains(line, logEpochInEffect) {
 				continue
 			}
 			_, rest, _ := strings.Cut(line, "epoch=")
@@ -242,16 +242,16 @@
 			}
 		}
 		time.Sleep(4 * time.Minute)
-		l.calm()
-	}, ownershipOn(everywhere))
+		l.checkAllServed()
+	}, withOwnership(everywhere))
 }
 
 // checkOwnership demands of every record of owners that was ever in force that its writer led when it came into force,
 // that epochs follow one another, and that each names an owner once.
-func (l *live) checkOwnership() {
+func (l *cluster) checkOwnership() {
 	l.t.Helper()
-	terms, _ := l.state.Since(storage.TermKey, 0)
-	records, _ := l.state.Since(storage.OwnershipKey, 0)
+	terms, _ := l.store.ChangesSince(storage.TermKey, 0)
+	records, _ := l.store.ChangesSince(storage.OwnershipKey, 0)
 	epoch := uint64(0)
 	for _, e := range records {
 		rec, err := storage.DecodeOwnership(e.Value)
@@ -261,7 +261,7 @@
 		}
 		term := uint64(0)
 		for _, at := range terms {
-			if at.Version > e.Version {
+			if at.Revision > e.Revision {
 				break
 			}
 			r, err := storage.DecodeTerm(at.Value)
@@ -277,22 +277,22 @@
 	}
 }
 
-// fateOf lets the transactions that write a key meet a fate.
-func fateOf(l *live, key string, fate Fate) func(string, *protocol.Txn) Fate {
-	return func(_ string, txn *protocol.Txn) Fate {
+// outcomeForKey lets the transactions that write a key meet a fate.
+func outcomeForKey(l *cluster, key string, fate Outcome) func(string, *protocol.Txn) Outcome {
+	return func(_ string, txn *protocol.Txn) Outcome {
 		for _, op := range txn.Then {
-			if op.Put == key {
-				l.note("ownership write")
+			if op.PutKey == key {
+				l.recordOccurrence("ownership write")
 				return fate
 			}
 		}
-		return Fate{Answer: true}
+		return Outcome{Reply: true}
 	}
 }
 
-// reportsTo returns how many packets of workers a controller has got so far.
-func (l *live) reportsTo(n *controller) (packets int) {
-	for _, r := range l.machines(99, nil) {
+// workerPacketsTo returns how many packets of workers a controller has got so far.
+func (l *cluster) workerPacketsTo(n *controller) (packets int) {
+	for _, r := range l.selectWorkers(99, nil) {
 		packets += l.net.Packets(r.ip, n.ip)
 	}
 	return packets
--- a/internal/simulation/pipeline_test.go
+++ b/internal/simulation/pipeline_test.go
@@ -18,7 +18,7 @@
 // pipeline submits the jobs of a pipeline one after another, each as soon as those that it awaits are accepted:
 // an array, two arrays after it, a gang after one of these, and an urgent array with a deadline at the end. A
 // part of them has its last job submitted only when the others are over, another names a job that runs.
-func (l *live) pipeline(earlier string) (ids []string) {
+func (l *cluster) pipeline(earlier string) (ids []string) {
 	type stage struct {
 		shape  protocol.Shape
 		tasks  int
@@ -31,52 +31,52 @@
 	}
 	var accepted []chan struct{}
 	for i, st := range stages {
-		j := l.job(st.shape, st.tasks, 0)
-		j.Priority, j.EstimateS, j.DeadlineS = st.prio, 5, 0
+		j := l.newJob(st.shape, st.tasks, 0)
+		j.Priority, j.EstimateSeconds, j.DeadlineSeconds = st.prio, 5, 0
 		if i == len(stages)-1 {
-			j.DeadlineS = 120
+			j.DeadlineSeconds = 120
 		}
 		var before []chan struct{}
 		for _, need := range st.awaits {
-			j.Awaits = append(j.Awaits, ids[need])
+			j.Dependencies = append(j.Dependencies, ids[need])
 			before = append(before, accepted[need])
 		}
 		if i == 0 && earlier != "" {
-			j.Awaits = []string{earlier}
+			j.Dependencies = []string{earlier}
 		}
 		l.mu.Lock()
-		l.world.RunTimes[j.ID] = 2*s + l.upTo("run time "+j.ID, 3*s)
+		l.world.RunTimes[j.ID] = 2*s + l.randomDuration("run time "+j.ID, 3*s)
 		l.mu.Unlock()
 		ids, accepted = append(ids, j.ID), append(accepted, make(chan struct{}))
-		l.userAfter(j, before, accepted[i])
+		l.submitAfter(j, before, accepted[i])
 	}
 	return ids
 }
 
 // pipelines submits so many pipelines, one a second; every fourth job of theirs is called off, at any time.
-func pipelines(n int) func(*live) {
-	return func(l *live) {
-		l.go_(func() {
+func pipelines(n int) func(*cluster) {
+	return func(l *cluster) {
+		l.spawn(func() {
 			for i := range n {
-				time.Sleep(s + l.upTo(fmt.Sprint("pipeline ", i), 50*ms))
+				time.Sleep(s + l.randomDuration(fmt.Sprint("pipeline ", i), 50*ms))
 				earlier := ""
 				if l.chance(fmt.Sprint("earlier ", i), 0.3) {
-					earlier = l.anArray()
+					earlier = l.runningArray()
 				}
 				for k, id := range l.pipeline(earlier) {
 					if l.chance("call off "+id, 0.06) {
-						time.AfterFunc(l.upTo("call off after "+id, time.Duration(5+5*k)*s), func() { l.cancel(id, l.nodes, 3*time.Minute) })
+						time.AfterFunc(l.randomDuration("call off after "+id, time.Duration(5+5*k)*s), func() { l.cancelUntilFinal(id, l.controllers, 3*time.Minute) })
 					}
 				}
-				l.note("pipeline")
+				l.recordOccurrence("pipeline")
 			}
 		})
 	}
 }
 
-// anArray returns an array that was accepted and is not over, or "".
-func (l *live) anArray() string {
-	for _, id := range l.running() {
+// runningArray returns an array that was accepted and is not over, or "".
+func (l *cluster) runningArray() string {
+	for _, id := range l.runningJobs() {
 		l.mu.Lock()
 		shape := l.world.Jobs[id].Shape
 		l.mu.Unlock()
@@ -87,49 +87,49 @@
 	return ""
 }
 
-// production begins with all controllers held at the level of the version in production.
-func production(l *live) {
+// productionLevel begins with all controllers held at the level of the version in production.
+func productionLevel(l *cluster) {
 	l.features = func(int) daemon.Features { return daemon.Features{HoldLevel: true} }
 }
 
 // upgrade ends controllers one after the other, in the given order by their numbers; each is back with the new
 // level after a while.
-func upgrade(order []int, every, back time.Duration) func(*live) {
-	return func(l *live) {
+func upgrade(order []int, every, back time.Duration) func(*cluster) {
+	return func(l *cluster) {
 		for i, node := range order {
-			n := l.nodes[node%len(l.nodes)]
+			n := l.controllers[node%len(l.controllers)]
 			time.AfterFunc(time.Duration(i)*every, func() {
 				n.features.HoldLevel = false
-				l.note("upgraded")
+				l.recordOccurrence("upgraded")
 				l.crash(n, back)
 			})
 		}
 	}
 }
 
-// next are limits of the state service that come into force after an upgrade.
-var next = config.StateLimits{WriteRPS: 20, ValueKB: 1, TxnOps: 5}
+// nextLimits are limits of the state service that come into force after an upgrade.
+var nextLimits = config.StateLimits{WriteRPS: 20, ValueKB: 1, TxnOps: 5}
 
-// limitsToFall has the state service keep to its limits, and names lower ones.
-func limitsToFall(l *live) {
-	l.cfg.State = config.State{RPS: 150, WriteRPS: 40, ValueKB: 8, TxnOps: 16, Next: next}
-	l.state.Limit(l.cfg.State)
+// announceLowerLimits has the state service keep to its limits, and names lower ones.
+func announceLowerLimits(l *cluster) {
+	l.cfg.State = config.State{RPS: 150, WriteRPS: 40, ValueKB: 8, TxnOps: 16, Next: nextLimits}
+	l.store.SetLimits(l.cfg.State)
 }
 
-// limitsFall lowers the limits as soon as all controllers have shown the new level.
-func limitsFall(l *live) {
-	l.go_(func() {
-		for l.ctx.Err() == nil && l.levelsRecorded() < len(l.nodes) {
+// lowerLimitsOnceUpgraded lowers the limits as soon as all controllers have shown the new level.
+func lowerLimitsOnceUpgraded(l *cluster) {
+	l.spawn(func() {
+		for l.ctx.Err() == nil && l.levelsRecorded() < len(l.controllers) {
 			time.Sleep(10 * ms)
 		}
-		l.state.Limit(l.cfg.State.Lowest())
-		l.note("limits")
+		l.store.SetLimits(l.cfg.State.Lowest())
+		l.recordOccurrence("limits")
 	})
 }
 
 // levelsRecorded returns how many controllers have recorded a feature level.
-func (l *live) levelsRecorded() int {
-	pairs, _ := l.state.List("feature/node/")
+func (l *cluster) levelsRecorded() int {
+	pairs, _ := l.store.List("feature/node/")
 	return len(pairs)
 }
 
@@ -140,23 +140,23 @@
 	w           config.Workers
 	steps       []step
 	happened    []string
-	options     []func(*live)
+	options     []func(*cluster)
 }{
-	{"quiet", 3, brisk, []step{{0, pipelines(8)}}, []string{"pipeline", "cancelled"}, nil},
-	{"close looks", 3, brisk, []step{{0, during(60*s, closeLooks)}, {0, pipelines(10)}}, []string{"looks", "cancelled"}, nil},
-	{"leaders end", 3, brisk, []step{{0, pipelines(12)}, {6 * s, crashLeader(5 * s)}, {14 * s, crashLeader(300 * ms)}, {22 * s, crashLeader(5 * s)}}, []string{"crash", "cancelled"}, nil},
-	{"all controllers end", 5, brisk, []step{{0, pipelines(10)}, {7 * s, crashAll(14 * s)}, {40 * s, crashAll(300 * ms)}}, []string{"crash", "cancelled"}, nil},
-	{"an outage longer than a cancellation takes, after the leader alone is refused", 3, brisk,
-		[]step{{0, pipelines(12)}, {8 * s, during(50*s, refuseLeader)}, {8 * s, cancels(3, 0)}, {9 * s, during(48*s, outage)}, {60 * s, pipelines(4)}}, []string{"refused", "outage", "cancelled"}, nil},
-	{"the leader is cut from the service and the others", 3, brisk, []step{{0, pipelines(12)}, {5 * s, during(45*s, leaderApart)}, {8 * s, cancels(4, 0)}}, []string{"apart", "cancelled"}, nil},
-	{"transactions come late", 3, brisk, []step{{0, during(60*s, lateWrites(0.25))}, {0, pipelines(12)}, {15 * s, crashLeader(5 * s)}}, []string{"write", "cancelled"}, nil},
-	{"only answers are lost", 3, brisk, []step{{0, during(60*s, lostAnswers(0.3))}, {0, pipelines(12)}, {18 * s, crashLeader(300 * ms)}}, []string{"write", "cancelled"}, nil},
-	{"old reports, and machines are lost", 3, brisk, []step{{0, during(60*s, lateReports(0.3))}, {0, during(60*s, forNext(0.3, 0))}, {0, pipelines(12)}, {6 * s, lose(2)}, {9 * s, crashLeader(5 * s)}, {15 * s, lose(2)}},
+	{"quiet", 3, fastTimings, []step{{0, pipelines(8)}}, []string{"pipeline", "cancelled"}, nil},
+	{"close looks", 3, fastTimings, []step{{0, during(60*s, queryAfterAnswers)}, {0, pipelines(10)}}, []string{"looks", "cancelled"}, nil},
+	{"leaders end", 3, fastTimings, []step{{0, pipelines(12)}, {6 * s, crashLeader(5 * s)}, {14 * s, crashLeader(300 * ms)}, {22 * s, crashLeader(5 * s)}}, []string{"crash", "cancelled"}, nil},
+	{"all controllers end", 5, fastTimings, []step{{0, pipelines(10)}, {7 * s, crashAllControllers(14 * s)}, {40 * s, crashAllControllers(300 * ms)}}, []string{"crash", "cancelled"}, nil},
+	{"an outage longer than a cancellation takes, after the leader alone is refused", 3, fastTimings,
+		[]step{{0, pipelines(12)}, {8 * s, during(50*s, refuseLeader)}, {8 * s, cancelJobs(3, 0)}, {9 * s, during(48*s, storeOutage)}, {60 * s, pipelines(4)}}, []string{"refused", "outage", "cancelled"}, nil},
+	{"the leader is cut from the service and the others", 3, fastTimings, []step{{0, pipelines(12)}, {5 * s, during(45*s, isolateLeader)}, {8 * s, cancelJobs(4, 0)}}, []string{"apart", "cancelled"}, nil},
+	{"transactions come late", 3, fastTimings, []step{{0, during(60*s, delayedWrites(0.25))}, {0, pipelines(12)}, {15 * s, crashLeader(5 * s)}}, []string{"write", "cancelled"}, nil},
+	{"only answers are lost", 3, fastTimings, []step{{0, during(60*s, lostReplies(0.3))}, {0, pipelines(12)}, {18 * s, crashLeader(300 * ms)}}, []string{"write", "cancelled"}, nil},
+	{"old reports, and machines are lost", 3, fastTimings, []step{{0, during(60*s, duplicateHeartbeats(0.3))}, {0, during(60*s, replayToNextLeader(0.3, 0))}, {0, pipelines(12)}, {6 * s, loseMachines(2)}, {9 * s, crashLeader(5 * s)}, {15 * s, loseMachines(2)}},
 		[]string{"late report", "lost", "crash"}, nil},
-	{"machines hang and are deaf", 3, slow, []step{{0, pipelines(12)}, {5 * s, during(20*s, deaf(3))}, {8 * s, hang(3, 30*s)}, {9 * s, cancels(4, 0)}, {12 * s, crashLeader(5 * s)}}, []string{"deaf", "hang", "cancelled"}, nil},
-	{"ends and cancellations at one moment", 3, brisk, []step{{0, pipelines(10)}, {0, atEnd(10)}, {10 * s, atEnd(6)}}, []string{"at end", "cancelled"}, nil},
-	{"more work than room", 3, brisk, []step{{0, crowd(16)}, {5 * s, pipelines(12)}, {20 * s, cancels(4, 0)}}, []string{"pipeline", "cancelled"}, nil},
-	{"a zone is cut off", 3, brisk, []step{{0, pipelines(12)}, {6 * s, during(30*s, zoneCut)}, {20 * s, cancels(2, 0)}}, []string{"zone"}, nil},
+	{"machines hang and are deaf", 3, slowTimings, []step{{0, pipelines(12)}, {5 * s, during(20*s, holdReplies(3))}, {8 * s, hangWorkers(3, 30*s)}, {9 * s, cancelJobs(4, 0)}, {12 * s, crashLeader(5 * s)}}, []string{"deaf", "hang", "cancelled"}, nil},
+	{"ends and cancellations at one moment", 3, fastTimings, []step{{0, pipelines(10)}, {0, cancelAtCompletion(10)}, {10 * s, cancelAtCompletion(6)}}, []string{"at end", "cancelled"}, nil},
+	{"more work than room", 3, fastTimings, []step{{0, overload(16)}, {5 * s, pipelines(12)}, {20 * s, cancelJobs(4, 0)}}, []string{"pipeline", "cancelled"}, nil},
+	{"a zone is cut off", 3, fastTimings, []step{{0, pipelines(12)}, {6 * s, during(30*s, isolateZone)}, {20 * s, cancelJobs(2, 0)}}, []string{"zone"}, nil},
 }
 
 // TestPipelineScenarios plays pipelines among troubles: no task starts before all that its job awaits is done,
@@ -165,8 +165,8 @@
 	for i, x := range pipelineScenarios {
 		t.Run(x.name, func(t *testing.T) {
 			t.Parallel()
-			play(t, uint64(800+i), x.controllers, x.w, func(l *live) {
-				l.carryOut(x.steps, x.happened)
+			runScenario(t, uint64(800+i), x.controllers, x.w, func(l *cluster) {
+				l.runToCompletion(x.steps, x.happened)
 				l.checkRecords()
 			}, x.options...)
 		})
@@ -176,52 +176,52 @@
 // TestLimitsBelowTheSettings: the state service's limits fall lower than the settings say. Transactions and values
 // are refused all the same, and made smaller: everything is recorded in the end.
 func TestLimitsBelowTheSettings(t *testing.T) {
-	play(t, 880, 3, brisk, func(l *live) {
-		l.settle(9)
+	runScenario(t, 880, 3, fastTimings, func(l *cluster) {
+		l.startJobs(9)
 		lower := l.cfg.State
 		lower.ValueKB, lower.TxnOps = 0.4, 2
-		l.state.Limit(lower)
-		l.carryOut([]step{{0, pipelines(8)}, {0, crowd(8)}, {10 * s, crashLeader(5 * s)}, {15 * s, cancels(3, 0)}}, []string{"pipeline", "cancelled"})
+		l.store.SetLimits(lower)
+		l.runToCompletion([]step{{0, pipelines(8)}, {0, overload(8)}, {10 * s, crashLeader(5 * s)}, {15 * s, cancelJobs(3, 0)}}, []string{"pipeline", "cancelled"})
 		l.checkRecords()
-		if l.state.Use().TooLarge == 0 {
+		if l.store.Usage().TooLarge == 0 {
 			t.Error("nothing was refused for its size: the scenario shows nothing")
 		}
-	}, limitsToFall)
+	}, announceLowerLimits)
 }
 
 // checkRecords demands that what is over has its record: no job lives that users were told is cancelled, be it
 // with another one.
-func (l *live) checkRecords() {
+func (l *cluster) checkRecords() {
 	l.t.Helper()
-	pairs, _ := l.state.List(storage.LivePrefix)
+	pairs, _ := l.store.List(storage.LivePrefix)
 	for _, p := range pairs {
 		id := strings.TrimPrefix(p.Key, storage.LivePrefix)
-		if standing, over := l.ledger.Final(id); over {
+		if standing, over := l.answers.FinalState(id); over {
 			l.t.Errorf("%s is %s and its live record is left", id, standing)
 		}
 	}
 }
 
-// mostTooLarge is how many transactions may be refused for their size in the moments between the fall of the limits,
+// maxTooLarge is how many transactions may be refused for their size in the moments between the fall of the limits,
 // when the last controller has recorded its level, and the level's being final.
-const mostTooLarge = 12
+const maxTooLarge = 12
 
 // checkUpgraded demands that the level is final everywhere, that no page of the layout of production is left, and
 // that hardly anything was refused for its size.
-func (l *live) checkUpgraded() {
+func (l *cluster) checkUpgraded() {
 	l.t.Helper()
 	l.checkRecords()
-	term := l.state.Get(storage.TermKey)
+	term := l.store.Get(storage.TermKey)
 	if rec, err := storage.DecodeTerm(term.Value); err != nil || rec.Level != int(featurelevel.Current) {
 		l.t.Errorf("the term's record: %+v, %v", rec, err)
 	}
-	pairs, _ := l.state.List(storage.PlacePrefix)
+	pairs, _ := l.store.List(storage.PlacePrefix)
 	for _, p := range pairs {
 		if name, err := storage.ParsePageName(p.Key, 1); err != nil || !name.Layout.Compact {
 			l.t.Errorf("%s is left: %v", p.Key, err)
 		}
 	}
-	if use := l.state.Use(); use.TooLarge > mostTooLarge {
+	if use := l.store.Usage(); use.TooLarge > maxTooLarge {
 		l.t.Errorf("%d transactions were refused for their size", use.TooLarge)
 	}
 }
@@ -231,7 +231,7 @@
 // final, and served then; all rules hold.
 func TestUpgradeScenarios(t *testing.T) {
 	upgraded := []string{"upgraded", "limits", "pipeline"}
-	options := []func(*live){production, limitsToFall}
+	options := []func(*cluster){productionLevel, announceLowerLimits}
 	up, down := []int{0, 1, 2}, []int{2, 1, 0}
 	for i, x := range []struct {
 		name        string
@@ -239,23 +239,23 @@
 		w           config.Workers
 		steps       []step
 	}{
-		{"one after the other", 3, brisk, []step{{0, limitsFall}, {0, batches(6)}, {0, upgrade(up, 10*s, 5*s)}, {34 * s, pipelines(8)}}},
-		{"the other way, at once back", 3, brisk, []step{{0, limitsFall}, {0, batches(6)}, {0, upgrade(down, 3*s, 200*ms)}, {9 * s, pipelines(8)}}},
-		{"all at once", 3, brisk, []step{{0, limitsFall}, {0, batches(4)}, {1 * s, upgrade(up, 10*ms, 5*s)}, {5 * s, pipelines(8)}}},
-		{"five, two of them twice", 5, brisk, []step{{0, limitsFall}, {0, batches(8)}, {0, upgrade([]int{3, 0, 4, 1, 2, 0, 3}, 4*s, 3*s)}, {20 * s, pipelines(8)}, {25 * s, cancels(3, 0)}}},
-		{"one stays away for long", 3, brisk, []step{{0, limitsFall}, {0, upgrade([]int{0, 1}, 6*s, 5*s)}, {10 * s, pipelines(4)}, {40 * s, upgrade([]int{2}, s, 30*s)}, {80 * s, pipelines(6)}}},
-		{"leaders end in the midst", 3, brisk, []step{{0, limitsFall}, {0, batches(10)}, {0, upgrade(up, 8*s, 5*s)}, {5 * s, crashLeader(300 * ms)}, {12 * s, crashLeader(5 * s)}, {18 * s, crashLeader(300 * ms)}, {22 * s, crashLeader(5 * s)}, {24 * s, pipelines(8)}}},
-		{"an outage as the last is back", 3, brisk, []step{{0, limitsFall}, {0, batches(8)}, {0, upgrade(up, 8*s, 5*s)}, {20900 * ms, during(20*s, outage)}, {22 * s, pipelines(8)}, {24 * s, cancels(3, 0)}}},
-		{"an outage throughout", 3, brisk, []step{{0, limitsFall}, {0, batches(4)}, {2 * s, during(30*s, outage)}, {3 * s, upgrade(up, 8*s, 5*s)}, {30 * s, pipelines(8)}}},
-		{"transactions come late", 3, brisk, []step{{0, limitsFall}, {0, during(60*s, lateWrites(0.2))}, {0, batches(8)}, {1 * s, upgrade(down, 8*s, 5*s)}, {24 * s, pipelines(8)}}},
-		{"answers are lost", 3, brisk, []step{{0, limitsFall}, {0, during(60*s, lostAnswers(0.3))}, {0, batches(8)}, {1 * s, upgrade(up, 8*s, 5*s)}, {24 * s, pipelines(8)}, {26 * s, crashLeader(5 * s)}}},
-		{"old reports, lost machines, cancellations", 3, slow, []step{{0, limitsFall}, {0, during(60*s, lateReports(0.3))}, {0, batches(8)}, {1 * s, upgrade(up, 8*s, 5*s)}, {6 * s, lose(2)}, {10 * s, cancels(4, 20*s)}, {24 * s, pipelines(8)}, {30 * s, crashLeader(5 * s)}}},
-		{"the leader is refused, then cut off", 3, brisk, []step{{0, limitsFall}, {0, batches(8)}, {0, upgrade(up, 8*s, 5*s)}, {6 * s, during(15*s, refuseLeader)}, {22 * s, during(25*s, leaderApart)}, {24 * s, pipelines(8)}, {26 * s, cancels(3, 0)}}},
+		{"one after the other", 3, fastTimings, []step{{0, lowerLimitsOnceUpgraded}, {0, submitBatches(6)}, {0, upgrade(up, 10*s, 5*s)}, {34 * s, pipelines(8)}}},
+		{"the other way, at once back", 3, fastTimings, []step{{0, lowerLimitsOnceUpgraded}, {0, submitBatches(6)}, {0, upgrade(down, 3*s, 200*ms)}, {9 * s, pipelines(8)}}},
+		{"all at once", 3, fastTimings, []step{{0, lowerLimitsOnceUpgraded}, {0, submitBatches(4)}, {1 * s, upgrade(up, 10*ms, 5*s)}, {5 * s, pipelines(8)}}},
+		{"five, two of them twice", 5, fastTimings, []step{{0, lowerLimitsOnceUpgraded}, {0, submitBatches(8)}, {0, upgrade([]int{3, 0, 4, 1, 2, 0, 3}, 4*s, 3*s)}, {20 * s, pipelines(8)}, {25 * s, cancelJobs(3, 0)}}},
+		{"one stays away for long", 3, fastTimings, []step{{0, lowerLimitsOnceUpgraded}, {0, upgrade([]int{0, 1}, 6*s, 5*s)}, {10 * s, pipelines(4)}, {40 * s, upgrade([]int{2}, s, 30*s)}, {80 * s, pipelines(6)}}},
+		{"leaders end in the midst", 3, fastTimings, []step{{0, lowerLimitsOnceUpgraded}, {0, submitBatches(10)}, {0, upgrade(up, 8*s, 5*s)}, {5 * s, crashLeader(300 * ms)}, {12 * s, crashLeader(5 * s)}, {18 * s, crashLeader(300 * ms)}, {22 * s, crashLeader(5 * s)}, {24 * s, pipelines(8)}}},
+		{"an outage as the last is back", 3, fastTimings, []step{{0, lowerLimitsOnceUpgraded}, {0, submitBatches(8)}, {0, upgrade(up, 8*s, 5*s)}, {20900 * ms, during(20*s, storeOutage)}, {22 * s, pipelines(8)}, {24 * s, cancelJobs(3, 0)}}},
+		{"an outage throughout", 3, fastTimings, []step{{0, lowerLimitsOnceUpgraded}, {0, submitBatches(4)}, {2 * s, during(30*s, storeOutage)}, {3 * s, upgrade(up, 8*s, 5*s)}, {30 * s, pipelines(8)}}},
+		{"transactions come late", 3, fastTimings, []step{{0, lowerLimitsOnceUpgraded}, {0, during(60*s, delayedWrites(0.2))}, {0, submitBatches(8)}, {1 * s, upgrade(down, 8*s, 5*s)}, {24 * s, pipelines(8)}}},
+		{"answers are lost", 3, fastTimings, []step{{0, lowerLimitsOnceUpgraded}, {0, during(60*s, lostReplies(0.3))}, {0, submitBatches(8)}, {1 * s, upgrade(up, 8*s, 5*s)}, {24 * s, pipelines(8)}, {26 * s, crashLeader(5 * s)}}},
+		{"old reports, lost machines, cancellations", 3, slowTimings, []step{{0, lowerLimitsOnceUpgraded}, {0, during(60*s, duplicateHeartbeats(0.3))}, {0, submitBatches(8)}, {1 * s, upgrade(up, 8*s, 5*s)}, {6 * s, loseMachines(2)}, {10 * s, cancelJobs(4, 20*s)}, {24 * s, pipelines(8)}, {30 * s, crashLeader(5 * s)}}},
+		{"the leader is refused, then cut off", 3, fastTimings, []step{{0, lowerLimitsOnceUpgraded}, {0, submitBatches(8)}, {0, upgrade(up, 8*s, 5*s)}, {6 * s, during(15*s, refuseLeader)}, {22 * s, during(25*s, isolateLeader)}, {24 * s, pipelines(8)}, {26 * s, cancelJobs(3, 0)}}},
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			t.Parallel()
-			play(t, uint64(850+i), x.controllers, x.w, func(l *live) {
-				l.carryOut(x.steps, upgraded)
+			runScenario(t, uint64(850+i), x.controllers, x.w, func(l *cluster) {
+				l.runToCompletion(x.steps, upgraded)
 				l.checkUpgraded()
 			}, options...)
 		})
@@ -269,10 +269,10 @@
 			t.Parallel()
 			rng := rand.New(rand.NewPCG(seed, 11))
 			controllers := []int{3, 3, 5}[rng.IntN(3)]
-			steps, names := drawScenario(rng)
-			steps = append([]step{{0, limitsFall}, {0, pipelines(15)}, {0, upgrade(rng.Perm(controllers), time.Duration(1+rng.IntN(10))*s, []time.Duration{200 * ms, 5 * s}[rng.IntN(2)])}}, steps...)
+			steps, names := randomScenario(rng)
+			steps = append([]step{{0, lowerLimitsOnceUpgraded}, {0, pipelines(15)}, {0, upgrade(rng.Perm(controllers), time.Duration(1+rng.IntN(10))*s, []time.Duration{200 * ms, 5 * s}[rng.IntN(2)])}}, steps...)
 			t.Log(names)
-			play(t, seed, controllers, []config.Workers{brisk, brisk, slow}[rng.IntN(3)], func(l *live) { l.carryOut(steps, nil) }, production, limitsToFall)
+			runScenario(t, seed, controllers, []config.Workers{fastTimings, fastTimings, slowTimings}[rng.IntN(3)], func(l *cluster) { l.runToCompletion(steps, nil) }, productionLevel, announceLowerLimits)
 		})
 	}
 }
--- /dev/null
+++ b/internal/simulation/random_scenarios_test.go
@@ -0,0 +1,93 @@
+package simulation
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"testing"
+	"time"
+
+	"pinebay/internal/config"
+	"pinebay/internal/testkit"
+)
+
+// step is what happens at a time after the jobs have settled.
+type step struct {
+	at time.Duration
+	do func(l *cluster)
+}
+
+// runToCompletion carries out the steps of a scenario, and demands that all is well once it is
+// calm.
+func (l *cluster) runToCompletion(steps []step, happened []string) {
+	l.startJobs(12)
+	l.runSteps(steps)
+	time.Sleep(2*config.Seconds(l.cfg.Workers.CancelS) + 6*time.Minute)
+	l.checkAllServed()
+	for _, h := range happened {
+		if l.occurrences(h) == 0 {
+			l.t.Errorf("%s did not happen", h)
+		}
+	}
+}
+
+// runSteps has every step happen at its time from a moment from now at which no timer of the
+// controllers or the world is due: what happens first of two things at one moment is chance.
+func (l *cluster) runSteps(steps []step) {
+	from := l.now() + l.randomDuration("begin", ms)
+	for _, st := range steps {
+		time.Sleep(from + st.at - l.now())
+		st.do(l)
+	}
+}
+
+// randomScenario makes up a scenario of three to six troubles within a minute.
+func randomScenario(rng *rand.Rand) (steps []step, names []string) {
+	lasts := func(least, most int) time.Duration {
+		return time.Duration(least*1000+rng.IntN((most-least)*1000)) * ms
+	}
+	back := []time.Duration{200 * ms, 5 * s, 14 * s}[rng.IntN(3)]
+	vocabulary := []struct {
+		name string
+		do   func(l *cluster)
+	}{
+		{"refuse the leader", during(lasts(2, 40), refuseLeader)}, {"outage", during(lasts(2, 60), storeOutage)},
+		{"leader apart", during(lasts(2, 40), isolateLeader)}, {"crash the leader", crashLeader(back)}, {"crash all", crashAllControllers(back)},
+		{"zone cut", during(lasts(3, 40), isolateZone)}, {"mute", during(lasts(3, 40), loseHeartbeats(3))}, {"deaf", during(lasts(3, 40), holdReplies(3))},
+		{"hang", hangWorkers(3, lasts(3, 60))}, {"late writes", during(lasts(5, 50), delayedWrites(0.25))},
+		{"lost answers", during(lasts(5, 50), lostReplies(0.3))}, {"slow writes", during(lasts(5, 50), slowWrites(0.5, s))},
+		{"late reports", during(lasts(10, 60), duplicateHeartbeats(0.2))}, {"for the next", during(lasts(20, 60), replayToNextLeader(0.3, 0))},
+		{"close looks", during(lasts(20, 60), queryAfterAnswers)}, {"cancels", cancelJobs(4, 0)}, {"cancels and hang", cancelJobs(4, lasts(10, 60))},
+		{"storm", submissionStorm(lasts(10, 40))}, {"ends far apart", staggeredCompletions(5)}, {"at end", cancelAtCompletion(5)}, {"crowd", overload(10)}, {"lose", loseMachines(2)},
+		{"quick boots", during(lasts(20, 60), fastBoots)},
+	}
+	at := time.Duration(0)
+	for range 4 + rng.IntN(4) {
+		v := vocabulary[rng.IntN(len(vocabulary))]
+		if at > 0 && rng.IntN(2) == 0 {
+			at += time.Duration(rng.IntN(1500)) * ms
+		} else {
+			at += time.Duration(rng.IntN(12000)) * ms
+		}
+		steps = append(steps, step{at, v.do})
+		names = append(names, fmt.Sprintf("%v %s", at, v.name))
+		if rng.IntN(3) == 0 {
+			after := at + time.Duration(rng.IntN(2500))*ms
+			steps = append(steps, step{after, cancelJobs(2, 0)})
+			at = after
+		}
+	}
+	return steps, names
+}
+
+// TestDrawnScenarios plays scenarios that nobody named.
+func TestDrawnScenarios(t *testing.T) {
+	for seed := testkit.Seed(); seed < testkit.Seed()+10; seed++ {
+		t.Run(fmt.Sprint(seed), func(t *testing.T) {
+			t.Parallel()
+			rng := rand.New(rand.NewPCG(seed, 9))
+			steps, names := randomScenario(rng)
+			t.Log(names)
+			runScenario(t, seed, []int{3, 3, 3, 5}[rng.IntN(4)], []config.Workers{fastTimings, fastTimings, slowTimings}[rng.IntN(3)], func(l *cluster) { l.runToCompletion(steps, nil) })
+		})
+	}
+}
--- a/internal/simulation/records_test.go
+++ b/internal/simulation/records_test.go
@@ -11,56 +11,58 @@
 	"pinebay/internal/storage"
 )
 
-// recordedJobs returns the jobs whose placements a transaction records.
-func recordedJobs(t *protocol.Txn) (jobs []string) {
+// jobsInWrite returns the jobs whose placements a transaction records.
+func jobsInWrite(t *protocol.Txn) (jobs []string) {
 	for _, op := range t.Then {
-		if id, _, ok := strings.Cut(strings.TrimPrefix(op.Put, storage.PlacePrefix), "/"); ok && strings.HasPrefix(op.Put, storage.PlacePrefix) && !slices.Contains(jobs, id) {
+		if id, _, ok := strings.Cut(strings.TrimPrefix(op.PutKey, storage.PlacePrefix), "/"); ok && strings.HasPrefix(op.PutKey, storage.PlacePrefix) && !slices.Contains(jobs, id) {
 			jobs = append(jobs, id)
 		}
 	}
 	return jobs
 }
 
-// sharedRecords lets a share of the transactions that record placements of several jobs meet a fate.
-func sharedRecords(share float64, fate func(l *live, transaction string) Fate) trouble {
-	return func(l *live) func() {
-		l.state.SetFate(func(host string, txn *protocol.Txn) Fate {
-			jobs := recordedJobs(txn)
+// faultySharedWrites lets a share of the transactions that record placements of several jobs meet a fate.
+func faultySharedWrites(share float64, fate func(l *cluster, transaction string) Outcome) fault {
+	return func(l *cluster) func() {
+		l.store.SetOutcomes(func(host string, txn *protocol.Txn) Outcome {
+			jobs := jobsInWrite(txn)
 			name := host + " " + strings.Join(jobs, " ")
 			if len(jobs) < 2 || !l.chance("shared "+name, share) {
-				return Fate{Answer: true}
+				return Outcome{Reply: true}
 			}
-			l.note("shared")
+			l.recordOccurrence("shared")
 			return fate(l, name)
 		})
-		return func() { l.state.SetFate(nil) }
+		return func() { l.store.SetOutcomes(nil) }
 	}
 }
 
-func answerLost(*live, string) Fate { return Fate{} }
+func loseReply(*cluster, string) Outcome { return Outcome{} }
 
-func carriedOutLate(l *live, name string) Fate { return Fate{Late: 2*s + l.upTo("late "+name, 10*s)} }
+func delayWrite(l *cluster, name string) Outcome {
+	return Outcome{Delay: 2*s + l.randomDuration("late "+name, 10*s)}
+}
 
-func answeredLate(l *live, name string) Fate {
-	return Fate{Answer: true, Late: l.upTo("late "+name, 800*ms)}
+func delayReply(l *cluster, name string) Outcome {
+	return Outcome{Reply: true, Delay: l.randomDuration("late "+name, 800*ms)}
 }
 
-// limitedState has the state service keep to its limits, which are small.
-func limitedState(l *live) {
+// smallStoreLimits has the state service keep to its limits, which are small.
+func smallStoreLimits(l *cluster) {
 	l.cfg.State = config.State{RPS: 60, WriteRPS: 15, ValueKB: 8, TxnOps: 16}
-	l.state.Limit(l.cfg.State)
+	l.store.SetLimits(l.cfg.State)
 }
 
-// batches submits several arrays at a moment, so that their placements are recorded together.
-func batches(n int) func(*live) {
-	return func(l *live) {
+// submitBatches submits several arrays at a moment, so that their placements are recorded together.
+func submitBatches(n int) func(*cluster) {
+	return func(l *cluster) {
 		for range n {
 			for range 4 {
-				j := l.job(protocol.Array, 2, 1)
+				j := l.newJob(protocol.Array, 2, 1)
 				l.mu.Lock()
-				l.world.RunTimes[j.ID] = 3*s + l.upTo("run time "+j.ID, 4*s)
+				l.world.RunTimes[j.ID] = 3*s + l.randomDuration("run time "+j.ID, 4*s)
 				l.mu.Unlock()
-				l.user(j)
+				l.submit(j)
 			}
 			time.Sleep(2 * s)
 		}
@@ -75,24 +77,24 @@
 		w        config.Workers
 		steps    []step
 		happened []string
-		options  []func(*live)
+		options  []func(*cluster)
 	}{
-		{"its answer is lost", brisk, []step{{0, during(40*s, sharedRecords(0.5, answerLost))}, {1 * s, storm(20 * s)}, {2 * s, batches(8)}}, []string{"shared"}, nil},
-		{"it is carried out late, after newer ones", brisk, []step{{0, during(40*s, sharedRecords(0.5, carriedOutLate))}, {1 * s, storm(20 * s)}, {2 * s, batches(8)}, {20 * s, cancels(3, 0)}},
+		{"its answer is lost", fastTimings, []step{{0, during(40*s, faultySharedWrites(0.5, loseReply))}, {1 * s, submissionStorm(20 * s)}, {2 * s, submitBatches(8)}}, []string{"shared"}, nil},
+		{"it is carried out late, after newer ones", fastTimings, []step{{0, during(40*s, faultySharedWrites(0.5, delayWrite))}, {1 * s, submissionStorm(20 * s)}, {2 * s, submitBatches(8)}, {20 * s, cancelJobs(3, 0)}},
 			[]string{"shared"}, nil},
-		{"by a deposed leader", brisk, []step{{0, during(20*s, sharedRecords(1, carriedOutLate))}, {1 * s, batches(2)}, {5500 * ms, crashLeader(5 * s)}, {6 * s, batches(4)}, {14 * s, crashLeader(300 * ms)}, {15 * s, batches(3)}},
+		{"by a deposed leader", fastTimings, []step{{0, during(20*s, faultySharedWrites(1, delayWrite))}, {1 * s, submitBatches(2)}, {5500 * ms, crashLeader(5 * s)}, {6 * s, submitBatches(4)}, {14 * s, crashLeader(300 * ms)}, {15 * s, submitBatches(3)}},
 			[]string{"shared", "crash"}, nil},
-		{"a job of it is cancelled", brisk, []step{{0, during(40*s, sharedRecords(0.7, answeredLate))}, {1 * s, storm(30 * s)}, {2 * s, batches(4)}, {10 * s, cancels(4, 0)}, {11 * s, batches(3)}, {17 * s, cancels(4, 0)}},
+		{"a job of it is cancelled", fastTimings, []step{{0, during(40*s, faultySharedWrites(0.7, delayReply))}, {1 * s, submissionStorm(30 * s)}, {2 * s, submitBatches(4)}, {10 * s, cancelJobs(4, 0)}, {11 * s, submitBatches(3)}, {17 * s, cancelJobs(4, 0)}},
 			[]string{"shared", "cancelled"}, nil},
-		{"a job ends in it", brisk, []step{{0, during(40*s, sharedRecords(0.5, answeredLate))}, {0, apartEnds(8)}, {1 * s, storm(20 * s)}, {2 * s, batches(4)}, {12 * s, apartEnds(4)}}, []string{"shared"}, nil},
-		{"the state service is at its limits, slow, out and back", brisk, []step{{0, during(30*s, sharedRecords(0.5, answeredLate))}, {0, storm(30 * s)}, {1 * s, batches(5)}, {32 * s, during(15*s, outage)}, {40 * s, storm(15 * s)}},
-			[]string{"shared", "outage"}, []func(*live){limitedState}},
-		{"the same, slowly", slow, []step{{0, during(60*s, sharedRecords(0.5, carriedOutLate))}, {0, storm(30 * s)}, {1 * s, batches(5)}, {15 * s, cancels(3, 0)}, {20 * s, crashLeader(5 * s)}, {32 * s, during(40*s, outage)}},
-			[]string{"shared", "outage", "crash"}, []func(*live){limitedState}},
+		{"a job ends in it", fastTimings, []step{{0, during(40*s, faultySharedWrites(0.5, delayReply))}, {0, staggeredCompletions(8)}, {1 * s, submissionStorm(20 * s)}, {2 * s, submitBatches(4)}, {12 * s, staggeredCompletions(4)}}, []string{"shared"}, nil},
+		{"the state service is at its limits, slow, out and back", fastTimings, []step{{0, during(30*s, faultySharedWrites(0.5, delayReply))}, {0, submissionStorm(30 * s)}, {1 * s, submitBatches(5)}, {32 * s, during(15*s, storeOutage)}, {40 * s, submissionStorm(15 * s)}},
+			[]string{"shared", "outage"}, []func(*cluster){smallStoreLimits}},
+		{"the same, slowly", slowTimings, []step{{0, during(60*s, faultySharedWrites(0.5, delayWrite))}, {0, submissionStorm(30 * s)}, {1 * s, submitBatches(5)}, {15 * s, cancelJobs(3, 0)}, {20 * s, crashLeader(5 * s)}, {32 * s, during(40*s, storeOutage)}},
+			[]string{"shared", "outage", "crash"}, []func(*cluster){smallStoreLimits}},
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			t.Parallel()
-			play(t, uint64(600+i), 3, x.w, func(l *live) { l.carryOut(x.steps, x.happened) }, x.options...)
+			runScenario(t, uint64(600+i), 3, x.w, func(l *cluster) { l.runToCompletion(x.steps, x.happened) }, x.options...)
 		})
 	}
 }
@@ -100,36 +102,36 @@
 // TestRecordThatIsNeverPossible: the state service refuses every transaction that records one
 // particular job. That job waits; those that shared its transactions don't.
 func TestRecordThatIsNeverPossible(t *testing.T) {
-	play(t, 620, 3, brisk, func(l *live) {
-		l.settle(9)
-		bad := l.job(protocol.Array, 2, 1)
-		l.state.SetFate(func(_ string, txn *protocol.Txn) Fate {
-			jobs := recordedJobs(txn)
+	runScenario(t, 620, 3, fastTimings, func(l *cluster) {
+		l.startJobs(9)
+		bad := l.newJob(protocol.Array, 2, 1)
+		l.store.SetOutcomes(func(_ string, txn *protocol.Txn) Outcome {
+			jobs := jobsInWrite(txn)
 			if !slices.Contains(jobs, bad.ID) {
-				return Fate{Answer: true}
+				return Outcome{Reply: true}
 			}
 			if len(jobs) > 1 {
-				l.note("shared")
+				l.recordOccurrence("shared")
 			}
-			return Fate{Malformed: true}
+			return Outcome{Rejected: true}
 		})
-		l.user(bad)
-		batches(6)(l)
+		l.submit(bad)
+		submitBatches(6)(l)
 		time.Sleep(3 * time.Minute)
-		if l.count("shared") == 0 {
+		if l.occurrences("shared") == 0 {
 			t.Error("the job was in no transaction with others: the scenario shows nothing")
 		}
 		if l.term() != 1 {
 			t.Errorf("term %d: the job has cost the leader its term", l.term())
 		}
-		l.jobs = slices.DeleteFunc(l.jobs, func(id string) bool { return id == bad.ID })
-		l.calm()
-		if _, over := l.ledger.Final(bad.ID); over {
+		l.jobIDs = slices.DeleteFunc(l.jobIDs, func(id string) bool { return id == bad.ID })
+		l.checkAllServed()
+		if _, over := l.answers.FinalState(bad.ID); over {
 			t.Error("a job is over that could not be recorded")
 		}
-		l.state.SetFate(nil)
+		l.store.SetOutcomes(nil)
 		time.Sleep(3 * time.Minute)
-		if _, over := l.ledger.Final(bad.ID); !over {
+		if _, over := l.answers.FinalState(bad.ID); !over {
 			t.Error("the job is not served although it can be recorded now")
 		}
 	})
--- a/internal/simulation/repeat_test.go
+++ b/internal/simulation/repeat_test.go
@@ -12,33 +12,33 @@
 	"pinebay/internal/testkit"
 )
 
-// arrival is a packet that has arrived: its content by its hash.
-type arrival struct {
+// packetArrival is a packet that has arrived: its content by its hash.
+type packetArrival struct {
 	at       time.Duration
 	from, to string
 	content  uint64
 }
 
 // newArrival returns the arrival of a packet.
-func newArrival(at time.Duration, from, to string, data []byte) arrival {
+func newArrival(at time.Duration, from, to string, data []byte) packetArrival {
 	h := fnv.New64a()
 	_, _ = h.Write(data)
-	return arrival{at, from, to, h.Sum64()}
+	return packetArrival{at, from, to, h.Sum64()}
 }
 
-// arrivals plays steps for a while, and returns everything that arrived anywhere.
-func arrivals(t *testing.T, seed uint64, controllers int, w config.Workers, steps []step, options ...func(*live)) (all []arrival) {
-	play(t, seed, controllers, w, func(l *live) {
+// recordArrivals plays steps for a while, and returns everything that arrived anywhere.
+func recordArrivals(t *testing.T, seed uint64, controllers int, w config.Workers, steps []step, options ...func(*cluster)) (all []packetArrival) {
+	runScenario(t, seed, controllers, w, func(l *cluster) {
 		l.net.Tap(func(from, to string, data []byte) {
 			all = append(all, newArrival(l.now(), from, to, data))
 		})
-		l.settle(9)
-		l.playSteps(steps)
+		l.startJobs(9)
+		l.runSteps(steps)
 		time.Sleep(90 * s)
 		l.net.Tap(nil)
 	}, options...)
 	// What arrives at the very same moment arrives in no order.
-	slices.SortStableFunc(all, func(a, b arrival) int {
+	slices.SortStableFunc(all, func(a, b packetArrival) int {
 		if a.at != b.at {
 			return int(a.at - b.at)
 		}
@@ -57,22 +57,22 @@
 // gives in the very step that ends its term may go out or not.
 func TestSameSeedSameRun(t *testing.T) {
 	rng := rand.New(rand.NewPCG(testkit.Seed(), 9))
-	drawn, _ := drawScenario(rng)
+	drawn, _ := randomScenario(rng)
 	for _, x := range []struct {
 		name        string
 		controllers int
 		w           config.Workers
 		steps       []step
-		options     []func(*live)
+		options     []func(*cluster)
 	}{
-		{"zone lost and back", 3, brisk, []step{{0, moreLow(8)}, {8 * s, during(40*s, zoneSilent("b", 1))}}, []func(*live){zoneReturnOn(everywhere)}},
-		{"cancellations, hung machines and an outage", 5, brisk, []step{{0, crowd(12)}, {10 * s, cancels(4, 20*s)}, {10100 * ms, during(20*s, outage)}, {12 * s, cancels(2, 0)}}, nil},
-		{"drawn", 3, slow, drawn, nil},
+		{"zone lost and back", 3, fastTimings, []step{{0, lowPriorityArrays(8)}, {8 * s, during(40*s, silenceZone("b", 1))}}, []func(*cluster){withZoneFailover(everywhere)}},
+		{"cancellations, hung machines and an outage", 5, fastTimings, []step{{0, overload(12)}, {10 * s, cancelJobs(4, 20*s)}, {10100 * ms, during(20*s, storeOutage)}, {12 * s, cancelJobs(2, 0)}}, nil},
+		{"drawn", 3, slowTimings, drawn, nil},
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			t.Parallel()
-			first := arrivals(t, 77, x.controllers, x.w, x.steps, x.options...)
-			again := arrivals(t, 77, x.controllers, x.w, x.steps, x.options...)
+			first := recordArrivals(t, 77, x.controllers, x.w, x.steps, x.options...)
+			again := recordArrivals(t, 77, x.controllers, x.w, x.steps, x.options...)
 			for i := range min(len(first), len(again)) {
 				if first[i] != again[i] {
 					t.Fatalf("packet %d of %d: %+v, and in another run %+v", i, len(first), first[i], again[i])
--- a/internal/simulation/starvation_test.go
+++ b/internal/simulation/starvation_test.go
@@ -11,30 +11,30 @@
 	"pinebay/internal/testkit"
 )
 
-// starved are scenarios with controllers that are short of processor time. A late timer or
+// starvationScenarios are scenarios with controllers that are short of processor time. A late timer or
 // answer is not a lapsed proof: leases, terms and freshness are checked when acted upon.
-var starved = []struct {
+var starvationScenarios = []struct {
 	name     string
 	w        config.Workers
 	steps    []step
 	happened []string
 }{
-	{"a slow leader, cancellations, then a crash", brisk, []step{{0, during(60*s, slowController(400*ms, (*live).leader))}, {2 * s, cancels(4, 0)},
-		{20 * s, crashLeader(5 * s)}, {21 * s, cancels(3, 0)}}, []string{"slow", "cancelled", "crash"}},
-	{"a slow follower takes over in an outage", brisk, []step{{0, during(90*s, slowController(500*ms, aFollower))}, {s, cancels(3, 0)},
-		{3 * s, during(20*s, outage)}, {4 * s, crashLeader(5 * s)}, {30 * s, cancels(3, 0)}}, []string{"slow", "outage", "cancelled", "crash"}},
-	{"so slow that others lead, and back", slow, []step{{0, during(30*s, slowController(4*s, (*live).leader))}, {2 * s, cancels(3, 0)},
-		{10 * s, cancels(3, 0)}, {32 * s, cancels(2, 0)}}, []string{"slow", "cancelled"}},
-	{"slow, with late writes and reports", brisk, []step{{0, during(60*s, slowController(300*ms, (*live).leader))}, {0, during(50*s, lateWrites(0.2))},
-		{0, during(60*s, lateReports(0.2))}, {s, storm(30 * s)}, {5 * s, cancels(4, 0)}}, []string{"slow", "write", "late report", "cancelled"}},
+	{"a slow leader, cancellations, then a crash", fastTimings, []step{{0, during(60*s, slowController(400*ms, (*cluster).leader))}, {2 * s, cancelJobs(4, 0)},
+		{20 * s, crashLeader(5 * s)}, {21 * s, cancelJobs(3, 0)}}, []string{"slow", "cancelled", "crash"}},
+	{"a slow follower takes over in an outage", fastTimings, []step{{0, during(90*s, slowController(500*ms, firstFollower))}, {s, cancelJobs(3, 0)},
+		{3 * s, during(20*s, storeOutage)}, {4 * s, crashLeader(5 * s)}, {30 * s, cancelJobs(3, 0)}}, []string{"slow", "outage", "cancelled", "crash"}},
+	{"so slow that others lead, and back", slowTimings, []step{{0, during(30*s, slowController(4*s, (*cluster).leader))}, {2 * s, cancelJobs(3, 0)},
+		{10 * s, cancelJobs(3, 0)}, {32 * s, cancelJobs(2, 0)}}, []string{"slow", "cancelled"}},
+	{"slow, with late writes and reports", fastTimings, []step{{0, during(60*s, slowController(300*ms, (*cluster).leader))}, {0, during(50*s, delayedWrites(0.2))},
+		{0, during(60*s, duplicateHeartbeats(0.2))}, {s, submissionStorm(30 * s)}, {5 * s, cancelJobs(4, 0)}}, []string{"slow", "write", "late report", "cancelled"}},
 }
 
 // TestStarvation plays every scenario of starvation on three controllers.
 func TestStarvation(t *testing.T) {
-	for i, m := range starved {
+	for i, m := range starvationScenarios {
 		t.Run(m.name, func(t *testing.T) {
 			t.Parallel()
-			play(t, uint64(300+i), 3, m.w, func(l *live) { l.carryOut(m.steps, m.happened) })
+			runScenario(t, uint64(300+i), 3, m.w, func(l *cluster) { l.runToCompletion(m.steps, m.happened) })
 		})
 	}
 }
@@ -45,12 +45,12 @@
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			rng := rand.New(rand.NewPCG(seed, 13))
-			steps, names := drawScenario(rng)
-			which := []func(*live) *controller{(*live).leader, aFollower}[rng.IntN(2)]
+			steps, names := randomScenario(rng)
+			which := []func(*cluster) *controller{(*cluster).leader, firstFollower}[rng.IntN(2)]
 			by := time.Duration(100+rng.IntN(1500)) * ms
 			steps = append([]step{{0, during(60*s, slowController(by, which))}}, steps...)
 			t.Log(by, names)
-			play(t, seed, []int{3, 5}[rng.IntN(2)], []config.Workers{brisk, slow}[rng.IntN(2)], func(l *live) { l.carryOut(steps, []string{"slow"}) })
+			runScenario(t, seed, []int{3, 5}[rng.IntN(2)], []config.Workers{fastTimings, slowTimings}[rng.IntN(2)], func(l *cluster) { l.runToCompletion(steps, []string{"slow"}) })
 		})
 	}
 }
@@ -58,12 +58,12 @@
 // TestMessagesOfAHeartbeat: in quiet, controllers send each other heartbeats at their pace,
 // each in one packet with one for its answer, and nothing else.
 func TestMessagesOfAHeartbeat(t *testing.T) {
-	play(t, 21, 3, brisk, func(l *live) {
+	runScenario(t, 21, 3, fastTimings, func(l *cluster) {
 		time.Sleep(20 * s)
-		before := l.meshPackets()
+		before := l.peerPackets()
 		const span = 60 * s
 		time.Sleep(span)
-		got := l.meshPackets() - before
+		got := l.peerPackets() - before
 		beat := daemon.Times(&l.cfg).Beat
 		// The leader sends to both followers with every beat, the followers to both others
 		// with every other one.
@@ -75,9 +75,9 @@
 	})
 }
 
-// meshPackets returns how many packets controllers have sent each other.
-func (l *live) meshPackets() (n int) {
-	for _, a := range l.nodes {
+// peerPackets returns how many packets controllers have sent each other.
+func (l *cluster) peerPackets() (n int) {
+	for _, a := range l.controllers {
 		for _, b := range l.others(a) {
 			n += l.net.Packets(a.ip, b.ip)
 		}
@@ -88,25 +88,25 @@
 // TestUsersWhileANewLeaderHears: while a new leader reads the records and hears its
 // machines, users' submissions to the controllers that live are accepted all the same.
 func TestUsersWhileANewLeaderHears(t *testing.T) {
-	play(t, 22, 3, brisk, func(l *live) {
-		l.settle(12)
+	runScenario(t, 22, 3, fastTimings, func(l *cluster) {
+		l.startJobs(12)
 		old, term := l.leader(), l.term()
 		l.crash(old, 60*s)
 		rest := l.others(old)
 		sent, shed := 0, 0
 		for end := l.now() + 20*s; l.now() < end; time.Sleep(100 * ms) {
-			j := l.job("array", 1, 1)
+			j := l.newJob("array", 1, 1)
 			l.mu.Lock()
 			l.world.Jobs[j.ID], l.world.RunTimes[j.ID] = &j, 3*s
-			l.jobs = append(l.jobs, j.ID)
+			l.jobIDs = append(l.jobIDs, j.ID)
 			l.mu.Unlock()
 			sent++
-			if status, _ := l.request(rest[sent%2], Submits, j.ID); status != 200 && status != 201 {
+			if status, _ := l.request(rest[sent%2], RequestSubmit, j.ID); status != 200 && status != 201 {
 				shed++
-				l.user(j)
+				l.submit(j)
 				continue
 			}
-			l.follow(j.ID)
+			l.pollInBackground(j.ID)
 		}
 		t.Logf("%d of %d submissions shed", shed, sent)
 		if l.term() == term {
@@ -116,6 +116,6 @@
 			t.Errorf("%d of %d submissions shed, want %d at most", shed, sent, most)
 		}
 		time.Sleep(4 * time.Minute)
-		l.calm()
+		l.checkAllServed()
 	})
 }
--- a/internal/simulation/system_outside_test.go
+++ b/internal/simulation/system_outside_test.go
@@ -11,7 +11,7 @@
 	"pinebay/internal/storage"
 )
 
-func (s *system) encode(v any) []byte {
+func (s *simulatedSystem) encode(v any) []byte {
 	raw, err := protocol.Encode(v)
 	if err != nil {
 		s.t.Fatal(err)
@@ -19,7 +19,7 @@
 	return raw
 }
 
-func (s *system) encodeTerm(rec storage.TermRecord) []byte {
+func (s *simulatedSystem) encodeTerm(rec storage.TermRecord) []byte {
 	raw, err := storage.EncodeTerm(rec)
 	if err != nil {
 		s.t.Fatal(err)
@@ -28,24 +28,24 @@
 }
 
 // callCloud carries out what the fleet asks of the cloud.
-func (s *system) callCloud(l *leading, e fleet.Effect) {
+func (s *simulatedSystem) callCloud(l *leaderInstance, e fleet.Effect) {
 	switch e := e.(type) {
 	case fleet.List:
 		asked := s.now
-		list := s.list()
-		s.after(200*ms, func() { s.step(l, scheduler.Listed{Asked: asked, Machines: list, Failed: s.chance(0.1)}) })
+		list := s.listMachines()
+		s.callAfter(200*ms, func() { s.step(l, scheduler.Listed{Asked: asked, Machines: list, Failed: s.chance(0.1)}) })
 	case fleet.Rent:
 		asked := s.now
-		s.after(s.upTo(time.Second), func() {
-			names := s.rent(e.Rental)
-			s.step(l, scheduler.Rented{Request: e.Rental.Request, Asked: asked, Names: names, Refused: len(names) == 0})
+		s.callAfter(s.randomDuration(time.Second), func() {
+			names := s.rentMachines(e.Rental)
+			s.step(l, scheduler.Rented{Request: e.Rental.RequestID, Asked: asked, Names: names, Refused: len(names) == 0})
 		})
 	case fleet.Release:
-		s.after(s.upTo(time.Second), func() {
+		s.callAfter(s.randomDuration(time.Second), func() {
 			for _, n := range e.Names {
 				if s.world.Workers[n] != nil {
-					s.world.Remove(n)
-					s.gone[n] = s.now - time.Hour // not listed any more
+					s.world.RemoveMachine(n)
+					s.removedAt[n] = s.now - time.Hour // not listed any more
 				}
 			}
 			s.step(l, scheduler.Released{Names: e.Names, OK: true})
@@ -57,80 +57,80 @@
 
 // write carries out a transaction as the leader's executor does, over a
 // network that may swallow the request or the answer, or repeat the request.
-func (s *system) write(l *leading, w scheduler.Write, uncertain bool) {
-	d := 5*ms + s.upTo(20*ms)
+func (s *simulatedSystem) write(l *leaderInstance, w scheduler.Write, uncertain bool) {
+	d := 5*ms + s.randomDuration(20*ms)
 	if s.chance(0.05) {
-		late := s.upTo(40 * time.Second)
-		s.after(late, func() { s.state.Txn(w.Txn) }) // a late copy
+		late := s.randomDuration(40 * time.Second)
+		s.callAfter(late, func() { s.store.Txn(w.Txn) }) // a late copy
 	}
 	if s.chance(0.05) {
-		s.after(time.Second, func() { s.write(l, w, true) }) // never arrived, as far as we know
+		s.callAfter(time.Second, func() { s.write(l, w, true) }) // never arrived, as far as we know
 		return
 	}
-	s.after(d, func() {
-		rev, failed, _ := s.state.Txn(w.Txn)
+	s.callAfter(d, func() {
+		rev, failed, _ := s.store.Txn(w.Txn)
 		if s.chance(0.05) {
-			s.after(time.Second, func() { s.write(l, w, true) }) // the answer was lost
+			s.callAfter(time.Second, func() { s.write(l, w, true) }) // the answer was lost
 			return
 		}
 		out := scheduler.Written{Write: w.ID, OK: len(failed) == 0, Rev: rev, Failed: failed}
 		if !out.OK && uncertain {
-			p := s.state.Get(w.Verify)
+			p := s.store.Get(w.Verify)
 			var rec struct {
 				Write string `msgpack:"w"`
 			}
-			if p.Version != 0 {
+			if p.Revision != 0 {
 				if err := protocol.Decode(p.Value, &rec); err != nil {
 					s.t.Fatal(err)
 				}
 			}
-			out.OK = rec.Write == w.Name && (w.Name != "" || p.Version == 0)
-			out.Rev = p.Version
+			out.OK = rec.Write == w.Name && (w.Name != "" || p.Revision == 0)
+			out.Rev = p.Revision
 		}
-		s.after(d, func() { s.step(l, out) })
+		s.callAfter(d, func() { s.step(l, out) })
 	})
 }
 
-func (s *system) cut(name string) bool { return s.now < s.unheard[name] }
+func (s *simulatedSystem) unreachable(name string) bool { return s.now < s.unreachableUntil[name] }
 
-func (s *system) command(l *leading, o scheduler.Order) {
+func (s *simulatedSystem) sendCommands(l *leaderInstance, o scheduler.Order) {
 	deliver := func(answer bool) {
 		m := s.world.Workers[o.Machine]
 		if m == nil {
 			return
 		}
-		r, ok := m.Command(s.now, o.Orders)
+		r, ok := m.HandleCommands(s.now, o.Orders)
 		if answer {
-			s.after(5*ms, func() { s.step(l, scheduler.OrdersDone{Machine: o.Machine, OK: ok, Report: r}) })
+			s.callAfter(5*ms, func() { s.step(l, scheduler.OrdersDone{Machine: o.Machine, OK: ok, Report: r}) })
 		}
 	}
 	lost := func() {
-		s.after(1500*ms, func() { s.step(l, scheduler.OrdersDone{Machine: o.Machine}) })
+		s.callAfter(1500*ms, func() { s.step(l, scheduler.OrdersDone{Machine: o.Machine}) })
 	}
 	if s.chance(0.1) {
-		s.after(s.upTo(60*time.Second), func() { deliver(false) }) // a late copy
+		s.callAfter(s.randomDuration(60*time.Second), func() { deliver(false) }) // a late copy
 	}
 	switch {
 	case s.world.Workers[o.Machine] == nil:
 		lost()
-	case s.cut(o.Machine) || s.chance(0.04):
-		s.after(s.upTo(60*time.Second), func() { deliver(false) }) // held back, executed late
+	case s.unreachable(o.Machine) || s.chance(0.04):
+		s.callAfter(s.randomDuration(60*time.Second), func() { deliver(false) }) // held back, executed late
 		lost()
 	case s.chance(0.04):
-		s.after(5*ms, func() { deliver(false) }) // executed, the answer lost
+		s.callAfter(5*ms, func() { deliver(false) }) // executed, the answer lost
 		lost()
 	default:
-		s.after(5*ms, func() { deliver(true) })
+		s.callAfter(5*ms, func() { deliver(true) })
 	}
 }
 
-func (s *system) list() []protocol.ListedMachine {
+func (s *simulatedSystem) listMachines() []protocol.ListedMachine {
 	var out []protocol.ListedMachine
-	for _, m := range s.world.sorted() {
+	for _, m := range s.world.sortedWorkers() {
 		out = append(out, protocol.ListedMachine{Name: m.Name, Addr: "addr:" + m.Name, Type: m.Type, Zone: m.Zone, Spot: m.Spot,
 			State: protocol.MachineRunning})
 	}
-	for n, at := range s.gone {
+	for n, at := range s.removedAt {
 		if s.now-at < 8*time.Second {
 			out = append(out, protocol.ListedMachine{Name: n, Type: "g8", Zone: "a", State: protocol.MachineRunning})
 		}
@@ -139,8 +139,8 @@
 	return out
 }
 
-func (s *system) rent(r protocol.Rental) []string {
-	if names, ok := s.rentals[r.Request]; ok {
+func (s *simulatedSystem) rentMachines(r protocol.Rental) []string {
+	if names, ok := s.rentals[r.RequestID]; ok {
 		return names
 	}
 	if len(s.world.Workers) > 14 || s.chance(0.2) {
@@ -148,32 +148,32 @@
 	}
 	var names []string
 	for range min(r.Count, 3) {
-		s.names++
-		name := fmt.Sprintf("host-%06d", s.names)
+		s.rentedCount++
+		name := fmt.Sprintf("host-%06d", s.rentedCount)
 		names = append(names, name)
 		if s.chance(0.05) {
 			continue // never comes up
 		}
-		s.after(2*time.Second+s.upTo(10*time.Second), func() {
-			s.world.Add(s.now, name, r.Zone, r.Spot, &s.types[0], time.Duration(s.cfg.Workers.LeaseS*float64(time.Second)))
-			s.reports(name)
+		s.callAfter(2*time.Second+s.randomDuration(10*time.Second), func() {
+			s.world.AddMachine(s.now, name, r.Zone, r.Spot, &s.types[0], time.Duration(s.cfg.Workers.LeaseS*float64(time.Second)))
+			s.scheduleHeartbeats(name)
 		})
 	}
-	s.rentals[r.Request] = names
+	s.rentals[r.RequestID] = names
 	return names
 }
 
-// reports lets a worker report regularly, to a leader of any term.
-func (s *system) reports(name string) {
+// scheduleHeartbeats lets a worker report regularly, to a leader of any term.
+func (s *simulatedSystem) scheduleHeartbeats(name string) {
 	m := s.world.Workers[name]
 	if m == nil {
 		return
 	}
-	next := 750*ms + s.upTo(500*ms)
+	next := 750*ms + s.randomDuration(500*ms)
 	if m.Changed {
 		next = 500 * ms
 	}
-	s.after(next, func() { s.reports(name) })
+	s.callAfter(next, func() { s.scheduleHeartbeats(name) })
 	if len(s.leaders) == 0 {
 		return
 	}
@@ -181,23 +181,23 @@
 	if s.chance(0.05) {
 		l = s.leaders[s.rng.IntN(len(s.leaders))]
 	}
-	r := m.Report()
-	sent, session := s.now, m.Session
+	r := m.NextHeartbeat()
+	sent, session := s.now, m.Incarnation
 	if s.chance(0.05) {
-		s.after(s.upTo(30*time.Second), func() { s.step(s.leaders[len(s.leaders)-1], scheduler.Reported{Report: r}) })
+		s.callAfter(s.randomDuration(30*time.Second), func() { s.step(s.leaders[len(s.leaders)-1], scheduler.Reported{Report: r}) })
 	}
-	if s.cut(name) && s.chance(0.7) || s.chance(0.03) {
+	if s.unreachable(name) && s.chance(0.7) || s.chance(0.03) {
 		return
 	}
-	muted := s.cut(name) || s.chance(0.03)
-	s.after(5*ms, func() {
-		s.step(l, scheduler.Reported{Report: r, Tag: func(a protocol.ReportAnswer) {
+	muted := s.unreachable(name) || s.chance(0.03)
+	s.callAfter(5*ms, func() {
+		s.step(l, scheduler.Reported{Report: r, Tag: func(a protocol.WorkerHeartbeatReply) {
 			if muted {
 				return
 			}
-			s.after(5*ms, func() {
+			s.callAfter(5*ms, func() {
 				if s.world.Workers[name] == m {
-					m.Answer(s.now, sent, session, a)
+					m.HandleReply(s.now, sent, session, a)
 				}
 			})
 		}})
