--- a/internal/simulation/system_test.go
+++ b/internal/simulation/system_test.go
@@ -15,75 +15,75 @@
 	"pinebay/internal/storage"
 )
 
-// system is a whole service in simulated time: leaders, of which deposed ones
+// simulatedSystem is a whole service in simulated time: leaders, of which deposed ones
 // may go on for a while without knowing, against the stand-ins, over a network
 // that loses, delays and copies.
-type system struct {
-	t       *testing.T
-	rng     *rand.Rand
-	now     time.Duration
-	queue   events
-	order   int
-	cfg     *config.Deployment
-	types   []protocol.MachineType
-	state   *State
-	world   *World
-	leaders []*leading
-	term    uint64
-	rentals map[string][]string
-	names   int
-	gone    map[string]time.Duration // names that left, and when
-	told    map[string]protocol.Standing
-	accept  map[string]bool
-	calm    bool
-	unheard map[string]time.Duration // machines behind a cut, and until when
+type simulatedSystem struct {
+	t                *testing.T
+	rng              *rand.Rand
+	now              time.Duration
+	queue            callQueue
+	lastSequence     int
+	cfg              *config.Deployment
+	types            []protocol.MachineType
+	store            *Store
+	world            *World
+	leaders          []*leaderInstance
+	term             uint64
+	rentals          map[string][]string
+	rentedCount      int
+	removedAt        map[string]time.Duration // names that left, and when
+	answeredStates   map[string]protocol.JobState
+	accepted         map[string]bool
+	faultsEnded      bool
+	unreachableUntil map[string]time.Duration // machines behind a cut, and until when
 }
 
-type leading struct {
-	core *scheduler.Core
-	rev  uint64
-	dead bool
+type leaderInstance struct {
+	core     *scheduler.Core
+	revision uint64
+	stopped  bool
 }
 
-type item struct {
+type timedCall struct {
 	at  time.Duration
 	seq int
 	f   func()
 }
 
-type events []item
+type callQueue []timedCall
 
-func (e events) Len() int { return len(e) }
+func (e callQueue) Len() int { return len(e) }
 
-func (e events) Less(i, j int) bool {
+func (e callQueue) Less(i, j int) bool {
 	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].seq < e[j].seq
 }
 
-func (e events) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
+func (e callQueue) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
 
-func (e *events) Push(x any) { *e = append(*e, x.(item)) }
+func (e *callQueue) Push(x any) { *e = append(*e, x.(timedCall)) }
 
-func (e *events) Pop() any {
+func (e *callQueue) Pop() any {
 	old := *e
 	x := old[len(old)-1]
 	*e = old[:len(old)-1]
 	return x
 }
 
-func (s *system) after(d time.Duration, f func()) {
-	s.order++
-	heap.Push(&s.queue, item{s.now + d, s.order, f})
+func (s *simulatedSystem) callAfter(d time.Duration, f func()) {
+	s.lastSequence++
+	heap.Push(&s.queue, timedCall{s.now + d, s.lastSequence, f})
 }
 
-func (s *system) chance(p float64) bool { return !s.calm && s.rng.Float64() < p }
+func (s *simulatedSystem) chance(p float64) bool { return !s.faultsEnded && s.rng.Float64() < p }
 
-func (s *system) upTo(d time.Duration) time.Duration {
+func (s *simulatedSystem) randomDuration(d time.Duration) time.Duration {
 	return time.Duration(s.rng.Float64() * float64(d))
 }
 
 const ms = time.Millisecond
 
-func newSystem(t *testing.T, seed uint64) *system {
+func newSimulatedSystem(t *testing.T, seed uint64) *simulatedSystem {
 	cfg := &config.Deployment{
 		Nodes: 3, Zones: []string{"a", "b"},
 		Teams:      []config.Team{{Name: "red", GPUsMax: 40}, {Name: "blue", GPUs: 8}},
@@ -93,24 +93,24 @@
 		Quota:      config.Quota{CoreShare: 0.1, RAMMB: 64, MaxSockets: 400},
 		Objectives: []config.Objective{{Kind: "wait", Class: "service", WithinS: 2, Share: 0.9}},
 	}
-	s := &system{
+	s := &simulatedSystem{
 		t: t, rng: rand.New(rand.NewPCG(seed, 7)), cfg: cfg,
-		types: []protocol.MachineType{{Name: "g8", CPUs: 64, GPUs: 8, MemoryGB: 256, CacheGB: 100, FetchGBPerS: 2, Price: 10,
-			SpotPrice: 4, BootS: 10, Zones: []string{"a", "b"}}},
-		state: NewState(), world: NewWorld(30*time.Second, 2*time.Second, 12*time.Second),
-		rentals: map[string][]string{}, gone: map[string]time.Duration{}, told: map[string]protocol.Standing{},
-		accept: map[string]bool{}, unheard: map[string]time.Duration{},
+		types: []protocol.MachineType{{Name: "g8", CPUs: 64, GPUs: 8, MemoryGB: 256, CacheGB: 100, FetchGBPerSecond: 2, HourlyPrice: 10,
+			HourlySpotPrice: 4, BootSeconds: 10, Zones: []string{"a", "b"}}},
+		store: NewStore(), world: NewWorld(30*time.Second, 2*time.Second, 12*time.Second),
+		rentals: map[string][]string{}, removedAt: map[string]time.Duration{}, answeredStates: map[string]protocol.JobState{},
+		accepted: map[string]bool{}, unreachableUntil: map[string]time.Duration{},
 	}
-	s.state.MaxValue = 1024
-	s.world.Limits["red"] = [2]float64{0, 40}
+	s.store.MaxValue = 1024
+	s.world.TeamLimits["red"] = [2]float64{0, 40}
 	return s
 }
 
 // takeOver begins a new term, as the election's claim does.
-func (s *system) takeOver() {
-	rev, failed, _ := s.state.Txn(protocol.Txn{
-		If:   []protocol.Cond{{Key: storage.TermKey, Version: s.state.Get(storage.TermKey).Version}},
-		Then: []protocol.Op{{Put: storage.TermKey, Value: s.encodeTerm(storage.TermRecord{Term: s.term + 1})}},
+func (s *simulatedSystem) takeOver() {
+	rev, failed, _ := s.store.Txn(protocol.Txn{
+		If:   []protocol.Compare{{Key: storage.TermKey, Revision: s.store.Get(storage.TermKey).Revision}},
+		Then: []protocol.Op{{PutKey: storage.TermKey, Value: s.encodeTerm(storage.TermRecord{Term: s.term + 1})}},
 	})
 	if failed != nil {
 		s.t.Fatalf("claim failed: %v", failed)
@@ -118,15 +118,15 @@
 	s.term++
 	for _, l := range s.leaders {
 		old := l
-		s.after(s.upTo(15*time.Second), func() { old.dead = true })
+		s.callAfter(s.randomDuration(15*time.Second), func() { old.stopped = true })
 		if s.chance(0.5) {
-			old.dead = true
+			old.stopped = true
 		}
 	}
-	live, liveRev := s.state.List(storage.LivePrefix)
-	pages, _ := s.state.List(storage.PlacePrefix)
-	warm, _ := s.state.List(storage.ImagesPrefix)
-	l := &leading{rev: liveRev}
+	live, liveRev := s.store.List(storage.LivePrefix)
+	pages, _ := s.store.List(storage.PlacePrefix)
+	warm, _ := s.store.List(storage.ImagesPrefix)
+	l := &leaderInstance{revision: liveRev}
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	l.core = scheduler.New(s.now, s.cfg, log, scheduler.Term{Number: s.term, Stamp: rev},
 		scheduler.Records{Types: s.types, Live: live, Pages: pages, Images: warm}, s.now.Milliseconds(), nil)
@@ -134,55 +134,55 @@
 	s.tickLeader(l)
 }
 
-func (s *system) tickLeader(l *leading) {
-	if l.dead {
+func (s *simulatedSystem) tickLeader(l *leaderInstance) {
+	if l.stopped {
 		return
 	}
-	ev, rev := s.state.Since(storage.LivePrefix, l.rev)
-	l.rev = rev
+	ev, rev := s.store.ChangesSince(storage.LivePrefix, l.revision)
+	l.revision = rev
 	for _, e := range ev {
-		if e.Delete != "" {
-			s.step(l, scheduler.JobDropped{ID: e.Delete[len(storage.LivePrefix):]})
+		if e.DeleteKey != "" {
+			s.step(l, scheduler.JobDropped{ID: e.DeleteKey[len(storage.LivePrefix):]})
 			continue
 		}
 		var rec storage.LiveRecord
 		if err := protocol.Decode(e.Value, &rec); err != nil {
 			s.t.Fatal(err)
 		}
-		s.step(l, scheduler.JobSet{Record: rec, Stamp: e.Version})
+		s.step(l, scheduler.JobSet{Record: rec, Stamp: e.Revision})
 	}
 	s.step(l, scheduler.Tick{})
-	s.after(100*ms, func() { s.tickLeader(l) })
+	s.callAfter(100*ms, func() { s.tickLeader(l) })
 }
 
-func (s *system) step(l *leading, e scheduler.Event) {
-	if l.dead {
+func (s *simulatedSystem) step(l *leaderInstance, e scheduler.Event) {
+	if l.stopped {
 		return
 	}
 	for _, e := range l.core.Step(s.now, e) {
-		s.carryOut(l, e)
+		s.applyEffect(l, e)
 	}
 }
 
-func (s *system) carryOut(l *leading, e scheduler.Effect) {
+func (s *simulatedSystem) applyEffect(l *leaderInstance, e scheduler.Effect) {
 	switch e := e.(type) {
 	case scheduler.Answer:
-		if f, ok := e.Tag.(func(protocol.ReportAnswer)); ok {
+		if f, ok := e.Tag.(func(protocol.WorkerHeartbeatReply)); ok {
 			f(e.Body)
 		}
 	case scheduler.Depose:
 		if l == s.leaders[len(s.leaders)-1] {
-			s.after(ms, s.takeOver)
+			s.callAfter(ms, s.takeOver)
 		}
-		l.dead = true
+		l.stopped = true
 	case scheduler.Write:
 		s.write(l, e, false)
 	case scheduler.Order:
-		s.command(l, e)
+		s.sendCommands(l, e)
 	case scheduler.Inspect:
-		if m := s.world.Workers[e.Machine]; m != nil && !s.cut(e.Machine) && !s.chance(0.1) {
-			r := m.Report()
-			s.after(s.upTo(3*time.Second), func() { s.step(l, scheduler.Inspected{Report: r}) })
+		if m := s.world.Workers[e.Machine]; m != nil && !s.unreachable(e.Machine) && !s.chance(0.1) {
+			r := m.NextHeartbeat()
+			s.callAfter(s.randomDuration(3*time.Second), func() { s.step(l, scheduler.Inspected{Report: r}) })
 		}
 	case scheduler.Fleet:
 		s.callCloud(l, e.Effect)
@@ -191,20 +191,20 @@
 	}
 }
 
-func (s *system) run(d time.Duration) {
+func (s *simulatedSystem) run(d time.Duration) {
 	end := s.now + d
 	for len(s.queue) > 0 && s.queue[0].at <= end {
-		it := heap.Pop(&s.queue).(item)
+		it := heap.Pop(&s.queue).(timedCall)
 		s.now = it.at
 		it.f()
 	}
 	s.now = end
 }
 
-func (s *system) clock() {
-	s.state.Advance(s.now)
+func (s *simulatedSystem) advanceModels() {
+	s.store.Advance(s.now)
 	s.world.Advance(s.now)
-	s.after(50*ms, s.clock)
+	s.callAfter(50*ms, s.advanceModels)
 }
 
 // TestWholeSystem plays days of trouble and checks the protocol's rules: no
@@ -214,37 +214,37 @@
 	for seed := uint64(1); seed <= 30; seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			s := newSystem(t, seed)
-			s.clock()
+			s := newSimulatedSystem(t, seed)
+			s.advanceModels()
 			s.takeOver()
 			for n := range 30 {
-				s.after(s.upTo(90*time.Second), func() { s.user(n) })
+				s.callAfter(s.randomDuration(90*time.Second), func() { s.submitJob(n) })
 			}
-			s.after(15*time.Second, s.trouble)
+			s.callAfter(15*time.Second, s.injectFault)
 			s.run(120 * time.Second)
-			s.calm = true
+			s.faultsEnded = true
 			for _, m := range s.world.Workers {
-				m.Sick = false
+				m.FailsTasks = false
 			}
 			s.run(400 * time.Second)
-			for i, b := range s.world.Broken {
+			for i, b := range s.world.Violations {
 				if i < 5 {
 					t.Error(b)
 				}
 			}
-			if s.state.Oversized > 0 {
-				t.Errorf("%d values over the limit", s.state.Oversized)
+			if s.store.Oversized > 0 {
+				t.Errorf("%d values over the limit", s.store.Oversized)
 			}
 			left := 0
-			for id := range s.accept {
+			for id := range s.accepted {
 				j := s.world.Jobs[id]
-				if !s.told[id].Final() && j.Shape != protocol.Service {
+				if !s.answeredStates[id].Final() && j.Shape != protocol.Service {
 					left++
-					t.Logf("not over: %s %s tasks %d gpus %v team %s zone %v spread %v", id, j.Shape, j.Tasks, j.GPUs, j.Team, j.SameZone, j.Spread)
+					t.Logf("not over: %s %s tasks %d gpus %v team %s zone %v spread %v", id, j.Shape, j.TaskCount, j.GPUs, j.Team, j.SameZone, j.Spread)
 				}
 			}
 			if left > 0 {
-				t.Errorf("%d of %d jobs are not over long after the last trouble", left, len(s.accept))
+				t.Errorf("%d of %d jobs are not over long after the last trouble", left, len(s.accepted))
 			}
 			if s.world.Starts < 30 {
 				t.Errorf("only %d starts: the day shows nothing", s.world.Starts)
--- a/internal/simulation/traffic_test.go
+++ b/internal/simulation/traffic_test.go
@@ -25,46 +25,46 @@
 	controllers int
 	workers     config.Workers
 	steps       []step
-	options     []func(*live)
+	options     []func(*cluster)
 }
 
 // trafficScenarios cover failover, outages of the state service, a refused leader, cancellations, pipelines, mixed
 // feature levels, zone return and ownership. They keep to what repeats to the byte; see TestSameSeedSameRun for the
 // two known causes of difference.
 func trafficScenarios() []trafficScenario {
-	everyoneOwns, zoneReturn := []func(*live){ownershipOn(everywhere)}, []func(*live){zoneReturnOn(everywhere)}
-	upgrading := []func(*live){production, limitsToFall}
-	oneOwns := []func(*live){ownershipOn(func(node int) bool { return node == 1 })}
+	everyoneOwns, zoneReturn := []func(*cluster){withOwnership(everywhere)}, []func(*cluster){withZoneFailover(everywhere)}
+	upgrading := []func(*cluster){productionLevel, announceLowerLimits}
+	oneOwns := []func(*cluster){withOwnership(func(node int) bool { return node == 1 })}
 	return []trafficScenario{
-		{"quiet", 3, brisk, nil, nil},
-		{"storm", 3, brisk, []step{{0, storm(40 * s)}}, nil},
-		{"crowd", 3, brisk, []step{{0, crowd(24)}, {30 * s, cancels(3, 0)}}, nil},
-		{"crowd-slow", 3, slow, []step{{0, crowd(16)}, {20 * s, cancels(6, 60*s)}}, nil},
-		{"leader-crash", 3, brisk, []step{{0, apartEnds(6)}, {10 * s, crashLeader(5 * s)}, {20 * s, cancels(3, 0)}}, nil},
-		{"leader-crashes", 3, brisk, []step{{0, apartEnds(6)}, {1 * s, crashLeader(300 * ms)}, {12 * s, crashLeader(5 * s)},
-			{20 * s, cancels(3, 40*s)}, {30 * s, crashLeader(5 * s)}}, nil},
-		{"all-crash", 3, brisk, []step{{0, cancels(2, 0)}, {200 * ms, crashAll(14 * s)}}, nil},
-		{"outage", 5, brisk, []step{{0, crowd(12)}, {10 * s, cancels(4, 20*s)}, {10100 * ms, during(20*s, outage)},
-			{12 * s, cancels(2, 0)}}, nil},
-		{"refused-then-outage", 3, brisk, []step{{0, during(60*s, refuseLeader)}, {500 * ms, cancels(4, 0)},
-			{1500 * ms, during(50*s, outage)}}, nil},
-		{"leader-apart", 3, brisk, []step{{0, during(40*s, leaderApart)}, {1 * s, cancels(3, 0)}, {6 * s, cancels(3, 0)}}, nil},
-		{"zone-cut", 3, brisk, []step{{0, during(30*s, zoneCut)}, {3 * s, cancels(4, 0)}, {40 * s, cancels(2, 0)}}, nil},
-		{"late-writes", 3, brisk, []step{{0, during(60*s, lateWrites(0.25))}, {0, storm(30 * s)}, {5 * s, cancels(4, 0)}}, nil},
-		{"late-reports", 3, slow, []step{{0, during(90*s, lateReports(0.2))}, {0, apartEnds(6)}, {5 * s, during(40*s, deaf(2))},
-			{20 * s, lose(1)}, {30 * s, cancels(3, 0)}}, nil},
-		{"hung-machines", 3, slow, []step{{0, cancels(6, 100*s)}, {100 * ms, hang(9, 100*s)}}, nil},
-		{"pipelines", 3, brisk, []step{{0, pipelines(10)}, {20 * s, crowd(8)}}, nil},
-		{"pipelines-leader-crash", 3, brisk, []step{{0, pipelines(10)}, {6 * s, crashLeader(5 * s)}}, nil},
-		{"upgrade", 3, brisk, []step{{0, limitsFall}, {0, batches(6)}, {0, upgrade([]int{0, 1, 2}, 10*s, 5*s)},
+		{"quiet", 3, fastTimings, nil, nil},
+		{"storm", 3, fastTimings, []step{{0, submissionStorm(40 * s)}}, nil},
+		{"crowd", 3, fastTimings, []step{{0, overload(24)}, {30 * s, cancelJobs(3, 0)}}, nil},
+		{"crowd-slow", 3, slowTimings, []step{{0, overload(16)}, {20 * s, cancelJobs(6, 60*s)}}, nil},
+		{"leader-crash", 3, fastTimings, []step{{0, staggeredCompletions(6)}, {10 * s, crashLeader(5 * s)}, {20 * s, cancelJobs(3, 0)}}, nil},
+		{"leader-crashes", 3, fastTimings, []step{{0, staggeredCompletions(6)}, {1 * s, crashLeader(300 * ms)}, {12 * s, crashLeader(5 * s)},
+			{20 * s, cancelJobs(3, 40*s)}, {30 * s, crashLeader(5 * s)}}, nil},
+		{"all-crash", 3, fastTimings, []step{{0, cancelJobs(2, 0)}, {200 * ms, crashAllControllers(14 * s)}}, nil},
+		{"outage", 5, fastTimings, []step{{0, overload(12)}, {10 * s, cancelJobs(4, 20*s)}, {10100 * ms, during(20*s, storeOutage)},
+			{12 * s, cancelJobs(2, 0)}}, nil},
+		{"refused-then-outage", 3, fastTimings, []step{{0, during(60*s, refuseLeader)}, {500 * ms, cancelJobs(4, 0)},
+			{1500 * ms, during(50*s, storeOutage)}}, nil},
+		{"leader-apart", 3, fastTimings, []step{{0, during(40*s, isolateLeader)}, {1 * s, cancelJobs(3, 0)}, {6 * s, cancelJobs(3, 0)}}, nil},
+		{"zone-cut", 3, fastTimings, []step{{0, during(30*s, isolateZone)}, {3 * s, cancelJobs(4, 0)}, {40 * s, cancelJobs(2, 0)}}, nil},
+		{"late-writes", 3, fastTimings, []step{{0, during(60*s, delayedWrites(0.25))}, {0, submissionStorm(30 * s)}, {5 * s, cancelJobs(4, 0)}}, nil},
+		{"late-reports", 3, slowTimings, []step{{0, during(90*s, duplicateHeartbeats(0.2))}, {0, staggeredCompletions(6)}, {5 * s, during(40*s, holdReplies(2))},
+			{20 * s, loseMachines(1)}, {30 * s, cancelJobs(3, 0)}}, nil},
+		{"hung-machines", 3, slowTimings, []step{{0, cancelJobs(6, 100*s)}, {100 * ms, hangWorkers(9, 100*s)}}, nil},
+		{"pipelines", 3, fastTimings, []step{{0, pipelines(10)}, {20 * s, overload(8)}}, nil},
+		{"pipelines-leader-crash", 3, fastTimings, []step{{0, pipelines(10)}, {6 * s, crashLeader(5 * s)}}, nil},
+		{"upgrade", 3, fastTimings, []step{{0, lowerLimitsOnceUpgraded}, {0, submitBatches(6)}, {0, upgrade([]int{0, 1, 2}, 10*s, 5*s)},
 			{34 * s, pipelines(8)}}, upgrading},
-		{"zone-return", 3, brisk, []step{{0, moreLow(8)}, {8 * s, during(40*s, zoneSilent("b", 1))}}, zoneReturn},
-		{"zone-return-crash", 3, brisk, []step{{0, moreLow(8)}, {8 * s, during(40*s, zoneSilent("b", 1))},
+		{"zone-return", 3, fastTimings, []step{{0, lowPriorityArrays(8)}, {8 * s, during(40*s, silenceZone("b", 1))}}, zoneReturn},
+		{"zone-return-crash", 3, fastTimings, []step{{0, lowPriorityArrays(8)}, {8 * s, during(40*s, silenceZone("b", 1))},
 			{20 * s, crashLeader(5 * s)}}, zoneReturn},
-		{"owners", 3, brisk, []step{{30 * s, storm(20 * s)}, {40 * s, cancels(3, 0)}}, everyoneOwns},
-		{"owners-follower-crash", 3, brisk, []step{{20 * s, crashFollower(25 * s)}, {21 * s, cancels(2, 0)}}, everyoneOwns},
-		{"owners-link-cut", 5, brisk, []step{{20 * s, during(20*s, linkCut)}, {21 * s, cancels(3, 0)}}, everyoneOwns},
-		{"owners-mixed", 3, brisk, []step{{20 * s, cancels(3, 0)}, {25 * s, crashLeader(20 * s)}}, oneOwns},
+		{"owners", 3, fastTimings, []step{{30 * s, submissionStorm(20 * s)}, {40 * s, cancelJobs(3, 0)}}, everyoneOwns},
+		{"owners-follower-crash", 3, fastTimings, []step{{20 * s, crashFollower(25 * s)}, {21 * s, cancelJobs(2, 0)}}, everyoneOwns},
+		{"owners-link-cut", 5, fastTimings, []step{{20 * s, during(20*s, blockLeaderLink)}, {21 * s, cancelJobs(3, 0)}}, everyoneOwns},
+		{"owners-mixed", 3, fastTimings, []step{{20 * s, cancelJobs(3, 0)}, {25 * s, crashLeader(20 * s)}}, oneOwns},
 	}
 }
 
@@ -88,7 +88,7 @@
 
 // digestTraffic returns a line a second and interface: how many packets arrived, and a digest over when each arrived,
 // between which hosts, and what was in it.
-func digestTraffic(all []arrival) string {
+func digestTraffic(all []packetArrival) string {
 	type slot struct {
 		second time.Duration
 		name   string
@@ -139,7 +139,7 @@
 	for i, x := range trafficScenarios() {
 		t.Run(x.name, func(t *testing.T) {
 			t.Parallel()
-			all := arrivals(t, uint64(1000+i), x.controllers, x.workers, x.steps, x.options...)
+			all := recordArrivals(t, uint64(1000+i), x.controllers, x.workers, x.steps, x.options...)
 			if err := os.WriteFile(filepath.Join(dir, x.name+".txt"), []byte(digestTraffic(all)), 0o644); err != nil {
 				t.Fatal(err)
 			}
@@ -152,7 +152,7 @@
 func TestTrafficDigestFindsOneByte(t *testing.T) {
 	record := func(change int) []string {
 		var packets int
-		var all []arrival
+		var all []packetArrival
 		for i := range 400 {
 			data := fmt.Appendf(nil, "packet %d", i%7)
 			if packets++; packets == change {
--- a/internal/simulation/user.go
+++ b/internal/simulation/user.go
@@ -11,33 +11,33 @@
 
 // How long users wait for responses, by the protocol.
 const (
-	questionPatience = 2 * time.Second
-	requestPatience  = 5 * time.Second
+	queryTimeout  = 2 * time.Second
+	submitTimeout = 5 * time.Second
 )
 
-// Users sends users' requests; the ledger hears every answer.
-type Users struct {
-	Client *transport.Client
-	Ledger *Ledger
-	Now    func() time.Duration
-	// OnAnswer, if set, is told how long every answer took.
+// UserClient sends users' requests; the ledger hears every answer.
+type UserClient struct {
+	Client  *transport.Client
+	Checker *AnswerChecker
+	Now     func() time.Duration
+	// OnReply, if set, is told how long every answer took.
 	OnAnswer func(kind string, took time.Duration, status int)
-	// Fault is told of answers that are out of form.
-	Fault func(error)
+	// OnError is told of answers that are out of form.
+	OnError func(error)
 }
 
 // Request sends a request about a job to a controller's address, with the job itself if it
 // is a submission. A status of 0 means that no answer came.
-func (u *Users) Request(ctx context.Context, addr, kind, id string, job *protocol.Job) (int, protocol.JobStatus) {
-	method, path, patience := http.MethodGet, "/submissions/"+id, questionPatience
+func (u *UserClient) Request(ctx context.Context, addr, kind, id string, job *protocol.Job) (int, protocol.JobStatus) {
+	method, path, patience := http.MethodGet, "/submissions/"+id, queryTimeout
 	var body any
 	switch kind {
-	case Submits:
-		method, path, patience, body = http.MethodPost, "/submissions", requestPatience, job
-	case Cancels:
-		method, path, patience = http.MethodPost, path+"/withdraw", requestPatience
+	case RequestSubmit:
+		method, path, patience, body = http.MethodPost, "/submissions", submitTimeout, job
+	case RequestCancel:
+		method, path, patience = http.MethodPost, path+"/withdraw", submitTimeout
 	}
-	u.Ledger.Sent(kind, id)
+	u.Checker.RecordRequest(kind, id)
 	sent := u.Now()
 	status, raw, err := u.Client.Do(ctx, patience, method, "http://"+addr+path, body)
 	if err != nil {
@@ -50,9 +50,9 @@
 	var st protocol.JobStatus
 	if status < http.StatusMultipleChoices {
 		if err := protocol.Decode(raw, &st); err != nil {
-			u.Fault(err)
+			u.OnError(err)
 		}
 	}
-	u.Ledger.Answered(kind, id, sent, now, status, st)
+	u.Checker.RecordAnswer(kind, id, sent, now, status, st)
 	return status, st
 }
--- a/internal/simulation/zone_test.go
+++ b/internal/simulation/zone_test.go
@@ -16,25 +16,25 @@
 	"pinebay/internal/testkit"
 )
 
-// zoneReturnOn turns zone return on for the controllers that the function names.
-func zoneReturnOn(on func(node int) bool) func(*live) {
-	return func(l *live) {
+// withZoneFailover turns zone return on for the controllers that the function names.
+func withZoneFailover(on func(node int) bool) func(*cluster) {
+	return func(l *cluster) {
 		l.features = func(node int) daemon.Features {
 			if !on(node) {
 				return daemon.Features{}
 			}
 			return daemon.Features{ZoneReturn: zones.DefaultOrder()}
 		}
-		l.boot = func(name string) time.Duration { return 3*time.Second + l.upTo("boot "+name, 3*time.Second) }
-		l.zoneRoom = 6
+		l.bootTime = func(name string) time.Duration { return 3*time.Second + l.randomDuration("boot "+name, 3*time.Second) }
+		l.zoneCapacity = 6
 		l.cfg.Teams = []config.Team{{Name: "red"}, {Name: "blue", GPUs: 8}}
 	}
 }
 
 func everywhere(int) bool { return true }
 
-// singleZone leaves one zone in the settings and the cloud.
-func singleZone(l *live) {
+// withSingleZone leaves one zone in the settings and the cloud.
+func withSingleZone(l *cluster) {
 	l.cfg.Zones = []string{"a"}
 	l.types[0].Zones = []string{"a"}
 }
@@ -42,14 +42,16 @@
 // Troubles of a zone.
 
 // inZone says whether a machine is in the zone.
-func inZone(zone string) func(*rig) bool { return func(r *rig) bool { return r.m.Zone == zone } }
+func inZone(zone string) func(*workerProcess) bool {
+	return func(r *workerProcess) bool { return r.machine.Zone == zone }
+}
 
-// ofGangs is the zone in which most tasks of gangs run.
-const ofGangs = "of gangs"
+// zoneOfGangs is the zone in which most tasks of gangs run.
+const zoneOfGangs = "of gangs"
 
-// named returns the zone that a scenario names.
-func (l *live) named(zone string) string {
-	if zone != ofGangs {
+// resolveZone returns the zone that a scenario names.
+func (l *cluster) resolveZone(zone string) string {
+	if zone != zoneOfGangs {
 		return zone
 	}
 	l.mu.Lock()
@@ -57,7 +59,7 @@
 	tasks := map[string]int{}
 	for _, m := range l.world.Workers {
 		for id := range m.Tasks {
-			if l.world.Jobs[id.Job].Shape == protocol.Gang {
+			if l.world.Jobs[id.JobID].Shape == protocol.Gang {
 				tasks[m.Zone]++
 			}
 		}
@@ -68,27 +70,27 @@
 	return "b"
 }
 
-// zoneSilent cuts the machines of a zone off from everybody, both ways; only a share of them
+// silenceZone cuts the machines of a zone off from everybody, both ways; only a share of them
 // is there when that ends.
-func zoneSilent(zone string, share float64) trouble {
-	return func(l *live) func() {
-		l.note("zone silent")
-		zone := l.named(zone)
-		rigs := l.machines(99, inZone(zone))
-		l.setDead(zone, true)
+func silenceZone(zone string, share float64) fault {
+	return func(l *cluster) func() {
+		l.recordOccurrence("zone silent")
+		zone := l.resolveZone(zone)
+		rigs := l.selectWorkers(99, inZone(zone))
+		l.setZoneDead(zone, true)
 		var ends []func()
 		for _, r := range rigs {
-			ends = append(ends, l.cut("*", r.ip), l.cut(r.ip, "*"))
+			ends = append(ends, l.blockLink("*", r.ip), l.blockLink(r.ip, "*"))
 		}
 		return func() {
 			l.mu.Lock()
 			for i, r := range rigs {
 				if float64(i) >= share*float64(len(rigs)) {
-					l.rented.Remove(r.m.Name)
+					l.cloud.Remove(r.machine.Name)
 				}
 			}
 			l.mu.Unlock()
-			l.setDead(zone, false)
+			l.setZoneDead(zone, false)
 			for _, f := range ends {
 				f()
 			}
@@ -96,54 +98,54 @@
 	}
 }
 
-// zoneDead takes all machines of a zone away, and gives no others there until it ends.
-func zoneDead(zone string) trouble {
-	return func(l *live) func() {
-		l.note("zone dead")
-		zone := l.named(zone)
-		l.setDead(zone, true)
-		for _, r := range l.machines(99, inZone(zone)) {
+// killZone takes all machines of a zone away, and gives no others there until it ends.
+func killZone(zone string) fault {
+	return func(l *cluster) func() {
+		l.recordOccurrence("zone dead")
+		zone := l.resolveZone(zone)
+		l.setZoneDead(zone, true)
+		for _, r := range l.selectWorkers(99, inZone(zone)) {
 			l.mu.Lock()
-			l.rented.Remove(r.m.Name)
+			l.cloud.Remove(r.machine.Name)
 			l.mu.Unlock()
 		}
-		return func() { l.setDead(zone, false) }
+		return func() { l.setZoneDead(zone, false) }
 	}
 }
 
-func (l *live) setDead(zone string, dead bool) {
+func (l *cluster) setZoneDead(zone string, dead bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.dead[zone] = dead
+	l.deadZones[zone] = dead
 }
 
-// crashOnLoan ends the leader when it writes a loan, before or after the write is carried out.
-func crashOnLoan(carriedOut bool) func(l *live) {
-	return func(l *live) {
+// crashLeaderOnLoan ends the leader when it writes a loan, before or after the write is carried out.
+func crashLeaderOnLoan(carriedOut bool) func(l *cluster) {
+	return func(l *cluster) {
 		done := false
-		l.state.SetFate(func(host string, t *protocol.Txn) Fate {
+		l.store.SetOutcomes(func(host string, t *protocol.Txn) Outcome {
 			loan := slices.ContainsFunc(t.Then, func(op protocol.Op) bool { return writesLoan(op) })
 			l.mu.Lock()
 			defer l.mu.Unlock()
 			if !loan || done {
-				return Fate{Answer: true}
+				return Outcome{Reply: true}
 			}
 			done = true
-			l.happened["crash on loan"]++
-			time.AfterFunc(0, crashLeaderNow(l))
+			l.occurred["crash on loan"]++
+			time.AfterFunc(0, crashLeaderAtOnce(l))
 			if carriedOut {
-				return Fate{}
+				return Outcome{}
 			}
-			return Fate{Late: 10 * time.Minute}
+			return Outcome{Delay: 10 * time.Minute}
 		})
 	}
 }
 
-func crashLeaderNow(l *live) func() { return func() { l.crash(l.leader(), 5*s) } }
+func crashLeaderAtOnce(l *cluster) func() { return func() { l.crash(l.leader(), 5*s) } }
 
 // writesLoan says whether an operation records a loan.
 func writesLoan(op protocol.Op) bool {
-	if !strings.HasPrefix(op.Put, storage.ZoneReturnPrefix) {
+	if !strings.HasPrefix(op.PutKey, storage.ZoneReturnPrefix) {
 		return false
 	}
 	var rec storage.ZoneReturnRecord
@@ -152,44 +154,44 @@
 
 // Jobs.
 
-// zoneJobs fills the fleet: critical replicas over both zones, urgent gangs in one, and lower
+// submitZoneJobs fills the fleet: critical replicas over both zones, urgent gangs in one, and lower
 // arrays of both teams that save or not.
-func zoneJobs(l *live) {
+func submitZoneJobs(l *cluster) {
 	for i := range 3 {
-		j := l.job(protocol.Service, 1+i, 2)
+		j := l.newJob(protocol.Service, 1+i, 2)
 		j.Spread = i > 0
-		l.user(j)
+		l.submit(j)
 	}
 	for i := range 3 {
-		j := l.job(protocol.Gang, 1+i%2, 8)
-		j.Priority, j.SameZone, j.CheckpointS, j.SaveS, j.Team = "urgent", true, 5, 1, "red"
-		l.user(j)
+		j := l.newJob(protocol.Gang, 1+i%2, 8)
+		j.Priority, j.SameZone, j.CheckpointIntervalSeconds, j.SaveSeconds, j.Team = "urgent", true, 5, 1, "red"
+		l.submit(j)
 	}
-	l.moreArrays(6)
+	l.submitArrays(6)
 }
 
-// moreArrays submits arrays of the lowest priority.
-func (l *live) moreArrays(n int) {
+// submitArrays submits arrays of the lowest priority.
+func (l *cluster) submitArrays(n int) {
 	for i := range n {
-		j := l.job(protocol.Array, 4, 2)
+		j := l.newJob(protocol.Array, 4, 2)
 		j.Priority = "best_effort"
 		if i%2 == 0 {
-			j.CheckpointS, j.SaveS = 5, 1
+			j.CheckpointIntervalSeconds, j.SaveSeconds = 5, 1
 		}
 		l.mu.Lock()
 		l.world.RunTimes[j.ID] = 15 * s
 		l.mu.Unlock()
-		l.user(j)
+		l.submit(j)
 	}
 }
 
-// moreLow submits arrays as a step of a scenario.
-func moreLow(n int) func(*live) { return func(l *live) { l.moreArrays(n) } }
+// lowPriorityArrays submits arrays as a step of a scenario.
+func lowPriorityArrays(n int) func(*cluster) { return func(l *cluster) { l.submitArrays(n) } }
 
 // watchLoans has the oracle of loans look at the records.
-func (l *live) watchLoans() *LoanOracle {
+func (l *cluster) watchLoans() *LoanOracle {
 	o := NewLoanOracle()
-	l.go_(func() {
+	l.spawn(func() {
 		for l.ctx.Err() == nil {
 			time.Sleep(20 * ms)
 			l.observeLoans(o)
@@ -198,9 +200,9 @@
 	return o
 }
 
-func (l *live) observeLoans(o *LoanOracle) {
+func (l *cluster) observeLoans(o *LoanOracle) {
 	var rows []storage.LoanRow
-	pairs, _ := l.state.List(storage.ZoneReturnPrefix)
+	pairs, _ := l.store.List(storage.ZoneReturnPrefix)
 	for _, p := range pairs {
 		rec, err := storage.DecodeZoneReturn(p)
 		if err != nil {
@@ -211,41 +213,41 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	o.Records(rows, func(row storage.LoanRow) LenderFacts {
-		return LenderFacts{LenderLevel: l.world.Jobs[row.Lender].Priority.Level(), BorrowerLevel: l.world.Jobs[row.Borrower].Priority.Level()}
+	o.CheckRecords(rows, func(row storage.LoanRow) LenderObservation {
+		return LenderObservation{LenderLevel: l.world.Jobs[row.Lender].Priority.Rank(), BorrowerLevel: l.world.Jobs[row.Borrower].Priority.Rank()}
 	})
-	l.happened["loan"] = o.Seen
+	l.occurred["loan"] = o.LoanCount
 }
 
 // checkLoans demands that all loans have ended, and that no rule on lending was broken.
-func (l *live) checkLoans(loans *LoanOracle) {
+func (l *cluster) checkLoans(loans *LoanOracle) {
 	l.t.Helper()
 	on := l.leader().features.ZoneReturn != nil
 	fenced := l.logCount("is returned for")
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if on {
-		loans.Calm() // a leader without it leaves the records alone
+		loans.CheckAllClosed() // a leader without it leaves the records alone
 	}
-	for _, broken := range loans.Broken {
+	for _, broken := range loans.Violations {
 		l.t.Error(broken)
 	}
-	l.t.Logf("%d loans, %d machines fenced for a return", loans.Seen, fenced)
+	l.t.Logf("%d loans, %d machines fenced for a return", loans.LoanCount, fenced)
 }
 
-// playZone plays a scenario of a zone's loss under all oracles.
-func playZone(t *testing.T, seed uint64, w config.Workers, steps []step, happened []string, options ...func(*live)) {
-	play(t, seed, 3, w, func(l *live) {
+// runZoneScenario plays a scenario of a zone's loss under all oracles.
+func runZoneScenario(t *testing.T, seed uint64, w config.Workers, steps []step, happened []string, options ...func(*cluster)) {
+	runScenario(t, seed, 3, w, func(l *cluster) {
 		loans := l.watchLoans()
 		time.Sleep(5 * s)
-		zoneJobs(l)
+		submitZoneJobs(l)
 		time.Sleep(25 * s)
-		l.playSteps(steps)
+		l.runSteps(steps)
 		time.Sleep(20*config.Seconds(l.cfg.Workers.CancelS) + 2*time.Minute) // until what is never repaid is written off
-		l.calm()
+		l.checkAllServed()
 		l.checkLoans(loans)
 		for _, what := range happened {
-			if l.count(what) == 0 && l.logCount(what) == 0 {
+			if l.occurrences(what) == 0 && l.logCount(what) == 0 {
 				t.Errorf("%s did not happen", what)
 			}
 		}
@@ -259,41 +261,41 @@
 	steps    []step
 	happened []string
 }{
-	{"cut off and back", brisk, []step{{0, moreLow(12)}, {8 * s, during(60*s, zoneSilent(ofGangs, 1))}},
+	{"cut off and back", fastTimings, []step{{0, lowPriorityArrays(12)}, {8 * s, during(60*s, silenceZone(zoneOfGangs, 1))}},
 		[]string{"zone silent", "is lost", "order of return", "loan", "decision=\"loan", ": repaid", "is returning"}},
-	{"dead and back", brisk, []step{{0, during(70*s, zoneDead("b"))}, {10 * s, moreLow(6)}}, []string{"zone dead"}},
+	{"dead and back", fastTimings, []step{{0, during(70*s, killZone("b"))}, {10 * s, lowPriorityArrays(6)}}, []string{"zone dead"}},
 	// How many machines the second cut finds depends on how many the first has cost; that a flap
 	// is told as one is TestZoneStates' to show.
-	{"flaps twice in a minute", brisk, []step{{0, during(25*s, zoneSilent("b", 1))}, {5 * s, moreLow(4)}, {35 * s, during(20*s, zoneSilent("b", 1))}},
+	{"flaps twice in a minute", fastTimings, []step{{0, during(25*s, silenceZone("b", 1))}, {5 * s, lowPriorityArrays(4)}, {35 * s, during(20*s, silenceZone("b", 1))}},
 		[]string{"is lost", "is returning"}},
-	{"back with half of its machines", brisk, []step{{0, during(50*s, zoneSilent("b", 0.5))}, {10 * s, moreLow(6)}}, []string{"is lost", "is returning", "returning and is available"}},
-	{"back while the leader changes", brisk, []step{{0, during(50*s, zoneSilent("b", 1))}, {10 * s, moreLow(4)}, {49 * s, crashLeader(5 * s)}, {52 * s, crashLeader(300 * ms)}},
+	{"back with half of its machines", fastTimings, []step{{0, during(50*s, silenceZone("b", 0.5))}, {10 * s, lowPriorityArrays(6)}}, []string{"is lost", "is returning", "returning and is available"}},
+	{"back while the leader changes", fastTimings, []step{{0, during(50*s, silenceZone("b", 1))}, {10 * s, lowPriorityArrays(4)}, {49 * s, crashLeader(5 * s)}, {52 * s, crashLeader(300 * ms)}},
 		[]string{"is lost", "crash", "is returning"}},
-	{"the leader ends before its loan is written", brisk, []step{{0, crashOnLoan(false)}, {0, moreLow(12)}, {8 * s, during(80*s, zoneSilent(ofGangs, 1))}},
+	{"the leader ends before its loan is written", fastTimings, []step{{0, crashLeaderOnLoan(false)}, {0, lowPriorityArrays(12)}, {8 * s, during(80*s, silenceZone(zoneOfGangs, 1))}},
 		[]string{"is lost", "crash on loan"}},
-	{"the leader ends when its loan is written", brisk, []step{{0, crashOnLoan(true)}, {0, moreLow(12)}, {8 * s, during(80*s, zoneSilent(ofGangs, 1))}},
+	{"the leader ends when its loan is written", fastTimings, []step{{0, crashLeaderOnLoan(true)}, {0, lowPriorityArrays(12)}, {8 * s, during(80*s, silenceZone(zoneOfGangs, 1))}},
 		[]string{"is lost", "crash on loan"}},
-	{"the state service is out during the loss", brisk, []step{{0, during(60*s, zoneSilent("b", 1))}, {10 * s, during(25*s, outage)}, {40 * s, moreLow(4)}},
+	{"the state service is out during the loss", fastTimings, []step{{0, during(60*s, silenceZone("b", 1))}, {10 * s, during(25*s, storeOutage)}, {40 * s, lowPriorityArrays(4)}},
 		[]string{"is lost", "outage"}},
-	{"both zones in turn", brisk, []step{{0, during(22*s, zoneSilent("b", 1))}, {5 * s, moreLow(4)}, {60 * s, moreLow(4)}, {70 * s, during(40*s, zoneSilent("a", 1))}},
+	{"both zones in turn", fastTimings, []step{{0, during(22*s, silenceZone("b", 1))}, {5 * s, lowPriorityArrays(4)}, {60 * s, lowPriorityArrays(4)}, {70 * s, during(40*s, silenceZone("a", 1))}},
 		[]string{"zone b was suspected and is lost", "zone a was suspected and is lost"}},
-	{"cancelled lenders and borrowers", brisk, []step{{0, during(60*s, zoneSilent(ofGangs, 1))}, {5 * s, moreLow(4)}, {18 * s, cancels(3, 0)}, {22 * s, cancels(3, 0)}, {30 * s, cancels(2, 0)}},
+	{"cancelled lenders and borrowers", fastTimings, []step{{0, during(60*s, silenceZone(zoneOfGangs, 1))}, {5 * s, lowPriorityArrays(4)}, {18 * s, cancelJobs(3, 0)}, {22 * s, cancelJobs(3, 0)}, {30 * s, cancelJobs(2, 0)}},
 		[]string{"is lost", "cancelled"}},
-	{"hung machines with cancelled tasks in the lost zone", slow, []step{{0, cancels(4, 100*s)}, {100 * ms, hangZone("b", 100*s)}, {100 * ms, moreLow(4)}},
+	{"hung machines with cancelled tasks in the lost zone", slowTimings, []step{{0, cancelJobs(4, 100*s)}, {100 * ms, hangZone("b", 100*s)}, {100 * ms, lowPriorityArrays(4)}},
 		[]string{"hang", "cancelled"}},
-	{"a crowd of every level", brisk, []step{{0, crowd(14)}, {10 * s, during(50*s, zoneSilent("b", 1))}, {20 * s, cancels(2, 0)}}, []string{"is lost"}},
-	{"slowly", slow, []step{{0, during(130*s, zoneSilent("b", 1))}, {5 * s, moreLow(6)}, {140 * s, cancels(3, 0)}}, []string{"is lost", "is returning", "returning and is available"}},
-	{"a controller is cut off with it", brisk, []step{{0, during(50*s, zoneCut)}, {5 * s, moreLow(4)}, {20 * s, cancels(2, 0)}}, []string{"zone", "cancelled"}},
+	{"a crowd of every level", fastTimings, []step{{0, overload(14)}, {10 * s, during(50*s, silenceZone("b", 1))}, {20 * s, cancelJobs(2, 0)}}, []string{"is lost"}},
+	{"slowly", slowTimings, []step{{0, during(130*s, silenceZone("b", 1))}, {5 * s, lowPriorityArrays(6)}, {140 * s, cancelJobs(3, 0)}}, []string{"is lost", "is returning", "returning and is available"}},
+	{"a controller is cut off with it", fastTimings, []step{{0, during(50*s, isolateZone)}, {5 * s, lowPriorityArrays(4)}, {20 * s, cancelJobs(2, 0)}}, []string{"zone", "cancelled"}},
 }
 
 // hangZone makes all machines of a zone execute nothing for a while.
-func hangZone(zone string, d time.Duration) func(l *live) {
-	return func(l *live) {
-		rigs := l.machines(99, inZone(zone))
+func hangZone(zone string, d time.Duration) func(l *cluster) {
+	return func(l *cluster) {
+		rigs := l.selectWorkers(99, inZone(zone))
 		l.mu.Lock()
 		defer l.mu.Unlock()
 		for _, r := range rigs {
-			if !r.w.Hung {
+			if !r.model.Hung {
 				r.hang(d)
 			}
 		}
@@ -305,7 +307,7 @@
 	for i, m := range zoneScenarios {
 		t.Run(m.name, func(t *testing.T) {
 			t.Parallel()
-			playZone(t, uint64(400+i), m.w, m.steps, m.happened, zoneReturnOn(everywhere))
+			runZoneScenario(t, uint64(400+i), m.w, m.steps, m.happened, withZoneFailover(everywhere))
 		})
 	}
 }
@@ -316,8 +318,8 @@
 	for _, on := range []int{0, 1, 2} {
 		t.Run(fmt.Sprint(on), func(t *testing.T) {
 			t.Parallel()
-			steps := []step{{0, during(70*s, zoneSilent("b", 1))}, {5 * s, moreLow(4)}, {25 * s, crashLeader(8 * s)}, {45 * s, crashLeader(8 * s)}}
-			playZone(t, uint64(440+on), brisk, steps, []string{"crash"}, zoneReturnOn(func(node int) bool { return node == on }))
+			steps := []step{{0, during(70*s, silenceZone("b", 1))}, {5 * s, lowPriorityArrays(4)}, {25 * s, crashLeader(8 * s)}, {45 * s, crashLeader(8 * s)}}
+			runZoneScenario(t, uint64(440+on), fastTimings, steps, []string{"crash"}, withZoneFailover(func(node int) bool { return node == on }))
 		})
 	}
 }
@@ -325,38 +327,38 @@
 // TestZoneReturnTeamLimits: while a lost zone's tasks are not proven gone they count for their
 // team's limit, so that no task elsewhere goes beyond it.
 func TestZoneReturnTeamLimits(t *testing.T) {
-	limits := func(l *live) {
+	limits := func(l *cluster) {
 		l.cfg.Teams = []config.Team{{Name: "red", GPUsMax: 32}, {Name: "blue", GPUs: 8, GPUsMax: 24}}
 	}
-	steps := []step{{0, crowd(14)}, {10 * s, during(50*s, zoneSilent("b", 1))}, {20 * s, cancels(2, 0)}}
-	playZone(t, 455, brisk, steps, []string{"is lost"}, zoneReturnOn(everywhere), limits)
+	steps := []step{{0, overload(14)}, {10 * s, during(50*s, silenceZone("b", 1))}, {20 * s, cancelJobs(2, 0)}}
+	runZoneScenario(t, 455, fastTimings, steps, []string{"is lost"}, withZoneFailover(everywhere), limits)
 }
 
 // TestZoneReturnSingleZone: settings with a single zone change nothing, and the log says so.
 func TestZoneReturnSingleZone(t *testing.T) {
-	play(t, 450, 3, brisk, func(l *live) {
-		l.settle(9)
-		heal := zoneSilent("a", 1)(l)
+	runScenario(t, 450, 3, fastTimings, func(l *cluster) {
+		l.startJobs(9)
+		heal := silenceZone("a", 1)(l)
 		time.Sleep(20 * s)
 		heal()
 		time.Sleep(4 * time.Minute)
-		l.calm()
+		l.checkAllServed()
 		if l.logCount("a single zone, nothing to do") == 0 || l.logCount("is lost") > 0 {
 			t.Error("the log does not say that there is nothing to do")
 		}
-	}, zoneReturnOn(everywhere), singleZone)
+	}, withZoneFailover(everywhere), withSingleZone)
 }
 
-// drawZoneLoss makes up a loss of a zone and two to four other troubles within it.
-func drawZoneLoss(rng *rand.Rand) []step {
+// randomZoneLoss makes up a loss of a zone and two to four other troubles within it.
+func randomZoneLoss(rng *rand.Rand) []step {
 	zone := []string{"a", "b"}[rng.IntN(2)]
 	away := time.Duration(10+rng.IntN(70)) * s
-	loss := []func(*live){during(away, zoneSilent(zone, 1)), during(away, zoneSilent(zone, 0.5)), during(away, zoneDead(zone))}[rng.IntN(3)]
-	steps := []step{{0, loss}, {3 * s, moreLow(3 + rng.IntN(4))}}
+	loss := []func(*cluster){during(away, silenceZone(zone, 1)), during(away, silenceZone(zone, 0.5)), during(away, killZone(zone))}[rng.IntN(3)]
+	steps := []step{{0, loss}, {3 * s, lowPriorityArrays(3 + rng.IntN(4))}}
 	if rng.IntN(2) == 0 {
-		steps = append(steps, step{away + time.Duration(5+rng.IntN(20))*s, during(25*s, zoneSilent(zone, 1))})
+		steps = append(steps, step{away + time.Duration(5+rng.IntN(20))*s, during(25*s, silenceZone(zone, 1))})
 	}
-	drawn, _ := drawScenario(rng)
+	drawn, _ := randomScenario(rng)
 	return append(steps, drawn[:min(len(drawn), 2+rng.IntN(3))]...)
 }
 
@@ -366,9 +368,9 @@
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			rng := rand.New(rand.NewPCG(seed, 19))
-			steps := drawZoneLoss(rng)
+			steps := randomZoneLoss(rng)
 			slices.SortStableFunc(steps, func(a, b step) int { return int(a.at - b.at) })
-			playZone(t, seed, []config.Workers{brisk, brisk, slow}[rng.IntN(3)], steps, nil, zoneReturnOn(everywhere))
+			runZoneScenario(t, seed, []config.Workers{fastTimings, fastTimings, slowTimings}[rng.IntN(3)], steps, nil, withZoneFailover(everywhere))
 		})
 	}
 }
--- a/internal/storage/compatibility_test.go
+++ b/internal/storage/compatibility_test.go
@@ -13,16 +13,16 @@
 // TestProductionRecords: every record of the version in production is read, and below the first feature level
 // written the same, byte by byte: both versions work on each other's data.
 func TestProductionRecords(t *testing.T) {
-	job := protocol.Job{ID: "j-000412", Class: "train", Team: "vision", Shape: protocol.Gang, Priority: "urgent", Tasks: 16, CPUs: 8, GPUs: 1, MemoryGB: 64,
-		Image: "img-07", ImageGB: 6.2, Types: []string{"g8"}, Zone: "a", SameZone: true, Spot: true, EstimateS: 240, CheckpointS: 30, SaveS: 4, DeadlineS: 900}
+	job := protocol.Job{ID: "j-000412", Class: "train", Team: "vision", Shape: protocol.Gang, Priority: "urgent", TaskCount: 16, CPUs: 8, GPUs: 1, MemoryGB: 64,
+		Image: "img-07", ImageGB: 6.2, MachineTypes: []string{"g8"}, Zone: "a", SameZone: true, SpotAllowed: true, EstimateSeconds: 240, CheckpointIntervalSeconds: 30, SaveSeconds: 4, DeadlineSeconds: 900}
 	for name, want := range map[string]any{
 		"live":            &storage.LiveRecord{Job: job, AtMS: 1764682355123},
-		"ended-done":      &storage.EndedRecord{Standing: protocol.Done, Done: 16, Write: "7.42"},
-		"ended-cancelled": &storage.EndedRecord{Standing: protocol.Cancelled},
+		"ended-done":      &storage.EndedRecord{Standing: protocol.JobDone, Done: 16, Write: "7.42"},
+		"ended-cancelled": &storage.EndedRecord{Standing: protocol.JobCancelled},
 		"leader":          &storage.LeaderRecord{Node: "bothy-1", Term: 7},
 		"images": &storage.ImagesRecord{Images: []string{"img-07", "img-09"}, SizesGB: []float64{6.2, 118}, Machines: []storage.MachineImages{{Name: "host-000231", Images: []int{0, 1}}},
 			Arrivals: []storage.ClassArrivals{{Class: "train", Jobs: 2.25, Tasks: 11.5}}},
-		"types": &protocol.MachineTypes{Types: []protocol.MachineType{{Name: "g8", CPUs: 96, GPUs: 8, MemoryGB: 768, CacheGB: 200, FetchGBPerS: 1, Price: 12, SpotPrice: 4.5, BootS: 45, Zones: []string{"a", "b"}}}},
+		"types": &protocol.MachineTypes{Types: []protocol.MachineType{{Name: "g8", CPUs: 96, GPUs: 8, MemoryGB: 768, CacheGB: 200, FetchGBPerSecond: 1, HourlyPrice: 12, HourlySpotPrice: 4.5, BootSeconds: 45, Zones: []string{"a", "b"}}}},
 		"zone-return": &storage.ZoneReturnRecord{Format: 1, Write: "7.43", Zones: []storage.ZoneRow{{Name: "a", State: 1, SinceMS: 1764682355123, Flaps: 2}},
 			Loans: []storage.LoanRow{{Term: 7, Number: 3, Lender: "j-1", Task: 4, Attempt: 2, Borrower: "j-2", Machine: "host-000231", Zone: "b", LostS: 12.5, AtMS: 5, UntilMS: 6}}},
 	} {
--- a/internal/storage/leases.go
+++ b/internal/storage/leases.go
@@ -20,7 +20,7 @@
 	if err := protocol.Decode(raw, &r); err != nil {
 		return 0, fmt.Errorf("lease: %w", err)
 	}
-	return r.Lease, nil
+	return r.LeaseID, nil
 }
 
 // Renew renews a lease.
--- a/internal/storage/levels.go
+++ b/internal/storage/levels.go
@@ -19,7 +19,7 @@
 }
 
 // DecodeLevel reads a controller's feature level, and its name in the key.
-func DecodeLevel(p protocol.Pair) (node string, rec LevelRecord, err error) {
+func DecodeLevel(p protocol.KeyValue) (node string, rec LevelRecord, err error) {
 	if err := protocol.Decode(p.Value, &rec); err != nil {
 		return "", rec, fmt.Errorf("key %q: %w", p.Key, err)
 	}
--- a/internal/storage/reads.go
+++ b/internal/storage/reads.go
@@ -13,14 +13,14 @@
 )
 
 // Get reads a key; a version of 0 means that it does not exist.
-func (c *Client) Get(ctx context.Context, use Use, key string) (protocol.Pair, error) {
-	var p protocol.Pair
+func (c *Client) Get(ctx context.Context, use Use, key string) (protocol.KeyValue, error) {
+	var p protocol.KeyValue
 	status, raw, err := c.call(ctx, use, 0, http.MethodGet, "/kv/"+key, nil)
 	if err != nil {
 		return p, err
 	}
 	if status == http.StatusNotFound {
-		return protocol.Pair{Key: key}, nil
+		return protocol.KeyValue{Key: key}, nil
 	}
 	if err := protocol.Decode(raw, &p); err != nil {
 		return p, fmt.Errorf("get %s: %w", key, err)
@@ -30,13 +30,13 @@
 
 // List reads all keys with a prefix. The revision is that of the first page:
 // a watch from there misses nothing.
-func (c *Client) List(ctx context.Context, prefix string) ([]protocol.Pair, uint64, error) {
+func (c *Client) List(ctx context.Context, prefix string) ([]protocol.KeyValue, uint64, error) {
 	return c.ListFor(ctx, Decide, prefix)
 }
 
 // ListFor is List at the expense of another budget.
-func (c *Client) ListFor(ctx context.Context, use Use, prefix string) ([]protocol.Pair, uint64, error) {
-	var all []protocol.Pair
+func (c *Client) ListFor(ctx context.Context, use Use, prefix string) ([]protocol.KeyValue, uint64, error) {
+	var all []protocol.KeyValue
 	var rev uint64
 	from := ""
 	for {
@@ -48,7 +48,7 @@
 		if err != nil {
 			return nil, 0, fmt.Errorf("list %s: %w", prefix, err)
 		}
-		var page protocol.Pairs
+		var page protocol.KeyValuePage
 		if err := protocol.Decode(raw, &page); err != nil {
 			return nil, 0, fmt.Errorf("list %s: %w", prefix, err)
 		}
@@ -65,10 +65,10 @@
 
 // Changes returns what has changed after rev of keys with the prefix. Changes that are too long to be
 // taken in are as good as no longer kept: the keys have to be read again, which goes page by page.
-func (c *Client) Changes(ctx context.Context, use Use, prefix string, rev uint64) (*protocol.Events, error) {
+func (c *Client) Changes(ctx context.Context, use Use, prefix string, rev uint64) (*protocol.WatchResponse, error) {
 	path := fmt.Sprintf("/changes?prefix=%s&from=%d&block_ms=0", url.QueryEscape(prefix), rev)
 	status, raw, err := c.call(ctx, use, 0, http.MethodGet, path, nil)
-	if errors.Is(err, transport.ErrTooLong) {
+	if errors.Is(err, transport.ErrResponseTooLarge) {
 		return nil, fmt.Errorf("%w: %w", ErrCompacted, err)
 	}
 	if err != nil {
@@ -77,11 +77,11 @@
 	return events(prefix, status, raw)
 }
 
-func events(prefix string, status int, raw []byte) (*protocol.Events, error) {
+func events(prefix string, status int, raw []byte) (*protocol.WatchResponse, error) {
 	if status == http.StatusGone {
 		return nil, ErrCompacted
 	}
-	var e protocol.Events
+	var e protocol.WatchResponse
 	if err := protocol.Decode(raw, &e); err != nil {
 		return nil, fmt.Errorf("changes of %s: %w", prefix, err)
 	}
@@ -89,10 +89,10 @@
 }
 
 // Watch waits up to wait for changes after rev to keys with the prefix; see Changes for those that are too long.
-func (c *Client) Watch(ctx context.Context, prefix string, rev uint64, wait time.Duration) (*protocol.Events, error) {
+func (c *Client) Watch(ctx context.Context, prefix string, rev uint64, wait time.Duration) (*protocol.WatchResponse, error) {
 	path := fmt.Sprintf("%s/changes?prefix=%s&from=%d&block_ms=%d", c.base, url.QueryEscape(prefix), rev, wait.Milliseconds())
 	status, raw, err := c.watches.Do(ctx, wait+2*c.timeout, http.MethodGet, path, nil)
-	if errors.Is(err, transport.ErrTooLong) {
+	if errors.Is(err, transport.ErrResponseTooLarge) {
 		return nil, fmt.Errorf("%w: %w", ErrCompacted, err)
 	}
 	if err != nil {
--- a/internal/storage/records.go
+++ b/internal/storage/records.go
@@ -37,7 +37,7 @@
 
 // EndedRecord is a job that is over.
 type EndedRecord struct {
-	Standing protocol.Standing `msgpack:"end"`
+	Standing protocol.JobState `msgpack:"end"`
 	Done     int               `msgpack:"done"`
 	// Write names the transaction, so that its author knows it again.
 	Write string `msgpack:"w,omitempty"`
--- a/internal/storage/storage_test.go
+++ b/internal/storage/storage_test.go
@@ -46,11 +46,11 @@
 }
 
 func TestTransactionsAndLists(t *testing.T) {
-	c, ctx := client(t, simulation.NewState()), context.Background()
+	c, ctx := client(t, simulation.NewStore()), context.Background()
 	for i := range 1203 {
 		txn := protocol.Txn{
-			If:   []protocol.Cond{{Key: fmt.Sprintf("live/j-%04d", i)}},
-			Then: []protocol.Op{{Put: fmt.Sprintf("live/j-%04d", i), Value: encode(t, map[string]int{"n": i})}},
+			If:   []protocol.Compare{{Key: fmt.Sprintf("live/j-%04d", i)}},
+			Then: []protocol.Op{{PutKey: fmt.Sprintf("live/j-%04d", i), Value: encode(t, map[string]int{"n": i})}},
 		}
 		if _, ok, err := c.Txn(ctx, storage.Accept, txn); err != nil || !ok {
 			t.Fatal(ok, err)
@@ -67,14 +67,14 @@
 		t.Fatalf("%d keys at %d: %v", len(all), rev, err)
 	}
 	p, err := c.Get(ctx, storage.Consult, "live/j-0007")
-	if err != nil || p.Version != 8 {
+	if err != nil || p.Revision != 8 {
 		t.Fatalf("%+v %v", p, err)
 	}
-	if p, err = c.Get(ctx, storage.Consult, "live/none"); err != nil || p.Version != 0 {
+	if p, err = c.Get(ctx, storage.Consult, "live/none"); err != nil || p.Revision != 0 {
 		t.Fatalf("%+v %v", p, err)
 	}
 	ev, err := c.Watch(ctx, "live/", 1200, 0)
-	if err != nil || len(ev.Events) != 3 || ev.Events[0].Put != "live/j-1200" {
+	if err != nil || len(ev.Events) != 3 || ev.Events[0].PutKey != "live/j-1200" {
 		t.Fatalf("%+v %v", ev, err)
 	}
 }
@@ -190,7 +190,7 @@
 // TestSlowAnswersAreNotWaitedFor: when an answer is slow, a second try brings
 // the outcome, and what the first did meanwhile is not done twice.
 func TestSlowAnswersAreNotWaitedFor(t *testing.T) {
-	state := simulation.NewState()
+	state := simulation.NewStore()
 	release := make(chan struct{})
 	first := true
 	var mu sync.Mutex
@@ -210,13 +210,13 @@
 		_, _ = w.Write(rec.Body.Bytes())
 	}))
 	ok, err := c.TxnTwice(context.Background(), storage.Accept, protocol.Txn{
-		If: []protocol.Cond{{Key: "live/j-1"}}, Then: []protocol.Op{{Put: "live/j-1", Value: encode(t, map[string]int{"n": 1})}}})
+		If: []protocol.Compare{{Key: "live/j-1"}}, Then: []protocol.Op{{PutKey: "live/j-1", Value: encode(t, map[string]int{"n": 1})}}})
 	close(release)
 	if err != nil || ok {
 		t.Errorf("second try: %v %v, want a failed condition", ok, err)
 	}
-	if p := state.Get("live/j-1"); p.Version != 1 {
-		t.Errorf("written at %d", p.Version)
+	if p := state.Get("live/j-1"); p.Revision != 1 {
+		t.Errorf("written at %d", p.Revision)
 	}
 }
 
@@ -258,12 +258,12 @@
 		if text, err := json.Marshal(plain); err != nil || float64(len(text)) > valueKB*1024 {
 			t.Fatalf("%d bytes of %v KiB, %v", len(text), valueKB, err)
 		}
-		got, err := storage.DecodeZoneReturn(protocol.Pair{Key: storage.ZoneReturnKey(0), Value: raw})
+		got, err := storage.DecodeZoneReturn(protocol.KeyValue{Key: storage.ZoneReturnKey(0), Value: raw})
 		if err != nil || !reflect.DeepEqual(*got, rec) {
 			t.Fatalf("%+v %v", got, err)
 		}
 		if cut := rapid.IntRange(0, len(raw)-1).Draw(t, "cut"); cut > 0 {
-			if _, err := storage.DecodeZoneReturn(protocol.Pair{Key: storage.ZoneReturnKey(0), Value: raw[:cut]}); err == nil {
+			if _, err := storage.DecodeZoneReturn(protocol.KeyValue{Key: storage.ZoneReturnKey(0), Value: raw[:cut]}); err == nil {
 				t.Fatalf("%d of %d bytes were taken", cut, len(raw))
 			}
 		}
@@ -271,7 +271,7 @@
 		if raw, err = protocol.Encode(rec); err != nil {
 			t.Fatal(err)
 		}
-		if _, err := storage.DecodeZoneReturn(protocol.Pair{Key: storage.ZoneReturnKey(0), Value: raw}); (err == nil) || errors.Is(err, storage.ErrNewerFormat) != (rec.Format > storage.ZoneReturnFormat) {
+		if _, err := storage.DecodeZoneReturn(protocol.KeyValue{Key: storage.ZoneReturnKey(0), Value: raw}); (err == nil) || errors.Is(err, storage.ErrNewerFormat) != (rec.Format > storage.ZoneReturnFormat) {
 			t.Fatalf("format %d: %v", rec.Format, err)
 		}
 	})
@@ -286,7 +286,7 @@
 			Workers: config.Workers{LeaseS: 10}, Quota: config.Quota{MaxSockets: 500}}
 		n := simulation.NewNetwork(1)
 		service, controller := n.Host("10.2.0.1"), n.Host("10.0.0.1")
-		state := simulation.NewState()
+		state := simulation.NewStore()
 		l, err := service.Listen("10.2.0.1:2379")
 		if err != nil {
 			t.Fatal(err)
@@ -304,7 +304,7 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		var ends atomic.Int64
 		write := func(use storage.Use, key string) error {
-			_, ok, err := c.Txn(ctx, use, protocol.Txn{Then: []protocol.Op{{Put: key, Value: encode(t, map[string]int{})}}})
+			_, ok, err := c.Txn(ctx, use, protocol.Txn{Then: []protocol.Op{{PutKey: key, Value: encode(t, map[string]int{})}}})
 			if err == nil && !ok {
 				return errors.New("refused")
 			}
@@ -347,11 +347,11 @@
 // ever, and a leader would never have heard of another job.
 func TestChangesThatAreTooLong(t *testing.T) {
 	value := encode(t, map[string]string{"x": strings.Repeat("x", 8000)})
-	var events []protocol.Event
+	var events []protocol.WatchEvent
 	for i := range 1200 {
-		events = append(events, protocol.Event{Put: fmt.Sprintf("live/j-%06d", i), Value: value, Version: uint64(i + 1)})
+		events = append(events, protocol.WatchEvent{PutKey: fmt.Sprintf("live/j-%06d", i), Value: value, Revision: uint64(i + 1)})
 	}
-	raw := encode(t, protocol.Events{Revision: uint64(len(events)), Events: events})
+	raw := encode(t, protocol.WatchResponse{Revision: uint64(len(events)), Events: events})
 	c := client(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write(raw) }))
 	if _, err := c.Changes(t.Context(), storage.Consult, storage.LivePrefix, 0); !errors.Is(err, storage.ErrCompacted) {
 		t.Errorf("changes: %v", err)
--- a/internal/storage/transactions.go
+++ b/internal/storage/transactions.go
@@ -86,7 +86,7 @@
 	if len(t.Then) == 0 {
 		return ""
 	}
-	return t.Then[0].Put + t.Then[0].Delete
+	return t.Then[0].PutKey + t.Then[0].DeleteKey
 }
 
 func (c *Client) try(ctx context.Context, use Use, t protocol.Txn) (rev uint64, ok bool, failed []string, err error) {
@@ -98,7 +98,7 @@
 	if err := protocol.Decode(raw, &r); err != nil {
 		return 0, false, nil, fmt.Errorf("transaction: %w", err)
 	}
-	return r.Revision, status == http.StatusOK, r.Failed, nil
+	return r.Revision, status == http.StatusOK, r.FailedKeys, nil
 }
 
 // Slow is when an answer is later than usual: five times the 10 ms that the
--- a/internal/storage/zonereturn.go
+++ b/internal/storage/zonereturn.go
@@ -66,7 +66,7 @@
 }
 
 // DecodeZoneReturn reads and checks a page.
-func DecodeZoneReturn(p protocol.Pair) (*ZoneReturnRecord, error) {
+func DecodeZoneReturn(p protocol.KeyValue) (*ZoneReturnRecord, error) {
 	var head struct {
 		Format int `msgpack:"v"`
 	}
--- a/internal/transport/http.go
+++ b/internal/transport/client.go
@@ -26,7 +26,7 @@
 // is moved on by the load balancer.
 type Listener struct {
 	net.Listener
-	max int
+	maxConns int
 
 	mu   sync.Mutex
 	open int
@@ -39,7 +39,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return &Listener{Listener: l, max: max, idle: list.New()}, nil
+	return &Listener{Listener: l, maxConns: max, idle: list.New()}, nil
 }
 
 // Accept returns the next connection that fits the budget.
@@ -50,7 +50,7 @@
 			return nil, err
 		}
 		if l.admit() {
-			return &countedConn{Conn: c, l: l}, nil
+			return &countedConn{Conn: c, listener: l}, nil
 		}
 		c.Close()
 	}
@@ -60,7 +60,7 @@
 func (l *Listener) admit() bool {
 	l.mu.Lock()
 	var old *countedConn
-	if l.open >= l.max {
+	if l.open >= l.maxConns {
 		e := l.idle.Front()
 		if e == nil {
 			l.mu.Unlock()
@@ -86,49 +86,49 @@
 	defer l.mu.Unlock()
 	switch {
 	case cc.closed:
-	case state == http.StateIdle && cc.place == nil:
-		cc.place = l.idle.PushBack(cc)
+	case state == http.StateIdle && cc.idleElement == nil:
+		cc.idleElement = l.idle.PushBack(cc)
 	case state == http.StateActive:
-		cc.busy()
+		cc.removeFromIdle()
 	}
 }
 
 // countedConn is a connection that is counted until it is closed.
 type countedConn struct {
 	net.Conn
-	l      *Listener
-	closed bool
-	place  *list.Element // among the idle ones
+	listener    *Listener
+	closed      bool
+	idleElement *list.Element // among the idle ones
 }
 
-// busy takes the connection off the list of idle ones.
-func (c *countedConn) busy() {
-	if c.place != nil {
-		c.l.idle.Remove(c.place)
-		c.place = nil
+// removeFromIdle takes the connection off the list of idle ones.
+func (c *countedConn) removeFromIdle() {
+	if c.idleElement != nil {
+		c.listener.idle.Remove(c.idleElement)
+		c.idleElement = nil
 	}
 }
 
 // Close closes the connection; it is given up once.
 func (c *countedConn) Close() error {
-	c.l.mu.Lock()
+	c.listener.mu.Lock()
 	if !c.closed {
 		c.closed = true
-		c.l.open--
-		c.busy()
+		c.listener.open--
+		c.removeFromIdle()
 	}
-	c.l.mu.Unlock()
+	c.listener.mu.Unlock()
 	return c.Conn.Close()
 }
 
 // ReadBody reads a request's body up to the protocol's limit. What is longer
 // is refused without being read whole.
 func ReadBody(w http.ResponseWriter, r *http.Request) ([]byte, error) {
-	if r.ContentLength > protocol.MaxBody {
+	if r.ContentLength > protocol.MaxBodyBytes {
 		w.Header().Set("Connection", "close")
 		return nil, fmt.Errorf("%w: body of %d bytes", protocol.ErrMalformed, r.ContentLength)
 	}
-	raw, err := io.ReadAll(http.MaxBytesReader(w, r.Body, protocol.MaxBody))
+	raw, err := io.ReadAll(http.MaxBytesReader(w, r.Body, protocol.MaxBodyBytes))
 	if err != nil {
 		var tooLong *http.MaxBytesError
 		if errors.As(err, &tooLong) {
@@ -140,8 +140,8 @@
 	return raw, nil
 }
 
-// Answer writes a response. A body that cannot be encoded becomes a 500.
-func Answer(w http.ResponseWriter, status int, body any) {
+// WriteResponse writes a response. A body that cannot be encoded becomes a 500.
+func WriteResponse(w http.ResponseWriter, status int, body any) {
 	raw, err := protocol.Encode(body)
 	if err != nil {
 		w.WriteHeader(http.StatusInternalServerError)
@@ -153,11 +153,11 @@
 	_, _ = w.Write(raw)
 }
 
-// maxReply bounds answers from the state service and the cloud in memory.
-const maxReply = 8 << 20
+// maxResponseBytes bounds answers from the state service and the cloud in memory.
+const maxResponseBytes = 8 << 20
 
-// ErrTooLong says that a response came and was longer than is taken in.
-var ErrTooLong = fmt.Errorf("%w: answer too long", protocol.ErrMalformed)
+// ErrResponseTooLarge says that a response came and was longer than is taken in.
+var ErrResponseTooLarge = fmt.Errorf("%w: answer too long", protocol.ErrMalformed)
 
 // Client calls one service or many workers.
 type Client struct {
@@ -218,12 +218,12 @@
 		return 0, nil, fmt.Errorf("%s %s: %w", method, url, err)
 	}
 	defer res.Body.Close()
-	raw, err := io.ReadAll(io.LimitReader(res.Body, maxReply+1))
+	raw, err := io.ReadAll(io.LimitReader(res.Body, maxResponseBytes+1))
 	if err != nil {
 		return 0, nil, fmt.Errorf("%s %s: %w", method, url, err)
 	}
-	if len(raw) > maxReply {
-		return 0, nil, fmt.Errorf("%s %s: %w", method, url, ErrTooLong)
+	if len(raw) > maxResponseBytes {
+		return 0, nil, fmt.Errorf("%s %s: %w", method, url, ErrResponseTooLarge)
 	}
 	return res.StatusCode, raw, nil
 }
--- a/internal/transport/mesh.go
+++ b/internal/transport/mesh.go
@@ -17,24 +17,24 @@
 	"pinebay/internal/protocol"
 )
 
-// maxFrame bounds a frame of the mesh: a body of the other interfaces with
+// maxFrameBytes bounds a frame of the mesh: a body of the other interfaces with
 // what goes around it.
-const maxFrame = protocol.MaxBody + 4<<10
+const maxFrameBytes = protocol.MaxBodyBytes + 4<<10
 
-// dialShare is the part of a call's time, as its inverse, that opening a connection may
+// dialTimeoutDivisor is the part of a call's time, as its inverse, that opening a connection may
 // take.
-const dialShare = 4
+const dialTimeoutDivisor = 4
 
-// frameBuffer is the read buffer of a connection between controllers: a heartbeat comes
+// readBufferBytes is the read buffer of a connection between controllers: a heartbeat comes
 // in one system call instead of two, its head and its body.
-const frameBuffer = 1 << 10
+const readBufferBytes = 1 << 10
 
-// ErrNoPeer says that a peer cannot be reached.
-var ErrNoPeer = errors.New("peer not reachable")
+// ErrPeerUnreachable says that a peer cannot be reached.
+var ErrPeerUnreachable = errors.New("peer not reachable")
 
 // WriteFrame writes one length-framed message.
 func WriteFrame(w io.Writer, raw []byte) error {
-	if len(raw) > maxFrame {
+	if len(raw) > maxFrameBytes {
 		return fmt.Errorf("%w: frame of %d bytes", protocol.ErrMalformed, len(raw))
 	}
 	buf := binary.BigEndian.AppendUint32(make([]byte, 0, 4+len(raw)), uint32(len(raw)))
@@ -49,7 +49,7 @@
 		return nil, err
 	}
 	n := binary.BigEndian.Uint32(head[:])
-	if n == 0 || n > maxFrame {
+	if n == 0 || n > maxFrameBytes {
 		return nil, fmt.Errorf("%w: frame of %d bytes", protocol.ErrMalformed, n)
 	}
 	raw := make([]byte, n)
@@ -60,22 +60,22 @@
 // Mesh connects the controllers. Every pair holds one connection a direction;
 // requests go out on the own one and are answered there.
 type Mesh struct {
-	network Network
-	self    string
-	timeout time.Duration
-	log     *slog.Logger
-	handle  func(*protocol.MeshMessage) *protocol.MeshMessage
-	lost    func(node string)
-	peers   map[string]*peer
+	network    Network
+	self       string
+	timeout    time.Duration
+	log        *slog.Logger
+	handle     func(*protocol.PeerMessage) *protocol.PeerMessage
+	onPeerLost func(node string)
+	peers      map[string]*peer
 }
 
 // NewMesh returns a mesh of self with the named peers. handle answers a
 // peer's request; lost is told when a peer's connection to us ends.
 func NewMesh(network Network, self string, peers map[string]string, timeout time.Duration, log *slog.Logger,
-	handle func(*protocol.MeshMessage) *protocol.MeshMessage, lost func(string)) *Mesh {
-	m := &Mesh{network: network, self: self, timeout: timeout, log: log, handle: handle, lost: lost, peers: map[string]*peer{}}
+	handle func(*protocol.PeerMessage) *protocol.PeerMessage, lost func(string)) *Mesh {
+	m := &Mesh{network: network, self: self, timeout: timeout, log: log, handle: handle, onPeerLost: lost, peers: map[string]*peer{}}
 	for node, addr := range peers {
-		m.peers[node] = &peer{addr: addr, waiting: map[uint64]chan *protocol.MeshMessage{}}
+		m.peers[node] = &peer{addr: addr, pending: map[uint64]chan *protocol.PeerMessage{}}
 	}
 	return m
 }
@@ -106,22 +106,22 @@
 	defer stop()
 	from := ""
 	var wmu sync.Mutex
-	r := bufio.NewReaderSize(c, frameBuffer)
+	r := bufio.NewReaderSize(c, readBufferBytes)
 	for {
 		raw, err := ReadFrame(r)
 		if err != nil {
 			if from != "" && !errors.Is(err, protocol.ErrMalformed) {
-				m.lost(from)
+				m.onPeerLost(from)
 			}
 			return
 		}
-		msg, err := protocol.DecodeMesh(raw)
+		msg, err := protocol.DecodePeerMessage(raw)
 		if err != nil || m.peers[msg.From] == nil {
 			m.log.Info("mesh frame refused", "remote", c.RemoteAddr(), "err", err)
 			return
 		}
 		from = msg.From
-		if msg.Kind != protocol.MeshBeat {
+		if msg.Kind != protocol.PeerHeartbeat {
 			// What may wait for the leader must not hold up the beats behind it.
 			go m.answer(c, &wmu, msg)
 			continue
@@ -130,10 +130,10 @@
 	}
 }
 
-func (m *Mesh) answer(c net.Conn, wmu *sync.Mutex, msg *protocol.MeshMessage) {
+func (m *Mesh) answer(c net.Conn, wmu *sync.Mutex, msg *protocol.PeerMessage) {
 	reply := m.handle(msg)
 	reply.ID, reply.From = msg.ID, m.self
-	out, err := protocol.EncodeMesh(reply)
+	out, err := protocol.EncodePeerMessage(reply)
 	if err != nil {
 		m.log.Error("mesh reply", "err", err)
 		return
@@ -154,37 +154,37 @@
 	mu      sync.Mutex
 	conn    net.Conn
 	dialing bool
-	next    uint64
-	waiting map[uint64]chan *protocol.MeshMessage
+	lastID  uint64
+	pending map[uint64]chan *protocol.PeerMessage
 }
 
 // Call sends a request to a peer and returns its answer.
-func (m *Mesh) Call(ctx context.Context, node string, msg protocol.MeshMessage) (*protocol.MeshMessage, error) {
+func (m *Mesh) Call(ctx context.Context, node string, msg protocol.PeerMessage) (*protocol.PeerMessage, error) {
 	p := m.peers[node]
 	if p == nil {
-		return nil, fmt.Errorf("%w: unknown node %q", ErrNoPeer, node)
+		return nil, fmt.Errorf("%w: unknown node %q", ErrPeerUnreachable, node)
 	}
 	ctx, cancel := context.WithTimeout(ctx, m.timeout)
 	defer cancel()
-	if err := p.connect(ctx, m.network, m.timeout/dialShare); err != nil {
+	if err := p.connect(ctx, m.network, m.timeout/dialTimeoutDivisor); err != nil {
 		return nil, err
 	}
-	answer := make(chan *protocol.MeshMessage, 1)
+	answer := make(chan *protocol.PeerMessage, 1)
 	p.mu.Lock()
 	c := p.conn
 	if c == nil {
 		p.mu.Unlock()
-		return nil, ErrNoPeer
+		return nil, ErrPeerUnreachable
 	}
-	p.next++
-	id := p.next
+	p.lastID++
+	id := p.lastID
 	msg.ID, msg.From = id, m.self
-	raw, err := protocol.EncodeMesh(&msg)
+	raw, err := protocol.EncodePeerMessage(&msg)
 	if err != nil {
 		p.mu.Unlock()
 		return nil, err
 	}
-	p.waiting[id] = answer
+	p.pending[id] = answer
 	deadline, _ := ctx.Deadline()
 	err = c.SetWriteDeadline(deadline)
 	if err == nil {
@@ -192,18 +192,18 @@
 	}
 	p.mu.Unlock()
 	if err != nil {
-		p.drop(c)
+		p.closeConn(c)
 		return nil, fmt.Errorf("mesh to %s: %w", node, err)
 	}
 	select {
 	case r, ok := <-answer:
 		if !ok {
-			return nil, fmt.Errorf("mesh to %s: %w", node, ErrNoPeer)
+			return nil, fmt.Errorf("mesh to %s: %w", node, ErrPeerUnreachable)
 		}
 		return r, nil
 	case <-ctx.Done():
 		// A silent connection may be behind a cut: begin anew next time.
-		p.drop(c)
+		p.closeConn(c)
 		return nil, fmt.Errorf("mesh to %s: %w", node, ctx.Err())
 	}
 }
@@ -216,7 +216,7 @@
 	}
 	if p.dialing {
 		p.mu.Unlock()
-		return ErrNoPeer
+		return ErrPeerUnreachable
 	}
 	p.dialing = true
 	p.mu.Unlock()
@@ -232,27 +232,27 @@
 	}
 	p.mu.Unlock()
 	if err != nil {
-		return fmt.Errorf("%w: %w", ErrNoPeer, err)
+		return fmt.Errorf("%w: %w", ErrPeerUnreachable, err)
 	}
 	go p.read(c)
 	return nil
 }
 
 func (p *peer) read(c net.Conn) {
-	defer p.drop(c)
-	r := bufio.NewReaderSize(c, frameBuffer)
+	defer p.closeConn(c)
+	r := bufio.NewReaderSize(c, readBufferBytes)
 	for {
 		raw, err := ReadFrame(r)
 		if err != nil {
 			return
 		}
-		msg, err := protocol.DecodeMesh(raw)
+		msg, err := protocol.DecodePeerMessage(raw)
 		if err != nil {
 			return
 		}
 		p.mu.Lock()
-		ch := p.waiting[msg.ID]
-		delete(p.waiting, msg.ID)
+		ch := p.pending[msg.ID]
+		delete(p.pending, msg.ID)
 		p.mu.Unlock()
 		if ch != nil {
 			ch <- msg
@@ -260,8 +260,8 @@
 	}
 }
 
-// drop closes a connection and fails what waits on it.
-func (p *peer) drop(c net.Conn) {
+// closeConn closes a connection and fails what waits on it.
+func (p *peer) closeConn(c net.Conn) {
 	c.Close()
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -269,8 +269,8 @@
 		return
 	}
 	p.conn = nil
-	for id, ch := range p.waiting {
+	for id, ch := range p.pending {
 		close(ch)
-		delete(p.waiting, id)
+		delete(p.pending, id)
 	}
 }
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -47,7 +47,7 @@
 			}
 		}
 	})
-	if err := WriteFrame(io.Discard, make([]byte, maxFrame+1)); !errors.Is(err, protocol.ErrMalformed) {
+	if err := WriteFrame(io.Discard, make([]byte, maxFrameBytes+1)); !errors.Is(err, protocol.ErrMalformed) {
 		t.Errorf("oversized frame: %v", err)
 	}
 	if _, err := ReadFrame(bytes.NewReader([]byte{0xff, 0xff, 0xff, 0xff, 1})); !errors.Is(err, protocol.ErrMalformed) {
@@ -55,7 +55,7 @@
 	}
 }
 
-func quiet() *slog.Logger { return slog.New(slog.NewTextHandler(io.Discard, nil)) }
+func discardLogger() *slog.Logger { return slog.New(slog.NewTextHandler(io.Discard, nil)) }
 
 // TestMeshAnswersPeersOnly: a peer is answered and its loss is told; a
 // stranger, another version or nonsense ends the connection.
@@ -65,15 +65,15 @@
 		t.Fatal(err)
 	}
 	lost := make(chan string, 1)
-	server := NewMesh(TCP{}, "b", map[string]string{"a": "127.0.0.1:1"}, time.Minute, quiet(), func(m *protocol.MeshMessage) *protocol.MeshMessage {
-		return &protocol.MeshMessage{Kind: protocol.MeshReply, Term: m.Term + 1}
+	server := NewMesh(TCP{}, "b", map[string]string{"a": "127.0.0.1:1"}, time.Minute, discardLogger(), func(m *protocol.PeerMessage) *protocol.PeerMessage {
+		return &protocol.PeerMessage{Kind: protocol.PeerReply, Term: m.Term + 1}
 	}, func(n string) { lost <- n })
 	ctx, cancel := context.WithCancel(context.Background())
 	served := make(chan error, 1)
 	go func() { served <- server.Serve(ctx, l) }()
 
-	a := NewMesh(TCP{}, "a", map[string]string{"b": l.Addr().String()}, time.Minute, quiet(), nil, nil)
-	r, err := a.Call(ctx, "b", protocol.MeshMessage{Kind: protocol.MeshBeat, Term: 4})
+	a := NewMesh(TCP{}, "a", map[string]string{"b": l.Addr().String()}, time.Minute, discardLogger(), nil, nil)
+	r, err := a.Call(ctx, "b", protocol.PeerMessage{Kind: protocol.PeerHeartbeat, Term: 4})
 	if err != nil || r.Term != 5 || r.From != "b" {
 		t.Fatalf("%+v %v", r, err)
 	}
@@ -81,8 +81,8 @@
 	if n := <-lost; n != "a" {
 		t.Errorf("lost %q", n)
 	}
-	stranger := NewMesh(TCP{}, "x", map[string]string{"b": l.Addr().String()}, time.Minute, quiet(), nil, nil)
-	if r, err := stranger.Call(ctx, "b", protocol.MeshMessage{Kind: protocol.MeshBeat}); err == nil {
+	stranger := NewMesh(TCP{}, "x", map[string]string{"b": l.Addr().String()}, time.Minute, discardLogger(), nil, nil)
+	if r, err := stranger.Call(ctx, "b", protocol.PeerMessage{Kind: protocol.PeerHeartbeat}); err == nil {
 		t.Errorf("a stranger was answered: %+v", r)
 	}
 	c, err := net.Dial("tcp", l.Addr().String())
@@ -160,9 +160,9 @@
 	}
 }
 
-// TestRequestsTakeTurns: no more requests are under way than the client may have
+// TestClientLimitsRequests: no more requests are under way than the client may have
 // sockets for, and their time begins with their turn.
-func TestRequestsTakeTurns(t *testing.T) {
+func TestClientLimitsRequests(t *testing.T) {
 	var under, most atomic.Int64
 	turn := make(chan struct{})
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
