--- a/cmd/scalerun/main.go
+++ b/cmd/scalerun/main.go
@@ -29,13 +29,13 @@
 
 func main() {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
-	err := command().ExecuteContext(ctx)
+	err := newCommand().ExecuteContext(ctx)
 	stop()
 	if err == nil {
 		return
 	}
 	fmt.Fprintln(os.Stderr, "scalerun:", strings.ReplaceAll(err.Error(), "\n", " "))
-	if errors.Is(err, scale.ErrConfig) || errors.Is(err, errUsage) {
+	if errors.Is(err, scale.ErrInvalidConfig) || errors.Is(err, errUsage) {
 		os.Exit(statusUsage)
 	}
 	os.Exit(statusFailed)
@@ -44,8 +44,8 @@
 // output says where results go.
 type output struct{ json, picture string }
 
-func command() *cobra.Command {
-	cfg := defaults()
+func newCommand() *cobra.Command {
+	cfg := defaultConfig()
 	var out output
 	var vary string
 	var troubles []string
@@ -63,7 +63,7 @@
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			cfg.Vary = scale.Dimension(vary)
 			for _, t := range troubles {
-				cfg.Troubles = append(cfg.Troubles, scale.Trouble(t))
+				cfg.Faults = append(cfg.Faults, scale.Fault(t))
 			}
 			return run(cmd, cfg, out)
 		},
@@ -86,14 +86,14 @@
 	f.Float64Var(&cfg.Load.PipelinesPerS, "pipelines", cfg.Load.PipelinesPerS, "pipelines a second, each of three arrays of which one awaits the other")
 	f.BoolVar(&cfg.Load.TeamsAtLimit, "teams-at-limit", cfg.Load.TeamsAtLimit, "teams have limits and ask for more")
 	f.Float64Var(&cfg.Load.Overcommit, "overcommit", cfg.Load.Overcommit, "with --teams-at-limit, how many times its limit a team asks for")
-	f.DurationVar(&cfg.Report, "report", cfg.Report, "time between a worker's reports")
+	f.DurationVar(&cfg.HeartbeatInterval, "report", cfg.HeartbeatInterval, "time between a worker's reports")
 	f.DurationVar(&cfg.Lease, "lease", cfg.Lease, "a worker's lease")
-	f.DurationVar(&cfg.RunTime, "run-time", cfg.RunTime, "mean run time of an array's task")
+	f.DurationVar(&cfg.MeanRunTime, "run-time", cfg.MeanRunTime, "mean run time of an array's task")
 	f.DurationVar(&cfg.Warmup, "warm-up", cfg.Warmup, "time to become steady before the measurement")
-	f.DurationVar(&cfg.Measure, "measure", cfg.Measure, "measured time")
+	f.DurationVar(&cfg.MeasureTime, "measure", cfg.MeasureTime, "measured time")
 	f.IntVar(&cfg.Slices, "slices", cfg.Slices, "parts of the measured time, which tell the spread")
 	f.Uint64Var(&cfg.Seed, "seed", cfg.Seed, "seed of all that is drawn")
-	f.StringSliceVar(&troubles, "troubles", nil, fmt.Sprintf("what is broken after the measurement: %v", scale.TroubleNames()))
+	f.StringSliceVar(&troubles, "troubles", nil, fmt.Sprintf("what is broken after the measurement: %v", scale.FaultNames()))
 	f.IntVar(&cfg.Port, "port", cfg.Port, "first of the loopback ports")
 	f.Float64Var(&cfg.CoreShare, "core-share", cfg.CoreShare, "share of a core in the settings; processor time is counted, not throttled")
 	f.Float64Var(&cfg.RAMMB, "ram-mb", cfg.RAMMB, "memory in the settings")
@@ -108,24 +108,24 @@
 	f.StringVar(&out.json, "json", "", "file for the result")
 	f.StringVar(&out.picture, "picture", "", "file for a picture of the slopes (PNG)")
 	cmd.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return fmt.Errorf("%w: %w", errUsage, err) })
-	cmd.AddCommand(tables(), capacity(), worker())
+	cmd.AddCommand(newTablesCommand(), newCapacityCommand(), newWorkerCommand())
 	return cmd
 }
 
-// defaults are the letter's proportions: 18,000 workers with 240,000 tasks and 3,000 starts a second.
-func defaults() *scale.Config {
+// defaultConfig are the letter's proportions: 18,000 workers with 240,000 tasks and 3,000 starts a second.
+func defaultConfig() *scale.Config {
 	return &scale.Config{
 		Program: "target/pinebay", Sizes: []int{250, 500, 750, 1000},
 		Load: scale.Load{Controllers: 3, Workers: 18_000, Teams: 200, Zones: 3, TasksPerWorker: 240_000. / 18_000, StartsPerS: 3000,
 			ArrayTasks: 500, GangShare: 0.1, GangTasks: 64, UrgentPerS: 10, PipelinesPerS: 30, CancelShare: 0.03, Overcommit: 1.5},
-		Report: 5 * time.Second, Lease: 29 * time.Second, RunTime: 40 * time.Second, Warmup: 45 * time.Second, Measure: 30 * time.Second,
+		HeartbeatInterval: 5 * time.Second, Lease: 29 * time.Second, MeanRunTime: 40 * time.Second, Warmup: 45 * time.Second, MeasureTime: 30 * time.Second,
 		Slices: 6, Seed: 1, Port: 21_000, CoreShare: 1, RAMMB: 2048, MaxSockets: 19_000,
 		WorkerProcesses: 3, StateRPS: 600, StateWriteRPS: 180, StateTxnOps: 16, CloudRPS: 4,
 	}
 }
 
 func run(cmd *cobra.Command, cfg *scale.Config, out output) error {
-	if err := cfg.Check(); err != nil {
+	if err := cfg.Validate(); err != nil {
 		return err
 	}
 	self, err := os.Executable()
@@ -136,12 +136,12 @@
 	log := slog.New(slog.NewTextHandler(os.Stderr, nil))
 	result, err := scale.Run(cmd.Context(), cfg, log)
 	if result != nil && len(result.Sizes) > 0 {
-		err = errors.Join(err, write(cmd, result, out))
+		err = errors.Join(err, writeResult(cmd, result, out))
 	}
 	return err
 }
 
-func write(cmd *cobra.Command, result *scale.Result, out output) error {
+func writeResult(cmd *cobra.Command, result *scale.Result, out output) error {
 	if err := result.WriteTables(cmd.OutOrStdout()); err != nil {
 		return err
 	}
@@ -151,13 +151,13 @@
 		}
 	}
 	if out.picture != "" {
-		return result.Picture(out.picture, scale.PictureFigures())
+		return result.WritePlots(out.picture, scale.PlottedFigures())
 	}
 	return nil
 }
 
-// tables writes the tables of earlier results again.
-func tables() *cobra.Command {
+// newTablesCommand writes the tables of earlier results again.
+func newTablesCommand() *cobra.Command {
 	var picture string
 	cmd := &cobra.Command{
 		Use:   "tables RESULT...",
@@ -175,7 +175,7 @@
 					return fmt.Errorf("%w: %w", errUsage, err)
 				}
 				fmt.Fprintf(cmd.OutOrStdout(), "\n%s\n", path)
-				if err := write(cmd, result, output{picture: picture}); err != nil {
+				if err := writeResult(cmd, result, output{picture: picture}); err != nil {
 					return err
 				}
 			}
@@ -186,8 +186,8 @@
 	return cmd
 }
 
-// capacity writes what figures come to at a size that need not have been measured.
-func capacity() *cobra.Command {
+// newCapacityCommand writes what figures come to at a size that need not have been measured.
+func newCapacityCommand() *cobra.Command {
 	var at int
 	cmd := &cobra.Command{
 		Use:   "capacity --at SIZE RESULT",
@@ -216,7 +216,7 @@
 // workerCommand is how the scale run starts workers that are processes of their own.
 const workerCommand = "worker"
 
-func worker() *cobra.Command {
+func newWorkerCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:    workerCommand,
 		Short:  "Be a worker of a scale run",
--- a/cmd/scalerun/main_test.go
+++ b/cmd/scalerun/main_test.go
@@ -37,11 +37,11 @@
 		{[]string{"capacity", "--at", "10", odd}, "result.json"},
 		{[]string{"capacity", "--at", "10"}, "result"},
 	} {
-		cmd := command()
+		cmd := newCommand()
 		cmd.SetArgs(x.args)
 		cmd.SetOut(&bytes.Buffer{})
 		err := cmd.ExecuteContext(t.Context())
-		if !errors.Is(err, errUsage) && !errors.Is(err, scale.ErrConfig) || !strings.Contains(err.Error(), x.names) || strings.Contains(err.Error(), "\n") {
+		if !errors.Is(err, errUsage) && !errors.Is(err, scale.ErrInvalidConfig) || !strings.Contains(err.Error(), x.names) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%v: %v", x.args, err)
 		}
 	}
--- a/internal/coordination/fleet/limits_test.go
+++ b/internal/coordination/fleet/limits_test.go
@@ -18,14 +18,14 @@
 func TestManyRentals(t *testing.T) {
 	for _, rps := range []float64{1, 2, 4, 24} {
 		f, p := setup()
-		f.cloud.RPS = rps
-		f.Listed(1*s, 0, p, nil)
-		units := []Unit{{Job: &protocol.Job{ID: "j-1", GPUs: 8}, Count: manyMachines}}
+		f.cloudSettings.RPS = rps
+		f.HandleList(1*s, 0, p, nil)
+		units := []Demand{{Job: &protocol.Job{ID: "j-1", GPUs: 8}, Count: manyMachines}}
 		perPlan := protocol.MaxMachinesPerRental * max(1, int(rps/2))
 		total, plans, names := 0, 0, map[string]bool{}
 		for now := 2 * s; total < manyMachines && plans <= manyMachines; now += s {
 			got := rentals(f.Plan(now, p, units))
-			if n := count(got); n > perPlan || n < min(perPlan, manyMachines-total) {
+			if n := totalCount(got); n > perPlan || n < min(perPlan, manyMachines-total) {
 				t.Fatalf("%v calls a second: %d machines in one plan, want %d", rps, n, perPlan)
 			}
 			for _, r := range got {
@@ -47,28 +47,28 @@
 // however many those are, and all of them are in the end, none twice.
 func TestManyReleases(t *testing.T) {
 	f, p := setup()
-	f.cloud.RPS = 4
-	f.Listed(1*s, 0, p, nil)
+	f.cloudSettings.RPS = 4
+	f.HandleList(1*s, 0, p, nil)
 	overdue := map[string]bool{}
 	for i := range manyMachines {
 		name := fmt.Sprintf("m%04d", i)
-		m, _, _ := p.Report(10*s, &protocol.WorkerHeartbeat{Machine: name, Addr: "x", Type: "g8", Zone: "a", Incarnation: 1, Sequence: 1})
+		m, _, _ := p.HandleHeartbeat(10*s, &protocol.WorkerHeartbeat{Machine: name, Addr: "x", Type: "g8", Zone: "a", Incarnation: 1, Sequence: 1})
 		if i >= manyMachines/2 {
 			overdue[name] = true
 			pl := &partition.Placement{Task: protocol.TaskID{JobID: "j-1", Index: i}, Attempt: 1, Machine: name, Job: &protocol.Job{ID: "j-1"}}
-			if !p.Grant(10*s, []*partition.Placement{pl}) {
+			if !p.Reserve(10*s, []*partition.Placement{pl}) {
 				t.Fatal("no room")
 			}
 			pl.FenceAt = 11 * s
 		}
-		m.Condemned = true
+		m.Terminating = true
 	}
 	perPlan := 2 * protocol.MaxMachinesPerRelease
 	returned := map[string]bool{}
 	for now := 12 * s; len(returned) < manyMachines && now < time.Hour; now += s {
 		for _, e := range f.Plan(now, p, nil) {
-			if r, ok := e.(Release); ok && len(r.Names) > protocol.MaxMachinesPerRelease {
-				t.Fatalf("%d names in a call", len(r.Names))
+			if r, ok := e.(ScaleIn); ok && len(r.Machines) > protocol.MaxMachinesPerRelease {
+				t.Fatalf("%d names in a call", len(r.Machines))
 			}
 		}
 		names := f.releasing
@@ -80,8 +80,8 @@
 				t.Fatalf("%s is returned as number %d", name, len(returned))
 			}
 			returned[name] = true
-			p.Lost(now, name)
-			f.Released(now, []string{name}, true)
+			p.Remove(now, name)
+			f.HandleScaleIn(now, []string{name}, true)
 		}
 	}
 	if len(returned) != manyMachines {
@@ -89,9 +89,9 @@
 	}
 }
 
-// TestListPace: reading the list takes no more than its part of the cloud's calls, however many
+// TestListInterval: reading the list takes no more than its part of the cloud's calls, however many
 // pages it has: rentals and releases would have stood behind it.
-func TestListPace(t *testing.T) {
+func TestListInterval(t *testing.T) {
 	for _, x := range []struct {
 		rps      float64
 		machines int
@@ -100,8 +100,8 @@
 		{2, 0, 2500 * time.Millisecond}, {2, 100, 2500 * time.Millisecond}, {2, manyMachines, 9 * s}, {4, manyMachines, 4500 * time.Millisecond},
 		{4, 10_000, 10500 * time.Millisecond}, {24, 10_000, 2500 * time.Millisecond},
 	} {
-		f := New(1, config.Cloud{RPS: x.rps, ListLagS: 5}, workers)
-		if got := f.listPause(x.machines); got != x.want {
+		f := New(1, config.Cloud{RPS: x.rps, ListLagS: 5}, testWorkerSettings)
+		if got := f.listInterval(x.machines); got != x.want {
 			t.Errorf("%d machines at %v calls a second: read every %v, want %v", x.machines, x.rps, got, x.want)
 		}
 	}
--- a/internal/coordination/fleet/reference_test.go
+++ b/internal/coordination/fleet/reference_test.go
@@ -16,19 +16,19 @@
 func TestMain(m *testing.M) { testkit.Main(m) }
 
 // referencePack packs units one task after the other into the tightest of all rooms.
-func referencePack(k *packing, units []Unit) {
+func referencePack(k *packing, units []Demand) {
 	for n := range units {
 		u := &units[n]
-		need := partition.NeedOf(u.Job)
+		need := partition.TaskResources(u.Job)
 		for left := u.Count; left > 0; {
-			var best *room
-			for i := range k.rooms {
-				if r := &k.rooms[i]; k.fits(u, need, r) && (best == nil || tighter(r.open(u), best.open(u))) {
+			var best *bin
+			for i := range k.bins {
+				if r := &k.bins[i]; k.feasible(u, need, r) && (best == nil || tighter(r.freeFor(u), best.freeFor(u))) {
 					best = r
 				}
 			}
 			if best == nil {
-				if best = k.order(u, kindOf(u)); best == nil {
+				if best = k.openBin(u, demandKeyOf(u)); best == nil {
 					break
 				}
 			}
@@ -37,34 +37,34 @@
 	}
 }
 
-// TestRentsAsAFullScan: on drawn fleets and demands, what is rented and which machines are wanted is
+// TestPackingMatchesFullScan: on drawn fleets and demands, what is rented and which machines are wanted is
 // what packing into the tightest of all rooms, time and again, comes to.
-func TestRentsAsAFullScan(t *testing.T) {
+func TestPackingMatchesFullScan(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f, p := setup()
-		f.Listed(time.Second, 0, p, nil)
+		f.HandleList(time.Second, 0, p, nil)
 		for i := range rapid.IntRange(0, 25).Draw(t, "machines") {
-			m := p.Ensure(0, fmt.Sprintf("m%02d", i))
+			m := p.GetOrCreate(0, fmt.Sprintf("m%02d", i))
 			m.Type, m.Zone, m.Spot = "g8", rapid.SampledFrom([]string{"a", "b"}).Draw(t, "zone"), rapid.Bool().Draw(t, "spot")
 			job := &protocol.Job{ID: fmt.Sprintf("j-%d", i), Shape: protocol.Array, CheckpointIntervalSeconds: float64(rapid.IntRange(0, 1).Draw(t, "saves"))}
-			p.Adopt(0, &partition.Placement{Task: protocol.TaskID{JobID: job.ID}, Attempt: 1, Machine: m.Name, Job: job, Level: rapid.IntRange(0, 3).Draw(t, "level"),
-				Need: partition.Need{GPUs: float64(rapid.IntRange(0, 8).Draw(t, "used")), CPUs: float64(rapid.IntRange(0, 64).Draw(t, "cpus"))}})
+			p.Adopt(0, &partition.Placement{Task: protocol.TaskID{JobID: job.ID}, Attempt: 1, Machine: m.Name, Job: job, PriorityLevel: rapid.IntRange(0, 3).Draw(t, "level"),
+				Resources: partition.Resources{GPUs: float64(rapid.IntRange(0, 8).Draw(t, "used")), CPUs: float64(rapid.IntRange(0, 64).Draw(t, "cpus"))}})
 		}
-		var units []Unit
+		var units []Demand
 		for i := range rapid.IntRange(0, 12).Draw(t, "units") {
 			j := &protocol.Job{ID: fmt.Sprintf("j-w%d", i), GPUs: float64(rapid.IntRange(0, 4).Draw(t, "gpus")), CPUs: float64(rapid.IntRange(0, 16).Draw(t, "wanted cpus")),
 				Priority: rapid.SampledFrom([]protocol.Priority{"critical", "normal", "best_effort"}).Draw(t, "priority"), SpotAllowed: rapid.Bool().Draw(t, "may be spot"),
 				CheckpointIntervalSeconds: float64(rapid.IntRange(0, 1).Draw(t, "may save"))}
-			u := Unit{Job: j, Count: rapid.IntRange(1, 30).Draw(t, "count"), Zone: rapid.SampledFrom([]string{"", "a"}).Draw(t, "only zone"),
-				Spare: rapid.Bool().Draw(t, "spare"), Quick: rapid.Bool().Draw(t, "quick")}
+			u := Demand{Job: j, Count: rapid.IntRange(1, 30).Draw(t, "count"), Zone: rapid.SampledFrom([]string{"", "a"}).Draw(t, "only zone"),
+				Headroom: rapid.Bool().Draw(t, "spare"), MustBeFree: rapid.Bool().Draw(t, "quick")}
 			if rapid.Bool().Draw(t, "avoids") {
-				u.Avoid = map[string]bool{"m00": true, "m03": true}
+				u.ExcludedMachines = map[string]bool{"m00": true, "m03": true}
 			}
 			units = append(units, u)
 		}
 		packed := func(pack func(*packing)) *packing {
 			k := f.newPacking(time.Second, p)
-			k.addRooms()
+			k.addBins()
 			pack(k)
 			return k
 		}
@@ -74,8 +74,8 @@
 			}
 		})
 		want := packed(func(k *packing) { referencePack(k, units) })
-		if !reflect.DeepEqual(got.wanted, want.wanted) || !reflect.DeepEqual(got.used, want.used) || got.total != want.total {
-			t.Errorf("rents %v and uses %v, want %v and %v", got.wanted, got.used, want.wanted, want.used)
+		if !reflect.DeepEqual(got.toRent, want.toRent) || !reflect.DeepEqual(got.usedMachines, want.usedMachines) || got.toRentTotal != want.toRentTotal {
+			t.Errorf("rents %v and uses %v, want %v and %v", got.toRent, got.usedMachines, want.toRent, want.usedMachines)
 		}
 	})
 }
--- a/internal/coordination/fleet/release.go
+++ b/internal/coordination/fleet/scalein.go
@@ -9,14 +9,14 @@
 	"pinebay/internal/protocol"
 )
 
-// release returns the machines that are condemned, never came up, or have had nothing to do for
+// scaleIn returns the machines that are condemned, never came up, or have had nothing to do for
 // long enough; as many as the cloud's rate allows, those first on which cancelled tasks are overdue.
 // The others have their turn in the next plans.
-func (f *Fleet) release(now time.Duration, p *partition.Partition, used map[string]bool) (effects []Effect) {
+func (f *Autoscaler) scaleIn(now time.Duration, p *partition.Registry, used map[string]bool) (effects []Effect) {
 	var overdue, others []*partition.Machine
 	p.Each(func(m *partition.Machine) {
 		switch {
-		case f.releasing[m.Name] || !f.leaves(now, p, m, used):
+		case f.releasing[m.Name] || !f.shouldScaleIn(now, p, m, used):
 		case m.FencingDue(now):
 			overdue = append(overdue, m)
 		default:
@@ -28,30 +28,30 @@
 	for call := range slices.Chunk(leaving, protocol.MaxMachinesPerRelease) {
 		names := make([]string, len(call))
 		for i, m := range call {
-			m.Condemned = true
+			m.Terminating = true
 			f.releasing[m.Name] = true
 			names[i] = m.Name
 		}
-		effects = append(effects, Release{names})
+		effects = append(effects, ScaleIn{names})
 	}
 	return effects
 }
 
-// leaves says whether a machine is to be returned.
-func (f *Fleet) leaves(now time.Duration, p *partition.Partition, m *partition.Machine, used map[string]bool) bool {
-	t := p.Type(m.Type)
+// shouldScaleIn says whether a machine is to be returned.
+func (f *Autoscaler) shouldScaleIn(now time.Duration, p *partition.Registry, m *partition.Machine, used map[string]bool) bool {
+	t := p.MachineType(m.Type)
 	if t == nil {
-		return m.Count() > 0 && m.Condemned
+		return m.PlacementCount() > 0 && m.Terminating
 	}
 	boot := config.Seconds(t.BootSeconds)
 	switch {
-	case m.Sick && m.Count() == 0, m.Notice && m.Count() == 0, m.Condemned:
+	case m.Quarantined && m.PlacementCount() == 0, m.InterruptionNotice && m.PlacementCount() == 0, m.Terminating:
 		return true
-	case !m.Up && now-m.Rented > 4*boot && now-m.Heard > boot && (m.Count() == 0 || now >= f.policies[m.Zone].KeepUntil):
+	case !m.Registered && now-m.RentedAt > 4*boot && now-m.LastHeartbeat > boot && (m.PlacementCount() == 0 || now >= f.zonePolicies[m.Zone].NoFencingUntil):
 		return true // it never came up, and is charged until it is deleted
 	default:
 		// Idle beyond what is forecast; a machine is paid for a minute anyway.
-		return m.Up && m.Count() == 0 && !used[m.Name] && f.Known() && now-m.IdleSince > boot/8 && now-m.Rented > time.Minute &&
-			now-m.Heard <= p.Silent()
+		return m.Registered && m.PlacementCount() == 0 && !used[m.Name] && f.HasMachineList() && now-m.IdleSince > boot/8 && now-m.RentedAt > time.Minute &&
+			now-m.LastHeartbeat <= p.SilenceTimeout()
 	}
 }
--- a/internal/coordination/leader/effects.go
+++ b/internal/coordination/leader/effects.go
@@ -46,11 +46,11 @@
 func (l *Leader) callCloud(effect fleet.Effect) {
 	turn := l.Cloud.Turn()
 	switch e := effect.(type) {
-	case fleet.Rent:
+	case fleet.ScaleOut:
 		go l.rent(e, turn)
-	case fleet.Release:
+	case fleet.ScaleIn:
 		go l.release(e, turn)
-	case fleet.List:
+	case fleet.ListMachines:
 		go l.list(turn)
 	}
 }
@@ -180,7 +180,7 @@
 	l.box.Send(scheduler.Listed{Asked: asked, Machines: ms, Failed: err != nil})
 }
 
-func (l *Leader) rent(e fleet.Rent, turn Turn) {
+func (l *Leader) rent(e fleet.ScaleOut, turn Turn) {
 	asked := l.Now()
 	for ; l.ctx.Err() == nil; turn = l.Cloud.Turn() {
 		names, refused, err := l.Cloud.Rent(l.ctx, turn, e.Rental)
@@ -194,14 +194,14 @@
 	}
 }
 
-func (l *Leader) release(e fleet.Release, turn Turn) {
+func (l *Leader) release(e fleet.ScaleIn, turn Turn) {
 	for ; l.ctx.Err() == nil; turn = l.Cloud.Turn() {
-		err := l.Cloud.Release(l.ctx, turn, e.Names)
+		err := l.Cloud.Release(l.ctx, turn, e.Machines)
 		if err == nil {
-			l.box.Send(scheduler.Released{Names: e.Names, OK: true})
+			l.box.Send(scheduler.Released{Names: e.Machines, OK: true})
 			return
 		}
-		l.Log.Info("release unanswered", "machines", len(e.Names), "err", err)
-		l.Random.Pause(l.ctx, "release "+e.Names[0], scheduler.Cycle)
+		l.Log.Info("release unanswered", "machines", len(e.Machines), "err", err)
+		l.Random.Pause(l.ctx, "release "+e.Machines[0], scheduler.Cycle)
 	}
 }
--- a/internal/coordination/machineindex/index.go
+++ b/internal/coordination/machineindex/index.go
@@ -34,7 +34,7 @@
 type Entry[T any] struct {
 	Value T
 	name  string
-	free  partition.Need
+	free  partition.Resources
 	home  *cell[T]
 }
 
@@ -47,7 +47,7 @@
 // pool holds the machines of one Pool in cells.
 type pool[T any] struct {
 	key      Pool
-	capacity partition.Need
+	capacity partition.Resources
 	cells    []*cell[T] // not empty, in the order of their levels
 }
 
@@ -79,7 +79,7 @@
 	return min(levelCount, int(free/capacity*levelCount+slack))
 }
 
-func levelsOf(free, capacity partition.Need) levels {
+func levelsOf(free, capacity partition.Resources) levels {
 	l := levels{cpus: levelOf(free.CPUs, capacity.CPUs), gpus: levelOf(free.GPUs, capacity.GPUs), memory: levelOf(free.MemoryGB, capacity.MemoryGB)}
 	l.highest = max(l.cpus, l.gpus, l.memory)
 	return l
@@ -92,7 +92,7 @@
 	return low, high
 }
 
-func (c *cell[T]) edges() (low, high partition.Need) {
+func (c *cell[T]) edges() (low, high partition.Resources) {
 	low.CPUs, high.CPUs = edges(c.levels.cpus, c.pool.capacity.CPUs)
 	low.GPUs, high.GPUs = edges(c.levels.gpus, c.pool.capacity.GPUs)
 	low.MemoryGB, high.MemoryGB = edges(c.levels.memory, c.pool.capacity.MemoryGB)
@@ -109,7 +109,7 @@
 func NewEntry[T any](name string, value T) *Entry[T] { return &Entry[T]{name: name, Value: value} }
 
 // Put enters a machine, or moves it to where its pool and free room say.
-func (x *Index[T]) Put(e *Entry[T], key Pool, capacity, free partition.Need) {
+func (x *Index[T]) Put(e *Entry[T], key Pool, capacity, free partition.Resources) {
 	at := levelsOf(free, capacity)
 	if h := e.home; h != nil && h.pool.key == key && h.pool.capacity == capacity && h.levels == at {
 		if e.free != free {
@@ -147,7 +147,7 @@
 func compareCellTo[T any](c *cell[T], at levels) int { return compareLevels(c.levels, at) }
 
 // cell returns the cell of a pool at some levels, making both if need be.
-func (x *Index[T]) cell(key Pool, capacity partition.Need, at levels) *cell[T] {
+func (x *Index[T]) cell(key Pool, capacity partition.Resources, at levels) *cell[T] {
 	i, ok := slices.BinarySearchFunc(x.pools, key, comparePoolTo[T])
 	for ok && i < len(x.pools) && x.pools[i].key == key && x.pools[i].capacity != capacity {
 		i++ // machines whose type was another when they were entered
@@ -186,7 +186,7 @@
 	return a.name < b.name
 }
 
-func compareRoom(a, b partition.Need) int {
+func compareRoom(a, b partition.Resources) int {
 	return cmp.Or(cmp.Compare(a.CPUs, b.CPUs), cmp.Compare(a.GPUs, b.GPUs), cmp.Compare(a.MemoryGB, b.MemoryGB))
 }
 
--- a/internal/coordination/machineindex/index_test.go
+++ b/internal/coordination/machineindex/index_test.go
@@ -17,24 +17,24 @@
 type machine struct {
 	entry *Entry[*machine]
 	pool  Pool
-	free  partition.Need
+	free  partition.Resources
 	worse float64 // what it scores beyond its room
 	shut  bool
 }
 
-var capacity = partition.Need{CPUs: 64, GPUs: 8, MemoryGB: 256}
+var capacity = partition.Resources{CPUs: 64, GPUs: 8, MemoryGB: 256}
 
-func drawNeed(t *rapid.T, label string) partition.Need {
-	return partition.Need{CPUs: rapid.Float64Range(0, 64).Draw(t, label+" cpus"), GPUs: float64(rapid.IntRange(0, 8).Draw(t, label+" gpus")),
+func drawNeed(t *rapid.T, label string) partition.Resources {
+	return partition.Resources{CPUs: rapid.Float64Range(0, 64).Draw(t, label+" cpus"), GPUs: float64(rapid.IntRange(0, 8).Draw(t, label+" gpus")),
 		MemoryGB: float64(rapid.IntRange(0, 8).Draw(t, label+" memory")) * 32}
 }
 
 // score is what a machine scores for a need; Loosest turns it round.
-func (m *machine) score(order Order, need partition.Need) float64 {
+func (m *machine) score(order Order, need partition.Resources) float64 {
 	if order == Loosest {
-		return base(m.pool) - m.free.Share(capacity) + m.worse
+		return base(m.pool) - m.free.DominantShare(capacity) + m.worse
 	}
-	return base(m.pool) + m.free.Minus(need).Share(capacity) + m.worse
+	return base(m.pool) + m.free.Minus(need).DominantShare(capacity) + m.worse
 }
 
 func base(p Pool) float64 {
@@ -47,11 +47,11 @@
 	return 0
 }
 
-func query(order Order, need partition.Need, looks int) Query {
+func query(order Order, need partition.Resources, looks int) Query {
 	q := Query{Need: need, Order: order, Looks: looks, Ties: looks, Base: base}
-	q.Bound = func(capacity, free partition.Need) float64 { return free.Minus(need).Share(capacity) }
+	q.Bound = func(capacity, free partition.Resources) float64 { return free.Minus(need).DominantShare(capacity) }
 	if order == Loosest {
-		q.Bound = func(capacity, free partition.Need) float64 { return -free.Share(capacity) }
+		q.Bound = func(capacity, free partition.Resources) float64 { return -free.DominantShare(capacity) }
 	}
 	return q
 }
@@ -116,13 +116,15 @@
 // they are all alike, all different, full, or nearly full.
 func TestLooksDoNotGrow(t *testing.T) {
 	const most = 40
-	need := partition.Need{CPUs: 2, MemoryGB: 4}
-	for name, free := range map[string]func(i int) partition.Need{
-		"empty":       func(int) partition.Need { return capacity },
-		"full":        func(int) partition.Need { return partition.Need{} },
-		"nearly full": func(i int) partition.Need { return partition.Need{CPUs: float64(i % 3), GPUs: 8, MemoryGB: 8} },
-		"different": func(i int) partition.Need {
-			return partition.Need{CPUs: float64(i*7919%6400) / 100, GPUs: float64(i % 9), MemoryGB: float64(i * 31 % 256)}
+	need := partition.Resources{CPUs: 2, MemoryGB: 4}
+	for name, free := range map[string]func(i int) partition.Resources{
+		"empty": func(int) partition.Resources { return capacity },
+		"full":  func(int) partition.Resources { return partition.Resources{} },
+		"nearly full": func(i int) partition.Resources {
+			return partition.Resources{CPUs: float64(i % 3), GPUs: 8, MemoryGB: 8}
+		},
+		"different": func(i int) partition.Resources {
+			return partition.Resources{CPUs: float64(i*7919%6400) / 100, GPUs: float64(i % 9), MemoryGB: float64(i * 31 % 256)}
 		},
 	} {
 		for _, n := range []int{100, 1000, 18_000} {
@@ -156,7 +158,7 @@
 		x.Put(m.entry, m.pool, capacity, m.free)
 	}
 	var best Best[*machine]
-	if x.Search(query(Tightest, partition.Need{}, 5), &best, func(m *machine) (float64, bool) { return m.score(Tightest, partition.Need{}), true }) {
+	if x.Search(query(Tightest, partition.Resources{}, 5), &best, func(m *machine) (float64, bool) { return m.score(Tightest, partition.Resources{}), true }) {
 		t.Error("five looks at twenty machines that all differ were enough")
 	}
 	if !best.Found || best.Entry.name != "m04" {
@@ -174,11 +176,11 @@
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			x := New[*machine]()
 			for i := range n {
-				m := &machine{pool: Pool{Type: "g8", Zone: []string{"a", "b", "c"}[i%3]}, free: partition.Need{CPUs: float64(2 * (i % 32)), GPUs: float64(i % 9), MemoryGB: 128}}
+				m := &machine{pool: Pool{Type: "g8", Zone: []string{"a", "b", "c"}[i%3]}, free: partition.Resources{CPUs: float64(2 * (i % 32)), GPUs: float64(i % 9), MemoryGB: 128}}
 				m.entry = NewEntry(fmt.Sprintf("m%05d", i), m)
 				x.Put(m.entry, m.pool, capacity, m.free)
 			}
-			need := partition.Need{CPUs: 2, MemoryGB: 4}
+			need := partition.Resources{CPUs: 2, MemoryGB: 4}
 			for b.Loop() {
 				var best Best[*machine]
 				x.Search(query(Tightest, need, 1000), &best, func(m *machine) (float64, bool) { return m.score(Tightest, need), true })
--- a/internal/coordination/machineindex/search.go
+++ b/internal/coordination/machineindex/search.go
@@ -20,7 +20,7 @@
 // Query is what a search asks for.
 type Query struct {
 	// Need is the room that a machine must have free; nothing passes over none.
-	Need partition.Need
+	Need partition.Resources
 	// Any looks at machines whatever room they have.
 	Any   bool
 	Order Order
@@ -28,7 +28,7 @@
 	// and Bound the least that one with so much free room scores beyond that. With Tightest the
 	// bound must not fall as the room grows, with Loosest not rise.
 	Base  func(Pool) float64
-	Bound func(capacity, free partition.Need) float64
+	Bound func(capacity, free partition.Resources) float64
 	// Looks is at how many machines the search looks at the most, and Ties at how many that
 	// cannot score better than the best but may be its equals.
 	Looks, Ties int
@@ -93,7 +93,7 @@
 }
 
 // fits says whether some machine of the cell has so much room.
-func (c *cell[T]) fits(need partition.Need) bool {
+func (c *cell[T]) fits(need partition.Resources) bool {
 	it := c.entries.Iter()
 	defer it.Release()
 	for ok := it.First(); ok; {
@@ -158,8 +158,8 @@
 }
 
 // maxRoom is the larger of two amounts of each resource.
-func maxRoom(a, b partition.Need) partition.Need {
-	return partition.Need{CPUs: max(a.CPUs, b.CPUs), GPUs: max(a.GPUs, b.GPUs), MemoryGB: max(a.MemoryGB, b.MemoryGB)}
+func maxRoom(a, b partition.Resources) partition.Resources {
+	return partition.Resources{CPUs: max(a.CPUs, b.CPUs), GPUs: max(a.GPUs, b.GPUs), MemoryGB: max(a.MemoryGB, b.MemoryGB)}
 }
 
 // worse says whether a bound shows that a machine is worse than the best. Bounds are computed
--- a/internal/coordination/partition/commands.go
+++ b/internal/coordination/partition/commands.go
@@ -11,38 +11,38 @@
 	"pinebay/internal/protocol"
 )
 
-// exit is an exited task that the machine still reports.
-type exit struct {
-	attempt  uint64
-	settled  bool // the record no longer counts on it
-	runToken uint64
-	at       time.Duration
+// exitedTask is an exited task that the machine still reports.
+type exitedTask struct {
+	attempt         uint64
+	outcomeRecorded bool // the record no longer counts on it
+	runFencingToken uint64
+	exitedAt        time.Duration
 }
 
-// Orders returns the commands that are due to a machine, and notes that they
+// TakeDueCommands returns the commands that are due to a machine, and notes that they
 // are on their way. maxOrders keeps an answer inside the protocol's limit.
-func (p *Partition) Orders(now time.Duration, m *Machine) []protocol.Command {
+func (p *Registry) TakeDueCommands(now time.Duration, m *Machine) []protocol.Command {
 	const maxOrders = 400
-	p.raiseEpoch(now, m)
-	m.fresh = false
+	p.raiseCommandEpochIfNeeded(now, m)
+	m.newCommandsDue = false
 	var out []protocol.Command
 	run := func(pl *Placement) {
-		pl.sent = true
-		pl.runToken = p.Token(m)
+		pl.runSent = true
+		pl.runFencingToken = p.FencingToken(m)
 		out = append(out, protocol.Command{Verb: protocol.VerbRun, TaskName: pl.Task.String(), Attempt: pl.Attempt})
 	}
 	stop := func(id protocol.TaskID, attempt uint64, graceS float64) {
 		out = append(out, protocol.Command{Verb: protocol.VerbStop, TaskName: id.String(), Attempt: attempt, GraceSeconds: &graceS})
 	}
 	if len(m.placements) > 0 {
-		for _, pl := range sorted(m.placements) {
-			if len(out) >= maxOrders || !pl.Written || pl.Session != m.Session {
+		for _, pl := range sortedPlacements(m.placements) {
+			if len(out) >= maxOrders || !pl.StartAllowed || pl.Incarnation != m.Incarnation {
 				continue
 			}
 			switch {
-			case !pl.Stopping && !pl.Seen:
+			case !pl.Stopping && !pl.Reported:
 				run(pl)
-			case pl.Stopping && pl.Seen:
+			case pl.Stopping && pl.Reported:
 				if pl.State != protocol.TaskSaving || pl.GraceS == 0 {
 					stop(pl.Task, pl.Attempt, pl.GraceS)
 				}
@@ -54,22 +54,22 @@
 			}
 		}
 	}
-	for _, id := range inOrder(m.stray) {
+	for _, id := range sortedTaskIDs(m.unknownTasks) {
 		if len(out) < maxOrders {
-			stop(id, m.stray[id], 0)
+			stop(id, m.unknownTasks[id], 0)
 		}
 	}
-	for _, id := range inOrder(m.exits) {
-		if e := m.exits[id]; len(out) < maxOrders && p.forgettable(m, e) {
+	for _, id := range sortedTaskIDs(m.exitedTasks) {
+		if e := m.exitedTasks[id]; len(out) < maxOrders && p.canForget(m, e) {
 			out = append(out, protocol.Command{Verb: protocol.VerbForget, TaskName: id.String(), Attempt: e.attempt})
-			delete(m.exits, id)
+			delete(m.exitedTasks, id)
 		}
 	}
 	return out
 }
 
-// inOrder lists the tasks of a machine in an order that does not depend on chance.
-func inOrder[V any](tasks map[protocol.TaskID]V) []protocol.TaskID {
+// sortedTaskIDs lists the tasks of a machine in an order that does not depend on chance.
+func sortedTaskIDs[V any](tasks map[protocol.TaskID]V) []protocol.TaskID {
 	if len(tasks) == 0 {
 		return nil
 	}
@@ -80,59 +80,61 @@
 	return list
 }
 
-// forgettable says whether no run of an exited attempt can reach the machine
+// canForget says whether no run of an exited attempt can reach the machine
 // any more: after forget, a late copy would start the attempt again. Commands
 // with a token below the highest that the worker has seen are refused.
-func (p *Partition) forgettable(m *Machine, e *exit) bool {
-	return e.settled && e.runToken < m.Token
+func (p *Registry) canForget(m *Machine, e *exitedTask) bool {
+	return e.outcomeRecorded && e.runFencingToken < m.HighestFencingToken
 }
 
-// Token is what commands to the machine carry now.
-func (p *Partition) Token(m *Machine) uint64 { return protocol.FencingToken(p.term, m.epoch) }
+// FencingToken is what commands to the machine carry now.
+func (p *Registry) FencingToken(m *Machine) uint64 {
+	return protocol.FencingToken(p.term, m.commandEpoch)
+}
 
-// raiseEpoch raises the machine's epoch when exited entries wait for it, so that
+// raiseCommandEpochIfNeeded raises the machine's epoch when exited entries wait for it, so that
 // late copies of their runs are refused and the entries can be forgotten, or
 // when a start without an answer is to be withdrawn. It waits for commands and
 // starts under way, which the change would only delay.
-func (p *Partition) raiseEpoch(now time.Duration, m *Machine) {
-	pause := config.Seconds(p.workers.LeaseS / 2)
-	if m.Busy || m.epoch >= protocol.MaxTokenEpoch {
+func (p *Registry) raiseCommandEpochIfNeeded(now time.Duration, m *Machine) {
+	pause := config.Seconds(p.workerSettings.LeaseS / 2)
+	if m.CommandInFlight || m.commandEpoch >= protocol.MaxTokenEpoch {
 		return
 	}
 	starting, withdraw := false, false
 	for _, pl := range m.placements {
 		switch {
-		case !pl.Written || pl.Seen || pl.Session != m.Session:
+		case !pl.StartAllowed || pl.Reported || pl.Incarnation != m.Incarnation:
 		case !pl.Stopping:
 			starting = true
-		case pl.runToken >= p.Token(m):
+		case pl.runFencingToken >= p.FencingToken(m):
 			withdraw = true
 		}
 	}
 	settled := false
-	if !starting && now-m.epochRaised >= pause {
-		for _, e := range m.exits {
-			if e.settled && e.runToken >= p.Token(m) && now-e.at > pause {
+	if !starting && now-m.commandEpochRaisedAt >= pause {
+		for _, e := range m.exitedTasks {
+			if e.outcomeRecorded && e.runFencingToken >= p.FencingToken(m) && now-e.exitedAt > pause {
 				settled = true
 				break
 			}
 		}
 	}
 	if settled || withdraw {
-		m.epoch++
-		m.epochRaised = now
+		m.commandEpoch++
+		m.commandEpochRaisedAt = now
 	}
 }
 
-// due says whether a placement needs a command.
-func (pl *Placement) due() bool {
-	return pl.Written && (!pl.Seen || pl.Stopping && (pl.State != protocol.TaskSaving || pl.GraceS == 0))
+// needsCommand says whether a placement needs a command.
+func (pl *Placement) needsCommand() bool {
+	return pl.StartAllowed && (!pl.Reported || pl.Stopping && (pl.State != protocol.TaskSaving || pl.GraceS == 0))
 }
 
-// Urgent returns the machines that should be sent commands directly, since
+// MachinesToCommand returns the machines that should be sent commands directly, since
 // waiting for their next report would be noticed. Only those are looked at on
 // which something is due: this is asked with every message.
-func (p *Partition) Urgent(now time.Duration) []*Machine {
+func (p *Registry) MachinesToCommand(now time.Duration) []*Machine {
 	var out []*Machine
 	for name, m := range p.commandsDue {
 		if p.machines[name] != m {
@@ -141,14 +143,14 @@
 		}
 		any, here := false, false
 		for _, pl := range m.placements {
-			if pl.due() {
-				any, here = true, here || pl.Session == m.Session
+			if pl.needsCommand() {
+				any, here = true, here || pl.Incarnation == m.Incarnation
 			}
 		}
 		switch {
 		case !any:
 			delete(p.commandsDue, name)
-		case here && m.Up && !m.Busy && !m.Relayed && m.Addr != "" && now >= m.RetryAt:
+		case here && m.Registered && !m.CommandInFlight && !m.Relayed && m.Addr != "" && now >= m.CommandRetryAt:
 			out = append(out, m)
 		}
 	}
@@ -156,21 +158,21 @@
 	return out
 }
 
-// Answered notes the outcome of a direct command: ok when it was executed.
-func (p *Partition) Answered(now time.Duration, m *Machine, ok bool) {
-	m.Busy = false
+// CommandAnswered notes the outcome of a direct command: ok when it was executed.
+func (p *Registry) CommandAnswered(now time.Duration, m *Machine, ok bool) {
+	m.CommandInFlight = false
 	if !ok {
 		// The next report is the natural time for another try; a machine that is
 		// silent is tried seldom, or hundreds behind a cut would take the turns of
 		// those that answer.
-		pause := p.workers.ReportS
-		if now-m.Heard > p.Silent() {
-			pause = p.workers.LeaseS / 2
+		pause := p.workerSettings.ReportS
+		if now-m.LastHeartbeat > p.SilenceTimeout() {
+			pause = p.workerSettings.LeaseS / 2
 		}
-		m.RetryAt = now + config.Seconds(pause)
+		m.CommandRetryAt = now + config.Seconds(pause)
 		return
 	}
-	if !m.fresh {
-		m.RetryAt = now + config.Seconds(p.workers.ReportS/4)
+	if !m.newCommandsDue {
+		m.CommandRetryAt = now + config.Seconds(p.workerSettings.ReportS/4)
 	}
 }
--- a/internal/coordination/partition/limits_test.go
+++ b/internal/coordination/partition/limits_test.go
@@ -7,27 +7,27 @@
 	"pinebay/internal/protocol"
 )
 
-// TestMoreOrdersThanAnAnswerHolds: a machine with more to be told than fits one answer is told the
+// TestMoreCommandsThanAReplyHolds: a machine with more to be told than fits one answer is told the
 // rest with the next ones, each command once.
-func TestMoreOrdersThanAnAnswerHolds(t *testing.T) {
+func TestMoreCommandsThanAReplyHolds(t *testing.T) {
 	const tasks = 1500
-	p := newPart(1)
-	small := kind
+	p := newTestRegistry(1)
+	small := testMachineType
 	small.GPUs = tasks
-	p.SetTypes([]protocol.MachineType{small})
-	m, _, _ := p.Report(0, report(1, 1, 0))
+	p.SetMachineTypes([]protocol.MachineType{small})
+	m, _, _ := p.HandleHeartbeat(0, testHeartbeat(1, 1, 0))
 	for i := range tasks {
-		pl := placement(i, 1)
-		if !p.Grant(0, []*Placement{pl}) {
+		pl := newTestPlacement(i, 1)
+		if !p.Reserve(0, []*Placement{pl}) {
 			t.Fatalf("no room for task %d", i)
 		}
 		pl.Recorded = true
-		p.Start(pl)
+		p.AllowStart(pl)
 	}
 	told := map[string]bool{}
 	var states []protocol.TaskStatus
 	for round := uint64(2); len(told) < tasks && round < 20; round++ {
-		orders := p.Orders(time.Duration(round)*time.Second, m)
+		orders := p.TakeDueCommands(time.Duration(round)*time.Second, m)
 		if raw, err := protocol.Encode(protocol.WorkerHeartbeatReply{FencingToken: 1, Commands: orders}); err != nil || len(raw) > protocol.MaxBodyBytes {
 			t.Fatalf("%d commands in %d bytes: %v", len(orders), len(raw), err)
 		}
@@ -38,7 +38,7 @@
 			told[o.TaskName] = true
 			states = append(states, protocol.TaskStatus{TaskName: o.TaskName, Attempt: o.Attempt, State: protocol.TaskFetching})
 		}
-		p.Report(time.Duration(round)*time.Second, report(1, round, 0, states...))
+		p.HandleHeartbeat(time.Duration(round)*time.Second, testHeartbeat(1, round, 0, states...))
 	}
 	if len(told) != tasks {
 		t.Errorf("%d of %d tasks were started", len(told), tasks)
--- a/internal/coordination/scheduler/allocate.go
+++ b/internal/coordination/scheduler/allocate.go
@@ -176,7 +176,7 @@
 			return
 		}
 		taken[x] = true
-		c.setFree(x, partition.Need{CPUs: -1, GPUs: -1, MemoryGB: -1})
+		c.setFree(x, partition.Resources{CPUs: -1, GPUs: -1, MemoryGB: -1})
 	}
 }
 
@@ -198,12 +198,12 @@
 		}
 		ps = append(ps, &partition.Placement{
 			Task: protocol.TaskID{JobID: j.spec.ID, Index: t}, Attempt: a, Machine: x.m.Name,
-			Need: j.need, Team: j.spec.Team, Level: j.level, Job: &j.spec,
+			Resources: j.need, Team: j.spec.Team, PriorityLevel: j.level, Job: &j.spec,
 		})
 		p := j.pageOf(t)
 		p.attempts = max(p.attempts, a)
 	}
-	if !c.machines.Grant(now, ps) {
+	if !c.machines.Reserve(now, ps) {
 		c.due, c.roster.wrong = true, true // the partition knows better; ask again with what it says
 		return
 	}
@@ -214,8 +214,8 @@
 		j.touch(t, now)
 		j.granted = append(j.granted, pl)
 		j.queues.addPlaced(j)
-		if m := c.machines.Machine(pl.Machine); m.Reserved == j.spec.ID {
-			m.Reserved = ""
+		if m := c.machines.Machine(pl.Machine); m.ReservedJob == j.spec.ID {
+			m.ReservedJob = ""
 		}
 	}
 }
--- a/internal/coordination/scheduler/allocate_test.go
+++ b/internal/coordination/scheduler/allocate_test.go
@@ -121,7 +121,7 @@
 		b.now += Eager
 		b.job(spec(fmt.Sprintf("j-%d", i), protocol.Array, "normal", 1, 1))
 		for _, e := range b.c.Step(b.now, Tick{}) {
-			if f, ok := e.(Fleet); ok && f.Effect == (fleet.List{}) {
+			if f, ok := e.(Fleet); ok && f.Effect == (fleet.ListMachines{}) {
 				lists++
 				b.do(Listed{Asked: b.now})
 			}
@@ -148,7 +148,7 @@
 	}
 	b.machine("m1", "a", false)
 	b.cycle()
-	if red, blue := b.c.machines.Usage("red").GPUs, b.c.machines.Usage("blue").GPUs; red != 4 || blue != 4 {
+	if red, blue := b.c.machines.TeamUsage("red").GPUs, b.c.machines.TeamUsage("blue").GPUs; red != 4 || blue != 4 {
 		t.Errorf("red has %v, blue %v of 8", red, blue)
 	}
 }
--- a/internal/coordination/scheduler/borrow.go
+++ b/internal/coordination/scheduler/borrow.go
@@ -49,7 +49,7 @@
 	cands := c.candidates(now)
 	k := c.marketOf(now, cands)
 	choice := k.choose(j, request, func(x *candidate) bool {
-		return c.fits(now, j, x, l) && !x.m.ReservedFor(now, j.spec.ID)
+		return c.fits(now, j, x, l) && !x.m.IsReservedFor(now, j.spec.ID)
 	})
 	if len(choice.Picks) == 0 || j.spec.Shape == protocol.Gang && len(choice.Picks) < n || k.unsafe(choice) {
 		j.searchAgain = now + searchPause
--- a/internal/coordination/scheduler/cancel_test.go
+++ b/internal/coordination/scheduler/cancel_test.go
@@ -71,7 +71,7 @@
 	b.do(JobDropped{ID: "j-2"})
 	deadlines := map[string]bool{}
 	by := b.c.fencingDeadline(b.now)
-	b.c.machines.Machine("m1").Placements(func(pl *partition.Placement) {
+	b.c.machines.Machine("m1").EachPlacement(func(pl *partition.Placement) {
 		if pl.FenceAt == by {
 			deadlines[pl.Task.JobID] = true
 		}
--- a/internal/coordination/scheduler/candidates.go
+++ b/internal/coordination/scheduler/candidates.go
@@ -14,7 +14,7 @@
 type candidate struct {
 	m    *partition.Machine
 	kind *protocol.MachineType
-	free partition.Need // less what was granted or is held in this cycle
+	free partition.Resources // less what was granted or is held in this cycle
 	// taken says that the room reserved on it is spoken for in this cycle.
 	taken bool
 	// kept is room for jobs to come.
@@ -30,12 +30,12 @@
 	level    int
 	aim      float64 // the class's on waiting, in seconds
 	position int     // the class's in the order of return, while that is in force
-	need     partition.Need
+	need     partition.Resources
 }
 
 // less is what is left of the free room for work of the level with that aim on
 // waiting, and that position in the order of return.
-func (x *candidate) less(level int, aim float64, position int) partition.Need {
+func (x *candidate) less(level int, aim float64, position int) partition.Resources {
 	n := x.free
 	for _, k := range x.kept {
 		if k.level == level && k.aim < aim && k.position <= position {
@@ -77,11 +77,11 @@
 		c.refresh(now, x)
 	}
 	r.dirty = r.dirty[:0]
-	for _, m := range c.machines.Changed() {
+	for _, m := range c.machines.TakeChanged() {
 		c.refreshMachine(now, m)
 	}
 	for x := range r.muted {
-		if now >= x.m.MutedUntil {
+		if now >= x.m.UnresponsiveUntil {
 			c.refresh(now, x)
 		}
 	}
@@ -105,28 +105,28 @@
 // rebuild enters all machines anew, since the index has turned out to be wrong.
 func (c *Core) rebuild(now time.Duration) {
 	c.roster = newRoster()
-	c.machines.Changed() // all are entered
+	c.machines.TakeChanged() // all are entered
 	c.machines.Each(func(m *partition.Machine) {
-		m.View = nil
+		m.SchedulerData = nil
 		c.refreshMachine(now, m)
 	})
 }
 
 // refreshMachine enters a machine by its books.
 func (c *Core) refreshMachine(now time.Duration, m *partition.Machine) {
-	x, ok := m.View.(*candidate)
+	x, ok := m.SchedulerData.(*candidate)
 	switch {
-	case m.Lost() && ok:
+	case m.Removed() && ok:
 		c.roster.index.Remove(x.entry)
 		delete(c.roster.muted, x)
-		m.View = nil
+		m.SchedulerData = nil
 		return
-	case m.Lost():
+	case m.Removed():
 		return
 	case !ok:
 		x = &candidate{m: m}
 		x.entry = machineindex.NewEntry(m.Name, x)
-		m.View = x
+		m.SchedulerData = x
 	}
 	c.refresh(now, x)
 }
@@ -135,15 +135,15 @@
 // new tasks now.
 func (c *Core) refresh(now time.Duration, x *candidate) {
 	delete(c.roster.muted, x)
-	x.kind = c.machines.Type(x.m.Type)
-	if x.m.Lost() || x.kind == nil || !c.machines.Open(now, x.m) {
+	x.kind = c.machines.MachineType(x.m.Type)
+	if x.m.Removed() || x.kind == nil || !c.machines.Schedulable(now, x.m) {
 		c.roster.index.Remove(x.entry)
-		if now < x.m.MutedUntil {
+		if now < x.m.UnresponsiveUntil {
 			c.roster.muted[x] = true // no event tells when that is over
 		}
 		return
 	}
-	x.free = c.machines.Free(x.m)
+	x.free = c.machines.FreeCapacity(x.m)
 	c.enter(x)
 }
 
@@ -156,7 +156,7 @@
 // open says whether a candidate still takes new tasks. One that does not, since it fell silent,
 // leaves the index after the search.
 func (c *Core) open(now time.Duration, x *candidate) bool {
-	if c.machines.Open(now, x.m) {
+	if c.machines.Schedulable(now, x.m) {
 		return true
 	}
 	c.roster.closed = append(c.roster.closed, x)
@@ -173,8 +173,8 @@
 
 // candidateOf returns the candidate of a machine if it takes new tasks now, or nil.
 func (c *Core) candidateOf(now time.Duration, m *partition.Machine) *candidate {
-	x, ok := m.View.(*candidate)
-	if !ok || !c.roster.index.Has(x.entry) || !c.machines.Open(now, m) {
+	x, ok := m.SchedulerData.(*candidate)
+	if !ok || !c.roster.index.Has(x.entry) || !c.machines.Schedulable(now, m) {
 		return nil
 	}
 	return x
@@ -199,7 +199,7 @@
 }
 
 // setFree changes a candidate's room for the rest of the cycle.
-func (c *Core) setFree(x *candidate, free partition.Need) {
+func (c *Core) setFree(x *candidate, free partition.Resources) {
 	c.mark(x)
 	x.free = free
 	c.enter(x)
@@ -212,7 +212,7 @@
 }
 
 // room is what a job may use of a candidate.
-func (c *Core) room(x *candidate, j *job) partition.Need {
+func (c *Core) room(x *candidate, j *job) partition.Resources {
 	if len(x.kept) == 0 {
 		return x.free
 	}
@@ -227,7 +227,7 @@
 	none := &limits{}
 	recovering := c.recovering()
 	for _, u := range c.spareNow {
-		j := &job{spec: *u.Job, need: partition.NeedOf(u.Job), level: u.Job.Priority.Rank()}
+		j := &job{spec: *u.Job, need: partition.TaskResources(u.Job), level: u.Job.Priority.Rank()}
 		aim, position := c.waitAim(u.Job.Class), c.returnPosition(u.Job)
 		allowed := func(x *candidate) bool {
 			return (u.Zone == "" || u.Zone == x.m.Zone) && j.need.Fits(x.less(j.level, math.Inf(1), math.MaxInt)) &&
@@ -239,7 +239,7 @@
 				break
 			}
 			c.mark(best)
-			for level := j.level; level == j.level || (u.Quick || recovering) && level < fleet.Levels; level++ {
+			for level := j.level; level == j.level || (u.MustBeFree || recovering) && level < fleet.PriorityLevels; level++ {
 				best.kept = append(best.kept, kept{level, aim, position, j.need})
 			}
 		}
@@ -248,7 +248,7 @@
 
 // reserve has the room on a machine cleared for a job until the given time.
 func (c *Core) reserve(m *partition.Machine, j *job, until time.Duration) {
-	m.Reserved, m.ReservedUntil = j.spec.ID, until
+	m.ReservedJob, m.ReservedUntil = j.spec.ID, until
 	if j.reserved == nil {
 		j.reserved = map[*partition.Machine]bool{}
 	}
@@ -258,7 +258,7 @@
 // reservedFor lists the candidates on which room is cleared for a job, in name order.
 func (c *Core) reservedFor(now time.Duration, j *job) (list []*candidate) {
 	for m := range j.reserved {
-		if !m.ReservedFor(now, j.spec.ID) || m.Lost() {
+		if !m.IsReservedFor(now, j.spec.ID) || m.Removed() {
 			delete(j.reserved, m)
 			continue
 		}
--- a/internal/coordination/scheduler/core.go
+++ b/internal/coordination/scheduler/core.go
@@ -47,8 +47,8 @@
 	cascade []*job // cancelled with a job that they await, and not recorded yet
 	timers  []timer
 
-	machines *partition.Partition
-	fleet    *fleet.Fleet
+	machines *partition.Registry
+	fleet    *fleet.Autoscaler
 	jobs     map[string]*job
 	queues   *jobQueues
 	teams    map[string]*config.Team
@@ -86,7 +86,7 @@
 	arrivals      map[string][]time.Duration // by class, newest last
 	sample        map[string]*protocol.Job   // the newest job of each class
 	sizes         map[string]float64         // mean tasks of a job
-	spareNow      []fleet.Unit               // room wanted for jobs to come
+	spareNow      []fleet.Demand             // room wanted for jobs to come
 	counted       map[string]float64         // jobs in the memory of arrivals, by class
 	prior         map[string]float64         // what the last leader counted
 	imagePages    map[string]string          // images records as written
@@ -129,7 +129,7 @@
 	for i := range cfg.Teams {
 		c.teams[cfg.Teams[i].Name] = &cfg.Teams[i]
 	}
-	c.machines.SetTypes(rec.Types)
+	c.machines.SetMachineTypes(rec.Types)
 	c.recoverImages(rec.Images)
 	started := jobsWithPages(rec.Pages)
 	for _, p := range rec.Live {
@@ -156,7 +156,7 @@
 		}
 		if j.over {
 			// It ended under another leader, who knows when.
-			c.setFencingDeadline(j, now+c.fleet.Patience())
+			c.setFencingDeadline(j, now+c.fleet.FencingTimeout())
 			c.stopJob(now, j)
 		}
 	}
@@ -198,10 +198,10 @@
 	case Inspected:
 		c.heard(now, e.Report)
 	case Types:
-		c.machines.SetTypes(e.Types)
+		c.machines.SetMachineTypes(e.Types)
 	case Listed:
 		if e.Failed {
-			c.fleet.ListFailed()
+			c.fleet.HandleListFailure()
 			break
 		}
 		c.inspectListed(now, e.Machines)
@@ -210,19 +210,19 @@
 				c.left(e.Machines[i].Name)
 			}
 		}
-		for _, name := range c.fleet.Listed(now, e.Asked, c.machines, e.Machines) {
+		for _, name := range c.fleet.HandleList(now, e.Asked, c.machines, e.Machines) {
 			c.log.Info("machine has left the list", "machine", name)
 			c.left(name)
-			c.facts(now, c.machines.Lost(now, name))
+			c.facts(now, c.machines.Remove(now, name))
 		}
 	case Rented:
 		c.log.Info("rented", "request", e.Request, "machines", len(e.Names), "refused", e.Refused)
-		c.fleet.Rented(now, e.Asked, c.machines, e.Request, e.Names, e.Refused)
+		c.fleet.HandleScaleOut(now, e.Asked, c.machines, e.Request, e.Names, e.Refused)
 	case Released:
-		c.fleet.Released(now, e.Names, e.OK)
+		c.fleet.HandleScaleIn(now, e.Names, e.OK)
 		if e.OK {
 			for _, n := range e.Names {
-				c.facts(now, c.machines.Lost(now, n))
+				c.facts(now, c.machines.Remove(now, n))
 			}
 		}
 	}
--- a/internal/coordination/scheduler/demand.go
+++ b/internal/coordination/scheduler/demand.go
@@ -14,8 +14,8 @@
 
 // demand lists the room that is wanted: for tasks that wait, and then for the
 // jobs that are likely to come before a machine rented now would be up.
-func (c *Core) demand(now time.Duration) []fleet.Unit {
-	var units []fleet.Unit
+func (c *Core) demand(now time.Duration) []fleet.Demand {
+	var units []fleet.Demand
 	zones := map[zoneQuestion]string{}
 	for _, j := range c.inTurn(c.queues.pendingJobs) {
 		n := min(j.counts[pending], c.allowance(j))
@@ -37,11 +37,11 @@
 			l.zone = c.likelyZone(now, j, zones)
 		}
 		if !j.spec.Spread || l.zone != "" {
-			units = append(units, fleet.Unit{Job: &j.spec, Zone: l.zone, Count: n, Avoid: j.avoids()})
+			units = append(units, fleet.Demand{Job: &j.spec, Zone: l.zone, Count: n, ExcludedMachines: j.avoids()})
 			continue
 		}
 		for _, u := range c.spreadUnits(&j.spec, l, n) {
-			u.Avoid = j.avoids()
+			u.ExcludedMachines = j.avoids()
 			units = append(units, u)
 		}
 	}
@@ -51,7 +51,7 @@
 
 // zoneQuestion is what the choice of a zone depends on.
 type zoneQuestion struct {
-	need        partition.Need
+	need        partition.Resources
 	types, zone string
 	tasks       int
 	spot        bool
@@ -74,11 +74,11 @@
 func (c *Core) roomiestZone(now time.Duration, j *job) string {
 	room := map[string]int{}
 	c.machines.Each(func(m *partition.Machine) {
-		t := c.machines.Type(m.Type)
-		if t == nil || !t.AllowedBy(&j.spec) || m.Condemned || m.Notice || m.Sick || m.Spot && !j.spec.SpotAllowed || c.lostZone(m.Zone) {
+		t := c.machines.MachineType(m.Type)
+		if t == nil || !t.AllowedBy(&j.spec) || m.Terminating || m.InterruptionNotice || m.Quarantined || m.Spot && !j.spec.SpotAllowed || c.lostZone(m.Zone) {
 			return
 		}
-		free := c.machines.Free(m)
+		free := c.machines.FreeCapacity(m)
 		for n := 0; n < j.spec.TaskCount && j.need.Fits(free); n++ {
 			free = free.Minus(j.need)
 			room[m.Zone]++
@@ -87,7 +87,7 @@
 	best, bestRoom := "", -1
 	for _, z := range c.zonesToTry(&j.spec) {
 		n := room[z]
-		if n < j.spec.TaskCount && c.fleet.CanRent(now, c.machines, &j.spec, z) {
+		if n < j.spec.TaskCount && c.fleet.CanScaleOut(now, c.machines, &j.spec, z) {
 			n += j.spec.TaskCount
 		}
 		if n > bestRoom {
@@ -100,7 +100,7 @@
 // zones lists the zones that a job allows, in order.
 func (c *Core) zones(spec *protocol.Job) []string {
 	zones := map[string]bool{}
-	for _, t := range c.machines.Types() {
+	for _, t := range c.machines.MachineTypes() {
 		if t.AllowedBy(spec) {
 			for _, z := range t.Zones {
 				if spec.Zone == "" || spec.Zone == z {
@@ -113,7 +113,7 @@
 }
 
 // spreadUnits deals tasks to zones as the job's spread demands.
-func (c *Core) spreadUnits(spec *protocol.Job, l *limits, n int) []fleet.Unit {
+func (c *Core) spreadUnits(spec *protocol.Job, l *limits, n int) []fleet.Demand {
 	names := c.zones(spec)
 	counts := map[string]int{}
 	for ; n > 0; n-- {
@@ -128,10 +128,10 @@
 		}
 		counts[best]++
 	}
-	var units []fleet.Unit
+	var units []fleet.Demand
 	for _, z := range names {
 		if counts[z] > 0 {
-			units = append(units, fleet.Unit{Job: spec, Zone: z, Count: counts[z]})
+			units = append(units, fleet.Demand{Job: spec, Zone: z, Count: counts[z]})
 		}
 	}
 	return units
@@ -139,13 +139,13 @@
 
 // spare is the room kept for classes whose aim on waiting is shorter than a
 // machine takes to come up with their image.
-func (c *Core) spare(now time.Duration) []fleet.Unit {
-	var units []fleet.Unit
+func (c *Core) spare(now time.Duration) []fleet.Demand {
+	var units []fleet.Demand
 	for _, class := range slices.Sorted(maps.Keys(c.sample)) {
 		spec := c.sample[class]
 		within := c.waitAim(class)
 		boot, ready := 0.0, math.Inf(1)
-		for _, t := range c.machines.Types() {
+		for _, t := range c.machines.MachineTypes() {
 			if t.AllowedBy(spec) && t.TaskCapacity(spec) > 0 && t.FetchGBPerSecond > 0 {
 				if r := t.BootSeconds + spec.ImageGB/t.FetchGBPerSecond; r < ready {
 					boot, ready = t.BootSeconds, r
@@ -161,7 +161,7 @@
 		}
 		// Where a fetch that takes a third longer outlasts the aim, no time is
 		// left to clear room first.
-		quick := within < (ready-boot)*partition.SlowFetch
+		quick := within < (ready-boot)*partition.SlowFetchFactor
 		jobs := mean + c.margin(class)*math.Sqrt(mean)
 		tasks := int(math.Round(jobs * c.sizes[class]))
 		if tasks == 0 {
@@ -170,12 +170,12 @@
 		if spec.Spread {
 			l := &limits{perZone: map[string]int{}, most: (tasks + 1) / 2}
 			for _, u := range c.spreadUnits(spec, l, tasks) {
-				u.Spare, u.Quick = true, quick
+				u.Headroom, u.MustBeFree = true, quick
 				units = append(units, u)
 			}
 			continue
 		}
-		units = append(units, fleet.Unit{Job: spec, Count: tasks, Spare: true, Quick: quick})
+		units = append(units, fleet.Demand{Job: spec, Count: tasks, Headroom: true, MustBeFree: quick})
 	}
 	return units
 }
--- a/internal/coordination/scheduler/failure_test.go
+++ b/internal/coordination/scheduler/failure_test.go
@@ -121,7 +121,7 @@
 		t.Errorf("%d starts in two minutes", starts)
 	}
 	for i := range 6 {
-		if m := b.c.machines.Machine(fmt.Sprintf("m%d", i)); m == nil || m.Sick {
+		if m := b.c.machines.Machine(fmt.Sprintf("m%d", i)); m == nil || m.Quarantined {
 			t.Errorf("machine %d was set aside for a faulty job", i)
 		}
 	}
--- a/internal/coordination/scheduler/fleetlog.go
+++ b/internal/coordination/scheduler/fleetlog.go
@@ -11,7 +11,7 @@
 )
 
 // logFleet tells how the machines are used.
-func (c *Core) logFleet(now time.Duration, units []fleet.Unit) {
+func (c *Core) logFleet(now time.Duration, units []fleet.Demand) {
 	if !c.log.Enabled(context.Background(), slog.LevelDebug) {
 		return
 	}
@@ -20,26 +20,26 @@
 	var ordinary, ordinaryFree float64
 	kept := map[string]float64{} // ordinary machines by class
 	c.machines.Each(func(m *partition.Machine) {
-		t := c.machines.Type(m.Type)
+		t := c.machines.MachineType(m.Type)
 		switch {
-		case t == nil || !m.Up:
+		case t == nil || !m.Registered:
 			booting++
 			return
-		case m.Count() == 0:
+		case m.PlacementCount() == 0:
 			empty++
-		case now-m.Heard > c.machines.Silent():
+		case now-m.LastHeartbeat > c.machines.SilenceTimeout():
 			silent++
 		}
 		up++
 		cap := partition.CapacityOf(t)
-		unused := 1 - cap.Minus(c.machines.Free(m)).Share(cap)
+		unused := 1 - cap.Minus(c.machines.FreeCapacity(m)).DominantShare(cap)
 		free += unused
 		if !m.Spot {
 			ordinary++
 			ordinaryFree += unused
 		}
-		m.Placements(func(pl *partition.Placement) {
-			share := pl.Need.Share(cap)
+		m.EachPlacement(func(pl *partition.Placement) {
+			share := pl.Resources.DominantShare(cap)
 			if pl.Job.Shape == protocol.Array {
 				soft += share
 			}
@@ -50,7 +50,7 @@
 	})
 	want := map[string]int{}
 	for _, u := range units {
-		if u.Spare {
+		if u.Headroom {
 			want["spare "+u.Job.Class] += u.Count
 		} else {
 			want[u.Job.Class] += u.Count
--- a/internal/coordination/scheduler/images.go
+++ b/internal/coordination/scheduler/images.go
@@ -21,13 +21,13 @@
 			continue
 		}
 		for _, m := range rec.Machines {
-			var copies []partition.Copy
+			var copies []partition.CachedImage
 			for _, i := range m.Images {
 				if i >= 0 && i < len(rec.Images) {
-					copies = append(copies, partition.Copy{Image: rec.Images[i], SizeGB: rec.SizesGB[i]})
+					copies = append(copies, partition.CachedImage{Image: rec.Images[i], SizeGB: rec.SizesGB[i]})
 				}
 			}
-			c.machines.Hint(m.Name, copies)
+			c.machines.SetImageHint(m.Name, copies)
 		}
 		for _, a := range rec.Arrivals {
 			c.prior[a.Class], c.sizes[a.Class] = a.Jobs, a.Tasks
@@ -43,7 +43,7 @@
 		return
 	}
 	c.imagesWritten = now
-	copies := c.machines.Copies()
+	copies := c.machines.CachedImages()
 	names := slices.Sorted(maps.Keys(copies))
 	per := storage.ImagesPerRecord(c.stateLimits.ValueKB)
 	pages := map[string][]byte{}
--- a/internal/coordination/scheduler/index_rules_test.go
+++ b/internal/coordination/scheduler/index_rules_test.go
@@ -15,12 +15,12 @@
 // indexErrors counts the machines of which the roster says something else than the books.
 func (b *bench) indexErrors() (wrong int) {
 	b.c.machines.Each(func(m *partition.Machine) {
-		x, ok := m.View.(*candidate)
-		open := b.c.machines.Open(b.now, m)
+		x, ok := m.SchedulerData.(*candidate)
+		open := b.c.machines.Schedulable(b.now, m)
 		switch {
 		case !ok || open && !b.c.roster.index.Has(x.entry):
 			wrong++
-		case open && x.free != b.c.machines.Free(m):
+		case open && x.free != b.c.machines.FreeCapacity(m):
 			wrong++
 		}
 	})
@@ -46,12 +46,12 @@
 		b.cycle()
 		b.settle()
 		b.c.machines.Each(func(m *partition.Machine) {
-			x := m.View.(*candidate)
+			x := m.SchedulerData.(*candidate)
 			switch rapid.IntRange(0, 3).Draw(t, "break") {
 			case 0:
 				b.c.roster.index.Remove(x.entry)
 			case 1:
-				x.free = partition.Need{CPUs: 1000, GPUs: 1000, MemoryGB: 1000}
+				x.free = partition.Resources{CPUs: 1000, GPUs: 1000, MemoryGB: 1000}
 				b.c.enter(x)
 			case 2:
 				b.c.roster.index.Put(x.entry, machineindex.Pool{Type: "g8", Zone: "elsewhere"}, partition.CapacityOf(x.kind), x.free)
@@ -110,7 +110,7 @@
 		}
 		if rapid.Bool().Draw(t, "types change") {
 			for _, b := range w.pair {
-				changed := *b.c.machines.Type("g8")
+				changed := *b.c.machines.MachineType("g8")
 				changed.CPUs *= 2
 				b.do(Types{Types: []protocol.MachineType{changed}})
 			}
--- a/internal/coordination/scheduler/inspect.go
+++ b/internal/coordination/scheduler/inspect.go
@@ -47,7 +47,7 @@
 	for len(c.inspector.queue) > 0 && most > 0 {
 		e := c.inspector.queue[0]
 		c.inspector.queue = c.inspector.queue[1:]
-		if !c.machines.Up(e.Machine) && !c.fleet.Gone(e.Machine) {
+		if !c.machines.Registered(e.Machine) && !c.fleet.RecentlyReleased(e.Machine) {
 			c.emit(e)
 			most--
 		}
--- a/internal/coordination/scheduler/job.go
+++ b/internal/coordination/scheduler/job.go
@@ -26,7 +26,7 @@
 // job is an accepted job, or one that is over but not yet gone.
 type job struct {
 	spec  protocol.Job
-	need  partition.Need
+	need  partition.Resources
 	level int
 	types string // the allowed types, in one word
 	stamp uint64 // version of its live record; 0 once it is over
@@ -88,7 +88,7 @@
 
 func newJob(spec protocol.Job, stamp uint64, atMS int64, now time.Duration, layout storage.Layout) *job {
 	return &job{
-		spec: spec, need: partition.NeedOf(&spec), level: spec.Priority.Rank(), types: strings.Join(spec.MachineTypes, " "), stamp: stamp, atMS: atMS, known: now,
+		spec: spec, need: partition.TaskResources(&spec), level: spec.Priority.Rank(), types: strings.Join(spec.MachineTypes, " "), stamp: stamp, atMS: atMS, known: now,
 		latestStart: dependency.Never,
 		tasks:       make([]taskState, spec.TaskCount), counts: [3]int{spec.TaskCount, 0, 0},
 		places: map[int]*partition.Placement{}, ran: map[int]bool{}, pages: map[int]*page{}, layout: layout, failedOn: map[string]bool{},
--- a/internal/coordination/scheduler/level_test.go
+++ b/internal/coordination/scheduler/level_test.go
@@ -91,7 +91,7 @@
 	if pl == nil {
 		return fmt.Sprint("done ", isDone)
 	}
-	return fmt.Sprintf("done %v on %s session %d attempt %d zone %s", isDone, pl.Machine, pl.Session, pl.Attempt, pl.Zone)
+	return fmt.Sprintf("done %v on %s session %d attempt %d zone %s", isDone, pl.Machine, pl.Incarnation, pl.Attempt, pl.Zone)
 }
 
 // recordBooks takes into the books what a page says of its tasks: of several pages the last one that was written.
@@ -117,7 +117,7 @@
 		}
 	}
 	for _, pl := range rec.Places {
-		known[pl.Task] = taskText(isDone[pl.Task], &partition.Placement{Machine: pl.Machine, Session: pl.Session, Attempt: pl.Attempt, Zone: rec.Zones[pl.Zone]})
+		known[pl.Task] = taskText(isDone[pl.Task], &partition.Placement{Machine: pl.Machine, Incarnation: pl.Session, Attempt: pl.Attempt, Zone: rec.Zones[pl.Zone]})
 	}
 }
 
@@ -189,7 +189,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			next := New(s.now, s.c.cfg, s.c.log, Term{Number: 6, Stamp: 2, Level: s.c.level}, Records{Types: []protocol.MachineType{*s.c.machines.Type("g8")},
+			next := New(s.now, s.c.cfg, s.c.log, Term{Number: 6, Stamp: 2, Level: s.c.level}, Records{Types: []protocol.MachineType{*s.c.machines.MachineType("g8")},
 				Live: []protocol.KeyValue{{Key: storage.LiveKey("j-1"), Value: raw, Revision: 5}}, Pages: pages}, 0, nil)
 			return next.jobs["j-1"]
 		}
--- a/internal/coordination/scheduler/lifecycle.go
+++ b/internal/coordination/scheduler/lifecycle.go
@@ -43,22 +43,22 @@
 }
 
 // facts takes in what became of placements.
-func (c *Core) facts(now time.Duration, facts []partition.Fact) {
+func (c *Core) facts(now time.Duration, facts []partition.Observation) {
 	for _, f := range facts {
 		pl := f.Placement
 		j := c.jobs[pl.Task.JobID]
 		if j == nil || j.places[pl.Task.Index] != pl {
 			continue
 		}
-		if !pl.Gone {
-			if pl.State == protocol.TaskRunning && pl.Since == now {
+		if !pl.Terminated {
+			if pl.State == protocol.TaskRunning && pl.StateSince == now {
 				j.runAt = now
 				if j.spec.Shape == protocol.Service {
 					j.ran[pl.Task.Index] = true
 				}
 				j.failures = max(0, j.failures-1)
 				c.log.Debug("running", "task", pl.Task, "class", j.spec.Class, "attempt", pl.Attempt, "machine", pl.Machine,
-					"waited", now-j.known, "placed", now-pl.Granted, "image", j.spec.Image)
+					"waited", now-j.known, "placed", now-pl.ReservedAt, "image", j.spec.Image)
 			}
 			continue
 		}
@@ -134,14 +134,14 @@
 			j.notBefore = now + min(Cycle<<min(j.failures, 6), config.Seconds(2*c.cfg.Workers.CancelS))
 			for name := range j.failedOn {
 				if o := c.machines.Machine(name); o != nil {
-					delete(o.Errors, j.spec.ID)
+					delete(o.FailedJobs, j.spec.ID)
 				}
 			}
 		}
 	case protocol.CauseNoCapacity, protocol.CauseOtherAttempt:
 		// The machine holds something that we don't know of.
 		if m != nil {
-			m.MutedUntil = max(m.MutedUntil, now+config.Seconds(2*c.cfg.Workers.ReportS))
+			m.UnresponsiveUntil = max(m.UnresponsiveUntil, now+config.Seconds(2*c.cfg.Workers.ReportS))
 		}
 		j.notBefore = now + Cycle/4
 	case protocol.CauseUnknownTask:
@@ -175,12 +175,12 @@
 // stop asks a placement to end, and takes in when that needs no proof.
 func (c *Core) stop(now time.Duration, j *job, pl *partition.Placement, graceS float64) {
 	c.roomEvents++
-	if c.machines.Stop(now, pl, graceS) && !pl.Written && j.writing {
+	if c.machines.Stop(now, pl, graceS) && !pl.StartAllowed && j.writing {
 		// Its record may be written at this moment; it names a placement that
 		// was never started, which a later write replaces.
 		c.log.Debug("placement withdrawn before its record", "task", pl.Task)
 	}
-	if pl.Gone && j.places[pl.Task.Index] == pl {
+	if pl.Terminated && j.places[pl.Task.Index] == pl {
 		c.gone(now, j, pl, true)
 	}
 }
@@ -208,7 +208,7 @@
 // stopOnNotice takes work off machines that the cloud is about to take away: saved
 // if that can be done in time.
 func (c *Core) stopOnNotice(now time.Duration) {
-	c.machines.Noticed(func(m *partition.Machine) {
+	c.machines.EachWithInterruptionNotice(func(m *partition.Machine) {
 		for _, pl := range c.placementsOn(m) {
 			if !pl.Stopping {
 				c.stopOrderly(now, pl, math.MaxInt64)
--- a/internal/coordination/scheduler/limits_test.go
+++ b/internal/coordination/scheduler/limits_test.go
@@ -64,7 +64,7 @@
 				t.Errorf("placements are written: %s", e.Verify)
 			}
 		case Fleet:
-			if _, ok := e.Effect.(fleet.Release); ok {
+			if _, ok := e.Effect.(fleet.ScaleIn); ok {
 				t.Errorf("machines are returned: %v", e.Effect)
 			}
 		}
--- a/internal/coordination/scheduler/loans.go
+++ b/internal/coordination/scheduler/loans.go
@@ -74,7 +74,7 @@
 	}
 	pl := j.places[loan.Lender.Task]
 	switch {
-	case pl != nil && pl.Attempt != loan.Lender.Attempt && pl.Written:
+	case pl != nil && pl.Attempt != loan.Lender.Attempt && pl.StartAllowed:
 		return zones.Repaid
 	case pl != nil && pl.Attempt == loan.Lender.Attempt && !pl.Stopping && !c.returning.untaken[loan.Lender]:
 		return zones.NotTaken
--- a/internal/coordination/scheduler/loans_test.go
+++ b/internal/coordination/scheduler/loans_test.go
@@ -109,7 +109,7 @@
 		t.Fatal(err)
 	}
 	next.c = New(next.now, next.c.cfg, next.c.log, Term{Number: 6, Stamp: 6}, Records{
-		Types: []protocol.MachineType{*b.c.machines.Type("g8")}, Live: []protocol.KeyValue{{Key: storage.LiveKey(low.ID), Value: live, Revision: 1}},
+		Types: []protocol.MachineType{*b.c.machines.MachineType("g8")}, Live: []protocol.KeyValue{{Key: storage.LiveKey(low.ID), Value: live, Revision: 1}},
 		Pages: []protocol.KeyValue{{Key: productionPage(low.ID, 0), Value: raw, Revision: 2}}, ZonePages: []protocol.KeyValue{next.records[storage.ZoneReturnKey(0)]},
 	}, next.now.Milliseconds(), next.order)
 	if next.c.returning.monitor.State("a") != zones.Lost || next.c.returning.ledger.Len() != 1 {
@@ -256,7 +256,7 @@
 			b.submit(j)
 			b.seconds(2)
 		}
-		if used := b.c.machines.Usage("red").GPUs; used != 10 {
+		if used := b.c.machines.TeamUsage("red").GPUs; used != 10 {
 			t.Fatalf("red uses %v of 10 GPUs", used)
 		}
 		b.lose()
--- a/internal/coordination/scheduler/market.go
+++ b/internal/coordination/scheduler/market.go
@@ -16,14 +16,14 @@
 	core   *Core
 	now    time.Duration
 	rooms  []*marketRoom
-	usage  map[string]partition.Need // of teams, less what has been lent
+	usage  map[string]partition.Resources // of teams, less what has been lent
 	leaves map[zones.LentTask]bool
 }
 
 // marketRoom is a machine on the market.
 type marketRoom struct {
 	x       *candidate
-	free    partition.Need
+	free    partition.Resources
 	lenders []*partition.Placement
 }
 
@@ -35,16 +35,16 @@
 
 // marketOf returns the room on candidates, less what this cycle has given away.
 func (c *Core) marketOf(now time.Duration, cands []*candidate) *market {
-	k := &market{core: c, now: now, usage: map[string]partition.Need{}, leaves: map[zones.LentTask]bool{}}
+	k := &market{core: c, now: now, usage: map[string]partition.Resources{}, leaves: map[zones.LentTask]bool{}}
 	for _, x := range cands {
 		if c.returning.monitor.State(x.m.Zone) != zones.Available {
 			continue
 		}
 		room := &marketRoom{x: x, free: x.free}
-		x.m.Placements(func(pl *partition.Placement) {
+		x.m.EachPlacement(func(pl *partition.Placement) {
 			switch {
 			case pl.Stopping:
-				room.free = room.free.Plus(pl.Need)
+				room.free = room.free.Plus(pl.Resources)
 			case c.lendable(pl):
 				room.lenders = append(room.lenders, pl)
 			}
@@ -61,7 +61,7 @@
 // nor what has been lent already.
 func (c *Core) lendable(pl *partition.Placement) bool {
 	j := c.jobs[pl.Task.JobID]
-	return pl.Level > 0 && j != nil && !j.over && !c.returning.ledger.Lent(lentTask(pl))
+	return pl.PriorityLevel > 0 && j != nil && !j.over && !c.returning.ledger.Lent(lentTask(pl))
 }
 
 func lentTask(pl *partition.Placement) zones.LentTask {
@@ -89,16 +89,16 @@
 func (k *market) lendersFor(j *job, room *marketRoom) (lenders []zones.Lender) {
 	capacity := partition.CapacityOf(room.x.kind)
 	for _, pl := range room.lenders {
-		if pl.Level <= j.level || k.core.returnsBefore(pl, j) || k.leaves[lentTask(pl)] || k.protected(pl) {
+		if pl.PriorityLevel <= j.level || k.core.returnsBefore(pl, j) || k.leaves[lentTask(pl)] || k.protected(pl) {
 			continue
 		}
 		gang := pl.Job != nil && pl.Job.Shape == protocol.Gang
 		// Who has lent before is the more likely to be late for it.
-		cost := k.core.lostBy(k.now, pl)*pl.Need.Share(capacity) + float64(k.core.returning.lentBy[pl.Task.JobID])
+		cost := k.core.lostBy(k.now, pl)*pl.Resources.DominantShare(capacity) + float64(k.core.returning.lentBy[pl.Task.JobID])
 		if gang {
 			cost += room.x.kind.BootSeconds // all of it has to find room, and often its image, again
 		}
-		lenders = append(lenders, zones.Lender{Task: lentTask(pl), Need: pl.Need, Cost: cost, Gang: gang})
+		lenders = append(lenders, zones.Lender{Task: lentTask(pl), Need: pl.Resources, Cost: cost, Gang: gang})
 	}
 	return lenders
 }
@@ -109,10 +109,10 @@
 	return withinGuarantee(k.core.team(pl.Team), k.teamUsage(pl.Team))
 }
 
-func (k *market) teamUsage(team string) partition.Need {
+func (k *market) teamUsage(team string) partition.Resources {
 	used, ok := k.usage[team]
 	if !ok {
-		used = k.core.machines.Usage(team)
+		used = k.core.machines.TeamUsage(team)
 	}
 	return used
 }
@@ -120,9 +120,9 @@
 // lostBy is the work that a placement loses when it is stopped, in seconds.
 func (c *Core) lostBy(now time.Duration, pl *partition.Placement) float64 {
 	if pl.Job != nil && pl.Job.CheckpointIntervalSeconds > 0 {
-		return min(pl.Job.SaveSeconds, (now - pl.Since).Seconds())
+		return min(pl.Job.SaveSeconds, (now - pl.StateSince).Seconds())
 	}
-	return (now - pl.Since).Seconds()
+	return (now - pl.StateSince).Seconds()
 }
 
 // place finds room for tasks of a job and takes it off the market, and returns for how many
@@ -162,8 +162,8 @@
 				continue
 			}
 			k.leaves[lentTask(pl)] = true
-			k.usage[pl.Team] = k.teamUsage(pl.Team).Minus(pl.Need)
-			room.free = room.free.Plus(pl.Need)
+			k.usage[pl.Team] = k.teamUsage(pl.Team).Minus(pl.Resources)
+			room.free = room.free.Plus(pl.Resources)
 		}
 		for _, pick := range choice.Picks {
 			if pick.Machine == room.x.m.Name {
@@ -176,7 +176,7 @@
 // unsafe says whether a choice, taken as a whole, would take a team into its guarantee: each
 // lender alone is beyond it, but several of them may not be.
 func (k *market) unsafe(choice zones.Choice) bool {
-	usage := map[string]partition.Need{}
+	usage := map[string]partition.Resources{}
 	for _, room := range k.rooms {
 		for _, pl := range room.lenders {
 			if !slices.Contains(choice.Lenders, lentTask(pl)) {
@@ -189,7 +189,7 @@
 			if withinGuarantee(k.core.team(pl.Team), used) {
 				return true
 			}
-			usage[pl.Team] = used.Minus(pl.Need)
+			usage[pl.Team] = used.Minus(pl.Resources)
 		}
 	}
 	return false
--- a/internal/coordination/scheduler/move.go
+++ b/internal/coordination/scheduler/move.go
@@ -33,7 +33,7 @@
 			continue
 		}
 		c.lastMove = now
-		x.m.Placements(func(pl *partition.Placement) {
+		x.m.EachPlacement(func(pl *partition.Placement) {
 			c.log.Info("moving", "task", pl.Task, "from", pl.Machine)
 		})
 		for _, pl := range c.placementsOn(x.m) {
@@ -46,7 +46,7 @@
 // usedShare is the part of a machine that is in use.
 func (c *Core) usedShare(x *candidate) float64 {
 	capacity := partition.CapacityOf(x.kind)
-	return capacity.Minus(c.machines.Free(x.m)).Share(capacity)
+	return capacity.Minus(c.machines.FreeCapacity(x.m)).DominantShare(capacity)
 }
 
 // lightMachines lists machines that could be emptied. In a large fleet it looks at a part of
@@ -69,21 +69,21 @@
 }
 
 func (c *Core) placementsOn(m *partition.Machine) (out []*partition.Placement) {
-	m.Placements(func(pl *partition.Placement) { out = append(out, pl) })
+	m.EachPlacement(func(pl *partition.Placement) { out = append(out, pl) })
 	sort.Slice(out, func(a, b int) bool { return out[a].Task.String() < out[b].Task.String() })
 	return out
 }
 
 // movable says whether a machine holds nothing but a few settled replicas.
 func (c *Core) movable(now time.Duration, x *candidate) bool {
-	if x.m.Count() == 0 || c.reserved(now, x.m, "") {
+	if x.m.PlacementCount() == 0 || c.reserved(now, x.m, "") {
 		return false
 	}
 	ok := true
-	x.m.Placements(func(pl *partition.Placement) {
+	x.m.EachPlacement(func(pl *partition.Placement) {
 		j := c.jobs[pl.Task.JobID]
 		if j == nil || j.over || j.writing || j.spec.Shape != protocol.Service || pl.Stopping ||
-			pl.State != protocol.TaskRunning || now-pl.Since < settled {
+			pl.State != protocol.TaskRunning || now-pl.StateSince < settled {
 			ok = false
 		}
 	})
@@ -93,20 +93,20 @@
 // fitsElsewhere says whether all that a machine holds fits on machines that
 // are fuller, have the images and are in the same zone.
 func (c *Core) fitsElsewhere(now time.Duration, x *candidate) bool {
-	taken := map[*candidate]partition.Need{}
+	taken := map[*candidate]partition.Resources{}
 	for _, pl := range c.placementsOn(x.m) {
 		best := c.fuller(now, x, pl, taken)
 		if best == nil {
 			return false
 		}
-		taken[best] = taken[best].Plus(pl.Need)
+		taken[best] = taken[best].Plus(pl.Resources)
 	}
 	return true
 }
 
 // fuller returns the fullest machine that a placement could move to, or nil.
-func (c *Core) fuller(now time.Duration, x *candidate, pl *partition.Placement, taken map[*candidate]partition.Need) (best *candidate) {
-	set := c.machines.WithImage(pl.Job.Image)
+func (c *Core) fuller(now time.Duration, x *candidate, pl *partition.Placement, taken map[*candidate]partition.Resources) (best *candidate) {
+	set := c.machines.MachinesWithImage(pl.Job.Image)
 	if set == nil {
 		return nil
 	}
@@ -116,9 +116,9 @@
 			return false
 		}
 		y := c.candidateOf(now, m)
-		if y == nil || y == x || m.Zone != x.m.Zone || m.Spot || !y.kind.AllowedBy(pl.Job) || c.usedShare(y) < c.usedShare(x) || m.Count() == 0 ||
-			m.HasAttempt(pl.Task) || len(m.Errors) > 0 || c.machines.FetchTime(now, m, pl.Job) > 0 ||
-			c.reserved(now, m, "") || !pl.Need.Fits(y.free.Minus(taken[y])) {
+		if y == nil || y == x || m.Zone != x.m.Zone || m.Spot || !y.kind.AllowedBy(pl.Job) || c.usedShare(y) < c.usedShare(x) || m.PlacementCount() == 0 ||
+			m.HasAttempt(pl.Task) || len(m.FailedJobs) > 0 || c.machines.FetchTime(now, m, pl.Job) > 0 ||
+			c.reserved(now, m, "") || !pl.Resources.Fits(y.free.Minus(taken[y])) {
 			return true
 		}
 		if best == nil || c.usedShare(y) > c.usedShare(best) {
@@ -149,7 +149,7 @@
 // fetches says whether a task of the job may still fetch its image.
 func fetches(j *job) bool {
 	for _, pl := range j.places {
-		if !pl.Seen || pl.State == protocol.TaskFetching {
+		if !pl.Reported || pl.State == protocol.TaskFetching {
 			return true
 		}
 	}
@@ -166,7 +166,7 @@
 	}
 	for _, pl := range placements(j) {
 		m := c.machines.Machine(pl.Machine)
-		if m == nil || !pl.Seen || pl.Stopping || pl.State != protocol.TaskFetching ||
+		if m == nil || !pl.Reported || pl.Stopping || pl.State != protocol.TaskFetching ||
 			c.machines.FetchTime(now, m, &j.spec) < config.Seconds(3*c.cfg.Workers.ReportS) {
 			continue
 		}
@@ -176,7 +176,7 @@
 			l.zone = j.spec.Zone
 		}
 		best := c.find.withImage(now, j, l, func(x *candidate) bool {
-			return x.m != m && c.fits(now, j, x, l) && j.need.Fits(c.room(x, j)) && !x.m.HasAttempt(pl.Task) && len(x.m.Errors) == 0
+			return x.m != m && c.fits(now, j, x, l) && j.need.Fits(c.room(x, j)) && !x.m.HasAttempt(pl.Task) && len(x.m.FailedJobs) == 0
 		})
 		if best == nil {
 			continue
--- a/internal/coordination/scheduler/pages.go
+++ b/internal/coordination/scheduler/pages.go
@@ -62,7 +62,7 @@
 		}
 		if pl := j.places[t]; pl != nil {
 			r.Places = append(r.Places, storage.Place{
-				Task: t, Machine: pl.Machine, Session: pl.Session, Attempt: pl.Attempt, Zone: r.ZoneIndex(pl.Zone),
+				Task: t, Machine: pl.Machine, Session: pl.Incarnation, Attempt: pl.Attempt, Zone: r.ZoneIndex(pl.Zone),
 			})
 		}
 	}
--- a/internal/coordination/scheduler/pipelines.go
+++ b/internal/coordination/scheduler/pipelines.go
@@ -118,7 +118,7 @@
 	}
 	c.queues.reorder(j, func() { j.level, j.latestStart = level, start })
 	for _, pl := range j.places {
-		c.machines.SetLevel(pl, level)
+		c.machines.SetPriorityLevel(pl, level)
 	}
 	c.due = true
 }
@@ -202,14 +202,14 @@
 
 // foreseen lists the room that blocked jobs will want before a machine rented now would be up: the jobs that
 // they await all run, and are likely to be done by then.
-func (c *Core) foreseen(now time.Duration) (units []fleet.Unit) {
+func (c *Core) foreseen(now time.Duration) (units []fleet.Demand) {
 	left := mostForeseen
 	c.queues.blockedJobs.Scan(func(j *job) bool {
 		if left--; left < 0 {
 			return false
 		}
 		if c.graph.State(j.spec.ID) == dependency.Live && c.isNear(now, j) {
-			units = append(units, fleet.Unit{Job: &j.spec, Count: min(j.spec.TaskCount, c.allowance(j)), Spare: true})
+			units = append(units, fleet.Demand{Job: &j.spec, Count: min(j.spec.TaskCount, c.allowance(j)), Headroom: true})
 		}
 		return true
 	})
@@ -223,7 +223,7 @@
 // isNear says whether all that a job awaits is likely to be done within a boot time.
 func (c *Core) isNear(now time.Duration, j *job) bool {
 	boot := 0.0
-	for _, t := range c.machines.Types() {
+	for _, t := range c.machines.MachineTypes() {
 		boot = max(boot, t.BootSeconds)
 	}
 	for _, id := range j.spec.Dependencies {
--- a/internal/coordination/scheduler/pipelines_test.go
+++ b/internal/coordination/scheduler/pipelines_test.go
@@ -188,7 +188,7 @@
 			t.Errorf("%s has level %d, latest start %v", id, j.level, j.latestStart)
 		}
 	}
-	if m := b.c.machines.Machine("m1"); m.Givable(2).GPUs != 0 || m.Givable(1).GPUs != 8 {
+	if m := b.c.machines.Machine("m1"); m.PreemptibleResources(2).GPUs != 0 || m.PreemptibleResources(1).GPUs != 8 {
 		t.Error("the running tasks still count by the old priority")
 	}
 	if b.started("j-1") != 2 || len(b.stops) > 0 {
@@ -222,7 +222,7 @@
 	started := storage.PageName{Job: "j-2", Layout: storage.Layout{Width: 48, Compact: true}}
 	b := newBench([]config.Team{{Name: "red"}}, "a")
 	b.c = New(0, old.c.cfg, old.c.log, Term{Number: 6, Stamp: 2, Level: featurelevel.Pipelines}, Records{
-		Types: []protocol.MachineType{*old.c.machines.Type("g8")},
+		Types: []protocol.MachineType{*old.c.machines.MachineType("g8")},
 		Live:  []protocol.KeyValue{record(after("j-2", "normal", 1, "j-1")), record(after("j-3", "normal", 1, "j-1")), record(after("j-4", "normal", 1, "j-3"))},
 		Pages: []protocol.KeyValue{{Key: started.Key(), Value: page, Revision: 4}},
 	}, 0, nil)
--- a/internal/coordination/scheduler/poolscore.go
+++ b/internal/coordination/scheduler/poolscore.go
@@ -17,8 +17,8 @@
 	if c.aimless(j) {
 		return true
 	}
-	for name, t := range c.machines.Types() {
-		if fetch := c.fetchS(j, name); fetch > max(aim, t.BootSeconds) || fetch*partition.SlowFetch > aim {
+	for name, t := range c.machines.MachineTypes() {
+		if fetch := c.fetchS(j, name); fetch > max(aim, t.BootSeconds) || fetch*partition.SlowFetchFactor > aim {
 			return true
 		}
 	}
@@ -27,7 +27,7 @@
 
 // poolAllows says whether machines of a pool may do for a job.
 func (c *Core) poolAllows(j *job, l *limits, p machineindex.Pool) bool {
-	t := c.machines.Type(p.Type)
+	t := c.machines.MachineType(p.Type)
 	return t != nil && (!p.Spot || j.spec.SpotAllowed) && t.AllowedBy(&j.spec) && (l.perZone == nil || l.allow(p.Zone))
 }
 
@@ -42,14 +42,14 @@
 	case j.spec.CheckpointIntervalSeconds > 0:
 		s--
 	default:
-		s += c.machines.Type(p.Type).BootSeconds
+		s += c.machines.MachineType(p.Type).BootSeconds
 	}
 	return s
 }
 
 // fetchS is how long a type of machines takes for the job's image, in seconds.
 func (c *Core) fetchS(j *job, kind string) float64 {
-	t := c.machines.Type(kind)
+	t := c.machines.MachineType(kind)
 	if t == nil || t.FetchGBPerSecond <= 0 {
 		return 0
 	}
--- a/internal/coordination/scheduler/preempt.go
+++ b/internal/coordination/scheduler/preempt.go
@@ -138,24 +138,24 @@
 func (c *Core) victims(now time.Duration, j *job, x *candidate, level int) (out []*partition.Placement, cost float64, ok bool) {
 	room := x.free // less what this cycle has given away already
 	var lower []*partition.Placement
-	x.m.Placements(func(pl *partition.Placement) {
+	x.m.EachPlacement(func(pl *partition.Placement) {
 		switch {
 		case pl.Stopping:
-			room = room.Plus(pl.Need)
+			room = room.Plus(pl.Resources)
 			out = append(out, pl)
 		case c.mayPreempt(j, pl, level):
 			lower = append(lower, pl)
 		}
 	})
 	sort.Slice(lower, func(a, b int) bool {
-		if lower[a].Level != lower[b].Level {
-			return lower[a].Level > lower[b].Level
+		if lower[a].PriorityLevel != lower[b].PriorityLevel {
+			return lower[a].PriorityLevel > lower[b].PriorityLevel
 		}
 		if ja, jb := c.age(now, lower[a]), c.age(now, lower[b]); ja != jb {
 			return ja < jb
 		}
-		if lower[a].Since != lower[b].Since {
-			return lower[a].Since > lower[b].Since
+		if lower[a].StateSince != lower[b].StateSince {
+			return lower[a].StateSince > lower[b].StateSince
 		}
 		return lower[a].Task.String() < lower[b].Task.String()
 	})
@@ -163,15 +163,15 @@
 		if j.need.Fits(room) {
 			break
 		}
-		room = room.Plus(pl.Need)
+		room = room.Plus(pl.Resources)
 		out = append(out, pl)
-		lost := (now - pl.Since).Seconds()
+		lost := (now - pl.StateSince).Seconds()
 		if pl.Job != nil && pl.Job.CheckpointIntervalSeconds > 0 {
 			lost = pl.Job.SaveSeconds
 		}
 		// An old job has been passed over or stopped before, and is the more
 		// likely to be late for it.
-		cost += 1 + lost*pl.Need.Share(partition.CapacityOf(x.kind)) + c.age(now, pl).Seconds()/10
+		cost += 1 + lost*pl.Resources.DominantShare(partition.CapacityOf(x.kind)) + c.age(now, pl).Seconds()/10
 		if pl.Job != nil && pl.Job.Shape == protocol.Gang {
 			// All of it has to find room, and often its image, again.
 			cost += float64(pl.Job.TaskCount) * x.kind.BootSeconds
@@ -190,9 +190,9 @@
 		return false
 	}
 	if pl.Team == j.spec.Team {
-		return pl.Level >= level
+		return pl.PriorityLevel >= level
 	}
-	return c.borrows(pl) && (pl.Level >= level || c.guaranteed(j))
+	return c.borrows(pl) && (pl.PriorityLevel >= level || c.guaranteed(j))
 }
 
 // age is how long the job of a placement has been known.
--- a/internal/coordination/scheduler/preempt_test.go
+++ b/internal/coordination/scheduler/preempt_test.go
@@ -161,7 +161,7 @@
 		b.job(spec("j-2", protocol.Gang, "urgent", 2, 8))
 		b.job(spec("j-3", protocol.Array, "normal", 1, 1))
 		m := b.c.machines.Machine("m1")
-		m.Reserved, m.ReservedUntil = x.owner, b.now+time.Minute
+		m.ReservedJob, m.ReservedUntil = x.owner, b.now+time.Minute
 		b.cycle()
 		for id, n := range x.want {
 			if got := b.started(id); got != n {
@@ -174,7 +174,7 @@
 	b.job(spec("j-1", protocol.Service, "critical", 1, 16)) // fits nowhere
 	b.job(spec("j-2", protocol.Array, "normal", 1, 1))
 	m := b.c.machines.Machine("m1")
-	m.Reserved, m.ReservedUntil = "j-1", b.now+time.Minute
+	m.ReservedJob, m.ReservedUntil = "j-1", b.now+time.Minute
 	b.cycle()
 	if b.started("j-2") != 0 {
 		t.Error("a later job took room that is being cleared")
@@ -196,9 +196,9 @@
 		b.job(j)
 		b.cycle()
 		b.machine(name, "a", false, running(protocol.TaskID{JobID: j.ID}, 1))
-		b.c.machines.Machine("m1").Sick = i == 0 // so that each has its own
+		b.c.machines.Machine("m1").Quarantined = i == 0 // so that each has its own
 	}
-	b.c.machines.Machine("m1").Sick = false
+	b.c.machines.Machine("m1").Quarantined = false
 	b.machine("m0", "a", false)
 	quick := spec("j-3", protocol.Service, "critical", 1, 1)
 	quick.Class, quick.Image, quick.ImageGB = "quick", "small", 1
@@ -300,9 +300,9 @@
 		b.job(j)
 		b.cycle()
 		b.machine("m-"+id.JobID, "a", false, fetching(id))
-		b.c.machines.Machine("m-j-1").Sick = id == one // so that each has its own
+		b.c.machines.Machine("m-j-1").Quarantined = id == one // so that each has its own
 	}
-	b.c.machines.Machine("m-j-1").Sick = false
+	b.c.machines.Machine("m-j-1").Quarantined = false
 	b.stops = map[protocol.TaskID]float64{}
 	for range 55 {
 		b.machine(b.on[one], "a", false, fetching(one))
--- a/internal/coordination/scheduler/preemptionsearch.go
+++ b/internal/coordination/scheduler/preemptionsearch.go
@@ -21,9 +21,9 @@
 	if f.c.guaranteed(j) {
 		lowest = 0
 	}
-	sets := []*partition.MachineSet{f.c.machines.WithStopping()}
-	for r := lowest; r < partition.Levels; r++ {
-		sets = append(sets, f.c.machines.AtLevel(r))
+	sets := []*partition.MachineSet{f.c.machines.MachinesWithStopping()}
+	for r := lowest; r < partition.PriorityLevels; r++ {
+		sets = append(sets, f.c.machines.MachinesAtPriority(r))
 	}
 	total := 0
 	for _, set := range sets {
@@ -83,8 +83,8 @@
 	c.preemptionLeft--
 	c.looks++
 	x := c.candidateOf(s.now, m)
-	if x == nil || !j.need.Fits(x.free.Plus(m.Givable(s.lowest))) || !j.need.Fits(partition.CapacityOf(x.kind)) ||
-		!c.fits(s.now, j, x, s.l) || m.ReservedFor(s.now, j.spec.ID) {
+	if x == nil || !j.need.Fits(x.free.Plus(m.PreemptibleResources(s.lowest))) || !j.need.Fits(partition.CapacityOf(x.kind)) ||
+		!c.fits(s.now, j, x, s.l) || m.IsReservedFor(s.now, j.spec.ID) {
 		return
 	}
 	warm := c.machines.FetchTime(s.now, m, &j.spec)
--- a/internal/coordination/scheduler/queue.go
+++ b/internal/coordination/scheduler/queue.go
@@ -16,7 +16,7 @@
 // kind is what the search for room depends on.
 type kind struct {
 	team, image, zone, types string
-	need                     partition.Need
+	need                     partition.Resources
 	level, placed            int
 	same, spread, spot       bool
 	victims                  int // level of the work that may leave, for searches for that
--- a/internal/coordination/scheduler/recording.go
+++ b/internal/coordination/scheduler/recording.go
@@ -296,7 +296,7 @@
 		page := j.page(n)
 		page.stamp = rev
 		for _, pl := range page.exits[:p.exits[n]] {
-			c.machines.Settle(pl)
+			c.machines.MarkOutcomeRecorded(pl)
 		}
 		page.exits = page.exits[p.exits[n]:]
 	}
--- a/internal/coordination/scheduler/recording_test.go
+++ b/internal/coordination/scheduler/recording_test.go
@@ -111,7 +111,7 @@
 		}
 		for _, id := range jobsOf(w) {
 			for _, pl := range s.c.jobs[id].places {
-				if pl.Written {
+				if pl.StartAllowed {
 					t.Fatalf("%s may start before its record", pl.Task)
 				}
 			}
@@ -119,7 +119,7 @@
 		s.answer(Written{Write: w.ID, OK: true})
 		for _, id := range jobsOf(w) {
 			for _, pl := range s.c.jobs[id].places {
-				if !pl.Written {
+				if !pl.StartAllowed {
 					t.Fatalf("%s may not start after its record", pl.Task)
 				}
 			}
--- a/internal/coordination/scheduler/records.go
+++ b/internal/coordination/scheduler/records.go
@@ -68,7 +68,7 @@
 
 func (c *Core) settle(p *page) {
 	for _, pl := range p.exits {
-		c.machines.Settle(pl)
+		c.machines.MarkOutcomeRecorded(pl)
 	}
 	p.exits = nil
 }
@@ -143,8 +143,8 @@
 		return
 	}
 	for _, pl := range j.granted {
-		if pl.Recorded && !pl.Gone {
-			c.machines.Start(pl)
+		if pl.Recorded && !pl.Terminated {
+			c.machines.AllowStart(pl)
 		}
 	}
 	j.granted = rest
@@ -155,7 +155,7 @@
 	granted := j.granted
 	j.granted = nil
 	for _, pl := range granted {
-		if !pl.Written {
+		if !pl.StartAllowed {
 			c.stop(now, j, pl, 0)
 		}
 	}
--- a/internal/coordination/scheduler/recoverpages.go
+++ b/internal/coordination/scheduler/recoverpages.go
@@ -109,8 +109,8 @@
 			continue
 		}
 		np := &partition.Placement{
-			Task: protocol.TaskID{JobID: j.spec.ID, Index: pl.Task}, Attempt: pl.Attempt, Machine: pl.Machine, Session: pl.Session,
-			Zone: rec.Zones[pl.Zone], Need: j.need, Team: j.spec.Team, Level: j.level, Job: &j.spec,
+			Task: protocol.TaskID{JobID: j.spec.ID, Index: pl.Task}, Attempt: pl.Attempt, Machine: pl.Machine, Incarnation: pl.Session,
+			Zone: rec.Zones[pl.Zone], Resources: j.need, Team: j.spec.Team, PriorityLevel: j.level, Job: &j.spec,
 		}
 		j.places[pl.Task] = np
 		if j.tasks[pl.Task] != done {
--- a/internal/coordination/scheduler/reference_test.go
+++ b/internal/coordination/scheduler/reference_test.go
@@ -40,7 +40,7 @@
 func (f fullScan) cheapest(now time.Duration, j *job, l *limits, within time.Duration, level int) (best *candidate, bestVictims []*partition.Placement) {
 	bestCost := math.Inf(1)
 	for _, x := range f.c.candidates(now) {
-		if !f.c.fits(now, j, x, l) || x.m.ReservedFor(now, j.spec.ID) || !j.need.Fits(partition.CapacityOf(x.kind)) {
+		if !f.c.fits(now, j, x, l) || x.m.IsReservedFor(now, j.spec.ID) || !j.need.Fits(partition.CapacityOf(x.kind)) {
 			continue
 		}
 		warm := f.c.machines.FetchTime(now, x.m, &j.spec)
@@ -61,7 +61,7 @@
 		if taken[x] || !f.c.fits(now, j, x, l) || !j.need.Fits(partition.CapacityOf(x.kind)) {
 			continue
 		}
-		if best == nil || x.free.Share(partition.CapacityOf(x.kind)) > best.free.Share(partition.CapacityOf(best.kind)) {
+		if best == nil || x.free.DominantShare(partition.CapacityOf(x.kind)) > best.free.DominantShare(partition.CapacityOf(best.kind)) {
 			best = x
 		}
 	}
--- a/internal/coordination/scheduler/returnfence.go
+++ b/internal/coordination/scheduler/returnfence.go
@@ -82,7 +82,7 @@
 // long as it would pay never pays more than twice what foresight would.
 func (c *Core) returnPatience() time.Duration {
 	patience := c.leaseOver()
-	for _, t := range c.machines.Types() {
+	for _, t := range c.machines.MachineTypes() {
 		patience = max(patience, config.Seconds(t.BootSeconds))
 	}
 	return patience
@@ -93,7 +93,7 @@
 func (c *Core) heldByLostZones(now time.Duration, j *job, patience time.Duration) (held []*partition.Placement) {
 	for _, pl := range placements(j) {
 		m := c.machines.Machine(pl.Machine)
-		if c.lostZone(pl.Zone) && m != nil && now-m.Heard > patience {
+		if c.lostZone(pl.Zone) && m != nil && now-m.LastHeartbeat > patience {
 			held = append(held, pl)
 		}
 	}
@@ -103,11 +103,11 @@
 // fenceMachineOf has the machine of a placement returned, and says how many that makes.
 func (c *Core) fenceMachineOf(now time.Duration, j *job, pl *partition.Placement) int {
 	m := c.machines.Machine(pl.Machine)
-	if m == nil || m.Condemned {
+	if m == nil || m.Terminating {
 		return 0
 	}
 	since, _ := c.returning.monitor.LostSince(pl.Zone)
-	m.Condemned = true
+	m.Terminating = true
 	c.decide(zones.MachineFenced{Machine: m.Name, Zone: m.Zone, Job: j.spec.ID, LostFor: now - since})
 	return 1
 }
--- a/internal/coordination/scheduler/score.go
+++ b/internal/coordination/scheduler/score.go
@@ -47,10 +47,10 @@
 // cleared for it, each could sit on a part of what one of them needs. And a job
 // that has found its room elsewhere keeps none.
 func (c *Core) reserved(now time.Duration, m *partition.Machine, id string) bool {
-	if m.Reserved == "" || m.Reserved == id || now >= m.ReservedUntil {
+	if m.ReservedJob == "" || m.ReservedJob == id || now >= m.ReservedUntil {
 		return false
 	}
-	o := c.jobs[m.Reserved]
+	o := c.jobs[m.ReservedJob]
 	if o == nil || o.over || o.counts[pending] == 0 && !o.leaving() {
 		return false
 	}
@@ -62,19 +62,19 @@
 func (c *Core) score(now time.Duration, j *job, x *candidate, l *limits) float64 {
 	yields := c.fetchesYield(j)
 	warm := c.machines.FetchTimeWithout(now, x.m, &j.spec, yields)
-	s := warm.Seconds() + c.machines.SlowsWithout(now, x.m, &j.spec, yields).Seconds()
+	s := warm.Seconds() + c.machines.FetchDelayWithout(now, x.m, &j.spec, yields).Seconds()
 	cap := partition.CapacityOf(x.kind)
 	if aim := c.waitAim(j.spec.Class); math.IsInf(aim, 1) || warm > config.Seconds(max(aim, x.kind.BootSeconds)) {
 		// No aim presses, or the fetch outlasts the aim and a boot. The next of its kind will want
 		// to start here without one, so room beside it, free or held by arrays,
 		// is worth having: half the fetch at most, as a warm machine stays better.
-		s += 1 - warm.Seconds()/2*x.free.Minus(j.need).Plus(x.m.Arrays()).Share(cap)
-	} else if warm > 0 && warm.Seconds()*partition.SlowFetch > c.waitAim(j.spec.Class) && x.m.Count() > 0 {
+		s += 1 - warm.Seconds()/2*x.free.Minus(j.need).Plus(x.m.ArrayUsage()).DominantShare(cap)
+	} else if warm > 0 && warm.Seconds()*partition.SlowFetchFactor > c.waitAim(j.spec.Class) && x.m.PlacementCount() > 0 {
 		// The same for smaller fetches, but an empty machine is left to jobs that
 		// want a whole one.
-		s -= x.free.Minus(j.need).Plus(x.m.Arrays()).Share(cap)
+		s -= x.free.Minus(j.need).Plus(x.m.ArrayUsage()).DominantShare(cap)
 	} else {
-		s += x.free.Minus(j.need).Share(cap)
+		s += x.free.Minus(j.need).DominantShare(cap)
 	}
 	if j.spec.Spread && l.perZone != nil {
 		s += float64(l.perZone[x.m.Zone]) / float64(j.spec.TaskCount)
@@ -89,7 +89,7 @@
 	if j.failedOn[x.m.Name] {
 		s += 10 * x.kind.BootSeconds
 	}
-	return s + float64(len(x.m.Errors))*x.kind.BootSeconds + c.distrust(j, x.m.Zone)
+	return s + float64(len(x.m.FailedJobs))*x.kind.BootSeconds + c.distrust(j, x.m.Zone)
 }
 
 // pick chooses the machine for a task. attempted says that one was passed over
@@ -119,8 +119,8 @@
 		return nil
 	}
 	return func(pl *partition.Placement) bool {
-		return pl.Level >= j.level+2 && pl.Job != nil && pl.Job.Shape == protocol.Array && pl.Job.Image != j.spec.Image &&
-			(!pl.Written || pl.State == protocol.TaskFetching) // one from an earlier term may run unseen
+		return pl.PriorityLevel >= j.level+2 && pl.Job != nil && pl.Job.Shape == protocol.Array && pl.Job.Image != j.spec.Image &&
+			(!pl.StartAllowed || pl.State == protocol.TaskFetching) // one from an earlier term may run unseen
 	}
 }
 
--- a/internal/coordination/scheduler/search.go
+++ b/internal/coordination/scheduler/search.go
@@ -100,7 +100,7 @@
 
 // lookAtImage looks at the machines that certainly have the job's image.
 func (f indexFinder) lookAtImage(now time.Duration, j *job, q machineindex.Query, judge judgement, best *machineindex.Best[*candidate]) (complete bool) {
-	set := f.c.machines.WithImage(j.spec.Image)
+	set := f.c.machines.MachinesWithImage(j.spec.Image)
 	if set == nil {
 		return true
 	}
@@ -114,16 +114,16 @@
 		f.lookAtSet(set, j, f.leastOf(q, j), has, best)
 		return true
 	}
-	q.Bound = func(capacity, free partition.Need) float64 { return free.Minus(j.need).Share(capacity) }
+	q.Bound = func(capacity, free partition.Resources) float64 { return free.Minus(j.need).DominantShare(capacity) }
 	if f.c.aimless(j) {
-		q.Bound = func(_, _ partition.Need) float64 { return 1 } // all score the same
+		q.Bound = func(_, _ partition.Resources) float64 { return 1 } // all score the same
 	}
 	return f.c.roster.index.Search(q, best, has)
 }
 
 // lookAtFetching looks at the machines that fetch the job's image.
 func (f indexFinder) lookAtFetching(now time.Duration, j *job, judge judgement, best *machineindex.Best[*candidate]) {
-	if set := f.c.machines.Fetching(j.spec.Image); set != nil {
+	if set := f.c.machines.MachinesFetching(j.spec.Image); set != nil {
 		f.lookAtSet(set, j, math.Inf(-1), func(x *candidate) (float64, bool) {
 			if f.c.machines.FetchTime(now, x.m, &j.spec) == 0 {
 				return 0, false // it was looked at already
@@ -150,7 +150,7 @@
 		if looks++; looks > f.c.searchLooks<<j.widened {
 			return false
 		}
-		x, ok := m.View.(*candidate)
+		x, ok := m.SchedulerData.(*candidate)
 		if !ok || !f.c.roster.index.Has(x.entry) || !j.need.Fits(x.free) {
 			return true
 		}
@@ -192,25 +192,25 @@
 // fetchBound bounds what a machine without the job's image scores beyond one fetch of it (see
 // score). While other fetches share its rate, or where a fetch outlasts the aim, the score
 // falls with the room on the machine, by no more than that fetch takes.
-func (f indexFinder) fetchBound(j *job, prefersRoom bool) func(capacity, free partition.Need) float64 {
+func (f indexFinder) fetchBound(j *job, prefersRoom bool) func(capacity, free partition.Resources) float64 {
 	aim := f.c.waitAim(j.spec.Class)
 	if prefersRoom {
 		longest := 0.0
-		for name := range f.c.machines.Types() {
+		for name := range f.c.machines.MachineTypes() {
 			longest = max(longest, f.c.fetchS(j, name))
 		}
 		least := 1 - longest/2
 		if !f.c.aimless(j) {
 			least = min(least, -1)
 		}
-		return func(_, _ partition.Need) float64 { return least }
+		return func(_, _ partition.Resources) float64 { return least }
 	}
 	crowded := math.Inf(1)
-	for name := range f.c.machines.Types() {
-		crowded = min(crowded, aim/partition.SlowFetch-1-f.c.fetchS(j, name))
+	for name := range f.c.machines.MachineTypes() {
+		crowded = min(crowded, aim/partition.SlowFetchFactor-1-f.c.fetchS(j, name))
 	}
-	return func(capacity, free partition.Need) float64 {
-		return min(free.Minus(j.need).Share(capacity), crowded)
+	return func(capacity, free partition.Resources) float64 {
+		return min(free.Minus(j.need).DominantShare(capacity), crowded)
 	}
 }
 
@@ -226,13 +226,13 @@
 		}
 		return 0
 	}
-	q.Bound = func(capacity, free partition.Need) float64 { return -free.Share(capacity) }
+	q.Bound = func(capacity, free partition.Resources) float64 { return -free.DominantShare(capacity) }
 	f.c.roster.index.Search(q, &best, func(x *candidate) (float64, bool) {
 		capacity := partition.CapacityOf(x.kind)
 		if taken[x] || !f.c.open(now, x) || !f.c.fits(now, j, x, l) || !j.need.Fits(capacity) {
 			return 0, false
 		}
-		return -x.free.Share(capacity), true
+		return -x.free.DominantShare(capacity), true
 	})
 	f.c.removeClosed(now)
 	return found(&best)
--- a/internal/coordination/scheduler/takeover_test.go
+++ b/internal/coordination/scheduler/takeover_test.go
@@ -36,7 +36,7 @@
 		t.Fatal("nothing was written down")
 	}
 	next := newBench([]config.Team{{Name: "red"}}, "a")
-	next.c = New(0, next.c.cfg, next.c.log, Term{Number: 6, Stamp: 2}, Records{Types: []protocol.MachineType{*b.c.machines.Type("g8")}, Images: warm}, 0, nil)
+	next.c = New(0, next.c.cfg, next.c.log, Term{Number: 6, Stamp: 2}, Records{Types: []protocol.MachineType{*b.c.machines.MachineType("g8")}, Images: warm}, 0, nil)
 	for _, m := range []string{"m1", "m2", "m3"} {
 		next.machine(m, "a", false)
 	}
@@ -66,7 +66,7 @@
 		}
 		live = append(live, protocol.KeyValue{Key: storage.LiveKey(id), Value: value, Revision: 3})
 	}
-	b.c = New(0, b.c.cfg, b.c.log, Term{Number: 6, Stamp: 2}, Records{Types: []protocol.MachineType{*b.c.machines.Type("g8")}, Live: live}, wallMS, nil)
+	b.c = New(0, b.c.cfg, b.c.log, Term{Number: 6, Stamp: 2}, Records{Types: []protocol.MachineType{*b.c.machines.MachineType("g8")}, Live: live}, wallMS, nil)
 	b.machine("m1", "a", false)
 	b.cycle()
 	if b.started("j-1") != 0 || b.started("j-2") != 1 {
@@ -152,7 +152,7 @@
 	}
 	boot := 30 * time.Second
 	want := b.c.expected(b.now, "quick", boot)
-	next := New(0, b.c.cfg, b.c.log, Term{Number: 6, Stamp: 2}, Records{Types: []protocol.MachineType{*b.c.machines.Type("g8")}, Live: live, Images: warm}, b.now.Milliseconds(), nil)
+	next := New(0, b.c.cfg, b.c.log, Term{Number: 6, Stamp: 2}, Records{Types: []protocol.MachineType{*b.c.machines.MachineType("g8")}, Live: live, Images: warm}, b.now.Milliseconds(), nil)
 	got := next.expected(0, "quick", boot)
 	if want == 0 || got < want/3 || got > want*1.2 {
 		t.Errorf("expects %v jobs after the take-over, %v before", got, want)
--- a/internal/coordination/scheduler/teams.go
+++ b/internal/coordination/scheduler/teams.go
@@ -12,10 +12,10 @@
 
 // teamShare is what a team uses for its weight: its guarantee, or 1.
 func (c *Core) teamShare(team string) float64 {
-	u := c.machines.Usage(team)
+	u := c.machines.TeamUsage(team)
 	t := c.team(team)
 	if t != nil && (t.GPUs > 0 || t.CPUs > 0) {
-		return u.Share(partition.Need{CPUs: t.CPUs, GPUs: t.GPUs})
+		return u.DominantShare(partition.Resources{CPUs: t.CPUs, GPUs: t.GPUs})
 	}
 	return u.GPUs + u.CPUs
 }
@@ -27,7 +27,7 @@
 	if t == nil {
 		return n
 	}
-	u := c.machines.Usage(j.spec.Team)
+	u := c.machines.TeamUsage(j.spec.Team)
 	if t.CPUsMax > 0 && j.need.CPUs > 0 {
 		n = min(n, int((t.CPUsMax-u.CPUs)/j.need.CPUs+1e-9))
 	}
@@ -39,13 +39,13 @@
 
 // borrows says whether a placement's team uses more than its guarantee.
 func (c *Core) borrows(pl *partition.Placement) bool {
-	return !withinGuarantee(c.team(pl.Team), c.machines.Usage(pl.Team))
+	return !withinGuarantee(c.team(pl.Team), c.machines.TeamUsage(pl.Team))
 }
 
 // guaranteed says whether a job's team is still within its guarantee with one more
 // of its tasks.
 func (c *Core) guaranteed(j *job) bool {
-	return withinGuarantee(c.team(j.spec.Team), c.machines.Usage(j.spec.Team).Plus(j.need))
+	return withinGuarantee(c.team(j.spec.Team), c.machines.TeamUsage(j.spec.Team).Plus(j.need))
 }
 
 // tasksWithinGuarantee is how many more of a job's tasks its team can run within its guarantee.
@@ -53,7 +53,7 @@
 	if !c.guaranteed(j) {
 		return 0
 	}
-	t, used := c.team(j.spec.Team), c.machines.Usage(j.spec.Team)
+	t, used := c.team(j.spec.Team), c.machines.TeamUsage(j.spec.Team)
 	n := j.counts[pending]
 	for _, r := range [][3]float64{{t.CPUs, used.CPUs, j.need.CPUs}, {t.GPUs, used.GPUs, j.need.GPUs}} {
 		if guarantee, taken, each := r[0], r[1], r[2]; guarantee > 0 && each > 0 {
@@ -65,7 +65,7 @@
 
 // withinGuarantee says whether a team that uses so much has a guarantee and fits into
 // it. A resource that no guarantee names does not count.
-func withinGuarantee(t *config.Team, used partition.Need) bool {
+func withinGuarantee(t *config.Team, used partition.Resources) bool {
 	if t == nil || t.CPUs == 0 && t.GPUs == 0 {
 		return false
 	}
--- a/internal/coordination/scheduler/turns.go
+++ b/internal/coordination/scheduler/turns.go
@@ -45,7 +45,7 @@
 		t.judge(q)
 	}
 	heap.Init(t)
-	c.machines.ChangedTeams(func(string) {})
+	c.machines.TakeChangedTeams(func(string) {})
 	return t
 }
 
@@ -62,7 +62,7 @@
 		t.plain = t.plain[1:]
 		return j
 	}
-	t.core.machines.ChangedTeams(func(team string) {
+	t.core.machines.TakeChangedTeams(func(team string) {
 		if q := t.byName[team]; q != nil && q.position >= 0 {
 			t.judge(q)
 			heap.Fix(t, q.position)
--- a/internal/coordination/scheduler/turns_test.go
+++ b/internal/coordination/scheduler/turns_test.go
@@ -58,8 +58,8 @@
 
 // place puts a task of a job on a machine, so that its team uses more.
 func place(b *bench, j *job) {
-	b.c.machines.Adopt(0, &partition.Placement{Task: protocol.TaskID{JobID: j.spec.ID}, Attempt: 1, Machine: "m-" + j.spec.ID, Need: j.need,
-		Team: j.spec.Team, Level: j.level, Job: &j.spec})
+	b.c.machines.Adopt(0, &partition.Placement{Task: protocol.TaskID{JobID: j.spec.ID}, Attempt: 1, Machine: "m-" + j.spec.ID, Resources: j.need,
+		Team: j.spec.Team, PriorityLevel: j.level, Job: &j.spec})
 }
 
 // referenceNext walks all heads of queues.
@@ -109,7 +109,7 @@
 			b.settle()
 		}
 		for _, team := range teams {
-			if used := b.c.machines.Usage(team.Name).GPUs / 8; used != rounds {
+			if used := b.c.machines.TeamUsage(team.Name).GPUs / 8; used != rounds {
 				t.Errorf("%s has %v of %d places for %d teams", team.Name, used, rounds*n, n)
 			}
 		}
@@ -176,7 +176,7 @@
 		for i := range machines - 1 {
 			// Cleared for a job that waits and goes first.
 			m := b.c.machines.Machine(fmt.Sprintf("m%02d", i))
-			m.Reserved, m.ReservedUntil = "j-first", b.now+time.Hour
+			m.ReservedJob, m.ReservedUntil = "j-first", b.now+time.Hour
 		}
 		first := spec("j-first", protocol.Service, "critical", 1, 8)
 		first.Zone = "nowhere"
--- a/internal/coordination/scheduler/workers.go
+++ b/internal/coordination/scheduler/workers.go
@@ -15,18 +15,18 @@
 		return
 	}
 	answer := protocol.WorkerHeartbeatReply{FencingToken: protocol.FencingToken(c.term, 0), Commands: []protocol.Command{}}
-	if c.fleet.Gone(r.Machine) {
+	if c.fleet.RecentlyReleased(r.Machine) {
 		c.emit(Answer{e.Tag, answer})
 		return
 	}
 	m, newer := c.heard(now, r)
 	if newer {
 		m.Relayed = e.Relayed
-		if cmds := c.machines.Orders(now, m); cmds != nil {
+		if cmds := c.machines.TakeDueCommands(now, m); cmds != nil {
 			answer.Commands = cmds
 		}
 	}
-	answer.FencingToken = c.machines.Token(m)
+	answer.FencingToken = c.machines.FencingToken(m)
 	c.emit(Answer{e.Tag, answer})
 }
 
@@ -34,7 +34,7 @@
 func (c *Core) alive(now time.Duration, e Alive) {
 	var passOn []string
 	for _, m := range e.Machines {
-		if !c.machines.Alive(now, m.Name, m.Session, m.Seq) {
+		if !c.machines.HandleUnchangedHeartbeat(now, m.Name, m.Session, m.Seq) {
 			passOn = append(passOn, m.Name)
 		}
 	}
@@ -52,11 +52,11 @@
 	if e.Report != nil && e.Report.Machine == e.Machine {
 		c.heard(now, e.Report)
 	}
-	c.machines.Answered(now, m, e.OK || e.Report != nil)
+	c.machines.CommandAnswered(now, m, e.OK || e.Report != nil)
 	if e.Report == nil {
 		// Its reports may arrive though commands don't: nothing new goes there
 		// until it has had time for another report.
-		m.MutedUntil = now + config.Seconds(2*c.cfg.Workers.ReportS)
+		m.UnresponsiveUntil = now + config.Seconds(2*c.cfg.Workers.ReportS)
 	}
 }
 
@@ -71,11 +71,11 @@
 
 // heard takes in what a machine says, in whichever way it came.
 func (c *Core) heard(now time.Duration, r *protocol.WorkerHeartbeat) (m *partition.Machine, newer bool) {
-	if c.outdated(r) || c.fleet.Gone(r.Machine) {
+	if c.outdated(r) || c.fleet.RecentlyReleased(r.Machine) {
 		return nil, false
 	}
-	up := c.machines.Up(r.Machine)
-	m, facts, newer := c.machines.Report(now, r)
+	up := c.machines.Registered(r.Machine)
+	m, facts, newer := c.machines.HandleHeartbeat(now, r)
 	c.due = c.due || !up
 	c.facts(now, facts)
 	c.judgeMachine(m)
@@ -84,21 +84,21 @@
 
 // judgeMachine sets a machine aside that fails the tasks of several jobs.
 func (c *Core) judgeMachine(m *partition.Machine) {
-	if len(m.Errors) >= 2 && !m.Sick {
-		m.Sick = true
+	if len(m.FailedJobs) >= 2 && !m.Quarantined {
+		m.Quarantined = true
 		c.log.Info("machine set aside: it fails tasks of several jobs", "machine", m.Name)
 	}
 }
 
 // send sends what is urgent straight to the machines.
 func (c *Core) send(now time.Duration) {
-	for _, m := range c.machines.Urgent(now) {
-		cmds := c.machines.Orders(now, m)
+	for _, m := range c.machines.MachinesToCommand(now) {
+		cmds := c.machines.TakeDueCommands(now, m)
 		if len(cmds) == 0 {
 			continue
 		}
-		m.Busy = true
-		c.emit(Order{Machine: m.Name, Addr: m.Addr, Orders: protocol.CommandBatch{FencingToken: c.machines.Token(m), Incarnation: m.Session, Commands: cmds}})
+		m.CommandInFlight = true
+		c.emit(Order{Machine: m.Name, Addr: m.Addr, Orders: protocol.CommandBatch{FencingToken: c.machines.FencingToken(m), Incarnation: m.Incarnation, Commands: cmds}})
 	}
 }
 
@@ -113,7 +113,7 @@
 	direct, relayed := 0, 0
 	c.machines.Each(func(m *partition.Machine) {
 		switch {
-		case !m.Up || now-m.Heard > c.machines.Silent():
+		case !m.Registered || now-m.LastHeartbeat > c.machines.SilenceTimeout():
 		case m.Relayed:
 			relayed++
 		default:
--- a/internal/coordination/scheduler/zonebench_test.go
+++ b/internal/coordination/scheduler/zonebench_test.go
@@ -48,7 +48,7 @@
 	for _, p := range b.records {
 		pages = append(pages, p)
 	}
-	records := Records{Types: []protocol.MachineType{*b.c.machines.Type("g8")}, ZonePages: pages}
+	records := Records{Types: []protocol.MachineType{*b.c.machines.MachineType("g8")}, ZonePages: pages}
 	b.c = New(b.now, b.c.cfg, b.c.log, Term{Number: term, Stamp: term}, records, b.now.Milliseconds(), b.order)
 }
 
@@ -77,15 +77,15 @@
 
 func (b *zoneBench) callCloud(e fleet.Effect) {
 	switch e := e.(type) {
-	case fleet.List:
+	case fleet.ListMachines:
 		b.after(Listed{Asked: b.now, Failed: true})
-	case fleet.Rent:
+	case fleet.ScaleOut:
 		b.after(Rented{Request: e.Rental.RequestID, Asked: b.now, Refused: true})
-	case fleet.Release:
-		for _, name := range e.Names {
+	case fleet.ScaleIn:
+		for _, name := range e.Machines {
 			b.removeMachine(name)
 		}
-		b.after(Released{Names: e.Names, OK: true})
+		b.after(Released{Names: e.Machines, OK: true})
 	}
 }
 
@@ -136,7 +136,7 @@
 func (b *zoneBench) lenderFacts(row storage.LoanRow) simulation.LenderObservation {
 	lender, borrower := b.c.jobs[row.Lender], b.c.jobs[row.Borrower]
 	return simulation.LenderObservation{LenderLevel: lender.level, BorrowerLevel: borrower.level,
-		ProtectedByQuota: withinGuarantee(b.c.cfg.Team(lender.spec.Team), b.c.machines.Usage(lender.spec.Team))}
+		ProtectedByQuota: withinGuarantee(b.c.cfg.Team(lender.spec.Team), b.c.machines.TeamUsage(lender.spec.Team))}
 }
 
 func (b *zoneBench) reportOf(name string) *protocol.WorkerHeartbeat {
@@ -161,7 +161,7 @@
 		}
 	}
 	before := b.placed()
-	used := map[string]partition.Need{"red": b.c.machines.Usage("red"), "blue": b.c.machines.Usage("blue")}
+	used := map[string]partition.Resources{"red": b.c.machines.TeamUsage("red"), "blue": b.c.machines.TeamUsage("blue")}
 	b.barred = b.barredMachines() // some are free for another attempt once the cycle is over
 	b.step(Tick{})
 	if b.c.recovering() {
@@ -209,12 +209,12 @@
 
 // startsSince returns what was placed since, with what teams used before. What fits into its
 // team's guarantee besides that waits for nobody.
-func (b *zoneBench) startsSince(before map[placement]bool, used map[string]partition.Need) (starts []simulation.PlacedTask) {
+func (b *zoneBench) startsSince(before map[placement]bool, used map[string]partition.Resources) (starts []simulation.PlacedTask) {
 	for _, j := range b.c.jobs {
 		team := used[j.spec.Team]
 		for _, pl := range placements(j) {
 			if !before[placement{pl.Task, pl.Attempt}] {
-				team = team.Plus(pl.Need)
+				team = team.Plus(pl.Resources)
 				guaranteed := withinGuarantee(b.c.cfg.Team(pl.Team), team)
 				starts = append(starts, simulation.PlacedTask{Job: b.returnJob(j), Machine: pl.Machine, WithinQuota: guaranteed})
 			}
@@ -268,8 +268,8 @@
 func (b *zoneBench) rooms() map[string]simulation.FreeMachine {
 	rooms := map[string]simulation.FreeMachine{}
 	b.c.machines.Each(func(m *partition.Machine) {
-		if b.c.machines.Open(b.now, m) && m.Reserved == "" {
-			rooms[m.Name] = simulation.FreeMachine{Zone: m.Zone, Free: b.c.machines.Free(m)}
+		if b.c.machines.Schedulable(b.now, m) && m.ReservedJob == "" {
+			rooms[m.Name] = simulation.FreeMachine{Zone: m.Zone, Free: b.c.machines.FreeCapacity(m)}
 		}
 	})
 	return rooms
--- a/internal/coordination/scheduler/zonereturn_test.go
+++ b/internal/coordination/scheduler/zonereturn_test.go
@@ -103,7 +103,7 @@
 // TestSingleZone: with a single zone there is nothing to do, and the log says so.
 func TestSingleZone(t *testing.T) {
 	b := newBench([]config.Team{{Name: "red"}}, "a")
-	c := New(0, b.c.cfg, b.c.log, Term{Number: 6, Stamp: 2}, Records{Types: []protocol.MachineType{*b.c.machines.Type("g8")}}, 0, zones.DefaultOrder())
+	c := New(0, b.c.cfg, b.c.log, Term{Number: 6, Stamp: 2}, Records{Types: []protocol.MachineType{*b.c.machines.MachineType("g8")}}, 0, zones.DefaultOrder())
 	for _, e := range c.Step(0, Tick{}) {
 		if d, ok := e.(Decided); ok {
 			if o, ok := d.Decision.(zones.OrderInForce); !ok || !strings.Contains(o.Describe(), "nothing to do") {
--- a/internal/coordination/scheduler/zonewatch.go
+++ b/internal/coordination/scheduler/zonewatch.go
@@ -23,22 +23,22 @@
 	expired := c.leaseOver()
 	c.machines.Each(func(m *partition.Machine) {
 		i, ok := index[m.Zone]
-		if !ok || m.Condemned {
+		if !ok || m.Terminating {
 			return
 		}
 		f := &facts[i]
-		if !m.Up && m.Count() == 0 {
+		if !m.Registered && m.PlacementCount() == 0 {
 			f.Coming++
 			return
 		}
 		f.Machines++
-		switch quiet := now - m.Heard; {
-		case m.Up && quiet <= c.machines.Silent():
+		switch quiet := now - m.LastHeartbeat; {
+		case m.Registered && quiet <= c.machines.SilenceTimeout():
 			f.Heard++
 		case quiet > expired:
 			f.Silent++
 			f.Expired++
-		case quiet > c.machines.Silent():
+		case quiet > c.machines.SilenceTimeout():
 			f.Silent++
 		}
 	})
@@ -55,7 +55,7 @@
 // their workers to find the leader.
 func (c *Core) inspectZone(zone string) {
 	c.machines.Each(func(m *partition.Machine) {
-		if m.Zone == zone && m.Addr != "" && !m.Condemned {
+		if m.Zone == zone && m.Addr != "" && !m.Terminating {
 			c.inspector.queue = append(c.inspector.queue, Inspect{m.Name, m.Addr})
 		}
 	})
@@ -68,15 +68,15 @@
 	for _, zone := range c.returning.monitor.Zones() {
 		switch zone.State {
 		case zones.Suspected:
-			policies[zone.Name] = fleet.ZonePolicy{Closed: true, KeepUntil: zone.Since + 2*c.leaseOver()}
+			policies[zone.Name] = fleet.ZonePolicy{NoScaleOut: true, NoFencingUntil: zone.Since + 2*c.leaseOver()}
 		case zones.Lost:
 			policies[zone.Name] = c.lostPolicy(now, zone)
 		case zones.Returning:
 			// Until a machine there is heard, one at a time shows whether others would be.
-			policies[zone.Name] = fleet.ZonePolicy{Probe: zone.Evidence.Heard == 0, KeepUntil: zone.Since + lease}
+			policies[zone.Name] = fleet.ZonePolicy{ProbeOnly: zone.Evidence.Heard == 0, NoFencingUntil: zone.Since + lease}
 		}
 	}
-	c.fleet.SetZones(policies)
+	c.fleet.SetZonePolicies(policies)
 }
 
 // lostPolicy is how the fleet treats a lost zone. Where machines are cut off, new ones would not
@@ -88,7 +88,7 @@
 		return fleet.ZonePolicy{}
 	}
 	probe := now-zone.Since > probeLeases*lease
-	return fleet.ZonePolicy{Closed: !probe, Probe: probe, Uncounted: true, KeepUntil: zone.Since + keepLeases*lease}
+	return fleet.ZonePolicy{NoScaleOut: !probe, ProbeOnly: probe, IgnoreSilent: true, NoFencingUntil: zone.Since + keepLeases*lease}
 }
 
 // left notes that a machine has failed, or has left the cloud's list by itself, while its zone
--- a/internal/coordination/zones/lenders.go
+++ b/internal/coordination/zones/lenders.go
@@ -11,7 +11,7 @@
 // Lender is a task that may be stopped for its room.
 type Lender struct {
 	Task LentTask
-	Need partition.Need
+	Need partition.Resources
 	Cost float64 // work that is lost, in seconds
 	// Gang says that all lenders of the job leave together. Their costs add up.
 	Gang bool
@@ -20,14 +20,14 @@
 // Offer is a machine whose room may be had.
 type Offer struct {
 	Machine, Zone string
-	Free          partition.Need
+	Free          partition.Resources
 	Lenders       []Lender
 	Cost          float64 // of a start there, as for an image's fetch
 }
 
 // Request is room that is wanted for tasks of one job.
 type Request struct {
-	Need  partition.Need
+	Need  partition.Resources
 	Tasks int
 	// PerZone limits how many tasks may go to a zone; a zone that it lacks takes none.
 	PerZone map[string]int
@@ -62,8 +62,8 @@
 type search struct {
 	request Request
 	offers  []Offer
-	free    []partition.Need // room left on each offer
-	left    map[string]int   // tasks that a zone may still take
+	free    []partition.Resources // room left on each offer
+	left    map[string]int        // tasks that a zone may still take
 	leaving map[LentTask]bool
 	jobs    map[string]bool // disturbed already
 	gangs   map[string][]gangPart
@@ -163,14 +163,14 @@
 		if s.jobs[lender.Task.Job] {
 			extra = 0
 		}
-		return (s.costOf(lender) + extra) / max(lender.Need.Share(s.request.Need), 1e-3)
+		return (s.costOf(lender) + extra) / max(lender.Need.DominantShare(s.request.Need), 1e-3)
 	}
 	slices.SortStableFunc(lenders, func(a, b Lender) int { return cmp.Compare(price(a), price(b)) })
 	return lenders
 }
 
 // needed drops the lenders without which there is room as well, the dearest first.
-func (s *search) needed(room partition.Need, chosen []Lender) []Lender {
+func (s *search) needed(room partition.Resources, chosen []Lender) []Lender {
 	byCost := slices.Clone(chosen)
 	slices.SortStableFunc(byCost, func(a, b Lender) int { return cmp.Compare(s.costOf(b), s.costOf(a)) })
 	for _, lender := range byCost {
--- a/internal/coordination/zones/lenders_test.go
+++ b/internal/coordination/zones/lenders_test.go
@@ -13,7 +13,7 @@
 )
 
 // gpus is room that is short of GPUs alone.
-func gpus(n int) partition.Need { return partition.Need{GPUs: float64(n)} }
+func gpus(n int) partition.Resources { return partition.Resources{GPUs: float64(n)} }
 
 // drawCase makes up a request, and machines with what runs on them.
 func drawCase(rng *rand.Rand) (Request, []Offer) {
--- a/internal/scale/config.go
+++ b/internal/scale/config.go
@@ -11,8 +11,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// ErrConfig is wrapped by every complaint about a configuration.
-var ErrConfig = errors.New("configuration")
+// ErrInvalidConfig is wrapped by every complaint about a configuration.
+var ErrInvalidConfig = errors.New("configuration")
 
 // Dimension is what differs between the sizes of a run.
 type Dimension string
@@ -53,21 +53,21 @@
 	Sizes   []int
 	Load    Load
 	// StartsPerWorker and the like keep proportions when workers vary.
-	Report, Lease time.Duration
-	RunTime       time.Duration // mean of an array's tasks
-	Warmup        time.Duration
-	Measure       time.Duration
-	Slices        int
-	Seed          uint64
-	Troubles      []Trouble
-	Port          int
-	CoreShare     float64
-	RAMMB         float64
-	MaxSockets    int
-	StateRPS      float64
-	StateWriteRPS float64
-	StateTxnOps   int
-	CloudRPS      float64
+	HeartbeatInterval, Lease time.Duration
+	MeanRunTime              time.Duration // mean of an array's tasks
+	Warmup                   time.Duration
+	MeasureTime              time.Duration
+	Slices                   int
+	Seed                     uint64
+	Faults                   []Fault
+	Port                     int
+	CoreShare                float64
+	RAMMB                    float64
+	MaxSockets               int
+	StateRPS                 float64
+	StateWriteRPS            float64
+	StateTxnOps              int
+	CloudRPS                 float64
 	// WorkerProcesses is how many workers beside the hollow ones are processes of their own, of the
 	// program WorkerProgram with the arguments WorkerArgs.
 	WorkerProcesses int
@@ -116,10 +116,10 @@
 	return l
 }
 
-// Check refuses a configuration that can't be run, with what is wrong and what the bound is.
-func (c *Config) Check() error {
+// Validate refuses a configuration that can't be run, with what is wrong and what the bound is.
+func (c *Config) Validate() error {
 	fail := func(format string, args ...any) error {
-		return fmt.Errorf("%w: %s", ErrConfig, fmt.Sprintf(format, args...))
+		return fmt.Errorf("%w: %s", ErrInvalidConfig, fmt.Sprintf(format, args...))
 	}
 	if info, err := os.Stat(c.Program); err != nil || info.IsDir() || info.Mode()&0o111 == 0 {
 		return fail("program %q is not an executable file; build it first", c.Program)
@@ -130,21 +130,21 @@
 	if len(c.Sizes) == 0 {
 		return fail("no sizes")
 	}
-	for _, t := range c.Troubles {
-		if _, ok := troubles[t]; !ok {
-			return fail("trouble %q is none of %v", t, TroubleNames())
+	for _, t := range c.Faults {
+		if _, ok := faults[t]; !ok {
+			return fail("trouble %q is none of %v", t, FaultNames())
 		}
 	}
 	for _, d := range []struct {
 		name  string
 		value time.Duration
-	}{{"report interval", c.Report}, {"lease", c.Lease}, {"run time", c.RunTime}, {"measured time", c.Measure}} {
+	}{{"report interval", c.HeartbeatInterval}, {"lease", c.Lease}, {"run time", c.MeanRunTime}, {"measured time", c.MeasureTime}} {
 		if d.value <= 0 {
 			return fail("%s: %v is not a positive duration", d.name, d.value)
 		}
 	}
-	if c.Lease < 2*c.Report {
-		return fail("lease: %v is shorter than two reports of %v", c.Lease, c.Report)
+	if c.Lease < 2*c.HeartbeatInterval {
+		return fail("lease: %v is shorter than two reports of %v", c.Lease, c.HeartbeatInterval)
 	}
 	if c.Slices < 2 {
 		return fail("slices: %d are too few to tell the spread, at least 2 are needed", c.Slices)
@@ -153,14 +153,14 @@
 		return fail("port: %d leaves no room for the others", c.Port)
 	}
 	for _, size := range c.Sizes {
-		if err := c.checkLoad(c.loadAt(size)); err != nil {
-			return fmt.Errorf("%w: %s %d: %w", ErrConfig, c.Vary, size, err)
+		if err := c.validateLoad(c.loadAt(size)); err != nil {
+			return fmt.Errorf("%w: %s %d: %w", ErrInvalidConfig, c.Vary, size, err)
 		}
 	}
 	return nil
 }
 
-func (c *Config) checkLoad(l Load) error {
+func (c *Config) validateLoad(l Load) error {
 	switch {
 	case l.Workers < 1 || l.Workers > maxWorkers:
 		return fmt.Errorf("%d workers, want 1 to %d", l.Workers, maxWorkers)
@@ -179,11 +179,11 @@
 	case l.TeamsAtLimit && !(l.Overcommit > 1):
 		return fmt.Errorf("teams at their limits ask for more than them, not for %g times as much", l.Overcommit)
 	}
-	return c.checkMachine(l)
+	return c.validateHost(l)
 }
 
-// checkMachine refuses what the machine at hand can't bear.
-func (c *Config) checkMachine(l Load) error {
+// validateHost refuses what the machine at hand can't bear.
+func (c *Config) validateHost(l Load) error {
 	fs, err := procfs.NewDefaultFS()
 	if err != nil {
 		return fmt.Errorf("read /proc: %w", err)
--- a/internal/scale/controllers.go
+++ b/internal/scale/controllers.go
@@ -22,19 +22,19 @@
 
 // controllerProcess is a controller that runs as a process of the built program.
 type controllerProcess struct {
-	node     string
-	addr     string
-	settings string // path
-	program  string
-	features []string // flags
-	logFile  io.Writer
+	name         string
+	addr         string
+	settings     string // path
+	program      string
+	featureFlags []string // flags
+	logFile      io.Writer
 
-	mu     sync.Mutex
-	cmd    *exec.Cmd
-	exited chan struct{}
-	ended  bool // we ended it
-	steps  map[string]stepTimes
-	facts  map[string]time.Time // when certain lines were last logged
+	mu         sync.Mutex
+	cmd        *exec.Cmd
+	exited     chan struct{}
+	killed     bool // we ended it
+	steps      map[string]stepTimes
+	lastLogged map[string]time.Time // when certain lines were last logged
 }
 
 // stepTimes is the worst that a controller logged of a kind of step.
@@ -45,15 +45,15 @@
 	MaxMS  float64 `json:"max_ms"`
 }
 
-// settingsFor returns the settings file of one controller.
-func settingsFor(c *Config, l Load, teams []config.Team, node int, stateAddr, cloudAddr string) *config.Settings {
+// controllerSettings returns the settings file of one controller.
+func controllerSettings(c *Config, l Load, teams []config.Team, node int, stateAddr, cloudAddr string) *config.Settings {
 	zones := zoneNames(l.Zones)
 	s := &config.Settings{
-		Node: nodeName(node), Location: zones[node%len(zones)], Listen: c.controllerAddr(node), MeshAddr: c.meshAddr(node),
+		Node: controllerName(node), Location: zones[node%len(zones)], Listen: c.controllerAddr(node), MeshAddr: c.meshAddr(node),
 		Outside: config.Outside{Cloud: cloudAddr, State: stateAddr},
 		Deploy: config.Deployment{
 			Nodes: l.Controllers, Zones: zones, ClockOffMS: 250, Teams: teams,
-			Workers: config.Workers{ReportS: c.Report.Seconds(), LeaseS: c.Lease.Seconds(), GangWaitS: 3 * c.Lease.Seconds(),
+			Workers: config.Workers{ReportS: c.HeartbeatInterval.Seconds(), LeaseS: c.Lease.Seconds(), GangWaitS: 3 * c.Lease.Seconds(),
 				GangPeerS: 5, CancelS: 4 * c.Lease.Seconds()},
 			State: c.stateLimits(), Cloud: c.cloudLimits(),
 			Quota:      config.Quota{CoreShare: c.CoreShare, RAMMB: c.RAMMB, MaxSockets: c.MaxSockets},
@@ -62,7 +62,7 @@
 	}
 	for peer := range l.Controllers {
 		if peer != node {
-			s.Seeds = append(s.Seeds, config.Peer{Node: nodeName(peer), Location: zones[peer%len(zones)], Addr: c.meshAddr(peer)})
+			s.Seeds = append(s.Seeds, config.Peer{Node: controllerName(peer), Location: zones[peer%len(zones)], Addr: c.meshAddr(peer)})
 		}
 	}
 	return s
@@ -78,7 +78,7 @@
 	return config.Cloud{RPS: c.CloudRPS, ListLagS: listLagS}
 }
 
-func nodeName(node int) string { return fmt.Sprintf("controller-%d", node) }
+func controllerName(node int) string { return fmt.Sprintf("controller-%d", node) }
 
 func zoneNames(n int) (names []string) {
 	for i := range n {
@@ -105,9 +105,9 @@
 	if err := os.WriteFile(path, raw, 0o600); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	p := &controllerProcess{node: s.Node, addr: s.Listen, settings: path, program: c.Program, logFile: io.Discard}
+	p := &controllerProcess{name: s.Node, addr: s.Listen, settings: path, program: c.Program, logFile: io.Discard}
 	if c.Ownership {
-		p.features = []string{"--ownership"}
+		p.featureFlags = []string{"--ownership"}
 	}
 	if c.LogDir != "" {
 		f, err := os.Create(filepath.Join(c.LogDir, s.Node+".log"))
@@ -117,7 +117,7 @@
 		p.logFile = f
 	}
 	p.resetSteps()
-	p.facts = map[string]time.Time{}
+	p.lastLogged = map[string]time.Time{}
 	return p, nil
 }
 
@@ -131,16 +131,16 @@
 func (p *controllerProcess) start() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	cmd := exec.Command(p.program, append(p.features, "--step-times", "--config", p.settings)...)
+	cmd := exec.Command(p.program, append(p.featureFlags, "--step-times", "--config", p.settings)...)
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	out, err := cmd.StderrPipe()
 	if err != nil {
-		return fmt.Errorf("%s: %w", p.node, err)
+		return fmt.Errorf("%s: %w", p.name, err)
 	}
 	if err := cmd.Start(); err != nil {
-		return fmt.Errorf("%s: %w", p.node, err)
+		return fmt.Errorf("%s: %w", p.name, err)
 	}
-	p.cmd, p.ended, p.exited = cmd, false, make(chan struct{})
+	p.cmd, p.killed, p.exited = cmd, false, make(chan struct{})
 	go p.wait(cmd, out, p.exited)
 	return nil
 }
@@ -159,20 +159,20 @@
 		line := lines.Text()
 		fmt.Fprintln(p.logFile, line)
 		if strings.Contains(line, `msg="step times"`) {
-			p.noteSteps(line)
+			p.recordStepTimes(line)
 		}
 		for _, fact := range []string{"records read", "leading", "term over"} {
 			if strings.Contains(line, "msg="+fact) || strings.Contains(line, `msg="`+fact) {
 				p.mu.Lock()
-				p.facts[fact] = time.Now()
+				p.lastLogged[fact] = time.Now()
 				p.mu.Unlock()
 			}
 		}
 	}
 }
 
-// noteSteps adds up a line of step times.
-func (p *controllerProcess) noteSteps(line string) {
+// recordStepTimes adds up a line of step times.
+func (p *controllerProcess) recordStepTimes(line string) {
 	kind, values := "", map[string]float64{}
 	d := logfmt.NewDecoder(strings.NewReader(line))
 	for d.ScanRecord() {
@@ -199,8 +199,8 @@
 	p.steps[kind] = s
 }
 
-// stepsNow returns what was logged since the last reset.
-func (p *controllerProcess) stepsNow() map[string]stepTimes {
+// stepTimesSnapshot returns what was logged since the last reset.
+func (p *controllerProcess) stepTimesSnapshot() map[string]stepTimes {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	out := map[string]stepTimes{}
@@ -214,7 +214,7 @@
 func (p *controllerProcess) loggedSince(fact string, since time.Time) (time.Time, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	at := p.facts[fact]
+	at := p.lastLogged[fact]
 	return at, at.After(since)
 }
 
@@ -226,7 +226,7 @@
 		return nil
 	}
 	if err := p.cmd.Process.Signal(sig); err != nil && !errors.Is(err, os.ErrProcessDone) {
-		return fmt.Errorf("%s: %w", p.node, err)
+		return fmt.Errorf("%s: %w", p.name, err)
 	}
 	return nil
 }
@@ -235,7 +235,7 @@
 func (p *controllerProcess) kill() {
 	p.mu.Lock()
 	cmd, exited := p.cmd, p.exited
-	p.ended = true
+	p.killed = true
 	p.mu.Unlock()
 	if cmd == nil {
 		return
@@ -244,11 +244,11 @@
 	<-exited
 }
 
-// endedByItself says whether the process has ended and we did not end it.
-func (p *controllerProcess) endedByItself() bool {
+// exitedUnexpectedly says whether the process has ended and we did not end it.
+func (p *controllerProcess) exitedUnexpectedly() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.cmd == nil || p.ended {
+	if p.cmd == nil || p.killed {
 		return false
 	}
 	select {
@@ -259,8 +259,8 @@
 	}
 }
 
-// usage is what a process has used so far, and holds now.
-type usage struct {
+// resourceUsage is what a process has used so far, and holds now.
+type resourceUsage struct {
 	CPU     float64 // seconds
 	MemMB   float64
 	Sockets int
@@ -268,15 +268,17 @@
 }
 
 // usage reads the process's counters.
-func (p *controllerProcess) usage() (usage, error) {
+func (p *controllerProcess) usage() (resourceUsage, error) {
 	p.mu.Lock()
 	cmd := p.cmd
 	p.mu.Unlock()
-	return usageOf(cmd.Process.Pid)
+	return readUsage(cmd.Process.Pid)
 }
 
-func usageOf(pid int) (usage, error) {
-	fail := func(err error) (usage, error) { return usage{}, fmt.Errorf("usage of process %d: %w", pid, err) }
+func readUsage(pid int) (resourceUsage, error) {
+	fail := func(err error) (resourceUsage, error) {
+		return resourceUsage{}, fmt.Errorf("usage of process %d: %w", pid, err)
+	}
 	proc, err := procfs.NewProc(pid)
 	if err != nil {
 		return fail(err)
@@ -293,7 +295,7 @@
 	if err != nil {
 		return fail(err)
 	}
-	u := usage{CPU: stat.CPUTime(), MemMB: float64(stat.ResidentMemory()) / (1 << 20), Bytes: io.RChar + io.WChar}
+	u := resourceUsage{CPU: stat.CPUTime(), MemMB: float64(stat.ResidentMemory()) / (1 << 20), Bytes: io.RChar + io.WChar}
 	for _, t := range targets {
 		if strings.HasPrefix(t, "socket:") {
 			u.Sockets++
--- a/internal/scale/trouble.go
+++ b/internal/scale/faults.go
@@ -9,36 +9,36 @@
 	"pinebay/internal/simulation"
 )
 
-// Trouble is something that is broken during a run.
-type Trouble string
+// Fault is something that is broken during a run.
+type Fault string
 
 // Troubles.
 const (
-	KillLeader    Trouble = "kill-leader"
-	FreezeLeader  Trouble = "freeze-leader"
-	SilentWorkers Trouble = "silent-workers"
-	KillOwner     Trouble = "kill-owner"
-	FreezeOwner   Trouble = "freeze-owner"
-	StateOutage   Trouble = "state-outage"
-	AllBack       Trouble = "all-back"
+	KillLeader       Fault = "kill-leader"
+	FreezeLeader     Fault = "freeze-leader"
+	SilentWorkers    Fault = "silent-workers"
+	KillOwner        Fault = "kill-owner"
+	FreezeOwner      Fault = "freeze-owner"
+	StateOutage      Fault = "state-outage"
+	AllWorkersSilent Fault = "all-back"
 )
 
-// troubles break something and return what mends it.
-var troubles = map[Trouble]func(r *run) (mend func() error, err error){
+// faults break something and return what mends it.
+var faults = map[Fault]func(r *run) (mend func() error, err error){
 	KillLeader:   func(r *run) (func() error, error) { return kill(r.leader()) },
 	FreezeLeader: func(r *run) (func() error, error) { return freeze(r.leader()) },
 	KillOwner:    func(r *run) (func() error, error) { return kill(r.follower()) },
 	FreezeOwner:  func(r *run) (func() error, error) { return freeze(r.follower()) },
 	SilentWorkers: func(r *run) (func() error, error) {
 		const part = 10
-		return r.mute(func(i int) bool { return i%part == 0 }), nil
+		return r.muteWorkers(func(i int) bool { return i%part == 0 }), nil
 	},
 	StateOutage: func(r *run) (func() error, error) {
 		r.state.SetOutage(true)
 		return func() error { r.state.SetOutage(false); return nil }, nil
 	},
-	AllBack: func(r *run) (func() error, error) {
-		return r.mute(func(int) bool { return true }), nil
+	AllWorkersSilent: func(r *run) (func() error, error) {
+		return r.muteWorkers(func(int) bool { return true }), nil
 	},
 }
 
@@ -73,11 +73,11 @@
 	return nil
 }
 
-// TroubleNames lists all troubles.
-func TroubleNames() []Trouble { return slices.Sorted(maps.Keys(troubles)) }
+// FaultNames lists all troubles.
+func FaultNames() []Fault { return slices.Sorted(maps.Keys(faults)) }
 
-// mute keeps the reports of workers from all controllers, and returns what ends that.
-func (r *run) mute(which func(i int) bool) func() error {
+// muteWorkers keeps the reports of workers from all controllers, and returns what ends that.
+func (r *run) muteWorkers(which func(i int) bool) func() error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var muted []*simulation.Agent
@@ -98,35 +98,35 @@
 	}
 }
 
-// TroubleResult is what a trouble came to.
-type TroubleResult struct {
-	Trouble Trouble `json:"trouble"`
-	// ForS is how long it lasted, FirstS after what time the first worker had an answer again,
-	// and MostS after what time nineteen of twenty had one, both from its begin; 0: not within
+// FaultResult is what a trouble came to.
+type FaultResult struct {
+	Fault Fault `json:"trouble"`
+	// DurationS is how long it lasted, FirstReplyS after what time the first worker had an answer again,
+	// and MostRepliedS after what time nineteen of twenty had one, both from its begin; 0: not within
 	// the time.
-	ForS   float64 `json:"for_s"`
-	FirstS float64 `json:"first_s"`
-	MostS  float64 `json:"most_s"`
-	// RecordsS is after what time a new leader had read the records; 0: none had to.
-	RecordsS float64              `json:"records_s"`
-	Times    map[string]Times     `json:"times"`
-	Steps    map[string]stepTimes `json:"steps"`
+	DurationS    float64 `json:"for_s"`
+	FirstReplyS  float64 `json:"first_s"`
+	MostRepliedS float64 `json:"most_s"`
+	// RecoveryS is after what time a new leader had read the records; 0: none had to.
+	RecoveryS float64              `json:"records_s"`
+	Times     map[string]Times     `json:"times"`
+	Steps     map[string]stepTimes `json:"steps"`
 }
 
 // answersUnderWay is how long answers may take that were sent before a trouble began.
 const answersUnderWay = 100 * time.Millisecond
 
-// most workers are as good as all: some may be gone for other reasons.
-const most = 0.95
+// nearlyAll workers are as good as all: some may be gone for other reasons.
+const nearlyAll = 0.95
 
-// trouble breaks something for a while, and follows what comes of it.
-func (r *run) trouble(t Trouble) (TroubleResult, error) {
+// injectFault breaks something for a while, and follows what comes of it.
+func (r *run) injectFault(t Fault) (FaultResult, error) {
 	r.log.Info("trouble", "trouble", t)
 	lasts := r.cfg.Lease / 2
-	result := TroubleResult{Trouble: t, ForS: lasts.Seconds()}
+	result := FaultResult{Fault: t, DurationS: lasts.Seconds()}
 	r.resetTimes()
 	began := time.Now()
-	mend, err := troubles[t](r)
+	mend, err := faults[t](r)
 	if err != nil {
 		return result, err
 	}
@@ -134,7 +134,7 @@
 	if err := r.sleep(answersUnderWay); err != nil {
 		return result, err
 	}
-	watch := r.watchContact()
+	watch := r.countReplies()
 	watch.since = began
 	var late error
 	after := time.AfterFunc(lasts, func() {
@@ -143,19 +143,19 @@
 		}
 	})
 	defer after.Stop()
-	_, err = r.until("most workers answered", 6*r.cfg.Lease, func() bool {
+	_, err = r.waitUntil("most workers answered", 6*r.cfg.Lease, func() bool {
 		n, _ := watch.count()
 		r.mu.Lock()
 		all := len(r.agents)
 		r.mu.Unlock()
-		return float64(n) >= most*float64(all)
+		return float64(n) >= nearlyAll*float64(all)
 	})
 	if err != nil {
 		return result, err
 	}
 	if n, first := watch.count(); n > 0 {
-		result.FirstS = first.Sub(watch.since).Seconds()
-		result.MostS = time.Since(watch.since).Seconds()
+		result.FirstReplyS = first.Sub(watch.since).Seconds()
+		result.MostRepliedS = time.Since(watch.since).Seconds()
 	}
 	// What follows, such as leases that ran out, shows within a lease.
 	if err := r.sleep(max(lasts, r.cfg.Lease) + r.cfg.Lease/2); err != nil {
@@ -163,10 +163,10 @@
 	}
 	for _, p := range r.controllers {
 		if at, ok := p.loggedSince("records read", watch.since); ok {
-			result.RecordsS = max(result.RecordsS, at.Sub(watch.since).Seconds())
+			result.RecoveryS = max(result.RecoveryS, at.Sub(watch.since).Seconds())
 		}
 	}
-	result.Times, result.Steps = r.meter.Times(), r.worstSteps()
+	result.Times, result.Steps = r.meter.Times(), r.combinedStepTimes()
 	return result, late
 }
 
@@ -178,11 +178,11 @@
 	}
 }
 
-// worstSteps returns the step times of all controllers together.
-func (r *run) worstSteps() map[string]stepTimes {
+// combinedStepTimes returns the step times of all controllers together.
+func (r *run) combinedStepTimes() map[string]stepTimes {
 	all := map[string]stepTimes{}
 	for _, p := range r.controllers {
-		for kind, s := range p.stepsNow() {
+		for kind, s := range p.stepTimesSnapshot() {
 			t := all[kind]
 			if total := t.Count + s.Count; total > 0 {
 				t.MeanMS = (t.MeanMS*float64(t.Count) + s.MeanMS*float64(s.Count)) / float64(total)
--- a/internal/scale/load.go
+++ b/internal/scale/load.go
@@ -13,10 +13,10 @@
 
 // Classes of jobs.
 const (
-	classStanding = "standing" // services that fill half of the room
-	classArray    = "array"
-	classGang     = "gang"
-	classUrgent   = "urgent"
+	classService = "standing" // services that fill half of the room
+	classArray   = "array"
+	classGang    = "gang"
+	classUrgent  = "urgent"
 )
 
 // urgentTeam has no limit, so that only the scheduler can hold its work up.
@@ -24,95 +24,95 @@
 
 // Times of users.
 const (
-	pollInterval   = 5 * time.Second
-	retryPause     = time.Second
-	standingShare  = 0.5 // of the room
-	standingTasks  = 96  // of a service
-	cancelAfterRun = 2   // parts of a run time, after which a user calls an array off
+	pollInterval         = 5 * time.Second
+	retryPause           = time.Second
+	serviceShare         = 0.5 // of the room
+	tasksPerService      = 96  // of a service
+	cancelRunTimeDivisor = 2   // parts of a run time, after which a user calls an array off
 )
 
 func teamName(i int) string { return fmt.Sprintf("team-%03d", i) }
 
-// teamsOf returns the teams with their limits.
-func teamsOf(l Load) []config.Team {
+// newTeams returns the teams with their limits.
+func newTeams(l Load) []config.Team {
 	teams := []config.Team{{Name: urgentTeam}}
 	for i := range l.Teams {
 		t := config.Team{Name: teamName(i)}
 		if l.TeamsAtLimit {
-			t.CPUsMax = math.Ceil(l.tasksOfATeam()) * taskCPUs
+			t.CPUsMax = math.Ceil(l.tasksPerTeam()) * taskCPUs
 		}
 		teams = append(teams, t)
 	}
 	return teams
 }
 
-// tasksOfATeam is how many tasks are a team's part of all that are to run.
-func (l Load) tasksOfATeam() float64 { return float64(l.Workers) * l.TasksPerWorker / float64(l.Teams) }
+// tasksPerTeam is how many tasks are a team's part of all that are to run.
+func (l Load) tasksPerTeam() float64 { return float64(l.Workers) * l.TasksPerWorker / float64(l.Teams) }
 
 // newJob makes up a job; the caller says what is special about it.
 func (r *run) newJob(class string, shape protocol.Shape, tasks int, team string) protocol.Job {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.jobs++
+	r.jobCount++
 	return protocol.Job{
-		ID: fmt.Sprintf("j-%06d", r.jobs), Class: class, Team: team, Shape: shape, Priority: "normal", TaskCount: tasks,
-		CPUs: taskCPUs, MemoryGB: taskMemoryGB, Image: fmt.Sprintf("image-%02d", r.rng.IntN(images)), ImageGB: imageGB,
-		EstimateSeconds: r.cfg.RunTime.Seconds(),
+		ID: fmt.Sprintf("j-%06d", r.jobCount), Class: class, Team: team, Shape: shape, Priority: "normal", TaskCount: tasks,
+		CPUs: taskCPUs, MemoryGB: taskMemoryGB, Image: fmt.Sprintf("image-%02d", r.rng.IntN(imageCount)), ImageGB: imageGB,
+		EstimateSeconds: r.cfg.MeanRunTime.Seconds(),
 	}
 }
 
-func (r *run) anyTeam() string {
+func (r *run) randomTeam() string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return teamName(r.rng.IntN(r.load.Teams))
 }
 
-// fill submits the services that run all the time.
-func (r *run) fill() {
-	perTeam := int(r.load.tasksOfATeam() * standingShare)
+// submitServices submits the services that run all the time.
+func (r *run) submitServices() {
+	perTeam := int(r.load.tasksPerTeam() * serviceShare)
 	for team := range r.load.Teams {
-		for left := perTeam; left > 0; left -= standingTasks {
-			j := r.newJob(classStanding, protocol.Service, min(left, standingTasks), teamName(team))
+		for left := perTeam; left > 0; left -= tasksPerService {
+			j := r.newJob(classService, protocol.Service, min(left, tasksPerService), teamName(team))
 			j.EstimateSeconds = 0
-			r.wg.Go(func() { r.user(j) })
+			r.wg.Go(func() { r.runUserJob(j) })
 		}
 	}
 }
 
-// arrive submits arrays, gangs and urgent work for as long as the run lasts.
-func (r *run) arrive() {
+// submitArrivals submits arrays, gangs and urgent work for as long as the run lasts.
+func (r *run) submitArrivals() {
 	if r.load.TeamsAtLimit {
 		for team := range r.load.Teams {
-			r.wg.Go(func() { r.press(teamName(team)) })
+			r.wg.Go(func() { r.keepTeamOverLimit(teamName(team)) })
 		}
 	} else {
 		arrays := r.load.StartsPerS * (1 - r.load.GangShare) / float64(r.load.ArrayTasks)
 		// As many as run at a time once the load is steady.
-		for range int(arrays * r.cfg.RunTime.Seconds()) {
-			r.wg.Go(func() { r.user(r.newArray(r.anyTeam())) })
+		for range int(arrays * r.cfg.MeanRunTime.Seconds()) {
+			r.wg.Go(func() { r.runUserJob(r.newArray(r.randomTeam())) })
 		}
-		r.wg.Go(func() { r.every(arrays, func() { r.user(r.newArray(r.anyTeam())) }) })
+		r.wg.Go(func() { r.atRate(arrays, func() { r.runUserJob(r.newArray(r.randomTeam())) }) })
 		gangs := r.load.StartsPerS * r.load.GangShare / r.meanGang()
-		r.wg.Go(func() { r.every(gangs, func() { r.user(r.newGang(r.anyTeam())) }) })
+		r.wg.Go(func() { r.atRate(gangs, func() { r.runUserJob(r.newGang(r.randomTeam())) }) })
 	}
-	r.wg.Go(func() { r.every(r.load.UrgentPerS, func() { r.user(r.newUrgent()) }) })
-	r.wg.Go(func() { r.every(r.load.PipelinesPerS, r.pipeline) })
+	r.wg.Go(func() { r.atRate(r.load.UrgentPerS, func() { r.runUserJob(r.newUrgent()) }) })
+	r.wg.Go(func() { r.atRate(r.load.PipelinesPerS, r.submitPipeline) })
 }
 
-// press keeps a team asking for more than its limit.
-func (r *run) press(team string) {
-	wanted := r.load.tasksOfATeam() * (r.load.Overcommit - standingShare)
+// keepTeamOverLimit keeps a team asking for more than its limit.
+func (r *run) keepTeamOverLimit(team string) {
+	wanted := r.load.tasksPerTeam() * (r.load.Overcommit - serviceShare)
 	for range max(1, int(wanted)/r.load.ArrayTasks) {
 		r.wg.Go(func() {
 			for r.ctx.Err() == nil {
-				r.user(r.newArray(team))
+				r.runUserJob(r.newArray(team))
 			}
 		})
 	}
 }
 
-// every calls f so many times a second, each call on its own.
-func (r *run) every(rate float64, f func()) {
+// atRate calls f so many times a second, each call on its own.
+func (r *run) atRate(rate float64, f func()) {
 	if rate <= 0 {
 		return
 	}
@@ -163,13 +163,13 @@
 	j := r.newJob(classGang, protocol.Gang, n, team)
 	j.SameZone = true
 	j.MachineTypes = []string{machineType} // hollow workers of a gang find each other, processes don't
-	j.CheckpointIntervalSeconds, j.SaveSeconds = r.cfg.RunTime.Seconds()/4, 1
+	j.CheckpointIntervalSeconds, j.SaveSeconds = r.cfg.MeanRunTime.Seconds()/4, 1
 	return j
 }
 
-// user submits a job, asks for it until it is over, and repeats what is refused. Some call
+// runUserJob submits a job, asks for it until it is over, and repeats what is refused. Some call
 // arrays off.
-func (r *run) user(j protocol.Job) {
+func (r *run) runUserJob(j protocol.Job) {
 	r.mu.Lock()
 	r.world.Jobs[j.ID] = &j
 	off := j.Class == classArray && r.rng.Float64() < r.load.CancelShare
@@ -178,16 +178,16 @@
 		return
 	}
 	if off {
-		timer := time.AfterFunc(r.cfg.RunTime/cancelAfterRun, func() { r.cancelJob(j.ID) })
+		timer := time.AfterFunc(r.cfg.MeanRunTime/cancelRunTimeDivisor, func() { r.cancelJob(j.ID) })
 		defer timer.Stop()
 	}
-	r.follow(j.ID)
+	r.pollUntilFinal(j.ID)
 }
 
-// follow asks for an accepted job until it is over.
-func (r *run) follow(id string) {
+// pollUntilFinal asks for an accepted job until it is over.
+func (r *run) pollUntilFinal(id string) {
 	for r.sleep(pollInterval) == nil {
-		if status, st := r.users.Request(r.ctx, r.anyController(), simulation.RequestQuery, id, nil); status == http.StatusOK && st.State.Final() {
+		if status, st := r.users.Request(r.ctx, r.randomController(), simulation.RequestQuery, id, nil); status == http.StatusOK && st.State.Final() {
 			return
 		}
 	}
@@ -196,11 +196,11 @@
 // submit submits a job until it is accepted, and says whether it was.
 func (r *run) submit(j *protocol.Job) bool {
 	for r.ctx.Err() == nil {
-		status, _ := r.users.Request(r.ctx, r.anyController(), simulation.RequestSubmit, j.ID, j)
+		status, _ := r.users.Request(r.ctx, r.randomController(), simulation.RequestSubmit, j.ID, j)
 		switch status {
 		case http.StatusOK, http.StatusCreated:
-			r.accepted.Add(1)
-			r.awaitStart(j)
+			r.acceptedJobs.Add(1)
+			r.recordAccepted(j)
 			return true
 		case http.StatusBadRequest, http.StatusUnprocessableEntity:
 			r.fail(fmt.Errorf("%s was refused with status %d", j.ID, status))
@@ -216,7 +216,7 @@
 // cancelJob calls a job off until told that it is over.
 func (r *run) cancelJob(id string) {
 	for r.ctx.Err() == nil {
-		if status, st := r.users.Request(r.ctx, r.anyController(), simulation.RequestCancel, id, nil); status == http.StatusOK && st.State.Final() {
+		if status, st := r.users.Request(r.ctx, r.randomController(), simulation.RequestCancel, id, nil); status == http.StatusOK && st.State.Final() {
 			return
 		}
 		if r.sleep(retryPause) != nil {
@@ -225,66 +225,66 @@
 	}
 }
 
-func (r *run) anyController() string {
+func (r *run) randomController() string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.controllers[r.rng.IntN(len(r.controllers))].addr
 }
 
-// awaitStart notes that a job was accepted, unless a task of it runs already.
-func (r *run) awaitStart(j *protocol.Job) {
+// recordAccepted notes that a job was accepted, unless a task of it runs already.
+func (r *run) recordAccepted(j *protocol.Job) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if at, ok := r.waiting[j.ID]; ok && at < 0 {
-		delete(r.waiting, j.ID)
-		r.meter.Took(latencyOf(j.Class), 0)
+	if at, ok := r.acceptedAt[j.ID]; ok && at < 0 {
+		delete(r.acceptedAt, j.ID)
+		r.meter.RecordLatency(startLatencyOf(j.Class), 0)
 		return
 	}
-	r.waiting[j.ID] = r.now()
+	r.acceptedAt[j.ID] = r.now()
 }
 
-// started takes in a task's start; the lock is held.
-func (r *run) started(now time.Duration, id protocol.TaskID) {
+// recordTaskStart takes in a task's start; the lock is held.
+func (r *run) recordTaskStart(now time.Duration, id protocol.TaskID) {
 	if id.Index != 0 {
 		return
 	}
 	if freed, awaited := r.world.UnblockedAt(r.world.Jobs[id.JobID]); awaited {
-		delete(r.waiting, id.JobID)
-		r.meter.Took(FreedStarted, now-freed)
+		delete(r.acceptedAt, id.JobID)
+		r.meter.RecordLatency(UnblockedStart, now-freed)
 		return
 	}
-	at, ok := r.waiting[id.JobID]
+	at, ok := r.acceptedAt[id.JobID]
 	switch {
 	case !ok:
 		// It runs before its user has the answer, or runs again.
-		r.waiting[id.JobID] = -1
+		r.acceptedAt[id.JobID] = -1
 	case at >= 0:
-		delete(r.waiting, id.JobID)
-		r.meter.Took(latencyOf(r.world.Jobs[id.JobID].Class), now-at)
+		delete(r.acceptedAt, id.JobID)
+		r.meter.RecordLatency(startLatencyOf(r.world.Jobs[id.JobID].Class), now-at)
 	}
 }
 
-func latencyOf(class string) Latency {
+func startLatencyOf(class string) Latency {
 	if class == classUrgent {
-		return UrgentStarted
+		return UrgentStart
 	}
-	return TaskStarted
+	return TaskStart
 }
 
-// userAnswered takes in how long a user waited for an answer.
-func (r *run) userAnswered(kind string, took time.Duration, status int) {
-	r.meter.Message(LinkUsers, fmt.Sprintf("%s %d", kind, status))
+// recordUserReply takes in how long a user waited for an answer.
+func (r *run) recordUserReply(kind string, took time.Duration, status int) {
+	r.meter.CountMessage(LinkUsers, fmt.Sprintf("%s %d", kind, status))
 	switch kind {
 	case simulation.RequestSubmit:
-		r.meter.Took(SubmissionAnswered, took)
+		r.meter.RecordLatency(SubmissionReply, took)
 	case simulation.RequestQuery:
-		r.meter.Took(QuestionAnswered, took)
+		r.meter.RecordLatency(QueryReply, took)
 	case simulation.RequestCancel:
-		r.meter.Took(CancellationAnswered, took)
+		r.meter.RecordLatency(CancellationReply, took)
 	}
 }
 
-func (r *run) allDone(id string) bool {
+func (r *run) allTasksDone(id string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	j := r.world.Jobs[id]
@@ -296,7 +296,7 @@
 	return true
 }
 
-func (r *run) toldCancelled(id string, at time.Duration) {
+func (r *run) recordCancelled(id string, at time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.world.Cancelled[id] = at
--- a/internal/scale/scale_test.go
+++ b/internal/scale/loadtest_test.go
@@ -23,7 +23,7 @@
 
 // TestMain runs the tests, or a worker of a run that one of them has started.
 func TestMain(m *testing.M) {
-	if os.Getenv(WorkerVariable) == "" {
+	if os.Getenv(WorkerEnvVar) == "" {
 		testkit.Main(m)
 		return
 	}
@@ -36,8 +36,8 @@
 	}
 }
 
-// tiny is a run that is over in seconds, with the built program.
-func tiny(t *testing.T) *Config {
+// tinyConfig is a run that is over in seconds, with the built program.
+func tinyConfig(t *testing.T) *Config {
 	t.Helper()
 	self, err := os.Executable()
 	if err != nil {
@@ -45,15 +45,15 @@
 	}
 	return &Config{
 		WorkerProcesses: 2, WorkerProgram: self,
-		Program: build(t), Vary: Workers, Sizes: []int{6, 8, 10, 12},
+		Program: buildController(t), Vary: Workers, Sizes: []int{6, 8, 10, 12},
 		Load: Load{Controllers: 3, Workers: 10, Teams: 2, Zones: 2, TasksPerWorker: 4, StartsPerS: 10, ArrayTasks: 5, GangShare: 0.2,
 			GangTasks: 2, UrgentPerS: 2, PipelinesPerS: 1, CancelShare: 0.2, Overcommit: 1.5},
-		Report: 300 * time.Millisecond, Lease: 3 * time.Second, RunTime: time.Second, Warmup: 2 * time.Second, Measure: 2 * time.Second,
+		HeartbeatInterval: 300 * time.Millisecond, Lease: 3 * time.Second, MeanRunTime: time.Second, Warmup: 2 * time.Second, MeasureTime: 2 * time.Second,
 		Slices: 2, Seed: 1, Port: freePort(t), CoreShare: 1, RAMMB: 256, MaxSockets: 500, StateRPS: 600, StateWriteRPS: 180, StateTxnOps: 16, CloudRPS: 4,
 	}
 }
 
-func build(t *testing.T) string {
+func buildController(t *testing.T) string {
 	t.Helper()
 	program := filepath.Join(t.TempDir(), "pinebay")
 	if out, err := exec.Command("go", "build", "-o", program, "pinebay/cmd/pinebay").CombinedOutput(); err != nil {
@@ -83,8 +83,8 @@
 	return 0
 }
 
-// left counts processes of a program.
-func left(t *testing.T, program string) (n int) {
+// countProcesses counts processes of a program.
+func countProcesses(t *testing.T, program string) (n int) {
 	t.Helper()
 	procs, err := procfs.AllProcs()
 	if err != nil {
@@ -106,9 +106,9 @@
 // TestTinyRun plays four sizes with real processes: everything is counted, slopes are fitted,
 // no rule is broken and no process is left.
 func TestTinyRun(t *testing.T) {
-	cfg := tiny(t)
-	cfg.Troubles = []Trouble{KillLeader}
-	if err := cfg.Check(); err != nil {
+	cfg := tinyConfig(t)
+	cfg.Faults = []Fault{KillLeader}
+	if err := cfg.Validate(); err != nil {
 		t.Fatal(err)
 	}
 	result, err := Run(t.Context(), cfg, slog.New(slog.DiscardHandler))
@@ -116,10 +116,10 @@
 		t.Fatal(err)
 	}
 	for _, s := range result.Sizes {
-		if !s.Filled || s.Starts == 0 || s.Answers == 0 || len(s.Troubles) != 1 {
-			t.Errorf("%d workers: filled %v, %d starts, %d answers judged, %d troubles", s.Size, s.Filled, s.Starts, s.Answers, len(s.Troubles))
+		if !s.ServicesRunning || s.Starts == 0 || s.CheckedReplies == 0 || len(s.Faults) != 1 {
+			t.Errorf("%d workers: filled %v, %d starts, %d answers judged, %d troubles", s.Size, s.ServicesRunning, s.Starts, s.CheckedReplies, len(s.Faults))
 		}
-		for _, name := range []string{figReports, figStateRequests, figLeaderMemory, figFollowerSockets, figWorkerBytes, figProcessMemory} {
+		for _, name := range []string{figHeartbeats, figStateRequests, figLeaderMemory, figFollowerSockets, figWorkerBytes, figProcessMemory} {
 			if s.Figures[name].Mean <= 0 {
 				t.Errorf("%d workers: %s is missing", s.Size, name)
 			}
@@ -131,26 +131,26 @@
 	if len(result.Slopes) == 0 {
 		t.Error("no slopes from four sizes")
 	}
-	if n := left(t, cfg.Program); n > 0 {
+	if n := countProcesses(t, cfg.Program); n > 0 {
 		t.Errorf("%d processes are left", n)
 	}
-	roundTrip(t, result)
+	checkRoundTrip(t, result)
 }
 
-// TestOwnersAsProcesses has real processes part the machines among them, and kills and freezes the leader and owners: no
+// TestShardOwnersAsProcesses has real processes part the machines among them, and kills and freezes the leader and owners: no
 // rule is broken, an epoch is in force on every controller, and no process is left. How long anything takes decides
 // nothing.
-func TestOwnersAsProcesses(t *testing.T) {
-	cfg := tiny(t)
+func TestShardOwnersAsProcesses(t *testing.T) {
+	cfg := tinyConfig(t)
 	cfg.Sizes, cfg.Ownership, cfg.LogDir = []int{12}, true, t.TempDir()
-	cfg.Troubles = []Trouble{FreezeOwner, KillOwner, FreezeLeader, KillLeader}
+	cfg.Faults = []Fault{FreezeOwner, KillOwner, FreezeLeader, KillLeader}
 	result, err := Run(t.Context(), cfg, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, s := range result.Sizes {
-		if s.Starts == 0 || s.Answers == 0 || len(s.Troubles) != len(cfg.Troubles) {
-			t.Errorf("%d starts, %d answers judged, %d troubles", s.Starts, s.Answers, len(s.Troubles))
+		if s.Starts == 0 || s.CheckedReplies == 0 || len(s.Faults) != len(cfg.Faults) {
+			t.Errorf("%d starts, %d answers judged, %d troubles", s.Starts, s.CheckedReplies, len(s.Faults))
 		}
 	}
 	logs, err := filepath.Glob(filepath.Join(cfg.LogDir, "*.log"))
@@ -170,13 +170,13 @@
 		handovers = max(handovers, epochs-1)
 	}
 	t.Logf("%d handovers", handovers)
-	if n := left(t, cfg.Program); n > 0 {
+	if n := countProcesses(t, cfg.Program); n > 0 {
 		t.Errorf("%d processes are left", n)
 	}
 }
 
-// roundTrip writes a result and reads it again: its tables are the same.
-func roundTrip(t *testing.T, result *Result) {
+// checkRoundTrip writes a result and reads it again: its tables are the same.
+func checkRoundTrip(t *testing.T, result *Result) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "result.json")
 	if err := result.WriteJSON(path); err != nil {
@@ -197,18 +197,18 @@
 	if err := result.WriteCapacity(&capacity, 1000); err != nil || !strings.Contains(capacity.String(), "extrapolated, 83.3 times") {
 		t.Errorf("capacity: %v\n%s", err, capacity.String())
 	}
-	if err := (&Result{}).WriteCapacity(&capacity, 10); !errors.Is(err, ErrConfig) {
+	if err := (&Result{}).WriteCapacity(&capacity, 10); !errors.Is(err, ErrInvalidConfig) {
 		t.Errorf("capacity without slopes: %v", err)
 	}
-	if err := result.Picture(filepath.Join(t.TempDir(), "picture.png"), PictureFigures()); err != nil {
+	if err := result.WritePlots(filepath.Join(t.TempDir(), "picture.png"), PlottedFigures()); err != nil {
 		t.Error(err)
 	}
 }
 
-// TestBrokenRuleEndsTheRun: when the oracles see a rule broken, here a limit that the
+// TestInvariantViolationEndsTheRun: when the oracles see a rule broken, here a limit that the
 // controllers were not told of, the run ends with that, and nothing is left.
-func TestBrokenRuleEndsTheRun(t *testing.T) {
-	cfg := tiny(t)
+func TestInvariantViolationEndsTheRun(t *testing.T) {
+	cfg := tinyConfig(t)
 	dir := t.TempDir()
 	r, err := newRun(t.Context(), cfg, cfg.loadAt(6), dir, slog.New(slog.DiscardHandler))
 	if err != nil {
@@ -218,48 +218,48 @@
 		r.world.TeamLimits[team.Name] = [2]float64{1, 0}
 	}
 	var result SizeResult
-	err = r.play(&result)
-	r.end()
-	if !errors.Is(err, ErrBroken) || !strings.Contains(err.Error(), "quota") {
+	err = r.execute(&result)
+	r.shutdown()
+	if !errors.Is(err, ErrInvariantViolated) || !strings.Contains(err.Error(), "quota") {
 		t.Errorf("ended with %v", err)
 	}
-	if n := left(t, cfg.Program); n > 0 {
+	if n := countProcesses(t, cfg.Program); n > 0 {
 		t.Errorf("%d processes are left", n)
 	}
 }
 
 // TestInterruptLeavesNothing: a run that is called off ends its processes.
 func TestInterruptLeavesNothing(t *testing.T) {
-	cfg := tiny(t)
+	cfg := tinyConfig(t)
 	ctx, cancel := context.WithCancel(t.Context())
 	time.AfterFunc(time.Second, cancel)
 	if _, err := Run(ctx, cfg, slog.New(slog.DiscardHandler)); !errors.Is(err, context.Canceled) {
 		t.Errorf("ended with %v", err)
 	}
-	if n := left(t, cfg.Program); n > 0 {
+	if n := countProcesses(t, cfg.Program); n > 0 {
 		t.Errorf("%d processes are left", n)
 	}
 }
 
 // TestPortTaken: a port that is taken is a complaint about the configuration.
 func TestPortTaken(t *testing.T) {
-	cfg := tiny(t)
+	cfg := tinyConfig(t)
 	l, err := net.Listen("tcp4", cfg.stateAddr())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close()
-	if _, err := Run(t.Context(), cfg, slog.New(slog.DiscardHandler)); !errors.Is(err, ErrConfig) {
+	if _, err := Run(t.Context(), cfg, slog.New(slog.DiscardHandler)); !errors.Is(err, ErrInvalidConfig) {
 		t.Errorf("ended with %v", err)
 	}
-	if n := left(t, cfg.Program); n > 0 {
+	if n := countProcesses(t, cfg.Program); n > 0 {
 		t.Errorf("%d processes are left", n)
 	}
 }
 
-// TestRefusedConfigurations: each impossible configuration is refused with a line that names
+// TestInvalidConfigurations: each impossible configuration is refused with a line that names
 // what is wrong.
-func TestRefusedConfigurations(t *testing.T) {
+func TestInvalidConfigurations(t *testing.T) {
 	program, err := os.Executable()
 	if err != nil {
 		t.Fatal(err)
@@ -275,23 +275,23 @@
 		"too much memory":  {func(c *Config) { c.Sizes = []int{1_000_000} }, "memory"},
 		"too many sockets": {func(c *Config) { c.Load.TasksPerWorker, c.Sizes = 0.01, []int{1 << 17} }, "sockets"},
 		"many processes":   {func(c *Config) { c.Vary, c.Sizes = Controllers, []int{1000} }, "processes"},
-		"unknown trouble":  {func(c *Config) { c.Troubles = []Trouble{"rain"} }, "rain"},
-		"short lease":      {func(c *Config) { c.Lease = c.Report }, "lease"},
+		"unknown trouble":  {func(c *Config) { c.Faults = []Fault{"rain"} }, "rain"},
+		"short lease":      {func(c *Config) { c.Lease = c.HeartbeatInterval }, "lease"},
 		"one slice":        {func(c *Config) { c.Slices = 1 }, "slices"},
 		"privileged port":  {func(c *Config) { c.Port = 80 }, "port"},
-		"no time":          {func(c *Config) { c.Measure = 0 }, "measured time"},
+		"no time":          {func(c *Config) { c.MeasureTime = 0 }, "measured time"},
 		"no tasks":         {func(c *Config) { c.Load.TasksPerWorker = 0 }, "tasks"},
 		"odd share":        {func(c *Config) { c.Load.GangShare = 2 }, "share"},
 		"no more asked":    {func(c *Config) { c.Load.TeamsAtLimit, c.Load.Overcommit = true, 1 }, "limits"},
 	} {
-		cfg := &Config{Program: program, Vary: Workers, Sizes: []int{10}, Slices: 2, Port: 23_000, Report: time.Second, Lease: 5 * time.Second,
-			RunTime: time.Second, Measure: time.Second,
+		cfg := &Config{Program: program, Vary: Workers, Sizes: []int{10}, Slices: 2, Port: 23_000, HeartbeatInterval: time.Second, Lease: 5 * time.Second,
+			MeanRunTime: time.Second, MeasureTime: time.Second,
 			Load: Load{Controllers: 1, Workers: 10, Teams: 1, Zones: 1, TasksPerWorker: 1, ArrayTasks: 1, GangTasks: 1}}
-		if err := cfg.Check(); err != nil {
+		if err := cfg.Validate(); err != nil {
 			t.Fatalf("the base is refused: %v", err)
 		}
 		x.change(cfg)
-		if err := cfg.Check(); !errors.Is(err, ErrConfig) || !strings.Contains(err.Error(), x.names) || strings.Contains(err.Error(), "\n") {
+		if err := cfg.Validate(); !errors.Is(err, ErrInvalidConfig) || !strings.Contains(err.Error(), x.names) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
@@ -309,20 +309,20 @@
 			y := at + slope*float64(size) + off*float64(1-2*(i%2))
 			sizes = append(sizes, SizeResult{Size: size, Figures: map[string]Figure{"f": {Mean: y}}})
 		}
-		got := slopes(sizes)
+		got := fitSlopes(sizes)
 		if len(got) != 1 {
 			t.Fatalf("%d slopes", len(got))
 		}
 		const near = 1e-6
-		if off < near && (got[0].Slope-slope > near || slope-got[0].Slope > near || got[0].Error > near) {
-			t.Errorf("slope %g, want %g; error %g", got[0].Slope, slope, got[0].Error)
+		if off < near && (got[0].Slope-slope > near || slope-got[0].Slope > near || got[0].StandardError > near) {
+			t.Errorf("slope %g, want %g; error %g", got[0].Slope, slope, got[0].StandardError)
 		}
 		// Five standard errors, and what rounding leaves.
-		if d := got[0].Slope - slope; off > near && (d > 5*got[0].Error+near || -d > 5*got[0].Error+near) {
-			t.Errorf("slope %g is %g standard errors from %g", got[0].Slope, d/got[0].Error, slope)
+		if d := got[0].Slope - slope; off > near && (d > 5*got[0].StandardError+near || -d > 5*got[0].StandardError+near) {
+			t.Errorf("slope %g is %g standard errors from %g", got[0].Slope, d/got[0].StandardError, slope)
 		}
 	})
-	if few := slopes(make([]SizeResult, minSizes-1)); few != nil {
+	if few := fitSlopes(make([]SizeResult, minSizes-1)); few != nil {
 		t.Errorf("slopes from too few sizes: %v", few)
 	}
 }
@@ -350,16 +350,16 @@
 	if sizes := r.load.gangSizes(); len(sizes) != 6 || sizes[5] != 64 {
 		t.Errorf("gangs of %v", sizes)
 	}
-	if latencyOf(classUrgent) != UrgentStarted || latencyOf(classArray) != TaskStarted {
+	if startLatencyOf(classUrgent) != UrgentStart || startLatencyOf(classArray) != TaskStart {
 		t.Error("urgent work is not told from other work")
 	}
 }
 
-// TestMirrorIsJudged: what workers in processes of their own tell is checked like all else: a task
+// TestMirroredWorkersAreChecked: what workers in processes of their own tell is checked like all else: a task
 // that starts while another worker has it, one that is there although it was cancelled, and nothing
 // of one that ended before.
-func TestMirrorIsJudged(t *testing.T) {
-	kind := &protocol.MachineType{Name: processType, CPUs: 8, MemoryGB: 8}
+func TestMirroredWorkersAreChecked(t *testing.T) {
+	kind := &protocol.MachineType{Name: workerProcessType, CPUs: 8, MemoryGB: 8}
 	report := func(machine string, state protocol.TaskState) *protocol.WorkerHeartbeat {
 		return &protocol.WorkerHeartbeat{Machine: machine, Tasks: []protocol.TaskStatus{{TaskName: "j-1/0", Attempt: 1, State: state}}}
 	}
--- a/internal/scale/measure.go
+++ b/internal/scale/measure.go
@@ -11,45 +11,45 @@
 
 // sample is every counter at one moment.
 type sample struct {
-	at       time.Time
-	leader   string
-	process  map[string]usage
-	workers  []usage // of workers that are processes
-	self     usage
-	state    simulation.StoreUsage
-	bytes    [links]int64
-	messages [links]int64
-	kinds    map[string]int64
-	starts   int
-	answers  int64
-	accepted int64
+	at             time.Time
+	leader         string
+	controllers    map[string]resourceUsage
+	workers        []resourceUsage // of workers that are processes
+	self           resourceUsage
+	state          simulation.StoreUsage
+	bytes          [linkCount]int64
+	messages       [linkCount]int64
+	messagesByKind map[string]int64
+	starts         int
+	replies        int64
+	accepted       int64
 }
 
 func (r *run) sample() (sample, error) {
-	s := sample{at: time.Now(), process: map[string]usage{}, state: r.state.Usage(), kinds: r.meter.kindsNow(),
-		answers: r.answers.Load(), accepted: r.accepted.Load()}
+	s := sample{at: time.Now(), controllers: map[string]resourceUsage{}, state: r.state.Usage(), messagesByKind: r.meter.messageCounts(),
+		replies: r.replyCount.Load(), accepted: r.acceptedJobs.Load()}
 	if p := r.leader(); p != nil {
-		s.leader = p.node
+		s.leader = p.name
 	}
 	for _, p := range r.controllers {
 		u, err := p.usage()
 		if err != nil {
 			return s, err
 		}
-		s.process[p.node] = u
+		s.controllers[p.name] = u
 	}
 	for _, pid := range r.workerPIDs() {
-		u, err := usageOf(pid)
+		u, err := readUsage(pid)
 		if err != nil {
 			return s, err
 		}
 		s.workers = append(s.workers, u)
 	}
 	var err error
-	if s.self, err = usageOf(os.Getpid()); err != nil {
+	if s.self, err = readUsage(os.Getpid()); err != nil {
 		return s, err
 	}
-	for i := range links {
+	for i := range linkCount {
 		s.bytes[i], s.messages[i] = r.meter.bytes[i].Load(), r.meter.messages[i].Load()
 	}
 	r.mu.Lock()
@@ -75,7 +75,7 @@
 	Max  float64 `json:"max"`
 }
 
-func figure(values []float64) Figure {
+func newFigure(values []float64) Figure {
 	if len(values) == 0 {
 		return Figure{}
 	}
@@ -90,18 +90,18 @@
 type SizeResult struct {
 	Size int  `json:"size"`
 	Load Load `json:"load"`
-	// Filled says whether the standing work ran before the measurement, and Stopped why the
+	// ServicesRunning says whether the standing work ran before the measurement, and Stopped why the
 	// size was broken off, if it was.
-	Filled  bool   `json:"filled"`
-	Stopped string `json:"stopped,omitempty"`
+	ServicesRunning bool   `json:"filled"`
+	StopReason      string `json:"stopped,omitempty"`
 	// Figures are by name; names end in their unit.
-	Figures  map[string]Figure    `json:"figures"`
-	Messages map[string]float64   `json:"messages_per_s"`
-	Times    map[string]Times     `json:"times"`
-	Steps    map[string]stepTimes `json:"steps"`
-	Troubles []TroubleResult      `json:"troubles,omitempty"`
-	Starts   int                  `json:"starts"`
-	Answers  int                  `json:"answers_judged"`
+	Figures        map[string]Figure    `json:"figures"`
+	Messages       map[string]float64   `json:"messages_per_s"`
+	Times          map[string]Times     `json:"times"`
+	Steps          map[string]stepTimes `json:"steps"`
+	Faults         []FaultResult        `json:"troubles,omitempty"`
+	Starts         int                  `json:"starts"`
+	CheckedReplies int                  `json:"answers_judged"`
 }
 
 // Names of figures.
@@ -114,8 +114,8 @@
 	figFollowerMemory  = "follower memory (MB)"
 	figFollowerSockets = "follower sockets"
 	figFollowerBytes   = "follower traffic (KB/s)"
-	figHarnessCPU      = "models cpu (cores)"
-	figReports         = "reports (1/s)"
+	figModelsCPU       = "models cpu (cores)"
+	figHeartbeats      = "reports (1/s)"
 	figCommands        = "commands (1/s)"
 	figStarts          = "starts (1/s)"
 	figAccepted        = "jobs accepted (1/s)"
@@ -138,7 +138,7 @@
 	samples := make([]sample, 0, r.cfg.Slices+1)
 	for i := range r.cfg.Slices + 1 {
 		if i > 0 {
-			if err := r.sleep(r.cfg.Measure / time.Duration(r.cfg.Slices)); err != nil {
+			if err := r.sleep(r.cfg.MeasureTime / time.Duration(r.cfg.Slices)); err != nil {
 				return err
 			}
 		}
@@ -149,17 +149,17 @@
 		samples = append(samples, s)
 	}
 	result.Figures = r.figures(samples)
-	result.Messages = rates(samples[0], samples[len(samples)-1])
-	result.Times, result.Steps = r.meter.Times(), r.worstSteps()
+	result.Messages = messageRates(samples[0], samples[len(samples)-1])
+	result.Times, result.Steps = r.meter.Times(), r.combinedStepTimes()
 	return nil
 }
 
-// rates are the messages a second of each kind between two samples.
-func rates(a, b sample) map[string]float64 {
+// messageRates are the messages a second of each kind between two samples.
+func messageRates(a, b sample) map[string]float64 {
 	seconds := b.at.Sub(a.at).Seconds()
 	out := map[string]float64{}
-	for kind, n := range b.kinds {
-		if d := n - a.kinds[kind]; d > 0 {
+	for kind, n := range b.messagesByKind {
+		if d := n - a.messagesByKind[kind]; d > 0 {
 			out[kind] = float64(d) / seconds
 		}
 	}
@@ -175,8 +175,8 @@
 		a := samples[i]
 		seconds := b.at.Sub(a.at).Seconds()
 		per := func(d float64) float64 { return d / seconds }
-		for node, u := range b.process {
-			before, ok := a.process[node]
+		for node, u := range b.controllers {
+			before, ok := a.controllers[node]
 			if !ok || u.CPU < before.CPU {
 				continue // it was started anew
 			}
@@ -195,8 +195,8 @@
 				add(figProcessMemory, b.workers[k].MemMB)
 			}
 		}
-		add(figHarnessCPU, per(b.self.CPU-a.self.CPU))
-		add(figReports, per(float64(b.answers-a.answers)))
+		add(figModelsCPU, per(b.self.CPU-a.self.CPU))
+		add(figHeartbeats, per(float64(b.replies-a.replies)))
 		add(figCommands, per(float64(b.messages[LinkCommands]-a.messages[LinkCommands])))
 		add(figStarts, per(float64(b.starts-a.starts)))
 		add(figAccepted, per(float64(b.accepted-a.accepted)))
@@ -208,14 +208,14 @@
 		add(figCloudRequests, per(float64(b.messages[LinkCloud]-a.messages[LinkCloud])))
 		add(figUserRequests, per(float64(b.messages[LinkUsers]-a.messages[LinkUsers])))
 		workers := float64(r.load.Workers)
-		toWorkers := func(s sample) float64 { return float64(s.messages[LinkReports] + s.messages[LinkCommands]) }
-		ofWorkers := func(s sample) float64 { return float64(s.bytes[LinkReports] + s.bytes[LinkCommands]) }
+		toWorkers := func(s sample) float64 { return float64(s.messages[LinkHeartbeats] + s.messages[LinkCommands]) }
+		ofWorkers := func(s sample) float64 { return float64(s.bytes[LinkHeartbeats] + s.bytes[LinkCommands]) }
 		add(figWorkerMessages, per(toWorkers(b)-toWorkers(a))/workers)
 		add(figWorkerBytes, per(ofWorkers(b)-ofWorkers(a))/kilo/workers)
 	}
 	out := map[string]Figure{}
 	for name, v := range values {
-		out[name] = figure(v)
+		out[name] = newFigure(v)
 	}
 	return out
 }
--- a/internal/scale/meter.go
+++ b/internal/scale/meter.go
@@ -17,16 +17,16 @@
 
 // Links.
 const (
-	LinkReports  Link = iota // workers to controllers
-	LinkCommands             // controllers to workers
+	LinkHeartbeats Link = iota // workers to controllers
+	LinkCommands               // controllers to workers
 	LinkState
 	LinkCloud
 	LinkUsers
 	LinkObserver // workers that are processes, to who judges them
-	links
+	linkCount
 )
 
-var linkNames = [links]string{"reports", "commands", "state", "cloud", "users", "observer"}
+var linkNames = [linkCount]string{"reports", "commands", "state", "cloud", "users", "observer"}
 
 func (l Link) String() string { return linkNames[l] }
 
@@ -35,39 +35,39 @@
 
 // Latencies.
 const (
-	ReportAnswered Latency = iota
-	SubmissionAnswered
-	QuestionAnswered
-	CancellationAnswered
-	UrgentStarted
-	TaskStarted
-	FreedStarted // from the end of the last job that a job awaits
-	latencies
+	HeartbeatReply Latency = iota
+	SubmissionReply
+	QueryReply
+	CancellationReply
+	UrgentStart
+	TaskStart
+	UnblockedStart // from the end of the last job that a job awaits
+	latencyCount
 )
 
-var latencyNames = [latencies]string{"report", "submission", "question", "cancellation", "urgent start", "start", "freed to started"}
+var latencyNames = [latencyCount]string{"report", "submission", "question", "cancellation", "urgent start", "start", "freed to started"}
 
 func (l Latency) String() string { return latencyNames[l] }
 
 // maxMillis is the longest time told apart, and digits how exactly.
 const (
-	maxMicros = int64(10 * time.Minute / time.Microsecond)
-	digits    = 3
+	maxMicros         = int64(10 * time.Minute / time.Microsecond)
+	significantDigits = 3
 )
 
 // Meter counts messages and bytes on links, and collects times.
 type Meter struct {
-	bytes    [links]atomic.Int64
-	messages [links]atomic.Int64
+	bytes    [linkCount]atomic.Int64
+	messages [linkCount]atomic.Int64
 
-	mu    sync.Mutex
-	kinds map[string]int64 // messages by link and path
-	times [latencies]*hdrhistogram.Histogram
+	mu             sync.Mutex
+	messagesByKind map[string]int64 // messages by link and path
+	times          [latencyCount]*hdrhistogram.Histogram
 }
 
 // NewMeter returns a meter at zero.
 func NewMeter() *Meter {
-	m := &Meter{kinds: map[string]int64{}}
+	m := &Meter{messagesByKind: map[string]int64{}}
 	m.ResetTimes()
 	return m
 }
@@ -77,23 +77,23 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for i := range m.times {
-		m.times[i] = hdrhistogram.New(1, maxMicros, digits)
+		m.times[i] = hdrhistogram.New(1, maxMicros, significantDigits)
 	}
 }
 
-// Took notes how long an answer or a start took.
-func (m *Meter) Took(l Latency, d time.Duration) {
+// RecordLatency notes how long an answer or a start took.
+func (m *Meter) RecordLatency(l Latency, d time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	// Beyond the range is as good as at its end.
 	_ = m.times[l].RecordValue(min(max(1, d.Microseconds()), maxMicros))
 }
 
-// Message counts a message of a kind.
-func (m *Meter) Message(l Link, kind string) {
+// CountMessage counts a message of a kind.
+func (m *Meter) CountMessage(l Link, kind string) {
 	m.messages[l].Add(1)
 	m.mu.Lock()
-	m.kinds[l.String()+" "+kind]++
+	m.messagesByKind[l.String()+" "+kind]++
 	m.mu.Unlock()
 }
 
@@ -104,7 +104,7 @@
 	out := map[string]Times{}
 	for i, h := range m.times {
 		if h.TotalCount() > 0 {
-			out[Latency(i).String()] = timesOf(h)
+			out[Latency(i).String()] = newTimes(h)
 		}
 	}
 	return out
@@ -118,18 +118,18 @@
 	Max   float64 `json:"max_ms"`
 }
 
-func timesOf(h *hdrhistogram.Histogram) Times {
+func newTimes(h *hdrhistogram.Histogram) Times {
 	const microsPerMilli = 1000
 	return Times{Count: h.TotalCount(), P50: float64(h.ValueAtQuantile(50)) / microsPerMilli,
 		P99: float64(h.ValueAtQuantile(99)) / microsPerMilli, Max: float64(h.Max()) / microsPerMilli}
 }
 
-// kindsNow copies the messages by kind.
-func (m *Meter) kindsNow() map[string]int64 {
+// messageCounts copies the messages by kind.
+func (m *Meter) messageCounts() map[string]int64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	out := make(map[string]int64, len(m.kinds))
-	for k, n := range m.kinds {
+	out := make(map[string]int64, len(m.messagesByKind))
+	for k, n := range m.messagesByKind {
 		out[k] = n
 	}
 	return out
@@ -138,13 +138,13 @@
 // handler counts the requests that a service answers.
 func (m *Meter) handler(l Link, next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		m.Message(l, kindOf(r))
+		m.CountMessage(l, requestKind(r))
 		next.ServeHTTP(w, r)
 	})
 }
 
-// kindOf names a request by its method and the first part of its path.
-func kindOf(r *http.Request) string {
+// requestKind names a request by its method and the first part of its path.
+func requestKind(r *http.Request) string {
 	first, rest, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/")
 	if strings.HasSuffix(rest, "extend") {
 		first += "/extend"
--- a/internal/scale/report.go
+++ b/internal/scale/output.go
@@ -45,7 +45,7 @@
 	w := tabwriter.NewWriter(out, 0, 0, 1, ' ', 0)
 	r.writeFigures(w)
 	r.writeTimes(w)
-	r.writeTroubles(w)
+	r.writeFaults(w)
 	r.writeSlopes(w)
 	if err := w.Flush(); err != nil {
 		return fmt.Errorf("table: %w", err)
@@ -53,7 +53,7 @@
 	return nil
 }
 
-func (r *Result) header(w io.Writer, first string, last ...string) {
+func (r *Result) writeHeader(w io.Writer, first string, last ...string) {
 	fmt.Fprintf(w, "\n| %s\t", first)
 	cells := 1
 	for _, s := range r.Sizes {
@@ -65,11 +65,11 @@
 		cells++
 	}
 	fmt.Fprint(w, "|\n")
-	rule(w, cells)
+	writeRule(w, cells)
 }
 
-// rule writes the line below a table's head.
-func rule(w io.Writer, cells int) {
+// writeRule writes the line below a table's head.
+func writeRule(w io.Writer, cells int) {
 	for range cells {
 		fmt.Fprint(w, "| ---\t")
 	}
@@ -83,7 +83,7 @@
 			names[name] = true
 		}
 	}
-	r.header(w, "figure (mean, least to most of the slices)")
+	r.writeHeader(w, "figure (mean, least to most of the slices)")
 	for _, name := range slices.Sorted(maps.Keys(names)) {
 		fmt.Fprintf(w, "| %s\t", name)
 		for _, s := range r.Sizes {
@@ -104,7 +104,7 @@
 			steps[kind] = true
 		}
 	}
-	r.header(w, "time in ms (half, 99 of 100, longest)")
+	r.writeHeader(w, "time in ms (half, 99 of 100, longest)")
 	for _, kind := range slices.Sorted(maps.Keys(kinds)) {
 		fmt.Fprintf(w, "| %s\t", kind)
 		for _, s := range r.Sizes {
@@ -123,21 +123,21 @@
 	}
 }
 
-func (r *Result) writeTroubles(w io.Writer) {
+func (r *Result) writeFaults(w io.Writer) {
 	any := false
 	for _, s := range r.Sizes {
-		for _, t := range s.Troubles {
+		for _, t := range s.Faults {
 			if !any {
 				any = true
 				fmt.Fprint(w, "\n| size\t| trouble\t| first answer, s\t| most answered, s\t| records read, s\t| report p99, longest, ms\t| question p99, longest, ms\t"+
 					"| urgent start p99, longest, ms\t| heartbeat p99, longest, ms\t| cycle longest, ms\t|\n")
 				const columns = 10
-				rule(w, columns)
+				writeRule(w, columns)
 			}
-			report, question, urgent := t.Times[ReportAnswered.String()], t.Times[QuestionAnswered.String()], t.Times[UrgentStarted.String()]
+			report, question, urgent := t.Times[HeartbeatReply.String()], t.Times[QueryReply.String()], t.Times[UrgentStart.String()]
 			beat, cycle := t.Steps["heartbeat"], t.Steps["cycle"]
-			fmt.Fprintf(w, "| %d\t| %s\t| %.3g\t| %.3g\t| %.3g\t| %.4g, %.4g\t| %.4g, %.4g\t| %.4g, %.4g\t| %.4g, %.4g\t| %.4g\t|\n", s.Size, t.Trouble,
-				t.FirstS, t.MostS, t.RecordsS, report.P99, report.Max, question.P99, question.Max, urgent.P99, urgent.Max, beat.P99MS, beat.MaxMS, cycle.MaxMS)
+			fmt.Fprintf(w, "| %d\t| %s\t| %.3g\t| %.3g\t| %.3g\t| %.4g, %.4g\t| %.4g, %.4g\t| %.4g, %.4g\t| %.4g, %.4g\t| %.4g\t|\n", s.Size, t.Fault,
+				t.FirstReplyS, t.MostRepliedS, t.RecoveryS, report.P99, report.Max, question.P99, question.Max, urgent.P99, urgent.Max, beat.P99MS, beat.MaxMS, cycle.MaxMS)
 		}
 	}
 }
@@ -148,26 +148,26 @@
 	}
 	fmt.Fprintf(w, "\n| figure\t| at none\t| for each of %s\t| standard error\t| R2\t| farthest off the line\t|\n", r.Vary)
 	const columns = 6
-	rule(w, columns)
+	writeRule(w, columns)
 	for _, s := range r.Slopes {
 		const percent = 100
-		fmt.Fprintf(w, "| %s\t| %.4g\t| %.4g\t| %.2g\t| %.3f\t| %.0f%%\t|\n", s.Figure, s.Intercept, s.Slope, s.Error, s.R2, percent*s.Worst)
+		fmt.Fprintf(w, "| %s\t| %.4g\t| %.4g\t| %.2g\t| %.3f\t| %.0f%%\t|\n", s.Figure, s.Intercept, s.Slope, s.StandardError, s.R2, percent*s.WorstResidual)
 	}
 }
 
-// Picture draws a figure at all sizes, with its line.
-func (r *Result) Picture(path string, names []string) error {
+// WritePlots draws a figure at all sizes, with its line.
+func (r *Result) WritePlots(path string, names []string) error {
 	const columns, width, height = 2, 12 * vg.Centimeter, 8 * vg.Centimeter
 	rows := (len(names) + columns - 1) / columns
 	return drawTiles(path, rows, columns, width, height, func(i int) (*plot.Plot, error) {
 		if i >= len(names) {
 			return nil, nil
 		}
-		return r.plotOf(names[i])
+		return r.plotFigure(names[i])
 	})
 }
 
-func (r *Result) plotOf(name string) (*plot.Plot, error) {
+func (r *Result) plotFigure(name string) (*plot.Plot, error) {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Min = name, string(r.Vary), 0
 	p.X.Min = 0
--- a/internal/scale/picture.go
+++ b/internal/scale/plots.go
@@ -10,8 +10,8 @@
 	"gonum.org/v1/plot/vg/vgimg"
 )
 
-// PictureFigures are the figures that are drawn.
-func PictureFigures() []string {
+// PlottedFigures are the figures that are drawn.
+func PlottedFigures() []string {
 	return []string{figLeaderCPU, figFollowerCPU, figLeaderMemory, figLeaderSockets, figStateWrites, figWorkerBytes}
 }
 
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -21,21 +21,21 @@
 	"pinebay/internal/transport"
 )
 
-// ErrBroken is wrapped when an oracle saw a broken rule.
-var ErrBroken = errors.New("a rule was broken")
+// ErrInvariantViolated is wrapped when an oracle saw a broken rule.
+var ErrInvariantViolated = errors.New("a rule was broken")
 
 // run is one size of a run: real controllers, and models of everything around them.
 type run struct {
-	cfg   *Config
-	load  Load
-	log   *slog.Logger
-	ctx   context.Context
-	stop  context.CancelCauseFunc
-	wg    sync.WaitGroup
-	began time.Time
-	meter *Meter
-	teams []config.Team
-	types []protocol.MachineType
+	cfg          *Config
+	load         Load
+	log          *slog.Logger
+	ctx          context.Context
+	stop         context.CancelCauseFunc
+	wg           sync.WaitGroup
+	startedAt    time.Time
+	meter        *Meter
+	teams        []config.Team
+	machineTypes []protocol.MachineType
 
 	controllers  []*controllerProcess
 	state        *simulation.Store
@@ -44,72 +44,72 @@
 	users        *simulation.UserClient
 	surroundings *simulation.Environment
 
-	mu      sync.Mutex // guards what follows
-	rng     *rand.Rand
-	world   *simulation.World
-	agents  map[string]*simulation.Agent // by the address of their machine
-	names   map[string]string            // addresses by machine
-	waiting map[string]time.Duration     // when jobs were accepted of which no task has started
-	jobs    int
+	mu          sync.Mutex // guards what follows
+	rng         *rand.Rand
+	world       *simulation.World
+	agents      map[string]*simulation.Agent // by the address of their machine
+	workerHosts map[string]string            // addresses by machine
+	acceptedAt  map[string]time.Duration     // when jobs were accepted of which no task has started
+	jobCount    int
 	// processes are the workers that are processes of their own, by machine.
-	processes map[string]*runningWorker
+	processes map[string]*workerProcessHandle
 
-	contact  atomic.Pointer[contact]
-	accepted atomic.Int64
-	answers  atomic.Int64 // of controllers to reports
+	replies      atomic.Pointer[replyCounter]
+	acceptedJobs atomic.Int64
+	replyCount   atomic.Int64 // of controllers to reports
 }
 
 // What machines and tasks are like: all tasks but those of gangs take the same, and a machine
 // has room for a fifth more tasks than it is meant to run.
 const (
-	machineType      = "hollow"
-	taskCPUs         = 2
-	taskMemoryGB     = 4
-	roomFactor       = 1.2
-	machineGPUs      = 2
-	imageGB          = 1
-	fetchGBPerS      = 100
-	fetch            = 50 * time.Millisecond
-	images           = 30
-	tick             = 20 * time.Millisecond
-	usersConnections = 256
+	machineType     = "hollow"
+	taskCPUs        = 2
+	taskMemoryGB    = 4
+	capacityFactor  = 1.2
+	machineGPUs     = 2
+	imageGB         = 1
+	fetchGBPerS     = 100
+	fetchTime       = 50 * time.Millisecond
+	imageCount      = 30
+	tickInterval    = 20 * time.Millisecond
+	userConnections = 256
 	// bootS is so long that machines which have nothing to do are kept: the size is to stay what it is.
 	bootS = 3600
 )
 
 // newRun puts everything in place but starts nothing yet.
 func newRun(ctx context.Context, cfg *Config, load Load, dir string, log *slog.Logger) (*run, error) {
-	slots := float64(int(load.TasksPerWorker*roomFactor + 1))
+	slots := float64(int(load.TasksPerWorker*capacityFactor + 1))
 	r := &run{
-		cfg: cfg, load: load, log: log, began: time.Now(), meter: NewMeter(), rng: rand.New(rand.NewPCG(cfg.Seed, uint64(load.Workers))),
-		agents: map[string]*simulation.Agent{}, names: map[string]string{}, waiting: map[string]time.Duration{}, processes: map[string]*runningWorker{}, state: simulation.NewStore(),
-		types: []protocol.MachineType{{Name: machineType, CPUs: slots * taskCPUs, GPUs: machineGPUs, MemoryGB: slots * taskMemoryGB,
-			CacheGB: images * imageGB, FetchGBPerSecond: fetchGBPerS, HourlyPrice: 10, HourlySpotPrice: 5, BootSeconds: bootS, Zones: zoneNames(load.Zones)}},
+		cfg: cfg, load: load, log: log, startedAt: time.Now(), meter: NewMeter(), rng: rand.New(rand.NewPCG(cfg.Seed, uint64(load.Workers))),
+		agents: map[string]*simulation.Agent{}, workerHosts: map[string]string{}, acceptedAt: map[string]time.Duration{}, processes: map[string]*workerProcessHandle{}, state: simulation.NewStore(),
+		machineTypes: []protocol.MachineType{{Name: machineType, CPUs: slots * taskCPUs, GPUs: machineGPUs, MemoryGB: slots * taskMemoryGB,
+			CacheGB: imageCount * imageGB, FetchGBPerSecond: fetchGBPerS, HourlyPrice: 10, HourlySpotPrice: 5, BootSeconds: bootS, Zones: zoneNames(load.Zones)}},
 	}
 	if cfg.WorkerProcesses > 0 {
-		process := r.types[0]
-		process.Name = processType
-		r.types = append(r.types, process)
+		process := r.machineTypes[0]
+		process.Name = workerProcessType
+		r.machineTypes = append(r.machineTypes, process)
 	}
-	r.teams = teamsOf(load)
+	r.teams = newTeams(load)
 	r.ctx, r.stop = context.WithCancelCause(ctx)
 	r.state.SetLimits(cfg.stateLimits())
 	r.newWorld()
 	r.newCloud()
-	r.ledger = simulation.NewAnswerChecker(r.allDone, r.toldCancelled)
-	r.ledger.Dependencies, r.ledger.CancelTimeout = r.awaits, r.world.CancelTimeout
+	r.ledger = simulation.NewAnswerChecker(r.allTasksDone, r.recordCancelled)
+	r.ledger.Dependencies, r.ledger.CancelTimeout = r.dependencies, r.world.CancelTimeout
 	network := meteredNetwork{from: []byte{127, 0, 0, 1}, bytes: &r.meter.bytes[LinkUsers]}
-	r.users = &simulation.UserClient{Client: transport.NewClient(network, usersConnections, usersConnections, time.Minute), Checker: r.ledger,
-		Now: r.now, OnError: r.fail, OnAnswer: r.userAnswered}
-	r.surroundings = &simulation.Environment{Lock: &r.mu, Now: r.now, Random: random.New(cfg.Seed), HeartbeatInterval: cfg.Report, OnError: r.fail}
+	r.users = &simulation.UserClient{Client: transport.NewClient(network, userConnections, userConnections, time.Minute), Checker: r.ledger,
+		Now: r.now, OnError: r.fail, OnAnswer: r.recordUserReply}
+	r.surroundings = &simulation.Environment{Lock: &r.mu, Now: r.now, Random: random.New(cfg.Seed), HeartbeatInterval: cfg.HeartbeatInterval, OnError: r.fail}
 	for node := range load.Controllers {
-		s := settingsFor(cfg, load, r.teams, node, cfg.stateAddr(), cfg.cloudAddr())
+		s := controllerSettings(cfg, load, r.teams, node, cfg.stateAddr(), cfg.cloudAddr())
 		p, err := newController(cfg, dir, s)
 		if err != nil {
 			return nil, err
 		}
 		r.controllers = append(r.controllers, p)
-		r.surroundings.Controllers = append(r.surroundings.Controllers, simulation.Controller{Name: p.node, Addr: p.addr})
+		r.surroundings.Controllers = append(r.surroundings.Controllers, simulation.Controller{Name: p.name, Addr: p.addr})
 	}
 	return r, nil
 }
@@ -120,17 +120,17 @@
 
 func (c *Config) workersPort() int { return c.Port + 2 }
 
-func (c *Config) processPort() int { return c.Port + 3 }
+func (c *Config) workerProcessPort() int { return c.Port + 3 }
 
 func (c *Config) observerAddr() string { return fmt.Sprintf("127.0.0.1:%d", c.Port+4) }
 
 func (r *run) newWorld() {
-	r.world = simulation.NewWorld(4*r.cfg.Lease, fetch, r.cfg.RunTime)
+	r.world = simulation.NewWorld(4*r.cfg.Lease, fetchTime, r.cfg.MeanRunTime)
 	// News of a cancellation and the last command before it may be under way for as long as a
 	// direct command may take.
-	r.world.CommandTransitTime = r.cfg.Report
+	r.world.CommandTransitTime = r.cfg.HeartbeatInterval
 	r.world.RunTimeOf = r.runTime
-	r.world.OnStart = r.started
+	r.world.OnStart = r.recordTaskStart
 	for _, t := range r.teams {
 		r.world.TeamLimits[t.Name] = [2]float64{t.CPUsMax, t.GPUsMax}
 	}
@@ -141,27 +141,29 @@
 	h := fnv.New32a()
 	fmt.Fprint(h, id.JobID, id.Index)
 	const parts = 1 << 10
-	return r.cfg.RunTime/2 + r.cfg.RunTime*time.Duration(h.Sum32()%parts)/parts
+	return r.cfg.MeanRunTime/2 + r.cfg.MeanRunTime*time.Duration(h.Sum32()%parts)/parts
 }
 
 func (r *run) newCloud() {
 	r.cloud = simulation.NewCloud(&r.mu, r.now)
-	r.cloud.Types, r.cloud.ListLag = r.types, config.Seconds(r.cfg.cloudLimits().ListLagS)
+	r.cloud.Types, r.cloud.ListLag = r.machineTypes, config.Seconds(r.cfg.cloudLimits().ListLagS)
 	r.cloud.Capacity = func(protocol.Rental) int { return 0 }
 	r.cloud.BootTime = func(string) time.Duration { return 0 }
 	r.cloud.Address = func(number int) string {
 		if process := number - r.load.Workers; process > 0 {
-			return fmt.Sprintf("%s:%d", processIP(process), r.cfg.processPort())
+			return fmt.Sprintf("%s:%d", workerProcessIP(process), r.cfg.workerProcessPort())
 		}
 		return fmt.Sprintf("%s:%d", workerIP(number), r.cfg.workersPort())
 	}
-	r.cloud.StartWorker, r.cloud.StopWorker = r.up, r.down
+	r.cloud.StartWorker, r.cloud.StopWorker = r.startWorker, r.stopWorker
 }
 
-func (r *run) now() time.Duration { return time.Since(r.began) }
+func (r *run) now() time.Duration { return time.Since(r.startedAt) }
 
-// draw returns a time up to d; the lock is held.
-func (r *run) draw(d time.Duration) time.Duration { return time.Duration(r.rng.Float64() * float64(d)) }
+// randomDuration returns a time up to d; the lock is held.
+func (r *run) randomDuration(d time.Duration) time.Duration {
+	return time.Duration(r.rng.Float64() * float64(d))
+}
 
 // fail ends the run.
 func (r *run) fail(err error) { r.stop(err) }
@@ -181,7 +183,7 @@
 			return err
 		}
 	}
-	r.wg.Go(r.passTime)
+	r.wg.Go(r.advanceModels)
 	for _, p := range r.controllers {
 		if err := p.start(); err != nil {
 			return err
@@ -194,14 +196,14 @@
 		r.cloud.Start(machineType, zones[i%len(zones)], false)
 	}
 	for i := range r.cfg.WorkerProcesses {
-		r.cloud.Start(processType, zones[i%len(zones)], false)
+		r.cloud.Start(workerProcessType, zones[i%len(zones)], false)
 	}
 	return nil
 }
 
-// passTime lets time pass for the models, and lets the oracles judge.
-func (r *run) passTime() {
-	ticker := time.NewTicker(tick)
+// advanceModels lets time pass for the models, and lets the oracles judge.
+func (r *run) advanceModels() {
+	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -214,15 +216,15 @@
 		r.mu.Lock()
 		r.world.Advance(now)
 		r.mu.Unlock()
-		if err := r.judge(); err != nil {
+		if err := r.checkInvariants(); err != nil {
 			r.fail(err)
 			return
 		}
 	}
 }
 
-// judge returns the first broken rule.
-func (r *run) judge() error {
+// checkInvariants returns the first broken rule.
+func (r *run) checkInvariants() error {
 	r.mu.Lock()
 	broken := append([]string{}, r.world.Violations...)
 	late := r.world.LateStarts
@@ -232,18 +234,18 @@
 		broken = append(broken, fmt.Sprintf("%d starts after a confirmed cancellation", late))
 	}
 	for _, p := range r.controllers {
-		if p.endedByItself() {
-			return fmt.Errorf("%s ended by itself", p.node)
+		if p.exitedUnexpectedly() {
+			return fmt.Errorf("%s ended by itself", p.name)
 		}
 	}
 	if len(broken) > 0 {
-		return fmt.Errorf("%w: %s (%d in all)", ErrBroken, broken[0], len(broken))
+		return fmt.Errorf("%w: %s (%d in all)", ErrInvariantViolated, broken[0], len(broken))
 	}
 	return nil
 }
 
-// end ends everything.
-func (r *run) end() {
+// shutdown ends everything.
+func (r *run) shutdown() {
 	r.stop(context.Canceled)
 	r.mu.Lock()
 	r.cloud.Close()
@@ -267,7 +269,7 @@
 		return nil
 	}
 	for _, p := range r.controllers {
-		if p.node == rec.Node {
+		if p.name == rec.Node {
 			return p
 		}
 	}
@@ -284,8 +286,8 @@
 	}
 }
 
-// until waits until something is so, at most for a time, and says whether it is.
-func (r *run) until(what string, most time.Duration, ok func() bool) (bool, error) {
+// waitUntil waits until something is so, at most for a time, and says whether it is.
+func (r *run) waitUntil(what string, most time.Duration, ok func() bool) (bool, error) {
 	deadline := time.Now().Add(most)
 	const look = 50 * time.Millisecond
 	for time.Now().Before(deadline) {
@@ -300,41 +302,41 @@
 	return false, nil
 }
 
-// contact counts the workers that had an answer to a report since some moment.
-type contact struct {
+// replyCounter counts the workers that had an answer to a report since some moment.
+type replyCounter struct {
 	since time.Time
 
-	mu    sync.Mutex
-	first time.Time // when the first had one
-	heard map[*simulation.Agent]bool
+	mu      sync.Mutex
+	firstAt time.Time // when the first had one
+	workers map[*simulation.Agent]bool
 }
 
-// answered notes that a worker had an answer.
-func (r *run) answered(a *simulation.Agent) {
-	r.answers.Add(1)
-	c := r.contact.Load()
+// recordHeartbeatReply notes that a worker had an answer.
+func (r *run) recordHeartbeatReply(a *simulation.Agent) {
+	r.replyCount.Add(1)
+	c := r.replies.Load()
 	if c == nil {
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(c.heard) == 0 {
-		c.first = time.Now()
+	if len(c.workers) == 0 {
+		c.firstAt = time.Now()
 	}
-	c.heard[a] = true
+	c.workers[a] = true
 }
 
 // count returns how many workers had an answer, and when the first had one.
-func (c *contact) count() (int, time.Time) {
+func (c *replyCounter) count() (int, time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return len(c.heard), c.first
+	return len(c.workers), c.firstAt
 }
 
-// watchContact begins to count anew.
-func (r *run) watchContact() *contact {
-	c := &contact{since: time.Now(), heard: map[*simulation.Agent]bool{}}
-	r.contact.Store(c)
+// countReplies begins to count anew.
+func (r *run) countReplies() *replyCounter {
+	c := &replyCounter{since: time.Now(), workers: map[*simulation.Agent]bool{}}
+	r.replies.Store(c)
 	return c
 }
 
--- a/internal/scale/slope.go
+++ b/internal/scale/slopes.go
@@ -16,15 +16,15 @@
 	Figure    string  `json:"figure"`
 	Intercept float64 `json:"intercept"`
 	Slope     float64 `json:"slope"`
-	// Error is the standard error of the slope, R2 how much of the figure's differences the line
+	// StandardError is the standard error of the slope, R2 how much of the figure's differences the line
 	// explains, and Worst how far a size is from it at the most, as a part of the figure.
-	Error float64 `json:"standard_error"`
-	R2    float64 `json:"r2"`
-	Worst float64 `json:"worst_residual"`
+	StandardError float64 `json:"standard_error"`
+	R2            float64 `json:"r2"`
+	WorstResidual float64 `json:"worst_residual"`
 }
 
-// slopes fits a line to each figure that was measured at enough sizes.
-func slopes(sizes []SizeResult) (out []Slope) {
+// fitSlopes fits a line to each figure that was measured at enough sizes.
+func fitSlopes(sizes []SizeResult) (out []Slope) {
 	points := map[string][][2]float64{}
 	for _, s := range sizes {
 		for name, f := range s.Figures {
@@ -33,14 +33,14 @@
 	}
 	for _, name := range slices.Sorted(maps.Keys(points)) {
 		if ps := points[name]; len(ps) >= minSizes {
-			out = append(out, fit(name, ps))
+			out = append(out, fitLine(name, ps))
 		}
 	}
 	return out
 }
 
-// fit fits a line by least squares.
-func fit(name string, points [][2]float64) Slope {
+// fitLine fits a line by least squares.
+func fitLine(name string, points [][2]float64) Slope {
 	var xs, ys []float64
 	for _, p := range points {
 		xs, ys = append(xs, p[0]), append(ys, p[1])
@@ -55,10 +55,10 @@
 		off := ys[i] - (intercept + slope*xs[i])
 		residuals += off * off
 		if ys[i] != 0 {
-			s.Worst = max(s.Worst, math.Abs(off/ys[i]))
+			s.WorstResidual = max(s.WorstResidual, math.Abs(off/ys[i]))
 		}
 	}
 	// Two parameters are fitted.
-	s.Error = math.Sqrt(residuals/float64(len(xs)-2)) / (stat.StdDev(xs, nil) * math.Sqrt(float64(len(xs)-1)))
+	s.StandardError = math.Sqrt(residuals/float64(len(xs)-2)) / (stat.StdDev(xs, nil) * math.Sqrt(float64(len(xs)-1)))
 	return s
 }
