--- a/internal/scale/workerprocess.go
+++ b/internal/scale/workerprocess.go
@@ -23,8 +23,8 @@
 	"pinebay/internal/transport"
 )
 
-// processType is the type of machines whose workers are processes of their own.
-const processType = "process"
+// workerProcessType is the type of machines whose workers are processes of their own.
+const workerProcessType = "process"
 
 // Paths of the service by which such workers find jobs and tell what becomes of their tasks.
 const (
@@ -48,22 +48,22 @@
 func RunWorker(ctx context.Context, cfg *WorkerConfig) error {
 	ctx, stop := context.WithCancelCause(ctx)
 	defer stop(nil)
-	w := &workerProcess{cfg: cfg, began: time.Now(), stop: stop,
+	w := &processWorker{cfg: cfg, startedAt: time.Now(), stop: stop,
 		client: &http.Client{Timeout: protocol.HeartbeatTimeout}}
-	w.world = simulation.NewWorld(0, fetch, cfg.RunTime)
-	w.world.LookupJob = w.lookup
+	w.world = simulation.NewWorld(0, fetchTime, cfg.RunTime)
+	w.world.LookupJob = w.fetchJob
 	worker := w.world.AddMachine(0, cfg.Name, cfg.Zone, false, &cfg.Type, cfg.Lease)
 	s := &simulation.Environment{Lock: &w.mu, Now: w.now, Random: random.New(cfg.Seed), Controllers: cfg.Controllers, HeartbeatInterval: cfg.Report, OnError: func(err error) { stop(err) }}
-	a := simulation.NewAgent(ctx, s, worker, cfg.Addr, transport.NewClient(transport.TCP{}, 1, 2, idleWorkerConnection))
-	a.OnTaskStatus = w.tell
+	a := simulation.NewAgent(ctx, s, worker, cfg.Addr, transport.NewClient(transport.TCP{}, 1, 2, idleConnectionTimeout))
+	a.OnTaskStatus = w.reportToObserver
 	l, err := net.Listen("tcp4", cfg.Addr)
 	if err != nil {
-		return fmt.Errorf("%w: %w", ErrConfig, err)
+		return fmt.Errorf("%w: %w", ErrInvalidConfig, err)
 	}
 	srv := &http.Server{Handler: a, ErrorLog: slog.NewLogLogger(slog.DiscardHandler, slog.LevelError), ReadHeaderTimeout: time.Minute}
 	context.AfterFunc(ctx, func() { srv.Close() })
 	go func() { _ = srv.Serve(l) }()
-	go w.passTime(ctx, worker)
+	go w.advanceModel(ctx, worker)
 	a.Run(int(cfg.Seed) % len(cfg.Controllers))
 	if cause := context.Cause(ctx); !errors.Is(cause, context.Canceled) {
 		return cause
@@ -71,22 +71,22 @@
 	return nil
 }
 
-// workerProcess is the state of such a process.
-type workerProcess struct {
-	cfg    *WorkerConfig
-	began  time.Time
-	client *http.Client
-	stop   context.CancelCauseFunc
+// processWorker is the state of such a process.
+type processWorker struct {
+	cfg       *WorkerConfig
+	startedAt time.Time
+	client    *http.Client
+	stop      context.CancelCauseFunc
 
 	mu    sync.Mutex // guards what follows
 	world *simulation.World
 }
 
-func (w *workerProcess) now() time.Duration { return time.Since(w.began) }
+func (w *processWorker) now() time.Duration { return time.Since(w.startedAt) }
 
-// passTime lets time pass for the tasks. Starts are told at once.
-func (w *workerProcess) passTime(ctx context.Context, worker *simulation.Worker) {
-	ticker := time.NewTicker(tick)
+// advanceModel lets time pass for the tasks. Starts are told at once.
+func (w *processWorker) advanceModel(ctx context.Context, worker *simulation.Worker) {
+	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -98,14 +98,14 @@
 		starts := w.world.Starts
 		w.world.Advance(w.now())
 		if w.world.Starts > starts {
-			w.tell(worker.PeekHeartbeat())
+			w.reportToObserver(worker.PeekHeartbeat())
 		}
 		w.mu.Unlock()
 	}
 }
 
-// lookup fetches a job's description.
-func (w *workerProcess) lookup(id string) *protocol.Job {
+// fetchJob fetches a job's description.
+func (w *processWorker) fetchJob(id string) *protocol.Job {
 	res, err := w.client.Get("http://" + w.cfg.Observer + jobsPath + id)
 	if err != nil {
 		w.stop(fmt.Errorf("job %s: %w", id, err))
@@ -119,9 +119,9 @@
 	return &j
 }
 
-// tell tells the observer of the worker's tasks; without an observer there is no judging, so the
+// reportToObserver tells the observer of the worker's tasks; without an observer there is no judging, so the
 // worker ends.
-func (w *workerProcess) tell(r *protocol.WorkerHeartbeat) {
+func (w *processWorker) reportToObserver(r *protocol.WorkerHeartbeat) {
 	raw, err := json.Marshal(r)
 	if err != nil {
 		w.stop(err)
@@ -159,14 +159,14 @@
 	_ = json.NewEncoder(w).Encode(j) // a worker that is gone needs none
 }
 
-// processIP is the address of a worker that is a process.
-func processIP(number int) string { return fmt.Sprintf("127.200.0.%d", number+1) }
+// workerProcessIP is the address of a worker that is a process.
+func workerProcessIP(number int) string { return fmt.Sprintf("127.200.0.%d", number+1) }
 
-// upProcess starts a worker as a process; the world's lock is held.
-func (r *run) upProcess(m protocol.ListedMachine) {
-	kind := r.types[1]
-	cfg := WorkerConfig{Name: m.Name, Addr: m.Addr, Zone: m.Zone, Type: kind, Controllers: r.surroundings.Controllers, Report: r.cfg.Report,
-		Lease: r.cfg.Lease, RunTime: r.cfg.RunTime, Observer: r.cfg.observerAddr(), Seed: r.cfg.Seed + uint64(len(r.processes))}
+// startWorkerProcess starts a worker as a process; the world's lock is held.
+func (r *run) startWorkerProcess(m protocol.ListedMachine) {
+	kind := r.machineTypes[1]
+	cfg := WorkerConfig{Name: m.Name, Addr: m.Addr, Zone: m.Zone, Type: kind, Controllers: r.surroundings.Controllers, Report: r.cfg.HeartbeatInterval,
+		Lease: r.cfg.Lease, RunTime: r.cfg.MeanRunTime, Observer: r.cfg.observerAddr(), Seed: r.cfg.Seed + uint64(len(r.processes))}
 	raw, err := json.Marshal(cfg)
 	if err != nil {
 		r.fail(err)
@@ -174,13 +174,13 @@
 	}
 	r.world.AddMirrored(r.now(), m.Name, m.Zone, &kind)
 	cmd := exec.Command(r.cfg.WorkerProgram, r.cfg.WorkerArgs...)
-	cmd.Env = append(os.Environ(), WorkerVariable+"="+string(raw))
+	cmd.Env = append(os.Environ(), WorkerEnvVar+"="+string(raw))
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	if err := cmd.Start(); err != nil {
 		r.fail(fmt.Errorf("worker process: %w", err))
 		return
 	}
-	p := &runningWorker{cmd: cmd, exited: make(chan struct{})}
+	p := &workerProcessHandle{cmd: cmd, exited: make(chan struct{})}
 	r.processes[m.Name] = p
 	go func() {
 		_ = cmd.Wait() // how it ended does not matter; whether it should have is judged
@@ -188,25 +188,25 @@
 	}()
 }
 
-// runningWorker is a worker's process.
-type runningWorker struct {
+// workerProcessHandle is a worker's process.
+type workerProcessHandle struct {
 	cmd    *exec.Cmd
 	exited chan struct{}
 }
 
-func (p *runningWorker) kill() {
+func (p *workerProcessHandle) kill() {
 	_ = p.cmd.Process.Kill() // it may have ended by itself
 	<-p.exited
 }
 
-// WorkerVariable is the variable by which a worker's process gets its configuration.
-const WorkerVariable = "PINEBAY_SCALE_WORKER"
+// WorkerEnvVar is the variable by which a worker's process gets its configuration.
+const WorkerEnvVar = "PINEBAY_SCALE_WORKER"
 
 // WorkerFromEnvironment returns the configuration of a worker's process.
 func WorkerFromEnvironment() (*WorkerConfig, error) {
 	var cfg WorkerConfig
-	if err := json.Unmarshal([]byte(os.Getenv(WorkerVariable)), &cfg); err != nil || len(cfg.Controllers) == 0 {
-		return nil, fmt.Errorf("%w: variable %s holds no worker's configuration", ErrConfig, WorkerVariable)
+	if err := json.Unmarshal([]byte(os.Getenv(WorkerEnvVar)), &cfg); err != nil || len(cfg.Controllers) == 0 {
+		return nil, fmt.Errorf("%w: variable %s holds no worker's configuration", ErrInvalidConfig, WorkerEnvVar)
 	}
 	return &cfg, nil
 }
--- a/internal/scale/fleet.go
+++ b/internal/scale/workers.go
@@ -23,33 +23,33 @@
 	return net.IPv4(firstWorkerIP[0], firstWorkerIP[1]+byte(number/octet/octet), byte(number/octet%octet), byte(1+number%octet))
 }
 
-// idleWorkerConnection is how long a worker keeps a connection that it does not use: longer than
+// idleConnectionTimeout is how long a worker keeps a connection that it does not use: longer than
 // the time between two reports.
-const idleWorkerConnection = 5 * time.Minute
+const idleConnectionTimeout = 5 * time.Minute
 
-// up starts a hollow worker; the world's lock is held.
-func (r *run) up(m protocol.ListedMachine) {
-	if m.Type == processType {
-		r.upProcess(m)
+// startWorker starts a hollow worker; the world's lock is held.
+func (r *run) startWorker(m protocol.ListedMachine) {
+	if m.Type == workerProcessType {
+		r.startWorkerProcess(m)
 		return
 	}
-	w := r.world.AddMachine(r.now(), m.Name, m.Zone, m.Spot, &r.types[0], r.cfg.Lease)
+	w := r.world.AddMachine(r.now(), m.Name, m.Zone, m.Spot, &r.machineTypes[0], r.cfg.Lease)
 	host, _, err := net.SplitHostPort(m.Addr)
 	if err != nil {
 		r.fail(fmt.Errorf("worker's address: %w", err))
 		return
 	}
-	network := meteredNetwork{from: net.ParseIP(host), bytes: &r.meter.bytes[LinkReports]}
-	a := simulation.NewAgent(r.ctx, r.surroundings, w, m.Addr, transport.NewClient(network, 1, 2, idleWorkerConnection))
-	a.OnHeartbeat = func(*protocol.WorkerHeartbeat) { r.meter.Message(LinkReports, "report") }
+	network := meteredNetwork{from: net.ParseIP(host), bytes: &r.meter.bytes[LinkHeartbeats]}
+	a := simulation.NewAgent(r.ctx, r.surroundings, w, m.Addr, transport.NewClient(network, 1, 2, idleConnectionTimeout))
+	a.OnHeartbeat = func(*protocol.WorkerHeartbeat) { r.meter.CountMessage(LinkHeartbeats, "report") }
 	a.OnReply = func(took time.Duration, status int) {
-		r.meter.Took(ReportAnswered, took)
+		r.meter.RecordLatency(HeartbeatReply, took)
 		if status == http.StatusOK {
-			r.answered(a)
+			r.recordHeartbeatReply(a)
 		}
 	}
 	r.agents[host] = a
-	r.names[m.Name] = host
+	r.workerHosts[m.Name] = host
 	at := r.rng.IntN(len(r.controllers))
 	r.wg.Go(func() {
 		r.stagger(a)
@@ -60,7 +60,7 @@
 // stagger spreads the first reports over an interval.
 func (r *run) stagger(a *simulation.Agent) {
 	r.mu.Lock()
-	pause := r.draw(r.cfg.Report)
+	pause := r.randomDuration(r.cfg.HeartbeatInterval)
 	r.mu.Unlock()
 	select {
 	case <-time.After(pause):
@@ -68,17 +68,17 @@
 	}
 }
 
-// down ends a hollow worker; the world's lock is held.
-func (r *run) down(name string) {
+// stopWorker ends a hollow worker; the world's lock is held.
+func (r *run) stopWorker(name string) {
 	if p := r.processes[name]; p != nil {
 		_ = p.cmd.Process.Kill() // it may have ended by itself
 		delete(r.processes, name)
 	}
-	host := r.names[name]
+	host := r.workerHosts[name]
 	if a := r.agents[host]; a != nil {
 		a.Stop()
 		delete(r.agents, host)
-		delete(r.names, name)
+		delete(r.workerHosts, name)
 	}
 	r.world.RemoveMachine(name)
 }
@@ -104,7 +104,7 @@
 func (r *run) serve(link Link, addr string, h http.Handler) error {
 	l, err := net.Listen("tcp4", addr)
 	if err != nil {
-		return fmt.Errorf("%w: %w", ErrConfig, err)
+		return fmt.Errorf("%w: %w", ErrInvalidConfig, err)
 	}
 	srv := &http.Server{Handler: r.meter.handler(link, h), ErrorLog: slog.NewLogLogger(slog.DiscardHandler, slog.LevelError),
 		ReadHeaderTimeout: time.Minute}
--- a/internal/simulation/failoveroracle.go
+++ b/internal/simulation/failoveroracle.go
@@ -10,14 +10,14 @@
 // FreeMachine is what is free on a machine.
 type FreeMachine struct {
 	Zone string
-	Free partition.Need
+	Free partition.Resources
 }
 
 // WaitingJob is a job in the order of return.
 type WaitingJob struct {
 	ID                      string
 	Position, PriorityLevel int
-	Resources               partition.Need
+	Resources               partition.Resources
 	// Tasks must be placed together; 1 for a job whose tasks start one by one.
 	Tasks int
 	// SameZone says that they must be in one zone.
--- a/internal/simulation/failoveroracle_test.go
+++ b/internal/simulation/failoveroracle_test.go
@@ -10,7 +10,7 @@
 
 // TestRecoveryOrderOracle: the oracle sees a start that takes an earlier job's room, and no other.
 func TestRecoveryOrderOracle(t *testing.T) {
-	need := func(n float64) partition.Need { return partition.Need{GPUs: n} }
+	need := func(n float64) partition.Resources { return partition.Resources{GPUs: n} }
 	job := func(id string, position, level, tasks int, n float64) WaitingJob {
 		return WaitingJob{ID: id, Position: position, PriorityLevel: level, Tasks: tasks, Resources: need(n), MaxPerZone: map[string]int{"b": 2}}
 	}
--- a/internal/simulation/system_outside_test.go
+++ b/internal/simulation/system_outside_test.go
@@ -30,25 +30,25 @@
 // callCloud carries out what the fleet asks of the cloud.
 func (s *simulatedSystem) callCloud(l *leaderInstance, e fleet.Effect) {
 	switch e := e.(type) {
-	case fleet.List:
+	case fleet.ListMachines:
 		asked := s.now
 		list := s.listMachines()
 		s.callAfter(200*ms, func() { s.step(l, scheduler.Listed{Asked: asked, Machines: list, Failed: s.chance(0.1)}) })
-	case fleet.Rent:
+	case fleet.ScaleOut:
 		asked := s.now
 		s.callAfter(s.randomDuration(time.Second), func() {
 			names := s.rentMachines(e.Rental)
 			s.step(l, scheduler.Rented{Request: e.Rental.RequestID, Asked: asked, Names: names, Refused: len(names) == 0})
 		})
-	case fleet.Release:
+	case fleet.ScaleIn:
 		s.callAfter(s.randomDuration(time.Second), func() {
-			for _, n := range e.Names {
+			for _, n := range e.Machines {
 				if s.world.Workers[n] != nil {
 					s.world.RemoveMachine(n)
 					s.removedAt[n] = s.now - time.Hour // not listed any more
 				}
 			}
-			s.step(l, scheduler.Released{Names: e.Names, OK: true})
+			s.step(l, scheduler.Released{Names: e.Machines, OK: true})
 		})
 	default:
 		s.t.Fatalf("unknown effect %T", e)
