--- a/cmd/pinebay/main.go
+++ b/cmd/pinebay/main.go
@@ -76,7 +76,7 @@
 				return fmt.Errorf("%w: %w", errUsage, err)
 			}
 			limit(cfg)
-			return run(cmd.Context(), daemon.New(transport.TCP{}, random.Seeded(), cfg, features, log))
+			return run(cmd.Context(), daemon.New(transport.TCP{}, random.NewSystemSeeded(), cfg, features, log))
 		},
 	}
 	cmd.SetContext(context.Background())
--- a/internal/actor/actor.go
+++ b/internal/actor/actor.go
@@ -15,12 +15,12 @@
 type Mailbox[M any] struct {
 	mu    sync.Mutex
 	queue []M
-	bell  chan struct{}
+	wake  chan struct{}
 }
 
 // NewMailbox returns an empty mailbox.
 func NewMailbox[M any]() *Mailbox[M] {
-	return &Mailbox[M]{bell: make(chan struct{}, 1)}
+	return &Mailbox[M]{wake: make(chan struct{}, 1)}
 }
 
 // Send appends a message.
@@ -29,13 +29,13 @@
 	b.queue = append(b.queue, m)
 	b.mu.Unlock()
 	select {
-	case b.bell <- struct{}{}:
+	case b.wake <- struct{}{}:
 	default:
 	}
 }
 
-// Take removes and returns all messages that are waiting.
-func (b *Mailbox[M]) Take() []M {
+// Drain removes and returns all messages that are waiting.
+func (b *Mailbox[M]) Drain() []M {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	q := b.queue
@@ -52,13 +52,13 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-b.bell:
+		case <-b.wake:
 		case <-t.C:
 		}
 		// Messages go before the tick whichever woke us, so that what is decided does not depend on
 		// which of the two that are due is looked at first. Messages that came together are decided
 		// on together.
-		for _, m := range b.Take() {
+		for _, m := range b.Drain() {
 			if ctx.Err() != nil {
 				return
 			}
--- a/internal/coordination/cancellation/cancellation_test.go
+++ b/internal/coordination/cancellation/intentlog_test.go
@@ -15,28 +15,30 @@
 func TestMain(m *testing.M) { testkit.Main(m) }
 
 const (
-	keep    = 30 * time.Second
-	amnesia = 10 * time.Second
+	testRetention = 30 * time.Second
+	testRecovery  = 10 * time.Second
 )
 
-// TestWordIsNeverTooMuch plays two controllers that hand each other intents over a
+// TestAcknowledgementsNeverOverstate plays two controllers that hand each other intents over a
 // network that loses messages and brings old ones again, and that begin anew. Whoever
 // is said to hold an intent does; whoever is said to be complete has everything that
 // the other holds and that is not over.
-func TestWordIsNeverTooMuch(t *testing.T) {
+func TestAcknowledgementsNeverOverstate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Duration(0)
 		most := rapid.SampledFrom([]int{4, 400}).Draw(t, "most")
 		names := []string{"a", "b"}
-		logs := map[string]*Log{}
-		begin := func(i int) { logs[names[i]] = New(random.Seeded(), []string{names[1-i]}, keep, now+amnesia, most) }
+		logs := map[string]*IntentLog{}
+		begin := func(i int) {
+			logs[names[i]] = New(random.NewSystemSeeded(), []string{names[1-i]}, testRetention, now+testRecovery, most)
+		}
 		begin(0)
 		begin(1)
 		var old []protocol.PeerMessage
 		n := 0
 		send := func(from, to string, life uint64) protocol.PeerMessage {
 			m := protocol.PeerMessage{Kind: protocol.PeerHeartbeat, From: from}
-			logs[from].Fill(now, to, life, &m)
+			logs[from].FillMessage(now, to, life, &m)
 			if len(old) < 50 {
 				old = append(old, m)
 			}
@@ -52,14 +54,14 @@
 			case 1, 2, 3:
 				n++
 				job := fmt.Sprintf("j-%d", rapid.IntRange(0, 5).Draw(t, "job"))
-				if own, err := logs[me].Announce(now, time.Second, job); err == nil && !logs[me].Active(now, job) {
+				if own, err := logs[me].Announce(now, time.Second, job); err == nil && !logs[me].HasIntent(now, job) {
 					t.Fatalf("%s does not hold its own %v", me, own)
 				}
 			case 4:
 				if len(old) > 0 {
 					m := old[rapid.IntRange(0, len(old)-1).Draw(t, "late")]
 					if m.From != me {
-						logs[me].Take(now, &m, false)
+						logs[me].Receive(now, &m, false)
 					}
 				}
 			default:
@@ -68,32 +70,32 @@
 				if rapid.IntRange(0, 4).Draw(t, "lost") == 0 {
 					break
 				}
-				logs[peer].Take(now, &q, false)
+				logs[peer].Receive(now, &q, false)
 				r := send(peer, me, q.Incarnation)
 				if rapid.IntRange(0, 4).Draw(t, "unanswered") == 0 {
 					break
 				}
-				got := logs[me].Take(now, &r, true)
+				got := logs[me].Receive(now, &r, true)
 				if got.Complete {
-					for _, e := range logs[peer].list {
-						if now-e.at <= keep && !logs[me].known[e.CancellationIntent] {
+					for _, e := range logs[peer].entries {
+						if now-e.receivedAt <= testRetention && !logs[me].known[e.CancellationIntent] {
 							t.Fatalf("%s is complete without %v of %s", me, e.CancellationIntent, peer)
 						}
 					}
 				}
-				if got.Whole && now < logs[peer].whole {
+				if got.Recovered && now < logs[peer].recoveredAt {
 					t.Fatalf("%s is whole", peer)
 				}
-				held := logs[me].peers[peer].held
-				for k, e := range logs[me].list {
-					if logs[me].base+uint64(k) < held && !logs[peer].known[e.CancellationIntent] && now-e.at < keep {
+				held := logs[me].peers[peer].confirmedHeld
+				for k, e := range logs[me].entries {
+					if logs[me].expired+uint64(k) < held && !logs[peer].known[e.CancellationIntent] && now-e.receivedAt < testRetention {
 						t.Fatalf("%s takes %s to hold %v: %d", me, peer, e.CancellationIntent, held)
 					}
 				}
 			}
 			for _, l := range logs {
-				if len(l.list) > most || len(l.known) != len(l.list) {
-					t.Fatalf("%d intents, %d known, of at most %d", len(l.list), len(l.known), most)
+				if len(l.entries) > most || len(l.known) != len(l.entries) {
+					t.Fatalf("%d intents, %d known, of at most %d", len(l.entries), len(l.known), most)
 				}
 			}
 		}
@@ -101,24 +103,24 @@
 		for range 2 * (1 + n/protocol.MaxIntentsPerMessage) {
 			for i, me := range names {
 				q := send(me, names[1-i], 0)
-				logs[names[1-i]].Take(now, &q, false)
+				logs[names[1-i]].Receive(now, &q, false)
 				r := send(names[1-i], me, q.Incarnation)
-				logs[me].Take(now, &r, true)
+				logs[me].Receive(now, &r, true)
 			}
 		}
 		for i, me := range names {
 			l, p := logs[me], logs[names[1-i]]
-			if held, _ := l.Holders(l.base + uint64(len(l.list))); held != 2 && len(p.list) < most {
+			if held, _ := l.Holders(l.expired + uint64(len(l.entries))); held != 2 && len(p.entries) < most {
 				t.Fatalf("%d hold all of %s: %+v", held, me, l.peers[names[1-i]])
 			}
 		}
 	})
 }
 
-// TestIntentsAreOfLimitedUse: an intent of ours serves again only while it is fresh,
+// TestIntentReuseExpiryAndLimit: an intent of ours serves again only while it is fresh,
 // all are forgotten in the end, and a peer of an older version consents to nothing.
-func TestIntentsAreOfLimitedUse(t *testing.T) {
-	l := New(random.Seeded(), []string{"b"}, keep, 0, 3)
+func TestIntentReuseExpiryAndLimit(t *testing.T) {
+	l := New(random.NewSystemSeeded(), []string{"b"}, testRetention, 0, 3)
 	first, _ := l.Announce(0, time.Second, "j-1")
 	if again, _ := l.Announce(time.Second, time.Second, "j-1"); again != first {
 		t.Errorf("a fresh intent was made again: %v", again)
@@ -132,23 +134,23 @@
 			t.Errorf("intent %d of at most 3: %v", i+3, err)
 		}
 	}
-	if got := l.Take(3*time.Second, &protocol.PeerMessage{From: "b"}, true); got.Complete || got.Whole {
+	if got := l.Receive(3*time.Second, &protocol.PeerMessage{From: "b"}, true); got.Complete || got.Recovered {
 		t.Errorf("a peer without intents: %+v", got)
 	}
-	if held, _ := l.Holders(first.Seq); held != 1 {
+	if held, _ := l.Holders(first.Sequence); held != 1 {
 		t.Errorf("%d hold what nobody acknowledged", held)
 	}
-	if jobs := l.Jobs(keep + 4*time.Second); len(jobs) > 0 || l.Active(keep+4*time.Second, "j-1") || len(l.mine) > 0 {
+	if jobs := l.NewestByJob(testRetention + 4*time.Second); len(jobs) > 0 || l.HasIntent(testRetention+4*time.Second, "j-1") || len(l.own) > 0 {
 		t.Errorf("%v are still held", jobs)
 	}
 }
 
-// TestMoreIntentsThanAMessageHolds: a peer that has nothing yet holds all intents after as many
+// TestIntentsSpanSeveralMessages: a peer that has nothing yet holds all intents after as many
 // messages as they fill, is complete only then, and only then counts as holding the last.
-func TestMoreIntentsThanAMessageHolds(t *testing.T) {
+func TestIntentsSpanSeveralMessages(t *testing.T) {
 	const intents = 5*protocol.MaxIntentsPerMessage + 1
-	a, b := New(random.New(1), []string{"b"}, keep, 0, 2*intents), New(random.New(2), []string{"a"}, keep, 0, 2*intents)
-	var last Own
+	a, b := New(random.New(1), []string{"b"}, testRetention, 0, 2*intents), New(random.New(2), []string{"a"}, testRetention, 0, 2*intents)
+	var last OwnIntent
 	for i := range intents {
 		own, err := a.Announce(0, 0, fmt.Sprintf("j-%06d", i))
 		if err != nil {
@@ -159,23 +161,23 @@
 	messages, complete := 0, false
 	for ; !complete && messages < 20; messages++ {
 		question, answer := protocol.PeerMessage{From: "b"}, protocol.PeerMessage{From: "a"}
-		b.Fill(0, "a", 0, &question)
-		a.Take(0, &question, false)
-		a.Fill(0, "b", question.Incarnation, &answer)
-		complete = b.Take(0, &answer, true).Complete
-		if held, _ := a.Holders(last.Seq); held > 1 {
+		b.FillMessage(0, "a", 0, &question)
+		a.Receive(0, &question, false)
+		a.FillMessage(0, "b", question.Incarnation, &answer)
+		complete = b.Receive(0, &answer, true).Complete
+		if held, _ := a.Holders(last.Sequence); held > 1 {
 			t.Fatalf("the last of %d intents counts as held after %d messages", intents, messages)
 		}
 	}
-	if messages != 6 || len(b.Jobs(0)) != intents {
-		t.Errorf("%d of %d intents after %d messages", len(b.Jobs(0)), intents, messages)
+	if messages != 6 || len(b.NewestByJob(0)) != intents {
+		t.Errorf("%d of %d intents after %d messages", len(b.NewestByJob(0)), intents, messages)
 	}
 	question, answer := protocol.PeerMessage{From: "a"}, protocol.PeerMessage{From: "b"}
-	a.Fill(0, "b", 0, &question)
-	b.Take(0, &question, false)
-	b.Fill(0, "a", question.Incarnation, &answer)
-	a.Take(0, &answer, true)
-	if held, _ := a.Holders(last.Seq); held != 2 {
+	a.FillMessage(0, "b", 0, &question)
+	b.Receive(0, &question, false)
+	b.FillMessage(0, "a", question.Incarnation, &answer)
+	a.Receive(0, &answer, true)
+	if held, _ := a.Holders(last.Sequence); held != 2 {
 		t.Errorf("%d hold the last intent", held)
 	}
 }
--- a/internal/coordination/election/election.go
+++ b/internal/coordination/election/election.go
@@ -8,134 +8,134 @@
 	"time"
 )
 
-// Role of this controller.
-type Role int
+// role of this controller.
+type role int
 
 // Roles.
 const (
-	Following Role = iota
-	Claiming
-	Leading
+	roleFollower role = iota
+	roleCandidate
+	roleLeader
 )
 
-// Times of the election; all are ratios of the settings' figures.
-type Times struct {
-	Beat   time.Duration // between two beats to a peer
-	Silent time.Duration // a leader that is silent so long may be replaced
-	TTL    time.Duration // of the leader's lease
-	Hold   time.Duration // a leader without any confirmation goes on so long
-	// Horizon is for how long whoever knew of every cancellation up to some time may
+// Timing of the election; all are ratios of the settings' figures.
+type Timing struct {
+	HeartbeatInterval   time.Duration // between two beats to a peer
+	LeaderTimeout       time.Duration // a leader that is silent so long may be replaced
+	LeaseTTL            time.Duration // of the leader's lease
+	ConfirmationTimeout time.Duration // a leader without any confirmation goes on so long
+	// RenewalHorizon is for how long whoever knew of every cancellation up to some time may
 	// still renew leases: the leases must be over before the tasks have to be gone.
-	Horizon time.Duration
-	// Confirm is within what time of its intent a cancellation is confirmed, or
+	RenewalHorizon time.Duration
+	// CancellationTimeout is within what time of its intent a cancellation is confirmed, or
 	// else not without another intent.
-	Confirm time.Duration
-	// Recovery is how long after its start a controller may have forgotten intents
+	CancellationTimeout time.Duration
+	// RecoveryPeriod is how long after its start a controller may have forgotten intents
 	// that matter: until every task has ended whose lease was last renewed by
 	// somebody who did not know them.
-	Recovery time.Duration
-	Step     time.Duration // between candidates that wake at the same time
+	RecoveryPeriod time.Duration
+	CandidateDelay time.Duration // between candidates that wake at the same time
 }
 
-// Machine is the state machine of one controller.
-type Machine struct {
-	self  string
-	peers []string
-	times Times
+// Election is the state machine of one controller.
+type Election struct {
+	self   string
+	peers  []string
+	timing Timing
 
-	role          Role
-	term          uint64 // highest known
-	leader        string // of that term, as far as known
-	heard         time.Duration
-	majoritySince time.Duration // since when a majority has been heard; 0: it is not
-	missed        time.Duration // when the leader's connection last ended
-	keyTerm       uint64
-	keyGone       bool
-	claimAt       time.Duration            // 0: none intended
-	deferUntil    time.Duration            // until then others should lead
-	peerAt        map[string]time.Duration // when each peer was last heard; not there once its connection has ended
+	role                 role
+	term                 uint64 // highest known
+	leader               string // of that term, as far as known
+	leaderHeardAt        time.Duration
+	quorumHeardSince     time.Duration // since when a majority has been heard; 0: it is not
+	leaderDisconnectedAt time.Duration // when the leader's connection last ended
+	keyTerm              uint64
+	keyMissing           bool
+	claimAt              time.Duration            // 0: none intended
+	deferUntil           time.Duration            // until then others should lead
+	peerHeardAt          map[string]time.Duration // when each peer was last heard; not there once its connection has ended
 
-	lease   uint64
-	asked   time.Duration
-	asking  bool
-	began   time.Duration
-	won     time.Duration            // when the claim of our term was sent
-	freshAt time.Duration            // up to when we know the state service's changes; 0: not at all
-	acks    map[string]time.Duration // when the last beat was sent that was acknowledged
-	full    map[string]time.Duration // and with all intents
-	out     []Effect
+	leaseID           uint64
+	renewalSentAt     time.Duration
+	renewing          bool
+	startedAt         time.Duration
+	claimSentAt       time.Duration            // when the claim of our term was sent
+	changesKnownUpTo  time.Duration            // up to when we know the state service's changes; 0: not at all
+	ackedAt           map[string]time.Duration // when the last beat was sent that was acknowledged
+	intentsReceivedAt map[string]time.Duration // and with all intents
+	effects           []Effect
 }
 
 // New returns a follower that knows nothing.
-func New(now time.Duration, self string, peers []string, t Times) *Machine {
-	return &Machine{self: self, peers: peers, times: t, heard: now, began: now,
-		peerAt: map[string]time.Duration{}, acks: map[string]time.Duration{}, full: map[string]time.Duration{}}
+func New(now time.Duration, self string, peers []string, t Timing) *Election {
+	return &Election{self: self, peers: peers, timing: t, leaderHeardAt: now, startedAt: now,
+		peerHeardAt: map[string]time.Duration{}, ackedAt: map[string]time.Duration{}, intentsReceivedAt: map[string]time.Duration{}}
 }
 
 // View is what others may know of the machine.
 type View struct {
-	Term    uint64
-	Leader  string // "" when unknown or silent
-	Leading bool
-	Until   time.Duration // when leading: it is confirmed until then
-	// Aware is, when leading, until when workers may be answered: whoever renews
+	Term           uint64
+	Leader         string // "" when unknown or silent
+	Leading        bool
+	ConfirmedUntil time.Duration // when leading: it is confirmed until then
+	// MayRenewUntil is, when leading, until when workers may be answered: whoever renews
 	// their leases must know of every cancellation that a user may have been told of.
-	Aware time.Duration
+	MayRenewUntil time.Duration
 }
 
 // View returns the current view.
-func (m *Machine) View(now time.Duration) View {
-	v := View{Term: m.term, Leader: m.leader, Leading: m.role == Leading}
+func (m *Election) View(now time.Duration) View {
+	v := View{Term: m.term, Leader: m.leader, Leading: m.role == roleLeader}
 	switch {
 	case v.Leading:
-		v.Until = m.confirmed(now)
-		if at := m.aware(now); at > 0 {
-			v.Aware = at + m.times.Horizon
+		v.ConfirmedUntil = m.confirmedUntil(now)
+		if at := m.cancellationsKnownUpTo(now); at > 0 {
+			v.MayRenewUntil = at + m.timing.RenewalHorizon
 		}
-	case m.leader == m.self || now-m.heard > m.times.Silent:
+	case m.leader == m.self || now-m.leaderHeardAt > m.timing.LeaderTimeout:
 		v.Leader = ""
 	}
 	return v
 }
 
 // Step takes an event and returns what is to be done.
-func (m *Machine) Step(now time.Duration, event Event) []Effect {
-	m.out = nil
+func (m *Election) Step(now time.Duration, event Event) []Effect {
+	m.effects = nil
 	switch e := event.(type) {
 	case Tick:
 		m.tick(now)
-	case Key:
-		m.key(now, e)
-	case Beat:
-		m.peerAt[e.From] = now
-		m.beat(now, e)
-	case Lost:
-		delete(m.peerAt, e.Peer)
-		if m.role == Following && e.Peer == m.leader {
-			m.missed = now
+	case LeaderKey:
+		m.handleLeaderKey(now, e)
+	case PeerHeartbeat:
+		m.peerHeardAt[e.From] = now
+		m.handleHeartbeat(now, e)
+	case PeerDisconnected:
+		delete(m.peerHeardAt, e.Peer)
+		if m.role == roleFollower && e.Peer == m.leader {
+			m.leaderDisconnectedAt = now
 			// A live leader connects again within a beat.
-			m.intend(now + 2*m.times.Beat)
+			m.scheduleClaim(now + 2*m.timing.HeartbeatInterval)
 		}
-	case Claimed:
-		m.claimed(now, e)
-	case Renewed:
-		m.renewal(now, e)
-	case Fresh:
-		if m.role == Leading && e.Term == m.term {
-			m.freshAt = max(m.freshAt, e.At)
+	case ClaimResult:
+		m.handleClaimResult(now, e)
+	case RenewalResult:
+		m.handleRenewalResult(now, e)
+	case WatchProgress:
+		if m.role == roleLeader && e.Term == m.term {
+			m.changesKnownUpTo = max(m.changesKnownUpTo, e.UpTo)
 		}
-	case Higher:
-		m.higher(now, e.Term, "")
+	case HigherTerm:
+		m.adoptTerm(now, e.Term, "")
 	case Resign:
-		if m.role == Leading && e.Term == m.term {
-			m.yield(now)
+		if m.role == roleLeader && e.Term == m.term {
+			m.stepDown(now)
 			m.leader = ""
-			if e.Away {
-				m.deferUntil = now + 2*m.times.TTL
+			if e.DeferToOthers {
+				m.deferUntil = now + 2*m.timing.LeaseTTL
 			} else {
-				m.intend(now + m.times.Beat)
+				m.scheduleClaim(now + m.timing.HeartbeatInterval)
 			}
 		}
 	}
-	return m.out
+	return m.effects
 }
--- a/internal/coordination/election/election_test.go
+++ b/internal/coordination/election/election_test.go
@@ -11,30 +11,30 @@
 // two, and when the trouble is over there is one leader, who stays.
 func TestOneLeaderPerTerm(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		g := newGroup(t, rapid.SampledFrom([]int{1, 2, 3, 5}).Draw(t, "controllers"))
+		g := newCluster(t, rapid.SampledFrom([]int{1, 2, 3, 5}).Draw(t, "controllers"))
 		for range rapid.IntRange(0, 12).Draw(t, "troubles") {
 			n := rapid.SampledFrom(g.names).Draw(t, "node")
 			switch rapid.IntRange(0, 4).Draw(t, "trouble") {
 			case 0:
 				g.restart(n)
 			case 1:
-				g.down[n] = !g.down[n]
+				g.storeDown[n] = !g.storeDown[n]
 			case 2:
-				g.cut[n] = !g.cut[n]
+				g.isolated[n] = !g.isolated[n]
 			case 3:
-				all := !g.down[n]
+				all := !g.storeDown[n]
 				for _, o := range g.names {
-					g.down[o] = all
+					g.storeDown[o] = all
 				}
 			case 4:
-				g.step(n, Resign{Term: g.nodes[n].term})
+				g.step(n, Resign{Term: g.elections[n].term})
 			}
 			for range rapid.IntRange(0, 80).Draw(t, "ticks") {
 				g.tick()
 			}
 		}
-		clear(g.down)
-		clear(g.cut)
+		clear(g.storeDown)
+		clear(g.isolated)
 		for range 200 {
 			g.tick()
 		}
@@ -51,44 +51,44 @@
 	})
 }
 
-// TestOutageForAllKeepsTheLeader: while a majority confirms it by the mesh, a
+// TestLeaderSurvivesStoreOutage: while a majority confirms it by the mesh, a
 // leader goes on without the state service, and workers stay answered.
-func TestOutageForAllKeepsTheLeader(t *testing.T) {
+func TestLeaderSurvivesStoreOutage(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		g := newGroup(t, 3)
+		g := newCluster(t, 3)
 		for range 100 {
 			g.tick()
 		}
 		before, term := g.leaders(), g.term
 		for _, n := range g.names {
-			g.down[n] = true
+			g.storeDown[n] = true
 		}
 		for range rapid.IntRange(1, 600).Draw(t, "ticks") {
 			// During an outage no lease ends.
-			g.expires = g.now + times.TTL
+			g.expires = g.now + testTiming.LeaseTTL
 			g.tick()
-			if l := g.leaders(); len(l) != 1 || l[0] != before[0] || g.nodes[l[0]].term != term {
+			if l := g.leaders(); len(l) != 1 || l[0] != before[0] || g.elections[l[0]].term != term {
 				t.Fatalf("leaders %v at %v, before %v", l, g.now, before)
 			}
 		}
 	})
 }
 
-// TestCutLeaderYields: one that nobody confirms stops within Hold, so that its
+// TestIsolatedLeaderStepsDown: one that nobody confirms stops within Hold, so that its
 // workers find a leader that knows of cancellations.
-func TestCutLeaderYields(t *testing.T) {
+func TestIsolatedLeaderStepsDown(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		g := newGroup(t, 3)
+		g := newCluster(t, 3)
 		for range 100 {
 			g.tick()
 		}
 		old := g.leaders()[0]
-		g.down[old], g.cut[old] = true, true
-		end := g.now + times.Hold + 2*times.Beat
+		g.storeDown[old], g.isolated[old] = true, true
+		end := g.now + testTiming.ConfirmationTimeout + 2*testTiming.HeartbeatInterval
 		for g.now < end {
 			g.tick()
 		}
-		if g.nodes[old].View(g.now).Leading {
+		if g.elections[old].View(g.now).Leading {
 			t.Fatalf("%s still leads, unconfirmed", old)
 		}
 		for range 60 {
@@ -100,54 +100,54 @@
 	})
 }
 
-// TestStoodStill: the view of a leader tells until when it is confirmed, so that one
+// TestPausedLeaderIsUnconfirmedOnWakeUp: the view of a leader tells until when it is confirmed, so that one
 // that stood still while its clocks ran on knows before its first step that it is
 // not any more.
-func TestStoodStill(t *testing.T) {
+func TestPausedLeaderIsUnconfirmedOnWakeUp(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		g := newGroup(t, 3)
+		g := newCluster(t, 3)
 		for range rapid.IntRange(100, 130).Draw(t, "ticks") {
 			g.tick()
 		}
-		m := g.nodes[g.leaders()[0]]
-		if v := m.View(g.now); !v.Leading || v.Until <= g.now || v.Until > g.now+times.Hold {
+		m := g.elections[g.leaders()[0]]
+		if v := m.View(g.now); !v.Leading || v.ConfirmedUntil <= g.now || v.ConfirmedUntil > g.now+testTiming.ConfirmationTimeout {
 			t.Fatalf("at %v: %+v", g.now, v)
 		}
-		woke := g.now + times.Hold
-		if v := m.View(woke); v.Until > woke {
+		woke := g.now + testTiming.ConfirmationTimeout
+		if v := m.View(woke); v.ConfirmedUntil > woke {
 			t.Fatalf("at %v after standing still: %+v", woke, v)
 		}
 	})
 }
 
-// TestStandbyRenewalOnlyByMajority: one controller that says it reaches the state service
+// TestRenewalWithoutLeaderNeedsQuorum: one controller that says it reaches the state service
 // or knows a leader forbids it, for somebody can lead. Otherwise it takes a majority
 // that has just spoken, and one that has handed on all its intents, and forgotten none,
 // within the horizon; whoever has not counts for nothing.
-func TestStandbyRenewalOnlyByMajority(t *testing.T) {
+func TestRenewalWithoutLeaderNeedsQuorum(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Minute
 		peers := []string{"a", "b", "c", "d"}[:rapid.SampledFrom([]int{1, 2, 4}).Draw(t, "peers")]
-		heard := map[string]Peer{}
+		heard := map[string]PeerStatus{}
 		forbidden, agree, known := false, 1, 1
 		for _, p := range peers {
 			if rapid.IntRange(0, 6).Draw(t, "unheard") == 0 {
 				continue
 			}
-			x := Peer{
-				At:      now - time.Duration(rapid.IntRange(0, 1000).Draw(t, "age"))*ms,
-				StateOK: rapid.IntRange(0, 4).Draw(t, "ok") == 0,
-				Leader:  rapid.SampledFrom([]string{"", "", "", "", "c"}).Draw(t, "leader"),
+			x := PeerStatus{
+				SentAt:         now - time.Duration(rapid.IntRange(0, 1000).Draw(t, "age"))*ms,
+				StoreReachable: rapid.IntRange(0, 4).Draw(t, "ok") == 0,
+				Leader:         rapid.SampledFrom([]string{"", "", "", "", "c"}).Draw(t, "leader"),
 			}
 			if rapid.IntRange(0, 4).Draw(t, "never") != 0 {
-				x.Known = now - time.Duration(rapid.IntRange(0, 6000).Draw(t, "known"))*ms
+				x.IntentsReceivedAt = now - time.Duration(rapid.IntRange(0, 6000).Draw(t, "known"))*ms
 			}
 			heard[p] = x
-			if x.Known > 0 && now-x.Known <= times.Horizon {
+			if x.IntentsReceivedAt > 0 && now-x.IntentsReceivedAt <= testTiming.RenewalHorizon {
 				known++
 			}
-			if now-x.At <= times.Silent/2 {
-				forbidden = forbidden || x.StateOK || x.Leader != ""
+			if now-x.SentAt <= testTiming.LeaderTimeout/2 {
+				forbidden = forbidden || x.StoreReachable || x.Leader != ""
 				agree++
 			}
 		}
@@ -155,33 +155,33 @@
 		stateOK := rapid.IntRange(0, 3).Draw(t, "state") == 0
 		whole := rapid.IntRange(0, 3).Draw(t, "whole") != 0
 		want := !forbidden && 2*agree > len(peers)+1 && 2*known > len(peers)+1 && v.Leader == "" && !stateOK && whole
-		if got := MayRenewOnStandby(now, times, v, stateOK, whole, peers, heard); got != want {
+		if got := MayRenewWithoutLeader(now, testTiming, v, stateOK, whole, peers, heard); got != want {
 			t.Fatalf("%v for %+v, %+v, state %v, whole %v", got, v, heard, stateOK, whole)
 		}
 	})
-	if MayRenewOnStandby(time.Minute, times, View{}, false, true, nil, nil) {
+	if MayRenewWithoutLeader(time.Minute, testTiming, View{}, false, true, nil, nil) {
 		t.Error("one controller alone may not")
 	}
 }
 
-// TestOnlyWhoKnowsOfCancellationsAnswersWorkers: a leader whose lease is renewed but
+// TestOnlyLeaderThatKnowsCancellationsMayRenew: a leader whose lease is renewed but
 // that neither sees the state service's changes nor has a majority's intents is not
 // aware, and gives up. A peer that may have forgotten intents counts only once the
 // service has shown all that it can have forgotten.
-func TestOnlyWhoKnowsOfCancellationsAnswersWorkers(t *testing.T) {
-	lead := func() *Machine {
-		m := New(0, "a", []string{"b", "c"}, times)
-		m.began = -time.Hour
-		m.Step(0, Key{})
+func TestOnlyLeaderThatKnowsCancellationsMayRenew(t *testing.T) {
+	lead := func() *Election {
+		m := New(0, "a", []string{"b", "c"}, testTiming)
+		m.startedAt = -time.Hour
+		m.Step(0, LeaderKey{})
 		m.Step(10*time.Second, Tick{})
-		if m.role != Claiming {
+		if m.role != roleCandidate {
 			t.Fatal("no claim")
 		}
-		m.Step(10*time.Second, Claimed{Won: true, Term: 1, Stamp: 1, Lease: 7, Sent: 10 * time.Second})
+		m.Step(10*time.Second, ClaimResult{Won: true, Term: 1, Revision: 1, LeaseID: 7, SentAt: 10 * time.Second})
 		return m
 	}
-	beat := func(whole, complete bool, lifeAt, sent time.Duration) Beat {
-		return Beat{From: "b", Term: 1, Leader: "a", Reply: true, Sent: sent, Whole: whole, Complete: complete, LifeAt: lifeAt}
+	beat := func(whole, complete bool, lifeAt, sent time.Duration) PeerHeartbeat {
+		return PeerHeartbeat{From: "b", Term: 1, Leader: "a", Reply: true, SentAt: sent, Recovered: whole, IntentsComplete: complete, IncarnationSince: lifeAt}
 	}
 	at := 12 * time.Second
 	for _, c := range []struct {
@@ -190,53 +190,53 @@
 		began time.Duration
 		want  time.Duration
 	}{
-		{"renewed only", Renewed{Term: 1}, -time.Hour, 0},
-		{"saw the changes", Fresh{Term: 1, At: 11 * time.Second}, -time.Hour, 15 * time.Second},
-		{"saw them in another term", Fresh{Term: 2, At: 11 * time.Second}, -time.Hour, 0},
+		{"renewed only", RenewalResult{Term: 1}, -time.Hour, 0},
+		{"saw the changes", WatchProgress{Term: 1, UpTo: 11 * time.Second}, -time.Hour, 15 * time.Second},
+		{"saw them in another term", WatchProgress{Term: 2, UpTo: 11 * time.Second}, -time.Hour, 0},
 		{"a majority's intents", beat(true, true, 0, 11*time.Second), -time.Hour, 15 * time.Second},
 		{"not all intents", beat(true, false, 0, 11*time.Second), -time.Hour, 0},
 		{"a peer that forgot", beat(false, true, 9*time.Second, 11*time.Second), -time.Hour, 0},
 		{"forgot itself", beat(true, true, 0, 11*time.Second), 9 * time.Second, 0},
 	} {
 		m := lead()
-		m.began = c.began
+		m.startedAt = c.began
 		m.Step(at, c.event)
-		if v := m.View(at); v.Aware != c.want || v.Until < 12*time.Second {
+		if v := m.View(at); v.MayRenewUntil != c.want || v.ConfirmedUntil < 12*time.Second {
 			t.Errorf("%s: %+v, want aware until %v", c.name, v, c.want)
 		}
-		m.Step(at+times.Hold, Tick{})
-		if m.View(at + times.Hold).Leading {
-			t.Errorf("%s: still leads when nobody has told it of cancellations for %v", c.name, times.Hold)
+		m.Step(at+testTiming.ConfirmationTimeout, Tick{})
+		if m.View(at + testTiming.ConfirmationTimeout).Leading {
+			t.Errorf("%s: still leads when nobody has told it of cancellations for %v", c.name, testTiming.ConfirmationTimeout)
 		}
 	}
 	m := lead()
-	m.Step(at, Fresh{Term: 1, At: 11 * time.Second}) // two seconds after the peer began anew
+	m.Step(at, WatchProgress{Term: 1, UpTo: 11 * time.Second}) // two seconds after the peer began anew
 	m.Step(at, beat(false, true, 9*time.Second, at))
-	if v := m.View(at); v.Aware != at+times.Horizon {
+	if v := m.View(at); v.MayRenewUntil != at+testTiming.RenewalHorizon {
 		t.Errorf("a peer whose loss the service has made good: %+v", v)
 	}
 	// A majority that follows but has forgotten keeps the leadership, and no more.
 	m = lead()
-	m.Step(at, Fresh{Term: 1, At: 11 * time.Second})
-	for now := at; now < 20*time.Second; now += times.Beat {
+	m.Step(at, WatchProgress{Term: 1, UpTo: 11 * time.Second})
+	for now := at; now < 20*time.Second; now += testTiming.HeartbeatInterval {
 		m.Step(now, beat(false, true, at, now))
 		m.Step(now, Tick{})
-		if v := m.View(now); !v.Leading || v.Aware != 11*time.Second+times.Horizon {
+		if v := m.View(now); !v.Leading || v.MayRenewUntil != 11*time.Second+testTiming.RenewalHorizon {
 			t.Fatalf("at %v: %+v", now, v)
 		}
 	}
 }
 
-// TestLeaderThatIsOutOfReachLetsOthersLead: one that resigns because machines
+// TestResignedLeaderDefersToOthers: one that resigns because machines
 // reach others only does not take the leadership back at once.
-func TestLeaderThatIsOutOfReachLetsOthersLead(t *testing.T) {
+func TestResignedLeaderDefersToOthers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		g := newGroup(t, 3)
+		g := newCluster(t, 3)
 		for range rapid.IntRange(60, 200).Draw(t, "ticks") {
 			g.tick()
 		}
 		old := g.leaders()[0]
-		g.step(old, Resign{Term: g.nodes[old].term, Away: true})
+		g.step(old, Resign{Term: g.elections[old].term, DeferToOthers: true})
 		for range 70 {
 			g.tick()
 		}
@@ -246,21 +246,21 @@
 	})
 }
 
-// TestRefusedPeersKeepTheLeader: while controllers refuse each other's
+// TestRefusedConnectionsKeepLeader: while controllers refuse each other's
 // connections, each hears nobody. The leader that renews its key stays;
 // a leader that alone is cut off is replaced although it renews its key.
-func TestRefusedPeersKeepTheLeader(t *testing.T) {
+func TestRefusedConnectionsKeepLeader(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		g := newGroup(t, rapid.SampledFrom([]int{3, 5}).Draw(t, "controllers"))
+		g := newCluster(t, rapid.SampledFrom([]int{3, 5}).Draw(t, "controllers"))
 		for range rapid.IntRange(60, 200).Draw(t, "ticks") {
 			g.tick()
 		}
 		leader, term := g.leaders()[0], g.term
 		for _, n := range g.names {
-			g.cut[n] = true
+			g.isolated[n] = true
 			for _, o := range g.names {
 				if o != n && rapid.Bool().Draw(t, "reset") {
-					g.step(n, Lost{Peer: o})
+					g.step(n, PeerDisconnected{Peer: o})
 				}
 			}
 		}
@@ -270,19 +270,19 @@
 				t.Fatalf("leaders %v in term %d, before %s in %d", l, g.term, leader, term)
 			}
 		}
-		clear(g.cut)
-		g.cut[leader] = true // its connections are the last to come back
+		clear(g.isolated)
+		g.isolated[leader] = true // its connections are the last to come back
 		g.tick()
 		g.tick()
-		clear(g.cut)
+		clear(g.isolated)
 		for range 20 {
 			g.tick()
 		}
 		if l := g.leaders(); len(l) != 1 || l[0] != leader || g.term != term {
 			t.Fatalf("leaders %v in term %d afterwards", l, g.term)
 		}
-		g.cut[leader] = true
-		for end := g.now + times.Silent + 10*times.Step; g.now < end; {
+		g.isolated[leader] = true
+		for end := g.now + testTiming.LeaderTimeout + 10*testTiming.CandidateDelay; g.now < end; {
 			g.tick()
 		}
 		if g.term == term {
--- a/internal/coordination/election/events.go
+++ b/internal/coordination/election/events.go
@@ -11,54 +11,54 @@
 type (
 	// Tick lets time pass.
 	Tick struct{}
-	// Key is what the state service says of the leader's key.
-	Key struct {
+	// LeaderKey is what the state service says of the leader's key.
+	LeaderKey struct {
 		Present bool
-		Node    string
+		Holder  string
 		Term    uint64
 	}
-	// Beat is a peer's message; Reply is true if it answers ours, sent at Sent.
+	// PeerHeartbeat is a peer's message; Reply is true if it answers ours, sent at Sent.
 	// Complete says that we now hold every intent which the peer holds, Whole that
-	// it has forgotten none that may still matter, and LifeAt when its process first
+	// it has forgotten none that may still matter, and IncarnationSince when its process first
 	// answered us.
-	Beat struct {
-		From            string
-		Term            uint64
-		Leader          string
-		Reply           bool
-		Complete, Whole bool
-		LifeAt          time.Duration
-		Sent            time.Duration
+	PeerHeartbeat struct {
+		From                       string
+		Term                       uint64
+		Leader                     string
+		Reply                      bool
+		IntentsComplete, Recovered bool
+		IncarnationSince           time.Duration
+		SentAt                     time.Duration
 	}
-	// Lost says that a peer's connection to us has ended.
-	Lost struct{ Peer string }
-	// Claimed is the outcome of a claim. Without Won, Key says who leads, if known.
-	Claimed struct {
-		Won   bool
-		Term  uint64
-		Stamp uint64
-		Level int // the final feature level
-		Lease uint64
-		Sent  time.Duration
+	// PeerDisconnected says that a peer's connection to us has ended.
+	PeerDisconnected struct{ Peer string }
+	// ClaimResult is the outcome of a claim. Without Won, Key says who leads, if known.
+	ClaimResult struct {
+		Won          bool
+		Term         uint64
+		Revision     uint64
+		FeatureLevel int // the final feature level
+		LeaseID      uint64
+		SentAt       time.Duration
 	}
-	// Renewed is the outcome of a renewal; NoLease says that the lease is over.
-	Renewed struct {
-		NoLease bool
-		Term    uint64
+	// RenewalResult is the outcome of a renewal; LeaseExpired says that the lease is over.
+	RenewalResult struct {
+		LeaseExpired bool
+		Term         uint64
 	}
-	// Fresh says that the leader of the term knows every change of the accepted
+	// WatchProgress says that the leader of the term knows every change of the accepted
 	// jobs up to At.
-	Fresh struct {
+	WatchProgress struct {
 		Term uint64
-		At   time.Duration
+		UpTo time.Duration
 	}
-	// Higher says that a higher term exists somewhere.
-	Higher struct{ Term uint64 }
+	// HigherTerm says that a higher term exists somewhere.
+	HigherTerm struct{ Term uint64 }
 	// Resign ends our leadership, if the term is still ours. Away says that
 	// another controller should lead.
 	Resign struct {
-		Term uint64
-		Away bool
+		Term          uint64
+		DeferToOthers bool
 	}
 )
 
@@ -68,29 +68,29 @@
 // Effects.
 type (
 	// Claim asks for the leadership, over a leader of at most the given term.
-	Claim struct{ Over uint64 }
-	// Renew renews the leader's lease.
-	Renew struct{ Lease, Term uint64 }
-	// Lead begins the leadership of a term, in which a feature level is final.
-	Lead struct {
-		Term, Stamp uint64
-		Level       int
+	Claim struct{ AboveTerm uint64 }
+	// RenewLease renews the leader's lease.
+	RenewLease struct{ LeaseID, Term uint64 }
+	// BecomeLeader begins the leadership of a term, in which a feature level is final.
+	BecomeLeader struct {
+		Term, Revision uint64
+		FeatureLevel   int
 	}
-	// Yield ends the leadership of a term, and the lease that holds its key.
-	Yield struct{ Term, Lease uint64 }
+	// StepDown ends the leadership of a term, and the lease that holds its key.
+	StepDown struct{ Term, LeaseID uint64 }
 )
 
-func (Tick) event()    {}
-func (Key) event()     {}
-func (Beat) event()    {}
-func (Lost) event()    {}
-func (Claimed) event() {}
-func (Renewed) event() {}
-func (Fresh) event()   {}
-func (Higher) event()  {}
-func (Resign) event()  {}
+func (Tick) event()             {}
+func (LeaderKey) event()        {}
+func (PeerHeartbeat) event()    {}
+func (PeerDisconnected) event() {}
+func (ClaimResult) event()      {}
+func (RenewalResult) event()    {}
+func (WatchProgress) event()    {}
+func (HigherTerm) event()       {}
+func (Resign) event()           {}
 
-func (Claim) effect() {}
-func (Renew) effect() {}
-func (Lead) effect()  {}
-func (Yield) effect() {}
+func (Claim) effect()        {}
+func (RenewLease) effect()   {}
+func (BecomeLeader) effect() {}
+func (StepDown) effect()     {}
--- a/internal/coordination/election/standby.go
+++ b/internal/coordination/election/standby.go
@@ -2,17 +2,17 @@
 
 import "time"
 
-// Peer is what a peer last said of itself, in answer to a message sent At.
-type Peer struct {
-	At      time.Duration
-	StateOK bool   // it reaches the state service
-	Leader  string // whom it takes for the leader
-	// Known is when a message was last sent whose answer brought all its intents, of
+// PeerStatus is what a peer last said of itself, in answer to a message sent At.
+type PeerStatus struct {
+	SentAt         time.Duration
+	StoreReachable bool   // it reaches the state service
+	Leader         string // whom it takes for the leader
+	// IntentsReceivedAt is when a message was last sent whose answer brought all its intents, of
 	// which it had forgotten none that may still matter; 0: never.
-	Known time.Duration
+	IntentsReceivedAt time.Duration
 }
 
-// MayRenewOnStandby says whether this controller may renew workers' leases although
+// MayRenewWithoutLeader says whether this controller may renew workers' leases although
 // nobody leads: when the leader has died in an outage of the state service,
 // no other can be chosen, and all tasks would be killed by their leases.
 //
@@ -25,30 +25,30 @@
 // its intents and counts for nothing: until every task has ended whose lease was last
 // renewed without knowing what it forgot. No other command is given, and a lease is
 // never a proof that a task is gone.
-func MayRenewOnStandby(now time.Duration, t Times, v View, stateOK, whole bool, peers []string, heard map[string]Peer) bool {
+func MayRenewWithoutLeader(now time.Duration, t Timing, v View, stateOK, whole bool, peers []string, heard map[string]PeerStatus) bool {
 	return len(peers) > 0 && KnowsCancellations(now, t, whole, peers, heard) && Leaderless(now, t, "", v, stateOK, peers, heard)
 }
 
 // KnowsCancellations says whether this controller may renew leases, as far as cancellations go: a majority, with this
 // one, has handed on all its intents within the horizon, and none of it has forgotten any.
-func KnowsCancellations(now time.Duration, t Times, whole bool, peers []string, heard map[string]Peer) bool {
+func KnowsCancellations(now time.Duration, t Timing, whole bool, peers []string, heard map[string]PeerStatus) bool {
 	if !whole {
 		return false
 	}
 	known := 1
 	for _, name := range peers {
-		if p, ok := heard[name]; ok && p.Known > 0 && now-p.Known <= t.Horizon {
+		if p, ok := heard[name]; ok && p.IntentsReceivedAt > 0 && now-p.IntentsReceivedAt <= t.RenewalHorizon {
 			known++
 		}
 	}
-	return Majority(known, len(peers))
+	return IsQuorum(known, len(peers))
 }
 
 // Leaderless says whether a majority, with this controller, has just said that it
 // reaches neither the state service nor a leader, so that none can be elected. A peer
 // that takes the named controller for the leader does not count against it; "" names
 // none.
-func Leaderless(now time.Duration, t Times, self string, v View, stateOK bool, peers []string, heard map[string]Peer) bool {
+func Leaderless(now time.Duration, t Timing, self string, v View, stateOK bool, peers []string, heard map[string]PeerStatus) bool {
 	if v.Leading || v.Leader != "" || stateOK {
 		return false
 	}
@@ -56,12 +56,12 @@
 	for _, name := range peers {
 		p, ok := heard[name]
 		switch {
-		case !ok || now-p.At > t.Silent/2:
-		case p.StateOK || p.Leader != "" && p.Leader != self:
+		case !ok || now-p.SentAt > t.LeaderTimeout/2:
+		case p.StoreReachable || p.Leader != "" && p.Leader != self:
 			return false // it will lead, or knows who does
 		default:
 			agree++
 		}
 	}
-	return Majority(agree, len(peers))
+	return IsQuorum(agree, len(peers))
 }
--- a/internal/coordination/ownership/ownership_test.go
+++ b/internal/coordination/ownership/assigner_test.go
@@ -15,72 +15,72 @@
 
 func TestMain(m *testing.M) { testkit.Main(m) }
 
-var times = Times{Interval: time.Second, Fresh: 2 * time.Second, Rejoin: 4 * time.Second}
+var testTiming = Timing{TickInterval: time.Second, PeerTimeout: 2 * time.Second, RejoinDelay: 4 * time.Second}
 
 func member(node string, life, number uint64) Member {
-	return Member{Node: node, Is: suspicion.Incarnation{Life: life, Number: number}}
+	return Member{Controller: node, Incarnation: suspicion.Incarnation{Process: life, Refutations: number}}
 }
 
-// leader is a machine that leads and goes by what it writes.
-type leader struct {
-	*Machine
-	now     time.Duration
-	version uint64
-	epochs  []Record
+// leadingAssigner is a machine that leads and goes by what it writes.
+type leadingAssigner struct {
+	*Assigner
+	now      time.Duration
+	revision uint64
+	written  []Record
 }
 
-func newLeader(peers ...string) *leader {
-	l := &leader{Machine: New("a", peers, times)}
-	l.step(Is{Incarnation: suspicion.Incarnation{Life: 1}})
-	l.step(InForce{})
-	l.step(Leads{Leading: true})
+func newLeadingAssigner(peers ...string) *leadingAssigner {
+	l := &leadingAssigner{Assigner: New("a", peers, testTiming)}
+	l.step(OwnIncarnation{Incarnation: suspicion.Incarnation{Process: 1}})
+	l.step(RecordRead{})
+	l.step(Leadership{Leading: true})
 	return l
 }
 
-func (l *leader) step(e Event) {
+func (l *leadingAssigner) step(e Event) {
 	for _, effect := range l.Step(l.now, e) {
-		w, ok := effect.(Write)
+		w, ok := effect.(WriteRecord)
 		if !ok {
 			continue
 		}
-		l.version++
-		w.Record.Version = l.version
-		l.epochs = append(l.epochs, w.Record)
-		l.step(InForce(w))
+		l.revision++
+		w.Record.Revision = l.revision
+		l.written = append(l.written, w.Record)
+		l.step(RecordRead(w))
 		l.step(WriteDone{})
 	}
 }
 
-// hear lets time pass in which these members are heard every second.
-func (l *leader) hear(d time.Duration, members ...Member) {
-	for end := l.now + d; l.now < end; l.now += times.Interval {
+// runWithHeartbeats lets time pass in which these members are heard every second.
+func (l *leadingAssigner) runWithHeartbeats(d time.Duration, members ...Member) {
+	for end := l.now + d; l.now < end; l.now += testTiming.TickInterval {
 		for _, m := range members {
-			l.step(Heard{Member: m, Owns: true})
+			l.step(PeerHeartbeat{Member: m, CanOwn: true})
 		}
 		l.step(Tick{})
 	}
 }
 
 // owners lists the nodes of the last epoch.
-func (l *leader) owners() (nodes []string) {
+func (l *leadingAssigner) owners() (nodes []string) {
 	for _, m := range l.record.Members {
-		nodes = append(nodes, m.Node)
+		nodes = append(nodes, m.Controller)
 	}
 	return nodes
 }
 
-// TestEpochs: a controller owns machines once it is heard, keeps them while it is silent, loses them by a verdict on its
+// TestOwnersFollowHeartbeatsAndVerdicts: a controller owns machines once it is heard, keeps them while it is silent, loses them by a verdict on its
 // incarnation alone, and owns some again as another one, later each time that it fails again.
-func TestEpochs(t *testing.T) {
-	l := newLeader("b", "c")
+func TestOwnersFollowHeartbeatsAndVerdicts(t *testing.T) {
+	l := newLeadingAssigner("b", "c")
 	b, c := member("b", 2, 0), member("c", 3, 0)
-	l.hear(5*time.Second, b, c)
-	if got := l.owners(); !slices.Equal(got, []string{"a", "b", "c"}) || len(l.epochs) != 1 {
-		t.Fatalf("owners %v after %d epochs", got, len(l.epochs))
+	l.runWithHeartbeats(5*time.Second, b, c)
+	if got := l.owners(); !slices.Equal(got, []string{"a", "b", "c"}) || len(l.written) != 1 {
+		t.Fatalf("owners %v after %d epochs", got, len(l.written))
 	}
-	l.hear(time.Minute, b)
-	if len(l.epochs) != 1 {
-		t.Fatalf("silence alone has changed the owners: %+v", l.epochs)
+	l.runWithHeartbeats(time.Minute, b)
+	if len(l.written) != 1 {
+		t.Fatalf("silence alone has changed the owners: %+v", l.written)
 	}
 	var pauses []time.Duration
 	for number := range uint64(3) {
@@ -89,9 +89,9 @@
 		if got := l.owners(); !slices.Equal(got, []string{"a", "b"}) || l.record.Reason != "verdict" {
 			t.Fatalf("owners %v after the verdict, because of %q", got, l.record.Reason)
 		}
-		l.hear(2*time.Second, b, member("c", 3, number)) // it has not heard of the verdict yet
+		l.runWithHeartbeats(2*time.Second, b, member("c", 3, number)) // it has not heard of the verdict yet
 		for !slices.Contains(l.owners(), "c") && l.now < failed+time.Hour {
-			l.hear(time.Second, b, member("c", 3, number+1))
+			l.runWithHeartbeats(time.Second, b, member("c", 3, number+1))
 		}
 		pauses = append(pauses, (l.now - failed).Round(time.Second))
 	}
@@ -99,17 +99,17 @@
 		t.Errorf("it owns machines again after %v", pauses)
 	}
 	l.step(Verdict{Member: member("c", 3, 1), Reason: "late"})
-	l.hear(time.Second, b, member("c", 3, 3))
+	l.runWithHeartbeats(time.Second, b, member("c", 3, 3))
 	if got := l.owners(); !slices.Equal(got, []string{"a", "b", "c"}) {
 		t.Errorf("a verdict on an incarnation that is over long since has cost it its machines: %v", got)
 	}
 }
 
-// TestOnlyWhoMayPropose: nothing is proposed by a controller that does not lead, has not read the record, has just begun
+// TestProposalsNeedLeadershipAndRecord: nothing is proposed by a controller that does not lead, has not read the record, has just begun
 // to lead, or has a write under way; and what it reads goes before what it wanted.
-func TestOnlyWhoMayPropose(t *testing.T) {
+func TestProposalsNeedLeadershipAndRecord(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := New("a", []string{"b", "c"}, times)
+		m := New("a", []string{"b", "c"}, testTiming)
 		var now, since time.Duration
 		leads, known, writing := false, false, false
 		version, epoch := uint64(0), uint64(0)
@@ -123,10 +123,10 @@
 					since = now
 				}
 				leads = on
-				effects = m.Step(now, Leads{Leading: on})
+				effects = m.Step(now, Leadership{Leading: on})
 			case 1:
 				node := rapid.SampledFrom([]string{"b", "c", "stranger"}).Draw(t, "from")
-				effects = m.Step(now, Heard{Member: member(node, 5, rapid.Uint64Range(0, 2).Draw(t, "number")), Owns: rapid.Bool().Draw(t, "owns")})
+				effects = m.Step(now, PeerHeartbeat{Member: member(node, 5, rapid.Uint64Range(0, 2).Draw(t, "number")), CanOwn: rapid.Bool().Draw(t, "owns")})
 			case 2:
 				effects = m.Step(now, Verdict{Member: member(rapid.SampledFrom([]string{"b", "c", "stranger"}).Draw(t, "of"), 5, rapid.Uint64Range(0, 2).Draw(t, "number"))})
 			case 3:
@@ -134,7 +134,7 @@
 					version, epoch = version+1, epoch+1
 				}
 				known = true
-				effects = m.Step(now, InForce{Record: Record{Epoch: epoch, Version: version, Members: []Member{member("c", 5, 0)}}})
+				effects = m.Step(now, RecordRead{Record: Record{Epoch: epoch, Revision: version, Members: []Member{member("c", 5, 0)}}})
 			case 4:
 				writing = false
 				effects = m.Step(now, WriteDone{})
@@ -142,15 +142,15 @@
 				effects = m.Step(now, Tick{})
 			}
 			for _, e := range effects {
-				w, ok := e.(Write)
+				w, ok := e.(WriteRecord)
 				if !ok {
 					continue
 				}
-				if !leads || !known || writing || now-since < times.Fresh {
+				if !leads || !known || writing || now-since < testTiming.PeerTimeout {
 					t.Fatalf("a proposal: leads %v since %v at %v, has read %v, writes %v", leads, since, now, known, writing)
 				}
-				if w.Record.Version != version || w.Record.Epoch != epoch+1 {
-					t.Fatalf("it replaces version %d of epoch %d, want %d of %d", w.Record.Version, w.Record.Epoch-1, version, epoch)
+				if w.Record.Revision != version || w.Record.Epoch != epoch+1 {
+					t.Fatalf("it replaces version %d of epoch %d, want %d of %d", w.Record.Revision, w.Record.Epoch-1, version, epoch)
 				}
 				writing = true
 			}
@@ -158,8 +158,8 @@
 	})
 }
 
-// TestFewestMachinesMove: when a controller goes, its machines move and no others; when it comes back they return.
-func TestFewestMachinesMove(t *testing.T) {
+// TestRendezvousMovesFewestMachines: when a controller goes, its machines move and no others; when it comes back they return.
+func TestRendezvousMovesFewestMachines(t *testing.T) {
 	all := []Member{member("a", 1, 0), member("b", 2, 0), member("c", 3, 0), member("d", 4, 0), member("e", 5, 0)}
 	before := NewTable(1, all)
 	after := NewTable(2, slices.Delete(slices.Clone(all), 2, 3))
@@ -187,9 +187,9 @@
 	}
 }
 
-// TestReportsThatTellNothingNew: an owner answers a report itself only when it says what the leader has heard already, of
+// TestHeartbeatFilter: an owner answers a report itself only when it says what the leader has heard already, of
 // the leader's term and not long ago; exits and what the leader asks for are always passed on.
-func TestReportsThatTellNothingNew(t *testing.T) {
+func TestHeartbeatFilter(t *testing.T) {
 	const term, refresh = 7, 5 * time.Second
 	report := func(change func(*protocol.WorkerHeartbeat)) *protocol.WorkerHeartbeat {
 		r := &protocol.WorkerHeartbeat{Machine: "m1", Incarnation: 2, Sequence: 10, FencingToken: protocol.FencingToken(term, 1), Tasks: []protocol.TaskStatus{{TaskName: "j-1/0", Attempt: 1, State: protocol.TaskRunning}}}
@@ -218,49 +218,49 @@
 		"another leader":         {same, time.Second, term + 1, false, true},
 		"the leader asks for it": {same, time.Second, term, true, true},
 	} {
-		r := NewReports(refresh)
-		if !r.News(0, report(same), term) {
+		r := NewHeartbeatFilter(refresh)
+		if !r.MustForward(0, report(same), term) {
 			t.Fatalf("%s: the first report tells nothing new", name)
 		}
-		r.Passed(0, report(same))
+		r.Forwarded(0, report(same))
 		if x.asked {
-			r.PassOn([]string{"m1", "unknown"})
+			r.ForwardNext([]string{"m1", "unknown"})
 		}
-		if got := r.News(x.after, report(x.change), x.term); got != x.news {
+		if got := r.MustForward(x.after, report(x.change), x.term); got != x.news {
 			t.Errorf("%s: tells something new: %v", name, got)
 		}
 	}
-	r := NewReports(refresh)
+	r := NewHeartbeatFilter(refresh)
 	exited := report(func(r *protocol.WorkerHeartbeat) { r.Tasks[0].State = protocol.TaskExited })
-	r.News(0, exited, term)
-	r.Passed(0, exited)
-	if !r.News(time.Second, exited, term) {
+	r.MustForward(0, exited, term)
+	r.Forwarded(0, exited)
+	if !r.MustForward(time.Second, exited, term) {
 		t.Error("a task that has exited is kept from the leader")
 	}
-	r.Passed(0, report(same))
-	r.Answered(report(func(r *protocol.WorkerHeartbeat) { r.Sequence = 11 }))
-	if got := r.TakeAlive(); !slices.Equal(got, []Alive{{Machine: "m1", Session: 2, Seq: 11}}) || len(r.TakeAlive()) > 0 {
+	r.Forwarded(0, report(same))
+	r.AnsweredLocally(report(func(r *protocol.WorkerHeartbeat) { r.Sequence = 11 }))
+	if got := r.TakeUnchanged(); !slices.Equal(got, []UnchangedHeartbeat{{Machine: "m1", Incarnation: 2, Sequence: 11}}) || len(r.TakeUnchanged()) > 0 {
 		t.Errorf("answered: %v", got)
 	}
 }
 
-// TestWhoMayAnswer: an owner stops answering as soon as any one of the things is missing that it may answer by.
-func TestWhoMayAnswer(t *testing.T) {
-	well := Standing{Table: NewTable(4, []Member{member("a", 1, 0), member("b", 2, 0)}), Node: "b", Life: 2, Leader: "a", LeaderEpoch: 4,
-		Acknowledged: time.Second, Fresh: 2 * time.Second, KnowsCancellations: true}
+// TestOwnerStatusMayAnswer: an owner stops answering as soon as any one of the things is missing that it may answer by.
+func TestOwnerStatusMayAnswer(t *testing.T) {
+	well := OwnerStatus{Table: NewTable(4, []Member{member("a", 1, 0), member("b", 2, 0)}), Controller: "b", Process: 2, Leader: "a", LeaderEpoch: 4,
+		DigestAge: time.Second, MaxDigestAge: 2 * time.Second, KnowsCancellations: true}
 	if !well.MayAnswer() {
 		t.Fatal("an owner may not answer")
 	}
-	for name, change := range map[string]func(*Standing){
-		"nothing is in force":                  func(s *Standing) { s.Table = nil },
-		"it owns nothing":                      func(s *Standing) { s.Table = NewTable(4, []Member{member("a", 1, 0)}) },
-		"another process of its name owns":     func(s *Standing) { s.Life = 3 },
-		"nobody leads":                         func(s *Standing) { s.Leader = "" },
-		"it leads":                             func(s *Standing) { s.Leader = "b" },
-		"the leader goes by a later epoch":     func(s *Standing) { s.LeaderEpoch = 5 },
-		"the leader goes by none":              func(s *Standing) { s.LeaderEpoch = 0 },
-		"the leader has not heard whom it has": func(s *Standing) { s.Acknowledged = 3 * time.Second },
-		"it may not know of a cancellation":    func(s *Standing) { s.KnowsCancellations = false },
+	for name, change := range map[string]func(*OwnerStatus){
+		"nothing is in force":                  func(s *OwnerStatus) { s.Table = nil },
+		"it owns nothing":                      func(s *OwnerStatus) { s.Table = NewTable(4, []Member{member("a", 1, 0)}) },
+		"another process of its name owns":     func(s *OwnerStatus) { s.Process = 3 },
+		"nobody leads":                         func(s *OwnerStatus) { s.Leader = "" },
+		"it leads":                             func(s *OwnerStatus) { s.Leader = "b" },
+		"the leader goes by a later epoch":     func(s *OwnerStatus) { s.LeaderEpoch = 5 },
+		"the leader goes by none":              func(s *OwnerStatus) { s.LeaderEpoch = 0 },
+		"the leader has not heard whom it has": func(s *OwnerStatus) { s.DigestAge = 3 * time.Second },
+		"it may not know of a cancellation":    func(s *OwnerStatus) { s.KnowsCancellations = false },
 	} {
 		s := well
 		change(&s)
@@ -270,15 +270,15 @@
 	}
 }
 
-// TestOwnersAnswer: an owner commands nothing but that what is cancelled ends, under the worker's own token.
-func TestOwnersAnswer(t *testing.T) {
+// TestUnchangedReplyStopsCancelledTasksOnly: an owner commands nothing but that what is cancelled ends, under the worker's own token.
+func TestUnchangedReplyStopsCancelledTasksOnly(t *testing.T) {
 	rep := &protocol.WorkerHeartbeat{Machine: "m1", Incarnation: 2, FencingToken: 77, Tasks: []protocol.TaskStatus{
 		{TaskName: "j-1/0", Attempt: 3, State: protocol.TaskRunning}, {TaskName: "j-2/1", Attempt: 1, State: protocol.TaskFetching}, {TaskName: "j-1/1", Attempt: 1, State: protocol.TaskExited}}}
-	a := Answer(rep, func(job string) bool { return job == "j-1" })
+	a := UnchangedReply(rep, func(job string) bool { return job == "j-1" })
 	if a.FencingToken != 77 || len(a.Commands) != 1 || a.Commands[0].Verb != protocol.VerbStop || a.Commands[0].TaskName != "j-1/0" || *a.Commands[0].GraceSeconds != 0 {
 		t.Errorf("%+v", a)
 	}
-	if a := Answer(rep, func(string) bool { return false }); len(a.Commands) != 0 {
+	if a := UnchangedReply(rep, func(string) bool { return false }); len(a.Commands) != 0 {
 		t.Errorf("commands although nothing is cancelled: %+v", a.Commands)
 	}
 }
--- a/internal/coordination/ownership/table.go
+++ b/internal/coordination/ownership/table.go
@@ -11,8 +11,8 @@
 
 // Member is a controller that owns machines, in one incarnation.
 type Member struct {
-	Node string
-	Is   suspicion.Incarnation
+	Controller  string
+	Incarnation suspicion.Incarnation
 }
 
 // Table says who owns which machines in an epoch. It is never changed, so that other actors may read it. The owners
@@ -28,7 +28,7 @@
 	t := &Table{Epoch: epoch, members: slices.Clone(members)}
 	nodes := make([]string, len(members))
 	for i, m := range members {
-		nodes[i] = m.Node
+		nodes[i] = m.Controller
 	}
 	slices.Sort(nodes)
 	t.hash = rendezvous.New(nodes, xxhash.Sum64String)
@@ -39,11 +39,11 @@
 func (t *Table) Members() []Member { return slices.Clone(t.members) }
 
 // Member returns a controller's entry.
-func (t *Table) Member(node string) (Member, bool) { return find(t.members, node) }
+func (t *Table) Member(node string) (Member, bool) { return findMember(t.members, node) }
 
-// find returns a controller's entry among members.
-func find(members []Member, node string) (Member, bool) {
-	i := slices.IndexFunc(members, func(m Member) bool { return m.Node == node })
+// findMember returns a controller's entry among members.
+func findMember(members []Member, node string) (Member, bool) {
+	i := slices.IndexFunc(members, func(m Member) bool { return m.Controller == node })
 	if i < 0 {
 		return Member{}, false
 	}
--- a/internal/coordination/suspicion/accrual.go
+++ b/internal/coordination/suspicion/accrual.go
@@ -5,75 +5,75 @@
 	"time"
 )
 
-// accrual is an adaptive failure detector of one peer: from the times between its messages it tells
+// accrualDetector is an adaptive failure detector of one peer: from the times between its messages it tells
 // how unlikely a silence is (the phi accrual detector of Hayashibara and others, 2004, with the
 // times taken to be normally distributed).
-type accrual struct {
-	last    time.Duration // when it was last heard
-	reached time.Duration // when it was last known to live in another way
-	gaps    []float64     // the last times between messages, in seconds
-	next    int           // which of them is replaced next
-	sum     float64
-	squares float64
+type accrualDetector struct {
+	lastHeardAt   time.Duration // when it was last heard
+	lastReachedAt time.Duration // when it was last known to live in another way
+	intervals     []float64     // the last times between messages, in seconds
+	nextIndex     int           // which of them is replaced next
+	sum           float64
+	sumOfSquares  float64
 }
 
 // Figures of the detector.
 const (
-	// samples is how many times between messages are remembered.
-	samples = 64
-	// suspectPhi is from which phi on a peer is suspected: a silence that comes once in so many powers
+	// maxSamples is how many times between messages are remembered.
+	maxSamples = 64
+	// phiThreshold is from which phi on a peer is suspected: a silence that comes once in so many powers
 	// of ten.
-	suspectPhi = 8
+	phiThreshold = 8
 	// maxPhi stands for silences that are as good as impossible.
 	maxPhi = 100
-	// leastDeviation is the least standard deviation, as a part of the interval: a peer that has been
+	// minDeviation is the least standard deviation, as a part of the interval: a peer that has been
 	// punctual for a while may be late all the same.
-	leastDeviation = 0.25
-	// longestGap is the longest time between messages that is remembered, in intervals: one long outage
+	minDeviation = 0.25
+	// maxGap is the longest time between messages that is remembered, in intervals: one long outage
 	// must not make the detector blind for dozens of messages.
-	longestGap = 8
+	maxGap = 8
 )
 
-// heard notes a message. What comes sooner than a fourth of the interval after another, an answer
+// observe notes a message. What comes sooner than a fourth of the interval after another, an answer
 // beside a heartbeat, tells nothing of the pace.
-func (a *accrual) heard(now, interval time.Duration) {
-	gap := now - a.last
+func (a *accrualDetector) observe(now, interval time.Duration) {
+	gap := now - a.lastHeardAt
 	if gap < interval/4 {
 		return
 	}
-	if a.last > 0 {
-		a.add(min(gap, longestGap*interval).Seconds())
+	if a.lastHeardAt > 0 {
+		a.addInterval(min(gap, maxGap*interval).Seconds())
 	}
-	a.last = now
+	a.lastHeardAt = now
 }
 
-func (a *accrual) add(gap float64) {
-	if len(a.gaps) < samples {
-		a.gaps = append(a.gaps, gap)
+func (a *accrualDetector) addInterval(gap float64) {
+	if len(a.intervals) < maxSamples {
+		a.intervals = append(a.intervals, gap)
 	} else {
-		old := a.gaps[a.next]
+		old := a.intervals[a.nextIndex]
 		a.sum -= old
-		a.squares -= old * old
-		a.gaps[a.next] = gap
-		a.next = (a.next + 1) % samples
+		a.sumOfSquares -= old * old
+		a.intervals[a.nextIndex] = gap
+		a.nextIndex = (a.nextIndex + 1) % maxSamples
 	}
 	a.sum += gap
-	a.squares += gap * gap
+	a.sumOfSquares += gap * gap
 }
 
-// alive is when the peer was last known to live.
-func (a *accrual) alive() time.Duration { return max(a.last, a.reached) }
+// lastAliveAt is when the peer was last known to live.
+func (a *accrualDetector) lastAliveAt() time.Duration { return max(a.lastHeardAt, a.lastReachedAt) }
 
 // phi tells how unlikely the silence until now is. slack is added to what was usual: an observer that
 // is late itself hears everybody late.
-func (a *accrual) phi(now, interval, slack time.Duration) float64 {
+func (a *accrualDetector) phi(now, interval, slack time.Duration) float64 {
 	mean, variance := interval.Seconds(), 0.0
-	if n := float64(len(a.gaps)); n > 0 {
+	if n := float64(len(a.intervals)); n > 0 {
 		mean = max(mean, a.sum/n)
-		variance = max(0, a.squares/n-(a.sum/n)*(a.sum/n))
+		variance = max(0, a.sumOfSquares/n-(a.sum/n)*(a.sum/n))
 	}
-	deviation := max(math.Sqrt(variance), leastDeviation*interval.Seconds())
-	late := ((now - a.alive() - slack).Seconds() - mean) / deviation
+	deviation := max(math.Sqrt(variance), minDeviation*interval.Seconds())
+	late := ((now - a.lastAliveAt() - slack).Seconds() - mean) / deviation
 	probability := 0.5 * math.Erfc(late/math.Sqrt2)
 	if probability <= 0 {
 		return maxPhi
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -47,7 +47,7 @@
 	features Features
 	log      *slog.Logger
 	start    time.Time
-	times    election.Times
+	times    election.Timing
 
 	store   *storage.Client
 	cloud   *leader.Cloud
@@ -56,39 +56,39 @@
 	api     *api.Server
 
 	box         *actor.Mailbox[election.Event]
-	elect       *election.Machine
+	elect       *election.Election
 	view        atomic.Pointer[election.View]
 	leading     atomic.Pointer[leader.Leader]
 	fenceBox    *actor.Mailbox[fencing.Event]
-	fencing     *fencing.Monitor
-	intents     *cancellation.Log
+	fencing     *fencing.Fencer
+	intents     *cancellation.IntentLog
 	suspicions  *suspicions              // nil: off
 	owners      *owners                  // nil: off
 	wakes       map[string]chan struct{} // make the beat to a peer leave at once
 	peersMu     sync.Mutex
-	peers       map[string]election.Peer // what each last answered of itself
-	renewers    map[string]time.Duration // peers that renew leases without a leader, and when they last said so
+	peers       map[string]election.PeerStatus // what each last answered of itself
+	renewers    map[string]time.Duration       // peers that renew leases without a leader, and when they last said so
 	redirects   *RedirectTracker
 	levelBox    *actor.Mailbox[featurelevel.Event]
-	levels      *featurelevel.Machine
+	levels      *featurelevel.Gate
 	refuseNewer sync.Once
 	peersOK     atomic.Int64 // steady time when a peer last had the state service
 	peerHeard   atomic.Int64 // steady time when a peer was last heard
 }
 
 // Times derives the election's times from the settings.
-func Times(d *config.Deployment) election.Times {
+func Times(d *config.Deployment) election.Timing {
 	lease, cancel := config.Seconds(d.Workers.LeaseS), config.Seconds(d.Workers.CancelS)
 	base := min(lease, cancel/4)
-	t := election.Times{
-		Beat: base / 40, Silent: base / 5, TTL: max(3*base/10, 100*time.Millisecond),
-		Hold: base / 2, Step: base / 50, Confirm: api.MaxIntentAge,
+	t := election.Timing{
+		HeartbeatInterval: base / 40, LeaderTimeout: base / 5, LeaseTTL: max(3*base/10, 100*time.Millisecond),
+		ConfirmationTimeout: base / 2, CandidateDelay: base / 50, CancellationTimeout: api.MaxIntentAge,
 	}
-	t.Hold = min(t.Hold, max((cancel-lease)/4, 4*t.Beat))
+	t.ConfirmationTimeout = min(t.ConfirmationTimeout, max((cancel-lease)/4, 4*t.HeartbeatInterval))
 	// Whoever does not know of a cancellation renews a lease for the last time within
 	// the Horizon of its confirmation, and the task must be gone within the cancel time.
-	t.Horizon = max(t.Hold, cancel-cancel/8-lease)
-	t.Recovery = lease + t.Horizon + t.Silent
+	t.RenewalHorizon = max(t.ConfirmationTimeout, cancel-cancel/8-lease)
+	t.RecoveryPeriod = lease + t.RenewalHorizon + t.LeaderTimeout
 	return t
 }
 
@@ -119,7 +119,7 @@
 	d := &cfg.Deploy
 	c := &Controller{network: network, random: source, cfg: cfg, features: features, log: log.With("node", cfg.Node), start: time.Now(), times: Times(d), box: actor.NewMailbox[election.Event](),
 		fenceBox: actor.NewMailbox[fencing.Event](), fencing: fencing.New(fenceTimes(d)),
-		peers: map[string]election.Peer{}, renewers: map[string]time.Duration{}, wakes: map[string]chan struct{}{}, redirects: NewRedirectTracker(config.Seconds(d.Workers.LeaseS))}
+		peers: map[string]election.PeerStatus{}, renewers: map[string]time.Duration{}, wakes: map[string]chan struct{}{}, redirects: NewRedirectTracker(config.Seconds(d.Workers.LeaseS))}
 	c.store = storage.NewClient(network, source, d, cfg.Outside.State, config.Seconds(min(d.Workers.LeaseS/5, d.Workers.GangPeerS/2)))
 	c.cloud = leader.NewCloud(network, cfg.Outside.Cloud, d.Cloud)
 	c.workers = transport.NewClient(network, 1, max(1, int(float64(d.Quota.MaxSockets)*socketsCommands)), config.Seconds(d.Workers.LeaseS))
@@ -136,15 +136,15 @@
 	}
 	keep := keepIntents(d, c.times)
 	// The state service's writes bound how many cancellations there can be.
-	c.intents = cancellation.New(source, names, keep, c.now()+c.times.Recovery, int(max(1, d.State.WriteRPS*keep.Seconds())))
-	c.mesh = transport.NewMesh(network, cfg.Node, peers, c.times.Silent/2, c.log, c.answerPeer,
-		func(node string) { c.box.Send(election.Lost{Peer: node}) })
+	c.intents = cancellation.New(source, names, keep, c.now()+c.times.RecoveryPeriod, int(max(1, d.State.WriteRPS*keep.Seconds())))
+	c.mesh = transport.NewMesh(network, cfg.Node, peers, c.times.LeaderTimeout/2, c.log, c.answerPeer,
+		func(node string) { c.box.Send(election.PeerDisconnected{Peer: node}) })
 	if features.Ownership {
-		c.suspicions = &suspicions{box: actor.NewMailbox[suspicion.Event](), refusals: rate.Sometimes{Interval: c.times.Silent}}
+		c.suspicions = &suspicions{box: actor.NewMailbox[suspicion.Event](), refusals: rate.Sometimes{Interval: c.times.LeaderTimeout}}
 		c.owners = c.newOwners()
 	}
 	c.levelBox = actor.NewMailbox[featurelevel.Event]()
-	c.levels = featurelevel.New(cfg.Node, names, features.level(), c.times.Silent/2)
+	c.levels = featurelevel.New(cfg.Node, names, features.level(), c.times.LeaderTimeout/2)
 	c.elect = election.New(c.now(), cfg.Node, names, c.times)
 	c.publish()
 	return c
@@ -228,24 +228,24 @@
 // or no peer is in contact at all.
 func (c *Controller) alone() bool {
 	silent := c.store.SinceLastAnswer()
-	if silent <= c.times.Silent {
+	if silent <= c.times.LeaderTimeout {
 		return false
 	}
 	last := c.now() - silent
-	return time.Duration(c.peersOK.Load()) > last+c.times.Silent ||
-		c.now()-time.Duration(c.peerHeard.Load()) > c.times.Silent
+	return time.Duration(c.peersOK.Load()) > last+c.times.LeaderTimeout ||
+		c.now()-time.Duration(c.peerHeard.Load()) > c.times.LeaderTimeout
 }
 
 // probe asks the state service for something small when nothing else has for a
 // while, so that silence means that it does not answer.
 func (c *Controller) probe(ctx context.Context) {
 	for ctx.Err() == nil {
-		if c.store.SinceLastAnswer() > c.times.Silent/4 {
+		if c.store.SinceLastAnswer() > c.times.LeaderTimeout/4 {
 			if _, err := c.store.Get(ctx, storage.BudgetUrgent, storage.LeaderKey); err != nil {
 				c.log.Debug("state service does not answer", "err", err)
 			}
 		}
-		c.random.Pause(ctx, "probe", c.times.Silent/8)
+		c.random.Pause(ctx, "probe", c.times.LeaderTimeout/8)
 	}
 }
 
@@ -259,6 +259,6 @@
 			return
 		}
 		c.log.Info("machine types not read", "err", err)
-		c.random.Pause(ctx, "machine types", c.times.Beat*2)
+		c.random.Pause(ctx, "machine types", c.times.HeartbeatInterval*2)
 	}
 }
--- a/internal/daemon/fence.go
+++ b/internal/daemon/fence.go
@@ -14,9 +14,9 @@
 // fenceTimes derives the intervals of fencing without a leader. Cancel time is spent
 // as follows: a half until a leader would have fenced, a quarter for the machine to be
 // heard elsewhere, and the rest for the machine list and the release.
-func fenceTimes(d *config.Deployment) fencing.Times {
+func fenceTimes(d *config.Deployment) fencing.Timing {
 	cancel := config.Seconds(d.Workers.CancelS)
-	return fencing.Times{Grace: cancel / 4, Age: cancel / 2, Memory: cancel + 4*config.Seconds(d.Cloud.ListLagS)}
+	return fencing.Timing{GracePeriod: cancel / 4, MinIntentAge: cancel / 2, Retention: cancel + 4*config.Seconds(d.Cloud.ListLagS)}
 }
 
 // runFencing is the actor that returns silent machines while no leader can be elected.
@@ -27,10 +27,10 @@
 		}
 	}
 	assessed := c.now()
-	c.fenceBox.Run(ctx, c.times.Silent, step, func() {
+	c.fenceBox.Run(ctx, c.times.LeaderTimeout, step, func() {
 		// Every controller of a majority lists the machines at this pace, and the
 		// cloud's rate is shared.
-		if now := c.now(); now-assessed >= c.times.Silent {
+		if now := c.now(); now-assessed >= c.times.LeaderTimeout {
 			assessed = now
 			step(c.assess(now))
 		}
@@ -38,9 +38,9 @@
 }
 
 // assess tells the fencing how this controller stands.
-func (c *Controller) assess(now time.Duration) fencing.Assessed {
-	a := fencing.Assessed{Leaderless: c.leaderless(now), Forgetful: !c.intents.Whole(now)}
-	a.Oldest, a.Held = c.intents.Oldest(now)
+func (c *Controller) assess(now time.Duration) fencing.Assessment {
+	a := fencing.Assessment{Leaderless: c.leaderless(now), Recovering: !c.intents.Recovered(now)}
+	a.OldestIntentAt, a.HasIntent = c.intents.OldestIntentAt(now)
 	return a
 }
 
@@ -60,42 +60,42 @@
 // fence carries out an effect. Whatever waits runs on its own goroutine.
 func (c *Controller) fence(ctx context.Context, effect fencing.Effect) {
 	switch e := effect.(type) {
-	case fencing.List:
+	case fencing.ListMachines:
 		go func() {
 			list, err := c.cloud.List(ctx, c.cloud.Turn())
 			if err != nil {
 				c.log.Info("machine list not read", "err", err)
 				return // the next assessment asks again
 			}
-			c.fenceBox.Send(fencing.Listed{Machines: list})
+			c.fenceBox.Send(fencing.MachinesListed{Machines: list})
 		}()
-	case fencing.AskPeers:
+	case fencing.QueryPeers:
 		go func() {
 			silent, certain := fencing.StillSilent(e.Machines, c.askPeers(ctx, e.Machines))
 			if !certain {
 				c.log.Info("machines not fenced yet: a peer did not answer", "machines", len(e.Machines))
 				return // the next assessment asks again
 			}
-			c.fenceBox.Send(fencing.Confirmed{Silent: silent})
+			c.fenceBox.Send(fencing.SilenceConfirmed{Machines: silent})
 		}()
-	case fencing.Release:
+	case fencing.ReleaseMachines:
 		go c.releaseSilent(ctx, e.Machines)
-	case fencing.Answer:
+	case fencing.AnswerPeer:
 		e.Reply <- e.Heard
 	}
 }
 
 // askPeers asks every peer which of the machines it hears.
-func (c *Controller) askPeers(ctx context.Context, machines []string) []fencing.PeerAnswer {
-	var answers []fencing.PeerAnswer
+func (c *Controller) askPeers(ctx context.Context, machines []string) []fencing.PeerReply {
+	var answers []fencing.PeerReply
 	for _, peer := range c.mesh.Peers() {
 		answers = append(answers, c.askPeer(ctx, peer, machines))
 	}
 	return answers
 }
 
-func (c *Controller) askPeer(ctx context.Context, peer string, machines []string) fencing.PeerAnswer {
-	a := fencing.PeerAnswer{Answered: true, Counted: c.heardLately(peer)}
+func (c *Controller) askPeer(ctx context.Context, peer string, machines []string) fencing.PeerReply {
+	a := fencing.PeerReply{Answered: true, InQuorum: c.heardLately(peer)}
 	for _, asked := range protocol.SplitMachineNames(machines) {
 		r, err := c.mesh.Call(ctx, peer, protocol.PeerMessage{Kind: protocol.PeerLiveMachinesQuery, Machines: asked})
 		if err != nil {
@@ -112,7 +112,7 @@
 	c.peersMu.Lock()
 	defer c.peersMu.Unlock()
 	p, ok := c.peers[peer]
-	return ok && c.now()-p.At <= c.times.Silent/2
+	return ok && c.now()-p.SentAt <= c.times.LeaderTimeout/2
 }
 
 // releaseSilent returns machines to the cloud. What fails is tried again after the next
@@ -124,18 +124,18 @@
 			c.log.Info("release unanswered", "machines", len(names), "err", err)
 			return
 		}
-		c.fenceBox.Send(fencing.Released{Machines: names})
+		c.fenceBox.Send(fencing.MachinesReleased{Machines: names})
 	}
 }
 
 // machinesHeard answers a peer that asks which machines report here.
 func (c *Controller) machinesHeard(machines []string) []string {
 	reply := make(chan []string, 1)
-	c.fenceBox.Send(fencing.Asked{Machines: machines, Reply: reply})
+	c.fenceBox.Send(fencing.PeerQuery{Machines: machines, Reply: reply})
 	select {
 	case heard := <-reply:
 		return heard
-	case <-time.After(c.times.Silent / 2):
+	case <-time.After(c.times.LeaderTimeout / 2):
 		return nil // we are ending
 	}
 }
--- a/internal/daemon/lead.go
+++ b/internal/daemon/lead.go
@@ -24,7 +24,7 @@
 			c.carryOut(ctx, e)
 		}
 	}
-	c.box.Run(ctx, c.times.Beat, step, func() { step(election.Tick{}) })
+	c.box.Run(ctx, c.times.HeartbeatInterval, step, func() { step(election.Tick{}) })
 	if l := c.leading.Swap(nil); l != nil {
 		l.Stop()
 	}
@@ -34,37 +34,37 @@
 	switch e := effect.(type) {
 	case election.Claim:
 		go func() { c.box.Send(c.claim(ctx, e)) }()
-	case election.Renew:
+	case election.RenewLease:
 		go func() {
-			err := c.store.RenewLease(ctx, e.Lease)
-			c.box.Send(election.Renewed{NoLease: errors.Is(err, storage.ErrLeaseNotFound), Term: e.Term})
+			err := c.store.RenewLease(ctx, e.LeaseID)
+			c.box.Send(election.RenewalResult{LeaseExpired: errors.Is(err, storage.ErrLeaseNotFound), Term: e.Term})
 		}()
-	case election.Lead:
+	case election.BecomeLeader:
 		l := leader.Start(ctx, leader.Deps{
 			Cfg: &c.cfg.Deploy, Log: c.log, Store: c.store, Random: c.random, Cloud: c.cloud, Workers: c.workers, Now: c.now,
 			Types: c.api.SetMachineTypes, ZoneReturn: c.features.ZoneReturn, Timing: c.features.Timing,
 			Confirmed: func() bool {
 				v := c.view.Load()
-				return v.Leading && v.Term == e.Term && c.now() < v.Until
+				return v.Leading && v.Term == e.Term && c.now() < v.ConfirmedUntil
 			},
-			Watch: c.times.Silent / 2, Confirm: c.times.Confirm, Withdrawals: c.intents.Jobs, IsWithdrawn: c.withdrawn,
-			Fresh: func(term uint64, at time.Duration) { c.box.Send(election.Fresh{Term: term, At: at}) },
+			Watch: c.times.LeaderTimeout / 2, Confirm: c.times.CancellationTimeout, Withdrawals: c.intents.NewestByJob, IsWithdrawn: c.withdrawn,
+			Fresh: func(term uint64, at time.Duration) { c.box.Send(election.WatchProgress{Term: term, UpTo: at}) },
 			Deposed: func(term uint64, d scheduler.Depose) {
 				if d.Term > term {
-					c.box.Send(election.Higher{Term: d.Term})
+					c.box.Send(election.HigherTerm{Term: d.Term})
 				}
-				c.box.Send(election.Resign{Term: term, Away: d.Away})
+				c.box.Send(election.Resign{Term: term, DeferToOthers: d.Away})
 			},
 			LevelReached: c.levelReached,
-		}, scheduler.Term{Number: e.Term, Stamp: e.Stamp, Node: c.cfg.Node, Level: featurelevel.Level(e.Level)})
+		}, scheduler.Term{Number: e.Term, Stamp: e.Revision, Node: c.cfg.Node, Level: featurelevel.Level(e.FeatureLevel)})
 		if old := c.leading.Swap(l); old != nil {
 			old.Stop()
 		}
-	case election.Yield:
+	case election.StepDown:
 		c.log.Info("yielding", "term", e.Term)
 		// Its key ends with the lease, and others need not wait for that.
 		go func() {
-			if err := c.store.RevokeLease(ctx, e.Lease); err != nil {
+			if err := c.store.RevokeLease(ctx, e.LeaseID); err != nil {
 				c.log.Debug("lease not ended", "err", err)
 			}
 		}()
@@ -77,11 +77,11 @@
 
 // claim tries to take the leadership once. Its transaction holds only while
 // neither the leader's key nor the term has changed.
-func (c *Controller) claim(ctx context.Context, e election.Claim) election.Claimed {
+func (c *Controller) claim(ctx context.Context, e election.Claim) election.ClaimResult {
 	sent := c.now()
-	fail := func(err error) election.Claimed {
+	fail := func(err error) election.ClaimResult {
 		c.log.Debug("claim failed", "err", err)
-		return election.Claimed{}
+		return election.ClaimResult{}
 	}
 	tp, err := c.store.Get(ctx, storage.BudgetUrgent, storage.TermKey)
 	if err != nil {
@@ -97,23 +97,23 @@
 		c.refuseNewer.Do(func() {
 			c.log.Error("a newer feature level is final: this version can't lead any more", "level", rec.FeatureLevel, "own", c.features.level())
 		})
-		return election.Claimed{}
+		return election.ClaimResult{}
 	}
 	lp, err := c.store.Get(ctx, storage.BudgetUrgent, storage.LeaderKey)
 	if err != nil {
 		return fail(err)
 	}
-	if rec.Term > e.Over && lp.Revision != 0 && rec.Controller != c.cfg.Node {
-		c.box.Send(election.Key{Present: true, Node: rec.Controller, Term: rec.Term})
-		return election.Claimed{}
+	if rec.Term > e.AboveTerm && lp.Revision != 0 && rec.Controller != c.cfg.Node {
+		c.box.Send(election.LeaderKey{Present: true, Holder: rec.Controller, Term: rec.Term})
+		return election.ClaimResult{}
 	}
-	lease, err := c.store.GrantLease(ctx, c.times.TTL)
+	lease, err := c.store.GrantLease(ctx, c.times.LeaseTTL)
 	if err != nil {
 		return fail(err)
 	}
 	// A worker may have seen a token that no record tells of any more only if
 	// the state service lost it; be above what we have seen all the same.
-	term := max(rec.Term, e.Over) + 1
+	term := max(rec.Term, e.AboveTerm) + 1
 	value, err := storage.EncodeTerm(storage.TermRecord{Term: term, Controller: c.cfg.Node, ClaimID: fmt.Sprint(lease), FeatureLevel: rec.FeatureLevel})
 	if err != nil {
 		return fail(err)
@@ -129,7 +129,7 @@
 	if err != nil || !ok {
 		return fail(fmt.Errorf("transaction ok=%v: %w", ok, err))
 	}
-	return election.Claimed{Won: true, Term: term, Stamp: rev, Level: rec.FeatureLevel, Lease: lease, Sent: sent}
+	return election.ClaimResult{Won: true, Term: term, Revision: rev, FeatureLevel: rec.FeatureLevel, LeaseID: lease, SentAt: sent}
 }
 
 // watchLeader follows the leader's key.
@@ -141,7 +141,7 @@
 		if !fresh {
 			p, err := c.store.Get(ctx, storage.BudgetUrgent, storage.LeaderKey)
 			if err != nil {
-				c.random.Pause(ctx, "watch leader", c.times.Beat)
+				c.random.Pause(ctx, "watch leader", c.times.HeartbeatInterval)
 				continue
 			}
 			c.leaderKey(p.Value, p.Revision)
@@ -150,7 +150,7 @@
 				pairs, r, err := c.store.List(ctx, storage.LeaderKey)
 				if err != nil {
 					fresh = false
-					c.random.Pause(ctx, "watch leader", c.times.Beat)
+					c.random.Pause(ctx, "watch leader", c.times.HeartbeatInterval)
 					continue
 				}
 				rev = max(rev, r)
@@ -162,7 +162,7 @@
 		ev, err := c.store.Watch(ctx, storage.LeaderKey, rev, wait)
 		if err != nil {
 			fresh = !errors.Is(err, storage.ErrCompacted)
-			c.random.Pause(ctx, "watch leader", c.times.Beat)
+			c.random.Pause(ctx, "watch leader", c.times.HeartbeatInterval)
 			continue
 		}
 		rev = max(rev, ev.Revision)
@@ -178,7 +178,7 @@
 
 func (c *Controller) leaderKey(value []byte, version uint64) {
 	if version == 0 {
-		c.box.Send(election.Key{Term: c.view.Load().Term})
+		c.box.Send(election.LeaderKey{Term: c.view.Load().Term})
 		return
 	}
 	var rec storage.LeaderRecord
@@ -186,5 +186,5 @@
 		c.log.Error("leader record out of form", "err", err)
 		return
 	}
-	c.box.Send(election.Key{Present: true, Node: rec.Controller, Term: rec.Term})
+	c.box.Send(election.LeaderKey{Present: true, Holder: rec.Controller, Term: rec.Term})
 }
--- a/internal/daemon/levels.go
+++ b/internal/daemon/levels.go
@@ -13,16 +13,16 @@
 func (c *Controller) runLevels(ctx context.Context) {
 	var missing []string
 	step := func(e featurelevel.Event) {
-		if _, ok := e.(featurelevel.Listed); ok {
+		if _, ok := e.(featurelevel.RecordsListed); ok {
 			defer func() { missing = c.tellMissing(missing) }()
 		}
 		for _, effect := range c.levels.Step(c.now(), e) {
 			c.carryOutLevel(ctx, effect)
 		}
 	}
-	c.levelBox.Run(ctx, c.times.Beat, step, func() {
+	c.levelBox.Run(ctx, c.times.HeartbeatInterval, step, func() {
 		l := c.leading.Load()
-		step(featurelevel.Led{Leading: l != nil && l.Ready()})
+		step(featurelevel.Leadership{Leading: l != nil && l.Ready()})
 		step(featurelevel.Tick{})
 	})
 }
@@ -38,7 +38,7 @@
 
 func (c *Controller) carryOutLevel(ctx context.Context, effect featurelevel.Effect) {
 	switch e := effect.(type) {
-	case featurelevel.List:
+	case featurelevel.ListRecords:
 		go func() { c.levelBox.Send(c.listLevels(ctx)) }()
 	case featurelevel.Announce:
 		go func() {
@@ -49,7 +49,7 @@
 		if l := c.leading.Load(); l != nil {
 			l.Finalise(e.Level)
 		}
-	case featurelevel.Reached:
+	case featurelevel.Activate:
 		c.log.Info("feature level in force", "level", e.Level)
 		c.store.SetLimits(c.cfg.Deploy.State.Lowest())
 		c.api.SetFeatureLevel(e.Level)
@@ -62,23 +62,23 @@
 }
 
 // listLevels reads what levels the controllers have recorded, and which one is final.
-func (c *Controller) listLevels(ctx context.Context) featurelevel.Listed {
-	fail := func(err error) featurelevel.Listed {
+func (c *Controller) listLevels(ctx context.Context) featurelevel.RecordsListed {
+	fail := func(err error) featurelevel.RecordsListed {
 		c.log.Debug("feature levels not read", "err", err)
-		return featurelevel.Listed{Failed: true}
+		return featurelevel.RecordsListed{Failed: true}
 	}
 	pairs, _, err := c.store.ListWithBudget(ctx, storage.BudgetUrgent, storage.FeatureLevelPrefix)
 	if err != nil {
 		return fail(err)
 	}
-	listed := featurelevel.Listed{Nodes: map[string]featurelevel.Recorded{}}
+	listed := featurelevel.RecordsListed{Controllers: map[string]featurelevel.Record{}}
 	for _, p := range pairs {
 		node, rec, err := storage.DecodeFeatureLevel(p)
 		if err != nil {
 			c.log.Error("feature level out of form", "err", err)
 			continue
 		}
-		listed.Nodes[node] = featurelevel.Recorded{Level: featurelevel.Level(rec.Level), Version: p.Revision}
+		listed.Controllers[node] = featurelevel.Record{Level: featurelevel.Level(rec.Level), Revision: p.Revision}
 	}
 	term, err := c.store.Get(ctx, storage.BudgetUrgent, storage.TermKey)
 	if err != nil {
@@ -104,6 +104,6 @@
 	}
 	key := storage.FeatureLevelKey(c.cfg.Node)
 	_, ok, err := c.store.Txn(ctx, storage.BudgetUrgent, protocol.Txn{
-		If: []protocol.Compare{{Key: key, Revision: e.Version}}, Then: []protocol.Op{{PutKey: key, Value: value}}})
+		If: []protocol.Compare{{Key: key, Revision: e.Revision}}, Then: []protocol.Op{{PutKey: key, Value: value}}})
 	c.log.Info("feature level recorded", "level", e.Level, "ok", ok, "err", err)
 }
--- a/internal/daemon/ownerreports.go
+++ b/internal/daemon/ownerreports.go
@@ -62,13 +62,13 @@
 }
 
 // standing is what decides whether this controller may answer workers as an owner.
-func (c *Controller) standing(table *ownership.Table, v *election.View) ownership.Standing {
+func (c *Controller) standing(table *ownership.Table, v *election.View) ownership.OwnerStatus {
 	now := c.now()
 	c.peersMu.Lock()
 	defer c.peersMu.Unlock()
-	s := ownership.Standing{Table: table, Node: c.cfg.Node, Life: c.intents.Life(), Leader: v.Leader,
-		Acknowledged: now - time.Duration(c.owners.acknowledged.Load()), Fresh: c.times.Silent,
-		KnowsCancellations: election.KnowsCancellations(now, c.times, c.intents.Whole(now), c.mesh.Peers(), c.peers)}
+	s := ownership.OwnerStatus{Table: table, Controller: c.cfg.Node, Process: c.intents.Incarnation(), Leader: v.Leader,
+		DigestAge: now - time.Duration(c.owners.acknowledged.Load()), MaxDigestAge: c.times.LeaderTimeout,
+		KnowsCancellations: election.KnowsCancellations(now, c.times, c.intents.Recovered(now), c.mesh.Peers(), c.peers)}
 	if at := c.owners.leader.Load(); at != nil && at.node == v.Leader {
 		s.LeaderEpoch = at.epoch
 	}
@@ -82,12 +82,12 @@
 		c.owners.mu.Lock()
 		defer c.owners.mu.Unlock()
 		at, ok := c.owners.digests[owner]
-		return ok && now-at <= c.times.Silent/2
+		return ok && now-at <= c.times.LeaderTimeout/2
 	}
 	c.peersMu.Lock()
 	defer c.peersMu.Unlock()
 	p, ok := c.peers[owner]
-	return ok && now-p.At <= c.times.Silent/2
+	return ok && now-p.SentAt <= c.times.LeaderTimeout/2
 }
 
 // bounced says whether a machine was sent to its owner and has come back: it can't reach it, and is served here for a
@@ -100,12 +100,12 @@
 func (c *Controller) answerAsOwner(w http.ResponseWriter, r *http.Request, table *ownership.Table, v *election.View, rep *protocol.WorkerHeartbeat, raw []byte) {
 	o := c.owners
 	o.mu.Lock()
-	news := o.reports.News(c.now(), rep, v.Term)
+	news := o.reports.MustForward(c.now(), rep, v.Term)
 	o.mu.Unlock()
 	if !news {
-		transport.WriteResponse(w, http.StatusOK, ownership.Answer(rep, c.withdrawn))
+		transport.WriteResponse(w, http.StatusOK, ownership.UnchangedReply(rep, c.withdrawn))
 		o.mu.Lock()
-		o.reports.Answered(rep)
+		o.reports.AnsweredLocally(rep)
 		o.mu.Unlock()
 		return
 	}
@@ -113,7 +113,7 @@
 	defer cancel()
 	if c.passOn(ctx, w, v.Leader, protocol.PeerMessage{Kind: protocol.PeerForwardedHeartbeat, Body: raw, OwnershipEpoch: table.Epoch}) {
 		o.mu.Lock()
-		o.reports.Passed(c.now(), rep)
+		o.reports.Forwarded(c.now(), rep)
 		o.mu.Unlock()
 	}
 }
@@ -124,7 +124,7 @@
 	if c.owners == nil {
 		return
 	}
-	for actor.Sleep(ctx, followerPace*c.times.Beat) == nil {
+	for actor.Sleep(ctx, followerPace*c.times.HeartbeatInterval) == nil {
 		v := c.view.Load()
 		table := c.owners.table.Load()
 		if table == nil || v.Leader == "" || v.Leader == c.cfg.Node || c.leading.Load() != nil {
@@ -140,17 +140,17 @@
 // it wants.
 func (c *Controller) sendDigest(ctx context.Context, leader string, table *ownership.Table) {
 	c.owners.mu.Lock()
-	c.owners.reports.Forget(c.now())
-	alive := c.owners.reports.TakeAlive()
+	c.owners.reports.Expire(c.now())
+	alive := c.owners.reports.TakeUnchanged()
 	c.owners.mu.Unlock()
 	for {
 		part := alive[:min(len(alive), maxDigest)]
 		alive = alive[len(part):]
 		sent := c.now()
-		m := protocol.PeerMessage{Kind: protocol.PeerUnchangedHeartbeats, OwnershipEpoch: table.Epoch, Incarnation: c.intents.Life()}
+		m := protocol.PeerMessage{Kind: protocol.PeerUnchangedHeartbeats, OwnershipEpoch: table.Epoch, Incarnation: c.intents.Incarnation()}
 		for _, a := range part {
 			m.Machines = append(m.Machines, a.Machine)
-			m.MachineIncarnations, m.HeartbeatSequences = append(m.MachineIncarnations, a.Session), append(m.HeartbeatSequences, a.Seq)
+			m.MachineIncarnations, m.HeartbeatSequences = append(m.MachineIncarnations, a.Incarnation), append(m.HeartbeatSequences, a.Sequence)
 		}
 		r, err := c.mesh.Call(ctx, leader, m)
 		if err != nil || r.OwnershipEpoch != table.Epoch {
@@ -159,7 +159,7 @@
 		}
 		c.owners.acknowledged.Store(int64(sent))
 		c.owners.mu.Lock()
-		c.owners.reports.PassOn(r.Machines)
+		c.owners.reports.ForwardNext(r.Machines)
 		c.owners.mu.Unlock()
 		if len(alive) == 0 {
 			return
@@ -181,10 +181,10 @@
 	if table == nil || m.OwnershipEpoch != table.Epoch {
 		return
 	}
-	if owner, ok := table.Member(m.From); !ok || owner.Is.Life != m.Incarnation {
+	if owner, ok := table.Member(m.From); !ok || owner.Incarnation.Process != m.Incarnation {
 		return
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), c.times.Silent/2)
+	ctx, cancel := context.WithTimeout(context.Background(), c.times.LeaderTimeout/2)
 	defer cancel()
 	machines := make([]scheduler.AliveMachine, len(m.MachineIncarnations))
 	for i := range machines {
--- a/internal/daemon/owners.go
+++ b/internal/daemon/owners.go
@@ -29,7 +29,7 @@
 	acknowledged atomic.Int64
 
 	mu      sync.Mutex // guards what follows
-	reports *ownership.Reports
+	reports *ownership.HeartbeatFilter
 	digests map[string]time.Duration // at the leader: when each owner's last digest came
 	bounces *RedirectTracker         // machines that were sent to their owner
 }
@@ -42,13 +42,13 @@
 
 func (c *Controller) newOwners() *owners {
 	lease := config.Seconds(c.cfg.Deploy.Workers.LeaseS)
-	return &owners{box: actor.NewMailbox[ownership.Event](), reports: ownership.NewReports(lease / 2),
+	return &owners{box: actor.NewMailbox[ownership.Event](), reports: ownership.NewHeartbeatFilter(lease / 2),
 		digests: map[string]time.Duration{}, bounces: NewRedirectTracker(lease)}
 }
 
 // ownershipTimes derives the times of ownership from those of the election.
-func (c *Controller) ownershipTimes() ownership.Times {
-	return ownership.Times{Interval: followerPace * c.times.Beat, Fresh: c.times.Silent, Rejoin: 2 * c.times.Silent}
+func (c *Controller) ownershipTimes() ownership.Timing {
+	return ownership.Timing{TickInterval: followerPace * c.times.HeartbeatInterval, PeerTimeout: c.times.LeaderTimeout, RejoinDelay: 2 * c.times.LeaderTimeout}
 }
 
 // runOwnership is the actor that keeps the ownership record; it ends at once while ownership is off.
@@ -63,10 +63,10 @@
 			c.carryOutOwnership(ctx, effect)
 		}
 	}
-	c.owners.box.Run(ctx, times.Interval, step, func() {
+	c.owners.box.Run(ctx, times.TickInterval, step, func() {
 		l := c.leading.Load()
-		step(ownership.Leads{Leading: l != nil && l.Ready() && c.api.FeatureLevel() >= featurelevel.Pipelines})
-		step(ownership.Is{Incarnation: c.incarnation()})
+		step(ownership.Leadership{Leading: l != nil && l.Ready() && c.api.FeatureLevel() >= featurelevel.Pipelines})
+		step(ownership.OwnIncarnation{Incarnation: c.incarnation()})
 		step(ownership.Tick{})
 	})
 }
@@ -76,19 +76,19 @@
 	if s := c.suspicions.said.Load(); s != nil {
 		return s.is
 	}
-	return suspicion.Incarnation{Life: c.intents.Life()}
+	return suspicion.Incarnation{Process: c.intents.Incarnation()}
 }
 
 func (c *Controller) carryOutOwnership(ctx context.Context, effect ownership.Effect) {
 	switch e := effect.(type) {
-	case ownership.Write:
+	case ownership.WriteRecord:
 		go func() {
 			if err := c.writeOwnership(ctx, e.Record); err != nil {
 				c.log.Info("ownership record not written", "epoch", e.Record.Epoch, "err", err)
 			}
 			c.owners.box.Send(ownership.WriteDone{})
 		}()
-	case ownership.Adopt:
+	case ownership.AdoptRecord:
 		c.adopt(e.Record)
 	}
 }
@@ -117,7 +117,7 @@
 	}
 	entry := storage.OwnershipRecord{Format: storage.OwnershipFormat, Epoch: r.Epoch, Term: rec.Term, Reason: r.Reason}
 	for _, m := range r.Members {
-		entry.Members = append(entry.Members, storage.OwnershipMember{Controller: m.Node, Incarnation: m.Is.Life, Refutations: m.Is.Number})
+		entry.Members = append(entry.Members, storage.OwnershipMember{Controller: m.Controller, Incarnation: m.Incarnation.Process, Refutations: m.Incarnation.Refutations})
 	}
 	value, err := protocol.Encode(entry)
 	if err != nil {
@@ -126,7 +126,7 @@
 	// Two survivors that hold the same verdict write on the same versions: one of them fails, and so does a
 	// transaction that comes late.
 	_, ok, err := c.store.Txn(ctx, storage.BudgetPlacement, protocol.Txn{
-		If:   []protocol.Compare{{Key: storage.TermKey, Revision: term.Revision}, {Key: storage.OwnershipKey, Revision: r.Version}},
+		If:   []protocol.Compare{{Key: storage.TermKey, Revision: term.Revision}, {Key: storage.OwnershipKey, Revision: r.Revision}},
 		Then: []protocol.Op{{PutKey: storage.OwnershipKey, Value: value}},
 	})
 	if err == nil && !ok {
@@ -146,7 +146,7 @@
 	c.owners.table.Store(table)
 	var nodes []string
 	for _, m := range table.Members() {
-		nodes = append(nodes, m.Node)
+		nodes = append(nodes, m.Controller)
 	}
 	c.log.Info("ownership epoch in force", "epoch", r.Epoch, "owners", nodes, "reason", r.Reason)
 	if _, now := table.Member(c.cfg.Node); old != nil && !now {
@@ -168,11 +168,11 @@
 		if !fresh {
 			pairs, r, err := c.store.ListWithBudget(ctx, storage.BudgetPoll, storage.OwnershipKey)
 			if err != nil {
-				c.random.Pause(ctx, "watch ownership", c.times.Beat)
+				c.random.Pause(ctx, "watch ownership", c.times.HeartbeatInterval)
 				continue
 			}
 			if len(pairs) == 0 {
-				c.owners.box.Send(ownership.InForce{})
+				c.owners.box.Send(ownership.RecordRead{})
 			}
 			for _, p := range pairs {
 				c.ownershipRead(p.Value, p.Revision)
@@ -182,7 +182,7 @@
 		ev, err := c.store.Watch(ctx, storage.OwnershipKey, rev, wait)
 		if err != nil {
 			fresh = !errors.Is(err, storage.ErrCompacted)
-			c.random.Pause(ctx, "watch ownership", c.times.Beat)
+			c.random.Pause(ctx, "watch ownership", c.times.HeartbeatInterval)
 			continue
 		}
 		rev = max(rev, ev.Revision)
@@ -202,11 +202,11 @@
 		c.log.Error("ownership record left alone", "err", err)
 		return
 	}
-	r := ownership.Record{Epoch: rec.Epoch, Reason: rec.Reason, Version: version}
+	r := ownership.Record{Epoch: rec.Epoch, Reason: rec.Reason, Revision: version}
 	for _, e := range rec.Members {
-		r.Members = append(r.Members, ownership.Member{Node: e.Controller, Is: suspicion.Incarnation{Life: e.Incarnation, Number: e.Refutations}})
+		r.Members = append(r.Members, ownership.Member{Controller: e.Controller, Incarnation: suspicion.Incarnation{Process: e.Incarnation, Refutations: e.Refutations}})
 	}
-	c.owners.box.Send(ownership.InForce{Record: r})
+	c.owners.box.Send(ownership.RecordRead{Record: r})
 }
 
 // Drain hands the machines of a controller that is about to end to the others, and returns when its workers have had time to
@@ -216,7 +216,7 @@
 		return
 	}
 	c.owners.leaving.Store(true)
-	ctx, cancel := context.WithTimeout(ctx, 2*c.times.Silent)
+	ctx, cancel := context.WithTimeout(ctx, 2*c.times.LeaderTimeout)
 	defer cancel()
 	for {
 		table := c.owners.table.Load()
@@ -226,7 +226,7 @@
 		if _, owns := table.Member(c.cfg.Node); !owns {
 			break
 		}
-		if actor.Sleep(ctx, c.times.Beat) != nil {
+		if actor.Sleep(ctx, c.times.HeartbeatInterval) != nil {
 			c.log.Info("not drained: nobody has taken the machines")
 			return
 		}
@@ -247,7 +247,7 @@
 		return
 	}
 	// One that has just begun may have forgotten cancellations, and could not answer anybody.
-	m.CanOwn = c.intents.Whole(c.now()) && !c.owners.leaving.Load()
+	m.CanOwn = c.intents.Recovered(c.now()) && !c.owners.leaving.Load()
 	if t := c.owners.table.Load(); t != nil && c.leading.Load() != nil {
 		m.OwnershipEpoch = t.Epoch
 	}
@@ -258,7 +258,7 @@
 	if c.owners == nil || m.Incarnation == 0 {
 		return
 	}
-	c.owners.box.Send(ownership.Heard{Owns: m.CanOwn, Member: ownership.Member{Node: m.From, Is: suspicion.Incarnation{Life: m.Incarnation, Number: m.Refutations}}})
+	c.owners.box.Send(ownership.PeerHeartbeat{CanOwn: m.CanOwn, Member: ownership.Member{Controller: m.From, Incarnation: suspicion.Incarnation{Process: m.Incarnation, Refutations: m.Refutations}}})
 	if m.Leader == m.From {
 		c.owners.leader.Store(&leaderEpoch{node: m.From, epoch: m.OwnershipEpoch})
 	}
--- a/internal/daemon/peers.go
+++ b/internal/daemon/peers.go
@@ -19,19 +19,19 @@
 
 // keepIntents is how long intents are kept: until their tasks must be gone, and
 // for longer than a controller may have forgotten some.
-func keepIntents(d *config.Deployment, t election.Times) time.Duration {
-	return config.Seconds(d.Workers.CancelS) + t.Recovery
+func keepIntents(d *config.Deployment, t election.Timing) time.Duration {
+	return config.Seconds(d.Workers.CancelS) + t.RecoveryPeriod
 }
 
 func (c *Controller) mayRenewOnStandby() bool {
 	c.peersMu.Lock()
 	defer c.peersMu.Unlock()
 	now := c.now()
-	return election.MayRenewOnStandby(now, c.times, *c.view.Load(), c.stateOK(), c.intents.Whole(now), c.mesh.Peers(), c.peers)
+	return election.MayRenewWithoutLeader(now, c.times, *c.view.Load(), c.stateOK(), c.intents.Recovered(now), c.mesh.Peers(), c.peers)
 }
 
 // withdrawn says whether a user may have been told that the job is cancelled.
-func (c *Controller) withdrawn(job string) bool { return c.intents.Active(c.now(), job) }
+func (c *Controller) withdrawn(job string) bool { return c.intents.HasIntent(c.now(), job) }
 
 // errUnsafe says that a cancellation cannot be confirmed, since too few controllers
 // would know of it.
@@ -57,12 +57,12 @@
 		default:
 		}
 	}
-	ctx, cancel := context.WithTimeout(ctx, c.times.Silent/2)
+	ctx, cancel := context.WithTimeout(ctx, c.times.LeaderTimeout/2)
 	defer cancel()
 	for {
-		held, news := c.intents.Holders(own.Seq)
-		if election.Majority(held, len(c.wakes)) {
-			return c.start.Add(own.At), nil
+		held, news := c.intents.Holders(own.Sequence)
+		if election.IsQuorum(held, len(c.wakes)) {
+			return c.start.Add(own.CreatedAt), nil
 		}
 		select {
 		case <-news:
@@ -79,19 +79,19 @@
 	defer c.peersMu.Unlock()
 	n := 1
 	for _, p := range c.peers {
-		if now-p.At <= c.times.Silent {
+		if now-p.SentAt <= c.times.LeaderTimeout {
 			n++
 		}
 	}
-	return election.Majority(n, len(c.wakes))
+	return election.IsQuorum(n, len(c.wakes))
 }
 
 // takeIntents takes in the intents that a peer's message brings.
-func (c *Controller) takeIntents(m *protocol.PeerMessage, reply bool) cancellation.Taken {
+func (c *Controller) takeIntents(m *protocol.PeerMessage, reply bool) cancellation.ReceiveResult {
 	now := c.now()
-	t := c.intents.Take(now, m, reply)
+	t := c.intents.Receive(now, m, reply)
 	if l := c.leading.Load(); l != nil {
-		for _, n := range t.News {
+		for _, n := range t.NewIntents {
 			l.Withdrawn(n.JobID, now)
 		}
 	}
@@ -104,7 +104,7 @@
 	ok := false
 	v := c.view.Load()
 	if l := c.leading.Load(); l != nil {
-		ctx, cancel := context.WithTimeout(ctx, c.times.Silent/2)
+		ctx, cancel := context.WithTimeout(ctx, c.times.LeaderTimeout/2)
 		defer cancel()
 		list, ok = l.Statuses(ctx, ids)
 	} else if v.Leader != "" && v.Leader != c.cfg.Node {
@@ -130,21 +130,21 @@
 		c.hearSuspicions(m)
 		c.hearOwnership(m)
 		c.takeIntents(m, false)
-		c.box.Send(election.Beat{From: m.From, Term: m.Term, Leader: m.Leader})
+		c.box.Send(election.PeerHeartbeat{From: m.From, Term: m.Term, Leader: m.Leader})
 		reply.Term, reply.Leader = v.Term, v.Leader
 		if m.Leader == m.From && m.Term >= v.Term {
 			reply.Term, reply.Leader = m.Term, m.From // what we shall have taken in
 		}
 		reply.StoreReachable, reply.RenewsLeases = c.stateOK(), c.renews()
 		reply.FeatureLevel = int(c.features.level())
-		c.intents.Fill(c.now(), m.From, m.Incarnation, reply)
+		c.intents.FillMessage(c.now(), m.From, m.Incarnation, reply)
 		c.addSuspicions(reply)
 		c.addOwnership(reply)
 	case protocol.PeerStatusQuery:
 		if m.ProbeTarget != "" {
 			c.answerProbe(m, reply)
 		} else if l := c.leading.Load(); l != nil {
-			ctx, cancel := context.WithTimeout(context.Background(), c.times.Silent/2)
+			ctx, cancel := context.WithTimeout(context.Background(), c.times.LeaderTimeout/2)
 			defer cancel()
 			// A peer of an older version asks about one.
 			if m.JobID != "" {
@@ -168,12 +168,12 @@
 // stateOK says whether the state service has answered just now. A process that has begun
 // in an outage must not claim that: its peers would stop renewing leases for it.
 func (c *Controller) stateOK() bool {
-	return c.store.Answered() && c.store.SinceLastAnswer() < c.times.Silent/2
+	return c.store.Answered() && c.store.SinceLastAnswer() < c.times.LeaderTimeout/2
 }
 
 func (c *Controller) heardPeer(m *protocol.PeerMessage) {
 	c.peerHeard.Store(int64(c.now()))
-	c.levelBox.Send(featurelevel.Heard{Node: m.From, Level: featurelevel.Level(m.FeatureLevel)})
+	c.levelBox.Send(featurelevel.PeerHeartbeat{Controller: m.From, Level: featurelevel.Level(m.FeatureLevel)})
 	if m.StoreReachable {
 		c.peersOK.Store(int64(c.now()))
 	}
@@ -193,7 +193,7 @@
 func (c *Controller) renewer() string {
 	c.peersMu.Lock()
 	defer c.peersMu.Unlock()
-	best, latest := "", c.now()-c.times.Silent/2
+	best, latest := "", c.now()-c.times.LeaderTimeout/2
 	for _, node := range slices.Sorted(maps.Keys(c.renewers)) {
 		if at := c.renewers[node]; at > latest {
 			best, latest = node, at
@@ -206,10 +206,10 @@
 func (c *Controller) beat(ctx context.Context, peer string) {
 	// The election's own timer has had its turn when this one is due: what a heartbeat says is what
 	// that has just decided.
-	if actor.Sleep(ctx, c.times.Beat/heartbeatPhase) != nil {
+	if actor.Sleep(ctx, c.times.HeartbeatInterval/heartbeatPhase) != nil {
 		return
 	}
-	interval := c.times.Beat
+	interval := c.times.HeartbeatInterval
 	t := time.NewTicker(interval)
 	defer t.Stop()
 	for ctx.Err() == nil {
@@ -220,7 +220,7 @@
 		}
 		sent := c.now()
 		m := protocol.PeerMessage{Kind: protocol.PeerHeartbeat, Term: v.Term, Leader: v.Leader, StoreReachable: c.stateOK(), RenewsLeases: c.renews(), FeatureLevel: int(c.features.level())}
-		c.intents.Fill(sent, peer, 0, &m)
+		c.intents.FillMessage(sent, peer, 0, &m)
 		c.addSuspicions(&m)
 		c.addOwnership(&m)
 		r, err := c.mesh.Call(ctx, peer, m)
@@ -249,9 +249,9 @@
 // them as often as a leader, so that the next one is found as soon.
 func (c *Controller) beatInterval(v *election.View) time.Duration {
 	if !v.Leading && v.Leader != "" {
-		return followerPace * c.times.Beat
+		return followerPace * c.times.HeartbeatInterval
 	}
-	return c.times.Beat
+	return c.times.HeartbeatInterval
 }
 
 // answeredBeat takes in a peer's answer to a beat that was sent at the given time.
@@ -261,12 +261,12 @@
 	c.hearOwnership(r)
 	t := c.takeIntents(r, true)
 	c.peersMu.Lock()
-	p := election.Peer{At: sent, StateOK: r.StoreReachable, Leader: r.Leader, Known: c.peers[r.From].Known}
-	if t.Complete && t.Whole {
-		p.Known = sent
+	p := election.PeerStatus{SentAt: sent, StoreReachable: r.StoreReachable, Leader: r.Leader, IntentsReceivedAt: c.peers[r.From].IntentsReceivedAt}
+	if t.Complete && t.Recovered {
+		p.IntentsReceivedAt = sent
 	}
 	c.peers[r.From] = p
 	c.peersMu.Unlock()
-	c.box.Send(election.Beat{From: r.From, Term: r.Term, Leader: r.Leader, Reply: true, Sent: sent,
-		Complete: t.Complete, Whole: t.Whole, LifeAt: t.LifeAt})
+	c.box.Send(election.PeerHeartbeat{From: r.From, Term: r.Term, Leader: r.Leader, Reply: true, SentAt: sent,
+		IntentsComplete: t.Complete, Recovered: t.Recovered, IncarnationSince: t.IncarnationSince})
 }
--- a/internal/daemon/reports.go
+++ b/internal/daemon/reports.go
@@ -34,7 +34,7 @@
 		return
 	}
 	if nobody || l != nil && !l.Ready() {
-		c.fenceBox.Send(fencing.Heard{Report: rep})
+		c.fenceBox.Send(fencing.HeartbeatReceived{Heartbeat: rep})
 	}
 	if nobody && !standby {
 		// Its lease may be about to end: it should not have to try every controller.
@@ -120,7 +120,7 @@
 // aware says whether workers may be answered by the leader that we are.
 func (c *Controller) aware() bool {
 	v := c.view.Load()
-	return v.Leading && c.now() < v.Aware
+	return v.Leading && c.now() < v.MayRenewUntil
 }
 
 // reportPatience stays inside the 4 s that a worker waits.
--- a/internal/daemon/suspicion.go
+++ b/internal/daemon/suspicion.go
@@ -32,8 +32,8 @@
 }
 
 // suspicionTimes derives the times of suspicion from those of the election.
-func (c *Controller) suspicionTimes() suspicion.Times {
-	return suspicion.Times{Interval: followerPace * c.times.Beat, Confirm: c.times.Silent, Fresh: c.times.Silent}
+func (c *Controller) suspicionTimes() suspicion.Timing {
+	return suspicion.Timing{TickInterval: followerPace * c.times.HeartbeatInterval, SuspicionTimeout: c.times.LeaderTimeout, OpinionTTL: c.times.LeaderTimeout}
 }
 
 // runSuspicions is the actor; it ends at once while suspicions are off.
@@ -42,17 +42,17 @@
 		return
 	}
 	times := c.suspicionTimes()
-	machine := suspicion.New(c.now(), c.cfg.Node, c.intents.Life(), c.mesh.Peers(), times)
+	machine := suspicion.New(c.now(), c.cfg.Node, c.intents.Incarnation(), c.mesh.Peers(), times)
 	step := func(e suspicion.Event) {
 		now := c.now()
-		machine.SetCounts(c.intents.Whole(now))
+		machine.SetVoting(c.intents.Recovered(now))
 		for _, effect := range machine.Step(now, e) {
 			c.carryOutSuspicion(ctx, effect)
 		}
 	}
 	ticked := c.now()
-	c.suspicions.box.Run(ctx, times.Interval, step, func() {
-		if now := c.now(); now-ticked >= times.Interval {
+	c.suspicions.box.Run(ctx, times.TickInterval, step, func() {
+		if now := c.now(); now-ticked >= times.TickInterval {
 			ticked = now
 			step(suspicion.Tick{})
 			c.suspicions.publish(now, machine)
@@ -60,8 +60,8 @@
 	})
 }
 
-func (s *suspicions) publish(now time.Duration, m *suspicion.Machine) {
-	out := &said{is: m.Incarnation(), health: m.Health()}
+func (s *suspicions) publish(now time.Duration, m *suspicion.Detector) {
+	out := &said{is: m.Incarnation(), health: m.HealthScore()}
 	opinions := m.Opinions(now)
 	for _, name := range slices.Sorted(maps.Keys(opinions)) {
 		o := opinions[name]
@@ -70,8 +70,8 @@
 			heard = -1
 		}
 		out.opinions = append(out.opinions, protocol.PeerOpinion{
-			Controller: name, Incarnation: o.Of.Life, Refutations: o.Of.Number, HeardAgoMS: heard, Suspected: o.Suspected,
-			SuspectedForMS: o.SuspectedFor.Milliseconds(), Phi: o.Phi, Failed: o.Failed, UnreachableThrough: o.Probed,
+			Controller: name, Incarnation: o.Incarnation.Process, Refutations: o.Incarnation.Refutations, HeardAgoMS: heard, Suspected: o.Suspected,
+			SuspectedForMS: o.SuspectedFor.Milliseconds(), Phi: o.Phi, Failed: o.Failed, UnreachableThrough: o.UnreachableThrough,
 		})
 	}
 	s.said.Store(out)
@@ -79,10 +79,10 @@
 
 func (c *Controller) carryOutSuspicion(ctx context.Context, effect suspicion.Effect) {
 	switch e := effect.(type) {
-	case suspicion.Decided:
+	case suspicion.DecisionMade:
 		c.log.Info("suspicion", "decision", e.Decision.Describe())
 		if v, ok := e.Decision.(suspicion.Verdict); ok {
-			c.owners.box.Send(ownership.Verdict{Member: ownership.Member{Node: v.Node, Is: v.Of}, Reason: v.Describe()})
+			c.owners.box.Send(ownership.Verdict{Member: ownership.Member{Controller: v.Controller, Incarnation: v.Incarnation}, Reason: v.Describe()})
 		}
 	case suspicion.Probe:
 		for _, through := range e.Through {
@@ -97,7 +97,7 @@
 	if err != nil || r.TargetReached == nil {
 		return
 	}
-	c.suspicions.box.Send(suspicion.Probed{Target: target, Through: through, Reached: *r.TargetReached})
+	c.suspicions.box.Send(suspicion.ProbeResult{Target: target, Through: through, Reached: *r.TargetReached})
 }
 
 // probeShare is the part of a call's time, as its inverse, that a probe on behalf of a peer may take:
@@ -110,7 +110,7 @@
 	if c.suspicions == nil || m.ProbeTarget == "" || m.ProbeTarget == c.cfg.Node {
 		return
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), c.times.Silent/2/probeShare)
+	ctx, cancel := context.WithTimeout(context.Background(), c.times.LeaderTimeout/2/probeShare)
 	defer cancel()
 	_, err := c.mesh.Call(ctx, m.ProbeTarget, protocol.PeerMessage{Kind: protocol.PeerStatusQuery, ProbeTarget: m.ProbeTarget})
 	reached := err == nil
@@ -123,7 +123,7 @@
 		return
 	}
 	if s := c.suspicions.said.Load(); s != nil {
-		m.Refutations, m.HealthScore, m.Opinions = s.is.Number, s.health, s.opinions
+		m.Refutations, m.HealthScore, m.Opinions = s.is.Refutations, s.health, s.opinions
 	}
 }
 
@@ -133,7 +133,7 @@
 	if c.suspicions == nil || m.Incarnation == 0 {
 		return
 	}
-	heard := suspicion.Heard{Peer: m.From, Is: suspicion.Incarnation{Life: m.Incarnation, Number: m.Refutations}, Health: max(0, m.HealthScore), Counts: m.Recovered}
+	heard := suspicion.PeerHeartbeat{Peer: m.From, Incarnation: suspicion.Incarnation{Process: m.Incarnation, Refutations: m.Refutations}, HealthScore: max(0, m.HealthScore), Voting: m.Recovered}
 	if err := protocol.CheckOpinions(m.Opinions); err != nil {
 		c.suspicions.refusals.Do(func() { c.log.Info("opinions refused", "from", m.From, "err", err) })
 	} else {
@@ -150,8 +150,8 @@
 			heard = -1
 		}
 		out[o.Controller] = suspicion.Opinion{
-			Of: suspicion.Incarnation{Life: o.Incarnation, Number: o.Refutations}, HeardAgo: heard, Suspected: o.Suspected,
-			SuspectedFor: time.Duration(o.SuspectedForMS) * time.Millisecond, Phi: o.Phi, Failed: o.Failed, Probed: o.UnreachableThrough,
+			Incarnation: suspicion.Incarnation{Process: o.Incarnation, Refutations: o.Refutations}, HeardAgo: heard, Suspected: o.Suspected,
+			SuspectedFor: time.Duration(o.SuspectedForMS) * time.Millisecond, Phi: o.Phi, Failed: o.Failed, UnreachableThrough: o.UnreachableThrough,
 		}
 	}
 	return out
--- a/internal/daemon/times_test.go
+++ b/internal/daemon/times_test.go
@@ -24,13 +24,13 @@
 		x := Times(&d)
 		lease, cancel := config.Seconds(d.Workers.LeaseS), config.Seconds(d.Workers.CancelS)
 		switch {
-		case x.Horizon+lease > cancel-cancel/8+time.Millisecond:
-			t.Errorf("horizon %v and lease %v in %v", x.Horizon, lease, cancel)
-		case x.Hold > x.Horizon, x.Hold < 4*x.Beat-time.Millisecond:
-			t.Errorf("hold %v, horizon %v, beat %v", x.Hold, x.Horizon, x.Beat)
-		case x.Recovery < lease+x.Horizon+x.Silent:
-			t.Errorf("recovery time %v", x.Recovery)
-		case keepIntents(&d, x) < cancel+x.Recovery:
+		case x.RenewalHorizon+lease > cancel-cancel/8+time.Millisecond:
+			t.Errorf("horizon %v and lease %v in %v", x.RenewalHorizon, lease, cancel)
+		case x.ConfirmationTimeout > x.RenewalHorizon, x.ConfirmationTimeout < 4*x.HeartbeatInterval-time.Millisecond:
+			t.Errorf("hold %v, horizon %v, beat %v", x.ConfirmationTimeout, x.RenewalHorizon, x.HeartbeatInterval)
+		case x.RecoveryPeriod < lease+x.RenewalHorizon+x.LeaderTimeout:
+			t.Errorf("recovery time %v", x.RecoveryPeriod)
+		case keepIntents(&d, x) < cancel+x.RecoveryPeriod:
 			t.Errorf("intents are kept for %v", keepIntents(&d, x))
 		}
 	})
@@ -40,20 +40,20 @@
 // everybody while there is none, sends all. Even with one lost, peers hear of a follower
 // often enough to count it when they look for a majority.
 func TestHeartbeatPace(t *testing.T) {
-	c := &Controller{times: election.Times{Beat: 100 * time.Millisecond, Silent: 800 * time.Millisecond}}
+	c := &Controller{times: election.Timing{HeartbeatInterval: 100 * time.Millisecond, LeaderTimeout: 800 * time.Millisecond}}
 	for _, row := range []struct {
 		view election.View
 		want time.Duration
 	}{
-		{election.View{Leading: true, Leader: "n-0"}, c.times.Beat},
-		{election.View{}, c.times.Beat},
-		{election.View{Leader: "n-1"}, followerPace * c.times.Beat},
+		{election.View{Leading: true, Leader: "n-0"}, c.times.HeartbeatInterval},
+		{election.View{}, c.times.HeartbeatInterval},
+		{election.View{Leader: "n-1"}, followerPace * c.times.HeartbeatInterval},
 	} {
 		if got := c.beatInterval(&row.view); got != row.want {
 			t.Errorf("%+v: a heartbeat every %v, want %v", row.view, got, row.want)
 		}
 	}
-	if 2*followerPace*c.times.Beat > c.times.Silent/2 {
+	if 2*followerPace*c.times.HeartbeatInterval > c.times.LeaderTimeout/2 {
 		t.Error("a lost heartbeat makes a follower look silent")
 	}
 }
--- a/internal/random/random.go
+++ b/internal/random/random.go
@@ -20,8 +20,8 @@
 // New returns the source of a seed.
 func New(seed uint64) *Source { return &Source{seed: seed} }
 
-// Seeded returns a source with a seed of the system's.
-func Seeded() *Source { return New(rand.Uint64()) }
+// NewSystemSeeded returns a source with a seed of the system's.
+func NewSystemSeeded() *Source { return New(rand.Uint64()) }
 
 // Named returns a source of its own for a part of what draws from this one.
 func (s *Source) Named(name string) *Source { return New(s.seed ^ hash(name)) }
--- a/internal/simulation/starvation_test.go
+++ b/internal/simulation/starvation_test.go
@@ -64,7 +64,7 @@
 		const span = 60 * s
 		time.Sleep(span)
 		got := l.peerPackets() - before
-		beat := daemon.Times(&l.cfg).Beat
+		beat := daemon.Times(&l.cfg).HeartbeatInterval
 		// The leader sends to both followers with every beat, the followers to both others
 		// with every other one.
 		heartbeats := int(span/beat)*2 + int(span/(2*beat))*4
