--- a/cmd/pinebay/main.go
+++ b/cmd/pinebay/main.go
@@ -121,9 +121,9 @@
 	case !f.enabled:
 		return daemon.Features{}, nil
 	case f.order == "":
-		return daemon.Features{ZoneReturn: zones.DefaultOrder()}, nil
+		return daemon.Features{ZoneReturn: zones.DefaultRecoveryOrder()}, nil
 	}
-	order, err := zones.ParseOrder(f.order, &cfg.Deployment)
+	order, err := zones.ParseRecoveryOrder(f.order, &cfg.Deployment)
 	if err != nil {
 		return daemon.Features{}, fmt.Errorf("--zone-return-order: %w", err)
 	}
--- a/internal/coordination/leader/leader.go
+++ b/internal/coordination/leader/leader.go
@@ -46,7 +46,7 @@
 	// Deposed is told that the term is over, and why.
 	Deposed func(term uint64, d scheduler.Depose)
 	// ZoneReturn is the order in which work returns when a zone is lost; nil: off.
-	ZoneReturn *zones.Order
+	ZoneReturn *zones.RecoveryOrder
 	// MachineTypesRead is told of machine types that were read.
 	MachineTypesRead func([]protocol.MachineType)
 	// LevelReached is told of a feature level that this leader has made final.
--- a/internal/coordination/scheduler/allocate.go
+++ b/internal/coordination/scheduler/allocate.go
@@ -20,8 +20,8 @@
 	c.keep(now)
 	c.beginPreemption()
 	failed := map[kind]int{}
-	if c.recovering() {
-		c.placeGuaranteed(now, waiting)
+	if c.inZoneFailover() {
+		c.placeWithinQuota(now, waiting)
 	}
 	queue := c.newTurns(waiting)
 	for j := queue.next(); j != nil; j = queue.next() {
@@ -58,7 +58,7 @@
 		}
 		return true
 	})
-	c.sortForReturn(waiting)
+	c.sortForRecovery(waiting)
 	return waiting
 }
 
@@ -144,7 +144,7 @@
 		}
 		return got, zl, s
 	}
-	for _, z := range c.zonesToTry(&j.spec) {
+	for _, z := range c.zonesByAvailability(&j.spec) {
 		got, _, s := try(z)
 		c.release(j, got)
 		if len(got) > bestN || len(got) == bestN && s < bestScore {
@@ -165,7 +165,7 @@
 	j.short++
 	missing := j.spec.TaskCount - len(got)
 	c.preempt(now, j, l, missing)
-	if j.short%(shortCycles+1) == 0 && !c.awaitsLoan(now, j) {
+	if j.short%(shortCycles+1) == 0 && !c.awaitsLentCapacity(now, j) {
 		c.release(j, got)
 		return
 	}
--- /dev/null
+++ b/internal/coordination/scheduler/borrowing.go
@@ -0,0 +1,93 @@
+package scheduler
+
+import (
+	"slices"
+	"time"
+
+	"pinebay/internal/config"
+	"pinebay/internal/coordination/zones"
+	"pinebay/internal/protocol"
+)
+
+// disturbanceCost is what it counts for, in seconds of work, that one more job lends room.
+func (c *Core) disturbanceCost() float64 { return 3 * c.cfg.Workers.HeartbeatSeconds }
+
+// mayBorrow says whether a job may borrow room: it has lost tasks with a zone that is not
+// trusted again yet.
+func (c *Core) mayBorrow(j *job) bool {
+	if c.zoneFailover == nil || j.displacedFrom == "" {
+		return false
+	}
+	return c.zoneFailover.monitor.State(j.displacedFrom) != zones.Available
+}
+
+// awaitsLentCapacity says whether room that a job was lent is about to come free. Backfill would take
+// what it has meanwhile, only to be stopped for it at once.
+func (c *Core) awaitsLentCapacity(now time.Duration, j *job) bool {
+	if !c.mayBorrow(j) {
+		return false
+	}
+	return len(c.reservedFor(now, j)) > 0
+}
+
+// borrowCapacity finds room for up to n tasks of a job that lost them with a zone. What is to be
+// stopped for it is recorded first: should we end in between, the next leader finds who
+// was to lend to whom. It says whether that is how the job gets room: not when no further
+// loan can be recorded.
+func (c *Core) borrowCapacity(now time.Duration, j *job, l *limits, n int) bool {
+	n -= len(c.reservedFor(now, j)) // lent already, and not yet free
+	if n <= 0 {
+		return true
+	}
+	request, ok := c.requestInAvailableZones(j, n)
+	if !ok || !c.acquireSearch(now, j) {
+		return true
+	}
+	if l.zone != "" {
+		request.MaxPerZone = map[string]int{l.zone: request.MaxPerZone[l.zone]}
+	}
+	cands := c.candidates(now)
+	k := c.borrowableCapacityOf(now, cands)
+	choice := k.choose(j, request, func(x *candidate) bool {
+		return c.fits(now, j, x, l) && !x.m.IsReservedFor(now, j.spec.ID)
+	})
+	if len(choice.Picks) == 0 || j.spec.Shape == protocol.Gang && len(choice.Picks) < n || k.violatesQuota(choice) {
+		j.searchAgain = now + searchRetryDelay
+		return true
+	}
+	if err := c.openLoans(now, j, k, choice); err != nil {
+		c.log.Info("no loan", "job", j.spec.ID, "err", err)
+		return false
+	}
+	c.reserveChosenMachines(now, j, cands, l, choice)
+	return true
+}
+
+// acquireSearch says whether room to borrow may be looked for now, and counts that it is.
+func (c *Core) acquireSearch(now time.Duration, j *job) bool {
+	z := c.zoneFailover
+	if now < j.searchAgain {
+		return false
+	}
+	if now-z.searchCycleStart >= Cycle {
+		z.searchCycleStart, z.searchesInCycle = now, 0
+	}
+	z.searchesInCycle++
+	return z.searchesInCycle <= c.searchBudget()
+}
+
+// reserveChosenMachines keeps the machines of a choice for the job until the lenders have left.
+func (c *Core) reserveChosenMachines(now time.Duration, j *job, cands []*candidate, l *limits, choice zones.Choice) {
+	save := 0.0
+	for _, task := range choice.Lenders {
+		save = max(save, c.jobs[task.Job].spec.SaveSeconds+c.cfg.Workers.GangPeerSeconds)
+	}
+	for _, x := range cands {
+		if !slices.ContainsFunc(choice.Picks, func(p zones.Pick) bool { return p.Machine == x.m.Name }) {
+			continue
+		}
+		c.setTaken(x)
+		l.perZone[x.m.Zone]++
+		c.reserve(x.m, j, now+config.Seconds(save+3*c.cfg.Workers.HeartbeatSeconds)+2*Cycle)
+	}
+}
--- a/internal/coordination/scheduler/candidates.go
+++ b/internal/coordination/scheduler/candidates.go
@@ -216,7 +216,7 @@
 	if len(x.kept) == 0 {
 		return x.free
 	}
-	return x.less(j.level, c.waitAim(j.spec.Class), c.returnPosition(&j.spec))
+	return x.less(j.level, c.waitAim(j.spec.Class), c.recoveryPosition(&j.spec))
 }
 
 // keep sets aside the room that classes with an aim on waiting are likely to
@@ -225,10 +225,10 @@
 // is kept from higher work.
 func (c *Core) keep(now time.Duration) {
 	none := &limits{}
-	recovering := c.recovering()
+	recovering := c.inZoneFailover()
 	for _, u := range c.spareNow {
 		j := &job{spec: *u.Job, need: partition.TaskResources(u.Job), level: u.Job.Priority.Rank()}
-		aim, position := c.waitAim(u.Job.Class), c.returnPosition(u.Job)
+		aim, position := c.waitAim(u.Job.Class), c.recoveryPosition(u.Job)
 		allowed := func(x *candidate) bool {
 			return (u.Zone == "" || u.Zone == x.m.Zone) && j.need.Fits(x.less(j.level, math.Inf(1), math.MaxInt)) &&
 				(!x.m.Spot || j.spec.SpotAllowed) && x.kind.AllowedBy(&j.spec)
--- a/internal/coordination/scheduler/core.go
+++ b/internal/coordination/scheduler/core.go
@@ -94,8 +94,8 @@
 	lastImageHintKey    string // the key of the last page of them that was written
 	inspector           inspector
 	imageHintsWrittenAt time.Duration
-	wallMS              int64       // time of day when the term began
-	returning           *zoneReturn // nil unless it is on
+	wallMS              int64              // time of day when the term began
+	zoneFailover        *zoneFailoverState // nil unless it is on
 }
 
 // Term is the term that a core leads.
@@ -113,7 +113,7 @@
 
 // New returns the core of a term that has read the records, at the given time of day. order
 // turns on zone return; nil leaves it off.
-func New(now time.Duration, cfg *config.Deployment, log *slog.Logger, term Term, rec Records, wallMS int64, order *zones.Order) *Core {
+func New(now time.Duration, cfg *config.Deployment, log *slog.Logger, term Term, rec Records, wallMS int64, order *zones.RecoveryOrder) *Core {
 	c := &Core{
 		cfg: cfg, log: log, term: term.Number, termStamp: term.Stamp, node: term.Node, wallMS: wallMS, graph: dependency.New(),
 		machines: partition.New(term.Number, cfg.Workers), fleet: fleet.New(term.Number, cfg.Cloud, cfg.Workers), jobs: map[string]*job{}, withdrawn: map[string]time.Duration{},
@@ -161,7 +161,7 @@
 		}
 	}
 	if order != nil {
-		c.startZoneReturn(now, order, rec.ZonePages)
+		c.startZoneFailover(now, order, rec.ZonePages)
 	}
 	return c
 }
@@ -207,12 +207,12 @@
 		c.inspectListed(now, e.Machines)
 		for i := range e.Machines {
 			if e.Machines[i].State == protocol.MachineFailed {
-				c.left(e.Machines[i].Name)
+				c.noteDepartedMachine(e.Machines[i].Name)
 			}
 		}
 		for _, name := range c.fleet.HandleList(now, e.Asked, c.machines, e.Machines) {
 			c.log.Info("machine has left the list", "machine", name)
-			c.left(name)
+			c.noteDepartedMachine(name)
 			c.facts(now, c.machines.Remove(now, name))
 		}
 	case Rented:
@@ -226,7 +226,7 @@
 			}
 		}
 	}
-	c.announceDecisions()
+	c.emitDecisions()
 	out := c.out // with what was asked for at the beginning of the term
 	c.out = nil
 	return out
@@ -291,8 +291,8 @@
 	full := now-c.lastPlan >= Cycle
 	if full || c.due && now-c.lastCycle >= min(maxPause, Eager*time.Duration(1+len(c.jobs)/crowd)) {
 		c.lastCycle, c.due = now, false
-		if full && c.returning != nil {
-			c.watchZones(now, c.sorted())
+		if full && c.zoneFailover != nil {
+			c.updateZoneStates(now, c.sorted())
 		}
 		c.stopOnNotice(now)
 		c.schedule(now)
@@ -300,7 +300,7 @@
 		if full {
 			c.plan(now)
 		}
-		c.writeZoneReturn(now)
+		c.writeFailoverRecords(now)
 	}
 	c.recordStarts(now) // what was put back may be due
 	c.send(now)
--- a/internal/coordination/scheduler/cost_test.go
+++ b/internal/coordination/scheduler/cost_test.go
@@ -88,12 +88,12 @@
 func TestCostOfZoneReturn(t *testing.T) {
 	const most = 8
 	b := largeBench(200)
-	b.c.startZoneReturn(b.now, zones.DefaultOrder(), nil)
+	b.c.startZoneFailover(b.now, zones.DefaultRecoveryOrder(), nil)
 	jobs := b.c.sorted()
 	allocations := testing.AllocsPerRun(100, func() {
-		b.c.watchZones(b.now, jobs)
-		b.c.sortForReturn(jobs)
-		b.c.writeZoneReturn(b.now)
+		b.c.updateZoneStates(b.now, jobs)
+		b.c.sortForRecovery(jobs)
+		b.c.writeFailoverRecords(b.now)
 	})
 	t.Logf("%.0f allocations", allocations)
 	if allocations > most || len(b.c.writesInFlight) > 0 {
--- a/internal/coordination/scheduler/demand.go
+++ b/internal/coordination/scheduler/demand.go
@@ -75,7 +75,7 @@
 	room := map[string]int{}
 	c.machines.Each(func(m *partition.Machine) {
 		t := c.machines.MachineType(m.Type)
-		if t == nil || !t.AllowedBy(&j.spec) || m.Terminating || m.InterruptionNotice || m.Quarantined || m.Spot && !j.spec.SpotAllowed || c.lostZone(m.Zone) {
+		if t == nil || !t.AllowedBy(&j.spec) || m.Terminating || m.InterruptionNotice || m.Quarantined || m.Spot && !j.spec.SpotAllowed || c.isZoneLost(m.Zone) {
 			return
 		}
 		free := c.machines.FreeCapacity(m)
@@ -85,7 +85,7 @@
 		}
 	})
 	best, bestRoom := "", -1
-	for _, z := range c.zonesToTry(&j.spec) {
+	for _, z := range c.zonesByAvailability(&j.spec) {
 		n := room[z]
 		if n < j.spec.TaskCount && c.fleet.CanScaleOut(now, c.machines, &j.spec, z) {
 			n += j.spec.TaskCount
--- a/internal/coordination/scheduler/featurelevel.go
+++ b/internal/coordination/scheduler/featurelevel.go
@@ -101,7 +101,7 @@
 			c.completeJob(now, j)
 		}
 	}
-	c.spreadLoans()
+	c.redistributeLoanPages()
 	c.emit(LevelReached{Level: c.level})
 	c.due = true
 }
--- a/internal/coordination/scheduler/jobqueues.go
+++ b/internal/coordination/scheduler/jobqueues.go
@@ -115,7 +115,7 @@
 // inTurn lists the jobs of a tree in the order of their turns.
 func (c *Core) inTurn(tree *btree.BTreeG[*job]) []*job {
 	jobs := tree.Items()
-	c.sortForReturn(jobs)
+	c.sortForRecovery(jobs)
 	return jobs
 }
 
--- a/internal/coordination/scheduler/lifecycle.go
+++ b/internal/coordination/scheduler/lifecycle.go
@@ -74,7 +74,7 @@
 	pg := j.pageOfTask(task)
 	pg.unrecordedExits = append(pg.unrecordedExits, pl)
 	if lost {
-		c.displaced(j, pl)
+		c.markDisplaced(j, pl)
 		c.log.Info("task lost with its machine", "task", pl.Task, "attempt", pl.Attempt, "machine", pl.Machine)
 	}
 	switch {
--- a/internal/coordination/scheduler/limits_test.go
+++ b/internal/coordination/scheduler/limits_test.go
@@ -130,28 +130,28 @@
 // first are gone. Beyond one transaction loans had been refused.
 func TestLedgerOfManyLoans(t *testing.T) {
 	const loans, perBorrower = 1000, 7
-	b := newZoneBench(zones.DefaultOrder(), config.Team{Name: "red"})
+	b := newZoneHarness(zones.DefaultRecoveryOrder(), config.Team{Name: "red"})
 	b.c.cfg.Quota.RAMMB = 49
 	b.takeOver(6)
-	z := b.c.returning
-	if most := b.c.mostLoans(); most < loans {
+	z := b.c.zoneFailover
+	if most := b.c.maxOpenLoans(); most < loans {
 		t.Fatalf("%d loans may be open, want %d", most, loans)
 	}
 	borrower := func(i int) string { return fmt.Sprintf("j-%06d", 900_000+i/perBorrower) }
-	lender := func(i int) zones.LentTask { return zones.LentTask{Job: fmt.Sprintf("j-%06d", i), Attempt: 1} }
+	lender := func(i int) zones.TaskAttempt { return zones.TaskAttempt{Job: fmt.Sprintf("j-%06d", i), Attempt: 1} }
 	for i := range loans {
 		loan := zones.Loan{Term: 6, Number: uint64(i + 1), Lender: lender(i), Borrower: borrower(i), Machine: "m", Zone: "a"}
 		if err := z.ledger.Open(loan); err != nil {
 			t.Fatal(err)
 		}
-		z.untaken[loan.Lender] = true
-		z.records.add(loan.Lender, b.c.loansPerPage())
+		z.awaitingPreemption[loan.Lender] = true
+		z.records.addLoan(loan.Lender, b.c.loansPerPage())
 	}
 	recorded := map[string]protocol.KeyValue{}
 	rev := uint64(1000)
 	write := func() bool {
 		b.c.out = nil
-		b.c.writeZoneReturn(b.now)
+		b.c.writeFailoverRecords(b.now)
 		for _, e := range b.c.out {
 			w, ok := e.(Write)
 			if !ok {
@@ -172,15 +172,15 @@
 		}
 		return false
 	}
-	held := func() map[zones.LentTask]bool {
-		tasks := map[zones.LentTask]bool{}
+	held := func() map[zones.TaskAttempt]bool {
+		tasks := map[zones.TaskAttempt]bool{}
 		for _, p := range recorded {
 			rec, err := storage.DecodeZoneFailover(p)
 			if err != nil {
 				t.Fatal(err)
 			}
 			for _, row := range rec.Loans {
-				tasks[loanOf(row).Lender] = true
+				tasks[loanFromRow(row).Lender] = true
 			}
 		}
 		return tasks
@@ -190,30 +190,30 @@
 		transactions++
 		onRecord, open := held(), map[string]bool{}
 		for i := range loans {
-			if z.untaken[lender(i)] {
+			if z.awaitingPreemption[lender(i)] {
 				open[borrower(i)] = true
 			} else if !onRecord[lender(i)] {
 				t.Fatalf("loan %d is taken and not recorded", i)
 			}
 		}
 		for i := range loans {
-			if open[borrower(i)] && !z.untaken[lender(i)] {
+			if open[borrower(i)] && !z.awaitingPreemption[lender(i)] {
 				t.Fatalf("loan %d is taken before others to the same job", i)
 			}
 		}
 	}
-	if len(z.untaken) > 0 || transactions < 2 {
-		t.Errorf("%d loans are not taken after %d transactions", len(z.untaken), transactions)
+	if len(z.awaitingPreemption) > 0 || transactions < 2 {
+		t.Errorf("%d loans are not taken after %d transactions", len(z.awaitingPreemption), transactions)
 	}
 	b.records = recorded
 	b.takeOver(7)
-	if got := b.c.returning.ledger.Len(); got != loans {
+	if got := b.c.zoneFailover.ledger.Len(); got != loans {
 		t.Errorf("the next leader knows of %d loans, want %d", got, loans)
 	}
-	z = b.c.returning
+	z = b.c.zoneFailover
 	for i := range loans {
 		z.ledger.Close(lender(i))
-		z.records.remove(lender(i))
+		z.records.removeLoan(lender(i))
 	}
 	for range loans {
 		b.now += Cycle
--- a/internal/coordination/scheduler/placementwriter.go
+++ b/internal/coordination/scheduler/placementwriter.go
@@ -93,11 +93,11 @@
 // failoverOrder lists the jobs whose records wait in the order of return while that is in force; nil
 // stands for the usual order.
 func (c *Core) failoverOrder() []*job {
-	if !c.orderInForce() {
+	if !c.recoveryOrderInEffect() {
 		return nil
 	}
 	jobs := c.queues.starts.byTurn.Items()
-	c.sortForReturn(jobs)
+	c.sortForRecovery(jobs)
 	return jobs
 }
 
--- a/internal/coordination/scheduler/poolscore.go
+++ b/internal/coordination/scheduler/poolscore.go
@@ -33,7 +33,7 @@
 
 // poolScore is what every machine of a pool adds to a score.
 func (c *Core) poolScore(j *job, l *limits, p machineindex.Pool) float64 {
-	s := c.distrust(j, p.Zone)
+	s := c.zoneRiskPenalty(j, p.Zone)
 	if j.spec.Spread && l.perZone != nil {
 		s += float64(l.perZone[p.Zone]) / float64(j.spec.TaskCount)
 	}
--- a/internal/coordination/scheduler/preempt.go
+++ b/internal/coordination/scheduler/preempt.go
@@ -42,7 +42,7 @@
 // preempt stops work of lower priority to make room for up to n tasks, on the
 // machines where least is lost, and reserves the room.
 func (c *Core) preempt(now time.Duration, j *job, l *limits, n int) {
-	if c.mayBorrow(j) && c.borrow(now, j, l, n) {
+	if c.mayBorrow(j) && c.borrowCapacity(now, j, l, n) {
 		return // its room comes by the ledger, or not at all
 	}
 	if j.short < 2 {
@@ -93,7 +93,7 @@
 	}
 	best, victims := c.find.cheapest(now, j, l, within, level)
 	if best == nil {
-		if within == math.MaxInt64 && len(j.avoids()) == 0 && len(j.reserved) == 0 && !c.recovering() {
+		if within == math.MaxInt64 && len(j.avoids()) == 0 && len(j.reserved) == 0 && !c.inZoneFailover() {
 			c.noVictims[k] = c.roomEvents
 		}
 		return false
@@ -186,7 +186,7 @@
 // yield to another team. Lower work of other teams had been spared altogether: a guest's
 // idle-time batch then kept whole machines while urgent gangs waited for minutes.
 func (c *Core) mayPreempt(j *job, pl *partition.Placement, level int) bool {
-	if c.returnsBefore(pl, j) {
+	if c.recoversBefore(pl, j) {
 		return false
 	}
 	if pl.Team == j.spec.Team {
--- /dev/null
+++ b/internal/coordination/scheduler/recoveryorder.go
@@ -0,0 +1,110 @@
+package scheduler
+
+import (
+	"cmp"
+	"slices"
+	"time"
+
+	"pinebay/internal/coordination/partition"
+	"pinebay/internal/coordination/zones"
+	"pinebay/internal/protocol"
+)
+
+// recoverySortKey is what jobs are sorted by while the order of return is in force.
+type recoverySortKey struct {
+	position, priorityLevel int
+	debt                    float64
+	objective               float64
+}
+
+// recoveryOrderInEffect says whether jobs go in the order of return: while a zone is lost or not yet trusted
+// again, and until all loans are repaid.
+func (c *Core) recoveryOrderInEffect() bool {
+	return c.zoneFailover != nil && (c.inZoneFailover() || c.zoneFailover.ledger.Len() > 0)
+}
+
+// sortForRecovery puts jobs into the order of return: by the stated order, priority, what
+// lenders are owed once no zone is lost, the class's aim on waiting, and age. The list is
+// sorted by priority and age when it comes.
+func (c *Core) sortForRecovery(jobs []*job) {
+	z := c.zoneFailover
+	if !c.recoveryOrderInEffect() {
+		return
+	}
+	debts := map[string]float64{}
+	if !z.monitor.AnyInState(zones.Lost) {
+		debts = z.ledger.Debts()
+	}
+	keys := make(map[*job]recoverySortKey, len(jobs))
+	for _, j := range jobs {
+		keys[j] = recoverySortKey{z.order.Position(j.spec.Class, j.spec.Team), j.level, debts[j.spec.ID], c.waitAim(j.spec.Class)}
+	}
+	slices.SortStableFunc(jobs, func(a, b *job) int {
+		x, y := keys[a], keys[b]
+		return cmp.Or(cmp.Compare(x.position, y.position), cmp.Compare(x.priorityLevel, y.priorityLevel), cmp.Compare(y.debt, x.debt), cmp.Compare(x.objective, y.objective))
+	})
+}
+
+// zonesByAvailability lists the zones that a job allows, those that are available first: where several
+// have as little room, a lost one must not be where it waits for some.
+func (c *Core) zonesByAvailability(spec *protocol.Job) []string {
+	names := c.zones(spec)
+	if c.zoneFailover == nil {
+		return names
+	}
+	slices.SortStableFunc(names, func(a, b string) int {
+		return cmp.Compare(c.zoneFailover.monitor.State(a), c.zoneFailover.monitor.State(b))
+	})
+	return names
+}
+
+// recoversBefore says whether, by the order in force, the work of a placement goes before a
+// job, whatever their priorities are.
+func (c *Core) recoversBefore(pl *partition.Placement, j *job) bool {
+	if !c.inZoneFailover() {
+		return false
+	}
+	class := ""
+	if pl.Job != nil {
+		class = pl.Job.Class
+	}
+	order := c.zoneFailover.order
+	return order.Position(class, pl.Team) < order.Position(j.spec.Class, j.spec.Team)
+}
+
+// recoveryPosition is a job's position in the order of return, while that is in force.
+func (c *Core) recoveryPosition(spec *protocol.Job) int {
+	if !c.inZoneFailover() {
+		return 0
+	}
+	return c.zoneFailover.order.Position(spec.Class, spec.Team)
+}
+
+// placeWithinQuota places what teams run within their guarantee, which need not wait for
+// other teams, in the order of return. What is beyond it has its turn with the others, and
+// so have the team's jobs after it: a guarantee is held against other teams, not within one.
+func (c *Core) placeWithinQuota(now time.Duration, waiting []*job) {
+	beyond := map[string]bool{} // teams
+	for _, j := range waiting {
+		if beyond[j.spec.Team] {
+			continue
+		}
+		least := 1
+		if j.spec.Shape == protocol.Gang {
+			least = j.spec.TaskCount
+		}
+		if n := min(c.allowance(j), c.tasksWithinGuarantee(j)); n >= least {
+			c.place(now, j, n)
+		}
+		beyond[j.spec.Team] = j.counts[pending] > 0
+	}
+}
+
+// zoneRiskPenalty is what a start of a critical replica costs more, in seconds, in a zone that may
+// be lost again at any time.
+func (c *Core) zoneRiskPenalty(j *job, zone string) float64 {
+	if c.zoneFailover == nil || j.level > 0 || j.spec.Shape != protocol.Service || c.zoneFailover.monitor.State(zone) == zones.Available {
+		return 0
+	}
+	return c.cfg.Workers.LeaseSeconds
+}
--- a/internal/coordination/scheduler/reference_test.go
+++ b/internal/coordination/scheduler/reference_test.go
@@ -89,7 +89,7 @@
 			b.c.find = fullScan{b.c}
 		}
 		if zoneReturn {
-			b.c.startZoneReturn(0, zones.DefaultOrder(), nil)
+			b.c.startZoneFailover(0, zones.DefaultRecoveryOrder(), nil)
 		}
 		b.onEffect = func(e Effect) { w.seen[i] = append(w.seen[i], describe(e)) }
 		w.pair[i] = b
--- a/internal/coordination/scheduler/score.go
+++ b/internal/coordination/scheduler/score.go
@@ -89,7 +89,7 @@
 	if j.failedOn[x.m.Name] {
 		s += 10 * x.kind.BootSeconds
 	}
-	return s + float64(len(x.m.FailedJobs))*x.kind.BootSeconds + c.distrust(j, x.m.Zone)
+	return s + float64(len(x.m.FailedJobs))*x.kind.BootSeconds + c.zoneRiskPenalty(j, x.m.Zone)
 }
 
 // pick chooses the machine for a task. attempted says that one was passed over
--- a/internal/coordination/scheduler/turns.go
+++ b/internal/coordination/scheduler/turns.go
@@ -28,7 +28,7 @@
 // newTurns returns the turns of jobs that are in order.
 func (c *Core) newTurns(waiting []*job) *turns {
 	t := &turns{core: c, byName: map[string]*teamQueue{}}
-	if len(c.cfg.Teams) < 2 || c.recovering() {
+	if len(c.cfg.Teams) < 2 || c.inZoneFailover() {
 		t.plain = waiting
 		return t
 	}
--- /dev/null
+++ b/internal/coordination/scheduler/zonefailover.go
@@ -0,0 +1,145 @@
+package scheduler
+
+import (
+	"maps"
+	"time"
+
+	"pinebay/internal/config"
+	"pinebay/internal/coordination/partition"
+	"pinebay/internal/coordination/zones"
+	"pinebay/internal/protocol"
+)
+
+// zoneFailoverState is the part of the core that acts when a zone is lost and when it comes back
+// (docs/zone-return.md). It is nil unless an operator has turned it on.
+type zoneFailoverState struct {
+	order              *zones.RecoveryOrder
+	monitor            *zones.Monitor
+	ledger             *zones.Ledger
+	multiZone          bool // there is more than one zone
+	lastLoanNumber     uint64
+	awaitingPreemption map[zones.TaskAttempt]bool // made in this term, and its lender not told to stop yet
+	departedMachines   map[string]string          // machines that have failed or left the cloud's list, and their zones
+	loansByJob         map[string]int             // how many loans a job has made in this term
+	searchesInCycle    int                        // for how many jobs room was looked for since searchCycleStart
+	searchCycleStart   time.Duration
+	pendingDecisions   []zones.Decision // not told yet
+	records            failoverRecords
+}
+
+// Intervals of zone return.
+const (
+	// writeOffCancelTimes is after how many times the cancel time a loan is written off.
+	writeOffCancelTimes = 20
+	// retainLostZoneLeases is for how many leases a lost zone's machines are kept that hold work for
+	// which there is no room elsewhere. They have its images when they come back.
+	retainLostZoneLeases = 12
+	// probeLostZoneLeases is after how many leases a machine is rented in a lost zone, if work waits
+	// that can be nowhere else: a zone without machines could not be heard again.
+	probeLostZoneLeases = 2
+)
+
+// startZoneFailover turns zone return on, with what an earlier leader recorded.
+func (c *Core) startZoneFailover(now time.Duration, order *zones.RecoveryOrder, pages []protocol.KeyValue) {
+	names := c.zones(&protocol.Job{})
+	z := &zoneFailoverState{
+		order: order, multiZone: len(names) > 1, awaitingPreemption: map[zones.TaskAttempt]bool{}, departedMachines: map[string]string{}, loansByJob: map[string]int{}, records: newFailoverRecords(),
+		monitor: zones.NewMonitor(now, config.Seconds(c.cfg.Workers.LeaseSeconds), names),
+		ledger:  zones.NewLedger(c.maxOpenLoans()),
+	}
+	c.zoneFailover = z
+	c.addDecision(zones.RecoveryOrderInEffect{Order: order.String(), ZoneCount: len(names)})
+	if z.multiZone {
+		c.recoverZoneFailover(now, pages)
+		c.recoverDisplacedJobs()
+	}
+}
+
+// recoverDisplacedJobs marks the jobs that wait although they had started, when a zone was lost
+// under an earlier leader.
+func (c *Core) recoverDisplacedJobs() {
+	for _, zone := range c.zoneFailover.monitor.Zones() {
+		if zone.State != zones.Lost && zone.State != zones.Returning {
+			continue
+		}
+		for _, j := range c.jobs {
+			if j.counts[pending] > 0 && j.hasStarted() {
+				j.displacedFrom = zone.Name
+			}
+		}
+	}
+}
+
+// hasStarted says whether a task of the job was ever placed.
+func (j *job) hasStarted() bool {
+	for _, p := range j.pages {
+		if p.highestAttempt > 0 {
+			return true
+		}
+	}
+	return false
+}
+
+// addDecision notes a decision, to be told with the next effects.
+func (c *Core) addDecision(d zones.Decision) {
+	c.zoneFailover.pendingDecisions = append(c.zoneFailover.pendingDecisions, d)
+}
+
+func (c *Core) emitDecisions() {
+	if c.zoneFailover == nil {
+		return
+	}
+	for _, d := range c.zoneFailover.pendingDecisions {
+		c.emit(Decided{d})
+	}
+	c.zoneFailover.pendingDecisions = nil
+}
+
+// inZoneFailover says whether a zone is lost or not yet trusted again, so that the order of
+// return is in force.
+func (c *Core) inZoneFailover() bool {
+	return c.zoneFailover != nil && c.zoneFailover.multiZone && c.zoneFailover.monitor.AnyInState(zones.Lost, zones.Returning)
+}
+
+// wallClockMS is the time of day at a moment, in milliseconds.
+func (c *Core) wallClockMS(now time.Duration) int64 { return c.wallMS + (now - c.began).Milliseconds() }
+
+// updateZoneStates judges the zones, and draws the conclusions.
+func (c *Core) updateZoneStates(now time.Duration, jobs []*job) {
+	z := c.zoneFailover
+	if z == nil || !z.multiZone {
+		return
+	}
+	for _, change := range z.monitor.Observe(now, c.observeZones(now)) {
+		c.addDecision(zones.ZoneChanged{Change: change})
+		z.records.dirty[z.records.firstPage()] = true
+		switch change.To {
+		case zones.Lost:
+			c.addDecision(zones.RecoveryOrderInEffect{Order: z.order.String(), ZoneCount: len(z.monitor.Zones())})
+		case zones.Returning:
+			c.probeZone(change.Zone)
+		case zones.Available:
+			maps.DeleteFunc(z.departedMachines, func(_, zone string) bool { return zone == change.Zone })
+		}
+	}
+	c.closeFinishedLoans(now)
+	c.setZonePolicies(now)
+	c.fenceLostMachines(now, jobs)
+	if !z.monitor.AnyInState(zones.Suspected, zones.Lost, zones.Returning) {
+		clear(z.loansByJob)
+		for _, j := range jobs {
+			j.displacedFrom = ""
+		}
+	}
+}
+
+// markDisplaced notes that a job has lost a task, which counts if it went with its zone.
+func (c *Core) markDisplaced(j *job, pl *partition.Placement) {
+	if c.zoneFailover == nil || j.over {
+		return
+	}
+	switch c.zoneFailover.monitor.State(pl.Zone) {
+	case zones.Lost, zones.Returning:
+		j.displacedFrom = pl.Zone
+	}
+}
--- a/internal/coordination/scheduler/returnfence.go
+++ b/internal/coordination/scheduler/zonefencing.go
@@ -11,36 +11,36 @@
 
 // Bounds of what one look at a lost zone may cost and do.
 const (
-	fenceShare = 20 // of a zone's machines, one in so many may be fenced in a cycle
-	// mostWaiting is for how many of a job's waiting tasks room is set aside before that.
-	mostWaiting = 32
+	fenceDivisor = 20 // of a zone's machines, one in so many may be fenced in a cycle
+	// maxWaitingConsidered is for how many of a job's waiting tasks room is set aside before that.
+	maxWaitingConsidered = 32
 	// searchesPerCore is for how many jobs a whole core looks for room in a cycle, next to
 	// its other work: a search among a hundred full machines takes it a millisecond or two.
 	searchesPerCore = 100
-	// searchPause is the time until the next search for a job for which there was no room.
-	searchPause = 3 * Cycle
+	// searchRetryDelay is the time until the next search for a job for which there was no room.
+	searchRetryDelay = 3 * Cycle
 )
 
-// searches is for how many jobs room may be looked for in a cycle.
-func (c *Core) searches() int { return max(2, int(searchesPerCore*c.cfg.Quota.CoreShare)) }
+// searchBudget is for how many jobs room may be looked for in a cycle.
+func (c *Core) searchBudget() int { return max(2, int(searchesPerCore*c.cfg.Quota.CoreShare)) }
 
-// fenceForReturn returns machines of lost zones whose tasks would find room elsewhere, in the
+// fenceLostMachines returns machines of lost zones whose tasks would find room elsewhere, in the
 // order of return: only that proves the tasks gone. What would find no room stays, and goes
 // on at once when the zone comes back.
-func (c *Core) fenceForReturn(now time.Duration, jobs []*job) {
-	if !c.returning.monitor.Any(zones.Lost) {
+func (c *Core) fenceLostMachines(now time.Duration, jobs []*job) {
+	if !c.zoneFailover.monitor.AnyInState(zones.Lost) {
 		return
 	}
-	patience := c.returnPatience()
+	patience := c.lostMachineGracePeriod()
 	budget := c.fenceBudget()
-	market := c.newMarket(now)
-	tries := c.searches()
+	market := c.newBorrowableCapacity(now)
+	tries := c.searchBudget()
 	for _, j := range jobs {
 		if budget <= 0 || tries <= 0 {
 			return
 		}
-		held := c.heldByLostZones(now, j, patience)
-		waiting := min(j.counts[pending], c.allowance(j), mostWaiting)
+		held := c.placementsInLostZones(now, j, patience)
+		waiting := min(j.counts[pending], c.allowance(j), maxWaitingConsidered)
 		if c.held(j) || len(held)+waiting == 0 || now < j.searchAgain {
 			continue
 		}
@@ -49,15 +49,15 @@
 		if whole {
 			wanted = j.counts[pending] + len(j.places)
 		}
-		request, ok := c.requestElsewhere(j, wanted)
+		request, ok := c.requestInAvailableZones(j, wanted)
 		if !ok {
 			continue
 		}
 		tries--
 		// What waits already takes its room first.
-		found := market.place(j, request, whole) - waiting
+		found := market.placeJob(j, request, whole) - waiting
 		if found <= 0 && len(held) > 0 {
-			j.searchAgain = now + searchPause
+			j.searchAgain = now + searchRetryDelay
 		}
 		for _, pl := range held[:max(0, min(found, len(held)))] {
 			budget -= c.fenceMachineOf(now, j, pl)
@@ -69,31 +69,31 @@
 func (c *Core) fenceBudget() int {
 	n := 0
 	c.machines.Each(func(m *partition.Machine) {
-		if c.lostZone(m.Zone) {
+		if c.isZoneLost(m.Zone) {
 			n++
 		}
 	})
-	return max(1, n/fenceShare)
+	return max(1, n/fenceDivisor)
 }
 
-// returnPatience is for how long a machine of a lost zone is waited for: until its leases are
+// lostMachineGracePeriod is for how long a machine of a lost zone is waited for: until its leases are
 // surely over, and as long as a machine takes to boot. Work that goes elsewhere pays about
 // that much once more, for a fetch there and for a boot when the zone is back; whoever waits as
 // long as it would pay never pays more than twice what foresight would.
-func (c *Core) returnPatience() time.Duration {
-	patience := c.leaseOver()
+func (c *Core) lostMachineGracePeriod() time.Duration {
+	patience := c.maxLeaseLifetime()
 	for _, t := range c.machines.MachineTypes() {
 		patience = max(patience, config.Seconds(t.BootSeconds))
 	}
 	return patience
 }
 
-// heldByLostZones returns the placements of a job on machines of lost zones that have been
+// placementsInLostZones returns the placements of a job on machines of lost zones that have been
 // silent for longer than the patience.
-func (c *Core) heldByLostZones(now time.Duration, j *job, patience time.Duration) (held []*partition.Placement) {
+func (c *Core) placementsInLostZones(now time.Duration, j *job, patience time.Duration) (held []*partition.Placement) {
 	for _, pl := range placements(j) {
 		m := c.machines.Machine(pl.Machine)
-		if c.lostZone(pl.Zone) && m != nil && now-m.LastHeartbeat > patience {
+		if c.isZoneLost(pl.Zone) && m != nil && now-m.LastHeartbeat > patience {
 			held = append(held, pl)
 		}
 	}
@@ -106,24 +106,24 @@
 	if m == nil || m.Terminating {
 		return 0
 	}
-	since, _ := c.returning.monitor.LostSince(pl.Zone)
+	since, _ := c.zoneFailover.monitor.LostSince(pl.Zone)
 	m.Terminating = true
-	c.decide(zones.MachineFenced{Machine: m.Name, Zone: m.Zone, Job: j.spec.ID, LostFor: now - since})
+	c.addDecision(zones.MachineFenced{Machine: m.Name, Zone: m.Zone, Job: j.spec.ID, LostFor: now - since})
 	return 1
 }
 
-// requestElsewhere is the room that tasks of a job may take outside the lost zones; false if
+// requestInAvailableZones is the room that tasks of a job may take outside the lost zones; false if
 // its limits allow none.
-func (c *Core) requestElsewhere(j *job, tasks int) (zones.Request, bool) {
+func (c *Core) requestInAvailableZones(j *job, tasks int) (zones.CapacityRequest, bool) {
 	perZone := map[string]int{}
 	limits := c.limits(j)
 	total := 0
-	for _, zone := range c.returning.monitor.Zones() {
+	for _, zone := range c.zoneFailover.monitor.Zones() {
 		allowed := j.spec.Zone == "" || j.spec.Zone == zone.Name
 		if left := min(tasks, limits.most-limits.perZone[zone.Name]); allowed && left > 0 && zone.State == zones.Available {
 			perZone[zone.Name] = left
 			total += left
 		}
 	}
-	return zones.Request{Need: j.need, Tasks: min(tasks, total), PerZone: perZone, JobCost: c.jobCost()}, total > 0
+	return zones.CapacityRequest{Need: j.need, Tasks: min(tasks, total), MaxPerZone: perZone, DisturbanceCost: c.disturbanceCost()}, total > 0
 }
--- a/internal/coordination/scheduler/zonebench_test.go
+++ b/internal/coordination/scheduler/zoneharness_test.go
@@ -17,25 +17,25 @@
 	"pinebay/internal/storage"
 )
 
-// zoneBench drives a core with zone return through the loss and return of zone a, under the
+// zoneHarness drives a core with zone return through the loss and return of zone a, under the
 // oracles of order and loans.
-type zoneBench struct {
+type zoneHarness struct {
 	*bench
-	order     *zones.Order
-	silent    map[string]bool // machines that are not heard
-	session   map[string]uint64
-	decisions []zones.Decision
-	records   map[string]protocol.KeyValue // of zone return, as written
-	orders    simulation.RecoveryOrderOracle
-	loans     *simulation.LoanOracle
-	barred    map[string]map[string]bool // machines that jobs could not have in the last cycle
-	refuse    func(Write) bool           // writes that the state service does not answer
-	later     []func()                   // what the cloud answers, after the cycle
+	order       *zones.RecoveryOrder
+	silent      map[string]bool // machines that are not heard
+	incarnation map[string]uint64
+	decisions   []zones.Decision
+	records     map[string]protocol.KeyValue // of zone return, as written
+	orderOracle simulation.RecoveryOrderOracle
+	loanOracle  *simulation.LoanOracle
+	excluded    map[string]map[string]bool // machines that jobs could not have in the last cycle
+	unanswered  func(Write) bool           // writes that the state service does not answer
+	nextSecond  []func()                   // what the cloud answers, after the cycle
 }
 
-func newZoneBench(order *zones.Order, teams ...config.Team) *zoneBench {
-	b := &zoneBench{bench: newBench(teams, "a", "b"), order: order, silent: map[string]bool{}, session: map[string]uint64{},
-		records: map[string]protocol.KeyValue{}, loans: simulation.NewLoanOracle()}
+func newZoneHarness(order *zones.RecoveryOrder, teams ...config.Team) *zoneHarness {
+	b := &zoneHarness{bench: newBench(teams, "a", "b"), order: order, silent: map[string]bool{}, incarnation: map[string]uint64{},
+		records: map[string]protocol.KeyValue{}, loanOracle: simulation.NewLoanOracle()}
 	b.c.cfg.Quota.CoreShare = 1
 	b.c.cfg.Workers.CancelSeconds = 12 // so that a loan that is never repaid is written off soon
 	b.takeOver(5)
@@ -43,7 +43,7 @@
 }
 
 // takeOver begins a term with what the last one recorded.
-func (b *zoneBench) takeOver(term uint64) {
+func (b *zoneHarness) takeOver(term uint64) {
 	var pages []protocol.KeyValue
 	for _, p := range b.records {
 		pages = append(pages, p)
@@ -53,7 +53,7 @@
 }
 
 // step hands an event to the core and carries out what it asks for.
-func (b *zoneBench) step(e Event) {
+func (b *zoneHarness) step(e Event) {
 	for _, out := range b.c.Step(b.now, e) {
 		switch o := out.(type) {
 		case Decided:
@@ -66,7 +66,7 @@
 				continue
 			}
 			b.take(o.Machine, o.Orders.FencingToken, o.Orders.Commands)
-			b.step(OrdersDone{Machine: o.Machine, OK: true, Report: b.reportOf(o.Machine)})
+			b.step(OrdersDone{Machine: o.Machine, OK: true, Report: b.heartbeatOf(o.Machine)})
 		case Answer:
 			b.take(o.Tag.(string), o.Body.FencingToken, o.Body.Commands)
 		case Fleet:
@@ -75,7 +75,7 @@
 	}
 }
 
-func (b *zoneBench) callCloud(e fleet.Effect) {
+func (b *zoneHarness) callCloud(e fleet.Effect) {
 	switch e := e.(type) {
 	case fleet.ListMachines:
 		b.after(Listed{Asked: b.now, Failed: true})
@@ -90,17 +90,17 @@
 }
 
 // after hands an event to the core when the cycle is over.
-func (b *zoneBench) after(e Event) { b.later = append(b.later, func() { b.step(e) }) }
+func (b *zoneHarness) after(e Event) { b.nextSecond = append(b.nextSecond, func() { b.step(e) }) }
 
-func (b *zoneBench) removeMachine(name string) {
+func (b *zoneHarness) removeMachine(name string) {
 	delete(b.tasks, name)
 	delete(b.silent, name)
 }
 
 // write carries out a transaction, unless the state service is out.
-func (b *zoneBench) write(w Write) {
-	if b.refuse != nil && b.refuse(w) {
-		b.later = append(b.later, func() { b.write(w) })
+func (b *zoneHarness) write(w Write) {
+	if b.unanswered != nil && b.unanswered(w) {
+		b.nextSecond = append(b.nextSecond, func() { b.write(w) })
 		return
 	}
 	b.rev++
@@ -116,12 +116,12 @@
 		}
 	}
 	if zone {
-		b.loans.CheckRecords(b.recordedLoans(), b.lenderFacts)
+		b.loanOracle.CheckRecords(b.storedLoans(), b.lenderFacts)
 	}
 	b.step(Written{Write: w.ID, OK: true, Rev: b.rev})
 }
 
-func (b *zoneBench) recordedLoans() (rows []storage.LoanRow) {
+func (b *zoneHarness) storedLoans() (rows []storage.LoanRow) {
 	for _, p := range b.records {
 		rec, err := storage.DecodeZoneFailover(p)
 		if err != nil {
@@ -133,43 +133,43 @@
 }
 
 // lenderFacts tells of a loan's lender, from the core's books when the loan was made.
-func (b *zoneBench) lenderFacts(row storage.LoanRow) simulation.LenderObservation {
+func (b *zoneHarness) lenderFacts(row storage.LoanRow) simulation.LenderObservation {
 	lender, borrower := b.c.jobs[row.Lender], b.c.jobs[row.Borrower]
 	return simulation.LenderObservation{LenderLevel: lender.level, BorrowerLevel: borrower.level,
 		ProtectedByQuota: withinGuarantee(b.c.cfg.Team(lender.spec.Team), b.c.machines.TeamUsage(lender.spec.Team))}
 }
 
-func (b *zoneBench) reportOf(name string) *protocol.WorkerHeartbeat {
+func (b *zoneHarness) heartbeatOf(name string) *protocol.WorkerHeartbeat {
 	r := b.report(name)
-	r.Incarnation = max(1, b.session[name])
+	r.Incarnation = max(1, b.incarnation[name])
 	return r
 }
 
-// second lets a second pass: machines report, images arrive, stopped tasks exit, and the
+// runSecond lets a second pass: machines report, images arrive, stopped tasks exit, and the
 // core has its cycle, which the oracle of order checks.
-func (b *zoneBench) second() {
+func (b *zoneHarness) runSecond() {
 	b.now += Cycle
-	later := b.later
-	b.later = nil
+	later := b.nextSecond
+	b.nextSecond = nil
 	for _, f := range later {
 		f()
 	}
-	b.moveTasks()
-	for _, name := range b.names() {
+	b.advanceTasks()
+	for _, name := range b.machineNames() {
 		if !b.silent[name] {
-			b.step(Reported{Tag: name, Report: b.reportOf(name)})
+			b.step(Reported{Tag: name, Report: b.heartbeatOf(name)})
 		}
 	}
-	before := b.placed()
+	before := b.placedAttempts()
 	used := map[string]partition.Resources{"red": b.c.machines.TeamUsage("red"), "blue": b.c.machines.TeamUsage("blue")}
-	b.barred = b.barredMachines() // some are free for another attempt once the cycle is over
+	b.excluded = b.excludedMachines() // some are free for another attempt once the cycle is over
 	b.step(Tick{})
-	if b.c.recovering() {
-		b.orders.CheckCycle(b.startsSince(before, used), b.waitingJobs(), b.rooms())
+	if b.c.inZoneFailover() {
+		b.orderOracle.CheckCycle(b.startsSince(before, used), b.waitingJobs(), b.freeCapacities())
 	}
 }
 
-func (b *zoneBench) names() (names []string) {
+func (b *zoneHarness) machineNames() (names []string) {
 	for name := range b.tasks {
 		names = append(names, name)
 	}
@@ -177,8 +177,8 @@
 	return names
 }
 
-// moveTasks lets what fetches run, and what was told to stop exit.
-func (b *zoneBench) moveTasks() {
+// advanceTasks lets what fetches run, and what was told to stop exit.
+func (b *zoneHarness) advanceTasks() {
 	for name, tasks := range b.tasks {
 		for id, t := range tasks {
 			if _, stopped := b.stops[id]; stopped && t.State != protocol.TaskExited {
@@ -192,16 +192,16 @@
 	}
 }
 
-type placement struct {
+type placedAttempt struct {
 	id      protocol.TaskID
 	attempt uint64
 }
 
-func (b *zoneBench) placed() map[placement]bool {
-	on := map[placement]bool{}
+func (b *zoneHarness) placedAttempts() map[placedAttempt]bool {
+	on := map[placedAttempt]bool{}
 	for _, j := range b.c.jobs {
 		for _, pl := range j.places {
-			on[placement{pl.Task, pl.Attempt}] = true
+			on[placedAttempt{pl.Task, pl.Attempt}] = true
 		}
 	}
 	return on
@@ -209,14 +209,14 @@
 
 // startsSince returns what was placed since, with what teams used before. What fits into its
 // team's guarantee besides that waits for nobody.
-func (b *zoneBench) startsSince(before map[placement]bool, used map[string]partition.Resources) (starts []simulation.PlacedTask) {
+func (b *zoneHarness) startsSince(before map[placedAttempt]bool, used map[string]partition.Resources) (starts []simulation.PlacedTask) {
 	for _, j := range b.c.jobs {
 		team := used[j.spec.Team]
 		for _, pl := range placements(j) {
-			if !before[placement{pl.Task, pl.Attempt}] {
+			if !before[placedAttempt{pl.Task, pl.Attempt}] {
 				team = team.Plus(pl.Resources)
 				guaranteed := withinGuarantee(b.c.cfg.Team(pl.Team), team)
-				starts = append(starts, simulation.PlacedTask{Job: b.returnJob(j), Machine: pl.Machine, WithinQuota: guaranteed})
+				starts = append(starts, simulation.PlacedTask{Job: b.recoveryJob(j), Machine: pl.Machine, WithinQuota: guaranteed})
 			}
 		}
 	}
@@ -225,19 +225,19 @@
 
 // waitingJobs returns the jobs that wait for room, but those that stand back for another
 // reason: their team's limit, a record under way, or that backfill is allowed just now.
-func (b *zoneBench) waitingJobs() (waiting []simulation.WaitingJob) {
+func (b *zoneHarness) waitingJobs() (waiting []simulation.WaitingJob) {
 	for _, j := range b.c.jobs {
 		if !b.c.waits(b.now, j) || b.c.allowance(j) == 0 || j.spec.Shape == protocol.Gang && (b.c.allowance(j) < j.spec.TaskCount || j.short%(shortCycles+1) == 0) {
 			continue
 		}
-		waiting = append(waiting, b.returnJob(j))
+		waiting = append(waiting, b.recoveryJob(j))
 	}
 	return waiting
 }
 
-// barredMachines names, for each job, the machines that hold on to an earlier attempt of a task
+// excludedMachines names, for each job, the machines that hold on to an earlier attempt of a task
 // that waits.
-func (b *zoneBench) barredMachines() map[string]map[string]bool {
+func (b *zoneHarness) excludedMachines() map[string]map[string]bool {
 	barred := map[string]map[string]bool{}
 	for id, j := range b.c.jobs {
 		barred[id] = map[string]bool{}
@@ -250,12 +250,12 @@
 	return barred
 }
 
-func (b *zoneBench) returnJob(j *job) simulation.WaitingJob {
+func (b *zoneHarness) recoveryJob(j *job) simulation.WaitingJob {
 	r := simulation.WaitingJob{ID: j.spec.ID, Position: b.order.Position(j.spec.Class, j.spec.Team), PriorityLevel: j.level, Resources: j.need, Tasks: 1, MaxPerZone: map[string]int{}}
 	if j.spec.Shape == protocol.Gang {
 		r.Tasks, r.SameZone = j.spec.TaskCount, j.spec.SameZone
 	}
-	r.ExcludedMachines = b.barred[j.spec.ID]
+	r.ExcludedMachines = b.excluded[j.spec.ID]
 	l := b.c.limits(j)
 	for _, zone := range []string{"a", "b"} {
 		if l.allow(zone) {
@@ -265,7 +265,7 @@
 	return r
 }
 
-func (b *zoneBench) rooms() map[string]simulation.FreeMachine {
+func (b *zoneHarness) freeCapacities() map[string]simulation.FreeMachine {
 	rooms := map[string]simulation.FreeMachine{}
 	b.c.machines.Each(func(m *partition.Machine) {
 		if b.c.machines.Schedulable(b.now, m) && m.ReservedJob == "" {
@@ -275,8 +275,8 @@
 	return rooms
 }
 
-// lose makes the machines of zone a silent; their tasks end with their leases.
-func (b *zoneBench) lose() {
+// loseZone makes the machines of zone a silent; their tasks end with their leases.
+func (b *zoneHarness) loseZone() {
 	for name, zone := range b.zone {
 		if zone == "a" && b.tasks[name] != nil {
 			b.silent[name] = true
@@ -284,36 +284,36 @@
 	}
 }
 
-// giveBack lets the named machines of zone a be heard again, with nothing on them.
-func (b *zoneBench) giveBack(which func(i int) bool) {
+// restoreZone lets the named machines of zone a be heard again, with nothing on them.
+func (b *zoneHarness) restoreZone(which func(i int) bool) {
 	i := 0
-	for _, name := range b.names() {
+	for _, name := range b.machineNames() {
 		if !b.silent[name] {
 			continue
 		}
 		if i++; which(i) {
 			delete(b.silent, name)
-			b.session[name]++
-			b.session[name] = max(2, b.session[name])
+			b.incarnation[name]++
+			b.incarnation[name] = max(2, b.incarnation[name])
 			b.tasks[name] = map[protocol.TaskID]protocol.TaskStatus{}
 		}
 	}
 }
 
-func (b *zoneBench) describe() (lines []string) {
+func (b *zoneHarness) describeDecisions() (lines []string) {
 	for _, d := range b.decisions {
 		lines = append(lines, d.Describe())
 	}
 	return lines
 }
 
-func (b *zoneBench) seconds(n int) {
+func (b *zoneHarness) runSeconds(n int) {
 	for range n {
-		b.second()
+		b.runSecond()
 	}
 }
 
-func countOf[D zones.Decision](decisions []zones.Decision) (n int) {
+func countDecisions[D zones.Decision](decisions []zones.Decision) (n int) {
 	for _, d := range decisions {
 		if _, ok := d.(D); ok {
 			n++
@@ -322,8 +322,8 @@
 	return n
 }
 
-// drawJobs submits a mixture of jobs that asks for so many GPUs in all.
-func (b *zoneBench) drawJobs(t *rapid.T, gpus int) {
+// submitRandomJobs submits a mixture of jobs that asks for so many GPUs in all.
+func (b *zoneHarness) submitRandomJobs(t *rapid.T, gpus int) {
 	for i := 0; gpus > 0; i++ {
 		shape := rapid.SampledFrom([]protocol.Shape{protocol.Array, protocol.Array, protocol.Gang, protocol.Service}).Draw(t, "shape")
 		prio := rapid.SampledFrom([]protocol.Priority{"critical", "urgent", "normal", "best_effort"}).Draw(t, "prio")
@@ -340,40 +340,40 @@
 	}
 }
 
-func (b *zoneBench) submit(j protocol.Job) {
+func (b *zoneHarness) submit(j protocol.Job) {
 	b.rev++
 	b.step(JobSet{Record: storage.LiveJobRecord{Job: j, AcceptedAtMS: b.now.Milliseconds()}, Stamp: b.rev})
 }
 
-// untilLoan lets time pass until a loan is made.
-func (b *zoneBench) untilLoan(t *testing.T) {
+// runUntilLoan lets time pass until a loan is made.
+func (b *zoneHarness) runUntilLoan(t *testing.T) {
 	t.Helper()
 	for range 60 {
-		b.second()
-		if countOf[zones.LoanMade](b.decisions) > 0 {
+		b.runSecond()
+		if countDecisions[zones.LoanMade](b.decisions) > 0 {
 			return
 		}
 	}
-	t.Fatalf("no loan was made:\n%s", strings.Join(b.describe(), "\n"))
+	t.Fatalf("no loan was made:\n%s", strings.Join(b.describeDecisions(), "\n"))
 }
 
-func (b *zoneBench) ends() (ends []zones.End) {
+func (b *zoneHarness) loanOutcomes() (ends []zones.LoanOutcome) {
 	for _, d := range b.decisions {
 		if e, ok := d.(zones.LoanEnded); ok {
-			ends = append(ends, e.End)
+			ends = append(ends, e.Outcome)
 		}
 	}
 	return ends
 }
 
-func (b *zoneBench) onlyEnds(t *testing.T, want zones.End) {
+func (b *zoneHarness) requireOutcomes(t *testing.T, want zones.LoanOutcome) {
 	t.Helper()
-	ends := b.ends()
-	if len(ends) == 0 || slices.ContainsFunc(ends, func(e zones.End) bool { return e != want }) {
-		t.Errorf("loans ended as %v, want %s:\n%s", ends, want, strings.Join(b.describe(), "\n"))
+	ends := b.loanOutcomes()
+	if len(ends) == 0 || slices.ContainsFunc(ends, func(e zones.LoanOutcome) bool { return e != want }) {
+		t.Errorf("loans ended as %v, want %s:\n%s", ends, want, strings.Join(b.describeDecisions(), "\n"))
 	}
-	b.loans.CheckAllClosed()
-	if len(b.loans.Violations) > 0 {
-		t.Error(b.loans.Violations[0])
+	b.loanOracle.CheckAllClosed()
+	if len(b.loanOracle.Violations) > 0 {
+		t.Error(b.loanOracle.Violations[0])
 	}
 }
--- /dev/null
+++ b/internal/coordination/scheduler/zoneloans.go
@@ -0,0 +1,85 @@
+package scheduler
+
+import (
+	"time"
+
+	"pinebay/internal/config"
+	"pinebay/internal/coordination/zones"
+)
+
+// openLoans enters the loans of a choice.
+func (c *Core) openLoans(now time.Duration, j *job, k *borrowableCapacity, choice zones.Choice) error {
+	z := c.zoneFailover
+	var loans []zones.Loan
+	for _, task := range choice.Lenders {
+		pl := c.jobs[task.Job].places[task.Task]
+		z.lastLoanNumber++
+		loans = append(loans, zones.Loan{
+			Term: c.term, Number: z.lastLoanNumber, Lender: task, Borrower: j.spec.ID, Machine: pl.Machine, Zone: j.displacedFrom,
+			LostSeconds: c.lostWorkSeconds(now, pl), CreatedMS: c.wallClockMS(now),
+			ExpiresMS: c.wallClockMS(now + config.Seconds(writeOffCancelTimes*c.cfg.Workers.CancelSeconds)),
+		})
+	}
+	if err := z.ledger.Open(loans...); err != nil {
+		return err
+	}
+	for _, loan := range loans {
+		z.awaitingPreemption[loan.Lender] = true
+		z.loansByJob[loan.Lender.Job]++
+		z.records.addLoan(loan.Lender, c.loansPerPage())
+		c.addDecision(zones.LoanMade{Loan: loan})
+	}
+	return nil
+}
+
+// preemptLenders stops the lenders of loans that are recorded now.
+func (c *Core) preemptLenders(now time.Duration, loans []zones.Loan) {
+	for _, loan := range loans {
+		if !c.zoneFailover.awaitingPreemption[loan.Lender] {
+			continue
+		}
+		delete(c.zoneFailover.awaitingPreemption, loan.Lender)
+		lender, borrower := c.jobs[loan.Lender.Job], c.jobs[loan.Borrower]
+		if lender == nil || borrower == nil || c.held(borrower) {
+			continue // settled as not taken, or with the end of its job
+		}
+		pl := lender.places[loan.Lender.Task]
+		if pl == nil || pl.Attempt != loan.Lender.Attempt || pl.Stopping {
+			continue
+		}
+		c.stopFor(now, pl, loan.Borrower, c.patience(now, borrower, 0))
+	}
+}
+
+// closeFinishedLoans ends the loans that are over.
+func (c *Core) closeFinishedLoans(now time.Duration) {
+	z := c.zoneFailover
+	for _, loan := range z.ledger.Loans() {
+		end := c.loanOutcome(now, loan)
+		if end == "" {
+			continue
+		}
+		z.ledger.Close(loan.Lender)
+		delete(z.awaitingPreemption, loan.Lender)
+		z.records.removeLoan(loan.Lender)
+		c.addDecision(zones.LoanEnded{Loan: loan, Outcome: end})
+	}
+}
+
+// loanOutcome says how a loan has ended, or "" while it is open.
+func (c *Core) loanOutcome(now time.Duration, loan zones.Loan) zones.LoanOutcome {
+	j := c.jobs[loan.Lender.Job]
+	if j == nil || j.over || loan.Lender.Task >= len(j.tasks) || j.tasks[loan.Lender.Task] == done {
+		return zones.LenderEnded
+	}
+	pl := j.places[loan.Lender.Task]
+	switch {
+	case pl != nil && pl.Attempt != loan.Lender.Attempt && pl.StartAllowed:
+		return zones.Repaid
+	case pl != nil && pl.Attempt == loan.Lender.Attempt && !pl.Stopping && !c.zoneFailover.awaitingPreemption[loan.Lender]:
+		return zones.LenderNotPreempted
+	case c.wallClockMS(now) > loan.ExpiresMS:
+		return zones.WrittenOff
+	}
+	return ""
+}
--- a/internal/coordination/scheduler/loans_test.go
+++ b/internal/coordination/scheduler/zoneloans_test.go
@@ -12,89 +12,89 @@
 	"pinebay/internal/storage"
 )
 
-// lendingBench is a fleet of three machines a zone, all of them full. Zone a has an urgent gang
+// newLendingHarness is a fleet of three machines a zone, all of them full. Zone a has an urgent gang
 // of one task, and arrays that cannot be elsewhere; zone b has lower arrays that lend. An
 // array has so many tasks, which fill a machine together.
-func lendingBench(t *testing.T, tasks int) *zoneBench {
+func newLendingHarness(t *testing.T, tasks int) *zoneHarness {
 	t.Helper()
-	b := newZoneBench(zones.DefaultOrder(), config.Team{Name: "red"})
+	b := newZoneHarness(zones.DefaultRecoveryOrder(), config.Team{Name: "red"})
 	for i := range 6 {
 		name := fmt.Sprintf("m%02d", i)
 		b.tasks[name], b.zone[name] = map[protocol.TaskID]protocol.TaskStatus{}, []string{"a", "b"}[i%2]
 	}
-	b.seconds(2)
+	b.runSeconds(2)
 	gang := spec("j-0", protocol.Gang, "urgent", 1, 8)
 	gang.Zone = "a"
 	b.submit(gang)
-	b.seconds(3)
+	b.runSeconds(3)
 	b.c.jobs["j-0"].spec.Zone = "" // it was there by chance, and may go anywhere
 	for i, id := range []string{"j-1", "j-2", "j-3", "j-4", "j-5"} {
 		low := spec(id, protocol.Array, "best_effort", tasks, float64(8/tasks))
 		low.Zone = []string{"b", "a"}[i%2]
 		b.submit(low)
 	}
-	b.seconds(4)
-	if n, want := len(b.placed()), 1+5*tasks; n != want {
+	b.runSeconds(4)
+	if n, want := len(b.placedAttempts()), 1+5*tasks; n != want {
 		t.Fatalf("%d of %d tasks are placed", n, want)
 	}
-	b.lose()
+	b.loseZone()
 	return b
 }
 
 // TestLoanIsRepaid: a lost gang takes the room of least-lost lower work, which has room again
 // when the zone is back.
 func TestLoanIsRepaid(t *testing.T) {
-	b := lendingBench(t, 2)
-	b.untilLoan(t)
-	b.seconds(5)
+	b := newLendingHarness(t, 2)
+	b.runUntilLoan(t)
+	b.runSeconds(5)
 	if b.c.jobs["j-0"].counts[placed] != 1 {
 		t.Fatal("the gang is not back")
 	}
 	for _, id := range []string{"j-1", "j-3", "j-5"} {
 		b.c.jobs[id].spec.Zone = "" // so that the lenders may go where room comes back
 	}
-	b.giveBack(func(int) bool { return true })
-	b.seconds(30)
-	b.onlyEnds(t, zones.Repaid)
-	if fenced := countOf[zones.MachineFenced](b.decisions); fenced != 1 {
+	b.restoreZone(func(int) bool { return true })
+	b.runSeconds(30)
+	b.requireOutcomes(t, zones.Repaid)
+	if fenced := countDecisions[zones.MachineFenced](b.decisions); fenced != 1 {
 		t.Errorf("%d machines fenced, want the gang's alone", fenced)
 	}
 }
 
 // TestLoanIsRecordedFirst: while its record is not written no lender is stopped.
 func TestLoanIsRecordedFirst(t *testing.T) {
-	b := lendingBench(t, 2)
-	before := b.placed()
-	b.refuse = func(w Write) bool { return strings.HasPrefix(w.Verify, storage.ZoneFailoverPrefix) }
-	b.seconds(60)
-	if countOf[zones.LoanMade](b.decisions) == 0 {
+	b := newLendingHarness(t, 2)
+	before := b.placedAttempts()
+	b.unanswered = func(w Write) bool { return strings.HasPrefix(w.Verify, storage.ZoneFailoverPrefix) }
+	b.runSeconds(60)
+	if countDecisions[zones.LoanMade](b.decisions) == 0 {
 		t.Fatal("no loan was made")
 	}
 	for on := range before {
-		if lender := on.id.JobID; (lender == "j-1" || lender == "j-3" || lender == "j-5") && !b.placed()[on] {
+		if lender := on.id.JobID; (lender == "j-1" || lender == "j-3" || lender == "j-5") && !b.placedAttempts()[on] {
 			t.Errorf("%v is stopped by a loan that is not recorded", on.id)
 		}
 	}
-	b.refuse = nil
-	b.seconds(10)
+	b.unanswered = nil
+	b.runSeconds(10)
 	if b.c.jobs["j-0"].counts[placed] != 1 {
 		t.Error("the gang is not back after the record was written")
 	}
 }
 
-// TestLeaderEndsBeforeTaking: a loan that is recorded, but whose leader ended before it stopped
+// TestLeaderCrashBeforePreemptingLender: a loan that is recorded, but whose leader ended before it stopped
 // the lender, is found and ended by the next leader without harm to the lender.
-func TestLeaderEndsBeforeTaking(t *testing.T) {
-	b := lendingBench(t, 2)
-	b.untilLoan(t)
-	loan := b.c.returning.ledger.Loans()[0]
-	rec := &storage.ZoneFailoverRecord{Format: storage.ZoneFailoverFormat, Loans: []storage.LoanRow{rowOf(loan)},
+func TestLeaderCrashBeforePreemptingLender(t *testing.T) {
+	b := newLendingHarness(t, 2)
+	b.runUntilLoan(t)
+	loan := b.c.zoneFailover.ledger.Loans()[0]
+	rec := &storage.ZoneFailoverRecord{Format: storage.ZoneFailoverFormat, Loans: []storage.LoanRow{loanToRow(loan)},
 		Zones: []storage.ZoneRow{{Name: "a", State: int(zones.Lost), SinceMS: b.now.Milliseconds()}}}
 	value, err := protocol.Encode(rec)
 	if err != nil {
 		t.Fatal(err)
 	}
-	next := newZoneBench(zones.DefaultOrder(), config.Team{Name: "red"})
+	next := newZoneHarness(zones.DefaultRecoveryOrder(), config.Team{Name: "red"})
 	next.now = b.now
 	next.records[storage.ZoneFailoverKey(0)] = protocol.KeyValue{Key: storage.ZoneFailoverKey(0), Value: value, Revision: 3}
 	page := storage.PlacementPage{HighestAttempt: loan.Lender.Attempt, Team: "red", GPUs: 4, CPUs: 1, MemoryGB: 1, Zones: []string{"b"},
@@ -112,20 +112,20 @@
 		Types: []protocol.MachineType{*b.c.machines.MachineType("g8")}, Live: []protocol.KeyValue{{Key: storage.LiveJobKey(low.ID), Value: live, Revision: 1}},
 		Pages: []protocol.KeyValue{{Key: productionPage(low.ID, 0), Value: raw, Revision: 2}}, ZonePages: []protocol.KeyValue{next.records[storage.ZoneFailoverKey(0)]},
 	}, next.now.Milliseconds(), next.order)
-	if next.c.returning.monitor.State("a") != zones.Lost || next.c.returning.ledger.Len() != 1 {
-		t.Fatalf("the records are not taken over: %+v", next.c.returning.monitor.Zones())
+	if next.c.zoneFailover.monitor.State("a") != zones.Lost || next.c.zoneFailover.ledger.Len() != 1 {
+		t.Fatalf("the records are not taken over: %+v", next.c.zoneFailover.monitor.Zones())
 	}
 	next.tasks[loan.Machine], next.zone[loan.Machine] = map[protocol.TaskID]protocol.TaskStatus{
 		{JobID: low.ID, Index: loan.Lender.Task}: running(protocol.TaskID{JobID: low.ID, Index: loan.Lender.Task}, loan.Lender.Attempt)}, "b"
 	next.seq[loan.Machine], next.token[loan.Machine] = 100, protocol.FencingToken(5, 0)
-	next.seconds(3)
-	if ends := next.ends(); len(ends) != 1 || ends[0] != zones.NotTaken {
+	next.runSeconds(3)
+	if ends := next.loanOutcomes(); len(ends) != 1 || ends[0] != zones.LenderNotPreempted {
 		t.Errorf("ended as %v", ends)
 	}
 	if len(next.stops) > 0 {
 		t.Errorf("the lender was stopped: %v", next.stops)
 	}
-	if rows := next.recordedLoans(); len(rows) != 0 {
+	if rows := next.storedLoans(); len(rows) != 0 {
 		t.Errorf("still recorded: %+v", rows)
 	}
 }
@@ -133,33 +133,33 @@
 // TestLoanEndsWithItsJobs: a lender that is cancelled ends its loan, and a borrower that ends
 // early gives the room back.
 func TestLoanEndsWithItsJobs(t *testing.T) {
-	b := lendingBench(t, 2)
-	b.untilLoan(t)
-	b.seconds(3)
-	lender := b.c.returning.ledger.Loans()[0].Lender.Job
+	b := newLendingHarness(t, 2)
+	b.runUntilLoan(t)
+	b.runSeconds(3)
+	lender := b.c.zoneFailover.ledger.Loans()[0].Lender.Job
 	b.step(JobDropped{ID: lender})
-	b.seconds(5)
-	if !slices.Contains(b.ends(), zones.LenderEnded) {
-		t.Errorf("the cancelled lender's loan: %v", b.ends())
+	b.runSeconds(5)
+	if !slices.Contains(b.loanOutcomes(), zones.LenderEnded) {
+		t.Errorf("the cancelled lender's loan: %v", b.loanOutcomes())
 	}
 
-	b = lendingBench(t, 2)
-	b.untilLoan(t)
-	b.seconds(3)
+	b = newLendingHarness(t, 2)
+	b.runUntilLoan(t)
+	b.runSeconds(3)
 	b.step(JobDropped{ID: "j-0"})
-	b.seconds(30)
-	b.onlyEnds(t, zones.Repaid)
+	b.runSeconds(30)
+	b.requireOutcomes(t, zones.Repaid)
 }
 
 // TestGangShortByOne: for a lost gang of two there is room for one task elsewhere. Nobody lends for
 // that, no machine is returned for it, and the gang starts whole when the zone is back.
 func TestGangShortByOne(t *testing.T) {
-	b := newZoneBench(zones.DefaultOrder(), config.Team{Name: "red"})
+	b := newZoneHarness(zones.DefaultRecoveryOrder(), config.Team{Name: "red"})
 	for i := range 6 {
 		name := fmt.Sprintf("m%02d", i)
 		b.tasks[name], b.zone[name] = map[protocol.TaskID]protocol.TaskStatus{}, []string{"a", "b"}[i%2]
 	}
-	b.seconds(2)
+	b.runSeconds(2)
 	for i, j := range []protocol.Job{spec("j-0", protocol.Gang, "urgent", 2, 8), spec("j-1", protocol.Service, "critical", 2, 8), spec("j-2", protocol.Service, "critical", 1, 8)} {
 		j.Zone = []string{"a", "b", "a"}[i]
 		b.submit(j)
@@ -167,83 +167,83 @@
 	low := spec("j-3", protocol.Array, "best_effort", 2, 4)
 	low.Zone = "b"
 	b.submit(low)
-	b.seconds(5)
+	b.runSeconds(5)
 	b.c.jobs["j-0"].spec.Zone = "" // it was there by chance, and may go anywhere
-	b.lose()
-	b.seconds(60)
-	if countOf[zones.LoanMade](b.decisions)+countOf[zones.MachineFenced](b.decisions) > 0 || len(b.stops) > 0 {
-		t.Fatalf("room is taken for half of a gang:\n%s", strings.Join(b.describe(), "\n"))
+	b.loseZone()
+	b.runSeconds(60)
+	if countDecisions[zones.LoanMade](b.decisions)+countDecisions[zones.MachineFenced](b.decisions) > 0 || len(b.stops) > 0 {
+		t.Fatalf("room is taken for half of a gang:\n%s", strings.Join(b.describeDecisions(), "\n"))
 	}
-	b.giveBack(func(int) bool { return true })
-	b.seconds(5)
+	b.restoreZone(func(int) bool { return true })
+	b.runSeconds(5)
 	if got := b.c.jobs["j-0"].counts[placed]; got != 2 {
 		t.Errorf("%d of 2 tasks are placed when the zone is back", got)
 	}
 }
 
-// TestNoBackfillWhileRoomIsLent: in its fourth short cycle a gang opens the room that it has to
+// TestNoBackfillWhileCapacityIsLent: in its fourth short cycle a gang opens the room that it has to
 // smaller jobs, but not while the rest of its room is lent and coming free.
-func TestNoBackfillWhileRoomIsLent(t *testing.T) {
-	b := lendingBench(t, 1)
-	b.seconds(20)
-	if b.c.returning.monitor.State("a") != zones.Lost {
+func TestNoBackfillWhileCapacityIsLent(t *testing.T) {
+	b := newLendingHarness(t, 1)
+	b.runSeconds(20)
+	if b.c.zoneFailover.monitor.State("a") != zones.Lost {
 		t.Fatal("zone a is not lost")
 	}
 	b.step(JobDropped{ID: "j-1"}) // its machine comes free with the next second
-	b.second()
+	b.runSecond()
 	gang := spec("j-8", protocol.Gang, "urgent", 2, 8)
 	small := spec("j-9", protocol.Array, "normal", 1, 8)
 	gang.Zone, small.Zone = "b", "b"
 	b.submit(gang)
 	b.submit(small)
 	b.c.jobs["j-8"].displacedFrom, b.c.jobs["j-8"].short = "a", shortCycles
-	b.second()
-	if countOf[zones.LoanMade](b.decisions) == 0 {
-		t.Fatalf("nothing was lent:\n%s", strings.Join(b.describe(), "\n"))
+	b.runSecond()
+	if countDecisions[zones.LoanMade](b.decisions) == 0 {
+		t.Fatalf("nothing was lent:\n%s", strings.Join(b.describeDecisions(), "\n"))
 	}
 	if b.c.jobs["j-9"].counts[placed] > 0 {
 		t.Error("a smaller job has the room")
 	}
-	b.seconds(5)
+	b.runSeconds(5)
 	if got := b.c.jobs["j-8"].counts[placed]; got != 2 {
 		t.Errorf("%d of 2 tasks of the gang are placed", got)
 	}
 }
 
-// TestNobodyLendsForPartOfAGang: a gang that would not be whole with all that may be lent gets
+// TestNoLoanForPartialGang: a gang that would not be whole with all that may be lent gets
 // nothing, and nobody is stopped for it in another way.
-func TestNobodyLendsForPartOfAGang(t *testing.T) {
-	b := lendingBench(t, 1)
-	b.seconds(20)
+func TestNoLoanForPartialGang(t *testing.T) {
+	b := newLendingHarness(t, 1)
+	b.runSeconds(20)
 	gang := spec("j-8", protocol.Gang, "urgent", 4, 8)
 	gang.Zone = "b"
 	b.submit(gang)
 	b.c.jobs["j-8"].displacedFrom = "a"
-	before := b.placed()
-	b.seconds(8)
-	if countOf[zones.LoanMade](b.decisions) > 0 {
-		t.Errorf("room was lent:\n%s", strings.Join(b.describe(), "\n"))
+	before := b.placedAttempts()
+	b.runSeconds(8)
+	if countDecisions[zones.LoanMade](b.decisions) > 0 {
+		t.Errorf("room was lent:\n%s", strings.Join(b.describeDecisions(), "\n"))
 	}
 	for on := range before {
-		if !b.placed()[on] {
+		if !b.placedAttempts()[on] {
 			t.Errorf("%v was stopped", on.id)
 		}
 	}
 }
 
-// TestGuaranteeBoundsWhatIsLent: each task of a team is beyond its guarantee, but not all of them
+// TestQuotaBoundsLoans: each task of a team is beyond its guarantee, but not all of them
 // together; they do not lend together what the team is guaranteed.
-func TestGuaranteeBoundsWhatIsLent(t *testing.T) {
+func TestQuotaBoundsLoans(t *testing.T) {
 	for _, row := range []struct {
 		guarantee float64
 		lends     bool
 	}{{8, false}, {4, true}} {
-		b := newZoneBench(zones.DefaultOrder(), config.Team{Name: "red", GuaranteedGPUs: row.guarantee}, config.Team{Name: "blue"})
+		b := newZoneHarness(zones.DefaultRecoveryOrder(), config.Team{Name: "red", GuaranteedGPUs: row.guarantee}, config.Team{Name: "blue"})
 		for i := range 6 {
 			name := fmt.Sprintf("m%02d", i)
 			b.tasks[name], b.zone[name] = map[protocol.TaskID]protocol.TaskStatus{}, []string{"a", "b"}[i%2]
 		}
-		b.seconds(2)
+		b.runSeconds(2)
 		for _, j := range []protocol.Job{
 			spec("j-2", protocol.Array, "critical", 2, 6),
 			spec("j-1", protocol.Array, "best_effort", 2, 4), // of red, the only ones whose machine could be had
@@ -254,21 +254,21 @@
 				j.Team = "blue"
 			}
 			b.submit(j)
-			b.seconds(2)
+			b.runSeconds(2)
 		}
 		if used := b.c.machines.TeamUsage("red").GPUs; used != 10 {
 			t.Fatalf("red uses %v of 10 GPUs", used)
 		}
-		b.lose()
-		b.seconds(20)
+		b.loseZone()
+		b.runSeconds(20)
 		gang := spec("j-8", protocol.Gang, "urgent", 1, 8)
 		gang.Zone, gang.Team = "b", "blue"
 		b.submit(gang)
 		b.c.jobs["j-8"].displacedFrom = "a"
-		b.c.returning.monitor.Restore(zones.Zone{Name: "a", State: zones.Lost, Since: b.now})
-		b.seconds(5)
-		if got := countOf[zones.LoanMade](b.decisions) > 0; got != row.lends {
-			t.Errorf("guarantee %v: lent %v, want %v\n%s", row.guarantee, got, row.lends, strings.Join(b.describe(), "\n"))
+		b.c.zoneFailover.monitor.Restore(zones.Zone{Name: "a", State: zones.Lost, Since: b.now})
+		b.runSeconds(5)
+		if got := countDecisions[zones.LoanMade](b.decisions) > 0; got != row.lends {
+			t.Errorf("guarantee %v: lent %v, want %v\n%s", row.guarantee, got, row.lends, strings.Join(b.describeDecisions(), "\n"))
 		}
 	}
 }
--- a/internal/coordination/scheduler/zonewatch.go
+++ b/internal/coordination/scheduler/zonestates.go
@@ -9,18 +9,18 @@
 	"pinebay/internal/coordination/zones"
 )
 
-// zoneFacts counts the machines of each zone by how they were heard.
-func (c *Core) zoneFacts(now time.Duration) []zones.Facts {
-	var facts []zones.Facts
+// observeZones counts the machines of each zone by how they were heard.
+func (c *Core) observeZones(now time.Duration) []zones.Observation {
+	var facts []zones.Observation
 	index := map[string]int{}
-	for _, zone := range c.returning.monitor.Zones() {
+	for _, zone := range c.zoneFailover.monitor.Zones() {
 		index[zone.Name] = len(facts)
-		facts = append(facts, zones.Facts{Zone: zone.Name})
+		facts = append(facts, zones.Observation{Zone: zone.Name})
 	}
-	for _, zone := range c.returning.left {
-		facts[index[zone]].Left++
+	for _, zone := range c.zoneFailover.departedMachines {
+		facts[index[zone]].Departed++
 	}
-	expired := c.leaseOver()
+	expired := c.maxLeaseLifetime()
 	c.machines.Each(func(m *partition.Machine) {
 		i, ok := index[m.Zone]
 		if !ok || m.Terminating {
@@ -28,16 +28,16 @@
 		}
 		f := &facts[i]
 		if !m.Registered && m.PlacementCount() == 0 {
-			f.Coming++
+			f.Booting++
 			return
 		}
 		f.Machines++
 		switch quiet := now - m.LastHeartbeat; {
 		case m.Registered && quiet <= c.machines.SilenceTimeout():
-			f.Heard++
+			f.Reachable++
 		case quiet > expired:
 			f.Silent++
-			f.Expired++
+			f.LeaseExpired++
 		case quiet > c.machines.SilenceTimeout():
 			f.Silent++
 		}
@@ -45,15 +45,15 @@
 	return facts
 }
 
-// leaseOver is after what silence no lease can still be renewed: whoever renews without the
+// maxLeaseLifetime is after what silence no lease can still be renewed: whoever renews without the
 // leader's knowledge gives up within half a lease, and the lease then takes its time.
-func (c *Core) leaseOver() time.Duration {
+func (c *Core) maxLeaseLifetime() time.Duration {
 	return config.Seconds(c.cfg.Workers.LeaseSeconds*3/2 + c.cfg.Workers.HeartbeatSeconds)
 }
 
-// inspectZone asks the machines of a zone that returns how they stand, without waiting for
+// probeZone asks the machines of a zone that returns how they stand, without waiting for
 // their workers to find the leader.
-func (c *Core) inspectZone(zone string) {
+func (c *Core) probeZone(zone string) {
 	c.machines.Each(func(m *partition.Machine) {
 		if m.Zone == zone && m.Addr != "" && !m.Terminating {
 			c.inspector.queue = append(c.inspector.queue, Inspect{m.Name, m.Addr})
@@ -65,43 +65,43 @@
 func (c *Core) setZonePolicies(now time.Duration) {
 	policies := map[string]fleet.ZonePolicy{}
 	lease := config.Seconds(c.cfg.Workers.LeaseSeconds)
-	for _, zone := range c.returning.monitor.Zones() {
+	for _, zone := range c.zoneFailover.monitor.Zones() {
 		switch zone.State {
 		case zones.Suspected:
-			policies[zone.Name] = fleet.ZonePolicy{NoScaleOut: true, NoFencingUntil: zone.Since + 2*c.leaseOver()}
+			policies[zone.Name] = fleet.ZonePolicy{NoScaleOut: true, NoFencingUntil: zone.Since + 2*c.maxLeaseLifetime()}
 		case zones.Lost:
-			policies[zone.Name] = c.lostPolicy(now, zone)
+			policies[zone.Name] = c.lostZonePolicy(now, zone)
 		case zones.Returning:
 			// Until a machine there is heard, one at a time shows whether others would be.
-			policies[zone.Name] = fleet.ZonePolicy{ProbeOnly: zone.Evidence.Heard == 0, NoFencingUntil: zone.Since + lease}
+			policies[zone.Name] = fleet.ZonePolicy{ProbeOnly: zone.Evidence.Reachable == 0, NoFencingUntil: zone.Since + lease}
 		}
 	}
 	c.fleet.SetZonePolicies(policies)
 }
 
-// lostPolicy is how the fleet treats a lost zone. Where machines are cut off, new ones would not
+// lostZonePolicy is how the fleet treats a lost zone. Where machines are cut off, new ones would not
 // be heard either, and are tried one at a time. Where all have died, new ones will do as soon
 // as the cloud has some.
-func (c *Core) lostPolicy(now time.Duration, zone zones.Zone) fleet.ZonePolicy {
+func (c *Core) lostZonePolicy(now time.Duration, zone zones.Zone) fleet.ZonePolicy {
 	lease := config.Seconds(c.cfg.Workers.LeaseSeconds)
-	if zone.Evidence.Machines == 0 && zone.Evidence.Left > 0 {
+	if zone.Evidence.Machines == 0 && zone.Evidence.Departed > 0 {
 		return fleet.ZonePolicy{}
 	}
-	probe := now-zone.Since > probeLeases*lease
-	return fleet.ZonePolicy{NoScaleOut: !probe, ProbeOnly: probe, IgnoreSilent: true, NoFencingUntil: zone.Since + keepLeases*lease}
+	probe := now-zone.Since > probeLostZoneLeases*lease
+	return fleet.ZonePolicy{NoScaleOut: !probe, ProbeOnly: probe, IgnoreSilent: true, NoFencingUntil: zone.Since + retainLostZoneLeases*lease}
 }
 
-// left notes that a machine has failed, or has left the cloud's list by itself, while its zone
+// noteDepartedMachine notes that a machine has failed, or has left the cloud's list by itself, while its zone
 // is not as it should be.
-func (c *Core) left(name string) {
+func (c *Core) noteDepartedMachine(name string) {
 	m := c.machines.Machine(name)
-	if c.returning == nil || m == nil || c.returning.monitor.State(m.Zone) == zones.Available {
+	if c.zoneFailover == nil || m == nil || c.zoneFailover.monitor.State(m.Zone) == zones.Available {
 		return
 	}
-	c.returning.left[name] = m.Zone
+	c.zoneFailover.departedMachines[name] = m.Zone
 }
 
-// lostZone says whether a zone is lost.
-func (c *Core) lostZone(zone string) bool {
-	return c.returning != nil && c.returning.monitor.State(zone) == zones.Lost
+// isZoneLost says whether a zone is lost.
+func (c *Core) isZoneLost(zone string) bool {
+	return c.zoneFailover != nil && c.zoneFailover.monitor.State(zone) == zones.Lost
 }
--- a/internal/coordination/zones/decision.go
+++ b/internal/coordination/zones/decisions.go
@@ -16,18 +16,18 @@
 type (
 	// ZoneChanged says that a zone's state was judged anew.
 	ZoneChanged struct{ Change }
-	// OrderInForce says in which order work returns.
-	OrderInForce struct {
+	// RecoveryOrderInEffect says in which order work returns.
+	RecoveryOrderInEffect struct {
 		Order string
-		// Zones is how many zones there are; with a single one there is nothing to do.
-		Zones int
+		// ZoneCount is how many zones there are; with a single one there is nothing to do.
+		ZoneCount int
 	}
 	// LoanMade says that room was lent.
 	LoanMade struct{ Loan }
 	// LoanEnded says how a loan ended.
 	LoanEnded struct {
 		Loan
-		End End
+		Outcome LoanOutcome
 	}
 	// MachineFenced says that a machine of a lost zone is returned, since only that proves
 	// its tasks gone, and that there is room elsewhere for those of the named job.
@@ -35,16 +35,16 @@
 		Machine, Zone, Job string
 		LostFor            time.Duration
 	}
-	// RecordLeftAlone says that a record could not be used; its loans count as ended.
-	RecordLeftAlone struct{ Key, Reason string }
+	// RecordIgnored says that a record could not be used; its loans count as ended.
+	RecordIgnored struct{ Key, Reason string }
 )
 
-func (ZoneChanged) decision()     {}
-func (OrderInForce) decision()    {}
-func (LoanMade) decision()        {}
-func (LoanEnded) decision()       {}
-func (MachineFenced) decision()   {}
-func (RecordLeftAlone) decision() {}
+func (ZoneChanged) decision()           {}
+func (RecoveryOrderInEffect) decision() {}
+func (LoanMade) decision()              {}
+func (LoanEnded) decision()             {}
+func (MachineFenced) decision()         {}
+func (RecordIgnored) decision()         {}
 
 // Describe implements Decision.
 func (d ZoneChanged) Describe() string {
@@ -52,8 +52,8 @@
 }
 
 // Describe implements Decision.
-func (d OrderInForce) Describe() string {
-	if d.Zones < 2 {
+func (d RecoveryOrderInEffect) Describe() string {
+	if d.ZoneCount < 2 {
 		return "order of return: " + d.Order + "; a single zone, nothing to do"
 	}
 	return "order of return: " + d.Order
@@ -63,7 +63,7 @@
 func (d LoanMade) Describe() string { return "loan " + d.Loan.String() }
 
 // Describe implements Decision.
-func (d LoanEnded) Describe() string { return fmt.Sprintf("loan %s: %s", d.Loan, d.End) }
+func (d LoanEnded) Describe() string { return fmt.Sprintf("loan %s: %s", d.Loan, d.Outcome) }
 
 // Describe implements Decision.
 func (d MachineFenced) Describe() string {
@@ -71,6 +71,6 @@
 }
 
 // Describe implements Decision.
-func (d RecordLeftAlone) Describe() string {
+func (d RecordIgnored) Describe() string {
 	return fmt.Sprintf("record %s is left alone, its loans count as ended: %s", d.Key, d.Reason)
 }
--- a/internal/coordination/zones/ledger_test.go
+++ b/internal/coordination/zones/ledger_test.go
@@ -14,10 +14,10 @@
 	rapid.Check(t, func(t *rapid.T) {
 		const most = 8
 		l := NewLedger(most)
-		open := map[LentTask]bool{}
+		open := map[TaskAttempt]bool{}
 		for i := range rapid.IntRange(1, 40).Draw(t, "steps") {
-			task := func() LentTask {
-				return LentTask{Job: fmt.Sprintf("j-%d", rapid.IntRange(0, 3).Draw(t, "job")), Task: rapid.IntRange(0, 2).Draw(t, "task"), Attempt: 1}
+			task := func() TaskAttempt {
+				return TaskAttempt{Job: fmt.Sprintf("j-%d", rapid.IntRange(0, 3).Draw(t, "job")), Task: rapid.IntRange(0, 2).Draw(t, "task"), Attempt: 1}
 			}
 			if rapid.Bool().Draw(t, "close") {
 				lender := task()
@@ -29,16 +29,16 @@
 			}
 			var loans []Loan
 			twice := false
-			fresh := map[LentTask]bool{}
+			fresh := map[TaskAttempt]bool{}
 			for n := range rapid.IntRange(1, 3).Draw(t, "loans") {
 				lender := task()
 				twice = twice || open[lender] || fresh[lender]
 				fresh[lender] = true
-				loans = append(loans, Loan{Number: uint64(10*i + n), Lender: lender, AtMS: int64(i), LostS: 2})
+				loans = append(loans, Loan{Number: uint64(10*i + n), Lender: lender, CreatedMS: int64(i), LostSeconds: 2})
 			}
 			err := l.Open(loans...)
 			full := len(open)+len(loans) > most
-			if (err != nil) != (twice || full) || err != nil && !errors.Is(err, ErrLedgerFull) && !errors.Is(err, ErrLentAlready) {
+			if (err != nil) != (twice || full) || err != nil && !errors.Is(err, ErrLedgerFull) && !errors.Is(err, ErrAlreadyLent) {
 				t.Fatalf("%v: twice %v, full %v", err, twice, full)
 			}
 			if err == nil {
@@ -53,7 +53,7 @@
 		}
 		owed := 0.0
 		for i, loan := range loans {
-			if !open[loan.Lender] || i > 0 && loans[i-1].AtMS > loan.AtMS {
+			if !open[loan.Lender] || i > 0 && loans[i-1].CreatedMS > loan.CreatedMS {
 				t.Fatalf("%v after %v", loan, loans[max(0, i-1)])
 			}
 		}
--- a/internal/coordination/zones/lenders_test.go
+++ b/internal/coordination/zones/lenders_test.go
@@ -15,19 +15,19 @@
 // gpus is room that is short of GPUs alone.
 func gpus(n int) partition.Resources { return partition.Resources{GPUs: float64(n)} }
 
-// drawCase makes up a request, and machines with what runs on them.
-func drawCase(rng *rand.Rand) (Request, []Offer) {
-	r := Request{Need: gpus(1 + rng.IntN(8)), Tasks: 1 + rng.IntN(3), PerZone: map[string]int{"a": 1 + rng.IntN(3), "b": rng.IntN(3)}, JobCost: 3}
-	var offers []Offer
+// randomCase makes up a request, and machines with what runs on them.
+func randomCase(rng *rand.Rand) (CapacityRequest, []CapacityOffer) {
+	r := CapacityRequest{Need: gpus(1 + rng.IntN(8)), Tasks: 1 + rng.IntN(3), MaxPerZone: map[string]int{"a": 1 + rng.IntN(3), "b": rng.IntN(3)}, DisturbanceCost: 3}
+	var offers []CapacityOffer
 	gangs := map[int]int{}
 	for m := range 2 + rng.IntN(4) {
-		o := Offer{Machine: fmt.Sprintf("m%d", m), Zone: []string{"a", "b"}[rng.IntN(2)], Cost: float64(rng.IntN(5))}
+		o := CapacityOffer{Machine: fmt.Sprintf("m%d", m), Zone: []string{"a", "b"}[rng.IntN(2)], StartCost: float64(rng.IntN(5))}
 		left := 8
 		for left > 0 && rng.IntN(6) > 0 {
 			n := min(left, 1+rng.IntN(4))
 			left -= n
 			job := rng.IntN(6)
-			lender := Lender{Task: LentTask{Job: fmt.Sprintf("j-%d", job), Task: gangs[job], Attempt: 1}, Need: gpus(n), Cost: float64(rng.IntN(30)), Gang: job < 2}
+			lender := Lender{Task: TaskAttempt{Job: fmt.Sprintf("j-%d", job), Task: gangs[job], Attempt: 1}, Need: gpus(n), Cost: float64(rng.IntN(30)), Gang: job < 2}
 			gangs[job]++
 			o.Lenders = append(o.Lenders, lender)
 		}
@@ -37,9 +37,9 @@
 	return r, offers
 }
 
-// exact returns the least cost of room for all tasks, found by a pseudo-boolean solver, and
+// exactCost returns the least cost of room for all tasks, found by a pseudo-boolean solver, and
 // false if there is none.
-func exact(r Request, offers []Offer) (float64, bool) {
+func exactCost(r CapacityRequest, offers []CapacityOffer) (float64, bool) {
 	var weights []int
 	var literals []solver.Lit
 	variable := func(cost float64) int {
@@ -48,14 +48,14 @@
 		return len(literals)
 	}
 	var constraints []solver.PBConstr
-	leaves := map[LentTask]int{}
+	leaves := map[TaskAttempt]int{}
 	job := map[string]int{}
 	gang := map[string]int{}
 	for _, o := range offers {
 		for _, l := range o.Lenders {
 			leaves[l.Task] = variable(l.Cost)
 			if job[l.Task.Job] == 0 {
-				job[l.Task.Job] = variable(r.JobCost)
+				job[l.Task.Job] = variable(r.DisturbanceCost)
 			}
 			constraints = append(constraints, solver.PropClause(-leaves[l.Task], job[l.Task.Job])) // who leaves disturbs the job
 			if l.Gang {
@@ -72,7 +72,7 @@
 		// As many variables as tasks may start there; the room must hold them.
 		var lits, amounts []int
 		for range r.Tasks {
-			start := variable(o.Cost)
+			start := variable(o.StartCost)
 			all = append(all, start)
 			perZone[o.Zone] = append(perZone[o.Zone], start)
 			lits, amounts = append(lits, -start), append(amounts, int(r.Need.GPUs))
@@ -87,7 +87,7 @@
 	}
 	constraints = append(constraints, solver.AtLeast(all, r.Tasks))
 	for zone, starts := range perZone {
-		constraints = append(constraints, solver.AtMost(starts, r.PerZone[zone]))
+		constraints = append(constraints, solver.AtMost(starts, r.MaxPerZone[zone]))
 	}
 	problem := solver.ParsePBConstrs(constraints)
 	problem.SetCostFunc(literals, weights)
@@ -95,18 +95,18 @@
 	return float64(cost) / 10, cost >= 0
 }
 
-// TestChosenLenders: on drawn cases the choice has the room that it says, keeps zones and gangs
+// TestChooseLendersAgainstSolver: on drawn cases the choice has the room that it says, keeps zones and gangs
 // whole, and costs little more in all than the best that a solver finds. Where it finds room
 // for fewer tasks, the solver must be hard put too.
-func TestChosenLenders(t *testing.T) {
+func TestChooseLendersAgainstSolver(t *testing.T) {
 	rng := rand.New(rand.NewPCG(testkit.Seed(), 17))
 	const cases = 300
 	chosen, best, both, missed := 0.0, 0.0, 0, 0
 	for range cases {
-		r, offers := drawCase(rng)
+		r, offers := randomCase(rng)
 		got := ChooseLenders(r, offers)
 		checkChoice(t, r, offers, got)
-		least, ok := exact(r, offers)
+		least, ok := exactCost(r, offers)
 		switch {
 		case ok && len(got.Picks) == r.Tasks:
 			both++
@@ -128,9 +128,9 @@
 }
 
 // checkChoice checks that a choice is possible.
-func checkChoice(t *testing.T, r Request, offers []Offer, got Choice) {
+func checkChoice(t *testing.T, r CapacityRequest, offers []CapacityOffer, got Choice) {
 	t.Helper()
-	leaves := map[LentTask]bool{}
+	leaves := map[TaskAttempt]bool{}
 	for _, task := range got.Lenders {
 		if leaves[task] {
 			t.Fatalf("%v leaves twice", task)
@@ -143,8 +143,8 @@
 		starts[p.Machine]++
 	}
 	for zone, n := range zones {
-		if n > r.PerZone[zone] {
-			t.Fatalf("%d tasks in %s, of %d", n, zone, r.PerZone[zone])
+		if n > r.MaxPerZone[zone] {
+			t.Fatalf("%d tasks in %s, of %d", n, zone, r.MaxPerZone[zone])
 		}
 	}
 	for _, o := range offers {
@@ -166,7 +166,7 @@
 	}
 }
 
-func requireWholeGang(t *testing.T, offers []Offer, leaves map[LentTask]bool, job string) {
+func requireWholeGang(t *testing.T, offers []CapacityOffer, leaves map[TaskAttempt]bool, job string) {
 	t.Helper()
 	for _, o := range offers {
 		for _, l := range o.Lenders {
@@ -182,25 +182,25 @@
 func BenchmarkSolver(b *testing.B) {
 	rng := rand.New(rand.NewPCG(testkit.Seed(), 17))
 	for b.Loop() {
-		exact(drawCase(rng))
+		exactCost(randomCase(rng))
 	}
 }
 
 func BenchmarkGreedy(b *testing.B) {
 	rng := rand.New(rand.NewPCG(testkit.Seed(), 17))
 	for b.Loop() {
-		ChooseLenders(drawCase(rng))
+		ChooseLenders(randomCase(rng))
 	}
 }
 
 // BenchmarkChooseLenders shows what a choice costs among machines full of small tasks.
 func BenchmarkChooseLenders(b *testing.B) {
-	r := Request{Need: gpus(8), Tasks: 2, PerZone: map[string]int{"a": 2}, JobCost: 3}
-	var offers []Offer
+	r := CapacityRequest{Need: gpus(8), Tasks: 2, MaxPerZone: map[string]int{"a": 2}, DisturbanceCost: 3}
+	var offers []CapacityOffer
 	for m := range 100 {
-		o := Offer{Machine: fmt.Sprintf("m%d", m), Zone: "a"}
+		o := CapacityOffer{Machine: fmt.Sprintf("m%d", m), Zone: "a"}
 		for k := range 8 {
-			o.Lenders = append(o.Lenders, Lender{Task: LentTask{Job: fmt.Sprintf("j-%d", (m+k)%30), Task: m*8 + k}, Need: gpus(1), Cost: float64((m * k) % 17)})
+			o.Lenders = append(o.Lenders, Lender{Task: TaskAttempt{Job: fmt.Sprintf("j-%d", (m+k)%30), Task: m*8 + k}, Need: gpus(1), Cost: float64((m * k) % 17)})
 		}
 		offers = append(offers, o)
 	}
--- a/internal/coordination/zones/monitor.go
+++ b/internal/coordination/zones/monitor.go
@@ -33,53 +33,53 @@
 	return fmt.Sprintf("state %d", s)
 }
 
-// Facts is what is known of a zone's machines at a moment. A machine that has not been
+// Observation is what is known of a zone's machines at a moment. A machine that has not been
 // heard in this term, and not waited for long enough either, is in neither Heard nor
 // Silent.
-type Facts struct {
-	Zone     string
-	Machines int // that run, or may hold tasks
-	Heard    int // report, to whichever controller
-	Silent   int // have not been heard for a while
-	Expired  int // silent for so long that no lease there can still be renewed
-	Left     int // have left the cloud's list by themselves since the zone was last available
-	Coming   int // were rented and have not been heard yet
+type Observation struct {
+	Zone         string
+	Machines     int // that run, or may hold tasks
+	Reachable    int // report, to whichever controller
+	Silent       int // have not been heard for a while
+	LeaseExpired int // silent for so long that no lease there can still be renewed
+	Departed     int // have left the cloud's list by themselves since the zone was last available
+	Booting      int // were rented and have not been heard yet
 }
 
 // Evidence is what a zone's state was concluded from.
 type Evidence struct {
-	Facts
-	// OtherMachines and OtherHeard are those of all other zones. Where those are silent
+	Observation
+	// OtherMachines and OtherReachable are those of all other zones. Where those are silent
 	// as well, it is our own network that is lost.
-	OtherMachines, OtherHeard int
+	OtherMachines, OtherReachable int
 }
 
 // String returns the evidence in a form for logs.
 func (e Evidence) String() string {
 	return fmt.Sprintf("%d machines, %d heard, %d silent, %d beyond their lease, %d left; elsewhere %d of %d heard",
-		e.Machines, e.Heard, e.Silent, e.Expired, e.Left, e.OtherHeard, e.OtherMachines)
+		e.Machines, e.Reachable, e.Silent, e.LeaseExpired, e.Departed, e.OtherReachable, e.OtherMachines)
 }
 
 // Shares of a zone's machines that decide its state.
 const (
-	suspectShare = 1. / 2 // more silent ones make it suspected
-	clearShare   = 1. / 4 // no more silent ones clear it again
-	lostShare    = 3. / 4 // as many beyond their lease make it lost
-	relapseShare = 1. / 2 // fewer heard, of the most since its return began, are a relapse
+	suspectFraction = 1. / 2 // more silent ones make it suspected
+	clearFraction   = 1. / 4 // no more silent ones clear it again
+	lostFraction    = 3. / 4 // as many beyond their lease make it lost
+	relapseFraction = 1. / 2 // fewer heard, of the most since its return began, are a relapse
 )
 
-// fewMachines is how many machines a zone must have for their silence to say something of the
+// minMachinesToSuspect is how many machines a zone must have for their silence to say something of the
 // zone; fewer are fenced one by one, as ever.
-const fewMachines = 3
+const minMachinesToSuspect = 3
 
 // Holding times, in times of the base that a monitor is made with.
 const (
-	mostDoublings = 3 // of the holding time
-	decayHolds    = 8 // a flap is forgotten after so many base times
-	// emptyHolds is for how many holding times a lost zone must be without machines until nothing
+	maxHoldDoublings = 3 // of the holding time
+	flapDecayHolds   = 8 // a flap is forgotten after so many base times
+	// emptyZoneHolds is for how many holding times a lost zone must be without machines until nothing
 	// speaks against it any more. Without it the order of return stayed in force for good once the
 	// last machine of a lost zone had been returned and nothing asked for another.
-	emptyHolds = 4
+	emptyZoneHolds = 4
 )
 
 // Zone is the state of one zone.
@@ -90,10 +90,10 @@
 	Flaps    int // relapses that are not forgotten yet
 	Evidence Evidence
 
-	peak      int           // most machines heard since its return began
-	emptyFrom time.Duration // since when a lost zone has no machines
-	decayFrom time.Duration // when the last flap happened or was forgotten
-	returned  bool          // it has been away, as far as is remembered
+	peakReachable  int           // most machines heard since its return began
+	emptySince     time.Duration // since when a lost zone has no machines
+	flapDecaySince time.Duration // when the last flap happened or was forgotten
+	recentlyLost   bool          // it has been away, as far as is remembered
 }
 
 // Change says that a zone's state has changed.
@@ -117,7 +117,7 @@
 func NewMonitor(now, hold time.Duration, names []string) *Monitor {
 	m := &Monitor{hold: hold, zones: map[string]*Zone{}, names: slices.Sorted(slices.Values(names))}
 	for _, name := range m.names {
-		m.zones[name] = &Zone{Name: name, Since: now, decayFrom: now}
+		m.zones[name] = &Zone{Name: name, Since: now, flapDecaySince: now}
 	}
 	return m
 }
@@ -130,8 +130,8 @@
 		return
 	}
 	known.State, known.Since, known.Flaps = z.State, z.Since, max(0, z.Flaps)
-	known.decayFrom, known.returned = z.Since, z.State != Available
-	known.emptyFrom = max(known.emptyFrom, z.Since)
+	known.flapDecaySince, known.recentlyLost = z.Since, z.State != Available
+	known.emptySince = max(known.emptySince, z.Since)
 }
 
 // Zones returns the zones in the order of their names.
@@ -159,8 +159,8 @@
 	return 0, false
 }
 
-// Any says whether a zone is in one of the states.
-func (m *Monitor) Any(states ...State) bool {
+// AnyInState says whether a zone is in one of the states.
+func (m *Monitor) AnyInState(states ...State) bool {
 	for _, z := range m.zones {
 		if slices.Contains(states, z.State) {
 			return true
@@ -169,108 +169,108 @@
 	return false
 }
 
-// Step takes in the facts of all zones, and returns what has changed.
-func (m *Monitor) Step(now time.Duration, facts []Facts) []Change {
+// Observe takes in the facts of all zones, and returns what has changed.
+func (m *Monitor) Observe(now time.Duration, facts []Observation) []Change {
 	var changes []Change
 	for _, f := range facts {
 		z := m.zones[f.Zone]
 		if z == nil {
 			continue
 		}
-		e := Evidence{Facts: f}
+		e := Evidence{Observation: f}
 		for _, other := range facts {
 			if other.Zone != f.Zone {
 				e.OtherMachines += other.Machines
-				e.OtherHeard += other.Heard
+				e.OtherReachable += other.Reachable
 			}
 		}
-		m.forgetFlap(now, z)
-		if to := m.judge(now, z, e); to != z.State {
-			changes = append(changes, m.enter(now, z, to, e))
+		m.decayFlaps(now, z)
+		if to := m.nextState(now, z, e); to != z.State {
+			changes = append(changes, m.transition(now, z, to, e))
 		}
 	}
 	return changes
 }
 
-// judge returns the state that the evidence speaks for.
-func (m *Monitor) judge(now time.Duration, z *Zone, e Evidence) State {
+// nextState returns the state that the evidence speaks for.
+func (m *Monitor) nextState(now time.Duration, z *Zone, e Evidence) State {
 	z.Evidence = e
 	all := float64(e.Machines)
 	switch z.State {
 	case Available:
-		if e.suspicious() {
+		if e.mostlySilent() {
 			return Suspected
 		}
 	case Suspected:
 		switch {
-		case float64(e.Silent) <= clearShare*all && e.Heard > 0:
-			if z.returned {
+		case float64(e.Silent) <= clearFraction*all && e.Reachable > 0:
+			if z.recentlyLost {
 				return Returning
 			}
 			return Available
-		case e.suspicious() && float64(e.Expired) >= lostShare*all:
+		case e.mostlySilent() && float64(e.LeaseExpired) >= lostFraction*all:
 			return Lost
-		case e.Machines == 0 && e.Left > 0:
+		case e.Machines == 0 && e.Departed > 0:
 			return Lost // they are proven gone
 		case e.Machines == 0:
 			return Available // they were returned; nothing speaks against the zone
 		}
 	case Lost:
 		if e.Machines > 0 {
-			z.emptyFrom = now
+			z.emptySince = now
 		}
-		if e.Heard > 0 || now-z.emptyFrom >= emptyHolds*m.holdOf(z) {
+		if e.Reachable > 0 || now-z.emptySince >= emptyZoneHolds*m.holdTime(z) {
 			return Returning
 		}
 	case Returning:
-		z.peak = max(z.peak, e.Heard)
+		z.peakReachable = max(z.peakReachable, e.Reachable)
 		switch {
-		case float64(e.Heard) < relapseShare*float64(z.peak) && e.reference():
+		case float64(e.Reachable) < relapseFraction*float64(z.peakReachable) && e.otherZonesReachable():
 			return Suspected
-		case now-z.Since >= m.holdOf(z) && (e.Heard > 0 || e.Coming == 0):
+		case now-z.Since >= m.holdTime(z) && (e.Reachable > 0 || e.Booting == 0):
 			return Available // it is heard, or nothing there could be
 		}
 	}
 	return z.State
 }
 
-// suspicious says whether most of the zone's machines are silent while others are heard.
-func (e Evidence) suspicious() bool {
-	return e.Machines >= fewMachines && float64(e.Silent) > suspectShare*float64(e.Machines) && e.reference()
+// mostlySilent says whether most of the zone's machines are silent while others are heard.
+func (e Evidence) mostlySilent() bool {
+	return e.Machines >= minMachinesToSuspect && float64(e.Silent) > suspectFraction*float64(e.Machines) && e.otherZonesReachable()
 }
 
-// reference says whether the machines elsewhere are heard. Without it nothing can be said
+// otherZonesReachable says whether the machines elsewhere are heard. Without it nothing can be said
 // of a zone: it may be this controller that hears nobody.
-func (e Evidence) reference() bool {
-	return e.OtherMachines > 0 && 2*e.OtherHeard >= e.OtherMachines
+func (e Evidence) otherZonesReachable() bool {
+	return e.OtherMachines > 0 && 2*e.OtherReachable >= e.OtherMachines
 }
 
-// enter changes a zone's state.
-func (m *Monitor) enter(now time.Duration, z *Zone, to State, e Evidence) Change {
+// transition changes a zone's state.
+func (m *Monitor) transition(now time.Duration, z *Zone, to State, e Evidence) Change {
 	from := z.State
-	if to == Suspected && z.returned {
+	if to == Suspected && z.recentlyLost {
 		z.Flaps++
-		z.decayFrom = now
+		z.flapDecaySince = now
 	}
 	if to == Lost || to == Returning {
-		z.returned = true
+		z.recentlyLost = true
 	}
-	z.State, z.Since, z.peak, z.emptyFrom = to, now, e.Heard, now
-	return Change{Zone: z.Name, From: from, To: to, Hold: m.holdOf(z), Evidence: e}
+	z.State, z.Since, z.peakReachable, z.emptySince = to, now, e.Reachable, now
+	return Change{Zone: z.Name, From: from, To: to, Hold: m.holdTime(z), Evidence: e}
 }
 
-// holdOf is how long a zone's return is watched.
-func (m *Monitor) holdOf(z *Zone) time.Duration { return m.hold << min(z.Flaps, mostDoublings) }
+// holdTime is how long a zone's return is watched.
+func (m *Monitor) holdTime(z *Zone) time.Duration { return m.hold << min(z.Flaps, maxHoldDoublings) }
 
-// forgetFlap forgets a flap of a zone that has been available for long enough.
-func (m *Monitor) forgetFlap(now time.Duration, z *Zone) {
-	if z.State != Available || now-max(z.decayFrom, z.Since) < decayHolds*m.hold {
+// decayFlaps forgets a flap of a zone that has been available for long enough.
+func (m *Monitor) decayFlaps(now time.Duration, z *Zone) {
+	if z.State != Available || now-max(z.flapDecaySince, z.Since) < flapDecayHolds*m.hold {
 		return
 	}
-	z.decayFrom = now
+	z.flapDecaySince = now
 	if z.Flaps > 0 {
 		z.Flaps--
 		return
 	}
-	z.returned = false
+	z.recentlyLost = false
 }
--- a/internal/coordination/zones/monitor_test.go
+++ b/internal/coordination/zones/monitor_test.go
@@ -13,20 +13,20 @@
 
 const hold = 10 * time.Second
 
-// elsewhere are the machines of another zone, all of them heard.
-var elsewhere = Facts{Zone: "b", Machines: 10, Heard: 10}
+// otherZone are the machines of another zone, all of them heard.
+var otherZone = Observation{Zone: "b", Machines: 10, Reachable: 10}
 
 // TestZoneStates plays a zone through what may happen to it, a second a row.
 func TestZoneStates(t *testing.T) {
-	heard := Facts{Zone: "a", Machines: 10, Heard: 10}
-	silent := Facts{Zone: "a", Machines: 10, Silent: 10}
-	expired := Facts{Zone: "a", Machines: 10, Silent: 10, Expired: 10}
-	half := Facts{Zone: "a", Machines: 10, Heard: 5, Silent: 5, Expired: 5}
-	someHung := Facts{Zone: "a", Machines: 10, Heard: 6, Silent: 4, Expired: 4}
-	unheard := Facts{Zone: "a", Machines: 10}
-	network := Facts{Zone: "b", Machines: 10, Heard: 2, Silent: 8}
+	heard := Observation{Zone: "a", Machines: 10, Reachable: 10}
+	silent := Observation{Zone: "a", Machines: 10, Silent: 10}
+	expired := Observation{Zone: "a", Machines: 10, Silent: 10, LeaseExpired: 10}
+	half := Observation{Zone: "a", Machines: 10, Reachable: 5, Silent: 5, LeaseExpired: 5}
+	someHung := Observation{Zone: "a", Machines: 10, Reachable: 6, Silent: 4, LeaseExpired: 4}
+	unheard := Observation{Zone: "a", Machines: 10}
+	network := Observation{Zone: "b", Machines: 10, Reachable: 2, Silent: 8}
 	type row struct {
-		a, b  Facts
+		a, b  Observation
 		after time.Duration
 		want  State
 	}
@@ -34,33 +34,33 @@
 		name string
 		rows []row
 	}{
-		{"lost and back", []row{{silent, elsewhere, 1, Suspected}, {expired, elsewhere, 1, Lost}, {heard, elsewhere, 1, Returning},
-			{heard, elsewhere, hold - 1, Returning}, {heard, elsewhere, 2, Available}}},
-		{"silent for a moment", []row{{silent, elsewhere, 1, Suspected}, {heard, elsewhere, 1, Available}}},
+		{"lost and back", []row{{silent, otherZone, 1, Suspected}, {expired, otherZone, 1, Lost}, {heard, otherZone, 1, Returning},
+			{heard, otherZone, hold - 1, Returning}, {heard, otherZone, 2, Available}}},
+		{"silent for a moment", []row{{silent, otherZone, 1, Suspected}, {heard, otherZone, 1, Available}}},
 		{"our own network", []row{{expired, network, 1, Available}, {expired, network, hold, Available}}},
-		{"suspected, then our own network", []row{{silent, elsewhere, 1, Suspected}, {expired, network, 1, Suspected}, {expired, elsewhere, 1, Lost}}},
-		{"a few machines", []row{{someHung, elsewhere, 1, Available}}},
-		{"half of it", []row{{expired, elsewhere, 1, Suspected}, {expired, elsewhere, 1, Lost}, {half, elsewhere, 1, Returning}, {half, elsewhere, hold, Available}}},
-		{"all of it is gone", []row{{silent, elsewhere, 1, Suspected}, {Facts{Zone: "a", Left: 3}, elsewhere, 1, Lost}, {Facts{Zone: "a", Left: 3}, elsewhere, hold, Lost},
-			{heard, elsewhere, 1, Returning}}},
-		{"empty for long", []row{{silent, elsewhere, 1, Suspected}, {expired, elsewhere, 1, Lost}, {Facts{Zone: "a"}, elsewhere, emptyHolds*hold - 1, Lost},
-			{Facts{Zone: "a", Coming: 1}, elsewhere, 1, Returning}, {Facts{Zone: "a", Coming: 1}, elsewhere, 2 * hold, Returning}, {heard, elsewhere, 1, Available}}},
-		{"empty, and nothing is wanted there", []row{{silent, elsewhere, 1, Suspected}, {expired, elsewhere, 1, Lost}, {Facts{Zone: "a"}, elsewhere, emptyHolds * hold, Returning},
-			{Facts{Zone: "a"}, elsewhere, hold - 1, Returning}, {Facts{Zone: "a"}, elsewhere, 1, Available}}},
-		{"silent machines are no empty zone", []row{{silent, elsewhere, 1, Suspected}, {expired, elsewhere, 1, Lost}, {expired, elsewhere, 2 * emptyHolds * hold, Lost},
-			{Facts{Zone: "a"}, elsewhere, emptyHolds*hold - 1, Lost}}},
-		{"all of it was returned", []row{{silent, elsewhere, 1, Suspected}, {Facts{Zone: "a"}, elsewhere, 1, Available}}},
-		{"its tasks still run", []row{{silent, elsewhere, 1, Suspected}, {silent, elsewhere, hold, Suspected}}},
-		{"a new leader has not heard it yet", []row{{unheard, elsewhere, 1, Available}, {unheard, elsewhere, hold, Available}}},
-		{"it flaps", []row{{silent, elsewhere, 1, Suspected}, {expired, elsewhere, 1, Lost}, {heard, elsewhere, 1, Returning}, {silent, elsewhere, 1, Suspected},
-			{heard, elsewhere, 1, Returning}, {heard, elsewhere, hold + 1, Returning}, {heard, elsewhere, hold, Available}}},
-		{"single zone", []row{{expired, Facts{}, 1, Available}}},
+		{"suspected, then our own network", []row{{silent, otherZone, 1, Suspected}, {expired, network, 1, Suspected}, {expired, otherZone, 1, Lost}}},
+		{"a few machines", []row{{someHung, otherZone, 1, Available}}},
+		{"half of it", []row{{expired, otherZone, 1, Suspected}, {expired, otherZone, 1, Lost}, {half, otherZone, 1, Returning}, {half, otherZone, hold, Available}}},
+		{"all of it is gone", []row{{silent, otherZone, 1, Suspected}, {Observation{Zone: "a", Departed: 3}, otherZone, 1, Lost}, {Observation{Zone: "a", Departed: 3}, otherZone, hold, Lost},
+			{heard, otherZone, 1, Returning}}},
+		{"empty for long", []row{{silent, otherZone, 1, Suspected}, {expired, otherZone, 1, Lost}, {Observation{Zone: "a"}, otherZone, emptyZoneHolds*hold - 1, Lost},
+			{Observation{Zone: "a", Booting: 1}, otherZone, 1, Returning}, {Observation{Zone: "a", Booting: 1}, otherZone, 2 * hold, Returning}, {heard, otherZone, 1, Available}}},
+		{"empty, and nothing is wanted there", []row{{silent, otherZone, 1, Suspected}, {expired, otherZone, 1, Lost}, {Observation{Zone: "a"}, otherZone, emptyZoneHolds * hold, Returning},
+			{Observation{Zone: "a"}, otherZone, hold - 1, Returning}, {Observation{Zone: "a"}, otherZone, 1, Available}}},
+		{"silent machines are no empty zone", []row{{silent, otherZone, 1, Suspected}, {expired, otherZone, 1, Lost}, {expired, otherZone, 2 * emptyZoneHolds * hold, Lost},
+			{Observation{Zone: "a"}, otherZone, emptyZoneHolds*hold - 1, Lost}}},
+		{"all of it was returned", []row{{silent, otherZone, 1, Suspected}, {Observation{Zone: "a"}, otherZone, 1, Available}}},
+		{"its tasks still run", []row{{silent, otherZone, 1, Suspected}, {silent, otherZone, hold, Suspected}}},
+		{"a new leader has not heard it yet", []row{{unheard, otherZone, 1, Available}, {unheard, otherZone, hold, Available}}},
+		{"it flaps", []row{{silent, otherZone, 1, Suspected}, {expired, otherZone, 1, Lost}, {heard, otherZone, 1, Returning}, {silent, otherZone, 1, Suspected},
+			{heard, otherZone, 1, Returning}, {heard, otherZone, hold + 1, Returning}, {heard, otherZone, hold, Available}}},
+		{"single zone", []row{{expired, Observation{}, 1, Available}}},
 	} {
 		m := NewMonitor(0, hold, []string{"a", "b"})
 		now := time.Duration(0)
 		for i, r := range x.rows {
 			now += r.after
-			m.Step(now, []Facts{r.a, r.b})
+			m.Observe(now, []Observation{r.a, r.b})
 			if got := m.State("a"); got != r.want {
 				t.Errorf("%s: row %d: %s, want %s", x.name, i, got, r.want)
 				break
@@ -79,29 +79,29 @@
 		var lost, heardSince time.Duration = -1, -1
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(1, 8).Draw(t, "seconds")) * time.Second
-			var facts []Facts
+			var facts []Observation
 			for _, zone := range []string{"a", "b"} {
-				f := Facts{Zone: zone, Machines: rapid.IntRange(0, 8).Draw(t, "machines")}
-				f.Heard = rapid.IntRange(0, f.Machines).Draw(t, "heard")
-				f.Silent = f.Machines - f.Heard
-				f.Expired = rapid.IntRange(0, f.Silent).Draw(t, "expired")
+				f := Observation{Zone: zone, Machines: rapid.IntRange(0, 8).Draw(t, "machines")}
+				f.Reachable = rapid.IntRange(0, f.Machines).Draw(t, "heard")
+				f.Silent = f.Machines - f.Reachable
+				f.LeaseExpired = rapid.IntRange(0, f.Silent).Draw(t, "expired")
 				facts = append(facts, f)
 			}
-			for _, c := range m.Step(now, facts) {
+			for _, c := range m.Observe(now, facts) {
 				if c.Zone != "a" {
 					continue
 				}
 				f, other := facts[0], facts[1]
-				if c.To == Lost && f.Machines > 0 && (4*f.Expired < 3*f.Machines || 2*other.Heard < other.Machines) {
+				if c.To == Lost && f.Machines > 0 && (4*f.LeaseExpired < 3*f.Machines || 2*other.Reachable < other.Machines) {
 					t.Fatalf("lost with %+v and %+v", f, other)
 				}
-				if c.From == Lost && f.Machines > 0 && f.Heard == 0 {
+				if c.From == Lost && f.Machines > 0 && f.Reachable == 0 {
 					t.Fatalf("returning with %+v", f)
 				}
 				if c.To == Available && lost >= 0 && (heardSince < 0 || now-heardSince < hold) {
 					t.Fatalf("trusted %v after it was heard again", now-heardSince)
 				}
-				if c.Hold < hold || c.Hold > hold<<mostDoublings {
+				if c.Hold < hold || c.Hold > hold<<maxHoldDoublings {
 					t.Fatalf("held for %v", c.Hold)
 				}
 				switch c.To {
@@ -121,8 +121,8 @@
 func TestFlapsAreForgotten(t *testing.T) {
 	m := NewMonitor(0, hold, []string{"a", "b"})
 	m.Restore(Zone{Name: "a", State: Available, Flaps: 2})
-	for now := time.Duration(0); now <= 2*decayHolds*hold; now += time.Second {
-		m.Step(now, []Facts{{Zone: "a", Machines: 4, Heard: 4}, elsewhere})
+	for now := time.Duration(0); now <= 2*flapDecayHolds*hold; now += time.Second {
+		m.Observe(now, []Observation{{Zone: "a", Machines: 4, Reachable: 4}, otherZone})
 	}
 	if got := m.Zones()[0].Flaps; got != 0 {
 		t.Errorf("%d flaps are remembered", got)
@@ -139,7 +139,7 @@
 	if since, ok := m.LostSince("a"); !ok || since != 20*time.Second || m.Zones()[0].Flaps != 0 || m.State("b") != Available || len(m.Zones()) != 2 {
 		t.Errorf("%+v", m.Zones())
 	}
-	if c := m.Step(time.Minute, []Facts{{Zone: "a", Machines: 4, Heard: 2}, elsewhere}); len(c) != 1 || c[0].To != Returning {
+	if c := m.Observe(time.Minute, []Observation{{Zone: "a", Machines: 4, Reachable: 2}, otherZone}); len(c) != 1 || c[0].To != Returning {
 		t.Errorf("%+v", c)
 	}
 }
--- a/internal/coordination/zones/order.go
+++ b/internal/coordination/zones/recoveryorder.go
@@ -14,60 +14,60 @@
 
 // Errors of an order that an operator states.
 var (
-	ErrOrderSyntax  = errors.New("order of return out of form")
-	ErrUnknownName  = errors.New("order of return names what the settings don't have")
-	ErrNamedTwice   = errors.New("order of return names an item twice in a row of items")
-	ErrOrderIsCycle = errors.New("order of return contradicts itself")
+	ErrOrderSyntax        = errors.New("order of return out of form")
+	ErrUnknownOrderItem   = errors.New("order of return names what the settings don't have")
+	ErrDuplicateOrderItem = errors.New("order of return names an item twice in a row of items")
+	ErrOrderCycle         = errors.New("order of return contradicts itself")
 )
 
-// Item is a class of jobs or a team in an order of return.
-type Item struct{ Class, Team string }
+// OrderItem is a class of jobs or a team in an order of return.
+type OrderItem struct{ Class, Team string }
 
 // String returns the item as it is written.
-func (i Item) String() string {
+func (i OrderItem) String() string {
 	if i.Team != "" {
 		return "team " + i.Team
 	}
 	return "class " + i.Class
 }
 
-// Order is the order in which work returns when a zone is lost. Items that are named come
+// RecoveryOrder is the order in which work returns when a zone is lost. Items that are named come
 // first; all that is not named follows, and within an item, by priority, the class's aim
 // on waiting, and age.
-type Order struct {
-	items []Item
-	class map[string]int
-	team  map[string]int
+type RecoveryOrder struct {
+	items         []OrderItem
+	classPosition map[string]int
+	teamPosition  map[string]int
 }
 
-// DefaultOrder names nothing: work returns by priority, aims and age alone.
-func DefaultOrder() *Order { return newOrder(nil) }
+// DefaultRecoveryOrder names nothing: work returns by priority, aims and age alone.
+func DefaultRecoveryOrder() *RecoveryOrder { return newRecoveryOrder(nil) }
 
-func newOrder(items []Item) *Order {
-	o := &Order{items: items, class: map[string]int{}, team: map[string]int{}}
+func newRecoveryOrder(items []OrderItem) *RecoveryOrder {
+	o := &RecoveryOrder{items: items, classPosition: map[string]int{}, teamPosition: map[string]int{}}
 	for position, item := range items {
 		if item.Team != "" {
-			o.team[item.Team] = position
+			o.teamPosition[item.Team] = position
 		} else {
-			o.class[item.Class] = position
+			o.classPosition[item.Class] = position
 		}
 	}
 	return o
 }
 
 // Position is the place of a job's item in the order; a class goes before a team.
-func (o *Order) Position(class, team string) int {
-	if position, ok := o.class[class]; ok {
+func (o *RecoveryOrder) Position(class, team string) int {
+	if position, ok := o.classPosition[class]; ok {
 		return position
 	}
-	if position, ok := o.team[team]; ok {
+	if position, ok := o.teamPosition[team]; ok {
 		return position
 	}
 	return len(o.items)
 }
 
 // String returns the order as it is in force.
-func (o *Order) String() string {
+func (o *RecoveryOrder) String() string {
 	var b strings.Builder
 	for _, item := range o.items {
 		b.WriteString(item.String())
@@ -94,26 +94,26 @@
 	Class string `parser:"| 'class'? @( Name | Quoted )"`
 }
 
-func (i itemText) item() Item { return Item{Class: i.Class, Team: i.Team} }
+func (i itemText) item() OrderItem { return OrderItem{Class: i.Class, Team: i.Team} }
 
-// ParseOrder reads and checks an order that an operator states, against the classes and
+// ParseRecoveryOrder reads and checks an order that an operator states, against the classes and
 // teams of the settings.
-func ParseOrder(text string, d *config.Deployment) (*Order, error) {
+func ParseRecoveryOrder(text string, d *config.Deployment) (*RecoveryOrder, error) {
 	parsed, err := parseOrderText(text)
 	if err != nil {
 		return nil, err
 	}
-	before := map[Item][]Item{} // those that come right before an item
-	var items []Item
+	before := map[OrderItem][]OrderItem{} // those that come right before an item
+	var items []OrderItem
 	for _, chain := range parsed.Chains {
-		var row []Item
+		var row []OrderItem
 		for _, written := range chain.Items {
 			item := written.item()
-			if !known(item, d) {
-				return nil, fmt.Errorf("%w: %s", ErrUnknownName, item)
+			if !itemExists(item, d) {
+				return nil, fmt.Errorf("%w: %s", ErrUnknownOrderItem, item)
 			}
 			if slices.Contains(row, item) {
-				return nil, fmt.Errorf("%w: %s", ErrNamedTwice, item)
+				return nil, fmt.Errorf("%w: %s", ErrDuplicateOrderItem, item)
 			}
 			if len(row) > 0 {
 				before[item] = append(before[item], row[len(row)-1])
@@ -128,7 +128,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return newOrder(sorted), nil
+	return newRecoveryOrder(sorted), nil
 }
 
 // parseOrderText reads the text of an order.
@@ -153,8 +153,8 @@
 	return parsed, nil
 }
 
-// known says whether the settings have what an item names. Classes are known by their aims.
-func known(item Item, d *config.Deployment) bool {
+// itemExists says whether the settings have what an item names. Classes are known by their aims.
+func itemExists(item OrderItem, d *config.Deployment) bool {
 	if item.Team != "" {
 		return d.Team(item.Team) != nil
 	}
@@ -163,24 +163,24 @@
 
 // linearize puts the items into one row in which each comes after those that must be before
 // it; among those that may come next, the one that was written first does.
-func linearize(items []Item, before map[Item][]Item) ([]Item, error) {
-	var row []Item
+func linearize(items []OrderItem, before map[OrderItem][]OrderItem) ([]OrderItem, error) {
+	var row []OrderItem
 	for len(row) < len(items) {
-		next := slices.IndexFunc(items, func(item Item) bool {
+		next := slices.IndexFunc(items, func(item OrderItem) bool {
 			return !slices.Contains(row, item) && containsAll(row, before[item])
 		})
 		if next < 0 {
-			return nil, fmt.Errorf("%w: among %v", ErrOrderIsCycle, missing(items, row))
+			return nil, fmt.Errorf("%w: among %v", ErrOrderCycle, itemsNotIn(items, row))
 		}
 		row = append(row, items[next])
 	}
 	return row, nil
 }
 
-func containsAll(row, wanted []Item) bool {
-	return !slices.ContainsFunc(wanted, func(item Item) bool { return !slices.Contains(row, item) })
+func containsAll(row, wanted []OrderItem) bool {
+	return !slices.ContainsFunc(wanted, func(item OrderItem) bool { return !slices.Contains(row, item) })
 }
 
-func missing(items, row []Item) []Item {
-	return slices.DeleteFunc(slices.Clone(items), func(item Item) bool { return slices.Contains(row, item) })
+func itemsNotIn(items, row []OrderItem) []OrderItem {
+	return slices.DeleteFunc(slices.Clone(items), func(item OrderItem) bool { return slices.Contains(row, item) })
 }
--- a/internal/coordination/zones/order_test.go
+++ b/internal/coordination/zones/recoveryorder_test.go
@@ -18,9 +18,9 @@
 	return d
 }
 
-// TestStatedOrders: what can be stated and what not, each error in one line that names what
+// TestParseRecoveryOrder: what can be stated and what not, each error in one line that names what
 // is wrong.
-func TestStatedOrders(t *testing.T) {
+func TestParseRecoveryOrder(t *testing.T) {
 	for _, row := range []struct {
 		text, want string
 		err        error
@@ -37,12 +37,12 @@
 		{"a & b", "", ErrOrderSyntax},
 		{"team", "class team > the rest by priority, aim and age", nil}, // a class of that name
 		{"team red blue", "", ErrOrderSyntax},
-		{"a > x", "class x", ErrUnknownName},
-		{"team green", "team green", ErrUnknownName},
-		{"a > b > a", "class a", ErrNamedTwice},
-		{"a > b; b > c; c > a", "class a", ErrOrderIsCycle},
+		{"a > x", "class x", ErrUnknownOrderItem},
+		{"team green", "team green", ErrUnknownOrderItem},
+		{"a > b > a", "class a", ErrDuplicateOrderItem},
+		{"a > b; b > c; c > a", "class a", ErrOrderCycle},
 	} {
-		o, err := ParseOrder(row.text, settings())
+		o, err := ParseRecoveryOrder(row.text, settings())
 		switch {
 		case row.err == nil && (err != nil || o.String() != row.want):
 			t.Errorf("%q: %v %v, want %q", row.text, o, err, row.want)
@@ -52,9 +52,9 @@
 	}
 }
 
-// TestOrderKeepsAllChains: whatever chains are stated without contradiction, the row keeps all
+// TestRecoveryOrderKeepsAllChains: whatever chains are stated without contradiction, the row keeps all
 // of them, and reading it again gives the same row.
-func TestOrderKeepsAllChains(t *testing.T) {
+func TestRecoveryOrderKeepsAllChains(t *testing.T) {
 	names := []string{"a", "b", "c", "d-1", "team red"}
 	rapid.Check(t, func(t *rapid.T) {
 		var chains []string
@@ -63,8 +63,8 @@
 			chains = append(chains, strings.Join(picked, " > "))
 		}
 		text := strings.Join(chains, "; ")
-		o, err := ParseOrder(text, settings())
-		if errors.Is(err, ErrOrderIsCycle) {
+		o, err := ParseRecoveryOrder(text, settings())
+		if errors.Is(err, ErrOrderCycle) {
 			return
 		}
 		if err != nil {
@@ -84,33 +84,33 @@
 				}
 			}
 		}
-		again, err := ParseOrder(strings.TrimSuffix(o.String(), " > the rest by priority, aim and age"), settings())
+		again, err := ParseRecoveryOrder(strings.TrimSuffix(o.String(), " > the rest by priority, aim and age"), settings())
 		if err != nil || again.String() != o.String() {
 			t.Fatalf("%s, read again: %v %v", o, again, err)
 		}
 	})
 }
 
-// TestPosition: a class goes before its team, and what is not named comes last.
-func TestPosition(t *testing.T) {
-	o, err := ParseOrder("team red > a", settings())
+// TestRecoveryOrderPosition: a class goes before its team, and what is not named comes last.
+func TestRecoveryOrderPosition(t *testing.T) {
+	o, err := ParseRecoveryOrder("team red > a", settings())
 	if err != nil {
 		t.Fatal(err)
 	}
 	if o.Position("a", "red") != 1 || o.Position("b", "red") != 0 || o.Position("b", "blue team") != 2 {
 		t.Errorf("%d %d %d", o.Position("a", "red"), o.Position("b", "red"), o.Position("b", "blue team"))
 	}
-	if d := DefaultOrder(); d.Position("a", "red") != 0 || d.Position("b", "blue team") != 0 {
+	if d := DefaultRecoveryOrder(); d.Position("a", "red") != 0 || d.Position("b", "blue team") != 0 {
 		t.Error("the default order names something")
 	}
 }
 
-// FuzzOrder: nothing that an operator types ends the program.
-func FuzzOrder(f *testing.F) {
+// FuzzParseRecoveryOrder: nothing that an operator types ends the program.
+func FuzzParseRecoveryOrder(f *testing.F) {
 	f.Add("a > b; team red > c")
 	f.Add(`"a`)
 	f.Fuzz(func(t *testing.T, text string) {
-		if o, err := ParseOrder(text, settings()); err == nil && o.String() == "" {
+		if o, err := ParseRecoveryOrder(text, settings()); err == nil && o.String() == "" {
 			t.Error("an order without words")
 		}
 	})
--- a/internal/daemon/controller.go
+++ b/internal/daemon/controller.go
@@ -96,7 +96,7 @@
 // did, and features send and hold nothing.
 type Features struct {
 	// ZoneReturn is the order in which work returns when a zone is lost; nil: off.
-	ZoneReturn *zones.Order
+	ZoneReturn *zones.RecoveryOrder
 	// Ownership watches the other controllers for failures, and parts the machines among those that live.
 	Ownership bool
 	// Timing measures the leader's steps and heartbeats and logs them; nil: off.
--- a/internal/simulation/zone_test.go
+++ b/internal/simulation/zone_test.go
@@ -23,7 +23,7 @@
 			if !on(node) {
 				return daemon.Features{}
 			}
-			return daemon.Features{ZoneReturn: zones.DefaultOrder()}
+			return daemon.Features{ZoneReturn: zones.DefaultRecoveryOrder()}
 		}
 		l.bootTime = func(name string) time.Duration { return 3*time.Second + l.randomDuration("boot "+name, 3*time.Second) }
 		l.zoneCapacity = 6
