--- a/internal/coordination/scheduler/placementwriter.go
+++ b/internal/coordination/scheduler/placementwriter.go
@@ -15,18 +15,18 @@
 	// startWriteWindow is for how long the state service's writes may be promised to records of starts
 	// before they are sent: what comes up meanwhile and is more urgent goes first. A job that waits
 	// longer gathers more starts in its record.
-	startWriteWindow = Cycle / 8
+	startWriteWindow = CycleInterval / 8
 	// completionDelay is for how long ends of a job are gathered before they are written.
-	completionDelay = Cycle / 2
+	completionDelay = CycleInterval / 2
 	// maxRecordAttempts is how often a job's record is tried alone, although its page is not what the books
 	// say, until the books count as wrong, and recordBackoff the pause before the first of them.
 	maxRecordAttempts = 4
-	recordBackoff     = Cycle / 8
+	recordBackoff     = CycleInterval / 8
 )
 
 // jobWrite is what one job writes in a transaction that several may share.
 type jobWrite struct {
-	job          *job
+	job          *Job
 	pages        []int
 	size         int                    // of its records, about, as the limits count them
 	coveredExits map[int]int            // of a page, how many of its exits the record no longer counts on
@@ -37,7 +37,7 @@
 }
 
 // pagesPerTransaction is how many full pages one transaction takes.
-func (c *Core) pagesPerTransaction() int {
+func (c *Scheduler) pagesPerTransaction() int {
 	return max(1, min(c.stateLimits.TxnOps, int(maxTransactionBytes/(c.stateLimits.ValueKB*1024))))
 }
 
@@ -47,28 +47,28 @@
 // maxStartPages is how many pages that starts wait for may be on their way at a time, and maxCompletionPages how
 // many with nothing but ends: as many as the state service takes in half the time for which ends are
 // gathered. More would only wait there, and more urgent ones behind them.
-func (c *Core) maxStartPages() int { return c.pagesWithin(startWriteWindow) }
+func (c *Scheduler) maxStartPages() int { return c.pagesWithin(startWriteWindow) }
 
-func (c *Core) maxCompletionPages() int { return c.pagesWithin(completionDelay / 2) }
+func (c *Scheduler) maxCompletionPages() int { return c.pagesWithin(completionDelay / 2) }
 
-func (c *Core) pagesWithin(d time.Duration) int {
+func (c *Scheduler) pagesWithin(d time.Duration) int {
 	return max(c.pagesPerTransaction(), int(c.stateLimits.WriteRPS*storage.PlacementShare*d.Seconds()))
 }
 
 // recordStarts writes the records that starts wait for, in their order, as far as the state service
 // takes them: several jobs' in one transaction.
-func (c *Core) recordStarts(now time.Duration) {
-	for !c.writesPaused && c.pagesInFlight[Starts] < c.maxStartPages() {
-		batch := c.nextStartBatch(now, c.maxStartPages()-c.pagesInFlight[Starts])
+func (c *Scheduler) recordStarts(now time.Duration) {
+	for !c.writesPaused && c.pagesInFlight[PriorityStart] < c.maxStartPages() {
+		batch := c.nextStartBatch(now, c.maxStartPages()-c.pagesInFlight[PriorityStart])
 		if len(batch) == 0 {
 			return
 		}
-		c.writeBatch(Starts, batch)
+		c.writeBatch(PriorityStart, batch)
 	}
 }
 
 // nextStartBatch takes jobs off the queue of starts for one transaction of up to so many pages.
-func (c *Core) nextStartBatch(now time.Duration, pages int) (batch []*jobWrite) {
+func (c *Scheduler) nextStartBatch(now time.Duration, pages int) (batch []*jobWrite) {
 	pages, bytes := min(pages, c.stateLimits.TxnOps), maxTransactionBytes
 	stated := c.failoverOrder()
 	for pages > 0 {
@@ -92,7 +92,7 @@
 
 // failoverOrder lists the jobs whose records wait in the order of return while that is in force; nil
 // stands for the usual order.
-func (c *Core) failoverOrder() []*job {
+func (c *Scheduler) failoverOrder() []*Job {
 	if !c.recoveryOrderInEffect() {
 		return nil
 	}
@@ -103,23 +103,23 @@
 
 // recordCompletions writes what has ended of jobs, those first that have waited for longest, as far as
 // the state service takes it.
-func (c *Core) recordCompletions(now time.Duration) {
-	for !c.writesPaused && c.pagesInFlight[Ends] < c.maxCompletionPages() {
+func (c *Scheduler) recordCompletions(now time.Duration) {
+	for !c.writesPaused && c.pagesInFlight[PriorityCompletion] < c.maxCompletionPages() {
 		j := c.queues.nextEnded(now - completionDelay)
 		if j == nil {
 			return
 		}
 		if now < j.recordNotBefore {
-			c.callAt(j.recordNotBefore, func(now time.Duration) { j.queues.addEnded(now, j) })
+			c.callAt(j.recordNotBefore, func(now time.Duration) { j.Queues.addEnded(now, j) })
 			continue
 		}
-		c.writeBatch(Ends, []*jobWrite{c.newJobWrite(j, c.pagesPerTransaction())})
+		c.writeBatch(PriorityCompletion, []*jobWrite{c.newJobWrite(j, c.pagesPerTransaction())})
 	}
 }
 
 // newJobWrite returns what a job writes, up to so many pages, those first for which starts wait, and no
 // more than one transaction takes.
-func (c *Core) newJobWrite(j *job, most int) *jobWrite {
+func (c *Scheduler) newJobWrite(j *Job, most int) *jobWrite {
 	c.narrowToFit(j)
 	p := &jobWrite{job: j}
 	for _, n := range j.pagesToWrite(most) {
@@ -154,7 +154,7 @@
 	j := p.job
 	p.coveredExits = map[int]int{}
 	p.ops = nil
-	p.compares = []protocol.Compare{{Key: storage.LiveJobKey(j.spec.ID), Revision: j.stamp}}
+	p.compares = []protocol.Compare{{Key: storage.LiveJobKey(j.Spec.ID), Revision: j.LiveRevision}}
 	for _, n := range p.pages {
 		value, err := j.encodePage(n, name)
 		if err != nil {
@@ -173,12 +173,12 @@
 }
 
 // writeBatch writes parts in one transaction.
-func (c *Core) writeBatch(purpose Purpose, parts []*jobWrite) {
+func (c *Scheduler) writeBatch(purpose WritePriority, parts []*jobWrite) {
 	id, name := c.nextWriteID()
-	t := protocol.Txn{If: []protocol.Compare{{Key: storage.TermKey, Revision: c.termStamp}}}
+	t := protocol.Txn{If: []protocol.Compare{{Key: storage.TermKey, Revision: c.termRevision}}}
 	for _, p := range parts {
 		if err := p.encode(name); err != nil {
-			c.emit(Depose{Reason: err.Error()}) // the books hold what no record can
+			c.emit(StepDown{Reason: err.Error()}) // the books hold what no record can
 			return
 		}
 		t.If = append(t.If, p.compares...)
@@ -191,59 +191,59 @@
 		}
 	}
 	c.pagesInFlight[purpose] += len(t.Then)
-	c.writesInFlight[id] = func(now time.Duration, w Written) {
+	c.writesInFlight[id] = func(now time.Duration, w TransactionOutcome) {
 		c.pagesInFlight[purpose] -= len(t.Then)
 		c.batchWritten(now, &t, parts, w)
-		if purpose == Ends {
+		if purpose == PriorityCompletion {
 			c.recordCompletions(now)
 		} else {
 			c.recordStarts(now)
 		}
 	}
-	c.emit(Write{ID: id, Txn: t, For: purpose, Verify: t.Then[0].PutKey, Name: name, Shared: len(parts) > 1})
+	c.emit(Write{ID: id, Txn: t, Priority: purpose, VerifyKey: t.Then[0].PutKey, Name: name, Splittable: len(parts) > 1})
 }
 
 // batchWritten takes in the outcome of a transaction. A failed condition of one job concerns that job
 // alone: the others are written again at once, in another transaction. The one that failed can't have
 // been carried out and never will be, as its conditions hold no longer.
-func (c *Core) batchWritten(now time.Duration, t *protocol.Txn, parts []*jobWrite, w Written) {
+func (c *Scheduler) batchWritten(now time.Duration, t *protocol.Txn, parts []*jobWrite, w TransactionOutcome) {
 	for _, p := range parts {
 		p.job.writeInFlight = false
 	}
-	if !w.OK && !w.Refused && (len(w.Failed) == 0 || slices.Contains(w.Failed, storage.TermKey)) {
+	if !w.Succeeded && !w.Malformed && (len(w.FailedKeys) == 0 || slices.Contains(w.FailedKeys, storage.TermKey)) {
 		// Somebody else leads, or the books are wrong: a new term reads everything afresh.
-		c.emit(Depose{Reason: fmt.Sprintf("conditions failed: %v", w.Failed)})
+		c.emit(StepDown{Reason: fmt.Sprintf("conditions failed: %v", w.FailedKeys)})
 		return
 	}
 	for _, p := range parts {
 		switch {
-		case w.OK:
-			c.jobWriteSucceeded(now, p, w.Rev)
-		case w.Refused && len(parts) > 1:
+		case w.Succeeded:
+			c.jobWriteSucceeded(now, p, w.Revision)
+		case w.Malformed && len(parts) > 1:
 			c.retryAlone(now, p) // one of them is out of form, and only alone it shows which
-		case w.Refused:
+		case w.Malformed:
 			c.jobWriteRejected(now, t, p)
 		default:
-			c.jobWriteFailed(now, p, w.Failed)
+			c.jobWriteFailed(now, p, w.FailedKeys)
 		}
 	}
-	c.send(now) // a machine's starts go out together
+	c.sendUrgentCommands(now) // a machine's starts go out together
 }
 
 // jobWriteFailed takes in that a transaction failed of which this was a part.
-func (c *Core) jobWriteFailed(now time.Duration, p *jobWrite, failed []string) {
+func (c *Scheduler) jobWriteFailed(now time.Duration, p *jobWrite, failed []string) {
 	j := p.job
 	stale := slices.ContainsFunc(p.compares, func(cond protocol.Compare) bool { return slices.Contains(failed, cond.Key) })
 	switch {
-	case slices.Contains(failed, storage.LiveJobKey(j.spec.ID)):
+	case slices.Contains(failed, storage.LiveJobKey(j.Spec.ID)):
 		c.cancelUnstarted(now, j)
-		c.end(now, j)
+		c.endJob(now, j)
 	case !stale:
 		c.requeue(now, p)
 	case j.recordAttempts >= maxRecordAttempts:
-		c.emit(Depose{Reason: fmt.Sprintf("conditions failed: %v", failed)})
+		c.emit(StepDown{Reason: fmt.Sprintf("conditions failed: %v", failed)})
 	default:
-		c.log.Info("record is not what the books say", "job", j.spec.ID, "tries", j.recordAttempts)
+		c.log.Info("record is not what the books say", "job", j.Spec.ID, "tries", j.recordAttempts)
 		j.recordNotBefore = now + recordBackoff<<j.recordAttempts
 		j.recordAttempts++
 		c.requeue(now, p)
@@ -252,7 +252,7 @@
 
 // jobWriteRejected takes in that a part alone was refused for its form: fewer of its pages are written at a time, and then
 // they are cut narrower, as far as that goes. Else it is tried again after a pause, in which others have their turn.
-func (c *Core) jobWriteRejected(now time.Duration, t *protocol.Txn, p *jobWrite) {
+func (c *Scheduler) jobWriteRejected(now time.Duration, t *protocol.Txn, p *jobWrite) {
 	j := p.job
 	c.requeue(now, p)
 	j.recordNotBefore = now + rejectedRetryDelay
@@ -260,36 +260,36 @@
 		j.recordNotBefore = now // it is written with fewer pages at a time
 		return
 	}
-	if j.layout.Compact && j.layout.TasksPerPage > 1 && !j.over {
+	if j.layout.Compact && j.layout.TasksPerPage > 1 && !j.Ended {
 		j.changeLayout(storage.PageLayout{TasksPerPage: (j.layout.TasksPerPage + 1) / 2, Compact: true})
 		j.recordNotBefore = now
 	}
-	c.log.Error("record refused", "job", j.spec.ID, "pages", len(p.pages), "width now", j.layout.TasksPerPage)
+	c.log.Error("record refused", "job", j.Spec.ID, "pages", len(p.pages), "width now", j.layout.TasksPerPage)
 }
 
 // retryAlone has a job's record tried alone from now on, until it succeeds.
-func (c *Core) retryAlone(now time.Duration, p *jobWrite) {
+func (c *Scheduler) retryAlone(now time.Duration, p *jobWrite) {
 	p.job.recordAttempts = max(p.job.recordAttempts, 1)
 	c.requeue(now, p)
 }
 
 // requeue has a part written again.
-func (c *Core) requeue(now time.Duration, p *jobWrite) {
+func (c *Scheduler) requeue(now time.Duration, p *jobWrite) {
 	j := p.job
 	for _, n := range p.pages {
 		j.page(n).dirty = true
 	}
-	if j.over {
+	if j.Ended {
 		c.cancelUnstarted(now, j)
-		c.stopJob(now, j)
+		c.stopJobTasks(now, j)
 		return
 	}
 	c.queues.starts.requeue(j)
-	j.queues.addEnded(now, j)
+	j.Queues.addEnded(now, j)
 }
 
 // jobWriteSucceeded takes in that a part is written.
-func (c *Core) jobWriteSucceeded(now time.Duration, p *jobWrite, rev uint64) {
+func (c *Scheduler) jobWriteSucceeded(now time.Duration, p *jobWrite, rev uint64) {
 	j := p.job
 	j.recordAttempts, j.recordNotBefore = 0, 0
 	for _, n := range p.pages {
@@ -303,9 +303,9 @@
 	for _, old := range p.replaces {
 		j.supersededPages = slices.DeleteFunc(j.supersededPages, func(s supersededPage) bool { return s == old })
 	}
-	if j.over {
+	if j.Ended {
 		c.cancelUnstarted(now, j)
-		c.stopJob(now, j)
+		c.stopJobTasks(now, j)
 		return
 	}
 	for _, pl := range p.starting {
@@ -313,7 +313,7 @@
 	}
 	c.startRecorded(j)
 	switch {
-	case j.counts[done] == len(j.tasks):
+	case j.TaskCounts[TaskDone] == len(j.TaskStates):
 		c.completeJob(now, j)
 	case len(j.unstarted) > 0:
 		c.queues.starts.add(j)
--- a/internal/coordination/scheduler/placementwriter_test.go
+++ b/internal/coordination/scheduler/placementwriter_test.go
@@ -26,29 +26,29 @@
 
 // submit accepts a job of single tasks of half a machine.
 func (s *manualStore) submit(id string, prio protocol.Priority, tasks int) {
-	s.rev++
-	s.step(JobSet{Record: storage.LiveJobRecord{Job: spec(id, protocol.Array, prio, tasks, 4), AcceptedAtMS: s.now.Milliseconds()}, Stamp: s.rev})
+	s.revision++
+	s.step(JobAccepted{Record: storage.LiveJobRecord{Job: jobSpec(id, protocol.Array, prio, tasks, 4), AcceptedAtMS: s.now.Milliseconds()}, Revision: s.revision})
 }
 
 // cycleOnce lets a cycle pass and keeps what is written.
 func (s *manualStore) cycleOnce() {
-	s.now += Cycle
+	s.now += CycleInterval
 	s.heartbeatAll()
 	s.step(Tick{})
 }
 
 // answer gives a write its outcome.
-func (s *manualStore) answer(w Written) {
-	s.inFlight = slices.DeleteFunc(s.inFlight, func(o Write) bool { return o.ID == w.Write })
-	s.rev++
-	w.Rev = s.rev
+func (s *manualStore) answer(w TransactionOutcome) {
+	s.inFlight = slices.DeleteFunc(s.inFlight, func(o Write) bool { return o.ID == w.WriteID })
+	s.revision++
+	w.Revision = s.revision
 	s.step(w)
 }
 
 // startWrites returns the records of starts that are under way.
 func (s *manualStore) startWrites() (open []Write) {
 	for _, w := range s.inFlight {
-		if w.For == Starts {
+		if w.Priority == PriorityStart {
 			open = append(open, w)
 		}
 	}
@@ -57,9 +57,9 @@
 
 // newEmptyManualStore is a manualStore with empty machines.
 func newEmptyManualStore(machines int) *manualStore {
-	s := &manualStore{bench: newBench([]config.Team{{Name: "red"}}, "a")}
+	s := &manualStore{harness: newHarness([]config.Team{{Name: "red"}}, "a")}
 	for i := range machines {
-		s.machine(fmt.Sprintf("m%03d", i), "a", false)
+		s.heartbeat(fmt.Sprintf("m%03d", i), "a", false)
 	}
 	return s
 }
@@ -73,17 +73,17 @@
 		s.submit(fmt.Sprintf("j-%03d", i), "normal", 2)
 	}
 	s.cycleOnce()
-	under := s.pagesInFlight(Starts)
-	if under == 0 || under > s.c.maxStartPages() {
-		t.Fatalf("%d pages under way, want 1 to %d", under, s.c.maxStartPages())
+	under := s.pagesInFlight(PriorityStart)
+	if under == 0 || under > s.scheduler.maxStartPages() {
+		t.Fatalf("%d pages under way, want 1 to %d", under, s.scheduler.maxStartPages())
 	}
-	s.machine("m999", "a", false)
+	s.heartbeat("m999", "a", false)
 	s.submit("j-urgent", "urgent", 1)
 	s.cycleOnce()
-	if got := s.pagesInFlight(Starts); got != under {
+	if got := s.pagesInFlight(PriorityStart); got != under {
 		t.Fatalf("%d pages under way with an urgent job, %d without", got, under)
 	}
-	s.answer(Written{Write: s.startWrites()[0].ID, OK: true})
+	s.answer(TransactionOutcome{WriteID: s.startWrites()[0].ID, Succeeded: true})
 	if !slices.ContainsFunc(s.startWrites(), func(w Write) bool { return slices.Contains(jobsOfWrite(w), "j-urgent") }) {
 		t.Errorf("the urgent start's record is not the next: %d others are under way", len(s.startWrites()))
 	}
@@ -100,25 +100,25 @@
 	shared := 0
 	for served := 0; len(s.startWrites()) > 0 && served < 200; served++ {
 		w := s.startWrites()[0]
-		if len(w.Txn.Then) > s.c.cfg.Store.TxnOps || len(w.Txn.If) > 4*s.c.cfg.Store.TxnOps {
+		if len(w.Txn.Then) > s.scheduler.cfg.Store.TxnOps || len(w.Txn.If) > 4*s.scheduler.cfg.Store.TxnOps {
 			t.Fatalf("%d operations and %d conditions", len(w.Txn.Then), len(w.Txn.If))
 		}
-		if w.Shared != (len(jobsOfWrite(w)) > 1) {
-			t.Fatalf("shared %v with %v", w.Shared, jobsOfWrite(w))
+		if w.Splittable != (len(jobsOfWrite(w)) > 1) {
+			t.Fatalf("shared %v with %v", w.Splittable, jobsOfWrite(w))
 		}
-		if w.Shared {
+		if w.Splittable {
 			shared++
 		}
 		for _, id := range jobsOfWrite(w) {
-			for _, pl := range s.c.jobs[id].places {
+			for _, pl := range s.scheduler.jobs[id].Placements {
 				if pl.StartAllowed {
 					t.Fatalf("%s may start before its record", pl.Task)
 				}
 			}
 		}
-		s.answer(Written{Write: w.ID, OK: true})
+		s.answer(TransactionOutcome{WriteID: w.ID, Succeeded: true})
 		for _, id := range jobsOfWrite(w) {
-			for _, pl := range s.c.jobs[id].places {
+			for _, pl := range s.scheduler.jobs[id].Placements {
 				if !pl.StartAllowed {
 					t.Fatalf("%s may not start after its record", pl.Task)
 				}
@@ -131,7 +131,9 @@
 }
 
 // failedWrite returns the outcome of a write that a job's condition makes fail.
-func failedWrite(w Write, key string) Written { return Written{Write: w.ID, Failed: []string{key}} }
+func failedWrite(w Write, key string) TransactionOutcome {
+	return TransactionOutcome{WriteID: w.ID, FailedKeys: []string{key}}
+}
 
 // TestFailedJobIsSplitOffSharedTransaction: a job that was cancelled, or whose page is not what the books
 // say, is split off. The others are written again at once; it is tried alone, after a pause that
@@ -156,10 +158,10 @@
 		if len(again) != 1 || !slices.Equal(jobsOfWrite(again[0]), []string{"j-000", "j-002", "j-003"}) {
 			t.Fatalf("written again: %v", again)
 		}
-		s.answer(Written{Write: again[0].ID, OK: true})
+		s.answer(TransactionOutcome{WriteID: again[0].ID, Succeeded: true})
 		s.cycleOnce()
-		if j := s.c.jobs["j-001"]; j != nil && len(j.places) > 0 {
-			t.Errorf("the cancelled job holds %d placements", len(j.places))
+		if j := s.scheduler.jobs["j-001"]; j != nil && len(j.Placements) > 0 {
+			t.Errorf("the cancelled job holds %d placements", len(j.Placements))
 		}
 	})
 	t.Run("stale", func(t *testing.T) {
@@ -170,7 +172,7 @@
 		if len(again) != 1 || !slices.Equal(jobsOfWrite(again[0]), []string{"j-000", "j-002", "j-003"}) {
 			t.Fatalf("written again: %v", again)
 		}
-		s.answer(Written{Write: again[0].ID, OK: true})
+		s.answer(TransactionOutcome{WriteID: again[0].ID, Succeeded: true})
 		var deposed []Effect
 		last, pause := s.now, time.Duration(0)
 		for tries := 1; len(deposed) == 0; tries++ {
@@ -191,8 +193,8 @@
 				t.Fatalf("try %d is of %v", tries, jobsOfWrite(alone))
 			}
 			s.inFlight = nil
-			for _, e := range s.c.Step(s.now, failedWrite(alone, stale)) {
-				if _, ok := e.(Depose); ok {
+			for _, e := range s.scheduler.Step(s.now, failedWrite(alone, stale)) {
+				if _, ok := e.(StepDown); ok {
 					deposed = append(deposed, e)
 				}
 			}
@@ -200,8 +202,8 @@
 	})
 	t.Run("the term is over", func(t *testing.T) {
 		s, w := begin()
-		for _, e := range s.c.Step(s.now, failedWrite(w, storage.TermKey)) {
-			if _, ok := e.(Depose); ok {
+		for _, e := range s.scheduler.Step(s.now, failedWrite(w, storage.TermKey)) {
+			if _, ok := e.(StepDown); ok {
 				return
 			}
 		}
@@ -209,7 +211,7 @@
 	})
 	t.Run("out of form", func(t *testing.T) {
 		s, w := begin()
-		s.answer(Written{Write: w.ID, Refused: true})
+		s.answer(TransactionOutcome{WriteID: w.ID, Malformed: true})
 		tried := map[string]bool{}
 		for range 4 {
 			for _, a := range s.startWrites() {
@@ -218,7 +220,7 @@
 				}
 				if id := jobsOfWrite(a)[0]; id != "j-002" {
 					tried[id] = true
-					s.answer(Written{Write: a.ID, OK: true})
+					s.answer(TransactionOutcome{WriteID: a.ID, Succeeded: true})
 				}
 			}
 			s.cycleOnce()
@@ -238,18 +240,18 @@
 	}
 	records, starts := 0, 0
 	for range 40 {
-		s.now += Cycle / 4
+		s.now += CycleInterval / 4
 		for name, tasks := range s.tasks {
 			for id, task := range tasks {
 				task.State, task.Cause = protocol.TaskExited, protocol.CauseDone
 				tasks[id] = task
 			}
-			for _, e := range s.c.Step(s.now, Reported{Tag: name, Report: s.report(name)}) {
+			for _, e := range s.scheduler.Step(s.now, HeartbeatReceived{ReplyTo: name, Heartbeat: s.nextHeartbeat(name)}) {
 				switch e := e.(type) {
 				case Write:
 					s.inFlight = append(s.inFlight, e)
-				case Answer:
-					s.take(name, e.Body.FencingToken, e.Body.Commands)
+				case HeartbeatReply:
+					s.executeCommands(name, e.Body.FencingToken, e.Body.Commands)
 				}
 			}
 		}
@@ -257,13 +259,13 @@
 		if open := s.startWrites(); len(open) > 0 { // one transaction every quarter of a second
 			records += len(open[0].Txn.Then)
 			before := len(s.runs)
-			for _, e := range s.c.Step(s.now, Written{Write: open[0].ID, OK: true, Rev: uint64(1000 + records)}) {
+			for _, e := range s.scheduler.Step(s.now, TransactionOutcome{WriteID: open[0].ID, Succeeded: true, Revision: uint64(1000 + records)}) {
 				switch e := e.(type) {
 				case Write:
 					s.inFlight = append(s.inFlight, e)
-				case Order:
-					s.take(e.Machine, e.Orders.FencingToken, e.Orders.Commands)
-					s.step(OrdersDone{Machine: e.Machine, OK: true, Report: s.report(e.Machine)})
+				case SendCommandBatch:
+					s.executeCommands(e.Machine, e.Batch.FencingToken, e.Batch.Commands)
+					s.step(CommandBatchResult{Machine: e.Machine, Acknowledged: true, Heartbeat: s.nextHeartbeat(e.Machine)})
 				}
 			}
 			s.inFlight = slices.DeleteFunc(s.inFlight, func(o Write) bool { return o.ID == open[0].ID })
@@ -282,13 +284,13 @@
 	rapid.Check(t, func(t *rapid.T) {
 		q := newStartQueue()
 		now, made := time.Duration(0), 0
-		waiting := map[*job]int{} // and after how many others it must be served
+		waiting := map[*Job]int{} // and after how many others it must be served
 		for range rapid.IntRange(1, 300).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 3).Draw(t, "pause")) * time.Second
 			for range rapid.IntRange(0, 2).Draw(t, "new") {
 				made++
-				j := newJob(spec(fmt.Sprintf("j-%06d", made), protocol.Array, rapid.SampledFrom([]protocol.Priority{"urgent", "urgent", "normal", "best_effort"}).Draw(t, "level"), 1, 1), 1, 0, 0, storage.PageLayout{TasksPerPage: 10})
-				j.spec.Team = rapid.SampledFrom([]string{"red", "blue", "green"}).Draw(t, "team")
+				j := NewJob(jobSpec(fmt.Sprintf("j-%06d", made), protocol.Array, rapid.SampledFrom([]protocol.Priority{"urgent", "urgent", "normal", "best_effort"}).Draw(t, "level"), 1, 1), 1, 0, 0, storage.PageLayout{TasksPerPage: 10})
+				j.Spec.Team = rapid.SampledFrom([]string{"red", "blue", "green"}).Draw(t, "team")
 				j.unstarted = []*partition.Placement{{}}
 				q.add(j)
 				waiting[j] = oldestEvery * (len(waiting) + 1)
@@ -305,11 +307,11 @@
 			delete(waiting, j)
 			for o, left := range waiting {
 				if left == 0 {
-					t.Fatalf("%s of level %d is passed over for ever", o.spec.ID, o.level)
+					t.Fatalf("%s of level %d is passed over for ever", o.Spec.ID, o.EffectivePriority)
 				}
 				waiting[o] = left - 1
-				if !byWait && o.level < j.level {
-					t.Fatalf("level %d before level %d", j.level, o.level)
+				if !byWait && o.EffectivePriority < j.EffectivePriority {
+					t.Fatalf("level %d before level %d", j.EffectivePriority, o.EffectivePriority)
 				}
 			}
 		}
@@ -322,9 +324,9 @@
 // TestStartQueueServesTeamsInTurn: a team with one job to record does not wait for all of one with a hundred.
 func TestStartQueueServesTeamsInTurn(t *testing.T) {
 	q := newStartQueue()
-	job := func(id, team string) *job {
-		j := newJob(spec(id, protocol.Array, "normal", 1, 1), 1, 0, 0, storage.PageLayout{TasksPerPage: 10})
-		j.spec.Team, j.unstarted = team, []*partition.Placement{{}}
+	job := func(id, team string) *Job {
+		j := NewJob(jobSpec(id, protocol.Array, "normal", 1, 1), 1, 0, 0, storage.PageLayout{TasksPerPage: 10})
+		j.Spec.Team, j.unstarted = team, []*partition.Placement{{}}
 		return j
 	}
 	for i := range 100 {
@@ -337,7 +339,7 @@
 	for served := 0; ; served++ {
 		j := q.next(time.Second, nil)
 		q.dequeue(j)
-		if j.spec.Team == "blue" {
+		if j.Spec.Team == "blue" {
 			if served > oldestEvery {
 				t.Errorf("served after %d of the other team", served)
 			}
--- a/internal/coordination/scheduler/poolscore.go
+++ b/internal/coordination/scheduler/poolscore.go
@@ -9,13 +9,13 @@
 )
 
 // lacksStartLatencyObjective says whether no aim on waiting is stated for a job's class.
-func (c *Core) lacksStartLatencyObjective(j *job) bool {
-	return math.IsInf(c.startLatencyObjective(j.spec.Class), 1)
+func (c *Scheduler) lacksStartLatencyObjective(j *Job) bool {
+	return math.IsInf(c.startLatencyObjective(j.Spec.Class), 1)
 }
 
 // prefersFreeCapacity says whether the score of machines without the job's image falls with their room.
-func (c *Core) prefersFreeCapacity(j *job) bool {
-	aim := c.startLatencyObjective(j.spec.Class)
+func (c *Scheduler) prefersFreeCapacity(j *Job) bool {
+	aim := c.startLatencyObjective(j.Spec.Class)
 	if c.lacksStartLatencyObjective(j) {
 		return true
 	}
@@ -28,20 +28,20 @@
 }
 
 // poolFeasible says whether machines of a pool may do for a job.
-func (c *Core) poolFeasible(j *job, l *zoneLimits, p machineindex.Pool) bool {
+func (c *Scheduler) poolFeasible(j *Job, l *zoneLimits, p machineindex.Pool) bool {
 	t := c.machines.MachineType(p.Type)
-	return t != nil && (!p.Spot || j.spec.SpotAllowed) && t.AllowedBy(&j.spec) && (l.tasksPerZone == nil || l.allows(p.Zone))
+	return t != nil && (!p.Spot || j.Spec.SpotAllowed) && t.AllowedBy(&j.Spec) && (l.tasksPerZone == nil || l.allows(p.Zone))
 }
 
 // poolScore is what every machine of a pool adds to a score.
-func (c *Core) poolScore(j *job, l *zoneLimits, p machineindex.Pool) float64 {
+func (c *Scheduler) poolScore(j *Job, l *zoneLimits, p machineindex.Pool) float64 {
 	s := c.zoneRiskPenalty(j, p.Zone)
-	if j.spec.Spread && l.tasksPerZone != nil {
-		s += float64(l.tasksPerZone[p.Zone]) / float64(j.spec.TaskCount)
+	if j.Spec.Spread && l.tasksPerZone != nil {
+		s += float64(l.tasksPerZone[p.Zone]) / float64(j.Spec.TaskCount)
 	}
 	switch {
 	case !p.Spot:
-	case j.spec.CheckpointIntervalSeconds > 0:
+	case j.Spec.CheckpointIntervalSeconds > 0:
 		s--
 	default:
 		s += c.machines.MachineType(p.Type).BootSeconds
@@ -50,10 +50,10 @@
 }
 
 // fetchSeconds is how long a type of machines takes for the job's image, in seconds.
-func (c *Core) fetchSeconds(j *job, kind string) float64 {
+func (c *Scheduler) fetchSeconds(j *Job, kind string) float64 {
 	t := c.machines.MachineType(kind)
 	if t == nil || t.FetchGBPerSecond <= 0 {
 		return 0
 	}
-	return config.Seconds(j.spec.ImageGB / t.FetchGBPerSecond).Seconds()
+	return config.Seconds(j.Spec.ImageGB / t.FetchGBPerSecond).Seconds()
 }
--- a/internal/coordination/scheduler/preempt.go
+++ b/internal/coordination/scheduler/preempt.go
@@ -15,52 +15,52 @@
 // last longer than the class's aim on waiting. It clears such room of work
 // that is at least two steps lower in priority. Free room is no reason to make
 // a critical replica wait for a fetch of most of a minute.
-func (c *Core) waitForMachineWithImage(now time.Duration, j *job, task int, x *candidate, l *zoneLimits) bool {
-	within := c.startLatencyObjective(j.spec.Class)
+func (c *Scheduler) waitForMachineWithImage(now time.Duration, j *Job, task int, x *candidate, l *zoneLimits) bool {
+	within := c.startLatencyObjective(j.Spec.Class)
 	if math.IsInf(within, 1) || c.mayBorrow(j) {
 		return false
 	}
-	left := config.Seconds(within) - (now - j.known)
-	if left <= 0 && j.ran[task] {
+	left := config.Seconds(within) - (now - j.WaitingSince)
+	if left <= 0 && j.HasRun[task] {
 		left = config.Seconds(within) // a replica that was lost should be back as soon
 	}
-	if left <= 0 || c.machines.FetchTimeWithout(now, x.machine, &j.spec, c.yieldingFetches(j)) <= left {
+	if left <= 0 || c.machines.FetchTimeWithout(now, x.machine, &j.Spec, c.yieldingFetches(j)) <= left {
 		return false
 	}
 	for _, y := range c.nominatedCandidates(now, j) {
 		// Room that is free by now is no longer waited for: had it been the
 		// better one, the task would have got it.
-		if !y.nominationClaimed && l.allows(y.machine.Zone) && !j.need.Fits(y.free) {
+		if !y.nominationClaimed && l.allows(y.machine.Zone) && !j.TaskResources.Fits(y.free) {
 			c.claimNomination(y) // being cleared for one task of the job already
 			l.tasksPerZone[y.machine.Zone]++
 			return true
 		}
 	}
-	return c.preemptForTask(now, j, l, left, j.level+2)
+	return c.preemptForTask(now, j, l, left, j.EffectivePriority+2)
 }
 
 // preempt stops work of lower priority to make room for up to n tasks, on the
 // machines where least is lost, and reserves the room.
-func (c *Core) preempt(now time.Duration, j *job, l *zoneLimits, n int) {
+func (c *Scheduler) preempt(now time.Duration, j *Job, l *zoneLimits, n int) {
 	if c.mayBorrow(j) && c.borrowCapacity(now, j, l, n) {
 		return // its room comes by the ledger, or not at all
 	}
-	if j.short < 2 {
+	if j.UnschedulableCycles < 2 {
 		return
 	}
 	n -= len(c.nominatedCandidates(now, j)) // cleared already, and not yet free
-	for ; n > 0 && c.preemptForTask(now, j, l, math.MaxInt64, j.level+1); n-- {
+	for ; n > 0 && c.preemptForTask(now, j, l, math.MaxInt64, j.EffectivePriority+1); n-- {
 	}
 }
 
 // beginPreemptionCycle gives the cycle its share of searches for work to stop.
-func (c *Core) beginPreemptionCycle() {
+func (c *Scheduler) beginPreemptionCycle() {
 	c.preemptionBudgetLeft = c.preemptionBudget
 	c.noVictimsSince = map[searchKey]uint64{}
 }
 
 // endPreemptionCycle begins a new round of searches if all that waited have had theirs.
-func (c *Core) endPreemptionCycle() {
+func (c *Scheduler) endPreemptionCycle() {
 	if c.preemptionBudgetLeft > 0 {
 		c.preemptionRound++
 	}
@@ -68,24 +68,24 @@
 
 // maySearchVictims says whether work to stop may be looked for now. When the searches of a
 // cycle are used up, the jobs that had theirs in this round wait until the others have had one.
-func (c *Core) maySearchVictims(j *job, k searchKey) bool {
+func (c *Scheduler) maySearchVictims(j *Job, k searchKey) bool {
 	if at, ok := c.noVictimsSince[k]; ok && at == c.capacityEvents {
 		return false // none was found for its like, and no room has come up since
 	}
 	if c.preemptionBudgetLeft <= 0 {
 		return false
 	}
-	if j.preemptionRound == c.preemptionRound && j.preemptionCycle != c.cycles {
+	if j.PreemptionRound == c.preemptionRound && j.PreemptionCycle != c.cycleCount {
 		return false // it had its turn in an earlier cycle of the round
 	}
-	j.preemptionRound, j.preemptionCycle = c.preemptionRound, c.cycles
+	j.PreemptionRound, j.PreemptionCycle = c.preemptionRound, c.cycleCount
 	return true
 }
 
 // preemptForTask makes room for one task on the machine where that costs least, among
 // those where the task could run within the given time, and reserves it. Only
 // work of at least the given level leaves.
-func (c *Core) preemptForTask(now time.Duration, j *job, l *zoneLimits, within time.Duration, level int) bool {
+func (c *Scheduler) preemptForTask(now time.Duration, j *Job, l *zoneLimits, within time.Duration, level int) bool {
 	k := j.searchKey()
 	k.victimLevel = level
 	if !c.maySearchVictims(j, k) {
@@ -93,41 +93,41 @@
 	}
 	best, victims := c.finder.cheapestPreemption(now, j, l, within, level)
 	if best == nil {
-		if within == math.MaxInt64 && len(j.avoids()) == 0 && len(j.reserved) == 0 && !c.inZoneFailover() {
+		if within == math.MaxInt64 && len(j.AvoidedMachines()) == 0 && len(j.ReservedMachines) == 0 && !c.inZoneFailover() {
 			c.noVictimsSince[k] = c.capacityEvents
 		}
 		return false
 	}
 	wait := 0.0
-	patience := c.checkpointAllowance(now, j, c.machines.FetchTime(now, best.machine, &j.spec))
+	patience := c.checkpointAllowance(now, j, c.machines.FetchTime(now, best.machine, &j.Spec))
 	for _, v := range victims {
 		if !v.Stopping {
-			c.preemptPlacement(now, v, j.spec.ID, patience)
+			c.preemptPlacement(now, v, j.Spec.ID, patience)
 		}
 		wait = max(wait, v.GraceS)
 	}
 	c.claimNomination(best)
 	l.tasksPerZone[best.machine.Zone]++
-	c.nominate(best.machine, j, now+config.Seconds(wait+3*c.cfg.Workers.HeartbeatSeconds)+Cycle)
+	c.nominate(best.machine, j, now+config.Seconds(wait+3*c.cfg.Workers.HeartbeatSeconds)+CycleInterval)
 	return true
 }
 
 // preemptPlacement stops a placement for another job that wants its room, and can wait for work to be
 // saved for as long as the patience.
-func (c *Core) preemptPlacement(now time.Duration, pl *partition.Placement, id string, patience time.Duration) {
+func (c *Scheduler) preemptPlacement(now time.Duration, pl *partition.Placement, id string, patience time.Duration) {
 	c.log.Info("preempted", "task", pl.Task, "for", id, "machine", pl.Machine)
 	if pl.Job != nil && pl.Job.SaveSeconds >= pl.Job.CheckpointIntervalSeconds/2 {
 		patience = 0 // to save takes as long as what is lost without, and the room is wanted
 	}
-	c.stopOrderly(now, pl, patience)
+	c.evict(now, pl, patience)
 }
 
 // checkpointAllowance is how long a job can wait for work to be saved and still start in
 // the time that its class's aim asks for. One that will be late anyhow, or has
 // no such aim, waits as long as it takes.
-func (c *Core) checkpointAllowance(now time.Duration, j *job, warm time.Duration) time.Duration {
-	within := c.startLatencyObjective(j.spec.Class)
-	if left := config.Seconds(within) - (now - j.known) - warm; !math.IsInf(within, 1) && left > 0 {
+func (c *Scheduler) checkpointAllowance(now time.Duration, j *Job, warm time.Duration) time.Duration {
+	within := c.startLatencyObjective(j.Spec.Class)
+	if left := config.Seconds(within) - (now - j.WaitingSince) - warm; !math.IsInf(within, 1) && left > 0 {
 		return left
 	}
 	return math.MaxInt64
@@ -135,7 +135,7 @@
 
 // selectVictims chooses the work that would have to leave a machine. Its cost is in
 // seconds of work lost or moved.
-func (c *Core) selectVictims(now time.Duration, j *job, x *candidate, level int) (out []*partition.Placement, cost float64, ok bool) {
+func (c *Scheduler) selectVictims(now time.Duration, j *Job, x *candidate, level int) (out []*partition.Placement, cost float64, ok bool) {
 	room := x.free // less what this cycle has given away already
 	var lower []*partition.Placement
 	x.machine.EachPlacement(func(pl *partition.Placement) {
@@ -160,7 +160,7 @@
 		return lower[a].Task.String() < lower[b].Task.String()
 	})
 	for _, pl := range lower {
-		if j.need.Fits(room) {
+		if j.TaskResources.Fits(room) {
 			break
 		}
 		room = room.Plus(pl.Resources)
@@ -177,7 +177,7 @@
 			cost += float64(pl.Job.TaskCount) * x.machineType.BootSeconds
 		}
 	}
-	return out, cost, len(out) > 0 && j.need.Fits(room)
+	return out, cost, len(out) > 0 && j.TaskResources.Fits(room)
 }
 
 // mayPreempt says whether a placement may be stopped to make room for a job: work of at
@@ -185,20 +185,20 @@
 // guarantee, for a team within its own. What a team runs within its guarantee need not
 // yield to another team. Lower work of other teams had been spared altogether: a guest's
 // idle-time batch then kept whole machines while urgent gangs waited for minutes.
-func (c *Core) mayPreempt(j *job, pl *partition.Placement, level int) bool {
+func (c *Scheduler) mayPreempt(j *Job, pl *partition.Placement, level int) bool {
 	if c.recoversBefore(pl, j) {
 		return false
 	}
-	if pl.Team == j.spec.Team {
+	if pl.Team == j.Spec.Team {
 		return pl.PriorityLevel >= level
 	}
 	return c.exceedsGuaranteedQuota(pl) && (pl.PriorityLevel >= level || c.withinGuaranteedQuota(j))
 }
 
 // jobAge is how long the job of a placement has been known.
-func (c *Core) jobAge(now time.Duration, pl *partition.Placement) time.Duration {
+func (c *Scheduler) jobAge(now time.Duration, pl *partition.Placement) time.Duration {
 	if j := c.jobs[pl.Task.JobID]; j != nil {
-		return now - j.known
+		return now - j.WaitingSince
 	}
 	return 0
 }
--- a/internal/coordination/scheduler/preempt_test.go
+++ b/internal/coordination/scheduler/preempt_test.go
@@ -19,20 +19,20 @@
 		grace      float64
 		stops      int
 	}{{"critical", 10, 60, 6, 1}, {"critical", 4, 60, 0, 1}, {"critical", 10, 4, 0, 1}, {"normal", 10, 60, 0, 0}} {
-		b := newBench([]config.Team{{Name: "red"}}, "a")
+		b := newHarness([]config.Team{{Name: "red"}}, "a")
 		b.setObjectives([]config.Objective{{Kind: "wait", Class: "quick", WithinSeconds: x.aim, Fraction: 0.9}})
-		b.machine("m1", "a", false)
-		low := spec("j-1", protocol.Array, "normal", 1, 8)
+		b.heartbeat("m1", "a", false)
+		low := jobSpec("j-1", protocol.Array, "normal", 1, 8)
 		low.CheckpointIntervalSeconds, low.SaveSeconds = x.checkpoint, 2
-		b.job(low)
-		b.cycle()
+		b.addJob(low)
+		b.runCycle()
 		id := protocol.TaskID{JobID: "j-1"}
-		high := spec("j-2", protocol.Service, x.prio, 1, 4)
+		high := jobSpec("j-2", protocol.Service, x.prio, 1, 4)
 		high.Class = "quick"
-		b.job(high)
+		b.addJob(high)
 		for range 4 {
-			b.machine("m1", "a", false, running(id, 1))
-			b.cycle()
+			b.heartbeat("m1", "a", false, runningTask(id, 1))
+			b.runCycle()
 		}
 		if len(b.stops) != x.stops || b.stops[id] != x.grace {
 			t.Errorf("%s: stopped %v", x.prio, b.stops)
@@ -56,17 +56,17 @@
 		{"lower work beyond its guarantee", config.Team{}, config.Team{GuaranteedGPUs: 4}, "urgent", 1},
 	} {
 		x.red.Name, x.guest.Name = "red", "guest"
-		b := newBench([]config.Team{x.red, x.guest}, "a")
-		b.machine("m1", "a", false)
-		low := spec("j-1", protocol.Array, "best_effort", 1, 8)
+		b := newHarness([]config.Team{x.red, x.guest}, "a")
+		b.heartbeat("m1", "a", false)
+		low := jobSpec("j-1", protocol.Array, "best_effort", 1, 8)
 		low.Team = "guest"
-		b.job(low)
-		b.cycle()
+		b.addJob(low)
+		b.runCycle()
 		id := protocol.TaskID{JobID: "j-1"}
-		b.job(spec("j-2", protocol.Gang, x.prio, 1, 8))
+		b.addJob(jobSpec("j-2", protocol.Gang, x.prio, 1, 8))
 		for range 4 {
-			b.machine("m1", "a", false, running(id, 1))
-			b.cycle()
+			b.heartbeat("m1", "a", false, runningTask(id, 1))
+			b.runCycle()
 		}
 		if len(b.stops) != x.stops {
 			t.Errorf("%s: stopped %v", x.name, b.stops)
@@ -79,29 +79,29 @@
 // of the aim on waiting. Waiting on for room with the image, which nobody was
 // clearing, had used up the whole aim.
 func TestPreemptedCapacityIsUsed(t *testing.T) {
-	b := newBench([]config.Team{{Name: "red"}}, "a")
+	b := newHarness([]config.Team{{Name: "red"}}, "a")
 	b.setObjectives([]config.Objective{{Kind: "wait", Class: "quick", WithinSeconds: 12, Fraction: 0.9}})
-	b.machine("m1", "a", false)
-	low := spec("j-1", protocol.Gang, "urgent", 1, 8)
+	b.heartbeat("m1", "a", false)
+	low := jobSpec("j-1", protocol.Gang, "urgent", 1, 8)
 	low.CheckpointIntervalSeconds, low.SaveSeconds = 30, 3
-	b.job(low)
-	b.cycle()
+	b.addJob(low)
+	b.runCycle()
 	id := protocol.TaskID{JobID: "j-1"}
-	b.machine("m1", "a", false, running(id, 1))
-	quick := spec("j-2", protocol.Service, "critical", 1, 8)
+	b.heartbeat("m1", "a", false, runningTask(id, 1))
+	quick := jobSpec("j-2", protocol.Service, "critical", 1, 8)
 	quick.Class, quick.Image, quick.ImageGB = "quick", "big", 9
-	b.job(quick)
+	b.addJob(quick)
 	for range 3 {
-		b.cycle()
-		b.machine("m1", "a", false, running(id, 1))
+		b.runCycle()
+		b.heartbeat("m1", "a", false, runningTask(id, 1))
 	}
 	if _, stopped := b.stops[id]; !stopped {
 		t.Fatal("no room was cleared")
 	}
-	b.cycle()
-	b.machine("m1", "a", false, protocol.TaskStatus{TaskName: id.String(), Attempt: 1, State: protocol.TaskExited, Cause: protocol.CauseStopped, CheckpointSaved: true})
-	b.cycle()
-	if b.started("j-2") != 1 {
+	b.runCycle()
+	b.heartbeat("m1", "a", false, protocol.TaskStatus{TaskName: id.String(), Attempt: 1, State: protocol.TaskExited, Cause: protocol.CauseStopped, CheckpointSaved: true})
+	b.runCycle()
+	if b.startedTasks("j-2") != 1 {
 		t.Error("the cleared room was not taken")
 	}
 }
@@ -114,29 +114,29 @@
 		waited int // seconds, by the older gang
 		want   string
 	}{{5, "j-2"}, {25, "j-3"}, {70, "j-2"}} {
-		b := newBench([]config.Team{{Name: "red"}}, "a")
+		b := newHarness([]config.Team{{Name: "red"}}, "a")
 		b.setObjectives([]config.Objective{
 			{Kind: "wait", Class: "big", WithinSeconds: 20, Fraction: 0.9}, {Kind: "finished", Class: "big", WithinSeconds: 30, Fraction: 0.9},
 		})
-		gang := spec("j-1", protocol.Gang, "urgent", 1, 8)
+		gang := jobSpec("j-1", protocol.Gang, "urgent", 1, 8)
 		gang.Class, gang.EstimateSeconds = "big", 20
-		b.machine("m1", "a", false)
-		b.job(gang)
-		b.cycle()
+		b.heartbeat("m1", "a", false)
+		b.addJob(gang)
+		b.runCycle()
 		id := protocol.TaskID{JobID: "j-1"}
-		b.machine("m1", "a", false, running(id, 1))
+		b.heartbeat("m1", "a", false, runningTask(id, 1))
 		gang.ID = "j-2"
-		b.job(gang)
+		b.addJob(gang)
 		for range x.waited {
-			b.machine("m1", "a", false, running(id, 1))
-			b.cycle()
+			b.heartbeat("m1", "a", false, runningTask(id, 1))
+			b.runCycle()
 		}
 		gang.ID = "j-3"
-		b.job(gang)
-		b.machine("m1", "a", false, protocol.TaskStatus{TaskName: id.String(), Attempt: 1, State: protocol.TaskExited, Cause: protocol.CauseDone})
-		b.cycle()
-		if b.started(x.want) != 1 || b.started("j-2")+b.started("j-3") != 1 {
-			t.Errorf("after %d s j-2 started %d, j-3 %d, want %s", x.waited, b.started("j-2"), b.started("j-3"), x.want)
+		b.addJob(gang)
+		b.heartbeat("m1", "a", false, protocol.TaskStatus{TaskName: id.String(), Attempt: 1, State: protocol.TaskExited, Cause: protocol.CauseDone})
+		b.runCycle()
+		if b.startedTasks(x.want) != 1 || b.startedTasks("j-2")+b.startedTasks("j-3") != 1 {
+			t.Errorf("after %d s j-2 started %d, j-3 %d, want %s", x.waited, b.startedTasks("j-2"), b.startedTasks("j-3"), x.want)
 		}
 	}
 }
@@ -149,34 +149,34 @@
 		owner string // for whom the first machine is being cleared
 		want  map[string]int
 	}{{"j-2", map[string]int{"j-1": 2, "j-3": 0}}, {"j-0", map[string]int{"j-1": 2, "j-3": 0}}, {"j-1", map[string]int{"j-1": 2, "j-3": 0}}} {
-		b := newBench([]config.Team{{Name: "red"}}, "a")
-		b.machine("m0", "a", false)
-		b.job(spec("j-0", protocol.Gang, "urgent", 1, 8))
-		b.cycle()
-		b.machine("m0", "a", false, running(protocol.TaskID{JobID: "j-0"}, 1))
+		b := newHarness([]config.Team{{Name: "red"}}, "a")
+		b.heartbeat("m0", "a", false)
+		b.addJob(jobSpec("j-0", protocol.Gang, "urgent", 1, 8))
+		b.runCycle()
+		b.heartbeat("m0", "a", false, runningTask(protocol.TaskID{JobID: "j-0"}, 1))
 		for _, m := range []string{"m1", "m2"} {
-			b.machine(m, "a", false)
+			b.heartbeat(m, "a", false)
 		}
-		b.job(spec("j-1", protocol.Gang, "urgent", 2, 8))
-		b.job(spec("j-2", protocol.Gang, "urgent", 2, 8))
-		b.job(spec("j-3", protocol.Array, "normal", 1, 1))
-		m := b.c.machines.Machine("m1")
+		b.addJob(jobSpec("j-1", protocol.Gang, "urgent", 2, 8))
+		b.addJob(jobSpec("j-2", protocol.Gang, "urgent", 2, 8))
+		b.addJob(jobSpec("j-3", protocol.Array, "normal", 1, 1))
+		m := b.scheduler.machines.Machine("m1")
 		m.ReservedJob, m.ReservedUntil = x.owner, b.now+time.Minute
-		b.cycle()
+		b.runCycle()
 		for id, n := range x.want {
-			if got := b.started(id); got != n {
+			if got := b.startedTasks(id); got != n {
 				t.Errorf("cleared for %s: %s started %d tasks, want %d", x.owner, id, got, n)
 			}
 		}
 	}
-	b := newBench([]config.Team{{Name: "red"}}, "a")
-	b.machine("m1", "a", false)
-	b.job(spec("j-1", protocol.Service, "critical", 1, 16)) // fits nowhere
-	b.job(spec("j-2", protocol.Array, "normal", 1, 1))
-	m := b.c.machines.Machine("m1")
+	b := newHarness([]config.Team{{Name: "red"}}, "a")
+	b.heartbeat("m1", "a", false)
+	b.addJob(jobSpec("j-1", protocol.Service, "critical", 1, 16)) // fits nowhere
+	b.addJob(jobSpec("j-2", protocol.Array, "normal", 1, 1))
+	m := b.scheduler.machines.Machine("m1")
 	m.ReservedJob, m.ReservedUntil = "j-1", b.now+time.Minute
-	b.cycle()
-	if b.started("j-2") != 0 {
+	b.runCycle()
+	if b.startedTasks("j-2") != 0 {
 		t.Error("a later job took room that is being cleared")
 	}
 }
@@ -186,25 +186,25 @@
 // of its kind starts there without a fetch; not to an empty machine, which jobs
 // that want a whole one need.
 func TestReplicaWithoutImageLeavesCapacityForTheNext(t *testing.T) {
-	b := newBench([]config.Team{{Name: "red"}}, "a")
+	b := newHarness([]config.Team{{Name: "red"}}, "a")
 	b.setObjectives([]config.Objective{{Kind: "wait", Class: "quick", WithinSeconds: 1, Fraction: 0.9}})
 	for i, gpus := range []float64{6, 3} {
 		name := fmt.Sprintf("m%d", i+1)
-		b.machine(name, "a", false)
-		j := spec(fmt.Sprintf("j-%d", i+1), protocol.Service, "critical", 1, gpus)
+		b.heartbeat(name, "a", false)
+		j := jobSpec(fmt.Sprintf("j-%d", i+1), protocol.Service, "critical", 1, gpus)
 		j.CPUs, j.MemoryGB = 8*gpus, 32*gpus
-		b.job(j)
-		b.cycle()
-		b.machine(name, "a", false, running(protocol.TaskID{JobID: j.ID}, 1))
-		b.c.machines.Machine("m1").Quarantined = i == 0 // so that each has its own
+		b.addJob(j)
+		b.runCycle()
+		b.heartbeat(name, "a", false, runningTask(protocol.TaskID{JobID: j.ID}, 1))
+		b.scheduler.machines.Machine("m1").Quarantined = i == 0 // so that each has its own
 	}
-	b.c.machines.Machine("m1").Quarantined = false
-	b.machine("m0", "a", false)
-	quick := spec("j-3", protocol.Service, "critical", 1, 1)
+	b.scheduler.machines.Machine("m1").Quarantined = false
+	b.heartbeat("m0", "a", false)
+	quick := jobSpec("j-3", protocol.Service, "critical", 1, 1)
 	quick.Class, quick.Image, quick.ImageGB = "quick", "small", 1
-	b.job(quick)
-	b.cycle()
-	if got := b.on[protocol.TaskID{JobID: "j-3"}]; got != "m2" {
+	b.addJob(quick)
+	b.runCycle()
+	if got := b.machineOf[protocol.TaskID{JobID: "j-3"}]; got != "m2" {
 		t.Errorf("the replica went to %q, want m2", got)
 	}
 }
@@ -219,26 +219,26 @@
 		prio  protocol.Priority
 		stops int
 	}{{protocol.TaskFetching, "critical", 1}, {"", "critical", 0}, {protocol.TaskRunning, "critical", 0}, {protocol.TaskFetching, "urgent", 0}} {
-		b := newBench([]config.Team{{Name: "red"}}, "a")
+		b := newHarness([]config.Team{{Name: "red"}}, "a")
 		b.setObjectives([]config.Objective{{Kind: "wait", Class: "quick", WithinSeconds: 40, Fraction: 0.9}})
-		b.machine("m1", "a", false)
-		low := spec("j-1", protocol.Array, "normal", 1, 1)
+		b.heartbeat("m1", "a", false)
+		low := jobSpec("j-1", protocol.Array, "normal", 1, 1)
 		low.Image, low.ImageGB = "low", 20
-		b.job(low)
-		b.cycle()
+		b.addJob(low)
+		b.runCycle()
 		id := protocol.TaskID{JobID: "j-1"}
 		if x.state != "" { // else started, perhaps by an earlier leader, and not reported yet
-			b.machine("m1", "a", false, protocol.TaskStatus{TaskName: id.String(), Attempt: 1, State: x.state})
+			b.heartbeat("m1", "a", false, protocol.TaskStatus{TaskName: id.String(), Attempt: 1, State: x.state})
 		} else {
-			b.c.jobs["j-1"].places[0].State = ""
+			b.scheduler.jobs["j-1"].Placements[0].State = ""
 		}
-		high := spec("j-2", protocol.Service, x.prio, 1, 2)
+		high := jobSpec("j-2", protocol.Service, x.prio, 1, 2)
 		high.Class, high.Image, high.ImageGB = "quick", "high", 30
-		b.job(high)
-		b.cycle()
-		b.do(Tick{}) // the run goes out once the stop is answered
-		if b.started("j-2") != 1 || len(b.stops) != x.stops {
-			t.Errorf("%s beside %s: started %d, stopped %v", x.prio, x.state, b.started("j-2"), b.stops)
+		b.addJob(high)
+		b.runCycle()
+		b.apply(Tick{}) // the run goes out once the stop is answered
+		if b.startedTasks("j-2") != 1 || len(b.stops) != x.stops {
+			t.Errorf("%s beside %s: started %d, stopped %v", x.prio, x.state, b.startedTasks("j-2"), b.stops)
 		}
 	}
 }
@@ -251,32 +251,32 @@
 		prio protocol.Priority
 		want string
 	}{{"critical", "m1"}, {"urgent", "m2"}} {
-		b := newBench([]config.Team{{Name: "red"}}, "a")
+		b := newHarness([]config.Team{{Name: "red"}}, "a")
 		b.setObjectives([]config.Objective{{Kind: "wait", Class: "quick", WithinSeconds: 12, Fraction: 0.9}})
-		b.machine("m1", "a", false)
-		low := spec("j-2", protocol.Array, "normal", 1, 4)
+		b.heartbeat("m1", "a", false)
+		low := jobSpec("j-2", protocol.Array, "normal", 1, 4)
 		low.CheckpointIntervalSeconds, low.SaveSeconds = 10, 2
-		b.job(low)
-		b.cycle()
+		b.addJob(low)
+		b.runCycle()
 		two := protocol.TaskID{JobID: "j-2"}
-		b.machine("m1", "a", false, running(two, 1))
-		first := spec("j-1", protocol.Service, "critical", 1, 4)
+		b.heartbeat("m1", "a", false, runningTask(two, 1))
+		first := jobSpec("j-1", protocol.Service, "critical", 1, 4)
 		first.Class, first.Image, first.ImageGB = "quick", "big", 60
-		b.job(first)
-		b.cycle()
+		b.addJob(first)
+		b.runCycle()
 		one := protocol.TaskID{JobID: "j-1"}
-		b.machine("m1", "a", false, running(one, 1))
-		b.machine("m2", "a", false) // empty, without the image
+		b.heartbeat("m1", "a", false, runningTask(one, 1))
+		b.heartbeat("m2", "a", false) // empty, without the image
 
 		next := first
 		next.ID, next.Priority = "j-3", x.prio
-		b.job(next)
-		b.cycle()
+		b.addJob(next)
+		b.runCycle()
 		if _, stopped := b.stops[two]; stopped {
-			b.machine("m1", "a", false, protocol.TaskStatus{TaskName: two.String(), Attempt: 1, State: protocol.TaskExited, Cause: protocol.CauseStopped})
+			b.heartbeat("m1", "a", false, protocol.TaskStatus{TaskName: two.String(), Attempt: 1, State: protocol.TaskExited, Cause: protocol.CauseStopped})
 		}
-		b.cycle()
-		if got := b.on[protocol.TaskID{JobID: "j-3"}]; got != x.want {
+		b.runCycle()
+		if got := b.machineOf[protocol.TaskID{JobID: "j-3"}]; got != x.want {
 			t.Errorf("%s went to %q, want %s", x.prio, got, x.want)
 		}
 	}
@@ -287,33 +287,33 @@
 // other's machine, where the fetch would begin anew once its own task has left;
 // only when one is seen past its fetch does the other join it.
 func TestSlowFetchesAreNotSwapped(t *testing.T) {
-	b := newBench([]config.Team{{Name: "red"}}, "a")
+	b := newHarness([]config.Team{{Name: "red"}}, "a")
 	b.setObjectives([]config.Objective{{Kind: "wait", Class: "quick", WithinSeconds: 40, Fraction: 0.9}})
 	one, two := protocol.TaskID{JobID: "j-1"}, protocol.TaskID{JobID: "j-2"}
 	fetching := func(id protocol.TaskID) protocol.TaskStatus {
 		return protocol.TaskStatus{TaskName: id.String(), Attempt: 1, State: protocol.TaskFetching}
 	}
 	for _, id := range []protocol.TaskID{one, two} {
-		b.machine("m-"+id.JobID, "a", false)
-		j := spec(id.JobID, protocol.Service, "critical", 1, 4)
+		b.heartbeat("m-"+id.JobID, "a", false)
+		j := jobSpec(id.JobID, protocol.Service, "critical", 1, 4)
 		j.Class, j.Image, j.ImageGB = "quick", "big", 40
-		b.job(j)
-		b.cycle()
-		b.machine("m-"+id.JobID, "a", false, fetching(id))
-		b.c.machines.Machine("m-j-1").Quarantined = id == one // so that each has its own
+		b.addJob(j)
+		b.runCycle()
+		b.heartbeat("m-"+id.JobID, "a", false, fetching(id))
+		b.scheduler.machines.Machine("m-j-1").Quarantined = id == one // so that each has its own
 	}
-	b.c.machines.Machine("m-j-1").Quarantined = false
+	b.scheduler.machines.Machine("m-j-1").Quarantined = false
 	b.stops = map[protocol.TaskID]float64{}
 	for range 55 {
-		b.machine(b.on[one], "a", false, fetching(one))
-		b.machine(b.on[two], "a", false, fetching(two))
-		b.cycle()
+		b.heartbeat(b.machineOf[one], "a", false, fetching(one))
+		b.heartbeat(b.machineOf[two], "a", false, fetching(two))
+		b.runCycle()
 	}
-	if b.on[one] == b.on[two] || len(b.stops) > 0 {
-		t.Fatalf("on %s and %s, stopped %v", b.on[one], b.on[two], b.stops)
+	if b.machineOf[one] == b.machineOf[two] || len(b.stops) > 0 {
+		t.Fatalf("on %s and %s, stopped %v", b.machineOf[one], b.machineOf[two], b.stops)
 	}
-	b.machine(b.on[one], "a", false, running(one, 1))
-	b.cycle()
+	b.heartbeat(b.machineOf[one], "a", false, runningTask(one, 1))
+	b.runCycle()
 	if _, ok := b.stops[two]; !ok {
 		t.Error("the other task does not join the image that is there")
 	}
@@ -330,26 +330,26 @@
 }
 
 func checkHeadroomIsHeld(t *testing.T, aims ...config.Objective) {
-	b := newBench([]config.Team{{Name: "red"}}, "a")
+	b := newHarness([]config.Team{{Name: "red"}}, "a")
 	b.setObjectives(append(aims, config.Objective{Kind: "wait", Class: "quick", WithinSeconds: 12, Fraction: 0.9}))
-	b.machine("m1", "a", false)
-	quick := spec("j-1", protocol.Service, "normal", 1, 4)
+	b.heartbeat("m1", "a", false)
+	quick := jobSpec("j-1", protocol.Service, "normal", 1, 4)
 	quick.Class = "quick"
-	b.job(quick)
-	b.cycle()
-	b.machine("m1", "a", false, running(protocol.TaskID{JobID: "j-1"}, 1))
-	b.cycle()
-	b.machine("m1", "a", false)
-	b.job(spec("j-2", protocol.Array, "normal", 8, 1))
-	b.cycle()
-	if n := b.started("j-2"); n != 0 {
+	b.addJob(quick)
+	b.runCycle()
+	b.heartbeat("m1", "a", false, runningTask(protocol.TaskID{JobID: "j-1"}, 1))
+	b.runCycle()
+	b.heartbeat("m1", "a", false)
+	b.addJob(jobSpec("j-2", protocol.Array, "normal", 8, 1))
+	b.runCycle()
+	if n := b.startedTasks("j-2"); n != 0 {
 		t.Errorf("%d array tasks took the room kept for others", n)
 	}
 	quick.ID = "j-3"
-	b.machine("m1", "a", false)
-	b.job(quick)
-	b.cycle()
-	if b.started("j-3") != 1 {
+	b.heartbeat("m1", "a", false)
+	b.addJob(quick)
+	b.runCycle()
+	if b.startedTasks("j-3") != 1 {
 		t.Error("the room was kept from those it was kept for")
 	}
 }
@@ -362,28 +362,28 @@
 		within float64
 		tasks  int // of the array that may start
 	}{{45, 0}, {65, 8}} {
-		b := newBench([]config.Team{{Name: "red"}}, "a")
+		b := newHarness([]config.Team{{Name: "red"}}, "a")
 		b.setObjectives([]config.Objective{{Kind: "wait", Class: "big", WithinSeconds: x.within, Fraction: 0.9}})
-		b.machine("m1", "a", false)
-		gang := spec("j-1", protocol.Gang, "urgent", 1, 8)
+		b.heartbeat("m1", "a", false)
+		gang := jobSpec("j-1", protocol.Gang, "urgent", 1, 8)
 		gang.Class, gang.Image, gang.ImageGB = "big", "big", 40
-		b.job(gang)
-		b.cycle()
-		b.machine("m1", "a", false, running(protocol.TaskID{JobID: "j-1"}, 1))
-		b.cycle()
-		b.machine("m2", "a", false)
-		low := spec("j-2", protocol.Array, "normal", 8, 1)
+		b.addJob(gang)
+		b.runCycle()
+		b.heartbeat("m1", "a", false, runningTask(protocol.TaskID{JobID: "j-1"}, 1))
+		b.runCycle()
+		b.heartbeat("m2", "a", false)
+		low := jobSpec("j-2", protocol.Array, "normal", 8, 1)
 		low.CheckpointIntervalSeconds, low.SaveSeconds = 10, 2
-		b.job(low)
-		b.cycle()
-		if n := b.started("j-2"); n != x.tasks {
+		b.addJob(low)
+		b.runCycle()
+		if n := b.startedTasks("j-2"); n != x.tasks {
 			t.Errorf("aim of %v s: %d array tasks on the last whole machine, want %d", x.within, n, x.tasks)
 		}
 		gang.ID = "j-3"
-		b.machine("m2", "a", false)
-		b.job(gang)
-		b.cycle()
-		if x.tasks == 0 && b.started("j-3") != 1 {
+		b.heartbeat("m2", "a", false)
+		b.addJob(gang)
+		b.runCycle()
+		if x.tasks == 0 && b.startedTasks("j-3") != 1 {
 			t.Error("the room was kept from those it was kept for")
 		}
 	}
--- a/internal/coordination/scheduler/quota.go
+++ b/internal/coordination/scheduler/quota.go
@@ -8,10 +8,10 @@
 )
 
 // team returns the team of that name, or nil.
-func (c *Core) team(name string) *config.Team { return c.teams[name] }
+func (c *Scheduler) team(name string) *config.Team { return c.teams[name] }
 
 // weightedUsage is what a team uses for its weight: its guarantee, or 1.
-func (c *Core) weightedUsage(team string) float64 {
+func (c *Scheduler) weightedUsage(team string) float64 {
 	u := c.machines.TeamUsage(team)
 	t := c.team(team)
 	if t != nil && (t.GuaranteedGPUs > 0 || t.GuaranteedCPUs > 0) {
@@ -21,41 +21,41 @@
 }
 
 // tasksWithinQuotaLimit is how many more tasks of the job its team's limit lets start.
-func (c *Core) tasksWithinQuotaLimit(j *job) int {
-	t := c.team(j.spec.Team)
+func (c *Scheduler) tasksWithinQuotaLimit(j *Job) int {
+	t := c.team(j.Spec.Team)
 	n := math.MaxInt32
 	if t == nil {
 		return n
 	}
-	u := c.machines.TeamUsage(j.spec.Team)
-	if t.MaxCPUs > 0 && j.need.CPUs > 0 {
-		n = min(n, int((t.MaxCPUs-u.CPUs)/j.need.CPUs+1e-9))
+	u := c.machines.TeamUsage(j.Spec.Team)
+	if t.MaxCPUs > 0 && j.TaskResources.CPUs > 0 {
+		n = min(n, int((t.MaxCPUs-u.CPUs)/j.TaskResources.CPUs+1e-9))
 	}
-	if t.MaxGPUs > 0 && j.need.GPUs > 0 {
-		n = min(n, int((t.MaxGPUs-u.GPUs)/j.need.GPUs+1e-9))
+	if t.MaxGPUs > 0 && j.TaskResources.GPUs > 0 {
+		n = min(n, int((t.MaxGPUs-u.GPUs)/j.TaskResources.GPUs+1e-9))
 	}
 	return max(0, n)
 }
 
 // exceedsGuaranteedQuota says whether a placement's team uses more than its guarantee.
-func (c *Core) exceedsGuaranteedQuota(pl *partition.Placement) bool {
+func (c *Scheduler) exceedsGuaranteedQuota(pl *partition.Placement) bool {
 	return !fitsGuaranteedQuota(c.team(pl.Team), c.machines.TeamUsage(pl.Team))
 }
 
 // withinGuaranteedQuota says whether a job's team is still within its guarantee with one more
 // of its tasks.
-func (c *Core) withinGuaranteedQuota(j *job) bool {
-	return fitsGuaranteedQuota(c.team(j.spec.Team), c.machines.TeamUsage(j.spec.Team).Plus(j.need))
+func (c *Scheduler) withinGuaranteedQuota(j *Job) bool {
+	return fitsGuaranteedQuota(c.team(j.Spec.Team), c.machines.TeamUsage(j.Spec.Team).Plus(j.TaskResources))
 }
 
 // tasksWithinGuaranteedQuota is how many more of a job's tasks its team can run within its guarantee.
-func (c *Core) tasksWithinGuaranteedQuota(j *job) int {
+func (c *Scheduler) tasksWithinGuaranteedQuota(j *Job) int {
 	if !c.withinGuaranteedQuota(j) {
 		return 0
 	}
-	t, used := c.team(j.spec.Team), c.machines.TeamUsage(j.spec.Team)
-	n := j.counts[pending]
-	for _, r := range [][3]float64{{t.GuaranteedCPUs, used.CPUs, j.need.CPUs}, {t.GuaranteedGPUs, used.GPUs, j.need.GPUs}} {
+	t, used := c.team(j.Spec.Team), c.machines.TeamUsage(j.Spec.Team)
+	n := j.TaskCounts[TaskPending]
+	for _, r := range [][3]float64{{t.GuaranteedCPUs, used.CPUs, j.TaskResources.CPUs}, {t.GuaranteedGPUs, used.GPUs, j.TaskResources.GPUs}} {
 		if guarantee, taken, each := r[0], r[1], r[2]; guarantee > 0 && each > 0 {
 			n = min(n, int((guarantee-taken)/each+1e-9))
 		}
--- a/internal/coordination/scheduler/recovery.go
+++ b/internal/coordination/scheduler/recovery.go
@@ -19,7 +19,7 @@
 }
 
 // recoverPages takes over what the pages record.
-func (c *Core) recoverPages(now time.Duration, pairs []protocol.KeyValue) {
+func (c *Scheduler) recoverPages(now time.Duration, pairs []protocol.KeyValue) {
 	byJob := map[string][]storedPage{}
 	for _, pair := range pairs {
 		name, err := storage.ParsePageKey(pair.Key, storage.OriginalPageTasks(c.cfg.Store.ValueKB))
@@ -41,7 +41,7 @@
 
 // recoverJobPages takes over what the pages of a job record, the narrowest first: of a task that several
 // cover, that one counts.
-func (c *Core) recoverJobPages(now time.Duration, id string, pages []storedPage) {
+func (c *Scheduler) recoverJobPages(now time.Duration, id string, pages []storedPage) {
 	slices.SortStableFunc(pages, func(a, b storedPage) int { return compareLayouts(a.id.Layout, b.id.Layout) })
 	j := c.jobs[id]
 	if j == nil {
@@ -63,7 +63,7 @@
 		c.recoverPageTasks(now, j, p.record, counts)
 		covered = append(covered, p.id)
 	}
-	j.queues.addPlaced(j)
+	j.Queues.addPlaced(j)
 }
 
 // compareLayouts orders layouts by which counts for a task that pages of several cover: the narrower one, and of two
@@ -79,42 +79,42 @@
 }
 
 // newEndedJob makes up a job that is over, and whose tasks may not be gone: they still count.
-func (c *Core) newEndedJob(now time.Duration, id string, pages []storedPage) *job {
+func (c *Scheduler) newEndedJob(now time.Duration, id string, pages []storedPage) *Job {
 	rec := pages[0].record
-	j := newJob(protocol.Job{ID: id, Team: rec.Team, CPUs: rec.CPUs, GPUs: rec.GPUs,
+	j := NewJob(protocol.Job{ID: id, Team: rec.Team, CPUs: rec.CPUs, GPUs: rec.GPUs,
 		MemoryGB: rec.MemoryGB, Priority: "best_effort"}, 0, 0, now, c.newJobLayout())
 	for _, p := range pages {
-		if more := p.id.EndTask() - len(j.tasks); more > 0 {
-			j.tasks = append(j.tasks, make([]taskState, more)...)
-			j.counts[pending] += more
+		if more := p.id.EndTask() - len(j.TaskStates); more > 0 {
+			j.TaskStates = append(j.TaskStates, make([]TaskState, more)...)
+			j.TaskCounts[TaskPending] += more
 		}
 	}
-	j.over = true
+	j.Ended = true
 	c.jobs[id] = j
 	c.enqueue(j)
 	return j
 }
 
 // recoverPageTasks takes over what a page records of the tasks for which it counts.
-func (c *Core) recoverPageTasks(now time.Duration, j *job, rec *storage.PlacementPage, counts func(task int) bool) {
+func (c *Scheduler) recoverPageTasks(now time.Duration, j *Job, rec *storage.PlacementPage, counts func(task int) bool) {
 	for _, d := range rec.DoneRanges {
 		for t := d[0]; t <= d[1]; t++ {
 			if counts(t) {
-				j.set(t, done)
+				j.SetTask(t, TaskDone)
 			}
 		}
 	}
 	for _, pl := range rec.Placements {
-		if pl.Task >= len(j.tasks) || j.places[pl.Task] != nil || !counts(pl.Task) {
+		if pl.Task >= len(j.TaskStates) || j.Placements[pl.Task] != nil || !counts(pl.Task) {
 			continue
 		}
 		np := &partition.Placement{
-			Task: protocol.TaskID{JobID: j.spec.ID, Index: pl.Task}, Attempt: pl.Attempt, Machine: pl.Machine, Incarnation: pl.Incarnation,
-			Zone: rec.Zones[pl.Zone], Resources: j.need, Team: j.spec.Team, PriorityLevel: j.level, Job: &j.spec,
+			Task: protocol.TaskID{JobID: j.Spec.ID, Index: pl.Task}, Attempt: pl.Attempt, Machine: pl.Machine, Incarnation: pl.Incarnation,
+			Zone: rec.Zones[pl.Zone], Resources: j.TaskResources, Team: j.Spec.Team, PriorityLevel: j.EffectivePriority, Job: &j.Spec,
 		}
-		j.places[pl.Task] = np
-		if j.tasks[pl.Task] != done {
-			j.set(pl.Task, placed)
+		j.Placements[pl.Task] = np
+		if j.TaskStates[pl.Task] != TaskDone {
+			j.SetTask(pl.Task, TaskPlaced)
 		}
 		c.machines.Adopt(now, np)
 	}
--- a/internal/coordination/scheduler/recovery_test.go
+++ b/internal/coordination/scheduler/recovery_test.go
@@ -13,19 +13,19 @@
 // TestNewLeaderRecoversImageHints: what one leader wrote down of the machines'
 // images leads the next one's tasks to the machine that has theirs.
 func TestNewLeaderRecoversImageHints(t *testing.T) {
-	b := newBench([]config.Team{{Name: "red"}}, "a")
-	b.machine("m2", "a", false)
-	j := spec("j-1", protocol.Array, "normal", 1, 1)
+	b := newHarness([]config.Team{{Name: "red"}}, "a")
+	b.heartbeat("m2", "a", false)
+	j := jobSpec("j-1", protocol.Array, "normal", 1, 1)
 	j.Image, j.ImageGB = "big", 50
-	b.job(j)
-	b.cycle()
+	b.addJob(j)
+	b.runCycle()
 	id := protocol.TaskID{JobID: "j-1"}
 	for range 15 {
-		b.machine("m2", "a", false, running(id, 1))
-		b.cycle()
+		b.heartbeat("m2", "a", false, runningTask(id, 1))
+		b.runCycle()
 	}
 	var warm []protocol.KeyValue
-	for _, txn := range b.last {
+	for _, txn := range b.transactions {
 		for _, op := range txn.Then {
 			if op.PutKey == storage.ImageHintKey(0) {
 				warm = []protocol.KeyValue{{Key: op.PutKey, Value: op.Value, Revision: 1}}
@@ -35,15 +35,15 @@
 	if warm == nil {
 		t.Fatal("nothing was written down")
 	}
-	next := newBench([]config.Team{{Name: "red"}}, "a")
-	next.c = New(0, next.c.cfg, next.c.log, Term{Number: 6, Stamp: 2}, Records{Types: []protocol.MachineType{*b.c.machines.MachineType("g8")}, Images: warm}, 0, nil)
+	next := newHarness([]config.Team{{Name: "red"}}, "a")
+	next.scheduler = New(0, next.scheduler.cfg, next.scheduler.log, Term{Number: 6, Revision: 2}, RecoveredRecords{MachineTypes: []protocol.MachineType{*b.scheduler.machines.MachineType("g8")}, Images: warm}, 0, nil)
 	for _, m := range []string{"m1", "m2", "m3"} {
-		next.machine(m, "a", false)
+		next.heartbeat(m, "a", false)
 	}
 	j.ID = "j-2"
-	next.job(j)
-	next.cycle()
-	if got := next.on[protocol.TaskID{JobID: "j-2"}]; got != "m2" {
+	next.addJob(j)
+	next.runCycle()
+	if got := next.machineOf[protocol.TaskID{JobID: "j-2"}]; got != "m2" {
 		t.Errorf("the task went to %q", got)
 	}
 }
@@ -51,14 +51,14 @@
 // TestNewLeaderRecoversWaitingTimes: how long a job has waited counts from its submission,
 // also for a leader that has just come: here, which gang can still start in time.
 func TestNewLeaderRecoversWaitingTimes(t *testing.T) {
-	b := newBench([]config.Team{{Name: "red"}}, "a")
+	b := newHarness([]config.Team{{Name: "red"}}, "a")
 	b.setObjectives([]config.Objective{
 		{Kind: "wait", Class: "big", WithinSeconds: 20, Fraction: 0.9}, {Kind: "finished", Class: "big", WithinSeconds: 30, Fraction: 0.9},
 	})
 	const wallMS = 100_000
 	var live []protocol.KeyValue
 	for id, waitedMS := range map[string]int64{"j-1": 25_000, "j-2": 5_000} {
-		gang := spec(id, protocol.Gang, "urgent", 1, 8)
+		gang := jobSpec(id, protocol.Gang, "urgent", 1, 8)
 		gang.Class, gang.EstimateSeconds = "big", 20
 		value, err := protocol.Encode(storage.LiveJobRecord{Job: gang, AcceptedAtMS: wallMS - waitedMS})
 		if err != nil {
@@ -66,11 +66,11 @@
 		}
 		live = append(live, protocol.KeyValue{Key: storage.LiveJobKey(id), Value: value, Revision: 3})
 	}
-	b.c = New(0, b.c.cfg, b.c.log, Term{Number: 6, Stamp: 2}, Records{Types: []protocol.MachineType{*b.c.machines.MachineType("g8")}, Live: live}, wallMS, nil)
-	b.machine("m1", "a", false)
-	b.cycle()
-	if b.started("j-1") != 0 || b.started("j-2") != 1 {
-		t.Errorf("started %d of the late gang, %d of the other", b.started("j-1"), b.started("j-2"))
+	b.scheduler = New(0, b.scheduler.cfg, b.scheduler.log, Term{Number: 6, Revision: 2}, RecoveredRecords{MachineTypes: []protocol.MachineType{*b.scheduler.machines.MachineType("g8")}, LiveJobs: live}, wallMS, nil)
+	b.heartbeat("m1", "a", false)
+	b.runCycle()
+	if b.startedTasks("j-1") != 0 || b.startedTasks("j-2") != 1 {
+		t.Errorf("started %d of the late gang, %d of the other", b.startedTasks("j-1"), b.startedTasks("j-2"))
 	}
 }
 
@@ -82,40 +82,40 @@
 		relayed int
 		away    bool
 	}{{1, false}, {5, true}} {
-		b := newBench([]config.Team{{Name: "red"}}, "a")
-		b.job(spec("j-1", protocol.Array, "normal", 40, 1))
+		b := newHarness([]config.Team{{Name: "red"}}, "a")
+		b.addJob(jobSpec("j-1", protocol.Array, "normal", 40, 1))
 		away, direct := false, 0
 		for range 10 {
 			for i := range 6 {
 				name := fmt.Sprintf("m%d", i)
-				b.machine(name, "a", false)
-				r := b.report(name)
-				for _, e := range b.c.Step(b.now, Reported{Tag: name, Report: r, Relayed: i < x.relayed}) {
-					if a, ok := e.(Answer); ok {
-						b.take(name, a.Body.FencingToken, a.Body.Commands)
+				b.heartbeat(name, "a", false)
+				r := b.nextHeartbeat(name)
+				for _, e := range b.scheduler.Step(b.now, HeartbeatReceived{ReplyTo: name, Heartbeat: r, Relayed: i < x.relayed}) {
+					if a, ok := e.(HeartbeatReply); ok {
+						b.executeCommands(name, a.Body.FencingToken, a.Body.Commands)
 					}
 				}
 			}
-			b.now += Cycle
-			for _, e := range b.c.Step(b.now, Tick{}) {
+			b.now += CycleInterval
+			for _, e := range b.scheduler.Step(b.now, Tick{}) {
 				switch e := e.(type) {
-				case Depose:
-					away = away || e.Away
-				case Order:
+				case StepDown:
+					away = away || e.TransferLeadership
+				case SendCommandBatch:
 					if e.Machine == "m0" {
 						direct++
 					}
 				case Write:
-					b.rev++
-					b.do(Written{Write: e.ID, OK: true, Rev: b.rev})
+					b.revision++
+					b.apply(TransactionOutcome{WriteID: e.ID, Succeeded: true, Revision: b.revision})
 				}
 			}
 		}
 		if away != x.away {
 			t.Errorf("%d of 6 relayed: away %v", x.relayed, away)
 		}
-		if direct != 0 || b.started("j-1") == 0 {
-			t.Errorf("%d direct commands out of reach, %d started", direct, b.started("j-1"))
+		if direct != 0 || b.startedTasks("j-1") == 0 {
+			t.Errorf("%d direct commands out of reach, %d started", direct, b.startedTasks("j-1"))
 		}
 	}
 }
@@ -124,26 +124,26 @@
 // and jobs that live are not counted twice.
 func TestNewLeaderRecoversArrivals(t *testing.T) {
 	cfg := []config.Objective{{Kind: "wait", Class: "quick", WithinSeconds: 12, Fraction: 0.9}}
-	b := newBench([]config.Team{{Name: "red"}}, "a")
+	b := newHarness([]config.Team{{Name: "red"}}, "a")
 	b.setObjectives(cfg)
-	j := spec("j-1", protocol.Service, "normal", 2, 4)
+	j := jobSpec("j-1", protocol.Service, "normal", 2, 4)
 	j.Class = "quick"
 	var live []protocol.KeyValue
 	for i := range 40 {
 		if i%8 == 0 {
 			j.ID = fmt.Sprintf("j-%d", i)
-			b.job(j)
+			b.addJob(j)
 			raw, err := protocol.Encode(storage.LiveJobRecord{Job: j, AcceptedAtMS: b.now.Milliseconds()})
 			if err != nil {
 				t.Fatal(err)
 			}
-			live = append(live, protocol.KeyValue{Key: storage.LiveJobKey(j.ID), Value: raw, Revision: b.rev})
+			live = append(live, protocol.KeyValue{Key: storage.LiveJobKey(j.ID), Value: raw, Revision: b.revision})
 		}
-		b.machine("m1", "a", false)
-		b.cycle()
+		b.heartbeat("m1", "a", false)
+		b.runCycle()
 	}
 	var warm []protocol.KeyValue
-	for _, txn := range b.last {
+	for _, txn := range b.transactions {
 		for _, op := range txn.Then {
 			if op.PutKey == storage.ImageHintKey(0) {
 				warm = []protocol.KeyValue{{Key: op.PutKey, Value: op.Value, Revision: 1}}
@@ -151,9 +151,9 @@
 		}
 	}
 	boot := 30 * time.Second
-	want := b.c.expected(b.now, "quick", boot)
-	next := New(0, b.c.cfg, b.c.log, Term{Number: 6, Stamp: 2}, Records{Types: []protocol.MachineType{*b.c.machines.MachineType("g8")}, Live: live, Images: warm}, b.now.Milliseconds(), nil)
-	got := next.expected(0, "quick", boot)
+	want := b.scheduler.expectedArrivals(b.now, "quick", boot)
+	next := New(0, b.scheduler.cfg, b.scheduler.log, Term{Number: 6, Revision: 2}, RecoveredRecords{MachineTypes: []protocol.MachineType{*b.scheduler.machines.MachineType("g8")}, LiveJobs: live, Images: warm}, b.now.Milliseconds(), nil)
+	got := next.expectedArrivals(0, "quick", boot)
 	if want == 0 || got < want/3 || got > want*1.2 {
 		t.Errorf("expects %v jobs after the take-over, %v before", got, want)
 	}
@@ -163,32 +163,32 @@
 // stand, once, and places work where one answers, before its worker has found out
 // who leads. Copies of what they say do no harm.
 func TestNewLeaderProbesMachines(t *testing.T) {
-	b := newBench([]config.Team{{Name: "red"}}, "a")
+	b := newHarness([]config.Team{{Name: "red"}}, "a")
 	var list []protocol.ListedMachine
 	for i, state := range []string{protocol.MachineRunning, protocol.MachineRunning, protocol.MachineStarting, protocol.MachineFailed} {
 		list = append(list, protocol.ListedMachine{Name: fmt.Sprintf("m%d", i), Addr: "x", Type: "g8", Zone: "a", State: state})
 	}
-	b.machine("m0", "a", false)
+	b.heartbeat("m0", "a", false)
 	asked := map[string]int{}
 	for range 3 {
-		for _, e := range b.c.Step(b.now, Listed{Asked: b.now, Machines: list}) {
-			if i, ok := e.(Inspect); ok {
+		for _, e := range b.scheduler.Step(b.now, MachinesListed{RequestedAt: b.now, Machines: list}) {
+			if i, ok := e.(Probe); ok {
 				asked[i.Machine]++
 			}
 		}
-		b.now += Cycle
+		b.now += CycleInterval
 	}
 	if len(asked) != 1 || asked["m1"] != 1 {
 		t.Errorf("asked %v, want only the machine that runs and has not been heard", asked)
 	}
-	b.zone["m1"], b.tasks["m1"] = "a", map[protocol.TaskID]protocol.TaskStatus{}
-	r := b.report("m1")
-	b.do(Inspected{Report: r})
-	b.machine("m0", "a", false)
-	b.job(spec("j-1", protocol.Array, "normal", 16, 1))
-	b.cycle()
-	b.do(Inspected{Report: r})
-	if n := b.started("j-1"); n != 16 {
+	b.zoneOf["m1"], b.tasks["m1"] = "a", map[protocol.TaskID]protocol.TaskStatus{}
+	r := b.nextHeartbeat("m1")
+	b.apply(ProbeReply{Heartbeat: r})
+	b.heartbeat("m0", "a", false)
+	b.addJob(jobSpec("j-1", protocol.Array, "normal", 16, 1))
+	b.runCycle()
+	b.apply(ProbeReply{Heartbeat: r})
+	if n := b.startedTasks("j-1"); n != 16 {
 		t.Errorf("%d of 16 tasks started on two machines", n)
 	}
 }
@@ -196,10 +196,10 @@
 // TestSmallLeaderLimitsProbes: a leader with a small share of a core asks a few
 // machines a second, and none that has reported meanwhile.
 func TestSmallLeaderLimitsProbes(t *testing.T) {
-	b := newBench([]config.Team{{Name: "red"}}, "a")
-	b.c.cfg.Quota.CoreShare = 0.02
+	b := newHarness([]config.Team{{Name: "red"}}, "a")
+	b.scheduler.cfg.Quota.CoreShare = 0.02
 	const machines = 100
-	perSecond := int(inspectsPerCore * b.c.cfg.Quota.CoreShare)
+	perSecond := int(probesPerCore * b.scheduler.cfg.Quota.CoreShare)
 	var list []protocol.ListedMachine
 	for i := range machines {
 		list = append(list, protocol.ListedMachine{Name: fmt.Sprintf("m%03d", i), Addr: "x", Type: "g8", Zone: "a", State: protocol.MachineRunning})
@@ -207,22 +207,22 @@
 	asked := map[string]int{}
 	count := func(effects []Effect) (n int) {
 		for _, e := range effects {
-			if i, ok := e.(Inspect); ok {
+			if i, ok := e.(Probe); ok {
 				asked[i.Machine]++
 				n++
 			}
 		}
 		return n
 	}
-	if n := count(b.c.Step(b.now, Listed{Asked: b.now, Machines: list})); n != perSecond {
+	if n := count(b.scheduler.Step(b.now, MachinesListed{RequestedAt: b.now, Machines: list})); n != perSecond {
 		t.Errorf("%d inspections at once, want %d", n, perSecond)
 	}
 	for i := machines / 2; i < machines; i++ {
-		b.machine(list[i].Name, "a", false)
+		b.heartbeat(list[i].Name, "a", false)
 	}
 	for range machines / perSecond {
-		b.now += Cycle
-		if n := count(b.c.Step(b.now, Tick{})); n > perSecond {
+		b.now += CycleInterval
+		if n := count(b.scheduler.Step(b.now, Tick{})); n > perSecond {
 			t.Errorf("%d inspections in a second, want %d at most", n, perSecond)
 		}
 	}
--- a/internal/coordination/scheduler/recoveryorder.go
+++ b/internal/coordination/scheduler/recoveryorder.go
@@ -19,14 +19,14 @@
 
 // recoveryOrderInEffect says whether jobs go in the order of return: while a zone is lost or not yet trusted
 // again, and until all loans are repaid.
-func (c *Core) recoveryOrderInEffect() bool {
+func (c *Scheduler) recoveryOrderInEffect() bool {
 	return c.zoneFailover != nil && (c.inZoneFailover() || c.zoneFailover.ledger.Len() > 0)
 }
 
 // sortForRecovery puts jobs into the order of return: by the stated order, priority, what
 // lenders are owed once no zone is lost, the class's aim on waiting, and age. The list is
 // sorted by priority and age when it comes.
-func (c *Core) sortForRecovery(jobs []*job) {
+func (c *Scheduler) sortForRecovery(jobs []*Job) {
 	z := c.zoneFailover
 	if !c.recoveryOrderInEffect() {
 		return
@@ -35,11 +35,11 @@
 	if !z.monitor.AnyInState(zones.Lost) {
 		debts = z.ledger.Debts()
 	}
-	keys := make(map[*job]recoverySortKey, len(jobs))
+	keys := make(map[*Job]recoverySortKey, len(jobs))
 	for _, j := range jobs {
-		keys[j] = recoverySortKey{z.order.Position(j.spec.Class, j.spec.Team), j.level, debts[j.spec.ID], c.startLatencyObjective(j.spec.Class)}
+		keys[j] = recoverySortKey{z.order.Position(j.Spec.Class, j.Spec.Team), j.EffectivePriority, debts[j.Spec.ID], c.startLatencyObjective(j.Spec.Class)}
 	}
-	slices.SortStableFunc(jobs, func(a, b *job) int {
+	slices.SortStableFunc(jobs, func(a, b *Job) int {
 		x, y := keys[a], keys[b]
 		return cmp.Or(cmp.Compare(x.position, y.position), cmp.Compare(x.priorityLevel, y.priorityLevel), cmp.Compare(y.debt, x.debt), cmp.Compare(x.objective, y.objective))
 	})
@@ -47,8 +47,8 @@
 
 // zonesByAvailability lists the zones that a job allows, those that are available first: where several
 // have as little room, a lost one must not be where it waits for some.
-func (c *Core) zonesByAvailability(spec *protocol.Job) []string {
-	names := c.zones(spec)
+func (c *Scheduler) zonesByAvailability(spec *protocol.Job) []string {
+	names := c.allowedZones(spec)
 	if c.zoneFailover == nil {
 		return names
 	}
@@ -60,7 +60,7 @@
 
 // recoversBefore says whether, by the order in force, the work of a placement goes before a
 // job, whatever their priorities are.
-func (c *Core) recoversBefore(pl *partition.Placement, j *job) bool {
+func (c *Scheduler) recoversBefore(pl *partition.Placement, j *Job) bool {
 	if !c.inZoneFailover() {
 		return false
 	}
@@ -69,11 +69,11 @@
 		class = pl.Job.Class
 	}
 	order := c.zoneFailover.order
-	return order.Position(class, pl.Team) < order.Position(j.spec.Class, j.spec.Team)
+	return order.Position(class, pl.Team) < order.Position(j.Spec.Class, j.Spec.Team)
 }
 
 // recoveryPosition is a job's position in the order of return, while that is in force.
-func (c *Core) recoveryPosition(spec *protocol.Job) int {
+func (c *Scheduler) recoveryPosition(spec *protocol.Job) int {
 	if !c.inZoneFailover() {
 		return 0
 	}
@@ -83,27 +83,27 @@
 // placeWithinQuota places what teams run within their guarantee, which need not wait for
 // other teams, in the order of return. What is beyond it has its turn with the others, and
 // so have the team's jobs after it: a guarantee is held against other teams, not within one.
-func (c *Core) placeWithinQuota(now time.Duration, waiting []*job) {
+func (c *Scheduler) placeWithinQuota(now time.Duration, waiting []*Job) {
 	beyond := map[string]bool{} // teams
 	for _, j := range waiting {
-		if beyond[j.spec.Team] {
+		if beyond[j.Spec.Team] {
 			continue
 		}
 		least := 1
-		if j.spec.Shape == protocol.Gang {
-			least = j.spec.TaskCount
+		if j.Spec.Shape == protocol.Gang {
+			least = j.Spec.TaskCount
 		}
 		if n := min(c.tasksWithinQuotaLimit(j), c.tasksWithinGuaranteedQuota(j)); n >= least {
 			c.placeJob(now, j, n)
 		}
-		beyond[j.spec.Team] = j.counts[pending] > 0
+		beyond[j.Spec.Team] = j.TaskCounts[TaskPending] > 0
 	}
 }
 
 // zoneRiskPenalty is what a start of a critical replica costs more, in seconds, in a zone that may
 // be lost again at any time.
-func (c *Core) zoneRiskPenalty(j *job, zone string) float64 {
-	if c.zoneFailover == nil || j.level > 0 || j.spec.Shape != protocol.Service || c.zoneFailover.monitor.State(zone) == zones.Available {
+func (c *Scheduler) zoneRiskPenalty(j *Job, zone string) float64 {
+	if c.zoneFailover == nil || j.EffectivePriority > 0 || j.Spec.Shape != protocol.Service || c.zoneFailover.monitor.State(zone) == zones.Available {
 		return 0
 	}
 	return c.cfg.Workers.LeaseSeconds
--- a/internal/coordination/scheduler/score.go
+++ b/internal/coordination/scheduler/score.go
@@ -16,16 +16,16 @@
 	maxTasksPerZone int // tasks in one zone
 }
 
-func (c *Core) zoneLimitsOf(j *job) *zoneLimits {
-	l := &zoneLimits{onlyZone: j.spec.Zone, tasksPerZone: map[string]int{}, maxTasksPerZone: math.MaxInt}
-	for _, pl := range j.places {
+func (c *Scheduler) zoneLimitsOf(j *Job) *zoneLimits {
+	l := &zoneLimits{onlyZone: j.Spec.Zone, tasksPerZone: map[string]int{}, maxTasksPerZone: math.MaxInt}
+	for _, pl := range j.Placements {
 		l.tasksPerZone[pl.Zone]++
-		if j.spec.SameZone {
+		if j.Spec.SameZone {
 			l.onlyZone = pl.Zone
 		}
 	}
-	if j.spec.Spread {
-		l.maxTasksPerZone = (j.spec.TaskCount + 1) / 2
+	if j.Spec.Spread {
+		l.maxTasksPerZone = (j.Spec.TaskCount + 1) / 2
 	}
 	return l
 }
@@ -35,58 +35,58 @@
 }
 
 // feasible is the predicate: whether the job allows the machine at all.
-func (c *Core) feasible(now time.Duration, j *job, x *candidate, l *zoneLimits) bool {
-	if x.machine.Spot && !j.spec.SpotAllowed || !x.machineType.AllowedBy(&j.spec) || !l.allows(x.machine.Zone) || j.avoids()[x.machine.Name] {
+func (c *Scheduler) feasible(now time.Duration, j *Job, x *candidate, l *zoneLimits) bool {
+	if x.machine.Spot && !j.Spec.SpotAllowed || !x.machineType.AllowedBy(&j.Spec) || !l.allows(x.machine.Zone) || j.AvoidedMachines()[x.machine.Name] {
 		return false
 	}
-	return !c.nominatedForOther(now, x.machine, j.spec.ID)
+	return !c.nominatedForOther(now, x.machine, j.Spec.ID)
 }
 
 // nominatedForOther says whether a machine's room is being cleared for another job that
 // goes before. A job that comes first may take it: did every gang keep what was
 // cleared for it, each could sit on a part of what one of them needs. And a job
 // that has found its room elsewhere keeps none.
-func (c *Core) nominatedForOther(now time.Duration, m *partition.Machine, id string) bool {
+func (c *Scheduler) nominatedForOther(now time.Duration, m *partition.Machine, id string) bool {
 	if m.ReservedJob == "" || m.ReservedJob == id || now >= m.ReservedUntil {
 		return false
 	}
 	o := c.jobs[m.ReservedJob]
-	if o == nil || o.over || o.counts[pending] == 0 && !o.leaving() {
+	if o == nil || o.Ended || o.TaskCounts[TaskPending] == 0 && !o.HasStoppingTasks() {
 		return false
 	}
-	return o.queued != c.cycles || o.served == c.cycles
+	return o.LastWaitingCycle != c.cycleCount || o.LastTriedCycle == c.cycleCount
 }
 
 // score orders machines that fit, lower is better, in seconds: the wait for
 // the image, then what packs tightly.
-func (c *Core) score(now time.Duration, j *job, x *candidate, l *zoneLimits) float64 {
+func (c *Scheduler) score(now time.Duration, j *Job, x *candidate, l *zoneLimits) float64 {
 	yields := c.yieldingFetches(j)
-	warm := c.machines.FetchTimeWithout(now, x.machine, &j.spec, yields)
-	s := warm.Seconds() + c.machines.FetchDelayWithout(now, x.machine, &j.spec, yields).Seconds()
+	warm := c.machines.FetchTimeWithout(now, x.machine, &j.Spec, yields)
+	s := warm.Seconds() + c.machines.FetchDelayWithout(now, x.machine, &j.Spec, yields).Seconds()
 	cap := partition.CapacityOf(x.machineType)
-	if aim := c.startLatencyObjective(j.spec.Class); math.IsInf(aim, 1) || warm > config.Seconds(max(aim, x.machineType.BootSeconds)) {
+	if aim := c.startLatencyObjective(j.Spec.Class); math.IsInf(aim, 1) || warm > config.Seconds(max(aim, x.machineType.BootSeconds)) {
 		// No aim presses, or the fetch outlasts the aim and a boot. The next of its kind will want
 		// to start here without one, so room beside it, free or held by arrays,
 		// is worth having: half the fetch at most, as a warm machine stays better.
-		s += 1 - warm.Seconds()/2*x.free.Minus(j.need).Plus(x.machine.ArrayUsage()).DominantShare(cap)
-	} else if warm > 0 && warm.Seconds()*partition.SlowFetchFactor > c.startLatencyObjective(j.spec.Class) && x.machine.PlacementCount() > 0 {
+		s += 1 - warm.Seconds()/2*x.free.Minus(j.TaskResources).Plus(x.machine.ArrayUsage()).DominantShare(cap)
+	} else if warm > 0 && warm.Seconds()*partition.SlowFetchFactor > c.startLatencyObjective(j.Spec.Class) && x.machine.PlacementCount() > 0 {
 		// The same for smaller fetches, but an empty machine is left to jobs that
 		// want a whole one.
-		s -= x.free.Minus(j.need).Plus(x.machine.ArrayUsage()).DominantShare(cap)
+		s -= x.free.Minus(j.TaskResources).Plus(x.machine.ArrayUsage()).DominantShare(cap)
 	} else {
-		s += x.free.Minus(j.need).DominantShare(cap)
+		s += x.free.Minus(j.TaskResources).DominantShare(cap)
 	}
-	if j.spec.Spread && l.tasksPerZone != nil {
-		s += float64(l.tasksPerZone[x.machine.Zone]) / float64(j.spec.TaskCount)
+	if j.Spec.Spread && l.tasksPerZone != nil {
+		s += float64(l.tasksPerZone[x.machine.Zone]) / float64(j.Spec.TaskCount)
 	}
 	if x.machine.Spot {
-		if j.spec.CheckpointIntervalSeconds > 0 {
+		if j.Spec.CheckpointIntervalSeconds > 0 {
 			s--
 		} else {
 			s += x.machineType.BootSeconds
 		}
 	}
-	if j.failedOn[x.machine.Name] {
+	if j.FailedOn[x.machine.Name] {
 		s += 10 * x.machineType.BootSeconds
 	}
 	return s + float64(len(x.machine.FailedJobs))*x.machineType.BootSeconds + c.zoneRiskPenalty(j, x.machine.Zone)
@@ -94,10 +94,10 @@
 
 // selectMachine chooses the machine for a task. attempted says that one was passed over
 // just for this task's sake, so that another task may still have it.
-func (c *Core) selectMachine(now time.Duration, j *job, task int, l *zoneLimits) (best *candidate, attempted bool) {
-	id := protocol.TaskID{JobID: j.spec.ID, Index: task}
+func (c *Scheduler) selectMachine(now time.Duration, j *Job, task int, l *zoneLimits) (best *candidate, attempted bool) {
+	id := protocol.TaskID{JobID: j.Spec.ID, Index: task}
 	best = c.finder.bestMachine(now, j, l, func(x *candidate) bool {
-		if !j.need.Fits(c.freeForJob(x, j)) || !c.feasible(now, j, x, l) {
+		if !j.TaskResources.Fits(c.freeForJob(x, j)) || !c.feasible(now, j, x, l) {
 			return false
 		}
 		if x.machine.HasAttempt(id) {
@@ -114,32 +114,32 @@
 // steps lower in priority that are fetching, and lose nothing but that. In a
 // crowd, as when a fleet is opened, arrays had come first, and replicas that shared
 // the rate with them took twice as long to be up.
-func (c *Core) yieldingFetches(j *job) func(*partition.Placement) bool {
-	if j.spec.Shape == protocol.Gang || math.IsInf(c.startLatencyObjective(j.spec.Class), 1) {
+func (c *Scheduler) yieldingFetches(j *Job) func(*partition.Placement) bool {
+	if j.Spec.Shape == protocol.Gang || math.IsInf(c.startLatencyObjective(j.Spec.Class), 1) {
 		return nil
 	}
 	return func(pl *partition.Placement) bool {
-		return pl.PriorityLevel >= j.level+2 && pl.Job != nil && pl.Job.Shape == protocol.Array && pl.Job.Image != j.spec.Image &&
+		return pl.PriorityLevel >= j.EffectivePriority+2 && pl.Job != nil && pl.Job.Shape == protocol.Array && pl.Job.Image != j.Spec.Image &&
 			(!pl.StartAllowed || pl.State == protocol.TaskFetching) // one from an earlier term may run unseen
 	}
 }
 
 // stopCompetingFetches stops the fetches that yield to a task's.
-func (c *Core) stopCompetingFetches(now time.Duration, j *job, x *candidate) {
+func (c *Scheduler) stopCompetingFetches(now time.Duration, j *Job, x *candidate) {
 	yields := c.yieldingFetches(j)
-	if yields == nil || c.machines.FetchTime(now, x.machine, &j.spec) == c.machines.FetchTimeWithout(now, x.machine, &j.spec, yields) {
+	if yields == nil || c.machines.FetchTime(now, x.machine, &j.Spec) == c.machines.FetchTimeWithout(now, x.machine, &j.Spec, yields) {
 		return
 	}
 	for _, pl := range c.placementsOn(x.machine) {
 		if o := c.jobs[pl.Task.JobID]; o != nil && !pl.Stopping && yields(pl) {
-			c.log.Info("stopped fetching", "task", pl.Task, "for", j.spec.ID, "machine", pl.Machine)
-			c.stop(now, o, pl, 0)
+			c.log.Info("stopped fetching", "task", pl.Task, "for", j.Spec.ID, "machine", pl.Machine)
+			c.stopPlacement(now, o, pl, 0)
 		}
 	}
 }
 
 // startLatencyObjective is the shortest wait that the objectives ask for a class, in seconds.
-func (c *Core) startLatencyObjective(class string) float64 {
+func (c *Scheduler) startLatencyObjective(class string) float64 {
 	if within, ok := c.startLatencyObjectives[class]; ok {
 		return within
 	}
--- a/internal/coordination/scheduler/search.go
+++ b/internal/coordination/scheduler/search.go
@@ -13,15 +13,15 @@
 // machineFinder looks for machines within a cycle. Tests have another one that looks at all of them.
 type machineFinder interface {
 	// bestMachine returns the allowed candidate with the lowest score for a task of the job, or nil.
-	bestMachine(now time.Duration, j *job, l *zoneLimits, allowed func(*candidate) bool) *candidate
+	bestMachine(now time.Duration, j *Job, l *zoneLimits, allowed func(*candidate) bool) *candidate
 	// bestWithImage is best among those that have the job's image.
-	bestWithImage(now time.Duration, j *job, l *zoneLimits, allowed func(*candidate) bool) *candidate
+	bestWithImage(now time.Duration, j *Job, l *zoneLimits, allowed func(*candidate) bool) *candidate
 	// cheapestPreemption returns the candidate on which it costs least to make room for a task of the
 	// job, by stopping work of at least the given level, and what would have to leave.
-	cheapestPreemption(now time.Duration, j *job, l *zoneLimits, within time.Duration, level int) (*candidate, []*partition.Placement)
+	cheapestPreemption(now time.Duration, j *Job, l *zoneLimits, within time.Duration, level int) (*candidate, []*partition.Placement)
 	// mostFreeCapacity returns the candidate with most free room of those that the job allows and that
 	// could hold a task of it, but for those taken.
-	mostFreeCapacity(now time.Duration, j *job, l *zoneLimits, taken map[*candidate]bool) *candidate
+	mostFreeCapacity(now time.Duration, j *Job, l *zoneLimits, taken map[*candidate]bool) *candidate
 }
 
 // Bounds of one search. In a fleet of up to maxExaminedTies machines a search finds what looking at all
@@ -33,7 +33,7 @@
 )
 
 // indexFinder finds machines by the roster's index and the partition's views.
-type indexFinder struct{ scheduler *Core }
+type indexFinder struct{ scheduler *Scheduler }
 
 func sortCandidates(list []*candidate) {
 	slices.SortFunc(list, func(a, b *candidate) int { return cmp.Compare(a.machine.Name, b.machine.Name) })
@@ -41,7 +41,7 @@
 
 // bestMachine first looks at the machines that have the image or fetch it. The others are looked at
 // only if one of them could score better, with the fetch that it would need.
-func (f indexFinder) bestMachine(now time.Duration, j *job, l *zoneLimits, allowed func(*candidate) bool) *candidate {
+func (f indexFinder) bestMachine(now time.Duration, j *Job, l *zoneLimits, allowed func(*candidate) bool) *candidate {
 	var best machineindex.Best[*candidate]
 	q := f.query(j, l)
 	if !f.scheduler.candidateIndex.index.MayFit(q) {
@@ -56,7 +56,7 @@
 	return foundCandidate(&best)
 }
 
-func (f indexFinder) bestWithImage(now time.Duration, j *job, l *zoneLimits, allowed func(*candidate) bool) *candidate {
+func (f indexFinder) bestWithImage(now time.Duration, j *Job, l *zoneLimits, allowed func(*candidate) bool) *candidate {
 	var best machineindex.Best[*candidate]
 	f.searchWithImage(now, j, f.query(j, l), f.evaluator(now, j, l, allowed), &best)
 	return foundCandidate(&best)
@@ -75,12 +75,12 @@
 // widenNextSearch lets the next search for a job look at twice as many machines when this one found none
 // among those that it may look at: or the job would be passed over for ever while the first ones
 // have room that is not for it.
-func (f indexFinder) widenNextSearch(j *job, found, complete bool) {
+func (f indexFinder) widenNextSearch(j *Job, found, complete bool) {
 	switch {
 	case found:
-		j.widened = 0
+		j.SearchDoublings = 0
 	case !complete:
-		j.widened = min(j.widened+1, maxSearchWidenings)
+		j.SearchDoublings = min(j.SearchDoublings+1, maxSearchWidenings)
 	}
 }
 
@@ -88,7 +88,7 @@
 type evaluation func(*candidate) (float64, bool)
 
 // evaluator returns the judgement by a job's score.
-func (f indexFinder) evaluator(now time.Duration, j *job, l *zoneLimits, allowed func(*candidate) bool) evaluation {
+func (f indexFinder) evaluator(now time.Duration, j *Job, l *zoneLimits, allowed func(*candidate) bool) evaluation {
 	return func(x *candidate) (float64, bool) {
 		f.scheduler.machinesExamined++
 		if !f.scheduler.checkSchedulable(now, x) || !allowed(x) {
@@ -99,13 +99,13 @@
 }
 
 // searchWithImage looks at the machines that certainly have the job's image.
-func (f indexFinder) searchWithImage(now time.Duration, j *job, q machineindex.Query, judge evaluation, best *machineindex.Best[*candidate]) (complete bool) {
-	set := f.scheduler.machines.MachinesWithImage(j.spec.Image)
+func (f indexFinder) searchWithImage(now time.Duration, j *Job, q machineindex.Query, judge evaluation, best *machineindex.Best[*candidate]) (complete bool) {
+	set := f.scheduler.machines.MachinesWithImage(j.Spec.Image)
 	if set == nil {
 		return true
 	}
 	has := func(x *candidate) (float64, bool) {
-		if !x.machine.HasImage(j.spec.Image) || f.scheduler.machines.FetchTime(now, x.machine, &j.spec) > 0 {
+		if !x.machine.HasImage(j.Spec.Image) || f.scheduler.machines.FetchTime(now, x.machine, &j.Spec) > 0 {
 			return 0, false
 		}
 		return judge(x)
@@ -114,7 +114,9 @@
 		f.searchSet(set, j, f.minScoreWithImage(q, j), has, best)
 		return true
 	}
-	q.ScoreBound = func(capacity, free partition.Resources) float64 { return free.Minus(j.need).DominantShare(capacity) }
+	q.ScoreBound = func(capacity, free partition.Resources) float64 {
+		return free.Minus(j.TaskResources).DominantShare(capacity)
+	}
 	if f.scheduler.lacksStartLatencyObjective(j) {
 		q.ScoreBound = func(_, _ partition.Resources) float64 { return 1 } // all score the same
 	}
@@ -122,10 +124,10 @@
 }
 
 // searchFetching looks at the machines that fetch the job's image.
-func (f indexFinder) searchFetching(now time.Duration, j *job, judge evaluation, best *machineindex.Best[*candidate]) {
-	if set := f.scheduler.machines.MachinesFetching(j.spec.Image); set != nil {
+func (f indexFinder) searchFetching(now time.Duration, j *Job, judge evaluation, best *machineindex.Best[*candidate]) {
+	if set := f.scheduler.machines.MachinesFetching(j.Spec.Image); set != nil {
 		f.searchSet(set, j, math.Inf(-1), func(x *candidate) (float64, bool) {
-			if f.scheduler.machines.FetchTime(now, x.machine, &j.spec) == 0 {
+			if f.scheduler.machines.FetchTime(now, x.machine, &j.Spec) == 0 {
 				return 0, false // it was looked at already
 			}
 			return judge(x)
@@ -134,7 +136,7 @@
 }
 
 // minScoreWithImage is the least that a machine with the job's image can score.
-func (f indexFinder) minScoreWithImage(q machineindex.Query, j *job) float64 {
+func (f indexFinder) minScoreWithImage(q machineindex.Query, j *Job) float64 {
 	least := math.Inf(1)
 	f.scheduler.candidateIndex.index.Pools(func(p machineindex.Pool) { least = min(least, q.PoolScore(p)) })
 	if f.scheduler.lacksStartLatencyObjective(j) {
@@ -144,14 +146,14 @@
 }
 
 // searchSet looks at machines in name order, until one scores the least that is possible.
-func (f indexFinder) searchSet(set *partition.MachineSet, j *job, least float64, judge evaluation, best *machineindex.Best[*candidate]) {
+func (f indexFinder) searchSet(set *partition.MachineSet, j *Job, least float64, judge evaluation, best *machineindex.Best[*candidate]) {
 	looks := 0
 	set.Scan(func(m *partition.Machine) bool {
-		if looks++; looks > f.scheduler.searchLimit<<j.widened {
+		if looks++; looks > f.scheduler.searchLimit<<j.SearchDoublings {
 			return false
 		}
 		x, ok := m.SchedulerData.(*candidate)
-		if !ok || !f.scheduler.candidateIndex.index.Has(x.indexEntry) || !j.need.Fits(x.free) {
+		if !ok || !f.scheduler.candidateIndex.index.Has(x.indexEntry) || !j.TaskResources.Fits(x.free) {
 			return true
 		}
 		score, ok := judge(x)
@@ -163,7 +165,7 @@
 }
 
 // searchWithoutImage looks at the machines without the job's image.
-func (f indexFinder) searchWithoutImage(j *job, q machineindex.Query, judge evaluation, best *machineindex.Best[*candidate]) (complete bool) {
+func (f indexFinder) searchWithoutImage(j *Job, q machineindex.Query, judge evaluation, best *machineindex.Best[*candidate]) (complete bool) {
 	base := q.PoolScore
 	q.PoolScore = func(p machineindex.Pool) float64 { return base(p) + f.scheduler.fetchSeconds(j, p.Type) }
 	prefersRoom := f.scheduler.prefersFreeCapacity(j)
@@ -172,7 +174,7 @@
 		q.Order = machineindex.WorstFit
 	}
 	return f.scheduler.candidateIndex.index.Search(q, best, func(x *candidate) (float64, bool) {
-		if x.machine.HasImage(j.spec.Image) {
+		if x.machine.HasImage(j.Spec.Image) {
 			return 0, false
 		}
 		return judge(x)
@@ -180,8 +182,8 @@
 }
 
 // query returns a query for machines with room for a task of the job, tightest first.
-func (f indexFinder) query(j *job, l *zoneLimits) machineindex.Query {
-	return machineindex.Query{Need: j.need, MaxExamined: f.scheduler.searchLimit << j.widened, MaxTies: maxExaminedTies, PoolScore: func(p machineindex.Pool) float64 {
+func (f indexFinder) query(j *Job, l *zoneLimits) machineindex.Query {
+	return machineindex.Query{Need: j.TaskResources, MaxExamined: f.scheduler.searchLimit << j.SearchDoublings, MaxTies: maxExaminedTies, PoolScore: func(p machineindex.Pool) float64 {
 		if !f.scheduler.poolFeasible(j, l, p) {
 			return math.Inf(1)
 		}
@@ -192,8 +194,8 @@
 // scoreBoundWithoutImage bounds what a machine without the job's image scores beyond one fetch of it (see
 // score). While other fetches share its rate, or where a fetch outlasts the aim, the score
 // falls with the room on the machine, by no more than that fetch takes.
-func (f indexFinder) scoreBoundWithoutImage(j *job, prefersRoom bool) func(capacity, free partition.Resources) float64 {
-	aim := f.scheduler.startLatencyObjective(j.spec.Class)
+func (f indexFinder) scoreBoundWithoutImage(j *Job, prefersRoom bool) func(capacity, free partition.Resources) float64 {
+	aim := f.scheduler.startLatencyObjective(j.Spec.Class)
 	if prefersRoom {
 		longest := 0.0
 		for name := range f.scheduler.machines.MachineTypes() {
@@ -210,12 +212,12 @@
 		crowded = min(crowded, aim/partition.SlowFetchFactor-1-f.scheduler.fetchSeconds(j, name))
 	}
 	return func(capacity, free partition.Resources) float64 {
-		return min(free.Minus(j.need).DominantShare(capacity), crowded)
+		return min(free.Minus(j.TaskResources).DominantShare(capacity), crowded)
 	}
 }
 
 // mostFreeCapacity looks at the machines with most room first.
-func (f indexFinder) mostFreeCapacity(now time.Duration, j *job, l *zoneLimits, taken map[*candidate]bool) *candidate {
+func (f indexFinder) mostFreeCapacity(now time.Duration, j *Job, l *zoneLimits, taken map[*candidate]bool) *candidate {
 	var best machineindex.Best[*candidate]
 	q := f.query(j, l)
 	q.IgnoreFree, q.Order = true, machineindex.WorstFit
@@ -229,7 +231,7 @@
 	q.ScoreBound = func(capacity, free partition.Resources) float64 { return -free.DominantShare(capacity) }
 	f.scheduler.candidateIndex.index.Search(q, &best, func(x *candidate) (float64, bool) {
 		capacity := partition.CapacityOf(x.machineType)
-		if taken[x] || !f.scheduler.checkSchedulable(now, x) || !f.scheduler.feasible(now, j, x, l) || !j.need.Fits(capacity) {
+		if taken[x] || !f.scheduler.checkSchedulable(now, x) || !f.scheduler.feasible(now, j, x, l) || !j.TaskResources.Fits(capacity) {
 			return 0, false
 		}
 		return -x.free.DominantShare(capacity), true
--- a/internal/coordination/scheduler/startqueue.go
+++ b/internal/coordination/scheduler/startqueue.go
@@ -12,8 +12,8 @@
 // fourth goes to the job that has waited for longest of all, so that none waits for ever: with n jobs
 // in the queue it is served after no more than 4n others, whatever their priority.
 type startQueue struct {
-	byTurn    *btree.BTreeG[*job]
-	byAge     *btree.BTreeG[*job]
+	byTurn    *btree.BTreeG[*Job]
+	byAge     *btree.BTreeG[*Job]
 	teamTurns map[int]*priorityTurns
 	enqueued  uint64 // jobs that were entered so far
 	dequeued  uint64 // and taken
@@ -37,33 +37,33 @@
 	}
 }
 
-func lessByTurn(a, b *job) bool {
-	return cmp.Or(cmp.Compare(a.level, b.level), cmp.Compare(a.startTurn, b.startTurn), cmp.Compare(a.startNumber, b.startNumber)) < 0
+func lessByTurn(a, b *Job) bool {
+	return cmp.Or(cmp.Compare(a.EffectivePriority, b.EffectivePriority), cmp.Compare(a.startTurn, b.startTurn), cmp.Compare(a.startNumber, b.startNumber)) < 0
 }
 
-func lessByAge(a, b *job) bool {
+func lessByAge(a, b *Job) bool {
 	return a.startNumber < b.startNumber
 }
 
 // add enters a job that has just got placements to be recorded, unless it waits already.
-func (q *startQueue) add(j *job) {
+func (q *startQueue) add(j *Job) {
 	if q == nil || j.inStartQueue {
 		return
 	}
-	turns := q.teamTurns[j.level]
+	turns := q.teamTurns[j.EffectivePriority]
 	if turns == nil {
 		turns = &priorityTurns{lastByTeam: map[string]uint64{}}
-		q.teamTurns[j.level] = turns
+		q.teamTurns[j.EffectivePriority] = turns
 	}
 	q.enqueued++
 	j.startNumber = q.enqueued
-	j.startTurn = max(turns.current, turns.lastByTeam[j.spec.Team]) + 1
-	turns.lastByTeam[j.spec.Team] = j.startTurn
+	j.startTurn = max(turns.current, turns.lastByTeam[j.Spec.Team]) + 1
+	turns.lastByTeam[j.Spec.Team] = j.startTurn
 	q.requeue(j)
 }
 
 // requeue enters a job where it was, if it still has placements to be recorded.
-func (q *startQueue) requeue(j *job) {
+func (q *startQueue) requeue(j *Job) {
 	if j.inStartQueue || len(j.unstarted) == 0 {
 		return
 	}
@@ -73,7 +73,7 @@
 }
 
 // remove takes a job out of the queue.
-func (q *startQueue) remove(j *job) {
+func (q *startQueue) remove(j *Job) {
 	if !j.inStartQueue {
 		return
 	}
@@ -83,9 +83,9 @@
 }
 
 // dequeue takes the job out whose turn it is.
-func (q *startQueue) dequeue(j *job) {
+func (q *startQueue) dequeue(j *Job) {
 	q.remove(j)
-	if turns := q.teamTurns[j.level]; turns != nil && !q.oldestIsNext() {
+	if turns := q.teamTurns[j.EffectivePriority]; turns != nil && !q.oldestIsNext() {
 		turns.current = max(turns.current, j.startTurn)
 	}
 	q.dequeued++
@@ -97,16 +97,16 @@
 // next returns the job whose turn it is, or nil if there is none that may be written now. Jobs that
 // wait for nothing any more are dropped. If jobs are listed in another order, that goes before the
 // queue's own.
-func (q *startQueue) next(now time.Duration, listed []*job) *job {
+func (q *startQueue) next(now time.Duration, listed []*Job) *Job {
 	jobs := q.byTurn
 	if q.oldestIsNext() {
 		jobs = q.byAge
 	}
-	var next *job
-	var idle []*job
-	look := func(j *job) bool {
+	var next *Job
+	var idle []*Job
+	look := func(j *Job) bool {
 		switch {
-		case j.over || j.finishing || len(j.unstarted) == 0:
+		case j.Ended || j.Ending || len(j.unstarted) == 0:
 			idle = append(idle, j)
 		case !j.writeInFlight && now >= j.recordNotBefore:
 			next = j
--- a/internal/coordination/scheduler/fleetlog.go
+++ b/internal/coordination/scheduler/utilization.go
@@ -10,8 +10,8 @@
 	"pinebay/internal/protocol"
 )
 
-// logFleet tells how the machines are used.
-func (c *Core) logFleet(now time.Duration, units []fleet.Demand) {
+// logUtilization tells how the machines are used.
+func (c *Scheduler) logUtilization(now time.Duration, units []fleet.Demand) {
 	if !c.log.Enabled(context.Background(), slog.LevelDebug) {
 		return
 	}
--- a/internal/coordination/scheduler/victimsearch.go
+++ b/internal/coordination/scheduler/victimsearch.go
@@ -16,7 +16,7 @@
 
 // cheapestPreemption looks at the machines that have work which may have to leave: of at least the level,
 // or about to leave anyhow, or any if the job's team is within its guarantee.
-func (f indexFinder) cheapestPreemption(now time.Duration, j *job, l *zoneLimits, within time.Duration, level int) (*candidate, []*partition.Placement) {
+func (f indexFinder) cheapestPreemption(now time.Duration, j *Job, l *zoneLimits, within time.Duration, level int) (*candidate, []*partition.Placement) {
 	lowest := level
 	if f.scheduler.withinGuaranteedQuota(j) {
 		lowest = 0
@@ -45,9 +45,9 @@
 
 // victimSearch is a search for work to stop.
 type victimSearch struct {
-	scheduler      *Core
+	scheduler      *Scheduler
 	now            time.Duration
-	job            *job
+	job            *Job
 	limits         *zoneLimits
 	maxFetchTime   time.Duration
 	victimLevel    int // work of at least it leaves
@@ -83,11 +83,11 @@
 	c.preemptionBudgetLeft--
 	c.machinesExamined++
 	x := c.candidateOf(s.now, m)
-	if x == nil || !j.need.Fits(x.free.Plus(m.PreemptibleResources(s.candidateLevel))) || !j.need.Fits(partition.CapacityOf(x.machineType)) ||
-		!c.feasible(s.now, j, x, s.limits) || m.IsReservedFor(s.now, j.spec.ID) {
+	if x == nil || !j.TaskResources.Fits(x.free.Plus(m.PreemptibleResources(s.candidateLevel))) || !j.TaskResources.Fits(partition.CapacityOf(x.machineType)) ||
+		!c.feasible(s.now, j, x, s.limits) || m.IsReservedFor(s.now, j.Spec.ID) {
 		return
 	}
-	warm := c.machines.FetchTime(s.now, m, &j.spec)
+	warm := c.machines.FetchTime(s.now, m, &j.Spec)
 	if warm > s.maxFetchTime {
 		return
 	}
--- a/internal/coordination/scheduler/zonefailover.go
+++ b/internal/coordination/scheduler/zonefailover.go
@@ -40,8 +40,8 @@
 )
 
 // startZoneFailover turns zone return on, with what an earlier leader recorded.
-func (c *Core) startZoneFailover(now time.Duration, order *zones.RecoveryOrder, pages []protocol.KeyValue) {
-	names := c.zones(&protocol.Job{})
+func (c *Scheduler) startZoneFailover(now time.Duration, order *zones.RecoveryOrder, pages []protocol.KeyValue) {
+	names := c.allowedZones(&protocol.Job{})
 	z := &zoneFailoverState{
 		order: order, multiZone: len(names) > 1, awaitingPreemption: map[zones.TaskAttempt]bool{}, departedMachines: map[string]string{}, loansByJob: map[string]int{}, records: newFailoverRecords(),
 		monitor: zones.NewMonitor(now, config.Seconds(c.cfg.Workers.LeaseSeconds), names),
@@ -57,21 +57,21 @@
 
 // recoverDisplacedJobs marks the jobs that wait although they had started, when a zone was lost
 // under an earlier leader.
-func (c *Core) recoverDisplacedJobs() {
+func (c *Scheduler) recoverDisplacedJobs() {
 	for _, zone := range c.zoneFailover.monitor.Zones() {
 		if zone.State != zones.Lost && zone.State != zones.Returning {
 			continue
 		}
 		for _, j := range c.jobs {
-			if j.counts[pending] > 0 && j.hasStarted() {
-				j.displacedFrom = zone.Name
+			if j.TaskCounts[TaskPending] > 0 && j.hasStarted() {
+				j.DisplacedFromZone = zone.Name
 			}
 		}
 	}
 }
 
 // hasStarted says whether a task of the job was ever placed.
-func (j *job) hasStarted() bool {
+func (j *Job) hasStarted() bool {
 	for _, p := range j.pages {
 		if p.highestAttempt > 0 {
 			return true
@@ -81,31 +81,33 @@
 }
 
 // addDecision notes a decision, to be told with the next effects.
-func (c *Core) addDecision(d zones.Decision) {
+func (c *Scheduler) addDecision(d zones.Decision) {
 	c.zoneFailover.pendingDecisions = append(c.zoneFailover.pendingDecisions, d)
 }
 
-func (c *Core) emitDecisions() {
+func (c *Scheduler) emitDecisions() {
 	if c.zoneFailover == nil {
 		return
 	}
 	for _, d := range c.zoneFailover.pendingDecisions {
-		c.emit(Decided{d})
+		c.emit(ZoneDecision{d})
 	}
 	c.zoneFailover.pendingDecisions = nil
 }
 
 // inZoneFailover says whether a zone is lost or not yet trusted again, so that the order of
 // return is in force.
-func (c *Core) inZoneFailover() bool {
+func (c *Scheduler) inZoneFailover() bool {
 	return c.zoneFailover != nil && c.zoneFailover.multiZone && c.zoneFailover.monitor.AnyInState(zones.Lost, zones.Returning)
 }
 
 // wallClockMS is the time of day at a moment, in milliseconds.
-func (c *Core) wallClockMS(now time.Duration) int64 { return c.wallMS + (now - c.began).Milliseconds() }
+func (c *Scheduler) wallClockMS(now time.Duration) int64 {
+	return c.termStartedMS + (now - c.termStartedAt).Milliseconds()
+}
 
 // updateZoneStates judges the zones, and draws the conclusions.
-func (c *Core) updateZoneStates(now time.Duration, jobs []*job) {
+func (c *Scheduler) updateZoneStates(now time.Duration, jobs []*Job) {
 	z := c.zoneFailover
 	if z == nil || !z.multiZone {
 		return
@@ -128,18 +130,18 @@
 	if !z.monitor.AnyInState(zones.Suspected, zones.Lost, zones.Returning) {
 		clear(z.loansByJob)
 		for _, j := range jobs {
-			j.displacedFrom = ""
+			j.DisplacedFromZone = ""
 		}
 	}
 }
 
 // markDisplaced notes that a job has lost a task, which counts if it went with its zone.
-func (c *Core) markDisplaced(j *job, pl *partition.Placement) {
-	if c.zoneFailover == nil || j.over {
+func (c *Scheduler) markDisplaced(j *Job, pl *partition.Placement) {
+	if c.zoneFailover == nil || j.Ended {
 		return
 	}
 	switch c.zoneFailover.monitor.State(pl.Zone) {
 	case zones.Lost, zones.Returning:
-		j.displacedFrom = pl.Zone
+		j.DisplacedFromZone = pl.Zone
 	}
 }
--- a/internal/coordination/scheduler/zonefailover_test.go
+++ b/internal/coordination/scheduler/zonefailover_test.go
@@ -33,7 +33,7 @@
 		perZone := rapid.SampledFrom([]int{2, 3, 4, 5}).Draw(t, "machines")
 		for i := range 2 * perZone {
 			name := fmt.Sprintf("m%02d", i)
-			b.tasks[name], b.zone[name] = map[protocol.TaskID]protocol.TaskStatus{}, []string{"a", "b"}[i%2]
+			b.tasks[name], b.zoneOf[name] = map[protocol.TaskID]protocol.TaskStatus{}, []string{"a", "b"}[i%2]
 		}
 		b.runSeconds(2)
 		b.submitRandomJobs(t, 2*perZone*rapid.SampledFrom([]int{5, 7, 8, 9, 12}).Draw(t, "load"))
@@ -86,13 +86,13 @@
 		b.records[key] = protocol.KeyValue{Key: key, Value: value, Revision: 9}
 		b.takeOver(6)
 		b.runSeconds(3)
-		if countDecisions[zones.RecordIgnored](b.decisions) != 1 || b.c.zoneFailover.monitor.State("a") != zones.Available {
+		if countDecisions[zones.RecordIgnored](b.decisions) != 1 || b.scheduler.zoneFailover.monitor.State("a") != zones.Available {
 			t.Errorf("%s: %v", name, b.describeDecisions())
 		}
 		if got := b.records[key]; got.Revision != 9 || string(got.Value) != string(value) {
 			t.Errorf("%s was written over", name)
 		}
-		b.c.zoneFailover.records.dirty[b.c.zoneFailover.records.firstPage()] = true
+		b.scheduler.zoneFailover.records.dirty[b.scheduler.zoneFailover.records.firstPage()] = true
 		b.runSeconds(3)
 		if got := b.records[key]; got.Revision != 9 || b.records[storage.ZoneFailoverKey(1)].Revision == 0 {
 			t.Errorf("%s: records %v", name, b.records)
@@ -102,10 +102,10 @@
 
 // TestSingleZone: with a single zone there is nothing to do, and the log says so.
 func TestSingleZone(t *testing.T) {
-	b := newBench([]config.Team{{Name: "red"}}, "a")
-	c := New(0, b.c.cfg, b.c.log, Term{Number: 6, Stamp: 2}, Records{Types: []protocol.MachineType{*b.c.machines.MachineType("g8")}}, 0, zones.DefaultRecoveryOrder())
+	b := newHarness([]config.Team{{Name: "red"}}, "a")
+	c := New(0, b.scheduler.cfg, b.scheduler.log, Term{Number: 6, Revision: 2}, RecoveredRecords{MachineTypes: []protocol.MachineType{*b.scheduler.machines.MachineType("g8")}}, 0, zones.DefaultRecoveryOrder())
 	for _, e := range c.Step(0, Tick{}) {
-		if d, ok := e.(Decided); ok {
+		if d, ok := e.(ZoneDecision); ok {
 			if o, ok := d.Decision.(zones.RecoveryOrderInEffect); !ok || !strings.Contains(o.Describe(), "nothing to do") {
 				t.Errorf("%s", d.Decision.Describe())
 			}
@@ -120,7 +120,7 @@
 // whatever happens to a zone.
 func TestZoneFailoverOffCostsNothing(t *testing.T) {
 	b := newLendingHarness(t, 2)
-	b.c.zoneFailover = nil
+	b.scheduler.zoneFailover = nil
 	b.decisions = nil
 	b.runSeconds(60)
 	if len(b.decisions) > 0 || len(b.records) > 0 {
--- a/internal/coordination/scheduler/zonefailoverrecords.go
+++ b/internal/coordination/scheduler/zonefailoverrecords.go
@@ -68,17 +68,17 @@
 const openLoansPerMB = 40
 
 // maxOpenLoans is how many loans may be open at a time.
-func (c *Core) maxOpenLoans() int {
+func (c *Scheduler) maxOpenLoans() int {
 	return max(c.pagesPerTransaction()*c.loansPerPage(), int(c.cfg.Quota.RAMMB*openLoansPerMB))
 }
 
 // loansPerPage is how many loans one page holds.
-func (c *Core) loansPerPage() int { return storage.LoansPerPage(c.stateLimits.ValueKB) }
+func (c *Scheduler) loansPerPage() int { return storage.LoansPerPage(c.stateLimits.ValueKB) }
 
 // recoverZoneFailover takes over what an earlier leader recorded. A page that cannot be read, or
 // is of a newer format, is reported and left alone: its loans count as ended, which harms no
 // job, as a lender waits for room like any other.
-func (c *Core) recoverZoneFailover(now time.Duration, pages []protocol.KeyValue) {
+func (c *Scheduler) recoverZoneFailover(now time.Duration, pages []protocol.KeyValue) {
 	z := c.zoneFailover
 	for _, p := range pages {
 		number, err := strconv.Atoi(strings.TrimPrefix(p.Key, storage.ZoneFailoverPrefix))
@@ -94,7 +94,7 @@
 		}
 		z.records.revisions[number] = p.Revision
 		for _, row := range rec.Zones {
-			since := now - time.Duration(max(0, c.wallMS-row.SinceMS))*time.Millisecond
+			since := now - time.Duration(max(0, c.termStartedMS-row.SinceMS))*time.Millisecond
 			z.monitor.Restore(zones.Zone{Name: row.Name, State: zones.State(row.State), Since: since, Flaps: row.Flaps})
 		}
 		for _, row := range rec.Loans {
@@ -127,7 +127,7 @@
 }
 
 // failoverPages returns some of the pages as they should be; nil for one that nothing is on.
-func (c *Core) failoverPages(now time.Duration, numbers []int) map[int]*storage.ZoneFailoverRecord {
+func (c *Scheduler) failoverPages(now time.Duration, numbers []int) map[int]*storage.ZoneFailoverRecord {
 	z := c.zoneFailover
 	pages := map[int]*storage.ZoneFailoverRecord{}
 	for _, number := range numbers {
@@ -149,7 +149,7 @@
 }
 
 // failoverPagesToWrite lists the pages that go into the next transaction: those first that lenders wait for.
-func (c *Core) failoverPagesToWrite() []int {
+func (c *Scheduler) failoverPagesToWrite() []int {
 	r := &c.zoneFailover.records
 	awaited := map[int]bool{}
 	for task := range c.zoneFailover.awaitingPreemption {
@@ -169,7 +169,7 @@
 
 // durableLoans lists the open loans that stand on pages which have not changed, but for those of
 // borrowers that have others on pages which have: what lends to one job is stopped together.
-func (c *Core) durableLoans() (recorded []zones.Loan) {
+func (c *Scheduler) durableLoans() (recorded []zones.Loan) {
 	z := c.zoneFailover
 	waits := map[string]bool{}
 	for _, loan := range z.ledger.Loans() {
@@ -195,9 +195,9 @@
 
 // writeFailoverRecords records what has changed: at once when lenders wait to be stopped, and
 // otherwise gathered for a cycle.
-func (c *Core) writeFailoverRecords(now time.Duration) {
+func (c *Scheduler) writeFailoverRecords(now time.Duration) {
 	z := c.zoneFailover
-	if z == nil || c.writesPaused || len(z.records.dirty) == 0 || z.records.writeInFlight || len(z.awaitingPreemption) == 0 && now-z.records.lastWrite < Cycle {
+	if z == nil || c.writesPaused || len(z.records.dirty) == 0 || z.records.writeInFlight || len(z.awaitingPreemption) == 0 && now-z.records.lastWrite < CycleInterval {
 		return
 	}
 	id, name := c.nextWriteID()
@@ -208,9 +208,9 @@
 		return
 	}
 	z.records.writeInFlight, z.records.lastWrite = true, now
-	c.writesInFlight[id] = func(now time.Duration, w Written) {
+	c.writesInFlight[id] = func(now time.Duration, w TransactionOutcome) {
 		z.records.writeInFlight = false
-		if w.Refused {
+		if w.Malformed {
 			c.log.Error("zone return record refused", "pages", len(contents))
 			z.records.lastWrite = now + rejectedRetryDelay
 			for number := range contents {
@@ -218,21 +218,21 @@
 			}
 			return
 		}
-		if !w.OK {
-			c.emit(Depose{Reason: fmt.Sprintf("conditions failed: %v", w.Failed)})
+		if !w.Succeeded {
+			c.emit(StepDown{Reason: fmt.Sprintf("conditions failed: %v", w.FailedKeys)})
 			return
 		}
 		for number, content := range contents {
-			z.records.pageWritten(number, content, w.Rev)
+			z.records.pageWritten(number, content, w.Revision)
 		}
 		c.preemptLenders(now, loans)
 	}
 	verify, mark := verificationKey(txn, name)
-	c.emit(Write{ID: id, Txn: txn, Verify: verify, Name: mark})
+	c.emit(Write{ID: id, Txn: txn, VerifyKey: verify, Name: mark})
 }
 
 // redistributeLoanPages moves loans off pages that hold more than fits under the limits in force.
-func (c *Core) redistributeLoanPages() {
+func (c *Scheduler) redistributeLoanPages() {
 	if c.zoneFailover == nil {
 		return
 	}
@@ -257,9 +257,9 @@
 
 // failoverTransaction returns the transaction that writes the pages which have changed, and what
 // they hold then.
-func (c *Core) failoverTransaction(now time.Duration, name string) (protocol.Txn, map[int]string) {
+func (c *Scheduler) failoverTransaction(now time.Duration, name string) (protocol.Txn, map[int]string) {
 	z := c.zoneFailover
-	txn := protocol.Txn{If: []protocol.Compare{{Key: storage.TermKey, Revision: c.termStamp}}}
+	txn := protocol.Txn{If: []protocol.Compare{{Key: storage.TermKey, Revision: c.termRevision}}}
 	contents := map[int]string{}
 	add := func(number int, content string, op protocol.Op) {
 		txn.If = append(txn.If, protocol.Compare{Key: storage.ZoneFailoverKey(number), Revision: z.records.revisions[number]})
--- a/internal/coordination/scheduler/zonefencing.go
+++ b/internal/coordination/scheduler/zonefencing.go
@@ -18,16 +18,16 @@
 	// its other work: a search among a hundred full machines takes it a millisecond or two.
 	searchesPerCore = 100
 	// searchRetryDelay is the time until the next search for a job for which there was no room.
-	searchRetryDelay = 3 * Cycle
+	searchRetryDelay = 3 * CycleInterval
 )
 
 // searchBudget is for how many jobs room may be looked for in a cycle.
-func (c *Core) searchBudget() int { return max(2, int(searchesPerCore*c.cfg.Quota.CoreShare)) }
+func (c *Scheduler) searchBudget() int { return max(2, int(searchesPerCore*c.cfg.Quota.CoreShare)) }
 
 // fenceLostMachines returns machines of lost zones whose tasks would find room elsewhere, in the
 // order of return: only that proves the tasks gone. What would find no room stays, and goes
 // on at once when the zone comes back.
-func (c *Core) fenceLostMachines(now time.Duration, jobs []*job) {
+func (c *Scheduler) fenceLostMachines(now time.Duration, jobs []*Job) {
 	if !c.zoneFailover.monitor.AnyInState(zones.Lost) {
 		return
 	}
@@ -40,14 +40,14 @@
 			return
 		}
 		held := c.placementsInLostZones(now, j, patience)
-		waiting := min(j.counts[pending], c.tasksWithinQuotaLimit(j), maxWaitingConsidered)
-		if c.held(j) || len(held)+waiting == 0 || now < j.searchAgain {
+		waiting := min(j.TaskCounts[TaskPending], c.tasksWithinQuotaLimit(j), maxWaitingConsidered)
+		if c.startForbidden(j) || len(held)+waiting == 0 || now < j.NextLoanSearch {
 			continue
 		}
-		whole := j.spec.Shape == protocol.Gang || j.spec.SameZone
+		whole := j.Spec.Shape == protocol.Gang || j.Spec.SameZone
 		wanted := waiting + len(held)
 		if whole {
-			wanted = j.counts[pending] + len(j.places)
+			wanted = j.TaskCounts[TaskPending] + len(j.Placements)
 		}
 		request, ok := c.requestInAvailableZones(j, wanted)
 		if !ok {
@@ -57,7 +57,7 @@
 		// What waits already takes its room first.
 		found := market.placeJob(j, request, whole) - waiting
 		if found <= 0 && len(held) > 0 {
-			j.searchAgain = now + searchRetryDelay
+			j.NextLoanSearch = now + searchRetryDelay
 		}
 		for _, pl := range held[:max(0, min(found, len(held)))] {
 			budget -= c.fenceMachineOf(now, j, pl)
@@ -66,7 +66,7 @@
 }
 
 // fenceBudget is how many machines may be fenced in this cycle.
-func (c *Core) fenceBudget() int {
+func (c *Scheduler) fenceBudget() int {
 	n := 0
 	c.machines.Each(func(m *partition.Machine) {
 		if c.isZoneLost(m.Zone) {
@@ -80,7 +80,7 @@
 // surely over, and as long as a machine takes to boot. Work that goes elsewhere pays about
 // that much once more, for a fetch there and for a boot when the zone is back; whoever waits as
 // long as it would pay never pays more than twice what foresight would.
-func (c *Core) lostMachineGracePeriod() time.Duration {
+func (c *Scheduler) lostMachineGracePeriod() time.Duration {
 	patience := c.maxLeaseLifetime()
 	for _, t := range c.machines.MachineTypes() {
 		patience = max(patience, config.Seconds(t.BootSeconds))
@@ -90,8 +90,8 @@
 
 // placementsInLostZones returns the placements of a job on machines of lost zones that have been
 // silent for longer than the patience.
-func (c *Core) placementsInLostZones(now time.Duration, j *job, patience time.Duration) (held []*partition.Placement) {
-	for _, pl := range placements(j) {
+func (c *Scheduler) placementsInLostZones(now time.Duration, j *Job, patience time.Duration) (held []*partition.Placement) {
+	for _, pl := range sortedPlacements(j) {
 		m := c.machines.Machine(pl.Machine)
 		if c.isZoneLost(pl.Zone) && m != nil && now-m.LastHeartbeat > patience {
 			held = append(held, pl)
@@ -101,29 +101,29 @@
 }
 
 // fenceMachineOf has the machine of a placement returned, and says how many that makes.
-func (c *Core) fenceMachineOf(now time.Duration, j *job, pl *partition.Placement) int {
+func (c *Scheduler) fenceMachineOf(now time.Duration, j *Job, pl *partition.Placement) int {
 	m := c.machines.Machine(pl.Machine)
 	if m == nil || m.Terminating {
 		return 0
 	}
 	since, _ := c.zoneFailover.monitor.LostSince(pl.Zone)
 	m.Terminating = true
-	c.addDecision(zones.MachineFenced{Machine: m.Name, Zone: m.Zone, Job: j.spec.ID, LostFor: now - since})
+	c.addDecision(zones.MachineFenced{Machine: m.Name, Zone: m.Zone, Job: j.Spec.ID, LostFor: now - since})
 	return 1
 }
 
 // requestInAvailableZones is the room that tasks of a job may take outside the lost zones; false if
 // its limits allow none.
-func (c *Core) requestInAvailableZones(j *job, tasks int) (zones.CapacityRequest, bool) {
+func (c *Scheduler) requestInAvailableZones(j *Job, tasks int) (zones.CapacityRequest, bool) {
 	perZone := map[string]int{}
 	limits := c.zoneLimitsOf(j)
 	total := 0
 	for _, zone := range c.zoneFailover.monitor.Zones() {
-		allowed := j.spec.Zone == "" || j.spec.Zone == zone.Name
+		allowed := j.Spec.Zone == "" || j.Spec.Zone == zone.Name
 		if left := min(tasks, limits.maxTasksPerZone-limits.tasksPerZone[zone.Name]); allowed && left > 0 && zone.State == zones.Available {
 			perZone[zone.Name] = left
 			total += left
 		}
 	}
-	return zones.CapacityRequest{Need: j.need, Tasks: min(tasks, total), MaxPerZone: perZone, DisturbanceCost: c.disturbanceCost()}, total > 0
+	return zones.CapacityRequest{Need: j.TaskResources, Tasks: min(tasks, total), MaxPerZone: perZone, DisturbanceCost: c.disturbanceCost()}, total > 0
 }
--- a/internal/coordination/scheduler/zoneharness_test.go
+++ b/internal/coordination/scheduler/zoneharness_test.go
@@ -20,7 +20,7 @@
 // zoneHarness drives a core with zone return through the loss and return of zone a, under the
 // oracles of order and loans.
 type zoneHarness struct {
-	*bench
+	*harness
 	order       *zones.RecoveryOrder
 	silent      map[string]bool // machines that are not heard
 	incarnation map[string]uint64
@@ -34,10 +34,10 @@
 }
 
 func newZoneHarness(order *zones.RecoveryOrder, teams ...config.Team) *zoneHarness {
-	b := &zoneHarness{bench: newBench(teams, "a", "b"), order: order, silent: map[string]bool{}, incarnation: map[string]uint64{},
+	b := &zoneHarness{harness: newHarness(teams, "a", "b"), order: order, silent: map[string]bool{}, incarnation: map[string]uint64{},
 		records: map[string]protocol.KeyValue{}, loanOracle: simulation.NewLoanOracle()}
-	b.c.cfg.Quota.CoreShare = 1
-	b.c.cfg.Workers.CancelSeconds = 12 // so that a loan that is never repaid is written off soon
+	b.scheduler.cfg.Quota.CoreShare = 1
+	b.scheduler.cfg.Workers.CancelSeconds = 12 // so that a loan that is never repaid is written off soon
 	b.takeOver(5)
 	return b
 }
@@ -48,28 +48,28 @@
 	for _, p := range b.records {
 		pages = append(pages, p)
 	}
-	records := Records{Types: []protocol.MachineType{*b.c.machines.MachineType("g8")}, ZonePages: pages}
-	b.c = New(b.now, b.c.cfg, b.c.log, Term{Number: term, Stamp: term}, records, b.now.Milliseconds(), b.order)
+	records := RecoveredRecords{MachineTypes: []protocol.MachineType{*b.scheduler.machines.MachineType("g8")}, ZoneReturnPages: pages}
+	b.scheduler = New(b.now, b.scheduler.cfg, b.scheduler.log, Term{Number: term, Revision: term}, records, b.now.Milliseconds(), b.order)
 }
 
 // step hands an event to the core and carries out what it asks for.
 func (b *zoneHarness) step(e Event) {
-	for _, out := range b.c.Step(b.now, e) {
+	for _, out := range b.scheduler.Step(b.now, e) {
 		switch o := out.(type) {
-		case Decided:
+		case ZoneDecision:
 			b.decisions = append(b.decisions, o.Decision)
 		case Write:
 			b.write(o)
-		case Order:
+		case SendCommandBatch:
 			if b.silent[o.Machine] || b.tasks[o.Machine] == nil {
-				b.step(OrdersDone{Machine: o.Machine})
+				b.step(CommandBatchResult{Machine: o.Machine})
 				continue
 			}
-			b.take(o.Machine, o.Orders.FencingToken, o.Orders.Commands)
-			b.step(OrdersDone{Machine: o.Machine, OK: true, Report: b.heartbeatOf(o.Machine)})
-		case Answer:
-			b.take(o.Tag.(string), o.Body.FencingToken, o.Body.Commands)
-		case Fleet:
+			b.executeCommands(o.Machine, o.Batch.FencingToken, o.Batch.Commands)
+			b.step(CommandBatchResult{Machine: o.Machine, Acknowledged: true, Heartbeat: b.heartbeatOf(o.Machine)})
+		case HeartbeatReply:
+			b.executeCommands(o.ReplyTo.(string), o.Body.FencingToken, o.Body.Commands)
+		case CloudRequest:
 			b.callCloud(o.Effect)
 		}
 	}
@@ -78,14 +78,14 @@
 func (b *zoneHarness) callCloud(e fleet.Effect) {
 	switch e := e.(type) {
 	case fleet.ListMachines:
-		b.after(Listed{Asked: b.now, Failed: true})
+		b.after(MachinesListed{RequestedAt: b.now, Failed: true})
 	case fleet.ScaleOut:
-		b.after(Rented{Request: e.Rental.RequestID, Asked: b.now, Refused: true})
+		b.after(ScaleOutResult{Request: e.Rental.RequestID, RequestedAt: b.now, Refused: true})
 	case fleet.ScaleIn:
 		for _, name := range e.Machines {
 			b.removeMachine(name)
 		}
-		b.after(Released{Names: e.Machines, OK: true})
+		b.after(ScaleInResult{Machines: e.Machines, Succeeded: true})
 	}
 }
 
@@ -103,11 +103,11 @@
 		b.nextSecond = append(b.nextSecond, func() { b.write(w) })
 		return
 	}
-	b.rev++
+	b.revision++
 	zone := false
 	for _, op := range w.Txn.Then {
 		if strings.HasPrefix(op.PutKey, storage.ZoneFailoverPrefix) {
-			b.records[op.PutKey] = protocol.KeyValue{Key: op.PutKey, Value: op.Value, Revision: b.rev}
+			b.records[op.PutKey] = protocol.KeyValue{Key: op.PutKey, Value: op.Value, Revision: b.revision}
 			zone = true
 		}
 		if strings.HasPrefix(op.DeleteKey, storage.ZoneFailoverPrefix) {
@@ -118,7 +118,7 @@
 	if zone {
 		b.loanOracle.CheckRecords(b.storedLoans(), b.lenderFacts)
 	}
-	b.step(Written{Write: w.ID, OK: true, Rev: b.rev})
+	b.step(TransactionOutcome{WriteID: w.ID, Succeeded: true, Revision: b.revision})
 }
 
 func (b *zoneHarness) storedLoans() (rows []storage.LoanRow) {
@@ -134,13 +134,13 @@
 
 // lenderFacts tells of a loan's lender, from the core's books when the loan was made.
 func (b *zoneHarness) lenderFacts(row storage.LoanRow) simulation.LenderObservation {
-	lender, borrower := b.c.jobs[row.Lender], b.c.jobs[row.Borrower]
-	return simulation.LenderObservation{LenderLevel: lender.level, BorrowerLevel: borrower.level,
-		ProtectedByQuota: fitsGuaranteedQuota(b.c.cfg.Team(lender.spec.Team), b.c.machines.TeamUsage(lender.spec.Team))}
+	lender, borrower := b.scheduler.jobs[row.Lender], b.scheduler.jobs[row.Borrower]
+	return simulation.LenderObservation{LenderLevel: lender.EffectivePriority, BorrowerLevel: borrower.EffectivePriority,
+		ProtectedByQuota: fitsGuaranteedQuota(b.scheduler.cfg.Team(lender.Spec.Team), b.scheduler.machines.TeamUsage(lender.Spec.Team))}
 }
 
 func (b *zoneHarness) heartbeatOf(name string) *protocol.WorkerHeartbeat {
-	r := b.report(name)
+	r := b.nextHeartbeat(name)
 	r.Incarnation = max(1, b.incarnation[name])
 	return r
 }
@@ -148,7 +148,7 @@
 // runSecond lets a second pass: machines report, images arrive, stopped tasks exit, and the
 // core has its cycle, which the oracle of order checks.
 func (b *zoneHarness) runSecond() {
-	b.now += Cycle
+	b.now += CycleInterval
 	later := b.nextSecond
 	b.nextSecond = nil
 	for _, f := range later {
@@ -157,14 +157,14 @@
 	b.advanceTasks()
 	for _, name := range b.machineNames() {
 		if !b.silent[name] {
-			b.step(Reported{Tag: name, Report: b.heartbeatOf(name)})
+			b.step(HeartbeatReceived{ReplyTo: name, Heartbeat: b.heartbeatOf(name)})
 		}
 	}
 	before := b.placedAttempts()
-	used := map[string]partition.Resources{"red": b.c.machines.TeamUsage("red"), "blue": b.c.machines.TeamUsage("blue")}
+	used := map[string]partition.Resources{"red": b.scheduler.machines.TeamUsage("red"), "blue": b.scheduler.machines.TeamUsage("blue")}
 	b.excluded = b.excludedMachines() // some are free for another attempt once the cycle is over
 	b.step(Tick{})
-	if b.c.inZoneFailover() {
+	if b.scheduler.inZoneFailover() {
 		b.orderOracle.CheckCycle(b.startsSince(before, used), b.waitingJobs(), b.freeCapacities())
 	}
 }
@@ -199,8 +199,8 @@
 
 func (b *zoneHarness) placedAttempts() map[placedAttempt]bool {
 	on := map[placedAttempt]bool{}
-	for _, j := range b.c.jobs {
-		for _, pl := range j.places {
+	for _, j := range b.scheduler.jobs {
+		for _, pl := range j.Placements {
 			on[placedAttempt{pl.Task, pl.Attempt}] = true
 		}
 	}
@@ -210,12 +210,12 @@
 // startsSince returns what was placed since, with what teams used before. What fits into its
 // team's guarantee besides that waits for nobody.
 func (b *zoneHarness) startsSince(before map[placedAttempt]bool, used map[string]partition.Resources) (starts []simulation.PlacedTask) {
-	for _, j := range b.c.jobs {
-		team := used[j.spec.Team]
-		for _, pl := range placements(j) {
+	for _, j := range b.scheduler.jobs {
+		team := used[j.Spec.Team]
+		for _, pl := range sortedPlacements(j) {
 			if !before[placedAttempt{pl.Task, pl.Attempt}] {
 				team = team.Plus(pl.Resources)
-				guaranteed := fitsGuaranteedQuota(b.c.cfg.Team(pl.Team), team)
+				guaranteed := fitsGuaranteedQuota(b.scheduler.cfg.Team(pl.Team), team)
 				starts = append(starts, simulation.PlacedTask{Job: b.recoveryJob(j), Machine: pl.Machine, WithinQuota: guaranteed})
 			}
 		}
@@ -226,8 +226,8 @@
 // schedulableJobs returns the jobs that wait for room, but those that stand back for another
 // reason: their team's limit, a record under way, or that backfill is allowed just now.
 func (b *zoneHarness) waitingJobs() (waiting []simulation.WaitingJob) {
-	for _, j := range b.c.jobs {
-		if !b.c.placeableNow(b.now, j) || b.c.tasksWithinQuotaLimit(j) == 0 || j.spec.Shape == protocol.Gang && (b.c.tasksWithinQuotaLimit(j) < j.spec.TaskCount || j.short%(gangHoldCycles+1) == 0) {
+	for _, j := range b.scheduler.jobs {
+		if !b.scheduler.placeableNow(b.now, j) || b.scheduler.tasksWithinQuotaLimit(j) == 0 || j.Spec.Shape == protocol.Gang && (b.scheduler.tasksWithinQuotaLimit(j) < j.Spec.TaskCount || j.UnschedulableCycles%(gangHoldCycles+1) == 0) {
 			continue
 		}
 		waiting = append(waiting, b.recoveryJob(j))
@@ -239,10 +239,10 @@
 // that waits.
 func (b *zoneHarness) excludedMachines() map[string]map[string]bool {
 	barred := map[string]map[string]bool{}
-	for id, j := range b.c.jobs {
+	for id, j := range b.scheduler.jobs {
 		barred[id] = map[string]bool{}
-		b.c.machines.Each(func(m *partition.Machine) {
-			for t := j.nextPending(0); t >= 0; t = j.nextPending(t + 1) {
+		b.scheduler.machines.Each(func(m *partition.Machine) {
+			for t := j.NextPending(0); t >= 0; t = j.NextPending(t + 1) {
 				barred[id][m.Name] = barred[id][m.Name] || m.HasAttempt(protocol.TaskID{JobID: id, Index: t})
 			}
 		})
@@ -250,16 +250,16 @@
 	return barred
 }
 
-func (b *zoneHarness) recoveryJob(j *job) simulation.WaitingJob {
-	r := simulation.WaitingJob{ID: j.spec.ID, Position: b.order.Position(j.spec.Class, j.spec.Team), PriorityLevel: j.level, Resources: j.need, Tasks: 1, MaxPerZone: map[string]int{}}
-	if j.spec.Shape == protocol.Gang {
-		r.Tasks, r.SameZone = j.spec.TaskCount, j.spec.SameZone
+func (b *zoneHarness) recoveryJob(j *Job) simulation.WaitingJob {
+	r := simulation.WaitingJob{ID: j.Spec.ID, Position: b.order.Position(j.Spec.Class, j.Spec.Team), PriorityLevel: j.EffectivePriority, Resources: j.TaskResources, Tasks: 1, MaxPerZone: map[string]int{}}
+	if j.Spec.Shape == protocol.Gang {
+		r.Tasks, r.SameZone = j.Spec.TaskCount, j.Spec.SameZone
 	}
-	r.ExcludedMachines = b.excluded[j.spec.ID]
-	l := b.c.zoneLimitsOf(j)
+	r.ExcludedMachines = b.excluded[j.Spec.ID]
+	l := b.scheduler.zoneLimitsOf(j)
 	for _, zone := range []string{"a", "b"} {
 		if l.allows(zone) {
-			r.MaxPerZone[zone] = min(j.spec.TaskCount, l.maxTasksPerZone-l.tasksPerZone[zone])
+			r.MaxPerZone[zone] = min(j.Spec.TaskCount, l.maxTasksPerZone-l.tasksPerZone[zone])
 		}
 	}
 	return r
@@ -267,9 +267,9 @@
 
 func (b *zoneHarness) freeCapacities() map[string]simulation.FreeMachine {
 	rooms := map[string]simulation.FreeMachine{}
-	b.c.machines.Each(func(m *partition.Machine) {
-		if b.c.machines.Schedulable(b.now, m) && m.ReservedJob == "" {
-			rooms[m.Name] = simulation.FreeMachine{Zone: m.Zone, Free: b.c.machines.FreeCapacity(m)}
+	b.scheduler.machines.Each(func(m *partition.Machine) {
+		if b.scheduler.machines.Schedulable(b.now, m) && m.ReservedJob == "" {
+			rooms[m.Name] = simulation.FreeMachine{Zone: m.Zone, Free: b.scheduler.machines.FreeCapacity(m)}
 		}
 	})
 	return rooms
@@ -277,7 +277,7 @@
 
 // loseZone makes the machines of zone a silent; their tasks end with their leases.
 func (b *zoneHarness) loseZone() {
-	for name, zone := range b.zone {
+	for name, zone := range b.zoneOf {
 		if zone == "a" && b.tasks[name] != nil {
 			b.silent[name] = true
 		}
@@ -327,7 +327,7 @@
 	for i := 0; gpus > 0; i++ {
 		shape := rapid.SampledFrom([]protocol.Shape{protocol.Array, protocol.Array, protocol.Gang, protocol.Service}).Draw(t, "shape")
 		prio := rapid.SampledFrom([]protocol.Priority{"critical", "urgent", "normal", "best_effort"}).Draw(t, "prio")
-		j := spec(fmt.Sprintf("j-%d", i), shape, prio, rapid.IntRange(1, 4).Draw(t, "tasks"), float64(rapid.IntRange(1, 8).Draw(t, "gpus")))
+		j := jobSpec(fmt.Sprintf("j-%d", i), shape, prio, rapid.IntRange(1, 4).Draw(t, "tasks"), float64(rapid.IntRange(1, 8).Draw(t, "gpus")))
 		j.Class = rapid.SampledFrom([]string{"c", "d", "e"}).Draw(t, "class")
 		j.Team = rapid.SampledFrom([]string{"red", "blue"}).Draw(t, "team")
 		j.Spread = shape == protocol.Service && rapid.Bool().Draw(t, "spread")
@@ -336,13 +336,13 @@
 			j.CheckpointIntervalSeconds, j.SaveSeconds = 10, 2
 		}
 		gpus -= j.TaskCount * int(j.GPUs)
-		b.step(JobSet{Record: storage.LiveJobRecord{Job: j, AcceptedAtMS: b.now.Milliseconds()}, Stamp: uint64(i + 1)})
+		b.step(JobAccepted{Record: storage.LiveJobRecord{Job: j, AcceptedAtMS: b.now.Milliseconds()}, Revision: uint64(i + 1)})
 	}
 }
 
 func (b *zoneHarness) submit(j protocol.Job) {
-	b.rev++
-	b.step(JobSet{Record: storage.LiveJobRecord{Job: j, AcceptedAtMS: b.now.Milliseconds()}, Stamp: b.rev})
+	b.revision++
+	b.step(JobAccepted{Record: storage.LiveJobRecord{Job: j, AcceptedAtMS: b.now.Milliseconds()}, Revision: b.revision})
 }
 
 // runUntilLoan lets time pass until a loan is made.
--- a/internal/coordination/scheduler/zoneloans.go
+++ b/internal/coordination/scheduler/zoneloans.go
@@ -8,14 +8,14 @@
 )
 
 // openLoans enters the loans of a choice.
-func (c *Core) openLoans(now time.Duration, j *job, k *borrowableCapacity, choice zones.Choice) error {
+func (c *Scheduler) openLoans(now time.Duration, j *Job, k *borrowableCapacity, choice zones.Choice) error {
 	z := c.zoneFailover
 	var loans []zones.Loan
 	for _, task := range choice.Lenders {
-		pl := c.jobs[task.Job].places[task.Task]
+		pl := c.jobs[task.Job].Placements[task.Task]
 		z.lastLoanNumber++
 		loans = append(loans, zones.Loan{
-			Term: c.term, Number: z.lastLoanNumber, Lender: task, Borrower: j.spec.ID, Machine: pl.Machine, Zone: j.displacedFrom,
+			Term: c.term, Number: z.lastLoanNumber, Lender: task, Borrower: j.Spec.ID, Machine: pl.Machine, Zone: j.DisplacedFromZone,
 			LostSeconds: c.lostWorkSeconds(now, pl), CreatedMS: c.wallClockMS(now),
 			ExpiresMS: c.wallClockMS(now + config.Seconds(writeOffCancelTimes*c.cfg.Workers.CancelSeconds)),
 		})
@@ -33,17 +33,17 @@
 }
 
 // preemptLenders stops the lenders of loans that are recorded now.
-func (c *Core) preemptLenders(now time.Duration, loans []zones.Loan) {
+func (c *Scheduler) preemptLenders(now time.Duration, loans []zones.Loan) {
 	for _, loan := range loans {
 		if !c.zoneFailover.awaitingPreemption[loan.Lender] {
 			continue
 		}
 		delete(c.zoneFailover.awaitingPreemption, loan.Lender)
 		lender, borrower := c.jobs[loan.Lender.Job], c.jobs[loan.Borrower]
-		if lender == nil || borrower == nil || c.held(borrower) {
+		if lender == nil || borrower == nil || c.startForbidden(borrower) {
 			continue // settled as not taken, or with the end of its job
 		}
-		pl := lender.places[loan.Lender.Task]
+		pl := lender.Placements[loan.Lender.Task]
 		if pl == nil || pl.Attempt != loan.Lender.Attempt || pl.Stopping {
 			continue
 		}
@@ -52,7 +52,7 @@
 }
 
 // closeFinishedLoans ends the loans that are over.
-func (c *Core) closeFinishedLoans(now time.Duration) {
+func (c *Scheduler) closeFinishedLoans(now time.Duration) {
 	z := c.zoneFailover
 	for _, loan := range z.ledger.Loans() {
 		end := c.loanOutcome(now, loan)
@@ -67,12 +67,12 @@
 }
 
 // loanOutcome says how a loan has ended, or "" while it is open.
-func (c *Core) loanOutcome(now time.Duration, loan zones.Loan) zones.LoanOutcome {
+func (c *Scheduler) loanOutcome(now time.Duration, loan zones.Loan) zones.LoanOutcome {
 	j := c.jobs[loan.Lender.Job]
-	if j == nil || j.over || loan.Lender.Task >= len(j.tasks) || j.tasks[loan.Lender.Task] == done {
+	if j == nil || j.Ended || loan.Lender.Task >= len(j.TaskStates) || j.TaskStates[loan.Lender.Task] == TaskDone {
 		return zones.LenderEnded
 	}
-	pl := j.places[loan.Lender.Task]
+	pl := j.Placements[loan.Lender.Task]
 	switch {
 	case pl != nil && pl.Attempt != loan.Lender.Attempt && pl.StartAllowed:
 		return zones.Repaid
--- a/internal/coordination/scheduler/zoneloans_test.go
+++ b/internal/coordination/scheduler/zoneloans_test.go
@@ -20,16 +20,16 @@
 	b := newZoneHarness(zones.DefaultRecoveryOrder(), config.Team{Name: "red"})
 	for i := range 6 {
 		name := fmt.Sprintf("m%02d", i)
-		b.tasks[name], b.zone[name] = map[protocol.TaskID]protocol.TaskStatus{}, []string{"a", "b"}[i%2]
+		b.tasks[name], b.zoneOf[name] = map[protocol.TaskID]protocol.TaskStatus{}, []string{"a", "b"}[i%2]
 	}
 	b.runSeconds(2)
-	gang := spec("j-0", protocol.Gang, "urgent", 1, 8)
+	gang := jobSpec("j-0", protocol.Gang, "urgent", 1, 8)
 	gang.Zone = "a"
 	b.submit(gang)
 	b.runSeconds(3)
-	b.c.jobs["j-0"].spec.Zone = "" // it was there by chance, and may go anywhere
+	b.scheduler.jobs["j-0"].Spec.Zone = "" // it was there by chance, and may go anywhere
 	for i, id := range []string{"j-1", "j-2", "j-3", "j-4", "j-5"} {
-		low := spec(id, protocol.Array, "best_effort", tasks, float64(8/tasks))
+		low := jobSpec(id, protocol.Array, "best_effort", tasks, float64(8/tasks))
 		low.Zone = []string{"b", "a"}[i%2]
 		b.submit(low)
 	}
@@ -47,11 +47,11 @@
 	b := newLendingHarness(t, 2)
 	b.runUntilLoan(t)
 	b.runSeconds(5)
-	if b.c.jobs["j-0"].counts[placed] != 1 {
+	if b.scheduler.jobs["j-0"].TaskCounts[TaskPlaced] != 1 {
 		t.Fatal("the gang is not back")
 	}
 	for _, id := range []string{"j-1", "j-3", "j-5"} {
-		b.c.jobs[id].spec.Zone = "" // so that the lenders may go where room comes back
+		b.scheduler.jobs[id].Spec.Zone = "" // so that the lenders may go where room comes back
 	}
 	b.restoreZone(func(int) bool { return true })
 	b.runSeconds(30)
@@ -65,7 +65,7 @@
 func TestLoanIsRecordedFirst(t *testing.T) {
 	b := newLendingHarness(t, 2)
 	before := b.placedAttempts()
-	b.unanswered = func(w Write) bool { return strings.HasPrefix(w.Verify, storage.ZoneFailoverPrefix) }
+	b.unanswered = func(w Write) bool { return strings.HasPrefix(w.VerifyKey, storage.ZoneFailoverPrefix) }
 	b.runSeconds(60)
 	if countDecisions[zones.LoanMade](b.decisions) == 0 {
 		t.Fatal("no loan was made")
@@ -77,7 +77,7 @@
 	}
 	b.unanswered = nil
 	b.runSeconds(10)
-	if b.c.jobs["j-0"].counts[placed] != 1 {
+	if b.scheduler.jobs["j-0"].TaskCounts[TaskPlaced] != 1 {
 		t.Error("the gang is not back after the record was written")
 	}
 }
@@ -87,7 +87,7 @@
 func TestLeaderCrashBeforePreemptingLender(t *testing.T) {
 	b := newLendingHarness(t, 2)
 	b.runUntilLoan(t)
-	loan := b.c.zoneFailover.ledger.Loans()[0]
+	loan := b.scheduler.zoneFailover.ledger.Loans()[0]
 	rec := &storage.ZoneFailoverRecord{Format: storage.ZoneFailoverFormat, Loans: []storage.LoanRow{loanToRow(loan)},
 		Zones: []storage.ZoneRow{{Name: "a", State: int(zones.Lost), SinceMS: b.now.Milliseconds()}}}
 	value, err := protocol.Encode(rec)
@@ -103,21 +103,21 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	low := spec(loan.Lender.Job, protocol.Array, "best_effort", 2, 4)
+	low := jobSpec(loan.Lender.Job, protocol.Array, "best_effort", 2, 4)
 	live, err := protocol.Encode(storage.LiveJobRecord{Job: low})
 	if err != nil {
 		t.Fatal(err)
 	}
-	next.c = New(next.now, next.c.cfg, next.c.log, Term{Number: 6, Stamp: 6}, Records{
-		Types: []protocol.MachineType{*b.c.machines.MachineType("g8")}, Live: []protocol.KeyValue{{Key: storage.LiveJobKey(low.ID), Value: live, Revision: 1}},
-		Pages: []protocol.KeyValue{{Key: productionPage(low.ID, 0), Value: raw, Revision: 2}}, ZonePages: []protocol.KeyValue{next.records[storage.ZoneFailoverKey(0)]},
+	next.scheduler = New(next.now, next.scheduler.cfg, next.scheduler.log, Term{Number: 6, Revision: 6}, RecoveredRecords{
+		MachineTypes: []protocol.MachineType{*b.scheduler.machines.MachineType("g8")}, LiveJobs: []protocol.KeyValue{{Key: storage.LiveJobKey(low.ID), Value: live, Revision: 1}},
+		Pages: []protocol.KeyValue{{Key: productionPage(low.ID, 0), Value: raw, Revision: 2}}, ZoneReturnPages: []protocol.KeyValue{next.records[storage.ZoneFailoverKey(0)]},
 	}, next.now.Milliseconds(), next.order)
-	if next.c.zoneFailover.monitor.State("a") != zones.Lost || next.c.zoneFailover.ledger.Len() != 1 {
-		t.Fatalf("the records are not taken over: %+v", next.c.zoneFailover.monitor.Zones())
+	if next.scheduler.zoneFailover.monitor.State("a") != zones.Lost || next.scheduler.zoneFailover.ledger.Len() != 1 {
+		t.Fatalf("the records are not taken over: %+v", next.scheduler.zoneFailover.monitor.Zones())
 	}
-	next.tasks[loan.Machine], next.zone[loan.Machine] = map[protocol.TaskID]protocol.TaskStatus{
-		{JobID: low.ID, Index: loan.Lender.Task}: running(protocol.TaskID{JobID: low.ID, Index: loan.Lender.Task}, loan.Lender.Attempt)}, "b"
-	next.seq[loan.Machine], next.token[loan.Machine] = 100, protocol.FencingToken(5, 0)
+	next.tasks[loan.Machine], next.zoneOf[loan.Machine] = map[protocol.TaskID]protocol.TaskStatus{
+		{JobID: low.ID, Index: loan.Lender.Task}: runningTask(protocol.TaskID{JobID: low.ID, Index: loan.Lender.Task}, loan.Lender.Attempt)}, "b"
+	next.sequences[loan.Machine], next.tokens[loan.Machine] = 100, protocol.FencingToken(5, 0)
 	next.runSeconds(3)
 	if ends := next.loanOutcomes(); len(ends) != 1 || ends[0] != zones.LenderNotPreempted {
 		t.Errorf("ended as %v", ends)
@@ -136,8 +136,8 @@
 	b := newLendingHarness(t, 2)
 	b.runUntilLoan(t)
 	b.runSeconds(3)
-	lender := b.c.zoneFailover.ledger.Loans()[0].Lender.Job
-	b.step(JobDropped{ID: lender})
+	lender := b.scheduler.zoneFailover.ledger.Loans()[0].Lender.Job
+	b.step(JobEnded{ID: lender})
 	b.runSeconds(5)
 	if !slices.Contains(b.loanOutcomes(), zones.LenderEnded) {
 		t.Errorf("the cancelled lender's loan: %v", b.loanOutcomes())
@@ -146,7 +146,7 @@
 	b = newLendingHarness(t, 2)
 	b.runUntilLoan(t)
 	b.runSeconds(3)
-	b.step(JobDropped{ID: "j-0"})
+	b.step(JobEnded{ID: "j-0"})
 	b.runSeconds(30)
 	b.requireOutcomes(t, zones.Repaid)
 }
@@ -157,18 +157,18 @@
 	b := newZoneHarness(zones.DefaultRecoveryOrder(), config.Team{Name: "red"})
 	for i := range 6 {
 		name := fmt.Sprintf("m%02d", i)
-		b.tasks[name], b.zone[name] = map[protocol.TaskID]protocol.TaskStatus{}, []string{"a", "b"}[i%2]
+		b.tasks[name], b.zoneOf[name] = map[protocol.TaskID]protocol.TaskStatus{}, []string{"a", "b"}[i%2]
 	}
 	b.runSeconds(2)
-	for i, j := range []protocol.Job{spec("j-0", protocol.Gang, "urgent", 2, 8), spec("j-1", protocol.Service, "critical", 2, 8), spec("j-2", protocol.Service, "critical", 1, 8)} {
+	for i, j := range []protocol.Job{jobSpec("j-0", protocol.Gang, "urgent", 2, 8), jobSpec("j-1", protocol.Service, "critical", 2, 8), jobSpec("j-2", protocol.Service, "critical", 1, 8)} {
 		j.Zone = []string{"a", "b", "a"}[i]
 		b.submit(j)
 	}
-	low := spec("j-3", protocol.Array, "best_effort", 2, 4)
+	low := jobSpec("j-3", protocol.Array, "best_effort", 2, 4)
 	low.Zone = "b"
 	b.submit(low)
 	b.runSeconds(5)
-	b.c.jobs["j-0"].spec.Zone = "" // it was there by chance, and may go anywhere
+	b.scheduler.jobs["j-0"].Spec.Zone = "" // it was there by chance, and may go anywhere
 	b.loseZone()
 	b.runSeconds(60)
 	if countDecisions[zones.LoanMade](b.decisions)+countDecisions[zones.MachineFenced](b.decisions) > 0 || len(b.stops) > 0 {
@@ -176,7 +176,7 @@
 	}
 	b.restoreZone(func(int) bool { return true })
 	b.runSeconds(5)
-	if got := b.c.jobs["j-0"].counts[placed]; got != 2 {
+	if got := b.scheduler.jobs["j-0"].TaskCounts[TaskPlaced]; got != 2 {
 		t.Errorf("%d of 2 tasks are placed when the zone is back", got)
 	}
 }
@@ -186,26 +186,26 @@
 func TestNoBackfillWhileCapacityIsLent(t *testing.T) {
 	b := newLendingHarness(t, 1)
 	b.runSeconds(20)
-	if b.c.zoneFailover.monitor.State("a") != zones.Lost {
+	if b.scheduler.zoneFailover.monitor.State("a") != zones.Lost {
 		t.Fatal("zone a is not lost")
 	}
-	b.step(JobDropped{ID: "j-1"}) // its machine comes free with the next second
+	b.step(JobEnded{ID: "j-1"}) // its machine comes free with the next second
 	b.runSecond()
-	gang := spec("j-8", protocol.Gang, "urgent", 2, 8)
-	small := spec("j-9", protocol.Array, "normal", 1, 8)
+	gang := jobSpec("j-8", protocol.Gang, "urgent", 2, 8)
+	small := jobSpec("j-9", protocol.Array, "normal", 1, 8)
 	gang.Zone, small.Zone = "b", "b"
 	b.submit(gang)
 	b.submit(small)
-	b.c.jobs["j-8"].displacedFrom, b.c.jobs["j-8"].short = "a", gangHoldCycles
+	b.scheduler.jobs["j-8"].DisplacedFromZone, b.scheduler.jobs["j-8"].UnschedulableCycles = "a", gangHoldCycles
 	b.runSecond()
 	if countDecisions[zones.LoanMade](b.decisions) == 0 {
 		t.Fatalf("nothing was lent:\n%s", strings.Join(b.describeDecisions(), "\n"))
 	}
-	if b.c.jobs["j-9"].counts[placed] > 0 {
+	if b.scheduler.jobs["j-9"].TaskCounts[TaskPlaced] > 0 {
 		t.Error("a smaller job has the room")
 	}
 	b.runSeconds(5)
-	if got := b.c.jobs["j-8"].counts[placed]; got != 2 {
+	if got := b.scheduler.jobs["j-8"].TaskCounts[TaskPlaced]; got != 2 {
 		t.Errorf("%d of 2 tasks of the gang are placed", got)
 	}
 }
@@ -215,10 +215,10 @@
 func TestNoLoanForPartialGang(t *testing.T) {
 	b := newLendingHarness(t, 1)
 	b.runSeconds(20)
-	gang := spec("j-8", protocol.Gang, "urgent", 4, 8)
+	gang := jobSpec("j-8", protocol.Gang, "urgent", 4, 8)
 	gang.Zone = "b"
 	b.submit(gang)
-	b.c.jobs["j-8"].displacedFrom = "a"
+	b.scheduler.jobs["j-8"].DisplacedFromZone = "a"
 	before := b.placedAttempts()
 	b.runSeconds(8)
 	if countDecisions[zones.LoanMade](b.decisions) > 0 {
@@ -241,13 +241,13 @@
 		b := newZoneHarness(zones.DefaultRecoveryOrder(), config.Team{Name: "red", GuaranteedGPUs: row.guarantee}, config.Team{Name: "blue"})
 		for i := range 6 {
 			name := fmt.Sprintf("m%02d", i)
-			b.tasks[name], b.zone[name] = map[protocol.TaskID]protocol.TaskStatus{}, []string{"a", "b"}[i%2]
+			b.tasks[name], b.zoneOf[name] = map[protocol.TaskID]protocol.TaskStatus{}, []string{"a", "b"}[i%2]
 		}
 		b.runSeconds(2)
 		for _, j := range []protocol.Job{
-			spec("j-2", protocol.Array, "critical", 2, 6),
-			spec("j-1", protocol.Array, "best_effort", 2, 4), // of red, the only ones whose machine could be had
-			spec("j-3", protocol.Array, "best_effort", 1, 2), // of red, beside a critical one
+			jobSpec("j-2", protocol.Array, "critical", 2, 6),
+			jobSpec("j-1", protocol.Array, "best_effort", 2, 4), // of red, the only ones whose machine could be had
+			jobSpec("j-3", protocol.Array, "best_effort", 1, 2), // of red, beside a critical one
 		} {
 			j.Zone = "b"
 			if j.Priority == "critical" {
@@ -256,16 +256,16 @@
 			b.submit(j)
 			b.runSeconds(2)
 		}
-		if used := b.c.machines.TeamUsage("red").GPUs; used != 10 {
+		if used := b.scheduler.machines.TeamUsage("red").GPUs; used != 10 {
 			t.Fatalf("red uses %v of 10 GPUs", used)
 		}
 		b.loseZone()
 		b.runSeconds(20)
-		gang := spec("j-8", protocol.Gang, "urgent", 1, 8)
+		gang := jobSpec("j-8", protocol.Gang, "urgent", 1, 8)
 		gang.Zone, gang.Team = "b", "blue"
 		b.submit(gang)
-		b.c.jobs["j-8"].displacedFrom = "a"
-		b.c.zoneFailover.monitor.Restore(zones.Zone{Name: "a", State: zones.Lost, Since: b.now})
+		b.scheduler.jobs["j-8"].DisplacedFromZone = "a"
+		b.scheduler.zoneFailover.monitor.Restore(zones.Zone{Name: "a", State: zones.Lost, Since: b.now})
 		b.runSeconds(5)
 		if got := countDecisions[zones.LoanMade](b.decisions) > 0; got != row.lends {
 			t.Errorf("guarantee %v: lent %v, want %v\n%s", row.guarantee, got, row.lends, strings.Join(b.describeDecisions(), "\n"))
--- a/internal/coordination/scheduler/zonestates.go
+++ b/internal/coordination/scheduler/zonestates.go
@@ -10,7 +10,7 @@
 )
 
 // observeZones counts the machines of each zone by how they were heard.
-func (c *Core) observeZones(now time.Duration) []zones.Observation {
+func (c *Scheduler) observeZones(now time.Duration) []zones.Observation {
 	var facts []zones.Observation
 	index := map[string]int{}
 	for _, zone := range c.zoneFailover.monitor.Zones() {
@@ -47,22 +47,22 @@
 
 // maxLeaseLifetime is after what silence no lease can still be renewed: whoever renews without the
 // leader's knowledge gives up within half a lease, and the lease then takes its time.
-func (c *Core) maxLeaseLifetime() time.Duration {
+func (c *Scheduler) maxLeaseLifetime() time.Duration {
 	return config.Seconds(c.cfg.Workers.LeaseSeconds*3/2 + c.cfg.Workers.HeartbeatSeconds)
 }
 
 // probeZone asks the machines of a zone that returns how they stand, without waiting for
 // their workers to find the leader.
-func (c *Core) probeZone(zone string) {
+func (c *Scheduler) probeZone(zone string) {
 	c.machines.Each(func(m *partition.Machine) {
 		if m.Zone == zone && m.Addr != "" && !m.Terminating {
-			c.inspector.queue = append(c.inspector.queue, Inspect{m.Name, m.Addr})
+			c.prober.queue = append(c.prober.queue, Probe{m.Name, m.Addr})
 		}
 	})
 }
 
 // setZonePolicies tells the fleet how to treat zones that are not as they should be.
-func (c *Core) setZonePolicies(now time.Duration) {
+func (c *Scheduler) setZonePolicies(now time.Duration) {
 	policies := map[string]fleet.ZonePolicy{}
 	lease := config.Seconds(c.cfg.Workers.LeaseSeconds)
 	for _, zone := range c.zoneFailover.monitor.Zones() {
@@ -76,13 +76,13 @@
 			policies[zone.Name] = fleet.ZonePolicy{ProbeOnly: zone.Evidence.Reachable == 0, NoFencingUntil: zone.Since + lease}
 		}
 	}
-	c.fleet.SetZonePolicies(policies)
+	c.autoscaler.SetZonePolicies(policies)
 }
 
 // lostZonePolicy is how the fleet treats a lost zone. Where machines are cut off, new ones would not
 // be heard either, and are tried one at a time. Where all have died, new ones will do as soon
 // as the cloud has some.
-func (c *Core) lostZonePolicy(now time.Duration, zone zones.Zone) fleet.ZonePolicy {
+func (c *Scheduler) lostZonePolicy(now time.Duration, zone zones.Zone) fleet.ZonePolicy {
 	lease := config.Seconds(c.cfg.Workers.LeaseSeconds)
 	if zone.Evidence.Machines == 0 && zone.Evidence.Departed > 0 {
 		return fleet.ZonePolicy{}
@@ -93,7 +93,7 @@
 
 // noteDepartedMachine notes that a machine has failed, or has left the cloud's list by itself, while its zone
 // is not as it should be.
-func (c *Core) noteDepartedMachine(name string) {
+func (c *Scheduler) noteDepartedMachine(name string) {
 	m := c.machines.Machine(name)
 	if c.zoneFailover == nil || m == nil || c.zoneFailover.monitor.State(m.Zone) == zones.Available {
 		return
@@ -102,6 +102,6 @@
 }
 
 // isZoneLost says whether a zone is lost.
-func (c *Core) isZoneLost(zone string) bool {
+func (c *Scheduler) isZoneLost(zone string) bool {
 	return c.zoneFailover != nil && c.zoneFailover.monitor.State(zone) == zones.Lost
 }
--- a/internal/daemon/leadership.go
+++ b/internal/daemon/leadership.go
@@ -51,14 +51,14 @@
 			Fresh: func(term uint64, at time.Duration) {
 				c.electionMailbox.Send(election.WatchProgress{Term: term, UpTo: at})
 			},
-			Deposed: func(term uint64, d scheduler.Depose) {
-				if d.Term > term {
-					c.electionMailbox.Send(election.HigherTerm{Term: d.Term})
+			Deposed: func(term uint64, d scheduler.StepDown) {
+				if d.LaterTerm > term {
+					c.electionMailbox.Send(election.HigherTerm{Term: d.LaterTerm})
 				}
-				c.electionMailbox.Send(election.Resign{Term: term, DeferToOthers: d.Away})
+				c.electionMailbox.Send(election.Resign{Term: term, DeferToOthers: d.TransferLeadership})
 			},
 			LevelReached: c.notifyLevelFinalised,
-		}, scheduler.Term{Number: e.Term, Stamp: e.Revision, Node: c.cfg.Name, Level: featurelevel.Level(e.FeatureLevel)})
+		}, scheduler.Term{Number: e.Term, Revision: e.Revision, Controller: c.cfg.Name, FeatureLevel: featurelevel.Level(e.FeatureLevel)})
 		if old := c.leading.Swap(l); old != nil {
 			old.Stop()
 		}
--- a/internal/daemon/ownerheartbeats.go
+++ b/internal/daemon/ownerheartbeats.go
@@ -186,9 +186,9 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), c.times.LeaderTimeout/2)
 	defer cancel()
-	machines := make([]scheduler.AliveMachine, len(m.MachineIncarnations))
+	machines := make([]scheduler.UnchangedHeartbeat, len(m.MachineIncarnations))
 	for i := range machines {
-		machines[i] = scheduler.AliveMachine{Name: m.Machines[i], Session: m.MachineIncarnations[i], Seq: m.HeartbeatSequences[i]}
+		machines[i] = scheduler.UnchangedHeartbeat{Machine: m.Machines[i], Incarnation: m.MachineIncarnations[i], Seq: m.HeartbeatSequences[i]}
 	}
 	passOn, ok := l.UnchangedHeartbeats(ctx, machines)
 	if !ok || c.leading.Load() != l {
--- a/internal/simulation/system_outside_test.go
+++ b/internal/simulation/system_outside_test.go
@@ -33,12 +33,12 @@
 	case fleet.ListMachines:
 		asked := s.now
 		list := s.listMachines()
-		s.callAfter(200*ms, func() { s.step(l, scheduler.Listed{Asked: asked, Machines: list, Failed: s.chance(0.1)}) })
+		s.callAfter(200*ms, func() { s.step(l, scheduler.MachinesListed{RequestedAt: asked, Machines: list, Failed: s.chance(0.1)}) })
 	case fleet.ScaleOut:
 		asked := s.now
 		s.callAfter(s.randomDuration(time.Second), func() {
 			names := s.rentMachines(e.Rental)
-			s.step(l, scheduler.Rented{Request: e.Rental.RequestID, Asked: asked, Names: names, Refused: len(names) == 0})
+			s.step(l, scheduler.ScaleOutResult{Request: e.Rental.RequestID, RequestedAt: asked, Machines: names, Refused: len(names) == 0})
 		})
 	case fleet.ScaleIn:
 		s.callAfter(s.randomDuration(time.Second), func() {
@@ -48,7 +48,7 @@
 					s.removedAt[n] = s.now - time.Hour // not listed any more
 				}
 			}
-			s.step(l, scheduler.Released{Names: e.Machines, OK: true})
+			s.step(l, scheduler.ScaleInResult{Machines: e.Machines, Succeeded: true})
 		})
 	default:
 		s.t.Fatalf("unknown effect %T", e)
@@ -73,9 +73,9 @@
 			s.callAfter(time.Second, func() { s.write(l, w, true) }) // the answer was lost
 			return
 		}
-		out := scheduler.Written{Write: w.ID, OK: len(failed) == 0, Rev: rev, Failed: failed}
-		if !out.OK && uncertain {
-			p := s.store.Get(w.Verify)
+		out := scheduler.TransactionOutcome{WriteID: w.ID, Succeeded: len(failed) == 0, Revision: rev, FailedKeys: failed}
+		if !out.Succeeded && uncertain {
+			p := s.store.Get(w.VerifyKey)
 			var rec struct {
 				Write string `msgpack:"w"`
 			}
@@ -84,8 +84,8 @@
 					s.t.Fatal(err)
 				}
 			}
-			out.OK = rec.Write == w.Name && (w.Name != "" || p.Revision == 0)
-			out.Rev = p.Revision
+			out.Succeeded = rec.Write == w.Name && (w.Name != "" || p.Revision == 0)
+			out.Revision = p.Revision
 		}
 		s.callAfter(d, func() { s.step(l, out) })
 	})
@@ -93,19 +93,19 @@
 
 func (s *simulatedSystem) unreachable(name string) bool { return s.now < s.unreachableUntil[name] }
 
-func (s *simulatedSystem) sendCommands(l *leaderInstance, o scheduler.Order) {
+func (s *simulatedSystem) sendCommands(l *leaderInstance, o scheduler.SendCommandBatch) {
 	deliver := func(answer bool) {
 		m := s.world.Workers[o.Machine]
 		if m == nil {
 			return
 		}
-		r, ok := m.HandleCommands(s.now, o.Orders)
+		r, ok := m.HandleCommands(s.now, o.Batch)
 		if answer {
-			s.callAfter(5*ms, func() { s.step(l, scheduler.OrdersDone{Machine: o.Machine, OK: ok, Report: r}) })
+			s.callAfter(5*ms, func() { s.step(l, scheduler.CommandBatchResult{Machine: o.Machine, Acknowledged: ok, Heartbeat: r}) })
 		}
 	}
 	lost := func() {
-		s.callAfter(1500*ms, func() { s.step(l, scheduler.OrdersDone{Machine: o.Machine}) })
+		s.callAfter(1500*ms, func() { s.step(l, scheduler.CommandBatchResult{Machine: o.Machine}) })
 	}
 	if s.chance(0.1) {
 		s.callAfter(s.randomDuration(60*time.Second), func() { deliver(false) }) // a late copy
@@ -184,14 +184,14 @@
 	r := m.NextHeartbeat()
 	sent, session := s.now, m.Incarnation
 	if s.chance(0.05) {
-		s.callAfter(s.randomDuration(30*time.Second), func() { s.step(s.leaders[len(s.leaders)-1], scheduler.Reported{Report: r}) })
+		s.callAfter(s.randomDuration(30*time.Second), func() { s.step(s.leaders[len(s.leaders)-1], scheduler.HeartbeatReceived{Heartbeat: r}) })
 	}
 	if s.unreachable(name) && s.chance(0.7) || s.chance(0.03) {
 		return
 	}
 	muted := s.unreachable(name) || s.chance(0.03)
 	s.callAfter(5*ms, func() {
-		s.step(l, scheduler.Reported{Report: r, Tag: func(a protocol.WorkerHeartbeatReply) {
+		s.step(l, scheduler.HeartbeatReceived{Heartbeat: r, ReplyTo: func(a protocol.WorkerHeartbeatReply) {
 			if muted {
 				return
 			}
--- a/internal/simulation/system_test.go
+++ b/internal/simulation/system_test.go
@@ -40,7 +40,7 @@
 }
 
 type leaderInstance struct {
-	core     *scheduler.Core
+	core     *scheduler.Scheduler
 	revision uint64
 	stopped  bool
 }
@@ -128,8 +128,8 @@
 	warm, _ := s.store.List(storage.ImageHintPrefix)
 	l := &leaderInstance{revision: liveRev}
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
-	l.core = scheduler.New(s.now, s.cfg, log, scheduler.Term{Number: s.term, Stamp: rev},
-		scheduler.Records{Types: s.types, Live: live, Pages: pages, Images: warm}, s.now.Milliseconds(), nil)
+	l.core = scheduler.New(s.now, s.cfg, log, scheduler.Term{Number: s.term, Revision: rev},
+		scheduler.RecoveredRecords{MachineTypes: s.types, LiveJobs: live, Pages: pages, Images: warm}, s.now.Milliseconds(), nil)
 	s.leaders = append(s.leaders, l)
 	s.tickLeader(l)
 }
@@ -142,14 +142,14 @@
 	l.revision = rev
 	for _, e := range ev {
 		if e.DeleteKey != "" {
-			s.step(l, scheduler.JobDropped{ID: e.DeleteKey[len(storage.LiveJobPrefix):]})
+			s.step(l, scheduler.JobEnded{ID: e.DeleteKey[len(storage.LiveJobPrefix):]})
 			continue
 		}
 		var rec storage.LiveJobRecord
 		if err := protocol.Decode(e.Value, &rec); err != nil {
 			s.t.Fatal(err)
 		}
-		s.step(l, scheduler.JobSet{Record: rec, Stamp: e.Revision})
+		s.step(l, scheduler.JobAccepted{Record: rec, Revision: e.Revision})
 	}
 	s.step(l, scheduler.Tick{})
 	s.callAfter(100*ms, func() { s.tickLeader(l) })
@@ -166,25 +166,25 @@
 
 func (s *simulatedSystem) applyEffect(l *leaderInstance, e scheduler.Effect) {
 	switch e := e.(type) {
-	case scheduler.Answer:
-		if f, ok := e.Tag.(func(protocol.WorkerHeartbeatReply)); ok {
+	case scheduler.HeartbeatReply:
+		if f, ok := e.ReplyTo.(func(protocol.WorkerHeartbeatReply)); ok {
 			f(e.Body)
 		}
-	case scheduler.Depose:
+	case scheduler.StepDown:
 		if l == s.leaders[len(s.leaders)-1] {
 			s.callAfter(ms, s.takeOver)
 		}
 		l.stopped = true
 	case scheduler.Write:
 		s.write(l, e, false)
-	case scheduler.Order:
+	case scheduler.SendCommandBatch:
 		s.sendCommands(l, e)
-	case scheduler.Inspect:
+	case scheduler.Probe:
 		if m := s.world.Workers[e.Machine]; m != nil && !s.unreachable(e.Machine) && !s.chance(0.1) {
 			r := m.NextHeartbeat()
-			s.callAfter(s.randomDuration(3*time.Second), func() { s.step(l, scheduler.Inspected{Report: r}) })
+			s.callAfter(s.randomDuration(3*time.Second), func() { s.step(l, scheduler.ProbeReply{Heartbeat: r}) })
 		}
-	case scheduler.Fleet:
+	case scheduler.CloudRequest:
 		s.callCloud(l, e.Effect)
 	default:
 		s.t.Fatalf("unknown effect %T", e)
