--- a/cmd/scalerun/main.go
+++ b/cmd/loadtest/main.go
@@ -1,4 +1,4 @@
-// Command scalerun measures what the built controllers cost at several sizes of a fleet, with
+// Command loadtest measures what the built controllers cost at several sizes of a fleet, with
 // hollow workers that speak the real protocol, while oracles judge every rule.
 package main
 
@@ -15,7 +15,7 @@
 
 	"github.com/spf13/cobra"
 
-	"pinebay/internal/scale"
+	"pinebay/internal/loadtest"
 )
 
 // Exit statuses.
@@ -34,8 +34,8 @@
 	if err == nil {
 		return
 	}
-	fmt.Fprintln(os.Stderr, "scalerun:", strings.ReplaceAll(err.Error(), "\n", " "))
-	if errors.Is(err, scale.ErrInvalidConfig) || errors.Is(err, errUsage) {
+	fmt.Fprintln(os.Stderr, "loadtest:", strings.ReplaceAll(err.Error(), "\n", " "))
+	if errors.Is(err, loadtest.ErrInvalidConfig) || errors.Is(err, errUsage) {
 		os.Exit(statusUsage)
 	}
 	os.Exit(statusFailed)
@@ -50,7 +50,7 @@
 	var vary string
 	var troubles []string
 	cmd := &cobra.Command{
-		Use:           "scalerun",
+		Use:           "loadtest",
 		Short:         "Measure controllers at several sizes of a fleet",
 		SilenceErrors: true,
 		SilenceUsage:  true,
@@ -61,16 +61,16 @@
 			return nil
 		},
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			cfg.Vary = scale.Dimension(vary)
+			cfg.Vary = loadtest.Dimension(vary)
 			for _, t := range troubles {
-				cfg.Faults = append(cfg.Faults, scale.Fault(t))
+				cfg.Faults = append(cfg.Faults, loadtest.Fault(t))
 			}
 			return run(cmd, cfg, out)
 		},
 	}
 	f := cmd.Flags()
 	f.StringVar(&cfg.Program, "program", cfg.Program, "the built controller")
-	f.StringVar(&vary, "vary", string(scale.Workers), "what differs between the sizes: workers, starts, teams, tasks or controllers")
+	f.StringVar(&vary, "vary", string(loadtest.Workers), "what differs between the sizes: workers, starts, teams, tasks or controllers")
 	f.IntSliceVar(&cfg.Sizes, "sizes", cfg.Sizes, "the sizes, one after the other; slopes need four")
 	f.IntVar(&cfg.Load.Controllers, "controllers", cfg.Load.Controllers, "controllers")
 	f.IntVar(&cfg.Load.Workers, "workers", cfg.Load.Workers, "hollow workers to which the rates below belong; with --vary workers they follow the size")
@@ -93,7 +93,7 @@
 	f.DurationVar(&cfg.MeasureTime, "measure", cfg.MeasureTime, "measured time")
 	f.IntVar(&cfg.Slices, "slices", cfg.Slices, "parts of the measured time, which tell the spread")
 	f.Uint64Var(&cfg.Seed, "seed", cfg.Seed, "seed of all that is drawn")
-	f.StringSliceVar(&troubles, "troubles", nil, fmt.Sprintf("what is broken after the measurement: %v", scale.FaultNames()))
+	f.StringSliceVar(&troubles, "troubles", nil, fmt.Sprintf("what is broken after the measurement: %v", loadtest.FaultNames()))
 	f.IntVar(&cfg.Port, "port", cfg.Port, "first of the loopback ports")
 	f.Float64Var(&cfg.CoreShare, "core-share", cfg.CoreShare, "share of a core in the settings; processor time is counted, not throttled")
 	f.Float64Var(&cfg.RAMMB, "ram-mb", cfg.RAMMB, "memory in the settings")
@@ -113,10 +113,10 @@
 }
 
 // defaultConfig are the letter's proportions: 18,000 workers with 240,000 tasks and 3,000 starts a second.
-func defaultConfig() *scale.Config {
-	return &scale.Config{
+func defaultConfig() *loadtest.Config {
+	return &loadtest.Config{
 		Program: "target/pinebay", Sizes: []int{250, 500, 750, 1000},
-		Load: scale.Load{Controllers: 3, Workers: 18_000, Teams: 200, Zones: 3, TasksPerWorker: 240_000. / 18_000, StartsPerS: 3000,
+		Load: loadtest.Load{Controllers: 3, Workers: 18_000, Teams: 200, Zones: 3, TasksPerWorker: 240_000. / 18_000, StartsPerS: 3000,
 			ArrayTasks: 500, GangShare: 0.1, GangTasks: 64, UrgentPerS: 10, PipelinesPerS: 30, CancelShare: 0.03, Overcommit: 1.5},
 		HeartbeatInterval: 5 * time.Second, Lease: 29 * time.Second, MeanRunTime: 40 * time.Second, Warmup: 45 * time.Second, MeasureTime: 30 * time.Second,
 		Slices: 6, Seed: 1, Port: 21_000, CoreShare: 1, RAMMB: 2048, MaxSockets: 19_000,
@@ -124,7 +124,7 @@
 	}
 }
 
-func run(cmd *cobra.Command, cfg *scale.Config, out output) error {
+func run(cmd *cobra.Command, cfg *loadtest.Config, out output) error {
 	if err := cfg.Validate(); err != nil {
 		return err
 	}
@@ -134,14 +134,14 @@
 	}
 	cfg.WorkerProgram, cfg.WorkerArgs = self, []string{workerCommand}
 	log := slog.New(slog.NewTextHandler(os.Stderr, nil))
-	result, err := scale.Run(cmd.Context(), cfg, log)
+	result, err := loadtest.Run(cmd.Context(), cfg, log)
 	if result != nil && len(result.Sizes) > 0 {
 		err = errors.Join(err, writeResult(cmd, result, out))
 	}
 	return err
 }
 
-func writeResult(cmd *cobra.Command, result *scale.Result, out output) error {
+func writeResult(cmd *cobra.Command, result *loadtest.Result, out output) error {
 	if err := result.WriteTables(cmd.OutOrStdout()); err != nil {
 		return err
 	}
@@ -151,7 +151,7 @@
 		}
 	}
 	if out.picture != "" {
-		return result.WritePlots(out.picture, scale.PlottedFigures())
+		return result.WritePlots(out.picture, loadtest.PlottedFigures())
 	}
 	return nil
 }
@@ -170,7 +170,7 @@
 		},
 		RunE: func(cmd *cobra.Command, args []string) error {
 			for _, path := range args {
-				result, err := scale.ReadResult(path)
+				result, err := loadtest.ReadResult(path)
 				if err != nil {
 					return fmt.Errorf("%w: %w", errUsage, err)
 				}
@@ -202,7 +202,7 @@
 			if at < 1 {
 				return fmt.Errorf("%w: --at %d is not a size", errUsage, at)
 			}
-			result, err := scale.ReadResult(args[0])
+			result, err := loadtest.ReadResult(args[0])
 			if err != nil {
 				return fmt.Errorf("%w: %w", errUsage, err)
 			}
@@ -223,11 +223,11 @@
 		Hidden: true,
 		Args:   cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			cfg, err := scale.WorkerFromEnvironment()
+			cfg, err := loadtest.WorkerFromEnvironment()
 			if err != nil {
 				return err
 			}
-			return scale.RunWorker(cmd.Context(), cfg)
+			return loadtest.RunWorker(cmd.Context(), cfg)
 		},
 	}
 }
--- a/cmd/scalerun/main_test.go
+++ b/cmd/loadtest/main_test.go
@@ -8,7 +8,7 @@
 	"strings"
 	"testing"
 
-	"pinebay/internal/scale"
+	"pinebay/internal/loadtest"
 )
 
 // TestBadInput: whatever can't be run is refused with one line that names what is wrong, and
@@ -41,7 +41,7 @@
 		cmd.SetArgs(x.args)
 		cmd.SetOut(&bytes.Buffer{})
 		err := cmd.ExecuteContext(t.Context())
-		if !errors.Is(err, errUsage) && !errors.Is(err, scale.ErrInvalidConfig) || !strings.Contains(err.Error(), x.names) || strings.Contains(err.Error(), "\n") {
+		if !errors.Is(err, errUsage) && !errors.Is(err, loadtest.ErrInvalidConfig) || !strings.Contains(err.Error(), x.names) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%v: %v", x.args, err)
 		}
 	}
--- a/cmd/pinebay/main.go
+++ b/cmd/pinebay/main.go
@@ -21,7 +21,7 @@
 	"github.com/spf13/cobra"
 
 	"pinebay/internal/config"
-	"pinebay/internal/coordination/zones"
+	"pinebay/internal/coordination/zonefailover"
 	"pinebay/internal/daemon"
 	"pinebay/internal/random"
 	"pinebay/internal/timing"
@@ -121,9 +121,9 @@
 	case !f.enabled:
 		return daemon.Features{}, nil
 	case f.order == "":
-		return daemon.Features{ZoneReturn: zones.DefaultRecoveryOrder()}, nil
+		return daemon.Features{ZoneReturn: zonefailover.DefaultRecoveryOrder()}, nil
 	}
-	order, err := zones.ParseRecoveryOrder(f.order, &cfg.Deployment)
+	order, err := zonefailover.ParseRecoveryOrder(f.order, &cfg.Deployment)
 	if err != nil {
 		return daemon.Features{}, fmt.Errorf("--zone-return-order: %w", err)
 	}
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -6,10 +6,10 @@
 
 	"pgregory.net/rapid"
 
-	"pinebay/internal/testkit"
+	"pinebay/internal/testutil"
 )
 
-func TestMain(m *testing.M) { testkit.Main(m) }
+func TestMain(m *testing.M) { testutil.Main(m) }
 
 const validSettings = `
 node = "n-0"
--- a/internal/coordination/fleet/autoscaler.go
+++ b/internal/coordination/autoscaler/autoscaler.go
@@ -1,6 +1,6 @@
-// Package fleet decides which machines to rent and which to return. It does
+// Package autoscaler decides which machines to rent and which to return. It does
 // no I/O and reads no clock.
-package fleet
+package autoscaler
 
 import (
 	"math"
@@ -8,7 +8,7 @@
 	"time"
 
 	"pinebay/internal/config"
-	"pinebay/internal/coordination/partition"
+	"pinebay/internal/coordination/machineregistry"
 	"pinebay/internal/protocol"
 )
 
@@ -109,7 +109,7 @@
 // the machines that are proven gone: a list asked for later than twice the lag
 // after a machine was first seen listed describes a later moment than that, so
 // if the machine is missing there, it has left for good.
-func (f *Autoscaler) HandleList(now, asked time.Duration, p *partition.Registry, list []protocol.ListedMachine) (gone []string) {
+func (f *Autoscaler) HandleList(now, asked time.Duration, p *machineregistry.Registry, list []protocol.ListedMachine) (gone []string) {
 	f.listInFlight = false
 	seen := make(map[string]bool, len(list))
 	for i := range list {
@@ -166,7 +166,7 @@
 func (f *Autoscaler) HandleListFailure() { f.listInFlight = false }
 
 // HandleScaleOut takes in the outcome of a rental.
-func (f *Autoscaler) HandleScaleOut(now, asked time.Duration, p *partition.Registry, request string, names []string, refused bool) {
+func (f *Autoscaler) HandleScaleOut(now, asked time.Duration, p *machineregistry.Registry, request string, names []string, refused bool) {
 	pl, ok := f.pendingRentals[request]
 	if !ok {
 		return
@@ -222,7 +222,7 @@
 }
 
 // Plan compares what is wanted with what there is. It is asked for once a second.
-func (f *Autoscaler) Plan(now time.Duration, p *partition.Registry, units []Demand) (effects []Effect) {
+func (f *Autoscaler) Plan(now time.Duration, p *machineregistry.Registry, units []Demand) (effects []Effect) {
 	if !f.listInFlight && now-f.lastListRequest >= f.listInterval(p.Len()) {
 		f.listInFlight, f.lastListRequest = true, now
 		effects = append(effects, ListMachines{})
--- a/internal/coordination/fleet/autoscaler_test.go
+++ b/internal/coordination/autoscaler/autoscaler_test.go
@@ -1,4 +1,4 @@
-package fleet
+package autoscaler
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 	"time"
 
 	"pinebay/internal/config"
-	"pinebay/internal/coordination/partition"
+	"pinebay/internal/coordination/machineregistry"
 	"pinebay/internal/protocol"
 )
 
@@ -16,8 +16,8 @@
 	testCloudSettings  = config.Cloud{RPS: 2, ListLagSeconds: 5}
 )
 
-func setup() (*Autoscaler, *partition.Registry) {
-	p := partition.New(3, testWorkerSettings)
+func setup() (*Autoscaler, *machineregistry.Registry) {
+	p := machineregistry.New(3, testWorkerSettings)
 	p.SetMachineTypes([]protocol.MachineType{testMachineType})
 	f := New(3, testCloudSettings, testWorkerSettings)
 	return f, p
@@ -179,7 +179,7 @@
 		{HeartbeatSeconds: 1, LeaseSeconds: 10, CancelSeconds: 40}, {HeartbeatSeconds: 5, LeaseSeconds: 29, CancelSeconds: 59}, {HeartbeatSeconds: 2.5, LeaseSeconds: 15.25, CancelSeconds: 45},
 		{HeartbeatSeconds: 3, LeaseSeconds: 8, CancelSeconds: 40},
 	} {
-		f, p := New(3, testCloudSettings, w), partition.New(3, w)
+		f, p := New(3, testCloudSettings, w), machineregistry.New(3, w)
 		p.SetMachineTypes([]protocol.MachineType{testMachineType})
 		f.HandleList(1*s, 0, p, nil)
 		const n = 200
@@ -220,8 +220,8 @@
 	for i := range 9 {
 		p.HandleHeartbeat(10*s, &protocol.WorkerHeartbeat{Machine: fmt.Sprintf("m%d", i), Addr: "x", Type: "g8", Zone: "a", Incarnation: 1, Sequence: 1})
 	}
-	pl := &partition.Placement{Task: protocol.TaskID{JobID: "j-1"}, Attempt: 1, Machine: "m3", Job: &protocol.Job{ID: "j-1"}}
-	if !p.Reserve(10*s, []*partition.Placement{pl}) {
+	pl := &machineregistry.Placement{Task: protocol.TaskID{JobID: "j-1"}, Attempt: 1, Machine: "m3", Job: &protocol.Job{ID: "j-1"}}
+	if !p.Reserve(10*s, []*machineregistry.Placement{pl}) {
 		t.Fatal("no room")
 	}
 	pl.FenceAt = 20 * s
@@ -266,8 +266,8 @@
 		f.HandleList(2*s, 1*s, p, nil)
 		p.HandleHeartbeat(2*s, &protocol.WorkerHeartbeat{Machine: "m1", Addr: "a", Type: "g8", Zone: "a", Incarnation: 1, Sequence: 1})
 		low := &protocol.Job{ID: "j-1", Shape: x.shape, Priority: "normal", GPUs: 8, CheckpointIntervalSeconds: x.checkpoint}
-		pl := &partition.Placement{Task: protocol.TaskID{JobID: "j-1"}, Attempt: 1, Machine: "m1", Resources: partition.TaskResources(low), PriorityLevel: low.Priority.Rank(), Job: low}
-		if !p.Reserve(2*s, []*partition.Placement{pl}) {
+		pl := &machineregistry.Placement{Task: protocol.TaskID{JobID: "j-1"}, Attempt: 1, Machine: "m1", Resources: machineregistry.TaskResources(low), PriorityLevel: low.Priority.Rank(), Job: low}
+		if !p.Reserve(2*s, []*machineregistry.Placement{pl}) {
 			t.Fatal("no room")
 		}
 		high := &protocol.Job{ID: "j-2", Shape: protocol.Service, Priority: "critical", GPUs: 8}
--- a/internal/coordination/fleet/fence.go
+++ b/internal/coordination/autoscaler/fence.go
@@ -1,10 +1,10 @@
-package fleet
+package autoscaler
 
 import (
 	"time"
 
 	"pinebay/internal/config"
-	"pinebay/internal/coordination/partition"
+	"pinebay/internal/coordination/machineregistry"
 	"pinebay/internal/protocol"
 )
 
@@ -13,14 +13,14 @@
 // once, the network is the likelier cause, and we wait; also for those that come
 // back later than the others, since workers that lost their controller need
 // until about then to find a way round, and each that is fenced is a healthy one.
-func (f *Autoscaler) fenceSilent(now time.Duration, p *partition.Registry) {
+func (f *Autoscaler) fenceSilent(now time.Duration, p *machineregistry.Registry) {
 	lease, patience := config.Seconds(f.workerSettings.LeaseSeconds), f.FencingTimeout()
 	// That a zone falls silent must be plain before the first of its machines
 	// would be fenced.
 	late := min(p.SilenceTimeout(), patience-config.Seconds(f.workerSettings.HeartbeatSeconds))
 	up, quiet := map[string]int{}, map[string]int{}
-	var dead []*partition.Machine
-	p.Each(func(m *partition.Machine) {
+	var dead []*machineregistry.Machine
+	p.Each(func(m *machineregistry.Machine) {
 		if !m.Registered && m.PlacementCount() == 0 {
 			return
 		}
--- a/internal/coordination/fleet/limits_test.go
+++ b/internal/coordination/autoscaler/limits_test.go
@@ -1,4 +1,4 @@
-package fleet
+package autoscaler
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 	"time"
 
 	"pinebay/internal/config"
-	"pinebay/internal/coordination/partition"
+	"pinebay/internal/coordination/machineregistry"
 	"pinebay/internal/protocol"
 )
 
@@ -55,8 +55,8 @@
 		m, _, _ := p.HandleHeartbeat(10*s, &protocol.WorkerHeartbeat{Machine: name, Addr: "x", Type: "g8", Zone: "a", Incarnation: 1, Sequence: 1})
 		if i >= manyMachines/2 {
 			overdue[name] = true
-			pl := &partition.Placement{Task: protocol.TaskID{JobID: "j-1", Index: i}, Attempt: 1, Machine: name, Job: &protocol.Job{ID: "j-1"}}
-			if !p.Reserve(10*s, []*partition.Placement{pl}) {
+			pl := &machineregistry.Placement{Task: protocol.TaskID{JobID: "j-1", Index: i}, Attempt: 1, Machine: name, Job: &protocol.Job{ID: "j-1"}}
+			if !p.Reserve(10*s, []*machineregistry.Placement{pl}) {
 				t.Fatal("no room")
 			}
 			pl.FenceAt = 11 * s
--- a/internal/coordination/fleet/packing.go
+++ b/internal/coordination/autoscaler/packing.go
@@ -1,4 +1,4 @@
-package fleet
+package autoscaler
 
 import (
 	"container/heap"
@@ -9,7 +9,7 @@
 	"strings"
 	"time"
 
-	"pinebay/internal/coordination/partition"
+	"pinebay/internal/coordination/machineregistry"
 	"pinebay/internal/protocol"
 )
 
@@ -18,17 +18,17 @@
 	name        string
 	pool        machinePool
 	machineType *protocol.MachineType
-	free        partition.Resources
+	free        machineregistry.Resources
 	// machine is nil for one to be rented.
-	machine *partition.Machine
+	machine *machineregistry.Machine
 }
 
 // PriorityLevels is the number of priorities.
-const PriorityLevels = partition.PriorityLevels
+const PriorityLevels = machineregistry.PriorityLevels
 
 // freeFor is the room for a unit. What work takes that can save, and is of lower priority, is room
 // that a job to come could have at once, and so as good as free.
-func (r *bin) freeFor(u *Demand) partition.Resources {
+func (r *bin) freeFor(u *Demand) machineregistry.Resources {
 	if !u.Headroom || u.MustBeFree || r.machine == nil {
 		return r.free
 	}
@@ -37,7 +37,7 @@
 
 // demandKey is what it depends on whether a room will do for a unit that avoids no machine.
 type demandKey struct {
-	resources            partition.Resources
+	resources            machineregistry.Resources
 	types                string
 	zone, jobZone        string
 	priorityLevel        int
@@ -47,7 +47,7 @@
 
 func demandKeyOf(u *Demand) demandKey {
 	return demandKey{
-		resources: partition.TaskResources(u.Job), types: strings.Join(u.Job.MachineTypes, " "), zone: u.Zone, jobZone: u.Job.Zone, priorityLevel: u.Job.Priority.Rank(),
+		resources: machineregistry.TaskResources(u.Job), types: strings.Join(u.Job.MachineTypes, " "), zone: u.Zone, jobZone: u.Job.Zone, priorityLevel: u.Job.Priority.Rank(),
 		spot: u.Job.SpotAllowed, checkpointable: u.Job.CheckpointIntervalSeconds > 0, headroom: u.Headroom, mustBeFree: u.MustBeFree,
 	}
 }
@@ -56,7 +56,7 @@
 type packing struct {
 	autoscaler      *Autoscaler
 	now             time.Duration
-	registry        *partition.Registry
+	registry        *machineregistry.Registry
 	bins            []bin
 	machinesPerZone map[string]int
 	usedMachines    map[string]bool // machines that wanted tasks fit on
@@ -70,7 +70,7 @@
 }
 
 // scaleOut returns the rentals that the units ask for, and the machines that they would use.
-func (f *Autoscaler) scaleOut(now time.Duration, p *partition.Registry, units []Demand) (effects []Effect, used map[string]bool) {
+func (f *Autoscaler) scaleOut(now time.Duration, p *machineregistry.Registry, units []Demand) (effects []Effect, used map[string]bool) {
 	if len(f.zonePolicies) > 0 {
 		f.countStarting(p)
 	}
@@ -85,7 +85,7 @@
 	return f.scaleOutEffects(k.toRent), k.usedMachines
 }
 
-func (f *Autoscaler) newPacking(now time.Duration, p *partition.Registry) *packing {
+func (f *Autoscaler) newPacking(now time.Duration, p *machineregistry.Registry) *packing {
 	return &packing{
 		autoscaler: f, now: now, registry: p, bins: f.binBuffer[:0], machinesPerZone: map[string]int{}, usedMachines: map[string]bool{}, toRent: map[machinePool]int{},
 		maxToRent: protocol.MaxMachinesPerRental * f.callsPerPlan(), scannedBins: map[demandKey]int{}, unrentable: map[demandKey]bool{},
@@ -95,7 +95,7 @@
 // addBins lists the rooms that are there or on their way.
 func (k *packing) addBins() {
 	f, p := k.autoscaler, k.registry
-	p.Each(func(m *partition.Machine) {
+	p.Each(func(m *machineregistry.Machine) {
 		t := p.MachineType(m.Type)
 		if t == nil || m.Terminating || m.InterruptionNotice || m.Quarantined {
 			return
@@ -111,7 +111,7 @@
 		if t := p.MachineType(pl.machineType); t != nil {
 			for range f.pendingCounts[req] {
 				k.machinesPerZone[pl.zone]++
-				k.bins = append(k.bins, bin{pool: pl, machineType: t, free: partition.CapacityOf(t)})
+				k.bins = append(k.bins, bin{pool: pl, machineType: t, free: machineregistry.CapacityOf(t)})
 			}
 		}
 	}
@@ -137,12 +137,12 @@
 
 // fill packs as many tasks of a unit into a room as it holds, and returns how many are left.
 func (k *packing) fill(u *Demand, r *bin, left int) int {
-	need := partition.TaskResources(u.Job)
+	need := machineregistry.TaskResources(u.Job)
 	k.usedMachines[r.name] = true
 	for left > 0 && need.Fits(r.freeFor(u)) {
 		r.free = r.free.Minus(need)
 		left--
-		if need == (partition.Resources{}) {
+		if need == (machineregistry.Resources{}) {
 			return 0
 		}
 	}
@@ -204,7 +204,7 @@
 	return last
 }
 
-func (k *packing) feasible(u *Demand, need partition.Resources, r *bin) bool {
+func (k *packing) feasible(u *Demand, need machineregistry.Resources, r *bin) bool {
 	return need.Fits(r.freeFor(u)) && r.machineType.AllowedBy(u.Job) && (u.Zone == "" || u.Zone == r.pool.zone) &&
 		(u.Job.Zone == "" || u.Job.Zone == r.pool.zone) && (!r.pool.spot || u.Job.SpotAllowed) && !u.ExcludedMachines[r.name]
 }
@@ -220,10 +220,10 @@
 		return nil
 	}
 	t := k.registry.MachineType(pl.machineType)
-	if !kind.resources.Fits(partition.CapacityOf(t)) {
+	if !kind.resources.Fits(machineregistry.CapacityOf(t)) {
 		return nil
 	}
-	k.bins = append(k.bins, bin{pool: pl, machineType: t, free: partition.CapacityOf(t)})
+	k.bins = append(k.bins, bin{pool: pl, machineType: t, free: machineregistry.CapacityOf(t)})
 	k.toRent[pl]++
 	k.machinesPerZone[pl.zone]++
 	if k.autoscaler.startingByZone != nil {
@@ -256,7 +256,7 @@
 	return ScaleOut{protocol.Rental{RequestID: req, MachineType: pl.machineType, Zone: pl.zone, Spot: pl.spot, Count: count}}
 }
 
-func tighter(a, b partition.Resources) bool {
+func tighter(a, b machineregistry.Resources) bool {
 	if a.GPUs != b.GPUs {
 		return a.GPUs < b.GPUs
 	}
--- a/internal/coordination/fleet/pool.go
+++ b/internal/coordination/autoscaler/pool.go
@@ -1,4 +1,4 @@
-package fleet
+package autoscaler
 
 import (
 	"maps"
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"pinebay/internal/coordination/partition"
+	"pinebay/internal/coordination/machineregistry"
 	"pinebay/internal/protocol"
 )
 
@@ -17,9 +17,9 @@
 }
 
 // countStarting counts the machines that are on their way.
-func (f *Autoscaler) countStarting(p *partition.Registry) {
+func (f *Autoscaler) countStarting(p *machineregistry.Registry) {
 	f.startingByZone = map[string]int{}
-	p.Each(func(m *partition.Machine) {
+	p.Each(func(m *machineregistry.Machine) {
 		if !m.Registered && m.PlacementCount() == 0 && !m.Terminating {
 			f.startingByZone[m.Zone]++
 		}
@@ -31,14 +31,14 @@
 
 // CanScaleOut says whether machines for the job may be had in the zone, as far as
 // the last refusals tell.
-func (f *Autoscaler) CanScaleOut(now time.Duration, p *partition.Registry, j *protocol.Job, zone string) bool {
+func (f *Autoscaler) CanScaleOut(now time.Duration, p *machineregistry.Registry, j *protocol.Job, zone string) bool {
 	_, ok := f.choosePool(now, p, Demand{Job: j, Zone: zone}, nil)
 	return ok
 }
 
 // choosePool picks the pool to rent from: what the job allows, cheap first, then
 // the zone with fewer machines.
-func (f *Autoscaler) choosePool(now time.Duration, p *partition.Registry, u Demand, perZone map[string]int) (machinePool, bool) {
+func (f *Autoscaler) choosePool(now time.Duration, p *machineregistry.Registry, u Demand, perZone map[string]int) (machinePool, bool) {
 	var best machinePool
 	bestCost := math.Inf(1)
 	for _, n := range slices.Sorted(maps.Keys(p.MachineTypes())) {
--- a/internal/coordination/fleet/reference_test.go
+++ b/internal/coordination/autoscaler/reference_test.go
@@ -1,4 +1,4 @@
-package fleet
+package autoscaler
 
 import (
 	"fmt"
@@ -8,18 +8,18 @@
 
 	"pgregory.net/rapid"
 
-	"pinebay/internal/coordination/partition"
+	"pinebay/internal/coordination/machineregistry"
 	"pinebay/internal/protocol"
-	"pinebay/internal/testkit"
+	"pinebay/internal/testutil"
 )
 
-func TestMain(m *testing.M) { testkit.Main(m) }
+func TestMain(m *testing.M) { testutil.Main(m) }
 
 // referencePack packs units one task after the other into the tightest of all rooms.
 func referencePack(k *packing, units []Demand) {
 	for n := range units {
 		u := &units[n]
-		need := partition.TaskResources(u.Job)
+		need := machineregistry.TaskResources(u.Job)
 		for left := u.Count; left > 0; {
 			var best *bin
 			for i := range k.bins {
@@ -47,8 +47,8 @@
 			m := p.GetOrCreate(0, fmt.Sprintf("m%02d", i))
 			m.Type, m.Zone, m.Spot = "g8", rapid.SampledFrom([]string{"a", "b"}).Draw(t, "zone"), rapid.Bool().Draw(t, "spot")
 			job := &protocol.Job{ID: fmt.Sprintf("j-%d", i), Shape: protocol.Array, CheckpointIntervalSeconds: float64(rapid.IntRange(0, 1).Draw(t, "saves"))}
-			p.Adopt(0, &partition.Placement{Task: protocol.TaskID{JobID: job.ID}, Attempt: 1, Machine: m.Name, Job: job, PriorityLevel: rapid.IntRange(0, 3).Draw(t, "level"),
-				Resources: partition.Resources{GPUs: float64(rapid.IntRange(0, 8).Draw(t, "used")), CPUs: float64(rapid.IntRange(0, 64).Draw(t, "cpus"))}})
+			p.Adopt(0, &machineregistry.Placement{Task: protocol.TaskID{JobID: job.ID}, Attempt: 1, Machine: m.Name, Job: job, PriorityLevel: rapid.IntRange(0, 3).Draw(t, "level"),
+				Resources: machineregistry.Resources{GPUs: float64(rapid.IntRange(0, 8).Draw(t, "used")), CPUs: float64(rapid.IntRange(0, 64).Draw(t, "cpus"))}})
 		}
 		var units []Demand
 		for i := range rapid.IntRange(0, 12).Draw(t, "units") {
--- a/internal/coordination/fleet/scalein.go
+++ b/internal/coordination/autoscaler/scalein.go
@@ -1,20 +1,20 @@
-package fleet
+package autoscaler
 
 import (
 	"slices"
 	"time"
 
 	"pinebay/internal/config"
-	"pinebay/internal/coordination/partition"
+	"pinebay/internal/coordination/machineregistry"
 	"pinebay/internal/protocol"
 )
 
 // scaleIn returns the machines that are condemned, never came up, or have had nothing to do for
 // long enough; as many as the cloud's rate allows, those first on which cancelled tasks are overdue.
 // The others have their turn in the next plans.
-func (f *Autoscaler) scaleIn(now time.Duration, p *partition.Registry, used map[string]bool) (effects []Effect) {
-	var overdue, others []*partition.Machine
-	p.Each(func(m *partition.Machine) {
+func (f *Autoscaler) scaleIn(now time.Duration, p *machineregistry.Registry, used map[string]bool) (effects []Effect) {
+	var overdue, others []*machineregistry.Machine
+	p.Each(func(m *machineregistry.Machine) {
 		switch {
 		case f.releasing[m.Name] || !f.shouldScaleIn(now, p, m, used):
 		case m.FencingDue(now):
@@ -38,7 +38,7 @@
 }
 
 // shouldScaleIn says whether a machine is to be returned.
-func (f *Autoscaler) shouldScaleIn(now time.Duration, p *partition.Registry, m *partition.Machine, used map[string]bool) bool {
+func (f *Autoscaler) shouldScaleIn(now time.Duration, p *machineregistry.Registry, m *machineregistry.Machine, used map[string]bool) bool {
 	t := p.MachineType(m.Type)
 	if t == nil {
 		return m.PlacementCount() > 0 && m.Terminating
--- a/internal/coordination/cancellation/intentlog_test.go
+++ b/internal/coordination/cancellation/intentlog_test.go
@@ -9,10 +9,10 @@
 
 	"pinebay/internal/protocol"
 	"pinebay/internal/random"
-	"pinebay/internal/testkit"
+	"pinebay/internal/testutil"
 )
 
-func TestMain(m *testing.M) { testkit.Main(m) }
+func TestMain(m *testing.M) { testutil.Main(m) }
 
 const (
 	testRetention = 30 * time.Second
--- a/internal/coordination/suspicion/accrual.go
+++ b/internal/coordination/failuredetector/accrual.go
@@ -1,4 +1,4 @@
-package suspicion
+package failuredetector
 
 import (
 	"math"
--- a/internal/coordination/suspicion/detector.go
+++ b/internal/coordination/failuredetector/detector.go
@@ -1,10 +1,10 @@
-// Package suspicion judges whether other controllers have failed. Each controller watches the
+// Package failuredetector judges whether other controllers have failed. Each controller watches the
 // heartbeats of the others by an adaptive detector, has peers probe whom it no longer hears, and tells
 // the others what it holds; a verdict is what a majority holds of the same incarnation. Nothing follows
 // from a suspicion but probes; a verdict comes into force by the ownership record.
 //
 // Machine is a pure step function: it does no I/O and reads no clock.
-package suspicion
+package failuredetector
 
 import (
 	"cmp"
--- a/internal/coordination/suspicion/detector_test.go
+++ b/internal/coordination/failuredetector/detector_test.go
@@ -1,4 +1,4 @@
-package suspicion
+package failuredetector
 
 import (
 	"fmt"
@@ -8,10 +8,10 @@
 
 	"pgregory.net/rapid"
 
-	"pinebay/internal/testkit"
+	"pinebay/internal/testutil"
 )
 
-func TestMain(m *testing.M) { testkit.Main(m) }
+func TestMain(m *testing.M) { testutil.Main(m) }
 
 const testTickInterval = 500 * time.Millisecond
 
--- a/internal/coordination/featurelevel/gate_test.go
+++ b/internal/coordination/featurelevel/gate_test.go
@@ -8,10 +8,10 @@
 
 	"pgregory.net/rapid"
 
-	"pinebay/internal/testkit"
+	"pinebay/internal/testutil"
 )
 
-func TestMain(m *testing.M) { testkit.Main(m) }
+func TestMain(m *testing.M) { testutil.Main(m) }
 
 const testPollInterval = time.Second
 
--- a/internal/coordination/fencing/fencer_test.go
+++ b/internal/coordination/fencing/fencer_test.go
@@ -9,10 +9,10 @@
 	"pgregory.net/rapid"
 
 	"pinebay/internal/protocol"
-	"pinebay/internal/testkit"
+	"pinebay/internal/testutil"
 )
 
-func TestMain(m *testing.M) { testkit.Main(m) }
+func TestMain(m *testing.M) { testutil.Main(m) }
 
 const (
 	testGracePeriod  = 10 * time.Second
--- a/internal/coordination/leader/effects.go
+++ b/internal/coordination/leader/effects.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"pinebay/internal/config"
-	"pinebay/internal/coordination/fleet"
+	"pinebay/internal/coordination/autoscaler"
 	"pinebay/internal/coordination/scheduler"
 	"pinebay/internal/protocol"
 	"pinebay/internal/storage"
@@ -43,14 +43,14 @@
 }
 
 // applyCloudEffect carries out what the fleet asks of the cloud.
-func (l *Leader) applyCloudEffect(effect fleet.Effect) {
+func (l *Leader) applyCloudEffect(effect autoscaler.Effect) {
 	turn := l.Cloud.Reserve()
 	switch e := effect.(type) {
-	case fleet.ScaleOut:
+	case autoscaler.ScaleOut:
 		go l.rentMachines(e, turn)
-	case fleet.ScaleIn:
+	case autoscaler.ScaleIn:
 		go l.releaseMachines(e, turn)
-	case fleet.ListMachines:
+	case autoscaler.ListMachines:
 		go l.listMachines(turn)
 	}
 }
@@ -180,7 +180,7 @@
 	l.mailbox.Send(scheduler.MachinesListed{RequestedAt: asked, Machines: ms, Failed: err != nil})
 }
 
-func (l *Leader) rentMachines(e fleet.ScaleOut, turn CallSlot) {
+func (l *Leader) rentMachines(e autoscaler.ScaleOut, turn CallSlot) {
 	asked := l.Now()
 	for ; l.ctx.Err() == nil; turn = l.Cloud.Reserve() {
 		names, refused, err := l.Cloud.Rent(l.ctx, turn, e.Rental)
@@ -194,7 +194,7 @@
 	}
 }
 
-func (l *Leader) releaseMachines(e fleet.ScaleIn, turn CallSlot) {
+func (l *Leader) releaseMachines(e autoscaler.ScaleIn, turn CallSlot) {
 	for ; l.ctx.Err() == nil; turn = l.Cloud.Reserve() {
 		err := l.Cloud.Release(l.ctx, turn, e.Machines)
 		if err == nil {
--- a/internal/coordination/leader/leader.go
+++ b/internal/coordination/leader/leader.go
@@ -14,7 +14,7 @@
 	"pinebay/internal/config"
 	"pinebay/internal/coordination/featurelevel"
 	"pinebay/internal/coordination/scheduler"
-	"pinebay/internal/coordination/zones"
+	"pinebay/internal/coordination/zonefailover"
 	"pinebay/internal/protocol"
 	"pinebay/internal/random"
 	"pinebay/internal/storage"
@@ -46,7 +46,7 @@
 	// Deposed is told that the term is over, and why.
 	Deposed func(term uint64, d scheduler.StepDown)
 	// ZoneReturn is the order in which work returns when a zone is lost; nil: off.
-	ZoneReturn *zones.RecoveryOrder
+	ZoneReturn *zonefailover.RecoveryOrder
 	// MachineTypesRead is told of machine types that were read.
 	MachineTypesRead func([]protocol.MachineType)
 	// LevelReached is told of a feature level that this leader has made final.
--- a/internal/coordination/leader/leader_test.go
+++ b/internal/coordination/leader/leader_test.go
@@ -16,11 +16,11 @@
 	"pinebay/internal/random"
 	"pinebay/internal/simulation"
 	"pinebay/internal/storage"
-	"pinebay/internal/testkit"
+	"pinebay/internal/testutil"
 	"pinebay/internal/transport"
 )
 
-func TestMain(m *testing.M) { testkit.Main(m) }
+func TestMain(m *testing.M) { testutil.Main(m) }
 
 // TestStaleLeaderDoesNotAct: a leader that stood still while its clocks ran on
 // answers no worker any more, renews no lease and gives the term up, for others may
--- a/internal/coordination/machineindex/index.go
+++ b/internal/coordination/machineindex/index.go
@@ -11,7 +11,7 @@
 
 	"github.com/tidwall/btree"
 
-	"pinebay/internal/coordination/partition"
+	"pinebay/internal/coordination/machineregistry"
 )
 
 // Pool names machines that predicates cannot tell apart.
@@ -34,7 +34,7 @@
 type Entry[T any] struct {
 	Value  T
 	name   string
-	free   partition.Resources
+	free   machineregistry.Resources
 	bucket *bucket[T]
 }
 
@@ -47,7 +47,7 @@
 // pool holds the machines of one Pool in cells.
 type pool[T any] struct {
 	id       Pool
-	capacity partition.Resources
+	capacity machineregistry.Resources
 	buckets  []*bucket[T] // not empty, in the order of their levels
 }
 
@@ -79,7 +79,7 @@
 	return min(bucketsPerResource, int(free/capacity*bucketsPerResource+tolerance))
 }
 
-func bucketKeyOf(free, capacity partition.Resources) bucketKey {
+func bucketKeyOf(free, capacity machineregistry.Resources) bucketKey {
 	l := bucketKey{cpus: bucketOf(free.CPUs, capacity.CPUs), gpus: bucketOf(free.GPUs, capacity.GPUs), memory: bucketOf(free.MemoryGB, capacity.MemoryGB)}
 	l.highest = max(l.cpus, l.gpus, l.memory)
 	return l
@@ -92,7 +92,7 @@
 	return low, high
 }
 
-func (c *bucket[T]) bounds() (low, high partition.Resources) {
+func (c *bucket[T]) bounds() (low, high machineregistry.Resources) {
 	low.CPUs, high.CPUs = bucketBounds(c.key.cpus, c.pool.capacity.CPUs)
 	low.GPUs, high.GPUs = bucketBounds(c.key.gpus, c.pool.capacity.GPUs)
 	low.MemoryGB, high.MemoryGB = bucketBounds(c.key.memory, c.pool.capacity.MemoryGB)
@@ -109,7 +109,7 @@
 func NewEntry[T any](name string, value T) *Entry[T] { return &Entry[T]{name: name, Value: value} }
 
 // Put enters a machine, or moves it to where its pool and free room say.
-func (x *Index[T]) Put(e *Entry[T], key Pool, capacity, free partition.Resources) {
+func (x *Index[T]) Put(e *Entry[T], key Pool, capacity, free machineregistry.Resources) {
 	at := bucketKeyOf(free, capacity)
 	if h := e.bucket; h != nil && h.pool.id == key && h.pool.capacity == capacity && h.key == at {
 		if e.free != free {
@@ -147,7 +147,7 @@
 func compareBucketTo[T any](c *bucket[T], at bucketKey) int { return compareBucketKeys(c.key, at) }
 
 // ensureBucket returns the cell of a pool at some levels, making both if need be.
-func (x *Index[T]) ensureBucket(key Pool, capacity partition.Resources, at bucketKey) *bucket[T] {
+func (x *Index[T]) ensureBucket(key Pool, capacity machineregistry.Resources, at bucketKey) *bucket[T] {
 	i, ok := slices.BinarySearchFunc(x.pools, key, comparePoolTo[T])
 	for ok && i < len(x.pools) && x.pools[i].id == key && x.pools[i].capacity != capacity {
 		i++ // machines whose type was another when they were entered
@@ -186,7 +186,7 @@
 	return a.name < b.name
 }
 
-func compareFree(a, b partition.Resources) int {
+func compareFree(a, b machineregistry.Resources) int {
 	return cmp.Or(cmp.Compare(a.CPUs, b.CPUs), cmp.Compare(a.GPUs, b.GPUs), cmp.Compare(a.MemoryGB, b.MemoryGB))
 }
 
--- a/internal/coordination/machineindex/index_test.go
+++ b/internal/coordination/machineindex/index_test.go
@@ -7,30 +7,30 @@
 
 	"pgregory.net/rapid"
 
-	"pinebay/internal/coordination/partition"
-	"pinebay/internal/testkit"
+	"pinebay/internal/coordination/machineregistry"
+	"pinebay/internal/testutil"
 )
 
-func TestMain(m *testing.M) { testkit.Main(m) }
+func TestMain(m *testing.M) { testutil.Main(m) }
 
 // machine is the model's view of a machine.
 type machine struct {
 	entry   *Entry[*machine]
 	pool    Pool
-	free    partition.Resources
+	free    machineregistry.Resources
 	penalty float64 // what it scores beyond its room
 	closed  bool
 }
 
-var capacity = partition.Resources{CPUs: 64, GPUs: 8, MemoryGB: 256}
+var capacity = machineregistry.Resources{CPUs: 64, GPUs: 8, MemoryGB: 256}
 
-func drawNeed(t *rapid.T, label string) partition.Resources {
-	return partition.Resources{CPUs: rapid.Float64Range(0, 64).Draw(t, label+" cpus"), GPUs: float64(rapid.IntRange(0, 8).Draw(t, label+" gpus")),
+func drawNeed(t *rapid.T, label string) machineregistry.Resources {
+	return machineregistry.Resources{CPUs: rapid.Float64Range(0, 64).Draw(t, label+" cpus"), GPUs: float64(rapid.IntRange(0, 8).Draw(t, label+" gpus")),
 		MemoryGB: float64(rapid.IntRange(0, 8).Draw(t, label+" memory")) * 32}
 }
 
 // score is what a machine scores for a need; Loosest turns it round.
-func (m *machine) score(order Order, need partition.Resources) float64 {
+func (m *machine) score(order Order, need machineregistry.Resources) float64 {
 	if order == WorstFit {
 		return testPoolScore(m.pool) - m.free.DominantShare(capacity) + m.penalty
 	}
@@ -47,11 +47,13 @@
 	return 0
 }
 
-func newQuery(order Order, need partition.Resources, looks int) Query {
+func newQuery(order Order, need machineregistry.Resources, looks int) Query {
 	q := Query{Need: need, Order: order, MaxExamined: looks, MaxTies: looks, PoolScore: testPoolScore}
-	q.ScoreBound = func(capacity, free partition.Resources) float64 { return free.Minus(need).DominantShare(capacity) }
+	q.ScoreBound = func(capacity, free machineregistry.Resources) float64 {
+		return free.Minus(need).DominantShare(capacity)
+	}
 	if order == WorstFit {
-		q.ScoreBound = func(capacity, free partition.Resources) float64 { return -free.DominantShare(capacity) }
+		q.ScoreBound = func(capacity, free machineregistry.Resources) float64 { return -free.DominantShare(capacity) }
 	}
 	return q
 }
@@ -116,15 +118,15 @@
 // they are all alike, all different, full, or nearly full.
 func TestExaminedMachinesDoNotGrow(t *testing.T) {
 	const most = 40
-	need := partition.Resources{CPUs: 2, MemoryGB: 4}
-	for name, free := range map[string]func(i int) partition.Resources{
-		"empty": func(int) partition.Resources { return capacity },
-		"full":  func(int) partition.Resources { return partition.Resources{} },
-		"nearly full": func(i int) partition.Resources {
-			return partition.Resources{CPUs: float64(i % 3), GPUs: 8, MemoryGB: 8}
+	need := machineregistry.Resources{CPUs: 2, MemoryGB: 4}
+	for name, free := range map[string]func(i int) machineregistry.Resources{
+		"empty": func(int) machineregistry.Resources { return capacity },
+		"full":  func(int) machineregistry.Resources { return machineregistry.Resources{} },
+		"nearly full": func(i int) machineregistry.Resources {
+			return machineregistry.Resources{CPUs: float64(i % 3), GPUs: 8, MemoryGB: 8}
 		},
-		"different": func(i int) partition.Resources {
-			return partition.Resources{CPUs: float64(i*7919%6400) / 100, GPUs: float64(i % 9), MemoryGB: float64(i * 31 % 256)}
+		"different": func(i int) machineregistry.Resources {
+			return machineregistry.Resources{CPUs: float64(i*7919%6400) / 100, GPUs: float64(i % 9), MemoryGB: float64(i * 31 % 256)}
 		},
 	} {
 		for _, n := range []int{100, 1000, 18_000} {
@@ -158,7 +160,7 @@
 		x.Put(m.entry, m.pool, capacity, m.free)
 	}
 	var best Best[*machine]
-	if x.Search(newQuery(BestFit, partition.Resources{}, 5), &best, func(m *machine) (float64, bool) { return m.score(BestFit, partition.Resources{}), true }) {
+	if x.Search(newQuery(BestFit, machineregistry.Resources{}, 5), &best, func(m *machine) (float64, bool) { return m.score(BestFit, machineregistry.Resources{}), true }) {
 		t.Error("five looks at twenty machines that all differ were enough")
 	}
 	if !best.Found || best.Entry.name != "m04" {
@@ -176,11 +178,11 @@
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			x := New[*machine]()
 			for i := range n {
-				m := &machine{pool: Pool{Type: "g8", Zone: []string{"a", "b", "c"}[i%3]}, free: partition.Resources{CPUs: float64(2 * (i % 32)), GPUs: float64(i % 9), MemoryGB: 128}}
+				m := &machine{pool: Pool{Type: "g8", Zone: []string{"a", "b", "c"}[i%3]}, free: machineregistry.Resources{CPUs: float64(2 * (i % 32)), GPUs: float64(i % 9), MemoryGB: 128}}
 				m.entry = NewEntry(fmt.Sprintf("m%05d", i), m)
 				x.Put(m.entry, m.pool, capacity, m.free)
 			}
-			need := partition.Resources{CPUs: 2, MemoryGB: 4}
+			need := machineregistry.Resources{CPUs: 2, MemoryGB: 4}
 			for b.Loop() {
 				var best Best[*machine]
 				x.Search(newQuery(BestFit, need, 1000), &best, func(m *machine) (float64, bool) { return m.score(BestFit, need), true })
--- a/internal/coordination/machineindex/search.go
+++ b/internal/coordination/machineindex/search.go
@@ -5,7 +5,7 @@
 	"math"
 	"slices"
 
-	"pinebay/internal/coordination/partition"
+	"pinebay/internal/coordination/machineregistry"
 )
 
 // Order says which machines a search looks at first.
@@ -20,7 +20,7 @@
 // Query is what a search asks for.
 type Query struct {
 	// Need is the room that a machine must have free; nothing passes over none.
-	Need partition.Resources
+	Need machineregistry.Resources
 	// IgnoreFree looks at machines whatever room they have.
 	IgnoreFree bool
 	Order      Order
@@ -28,7 +28,7 @@
 	// and Bound the least that one with so much free room scores beyond that. With Tightest the
 	// bound must not fall as the room grows, with Loosest not rise.
 	PoolScore  func(Pool) float64
-	ScoreBound func(capacity, free partition.Resources) float64
+	ScoreBound func(capacity, free machineregistry.Resources) float64
 	// MaxExamined is at how many machines the search looks at the most, and Ties at how many that
 	// cannot score better than the best but may be its equals.
 	MaxExamined, MaxTies int
@@ -93,7 +93,7 @@
 }
 
 // hasFree says whether some machine of the cell has so much room.
-func (c *bucket[T]) hasFree(need partition.Resources) bool {
+func (c *bucket[T]) hasFree(need machineregistry.Resources) bool {
 	it := c.entries.Iter()
 	defer it.Release()
 	for ok := it.First(); ok; {
@@ -158,8 +158,8 @@
 }
 
 // maxResources is the larger of two amounts of each resource.
-func maxResources(a, b partition.Resources) partition.Resources {
-	return partition.Resources{CPUs: max(a.CPUs, b.CPUs), GPUs: max(a.GPUs, b.GPUs), MemoryGB: max(a.MemoryGB, b.MemoryGB)}
+func maxResources(a, b machineregistry.Resources) machineregistry.Resources {
+	return machineregistry.Resources{CPUs: max(a.CPUs, b.CPUs), GPUs: max(a.GPUs, b.GPUs), MemoryGB: max(a.MemoryGB, b.MemoryGB)}
 }
 
 // cannotWin says whether a bound shows that a machine is worse than the best. Bounds are computed
--- a/internal/coordination/partition/machine.go
+++ b/internal/coordination/machineregistry/machine.go
@@ -1,4 +1,4 @@
-package partition
+package machineregistry
 
 import (
 	"time"
--- a/internal/coordination/partition/registry.go
+++ b/internal/coordination/machineregistry/registry.go
@@ -1,8 +1,8 @@
-// Package partition keeps what a controller knows of the machines that it owns:
+// Package machineregistry keeps what a controller knows of the machines that it owns:
 // their reports, their room, the placements on them and the commands that are
 // due. It grants room, starts only what a written record names, and decides
 // when a task is proven gone. It does no I/O and reads no clock.
-package partition
+package machineregistry
 
 import (
 	"slices"
--- a/internal/coordination/partition/registry_test.go
+++ b/internal/coordination/machineregistry/registry_test.go
@@ -1,4 +1,4 @@
-package partition
+package machineregistry
 
 import (
 	"testing"
@@ -8,10 +8,10 @@
 
 	"pinebay/internal/config"
 	"pinebay/internal/protocol"
-	"pinebay/internal/testkit"
+	"pinebay/internal/testutil"
 )
 
-func TestMain(m *testing.M) { testkit.Main(m) }
+func TestMain(m *testing.M) { testutil.Main(m) }
 
 var testMachineType = protocol.MachineType{Name: "g8", CPUs: 64, GPUs: 8, MemoryGB: 256, CacheGB: 10, FetchGBPerSecond: 1, BootSeconds: 30, Zones: []string{"a"}}
 
--- a/internal/coordination/ownership/assigner.go
+++ b/internal/coordination/ownership/assigner.go
@@ -11,7 +11,7 @@
 	"slices"
 	"time"
 
-	"pinebay/internal/coordination/suspicion"
+	"pinebay/internal/coordination/failuredetector"
 )
 
 // Timing are derived from the settings.
@@ -54,7 +54,7 @@
 		Reason string
 	}
 	// OwnIncarnation tells this controller's own incarnation.
-	OwnIncarnation struct{ Incarnation suspicion.Incarnation }
+	OwnIncarnation struct{ Incarnation failuredetector.Incarnation }
 	// Leadership says whether this controller leads, has read the records, and may use ownership.
 	Leadership struct{ Leading bool }
 	// RecordRead is the record as the state service has it.
@@ -86,20 +86,20 @@
 
 // peer is what is known of one other controller.
 type peer struct {
-	incarnation        suspicion.Incarnation
+	incarnation        failuredetector.Incarnation
 	canOwn             bool
 	heardAt            time.Duration
 	verdicts           int           // lately
 	excludedUntil      time.Duration // until then it owns nothing, after a verdict
 	verdictsExpireAt   time.Duration // from when on its verdicts are forgotten
-	failedIncarnations map[suspicion.Incarnation]bool
+	failedIncarnations map[failuredetector.Incarnation]bool
 }
 
 // Assigner is one controller's part in the ownership record.
 type Assigner struct {
 	self          string
 	timing        Timing
-	incarnation   suspicion.Incarnation
+	incarnation   failuredetector.Incarnation
 	leading       bool
 	leadingSince  time.Duration // when it began to lead
 	peers         map[string]*peer
@@ -113,7 +113,7 @@
 func New(self string, peers []string, times Timing) *Assigner {
 	m := &Assigner{self: self, timing: times, peers: map[string]*peer{}}
 	for _, name := range peers {
-		m.peers[name] = &peer{failedIncarnations: map[suspicion.Incarnation]bool{}}
+		m.peers[name] = &peer{failedIncarnations: map[failuredetector.Incarnation]bool{}}
 	}
 	return m
 }
--- a/internal/coordination/ownership/assigner_test.go
+++ b/internal/coordination/ownership/assigner_test.go
@@ -8,17 +8,17 @@
 
 	"pgregory.net/rapid"
 
-	"pinebay/internal/coordination/suspicion"
+	"pinebay/internal/coordination/failuredetector"
 	"pinebay/internal/protocol"
-	"pinebay/internal/testkit"
+	"pinebay/internal/testutil"
 )
 
-func TestMain(m *testing.M) { testkit.Main(m) }
+func TestMain(m *testing.M) { testutil.Main(m) }
 
 var testTiming = Timing{TickInterval: time.Second, PeerTimeout: 2 * time.Second, RejoinDelay: 4 * time.Second}
 
 func member(node string, life, number uint64) Member {
-	return Member{Controller: node, Incarnation: suspicion.Incarnation{Process: life, Refutations: number}}
+	return Member{Controller: node, Incarnation: failuredetector.Incarnation{Process: life, Refutations: number}}
 }
 
 // leadingAssigner is a machine that leads and goes by what it writes.
@@ -31,7 +31,7 @@
 
 func newLeadingAssigner(peers ...string) *leadingAssigner {
 	l := &leadingAssigner{Assigner: New("a", peers, testTiming)}
-	l.step(OwnIncarnation{Incarnation: suspicion.Incarnation{Process: 1}})
+	l.step(OwnIncarnation{Incarnation: failuredetector.Incarnation{Process: 1}})
 	l.step(RecordRead{})
 	l.step(Leadership{Leading: true})
 	return l
--- a/internal/coordination/ownership/table.go
+++ b/internal/coordination/ownership/table.go
@@ -6,13 +6,13 @@
 	"github.com/cespare/xxhash/v2"
 	"github.com/dgryski/go-rendezvous"
 
-	"pinebay/internal/coordination/suspicion"
+	"pinebay/internal/coordination/failuredetector"
 )
 
 // Member is a controller that owns machines, in one incarnation.
 type Member struct {
 	Controller  string
-	Incarnation suspicion.Incarnation
+	Incarnation failuredetector.Incarnation
 }
 
 // Table says who owns which machines in an epoch. It is never changed, so that other actors may read it. The owners
--- a/internal/coordination/scheduler/allocate.go
+++ b/internal/coordination/scheduler/allocate.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"pinebay/internal/coordination/partition"
+	"pinebay/internal/coordination/machineregistry"
 	"pinebay/internal/protocol"
 )
 
@@ -176,7 +176,7 @@
 			return
 		}
 		taken[x] = true
-		c.setFree(x, partition.Resources{CPUs: -1, GPUs: -1, MemoryGB: -1})
+		c.setFree(x, machineregistry.Resources{CPUs: -1, GPUs: -1, MemoryGB: -1})
 	}
 }
 
@@ -189,14 +189,14 @@
 	if j.Spec.Shape == protocol.Gang {
 		attempt = j.NextAttempt(0)
 	}
-	var ps []*partition.Placement
+	var ps []*machineregistry.Placement
 	for _, g := range got {
 		t, x := g.task, g.x
 		a := attempt
 		if a == 0 {
 			a = j.NextAttempt(t)
 		}
-		ps = append(ps, &partition.Placement{
+		ps = append(ps, &machineregistry.Placement{
 			Task: protocol.TaskID{JobID: j.Spec.ID, Index: t}, Attempt: a, Machine: x.machine.Name,
 			Resources: j.TaskResources, Team: j.Spec.Team, PriorityLevel: j.EffectivePriority, Job: &j.Spec,
 		})
--- a/internal/coordination/scheduler/allocate_test.go
+++ b/internal/coordination/scheduler/allocate_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 
 	"pinebay/internal/config"
-	"pinebay/internal/coordination/fleet"
+	"pinebay/internal/coordination/autoscaler"
 	"pinebay/internal/protocol"
 )
 
@@ -121,7 +121,7 @@
 		b.now += MinCycleInterval
 		b.addJob(jobSpec(fmt.Sprintf("j-%d", i), protocol.Array, "normal", 1, 1))
 		for _, e := range b.scheduler.Step(b.now, Tick{}) {
-			if f, ok := e.(CloudRequest); ok && f.Effect == (fleet.ListMachines{}) {
+			if f, ok := e.(CloudRequest); ok && f.Effect == (autoscaler.ListMachines{}) {
 				lists++
 				b.apply(MachinesListed{RequestedAt: b.now})
 			}
--- a/internal/coordination/scheduler/borrowablecapacity.go
+++ b/internal/coordination/scheduler/borrowablecapacity.go
@@ -5,8 +5,8 @@
 	"slices"
 	"time"
 
-	"pinebay/internal/coordination/partition"
-	"pinebay/internal/coordination/zones"
+	"pinebay/internal/coordination/machineregistry"
+	"pinebay/internal/coordination/zonefailover"
 	"pinebay/internal/protocol"
 )
 
@@ -16,15 +16,15 @@
 	scheduler   *Scheduler
 	now         time.Duration
 	machines    []*borrowableMachine
-	usageByTeam map[string]partition.Resources // of teams, less what has been lent
-	lent        map[zones.TaskAttempt]bool
+	usageByTeam map[string]machineregistry.Resources // of teams, less what has been lent
+	lent        map[zonefailover.TaskAttempt]bool
 }
 
 // borrowableMachine is a machine on the market.
 type borrowableMachine struct {
 	candidate *candidate
-	free      partition.Resources
-	lenders   []*partition.Placement
+	free      machineregistry.Resources
+	lenders   []*machineregistry.Placement
 }
 
 // newBorrowableCapacity returns the room on all machines of zones that are available.
@@ -35,13 +35,13 @@
 
 // borrowableCapacityOf returns the room on candidates, less what this cycle has given away.
 func (c *Scheduler) borrowableCapacityOf(now time.Duration, cands []*candidate) *borrowableCapacity {
-	k := &borrowableCapacity{scheduler: c, now: now, usageByTeam: map[string]partition.Resources{}, lent: map[zones.TaskAttempt]bool{}}
+	k := &borrowableCapacity{scheduler: c, now: now, usageByTeam: map[string]machineregistry.Resources{}, lent: map[zonefailover.TaskAttempt]bool{}}
 	for _, x := range cands {
-		if c.zoneFailover.monitor.State(x.machine.Zone) != zones.Available {
+		if c.zoneFailover.monitor.State(x.machine.Zone) != zonefailover.Available {
 			continue
 		}
 		room := &borrowableMachine{candidate: x, free: x.free}
-		x.machine.EachPlacement(func(pl *partition.Placement) {
+		x.machine.EachPlacement(func(pl *machineregistry.Placement) {
 			switch {
 			case pl.Stopping:
 				room.free = room.free.Plus(pl.Resources)
@@ -49,7 +49,7 @@
 				room.lenders = append(room.lenders, pl)
 			}
 		})
-		slices.SortFunc(room.lenders, func(a, b *partition.Placement) int {
+		slices.SortFunc(room.lenders, func(a, b *machineregistry.Placement) int {
 			return cmp.Or(cmp.Compare(a.Task.JobID, b.Task.JobID), cmp.Compare(a.Task.Index, b.Task.Index))
 		})
 		k.machines = append(k.machines, room)
@@ -59,35 +59,35 @@
 
 // isLendable says whether a placement's room may be lent at all: never that of critical work,
 // nor what has been lent already.
-func (c *Scheduler) isLendable(pl *partition.Placement) bool {
+func (c *Scheduler) isLendable(pl *machineregistry.Placement) bool {
 	j := c.jobs[pl.Task.JobID]
 	return pl.PriorityLevel > 0 && j != nil && !j.Ended && !c.zoneFailover.ledger.IsLent(taskAttemptOf(pl))
 }
 
-func taskAttemptOf(pl *partition.Placement) zones.TaskAttempt {
-	return zones.TaskAttempt{Job: pl.Task.JobID, Task: pl.Task.Index, Attempt: pl.Attempt}
+func taskAttemptOf(pl *machineregistry.Placement) zonefailover.TaskAttempt {
+	return zonefailover.TaskAttempt{Job: pl.Task.JobID, Task: pl.Task.Index, Attempt: pl.Attempt}
 }
 
 // choose looks for room for the request, without taking it.
-func (k *borrowableCapacity) choose(j *Job, request zones.CapacityRequest, allowed func(*candidate) bool) zones.Choice {
-	var offers []zones.CapacityOffer
+func (k *borrowableCapacity) choose(j *Job, request zonefailover.CapacityRequest, allowed func(*candidate) bool) zonefailover.Choice {
+	var offers []zonefailover.CapacityOffer
 	for _, room := range k.machines {
 		x := room.candidate
-		if request.MaxPerZone[x.machine.Zone] <= 0 || !allowed(x) || !j.TaskResources.Fits(partition.CapacityOf(x.machineType)) {
+		if request.MaxPerZone[x.machine.Zone] <= 0 || !allowed(x) || !j.TaskResources.Fits(machineregistry.CapacityOf(x.machineType)) {
 			continue
 		}
-		offers = append(offers, zones.CapacityOffer{
+		offers = append(offers, zonefailover.CapacityOffer{
 			Machine: x.machine.Name, Zone: x.machine.Zone, Free: room.free, Lenders: k.lendersFor(j, room),
 			StartCost: k.scheduler.machines.FetchTime(k.now, x.machine, &j.Spec).Seconds(),
 		})
 	}
-	return zones.ChooseLenders(request, offers)
+	return zonefailover.ChooseLenders(request, offers)
 }
 
 // lendersFor returns the work on a machine that lends its room to a job: lower work that its
 // team does not run within its guarantee.
-func (k *borrowableCapacity) lendersFor(j *Job, room *borrowableMachine) (lenders []zones.Lender) {
-	capacity := partition.CapacityOf(room.candidate.machineType)
+func (k *borrowableCapacity) lendersFor(j *Job, room *borrowableMachine) (lenders []zonefailover.Lender) {
+	capacity := machineregistry.CapacityOf(room.candidate.machineType)
 	for _, pl := range room.lenders {
 		if pl.PriorityLevel <= j.EffectivePriority || k.scheduler.recoversBefore(pl, j) || k.lent[taskAttemptOf(pl)] || k.protectedByQuota(pl) {
 			continue
@@ -98,18 +98,18 @@
 		if gang {
 			cost += room.candidate.machineType.BootSeconds // all of it has to find room, and often its image, again
 		}
-		lenders = append(lenders, zones.Lender{Task: taskAttemptOf(pl), Need: pl.Resources, Cost: cost, Gang: gang})
+		lenders = append(lenders, zonefailover.Lender{Task: taskAttemptOf(pl), Need: pl.Resources, Cost: cost, Gang: gang})
 	}
 	return lenders
 }
 
 // protectedByQuota says whether a placement runs within its team's guarantee, given what of the
 // team leaves already.
-func (k *borrowableCapacity) protectedByQuota(pl *partition.Placement) bool {
+func (k *borrowableCapacity) protectedByQuota(pl *machineregistry.Placement) bool {
 	return fitsGuaranteedQuota(k.scheduler.team(pl.Team), k.teamUsage(pl.Team))
 }
 
-func (k *borrowableCapacity) teamUsage(team string) partition.Resources {
+func (k *borrowableCapacity) teamUsage(team string) machineregistry.Resources {
 	used, ok := k.usageByTeam[team]
 	if !ok {
 		used = k.scheduler.machines.TeamUsage(team)
@@ -118,7 +118,7 @@
 }
 
 // lostWorkSeconds is the work that a placement loses when it is stopped, in seconds.
-func (c *Scheduler) lostWorkSeconds(now time.Duration, pl *partition.Placement) float64 {
+func (c *Scheduler) lostWorkSeconds(now time.Duration, pl *machineregistry.Placement) float64 {
 	if pl.Job != nil && pl.Job.CheckpointIntervalSeconds > 0 {
 		return min(pl.Job.SaveSeconds, (now - pl.StateSince).Seconds())
 	}
@@ -127,7 +127,7 @@
 
 // placeJob finds room for tasks of a job and takes it off the market, and returns for how many
 // there is room; for a job that must be whole, and in one zone if it says so, none or all.
-func (k *borrowableCapacity) placeJob(j *Job, request zones.CapacityRequest, whole bool) int {
+func (k *borrowableCapacity) placeJob(j *Job, request zonefailover.CapacityRequest, whole bool) int {
 	anywhere := func(*candidate) bool { return true }
 	choose := k.choose
 	if j.Spec.SameZone {
@@ -142,7 +142,7 @@
 }
 
 // chooseSingleZone looks for room in a single zone, where it costs least among those with most.
-func (k *borrowableCapacity) chooseSingleZone(j *Job, request zones.CapacityRequest, allowed func(*candidate) bool) (best zones.Choice) {
+func (k *borrowableCapacity) chooseSingleZone(j *Job, request zonefailover.CapacityRequest, allowed func(*candidate) bool) (best zonefailover.Choice) {
 	for _, zone := range k.scheduler.allowedZones(&j.Spec) {
 		one := request
 		one.MaxPerZone = map[string]int{zone: request.MaxPerZone[zone]}
@@ -155,7 +155,7 @@
 }
 
 // commit takes a choice off the market.
-func (k *borrowableCapacity) commit(j *Job, choice zones.Choice) {
+func (k *borrowableCapacity) commit(j *Job, choice zonefailover.Choice) {
 	for _, room := range k.machines {
 		for _, pl := range room.lenders {
 			if !slices.Contains(choice.Lenders, taskAttemptOf(pl)) {
@@ -175,8 +175,8 @@
 
 // violatesQuota says whether a choice, taken as a whole, would take a team into its guarantee: each
 // lender alone is beyond it, but several of them may not be.
-func (k *borrowableCapacity) violatesQuota(choice zones.Choice) bool {
-	usage := map[string]partition.Resources{}
+func (k *borrowableCapacity) violatesQuota(choice zonefailover.Choice) bool {
+	usage := map[string]machineregistry.Resources{}
 	for _, room := range k.machines {
 		for _, pl := range room.lenders {
 			if !slices.Contains(choice.Lenders, taskAttemptOf(pl)) {
--- a/internal/coordination/scheduler/borrowing.go
+++ b/internal/coordination/scheduler/borrowing.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"pinebay/internal/config"
-	"pinebay/internal/coordination/zones"
+	"pinebay/internal/coordination/zonefailover"
 	"pinebay/internal/protocol"
 )
 
@@ -18,7 +18,7 @@
 	if c.zoneFailover == nil || j.DisplacedFromZone == "" {
 		return false
 	}
-	return c.zoneFailover.monitor.State(j.DisplacedFromZone) != zones.Available
+	return c.zoneFailover.monitor.State(j.DisplacedFromZone) != zonefailover.Available
 }
 
 // awaitsLentCapacity says whether room that a job was lent is about to come free. Backfill would take
@@ -77,13 +77,13 @@
 }
 
 // reserveChosenMachines keeps the machines of a choice for the job until the lenders have left.
-func (c *Scheduler) reserveChosenMachines(now time.Duration, j *Job, cands []*candidate, l *zoneLimits, choice zones.Choice) {
+func (c *Scheduler) reserveChosenMachines(now time.Duration, j *Job, cands []*candidate, l *zoneLimits, choice zonefailover.Choice) {
 	save := 0.0
 	for _, task := range choice.Lenders {
 		save = max(save, c.jobs[task.Job].Spec.SaveSeconds+c.cfg.Workers.GangPeerSeconds)
 	}
 	for _, x := range cands {
-		if !slices.ContainsFunc(choice.Picks, func(p zones.Pick) bool { return p.Machine == x.machine.Name }) {
+		if !slices.ContainsFunc(choice.Picks, func(p zonefailover.Pick) bool { return p.Machine == x.machine.Name }) {
 			continue
 		}
 		c.claimNomination(x)
--- a/internal/coordination/scheduler/cancellation_test.go
+++ b/internal/coordination/scheduler/cancellation_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"pinebay/internal/coordination/partition"
+	"pinebay/internal/coordination/machineregistry"
 	"pinebay/internal/protocol"
 )
 
@@ -71,7 +71,7 @@
 	b.apply(JobEnded{ID: "j-2"})
 	deadlines := map[string]bool{}
 	by := b.scheduler.fencingDeadline(b.now)
-	b.scheduler.machines.Machine("m1").EachPlacement(func(pl *partition.Placement) {
+	b.scheduler.machines.Machine("m1").EachPlacement(func(pl *machineregistry.Placement) {
 		if pl.FenceAt == by {
 			deadlines[pl.Task.JobID] = true
 		}
--- a/internal/coordination/scheduler/candidateindex_test.go
+++ b/internal/coordination/scheduler/candidateindex_test.go
@@ -8,13 +8,13 @@
 
 	"pinebay/internal/config"
 	"pinebay/internal/coordination/machineindex"
-	"pinebay/internal/coordination/partition"
+	"pinebay/internal/coordination/machineregistry"
 	"pinebay/internal/protocol"
 )
 
 // indexErrors counts the machines of which the roster says something else than the books.
 func (b *harness) indexErrors() (wrong int) {
-	b.scheduler.machines.Each(func(m *partition.Machine) {
+	b.scheduler.machines.Each(func(m *machineregistry.Machine) {
 		x, ok := m.SchedulerData.(*candidate)
 		open := b.scheduler.machines.Schedulable(b.now, m)
 		switch {
@@ -45,16 +45,16 @@
 		}
 		b.runCycle()
 		b.runFetchingTasks()
-		b.scheduler.machines.Each(func(m *partition.Machine) {
+		b.scheduler.machines.Each(func(m *machineregistry.Machine) {
 			x := m.SchedulerData.(*candidate)
 			switch rapid.IntRange(0, 3).Draw(t, "break") {
 			case 0:
 				b.scheduler.candidateIndex.index.Remove(x.indexEntry)
 			case 1:
-				x.free = partition.Resources{CPUs: 1000, GPUs: 1000, MemoryGB: 1000}
+				x.free = machineregistry.Resources{CPUs: 1000, GPUs: 1000, MemoryGB: 1000}
 				b.scheduler.indexCandidate(x)
 			case 2:
-				b.scheduler.candidateIndex.index.Put(x.indexEntry, machineindex.Pool{Type: "g8", Zone: "elsewhere"}, partition.CapacityOf(x.machineType), x.free)
+				b.scheduler.candidateIndex.index.Put(x.indexEntry, machineindex.Pool{Type: "g8", Zone: "elsewhere"}, machineregistry.CapacityOf(x.machineType), x.free)
 			}
 		})
 		for i := range 6 {
--- a/internal/coordination/scheduler/candidates.go
+++ b/internal/coordination/scheduler/candidates.go
@@ -4,17 +4,17 @@
 	"math"
 	"time"
 
-	"pinebay/internal/coordination/fleet"
+	"pinebay/internal/coordination/autoscaler"
 	"pinebay/internal/coordination/machineindex"
-	"pinebay/internal/coordination/partition"
+	"pinebay/internal/coordination/machineregistry"
 	"pinebay/internal/protocol"
 )
 
 // candidate is a machine that takes new tasks, with what the cycle under way knows of it.
 type candidate struct {
-	machine     *partition.Machine
+	machine     *machineregistry.Machine
 	machineType *protocol.MachineType
-	free        partition.Resources // less what was granted or is held in this cycle
+	free        machineregistry.Resources // less what was granted or is held in this cycle
 	// nominationClaimed says that the room reserved on it is spoken for in this cycle.
 	nominationClaimed bool
 	// headroom is room for jobs to come.
@@ -30,12 +30,12 @@
 	level                 int
 	startLatencyObjective float64 // the class's on waiting, in seconds
 	returnPosition        int     // the class's in the order of return, while that is in force
-	need                  partition.Resources
+	need                  machineregistry.Resources
 }
 
 // freeBeyondHeadroom is what is left of the free room for work of the level with that aim on
 // waiting, and that position in the order of return.
-func (x *candidate) freeBeyondHeadroom(level int, aim float64, position int) partition.Resources {
+func (x *candidate) freeBeyondHeadroom(level int, aim float64, position int) machineregistry.Resources {
 	n := x.free
 	for _, k := range x.headroom {
 		if k.level == level && k.startLatencyObjective < aim && k.returnPosition <= position {
@@ -92,7 +92,7 @@
 	from := c.candidateIndex.verifiedUpTo
 	c.candidateIndex.verifiedUpTo = ""
 	left := 1 + c.machines.Len()/verifiedFraction
-	c.machines.EachFrom(from, func(m *partition.Machine) bool {
+	c.machines.EachFrom(from, func(m *machineregistry.Machine) bool {
 		if left--; left < 0 {
 			c.candidateIndex.verifiedUpTo = m.Name
 			return false
@@ -106,14 +106,14 @@
 func (c *Scheduler) rebuildCandidates(now time.Duration) {
 	c.candidateIndex = newCandidateIndex()
 	c.machines.TakeChanged() // all are entered
-	c.machines.Each(func(m *partition.Machine) {
+	c.machines.Each(func(m *machineregistry.Machine) {
 		m.SchedulerData = nil
 		c.refreshMachine(now, m)
 	})
 }
 
 // refreshMachine enters a machine by its books.
-func (c *Scheduler) refreshMachine(now time.Duration, m *partition.Machine) {
+func (c *Scheduler) refreshMachine(now time.Duration, m *machineregistry.Machine) {
 	x, ok := m.SchedulerData.(*candidate)
 	switch {
 	case m.Removed() && ok:
@@ -150,7 +150,7 @@
 // indexCandidate enters a candidate where its room says.
 func (c *Scheduler) indexCandidate(x *candidate) {
 	key := machineindex.Pool{Type: x.machine.Type, Zone: x.machine.Zone, Spot: x.machine.Spot}
-	c.candidateIndex.index.Put(x.indexEntry, key, partition.CapacityOf(x.machineType), x.free)
+	c.candidateIndex.index.Put(x.indexEntry, key, machineregistry.CapacityOf(x.machineType), x.free)
 }
 
 // checkSchedulable says whether a candidate still takes new tasks. One that does not, since it fell silent,
@@ -172,7 +172,7 @@
 }
 
 // candidateOf returns the candidate of a machine if it takes new tasks now, or nil.
-func (c *Scheduler) candidateOf(now time.Duration, m *partition.Machine) *candidate {
+func (c *Scheduler) candidateOf(now time.Duration, m *machineregistry.Machine) *candidate {
 	x, ok := m.SchedulerData.(*candidate)
 	if !ok || !c.candidateIndex.index.Has(x.indexEntry) || !c.machines.Schedulable(now, m) {
 		return nil
@@ -182,7 +182,7 @@
 
 // schedulableCandidates lists the machines that take new tasks now, in name order.
 func (c *Scheduler) schedulableCandidates(now time.Duration) (cands []*candidate) {
-	c.machines.Each(func(m *partition.Machine) {
+	c.machines.Each(func(m *machineregistry.Machine) {
 		if x := c.candidateOf(now, m); x != nil {
 			cands = append(cands, x)
 		}
@@ -199,7 +199,7 @@
 }
 
 // setFree changes a candidate's room for the rest of the cycle.
-func (c *Scheduler) setFree(x *candidate, free partition.Resources) {
+func (c *Scheduler) setFree(x *candidate, free machineregistry.Resources) {
 	c.markChanged(x)
 	x.free = free
 	c.indexCandidate(x)
@@ -212,7 +212,7 @@
 }
 
 // freeForJob is what a job may use of a candidate.
-func (c *Scheduler) freeForJob(x *candidate, j *Job) partition.Resources {
+func (c *Scheduler) freeForJob(x *candidate, j *Job) machineregistry.Resources {
 	if len(x.headroom) == 0 {
 		return x.free
 	}
@@ -227,7 +227,7 @@
 	none := &zoneLimits{}
 	recovering := c.inZoneFailover()
 	for _, u := range c.forecastUnits {
-		j := &Job{Spec: *u.Job, TaskResources: partition.TaskResources(u.Job), EffectivePriority: u.Job.Priority.Rank()}
+		j := &Job{Spec: *u.Job, TaskResources: machineregistry.TaskResources(u.Job), EffectivePriority: u.Job.Priority.Rank()}
 		aim, position := c.startLatencyObjective(u.Job.Class), c.recoveryPosition(u.Job)
 		allowed := func(x *candidate) bool {
 			return (u.Zone == "" || u.Zone == x.machine.Zone) && j.TaskResources.Fits(x.freeBeyondHeadroom(j.EffectivePriority, math.Inf(1), math.MaxInt)) &&
@@ -239,7 +239,7 @@
 				break
 			}
 			c.markChanged(best)
-			for level := j.EffectivePriority; level == j.EffectivePriority || (u.MustBeFree || recovering) && level < fleet.PriorityLevels; level++ {
+			for level := j.EffectivePriority; level == j.EffectivePriority || (u.MustBeFree || recovering) && level < autoscaler.PriorityLevels; level++ {
 				best.headroom = append(best.headroom, heldHeadroom{level, aim, position, j.TaskResources})
 			}
 		}
@@ -247,10 +247,10 @@
 }
 
 // nominate has the room on a machine cleared for a job until the given time.
-func (c *Scheduler) nominate(m *partition.Machine, j *Job, until time.Duration) {
+func (c *Scheduler) nominate(m *machineregistry.Machine, j *Job, until time.Duration) {
 	m.ReservedJob, m.ReservedUntil = j.Spec.ID, until
 	if j.ReservedMachines == nil {
-		j.ReservedMachines = map[*partition.Machine]bool{}
+		j.ReservedMachines = map[*machineregistry.Machine]bool{}
 	}
 	j.ReservedMachines[m] = true
 }
--- a/internal/coordination/scheduler/consolidate.go
+++ b/internal/coordination/scheduler/consolidate.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"pinebay/internal/config"
-	"pinebay/internal/coordination/partition"
+	"pinebay/internal/coordination/machineregistry"
 	"pinebay/internal/protocol"
 )
 
@@ -33,7 +33,7 @@
 			continue
 		}
 		c.lastConsolidation = now
-		x.machine.EachPlacement(func(pl *partition.Placement) {
+		x.machine.EachPlacement(func(pl *machineregistry.Placement) {
 			c.log.Info("moving", "task", pl.Task, "from", pl.Machine)
 		})
 		for _, pl := range c.placementsOn(x.machine) {
@@ -45,7 +45,7 @@
 
 // utilization is the part of a machine that is in use.
 func (c *Scheduler) utilization(x *candidate) float64 {
-	capacity := partition.CapacityOf(x.machineType)
+	capacity := machineregistry.CapacityOf(x.machineType)
 	return capacity.Minus(c.machines.FreeCapacity(x.machine)).DominantShare(capacity)
 }
 
@@ -55,7 +55,7 @@
 	left := maxExaminedMachines
 	from := c.consolidationCursor
 	c.consolidationCursor = ""
-	c.machines.EachFrom(from, func(m *partition.Machine) bool {
+	c.machines.EachFrom(from, func(m *machineregistry.Machine) bool {
 		if left--; left < 0 {
 			c.consolidationCursor = m.Name
 			return false
@@ -68,8 +68,8 @@
 	return light
 }
 
-func (c *Scheduler) placementsOn(m *partition.Machine) (out []*partition.Placement) {
-	m.EachPlacement(func(pl *partition.Placement) { out = append(out, pl) })
+func (c *Scheduler) placementsOn(m *machineregistry.Machine) (out []*machineregistry.Placement) {
+	m.EachPlacement(func(pl *machineregistry.Placement) { out = append(out, pl) })
 	sort.Slice(out, func(a, b int) bool { return out[a].Task.String() < out[b].Task.String() })
 	return out
 }
@@ -80,7 +80,7 @@
 		return false
 	}
 	ok := true
-	x.machine.EachPlacement(func(pl *partition.Placement) {
+	x.machine.EachPlacement(func(pl *machineregistry.Placement) {
 		j := c.jobs[pl.Task.JobID]
 		if j == nil || j.Ended || j.writeInFlight || j.Spec.Shape != protocol.Service || pl.Stopping ||
 			pl.State != protocol.TaskRunning || now-pl.StateSince < startCountsAfter {
@@ -93,7 +93,7 @@
 // fitsElsewhere says whether all that a machine holds fits on machines that
 // are fuller, have the images and are in the same zone.
 func (c *Scheduler) fitsElsewhere(now time.Duration, x *candidate) bool {
-	taken := map[*candidate]partition.Resources{}
+	taken := map[*candidate]machineregistry.Resources{}
 	for _, pl := range c.placementsOn(x.machine) {
 		best := c.fullestTarget(now, x, pl, taken)
 		if best == nil {
@@ -105,13 +105,13 @@
 }
 
 // fullestTarget returns the fullest machine that a placement could move to, or nil.
-func (c *Scheduler) fullestTarget(now time.Duration, x *candidate, pl *partition.Placement, taken map[*candidate]partition.Resources) (best *candidate) {
+func (c *Scheduler) fullestTarget(now time.Duration, x *candidate, pl *machineregistry.Placement, taken map[*candidate]machineregistry.Resources) (best *candidate) {
 	set := c.machines.MachinesWithImage(pl.Job.Image)
 	if set == nil {
 		return nil
 	}
 	looks := 0
-	set.Scan(func(m *partition.Machine) bool {
+	set.Scan(func(m *machineregistry.Machine) bool {
 		if looks++; looks > maxExaminedMachines {
 			return false
 		}
--- a/internal/coordination/scheduler/costs_test.go
+++ b/internal/coordination/scheduler/costs_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"pinebay/internal/coordination/zones"
+	"pinebay/internal/coordination/zonefailover"
 	"pinebay/internal/protocol"
 )
 
@@ -88,7 +88,7 @@
 func TestCostOfZoneReturn(t *testing.T) {
 	const most = 8
 	b := largeHarness(200)
-	b.scheduler.startZoneFailover(b.now, zones.DefaultRecoveryOrder(), nil)
+	b.scheduler.startZoneFailover(b.now, zonefailover.DefaultRecoveryOrder(), nil)
 	jobs := b.scheduler.sortedJobs()
 	allocations := testing.AllocsPerRun(100, func() {
 		b.scheduler.updateZoneStates(b.now, jobs)
--- a/internal/coordination/scheduler/demand.go
+++ b/internal/coordination/scheduler/demand.go
@@ -7,15 +7,15 @@
 	"time"
 
 	"pinebay/internal/config"
-	"pinebay/internal/coordination/fleet"
-	"pinebay/internal/coordination/partition"
+	"pinebay/internal/coordination/autoscaler"
+	"pinebay/internal/coordination/machineregistry"
 	"pinebay/internal/protocol"
 )
 
 // capacityDemand lists the room that is wanted: for tasks that wait, and then for the
 // jobs that are likely to come before a machine rented now would be up.
-func (c *Scheduler) capacityDemand(now time.Duration) []fleet.Demand {
-	var units []fleet.Demand
+func (c *Scheduler) capacityDemand(now time.Duration) []autoscaler.Demand {
+	var units []autoscaler.Demand
 	zones := map[zoneChoiceKey]string{}
 	for _, j := range c.inSchedulingOrder(c.queues.pendingJobs) {
 		n := min(j.TaskCounts[TaskPending], c.tasksWithinQuotaLimit(j))
@@ -37,7 +37,7 @@
 			l.onlyZone = c.chooseZone(now, j, zones)
 		}
 		if !j.Spec.Spread || l.onlyZone != "" {
-			units = append(units, fleet.Demand{Job: &j.Spec, Zone: l.onlyZone, Count: n, ExcludedMachines: j.AvoidedMachines()})
+			units = append(units, autoscaler.Demand{Job: &j.Spec, Zone: l.onlyZone, Count: n, ExcludedMachines: j.AvoidedMachines()})
 			continue
 		}
 		for _, u := range c.unitsByZone(&j.Spec, l, n) {
@@ -51,7 +51,7 @@
 
 // zoneChoiceKey is what the choice of a zone depends on.
 type zoneChoiceKey struct {
-	need        partition.Resources
+	need        machineregistry.Resources
 	types, zone string
 	tasks       int
 	spot        bool
@@ -73,7 +73,7 @@
 // zoneWithMostCapacity returns the zone with room for most of a job's tasks, there or to be rented.
 func (c *Scheduler) zoneWithMostCapacity(now time.Duration, j *Job) string {
 	room := map[string]int{}
-	c.machines.Each(func(m *partition.Machine) {
+	c.machines.Each(func(m *machineregistry.Machine) {
 		t := c.machines.MachineType(m.Type)
 		if t == nil || !t.AllowedBy(&j.Spec) || m.Terminating || m.InterruptionNotice || m.Quarantined || m.Spot && !j.Spec.SpotAllowed || c.isZoneLost(m.Zone) {
 			return
@@ -113,7 +113,7 @@
 }
 
 // unitsByZone deals tasks to zones as the job's spread demands.
-func (c *Scheduler) unitsByZone(spec *protocol.Job, l *zoneLimits, n int) []fleet.Demand {
+func (c *Scheduler) unitsByZone(spec *protocol.Job, l *zoneLimits, n int) []autoscaler.Demand {
 	names := c.allowedZones(spec)
 	counts := map[string]int{}
 	for ; n > 0; n-- {
@@ -128,10 +128,10 @@
 		}
 		counts[best]++
 	}
-	var units []fleet.Demand
+	var units []autoscaler.Demand
 	for _, z := range names {
 		if counts[z] > 0 {
-			units = append(units, fleet.Demand{Job: spec, Zone: z, Count: counts[z]})
+			units = append(units, autoscaler.Demand{Job: spec, Zone: z, Count: counts[z]})
 		}
 	}
 	return units
@@ -139,8 +139,8 @@
 
 // forecastCapacity is the room kept for classes whose aim on waiting is shorter than a
 // machine takes to come up with their image.
-func (c *Scheduler) forecastCapacity(now time.Duration) []fleet.Demand {
-	var units []fleet.Demand
+func (c *Scheduler) forecastCapacity(now time.Duration) []autoscaler.Demand {
+	var units []autoscaler.Demand
 	for _, class := range slices.Sorted(maps.Keys(c.newestJobs)) {
 		spec := c.newestJobs[class]
 		within := c.startLatencyObjective(class)
@@ -161,7 +161,7 @@
 		}
 		// Where a fetch that takes a third longer outlasts the aim, no time is
 		// left to clear room first.
-		quick := within < (ready-boot)*partition.SlowFetchFactor
+		quick := within < (ready-boot)*machineregistry.SlowFetchFactor
 		jobs := mean + c.safetyMargin(class)*math.Sqrt(mean)
 		tasks := int(math.Round(jobs * c.meanTasks[class]))
 		if tasks == 0 {
@@ -175,7 +175,7 @@
 			}
 			continue
 		}
-		units = append(units, fleet.Demand{Job: spec, Count: tasks, Headroom: true, MustBeFree: quick})
+		units = append(units, autoscaler.Demand{Job: spec, Count: tasks, Headroom: true, MustBeFree: quick})
 	}
 	return units
 }
--- a/internal/coordination/scheduler/dependencies.go
+++ b/internal/coordination/scheduler/dependencies.go
@@ -5,8 +5,8 @@
 	"time"
 
 	"pinebay/internal/config"
+	"pinebay/internal/coordination/autoscaler"
 	"pinebay/internal/coordination/dependency"
-	"pinebay/internal/coordination/fleet"
 	"pinebay/internal/protocol"
 	"pinebay/internal/storage"
 )
@@ -202,14 +202,14 @@
 
 // forecastBlockedJobs lists the room that blocked jobs will want before a machine rented now would be up: the jobs that
 // they await all run, and are likely to be done by then.
-func (c *Scheduler) forecastBlockedJobs(now time.Duration) (units []fleet.Demand) {
+func (c *Scheduler) forecastBlockedJobs(now time.Duration) (units []autoscaler.Demand) {
 	left := maxForecastJobs
 	c.queues.blockedJobs.Scan(func(j *Job) bool {
 		if left--; left < 0 {
 			return false
 		}
 		if c.dependencies.State(j.Spec.ID) == dependency.Live && c.dependenciesEndSoon(now, j) {
-			units = append(units, fleet.Demand{Job: &j.Spec, Count: min(j.Spec.TaskCount, c.tasksWithinQuotaLimit(j)), Headroom: true})
+			units = append(units, autoscaler.Demand{Job: &j.Spec, Count: min(j.Spec.TaskCount, c.tasksWithinQuotaLimit(j)), Headroom: true})
 		}
 		return true
 	})
--- a/internal/coordination/scheduler/events.go
+++ b/internal/coordination/scheduler/events.go
@@ -3,9 +3,9 @@
 import (
 	"time"
 
+	"pinebay/internal/coordination/autoscaler"
 	"pinebay/internal/coordination/featurelevel"
-	"pinebay/internal/coordination/fleet"
-	"pinebay/internal/coordination/zones"
+	"pinebay/internal/coordination/zonefailover"
 	"pinebay/internal/protocol"
 	"pinebay/internal/storage"
 )
@@ -114,7 +114,7 @@
 // Effects.
 type (
 	// CloudRequest is what the fleet asks of the cloud.
-	CloudRequest struct{ Effect fleet.Effect }
+	CloudRequest struct{ Effect autoscaler.Effect }
 	// HeartbeatReply goes back to a worker.
 	HeartbeatReply struct {
 		ReplyTo any
@@ -142,7 +142,7 @@
 	// FeatureLevelFinal says that a feature level is final.
 	FeatureLevelFinal struct{ Level featurelevel.Level }
 	// ZoneDecision tells of a decision because of a zone.
-	ZoneDecision struct{ Decision zones.Decision }
+	ZoneDecision struct{ Decision zonefailover.Decision }
 	// StepDown says that this leader's time is over; Term is a later one, if one
 	// was seen.
 	StepDown struct {
--- a/internal/coordination/scheduler/fairshare_test.go
+++ b/internal/coordination/scheduler/fairshare_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 
 	"pinebay/internal/config"
-	"pinebay/internal/coordination/partition"
+	"pinebay/internal/coordination/machineregistry"
 	"pinebay/internal/protocol"
 	"pinebay/internal/storage"
 )
@@ -58,7 +58,7 @@
 
 // occupy puts a task of a job on a machine, so that its team uses more.
 func occupy(b *harness, j *Job) {
-	b.scheduler.machines.Adopt(0, &partition.Placement{Task: protocol.TaskID{JobID: j.Spec.ID}, Attempt: 1, Machine: "m-" + j.Spec.ID, Resources: j.TaskResources,
+	b.scheduler.machines.Adopt(0, &machineregistry.Placement{Task: protocol.TaskID{JobID: j.Spec.ID}, Attempt: 1, Machine: "m-" + j.Spec.ID, Resources: j.TaskResources,
 		Team: j.Spec.Team, PriorityLevel: j.EffectivePriority, Job: &j.Spec})
 }
 
--- a/internal/coordination/scheduler/featurelevel_test.go
+++ b/internal/coordination/scheduler/featurelevel_test.go
@@ -11,7 +11,7 @@
 
 	"pinebay/internal/config"
 	"pinebay/internal/coordination/featurelevel"
-	"pinebay/internal/coordination/partition"
+	"pinebay/internal/coordination/machineregistry"
 	"pinebay/internal/protocol"
 	"pinebay/internal/storage"
 )
@@ -87,7 +87,7 @@
 	return known
 }
 
-func describeTask(isDone bool, pl *partition.Placement) string {
+func describeTask(isDone bool, pl *machineregistry.Placement) string {
 	if pl == nil {
 		return fmt.Sprint("done ", isDone)
 	}
@@ -117,7 +117,7 @@
 		}
 	}
 	for _, pl := range rec.Placements {
-		known[pl.Task] = describeTask(isDone[pl.Task], &partition.Placement{Machine: pl.Machine, Incarnation: pl.Incarnation, Attempt: pl.Attempt, Zone: rec.Zones[pl.Zone]})
+		known[pl.Task] = describeTask(isDone[pl.Task], &machineregistry.Placement{Machine: pl.Machine, Incarnation: pl.Incarnation, Attempt: pl.Attempt, Zone: rec.Zones[pl.Zone]})
 	}
 }
 
--- a/internal/coordination/scheduler/fullscan_test.go
+++ b/internal/coordination/scheduler/fullscan_test.go
@@ -12,8 +12,8 @@
 	"pgregory.net/rapid"
 
 	"pinebay/internal/config"
-	"pinebay/internal/coordination/partition"
-	"pinebay/internal/coordination/zones"
+	"pinebay/internal/coordination/machineregistry"
+	"pinebay/internal/coordination/zonefailover"
 	"pinebay/internal/protocol"
 )
 
@@ -39,10 +39,10 @@
 	})
 }
 
-func (f fullScan) cheapestPreemption(now time.Duration, j *Job, l *zoneLimits, within time.Duration, level int) (best *candidate, bestVictims []*partition.Placement) {
+func (f fullScan) cheapestPreemption(now time.Duration, j *Job, l *zoneLimits, within time.Duration, level int) (best *candidate, bestVictims []*machineregistry.Placement) {
 	bestCost := math.Inf(1)
 	for _, x := range f.scheduler.schedulableCandidates(now) {
-		if !f.scheduler.feasible(now, j, x, l) || x.machine.IsReservedFor(now, j.Spec.ID) || !j.TaskResources.Fits(partition.CapacityOf(x.machineType)) {
+		if !f.scheduler.feasible(now, j, x, l) || x.machine.IsReservedFor(now, j.Spec.ID) || !j.TaskResources.Fits(machineregistry.CapacityOf(x.machineType)) {
 			continue
 		}
 		warm := f.scheduler.machines.FetchTime(now, x.machine, &j.Spec)
@@ -60,10 +60,10 @@
 
 func (f fullScan) mostFreeCapacity(now time.Duration, j *Job, l *zoneLimits, taken map[*candidate]bool) (best *candidate) {
 	for _, x := range f.scheduler.schedulableCandidates(now) {
-		if taken[x] || !f.scheduler.feasible(now, j, x, l) || !j.TaskResources.Fits(partition.CapacityOf(x.machineType)) {
+		if taken[x] || !f.scheduler.feasible(now, j, x, l) || !j.TaskResources.Fits(machineregistry.CapacityOf(x.machineType)) {
 			continue
 		}
-		if best == nil || x.free.DominantShare(partition.CapacityOf(x.machineType)) > best.free.DominantShare(partition.CapacityOf(best.machineType)) {
+		if best == nil || x.free.DominantShare(machineregistry.CapacityOf(x.machineType)) > best.free.DominantShare(machineregistry.CapacityOf(best.machineType)) {
 			best = x
 		}
 	}
@@ -91,7 +91,7 @@
 			b.scheduler.finder = fullScan{b.scheduler}
 		}
 		if zoneReturn {
-			b.scheduler.startZoneFailover(0, zones.DefaultRecoveryOrder(), nil)
+			b.scheduler.startZoneFailover(0, zonefailover.DefaultRecoveryOrder(), nil)
 		}
 		b.onEffect = func(e Effect) { w.effects[i] = append(w.effects[i], describe(e)) }
 		w.benches[i] = b
--- a/internal/coordination/scheduler/gangorder.go
+++ b/internal/coordination/scheduler/gangorder.go
@@ -4,7 +4,7 @@
 	"sort"
 	"time"
 
-	"pinebay/internal/coordination/partition"
+	"pinebay/internal/coordination/machineregistry"
 	"pinebay/internal/protocol"
 )
 
@@ -16,7 +16,7 @@
 // searchKey is what the search for room depends on.
 type searchKey struct {
 	team, image, zone, types string
-	need                     partition.Resources
+	need                     machineregistry.Resources
 	level, placedTasks       int
 	sameZone, spread, spot   bool
 	victimLevel              int // level of the work that may leave, for searches for that
--- a/internal/coordination/scheduler/harness_test.go
+++ b/internal/coordination/scheduler/harness_test.go
@@ -9,10 +9,10 @@
 	"pinebay/internal/config"
 	"pinebay/internal/protocol"
 	"pinebay/internal/storage"
-	"pinebay/internal/testkit"
+	"pinebay/internal/testutil"
 )
 
-func TestMain(m *testing.M) { testkit.Main(m) }
+func TestMain(m *testing.M) { testutil.Main(m) }
 
 // harness drives a core whose writes succeed at once and whose machines are
 // just reports.
--- a/internal/coordination/scheduler/heartbeats.go
+++ b/internal/coordination/scheduler/heartbeats.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"pinebay/internal/config"
-	"pinebay/internal/coordination/partition"
+	"pinebay/internal/coordination/machineregistry"
 	"pinebay/internal/protocol"
 )
 
@@ -70,7 +70,7 @@
 }
 
 // applyHeartbeat takes in what a machine says, in whichever way it came.
-func (c *Scheduler) applyHeartbeat(now time.Duration, r *protocol.WorkerHeartbeat) (m *partition.Machine, newer bool) {
+func (c *Scheduler) applyHeartbeat(now time.Duration, r *protocol.WorkerHeartbeat) (m *machineregistry.Machine, newer bool) {
 	if c.hasSeenLaterTerm(r) || c.autoscaler.RecentlyReleased(r.Machine) {
 		return nil, false
 	}
@@ -83,7 +83,7 @@
 }
 
 // quarantineIfFailing sets a machine aside that fails the tasks of several jobs.
-func (c *Scheduler) quarantineIfFailing(m *partition.Machine) {
+func (c *Scheduler) quarantineIfFailing(m *machineregistry.Machine) {
 	if len(m.FailedJobs) >= 2 && !m.Quarantined {
 		m.Quarantined = true
 		c.log.Info("machine set aside: it fails tasks of several jobs", "machine", m.Name)
@@ -111,7 +111,7 @@
 		return
 	}
 	direct, relayed := 0, 0
-	c.machines.Each(func(m *partition.Machine) {
+	c.machines.Each(func(m *machineregistry.Machine) {
 		switch {
 		case !m.Registered || now-m.LastHeartbeat > c.machines.SilenceTimeout():
 		case m.Relayed:
--- a/internal/coordination/scheduler/imagehints.go
+++ b/internal/coordination/scheduler/imagehints.go
@@ -7,7 +7,7 @@
 	"sort"
 	"time"
 
-	"pinebay/internal/coordination/partition"
+	"pinebay/internal/coordination/machineregistry"
 	"pinebay/internal/protocol"
 	"pinebay/internal/storage"
 )
@@ -21,10 +21,10 @@
 			continue
 		}
 		for _, m := range rec.Machines {
-			var copies []partition.CachedImage
+			var copies []machineregistry.CachedImage
 			for _, i := range m.Images {
 				if i >= 0 && i < len(rec.Images) {
-					copies = append(copies, partition.CachedImage{Image: rec.Images[i], SizeGB: rec.SizesGB[i]})
+					copies = append(copies, machineregistry.CachedImage{Image: rec.Images[i], SizeGB: rec.SizesGB[i]})
 				}
 			}
 			c.machines.SetImageHint(m.Name, copies)
--- a/internal/coordination/scheduler/job.go
+++ b/internal/coordination/scheduler/job.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"pinebay/internal/coordination/dependency"
-	"pinebay/internal/coordination/partition"
+	"pinebay/internal/coordination/machineregistry"
 	"pinebay/internal/protocol"
 	"pinebay/internal/storage"
 )
@@ -26,7 +26,7 @@
 // Job is an accepted job, or one that is over but not yet gone.
 type Job struct {
 	Spec              protocol.Job
-	TaskResources     partition.Resources
+	TaskResources     machineregistry.Resources
 	EffectivePriority int
 	AllowedTypes      string // the allowed types, in one word
 	LiveRevision      uint64 // version of its live record; 0 once it is over
@@ -36,7 +36,7 @@
 	TaskStates    []TaskState
 	TaskCounts    [3]int
 	lowestPending int // no task below it is pending
-	Placements    map[int]*partition.Placement
+	Placements    map[int]*machineregistry.Placement
 	HasRun        map[int]bool // replicas that have run, and should be back soon if lost
 	pages         map[int]*placementPage
 	layout        storage.PageLayout
@@ -52,7 +52,7 @@
 	Ended         bool // cancelled, or its end is recorded
 	Ending        bool // the transaction that ends it is under way
 	writeInFlight bool
-	unstarted     []*partition.Placement // wait for their record
+	unstarted     []*machineregistry.Placement // wait for their record
 	// What follows is the place in the queue of starts, while inStartQueue, and when the record may be
 	// tried again after it was found not to be what the books say, and how often it was.
 	inStartQueue        bool
@@ -75,7 +75,7 @@
 	NextLoanSearch time.Duration
 
 	// ReservedMachines are the machines on which room was cleared for it, as far as known.
-	ReservedMachines map[*partition.Machine]bool
+	ReservedMachines map[*machineregistry.Machine]bool
 	// SearchDoublings is how often the looks of its searches were doubled.
 	SearchDoublings int
 	// CompletionQueued says that it is queued for the record of what has ended, since CompletionQueuedAt.
@@ -88,10 +88,10 @@
 
 func NewJob(spec protocol.Job, stamp uint64, atMS int64, now time.Duration, layout storage.PageLayout) *Job {
 	return &Job{
-		Spec: spec, TaskResources: partition.TaskResources(&spec), EffectivePriority: spec.Priority.Rank(), AllowedTypes: strings.Join(spec.MachineTypes, " "), LiveRevision: stamp, AcceptedMS: atMS, WaitingSince: now,
+		Spec: spec, TaskResources: machineregistry.TaskResources(&spec), EffectivePriority: spec.Priority.Rank(), AllowedTypes: strings.Join(spec.MachineTypes, " "), LiveRevision: stamp, AcceptedMS: atMS, WaitingSince: now,
 		LatestStart: dependency.NoDeadline,
 		TaskStates:  make([]TaskState, spec.TaskCount), TaskCounts: [3]int{spec.TaskCount, 0, 0},
-		Placements: map[int]*partition.Placement{}, HasRun: map[int]bool{}, pages: map[int]*placementPage{}, layout: layout, FailedOn: map[string]bool{},
+		Placements: map[int]*machineregistry.Placement{}, HasRun: map[int]bool{}, pages: map[int]*placementPage{}, layout: layout, FailedOn: map[string]bool{},
 	}
 }
 
--- a/internal/coordination/scheduler/jobcompletion.go
+++ b/internal/coordination/scheduler/jobcompletion.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"pinebay/internal/coordination/dependency"
-	"pinebay/internal/coordination/partition"
+	"pinebay/internal/coordination/machineregistry"
 	"pinebay/internal/protocol"
 	"pinebay/internal/storage"
 )
@@ -133,7 +133,7 @@
 
 // startRecorded lets recorded placements go; a gang's only when all are recorded.
 func (c *Scheduler) startRecorded(j *Job) {
-	var rest []*partition.Placement
+	var rest []*machineregistry.Placement
 	for _, pl := range j.unstarted {
 		if !pl.Recorded {
 			rest = append(rest, pl)
--- a/internal/coordination/scheduler/largefleet_test.go
+++ b/internal/coordination/scheduler/largefleet_test.go
@@ -7,8 +7,8 @@
 	"testing"
 
 	"pinebay/internal/config"
-	"pinebay/internal/coordination/fleet"
-	"pinebay/internal/coordination/zones"
+	"pinebay/internal/coordination/autoscaler"
+	"pinebay/internal/coordination/zonefailover"
 	"pinebay/internal/protocol"
 	"pinebay/internal/storage"
 )
@@ -64,7 +64,7 @@
 				t.Errorf("placements are written: %s", e.VerifyKey)
 			}
 		case CloudRequest:
-			if _, ok := e.Effect.(fleet.ScaleIn); ok {
+			if _, ok := e.Effect.(autoscaler.ScaleIn); ok {
 				t.Errorf("machines are returned: %v", e.Effect)
 			}
 		}
@@ -130,7 +130,7 @@
 // first are gone. Beyond one transaction loans had been refused.
 func TestLedgerOfManyLoans(t *testing.T) {
 	const loans, perBorrower = 1000, 7
-	b := newZoneHarness(zones.DefaultRecoveryOrder(), config.Team{Name: "red"})
+	b := newZoneHarness(zonefailover.DefaultRecoveryOrder(), config.Team{Name: "red"})
 	b.scheduler.cfg.Quota.RAMMB = 49
 	b.takeOver(6)
 	z := b.scheduler.zoneFailover
@@ -138,9 +138,11 @@
 		t.Fatalf("%d loans may be open, want %d", most, loans)
 	}
 	borrower := func(i int) string { return fmt.Sprintf("j-%06d", 900_000+i/perBorrower) }
-	lender := func(i int) zones.TaskAttempt { return zones.TaskAttempt{Job: fmt.Sprintf("j-%06d", i), Attempt: 1} }
+	lender := func(i int) zonefailover.TaskAttempt {
+		return zonefailover.TaskAttempt{Job: fmt.Sprintf("j-%06d", i), Attempt: 1}
+	}
 	for i := range loans {
-		loan := zones.Loan{Term: 6, Number: uint64(i + 1), Lender: lender(i), Borrower: borrower(i), Machine: "m", Zone: "a"}
+		loan := zonefailover.Loan{Term: 6, Number: uint64(i + 1), Lender: lender(i), Borrower: borrower(i), Machine: "m", Zone: "a"}
 		if err := z.ledger.Open(loan); err != nil {
 			t.Fatal(err)
 		}
@@ -172,8 +174,8 @@
 		}
 		return false
 	}
-	held := func() map[zones.TaskAttempt]bool {
-		tasks := map[zones.TaskAttempt]bool{}
+	held := func() map[zonefailover.TaskAttempt]bool {
+		tasks := map[zonefailover.TaskAttempt]bool{}
 		for _, p := range recorded {
 			rec, err := storage.DecodeZoneFailover(p)
 			if err != nil {
--- a/internal/coordination/scheduler/lifecycle.go
+++ b/internal/coordination/scheduler/lifecycle.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"pinebay/internal/config"
-	"pinebay/internal/coordination/partition"
+	"pinebay/internal/coordination/machineregistry"
 	"pinebay/internal/protocol"
 	"pinebay/internal/storage"
 )
@@ -43,7 +43,7 @@
 }
 
 // applyObservations takes in what became of placements.
-func (c *Scheduler) applyObservations(now time.Duration, facts []partition.Observation) {
+func (c *Scheduler) applyObservations(now time.Duration, facts []machineregistry.Observation) {
 	for _, f := range facts {
 		pl := f.Placement
 		j := c.jobs[pl.Task.JobID]
@@ -67,7 +67,7 @@
 }
 
 // placementGone takes in that a placement is proven gone.
-func (c *Scheduler) placementGone(now time.Duration, j *Job, pl *partition.Placement, lost bool) {
+func (c *Scheduler) placementGone(now time.Duration, j *Job, pl *machineregistry.Placement, lost bool) {
 	c.cycleDue = true
 	task := pl.Task.Index
 	delete(j.Placements, task)
@@ -117,7 +117,7 @@
 }
 
 // taskFailed draws the conclusions from an exit that was not asked for.
-func (c *Scheduler) taskFailed(now time.Duration, j *Job, pl *partition.Placement) {
+func (c *Scheduler) taskFailed(now time.Duration, j *Job, pl *machineregistry.Placement) {
 	switch pl.Cause {
 	case protocol.CauseStopped, protocol.CausePeerLost, protocol.CauseDone:
 		return
@@ -163,8 +163,8 @@
 	j.GangStopping = len(j.Placements) > 0
 }
 
-func sortedPlacements(j *Job) []*partition.Placement {
-	list := make([]*partition.Placement, 0, len(j.Placements))
+func sortedPlacements(j *Job) []*machineregistry.Placement {
+	list := make([]*machineregistry.Placement, 0, len(j.Placements))
 	for _, pl := range j.Placements {
 		list = append(list, pl)
 	}
@@ -173,7 +173,7 @@
 }
 
 // stopPlacement asks a placement to end, and takes in when that needs no proof.
-func (c *Scheduler) stopPlacement(now time.Duration, j *Job, pl *partition.Placement, graceS float64) {
+func (c *Scheduler) stopPlacement(now time.Duration, j *Job, pl *machineregistry.Placement, graceS float64) {
 	c.capacityEvents++
 	if c.machines.Stop(now, pl, graceS) && !pl.StartAllowed && j.writeInFlight {
 		// Its record may be written at this moment; it names a placement that
@@ -208,7 +208,7 @@
 // evictOnTerminationNotice takes work off machines that the cloud is about to take away: saved
 // if that can be done in time.
 func (c *Scheduler) evictOnTerminationNotice(now time.Duration) {
-	c.machines.EachWithInterruptionNotice(func(m *partition.Machine) {
+	c.machines.EachWithInterruptionNotice(func(m *machineregistry.Machine) {
 		for _, pl := range c.placementsOn(m) {
 			if !pl.Stopping {
 				c.evict(now, pl, math.MaxInt64)
@@ -219,7 +219,7 @@
 
 // evict stops a placement, with all of its gang if it has one, so that
 // its progress is saved if there is time for that.
-func (c *Scheduler) evict(now time.Duration, pl *partition.Placement, within time.Duration) {
+func (c *Scheduler) evict(now time.Duration, pl *machineregistry.Placement, within time.Duration) {
 	j := c.jobs[pl.Task.JobID]
 	if j == nil {
 		return
--- a/internal/coordination/scheduler/placementpages.go
+++ b/internal/coordination/scheduler/placementpages.go
@@ -7,7 +7,7 @@
 	"sort"
 	"time"
 
-	"pinebay/internal/coordination/partition"
+	"pinebay/internal/coordination/machineregistry"
 	"pinebay/internal/protocol"
 	"pinebay/internal/storage"
 )
@@ -17,7 +17,7 @@
 	revision        uint64 // of its record; 0: nothing is stored
 	highestAttempt  uint64
 	dirty           bool
-	unrecordedExits []*partition.Placement // gone, and still in the record
+	unrecordedExits []*machineregistry.Placement // gone, and still in the record
 }
 
 // supersededPage is a stored page of another layout than its job's.
--- a/internal/coordination/scheduler/placementwriter.go
+++ b/internal/coordination/scheduler/placementwriter.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"pinebay/internal/coordination/partition"
+	"pinebay/internal/coordination/machineregistry"
 	"pinebay/internal/protocol"
 	"pinebay/internal/storage"
 )
@@ -28,10 +28,10 @@
 type jobWrite struct {
 	job          *Job
 	pages        []int
-	size         int                    // of its records, about, as the limits count them
-	coveredExits map[int]int            // of a page, how many of its exits the record no longer counts on
-	starting     []*partition.Placement // whose start waits for this record
-	replaces     []supersededPage       // stored pages that count for no task once this is written
+	size         int                          // of its records, about, as the limits count them
+	coveredExits map[int]int                  // of a page, how many of its exits the record no longer counts on
+	starting     []*machineregistry.Placement // whose start waits for this record
+	replaces     []supersededPage             // stored pages that count for no task once this is written
 	compares     []protocol.Compare
 	ops          []protocol.Op
 }
--- a/internal/coordination/scheduler/placementwriter_test.go
+++ b/internal/coordination/scheduler/placementwriter_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 
 	"pinebay/internal/config"
-	"pinebay/internal/coordination/partition"
+	"pinebay/internal/coordination/machineregistry"
 	"pinebay/internal/protocol"
 	"pinebay/internal/storage"
 )
@@ -291,7 +291,7 @@
 				made++
 				j := NewJob(jobSpec(fmt.Sprintf("j-%06d", made), protocol.Array, rapid.SampledFrom([]protocol.Priority{"urgent", "urgent", "normal", "best_effort"}).Draw(t, "level"), 1, 1), 1, 0, 0, storage.PageLayout{TasksPerPage: 10})
 				j.Spec.Team = rapid.SampledFrom([]string{"red", "blue", "green"}).Draw(t, "team")
-				j.unstarted = []*partition.Placement{{}}
+				j.unstarted = []*machineregistry.Placement{{}}
 				q.add(j)
 				waiting[j] = oldestEvery * (len(waiting) + 1)
 			}
@@ -326,7 +326,7 @@
 	q := newStartQueue()
 	job := func(id, team string) *Job {
 		j := NewJob(jobSpec(id, protocol.Array, "normal", 1, 1), 1, 0, 0, storage.PageLayout{TasksPerPage: 10})
-		j.Spec.Team, j.unstarted = team, []*partition.Placement{{}}
+		j.Spec.Team, j.unstarted = team, []*machineregistry.Placement{{}}
 		return j
 	}
 	for i := range 100 {
--- a/internal/coordination/scheduler/poolscore.go
+++ b/internal/coordination/scheduler/poolscore.go
@@ -5,7 +5,7 @@
 
 	"pinebay/internal/config"
 	"pinebay/internal/coordination/machineindex"
-	"pinebay/internal/coordination/partition"
+	"pinebay/internal/coordination/machineregistry"
 )
 
 // lacksStartLatencyObjective says whether no aim on waiting is stated for a job's class.
@@ -20,7 +20,7 @@
 		return true
 	}
 	for name, t := range c.machines.MachineTypes() {
-		if fetch := c.fetchSeconds(j, name); fetch > max(aim, t.BootSeconds) || fetch*partition.SlowFetchFactor > aim {
+		if fetch := c.fetchSeconds(j, name); fetch > max(aim, t.BootSeconds) || fetch*machineregistry.SlowFetchFactor > aim {
 			return true
 		}
 	}
--- a/internal/coordination/scheduler/preempt.go
+++ b/internal/coordination/scheduler/preempt.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"pinebay/internal/config"
-	"pinebay/internal/coordination/partition"
+	"pinebay/internal/coordination/machineregistry"
 	"pinebay/internal/protocol"
 )
 
@@ -114,7 +114,7 @@
 
 // preemptPlacement stops a placement for another job that wants its room, and can wait for work to be
 // saved for as long as the patience.
-func (c *Scheduler) preemptPlacement(now time.Duration, pl *partition.Placement, id string, patience time.Duration) {
+func (c *Scheduler) preemptPlacement(now time.Duration, pl *machineregistry.Placement, id string, patience time.Duration) {
 	c.log.Info("preempted", "task", pl.Task, "for", id, "machine", pl.Machine)
 	if pl.Job != nil && pl.Job.SaveSeconds >= pl.Job.CheckpointIntervalSeconds/2 {
 		patience = 0 // to save takes as long as what is lost without, and the room is wanted
@@ -135,10 +135,10 @@
 
 // selectVictims chooses the work that would have to leave a machine. Its cost is in
 // seconds of work lost or moved.
-func (c *Scheduler) selectVictims(now time.Duration, j *Job, x *candidate, level int) (out []*partition.Placement, cost float64, ok bool) {
+func (c *Scheduler) selectVictims(now time.Duration, j *Job, x *candidate, level int) (out []*machineregistry.Placement, cost float64, ok bool) {
 	room := x.free // less what this cycle has given away already
-	var lower []*partition.Placement
-	x.machine.EachPlacement(func(pl *partition.Placement) {
+	var lower []*machineregistry.Placement
+	x.machine.EachPlacement(func(pl *machineregistry.Placement) {
 		switch {
 		case pl.Stopping:
 			room = room.Plus(pl.Resources)
@@ -171,7 +171,7 @@
 		}
 		// An old job has been passed over or stopped before, and is the more
 		// likely to be late for it.
-		cost += 1 + lost*pl.Resources.DominantShare(partition.CapacityOf(x.machineType)) + c.jobAge(now, pl).Seconds()/10
+		cost += 1 + lost*pl.Resources.DominantShare(machineregistry.CapacityOf(x.machineType)) + c.jobAge(now, pl).Seconds()/10
 		if pl.Job != nil && pl.Job.Shape == protocol.Gang {
 			// All of it has to find room, and often its image, again.
 			cost += float64(pl.Job.TaskCount) * x.machineType.BootSeconds
@@ -185,7 +185,7 @@
 // guarantee, for a team within its own. What a team runs within its guarantee need not
 // yield to another team. Lower work of other teams had been spared altogether: a guest's
 // idle-time batch then kept whole machines while urgent gangs waited for minutes.
-func (c *Scheduler) mayPreempt(j *Job, pl *partition.Placement, level int) bool {
+func (c *Scheduler) mayPreempt(j *Job, pl *machineregistry.Placement, level int) bool {
 	if c.recoversBefore(pl, j) {
 		return false
 	}
@@ -196,7 +196,7 @@
 }
 
 // jobAge is how long the job of a placement has been known.
-func (c *Scheduler) jobAge(now time.Duration, pl *partition.Placement) time.Duration {
+func (c *Scheduler) jobAge(now time.Duration, pl *machineregistry.Placement) time.Duration {
 	if j := c.jobs[pl.Task.JobID]; j != nil {
 		return now - j.WaitingSince
 	}
--- a/internal/coordination/scheduler/quota.go
+++ b/internal/coordination/scheduler/quota.go
@@ -4,7 +4,7 @@
 	"math"
 
 	"pinebay/internal/config"
-	"pinebay/internal/coordination/partition"
+	"pinebay/internal/coordination/machineregistry"
 )
 
 // team returns the team of that name, or nil.
@@ -15,7 +15,7 @@
 	u := c.machines.TeamUsage(team)
 	t := c.team(team)
 	if t != nil && (t.GuaranteedGPUs > 0 || t.GuaranteedCPUs > 0) {
-		return u.DominantShare(partition.Resources{CPUs: t.GuaranteedCPUs, GPUs: t.GuaranteedGPUs})
+		return u.DominantShare(machineregistry.Resources{CPUs: t.GuaranteedCPUs, GPUs: t.GuaranteedGPUs})
 	}
 	return u.GPUs + u.CPUs
 }
@@ -38,7 +38,7 @@
 }
 
 // exceedsGuaranteedQuota says whether a placement's team uses more than its guarantee.
-func (c *Scheduler) exceedsGuaranteedQuota(pl *partition.Placement) bool {
+func (c *Scheduler) exceedsGuaranteedQuota(pl *machineregistry.Placement) bool {
 	return !fitsGuaranteedQuota(c.team(pl.Team), c.machines.TeamUsage(pl.Team))
 }
 
@@ -65,7 +65,7 @@
 
 // fitsGuaranteedQuota says whether a team that uses so much has a guarantee and fits into
 // it. A resource that no guarantee names does not count.
-func fitsGuaranteedQuota(t *config.Team, used partition.Resources) bool {
+func fitsGuaranteedQuota(t *config.Team, used machineregistry.Resources) bool {
 	if t == nil || t.GuaranteedCPUs == 0 && t.GuaranteedGPUs == 0 {
 		return false
 	}
--- a/internal/coordination/scheduler/recovery.go
+++ b/internal/coordination/scheduler/recovery.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"pinebay/internal/coordination/partition"
+	"pinebay/internal/coordination/machineregistry"
 	"pinebay/internal/protocol"
 	"pinebay/internal/storage"
 )
@@ -108,7 +108,7 @@
 		if pl.Task >= len(j.TaskStates) || j.Placements[pl.Task] != nil || !counts(pl.Task) {
 			continue
 		}
-		np := &partition.Placement{
+		np := &machineregistry.Placement{
 			Task: protocol.TaskID{JobID: j.Spec.ID, Index: pl.Task}, Attempt: pl.Attempt, Machine: pl.Machine, Incarnation: pl.Incarnation,
 			Zone: rec.Zones[pl.Zone], Resources: j.TaskResources, Team: j.Spec.Team, PriorityLevel: j.EffectivePriority, Job: &j.Spec,
 		}
--- a/internal/coordination/scheduler/recoveryorder.go
+++ b/internal/coordination/scheduler/recoveryorder.go
@@ -5,8 +5,8 @@
 	"slices"
 	"time"
 
-	"pinebay/internal/coordination/partition"
-	"pinebay/internal/coordination/zones"
+	"pinebay/internal/coordination/machineregistry"
+	"pinebay/internal/coordination/zonefailover"
 	"pinebay/internal/protocol"
 )
 
@@ -32,7 +32,7 @@
 		return
 	}
 	debts := map[string]float64{}
-	if !z.monitor.AnyInState(zones.Lost) {
+	if !z.monitor.AnyInState(zonefailover.Lost) {
 		debts = z.ledger.Debts()
 	}
 	keys := make(map[*Job]recoverySortKey, len(jobs))
@@ -60,7 +60,7 @@
 
 // recoversBefore says whether, by the order in force, the work of a placement goes before a
 // job, whatever their priorities are.
-func (c *Scheduler) recoversBefore(pl *partition.Placement, j *Job) bool {
+func (c *Scheduler) recoversBefore(pl *machineregistry.Placement, j *Job) bool {
 	if !c.inZoneFailover() {
 		return false
 	}
@@ -103,7 +103,7 @@
 // zoneRiskPenalty is what a start of a critical replica costs more, in seconds, in a zone that may
 // be lost again at any time.
 func (c *Scheduler) zoneRiskPenalty(j *Job, zone string) float64 {
-	if c.zoneFailover == nil || j.EffectivePriority > 0 || j.Spec.Shape != protocol.Service || c.zoneFailover.monitor.State(zone) == zones.Available {
+	if c.zoneFailover == nil || j.EffectivePriority > 0 || j.Spec.Shape != protocol.Service || c.zoneFailover.monitor.State(zone) == zonefailover.Available {
 		return 0
 	}
 	return c.cfg.Workers.LeaseSeconds
--- a/internal/coordination/scheduler/scheduler.go
+++ b/internal/coordination/scheduler/scheduler.go
@@ -6,11 +6,11 @@
 	"time"
 
 	"pinebay/internal/config"
+	"pinebay/internal/coordination/autoscaler"
 	"pinebay/internal/coordination/dependency"
 	"pinebay/internal/coordination/featurelevel"
-	"pinebay/internal/coordination/fleet"
-	"pinebay/internal/coordination/partition"
-	"pinebay/internal/coordination/zones"
+	"pinebay/internal/coordination/machineregistry"
+	"pinebay/internal/coordination/zonefailover"
 	"pinebay/internal/protocol"
 	"pinebay/internal/storage"
 )
@@ -47,8 +47,8 @@
 	cancelledDependents []*Job // cancelled with a job that they await, and not recorded yet
 	delayedCalls        []delayedCall
 
-	machines               *partition.Registry
-	autoscaler             *fleet.Autoscaler
+	machines               *machineregistry.Registry
+	autoscaler             *autoscaler.Autoscaler
 	jobs                   map[string]*Job
 	queues                 *jobQueues
 	teams                  map[string]*config.Team
@@ -86,7 +86,7 @@
 	arrivals            map[string][]time.Duration // by class, newest last
 	newestJobs          map[string]*protocol.Job   // the newest job of each class
 	meanTasks           map[string]float64         // mean tasks of a job
-	forecastUnits       []fleet.Demand             // room wanted for jobs to come
+	forecastUnits       []autoscaler.Demand        // room wanted for jobs to come
 	decayedArrivals     map[string]float64         // jobs in the memory of arrivals, by class
 	inheritedArrivals   map[string]float64         // what the last leader counted
 	imageHintPages      map[string]string          // images records as written
@@ -113,10 +113,10 @@
 
 // New returns the core of a term that has read the records, at the given time of day. order
 // turns on zone return; nil leaves it off.
-func New(now time.Duration, cfg *config.Deployment, log *slog.Logger, term Term, rec RecoveredRecords, wallMS int64, order *zones.RecoveryOrder) *Scheduler {
+func New(now time.Duration, cfg *config.Deployment, log *slog.Logger, term Term, rec RecoveredRecords, wallMS int64, order *zonefailover.RecoveryOrder) *Scheduler {
 	c := &Scheduler{
 		cfg: cfg, log: log, term: term.Number, termRevision: term.Revision, controller: term.Controller, termStartedMS: wallMS, dependencies: dependency.New(),
-		machines: partition.New(term.Number, cfg.Workers), autoscaler: fleet.New(term.Number, cfg.Cloud, cfg.Workers), jobs: map[string]*Job{}, cancellationIntents: map[string]time.Duration{},
+		machines: machineregistry.New(term.Number, cfg.Workers), autoscaler: autoscaler.New(term.Number, cfg.Cloud, cfg.Workers), jobs: map[string]*Job{}, cancellationIntents: map[string]time.Duration{},
 		writesInFlight: map[uint64]func(time.Duration, TransactionOutcome){}, cycleDue: true, termStartedAt: now,
 		lastCycleAt: now - CycleInterval, lastPlanAt: now - CycleInterval,
 		arrivals: map[string][]time.Duration{}, newestJobs: map[string]*protocol.Job{}, meanTasks: map[string]float64{},
--- a/internal/coordination/scheduler/score.go
+++ b/internal/coordination/scheduler/score.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"pinebay/internal/config"
-	"pinebay/internal/coordination/partition"
+	"pinebay/internal/coordination/machineregistry"
 	"pinebay/internal/protocol"
 )
 
@@ -46,7 +46,7 @@
 // goes before. A job that comes first may take it: did every gang keep what was
 // cleared for it, each could sit on a part of what one of them needs. And a job
 // that has found its room elsewhere keeps none.
-func (c *Scheduler) nominatedForOther(now time.Duration, m *partition.Machine, id string) bool {
+func (c *Scheduler) nominatedForOther(now time.Duration, m *machineregistry.Machine, id string) bool {
 	if m.ReservedJob == "" || m.ReservedJob == id || now >= m.ReservedUntil {
 		return false
 	}
@@ -63,13 +63,13 @@
 	yields := c.yieldingFetches(j)
 	warm := c.machines.FetchTimeWithout(now, x.machine, &j.Spec, yields)
 	s := warm.Seconds() + c.machines.FetchDelayWithout(now, x.machine, &j.Spec, yields).Seconds()
-	cap := partition.CapacityOf(x.machineType)
+	cap := machineregistry.CapacityOf(x.machineType)
 	if aim := c.startLatencyObjective(j.Spec.Class); math.IsInf(aim, 1) || warm > config.Seconds(max(aim, x.machineType.BootSeconds)) {
 		// No aim presses, or the fetch outlasts the aim and a boot. The next of its kind will want
 		// to start here without one, so room beside it, free or held by arrays,
 		// is worth having: half the fetch at most, as a warm machine stays better.
 		s += 1 - warm.Seconds()/2*x.free.Minus(j.TaskResources).Plus(x.machine.ArrayUsage()).DominantShare(cap)
-	} else if warm > 0 && warm.Seconds()*partition.SlowFetchFactor > c.startLatencyObjective(j.Spec.Class) && x.machine.PlacementCount() > 0 {
+	} else if warm > 0 && warm.Seconds()*machineregistry.SlowFetchFactor > c.startLatencyObjective(j.Spec.Class) && x.machine.PlacementCount() > 0 {
 		// The same for smaller fetches, but an empty machine is left to jobs that
 		// want a whole one.
 		s -= x.free.Minus(j.TaskResources).Plus(x.machine.ArrayUsage()).DominantShare(cap)
@@ -114,11 +114,11 @@
 // steps lower in priority that are fetching, and lose nothing but that. In a
 // crowd, as when a fleet is opened, arrays had come first, and replicas that shared
 // the rate with them took twice as long to be up.
-func (c *Scheduler) yieldingFetches(j *Job) func(*partition.Placement) bool {
+func (c *Scheduler) yieldingFetches(j *Job) func(*machineregistry.Placement) bool {
 	if j.Spec.Shape == protocol.Gang || math.IsInf(c.startLatencyObjective(j.Spec.Class), 1) {
 		return nil
 	}
-	return func(pl *partition.Placement) bool {
+	return func(pl *machineregistry.Placement) bool {
 		return pl.PriorityLevel >= j.EffectivePriority+2 && pl.Job != nil && pl.Job.Shape == protocol.Array && pl.Job.Image != j.Spec.Image &&
 			(!pl.StartAllowed || pl.State == protocol.TaskFetching) // one from an earlier term may run unseen
 	}
--- a/internal/coordination/scheduler/search.go
+++ b/internal/coordination/scheduler/search.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"pinebay/internal/coordination/machineindex"
-	"pinebay/internal/coordination/partition"
+	"pinebay/internal/coordination/machineregistry"
 )
 
 // machineFinder looks for machines within a cycle. Tests have another one that looks at all of them.
@@ -18,7 +18,7 @@
 	bestWithImage(now time.Duration, j *Job, l *zoneLimits, allowed func(*candidate) bool) *candidate
 	// cheapestPreemption returns the candidate on which it costs least to make room for a task of the
 	// job, by stopping work of at least the given level, and what would have to leave.
-	cheapestPreemption(now time.Duration, j *Job, l *zoneLimits, within time.Duration, level int) (*candidate, []*partition.Placement)
+	cheapestPreemption(now time.Duration, j *Job, l *zoneLimits, within time.Duration, level int) (*candidate, []*machineregistry.Placement)
 	// mostFreeCapacity returns the candidate with most free room of those that the job allows and that
 	// could hold a task of it, but for those taken.
 	mostFreeCapacity(now time.Duration, j *Job, l *zoneLimits, taken map[*candidate]bool) *candidate
@@ -114,11 +114,11 @@
 		f.searchSet(set, j, f.minScoreWithImage(q, j), has, best)
 		return true
 	}
-	q.ScoreBound = func(capacity, free partition.Resources) float64 {
+	q.ScoreBound = func(capacity, free machineregistry.Resources) float64 {
 		return free.Minus(j.TaskResources).DominantShare(capacity)
 	}
 	if f.scheduler.lacksStartLatencyObjective(j) {
-		q.ScoreBound = func(_, _ partition.Resources) float64 { return 1 } // all score the same
+		q.ScoreBound = func(_, _ machineregistry.Resources) float64 { return 1 } // all score the same
 	}
 	return f.scheduler.candidateIndex.index.Search(q, best, has)
 }
@@ -146,9 +146,9 @@
 }
 
 // searchSet looks at machines in name order, until one scores the least that is possible.
-func (f indexFinder) searchSet(set *partition.MachineSet, j *Job, least float64, judge evaluation, best *machineindex.Best[*candidate]) {
+func (f indexFinder) searchSet(set *machineregistry.MachineSet, j *Job, least float64, judge evaluation, best *machineindex.Best[*candidate]) {
 	looks := 0
-	set.Scan(func(m *partition.Machine) bool {
+	set.Scan(func(m *machineregistry.Machine) bool {
 		if looks++; looks > f.scheduler.searchLimit<<j.SearchDoublings {
 			return false
 		}
@@ -194,7 +194,7 @@
 // scoreBoundWithoutImage bounds what a machine without the job's image scores beyond one fetch of it (see
 // score). While other fetches share its rate, or where a fetch outlasts the aim, the score
 // falls with the room on the machine, by no more than that fetch takes.
-func (f indexFinder) scoreBoundWithoutImage(j *Job, prefersRoom bool) func(capacity, free partition.Resources) float64 {
+func (f indexFinder) scoreBoundWithoutImage(j *Job, prefersRoom bool) func(capacity, free machineregistry.Resources) float64 {
 	aim := f.scheduler.startLatencyObjective(j.Spec.Class)
 	if prefersRoom {
 		longest := 0.0
@@ -205,13 +205,13 @@
 		if !f.scheduler.lacksStartLatencyObjective(j) {
 			least = min(least, -1)
 		}
-		return func(_, _ partition.Resources) float64 { return least }
+		return func(_, _ machineregistry.Resources) float64 { return least }
 	}
 	crowded := math.Inf(1)
 	for name := range f.scheduler.machines.MachineTypes() {
-		crowded = min(crowded, aim/partition.SlowFetchFactor-1-f.scheduler.fetchSeconds(j, name))
+		crowded = min(crowded, aim/machineregistry.SlowFetchFactor-1-f.scheduler.fetchSeconds(j, name))
 	}
-	return func(capacity, free partition.Resources) float64 {
+	return func(capacity, free machineregistry.Resources) float64 {
 		return min(free.Minus(j.TaskResources).DominantShare(capacity), crowded)
 	}
 }
@@ -228,9 +228,9 @@
 		}
 		return 0
 	}
-	q.ScoreBound = func(capacity, free partition.Resources) float64 { return -free.DominantShare(capacity) }
+	q.ScoreBound = func(capacity, free machineregistry.Resources) float64 { return -free.DominantShare(capacity) }
 	f.scheduler.candidateIndex.index.Search(q, &best, func(x *candidate) (float64, bool) {
-		capacity := partition.CapacityOf(x.machineType)
+		capacity := machineregistry.CapacityOf(x.machineType)
 		if taken[x] || !f.scheduler.checkSchedulable(now, x) || !f.scheduler.feasible(now, j, x, l) || !j.TaskResources.Fits(capacity) {
 			return 0, false
 		}
--- a/internal/coordination/scheduler/utilization.go
+++ b/internal/coordination/scheduler/utilization.go
@@ -5,13 +5,13 @@
 	"log/slog"
 	"time"
 
-	"pinebay/internal/coordination/fleet"
-	"pinebay/internal/coordination/partition"
+	"pinebay/internal/coordination/autoscaler"
+	"pinebay/internal/coordination/machineregistry"
 	"pinebay/internal/protocol"
 )
 
 // logUtilization tells how the machines are used.
-func (c *Scheduler) logUtilization(now time.Duration, units []fleet.Demand) {
+func (c *Scheduler) logUtilization(now time.Duration, units []autoscaler.Demand) {
 	if !c.log.Enabled(context.Background(), slog.LevelDebug) {
 		return
 	}
@@ -19,7 +19,7 @@
 	var free, soft float64 // in machines
 	var ordinary, ordinaryFree float64
 	kept := map[string]float64{} // ordinary machines by class
-	c.machines.Each(func(m *partition.Machine) {
+	c.machines.Each(func(m *machineregistry.Machine) {
 		t := c.machines.MachineType(m.Type)
 		switch {
 		case t == nil || !m.Registered:
@@ -31,14 +31,14 @@
 			silent++
 		}
 		up++
-		cap := partition.CapacityOf(t)
+		cap := machineregistry.CapacityOf(t)
 		unused := 1 - cap.Minus(c.machines.FreeCapacity(m)).DominantShare(cap)
 		free += unused
 		if !m.Spot {
 			ordinary++
 			ordinaryFree += unused
 		}
-		m.EachPlacement(func(pl *partition.Placement) {
+		m.EachPlacement(func(pl *machineregistry.Placement) {
 			share := pl.Resources.DominantShare(cap)
 			if pl.Job.Shape == protocol.Array {
 				soft += share
--- a/internal/coordination/scheduler/victimsearch.go
+++ b/internal/coordination/scheduler/victimsearch.go
@@ -4,7 +4,7 @@
 	"math"
 	"time"
 
-	"pinebay/internal/coordination/partition"
+	"pinebay/internal/coordination/machineregistry"
 )
 
 // preemptionLooks bounds what searches for work to stop may cost in a cycle, in machines looked
@@ -16,13 +16,13 @@
 
 // cheapestPreemption looks at the machines that have work which may have to leave: of at least the level,
 // or about to leave anyhow, or any if the job's team is within its guarantee.
-func (f indexFinder) cheapestPreemption(now time.Duration, j *Job, l *zoneLimits, within time.Duration, level int) (*candidate, []*partition.Placement) {
+func (f indexFinder) cheapestPreemption(now time.Duration, j *Job, l *zoneLimits, within time.Duration, level int) (*candidate, []*machineregistry.Placement) {
 	lowest := level
 	if f.scheduler.withinGuaranteedQuota(j) {
 		lowest = 0
 	}
-	sets := []*partition.MachineSet{f.scheduler.machines.MachinesWithStopping()}
-	for r := lowest; r < partition.PriorityLevels; r++ {
+	sets := []*machineregistry.MachineSet{f.scheduler.machines.MachinesWithStopping()}
+	for r := lowest; r < machineregistry.PriorityLevels; r++ {
 		sets = append(sets, f.scheduler.machines.MachinesAtPriority(r))
 	}
 	total := 0
@@ -56,13 +56,13 @@
 	lastExamined   string
 
 	best    *candidate
-	victims []*partition.Placement
+	victims []*machineregistry.Placement
 	cost    float64
 }
 
 // scan looks at the machines of a set from a name on, and then at those before it.
-func (s *victimSearch) scan(set *partition.MachineSet, from string) {
-	look := func(m *partition.Machine) bool {
+func (s *victimSearch) scan(set *machineregistry.MachineSet, from string) {
+	look := func(m *machineregistry.Machine) bool {
 		if s.remaining--; s.remaining < 0 {
 			return false
 		}
@@ -70,20 +70,20 @@
 		s.examine(m)
 		return true
 	}
-	set.Ascend(&partition.Machine{Name: from}, look)
+	set.Ascend(&machineregistry.Machine{Name: from}, look)
 	if from == "" || s.remaining < 0 {
 		return
 	}
-	set.Scan(func(m *partition.Machine) bool { return m.Name < from && look(m) })
+	set.Scan(func(m *machineregistry.Machine) bool { return m.Name < from && look(m) })
 }
 
 // examine takes a machine into account.
-func (s *victimSearch) examine(m *partition.Machine) {
+func (s *victimSearch) examine(m *machineregistry.Machine) {
 	c, j := s.scheduler, s.job
 	c.preemptionBudgetLeft--
 	c.machinesExamined++
 	x := c.candidateOf(s.now, m)
-	if x == nil || !j.TaskResources.Fits(x.free.Plus(m.PreemptibleResources(s.candidateLevel))) || !j.TaskResources.Fits(partition.CapacityOf(x.machineType)) ||
+	if x == nil || !j.TaskResources.Fits(x.free.Plus(m.PreemptibleResources(s.candidateLevel))) || !j.TaskResources.Fits(machineregistry.CapacityOf(x.machineType)) ||
 		!c.feasible(s.now, j, x, s.limits) || m.IsReservedFor(s.now, j.Spec.ID) {
 		return
 	}
--- a/internal/coordination/scheduler/zonefailover.go
+++ b/internal/coordination/scheduler/zonefailover.go
@@ -5,25 +5,25 @@
 	"time"
 
 	"pinebay/internal/config"
-	"pinebay/internal/coordination/partition"
-	"pinebay/internal/coordination/zones"
+	"pinebay/internal/coordination/machineregistry"
+	"pinebay/internal/coordination/zonefailover"
 	"pinebay/internal/protocol"
 )
 
 // zoneFailoverState is the part of the core that acts when a zone is lost and when it comes back
 // (docs/zone-return.md). It is nil unless an operator has turned it on.
 type zoneFailoverState struct {
-	order              *zones.RecoveryOrder
-	monitor            *zones.Monitor
-	ledger             *zones.Ledger
+	order              *zonefailover.RecoveryOrder
+	monitor            *zonefailover.Monitor
+	ledger             *zonefailover.Ledger
 	multiZone          bool // there is more than one zone
 	lastLoanNumber     uint64
-	awaitingPreemption map[zones.TaskAttempt]bool // made in this term, and its lender not told to stop yet
-	departedMachines   map[string]string          // machines that have failed or left the cloud's list, and their zones
-	loansByJob         map[string]int             // how many loans a job has made in this term
-	searchesInCycle    int                        // for how many jobs room was looked for since searchCycleStart
+	awaitingPreemption map[zonefailover.TaskAttempt]bool // made in this term, and its lender not told to stop yet
+	departedMachines   map[string]string                 // machines that have failed or left the cloud's list, and their zones
+	loansByJob         map[string]int                    // how many loans a job has made in this term
+	searchesInCycle    int                               // for how many jobs room was looked for since searchCycleStart
 	searchCycleStart   time.Duration
-	pendingDecisions   []zones.Decision // not told yet
+	pendingDecisions   []zonefailover.Decision // not told yet
 	records            failoverRecords
 }
 
@@ -40,15 +40,15 @@
 )
 
 // startZoneFailover turns zone return on, with what an earlier leader recorded.
-func (c *Scheduler) startZoneFailover(now time.Duration, order *zones.RecoveryOrder, pages []protocol.KeyValue) {
+func (c *Scheduler) startZoneFailover(now time.Duration, order *zonefailover.RecoveryOrder, pages []protocol.KeyValue) {
 	names := c.allowedZones(&protocol.Job{})
 	z := &zoneFailoverState{
-		order: order, multiZone: len(names) > 1, awaitingPreemption: map[zones.TaskAttempt]bool{}, departedMachines: map[string]string{}, loansByJob: map[string]int{}, records: newFailoverRecords(),
-		monitor: zones.NewMonitor(now, config.Seconds(c.cfg.Workers.LeaseSeconds), names),
-		ledger:  zones.NewLedger(c.maxOpenLoans()),
+		order: order, multiZone: len(names) > 1, awaitingPreemption: map[zonefailover.TaskAttempt]bool{}, departedMachines: map[string]string{}, loansByJob: map[string]int{}, records: newFailoverRecords(),
+		monitor: zonefailover.NewMonitor(now, config.Seconds(c.cfg.Workers.LeaseSeconds), names),
+		ledger:  zonefailover.NewLedger(c.maxOpenLoans()),
 	}
 	c.zoneFailover = z
-	c.addDecision(zones.RecoveryOrderInEffect{Order: order.String(), ZoneCount: len(names)})
+	c.addDecision(zonefailover.RecoveryOrderInEffect{Order: order.String(), ZoneCount: len(names)})
 	if z.multiZone {
 		c.recoverZoneFailover(now, pages)
 		c.recoverDisplacedJobs()
@@ -59,7 +59,7 @@
 // under an earlier leader.
 func (c *Scheduler) recoverDisplacedJobs() {
 	for _, zone := range c.zoneFailover.monitor.Zones() {
-		if zone.State != zones.Lost && zone.State != zones.Returning {
+		if zone.State != zonefailover.Lost && zone.State != zonefailover.Returning {
 			continue
 		}
 		for _, j := range c.jobs {
@@ -81,7 +81,7 @@
 }
 
 // addDecision notes a decision, to be told with the next effects.
-func (c *Scheduler) addDecision(d zones.Decision) {
+func (c *Scheduler) addDecision(d zonefailover.Decision) {
 	c.zoneFailover.pendingDecisions = append(c.zoneFailover.pendingDecisions, d)
 }
 
@@ -98,7 +98,7 @@
 // inZoneFailover says whether a zone is lost or not yet trusted again, so that the order of
 // return is in force.
 func (c *Scheduler) inZoneFailover() bool {
-	return c.zoneFailover != nil && c.zoneFailover.multiZone && c.zoneFailover.monitor.AnyInState(zones.Lost, zones.Returning)
+	return c.zoneFailover != nil && c.zoneFailover.multiZone && c.zoneFailover.monitor.AnyInState(zonefailover.Lost, zonefailover.Returning)
 }
 
 // wallClockMS is the time of day at a moment, in milliseconds.
@@ -113,21 +113,21 @@
 		return
 	}
 	for _, change := range z.monitor.Observe(now, c.observeZones(now)) {
-		c.addDecision(zones.ZoneChanged{Change: change})
+		c.addDecision(zonefailover.ZoneChanged{Change: change})
 		z.records.dirty[z.records.firstPage()] = true
 		switch change.To {
-		case zones.Lost:
-			c.addDecision(zones.RecoveryOrderInEffect{Order: z.order.String(), ZoneCount: len(z.monitor.Zones())})
-		case zones.Returning:
+		case zonefailover.Lost:
+			c.addDecision(zonefailover.RecoveryOrderInEffect{Order: z.order.String(), ZoneCount: len(z.monitor.Zones())})
+		case zonefailover.Returning:
 			c.probeZone(change.Zone)
-		case zones.Available:
+		case zonefailover.Available:
 			maps.DeleteFunc(z.departedMachines, func(_, zone string) bool { return zone == change.Zone })
 		}
 	}
 	c.closeFinishedLoans(now)
 	c.setZonePolicies(now)
 	c.fenceLostMachines(now, jobs)
-	if !z.monitor.AnyInState(zones.Suspected, zones.Lost, zones.Returning) {
+	if !z.monitor.AnyInState(zonefailover.Suspected, zonefailover.Lost, zonefailover.Returning) {
 		clear(z.loansByJob)
 		for _, j := range jobs {
 			j.DisplacedFromZone = ""
@@ -136,12 +136,12 @@
 }
 
 // markDisplaced notes that a job has lost a task, which counts if it went with its zone.
-func (c *Scheduler) markDisplaced(j *Job, pl *partition.Placement) {
+func (c *Scheduler) markDisplaced(j *Job, pl *machineregistry.Placement) {
 	if c.zoneFailover == nil || j.Ended {
 		return
 	}
 	switch c.zoneFailover.monitor.State(pl.Zone) {
-	case zones.Lost, zones.Returning:
+	case zonefailover.Lost, zonefailover.Returning:
 		j.DisplacedFromZone = pl.Zone
 	}
 }
--- a/internal/coordination/scheduler/zonefailover_test.go
+++ b/internal/coordination/scheduler/zonefailover_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 
 	"pinebay/internal/config"
-	"pinebay/internal/coordination/zones"
+	"pinebay/internal/coordination/zonefailover"
 	"pinebay/internal/protocol"
 	"pinebay/internal/storage"
 )
@@ -21,10 +21,10 @@
 func TestZoneFailoverRandom(t *testing.T) {
 	made, fenced, lost := 0, 0, 0
 	rapid.Check(t, func(t *rapid.T) {
-		order := zones.DefaultRecoveryOrder()
+		order := zonefailover.DefaultRecoveryOrder()
 		if rapid.Bool().Draw(t, "stated") {
 			var err error
-			order, err = zones.ParseRecoveryOrder("d > team blue", &config.Deployment{Teams: []config.Team{{Name: "blue"}}, Objectives: []config.Objective{{Class: "d"}}})
+			order, err = zonefailover.ParseRecoveryOrder("d > team blue", &config.Deployment{Teams: []config.Team{{Name: "blue"}}, Objectives: []config.Objective{{Class: "d"}}})
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -53,8 +53,8 @@
 		if b.loanOracle.LoanCount > maxRandomLoans {
 			t.Fatalf("%d loans: room goes to and fro\n%s", b.loanOracle.LoanCount, strings.Join(b.describeDecisions(), "\n"))
 		}
-		fenced += countDecisions[zones.MachineFenced](b.decisions)
-		lost += countDecisions[zones.RecoveryOrderInEffect](b.decisions) - 1
+		fenced += countDecisions[zonefailover.MachineFenced](b.decisions)
+		lost += countDecisions[zonefailover.RecoveryOrderInEffect](b.decisions) - 1
 		b.loanOracle.CheckAllClosed()
 		if broken := append(b.orderOracle.Violations, b.loanOracle.Violations...); len(broken) > 0 {
 			t.Fatalf("%s\n%s", broken[0], strings.Join(b.describeDecisions(), "\n"))
@@ -72,7 +72,7 @@
 // TestUnusableFailoverRecords: a record that cannot be read, or is of a newer format, is reported and
 // left alone, and nothing else suffers.
 func TestUnusableFailoverRecords(t *testing.T) {
-	newer, err := protocol.Encode(storage.ZoneFailoverRecord{Format: storage.ZoneFailoverFormat + 1, Zones: []storage.ZoneRow{{Name: "a", State: int(zones.Lost)}}})
+	newer, err := protocol.Encode(storage.ZoneFailoverRecord{Format: storage.ZoneFailoverFormat + 1, Zones: []storage.ZoneRow{{Name: "a", State: int(zonefailover.Lost)}}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -81,12 +81,12 @@
 		t.Fatal(err)
 	}
 	for name, value := range map[string][]byte{"newer": newer, "not a record": {0xc1}, "a number": {7}, "out of form": wrong} {
-		b := newZoneHarness(zones.DefaultRecoveryOrder(), config.Team{Name: "red"})
+		b := newZoneHarness(zonefailover.DefaultRecoveryOrder(), config.Team{Name: "red"})
 		key := storage.ZoneFailoverKey(0)
 		b.records[key] = protocol.KeyValue{Key: key, Value: value, Revision: 9}
 		b.takeOver(6)
 		b.runSeconds(3)
-		if countDecisions[zones.RecordIgnored](b.decisions) != 1 || b.scheduler.zoneFailover.monitor.State("a") != zones.Available {
+		if countDecisions[zonefailover.RecordIgnored](b.decisions) != 1 || b.scheduler.zoneFailover.monitor.State("a") != zonefailover.Available {
 			t.Errorf("%s: %v", name, b.describeDecisions())
 		}
 		if got := b.records[key]; got.Revision != 9 || string(got.Value) != string(value) {
@@ -103,10 +103,10 @@
 // TestSingleZone: with a single zone there is nothing to do, and the log says so.
 func TestSingleZone(t *testing.T) {
 	b := newHarness([]config.Team{{Name: "red"}}, "a")
-	c := New(0, b.scheduler.cfg, b.scheduler.log, Term{Number: 6, Revision: 2}, RecoveredRecords{MachineTypes: []protocol.MachineType{*b.scheduler.machines.MachineType("g8")}}, 0, zones.DefaultRecoveryOrder())
+	c := New(0, b.scheduler.cfg, b.scheduler.log, Term{Number: 6, Revision: 2}, RecoveredRecords{MachineTypes: []protocol.MachineType{*b.scheduler.machines.MachineType("g8")}}, 0, zonefailover.DefaultRecoveryOrder())
 	for _, e := range c.Step(0, Tick{}) {
 		if d, ok := e.(ZoneDecision); ok {
-			if o, ok := d.Decision.(zones.RecoveryOrderInEffect); !ok || !strings.Contains(o.Describe(), "nothing to do") {
+			if o, ok := d.Decision.(zonefailover.RecoveryOrderInEffect); !ok || !strings.Contains(o.Describe(), "nothing to do") {
 				t.Errorf("%s", d.Decision.Describe())
 			}
 		}
--- a/internal/coordination/scheduler/zonefailoverrecords.go
+++ b/internal/coordination/scheduler/zonefailoverrecords.go
@@ -9,7 +9,7 @@
 	"strings"
 	"time"
 
-	"pinebay/internal/coordination/zones"
+	"pinebay/internal/coordination/zonefailover"
 	"pinebay/internal/protocol"
 	"pinebay/internal/storage"
 )
@@ -24,20 +24,20 @@
 	contents      map[int]string // their contents
 	unusable      map[int]bool   // pages that cannot be used, and are left alone
 	dirty         map[int]bool   // pages that have changed since they were last written
-	pageOf        map[zones.TaskAttempt]int
+	pageOf        map[zonefailover.TaskAttempt]int
 	loansOnPage   map[int]int // on each page
 }
 
 func newFailoverRecords() failoverRecords {
 	return failoverRecords{revisions: map[int]uint64{}, contents: map[int]string{}, unusable: map[int]bool{}, dirty: map[int]bool{},
-		pageOf: map[zones.TaskAttempt]int{}, loansOnPage: map[int]int{}}
+		pageOf: map[zonefailover.TaskAttempt]int{}, loansOnPage: map[int]int{}}
 }
 
 // firstPage is the page that the zones stand on.
 func (r *failoverRecords) firstPage() int { return r.nextUsablePage(0) }
 
 // addLoan enters a loan on the first page that has room for it.
-func (r *failoverRecords) addLoan(task zones.TaskAttempt, perPage int) {
+func (r *failoverRecords) addLoan(task zonefailover.TaskAttempt, perPage int) {
 	number := r.firstPage()
 	for r.loansOnPage[number] >= perPage {
 		number = r.nextUsablePage(number + 1)
@@ -47,13 +47,13 @@
 }
 
 // assignPage notes on which page a loan is.
-func (r *failoverRecords) assignPage(task zones.TaskAttempt, number int) {
+func (r *failoverRecords) assignPage(task zonefailover.TaskAttempt, number int) {
 	r.pageOf[task] = number
 	r.loansOnPage[number]++
 }
 
 // removeLoan takes a loan that has ended off its page.
-func (r *failoverRecords) removeLoan(task zones.TaskAttempt) {
+func (r *failoverRecords) removeLoan(task zonefailover.TaskAttempt) {
 	number, ok := r.pageOf[task]
 	if !ok {
 		return
@@ -83,24 +83,24 @@
 	for _, p := range pages {
 		number, err := strconv.Atoi(strings.TrimPrefix(p.Key, storage.ZoneFailoverPrefix))
 		if err != nil {
-			c.addDecision(zones.RecordIgnored{Key: p.Key, Reason: "not a page"})
+			c.addDecision(zonefailover.RecordIgnored{Key: p.Key, Reason: "not a page"})
 			continue
 		}
 		rec, err := storage.DecodeZoneFailover(p)
 		if err != nil {
 			z.records.unusable[number] = true
-			c.addDecision(zones.RecordIgnored{Key: p.Key, Reason: err.Error()})
+			c.addDecision(zonefailover.RecordIgnored{Key: p.Key, Reason: err.Error()})
 			continue
 		}
 		z.records.revisions[number] = p.Revision
 		for _, row := range rec.Zones {
 			since := now - time.Duration(max(0, c.termStartedMS-row.SinceMS))*time.Millisecond
-			z.monitor.Restore(zones.Zone{Name: row.Name, State: zones.State(row.State), Since: since, Flaps: row.Flaps})
+			z.monitor.Restore(zonefailover.Zone{Name: row.Name, State: zonefailover.State(row.State), Since: since, Flaps: row.Flaps})
 		}
 		for _, row := range rec.Loans {
 			loan := loanFromRow(row)
 			if err := z.ledger.Open(loan); err != nil {
-				c.addDecision(zones.RecordIgnored{Key: p.Key, Reason: fmt.Sprintf("loan of %s/%d: %v", row.Lender, row.Task, err)})
+				c.addDecision(zonefailover.RecordIgnored{Key: p.Key, Reason: fmt.Sprintf("loan of %s/%d: %v", row.Lender, row.Task, err)})
 				continue
 			}
 			z.records.assignPage(loan.Lender, number)
@@ -112,14 +112,14 @@
 	}
 }
 
-func loanFromRow(r storage.LoanRow) zones.Loan {
-	return zones.Loan{
-		Term: r.Term, Number: r.Number, Lender: zones.TaskAttempt{Job: r.Lender, Task: r.Task, Attempt: r.Attempt},
+func loanFromRow(r storage.LoanRow) zonefailover.Loan {
+	return zonefailover.Loan{
+		Term: r.Term, Number: r.Number, Lender: zonefailover.TaskAttempt{Job: r.Lender, Task: r.Task, Attempt: r.Attempt},
 		Borrower: r.Borrower, Machine: r.Machine, Zone: r.Zone, LostSeconds: r.LostSeconds, CreatedMS: r.CreatedMS, ExpiresMS: r.ExpiresMS,
 	}
 }
 
-func loanToRow(l zones.Loan) storage.LoanRow {
+func loanToRow(l zonefailover.Loan) storage.LoanRow {
 	return storage.LoanRow{
 		Term: l.Term, Number: l.Number, Lender: l.Lender.Job, Task: l.Lender.Task, Attempt: l.Lender.Attempt,
 		Borrower: l.Borrower, Machine: l.Machine, Zone: l.Zone, LostSeconds: l.LostSeconds, CreatedMS: l.CreatedMS, ExpiresMS: l.ExpiresMS,
@@ -169,7 +169,7 @@
 
 // durableLoans lists the open loans that stand on pages which have not changed, but for those of
 // borrowers that have others on pages which have: what lends to one job is stopped together.
-func (c *Scheduler) durableLoans() (recorded []zones.Loan) {
+func (c *Scheduler) durableLoans() (recorded []zonefailover.Loan) {
 	z := c.zoneFailover
 	waits := map[string]bool{}
 	for _, loan := range z.ledger.Loans() {
--- a/internal/coordination/scheduler/zonefencing.go
+++ b/internal/coordination/scheduler/zonefencing.go
@@ -4,8 +4,8 @@
 	"time"
 
 	"pinebay/internal/config"
-	"pinebay/internal/coordination/partition"
-	"pinebay/internal/coordination/zones"
+	"pinebay/internal/coordination/machineregistry"
+	"pinebay/internal/coordination/zonefailover"
 	"pinebay/internal/protocol"
 )
 
@@ -28,7 +28,7 @@
 // order of return: only that proves the tasks gone. What would find no room stays, and goes
 // on at once when the zone comes back.
 func (c *Scheduler) fenceLostMachines(now time.Duration, jobs []*Job) {
-	if !c.zoneFailover.monitor.AnyInState(zones.Lost) {
+	if !c.zoneFailover.monitor.AnyInState(zonefailover.Lost) {
 		return
 	}
 	patience := c.lostMachineGracePeriod()
@@ -68,7 +68,7 @@
 // fenceBudget is how many machines may be fenced in this cycle.
 func (c *Scheduler) fenceBudget() int {
 	n := 0
-	c.machines.Each(func(m *partition.Machine) {
+	c.machines.Each(func(m *machineregistry.Machine) {
 		if c.isZoneLost(m.Zone) {
 			n++
 		}
@@ -90,7 +90,7 @@
 
 // placementsInLostZones returns the placements of a job on machines of lost zones that have been
 // silent for longer than the patience.
-func (c *Scheduler) placementsInLostZones(now time.Duration, j *Job, patience time.Duration) (held []*partition.Placement) {
+func (c *Scheduler) placementsInLostZones(now time.Duration, j *Job, patience time.Duration) (held []*machineregistry.Placement) {
 	for _, pl := range sortedPlacements(j) {
 		m := c.machines.Machine(pl.Machine)
 		if c.isZoneLost(pl.Zone) && m != nil && now-m.LastHeartbeat > patience {
@@ -101,29 +101,29 @@
 }
 
 // fenceMachineOf has the machine of a placement returned, and says how many that makes.
-func (c *Scheduler) fenceMachineOf(now time.Duration, j *Job, pl *partition.Placement) int {
+func (c *Scheduler) fenceMachineOf(now time.Duration, j *Job, pl *machineregistry.Placement) int {
 	m := c.machines.Machine(pl.Machine)
 	if m == nil || m.Terminating {
 		return 0
 	}
 	since, _ := c.zoneFailover.monitor.LostSince(pl.Zone)
 	m.Terminating = true
-	c.addDecision(zones.MachineFenced{Machine: m.Name, Zone: m.Zone, Job: j.Spec.ID, LostFor: now - since})
+	c.addDecision(zonefailover.MachineFenced{Machine: m.Name, Zone: m.Zone, Job: j.Spec.ID, LostFor: now - since})
 	return 1
 }
 
 // requestInAvailableZones is the room that tasks of a job may take outside the lost zones; false if
 // its limits allow none.
-func (c *Scheduler) requestInAvailableZones(j *Job, tasks int) (zones.CapacityRequest, bool) {
+func (c *Scheduler) requestInAvailableZones(j *Job, tasks int) (zonefailover.CapacityRequest, bool) {
 	perZone := map[string]int{}
 	limits := c.zoneLimitsOf(j)
 	total := 0
 	for _, zone := range c.zoneFailover.monitor.Zones() {
 		allowed := j.Spec.Zone == "" || j.Spec.Zone == zone.Name
-		if left := min(tasks, limits.maxTasksPerZone-limits.tasksPerZone[zone.Name]); allowed && left > 0 && zone.State == zones.Available {
+		if left := min(tasks, limits.maxTasksPerZone-limits.tasksPerZone[zone.Name]); allowed && left > 0 && zone.State == zonefailover.Available {
 			perZone[zone.Name] = left
 			total += left
 		}
 	}
-	return zones.CapacityRequest{Need: j.TaskResources, Tasks: min(tasks, total), MaxPerZone: perZone, DisturbanceCost: c.disturbanceCost()}, total > 0
+	return zonefailover.CapacityRequest{Need: j.TaskResources, Tasks: min(tasks, total), MaxPerZone: perZone, DisturbanceCost: c.disturbanceCost()}, total > 0
 }
--- a/internal/coordination/scheduler/zoneharness_test.go
+++ b/internal/coordination/scheduler/zoneharness_test.go
@@ -9,9 +9,9 @@
 	"pgregory.net/rapid"
 
 	"pinebay/internal/config"
-	"pinebay/internal/coordination/fleet"
-	"pinebay/internal/coordination/partition"
-	"pinebay/internal/coordination/zones"
+	"pinebay/internal/coordination/autoscaler"
+	"pinebay/internal/coordination/machineregistry"
+	"pinebay/internal/coordination/zonefailover"
 	"pinebay/internal/protocol"
 	"pinebay/internal/simulation"
 	"pinebay/internal/storage"
@@ -21,10 +21,10 @@
 // oracles of order and loans.
 type zoneHarness struct {
 	*harness
-	order       *zones.RecoveryOrder
+	order       *zonefailover.RecoveryOrder
 	silent      map[string]bool // machines that are not heard
 	incarnation map[string]uint64
-	decisions   []zones.Decision
+	decisions   []zonefailover.Decision
 	records     map[string]protocol.KeyValue // of zone return, as written
 	orderOracle simulation.RecoveryOrderOracle
 	loanOracle  *simulation.LoanOracle
@@ -33,7 +33,7 @@
 	nextSecond  []func()                   // what the cloud answers, after the cycle
 }
 
-func newZoneHarness(order *zones.RecoveryOrder, teams ...config.Team) *zoneHarness {
+func newZoneHarness(order *zonefailover.RecoveryOrder, teams ...config.Team) *zoneHarness {
 	b := &zoneHarness{harness: newHarness(teams, "a", "b"), order: order, silent: map[string]bool{}, incarnation: map[string]uint64{},
 		records: map[string]protocol.KeyValue{}, loanOracle: simulation.NewLoanOracle()}
 	b.scheduler.cfg.Quota.CoreShare = 1
@@ -75,13 +75,13 @@
 	}
 }
 
-func (b *zoneHarness) callCloud(e fleet.Effect) {
+func (b *zoneHarness) callCloud(e autoscaler.Effect) {
 	switch e := e.(type) {
-	case fleet.ListMachines:
+	case autoscaler.ListMachines:
 		b.after(MachinesListed{RequestedAt: b.now, Failed: true})
-	case fleet.ScaleOut:
+	case autoscaler.ScaleOut:
 		b.after(ScaleOutResult{Request: e.Rental.RequestID, RequestedAt: b.now, Refused: true})
-	case fleet.ScaleIn:
+	case autoscaler.ScaleIn:
 		for _, name := range e.Machines {
 			b.removeMachine(name)
 		}
@@ -161,7 +161,7 @@
 		}
 	}
 	before := b.placedAttempts()
-	used := map[string]partition.Resources{"red": b.scheduler.machines.TeamUsage("red"), "blue": b.scheduler.machines.TeamUsage("blue")}
+	used := map[string]machineregistry.Resources{"red": b.scheduler.machines.TeamUsage("red"), "blue": b.scheduler.machines.TeamUsage("blue")}
 	b.excluded = b.excludedMachines() // some are free for another attempt once the cycle is over
 	b.step(Tick{})
 	if b.scheduler.inZoneFailover() {
@@ -209,7 +209,7 @@
 
 // startsSince returns what was placed since, with what teams used before. What fits into its
 // team's guarantee besides that waits for nobody.
-func (b *zoneHarness) startsSince(before map[placedAttempt]bool, used map[string]partition.Resources) (starts []simulation.PlacedTask) {
+func (b *zoneHarness) startsSince(before map[placedAttempt]bool, used map[string]machineregistry.Resources) (starts []simulation.PlacedTask) {
 	for _, j := range b.scheduler.jobs {
 		team := used[j.Spec.Team]
 		for _, pl := range sortedPlacements(j) {
@@ -241,7 +241,7 @@
 	barred := map[string]map[string]bool{}
 	for id, j := range b.scheduler.jobs {
 		barred[id] = map[string]bool{}
-		b.scheduler.machines.Each(func(m *partition.Machine) {
+		b.scheduler.machines.Each(func(m *machineregistry.Machine) {
 			for t := j.NextPending(0); t >= 0; t = j.NextPending(t + 1) {
 				barred[id][m.Name] = barred[id][m.Name] || m.HasAttempt(protocol.TaskID{JobID: id, Index: t})
 			}
@@ -267,7 +267,7 @@
 
 func (b *zoneHarness) freeCapacities() map[string]simulation.FreeMachine {
 	rooms := map[string]simulation.FreeMachine{}
-	b.scheduler.machines.Each(func(m *partition.Machine) {
+	b.scheduler.machines.Each(func(m *machineregistry.Machine) {
 		if b.scheduler.machines.Schedulable(b.now, m) && m.ReservedJob == "" {
 			rooms[m.Name] = simulation.FreeMachine{Zone: m.Zone, Free: b.scheduler.machines.FreeCapacity(m)}
 		}
@@ -313,7 +313,7 @@
 	}
 }
 
-func countDecisions[D zones.Decision](decisions []zones.Decision) (n int) {
+func countDecisions[D zonefailover.Decision](decisions []zonefailover.Decision) (n int) {
 	for _, d := range decisions {
 		if _, ok := d.(D); ok {
 			n++
@@ -350,26 +350,26 @@
 	t.Helper()
 	for range 60 {
 		b.runSecond()
-		if countDecisions[zones.LoanMade](b.decisions) > 0 {
+		if countDecisions[zonefailover.LoanMade](b.decisions) > 0 {
 			return
 		}
 	}
 	t.Fatalf("no loan was made:\n%s", strings.Join(b.describeDecisions(), "\n"))
 }
 
-func (b *zoneHarness) loanOutcomes() (ends []zones.LoanOutcome) {
+func (b *zoneHarness) loanOutcomes() (ends []zonefailover.LoanOutcome) {
 	for _, d := range b.decisions {
-		if e, ok := d.(zones.LoanEnded); ok {
+		if e, ok := d.(zonefailover.LoanEnded); ok {
 			ends = append(ends, e.Outcome)
 		}
 	}
 	return ends
 }
 
-func (b *zoneHarness) requireOutcomes(t *testing.T, want zones.LoanOutcome) {
+func (b *zoneHarness) requireOutcomes(t *testing.T, want zonefailover.LoanOutcome) {
 	t.Helper()
 	ends := b.loanOutcomes()
-	if len(ends) == 0 || slices.ContainsFunc(ends, func(e zones.LoanOutcome) bool { return e != want }) {
+	if len(ends) == 0 || slices.ContainsFunc(ends, func(e zonefailover.LoanOutcome) bool { return e != want }) {
 		t.Errorf("loans ended as %v, want %s:\n%s", ends, want, strings.Join(b.describeDecisions(), "\n"))
 	}
 	b.loanOracle.CheckAllClosed()
--- a/internal/coordination/scheduler/zoneloans.go
+++ b/internal/coordination/scheduler/zoneloans.go
@@ -4,17 +4,17 @@
 	"time"
 
 	"pinebay/internal/config"
-	"pinebay/internal/coordination/zones"
+	"pinebay/internal/coordination/zonefailover"
 )
 
 // openLoans enters the loans of a choice.
-func (c *Scheduler) openLoans(now time.Duration, j *Job, k *borrowableCapacity, choice zones.Choice) error {
+func (c *Scheduler) openLoans(now time.Duration, j *Job, k *borrowableCapacity, choice zonefailover.Choice) error {
 	z := c.zoneFailover
-	var loans []zones.Loan
+	var loans []zonefailover.Loan
 	for _, task := range choice.Lenders {
 		pl := c.jobs[task.Job].Placements[task.Task]
 		z.lastLoanNumber++
-		loans = append(loans, zones.Loan{
+		loans = append(loans, zonefailover.Loan{
 			Term: c.term, Number: z.lastLoanNumber, Lender: task, Borrower: j.Spec.ID, Machine: pl.Machine, Zone: j.DisplacedFromZone,
 			LostSeconds: c.lostWorkSeconds(now, pl), CreatedMS: c.wallClockMS(now),
 			ExpiresMS: c.wallClockMS(now + config.Seconds(writeOffCancelTimes*c.cfg.Workers.CancelSeconds)),
@@ -27,13 +27,13 @@
 		z.awaitingPreemption[loan.Lender] = true
 		z.loansByJob[loan.Lender.Job]++
 		z.records.addLoan(loan.Lender, c.loansPerPage())
-		c.addDecision(zones.LoanMade{Loan: loan})
+		c.addDecision(zonefailover.LoanMade{Loan: loan})
 	}
 	return nil
 }
 
 // preemptLenders stops the lenders of loans that are recorded now.
-func (c *Scheduler) preemptLenders(now time.Duration, loans []zones.Loan) {
+func (c *Scheduler) preemptLenders(now time.Duration, loans []zonefailover.Loan) {
 	for _, loan := range loans {
 		if !c.zoneFailover.awaitingPreemption[loan.Lender] {
 			continue
@@ -62,24 +62,24 @@
 		z.ledger.Close(loan.Lender)
 		delete(z.awaitingPreemption, loan.Lender)
 		z.records.removeLoan(loan.Lender)
-		c.addDecision(zones.LoanEnded{Loan: loan, Outcome: end})
+		c.addDecision(zonefailover.LoanEnded{Loan: loan, Outcome: end})
 	}
 }
 
 // loanOutcome says how a loan has ended, or "" while it is open.
-func (c *Scheduler) loanOutcome(now time.Duration, loan zones.Loan) zones.LoanOutcome {
+func (c *Scheduler) loanOutcome(now time.Duration, loan zonefailover.Loan) zonefailover.LoanOutcome {
 	j := c.jobs[loan.Lender.Job]
 	if j == nil || j.Ended || loan.Lender.Task >= len(j.TaskStates) || j.TaskStates[loan.Lender.Task] == TaskDone {
-		return zones.LenderEnded
+		return zonefailover.LenderEnded
 	}
 	pl := j.Placements[loan.Lender.Task]
 	switch {
 	case pl != nil && pl.Attempt != loan.Lender.Attempt && pl.StartAllowed:
-		return zones.Repaid
+		return zonefailover.Repaid
 	case pl != nil && pl.Attempt == loan.Lender.Attempt && !pl.Stopping && !c.zoneFailover.awaitingPreemption[loan.Lender]:
-		return zones.LenderNotPreempted
+		return zonefailover.LenderNotPreempted
 	case c.wallClockMS(now) > loan.ExpiresMS:
-		return zones.WrittenOff
+		return zonefailover.WrittenOff
 	}
 	return ""
 }
--- a/internal/coordination/scheduler/zoneloans_test.go
+++ b/internal/coordination/scheduler/zoneloans_test.go
@@ -7,7 +7,7 @@
 	"testing"
 
 	"pinebay/internal/config"
-	"pinebay/internal/coordination/zones"
+	"pinebay/internal/coordination/zonefailover"
 	"pinebay/internal/protocol"
 	"pinebay/internal/storage"
 )
@@ -17,7 +17,7 @@
 // array has so many tasks, which fill a machine together.
 func newLendingHarness(t *testing.T, tasks int) *zoneHarness {
 	t.Helper()
-	b := newZoneHarness(zones.DefaultRecoveryOrder(), config.Team{Name: "red"})
+	b := newZoneHarness(zonefailover.DefaultRecoveryOrder(), config.Team{Name: "red"})
 	for i := range 6 {
 		name := fmt.Sprintf("m%02d", i)
 		b.tasks[name], b.zoneOf[name] = map[protocol.TaskID]protocol.TaskStatus{}, []string{"a", "b"}[i%2]
@@ -55,8 +55,8 @@
 	}
 	b.restoreZone(func(int) bool { return true })
 	b.runSeconds(30)
-	b.requireOutcomes(t, zones.Repaid)
-	if fenced := countDecisions[zones.MachineFenced](b.decisions); fenced != 1 {
+	b.requireOutcomes(t, zonefailover.Repaid)
+	if fenced := countDecisions[zonefailover.MachineFenced](b.decisions); fenced != 1 {
 		t.Errorf("%d machines fenced, want the gang's alone", fenced)
 	}
 }
@@ -67,7 +67,7 @@
 	before := b.placedAttempts()
 	b.unanswered = func(w Write) bool { return strings.HasPrefix(w.VerifyKey, storage.ZoneFailoverPrefix) }
 	b.runSeconds(60)
-	if countDecisions[zones.LoanMade](b.decisions) == 0 {
+	if countDecisions[zonefailover.LoanMade](b.decisions) == 0 {
 		t.Fatal("no loan was made")
 	}
 	for on := range before {
@@ -89,12 +89,12 @@
 	b.runUntilLoan(t)
 	loan := b.scheduler.zoneFailover.ledger.Loans()[0]
 	rec := &storage.ZoneFailoverRecord{Format: storage.ZoneFailoverFormat, Loans: []storage.LoanRow{loanToRow(loan)},
-		Zones: []storage.ZoneRow{{Name: "a", State: int(zones.Lost), SinceMS: b.now.Milliseconds()}}}
+		Zones: []storage.ZoneRow{{Name: "a", State: int(zonefailover.Lost), SinceMS: b.now.Milliseconds()}}}
 	value, err := protocol.Encode(rec)
 	if err != nil {
 		t.Fatal(err)
 	}
-	next := newZoneHarness(zones.DefaultRecoveryOrder(), config.Team{Name: "red"})
+	next := newZoneHarness(zonefailover.DefaultRecoveryOrder(), config.Team{Name: "red"})
 	next.now = b.now
 	next.records[storage.ZoneFailoverKey(0)] = protocol.KeyValue{Key: storage.ZoneFailoverKey(0), Value: value, Revision: 3}
 	page := storage.PlacementPage{HighestAttempt: loan.Lender.Attempt, Team: "red", GPUs: 4, CPUs: 1, MemoryGB: 1, Zones: []string{"b"},
@@ -112,14 +112,14 @@
 		MachineTypes: []protocol.MachineType{*b.scheduler.machines.MachineType("g8")}, LiveJobs: []protocol.KeyValue{{Key: storage.LiveJobKey(low.ID), Value: live, Revision: 1}},
 		Pages: []protocol.KeyValue{{Key: productionPage(low.ID, 0), Value: raw, Revision: 2}}, ZoneReturnPages: []protocol.KeyValue{next.records[storage.ZoneFailoverKey(0)]},
 	}, next.now.Milliseconds(), next.order)
-	if next.scheduler.zoneFailover.monitor.State("a") != zones.Lost || next.scheduler.zoneFailover.ledger.Len() != 1 {
+	if next.scheduler.zoneFailover.monitor.State("a") != zonefailover.Lost || next.scheduler.zoneFailover.ledger.Len() != 1 {
 		t.Fatalf("the records are not taken over: %+v", next.scheduler.zoneFailover.monitor.Zones())
 	}
 	next.tasks[loan.Machine], next.zoneOf[loan.Machine] = map[protocol.TaskID]protocol.TaskStatus{
 		{JobID: low.ID, Index: loan.Lender.Task}: runningTask(protocol.TaskID{JobID: low.ID, Index: loan.Lender.Task}, loan.Lender.Attempt)}, "b"
 	next.sequences[loan.Machine], next.tokens[loan.Machine] = 100, protocol.FencingToken(5, 0)
 	next.runSeconds(3)
-	if ends := next.loanOutcomes(); len(ends) != 1 || ends[0] != zones.LenderNotPreempted {
+	if ends := next.loanOutcomes(); len(ends) != 1 || ends[0] != zonefailover.LenderNotPreempted {
 		t.Errorf("ended as %v", ends)
 	}
 	if len(next.stops) > 0 {
@@ -139,7 +139,7 @@
 	lender := b.scheduler.zoneFailover.ledger.Loans()[0].Lender.Job
 	b.step(JobEnded{ID: lender})
 	b.runSeconds(5)
-	if !slices.Contains(b.loanOutcomes(), zones.LenderEnded) {
+	if !slices.Contains(b.loanOutcomes(), zonefailover.LenderEnded) {
 		t.Errorf("the cancelled lender's loan: %v", b.loanOutcomes())
 	}
 
@@ -148,13 +148,13 @@
 	b.runSeconds(3)
 	b.step(JobEnded{ID: "j-0"})
 	b.runSeconds(30)
-	b.requireOutcomes(t, zones.Repaid)
+	b.requireOutcomes(t, zonefailover.Repaid)
 }
 
 // TestGangShortByOne: for a lost gang of two there is room for one task elsewhere. Nobody lends for
 // that, no machine is returned for it, and the gang starts whole when the zone is back.
 func TestGangShortByOne(t *testing.T) {
-	b := newZoneHarness(zones.DefaultRecoveryOrder(), config.Team{Name: "red"})
+	b := newZoneHarness(zonefailover.DefaultRecoveryOrder(), config.Team{Name: "red"})
 	for i := range 6 {
 		name := fmt.Sprintf("m%02d", i)
 		b.tasks[name], b.zoneOf[name] = map[protocol.TaskID]protocol.TaskStatus{}, []string{"a", "b"}[i%2]
@@ -171,7 +171,7 @@
 	b.scheduler.jobs["j-0"].Spec.Zone = "" // it was there by chance, and may go anywhere
 	b.loseZone()
 	b.runSeconds(60)
-	if countDecisions[zones.LoanMade](b.decisions)+countDecisions[zones.MachineFenced](b.decisions) > 0 || len(b.stops) > 0 {
+	if countDecisions[zonefailover.LoanMade](b.decisions)+countDecisions[zonefailover.MachineFenced](b.decisions) > 0 || len(b.stops) > 0 {
 		t.Fatalf("room is taken for half of a gang:\n%s", strings.Join(b.describeDecisions(), "\n"))
 	}
 	b.restoreZone(func(int) bool { return true })
@@ -186,7 +186,7 @@
 func TestNoBackfillWhileCapacityIsLent(t *testing.T) {
 	b := newLendingHarness(t, 1)
 	b.runSeconds(20)
-	if b.scheduler.zoneFailover.monitor.State("a") != zones.Lost {
+	if b.scheduler.zoneFailover.monitor.State("a") != zonefailover.Lost {
 		t.Fatal("zone a is not lost")
 	}
 	b.step(JobEnded{ID: "j-1"}) // its machine comes free with the next second
@@ -198,7 +198,7 @@
 	b.submit(small)
 	b.scheduler.jobs["j-8"].DisplacedFromZone, b.scheduler.jobs["j-8"].UnschedulableCycles = "a", gangHoldCycles
 	b.runSecond()
-	if countDecisions[zones.LoanMade](b.decisions) == 0 {
+	if countDecisions[zonefailover.LoanMade](b.decisions) == 0 {
 		t.Fatalf("nothing was lent:\n%s", strings.Join(b.describeDecisions(), "\n"))
 	}
 	if b.scheduler.jobs["j-9"].TaskCounts[TaskPlaced] > 0 {
@@ -221,7 +221,7 @@
 	b.scheduler.jobs["j-8"].DisplacedFromZone = "a"
 	before := b.placedAttempts()
 	b.runSeconds(8)
-	if countDecisions[zones.LoanMade](b.decisions) > 0 {
+	if countDecisions[zonefailover.LoanMade](b.decisions) > 0 {
 		t.Errorf("room was lent:\n%s", strings.Join(b.describeDecisions(), "\n"))
 	}
 	for on := range before {
@@ -238,7 +238,7 @@
 		guarantee float64
 		lends     bool
 	}{{8, false}, {4, true}} {
-		b := newZoneHarness(zones.DefaultRecoveryOrder(), config.Team{Name: "red", GuaranteedGPUs: row.guarantee}, config.Team{Name: "blue"})
+		b := newZoneHarness(zonefailover.DefaultRecoveryOrder(), config.Team{Name: "red", GuaranteedGPUs: row.guarantee}, config.Team{Name: "blue"})
 		for i := range 6 {
 			name := fmt.Sprintf("m%02d", i)
 			b.tasks[name], b.zoneOf[name] = map[protocol.TaskID]protocol.TaskStatus{}, []string{"a", "b"}[i%2]
@@ -265,9 +265,9 @@
 		gang.Zone, gang.Team = "b", "blue"
 		b.submit(gang)
 		b.scheduler.jobs["j-8"].DisplacedFromZone = "a"
-		b.scheduler.zoneFailover.monitor.Restore(zones.Zone{Name: "a", State: zones.Lost, Since: b.now})
+		b.scheduler.zoneFailover.monitor.Restore(zonefailover.Zone{Name: "a", State: zonefailover.Lost, Since: b.now})
 		b.runSeconds(5)
-		if got := countDecisions[zones.LoanMade](b.decisions) > 0; got != row.lends {
+		if got := countDecisions[zonefailover.LoanMade](b.decisions) > 0; got != row.lends {
 			t.Errorf("guarantee %v: lent %v, want %v\n%s", row.guarantee, got, row.lends, strings.Join(b.describeDecisions(), "\n"))
 		}
 	}
--- a/internal/coordination/scheduler/zonestates.go
+++ b/internal/coordination/scheduler/zonestates.go
@@ -4,24 +4,24 @@
 	"time"
 
 	"pinebay/internal/config"
-	"pinebay/internal/coordination/fleet"
-	"pinebay/internal/coordination/partition"
-	"pinebay/internal/coordination/zones"
+	"pinebay/internal/coordination/autoscaler"
+	"pinebay/internal/coordination/machineregistry"
+	"pinebay/internal/coordination/zonefailover"
 )
 
 // observeZones counts the machines of each zone by how they were heard.
-func (c *Scheduler) observeZones(now time.Duration) []zones.Observation {
-	var facts []zones.Observation
+func (c *Scheduler) observeZones(now time.Duration) []zonefailover.Observation {
+	var facts []zonefailover.Observation
 	index := map[string]int{}
 	for _, zone := range c.zoneFailover.monitor.Zones() {
 		index[zone.Name] = len(facts)
-		facts = append(facts, zones.Observation{Zone: zone.Name})
+		facts = append(facts, zonefailover.Observation{Zone: zone.Name})
 	}
 	for _, zone := range c.zoneFailover.departedMachines {
 		facts[index[zone]].Departed++
 	}
 	expired := c.maxLeaseLifetime()
-	c.machines.Each(func(m *partition.Machine) {
+	c.machines.Each(func(m *machineregistry.Machine) {
 		i, ok := index[m.Zone]
 		if !ok || m.Terminating {
 			return
@@ -54,7 +54,7 @@
 // probeZone asks the machines of a zone that returns how they stand, without waiting for
 // their workers to find the leader.
 func (c *Scheduler) probeZone(zone string) {
-	c.machines.Each(func(m *partition.Machine) {
+	c.machines.Each(func(m *machineregistry.Machine) {
 		if m.Zone == zone && m.Addr != "" && !m.Terminating {
 			c.prober.queue = append(c.prober.queue, Probe{m.Name, m.Addr})
 		}
@@ -63,17 +63,17 @@
 
 // setZonePolicies tells the fleet how to treat zones that are not as they should be.
 func (c *Scheduler) setZonePolicies(now time.Duration) {
-	policies := map[string]fleet.ZonePolicy{}
+	policies := map[string]autoscaler.ZonePolicy{}
 	lease := config.Seconds(c.cfg.Workers.LeaseSeconds)
 	for _, zone := range c.zoneFailover.monitor.Zones() {
 		switch zone.State {
-		case zones.Suspected:
-			policies[zone.Name] = fleet.ZonePolicy{NoScaleOut: true, NoFencingUntil: zone.Since + 2*c.maxLeaseLifetime()}
-		case zones.Lost:
+		case zonefailover.Suspected:
+			policies[zone.Name] = autoscaler.ZonePolicy{NoScaleOut: true, NoFencingUntil: zone.Since + 2*c.maxLeaseLifetime()}
+		case zonefailover.Lost:
 			policies[zone.Name] = c.lostZonePolicy(now, zone)
-		case zones.Returning:
+		case zonefailover.Returning:
 			// Until a machine there is heard, one at a time shows whether others would be.
-			policies[zone.Name] = fleet.ZonePolicy{ProbeOnly: zone.Evidence.Reachable == 0, NoFencingUntil: zone.Since + lease}
+			policies[zone.Name] = autoscaler.ZonePolicy{ProbeOnly: zone.Evidence.Reachable == 0, NoFencingUntil: zone.Since + lease}
 		}
 	}
 	c.autoscaler.SetZonePolicies(policies)
@@ -82,20 +82,20 @@
 // lostZonePolicy is how the fleet treats a lost zone. Where machines are cut off, new ones would not
 // be heard either, and are tried one at a time. Where all have died, new ones will do as soon
 // as the cloud has some.
-func (c *Scheduler) lostZonePolicy(now time.Duration, zone zones.Zone) fleet.ZonePolicy {
+func (c *Scheduler) lostZonePolicy(now time.Duration, zone zonefailover.Zone) autoscaler.ZonePolicy {
 	lease := config.Seconds(c.cfg.Workers.LeaseSeconds)
 	if zone.Evidence.Machines == 0 && zone.Evidence.Departed > 0 {
-		return fleet.ZonePolicy{}
+		return autoscaler.ZonePolicy{}
 	}
 	probe := now-zone.Since > probeLostZoneLeases*lease
-	return fleet.ZonePolicy{NoScaleOut: !probe, ProbeOnly: probe, IgnoreSilent: true, NoFencingUntil: zone.Since + retainLostZoneLeases*lease}
+	return autoscaler.ZonePolicy{NoScaleOut: !probe, ProbeOnly: probe, IgnoreSilent: true, NoFencingUntil: zone.Since + retainLostZoneLeases*lease}
 }
 
 // noteDepartedMachine notes that a machine has failed, or has left the cloud's list by itself, while its zone
 // is not as it should be.
 func (c *Scheduler) noteDepartedMachine(name string) {
 	m := c.machines.Machine(name)
-	if c.zoneFailover == nil || m == nil || c.zoneFailover.monitor.State(m.Zone) == zones.Available {
+	if c.zoneFailover == nil || m == nil || c.zoneFailover.monitor.State(m.Zone) == zonefailover.Available {
 		return
 	}
 	c.zoneFailover.departedMachines[name] = m.Zone
@@ -103,5 +103,5 @@
 
 // isZoneLost says whether a zone is lost.
 func (c *Scheduler) isZoneLost(zone string) bool {
-	return c.zoneFailover != nil && c.zoneFailover.monitor.State(zone) == zones.Lost
+	return c.zoneFailover != nil && c.zoneFailover.monitor.State(zone) == zonefailover.Lost
 }
--- a/internal/coordination/zones/decisions.go
+++ b/internal/coordination/zonefailover/decisions.go
@@ -1,4 +1,4 @@
-package zones
+package zonefailover
 
 import (
 	"fmt"
--- a/internal/coordination/zones/lenders.go
+++ b/internal/coordination/zonefailover/lenders.go
@@ -1,17 +1,17 @@
-package zones
+package zonefailover
 
 import (
 	"cmp"
 	"math"
 	"slices"
 
-	"pinebay/internal/coordination/partition"
+	"pinebay/internal/coordination/machineregistry"
 )
 
 // Lender is a task that may be stopped for its room.
 type Lender struct {
 	Task TaskAttempt
-	Need partition.Resources
+	Need machineregistry.Resources
 	Cost float64 // work that is lost, in seconds
 	// Gang says that all lenders of the job leave together. Their costs add up.
 	Gang bool
@@ -20,14 +20,14 @@
 // CapacityOffer is a machine whose room may be had.
 type CapacityOffer struct {
 	Machine, Zone string
-	Free          partition.Resources
+	Free          machineregistry.Resources
 	Lenders       []Lender
 	StartCost     float64 // of a start there, as for an image's fetch
 }
 
 // CapacityRequest is room that is wanted for tasks of one job.
 type CapacityRequest struct {
-	Need  partition.Resources
+	Need  machineregistry.Resources
 	Tasks int
 	// MaxPerZone limits how many tasks may go to a zone; a zone that it lacks takes none.
 	MaxPerZone map[string]int
@@ -62,8 +62,8 @@
 type lenderSearch struct {
 	request       CapacityRequest
 	offers        []CapacityOffer
-	free          []partition.Resources // room left on each offer
-	zoneRemaining map[string]int        // tasks that a zone may still take
+	free          []machineregistry.Resources // room left on each offer
+	zoneRemaining map[string]int              // tasks that a zone may still take
 	preempted     map[TaskAttempt]bool
 	disturbedJobs map[string]bool // disturbed already
 	gangs         map[string][]gangMember
@@ -170,7 +170,7 @@
 }
 
 // dropUnneeded drops the lenders without which there is room as well, the dearest first.
-func (s *lenderSearch) dropUnneeded(room partition.Resources, chosen []Lender) []Lender {
+func (s *lenderSearch) dropUnneeded(room machineregistry.Resources, chosen []Lender) []Lender {
 	byCost := slices.Clone(chosen)
 	slices.SortStableFunc(byCost, func(a, b Lender) int { return cmp.Compare(s.lossOf(b), s.lossOf(a)) })
 	for _, lender := range byCost {
--- a/internal/coordination/zones/lenders_test.go
+++ b/internal/coordination/zonefailover/lenders_test.go
@@ -1,4 +1,4 @@
-package zones
+package zonefailover
 
 import (
 	"fmt"
@@ -8,12 +8,12 @@
 
 	"github.com/crillab/gophersat/solver"
 
-	"pinebay/internal/coordination/partition"
-	"pinebay/internal/testkit"
+	"pinebay/internal/coordination/machineregistry"
+	"pinebay/internal/testutil"
 )
 
 // gpus is room that is short of GPUs alone.
-func gpus(n int) partition.Resources { return partition.Resources{GPUs: float64(n)} }
+func gpus(n int) machineregistry.Resources { return machineregistry.Resources{GPUs: float64(n)} }
 
 // randomCase makes up a request, and machines with what runs on them.
 func randomCase(rng *rand.Rand) (CapacityRequest, []CapacityOffer) {
@@ -99,7 +99,7 @@
 // whole, and costs little more in all than the best that a solver finds. Where it finds room
 // for fewer tasks, the solver must be hard put too.
 func TestChooseLendersAgainstSolver(t *testing.T) {
-	rng := rand.New(rand.NewPCG(testkit.Seed(), 17))
+	rng := rand.New(rand.NewPCG(testutil.Seed(), 17))
 	const cases = 300
 	chosen, best, both, missed := 0.0, 0.0, 0, 0
 	for range cases {
@@ -180,14 +180,14 @@
 // BenchmarkSolver shows what the exact choice costs on the drawn cases, and BenchmarkGreedy
 // what ours does.
 func BenchmarkSolver(b *testing.B) {
-	rng := rand.New(rand.NewPCG(testkit.Seed(), 17))
+	rng := rand.New(rand.NewPCG(testutil.Seed(), 17))
 	for b.Loop() {
 		exactCost(randomCase(rng))
 	}
 }
 
 func BenchmarkGreedy(b *testing.B) {
-	rng := rand.New(rand.NewPCG(testkit.Seed(), 17))
+	rng := rand.New(rand.NewPCG(testutil.Seed(), 17))
 	for b.Loop() {
 		ChooseLenders(randomCase(rng))
 	}
--- a/internal/coordination/zones/monitor_test.go
+++ b/internal/coordination/zonefailover/monitor_test.go
@@ -1,4 +1,4 @@
-package zones
+package zonefailover
 
 import (
 	"testing"
@@ -6,10 +6,10 @@
 
 	"pgregory.net/rapid"
 
-	"pinebay/internal/testkit"
+	"pinebay/internal/testutil"
 )
 
-func TestMain(m *testing.M) { testkit.Main(m) }
+func TestMain(m *testing.M) { testutil.Main(m) }
 
 const hold = 10 * time.Second
 
--- a/internal/daemon/controller.go
+++ b/internal/daemon/controller.go
@@ -21,11 +21,11 @@
 	"pinebay/internal/coordination/api"
 	"pinebay/internal/coordination/cancellation"
 	"pinebay/internal/coordination/election"
+	"pinebay/internal/coordination/failuredetector"
 	"pinebay/internal/coordination/featurelevel"
 	"pinebay/internal/coordination/fencing"
 	"pinebay/internal/coordination/leader"
-	"pinebay/internal/coordination/suspicion"
-	"pinebay/internal/coordination/zones"
+	"pinebay/internal/coordination/zonefailover"
 	"pinebay/internal/random"
 	"pinebay/internal/storage"
 	"pinebay/internal/timing"
@@ -96,7 +96,7 @@
 // did, and features send and hold nothing.
 type Features struct {
 	// ZoneReturn is the order in which work returns when a zone is lost; nil: off.
-	ZoneReturn *zones.RecoveryOrder
+	ZoneReturn *zonefailover.RecoveryOrder
 	// Ownership watches the other controllers for failures, and parts the machines among those that live.
 	Ownership bool
 	// Timing measures the leader's steps and heartbeats and logs them; nil: off.
@@ -140,7 +140,7 @@
 	c.mesh = transport.NewMesh(network, cfg.Name, peers, c.times.LeaderTimeout/2, c.log, c.handlePeerMessage,
 		func(node string) { c.electionMailbox.Send(election.PeerDisconnected{Peer: node}) })
 	if features.Ownership {
-		c.failureDetector = &failureDetector{mailbox: actor.NewMailbox[suspicion.Event](), malformedLogLimit: rate.Sometimes{Interval: c.times.LeaderTimeout}}
+		c.failureDetector = &failureDetector{mailbox: actor.NewMailbox[failuredetector.Event](), malformedLogLimit: rate.Sometimes{Interval: c.times.LeaderTimeout}}
 		c.ownership = c.newOwnershipState()
 	}
 	c.levelMailbox = actor.NewMailbox[featurelevel.Event]()
--- a/internal/daemon/failuredetection.go
+++ b/internal/daemon/failuredetection.go
@@ -10,14 +10,14 @@
 	"golang.org/x/time/rate"
 
 	"pinebay/internal/actor"
+	"pinebay/internal/coordination/failuredetector"
 	"pinebay/internal/coordination/ownership"
-	"pinebay/internal/coordination/suspicion"
 	"pinebay/internal/protocol"
 )
 
 // failureDetector is the actor that judges whether other controllers have failed.
 type failureDetector struct {
-	mailbox *actor.Mailbox[suspicion.Event]
+	mailbox *actor.Mailbox[failuredetector.Event]
 	// published is what the next heartbeats say of it.
 	published atomic.Pointer[publishedOpinions]
 	// malformedLogLimit bounds how often malformed opinions are logged.
@@ -26,14 +26,14 @@
 
 // publishedOpinions is what a controller tells the others with its heartbeats.
 type publishedOpinions struct {
-	incarnation suspicion.Incarnation
+	incarnation failuredetector.Incarnation
 	health      int
 	opinions    []protocol.PeerOpinion
 }
 
 // failureDetectorTimes derives the times of suspicion from those of the election.
-func (c *Controller) failureDetectorTimes() suspicion.Timing {
-	return suspicion.Timing{TickInterval: followerHeartbeatFactor * c.times.HeartbeatInterval, SuspicionTimeout: c.times.LeaderTimeout, OpinionTTL: c.times.LeaderTimeout}
+func (c *Controller) failureDetectorTimes() failuredetector.Timing {
+	return failuredetector.Timing{TickInterval: followerHeartbeatFactor * c.times.HeartbeatInterval, SuspicionTimeout: c.times.LeaderTimeout, OpinionTTL: c.times.LeaderTimeout}
 }
 
 // runFailureDetector is the actor; it ends at once while suspicions are off.
@@ -42,8 +42,8 @@
 		return
 	}
 	times := c.failureDetectorTimes()
-	machine := suspicion.New(c.now(), c.cfg.Name, c.intents.Incarnation(), c.mesh.Peers(), times)
-	step := func(e suspicion.Event) {
+	machine := failuredetector.New(c.now(), c.cfg.Name, c.intents.Incarnation(), c.mesh.Peers(), times)
+	step := func(e failuredetector.Event) {
 		now := c.now()
 		machine.SetVoting(c.intents.Recovered(now))
 		for _, effect := range machine.Step(now, e) {
@@ -54,13 +54,13 @@
 	c.failureDetector.mailbox.Run(ctx, times.TickInterval, step, func() {
 		if now := c.now(); now-ticked >= times.TickInterval {
 			ticked = now
-			step(suspicion.Tick{})
+			step(failuredetector.Tick{})
 			c.failureDetector.publish(now, machine)
 		}
 	})
 }
 
-func (s *failureDetector) publish(now time.Duration, m *suspicion.Detector) {
+func (s *failureDetector) publish(now time.Duration, m *failuredetector.Detector) {
 	out := &publishedOpinions{incarnation: m.Incarnation(), health: m.HealthScore()}
 	opinions := m.Opinions(now)
 	for _, name := range slices.Sorted(maps.Keys(opinions)) {
@@ -77,14 +77,14 @@
 	s.published.Store(out)
 }
 
-func (c *Controller) applyDetectorEffect(ctx context.Context, effect suspicion.Effect) {
+func (c *Controller) applyDetectorEffect(ctx context.Context, effect failuredetector.Effect) {
 	switch e := effect.(type) {
-	case suspicion.DecisionMade:
+	case failuredetector.DecisionMade:
 		c.log.Info("suspicion", "decision", e.Decision.Describe())
-		if v, ok := e.Decision.(suspicion.Verdict); ok {
+		if v, ok := e.Decision.(failuredetector.Verdict); ok {
 			c.ownership.mailbox.Send(ownership.Verdict{Member: ownership.Member{Controller: v.Controller, Incarnation: v.Incarnation}, Reason: v.Describe()})
 		}
-	case suspicion.Probe:
+	case failuredetector.Probe:
 		for _, through := range e.Through {
 			go c.probeThrough(ctx, e.Target, through)
 		}
@@ -97,7 +97,7 @@
 	if err != nil || r.TargetReached == nil {
 		return
 	}
-	c.failureDetector.mailbox.Send(suspicion.ProbeResult{Target: target, Through: through, Reached: *r.TargetReached})
+	c.failureDetector.mailbox.Send(failuredetector.ProbeResult{Target: target, Through: through, Reached: *r.TargetReached})
 }
 
 // probeTimeoutDivisor is the part of a call's time, as its inverse, that a probe on behalf of a peer may take:
@@ -133,7 +133,7 @@
 	if c.failureDetector == nil || m.Incarnation == 0 {
 		return
 	}
-	heard := suspicion.PeerHeartbeat{Peer: m.From, Incarnation: suspicion.Incarnation{Process: m.Incarnation, Refutations: m.Refutations}, HealthScore: max(0, m.HealthScore), Voting: m.Recovered}
+	heard := failuredetector.PeerHeartbeat{Peer: m.From, Incarnation: failuredetector.Incarnation{Process: m.Incarnation, Refutations: m.Refutations}, HealthScore: max(0, m.HealthScore), Voting: m.Recovered}
 	if err := protocol.CheckOpinions(m.Opinions); err != nil {
 		c.failureDetector.malformedLogLimit.Do(func() { c.log.Info("opinions refused", "from", m.From, "err", err) })
 	} else {
@@ -142,15 +142,15 @@
 	c.failureDetector.mailbox.Send(heard)
 }
 
-func decodeOpinions(list []protocol.PeerOpinion) map[string]suspicion.Opinion {
-	out := make(map[string]suspicion.Opinion, len(list))
+func decodeOpinions(list []protocol.PeerOpinion) map[string]failuredetector.Opinion {
+	out := make(map[string]failuredetector.Opinion, len(list))
 	for _, o := range list {
 		heard := time.Duration(o.HeardAgoMS) * time.Millisecond
 		if o.HeardAgoMS < 0 {
 			heard = -1
 		}
-		out[o.Controller] = suspicion.Opinion{
-			Incarnation: suspicion.Incarnation{Process: o.Incarnation, Refutations: o.Refutations}, HeardAgo: heard, Suspected: o.Suspected,
+		out[o.Controller] = failuredetector.Opinion{
+			Incarnation: failuredetector.Incarnation{Process: o.Incarnation, Refutations: o.Refutations}, HeardAgo: heard, Suspected: o.Suspected,
 			SuspectedFor: time.Duration(o.SuspectedForMS) * time.Millisecond, Phi: o.Phi, Failed: o.Failed, UnreachableThrough: o.UnreachableThrough,
 		}
 	}
--- a/internal/daemon/ownership.go
+++ b/internal/daemon/ownership.go
@@ -9,9 +9,9 @@
 
 	"pinebay/internal/actor"
 	"pinebay/internal/config"
+	"pinebay/internal/coordination/failuredetector"
 	"pinebay/internal/coordination/featurelevel"
 	"pinebay/internal/coordination/ownership"
-	"pinebay/internal/coordination/suspicion"
 	"pinebay/internal/protocol"
 	"pinebay/internal/storage"
 )
@@ -72,11 +72,11 @@
 }
 
 // incarnation is the one that this process is in.
-func (c *Controller) incarnation() suspicion.Incarnation {
+func (c *Controller) incarnation() failuredetector.Incarnation {
 	if s := c.failureDetector.published.Load(); s != nil {
 		return s.incarnation
 	}
-	return suspicion.Incarnation{Process: c.intents.Incarnation()}
+	return failuredetector.Incarnation{Process: c.intents.Incarnation()}
 }
 
 func (c *Controller) applyOwnershipEffect(ctx context.Context, effect ownership.Effect) {
@@ -204,7 +204,7 @@
 	}
 	r := ownership.Record{Epoch: rec.Epoch, Reason: rec.Reason, Revision: version}
 	for _, e := range rec.Members {
-		r.Members = append(r.Members, ownership.Member{Controller: e.Controller, Incarnation: suspicion.Incarnation{Process: e.Incarnation, Refutations: e.Refutations}})
+		r.Members = append(r.Members, ownership.Member{Controller: e.Controller, Incarnation: failuredetector.Incarnation{Process: e.Incarnation, Refutations: e.Refutations}})
 	}
 	c.ownership.mailbox.Send(ownership.RecordRead{Record: r})
 }
@@ -258,7 +258,7 @@
 	if c.ownership == nil || m.Incarnation == 0 {
 		return
 	}
-	c.ownership.mailbox.Send(ownership.PeerHeartbeat{CanOwn: m.CanOwn, Member: ownership.Member{Controller: m.From, Incarnation: suspicion.Incarnation{Process: m.Incarnation, Refutations: m.Refutations}}})
+	c.ownership.mailbox.Send(ownership.PeerHeartbeat{CanOwn: m.CanOwn, Member: ownership.Member{Controller: m.From, Incarnation: failuredetector.Incarnation{Process: m.Incarnation, Refutations: m.Refutations}}})
 	if m.Leader == m.From {
 		c.ownership.leaderEpoch.Store(&leaderEpoch{node: m.From, epoch: m.OwnershipEpoch})
 	}
--- a/internal/daemon/times_test.go
+++ b/internal/daemon/times_test.go
@@ -8,10 +8,10 @@
 
 	"pinebay/internal/config"
 	"pinebay/internal/coordination/election"
-	"pinebay/internal/testkit"
+	"pinebay/internal/testutil"
 )
 
-func TestMain(m *testing.M) { testkit.Main(m) }
+func TestMain(m *testing.M) { testutil.Main(m) }
 
 // TestTimesFitTheCancelTime: whatever the settings, a lease that was renewed without
 // knowing of a cancellation ends before the task must be gone, with an eighth of the
--- a/internal/scale/controllers.go
+++ b/internal/loadtest/controllers.go
@@ -1,4 +1,4 @@
-package scale
+package loadtest
 
 import (
 	"bufio"
--- a/internal/scale/loadtest_test.go
+++ b/internal/loadtest/loadtest_test.go
@@ -1,4 +1,4 @@
-package scale
+package loadtest
 
 import (
 	"context"
@@ -18,13 +18,13 @@
 
 	"pinebay/internal/protocol"
 	"pinebay/internal/simulation"
-	"pinebay/internal/testkit"
+	"pinebay/internal/testutil"
 )
 
 // TestMain runs the tests, or a worker of a run that one of them has started.
 func TestMain(m *testing.M) {
 	if os.Getenv(WorkerEnvVar) == "" {
-		testkit.Main(m)
+		testutil.Main(m)
 		return
 	}
 	cfg, err := WorkerFromEnvironment()
--- a/internal/protocol/compatibility_test.go
+++ b/internal/protocol/compatibility_test.go
@@ -6,7 +6,7 @@
 	"strings"
 	"testing"
 
-	"pinebay/internal/testkit"
+	"pinebay/internal/testutil"
 )
 
 // TestPeerMessagesAsInProduction: every message between controllers as the version in production sends it is read, and
@@ -21,7 +21,7 @@
 		"report":       {Kind: PeerForwardedHeartbeat, ID: 11, From: "bothy-2", Body: []byte{0x80}},
 		"heard":        {Kind: PeerLiveMachinesQuery, ID: 12, From: "bothy-2", Machines: []string{"host-000231"}},
 	} {
-		raw := testkit.Production(t, name)
+		raw := testutil.Production(t, name)
 		written, err := EncodePeerMessage(&want)
 		if err != nil || !bytes.Equal(written, raw) {
 			t.Errorf("%s is written otherwise: %x, want %x, %v", name, written, raw, err)
--- a/internal/protocol/protocol_test.go
+++ b/internal/protocol/protocol_test.go
@@ -10,10 +10,10 @@
 
 	"pgregory.net/rapid"
 
-	"pinebay/internal/testkit"
+	"pinebay/internal/testutil"
 )
 
-func TestMain(m *testing.M) { testkit.Main(m) }
+func TestMain(m *testing.M) { testutil.Main(m) }
 
 func word() *rapid.Generator[string] { return rapid.StringMatching(`[a-z][a-z0-9-]{0,20}`) }
 
--- a/internal/simulation/failoveroracle.go
+++ b/internal/simulation/failoveroracle.go
@@ -3,21 +3,21 @@
 import (
 	"fmt"
 
-	"pinebay/internal/coordination/partition"
+	"pinebay/internal/coordination/machineregistry"
 	"pinebay/internal/storage"
 )
 
 // FreeMachine is what is free on a machine.
 type FreeMachine struct {
 	Zone string
-	Free partition.Resources
+	Free machineregistry.Resources
 }
 
 // WaitingJob is a job in the order of return.
 type WaitingJob struct {
 	ID                      string
 	Position, PriorityLevel int
-	Resources               partition.Resources
+	Resources               machineregistry.Resources
 	// Tasks must be placed together; 1 for a job whose tasks start one by one.
 	Tasks int
 	// SameZone says that they must be in one zone.
--- a/internal/simulation/failoveroracle_test.go
+++ b/internal/simulation/failoveroracle_test.go
@@ -4,13 +4,13 @@
 	"strings"
 	"testing"
 
-	"pinebay/internal/coordination/partition"
+	"pinebay/internal/coordination/machineregistry"
 	"pinebay/internal/storage"
 )
 
 // TestRecoveryOrderOracle: the oracle sees a start that takes an earlier job's room, and no other.
 func TestRecoveryOrderOracle(t *testing.T) {
-	need := func(n float64) partition.Resources { return partition.Resources{GPUs: n} }
+	need := func(n float64) machineregistry.Resources { return machineregistry.Resources{GPUs: n} }
 	job := func(id string, position, level, tasks int, n float64) WaitingJob {
 		return WaitingJob{ID: id, Position: position, PriorityLevel: level, Tasks: tasks, Resources: need(n), MaxPerZone: map[string]int{"b": 2}}
 	}
--- a/internal/simulation/pipeline_test.go
+++ b/internal/simulation/pipeline_test.go
@@ -12,7 +12,7 @@
 	"pinebay/internal/daemon"
 	"pinebay/internal/protocol"
 	"pinebay/internal/storage"
-	"pinebay/internal/testkit"
+	"pinebay/internal/testutil"
 )
 
 // pipeline submits the jobs of a pipeline one after another, each as soon as those that it awaits are accepted:
@@ -264,7 +264,7 @@
 
 // TestDrawnUpgrades plays upgrades in drawn orders with drawn troubles, and pipelines throughout.
 func TestDrawnUpgrades(t *testing.T) {
-	for seed := testkit.Seed(); seed < testkit.Seed()+6; seed++ {
+	for seed := testutil.Seed(); seed < testutil.Seed()+6; seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			rng := rand.New(rand.NewPCG(seed, 11))
--- a/internal/simulation/random_scenarios_test.go
+++ b/internal/simulation/random_scenarios_test.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"pinebay/internal/config"
-	"pinebay/internal/testkit"
+	"pinebay/internal/testutil"
 )
 
 // step is what happens at a time after the jobs have settled.
@@ -81,7 +81,7 @@
 
 // TestDrawnScenarios plays scenarios that nobody named.
 func TestDrawnScenarios(t *testing.T) {
-	for seed := testkit.Seed(); seed < testkit.Seed()+10; seed++ {
+	for seed := testutil.Seed(); seed < testutil.Seed()+10; seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			rng := rand.New(rand.NewPCG(seed, 9))
--- a/internal/simulation/repeat_test.go
+++ b/internal/simulation/repeat_test.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"pinebay/internal/config"
-	"pinebay/internal/testkit"
+	"pinebay/internal/testutil"
 )
 
 // packetArrival is a packet that has arrived: its content by its hash.
@@ -56,7 +56,7 @@
 // itself, or does not, when the controller that it is on its way to ends; and an answer that a leader
 // gives in the very step that ends its term may go out or not.
 func TestSameSeedSameRun(t *testing.T) {
-	rng := rand.New(rand.NewPCG(testkit.Seed(), 9))
+	rng := rand.New(rand.NewPCG(testutil.Seed(), 9))
 	drawn, _ := randomScenario(rng)
 	for _, x := range []struct {
 		name        string
--- a/internal/simulation/scenarios_test.go
+++ b/internal/simulation/scenarios_test.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"pinebay/internal/config"
-	"pinebay/internal/testkit"
+	"pinebay/internal/testutil"
 )
 
 // startJobs starts a crew of jobs and waits until they run.
@@ -177,7 +177,7 @@
 
 // TestDrawnGaps plays gaps with drawn details.
 func TestDrawnGaps(t *testing.T) {
-	for seed := testkit.Seed(); seed < testkit.Seed()+6; seed++ {
+	for seed := testutil.Seed(); seed < testutil.Seed()+6; seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			rng := rand.New(rand.NewPCG(seed, 5))
--- a/internal/simulation/starvation_test.go
+++ b/internal/simulation/starvation_test.go
@@ -8,7 +8,7 @@
 
 	"pinebay/internal/config"
 	"pinebay/internal/daemon"
-	"pinebay/internal/testkit"
+	"pinebay/internal/testutil"
 )
 
 // starvationScenarios are scenarios with controllers that are short of processor time. A late timer or
@@ -41,7 +41,7 @@
 
 // TestDrawnStarvation mixes slow controllers with drawn failures.
 func TestDrawnStarvation(t *testing.T) {
-	for seed := testkit.Seed(); seed < testkit.Seed()+6; seed++ {
+	for seed := testutil.Seed(); seed < testutil.Seed()+6; seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			rng := rand.New(rand.NewPCG(seed, 13))
--- a/internal/simulation/system_outside_test.go
+++ b/internal/simulation/system_outside_test.go
@@ -5,7 +5,7 @@
 	"sort"
 	"time"
 
-	"pinebay/internal/coordination/fleet"
+	"pinebay/internal/coordination/autoscaler"
 	"pinebay/internal/coordination/scheduler"
 	"pinebay/internal/protocol"
 	"pinebay/internal/storage"
@@ -28,19 +28,19 @@
 }
 
 // callCloud carries out what the fleet asks of the cloud.
-func (s *simulatedSystem) callCloud(l *leaderInstance, e fleet.Effect) {
+func (s *simulatedSystem) callCloud(l *leaderInstance, e autoscaler.Effect) {
 	switch e := e.(type) {
-	case fleet.ListMachines:
+	case autoscaler.ListMachines:
 		asked := s.now
 		list := s.listMachines()
 		s.callAfter(200*ms, func() { s.step(l, scheduler.MachinesListed{RequestedAt: asked, Machines: list, Failed: s.chance(0.1)}) })
-	case fleet.ScaleOut:
+	case autoscaler.ScaleOut:
 		asked := s.now
 		s.callAfter(s.randomDuration(time.Second), func() {
 			names := s.rentMachines(e.Rental)
 			s.step(l, scheduler.ScaleOutResult{Request: e.Rental.RequestID, RequestedAt: asked, Machines: names, Refused: len(names) == 0})
 		})
-	case fleet.ScaleIn:
+	case autoscaler.ScaleIn:
 		s.callAfter(s.randomDuration(time.Second), func() {
 			for _, n := range e.Machines {
 				if s.world.Workers[n] != nil {
--- a/internal/simulation/zone_test.go
+++ b/internal/simulation/zone_test.go
@@ -9,11 +9,11 @@
 	"time"
 
 	"pinebay/internal/config"
-	"pinebay/internal/coordination/zones"
+	"pinebay/internal/coordination/zonefailover"
 	"pinebay/internal/daemon"
 	"pinebay/internal/protocol"
 	"pinebay/internal/storage"
-	"pinebay/internal/testkit"
+	"pinebay/internal/testutil"
 )
 
 // withZoneFailover turns zone return on for the controllers that the function names.
@@ -23,7 +23,7 @@
 			if !on(node) {
 				return daemon.Features{}
 			}
-			return daemon.Features{ZoneReturn: zones.DefaultRecoveryOrder()}
+			return daemon.Features{ZoneReturn: zonefailover.DefaultRecoveryOrder()}
 		}
 		l.bootTime = func(name string) time.Duration { return 3*time.Second + l.randomDuration("boot "+name, 3*time.Second) }
 		l.zoneCapacity = 6
@@ -364,7 +364,7 @@
 
 // TestDrawnZoneLosses mixes losses of a zone with other troubles.
 func TestDrawnZoneLosses(t *testing.T) {
-	for seed := testkit.Seed(); seed < testkit.Seed()+6; seed++ {
+	for seed := testutil.Seed(); seed < testutil.Seed()+6; seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			rng := rand.New(rand.NewPCG(seed, 19))
--- a/internal/storage/compatibility_test.go
+++ b/internal/storage/compatibility_test.go
@@ -7,7 +7,7 @@
 
 	"pinebay/internal/protocol"
 	"pinebay/internal/storage"
-	"pinebay/internal/testkit"
+	"pinebay/internal/testutil"
 )
 
 // TestProductionRecords: every record of the version in production is read, and below the first feature level
@@ -26,7 +26,7 @@
 		"zone-return": &storage.ZoneFailoverRecord{Format: 1, WriteName: "7.43", Zones: []storage.ZoneRow{{Name: "a", State: 1, SinceMS: 1764682355123, Flaps: 2}},
 			Loans: []storage.LoanRow{{Term: 7, Number: 3, Lender: "j-1", Task: 4, Attempt: 2, Borrower: "j-2", Machine: "host-000231", Zone: "b", LostSeconds: 12.5, CreatedMS: 5, ExpiresMS: 6}}},
 	} {
-		raw := testkit.Production(t, name)
+		raw := testutil.Production(t, name)
 		got := reflect.New(reflect.TypeOf(want).Elem()).Interface()
 		if err := protocol.Decode(raw, got); err != nil || !reflect.DeepEqual(got, want) {
 			t.Errorf("%s is read as %+v: %v", name, got, err)
@@ -43,7 +43,7 @@
 		Placements: []storage.Placement{{Task: 5, Machine: "host-000231", Incarnation: 2, Attempt: 3, Zone: 0}, {Task: 7, Machine: "host-000232", Incarnation: 1, Attempt: 1, Zone: 1}},
 		Team:       "vision", CPUs: 8, GPUs: 1, MemoryGB: 64}
 	layout := storage.PageLayout{TasksPerPage: storage.OriginalPageTasks(8)}
-	raw := testkit.Production(t, "page")
+	raw := testutil.Production(t, "page")
 	got, err := storage.DecodePage(raw, layout)
 	if err != nil || !reflect.DeepEqual(*got, want) {
 		t.Errorf("it is read as %+v: %v", got, err)
@@ -59,7 +59,7 @@
 // TestProductionTerm: the term's record is read and written as in production below the first feature level. From
 // then on a process of production, which expects a number, can't read it: so it can't claim a term.
 func TestProductionTerm(t *testing.T) {
-	raw, plain := testkit.Production(t, "term"), storage.TermRecord{Term: 7, Controller: "bothy-1", ClaimID: "912"}
+	raw, plain := testutil.Production(t, "term"), storage.TermRecord{Term: 7, Controller: "bothy-1", ClaimID: "912"}
 	if got, err := storage.DecodeTerm(raw); err != nil || got != plain {
 		t.Errorf("it is read as %+v: %v", got, err)
 	}
--- a/internal/storage/storage_test.go
+++ b/internal/storage/storage_test.go
@@ -23,11 +23,11 @@
 	"pinebay/internal/random"
 	"pinebay/internal/simulation"
 	"pinebay/internal/storage"
-	"pinebay/internal/testkit"
+	"pinebay/internal/testutil"
 	"pinebay/internal/transport"
 )
 
-func TestMain(m *testing.M) { testkit.Main(m) }
+func TestMain(m *testing.M) { testutil.Main(m) }
 
 func newTestClient(t *testing.T, h http.Handler) *storage.Client {
 	srv := httptest.NewServer(h)
--- a/internal/testkit/testkit.go
+++ b/internal/testutil/testutil.go
@@ -1,6 +1,6 @@
-// Package testkit fixes the seed of generated inputs, so that tests give the
+// Package testutil fixes the seed of generated inputs, so that tests give the
 // same verdict every run. Set PINEBAY_SEED to try others.
-package testkit
+package testutil
 
 import (
 	"encoding/hex"
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -16,10 +16,10 @@
 	"pgregory.net/rapid"
 
 	"pinebay/internal/protocol"
-	"pinebay/internal/testkit"
+	"pinebay/internal/testutil"
 )
 
-func TestMain(m *testing.M) { testkit.Main(m) }
+func TestMain(m *testing.M) { testutil.Main(m) }
 
 func TestFramesSurvive(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
