--- a/cmd/loadtest/main.go
+++ b/cmd/loadtest/main.go
@@ -70,22 +70,47 @@
 	}
 	f := cmd.Flags()
 	f.StringVar(&cfg.Program, "program", cfg.Program, "the built controller")
-	f.StringVar(&vary, "vary", string(loadtest.Workers), "what differs between the sizes: workers, starts, teams, tasks or controllers")
+	f.StringVar(
+		&vary,
+		"vary",
+		string(loadtest.Workers),
+		"what differs between the sizes: workers, starts, teams, tasks or controllers",
+	)
 	f.IntSliceVar(&cfg.Sizes, "sizes", cfg.Sizes, "the sizes, one after the other; slopes need four")
 	f.IntVar(&cfg.Load.Controllers, "controllers", cfg.Load.Controllers, "controllers")
-	f.IntVar(&cfg.Load.Workers, "workers", cfg.Load.Workers, "hollow workers to which the rates below belong; with --vary workers they follow the size")
+	f.IntVar(
+		&cfg.Load.Workers,
+		"workers",
+		cfg.Load.Workers,
+		"hollow workers to which the rates below belong; with --vary workers they follow the size",
+	)
 	f.IntVar(&cfg.Load.Teams, "teams", cfg.Load.Teams, "teams")
 	f.IntVar(&cfg.Load.Zones, "zones", cfg.Load.Zones, "zones")
 	f.Float64Var(&cfg.Load.TasksPerWorker, "tasks", cfg.Load.TasksPerWorker, "tasks a worker")
 	f.Float64Var(&cfg.Load.StartsPerS, "starts", cfg.Load.StartsPerS, "task starts a second")
-	f.IntVar(&cfg.Load.ArrayTasks, "array-tasks", cfg.Load.ArrayTasks, "tasks of an array; jobs a second follow from the starts")
+	f.IntVar(
+		&cfg.Load.ArrayTasks,
+		"array-tasks",
+		cfg.Load.ArrayTasks,
+		"tasks of an array; jobs a second follow from the starts",
+	)
 	f.Float64Var(&cfg.Load.GangShare, "gang-share", cfg.Load.GangShare, "share of the starts that gangs make")
 	f.IntVar(&cfg.Load.GangTasks, "gang-tasks", cfg.Load.GangTasks, "tasks of the largest gang")
 	f.Float64Var(&cfg.Load.UrgentPerS, "urgent", cfg.Load.UrgentPerS, "urgent single tasks a second")
 	f.Float64Var(&cfg.Load.CancelShare, "cancels", cfg.Load.CancelShare, "share of the arrays that are called off")
-	f.Float64Var(&cfg.Load.PipelinesPerS, "pipelines", cfg.Load.PipelinesPerS, "pipelines a second, each of three arrays of which one awaits the other")
+	f.Float64Var(
+		&cfg.Load.PipelinesPerS,
+		"pipelines",
+		cfg.Load.PipelinesPerS,
+		"pipelines a second, each of three arrays of which one awaits the other",
+	)
 	f.BoolVar(&cfg.Load.TeamsAtLimit, "teams-at-limit", cfg.Load.TeamsAtLimit, "teams have limits and ask for more")
-	f.Float64Var(&cfg.Load.Overcommit, "overcommit", cfg.Load.Overcommit, "with --teams-at-limit, how many times its limit a team asks for")
+	f.Float64Var(
+		&cfg.Load.Overcommit,
+		"overcommit",
+		cfg.Load.Overcommit,
+		"with --teams-at-limit, how many times its limit a team asks for",
+	)
 	f.DurationVar(&cfg.HeartbeatInterval, "report", cfg.HeartbeatInterval, "time between a worker's reports")
 	f.DurationVar(&cfg.Lease, "lease", cfg.Lease, "a worker's lease")
 	f.DurationVar(&cfg.MeanRunTime, "run-time", cfg.MeanRunTime, "mean run time of an array's task")
@@ -93,16 +118,36 @@
 	f.DurationVar(&cfg.MeasureTime, "measure", cfg.MeasureTime, "measured time")
 	f.IntVar(&cfg.Slices, "slices", cfg.Slices, "parts of the measured time, which tell the spread")
 	f.Uint64Var(&cfg.Seed, "seed", cfg.Seed, "seed of all that is drawn")
-	f.StringSliceVar(&troubles, "troubles", nil, fmt.Sprintf("what is broken after the measurement: %v", loadtest.FaultNames()))
+	f.StringSliceVar(
+		&troubles,
+		"troubles",
+		nil,
+		fmt.Sprintf("what is broken after the measurement: %v", loadtest.FaultNames()),
+	)
 	f.IntVar(&cfg.Port, "port", cfg.Port, "first of the loopback ports")
-	f.Float64Var(&cfg.CoreShare, "core-share", cfg.CoreShare, "share of a core in the settings; processor time is counted, not throttled")
+	f.Float64Var(
+		&cfg.CoreShare,
+		"core-share",
+		cfg.CoreShare,
+		"share of a core in the settings; processor time is counted, not throttled",
+	)
 	f.Float64Var(&cfg.RAMMB, "ram-mb", cfg.RAMMB, "memory in the settings")
 	f.IntVar(&cfg.MaxSockets, "max-sockets", cfg.MaxSockets, "sockets in the settings")
 	f.Float64Var(&cfg.StateRPS, "state-rps", cfg.StateRPS, "requests a second that the state service takes")
-	f.Float64Var(&cfg.StateWriteRPS, "state-write-rps", cfg.StateWriteRPS, "writes a second that the state service takes")
+	f.Float64Var(
+		&cfg.StateWriteRPS,
+		"state-write-rps",
+		cfg.StateWriteRPS,
+		"writes a second that the state service takes",
+	)
 	f.IntVar(&cfg.StateTxnOps, "state-txn-ops", cfg.StateTxnOps, "writes of a transaction")
 	f.Float64Var(&cfg.CloudRPS, "cloud-rps", cfg.CloudRPS, "calls a second that the cloud takes")
-	f.IntVar(&cfg.WorkerProcesses, "worker-processes", cfg.WorkerProcesses, "workers beside the hollow ones that are processes of their own")
+	f.IntVar(
+		&cfg.WorkerProcesses,
+		"worker-processes",
+		cfg.WorkerProcesses,
+		"workers beside the hollow ones that are processes of their own",
+	)
 	f.BoolVar(&cfg.Ownership, "ownership", false, "the controllers part the machines among them")
 	f.StringVar(&cfg.LogDir, "log-dir", "", "folder for the controllers' logs")
 	f.StringVar(&out.json, "json", "", "file for the result")
@@ -115,12 +160,39 @@
 // defaultConfig are the letter's proportions: 18,000 workers with 240,000 tasks and 3,000 starts a second.
 func defaultConfig() *loadtest.Config {
 	return &loadtest.Config{
-		Program: "target/pinebay", Sizes: []int{250, 500, 750, 1000},
-		Load: loadtest.Load{Controllers: 3, Workers: 18_000, Teams: 200, Zones: 3, TasksPerWorker: 240_000. / 18_000, StartsPerS: 3000,
-			ArrayTasks: 500, GangShare: 0.1, GangTasks: 64, UrgentPerS: 10, PipelinesPerS: 30, CancelShare: 0.03, Overcommit: 1.5},
-		HeartbeatInterval: 5 * time.Second, Lease: 29 * time.Second, MeanRunTime: 40 * time.Second, Warmup: 45 * time.Second, MeasureTime: 30 * time.Second,
-		Slices: 6, Seed: 1, Port: 21_000, CoreShare: 1, RAMMB: 2048, MaxSockets: 19_000,
-		WorkerProcesses: 3, StateRPS: 600, StateWriteRPS: 180, StateTxnOps: 16, CloudRPS: 4,
+		Program: "target/pinebay",
+		Sizes:   []int{250, 500, 750, 1000},
+		Load: loadtest.Load{
+			Controllers:    3,
+			Workers:        18_000,
+			Teams:          200,
+			Zones:          3,
+			TasksPerWorker: 240_000. / 18_000,
+			StartsPerS:     3000,
+			ArrayTasks:     500,
+			GangShare:      0.1,
+			GangTasks:      64,
+			UrgentPerS:     10,
+			PipelinesPerS:  30,
+			CancelShare:    0.03,
+			Overcommit:     1.5,
+		},
+		HeartbeatInterval: 5 * time.Second,
+		Lease:             29 * time.Second,
+		MeanRunTime:       40 * time.Second,
+		Warmup:            45 * time.Second,
+		MeasureTime:       30 * time.Second,
+		Slices:            6,
+		Seed:              1,
+		Port:              21_000,
+		CoreShare:         1,
+		RAMMB:             2048,
+		MaxSockets:        19_000,
+		WorkerProcesses:   3,
+		StateRPS:          600,
+		StateWriteRPS:     180,
+		StateTxnOps:       16,
+		CloudRPS:          4,
 	}
 }
 
--- a/cmd/loadtest/main_test.go
+++ b/cmd/loadtest/main_test.go
@@ -41,7 +41,9 @@
 		cmd.SetArgs(x.args)
 		cmd.SetOut(&bytes.Buffer{})
 		err := cmd.ExecuteContext(t.Context())
-		if !errors.Is(err, errUsage) && !errors.Is(err, loadtest.ErrInvalidConfig) || !strings.Contains(err.Error(), x.names) || strings.Contains(err.Error(), "\n") {
+		if !errors.Is(err, errUsage) && !errors.Is(err, loadtest.ErrInvalidConfig) ||
+			!strings.Contains(err.Error(), x.names) ||
+			strings.Contains(err.Error(), "\n") {
 			t.Errorf("%v: %v", x.args, err)
 		}
 	}
--- a/cmd/pinebay/main.go
+++ b/cmd/pinebay/main.go
@@ -4,8 +4,6 @@
 
 import (
 	// Linked against the system's C library, as the platform asks.
-	_ "runtime/cgo"
-
 	"context"
 	"errors"
 	"fmt"
@@ -14,6 +12,7 @@
 	"os"
 	"os/signal"
 	"runtime"
+	_ "runtime/cgo"
 	"runtime/debug"
 	"strings"
 	"syscall"
@@ -81,7 +80,8 @@
 	}
 	cmd.SetContext(context.Background())
 	cmd.Flags().StringVar(&path, "config", "", "settings file of this controller (TOML)")
-	cmd.Flags().BoolVar(&ownership, "ownership", false, "watch the other controllers for failures, and part the machines among those that live")
+	cmd.Flags().
+		BoolVar(&ownership, "ownership", false, "watch the other controllers for failures, and part the machines among those that live")
 	cmd.Flags().BoolVar(&stepTimes, "step-times", false, "log how long the leader's steps and heartbeats take")
 	zoneReturn.add(cmd)
 	cmd.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return fmt.Errorf("%w: %w", errUsage, err) })
@@ -110,7 +110,8 @@
 
 func (f *zoneReturnFlags) add(cmd *cobra.Command) {
 	cmd.Flags().BoolVar(&f.enabled, "zone-return", false, "bring work back in a stated order when a zone is lost")
-	cmd.Flags().StringVar(&f.order, "zone-return-order", "", `with --zone-return, which classes and teams come first, as in "cluesmith > team guests"`)
+	cmd.Flags().
+		StringVar(&f.order, "zone-return-order", "", `with --zone-return, which classes and teams come first, as in "cluesmith > team guests"`)
 }
 
 // features checks the flags against the settings.
--- a/cmd/pinebay/main_test.go
+++ b/cmd/pinebay/main_test.go
@@ -20,8 +20,11 @@
 		args []string
 		want string
 	}{
-		{nil, "--config"}, {[]string{"--config", bad}, "node"}, {[]string{"--config", bad + ".none"}, "none"},
-		{[]string{"extra"}, "extra"}, {[]string{"--colour"}, "colour"},
+		{nil, "--config"},
+		{[]string{"--config", bad}, "node"},
+		{[]string{"--config", bad + ".none"}, "none"},
+		{[]string{"extra"}, "extra"},
+		{[]string{"--colour"}, "colour"},
 	} {
 		cmd := newCommand()
 		cmd.SetArgs(x.args)
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -105,8 +105,14 @@
 		return now
 	}
 	return StoreLimits{
-		RPS: lower(s.RPS, s.Next.RPS), WriteRPS: lower(s.WriteRPS, s.Next.WriteRPS), ValueKB: lower(s.ValueKB, s.Next.ValueKB),
-		TxnOps: int(lower(float64(s.TxnOps), float64(s.Next.TxnOps))), Next: s.Next,
+		RPS: lower(
+			s.RPS,
+			s.Next.RPS,
+		),
+		WriteRPS: lower(s.WriteRPS, s.Next.WriteRPS),
+		ValueKB:  lower(s.ValueKB, s.Next.ValueKB),
+		TxnOps:   int(lower(float64(s.TxnOps), float64(s.Next.TxnOps))),
+		Next:     s.Next,
 	}
 }
 
@@ -157,8 +163,10 @@
 		return errors.New("field node: missing")
 	}
 	for _, a := range []struct{ field, addr string }{
-		{"listen", s.ListenAddr}, {"mesh_addr", s.MeshAddr},
-		{"outside.cloud", s.Endpoints.Cloud}, {"outside.state", s.Endpoints.Store},
+		{"listen", s.ListenAddr},
+		{"mesh_addr", s.MeshAddr},
+		{"outside.cloud", s.Endpoints.Cloud},
+		{"outside.state", s.Endpoints.Store},
 	} {
 		if err := checkAddress(a.field, a.addr); err != nil {
 			return err
@@ -193,13 +201,19 @@
 		field string
 		value float64
 	}{
-		{"workers.report_s", d.Workers.HeartbeatSeconds}, {"workers.lease_s", d.Workers.LeaseSeconds},
-		{"workers.gang_wait_s", d.Workers.GangWaitSeconds}, {"workers.gang_peer_s", d.Workers.GangPeerSeconds},
+		{"workers.report_s", d.Workers.HeartbeatSeconds},
+		{"workers.lease_s", d.Workers.LeaseSeconds},
+		{"workers.gang_wait_s", d.Workers.GangWaitSeconds},
+		{"workers.gang_peer_s", d.Workers.GangPeerSeconds},
 		{"workers.cancel_s", d.Workers.CancelSeconds},
-		{"state.rps", d.Store.RPS}, {"state.write_rps", d.Store.WriteRPS}, {"state.value_kb", d.Store.ValueKB},
+		{"state.rps", d.Store.RPS},
+		{"state.write_rps", d.Store.WriteRPS},
+		{"state.value_kb", d.Store.ValueKB},
 		{"state.txn_ops", float64(d.Store.TxnOps)},
-		{"cloud.rps", d.Cloud.RPS}, {"cloud.list_lag_s", d.Cloud.ListLagSeconds},
-		{"quota.core_share", d.Quota.CoreShare}, {"quota.ram_mb", d.Quota.RAMMB},
+		{"cloud.rps", d.Cloud.RPS},
+		{"cloud.list_lag_s", d.Cloud.ListLagSeconds},
+		{"quota.core_share", d.Quota.CoreShare},
+		{"quota.ram_mb", d.Quota.RAMMB},
 		{"quota.max_sockets", float64(d.Quota.MaxSockets)},
 	} {
 		if !(f.value > 0) || math.IsInf(f.value, 0) {
@@ -234,10 +248,18 @@
 func (s *Settings) checkQuota() error {
 	q := s.Deployment.Quota
 	if q.RAMMB < minRAMMB {
-		return fmt.Errorf("field deployment.quota.ram_mb: %g is too little to run in, at least %d is needed", q.RAMMB, minRAMMB)
+		return fmt.Errorf(
+			"field deployment.quota.ram_mb: %g is too little to run in, at least %d is needed",
+			q.RAMMB,
+			minRAMMB,
+		)
 	}
 	if need := minSockets + socketsPerPeer*len(s.Seeds); q.MaxSockets < need {
-		return fmt.Errorf("field deployment.quota.max_sockets: %d is too few to run with, at least %d are needed", q.MaxSockets, need)
+		return fmt.Errorf(
+			"field deployment.quota.max_sockets: %d is too few to run with, at least %d are needed",
+			q.MaxSockets,
+			need,
+		)
 	}
 	return nil
 }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -52,7 +52,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s.Deployment.Controllers != 2 || s.Deployment.Team("red") == nil || s.Deployment.Team("blue") != nil || s.Deployment.Workers.LeaseSeconds != 10 {
+	if s.Deployment.Controllers != 2 || s.Deployment.Team("red") == nil || s.Deployment.Team("blue") != nil ||
+		s.Deployment.Workers.LeaseSeconds != 10 {
 		t.Errorf("%+v", s)
 	}
 }
--- a/internal/coordination/api/api.go
+++ b/internal/coordination/api/api.go
@@ -46,10 +46,19 @@
 const MaxIntentAge = submitTimeout
 
 // New returns a server that does not know the machine types yet.
-func New(cfg *config.Deployment, store *storage.Client, source *random.Source, log *slog.Logger, status LeaderStatuses, announce AnnounceIntent) *Server {
+func New(
+	cfg *config.Deployment,
+	store *storage.Client,
+	source *random.Source,
+	log *slog.Logger,
+	status LeaderStatuses,
+	announce AnnounceIntent,
+) *Server {
 	// Final states never change, so they may be kept: some hundred a MB.
-	return &Server{cfg: cfg, store: store, random: source, log: log, announceIntent: announce,
-		reader: newJobReader(store, log, status, int(cfg.Quota.RAMMB*100))}
+	return &Server{
+		cfg: cfg, store: store, random: source, log: log, announceIntent: announce,
+		reader: newJobReader(store, log, status, int(cfg.Quota.RAMMB*100)),
+	}
 }
 
 // SetMachineTypes tells which machine types there are.
@@ -125,7 +134,11 @@
 }
 
 // recordJob records a job, unless it is known.
-func (s *Server) recordJob(ctx context.Context, job *protocol.Job, standing protocol.JobState) (int, protocol.JobStatus) {
+func (s *Server) recordJob(
+	ctx context.Context,
+	job *protocol.Job,
+	standing protocol.JobState,
+) (int, protocol.JobStatus) {
 	value, err := protocol.Encode(storage.LiveJobRecord{Job: *job, AcceptedAtMS: time.Now().UnixMilli()})
 	if err != nil {
 		return http.StatusServiceUnavailable, protocol.JobStatus{}
@@ -168,7 +181,8 @@
 // service refused it for its rate, which corrects where several controllers are busy
 // at once. When too many wait here already, the user is told to come back.
 func shouldRetry(err error, began time.Time) bool {
-	return errors.Is(err, storage.ErrRateLimited) && !errors.Is(err, storage.ErrThrottled) && time.Since(began) < storage.MaxQueueTime
+	return errors.Is(err, storage.ErrRateLimited) && !errors.Is(err, storage.ErrThrottled) &&
+		time.Since(began) < storage.MaxQueueTime
 }
 
 // jobStatus tells a job's state, as it is at some moment after the call.
@@ -267,8 +281,14 @@
 		}
 		if err == nil {
 			_, ok, terr := s.store.Txn(ctx, storage.BudgetAcceptance, protocol.Txn{
-				If:   []protocol.Compare{{Key: storage.LiveJobKey(id), Revision: p.Revision}, {Key: storage.EndedJobKey(id)}},
-				Then: []protocol.Op{{DeleteKey: storage.LiveJobKey(id)}, {PutKey: storage.EndedJobKey(id), Value: value}},
+				If: []protocol.Compare{
+					{Key: storage.LiveJobKey(id), Revision: p.Revision},
+					{Key: storage.EndedJobKey(id)},
+				},
+				Then: []protocol.Op{
+					{DeleteKey: storage.LiveJobKey(id)},
+					{PutKey: storage.EndedJobKey(id), Value: value},
+				},
 			})
 			if terr == nil && ok {
 				if err := s.ensureFreshIntent(ctx, id, announced); err != nil {
--- a/internal/coordination/api/api_test.go
+++ b/internal/coordination/api/api_test.go
@@ -48,10 +48,18 @@
 	s := &testCluster{t: t, store: simulation.NewStore()}
 	srv := httptest.NewServer(s.store)
 	t.Cleanup(srv.Close)
-	cfg := &config.Deployment{Controllers: 2, Teams: []config.Team{{Name: "red", MaxGPUs: 16}},
-		Store: rates, Workers: config.Workers{LeaseSeconds: 10}, Quota: config.Quota{RAMMB: 16, MaxSockets: 500}}
+	cfg := &config.Deployment{
+		Controllers: 2, Teams: []config.Team{{Name: "red", MaxGPUs: 16}},
+		Store: rates, Workers: config.Workers{LeaseSeconds: 10}, Quota: config.Quota{RAMMB: 16, MaxSockets: 500},
+	}
 	for range 2 {
-		store := storage.NewClient(transport.TCP{}, random.New(1), cfg, strings.TrimPrefix(srv.URL, "http://"), time.Minute)
+		store := storage.NewClient(
+			transport.TCP{},
+			random.New(1),
+			cfg,
+			strings.TrimPrefix(srv.URL, "http://"),
+			time.Minute,
+		)
 		in := New(cfg, store, random.New(1), slog.New(slog.NewTextHandler(io.Discard, nil)),
 			func(context.Context, []string) (map[string]protocol.JobStatus, bool) { return nil, false },
 			func(context.Context, string) (time.Time, error) { return time.Now(), s.announceErr })
@@ -105,7 +113,18 @@
 }
 
 func arrayJob(id string) protocol.Job {
-	return protocol.Job{ID: id, Class: "c", Team: "red", Shape: protocol.Array, Priority: "normal", TaskCount: 2, CPUs: 1, GPUs: 1, MemoryGB: 1, Image: "i"}
+	return protocol.Job{
+		ID:        id,
+		Class:     "c",
+		Team:      "red",
+		Shape:     protocol.Array,
+		Priority:  "normal",
+		TaskCount: 2,
+		CPUs:      1,
+		GPUs:      1,
+		MemoryGB:  1,
+		Image:     "i",
+	}
 }
 
 // TestAnswersNeverGoBack plays users of one job at both controllers, and a leader
@@ -162,8 +181,10 @@
 				if err != nil {
 					rt.Fatal(err)
 				}
-				s.store.Txn(protocol.Txn{If: []protocol.Compare{{Key: live.Key, Revision: live.Revision}},
-					Then: []protocol.Op{{DeleteKey: live.Key}, {PutKey: storage.EndedJobKey(j.ID), Value: done}}})
+				s.store.Txn(protocol.Txn{
+					If:   []protocol.Compare{{Key: live.Key, Revision: live.Revision}},
+					Then: []protocol.Op{{DeleteKey: live.Key}, {PutKey: storage.EndedJobKey(j.ID), Value: done}},
+				})
 			}
 		}
 	})
@@ -221,7 +242,13 @@
 		t.Error("it was recorded all the same")
 	}
 	s.announceErr = nil
-	if code, st, _ := s.call(0, "POST", "/submissions/j-000001/withdraw", nil); code != 200 || st.State != protocol.JobCancelled {
+	if code, st, _ := s.call(
+		0,
+		"POST",
+		"/submissions/j-000001/withdraw",
+		nil,
+	); code != 200 ||
+		st.State != protocol.JobCancelled {
 		t.Errorf("with a majority: %d %+v", code, st)
 	}
 	s.announceErr = errors.New("cut off")
@@ -254,7 +281,10 @@
 // told when to come back, and what was called accepted is there.
 func TestOverloadIsAnsweredWithRetryAfter(t *testing.T) {
 	const crowd = 100
-	s := newTestClusterWith(t, config.StoreLimits{RPS: 1e6, WriteRPS: 1e-3, TxnOps: 16}) // room for one, and none for long
+	s := newTestClusterWith(
+		t,
+		config.StoreLimits{RPS: 1e6, WriteRPS: 1e-3, TxnOps: 16},
+	) // room for one, and none for long
 	type answer struct {
 		id     string
 		code   int
@@ -326,7 +356,14 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			s.store.Txn(protocol.Txn{Then: []protocol.Op{{DeleteKey: storage.LiveJobKey(id(i))}, {PutKey: storage.EndedJobKey(id(i)), Value: value}}})
+			s.store.Txn(
+				protocol.Txn{
+					Then: []protocol.Op{
+						{DeleteKey: storage.LiveJobKey(id(i))},
+						{PutKey: storage.EndedJobKey(id(i)), Value: value},
+					},
+				},
+			)
 		}
 	}
 	for range 2 {
--- a/internal/coordination/api/dependencies.go
+++ b/internal/coordination/api/dependencies.go
@@ -50,9 +50,15 @@
 	for i, a := range answers {
 		switch {
 		case !a.found:
-			return "", &requestError{http.StatusUnprocessableEntity, fmt.Sprintf("it awaits %s, which was never accepted", job.Dependencies[i])}
+			return "", &requestError{
+				http.StatusUnprocessableEntity,
+				fmt.Sprintf("it awaits %s, which was never accepted", job.Dependencies[i]),
+			}
 		case a.shape == protocol.Service:
-			return "", &requestError{http.StatusUnprocessableEntity, fmt.Sprintf("it awaits %s, which is a service and never done", job.Dependencies[i])}
+			return "", &requestError{
+				http.StatusUnprocessableEntity,
+				fmt.Sprintf("it awaits %s, which is a service and never done", job.Dependencies[i]),
+			}
 		case a.status.State == protocol.JobCancelled:
 			standing = protocol.JobCancelled
 		}
@@ -63,7 +69,10 @@
 // validateDependencies says why a job can't await what it names, whatever that is, or nil.
 func (s *Server) validateDependencies(job *protocol.Job) *requestError {
 	if s.FeatureLevel() < featurelevel.Pipelines {
-		return &requestError{http.StatusServiceUnavailable, "an upgrade is under way: not all controllers can read awaited jobs yet"}
+		return &requestError{
+			http.StatusServiceUnavailable,
+			"an upgrade is under way: not all controllers can read awaited jobs yet",
+		}
 	}
 	bytes, longest := 0, 0
 	for _, id := range job.Dependencies {
@@ -75,11 +84,21 @@
 	}
 	limit := s.cfg.Store.Lowest().ValueKB * 1024
 	if most := limit * maxDependencyShare; float64(bytes) > most {
-		return &requestError{http.StatusUnprocessableEntity, fmt.Sprintf("it awaits %d jobs, and at most %d with ids as long as these can be recorded", len(job.Dependencies), int(most)/longest)}
+		return &requestError{
+			http.StatusUnprocessableEntity,
+			fmt.Sprintf(
+				"it awaits %d jobs, and at most %d with ids as long as these can be recorded",
+				len(job.Dependencies),
+				int(most)/longest,
+			),
+		}
 	}
 	value, err := protocol.Encode(storage.LiveJobRecord{Job: *job, AcceptedAtMS: time.Now().UnixMilli()})
 	if err != nil || !storage.FitsValueLimit(value, limit/1024) {
-		return &requestError{http.StatusUnprocessableEntity, fmt.Sprintf("with the %d jobs that it awaits it is too long to be recorded", len(job.Dependencies))}
+		return &requestError{
+			http.StatusUnprocessableEntity,
+			fmt.Sprintf("with the %d jobs that it awaits it is too long to be recorded", len(job.Dependencies)),
+		}
 	}
 	return nil
 }
--- a/internal/coordination/api/dependencies_test.go
+++ b/internal/coordination/api/dependencies_test.go
@@ -24,7 +24,10 @@
 
 // newPipelineCluster returns a site on which jobs may await others.
 func newPipelineCluster(t testing.TB) *testCluster {
-	s := newTestClusterWith(t, config.StoreLimits{RPS: 1e6, WriteRPS: 1e6, TxnOps: 16, ValueKB: 8, Next: config.FutureStoreLimits{ValueKB: 2}})
+	s := newTestClusterWith(
+		t,
+		config.StoreLimits{RPS: 1e6, WriteRPS: 1e6, TxnOps: 16, ValueKB: 8, Next: config.FutureStoreLimits{ValueKB: 2}},
+	)
 	for _, server := range s.servers {
 		server.SetFeatureLevel(featurelevel.Pipelines)
 	}
@@ -41,7 +44,12 @@
 	if err != nil {
 		s.t.Fatal(err)
 	}
-	s.store.Txn(protocol.Txn{If: []protocol.Compare{{Key: live.Key, Revision: live.Revision}}, Then: []protocol.Op{{DeleteKey: live.Key}, {PutKey: storage.EndedJobKey(id), Value: value}}})
+	s.store.Txn(
+		protocol.Txn{
+			If:   []protocol.Compare{{Key: live.Key, Revision: live.Revision}},
+			Then: []protocol.Op{{DeleteKey: live.Key}, {PutKey: storage.EndedJobKey(id), Value: value}},
+		},
+	)
 }
 
 // TestSubmissionsWithDependencies: each answer that a submission with awaited jobs may get.
@@ -84,7 +92,18 @@
 				want = 200
 			}
 			if code != want || st.State != x.standing || !strings.Contains(why, x.names) {
-				t.Errorf("%s after %v at controller %d: %d %s %q, want %d %s naming %q", x.job.ID, x.job.Dependencies, node, code, st.State, why, want, x.standing, x.names)
+				t.Errorf(
+					"%s after %v at controller %d: %d %s %q, want %d %s naming %q",
+					x.job.ID,
+					x.job.Dependencies,
+					node,
+					code,
+					st.State,
+					why,
+					want,
+					x.standing,
+					x.names,
+				)
 			}
 		}
 	}
@@ -109,12 +128,19 @@
 	s := newTestClusterWith(t, config.StoreLimits{RPS: 1e6, WriteRPS: 1e6, TxnOps: 16, ValueKB: 8})
 	s.call(0, "POST", "/submissions", encodeJob(t, arrayJob("j-1")))
 	code, _, h := s.call(0, "POST", "/submissions", encodeJob(t, dependentJob("j-2", "j-1")))
-	if code != http.StatusServiceUnavailable || h.Get("Retry-After") == "" || s.store.Get(storage.LiveJobKey("j-2")).Revision != 0 {
+	if code != http.StatusServiceUnavailable || h.Get("Retry-After") == "" ||
+		s.store.Get(storage.LiveJobKey("j-2")).Revision != 0 {
 		t.Errorf("before the level: %d %v", code, h)
 	}
 	s.servers[0].SetFeatureLevel(featurelevel.Pipelines)
 	s.store.Unavailable = true
-	if code, _, h := s.call(0, "POST", "/submissions", encodeJob(t, dependentJob("j-2", "j-1"))); code != http.StatusServiceUnavailable || h.Get("Retry-After") == "" {
+	if code, _, h := s.call(
+		0,
+		"POST",
+		"/submissions",
+		encodeJob(t, dependentJob("j-2", "j-1")),
+	); code != http.StatusServiceUnavailable ||
+		h.Get("Retry-After") == "" {
 		t.Errorf("in an outage: %d %v", code, h)
 	}
 }
@@ -181,7 +207,13 @@
 				if ended[id] == protocol.JobDone {
 					want = protocol.JobDone
 				}
-				if code, st, _ := s.call(node, "POST", "/submissions/"+id+"/withdraw", nil); code != 200 || st.State != want {
+				if code, st, _ := s.call(
+					node,
+					"POST",
+					"/submissions/"+id+"/withdraw",
+					nil,
+				); code != 200 ||
+					st.State != want {
 					rt.Fatalf("cancelling %s: %d %s, want %s", id, code, st.State, want)
 				}
 				ended[id] = want
--- a/internal/coordination/api/jobreader.go
+++ b/internal/coordination/api/jobreader.go
@@ -154,7 +154,10 @@
 	if err := protocol.Decode(value, &rec); err != nil {
 		return finalState{}, err
 	}
-	return finalState{status: protocol.JobStatus{ID: id, State: rec.State, DoneTasks: rec.DoneTasks}, announced: rec.CancelledDependency != ""}, nil
+	return finalState{
+		status:    protocol.JobStatus{ID: id, State: rec.State, DoneTasks: rec.DoneTasks},
+		announced: rec.CancelledDependency != "",
+	}, nil
 }
 
 // answerBatches answers batches until nobody waits.
--- a/internal/coordination/autoscaler/autoscaler.go
+++ b/internal/coordination/autoscaler/autoscaler.go
@@ -90,9 +90,17 @@
 // New returns the fleet of a term.
 func New(term uint64, cloud config.Cloud, workers config.Workers) *Autoscaler {
 	return &Autoscaler{
-		cloudSettings: cloud, workerSettings: workers, term: term, lastListRequest: math.MinInt64 / 2,
-		blockedUntil: map[machinePool]time.Duration{}, refusals: map[machinePool]int{}, pendingRentals: map[string]machinePool{}, pendingCounts: map[string]int{},
-		releasing: map[string]bool{}, firstListed: map[string]time.Duration{}, releasedAt: map[string]time.Duration{},
+		cloudSettings:    cloud,
+		workerSettings:   workers,
+		term:             term,
+		lastListRequest:  math.MinInt64 / 2,
+		blockedUntil:     map[machinePool]time.Duration{},
+		refusals:         map[machinePool]int{},
+		pendingRentals:   map[string]machinePool{},
+		pendingCounts:    map[string]int{},
+		releasing:        map[string]bool{},
+		firstListed:      map[string]time.Duration{},
+		releasedAt:       map[string]time.Duration{},
 		unreachableUntil: map[string]time.Duration{},
 	}
 }
@@ -109,7 +117,11 @@
 // the machines that are proven gone: a list asked for later than twice the lag
 // after a machine was first seen listed describes a later moment than that, so
 // if the machine is missing there, it has left for good.
-func (f *Autoscaler) HandleList(now, asked time.Duration, p *machineregistry.Registry, list []protocol.ListedMachine) (gone []string) {
+func (f *Autoscaler) HandleList(
+	now, asked time.Duration,
+	p *machineregistry.Registry,
+	list []protocol.ListedMachine,
+) (gone []string) {
 	f.listInFlight = false
 	seen := make(map[string]bool, len(list))
 	for i := range list {
@@ -166,7 +178,13 @@
 func (f *Autoscaler) HandleListFailure() { f.listInFlight = false }
 
 // HandleScaleOut takes in the outcome of a rental.
-func (f *Autoscaler) HandleScaleOut(now, asked time.Duration, p *machineregistry.Registry, request string, names []string, refused bool) {
+func (f *Autoscaler) HandleScaleOut(
+	now, asked time.Duration,
+	p *machineregistry.Registry,
+	request string,
+	names []string,
+	refused bool,
+) {
 	pl, ok := f.pendingRentals[request]
 	if !ok {
 		return
@@ -218,7 +236,9 @@
 // within their part of the rate.
 func (f *Autoscaler) listInterval(machines int) time.Duration {
 	pages := 1 + machines/protocol.MaxMachinesPerPage
-	return config.Seconds(max(f.cloudSettings.ListLagSeconds/2, float64(pages)/(f.cloudSettings.RPS*rateSharePerCallKind)))
+	return config.Seconds(
+		max(f.cloudSettings.ListLagSeconds/2, float64(pages)/(f.cloudSettings.RPS*rateSharePerCallKind)),
+	)
 }
 
 // Plan compares what is wanted with what there is. It is asked for once a second.
--- a/internal/coordination/autoscaler/autoscaler_test.go
+++ b/internal/coordination/autoscaler/autoscaler_test.go
@@ -11,7 +11,16 @@
 )
 
 var (
-	testMachineType    = protocol.MachineType{Name: "g8", CPUs: 64, GPUs: 8, MemoryGB: 256, HourlyPrice: 4, HourlySpotPrice: 1, BootSeconds: 30, Zones: []string{"a", "b"}}
+	testMachineType = protocol.MachineType{
+		Name:            "g8",
+		CPUs:            64,
+		GPUs:            8,
+		MemoryGB:        256,
+		HourlyPrice:     4,
+		HourlySpotPrice: 1,
+		BootSeconds:     30,
+		Zones:           []string{"a", "b"},
+	}
 	testWorkerSettings = config.Workers{HeartbeatSeconds: 1, LeaseSeconds: 10, CancelSeconds: 40}
 	testCloudSettings  = config.Cloud{RPS: 2, ListLagSeconds: 5}
 )
@@ -116,7 +125,10 @@
 	if gone := f.HandleList(19*s, 18*s, p, nil); gone != nil {
 		t.Errorf("an old list proved %v", gone)
 	}
-	p.HandleHeartbeat(25*s, &protocol.WorkerHeartbeat{Machine: "m1", Addr: "x", Type: "g8", Zone: "a", Incarnation: 1, Sequence: 1})
+	p.HandleHeartbeat(
+		25*s,
+		&protocol.WorkerHeartbeat{Machine: "m1", Addr: "x", Type: "g8", Zone: "a", Incarnation: 1, Sequence: 1},
+	)
 	if gone := f.HandleList(30*s, 29*s, p, nil); gone != nil {
 		t.Errorf("a machine that speaks is gone: %v", gone)
 	}
@@ -129,13 +141,23 @@
 // silent machine is fenced after a lease, many at once are not.
 func TestScaleIn(t *testing.T) {
 	f, p := setup()
-	f.HandleList(1*s, 0, p, []protocol.ListedMachine{{Name: "bad", Addr: "x", Type: "g8", Zone: "a", State: protocol.MachineFailed}})
+	f.HandleList(
+		1*s,
+		0,
+		p,
+		[]protocol.ListedMachine{{Name: "bad", Addr: "x", Type: "g8", Zone: "a", State: protocol.MachineFailed}},
+	)
 	if got := releasedMachines(f.Plan(2*s, p, nil)); len(got) != 1 || got[0] != "bad" {
 		t.Errorf("failed machine: %v", got)
 	}
 	f.HandleScaleIn(2*s, []string{"bad"}, true)
 	p.Remove(2*s, "bad")
-	f.HandleList(3*s, 2*s, p, []protocol.ListedMachine{{Name: "bad", Type: "g8", Zone: "a", State: protocol.MachineRunning}})
+	f.HandleList(
+		3*s,
+		2*s,
+		p,
+		[]protocol.ListedMachine{{Name: "bad", Type: "g8", Zone: "a", State: protocol.MachineRunning}},
+	)
 	if p.Machine("bad") != nil {
 		t.Error("an old list brought a returned machine back")
 	}
@@ -148,7 +170,9 @@
 	}
 
 	for _, x := range []struct{ machines, silent, back, want int }{
-		{12, 1, 0, 1}, {12, 3, 0, 3}, {12, 8, 0, 0},
+		{12, 1, 0, 1},
+		{12, 3, 0, 3},
+		{12, 8, 0, 0},
 		{12, 8, 7, 0}, // the last one to find its way is none to be fenced
 		{300, 60, 0, 60},
 	} {
@@ -156,7 +180,17 @@
 		f.HandleList(1*s, 0, p, nil)
 		hear := func(now time.Duration, from int, seq uint64) {
 			for i := from; i < x.machines; i++ {
-				p.HandleHeartbeat(now, &protocol.WorkerHeartbeat{Machine: fmt.Sprintf("m%03d", i), Addr: "x", Type: "g8", Zone: "a", Incarnation: 1, Sequence: seq})
+				p.HandleHeartbeat(
+					now,
+					&protocol.WorkerHeartbeat{
+						Machine:     fmt.Sprintf("m%03d", i),
+						Addr:        "x",
+						Type:        "g8",
+						Zone:        "a",
+						Incarnation: 1,
+						Sequence:    seq,
+					},
+				)
 			}
 		}
 		hear(10*s, 0, 1)
@@ -176,7 +210,9 @@
 // it is plain that all do, whatever the times of the settings.
 func TestSilentZoneIsNotFenced(t *testing.T) {
 	for _, w := range []config.Workers{
-		{HeartbeatSeconds: 1, LeaseSeconds: 10, CancelSeconds: 40}, {HeartbeatSeconds: 5, LeaseSeconds: 29, CancelSeconds: 59}, {HeartbeatSeconds: 2.5, LeaseSeconds: 15.25, CancelSeconds: 45},
+		{HeartbeatSeconds: 1, LeaseSeconds: 10, CancelSeconds: 40},
+		{HeartbeatSeconds: 5, LeaseSeconds: 29, CancelSeconds: 59},
+		{HeartbeatSeconds: 2.5, LeaseSeconds: 15.25, CancelSeconds: 45},
 		{HeartbeatSeconds: 3, LeaseSeconds: 8, CancelSeconds: 40},
 	} {
 		f, p := New(3, testCloudSettings, w), machineregistry.New(3, w)
@@ -188,11 +224,31 @@
 			if i%2 == 0 {
 				zone = "b"
 			}
-			p.HandleHeartbeat(now, &protocol.WorkerHeartbeat{Machine: fmt.Sprintf("m%03d", i), Addr: "x", Type: "g8", Zone: zone, Incarnation: 1, Sequence: 1})
+			p.HandleHeartbeat(
+				now,
+				&protocol.WorkerHeartbeat{
+					Machine:     fmt.Sprintf("m%03d", i),
+					Addr:        "x",
+					Type:        "g8",
+					Zone:        zone,
+					Incarnation: 1,
+					Sequence:    1,
+				},
+			)
 		}
 		for now := 11 * s; now < 10*s+config.Seconds(2*w.LeaseSeconds); now += s {
 			for i := 0; i < n; i += 2 { // zone b goes on
-				p.HandleHeartbeat(now, &protocol.WorkerHeartbeat{Machine: fmt.Sprintf("m%03d", i), Addr: "x", Type: "g8", Zone: "b", Incarnation: 1, Sequence: 2 + uint64(now)})
+				p.HandleHeartbeat(
+					now,
+					&protocol.WorkerHeartbeat{
+						Machine:     fmt.Sprintf("m%03d", i),
+						Addr:        "x",
+						Type:        "g8",
+						Zone:        "b",
+						Incarnation: 1,
+						Sequence:    2 + uint64(now),
+					},
+				)
 			}
 			for _, name := range releasedMachines(f.Plan(now, p, nil)) {
 				if p.Machine(name).Zone == "a" {
@@ -218,9 +274,24 @@
 	f.SetZonePolicies(policies)
 	f.HandleList(1*s, 0, p, nil)
 	for i := range 9 {
-		p.HandleHeartbeat(10*s, &protocol.WorkerHeartbeat{Machine: fmt.Sprintf("m%d", i), Addr: "x", Type: "g8", Zone: "a", Incarnation: 1, Sequence: 1})
+		p.HandleHeartbeat(
+			10*s,
+			&protocol.WorkerHeartbeat{
+				Machine:     fmt.Sprintf("m%d", i),
+				Addr:        "x",
+				Type:        "g8",
+				Zone:        "a",
+				Incarnation: 1,
+				Sequence:    1,
+			},
+		)
+	}
+	pl := &machineregistry.Placement{
+		Task:    protocol.TaskID{JobID: "j-1"},
+		Attempt: 1,
+		Machine: "m3",
+		Job:     &protocol.Job{ID: "j-1"},
 	}
-	pl := &machineregistry.Placement{Task: protocol.TaskID{JobID: "j-1"}, Attempt: 1, Machine: "m3", Job: &protocol.Job{ID: "j-1"}}
 	if !p.Reserve(10*s, []*machineregistry.Placement{pl}) {
 		t.Fatal("no room")
 	}
@@ -259,19 +330,41 @@
 		quick      bool
 		want       int
 	}{
-		{protocol.Array, 10, false, 0}, {protocol.Gang, 10, false, 0}, {protocol.Gang, 0, false, 1},
-		{protocol.Service, 10, false, 1}, {protocol.Array, 10, true, 1}, {protocol.Gang, 10, true, 1},
+		{protocol.Array, 10, false, 0},
+		{protocol.Gang, 10, false, 0},
+		{protocol.Gang, 0, false, 1},
+		{protocol.Service, 10, false, 1},
+		{protocol.Array, 10, true, 1},
+		{protocol.Gang, 10, true, 1},
 	} {
 		f, p := setup()
 		f.HandleList(2*s, 1*s, p, nil)
-		p.HandleHeartbeat(2*s, &protocol.WorkerHeartbeat{Machine: "m1", Addr: "a", Type: "g8", Zone: "a", Incarnation: 1, Sequence: 1})
-		low := &protocol.Job{ID: "j-1", Shape: x.shape, Priority: "normal", GPUs: 8, CheckpointIntervalSeconds: x.checkpoint}
-		pl := &machineregistry.Placement{Task: protocol.TaskID{JobID: "j-1"}, Attempt: 1, Machine: "m1", Resources: machineregistry.TaskResources(low), PriorityLevel: low.Priority.Rank(), Job: low}
+		p.HandleHeartbeat(
+			2*s,
+			&protocol.WorkerHeartbeat{Machine: "m1", Addr: "a", Type: "g8", Zone: "a", Incarnation: 1, Sequence: 1},
+		)
+		low := &protocol.Job{
+			ID:                        "j-1",
+			Shape:                     x.shape,
+			Priority:                  "normal",
+			GPUs:                      8,
+			CheckpointIntervalSeconds: x.checkpoint,
+		}
+		pl := &machineregistry.Placement{
+			Task:          protocol.TaskID{JobID: "j-1"},
+			Attempt:       1,
+			Machine:       "m1",
+			Resources:     machineregistry.TaskResources(low),
+			PriorityLevel: low.Priority.Rank(),
+			Job:           low,
+		}
 		if !p.Reserve(2*s, []*machineregistry.Placement{pl}) {
 			t.Fatal("no room")
 		}
 		high := &protocol.Job{ID: "j-2", Shape: protocol.Service, Priority: "critical", GPUs: 8}
-		if n := totalCount(rentals(f.Plan(3*s, p, []Demand{{Job: high, Count: 1, Headroom: true, MustBeFree: x.quick}}))); n != x.want {
+		if n := totalCount(
+			rentals(f.Plan(3*s, p, []Demand{{Job: high, Count: 1, Headroom: true, MustBeFree: x.quick}})),
+		); n != x.want {
 			t.Errorf("%+v: rented %d", x, n)
 		}
 	}
@@ -285,7 +378,17 @@
 	f.HandleList(1*s, 0, p, nil)
 	want := []Demand{{Job: &protocol.Job{ID: "j-1", GPUs: 8}, Count: 6, Headroom: true}}
 	for i := range 6 {
-		p.HandleHeartbeat(100*s, &protocol.WorkerHeartbeat{Machine: fmt.Sprintf("m%d", i), Addr: "x", Type: "g8", Zone: "a", Incarnation: 1, Sequence: 1})
+		p.HandleHeartbeat(
+			100*s,
+			&protocol.WorkerHeartbeat{
+				Machine:     fmt.Sprintf("m%d", i),
+				Addr:        "x",
+				Type:        "g8",
+				Zone:        "a",
+				Incarnation: 1,
+				Sequence:    1,
+			},
+		)
 	}
 	for now := 101 * s; now < 110*s; now += s {
 		effects := f.Plan(now, p, want)
@@ -325,7 +428,17 @@
 	f, p = setup()
 	f.HandleList(1*s, 0, p, nil)
 	for i := range 4 {
-		p.HandleHeartbeat(10*s, &protocol.WorkerHeartbeat{Machine: fmt.Sprintf("m%d", i), Addr: "x", Type: "g8", Zone: "a", Incarnation: 1, Sequence: 1})
+		p.HandleHeartbeat(
+			10*s,
+			&protocol.WorkerHeartbeat{
+				Machine:     fmt.Sprintf("m%d", i),
+				Addr:        "x",
+				Type:        "g8",
+				Zone:        "a",
+				Incarnation: 1,
+				Sequence:    1,
+			},
+		)
 	}
 	f.SetZonePolicies(map[string]ZonePolicy{"a": {IgnoreSilent: true, NoFencingUntil: 60 * s}})
 	for now := 11 * s; now < 60*s; now += s {
--- a/internal/coordination/autoscaler/fence.go
+++ b/internal/coordination/autoscaler/fence.go
@@ -59,5 +59,8 @@
 // on to the next controller, and no longer than most of a lease.
 func (f *Autoscaler) FencingTimeout() time.Duration {
 	report := config.Seconds(f.workerSettings.HeartbeatSeconds)
-	return min(config.Seconds(f.workerSettings.LeaseSeconds)*3/4, report*3/2+protocol.HeartbeatTimeout+protocol.HeartbeatRetryDelay)
+	return min(
+		config.Seconds(f.workerSettings.LeaseSeconds)*3/4,
+		report*3/2+protocol.HeartbeatTimeout+protocol.HeartbeatRetryDelay,
+	)
 }
--- a/internal/coordination/autoscaler/limits_test.go
+++ b/internal/coordination/autoscaler/limits_test.go
@@ -52,10 +52,18 @@
 	overdue := map[string]bool{}
 	for i := range manyMachines {
 		name := fmt.Sprintf("m%04d", i)
-		m, _, _ := p.HandleHeartbeat(10*s, &protocol.WorkerHeartbeat{Machine: name, Addr: "x", Type: "g8", Zone: "a", Incarnation: 1, Sequence: 1})
+		m, _, _ := p.HandleHeartbeat(
+			10*s,
+			&protocol.WorkerHeartbeat{Machine: name, Addr: "x", Type: "g8", Zone: "a", Incarnation: 1, Sequence: 1},
+		)
 		if i >= manyMachines/2 {
 			overdue[name] = true
-			pl := &machineregistry.Placement{Task: protocol.TaskID{JobID: "j-1", Index: i}, Attempt: 1, Machine: name, Job: &protocol.Job{ID: "j-1"}}
+			pl := &machineregistry.Placement{
+				Task:    protocol.TaskID{JobID: "j-1", Index: i},
+				Attempt: 1,
+				Machine: name,
+				Job:     &protocol.Job{ID: "j-1"},
+			}
 			if !p.Reserve(10*s, []*machineregistry.Placement{pl}) {
 				t.Fatal("no room")
 			}
@@ -97,8 +105,12 @@
 		machines int
 		want     time.Duration
 	}{
-		{2, 0, 2500 * time.Millisecond}, {2, 100, 2500 * time.Millisecond}, {2, manyMachines, 9 * s}, {4, manyMachines, 4500 * time.Millisecond},
-		{4, 10_000, 10500 * time.Millisecond}, {24, 10_000, 2500 * time.Millisecond},
+		{2, 0, 2500 * time.Millisecond},
+		{2, 100, 2500 * time.Millisecond},
+		{2, manyMachines, 9 * s},
+		{4, manyMachines, 4500 * time.Millisecond},
+		{4, 10_000, 10500 * time.Millisecond},
+		{24, 10_000, 2500 * time.Millisecond},
 	} {
 		f := New(1, config.Cloud{RPS: x.rps, ListLagSeconds: 5}, testWorkerSettings)
 		if got := f.listInterval(x.machines); got != x.want {
--- a/internal/coordination/autoscaler/packing.go
+++ b/internal/coordination/autoscaler/packing.go
@@ -47,8 +47,17 @@
 
 func demandKeyOf(u *Demand) demandKey {
 	return demandKey{
-		resources: machineregistry.TaskResources(u.Job), types: strings.Join(u.Job.MachineTypes, " "), zone: u.Zone, jobZone: u.Job.Zone, priorityLevel: u.Job.Priority.Rank(),
-		spot: u.Job.SpotAllowed, checkpointable: u.Job.CheckpointIntervalSeconds > 0, headroom: u.Headroom, mustBeFree: u.MustBeFree,
+		resources: machineregistry.TaskResources(
+			u.Job,
+		),
+		types:          strings.Join(u.Job.MachineTypes, " "),
+		zone:           u.Zone,
+		jobZone:        u.Job.Zone,
+		priorityLevel:  u.Job.Priority.Rank(),
+		spot:           u.Job.SpotAllowed,
+		checkpointable: u.Job.CheckpointIntervalSeconds > 0,
+		headroom:       u.Headroom,
+		mustBeFree:     u.MustBeFree,
 	}
 }
 
@@ -70,7 +79,11 @@
 }
 
 // scaleOut returns the rentals that the units ask for, and the machines that they would use.
-func (f *Autoscaler) scaleOut(now time.Duration, p *machineregistry.Registry, units []Demand) (effects []Effect, used map[string]bool) {
+func (f *Autoscaler) scaleOut(
+	now time.Duration,
+	p *machineregistry.Registry,
+	units []Demand,
+) (effects []Effect, used map[string]bool) {
 	if len(f.zonePolicies) > 0 {
 		f.countStarting(p)
 	}
@@ -87,8 +100,16 @@
 
 func (f *Autoscaler) newPacking(now time.Duration, p *machineregistry.Registry) *packing {
 	return &packing{
-		autoscaler: f, now: now, registry: p, bins: f.binBuffer[:0], machinesPerZone: map[string]int{}, usedMachines: map[string]bool{}, toRent: map[machinePool]int{},
-		maxToRent: protocol.MaxMachinesPerRental * f.callsPerPlan(), scannedBins: map[demandKey]int{}, unrentable: map[demandKey]bool{},
+		autoscaler:      f,
+		now:             now,
+		registry:        p,
+		bins:            f.binBuffer[:0],
+		machinesPerZone: map[string]int{},
+		usedMachines:    map[string]bool{},
+		toRent:          map[machinePool]int{},
+		maxToRent:       protocol.MaxMachinesPerRental * f.callsPerPlan(),
+		scannedBins:     map[demandKey]int{},
+		unrentable:      map[demandKey]bool{},
 	}
 }
 
@@ -101,10 +122,20 @@
 			return
 		}
 		k.machinesPerZone[m.Zone]++
-		if m.Registered && k.now-m.LastHeartbeat > p.SilenceTimeout() && (k.now >= f.unreachableUntil[m.Zone] || f.zonePolicies[m.Zone].IgnoreSilent) {
+		if m.Registered && k.now-m.LastHeartbeat > p.SilenceTimeout() &&
+			(k.now >= f.unreachableUntil[m.Zone] || f.zonePolicies[m.Zone].IgnoreSilent) {
 			return // not to be counted on, unless all of them are to come back
 		}
-		k.bins = append(k.bins, bin{name: m.Name, pool: machinePool{m.Type, m.Zone, m.Spot}, machineType: t, free: p.FreeCapacity(m), machine: m})
+		k.bins = append(
+			k.bins,
+			bin{
+				name:        m.Name,
+				pool:        machinePool{m.Type, m.Zone, m.Spot},
+				machineType: t,
+				free:        p.FreeCapacity(m),
+				machine:     m,
+			},
+		)
 	})
 	for _, req := range slices.Sorted(maps.Keys(f.pendingRentals)) {
 		pl := f.pendingRentals[req]
@@ -253,7 +284,9 @@
 	// The term makes the name unique across leaders and restarts.
 	req := fmt.Sprintf("r-%d-%d", f.term, f.requestSeq)
 	f.pendingRentals[req], f.pendingCounts[req] = pl, count
-	return ScaleOut{protocol.Rental{RequestID: req, MachineType: pl.machineType, Zone: pl.zone, Spot: pl.spot, Count: count}}
+	return ScaleOut{
+		protocol.Rental{RequestID: req, MachineType: pl.machineType, Zone: pl.zone, Spot: pl.spot, Count: count},
+	}
 }
 
 func tighter(a, b machineregistry.Resources) bool {
--- a/internal/coordination/autoscaler/pool.go
+++ b/internal/coordination/autoscaler/pool.go
@@ -38,7 +38,12 @@
 
 // choosePool picks the pool to rent from: what the job allows, cheap first, then
 // the zone with fewer machines.
-func (f *Autoscaler) choosePool(now time.Duration, p *machineregistry.Registry, u Demand, perZone map[string]int) (machinePool, bool) {
+func (f *Autoscaler) choosePool(
+	now time.Duration,
+	p *machineregistry.Registry,
+	u Demand,
+	perZone map[string]int,
+) (machinePool, bool) {
 	var best machinePool
 	bestCost := math.Inf(1)
 	for _, n := range slices.Sorted(maps.Keys(p.MachineTypes())) {
--- a/internal/coordination/autoscaler/scalein.go
+++ b/internal/coordination/autoscaler/scalein.go
@@ -38,7 +38,12 @@
 }
 
 // shouldScaleIn says whether a machine is to be returned.
-func (f *Autoscaler) shouldScaleIn(now time.Duration, p *machineregistry.Registry, m *machineregistry.Machine, used map[string]bool) bool {
+func (f *Autoscaler) shouldScaleIn(
+	now time.Duration,
+	p *machineregistry.Registry,
+	m *machineregistry.Machine,
+	used map[string]bool,
+) bool {
 	t := p.MachineType(m.Type)
 	if t == nil {
 		return m.PlacementCount() > 0 && m.Terminating
@@ -51,7 +56,9 @@
 		return true // it never came up, and is charged until it is deleted
 	default:
 		// Idle beyond what is forecast; a machine is paid for a minute anyway.
-		return m.Registered && m.PlacementCount() == 0 && !used[m.Name] && f.HasMachineList() && now-m.IdleSince > boot/8 && now-m.RentedAt > time.Minute &&
+		return m.Registered && m.PlacementCount() == 0 && !used[m.Name] && f.HasMachineList() &&
+			now-m.IdleSince > boot/8 &&
+			now-m.RentedAt > time.Minute &&
 			now-m.LastHeartbeat <= p.SilenceTimeout()
 	}
 }
--- a/internal/coordination/cancellation/intentlog.go
+++ b/internal/coordination/cancellation/intentlog.go
@@ -63,13 +63,21 @@
 // that come late.
 const maxIncarnations = 4
 
-// New returns an empty log, which draws its marks from the source, of a process that began at the given time. Intents are
-// kept for the given time, and max at most; after the time whole nothing matters
-// any more that an earlier process of the same name may have held.
+// New returns an empty log, which draws its marks from the source, of a process that began at the given time. Intents
+// are kept for the given time, and max at most; after the time whole nothing matters any more that an earlier process
+// of the same name may have held.
 func New(source *random.Source, peers []string, keep, whole time.Duration, max int) *IntentLog {
 	l := &IntentLog{
-		random: source, incarnation: source.For("life").Uint64() | 1, retention: keep, maxIntents: max, recoveredAt: whole, known: map[protocol.CancellationIntent]bool{},
-		newestByJob: map[string]time.Duration{}, own: map[string]OwnIntent{}, peers: map[string]*peer{}, changed: make(chan struct{}),
+		random:      source,
+		incarnation: source.For("life").Uint64() | 1,
+		retention:   keep,
+		maxIntents:  max,
+		recoveredAt: whole,
+		known:       map[protocol.CancellationIntent]bool{},
+		newestByJob: map[string]time.Duration{},
+		own:         map[string]OwnIntent{},
+		peers:       map[string]*peer{},
+		changed:     make(chan struct{}),
 	}
 	for _, p := range peers {
 		l.peers[p] = &peer{receivedByIncarnation: map[uint64]uint64{}}
@@ -89,7 +97,13 @@
 	if len(l.entries) >= l.maxIntents {
 		return OwnIntent{}, ErrFull
 	}
-	l.appendEntry(now, protocol.CancellationIntent{JobID: job, AnnouncementID: l.random.For(fmt.Sprint("intent ", l.expired+uint64(len(l.entries)), " ", job)).Uint64()})
+	l.appendEntry(
+		now,
+		protocol.CancellationIntent{
+			JobID:          job,
+			AnnouncementID: l.random.For(fmt.Sprint("intent ", l.expired+uint64(len(l.entries)), " ", job)).Uint64(),
+		},
+	)
 	o := OwnIntent{Sequence: l.expired + uint64(len(l.entries)), CreatedAt: now}
 	l.own[job] = o
 	return o, nil
--- a/internal/coordination/cancellation/intentlog_test.go
+++ b/internal/coordination/cancellation/intentlog_test.go
@@ -88,7 +88,8 @@
 				}
 				held := logs[me].peers[peer].confirmedHeld
 				for k, e := range logs[me].entries {
-					if logs[me].expired+uint64(k) < held && !logs[peer].known[e.CancellationIntent] && now-e.receivedAt < testRetention {
+					if logs[me].expired+uint64(k) < held && !logs[peer].known[e.CancellationIntent] &&
+						now-e.receivedAt < testRetention {
 						t.Fatalf("%s takes %s to hold %v: %d", me, peer, e.CancellationIntent, held)
 					}
 				}
@@ -140,7 +141,10 @@
 	if held, _ := l.Holders(first.Sequence); held != 1 {
 		t.Errorf("%d hold what nobody acknowledged", held)
 	}
-	if jobs := l.NewestByJob(testRetention + 4*time.Second); len(jobs) > 0 || l.HasIntent(testRetention+4*time.Second, "j-1") || len(l.own) > 0 {
+	if jobs := l.NewestByJob(
+		testRetention + 4*time.Second,
+	); len(jobs) > 0 || l.HasIntent(testRetention+4*time.Second, "j-1") ||
+		len(l.own) > 0 {
 		t.Errorf("%v are still held", jobs)
 	}
 }
@@ -149,7 +153,19 @@
 // messages as they fill, is complete only then, and only then counts as holding the last.
 func TestIntentsSpanSeveralMessages(t *testing.T) {
 	const intents = 5*protocol.MaxIntentsPerMessage + 1
-	a, b := New(random.New(1), []string{"b"}, testRetention, 0, 2*intents), New(random.New(2), []string{"a"}, testRetention, 0, 2*intents)
+	a, b := New(
+		random.New(1),
+		[]string{"b"},
+		testRetention,
+		0,
+		2*intents,
+	), New(
+		random.New(2),
+		[]string{"a"},
+		testRetention,
+		0,
+		2*intents,
+	)
 	var last OwnIntent
 	for i := range intents {
 		own, err := a.Announce(0, 0, fmt.Sprintf("j-%06d", i))
--- a/internal/coordination/dependency/graph.go
+++ b/internal/coordination/dependency/graph.go
@@ -235,7 +235,14 @@
 func (g *Graph) getOrCreate(id string) *node {
 	n := g.nodes[id]
 	if n == nil {
-		n = &node{id: id, dependencies: map[*node]bool{}, dependents: map[*node]bool{}, priority: Priorities - 1, earliestDependentStart: NoDeadline, latestStart: NoDeadline}
+		n = &node{
+			id:                     id,
+			dependencies:           map[*node]bool{},
+			dependents:             map[*node]bool{},
+			priority:               Priorities - 1,
+			earliestDependentStart: NoDeadline,
+			latestStart:            NoDeadline,
+		}
 		n.job = Job{ID: id, Priority: Priorities - 1, Deadline: NoDeadline}
 		g.nodes[id] = n
 		g.unknownOutcomes++
--- a/internal/coordination/dependency/graph_test.go
+++ b/internal/coordination/dependency/graph_test.go
@@ -88,7 +88,11 @@
 		}
 		for step := range rapid.IntRange(1, 40).Draw(t, "steps") {
 			if len(r.jobs) == 0 || rapid.IntRange(0, 2).Draw(t, "what") > 0 {
-				j := Job{ID: fmt.Sprintf("j-%02d", step), Priority: rapid.IntRange(0, 3).Draw(t, "level"), Deadline: NoDeadline}
+				j := Job{
+					ID:       fmt.Sprintf("j-%02d", step),
+					Priority: rapid.IntRange(0, 3).Draw(t, "level"),
+					Deadline: NoDeadline,
+				}
 				for other := range r.jobs {
 					if rapid.IntRange(0, 3).Draw(t, "needs "+other) == 0 {
 						j.Dependencies = append(j.Dependencies, other)
@@ -181,8 +185,8 @@
 	}
 }
 
-// TestCostGrowsWithEdgesOnly: what an end and a submission cost does not grow with the jobs that wait, in a chain of ten
-// thousand, with one job that ten thousand await, and in layers.
+// TestCostGrowsWithEdgesOnly: what an end and a submission cost does not grow with the jobs that wait, in a chain of
+// ten thousand, with one job that ten thousand await, and in layers.
 func TestCostGrowsWithEdgesOnly(t *testing.T) {
 	const n = 10_000
 	chain, star := New(), New()
@@ -198,7 +202,11 @@
 		chain.Add(Job{ID: id, Priority: 3, Deadline: NoDeadline, Dependencies: needs})
 		last = id
 	}
-	if c := chain.Add(Job{ID: "end", Priority: 1, Deadline: time.Hour, Dependencies: []string{last}}); len(c.Reprioritised) != n+1 {
+	if c := chain.Add(
+		Job{ID: "end", Priority: 1, Deadline: time.Hour, Dependencies: []string{last}},
+	); len(
+		c.Reprioritised,
+	) != n+1 {
 		t.Errorf("the chain's end raises %d jobs, want %d", len(c.Reprioritised), n+1)
 	}
 	if c := chain.End("j-00000", Done); len(c.Unblocked) != 1 || len(c.Reprioritised) != 0 {
@@ -218,6 +226,9 @@
 		}
 	}
 	if c := layers.End("l00-00", Cancelled); len(c.Cancelled) != 99*100 {
-		t.Errorf("a cancellation in the first layer cancels %d jobs after it, want all of the others'", len(c.Cancelled))
+		t.Errorf(
+			"a cancellation in the first layer cancels %d jobs after it, want all of the others'",
+			len(c.Cancelled),
+		)
 	}
 }
--- a/internal/coordination/election/candidacy.go
+++ b/internal/coordination/election/candidacy.go
@@ -64,7 +64,8 @@
 	if m.keyMissing || m.leader == "" || m.leader == m.self {
 		return true
 	}
-	return m.quorumHeardSince != 0 && now-m.quorumHeardSince >= 3*m.timing.HeartbeatInterval && m.quorumHeardAfter(now, m.leaderDisconnectedAt+m.timing.HeartbeatInterval/2)
+	return m.quorumHeardSince != 0 && now-m.quorumHeardSince >= 3*m.timing.HeartbeatInterval &&
+		m.quorumHeardAfter(now, m.leaderDisconnectedAt+m.timing.HeartbeatInterval/2)
 }
 
 // quorumHeardAfter says whether a majority, with this controller, was heard lately and
--- a/internal/coordination/election/cluster_test.go
+++ b/internal/coordination/election/cluster_test.go
@@ -14,9 +14,17 @@
 
 const ms = time.Millisecond
 
-var testTiming = Timing{HeartbeatInterval: 100 * ms, LeaderTimeout: time.Second, LeaseTTL: 1500 * ms, ConfirmationTimeout: 2 * time.Second, CandidateDelay: 100 * ms,
+var testTiming = Timing{
+	HeartbeatInterval:   100 * ms,
+	LeaderTimeout:       time.Second,
+	LeaseTTL:            1500 * ms,
+	ConfirmationTimeout: 2 * time.Second,
+	CandidateDelay:      100 * ms,
 
-	CancellationTimeout: time.Second, RenewalHorizon: 4 * time.Second, RecoveryPeriod: 7 * time.Second}
+	CancellationTimeout: time.Second,
+	RenewalHorizon:      4 * time.Second,
+	RecoveryPeriod:      7 * time.Second,
+}
 
 // cluster is a set of controllers with a model of the leader's key.
 type cluster struct {
@@ -36,8 +44,14 @@
 }
 
 func newCluster(t *rapid.T, n int) *cluster {
-	g := &cluster{elections: map[string]*Election{}, storeDown: map[string]bool{}, isolated: map[string]bool{}, leaderOfTerm: map[uint64]string{},
-		startedAt: map[string]time.Duration{}, t: t}
+	g := &cluster{
+		elections:    map[string]*Election{},
+		storeDown:    map[string]bool{},
+		isolated:     map[string]bool{},
+		leaderOfTerm: map[uint64]string{},
+		startedAt:    map[string]time.Duration{},
+		t:            t,
+	}
 	for i := range n {
 		g.names = append(g.names, fmt.Sprintf("n%d", i))
 	}
@@ -115,8 +129,16 @@
 			v := g.elections[n].View(g.now)
 			g.step(o, PeerHeartbeat{From: n, Term: v.Term, Leader: v.Leader})
 			w := g.elections[o].View(g.now)
-			g.step(n, PeerHeartbeat{From: o, Term: w.Term, Leader: w.Leader, Reply: true, SentAt: g.now,
-				IntentsComplete: true, Recovered: g.now >= g.startedAt[o]+testTiming.RecoveryPeriod, IncarnationSince: g.startedAt[o]})
+			g.step(n, PeerHeartbeat{
+				From:             o,
+				Term:             w.Term,
+				Leader:           w.Leader,
+				Reply:            true,
+				SentAt:           g.now,
+				IntentsComplete:  true,
+				Recovered:        g.now >= g.startedAt[o]+testTiming.RecoveryPeriod,
+				IncarnationSince: g.startedAt[o],
+			})
 		}
 	}
 }
--- a/internal/coordination/election/election.go
+++ b/internal/coordination/election/election.go
@@ -68,8 +68,16 @@
 
 // New returns a follower that knows nothing.
 func New(now time.Duration, self string, peers []string, t Timing) *Election {
-	return &Election{self: self, peers: peers, timing: t, leaderHeardAt: now, startedAt: now,
-		peerHeardAt: map[string]time.Duration{}, ackedAt: map[string]time.Duration{}, intentsReceivedAt: map[string]time.Duration{}}
+	return &Election{
+		self:              self,
+		peers:             peers,
+		timing:            t,
+		leaderHeardAt:     now,
+		startedAt:         now,
+		peerHeardAt:       map[string]time.Duration{},
+		ackedAt:           map[string]time.Duration{},
+		intentsReceivedAt: map[string]time.Duration{},
+	}
 }
 
 // View is what others may know of the machine.
--- a/internal/coordination/election/election_test.go
+++ b/internal/coordination/election/election_test.go
@@ -110,7 +110,10 @@
 			g.tick()
 		}
 		m := g.elections[g.leaders()[0]]
-		if v := m.View(g.now); !v.Leading || v.ConfirmedUntil <= g.now || v.ConfirmedUntil > g.now+testTiming.ConfirmationTimeout {
+		if v := m.View(
+			g.now,
+		); !v.Leading || v.ConfirmedUntil <= g.now ||
+			v.ConfirmedUntil > g.now+testTiming.ConfirmationTimeout {
 			t.Fatalf("at %v: %+v", g.now, v)
 		}
 		woke := g.now + testTiming.ConfirmationTimeout
@@ -181,7 +184,16 @@
 		return m
 	}
 	beat := func(whole, complete bool, lifeAt, sent time.Duration) PeerHeartbeat {
-		return PeerHeartbeat{From: "b", Term: 1, Leader: "a", Reply: true, SentAt: sent, Recovered: whole, IntentsComplete: complete, IncarnationSince: lifeAt}
+		return PeerHeartbeat{
+			From:             "b",
+			Term:             1,
+			Leader:           "a",
+			Reply:            true,
+			SentAt:           sent,
+			Recovered:        whole,
+			IntentsComplete:  complete,
+			IncarnationSince: lifeAt,
+		}
 	}
 	at := 12 * time.Second
 	for _, c := range []struct {
@@ -206,7 +218,11 @@
 		}
 		m.Step(at+testTiming.ConfirmationTimeout, Tick{})
 		if m.View(at + testTiming.ConfirmationTimeout).Leading {
-			t.Errorf("%s: still leads when nobody has told it of cancellations for %v", c.name, testTiming.ConfirmationTimeout)
+			t.Errorf(
+				"%s: still leads when nobody has told it of cancellations for %v",
+				c.name,
+				testTiming.ConfirmationTimeout,
+			)
 		}
 	}
 	m := lead()
--- a/internal/coordination/election/standby.go
+++ b/internal/coordination/election/standby.go
@@ -25,8 +25,16 @@
 // its intents and counts for nothing: until every task has ended whose lease was last
 // renewed without knowing what it forgot. No other command is given, and a lease is
 // never a proof that a task is gone.
-func MayRenewWithoutLeader(now time.Duration, t Timing, v View, stateOK, whole bool, peers []string, heard map[string]PeerStatus) bool {
-	return len(peers) > 0 && KnowsCancellations(now, t, whole, peers, heard) && Leaderless(now, t, "", v, stateOK, peers, heard)
+func MayRenewWithoutLeader(
+	now time.Duration,
+	t Timing,
+	v View,
+	stateOK, whole bool,
+	peers []string,
+	heard map[string]PeerStatus,
+) bool {
+	return len(peers) > 0 && KnowsCancellations(now, t, whole, peers, heard) &&
+		Leaderless(now, t, "", v, stateOK, peers, heard)
 }
 
 // KnowsCancellations says whether this controller may renew leases, as far as cancellations go: a majority, with this
@@ -48,7 +56,15 @@
 // reaches neither the state service nor a leader, so that none can be elected. A peer
 // that takes the named controller for the leader does not count against it; "" names
 // none.
-func Leaderless(now time.Duration, t Timing, self string, v View, stateOK bool, peers []string, heard map[string]PeerStatus) bool {
+func Leaderless(
+	now time.Duration,
+	t Timing,
+	self string,
+	v View,
+	stateOK bool,
+	peers []string,
+	heard map[string]PeerStatus,
+) bool {
 	if v.Leading || v.Leader != "" || stateOK {
 		return false
 	}
--- a/internal/coordination/failuredetector/decision.go
+++ b/internal/coordination/failuredetector/decision.go
@@ -52,7 +52,14 @@
 
 // Describe tells the decision.
 func (d Suspected) Describe() string {
-	return fmt.Sprintf("controller %s (%s) is suspected: silent for %v, phi %.1f, own timers %s", d.Controller, d.Incarnation, roundToMillisecond(d.SilentFor), d.Phi, describeHealthScore(d.HealthScore))
+	return fmt.Sprintf(
+		"controller %s (%s) is suspected: silent for %v, phi %.1f, own timers %s",
+		d.Controller,
+		d.Incarnation,
+		roundToMillisecond(d.SilentFor),
+		d.Phi,
+		describeHealthScore(d.HealthScore),
+	)
 }
 
 // Describe tells the decision.
@@ -61,22 +68,46 @@
 	if d.ReachedThrough != "" {
 		how = "it was reached through " + d.ReachedThrough
 	}
-	return fmt.Sprintf("controller %s (%s) is no longer suspected after %v: %s", d.Controller, d.Incarnation, roundToMillisecond(d.SuspectedFor), how)
+	return fmt.Sprintf(
+		"controller %s (%s) is no longer suspected after %v: %s",
+		d.Controller,
+		d.Incarnation,
+		roundToMillisecond(d.SuspectedFor),
+		how,
+	)
 }
 
 // Describe tells the decision.
 func (d Verdict) Describe() string {
 	var lines []string
 	for _, e := range d.Evidence {
-		lines = append(lines, fmt.Sprintf("%s heard it %v ago, phi %.1f, not reached through %s, own timers %s",
-			e.Observer, roundToMillisecond(e.Opinion.HeardAgo), e.Opinion.Phi, strings.Join(e.Opinion.UnreachableThrough, " and "), describeHealthScore(e.HealthScore)))
+		lines = append(lines, fmt.Sprintf(
+			"%s heard it %v ago, phi %.1f, not reached through %s, own timers %s",
+			e.Observer,
+			roundToMillisecond(e.Opinion.HeardAgo),
+			e.Opinion.Phi,
+			strings.Join(e.Opinion.UnreachableThrough, " and "),
+			describeHealthScore(e.HealthScore),
+		))
 	}
-	return fmt.Sprintf("verdict: controller %s (%s) has failed, by %d of %d: %s", d.Controller, d.Incarnation, len(d.Evidence), d.GroupSize, strings.Join(lines, "; "))
+	return fmt.Sprintf(
+		"verdict: controller %s (%s) has failed, by %d of %d: %s",
+		d.Controller,
+		d.Incarnation,
+		len(d.Evidence),
+		d.GroupSize,
+		strings.Join(lines, "; "),
+	)
 }
 
 // Describe tells the decision.
 func (d Returned) Describe() string {
-	return fmt.Sprintf("controller %s is back as %s after the verdict on %s", d.Controller, d.Incarnation, d.FailedIncarnation)
+	return fmt.Sprintf(
+		"controller %s is back as %s after the verdict on %s",
+		d.Controller,
+		d.Incarnation,
+		d.FailedIncarnation,
+	)
 }
 
 func roundToMillisecond(d time.Duration) time.Duration { return d.Round(time.Millisecond) }
--- a/internal/coordination/failuredetector/detector.go
+++ b/internal/coordination/failuredetector/detector.go
@@ -121,8 +121,10 @@
 
 // New returns the machine of a process that has just begun, with the given life.
 func New(now time.Duration, self string, life uint64, peers []string, times Timing) *Detector {
-	m := &Detector{self: self, timing: times, incarnation: Incarnation{Process: life}, peers: map[string]*peer{}, lastTick: now,
-		peerNames: slices.Sorted(slices.Values(peers))}
+	m := &Detector{
+		self: self, timing: times, incarnation: Incarnation{Process: life}, peers: map[string]*peer{}, lastTick: now,
+		peerNames: slices.Sorted(slices.Values(peers)),
+	}
 	for _, name := range m.peerNames {
 		m.peers[name] = &peer{accrual: accrualDetector{lastHeardAt: now}, unreachableThrough: map[string]bool{}}
 	}
@@ -219,7 +221,15 @@
 func (m *Detector) suspect(now time.Duration, name string, p *peer) {
 	p.suspected, p.suspectedSince, p.failed = true, now, false
 	clear(p.unreachableThrough)
-	m.emitDecision(Suspected{Controller: name, Incarnation: p.incarnation, SilentFor: now - p.accrual.lastHeardAt, Phi: m.phi(now, p), HealthScore: m.healthScore})
+	m.emitDecision(
+		Suspected{
+			Controller:  name,
+			Incarnation: p.incarnation,
+			SilentFor:   now - p.accrual.lastHeardAt,
+			Phi:         m.phi(now, p),
+			HealthScore: m.healthScore,
+		},
+	)
 	m.requestProbes(now, name, p)
 }
 
@@ -264,14 +274,23 @@
 	if !p.suspected || p.verdictReached {
 		return
 	}
-	m.emitDecision(SuspicionCleared{Controller: name, Incarnation: p.incarnation, SuspectedFor: now - p.suspectedSince, ReachedThrough: through})
+	m.emitDecision(
+		SuspicionCleared{
+			Controller:     name,
+			Incarnation:    p.incarnation,
+			SuspectedFor:   now - p.suspectedSince,
+			ReachedThrough: through,
+		},
+	)
 	p.suspected, p.failed = false, false
 	clear(p.unreachableThrough)
 }
 
 func (m *Detector) handleHeartbeat(now time.Duration, e PeerHeartbeat) {
 	p := m.peers[e.Peer]
-	if p == nil || e.Incarnation.Process == 0 || p.known && e.Incarnation.Process == p.incarnation.Process && e.Incarnation.Refutations < p.incarnation.Refutations {
+	if p == nil || e.Incarnation.Process == 0 ||
+		p.known && e.Incarnation.Process == p.incarnation.Process &&
+			e.Incarnation.Refutations < p.incarnation.Refutations {
 		return // unknown, of a version without incarnations, or older than what we have heard
 	}
 	if p.known && e.Incarnation.Process != p.incarnation.Process {
@@ -336,7 +355,9 @@
 	}
 	p.verdictReached = true
 	slices.SortFunc(evidence, func(a, b Observation) int { return cmp.Compare(a.Observer, b.Observer) })
-	m.emitDecision(Verdict{Controller: name, Incarnation: p.incarnation, GroupSize: len(m.peerNames) + 1, Evidence: evidence})
+	m.emitDecision(
+		Verdict{Controller: name, Incarnation: p.incarnation, GroupSize: len(m.peerNames) + 1, Evidence: evidence},
+	)
 }
 
 func (m *Detector) emitDecision(d Decision) { m.effects = append(m.effects, DecisionMade{d}) }
--- a/internal/coordination/failuredetector/detector_test.go
+++ b/internal/coordination/failuredetector/detector_test.go
@@ -32,7 +32,13 @@
 }
 
 func newCluster(n int) *cluster {
-	g := &cluster{detectors: map[string]*Detector{}, processes: map[string]uint64{}, frozen: map[string]bool{}, cut: map[[2]string]bool{}, recovering: map[string]bool{}}
+	g := &cluster{
+		detectors:  map[string]*Detector{},
+		processes:  map[string]uint64{},
+		frozen:     map[string]bool{},
+		cut:        map[[2]string]bool{},
+		recovering: map[string]bool{},
+	}
 	for i := range n {
 		g.names = append(g.names, fmt.Sprintf("n-%d", i))
 	}
@@ -46,7 +52,13 @@
 func (g *cluster) start(name string) {
 	g.processes[name]++
 	others := slices.DeleteFunc(slices.Clone(g.names), func(o string) bool { return o == name })
-	g.detectors[name] = New(g.now, name, uint64(len(name))<<32|g.processes[name]<<8|uint64(name[len(name)-1]), others, testTiming)
+	g.detectors[name] = New(
+		g.now,
+		name,
+		uint64(len(name))<<32|g.processes[name]<<8|uint64(name[len(name)-1]),
+		others,
+		testTiming,
+	)
 }
 
 func (g *cluster) step(name string, e Event) {
@@ -73,7 +85,10 @@
 	if !g.passes(from, through) || !g.passes(through, from) {
 		return
 	}
-	g.step(from, ProbeResult{Target: target, Through: through, Reached: g.passes(through, target) && g.passes(target, through)})
+	g.step(
+		from,
+		ProbeResult{Target: target, Through: through, Reached: g.passes(through, target) && g.passes(target, through)},
+	)
 }
 
 // run lets time pass; late names controllers whose ticks come late.
@@ -88,7 +103,16 @@
 			m := g.detectors[from]
 			for _, to := range g.names {
 				if to != from && g.passes(from, to) {
-					g.step(to, PeerHeartbeat{Peer: from, Incarnation: m.Incarnation(), HealthScore: m.HealthScore(), Voting: !g.recovering[from], Opinions: m.Opinions(g.now)})
+					g.step(
+						to,
+						PeerHeartbeat{
+							Peer:        from,
+							Incarnation: m.Incarnation(),
+							HealthScore: m.HealthScore(),
+							Voting:      !g.recovering[from],
+							Opinions:    m.Opinions(g.now),
+						},
+					)
 				}
 			}
 		}
@@ -112,9 +136,9 @@
 	return n
 }
 
-// TestVerdictsByFailureScenario plays what may look like a failure on three and five controllers: who has failed is told
-// by a majority and once by each, and whoever is only slow, cut off in one direction, or looked at by
-// somebody who is short of processor time is not.
+// TestVerdictsByFailureScenario plays what may look like a failure on three and five controllers: who has failed is
+// told by a majority and once by each, and whoever is only slow, cut off in one direction, or looked at by somebody who
+// is short of processor time is not.
 func TestVerdictsByFailureScenario(t *testing.T) {
 	for _, x := range []struct {
 		name               string
@@ -217,8 +241,13 @@
 	}
 	even.lastHeardAt, uneven.lastHeardAt = time.Minute, time.Minute
 	at := time.Minute + 8*testTickInterval
-	if even.phi(at, testTickInterval, 0) <= uneven.phi(at, testTickInterval, 0) || uneven.phi(at, testTickInterval, 0) >= phiThreshold {
-		t.Errorf("phi %v of an even peer, %v of an uneven one", even.phi(at, testTickInterval, 0), uneven.phi(at, testTickInterval, 0))
+	if even.phi(at, testTickInterval, 0) <= uneven.phi(at, testTickInterval, 0) ||
+		uneven.phi(at, testTickInterval, 0) >= phiThreshold {
+		t.Errorf(
+			"phi %v of an even peer, %v of an uneven one",
+			even.phi(at, testTickInterval, 0),
+			uneven.phi(at, testTickInterval, 0),
+		)
 	}
 	if a, b := even.phi(at, testTickInterval, 0), even.phi(at, testTickInterval, 4*testTickInterval); b >= a {
 		t.Errorf("an observer that is late itself has phi %v, a punctual one %v", b, a)
@@ -248,9 +277,9 @@
 	})
 }
 
-// TestRandomFaultsNeedQuorumForVerdict: whatever is cut, frozen or begun anew in whatever order, no controller is judged to
-// have failed while a majority of those that count hears it in both directions all the time, evidence
-// is always a majority's and of one incarnation, and a verdict on an incarnation comes once from each.
+// TestRandomFaultsNeedQuorumForVerdict: whatever is cut, frozen or begun anew in whatever order, no controller is
+// judged to have failed while a majority of those that count hears it in both directions all the time, evidence is
+// always a majority's and of one incarnation, and a verdict on an incarnation comes once from each.
 func TestRandomFaultsNeedQuorumForVerdict(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.SampledFrom([]int{3, 5}).Draw(t, "controllers")
@@ -292,7 +321,8 @@
 				t.Fatalf("%s is well: %s", v.Controller, v.Describe())
 			}
 			for _, e := range v.Evidence {
-				if e.Opinion.Incarnation != v.Incarnation || !e.Opinion.Failed || len(e.Opinion.UnreachableThrough) == 0 {
+				if e.Opinion.Incarnation != v.Incarnation || !e.Opinion.Failed ||
+					len(e.Opinion.UnreachableThrough) == 0 {
 					t.Fatalf("evidence of another: %s", v.Describe())
 				}
 			}
@@ -329,7 +359,10 @@
 	last := g.detectors["n-1"].peers["n-0"].accrual.lastHeardAt
 	for range 20 { // n-0 is heard as well
 		count(testTickInterval)
-		g.detectors["n-1"].Step(g.now, PeerHeartbeat{Peer: "n-0", Incarnation: g.detectors["n-0"].Incarnation(), Voting: true})
+		g.detectors["n-1"].Step(
+			g.now,
+			PeerHeartbeat{Peer: "n-0", Incarnation: g.detectors["n-0"].Incarnation(), Voting: true},
+		)
 	}
 	if probes > 0 || g.detectors["n-1"].peers["n-0"].accrual.lastHeardAt == last {
 		t.Errorf("%d probes while all are heard", probes)
@@ -358,12 +391,17 @@
 		PeerHeartbeat{Peer: "stranger", Incarnation: Incarnation{Process: 9}, Voting: true, Opinions: map[string]Opinion{"n-0": {Incarnation: is, Suspected: true, Failed: true}}},
 		PeerHeartbeat{Peer: "n-0", Incarnation: Incarnation{Process: is.Process, Refutations: 6}},
 		PeerHeartbeat{Peer: "n-0"},
-		ProbeResult{Target: "n-0", Through: "stranger"}, ProbeResult{Target: "stranger", Through: "n-2", Reached: true}, ProbeResult{Target: "n-0", Through: "n-2"},
+		ProbeResult{Target: "n-0", Through: "stranger"},
+		ProbeResult{Target: "stranger", Through: "n-2", Reached: true},
+		ProbeResult{Target: "n-0", Through: "n-2"},
 	} {
 		g.now += testTickInterval / 8
 		g.step("n-1", e)
 	}
-	if after := *m.peers["n-0"]; after.incarnation != before.incarnation || after.accrual.lastHeardAt != before.accrual.lastHeardAt || after.suspected || len(after.unreachableThrough) > 0 {
+	if after := *m.peers["n-0"]; after.incarnation != before.incarnation ||
+		after.accrual.lastHeardAt != before.accrual.lastHeardAt ||
+		after.suspected ||
+		len(after.unreachableThrough) > 0 {
 		t.Errorf("%+v, before %+v", after, before)
 	}
 }
--- a/internal/coordination/featurelevel/gate.go
+++ b/internal/coordination/featurelevel/gate.go
@@ -105,8 +105,10 @@
 // New returns the machine of a controller that speaks the level; peers are the other configured ones. It
 // looks at the state service at the interval until its own level is final.
 func New(self string, peers []string, level Level, interval time.Duration) *Gate {
-	return &Gate{self: self, controllers: append([]string{self}, peers...), ownLevel: level, pollInterval: interval,
-		records: map[string]Record{}, peerLevels: map[string]Level{}}
+	return &Gate{
+		self: self, controllers: append([]string{self}, peers...), ownLevel: level, pollInterval: interval,
+		records: map[string]Record{}, peerLevels: map[string]Level{},
+	}
 }
 
 // Final returns the level that is final, as far as known.
@@ -151,8 +153,8 @@
 	return effects
 }
 
-// commonLevel returns the highest level up to this one's own that every configured controller has recorded. A controller
-// without a record, or whose last heartbeat stated less, consents to nothing.
+// commonLevel returns the highest level up to this one's own that every configured controller has recorded. A
+// controller without a record, or whose last heartbeat stated less, consents to nothing.
 func (m *Gate) commonLevel() Level {
 	level := m.ownLevel
 	for _, node := range m.controllers {
--- a/internal/coordination/featurelevel/gate_test.go
+++ b/internal/coordination/featurelevel/gate_test.go
@@ -45,7 +45,11 @@
 				nodes := map[string]Record{}
 				for _, node := range append(members, "stranger") {
 					if rapid.IntRange(0, 3).Draw(t, "recorded "+node) > 0 {
-						nodes[node] = Record{Level: rapid.SampledFrom([]Level{Production, Pipelines, Pipelines}).Draw(t, "recorded level"), Revision: 7}
+						nodes[node] = Record{
+							Level: rapid.SampledFrom([]Level{Production, Pipelines, Pipelines}).
+								Draw(t, "recorded level"),
+							Revision: 7,
+						}
 					}
 				}
 				want := leading && !slices.ContainsFunc(members, func(node string) bool {
@@ -53,7 +57,14 @@
 					return nodes[node].Level < Pipelines || told && level < Pipelines
 				})
 				if got := finalisedLevel(m.Step(0, RecordsListed{Controllers: nodes})); (got == Pipelines) != want {
-					t.Fatalf("leading %v, recorded %v, heard %v: asks for level %d, want one %v", leading, nodes, heard, got, want)
+					t.Fatalf(
+						"leading %v, recorded %v, heard %v: asks for level %d, want one %v",
+						leading,
+						nodes,
+						heard,
+						got,
+						want,
+					)
 				}
 			}
 		}
@@ -72,7 +83,13 @@
 	if looks(testPollInterval/2) || !looks(testPollInterval) {
 		t.Fatal("after a failure it looks again at the interval")
 	}
-	if got := m.Step(testPollInterval, RecordsListed{Controllers: map[string]Record{"a": {Level: Production, Revision: 3}}}); !slices.Contains(got, Effect(Announce{Level: Pipelines, Revision: 3})) {
+	if got := m.Step(
+		testPollInterval,
+		RecordsListed{Controllers: map[string]Record{"a": {Level: Production, Revision: 3}}},
+	); !slices.Contains(
+		got,
+		Effect(Announce{Level: Pipelines, Revision: 3}),
+	) {
 		t.Fatalf("its record lacks the level: %v", got)
 	}
 	m.Step(testPollInterval, AnnounceDone{})
@@ -80,12 +97,22 @@
 		t.Fatal("it looks at once whether its level is recorded")
 	}
 	nodes := map[string]Record{"a": {Level: Pipelines}}
-	if got := m.Step(testPollInterval, RecordsListed{Controllers: nodes}); len(got) != 0 || !slices.Equal(m.Missing(), []string{"b"}) {
+	if got := m.Step(
+		testPollInterval,
+		RecordsListed{Controllers: nodes},
+	); len(got) != 0 ||
+		!slices.Equal(m.Missing(), []string{"b"}) {
 		t.Fatalf("with its own level recorded: %v, missing %v", got, m.Missing())
 	}
 	nodes = maps.Clone(nodes)
 	nodes["b"] = Record{Level: Pipelines}
-	if got := m.Step(2*testPollInterval, RecordsListed{Controllers: nodes, Final: Pipelines}); !slices.Contains(got, Effect(Activate{Level: Pipelines})) {
+	if got := m.Step(
+		2*testPollInterval,
+		RecordsListed{Controllers: nodes, Final: Pipelines},
+	); !slices.Contains(
+		got,
+		Effect(Activate{Level: Pipelines}),
+	) {
 		t.Fatalf("the level is final: %v", got)
 	}
 	if looks(10*testPollInterval) || m.Final() != Pipelines {
--- a/internal/coordination/fencing/fencer.go
+++ b/internal/coordination/fencing/fencer.go
@@ -125,7 +125,10 @@
 		}
 	case SilenceConfirmed:
 		// A report may have come while the peers were asked.
-		silent := slices.DeleteFunc(slices.Clone(e.Machines), func(name string) bool { return m.heardRecently(now, name) })
+		silent := slices.DeleteFunc(
+			slices.Clone(e.Machines),
+			func(name string) bool { return m.heardRecently(now, name) },
+		)
 		if m.mayRelease && len(silent) > 0 {
 			return []Effect{ReleaseMachines{silent}}
 		}
@@ -134,7 +137,10 @@
 			m.released[name] = now
 		}
 	case PeerQuery:
-		heard := slices.DeleteFunc(slices.Clone(e.Machines), func(name string) bool { return !m.heardRecently(now, name) })
+		heard := slices.DeleteFunc(
+			slices.Clone(e.Machines),
+			func(name string) bool { return !m.heardRecently(now, name) },
+		)
 		return []Effect{AnswerPeer{Heard: heard, Reply: e.Reply}}
 	}
 	return nil
--- a/internal/coordination/fencing/fencer_test.go
+++ b/internal/coordination/fencing/fencer_test.go
@@ -130,7 +130,8 @@
 				case ReleaseMachines:
 					for _, name := range e.Machines {
 						at, heard := last[name]
-						if name == "starting" || name == "failed" || gone[name] || heard && now-at <= testGracePeriod || now-since < testGracePeriod {
+						if name == "starting" || name == "failed" || gone[name] || heard && now-at <= testGracePeriod ||
+							now-since < testGracePeriod {
 							t.Fatalf("%s released at %v, heard %v at %v, spell from %v", name, now, heard, at, since)
 						}
 						released++
@@ -157,7 +158,12 @@
 				name := rapid.SampledFrom(names).Draw(t, "machine")
 				sequence++
 				last[name] = now
-				handle(m.Step(now, HeartbeatReceived{&protocol.WorkerHeartbeat{Machine: name, Incarnation: 1, Sequence: sequence}}))
+				handle(
+					m.Step(
+						now,
+						HeartbeatReceived{&protocol.WorkerHeartbeat{Machine: name, Incarnation: 1, Sequence: sequence}},
+					),
+				)
 			case 2:
 				for _, effect := range m.Step(now, machineList(names...)) {
 					silent := effect.(QueryPeers).Machines
@@ -165,7 +171,12 @@
 					if rapid.Bool().Draw(t, "a report meanwhile") {
 						sequence++
 						last[silent[0]] = now
-						m.Step(now, HeartbeatReceived{&protocol.WorkerHeartbeat{Machine: silent[0], Incarnation: 1, Sequence: sequence}})
+						m.Step(
+							now,
+							HeartbeatReceived{
+								&protocol.WorkerHeartbeat{Machine: silent[0], Incarnation: 1, Sequence: sequence},
+							},
+						)
 					}
 					handle(m.Step(now, SilenceConfirmed{Machines: silent}))
 				}
@@ -201,7 +212,11 @@
 		{"a peer that counts misses it", []PeerReply{{Answered: true, Heard: []string{"a"}}, {InQuorum: true}}, nil, false},
 		{"part of its answer", []PeerReply{{Heard: []string{"a"}, InQuorum: true}}, nil, false},
 	} {
-		if silent, certain := StillSilent(machines, row.answers); certain != row.certain || !slices.Equal(silent, row.silent) {
+		if silent, certain := StillSilent(
+			machines,
+			row.answers,
+		); certain != row.certain ||
+			!slices.Equal(silent, row.silent) {
 			t.Errorf("%s: %v %v, want %v %v", row.name, silent, certain, row.silent, row.certain)
 		}
 	}
@@ -220,7 +235,10 @@
 	m.Step(0, assessed)
 	now := m.timing.GracePeriod + m.timing.MinIntentAge
 	for i := 0; i < machines; i += 2 {
-		m.Step(now, HeartbeatReceived{Heartbeat: &protocol.WorkerHeartbeat{Machine: names[i], Incarnation: 1, Sequence: 1}})
+		m.Step(
+			now,
+			HeartbeatReceived{Heartbeat: &protocol.WorkerHeartbeat{Machine: names[i], Incarnation: 1, Sequence: 1}},
+		)
 	}
 	if effects := m.Step(now, assessed); len(effects) != 1 {
 		t.Fatalf("%v", effects)
@@ -237,7 +255,10 @@
 	for i := 1; i < machines; i += 4 {
 		heard = append(heard, names[i])
 	}
-	silent, certain := StillSilent(asked, []PeerReply{{Answered: true, Heard: heard}, {Answered: true, Heard: heard[:1]}})
+	silent, certain := StillSilent(
+		asked,
+		[]PeerReply{{Answered: true, Heard: heard}, {Answered: true, Heard: heard[:1]}},
+	)
 	if !certain || len(silent) != machines/4 {
 		t.Fatalf("%d are silent, want %d", len(silent), machines/4)
 	}
--- a/internal/coordination/leader/cloud.go
+++ b/internal/coordination/leader/cloud.go
@@ -28,8 +28,10 @@
 // NewCloudClient returns a client. A controller uses most of the whole rate, since
 // only the leader calls more than now and then.
 func NewCloudClient(network transport.Network, addr string, cfg config.Cloud) *CloudClient {
-	return &CloudClient{baseURL: "http://" + addr, client: transport.NewClient(network, 4, 4, config.Seconds(cfg.ListLagSeconds)),
-		limiter: rate.NewLimiter(rate.Limit(cfg.RPS*0.9), max(1, int(cfg.RPS))), timeout: 4 * scheduler.CycleInterval}
+	return &CloudClient{
+		baseURL: "http://" + addr, client: transport.NewClient(network, 4, 4, config.Seconds(cfg.ListLagSeconds)),
+		limiter: rate.NewLimiter(rate.Limit(cfg.RPS*0.9), max(1, int(cfg.RPS))), timeout: 4 * scheduler.CycleInterval,
+	}
 }
 
 var (
@@ -96,7 +98,11 @@
 	if value, err := protocol.Encode(protocol.MachineTypes{Types: types}); err == nil {
 		// Only a short cut for others: without it they ask the cloud.
 		_, _, _ = store.Txn(ctx, storage.BudgetPlacement, protocol.Txn{
-			If: []protocol.Compare{{Key: storage.MachineTypesKey, Revision: p.Revision}}, Then: []protocol.Op{{PutKey: storage.MachineTypesKey, Value: value}}})
+			If: []protocol.Compare{
+				{Key: storage.MachineTypesKey, Revision: p.Revision},
+			},
+			Then: []protocol.Op{{PutKey: storage.MachineTypesKey, Value: value}},
+		})
 	}
 	return types, nil
 }
@@ -123,7 +129,11 @@
 }
 
 // Rent rents machines; refused means that there are none.
-func (c *CloudClient) Rent(ctx context.Context, turn CallSlot, r protocol.Rental) (names []string, refused bool, err error) {
+func (c *CloudClient) Rent(
+	ctx context.Context,
+	turn CallSlot,
+	r protocol.Rental,
+) (names []string, refused bool, err error) {
 	var out protocol.MachineNames
 	status, err := c.call(ctx, turn, http.MethodPost, "/machines", r, &out)
 	if errors.Is(err, errNoCapacity) || status == http.StatusBadRequest {
--- a/internal/coordination/leader/cloud_test.go
+++ b/internal/coordination/leader/cloud_test.go
@@ -34,7 +34,11 @@
 		model.ServeHTTP(w, r)
 	}))
 	defer srv.Close()
-	c := NewCloudClient(transport.TCP{}, strings.TrimPrefix(srv.URL, "http://"), config.Cloud{RPS: 1e6, ListLagSeconds: 10})
+	c := NewCloudClient(
+		transport.TCP{},
+		strings.TrimPrefix(srv.URL, "http://"),
+		config.Cloud{RPS: 1e6, ListLagSeconds: 10},
+	)
 	list, err := c.List(t.Context(), c.Reserve())
 	if err != nil || len(list) != machines {
 		t.Fatalf("%d of %d machines: %v", len(list), machines, err)
--- a/internal/coordination/leader/effects.go
+++ b/internal/coordination/leader/effects.go
@@ -84,7 +84,9 @@
 			return
 		case err == nil:
 			if mine, rev, known := l.verifyWrite(use, w, uncertain); known {
-				l.mailbox.Send(scheduler.TransactionOutcome{WriteID: w.ID, Succeeded: mine, Revision: rev, FailedKeys: failed})
+				l.mailbox.Send(
+					scheduler.TransactionOutcome{WriteID: w.ID, Succeeded: mine, Revision: rev, FailedKeys: failed},
+				)
 				return
 			}
 		case errors.Is(err, storage.ErrOutcomeUnknown):
@@ -93,7 +95,9 @@
 			// Refused for its form: as it is it will never be carried out, unless an earlier try was.
 			l.Log.Error("write refused", "key", w.VerifyKey, "err", err)
 			if mine, rev, known := l.verifyWrite(use, w, uncertain); known {
-				l.mailbox.Send(scheduler.TransactionOutcome{WriteID: w.ID, Succeeded: mine, Revision: rev, Malformed: !mine})
+				l.mailbox.Send(
+					scheduler.TransactionOutcome{WriteID: w.ID, Succeeded: mine, Revision: rev, Malformed: !mine},
+				)
 				return
 			}
 		}
@@ -103,7 +107,11 @@
 
 // verifyWrite says whether an earlier try of a write, of which no answer came, was carried out: then the record
 // names it. known is false if that can't be told now.
-func (l *Leader) verifyWrite(use storage.Budget, w scheduler.Write, uncertain bool) (mine bool, rev uint64, known bool) {
+func (l *Leader) verifyWrite(
+	use storage.Budget,
+	w scheduler.Write,
+	uncertain bool,
+) (mine bool, rev uint64, known bool) {
 	if !uncertain {
 		return false, 0, true
 	}
@@ -136,7 +144,13 @@
 }
 
 func (l *Leader) sendCommands(o scheduler.SendCommandBatch) {
-	status, raw, err := l.Workers.Do(l.ctx, commandTimeout(l.Deployment), http.MethodPost, "http://"+o.Addr+"/commands", o.Batch)
+	status, raw, err := l.Workers.Do(
+		l.ctx,
+		commandTimeout(l.Deployment),
+		http.MethodPost,
+		"http://"+o.Addr+"/commands",
+		o.Batch,
+	)
 	done := scheduler.CommandBatchResult{Machine: o.Machine}
 	if err == nil && (status == http.StatusOK || status == http.StatusConflict) {
 		if r, err := protocol.DecodeWorkerHeartbeat(raw); err == nil {
@@ -155,7 +169,13 @@
 	if l.ctx.Err() != nil {
 		return
 	}
-	status, raw, err := l.Workers.Do(l.ctx, commandTimeout(l.Deployment), http.MethodGet, "http://"+e.Addr+"/inspect", nil)
+	status, raw, err := l.Workers.Do(
+		l.ctx,
+		commandTimeout(l.Deployment),
+		http.MethodGet,
+		"http://"+e.Addr+"/inspect",
+		nil,
+	)
 	if err != nil || status != http.StatusOK {
 		l.Log.Debug("not inspected", "machine", e.Machine, "status", status, "err", err)
 		return
@@ -185,7 +205,14 @@
 	for ; l.ctx.Err() == nil; turn = l.Cloud.Reserve() {
 		names, refused, err := l.Cloud.Rent(l.ctx, turn, e.Rental)
 		if err == nil {
-			l.mailbox.Send(scheduler.ScaleOutResult{Request: e.Rental.RequestID, RequestedAt: asked, Machines: names, Refused: refused})
+			l.mailbox.Send(
+				scheduler.ScaleOutResult{
+					Request:     e.Rental.RequestID,
+					RequestedAt: asked,
+					Machines:    names,
+					Refused:     refused,
+				},
+			)
 			return
 		}
 		// The same name rents nothing twice, so trying again is safe.
--- a/internal/coordination/leader/leader.go
+++ b/internal/coordination/leader/leader.go
@@ -117,7 +117,11 @@
 
 // Heartbeat hands a worker's report to the leader and returns the answer, or
 // false if none came in time. relayed says that another controller passed it on.
-func (l *Leader) Heartbeat(ctx context.Context, r *protocol.WorkerHeartbeat, relayed bool) (protocol.WorkerHeartbeatReply, bool) {
+func (l *Leader) Heartbeat(
+	ctx context.Context,
+	r *protocol.WorkerHeartbeat,
+	relayed bool,
+) (protocol.WorkerHeartbeatReply, bool) {
 	reply := make(chan protocol.WorkerHeartbeatReply, 1)
 	l.mailbox.Send(scheduler.HeartbeatReceived{ReplyTo: reply, Heartbeat: r, Relayed: relayed})
 	select {
@@ -129,11 +133,13 @@
 	return protocol.WorkerHeartbeatReply{}, false
 }
 
-// UnchangedHeartbeats hands in which machines an owner has heard that told nothing new, and returns those of which the next report
-// is to be passed on; false if no answer came in time.
+// UnchangedHeartbeats hands in which machines an owner has heard that told nothing new, and returns those of which the
+// next report is to be passed on; false if no answer came in time.
 func (l *Leader) UnchangedHeartbeats(ctx context.Context, machines []scheduler.UnchangedHeartbeat) ([]string, bool) {
 	reply := make(chan []string, 1)
-	l.mailbox.Send(scheduler.UnchangedHeartbeats{Heartbeats: machines, ForwardNext: func(passOn []string) { reply <- passOn }})
+	l.mailbox.Send(
+		scheduler.UnchangedHeartbeats{Heartbeats: machines, ForwardNext: func(passOn []string) { reply <- passOn }},
+	)
 	select {
 	case passOn := <-reply:
 		return passOn, true
@@ -214,12 +220,31 @@
 			e.ReplyTo = nil // it has its answer
 			early.add(e)
 		case loadedRecords:
-			records := scheduler.RecoveredRecords{MachineTypes: e.types, LiveJobs: e.liveJobs, Pages: e.pages, Images: e.images, ZoneReturnPages: e.zones}
-			core = scheduler.New(now, l.Deployment, l.Log, l.schedulerTerm, records, time.Now().UnixMilli(), l.ZoneReturn)
+			records := scheduler.RecoveredRecords{
+				MachineTypes:    e.types,
+				LiveJobs:        e.liveJobs,
+				Pages:           e.pages,
+				Images:          e.images,
+				ZoneReturnPages: e.zones,
+			}
+			core = scheduler.New(
+				now,
+				l.Deployment,
+				l.Log,
+				l.schedulerTerm,
+				records,
+				time.Now().UnixMilli(),
+				l.ZoneReturn,
+			)
 			l.Log.Info("records read", "jobs", len(e.liveJobs), "pages", len(e.pages), "took", now-began)
 			withdrawals := l.CancellationIntents(now)
 			for _, job := range slices.Sorted(maps.Keys(withdrawals)) {
-				l.applyEffects(core.Step(now, scheduler.CancellationIntent{ID: job, ValidUntil: withdrawals[job] + l.ConfirmWithin}))
+				l.applyEffects(
+					core.Step(
+						now,
+						scheduler.CancellationIntent{ID: job, ValidUntil: withdrawals[job] + l.ConfirmWithin},
+					),
+				)
 			}
 			for _, c := range changes {
 				l.applyEffects(core.Step(now, c))
--- a/internal/coordination/leader/leader_test.go
+++ b/internal/coordination/leader/leader_test.go
@@ -29,9 +29,22 @@
 	srv := httptest.NewServer(simulation.NewStore())
 	t.Cleanup(srv.Close)
 	cfg := &config.Deployment{
-		Controllers: 3, Teams: []config.Team{{Name: "red"}},
-		Workers: config.Workers{HeartbeatSeconds: 1, LeaseSeconds: 10, GangWaitSeconds: 40, GangPeerSeconds: 4, CancelSeconds: 40},
-		Store:   config.StoreLimits{RPS: 1e6, WriteRPS: 1e6, ValueKB: 8, TxnOps: 16}, Cloud: config.Cloud{RPS: 1e6, ListLagSeconds: 1e6},
+		Controllers: 3,
+		Teams:       []config.Team{{Name: "red"}},
+		Workers: config.Workers{
+			HeartbeatSeconds: 1,
+			LeaseSeconds:     10,
+			GangWaitSeconds:  40,
+			GangPeerSeconds:  4,
+			CancelSeconds:    40,
+		},
+		Store: config.StoreLimits{
+			RPS:      1e6,
+			WriteRPS: 1e6,
+			ValueKB:  8,
+			TxnOps:   16,
+		},
+		Cloud: config.Cloud{RPS: 1e6, ListLagSeconds: 1e6},
 		Quota: config.Quota{CoreShare: 1, RAMMB: 64, MaxSockets: 500},
 	}
 	addr := strings.TrimPrefix(srv.URL, "http://")
@@ -41,16 +54,33 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	l := Start(ctx, Deps{
-		Deployment: cfg, Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Random: random.New(1), Store: storage.NewClient(transport.TCP{}, random.New(1), cfg, addr, time.Minute),
-		Cloud: NewCloudClient(transport.TCP{}, addr, cfg.Cloud), Workers: transport.NewClient(transport.TCP{}, 1, 4, time.Minute),
-		Now: func() time.Duration { return time.Since(start) }, MachineTypesRead: func([]protocol.MachineType) {},
-		Confirmed: func() bool { return !stale.Load() },
-		Deposed:   func(_ uint64, d scheduler.StepDown) { deposed <- d },
-		Fresh:     func(uint64, time.Duration) {}, WatchTimeout: time.Second,
+		Deployment: cfg,
+		Log:        slog.New(slog.NewTextHandler(io.Discard, nil)),
+		Random:     random.New(1),
+		Store:      storage.NewClient(transport.TCP{}, random.New(1), cfg, addr, time.Minute),
+		Cloud: NewCloudClient(
+			transport.TCP{},
+			addr,
+			cfg.Cloud,
+		),
+		Workers:               transport.NewClient(transport.TCP{}, 1, 4, time.Minute),
+		Now:                   func() time.Duration { return time.Since(start) },
+		MachineTypesRead:      func([]protocol.MachineType) {},
+		Confirmed:             func() bool { return !stale.Load() },
+		Deposed:               func(_ uint64, d scheduler.StepDown) { deposed <- d },
+		Fresh:                 func(uint64, time.Duration) {},
+		WatchTimeout:          time.Second,
 		CancellationIntents:   func(time.Duration) map[string]time.Duration { return nil },
 		HasCancellationIntent: func(string) bool { return false },
 	}, scheduler.Term{Number: 3, Revision: 1})
-	r := &protocol.WorkerHeartbeat{Machine: "m1", Addr: "127.0.0.1:1", Type: "g8", Zone: "a", Incarnation: 1, Sequence: 1}
+	r := &protocol.WorkerHeartbeat{
+		Machine:     "m1",
+		Addr:        "127.0.0.1:1",
+		Type:        "g8",
+		Zone:        "a",
+		Incarnation: 1,
+		Sequence:    1,
+	}
 	if a, ok := l.Heartbeat(ctx, r, false); !ok || protocol.TermOfToken(a.FencingToken) != 3 {
 		t.Fatalf("while it is confirmed: %+v %v", a, ok)
 	}
--- a/internal/coordination/machineindex/index.go
+++ b/internal/coordination/machineindex/index.go
@@ -66,7 +66,12 @@
 type bucketKey struct{ highest, cpus, gpus, memory int }
 
 func compareBucketKeys(a, b bucketKey) int {
-	return cmp.Or(cmp.Compare(a.highest, b.highest), cmp.Compare(a.cpus, b.cpus), cmp.Compare(a.gpus, b.gpus), cmp.Compare(a.memory, b.memory))
+	return cmp.Or(
+		cmp.Compare(a.highest, b.highest),
+		cmp.Compare(a.cpus, b.cpus),
+		cmp.Compare(a.gpus, b.gpus),
+		cmp.Compare(a.memory, b.memory),
+	)
 }
 
 const tolerance = 1e-9 // amounts are decimal numbers
@@ -80,7 +85,11 @@
 }
 
 func bucketKeyOf(free, capacity machineregistry.Resources) bucketKey {
-	l := bucketKey{cpus: bucketOf(free.CPUs, capacity.CPUs), gpus: bucketOf(free.GPUs, capacity.GPUs), memory: bucketOf(free.MemoryGB, capacity.MemoryGB)}
+	l := bucketKey{
+		cpus:   bucketOf(free.CPUs, capacity.CPUs),
+		gpus:   bucketOf(free.GPUs, capacity.GPUs),
+		memory: bucketOf(free.MemoryGB, capacity.MemoryGB),
+	}
 	l.highest = max(l.cpus, l.gpus, l.memory)
 	return l
 }
--- a/internal/coordination/machineindex/index_test.go
+++ b/internal/coordination/machineindex/index_test.go
@@ -25,8 +25,12 @@
 var capacity = machineregistry.Resources{CPUs: 64, GPUs: 8, MemoryGB: 256}
 
 func drawNeed(t *rapid.T, label string) machineregistry.Resources {
-	return machineregistry.Resources{CPUs: rapid.Float64Range(0, 64).Draw(t, label+" cpus"), GPUs: float64(rapid.IntRange(0, 8).Draw(t, label+" gpus")),
-		MemoryGB: float64(rapid.IntRange(0, 8).Draw(t, label+" memory")) * 32}
+	return machineregistry.Resources{
+		CPUs: rapid.Float64Range(0, 64).
+			Draw(t, label+" cpus"),
+		GPUs:     float64(rapid.IntRange(0, 8).Draw(t, label+" gpus")),
+		MemoryGB: float64(rapid.IntRange(0, 8).Draw(t, label+" memory")) * 32,
+	}
 }
 
 // score is what a machine scores for a need; Loosest turns it round.
@@ -65,7 +69,10 @@
 		x := New[*machine]()
 		var all []*machine
 		for i := range rapid.IntRange(1, 60).Draw(t, "machines") {
-			m := &machine{penalty: float64(rapid.IntRange(0, 2).Draw(t, "worse")) / 4, closed: rapid.IntRange(0, 5).Draw(t, "shut") == 0}
+			m := &machine{
+				penalty: float64(rapid.IntRange(0, 2).Draw(t, "worse")) / 4,
+				closed:  rapid.IntRange(0, 5).Draw(t, "shut") == 0,
+			}
 			m.entry = NewEntry(fmt.Sprintf("m%03d", i), m)
 			all = append(all, m)
 		}
@@ -75,7 +82,11 @@
 				x.Remove(m.entry)
 				continue
 			}
-			m.pool = Pool{Type: "g8", Zone: rapid.SampledFrom([]string{"a", "b", "closed"}).Draw(t, "zone"), Spot: rapid.Bool().Draw(t, "spot")}
+			m.pool = Pool{
+				Type: "g8",
+				Zone: rapid.SampledFrom([]string{"a", "b", "closed"}).Draw(t, "zone"),
+				Spot: rapid.Bool().Draw(t, "spot"),
+			}
 			m.free = drawNeed(t, "free")
 			x.Put(m.entry, m.pool, capacity, m.free)
 		}
@@ -98,7 +109,11 @@
 			}
 		}
 		var best Best[*machine]
-		complete := x.Search(newQuery(order, need, len(all)), &best, func(m *machine) (float64, bool) { return m.score(order, need), !m.closed })
+		complete := x.Search(
+			newQuery(order, need, len(all)),
+			&best,
+			func(m *machine) (float64, bool) { return m.score(order, need), !m.closed },
+		)
 		if may := x.MayFit(newQuery(order, need, 0)); may != fits {
 			t.Fatalf("may fit: %v, want %v", may, fits)
 		}
@@ -160,7 +175,11 @@
 		x.Put(m.entry, m.pool, capacity, m.free)
 	}
 	var best Best[*machine]
-	if x.Search(newQuery(BestFit, machineregistry.Resources{}, 5), &best, func(m *machine) (float64, bool) { return m.score(BestFit, machineregistry.Resources{}), true }) {
+	if x.Search(
+		newQuery(BestFit, machineregistry.Resources{}, 5),
+		&best,
+		func(m *machine) (float64, bool) { return m.score(BestFit, machineregistry.Resources{}), true },
+	) {
 		t.Error("five looks at twenty machines that all differ were enough")
 	}
 	if !best.Found || best.Entry.name != "m04" {
@@ -178,14 +197,21 @@
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			x := New[*machine]()
 			for i := range n {
-				m := &machine{pool: Pool{Type: "g8", Zone: []string{"a", "b", "c"}[i%3]}, free: machineregistry.Resources{CPUs: float64(2 * (i % 32)), GPUs: float64(i % 9), MemoryGB: 128}}
+				m := &machine{
+					pool: Pool{Type: "g8", Zone: []string{"a", "b", "c"}[i%3]},
+					free: machineregistry.Resources{CPUs: float64(2 * (i % 32)), GPUs: float64(i % 9), MemoryGB: 128},
+				}
 				m.entry = NewEntry(fmt.Sprintf("m%05d", i), m)
 				x.Put(m.entry, m.pool, capacity, m.free)
 			}
 			need := machineregistry.Resources{CPUs: 2, MemoryGB: 4}
 			for b.Loop() {
 				var best Best[*machine]
-				x.Search(newQuery(BestFit, need, 1000), &best, func(m *machine) (float64, bool) { return m.score(BestFit, need), true })
+				x.Search(
+					newQuery(BestFit, need, 1000),
+					&best,
+					func(m *machine) (float64, bool) { return m.score(BestFit, need), true },
+				)
 			}
 		})
 	}
--- a/internal/coordination/machineindex/search.go
+++ b/internal/coordination/machineindex/search.go
@@ -159,7 +159,11 @@
 
 // maxResources is the larger of two amounts of each resource.
 func maxResources(a, b machineregistry.Resources) machineregistry.Resources {
-	return machineregistry.Resources{CPUs: max(a.CPUs, b.CPUs), GPUs: max(a.GPUs, b.GPUs), MemoryGB: max(a.MemoryGB, b.MemoryGB)}
+	return machineregistry.Resources{
+		CPUs:     max(a.CPUs, b.CPUs),
+		GPUs:     max(a.GPUs, b.GPUs),
+		MemoryGB: max(a.MemoryGB, b.MemoryGB),
+	}
 }
 
 // cannotWin says whether a bound shows that a machine is worse than the best. Bounds are computed
--- a/internal/coordination/machineregistry/commands.go
+++ b/internal/coordination/machineregistry/commands.go
@@ -32,7 +32,10 @@
 		out = append(out, protocol.Command{Verb: protocol.VerbRun, TaskName: pl.Task.String(), Attempt: pl.Attempt})
 	}
 	stop := func(id protocol.TaskID, attempt uint64, graceS float64) {
-		out = append(out, protocol.Command{Verb: protocol.VerbStop, TaskName: id.String(), Attempt: attempt, GraceSeconds: &graceS})
+		out = append(
+			out,
+			protocol.Command{Verb: protocol.VerbStop, TaskName: id.String(), Attempt: attempt, GraceSeconds: &graceS},
+		)
 	}
 	if len(m.placements) > 0 {
 		for _, pl := range sortedPlacements(m.placements) {
--- a/internal/coordination/machineregistry/heartbeat.go
+++ b/internal/coordination/machineregistry/heartbeat.go
@@ -16,7 +16,10 @@
 
 // HandleHeartbeat takes in a worker's message. It returns what changed; newer is false
 // for copies and latecomers, whose task lists prove nothing but exits.
-func (p *Registry) HandleHeartbeat(now time.Duration, r *protocol.WorkerHeartbeat) (m *Machine, facts []Observation, newer bool) {
+func (p *Registry) HandleHeartbeat(
+	now time.Duration,
+	r *protocol.WorkerHeartbeat,
+) (m *Machine, facts []Observation, newer bool) {
 	m = p.GetOrCreate(now, r.Machine)
 	if !p.Schedulable(now, m) {
 		defer p.markChanged(m) // it may be open now
@@ -73,8 +76,8 @@
 	return m, facts, newer
 }
 
-// HandleUnchangedHeartbeat takes in that an owner has answered a report which told nothing new, and says whether it knows as much of the
-// machine: if not, or if the machine has commands to take, the next report is to be passed on.
+// HandleUnchangedHeartbeat takes in that an owner has answered a report which told nothing new, and says whether it
+// knows as much of the machine: if not, or if the machine has commands to take, the next report is to be passed on.
 func (p *Registry) HandleUnchangedHeartbeat(now time.Duration, name string, session, seq uint64) bool {
 	m := p.machines[name]
 	if m == nil || !m.Registered || m.Incarnation != session {
@@ -94,9 +97,15 @@
 // when it reports a token above all those that a run of the attempt was sent
 // with, none can be executed any more, and an attempt that it does not list is
 // not there and will not be. Without the token, absence proves nothing.
-func (p *Registry) removeAbsent(now time.Duration, m *Machine, token uint64, listed map[protocol.TaskID]uint64) (facts []Observation) {
+func (p *Registry) removeAbsent(
+	now time.Duration,
+	m *Machine,
+	token uint64,
+	listed map[protocol.TaskID]uint64,
+) (facts []Observation) {
 	for _, pl := range sortedPlacements(m.placements) {
-		if !pl.Stopping || pl.Reported || pl.Incarnation != m.Incarnation || token <= pl.runFencingToken || listed[pl.Task] == pl.Attempt {
+		if !pl.Stopping || pl.Reported || pl.Incarnation != m.Incarnation || token <= pl.runFencingToken ||
+			listed[pl.Task] == pl.Attempt {
 			continue
 		}
 		p.removePlacement(now, m, pl)
@@ -107,7 +116,13 @@
 }
 
 // handleTaskStatus takes in one task of a report.
-func (p *Registry) handleTaskStatus(now time.Duration, m *Machine, id protocol.TaskID, t *protocol.TaskStatus, newer bool) (Observation, bool) {
+func (p *Registry) handleTaskStatus(
+	now time.Duration,
+	m *Machine,
+	id protocol.TaskID,
+	t *protocol.TaskStatus,
+	newer bool,
+) (Observation, bool) {
 	pl := m.placements[id]
 	if pl == nil || pl.Attempt != t.Attempt || pl.Incarnation != m.Incarnation {
 		e := m.exitedTasks[id]
@@ -116,7 +131,12 @@
 		case t.State == protocol.TaskExited && !known && (pl == nil || pl.Attempt > t.Attempt) && (e == nil || e.attempt < t.Attempt):
 			// Nothing of this term: an earlier leader's, whose outcome is
 			// recorded, or else the record would still name it.
-			m.exitedTasks[id] = &exitedTask{attempt: t.Attempt, outcomeRecorded: true, runFencingToken: protocol.FencingToken(p.term, 0) - 1, exitedAt: now}
+			m.exitedTasks[id] = &exitedTask{
+				attempt:         t.Attempt,
+				outcomeRecorded: true,
+				runFencingToken: protocol.FencingToken(p.term, 0) - 1,
+				exitedAt:        now,
+			}
 		case t.State != protocol.TaskExited && newer && !known:
 			m.unknownTasks[id] = t.Attempt
 		}
--- a/internal/coordination/machineregistry/images.go
+++ b/internal/coordination/machineregistry/images.go
@@ -67,7 +67,12 @@
 }
 
 // FetchTimeWithout is FetchTime if those tasks left that the function names.
-func (p *Registry) FetchTimeWithout(now time.Duration, m *Machine, j *protocol.Job, leave func(*Placement) bool) time.Duration {
+func (p *Registry) FetchTimeWithout(
+	now time.Duration,
+	m *Machine,
+	j *protocol.Job,
+	leave func(*Placement) bool,
+) time.Duration {
 	if im := m.images[j.Image]; im != nil {
 		return im.remainingFetch(now)
 	}
@@ -101,7 +106,12 @@
 // FetchDelayWithout estimates by how much, in all, a fetch of the job's image would
 // delay other fetches on the machine, which share its rate, if those tasks left
 // that the function names.
-func (p *Registry) FetchDelayWithout(now time.Duration, m *Machine, j *protocol.Job, leave func(*Placement) bool) time.Duration {
+func (p *Registry) FetchDelayWithout(
+	now time.Duration,
+	m *Machine,
+	j *protocol.Job,
+	leave func(*Placement) bool,
+) time.Duration {
 	t := p.machineTypes[m.Type]
 	if m.images[j.Image] != nil || t == nil || t.FetchGBPerSecond <= 0 {
 		return 0
@@ -121,7 +131,11 @@
 	im := m.images[j.Image]
 	if im == nil {
 		whole := p.FetchTime(now, m, j)
-		im = &imageEntry{sizeGB: j.ImageGB, expectedAt: now + whole, latestAt: now + time.Duration(float64(whole)*SlowFetchFactor)}
+		im = &imageEntry{
+			sizeGB:     j.ImageGB,
+			expectedAt: now + whole,
+			latestAt:   now + time.Duration(float64(whole)*SlowFetchFactor),
+		}
 		p.setImage(m, j.Image, im)
 	}
 	im.lastUsed = now
--- a/internal/coordination/machineregistry/indexes.go
+++ b/internal/coordination/machineregistry/indexes.go
@@ -26,7 +26,13 @@
 }
 
 func newIndexes() indexes {
-	v := indexes{changedTeams: map[string]bool{}, withImage: map[string]*MachineSet{}, fetching: map[string]*MachineSet{}, withStopping: newMachineSet(), withInterruptionNotice: newMachineSet()}
+	v := indexes{
+		changedTeams:           map[string]bool{},
+		withImage:              map[string]*MachineSet{},
+		fetching:               map[string]*MachineSet{},
+		withStopping:           newMachineSet(),
+		withInterruptionNotice: newMachineSet(),
+	}
 	for level := range v.byPriority {
 		v.byPriority[level] = newMachineSet()
 	}
--- a/internal/coordination/machineregistry/limits_test.go
+++ b/internal/coordination/machineregistry/limits_test.go
@@ -28,7 +28,10 @@
 	var states []protocol.TaskStatus
 	for round := uint64(2); len(told) < tasks && round < 20; round++ {
 		orders := p.TakeDueCommands(time.Duration(round)*time.Second, m)
-		if raw, err := protocol.Encode(protocol.WorkerHeartbeatReply{FencingToken: 1, Commands: orders}); err != nil || len(raw) > protocol.MaxBodyBytes {
+		if raw, err := protocol.Encode(
+			protocol.WorkerHeartbeatReply{FencingToken: 1, Commands: orders},
+		); err != nil ||
+			len(raw) > protocol.MaxBodyBytes {
 			t.Fatalf("%d commands in %d bytes: %v", len(orders), len(raw), err)
 		}
 		for _, o := range orders {
@@ -36,7 +39,10 @@
 				t.Fatalf("%+v", o)
 			}
 			told[o.TaskName] = true
-			states = append(states, protocol.TaskStatus{TaskName: o.TaskName, Attempt: o.Attempt, State: protocol.TaskFetching})
+			states = append(
+				states,
+				protocol.TaskStatus{TaskName: o.TaskName, Attempt: o.Attempt, State: protocol.TaskFetching},
+			)
 		}
 		p.HandleHeartbeat(time.Duration(round)*time.Second, testHeartbeat(1, round, 0, states...))
 	}
--- a/internal/coordination/machineregistry/registry.go
+++ b/internal/coordination/machineregistry/registry.go
@@ -62,9 +62,14 @@
 // New returns an empty part of the given term.
 func New(term uint64, w config.Workers) *Registry {
 	return &Registry{
-		term: term, workerSettings: w,
-		machineTypes: map[string]*protocol.MachineType{}, machines: map[string]*Machine{}, teamUsage: map[string]Resources{},
-		imageHints: map[string][]CachedImage{}, commandsDue: map[string]*Machine{}, indexes: newIndexes(),
+		term:           term,
+		workerSettings: w,
+		machineTypes:   map[string]*protocol.MachineType{},
+		machines:       map[string]*Machine{},
+		teamUsage:      map[string]Resources{},
+		imageHints:     map[string][]CachedImage{},
+		commandsDue:    map[string]*Machine{},
+		indexes:        newIndexes(),
 	}
 }
 
@@ -119,9 +124,15 @@
 		return m
 	}
 	m := &Machine{
-		Name: name, LastHeartbeat: now, RentedAt: now, IdleSince: now,
-		FailedJobs: map[string]bool{}, placements: map[protocol.TaskID]*Placement{},
-		exitedTasks: map[protocol.TaskID]*exitedTask{}, unknownTasks: map[protocol.TaskID]uint64{}, images: map[string]*imageEntry{},
+		Name:          name,
+		LastHeartbeat: now,
+		RentedAt:      now,
+		IdleSince:     now,
+		FailedJobs:    map[string]bool{},
+		placements:    map[protocol.TaskID]*Placement{},
+		exitedTasks:   map[protocol.TaskID]*exitedTask{},
+		unknownTasks:  map[protocol.TaskID]uint64{},
+		images:        map[string]*imageEntry{},
 	}
 	for _, c := range p.imageHints[name] {
 		p.setImage(m, c.Image, &imageEntry{sizeGB: c.SizeGB, confirmed: true, lastUsed: now})
--- a/internal/coordination/machineregistry/registry_test.go
+++ b/internal/coordination/machineregistry/registry_test.go
@@ -13,41 +13,80 @@
 
 func TestMain(m *testing.M) { testutil.Main(m) }
 
-var testMachineType = protocol.MachineType{Name: "g8", CPUs: 64, GPUs: 8, MemoryGB: 256, CacheGB: 10, FetchGBPerSecond: 1, BootSeconds: 30, Zones: []string{"a"}}
+var testMachineType = protocol.MachineType{
+	Name:             "g8",
+	CPUs:             64,
+	GPUs:             8,
+	MemoryGB:         256,
+	CacheGB:          10,
+	FetchGBPerSecond: 1,
+	BootSeconds:      30,
+	Zones:            []string{"a"},
+}
 
 func newTestRegistry(term uint64) *Registry {
-	p := New(term, config.Workers{HeartbeatSeconds: 1, LeaseSeconds: 10, GangWaitSeconds: 40, GangPeerSeconds: 4, CancelSeconds: 40})
+	p := New(
+		term,
+		config.Workers{
+			HeartbeatSeconds: 1,
+			LeaseSeconds:     10,
+			GangWaitSeconds:  40,
+			GangPeerSeconds:  4,
+			CancelSeconds:    40,
+		},
+	)
 	p.SetMachineTypes([]protocol.MachineType{testMachineType})
 	return p
 }
 
 func testHeartbeat(session, seq, token uint64, tasks ...protocol.TaskStatus) *protocol.WorkerHeartbeat {
-	return &protocol.WorkerHeartbeat{Machine: "m1", Addr: "a", Type: "g8", Zone: "a", Incarnation: session, Sequence: seq, FencingToken: token, Tasks: tasks}
+	return &protocol.WorkerHeartbeat{
+		Machine:      "m1",
+		Addr:         "a",
+		Type:         "g8",
+		Zone:         "a",
+		Incarnation:  session,
+		Sequence:     seq,
+		FencingToken: token,
+		Tasks:        tasks,
+	}
 }
 
 func testTaskID(n int) protocol.TaskID { return protocol.TaskID{JobID: "j-1", Index: n} }
 
 func newTestPlacement(n int, gpus float64) *Placement {
-	return &Placement{Task: testTaskID(n), Attempt: 1, Machine: "m1", Resources: Resources{GPUs: gpus}, Team: "red",
-		Job: &protocol.Job{ID: "j-1", Image: "i", ImageGB: 1}}
+	return &Placement{
+		Task: testTaskID(n), Attempt: 1, Machine: "m1", Resources: Resources{GPUs: gpus}, Team: "red",
+		Job: &protocol.Job{ID: "j-1", Image: "i", ImageGB: 1},
+	}
 }
 
-// TestUnchangedHeartbeat: that an owner has answered a report keeps a machine from counting as silent, if nothing newer is known and
-// it is the session that the leader knows; it proves nothing of tasks. What has commands to take is asked for.
+// TestUnchangedHeartbeat: that an owner has answered a report keeps a machine from counting as silent, if nothing newer
+// is known and it is the session that the leader knows; it proves nothing of tasks. What has commands to take is asked
+// for.
 func TestUnchangedHeartbeat(t *testing.T) {
 	p := New(3, config.Workers{HeartbeatSeconds: 1, LeaseSeconds: 10})
 	now := time.Second
 	if p.HandleUnchangedHeartbeat(now, "m1", 1, 1) {
 		t.Error("a machine that was never heard needs no report")
 	}
-	p.HandleHeartbeat(now, &protocol.WorkerHeartbeat{Machine: "m1", Type: "g8", Zone: "a", Incarnation: 2, Sequence: 5, FencingToken: 7})
+	p.HandleHeartbeat(
+		now,
+		&protocol.WorkerHeartbeat{Machine: "m1", Type: "g8", Zone: "a", Incarnation: 2, Sequence: 5, FencingToken: 7},
+	)
 	now += 5 * time.Second
 	for _, x := range []struct {
 		session, seq uint64
 		ok           bool
 		heard        time.Duration
 	}{{1, 9, false, time.Second}, {3, 1, false, time.Second}, {2, 5, true, time.Second}, {2, 6, true, now}} {
-		if ok := p.HandleUnchangedHeartbeat(now, "m1", x.session, x.seq); ok != x.ok || p.Machine("m1").LastHeartbeat != x.heard {
+		if ok := p.HandleUnchangedHeartbeat(
+			now,
+			"m1",
+			x.session,
+			x.seq,
+		); ok != x.ok ||
+			p.Machine("m1").LastHeartbeat != x.heard {
 			t.Errorf("session %d, number %d: %v, heard at %v", x.session, x.seq, ok, p.Machine("m1").LastHeartbeat)
 		}
 	}
@@ -94,7 +133,15 @@
 				seq++
 				var tasks []protocol.TaskStatus
 				for n, pl := range held {
-					tasks = append(tasks, protocol.TaskStatus{TaskName: pl.Task.String(), Attempt: 1, State: protocol.TaskExited, Cause: protocol.CauseDone})
+					tasks = append(
+						tasks,
+						protocol.TaskStatus{
+							TaskName: pl.Task.String(),
+							Attempt:  1,
+							State:    protocol.TaskExited,
+							Cause:    protocol.CauseDone,
+						},
+					)
 					delete(held, n)
 				}
 				p.HandleHeartbeat(now, testHeartbeat(1, seq, 0, tasks...))
@@ -175,7 +222,12 @@
 	if got := verbsOf(p.TakeDueCommands(0, m)); got != "run " {
 		t.Errorf("after its record: %q", got)
 	}
-	exited := protocol.TaskStatus{TaskName: testTaskID(1).String(), Attempt: 1, State: protocol.TaskExited, Cause: protocol.CauseStopped}
+	exited := protocol.TaskStatus{
+		TaskName: testTaskID(1).String(),
+		Attempt:  1,
+		State:    protocol.TaskExited,
+		Cause:    protocol.CauseStopped,
+	}
 	first := p.FencingToken(m)
 	p.HandleHeartbeat(time.Second, testHeartbeat(1, 2, first, exited))
 	late := time.Hour
@@ -222,7 +274,11 @@
 	if _, f, _ := p.HandleHeartbeat(3, testHeartbeat(1, 2, sent)); len(f) != 0 || pl.Terminated {
 		t.Error("absence with the run's own token proved something")
 	}
-	if _, f, _ := p.HandleHeartbeat(4, testHeartbeat(1, 3, p.FencingToken(m))); len(f) != 1 || !f[0].Lost || !pl.Terminated {
+	if _, f, _ := p.HandleHeartbeat(
+		4,
+		testHeartbeat(1, 3, p.FencingToken(m)),
+	); len(f) != 1 || !f[0].Lost ||
+		!pl.Terminated {
 		t.Errorf("absence with a higher token: %v", f)
 	}
 
@@ -263,10 +319,21 @@
 			t.Fatalf("no room for %s", image)
 		}
 		p.AllowStart(pl)
-		say(now+time.Second, protocol.TaskStatus{TaskName: testTaskID(n).String(), Attempt: 1, State: protocol.TaskRunning})
+		say(
+			now+time.Second,
+			protocol.TaskStatus{TaskName: testTaskID(n).String(), Attempt: 1, State: protocol.TaskRunning},
+		)
 	}
 	end := func(now time.Duration, n int) {
-		say(now, protocol.TaskStatus{TaskName: testTaskID(n).String(), Attempt: 1, State: protocol.TaskExited, Cause: protocol.CauseDone})
+		say(
+			now,
+			protocol.TaskStatus{
+				TaskName: testTaskID(n).String(),
+				Attempt:  1,
+				State:    protocol.TaskExited,
+				Cause:    protocol.CauseDone,
+			},
+		)
 	}
 	warm := func(now time.Duration, image string) bool {
 		return p.FetchTime(now, p.Machine("m1"), &protocol.Job{Image: image, ImageGB: 1}) == 0
--- a/internal/coordination/ownership/assigner.go
+++ b/internal/coordination/ownership/assigner.go
@@ -20,8 +20,8 @@
 	TickInterval time.Duration
 	// PeerTimeout is for how long what a peer says of itself counts.
 	PeerTimeout time.Duration
-	// RejoinDelay is the pause before a controller owns machines again after a verdict on it. It doubles with each further
-	// verdict, up to maxRejoinDoublings times, and is forgotten after as long without one.
+	// RejoinDelay is the pause before a controller owns machines again after a verdict on it. It doubles with each
+	// further verdict, up to maxRejoinDoublings times, and is forgotten after as long without one.
 	RejoinDelay time.Duration
 }
 
@@ -152,8 +152,8 @@
 	p.incarnation, p.canOwn, p.heardAt = e.Member.Incarnation, e.CanOwn, now
 }
 
-// handleVerdict takes in that an incarnation is over. The controller owns machines again as another one, after a pause that
-// grows for one that fails again and again.
+// handleVerdict takes in that an incarnation is over. The controller owns machines again as another one, after a pause
+// that grows for one that fails again and again.
 func (m *Assigner) handleVerdict(now time.Duration, e Verdict) {
 	p := m.peers[e.Member.Controller]
 	if p == nil || p.failedIncarnations[e.Member.Incarnation] {
@@ -196,11 +196,15 @@
 		reason = "controllers have come, or begun anew"
 	}
 	m.writing = true
-	return []Effect{WriteRecord{Record: Record{Epoch: m.record.Epoch + 1, Members: wanted, Reason: reason, Revision: m.record.Revision}}}
+	return []Effect{
+		WriteRecord{
+			Record: Record{Epoch: m.record.Epoch + 1, Members: wanted, Reason: reason, Revision: m.record.Revision},
+		},
+	}
 }
 
-// desiredMembers lists the controllers that should own machines: this one, and peers that can and of which nobody holds that
-// they have failed. One that owns machines already keeps them without being heard, until there is a verdict.
+// desiredMembers lists the controllers that should own machines: this one, and peers that can and of which nobody holds
+// that they have failed. One that owns machines already keeps them without being heard, until there is a verdict.
 func (m *Assigner) desiredMembers(now time.Duration) []Member {
 	members := []Member{{Controller: m.self, Incarnation: m.incarnation}}
 	for name, p := range m.peers {
--- a/internal/coordination/ownership/assigner_test.go
+++ b/internal/coordination/ownership/assigner_test.go
@@ -69,8 +69,9 @@
 	return nodes
 }
 
-// TestOwnersFollowHeartbeatsAndVerdicts: a controller owns machines once it is heard, keeps them while it is silent, loses them by a verdict on its
-// incarnation alone, and owns some again as another one, later each time that it fails again.
+// TestOwnersFollowHeartbeatsAndVerdicts: a controller owns machines once it is heard, keeps them while it is silent,
+// loses them by a verdict on its incarnation alone, and owns some again as another one, later each time that it fails
+// again.
 func TestOwnersFollowHeartbeatsAndVerdicts(t *testing.T) {
 	l := newLeadingAssigner("b", "c")
 	b, c := member("b", 2, 0), member("c", 3, 0)
@@ -105,8 +106,8 @@
 	}
 }
 
-// TestProposalsNeedLeadershipAndRecord: nothing is proposed by a controller that does not lead, has not read the record, has just begun
-// to lead, or has a write under way; and what it reads goes before what it wanted.
+// TestProposalsNeedLeadershipAndRecord: nothing is proposed by a controller that does not lead, has not read the
+// record, has just begun to lead, or has a write under way; and what it reads goes before what it wanted.
 func TestProposalsNeedLeadershipAndRecord(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := New("a", []string{"b", "c"}, testTiming)
@@ -126,15 +127,33 @@
 				effects = m.Step(now, Leadership{Leading: on})
 			case 1:
 				node := rapid.SampledFrom([]string{"b", "c", "stranger"}).Draw(t, "from")
-				effects = m.Step(now, PeerHeartbeat{Member: member(node, 5, rapid.Uint64Range(0, 2).Draw(t, "number")), CanOwn: rapid.Bool().Draw(t, "owns")})
+				effects = m.Step(
+					now,
+					PeerHeartbeat{
+						Member: member(node, 5, rapid.Uint64Range(0, 2).Draw(t, "number")),
+						CanOwn: rapid.Bool().Draw(t, "owns"),
+					},
+				)
 			case 2:
-				effects = m.Step(now, Verdict{Member: member(rapid.SampledFrom([]string{"b", "c", "stranger"}).Draw(t, "of"), 5, rapid.Uint64Range(0, 2).Draw(t, "number"))})
+				effects = m.Step(
+					now,
+					Verdict{
+						Member: member(
+							rapid.SampledFrom([]string{"b", "c", "stranger"}).Draw(t, "of"),
+							5,
+							rapid.Uint64Range(0, 2).Draw(t, "number"),
+						),
+					},
+				)
 			case 3:
 				if rapid.Bool().Draw(t, "newer") {
 					version, epoch = version+1, epoch+1
 				}
 				known = true
-				effects = m.Step(now, RecordRead{Record: Record{Epoch: epoch, Revision: version, Members: []Member{member("c", 5, 0)}}})
+				effects = m.Step(
+					now,
+					RecordRead{Record: Record{Epoch: epoch, Revision: version, Members: []Member{member("c", 5, 0)}}},
+				)
 			case 4:
 				writing = false
 				effects = m.Step(now, WriteDone{})
@@ -147,10 +166,23 @@
 					continue
 				}
 				if !leads || !known || writing || now-since < testTiming.PeerTimeout {
-					t.Fatalf("a proposal: leads %v since %v at %v, has read %v, writes %v", leads, since, now, known, writing)
+					t.Fatalf(
+						"a proposal: leads %v since %v at %v, has read %v, writes %v",
+						leads,
+						since,
+						now,
+						known,
+						writing,
+					)
 				}
 				if w.Record.Revision != version || w.Record.Epoch != epoch+1 {
-					t.Fatalf("it replaces version %d of epoch %d, want %d of %d", w.Record.Revision, w.Record.Epoch-1, version, epoch)
+					t.Fatalf(
+						"it replaces version %d of epoch %d, want %d of %d",
+						w.Record.Revision,
+						w.Record.Epoch-1,
+						version,
+						epoch,
+					)
 				}
 				writing = true
 			}
@@ -158,7 +190,8 @@
 	})
 }
 
-// TestRendezvousMovesFewestMachines: when a controller goes, its machines move and no others; when it comes back they return.
+// TestRendezvousMovesFewestMachines: when a controller goes, its machines move and no others; when it comes back they
+// return.
 func TestRendezvousMovesFewestMachines(t *testing.T) {
 	all := []Member{member("a", 1, 0), member("b", 2, 0), member("c", 3, 0), member("d", 4, 0), member("e", 5, 0)}
 	before := NewTable(1, all)
@@ -192,7 +225,13 @@
 func TestHeartbeatFilter(t *testing.T) {
 	const term, refresh = 7, 5 * time.Second
 	report := func(change func(*protocol.WorkerHeartbeat)) *protocol.WorkerHeartbeat {
-		r := &protocol.WorkerHeartbeat{Machine: "m1", Incarnation: 2, Sequence: 10, FencingToken: protocol.FencingToken(term, 1), Tasks: []protocol.TaskStatus{{TaskName: "j-1/0", Attempt: 1, State: protocol.TaskRunning}}}
+		r := &protocol.WorkerHeartbeat{
+			Machine:      "m1",
+			Incarnation:  2,
+			Sequence:     10,
+			FencingToken: protocol.FencingToken(term, 1),
+			Tasks:        []protocol.TaskStatus{{TaskName: "j-1/0", Attempt: 1, State: protocol.TaskRunning}},
+		}
 		change(r)
 		return r
 	}
@@ -239,15 +278,30 @@
 	}
 	r.Forwarded(0, report(same))
 	r.AnsweredLocally(report(func(r *protocol.WorkerHeartbeat) { r.Sequence = 11 }))
-	if got := r.TakeUnchanged(); !slices.Equal(got, []UnchangedHeartbeat{{Machine: "m1", Incarnation: 2, Sequence: 11}}) || len(r.TakeUnchanged()) > 0 {
+	if got := r.TakeUnchanged(); !slices.Equal(
+		got,
+		[]UnchangedHeartbeat{{Machine: "m1", Incarnation: 2, Sequence: 11}},
+	) ||
+		len(r.TakeUnchanged()) > 0 {
 		t.Errorf("answered: %v", got)
 	}
 }
 
 // TestOwnerStatusMayAnswer: an owner stops answering as soon as any one of the things is missing that it may answer by.
 func TestOwnerStatusMayAnswer(t *testing.T) {
-	well := OwnerStatus{Table: NewTable(4, []Member{member("a", 1, 0), member("b", 2, 0)}), Controller: "b", Process: 2, Leader: "a", LeaderEpoch: 4,
-		DigestAge: time.Second, MaxDigestAge: 2 * time.Second, KnowsCancellations: true}
+	well := OwnerStatus{
+		Table: NewTable(
+			4,
+			[]Member{member("a", 1, 0), member("b", 2, 0)},
+		),
+		Controller:         "b",
+		Process:            2,
+		Leader:             "a",
+		LeaderEpoch:        4,
+		DigestAge:          time.Second,
+		MaxDigestAge:       2 * time.Second,
+		KnowsCancellations: true,
+	}
 	if !well.MayAnswer() {
 		t.Fatal("an owner may not answer")
 	}
@@ -270,12 +324,22 @@
 	}
 }
 
-// TestUnchangedReplyStopsCancelledTasksOnly: an owner commands nothing but that what is cancelled ends, under the worker's own token.
+// TestUnchangedReplyStopsCancelledTasksOnly: an owner commands nothing but that what is cancelled ends, under the
+// worker's own token.
 func TestUnchangedReplyStopsCancelledTasksOnly(t *testing.T) {
 	rep := &protocol.WorkerHeartbeat{Machine: "m1", Incarnation: 2, FencingToken: 77, Tasks: []protocol.TaskStatus{
-		{TaskName: "j-1/0", Attempt: 3, State: protocol.TaskRunning}, {TaskName: "j-2/1", Attempt: 1, State: protocol.TaskFetching}, {TaskName: "j-1/1", Attempt: 1, State: protocol.TaskExited}}}
+		{
+			TaskName: "j-1/0",
+			Attempt:  3,
+			State:    protocol.TaskRunning,
+		},
+		{TaskName: "j-2/1", Attempt: 1, State: protocol.TaskFetching},
+		{TaskName: "j-1/1", Attempt: 1, State: protocol.TaskExited},
+	}}
 	a := UnchangedReply(rep, func(job string) bool { return job == "j-1" })
-	if a.FencingToken != 77 || len(a.Commands) != 1 || a.Commands[0].Verb != protocol.VerbStop || a.Commands[0].TaskName != "j-1/0" || *a.Commands[0].GraceSeconds != 0 {
+	if a.FencingToken != 77 || len(a.Commands) != 1 || a.Commands[0].Verb != protocol.VerbStop ||
+		a.Commands[0].TaskName != "j-1/0" ||
+		*a.Commands[0].GraceSeconds != 0 {
 		t.Errorf("%+v", a)
 	}
 	if a := UnchangedReply(rep, func(string) bool { return false }); len(a.Commands) != 0 {
--- a/internal/coordination/scheduler/allocate_test.go
+++ b/internal/coordination/scheduler/allocate_test.go
@@ -27,9 +27,13 @@
 		}
 		jobs := map[string]protocol.Job{}
 		for i := range rapid.IntRange(1, 12).Draw(t, "jobs") {
-			j := jobSpec(fmt.Sprintf("j-%d", i), rapid.SampledFrom([]protocol.Shape{protocol.Array, protocol.Gang, protocol.Service}).Draw(t, "shape"),
+			j := jobSpec(
+				fmt.Sprintf("j-%d", i),
+				rapid.SampledFrom([]protocol.Shape{protocol.Array, protocol.Gang, protocol.Service}).Draw(t, "shape"),
 				rapid.SampledFrom([]protocol.Priority{"critical", "normal", "best_effort"}).Draw(t, "prio"),
-				rapid.IntRange(1, 9).Draw(t, "tasks"), float64(rapid.IntRange(1, 8).Draw(t, "gpus")))
+				rapid.IntRange(1, 9).Draw(t, "tasks"),
+				float64(rapid.IntRange(1, 8).Draw(t, "gpus")),
+			)
 			j.Team = rapid.SampledFrom([]string{"red", "blue"}).Draw(t, "team")
 			j.SameZone = rapid.Bool().Draw(t, "same")
 			j.Spread = !j.SameZone && rapid.Bool().Draw(t, "spread")
@@ -127,7 +131,9 @@
 			}
 		}
 	}
-	every := config.Seconds(b.scheduler.cfg.Cloud.ListLagSeconds/2) + CycleInterval // a list is asked for when the fleet is planned next
+	every := config.Seconds(
+		b.scheduler.cfg.Cloud.ListLagSeconds/2,
+	) + CycleInterval // a list is asked for when the fleet is planned next
 	if want := int(until / every); lists < want {
 		t.Errorf("the machines were listed %d times, want %d", lists, want)
 	}
@@ -148,7 +154,12 @@
 	}
 	b.heartbeat("m1", "a", false)
 	b.runCycle()
-	if red, blue := b.scheduler.machines.TeamUsage("red").GPUs, b.scheduler.machines.TeamUsage("blue").GPUs; red != 4 || blue != 4 {
+	if red, blue := b.scheduler.machines.TeamUsage(
+		"red",
+	).GPUs, b.scheduler.machines.TeamUsage(
+		"blue",
+	).GPUs; red != 4 ||
+		blue != 4 {
 		t.Errorf("red has %v, blue %v of 8", red, blue)
 	}
 }
@@ -166,7 +177,15 @@
 		b.runCycle()
 		by := map[string][]protocol.TaskStatus{}
 		for id, c := range b.runs {
-			by[b.machineOf[id]] = append(by[b.machineOf[id]], protocol.TaskStatus{TaskName: id.String(), Attempt: c.Attempt, State: protocol.TaskExited, Cause: protocol.CauseDone})
+			by[b.machineOf[id]] = append(
+				by[b.machineOf[id]],
+				protocol.TaskStatus{
+					TaskName: id.String(),
+					Attempt:  c.Attempt,
+					State:    protocol.TaskExited,
+					Cause:    protocol.CauseDone,
+				},
+			)
 			done++
 		}
 		clear(b.runs)
--- a/internal/coordination/scheduler/borrowablecapacity.go
+++ b/internal/coordination/scheduler/borrowablecapacity.go
@@ -35,7 +35,12 @@
 
 // borrowableCapacityOf returns the room on candidates, less what this cycle has given away.
 func (c *Scheduler) borrowableCapacityOf(now time.Duration, cands []*candidate) *borrowableCapacity {
-	k := &borrowableCapacity{scheduler: c, now: now, usageByTeam: map[string]machineregistry.Resources{}, lent: map[zonefailover.TaskAttempt]bool{}}
+	k := &borrowableCapacity{
+		scheduler:   c,
+		now:         now,
+		usageByTeam: map[string]machineregistry.Resources{},
+		lent:        map[zonefailover.TaskAttempt]bool{},
+	}
 	for _, x := range cands {
 		if c.zoneFailover.monitor.State(x.machine.Zone) != zonefailover.Available {
 			continue
@@ -69,11 +74,16 @@
 }
 
 // choose looks for room for the request, without taking it.
-func (k *borrowableCapacity) choose(j *Job, request zonefailover.CapacityRequest, allowed func(*candidate) bool) zonefailover.Choice {
+func (k *borrowableCapacity) choose(
+	j *Job,
+	request zonefailover.CapacityRequest,
+	allowed func(*candidate) bool,
+) zonefailover.Choice {
 	var offers []zonefailover.CapacityOffer
 	for _, room := range k.machines {
 		x := room.candidate
-		if request.MaxPerZone[x.machine.Zone] <= 0 || !allowed(x) || !j.TaskResources.Fits(machineregistry.CapacityOf(x.machineType)) {
+		if request.MaxPerZone[x.machine.Zone] <= 0 || !allowed(x) ||
+			!j.TaskResources.Fits(machineregistry.CapacityOf(x.machineType)) {
 			continue
 		}
 		offers = append(offers, zonefailover.CapacityOffer{
@@ -89,16 +99,27 @@
 func (k *borrowableCapacity) lendersFor(j *Job, room *borrowableMachine) (lenders []zonefailover.Lender) {
 	capacity := machineregistry.CapacityOf(room.candidate.machineType)
 	for _, pl := range room.lenders {
-		if pl.PriorityLevel <= j.EffectivePriority || k.scheduler.recoversBefore(pl, j) || k.lent[taskAttemptOf(pl)] || k.protectedByQuota(pl) {
+		if pl.PriorityLevel <= j.EffectivePriority || k.scheduler.recoversBefore(pl, j) || k.lent[taskAttemptOf(pl)] ||
+			k.protectedByQuota(pl) {
 			continue
 		}
 		gang := pl.Job != nil && pl.Job.Shape == protocol.Gang
 		// Who has lent before is the more likely to be late for it.
-		cost := k.scheduler.lostWorkSeconds(k.now, pl)*pl.Resources.DominantShare(capacity) + float64(k.scheduler.zoneFailover.loansByJob[pl.Task.JobID])
+		cost := k.scheduler.lostWorkSeconds(
+			k.now,
+			pl,
+		)*pl.Resources.DominantShare(
+			capacity,
+		) + float64(
+			k.scheduler.zoneFailover.loansByJob[pl.Task.JobID],
+		)
 		if gang {
 			cost += room.candidate.machineType.BootSeconds // all of it has to find room, and often its image, again
 		}
-		lenders = append(lenders, zonefailover.Lender{Task: taskAttemptOf(pl), Need: pl.Resources, Cost: cost, Gang: gang})
+		lenders = append(
+			lenders,
+			zonefailover.Lender{Task: taskAttemptOf(pl), Need: pl.Resources, Cost: cost, Gang: gang},
+		)
 	}
 	return lenders
 }
@@ -142,7 +163,11 @@
 }
 
 // chooseSingleZone looks for room in a single zone, where it costs least among those with most.
-func (k *borrowableCapacity) chooseSingleZone(j *Job, request zonefailover.CapacityRequest, allowed func(*candidate) bool) (best zonefailover.Choice) {
+func (k *borrowableCapacity) chooseSingleZone(
+	j *Job,
+	request zonefailover.CapacityRequest,
+	allowed func(*candidate) bool,
+) (best zonefailover.Choice) {
 	for _, zone := range k.scheduler.allowedZones(&j.Spec) {
 		one := request
 		one.MaxPerZone = map[string]int{zone: request.MaxPerZone[zone]}
--- a/internal/coordination/scheduler/borrowing.go
+++ b/internal/coordination/scheduler/borrowing.go
@@ -77,7 +77,13 @@
 }
 
 // reserveChosenMachines keeps the machines of a choice for the job until the lenders have left.
-func (c *Scheduler) reserveChosenMachines(now time.Duration, j *Job, cands []*candidate, l *zoneLimits, choice zonefailover.Choice) {
+func (c *Scheduler) reserveChosenMachines(
+	now time.Duration,
+	j *Job,
+	cands []*candidate,
+	l *zoneLimits,
+	choice zonefailover.Choice,
+) {
 	save := 0.0
 	for _, task := range choice.Lenders {
 		save = max(save, c.jobs[task.Job].Spec.SaveSeconds+c.cfg.Workers.GangPeerSeconds)
--- a/internal/coordination/scheduler/cancellation_test.go
+++ b/internal/coordination/scheduler/cancellation_test.go
@@ -32,7 +32,17 @@
 			if grace, ok := b.stops[id]; !ok || grace != 0 {
 				t.Errorf("%s: %v was not stopped", shape, id)
 			}
-			b.heartbeat("m1", "a", false, protocol.TaskStatus{TaskName: id.String(), Attempt: attempts[i], State: protocol.TaskExited, Cause: protocol.CauseStopped})
+			b.heartbeat(
+				"m1",
+				"a",
+				false,
+				protocol.TaskStatus{
+					TaskName: id.String(),
+					Attempt:  attempts[i],
+					State:    protocol.TaskExited,
+					Cause:    protocol.CauseStopped,
+				},
+			)
 		}
 		clear(b.runs)
 		for range 6 {
--- a/internal/coordination/scheduler/candidateindex_test.go
+++ b/internal/coordination/scheduler/candidateindex_test.go
@@ -39,8 +39,17 @@
 		}
 		b.runCycle()
 		for i := range rapid.IntRange(1, 10).Draw(t, "jobs") {
-			j := jobSpec(fmt.Sprintf("j-%d", i), rapid.SampledFrom([]protocol.Shape{protocol.Array, protocol.Gang}).Draw(t, "shape"), "normal", 4, 2)
-			j.Team, j.Zone = rapid.SampledFrom([]string{"red", "blue"}).Draw(t, "team"), rapid.SampledFrom([]string{"", "a", "b"}).Draw(t, "zone")
+			j := jobSpec(
+				fmt.Sprintf("j-%d", i),
+				rapid.SampledFrom([]protocol.Shape{protocol.Array, protocol.Gang}).Draw(t, "shape"),
+				"normal",
+				4,
+				2,
+			)
+			j.Team, j.Zone = rapid.SampledFrom([]string{"red", "blue"}).
+				Draw(t, "team"),
+				rapid.SampledFrom([]string{"", "a", "b"}).
+					Draw(t, "zone")
 			b.addJob(j)
 		}
 		b.runCycle()
@@ -54,7 +63,12 @@
 				x.free = machineregistry.Resources{CPUs: 1000, GPUs: 1000, MemoryGB: 1000}
 				b.scheduler.indexCandidate(x)
 			case 2:
-				b.scheduler.candidateIndex.index.Put(x.indexEntry, machineindex.Pool{Type: "g8", Zone: "elsewhere"}, machineregistry.CapacityOf(x.machineType), x.free)
+				b.scheduler.candidateIndex.index.Put(
+					x.indexEntry,
+					machineindex.Pool{Type: "g8", Zone: "elsewhere"},
+					machineregistry.CapacityOf(x.machineType),
+					x.free,
+				)
 			}
 		})
 		for i := range 6 {
@@ -101,7 +115,13 @@
 // lost, after types changed, and after a take-over, the index agrees with the books.
 func TestIndexMatchesTheRegistry(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newSchedulerPair(t, rapid.Uint64().Draw(t, "seed"), []config.Team{{Name: "red"}, {Name: "blue"}, {Name: "green"}}, nil, false)
+		w := newSchedulerPair(
+			t,
+			rapid.Uint64().Draw(t, "seed"),
+			[]config.Team{{Name: "red"}, {Name: "blue"}, {Name: "green"}},
+			nil,
+			false,
+		)
 		for range 8 {
 			w.addMachine()
 		}
@@ -173,7 +193,12 @@
 		})
 		t.Logf("%d machines: %.0f allocations", machines, allocations)
 		if allocations > most {
-			t.Errorf("%d machines: %.0f allocations in a cycle without news, want %d at most", machines, allocations, most)
+			t.Errorf(
+				"%d machines: %.0f allocations in a cycle without news, want %d at most",
+				machines,
+				allocations,
+				most,
+			)
 		}
 	}
 }
--- a/internal/coordination/scheduler/candidates.go
+++ b/internal/coordination/scheduler/candidates.go
@@ -227,11 +227,17 @@
 	none := &zoneLimits{}
 	recovering := c.inZoneFailover()
 	for _, u := range c.forecastUnits {
-		j := &Job{Spec: *u.Job, TaskResources: machineregistry.TaskResources(u.Job), EffectivePriority: u.Job.Priority.Rank()}
+		j := &Job{
+			Spec:              *u.Job,
+			TaskResources:     machineregistry.TaskResources(u.Job),
+			EffectivePriority: u.Job.Priority.Rank(),
+		}
 		aim, position := c.startLatencyObjective(u.Job.Class), c.recoveryPosition(u.Job)
 		allowed := func(x *candidate) bool {
-			return (u.Zone == "" || u.Zone == x.machine.Zone) && j.TaskResources.Fits(x.freeBeyondHeadroom(j.EffectivePriority, math.Inf(1), math.MaxInt)) &&
-				(!x.machine.Spot || j.Spec.SpotAllowed) && x.machineType.AllowedBy(&j.Spec)
+			return (u.Zone == "" || u.Zone == x.machine.Zone) &&
+				j.TaskResources.Fits(x.freeBeyondHeadroom(j.EffectivePriority, math.Inf(1), math.MaxInt)) &&
+				(!x.machine.Spot || j.Spec.SpotAllowed) &&
+				x.machineType.AllowedBy(&j.Spec)
 		}
 		for range u.Count {
 			best := c.finder.bestMachine(now, j, none, allowed)
--- a/internal/coordination/scheduler/completion_test.go
+++ b/internal/coordination/scheduler/completion_test.go
@@ -97,7 +97,15 @@
 		t.Fatalf("%d pages of ends under way, want 1 to %d", n, most)
 	}
 	s.revision++
-	s.step(JobAccepted{Record: storage.LiveJobRecord{Job: jobSpec("j-urgent", protocol.Array, "urgent", 1, 4), AcceptedAtMS: s.now.Milliseconds()}, Revision: s.revision})
+	s.step(
+		JobAccepted{
+			Record: storage.LiveJobRecord{
+				Job:          jobSpec("j-urgent", protocol.Array, "urgent", 1, 4),
+				AcceptedAtMS: s.now.Milliseconds(),
+			},
+			Revision: s.revision,
+		},
+	)
 	s.now += MinCycleInterval
 	s.step(Tick{})
 	if s.pagesInFlight(PriorityStart) != 1 {
--- a/internal/coordination/scheduler/consolidate.go
+++ b/internal/coordination/scheduler/consolidate.go
@@ -105,7 +105,12 @@
 }
 
 // fullestTarget returns the fullest machine that a placement could move to, or nil.
-func (c *Scheduler) fullestTarget(now time.Duration, x *candidate, pl *machineregistry.Placement, taken map[*candidate]machineregistry.Resources) (best *candidate) {
+func (c *Scheduler) fullestTarget(
+	now time.Duration,
+	x *candidate,
+	pl *machineregistry.Placement,
+	taken map[*candidate]machineregistry.Resources,
+) (best *candidate) {
 	set := c.machines.MachinesWithImage(pl.Job.Image)
 	if set == nil {
 		return nil
@@ -117,8 +122,11 @@
 		}
 		y := c.candidateOf(now, m)
 		if y == nil || y == x || m.Zone != x.machine.Zone || m.Spot || !y.machineType.AllowedBy(pl.Job) || c.utilization(y) < c.utilization(x) || m.PlacementCount() == 0 ||
-			m.HasAttempt(pl.Task) || len(m.FailedJobs) > 0 || c.machines.FetchTime(now, m, pl.Job) > 0 ||
-			c.nominatedForOther(now, m, "") || !pl.Resources.Fits(y.free.Minus(taken[y])) {
+			m.HasAttempt(pl.Task) ||
+			len(m.FailedJobs) > 0 ||
+			c.machines.FetchTime(now, m, pl.Job) > 0 ||
+			c.nominatedForOther(now, m, "") ||
+			!pl.Resources.Fits(y.free.Minus(taken[y])) {
 			return true
 		}
 		if best == nil || c.utilization(y) > c.utilization(best) {
@@ -143,7 +151,8 @@
 // mayRelocate says whether tasks of a job are ever moved to a machine with its image. Those of a
 // gang wait for the slowest, and would have to move together.
 func (c *Scheduler) mayRelocate(j *Job) bool {
-	return !j.Ended && !math.IsInf(c.startLatencyObjective(j.Spec.Class), 1) && (j.Spec.Shape != protocol.Gang || j.Spec.TaskCount == 1)
+	return !j.Ended && !math.IsInf(c.startLatencyObjective(j.Spec.Class), 1) &&
+		(j.Spec.Shape != protocol.Gang || j.Spec.TaskCount == 1)
 }
 
 // mayBeFetching says whether a task of the job may still fetch its image.
@@ -176,7 +185,9 @@
 			l.onlyZone = j.Spec.Zone
 		}
 		best := c.finder.bestWithImage(now, j, l, func(x *candidate) bool {
-			return x.machine != m && c.feasible(now, j, x, l) && j.TaskResources.Fits(c.freeForJob(x, j)) && !x.machine.HasAttempt(pl.Task) && len(x.machine.FailedJobs) == 0
+			return x.machine != m && c.feasible(now, j, x, l) && j.TaskResources.Fits(c.freeForJob(x, j)) &&
+				!x.machine.HasAttempt(pl.Task) &&
+				len(x.machine.FailedJobs) == 0
 		})
 		if best == nil {
 			continue
--- a/internal/coordination/scheduler/costs_test.go
+++ b/internal/coordination/scheduler/costs_test.go
@@ -28,7 +28,13 @@
 		})
 		t.Logf("%d machines: %.0f allocations for %d tasks", machines, allocations, len(report.Tasks))
 		if most := float64(fixed + perTask*len(report.Tasks)); allocations > most {
-			t.Errorf("%d machines: %.0f allocations for a report of %d tasks, want %.0f at most", machines, allocations, len(report.Tasks), most)
+			t.Errorf(
+				"%d machines: %.0f allocations for a report of %d tasks, want %.0f at most",
+				machines,
+				allocations,
+				len(report.Tasks),
+				most,
+			)
 		}
 	}
 }
--- a/internal/coordination/scheduler/cycle_bench_test.go
+++ b/internal/coordination/scheduler/cycle_bench_test.go
@@ -12,7 +12,8 @@
 func largeHarness(n int) *harness {
 	b := newHarness([]config.Team{{Name: "red"}}, "a", "b")
 	b.setObjectives([]config.Objective{
-		{Kind: "wait", Class: "serve", WithinSeconds: 0.5, Fraction: 0.9}, {Kind: "wait", Class: "big", WithinSeconds: 20, Fraction: 0.9},
+		{Kind: "wait", Class: "serve", WithinSeconds: 0.5, Fraction: 0.9},
+		{Kind: "wait", Class: "big", WithinSeconds: 20, Fraction: 0.9},
 		{Kind: "finished", Class: "sweep", WithinSeconds: 100, Fraction: 0.9},
 	})
 	zones := []string{"a", "b"}
@@ -21,7 +22,12 @@
 	}
 	job := func(i int, class string, shape protocol.Shape, prio protocol.Priority, tasks int, gpus float64) {
 		j := jobSpec(fmt.Sprintf("j-%s%d", class, i), shape, prio, tasks, gpus)
-		j.Class, j.Image, j.ImageGB, j.Spread = class, fmt.Sprintf("%s-%d", class, i%6), 10, shape == protocol.Service && tasks > 1
+		j.Class, j.Image, j.ImageGB, j.Spread = class, fmt.Sprintf(
+			"%s-%d",
+			class,
+			i%6,
+		), 10, shape == protocol.Service &&
+			tasks > 1
 		j.SpotAllowed = shape == protocol.Array
 		if shape != protocol.Service {
 			j.CheckpointIntervalSeconds, j.SaveSeconds = 10, 2
--- a/internal/coordination/scheduler/demand.go
+++ b/internal/coordination/scheduler/demand.go
@@ -37,7 +37,10 @@
 			l.onlyZone = c.chooseZone(now, j, zones)
 		}
 		if !j.Spec.Spread || l.onlyZone != "" {
-			units = append(units, autoscaler.Demand{Job: &j.Spec, Zone: l.onlyZone, Count: n, ExcludedMachines: j.AvoidedMachines()})
+			units = append(
+				units,
+				autoscaler.Demand{Job: &j.Spec, Zone: l.onlyZone, Count: n, ExcludedMachines: j.AvoidedMachines()},
+			)
 			continue
 		}
 		for _, u := range c.unitsByZone(&j.Spec, l, n) {
@@ -75,7 +78,9 @@
 	room := map[string]int{}
 	c.machines.Each(func(m *machineregistry.Machine) {
 		t := c.machines.MachineType(m.Type)
-		if t == nil || !t.AllowedBy(&j.Spec) || m.Terminating || m.InterruptionNotice || m.Quarantined || m.Spot && !j.Spec.SpotAllowed || c.isZoneLost(m.Zone) {
+		if t == nil || !t.AllowedBy(&j.Spec) || m.Terminating || m.InterruptionNotice || m.Quarantined ||
+			m.Spot && !j.Spec.SpotAllowed ||
+			c.isZoneLost(m.Zone) {
 			return
 		}
 		free := c.machines.FreeCapacity(m)
@@ -119,7 +124,8 @@
 	for ; n > 0; n-- {
 		best := ""
 		for _, z := range names {
-			if l.tasksPerZone[z]+counts[z] < l.maxTasksPerZone && (best == "" || l.tasksPerZone[z]+counts[z] < l.tasksPerZone[best]+counts[best]) {
+			if l.tasksPerZone[z]+counts[z] < l.maxTasksPerZone &&
+				(best == "" || l.tasksPerZone[z]+counts[z] < l.tasksPerZone[best]+counts[best]) {
 				best = z
 			}
 		}
--- a/internal/coordination/scheduler/dependencies.go
+++ b/internal/coordination/scheduler/dependencies.go
@@ -28,8 +28,17 @@
 	if j.Spec.DeadlineSeconds > 0 {
 		due = j.WaitingSince + config.Seconds(j.Spec.DeadlineSeconds)
 	}
-	change := c.dependencies.Add(dependency.Job{ID: j.Spec.ID, Dependencies: j.Spec.Dependencies, Priority: j.EffectivePriority, Deadline: due, EstimatedDuration: config.Seconds(j.Spec.EstimateSeconds * estimateSlack)})
-	j.Blocked = c.dependencies.OpenDependencies(j.Spec.ID) > 0 || c.dependencies.State(j.Spec.ID) == dependency.Cancelled
+	change := c.dependencies.Add(
+		dependency.Job{
+			ID:                j.Spec.ID,
+			Dependencies:      j.Spec.Dependencies,
+			Priority:          j.EffectivePriority,
+			Deadline:          due,
+			EstimatedDuration: config.Seconds(j.Spec.EstimateSeconds * estimateSlack),
+		},
+	)
+	j.Blocked = c.dependencies.OpenDependencies(j.Spec.ID) > 0 ||
+		c.dependencies.State(j.Spec.ID) == dependency.Cancelled
 	c.applyDependencyChange(now, change)
 }
 
@@ -137,7 +146,13 @@
 			if j.Ended || j.writeInFlight || j.Ending {
 				continue // it has ended by itself
 			}
-			value, err := protocol.Encode(storage.EndedJobRecord{State: protocol.JobCancelled, WriteName: name, CancelledDependency: c.dependencies.CancelledBy(j.Spec.ID)})
+			value, err := protocol.Encode(
+				storage.EndedJobRecord{
+					State:               protocol.JobCancelled,
+					WriteName:           name,
+					CancelledDependency: c.dependencies.CancelledBy(j.Spec.ID),
+				},
+			)
 			if err != nil {
 				c.log.Error("ended record", "err", err)
 				continue
@@ -174,7 +189,10 @@
 			}
 		case w.Malformed:
 			c.shrinkTransactions(&t)
-			c.callAt(now+rejectedRetryDelay, func(time.Duration) { c.cancelledDependents = append(c.cancelledDependents, jobs...) })
+			c.callAt(
+				now+rejectedRetryDelay,
+				func(time.Duration) { c.cancelledDependents = append(c.cancelledDependents, jobs...) },
+			)
 			return
 		case !c.handleEndedElsewhere(now, jobs, w):
 			return
@@ -192,7 +210,8 @@
 func (c *Scheduler) handleEndedElsewhere(now time.Duration, jobs []*Job, w TransactionOutcome) bool {
 	over := false
 	for _, j := range jobs {
-		if slices.Contains(w.FailedKeys, storage.LiveJobKey(j.Spec.ID)) || slices.Contains(w.FailedKeys, storage.EndedJobKey(j.Spec.ID)) {
+		if slices.Contains(w.FailedKeys, storage.LiveJobKey(j.Spec.ID)) ||
+			slices.Contains(w.FailedKeys, storage.EndedJobKey(j.Spec.ID)) {
 			c.endJob(now, j)
 			over = true
 		}
@@ -209,7 +228,14 @@
 			return false
 		}
 		if c.dependencies.State(j.Spec.ID) == dependency.Live && c.dependenciesEndSoon(now, j) {
-			units = append(units, autoscaler.Demand{Job: &j.Spec, Count: min(j.Spec.TaskCount, c.tasksWithinQuotaLimit(j)), Headroom: true})
+			units = append(
+				units,
+				autoscaler.Demand{
+					Job:      &j.Spec,
+					Count:    min(j.Spec.TaskCount, c.tasksWithinQuotaLimit(j)),
+					Headroom: true,
+				},
+			)
 		}
 		return true
 	})
@@ -231,7 +257,8 @@
 		if need == nil || need.Ended {
 			continue
 		}
-		if need.LastTaskStart == 0 || need.TaskCounts[TaskPending] > 0 || (need.LastTaskStart+config.Seconds(need.Spec.EstimateSeconds)-now).Seconds() > boot {
+		if need.LastTaskStart == 0 || need.TaskCounts[TaskPending] > 0 ||
+			(need.LastTaskStart+config.Seconds(need.Spec.EstimateSeconds)-now).Seconds() > boot {
 			return false
 		}
 	}
--- a/internal/coordination/scheduler/dependencies_test.go
+++ b/internal/coordination/scheduler/dependencies_test.go
@@ -28,7 +28,13 @@
 			s.inFlight = append(s.inFlight, effect)
 		case SendCommandBatch:
 			s.executeCommands(effect.Machine, effect.Batch.FencingToken, effect.Batch.Commands)
-			s.stepWithCommands(CommandBatchResult{Machine: effect.Machine, Acknowledged: true, Heartbeat: s.nextHeartbeat(effect.Machine)})
+			s.stepWithCommands(
+				CommandBatchResult{
+					Machine:      effect.Machine,
+					Acknowledged: true,
+					Heartbeat:    s.nextHeartbeat(effect.Machine),
+				},
+			)
 		case HeartbeatReply:
 			s.executeCommands(effect.ReplyTo.(string), effect.Body.FencingToken, effect.Body.Commands)
 		}
@@ -70,8 +76,8 @@
 	}
 }
 
-// TestUnblockedByFinalRecordOnly: that all tasks of a job have exited frees nothing: only the record of its end does, and
-// that goes before other ends.
+// TestUnblockedByFinalRecordOnly: that all tasks of a job have exited frees nothing: only the record of its end does,
+// and that goes before other ends.
 func TestUnblockedByFinalRecordOnly(t *testing.T) {
 	s := newEmptyManualStore(3)
 	s.accept(jobSpec("j-1", protocol.Array, "normal", 2, 4))
@@ -127,8 +133,8 @@
 	}
 }
 
-// TestCancelledDependentsAreRecorded: jobs that are cancelled with one that they await, at any depth, end by the leader's
-// records, several in a transaction within the limits; what was submitted later too.
+// TestCancelledDependentsAreRecorded: jobs that are cancelled with one that they await, at any depth, end by the
+// leader's records, several in a transaction within the limits; what was submitted later too.
 func TestCancelledDependentsAreRecorded(t *testing.T) {
 	s := newEmptyManualStore(2)
 	s.accept(jobSpec("j-0", protocol.Array, "normal", 1, 4))
@@ -161,7 +167,12 @@
 	}
 	for i := 1; i <= n+1; i++ {
 		if id := fmt.Sprintf("j-%d", i); ended[storage.EndedJobKey(id)] != "j-0" || s.scheduler.jobs[id] != nil {
-			t.Errorf("%s: recorded as cancelled with %q, still known %v", id, ended[storage.EndedJobKey(id)], s.scheduler.jobs[id] != nil)
+			t.Errorf(
+				"%s: recorded as cancelled with %q, still known %v",
+				id,
+				ended[storage.EndedJobKey(id)],
+				s.scheduler.jobs[id] != nil,
+			)
 		}
 	}
 	if s.scheduler.dependencies.Len() != 0 {
@@ -169,8 +180,8 @@
 	}
 }
 
-// TestPriorityReachesDependencies: the last job's priority and deadline reach what it awaits, waiting or running, when it is
-// submitted: nothing is restarted, and what is lower may then not make room.
+// TestPriorityReachesDependencies: the last job's priority and deadline reach what it awaits, waiting or running, when
+// it is submitted: nothing is restarted, and what is lower may then not make room.
 func TestPriorityReachesDependencies(t *testing.T) {
 	b := newHarness([]config.Team{{Name: "red"}}, "a")
 	b.heartbeat("m1", "a", false)
@@ -188,7 +199,10 @@
 			t.Errorf("%s has level %d, latest start %v", id, j.EffectivePriority, j.LatestStart)
 		}
 	}
-	if m := b.scheduler.machines.Machine("m1"); m.PreemptibleResources(2).GPUs != 0 || m.PreemptibleResources(1).GPUs != 8 {
+	if m := b.scheduler.machines.Machine(
+		"m1",
+	); m.PreemptibleResources(2).GPUs != 0 ||
+		m.PreemptibleResources(1).GPUs != 8 {
 		t.Error("the running tasks still count by the old priority")
 	}
 	if b.startedTasks("j-1") != 2 || len(b.stops) > 0 {
@@ -214,18 +228,32 @@
 		}
 		return protocol.KeyValue{Key: storage.LiveJobKey(j.ID), Value: raw, Revision: 3}
 	}
-	page, err := storage.EncodePage(&storage.PlacementPage{HighestAttempt: 1, Team: "red", GPUs: 4, CPUs: 1, MemoryGB: 1, Zones: []string{"a"},
-		Placements: []storage.Placement{{Task: 0, Machine: "m1", Incarnation: 1, Attempt: 1}}}, storage.PageLayout{TasksPerPage: 48, Compact: true})
+	page, err := storage.EncodePage(&storage.PlacementPage{
+		HighestAttempt: 1, Team: "red", GPUs: 4, CPUs: 1, MemoryGB: 1, Zones: []string{"a"},
+		Placements: []storage.Placement{{Task: 0, Machine: "m1", Incarnation: 1, Attempt: 1}},
+	}, storage.PageLayout{TasksPerPage: 48, Compact: true})
 	if err != nil {
 		t.Fatal(err)
 	}
 	started := storage.PageID{Job: "j-2", Layout: storage.PageLayout{TasksPerPage: 48, Compact: true}}
 	b := newHarness([]config.Team{{Name: "red"}}, "a")
-	b.scheduler = New(0, old.scheduler.cfg, old.scheduler.log, Term{Number: 6, Revision: 2, FeatureLevel: featurelevel.Pipelines}, RecoveredRecords{
-		MachineTypes: []protocol.MachineType{*old.scheduler.machines.MachineType("g8")},
-		LiveJobs:     []protocol.KeyValue{record(dependentJob("j-2", "normal", 1, "j-1")), record(dependentJob("j-3", "normal", 1, "j-1")), record(dependentJob("j-4", "normal", 1, "j-3"))},
-		Pages:        []protocol.KeyValue{{Key: started.Key(), Value: page, Revision: 4}},
-	}, 0, nil)
+	b.scheduler = New(
+		0,
+		old.scheduler.cfg,
+		old.scheduler.log,
+		Term{Number: 6, Revision: 2, FeatureLevel: featurelevel.Pipelines},
+		RecoveredRecords{
+			MachineTypes: []protocol.MachineType{*old.scheduler.machines.MachineType("g8")},
+			LiveJobs: []protocol.KeyValue{
+				record(dependentJob("j-2", "normal", 1, "j-1")),
+				record(dependentJob("j-3", "normal", 1, "j-1")),
+				record(dependentJob("j-4", "normal", 1, "j-3")),
+			},
+			Pages: []protocol.KeyValue{{Key: started.Key(), Value: page, Revision: 4}},
+		},
+		0,
+		nil,
+	)
 	var asked []string
 	b.onEffect = func(e Effect) {
 		if r, ok := e.(ReadFinalState); ok {
@@ -240,8 +268,16 @@
 	if !slices.Equal(asked, []string{"j-1"}) {
 		t.Errorf("it asks for the ends of %v", asked)
 	}
-	if status, ok := b.scheduler.Status("j-2"); !ok || !status.Unblocked || b.scheduler.jobs["j-2"].Blocked || b.startedTasks("j-3")+b.startedTasks("j-4") > 0 {
-		t.Errorf("the started one: %+v %v; the others have %d starts", status, ok, b.startedTasks("j-3")+b.startedTasks("j-4"))
+	if status, ok := b.scheduler.Status(
+		"j-2",
+	); !ok || !status.Unblocked || b.scheduler.jobs["j-2"].Blocked ||
+		b.startedTasks("j-3")+b.startedTasks("j-4") > 0 {
+		t.Errorf(
+			"the started one: %+v %v; the others have %d starts",
+			status,
+			ok,
+			b.startedTasks("j-3")+b.startedTasks("j-4"),
+		)
 	}
 	b.apply(FinalStateRead{ID: "j-1"}) // not to be read yet
 	b.now += CycleInterval
@@ -286,12 +322,18 @@
 	smallCycle, smallEnd := costs(10)
 	largeCycle, largeEnd := costs(50_000)
 	if largeCycle > smallCycle+2*maxForecastJobs || largeEnd > smallEnd+10 {
-		t.Errorf("allocations with 50,000 that wait: %v a cycle, %v an end; with 10: %v, %v", largeCycle, largeEnd, smallCycle, smallEnd)
+		t.Errorf(
+			"allocations with 50,000 that wait: %v a cycle, %v an end; with 10: %v, %v",
+			largeCycle,
+			largeEnd,
+			smallCycle,
+			smallEnd,
+		)
 	}
 }
 
-// TestForecastOfBlockedJobs: room is wanted for a job that awaits others once all of them run and are likely to end before a machine
-// rented now would be up, and not before.
+// TestForecastOfBlockedJobs: room is wanted for a job that awaits others once all of them run and are likely to end
+// before a machine rented now would be up, and not before.
 func TestForecastOfBlockedJobs(t *testing.T) {
 	b := newHarness([]config.Team{{Name: "red"}}, "a")
 	b.heartbeat("m1", "a", false)
--- a/internal/coordination/scheduler/events.go
+++ b/internal/coordination/scheduler/events.go
@@ -24,8 +24,8 @@
 		Heartbeat *protocol.WorkerHeartbeat
 		Relayed   bool
 	}
-	// UnchangedHeartbeats tells of machines whose reports an owner has answered, as they told nothing new; Reply takes those of which
-	// the next report is to be passed on. It must not wait.
+	// UnchangedHeartbeats tells of machines whose reports an owner has answered, as they told nothing new; Reply takes
+	// those of which the next report is to be passed on. It must not wait.
 	UnchangedHeartbeats struct {
 		Heartbeats  []UnchangedHeartbeat
 		ForwardNext func(passOn []string)
--- a/internal/coordination/scheduler/failure_test.go
+++ b/internal/coordination/scheduler/failure_test.go
@@ -33,8 +33,14 @@
 		}
 		lost := protocol.TaskID{JobID: "j-1", Index: rapid.IntRange(0, n-1).Draw(t, "lost")}
 		clear(b.runs)
-		cause := rapid.SampledFrom([]protocol.ExitCause{protocol.CauseError, protocol.CausePeerLost, protocol.CauseIncomplete}).Draw(t, "cause")
-		b.heartbeat(first[lost], "a", false, protocol.TaskStatus{TaskName: lost.String(), Attempt: 1, State: protocol.TaskExited, Cause: cause})
+		cause := rapid.SampledFrom([]protocol.ExitCause{protocol.CauseError, protocol.CausePeerLost, protocol.CauseIncomplete}).
+			Draw(t, "cause")
+		b.heartbeat(
+			first[lost],
+			"a",
+			false,
+			protocol.TaskStatus{TaskName: lost.String(), Attempt: 1, State: protocol.TaskExited, Cause: cause},
+		)
 		b.runCycle()
 		if len(b.stops) != n-1 || len(b.runs) != 0 {
 			t.Fatalf("stopped %v, started %v", b.stops, b.runs)
@@ -44,7 +50,17 @@
 				if len(b.runs) != 0 {
 					t.Fatalf("restarted while %v is not gone", id)
 				}
-				b.heartbeat(m, "a", false, protocol.TaskStatus{TaskName: id.String(), Attempt: 1, State: protocol.TaskExited, Cause: protocol.CauseStopped})
+				b.heartbeat(
+					m,
+					"a",
+					false,
+					protocol.TaskStatus{
+						TaskName: id.String(),
+						Attempt:  1,
+						State:    protocol.TaskExited,
+						Cause:    protocol.CauseStopped,
+					},
+				)
 			}
 		}
 		// The entries are forgotten once the workers have seen a new epoch.
@@ -74,14 +90,23 @@
 	b.runCycle()
 	var tasks []protocol.TaskStatus
 	for id, c := range b.runs {
-		tasks = append(tasks, protocol.TaskStatus{TaskName: id.String(), Attempt: c.Attempt, State: protocol.TaskExited, Cause: protocol.CauseDone})
+		tasks = append(
+			tasks,
+			protocol.TaskStatus{
+				TaskName: id.String(),
+				Attempt:  c.Attempt,
+				State:    protocol.TaskExited,
+				Cause:    protocol.CauseDone,
+			},
+		)
 	}
 	b.heartbeat("m1", "a", false, tasks[:2]...)
 	b.runCycle()
 	b.heartbeat("m1", "a", false, tasks...)
 	b.runCycle()
 	end := b.transactions[len(b.transactions)-1]
-	if end.Then[0].DeleteKey != storage.LiveJobKey("j-1") || end.Then[1].PutKey != storage.EndedJobKey("j-1") || end.Then[2].DeleteKey != productionPage("j-1", 0) {
+	if end.Then[0].DeleteKey != storage.LiveJobKey("j-1") || end.Then[1].PutKey != storage.EndedJobKey("j-1") ||
+		end.Then[2].DeleteKey != productionPage("j-1", 0) {
 		t.Errorf("end %+v", end)
 	}
 	if end.If[0].Key != storage.TermKey || end.If[1].Key != storage.LiveJobKey("j-1") {
@@ -111,7 +136,17 @@
 			if c, ok := b.runs[id]; ok && b.machineOf[id] == m {
 				starts++
 				delete(b.runs, id)
-				b.heartbeat(m, "a", false, protocol.TaskStatus{TaskName: id.String(), Attempt: c.Attempt, State: protocol.TaskExited, Cause: protocol.CauseError})
+				b.heartbeat(
+					m,
+					"a",
+					false,
+					protocol.TaskStatus{
+						TaskName: id.String(),
+						Attempt:  c.Attempt,
+						State:    protocol.TaskExited,
+						Cause:    protocol.CauseError,
+					},
+				)
 				continue
 			}
 			b.heartbeat(m, "a", false)
@@ -141,7 +176,12 @@
 		b.runCycle()
 		for id, c := range b.runs {
 			delete(b.runs, id)
-			r := protocol.TaskStatus{TaskName: id.String(), Attempt: c.Attempt, State: protocol.TaskExited, Cause: protocol.CauseDone}
+			r := protocol.TaskStatus{
+				TaskName: id.String(),
+				Attempt:  c.Attempt,
+				State:    protocol.TaskExited,
+				Cause:    protocol.CauseDone,
+			}
 			if b.machineOf[id] == "m1" {
 				failed[id], r.Cause = true, protocol.CauseError
 			} else {
--- a/internal/coordination/scheduler/fairshare.go
+++ b/internal/coordination/scheduler/fairshare.go
@@ -52,7 +52,11 @@
 // updateRank computes by what a team is ordered.
 func (t *fairShareQueue) updateRank(q *teamQueue) {
 	head := q.jobs[0]
-	q.withinGuaranteedQuota, q.share = t.scheduler.withinGuaranteedQuota(head), t.scheduler.weightedUsage(head.Spec.Team)
+	q.withinGuaranteedQuota, q.share = t.scheduler.withinGuaranteedQuota(
+		head,
+	), t.scheduler.weightedUsage(
+		head.Spec.Team,
+	)
 }
 
 // next returns the job whose turn it is, or nil.
@@ -92,7 +96,11 @@
 	if a.withinGuaranteedQuota != b.withinGuaranteedQuota {
 		return a.withinGuaranteedQuota
 	}
-	return cmp.Or(cmp.Compare(a.jobs[0].EffectivePriority, b.jobs[0].EffectivePriority), cmp.Compare(a.share, b.share), cmp.Compare(a.ranks[0], b.ranks[0])) < 0
+	return cmp.Or(
+		cmp.Compare(a.jobs[0].EffectivePriority, b.jobs[0].EffectivePriority),
+		cmp.Compare(a.share, b.share),
+		cmp.Compare(a.ranks[0], b.ranks[0]),
+	) < 0
 }
 
 func (t *fairShareQueue) Swap(i, k int) {
--- a/internal/coordination/scheduler/fairshare_test.go
+++ b/internal/coordination/scheduler/fairshare_test.go
@@ -22,12 +22,24 @@
 	rapid.Check(t, func(t *rapid.T) {
 		var teams []config.Team
 		for i := range rapid.IntRange(2, 6).Draw(t, "teams") {
-			teams = append(teams, config.Team{Name: fmt.Sprintf("team-%d", i), GuaranteedGPUs: float64(rapid.IntRange(0, 1).Draw(t, "guarantee") * 4)})
+			teams = append(
+				teams,
+				config.Team{
+					Name:           fmt.Sprintf("team-%d", i),
+					GuaranteedGPUs: float64(rapid.IntRange(0, 1).Draw(t, "guarantee") * 4),
+				},
+			)
 		}
 		b := newHarness(teams, "a")
 		var waiting []*Job
 		for i := range rapid.IntRange(0, 30).Draw(t, "jobs") {
-			j := jobSpec(fmt.Sprintf("j-%d", i), protocol.Array, rapid.SampledFrom([]protocol.Priority{"critical", "normal"}).Draw(t, "priority"), 1, float64(rapid.IntRange(1, 3).Draw(t, "gpus")))
+			j := jobSpec(
+				fmt.Sprintf("j-%d", i),
+				protocol.Array,
+				rapid.SampledFrom([]protocol.Priority{"critical", "normal"}).Draw(t, "priority"),
+				1,
+				float64(rapid.IntRange(1, 3).Draw(t, "gpus")),
+			)
 			j.Team = teams[rapid.IntRange(0, len(teams)-1).Draw(t, "team")].Name
 			waiting = append(waiting, NewJob(j, 1, int64(i), 0, storage.PageLayout{TasksPerPage: 10}))
 		}
@@ -58,8 +70,10 @@
 
 // occupy puts a task of a job on a machine, so that its team uses more.
 func occupy(b *harness, j *Job) {
-	b.scheduler.machines.Adopt(0, &machineregistry.Placement{Task: protocol.TaskID{JobID: j.Spec.ID}, Attempt: 1, Machine: "m-" + j.Spec.ID, Resources: j.TaskResources,
-		Team: j.Spec.Team, PriorityLevel: j.EffectivePriority, Job: &j.Spec})
+	b.scheduler.machines.Adopt(0, &machineregistry.Placement{
+		Task: protocol.TaskID{JobID: j.Spec.ID}, Attempt: 1, Machine: "m-" + j.Spec.ID, Resources: j.TaskResources,
+		Team: j.Spec.Team, PriorityLevel: j.EffectivePriority, Job: &j.Spec,
+	})
 }
 
 // referenceNext walks all heads of queues.
@@ -82,7 +96,10 @@
 	if c.withinGuaranteedQuota(a) != c.withinGuaranteedQuota(b) {
 		return c.withinGuaranteedQuota(a)
 	}
-	return cmp.Or(cmp.Compare(a.EffectivePriority, b.EffectivePriority), cmp.Compare(c.weightedUsage(a.Spec.Team), c.weightedUsage(b.Spec.Team))) < 0
+	return cmp.Or(
+		cmp.Compare(a.EffectivePriority, b.EffectivePriority),
+		cmp.Compare(c.weightedUsage(a.Spec.Team), c.weightedUsage(b.Spec.Team)),
+	) < 0
 }
 
 // TestEachTeamIsServed: while room for one task after the other comes up, teams that wait are
--- a/internal/coordination/scheduler/featurelevel.go
+++ b/internal/coordination/scheduler/featurelevel.go
@@ -37,8 +37,8 @@
 // minTransactionOperations is how many operations a transaction must be able to have: the end of a job takes two.
 const minTransactionOperations = 2
 
-// shrinkTransactions takes in that a transaction was refused for its form, and says whether it had more operations than it
-// needs: later ones have half as many. The limits may be lower than the settings say.
+// shrinkTransactions takes in that a transaction was refused for its form, and says whether it had more operations than
+// it needs: later ones have half as many. The limits may be lower than the settings say.
 func (c *Scheduler) shrinkTransactions(t *protocol.Txn) bool {
 	if len(t.Then) <= minTransactionOperations {
 		return false
@@ -65,7 +65,9 @@
 		return
 	}
 	id, name := c.nextWriteID()
-	value, err := storage.EncodeTerm(storage.TermRecord{Term: c.term, Controller: c.controller, FeatureLevel: int(c.targetLevel), WriteName: name})
+	value, err := storage.EncodeTerm(
+		storage.TermRecord{Term: c.term, Controller: c.controller, FeatureLevel: int(c.targetLevel), WriteName: name},
+	)
 	if err != nil {
 		c.emit(StepDown{Reason: err.Error()})
 		return
@@ -85,7 +87,15 @@
 	}
 	c.writesPaused, c.termRevision = false, w.Revision
 	c.setFeatureLevel(c.targetLevel)
-	c.log.Info("feature level is final", "level", c.level, "value KB", c.stateLimits.ValueKB, "operations", c.stateLimits.TxnOps)
+	c.log.Info(
+		"feature level is final",
+		"level",
+		c.level,
+		"value KB",
+		c.stateLimits.ValueKB,
+		"operations",
+		c.stateLimits.TxnOps,
+	)
 	for _, j := range c.sortedJobs() {
 		if layout := c.layoutAtMost(j.layout.TasksPerPage); layout != j.layout {
 			j.changeLayout(layout)
--- a/internal/coordination/scheduler/featurelevel_test.go
+++ b/internal/coordination/scheduler/featurelevel_test.go
@@ -44,7 +44,8 @@
 		t.Fatalf("the term's record is not what is written now: %+v", s.inFlight)
 	}
 	rec, err := storage.DecodeTerm(s.inFlight[0].Txn.Then[0].Value)
-	if err != nil || rec.Term != 5 || rec.FeatureLevel != int(featurelevel.Pipelines) || rec.WriteName != s.inFlight[0].Name {
+	if err != nil || rec.Term != 5 || rec.FeatureLevel != int(featurelevel.Pipelines) ||
+		rec.WriteName != s.inFlight[0].Name {
 		t.Fatalf("the record: %+v, %v", rec, err)
 	}
 	s.cycleWithHeartbeats()
@@ -91,7 +92,14 @@
 	if pl == nil {
 		return fmt.Sprint("done ", isDone)
 	}
-	return fmt.Sprintf("done %v on %s session %d attempt %d zone %s", isDone, pl.Machine, pl.Incarnation, pl.Attempt, pl.Zone)
+	return fmt.Sprintf(
+		"done %v on %s session %d attempt %d zone %s",
+		isDone,
+		pl.Machine,
+		pl.Incarnation,
+		pl.Attempt,
+		pl.Zone,
+	)
 }
 
 // recordKnownTasks takes into the books what a page says of its tasks: of several pages the last one that was written.
@@ -117,18 +125,34 @@
 		}
 	}
 	for _, pl := range rec.Placements {
-		known[pl.Task] = describeTask(isDone[pl.Task], &machineregistry.Placement{Machine: pl.Machine, Incarnation: pl.Incarnation, Attempt: pl.Attempt, Zone: rec.Zones[pl.Zone]})
+		known[pl.Task] = describeTask(
+			isDone[pl.Task],
+			&machineregistry.Placement{
+				Machine:     pl.Machine,
+				Incarnation: pl.Incarnation,
+				Attempt:     pl.Attempt,
+				Zone:        rec.Zones[pl.Zone],
+			},
+		)
 	}
 }
 
-// TestRecoveryAcrossPageLayouts draws what happens to a job whose pages are cut narrower now and then, while records are
-// carried out in part. However far the replacement has come, a new leader reads the books as they were
-// recorded, and no attempt number comes again.
+// TestRecoveryAcrossPageLayouts draws what happens to a job whose pages are cut narrower now and then, while records
+// are carried out in part. However far the replacement has come, a new leader reads the books as they were recorded,
+// and no attempt number comes again.
 func TestRecoveryAcrossPageLayouts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newEmptyManualStore(6)
-		s.scheduler.cfg.Store = config.StoreLimits{RPS: 100, WriteRPS: 30, ValueKB: 4, TxnOps: rapid.IntRange(2, 6).Draw(t, "operations"),
-			Next: config.FutureStoreLimits{ValueKB: rapid.SampledFrom([]float64{0.5, 1, 4}).Draw(t, "value"), TxnOps: rapid.IntRange(2, 5).Draw(t, "next operations")}}
+		s.scheduler.cfg.Store = config.StoreLimits{
+			RPS:      100,
+			WriteRPS: 30,
+			ValueKB:  4,
+			TxnOps:   rapid.IntRange(2, 6).Draw(t, "operations"),
+			Next: config.FutureStoreLimits{
+				ValueKB: rapid.SampledFrom([]float64{0.5, 1, 4}).Draw(t, "value"),
+				TxnOps:  rapid.IntRange(2, 5).Draw(t, "next operations"),
+			},
+		}
 		s.scheduler.setFeatureLevel(featurelevel.Production)
 		tasks := rapid.IntRange(1, 120).Draw(t, "tasks")
 		s.accept(jobSpec("j-1", protocol.Array, "normal", tasks, 1))
@@ -146,7 +170,9 @@
 					if strings.HasPrefix(op.PutKey, storage.PlacementPrefix) {
 						recordKnownTasks(t, recorded, stored[op.PutKey])
 					}
-					if s.scheduler.level >= featurelevel.Pipelines && op.PutKey != storage.TermKey && !storage.FitsValueLimit(op.Value, s.scheduler.stateLimits.ValueKB) && !strings.Contains(op.PutKey, "/w1.") {
+					if s.scheduler.level >= featurelevel.Pipelines && op.PutKey != storage.TermKey &&
+						!storage.FitsValueLimit(op.Value, s.scheduler.stateLimits.ValueKB) &&
+						!strings.Contains(op.PutKey, "/w1.") {
 						t.Fatalf("%s does not fit", op.PutKey)
 					}
 				}
@@ -173,7 +199,8 @@
 			case 2:
 				s.step(FinaliseFeatureLevel{Level: featurelevel.Pipelines})
 			case 3:
-				if j := s.scheduler.jobs["j-1"]; j != nil && j.layout.Compact && !j.writeInFlight && j.layout.TasksPerPage > 1 {
+				if j := s.scheduler.jobs["j-1"]; j != nil && j.layout.Compact && !j.writeInFlight &&
+					j.layout.TasksPerPage > 1 {
 					j.changeLayout(storage.PageLayout{TasksPerPage: (j.layout.TasksPerPage + 1) / 2, Compact: true})
 				}
 			default:
@@ -184,13 +211,29 @@
 		}
 		nextLeader := func() *Job {
 			pages := slices.Collect(maps.Values(stored))
-			pages = slices.DeleteFunc(pages, func(p protocol.KeyValue) bool { return !strings.HasPrefix(p.Key, storage.PlacementPrefix) })
+			pages = slices.DeleteFunc(
+				pages,
+				func(p protocol.KeyValue) bool { return !strings.HasPrefix(p.Key, storage.PlacementPrefix) },
+			)
 			raw, err := protocol.Encode(storage.LiveJobRecord{Job: jobSpec("j-1", protocol.Array, "normal", tasks, 1)})
 			if err != nil {
 				t.Fatal(err)
 			}
-			next := New(s.now, s.scheduler.cfg, s.scheduler.log, Term{Number: 6, Revision: 2, FeatureLevel: s.scheduler.level}, RecoveredRecords{MachineTypes: []protocol.MachineType{*s.scheduler.machines.MachineType("g8")},
-				LiveJobs: []protocol.KeyValue{{Key: storage.LiveJobKey("j-1"), Value: raw, Revision: 5}}, Pages: pages}, 0, nil)
+			next := New(
+				s.now,
+				s.scheduler.cfg,
+				s.scheduler.log,
+				Term{Number: 6, Revision: 2, FeatureLevel: s.scheduler.level},
+				RecoveredRecords{
+					MachineTypes: []protocol.MachineType{*s.scheduler.machines.MachineType("g8")},
+					LiveJobs: []protocol.KeyValue{
+						{Key: storage.LiveJobKey("j-1"), Value: raw, Revision: 5},
+					},
+					Pages: pages,
+				},
+				0,
+				nil,
+			)
 			return next.jobs["j-1"]
 		}
 		if stored[storage.EndedJobKey("j-1")].Revision > 0 {
@@ -251,7 +294,8 @@
 	s.answer(TransactionOutcome{WriteID: refused.ID, Malformed: true})
 	s.submit("j-2", "normal", 1)
 	s.cycleWithHeartbeats()
-	if len(s.inFlight) != 1 || !slices.Contains(jobsOfWrite(s.inFlight[0]), "j-2") || slices.Contains(jobsOfWrite(s.inFlight[0]), "j-1") {
+	if len(s.inFlight) != 1 || !slices.Contains(jobsOfWrite(s.inFlight[0]), "j-2") ||
+		slices.Contains(jobsOfWrite(s.inFlight[0]), "j-1") {
 		t.Fatalf("below the level the others do not go on alone: %+v", s.inFlight)
 	}
 	s.answerAllWrites()
@@ -310,7 +354,14 @@
 		writes, bytes := cost(featurelevel.Pipelines, tasks)
 		t.Logf("%d tasks: %d writes of %d bytes in all, before %d of %d", tasks, writes, bytes, oldWrites, oldBytes)
 		if writes > most || oldWrites != 1 || 10*bytes > 7*oldBytes {
-			t.Errorf("%d tasks: %d writes of %d bytes in all, before %d of %d", tasks, writes, bytes, oldWrites, oldBytes)
+			t.Errorf(
+				"%d tasks: %d writes of %d bytes in all, before %d of %d",
+				tasks,
+				writes,
+				bytes,
+				oldWrites,
+				oldBytes,
+			)
 		}
 	}
 }
--- a/internal/coordination/scheduler/fleet_bench_test.go
+++ b/internal/coordination/scheduler/fleet_bench_test.go
@@ -36,22 +36,68 @@
 
 func newFleetHarness(machines, teams int, limit float64) *fleetHarness {
 	cfg := &config.Deployment{
-		Controllers: 3, Workers: config.Workers{HeartbeatSeconds: 5, LeaseSeconds: 29, GangWaitSeconds: 60, GangPeerSeconds: 5, CancelSeconds: 59},
-		Store: config.StoreLimits{RPS: 600, WriteRPS: 180, ValueKB: 8, TxnOps: 16}, Cloud: config.Cloud{RPS: 4, ListLagSeconds: 8}, Quota: config.Quota{CoreShare: 1},
+		Controllers: 3,
+		Workers: config.Workers{
+			HeartbeatSeconds: 5,
+			LeaseSeconds:     29,
+			GangWaitSeconds:  60,
+			GangPeerSeconds:  5,
+			CancelSeconds:    59,
+		},
+		Store: config.StoreLimits{
+			RPS:      600,
+			WriteRPS: 180,
+			ValueKB:  8,
+			TxnOps:   16,
+		},
+		Cloud: config.Cloud{RPS: 4, ListLagSeconds: 8},
+		Quota: config.Quota{CoreShare: 1},
 	}
 	for i := range teams {
 		cfg.Teams = append(cfg.Teams, config.Team{Name: fmt.Sprintf("team-%03d", i), MaxCPUs: limit})
 	}
-	types := []protocol.MachineType{{Name: "m", CPUs: 2 * machineSlots, GPUs: 2, MemoryGB: 4 * machineSlots, CacheGB: imageCount, FetchGBPerSecond: 100, HourlyPrice: 4, HourlySpotPrice: 1, BootSeconds: 3600,
-		Zones: []string{"a", "b", "c"}}}
+	types := []protocol.MachineType{
+		{
+			Name:             "m",
+			CPUs:             2 * machineSlots,
+			GPUs:             2,
+			MemoryGB:         4 * machineSlots,
+			CacheGB:          imageCount,
+			FetchGBPerSecond: 100,
+			HourlyPrice:      4,
+			HourlySpotPrice:  1,
+			BootSeconds:      3600,
+			Zones:            []string{"a", "b", "c"},
+		},
+	}
 	log := slog.New(slog.NewTextHandler(io.Discard, &slog.HandlerOptions{Level: slog.LevelError}))
-	b := &fleetHarness{scheduler: New(0, cfg, log, Term{Number: 5, Revision: 1}, RecoveredRecords{MachineTypes: types}, 0, nil), revision: 10, heartbeats: map[string]*protocol.WorkerHeartbeat{}, rng: rand.New(rand.NewPCG(1, 2))}
+	b := &fleetHarness{
+		scheduler:  New(0, cfg, log, Term{Number: 5, Revision: 1}, RecoveredRecords{MachineTypes: types}, 0, nil),
+		revision:   10,
+		heartbeats: map[string]*protocol.WorkerHeartbeat{},
+		rng:        rand.New(rand.NewPCG(1, 2)),
+	}
 	b.now = CycleInterval
 	var list []protocol.ListedMachine
 	for i := range machines {
 		name := fmt.Sprintf("host-%06d", i)
-		b.heartbeats[name] = &protocol.WorkerHeartbeat{Machine: name, Addr: "x", Type: "m", Zone: types[0].Zones[i%3], Incarnation: 1}
-		list = append(list, protocol.ListedMachine{Name: name, Addr: "x", Type: "m", Zone: types[0].Zones[i%3], State: protocol.MachineRunning})
+		b.heartbeats[name] = &protocol.WorkerHeartbeat{
+			Machine:     name,
+			Addr:        "x",
+			Type:        "m",
+			Zone:        types[0].Zones[i%3],
+			Incarnation: 1,
+		}
+		list = append(
+			list,
+			protocol.ListedMachine{
+				Name:  name,
+				Addr:  "x",
+				Type:  "m",
+				Zone:  types[0].Zones[i%3],
+				State: protocol.MachineRunning,
+			},
+		)
 		b.heartbeat(name)
 	}
 	b.apply(MachinesListed{RequestedAt: b.now, Machines: list})
@@ -98,7 +144,10 @@
 		switch {
 		case c.Verb == protocol.VerbRun && at < 0:
 			b.started++
-			r.Tasks = append(r.Tasks, protocol.TaskStatus{TaskName: c.TaskName, Attempt: c.Attempt, State: protocol.TaskRunning})
+			r.Tasks = append(
+				r.Tasks,
+				protocol.TaskStatus{TaskName: c.TaskName, Attempt: c.Attempt, State: protocol.TaskRunning},
+			)
 		case c.Verb == protocol.VerbStop && at >= 0:
 			r.Tasks[at].State, r.Tasks[at].Cause = protocol.TaskExited, protocol.CauseStopped
 		case c.Verb == protocol.VerbForget && at >= 0:
@@ -132,10 +181,24 @@
 	b.jobs++
 	id := fmt.Sprintf("j-%07d", b.jobs)
 	b.revision++
-	b.apply(JobAccepted{Revision: b.revision, Record: storage.LiveJobRecord{AcceptedAtMS: b.now.Milliseconds(), Job: protocol.Job{
-		ID: id, Class: string(shape), Team: fmt.Sprintf("team-%03d", team), Shape: shape, Priority: priority, TaskCount: tasks,
-		CPUs: 2, MemoryGB: 4, Image: fmt.Sprintf("image-%02d", b.rng.IntN(imageCount)), ImageGB: 1, EstimateSeconds: 40,
-	}}})
+	b.apply(
+		JobAccepted{
+			Revision: b.revision,
+			Record: storage.LiveJobRecord{AcceptedAtMS: b.now.Milliseconds(), Job: protocol.Job{
+				ID:              id,
+				Class:           string(shape),
+				Team:            fmt.Sprintf("team-%03d", team),
+				Shape:           shape,
+				Priority:        priority,
+				TaskCount:       tasks,
+				CPUs:            2,
+				MemoryGB:        4,
+				Image:           fmt.Sprintf("image-%02d", b.rng.IntN(imageCount)),
+				ImageGB:         1,
+				EstimateSeconds: 40,
+			}},
+		},
+	)
 	return id
 }
 
@@ -167,7 +230,10 @@
 		changed := false
 		for i := range r.Tasks {
 			t := &r.Tasks[i]
-			if id, err := protocol.ParseTaskID(t.TaskName); err == nil && t.State == protocol.TaskRunning && b.scheduler.jobs[id.JobID] != nil &&
+			if id, err := protocol.ParseTaskID(
+				t.TaskName,
+			); err == nil && t.State == protocol.TaskRunning &&
+				b.scheduler.jobs[id.JobID] != nil &&
 				b.scheduler.jobs[id.JobID].Spec.Shape == protocol.Array {
 				t.State, t.Cause = protocol.TaskExited, protocol.CauseDone
 				changed = true
--- a/internal/coordination/scheduler/fullscan_test.go
+++ b/internal/coordination/scheduler/fullscan_test.go
@@ -20,7 +20,12 @@
 // fullScan is the reference of the index: it looks at every machine for every task.
 type fullScan struct{ scheduler *Scheduler }
 
-func (f fullScan) bestMachine(now time.Duration, j *Job, l *zoneLimits, allowed func(*candidate) bool) (best *candidate) {
+func (f fullScan) bestMachine(
+	now time.Duration,
+	j *Job,
+	l *zoneLimits,
+	allowed func(*candidate) bool,
+) (best *candidate) {
 	bestScore := 0.0
 	for _, x := range f.scheduler.schedulableCandidates(now) {
 		if !allowed(x) {
@@ -39,10 +44,17 @@
 	})
 }
 
-func (f fullScan) cheapestPreemption(now time.Duration, j *Job, l *zoneLimits, within time.Duration, level int) (best *candidate, bestVictims []*machineregistry.Placement) {
+func (f fullScan) cheapestPreemption(
+	now time.Duration,
+	j *Job,
+	l *zoneLimits,
+	within time.Duration,
+	level int,
+) (best *candidate, bestVictims []*machineregistry.Placement) {
 	bestCost := math.Inf(1)
 	for _, x := range f.scheduler.schedulableCandidates(now) {
-		if !f.scheduler.feasible(now, j, x, l) || x.machine.IsReservedFor(now, j.Spec.ID) || !j.TaskResources.Fits(machineregistry.CapacityOf(x.machineType)) {
+		if !f.scheduler.feasible(now, j, x, l) || x.machine.IsReservedFor(now, j.Spec.ID) ||
+			!j.TaskResources.Fits(machineregistry.CapacityOf(x.machineType)) {
 			continue
 		}
 		warm := f.scheduler.machines.FetchTime(now, x.machine, &j.Spec)
@@ -58,12 +70,23 @@
 	return best, bestVictims
 }
 
-func (f fullScan) mostFreeCapacity(now time.Duration, j *Job, l *zoneLimits, taken map[*candidate]bool) (best *candidate) {
+func (f fullScan) mostFreeCapacity(
+	now time.Duration,
+	j *Job,
+	l *zoneLimits,
+	taken map[*candidate]bool,
+) (best *candidate) {
 	for _, x := range f.scheduler.schedulableCandidates(now) {
-		if taken[x] || !f.scheduler.feasible(now, j, x, l) || !j.TaskResources.Fits(machineregistry.CapacityOf(x.machineType)) {
+		if taken[x] || !f.scheduler.feasible(now, j, x, l) ||
+			!j.TaskResources.Fits(machineregistry.CapacityOf(x.machineType)) {
 			continue
 		}
-		if best == nil || x.free.DominantShare(machineregistry.CapacityOf(x.machineType)) > best.free.DominantShare(machineregistry.CapacityOf(best.machineType)) {
+		if best == nil ||
+			x.free.DominantShare(
+				machineregistry.CapacityOf(x.machineType),
+			) > best.free.DominantShare(
+				machineregistry.CapacityOf(best.machineType),
+			) {
 			best = x
 		}
 	}
@@ -82,7 +105,13 @@
 	round    int
 }
 
-func newSchedulerPair(t *rapid.T, seed uint64, teams []config.Team, objectives []config.Objective, zoneReturn bool) *schedulerPair {
+func newSchedulerPair(
+	t *rapid.T,
+	seed uint64,
+	teams []config.Team,
+	objectives []config.Objective,
+	zoneReturn bool,
+) *schedulerPair {
 	w := &schedulerPair{t: t, rng: rand.New(rand.NewPCG(seed, 5)), silent: map[string]bool{}}
 	for i := range w.benches {
 		b := newHarness(teams, "a", "b", "c")
@@ -162,8 +191,13 @@
 
 func (w *schedulerPair) submit() {
 	shapes := []protocol.Shape{protocol.Array, protocol.Gang, protocol.Service}
-	j := jobSpec(fmt.Sprintf("j-%d", len(w.jobs)), shapes[w.rng.IntN(3)], []protocol.Priority{"critical", "urgent", "normal", "best_effort"}[w.rng.IntN(4)],
-		1+w.rng.IntN(6), []float64{0, 1, 2, 4, 8}[w.rng.IntN(5)])
+	j := jobSpec(
+		fmt.Sprintf("j-%d", len(w.jobs)),
+		shapes[w.rng.IntN(3)],
+		[]protocol.Priority{"critical", "urgent", "normal", "best_effort"}[w.rng.IntN(4)],
+		1+w.rng.IntN(6),
+		[]float64{0, 1, 2, 4, 8}[w.rng.IntN(5)],
+	)
 	j.Team = []string{"red", "blue", "green"}[w.rng.IntN(3)]
 	j.Class = fmt.Sprintf("class-%d", w.rng.IntN(4))
 	j.CPUs = []float64{1, 2.5, 8, 30.25}[w.rng.IntN(4)]
@@ -191,7 +225,8 @@
 	w.applyToBoth("report of "+name, func(b *harness) {
 		for _, id := range sortedIDs(b.tasks[name]) {
 			t := b.tasks[name][id]
-			fate := rand.New(rand.NewPCG(draw, uint64(len(id.JobID))<<32|uint64(id.Index)<<8|uint64(id.JobID[len(id.JobID)-1]))).Float64()
+			fate := rand.New(rand.NewPCG(draw, uint64(len(id.JobID))<<32|uint64(id.Index)<<8|uint64(id.JobID[len(id.JobID)-1]))).
+				Float64()
 			switch {
 			case t.State == protocol.TaskFetching && fate < 0.7, t.State == protocol.TaskWaiting:
 				t.State = protocol.TaskRunning
@@ -242,7 +277,10 @@
 	case w.chance(0.05) && len(w.machines) > 4:
 		name := w.machines[w.rng.IntN(len(w.machines))]
 		w.silent[name] = true
-		w.applyToBoth("loss of "+name, func(b *harness) { b.apply(ScaleInResult{Machines: []string{name}, Succeeded: true}) })
+		w.applyToBoth(
+			"loss of "+name,
+			func(b *harness) { b.apply(ScaleInResult{Machines: []string{name}, Succeeded: true}) },
+		)
 	}
 	for _, name := range w.machines {
 		if !w.silent[name] && w.chance(0.7) {
@@ -271,8 +309,11 @@
 		}
 		var objectives []config.Objective
 		if rapid.Bool().Draw(t, "aims") {
-			objectives = []config.Objective{{Kind: "wait", Class: "class-0", WithinSeconds: 2, Fraction: 0.9}, {Kind: "wait", Class: "class-1", WithinSeconds: 20, Fraction: 0.9},
-				{Kind: "finished", Class: "class-2", WithinSeconds: 60, Fraction: 0.9}}
+			objectives = []config.Objective{
+				{Kind: "wait", Class: "class-0", WithinSeconds: 2, Fraction: 0.9},
+				{Kind: "wait", Class: "class-1", WithinSeconds: 20, Fraction: 0.9},
+				{Kind: "finished", Class: "class-2", WithinSeconds: 60, Fraction: 0.9},
+			}
 		}
 		w := newSchedulerPair(t, rapid.Uint64().Draw(t, "seed"), teams, objectives, rapid.Bool().Draw(t, "zone return"))
 		for range rapid.IntRange(3, 20).Draw(t, "machines") {
--- a/internal/coordination/scheduler/gangorder.go
+++ b/internal/coordination/scheduler/gangorder.go
@@ -24,8 +24,16 @@
 
 func (j *Job) searchKey() searchKey {
 	return searchKey{
-		team: j.Spec.Team, image: j.Spec.Image, zone: j.Spec.Zone, types: j.AllowedTypes, need: j.TaskResources,
-		level: j.EffectivePriority, placedTasks: len(j.Placements), sameZone: j.Spec.SameZone, spread: j.Spec.Spread, spot: j.Spec.SpotAllowed,
+		team:        j.Spec.Team,
+		image:       j.Spec.Image,
+		zone:        j.Spec.Zone,
+		types:       j.AllowedTypes,
+		need:        j.TaskResources,
+		level:       j.EffectivePriority,
+		placedTasks: len(j.Placements),
+		sameZone:    j.Spec.SameZone,
+		spread:      j.Spec.Spread,
+		spot:        j.Spec.SpotAllowed,
 	}
 }
 
@@ -50,7 +58,10 @@
 		for k, i := range at {
 			jobs[k] = waiting[i]
 		}
-		sort.SliceStable(jobs, func(a, b int) bool { return c.deadlineTier(now, jobs[a]) < c.deadlineTier(now, jobs[b]) })
+		sort.SliceStable(
+			jobs,
+			func(a, b int) bool { return c.deadlineTier(now, jobs[a]) < c.deadlineTier(now, jobs[b]) },
+		)
 		for k, i := range at {
 			waiting[i] = jobs[k]
 		}
--- a/internal/coordination/scheduler/harness_test.go
+++ b/internal/coordination/scheduler/harness_test.go
@@ -35,19 +35,68 @@
 
 func newHarness(teams []config.Team, zones ...string) *harness {
 	cfg := &config.Deployment{
-		Controllers: 3, Teams: teams, Workers: config.Workers{HeartbeatSeconds: 1, LeaseSeconds: 10, GangWaitSeconds: 40, GangPeerSeconds: 4, CancelSeconds: 40},
-		Store: config.StoreLimits{RPS: 100, WriteRPS: 30, ValueKB: 8, TxnOps: 16}, Cloud: config.Cloud{RPS: 2, ListLagSeconds: 5}, Quota: config.Quota{CoreShare: 0.1},
+		Controllers: 3,
+		Teams:       teams,
+		Workers: config.Workers{
+			HeartbeatSeconds: 1,
+			LeaseSeconds:     10,
+			GangWaitSeconds:  40,
+			GangPeerSeconds:  4,
+			CancelSeconds:    40,
+		},
+		Store: config.StoreLimits{
+			RPS:      100,
+			WriteRPS: 30,
+			ValueKB:  8,
+			TxnOps:   16,
+		},
+		Cloud: config.Cloud{RPS: 2, ListLagSeconds: 5},
+		Quota: config.Quota{CoreShare: 0.1},
+	}
+	types := []protocol.MachineType{
+		{
+			Name:             "g8",
+			CPUs:             64,
+			GPUs:             8,
+			MemoryGB:         256,
+			CacheGB:          100,
+			FetchGBPerSecond: 1,
+			HourlyPrice:      4,
+			HourlySpotPrice:  1,
+			BootSeconds:      30,
+			Zones:            zones,
+		},
 	}
-	types := []protocol.MachineType{{Name: "g8", CPUs: 64, GPUs: 8, MemoryGB: 256, CacheGB: 100, FetchGBPerSecond: 1, HourlyPrice: 4, HourlySpotPrice: 1, BootSeconds: 30, Zones: zones}}
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
-	return &harness{scheduler: New(0, cfg, log, Term{Number: 5, Revision: 1}, RecoveredRecords{MachineTypes: types}, 0, nil), revision: 10, sequences: map[string]uint64{},
-		runs: map[protocol.TaskID]protocol.Command{}, machineOf: map[protocol.TaskID]string{}, stops: map[protocol.TaskID]float64{},
-		tasks: map[string]map[protocol.TaskID]protocol.TaskStatus{}, tokens: map[string]uint64{}, zoneOf: map[string]string{}, spotMachines: map[string]bool{}}
+	return &harness{
+		scheduler: New(
+			0,
+			cfg,
+			log,
+			Term{Number: 5, Revision: 1},
+			RecoveredRecords{MachineTypes: types},
+			0,
+			nil,
+		),
+		revision:     10,
+		sequences:    map[string]uint64{},
+		runs:         map[protocol.TaskID]protocol.Command{},
+		machineOf:    map[protocol.TaskID]string{},
+		stops:        map[protocol.TaskID]float64{},
+		tasks:        map[string]map[protocol.TaskID]protocol.TaskStatus{},
+		tokens:       map[string]uint64{},
+		zoneOf:       map[string]string{},
+		spotMachines: map[string]bool{},
+	}
 }
 
 // productionPage is the key of a page of the first layout.
 func productionPage(id string, number int) string {
-	return storage.PageID{Job: id, Layout: storage.PageLayout{TasksPerPage: storage.OriginalPageTasks(8)}, Number: number}.Key()
+	return storage.PageID{
+		Job:    id,
+		Layout: storage.PageLayout{TasksPerPage: storage.OriginalPageTasks(8)},
+		Number: number,
+	}.Key()
 }
 
 // setObjectives replaces the aims.
@@ -85,7 +134,11 @@
 		switch c.Verb {
 		case protocol.VerbRun:
 			b.runs[id], b.machineOf[id] = c, machine
-			b.tasks[machine][id] = protocol.TaskStatus{TaskName: c.TaskName, Attempt: c.Attempt, State: protocol.TaskFetching}
+			b.tasks[machine][id] = protocol.TaskStatus{
+				TaskName: c.TaskName,
+				Attempt:  c.Attempt,
+				State:    protocol.TaskFetching,
+			}
 		case protocol.VerbStop:
 			b.stops[id] = *c.GraceSeconds
 		case protocol.VerbForget:
@@ -96,8 +149,10 @@
 
 func (b *harness) nextHeartbeat(name string) *protocol.WorkerHeartbeat {
 	b.sequences[name]++
-	r := &protocol.WorkerHeartbeat{Machine: name, Addr: "x", Type: "g8", Zone: b.zoneOf[name], Spot: b.spotMachines[name], Incarnation: 1,
-		Sequence: b.sequences[name], FencingToken: b.tokens[name]}
+	r := &protocol.WorkerHeartbeat{
+		Machine: name, Addr: "x", Type: "g8", Zone: b.zoneOf[name], Spot: b.spotMachines[name], Incarnation: 1,
+		Sequence: b.sequences[name], FencingToken: b.tokens[name],
+	}
 	for _, id := range sortedIDs(b.tasks[name]) {
 		r.Tasks = append(r.Tasks, b.tasks[name][id])
 	}
@@ -122,7 +177,9 @@
 
 func (b *harness) addJob(j protocol.Job) {
 	b.revision++
-	b.apply(JobAccepted{Record: storage.LiveJobRecord{Job: j, AcceptedAtMS: b.now.Milliseconds()}, Revision: b.revision})
+	b.apply(
+		JobAccepted{Record: storage.LiveJobRecord{Job: j, AcceptedAtMS: b.now.Milliseconds()}, Revision: b.revision},
+	)
 }
 
 func (b *harness) runCycle() {
@@ -131,7 +188,19 @@
 }
 
 func jobSpec(id string, shape protocol.Shape, prio protocol.Priority, tasks int, gpus float64) protocol.Job {
-	return protocol.Job{ID: id, Class: "c", Team: "red", Shape: shape, Priority: prio, TaskCount: tasks, CPUs: 1, GPUs: gpus, MemoryGB: 1, Image: "i", ImageGB: 1}
+	return protocol.Job{
+		ID:        id,
+		Class:     "c",
+		Team:      "red",
+		Shape:     shape,
+		Priority:  prio,
+		TaskCount: tasks,
+		CPUs:      1,
+		GPUs:      gpus,
+		MemoryGB:  1,
+		Image:     "i",
+		ImageGB:   1,
+	}
 }
 
 func (b *harness) startedTasks(id string) int {
--- a/internal/coordination/scheduler/heartbeats.go
+++ b/internal/coordination/scheduler/heartbeats.go
@@ -14,7 +14,10 @@
 	if c.hasSeenLaterTerm(r) {
 		return
 	}
-	answer := protocol.WorkerHeartbeatReply{FencingToken: protocol.FencingToken(c.term, 0), Commands: []protocol.Command{}}
+	answer := protocol.WorkerHeartbeatReply{
+		FencingToken: protocol.FencingToken(c.term, 0),
+		Commands:     []protocol.Command{},
+	}
 	if c.autoscaler.RecentlyReleased(r.Machine) {
 		c.emit(HeartbeatReply{e.ReplyTo, answer})
 		return
@@ -70,7 +73,10 @@
 }
 
 // applyHeartbeat takes in what a machine says, in whichever way it came.
-func (c *Scheduler) applyHeartbeat(now time.Duration, r *protocol.WorkerHeartbeat) (m *machineregistry.Machine, newer bool) {
+func (c *Scheduler) applyHeartbeat(
+	now time.Duration,
+	r *protocol.WorkerHeartbeat,
+) (m *machineregistry.Machine, newer bool) {
 	if c.hasSeenLaterTerm(r) || c.autoscaler.RecentlyReleased(r.Machine) {
 		return nil, false
 	}
@@ -98,7 +104,17 @@
 			continue
 		}
 		m.CommandInFlight = true
-		c.emit(SendCommandBatch{Machine: m.Name, Addr: m.Addr, Batch: protocol.CommandBatch{FencingToken: c.machines.FencingToken(m), Incarnation: m.Incarnation, Commands: cmds}})
+		c.emit(
+			SendCommandBatch{
+				Machine: m.Name,
+				Addr:    m.Addr,
+				Batch: protocol.CommandBatch{
+					FencingToken: c.machines.FencingToken(m),
+					Incarnation:  m.Incarnation,
+					Commands:     cmds,
+				},
+			},
+		)
 	}
 }
 
@@ -121,6 +137,11 @@
 		}
 	})
 	if relayed > 2*direct && relayed > 2 {
-		c.emit(StepDown{Reason: fmt.Sprintf("%d machines reach other controllers only", relayed), TransferLeadership: true})
+		c.emit(
+			StepDown{
+				Reason:             fmt.Sprintf("%d machines reach other controllers only", relayed),
+				TransferLeadership: true,
+			},
+		)
 	}
 }
--- a/internal/coordination/scheduler/imagehints.go
+++ b/internal/coordination/scheduler/imagehints.go
@@ -67,7 +67,10 @@
 		if page == 0 {
 			for class, jobs := range c.decayedArrivals {
 				// Two digits are enough, and a quiet fleet writes nothing.
-				rec.Arrivals = append(rec.Arrivals, storage.ClassArrivals{Class: class, Jobs: math.Round(jobs*4) / 4, MeanTasks: c.meanTasks[class]})
+				rec.Arrivals = append(
+					rec.Arrivals,
+					storage.ClassArrivals{Class: class, Jobs: math.Round(jobs*4) / 4, MeanTasks: c.meanTasks[class]},
+				)
 			}
 			sort.Slice(rec.Arrivals, func(a, b int) bool { return rec.Arrivals[a].Class < rec.Arrivals[b].Class })
 		}
--- a/internal/coordination/scheduler/job.go
+++ b/internal/coordination/scheduler/job.go
@@ -88,10 +88,21 @@
 
 func NewJob(spec protocol.Job, stamp uint64, atMS int64, now time.Duration, layout storage.PageLayout) *Job {
 	return &Job{
-		Spec: spec, TaskResources: machineregistry.TaskResources(&spec), EffectivePriority: spec.Priority.Rank(), AllowedTypes: strings.Join(spec.MachineTypes, " "), LiveRevision: stamp, AcceptedMS: atMS, WaitingSince: now,
-		LatestStart: dependency.NoDeadline,
-		TaskStates:  make([]TaskState, spec.TaskCount), TaskCounts: [3]int{spec.TaskCount, 0, 0},
-		Placements: map[int]*machineregistry.Placement{}, HasRun: map[int]bool{}, pages: map[int]*placementPage{}, layout: layout, FailedOn: map[string]bool{},
+		Spec:              spec,
+		TaskResources:     machineregistry.TaskResources(&spec),
+		EffectivePriority: spec.Priority.Rank(),
+		AllowedTypes:      strings.Join(spec.MachineTypes, " "),
+		LiveRevision:      stamp,
+		AcceptedMS:        atMS,
+		WaitingSince:      now,
+		LatestStart:       dependency.NoDeadline,
+		TaskStates:        make([]TaskState, spec.TaskCount),
+		TaskCounts:        [3]int{spec.TaskCount, 0, 0},
+		Placements:        map[int]*machineregistry.Placement{},
+		HasRun:            map[int]bool{},
+		pages:             map[int]*placementPage{},
+		layout:            layout,
+		FailedOn:          map[string]bool{},
 	}
 }
 
--- a/internal/coordination/scheduler/jobcompletion.go
+++ b/internal/coordination/scheduler/jobcompletion.go
@@ -21,14 +21,22 @@
 	}
 	j.Ending = true
 	id, name := c.nextWriteID()
-	value, err := protocol.Encode(storage.EndedJobRecord{State: protocol.JobDone, DoneTasks: len(j.TaskStates), WriteName: name})
+	value, err := protocol.Encode(
+		storage.EndedJobRecord{State: protocol.JobDone, DoneTasks: len(j.TaskStates), WriteName: name},
+	)
 	if err != nil {
 		c.log.Error("ended record", "err", err)
 		return
 	}
 	t := protocol.Txn{
-		If:   []protocol.Compare{{Key: storage.TermKey, Revision: c.termRevision}, {Key: storage.LiveJobKey(j.Spec.ID), Revision: j.LiveRevision}},
-		Then: []protocol.Op{{DeleteKey: storage.LiveJobKey(j.Spec.ID)}, {PutKey: storage.EndedJobKey(j.Spec.ID), Value: value}},
+		If: []protocol.Compare{
+			{Key: storage.TermKey, Revision: c.termRevision},
+			{Key: storage.LiveJobKey(j.Spec.ID), Revision: j.LiveRevision},
+		},
+		Then: []protocol.Op{
+			{DeleteKey: storage.LiveJobKey(j.Spec.ID)},
+			{PutKey: storage.EndedJobKey(j.Spec.ID), Value: value},
+		},
 	}
 	var dropped pageDeletions
 	if len(j.Placements) == 0 {
@@ -48,7 +56,17 @@
 			c.pagesDeleted(j, dropped)
 			c.dependencyEnded(now, j.Spec.ID, dependency.Done)
 		}
-		c.log.Debug("job done", "job", j.Spec.ID, "class", j.Spec.Class, "tasks", len(j.TaskStates), "took", now-j.WaitingSince)
+		c.log.Debug(
+			"job done",
+			"job",
+			j.Spec.ID,
+			"class",
+			j.Spec.Class,
+			"tasks",
+			len(j.TaskStates),
+			"took",
+			now-j.WaitingSince,
+		)
 		c.endJob(now, j)
 	}
 	purpose := PriorityCompletion
--- a/internal/coordination/scheduler/jobqueues.go
+++ b/internal/coordination/scheduler/jobqueues.go
@@ -27,7 +27,12 @@
 // scheduledBefore orders jobs by priority; among equals those come first of which a pipeline's deadline depends,
 // by when they must start, and the others by age.
 func scheduledBefore(a, b *Job) bool {
-	return cmp.Or(cmp.Compare(a.EffectivePriority, b.EffectivePriority), cmp.Compare(a.LatestStart, b.LatestStart), cmp.Compare(a.AcceptedMS, b.AcceptedMS), cmp.Compare(a.Spec.ID, b.Spec.ID)) < 0
+	return cmp.Or(
+		cmp.Compare(a.EffectivePriority, b.EffectivePriority),
+		cmp.Compare(a.LatestStart, b.LatestStart),
+		cmp.Compare(a.AcceptedMS, b.AcceptedMS),
+		cmp.Compare(a.Spec.ID, b.Spec.ID),
+	) < 0
 }
 
 // update enters a job that has tasks to place, or takes it out. Queues that are nil hold nothing.
--- a/internal/coordination/scheduler/largefleet_test.go
+++ b/internal/coordination/scheduler/largefleet_test.go
@@ -26,12 +26,17 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		page, err := protocol.Encode(storage.PlacementPage{WriteName: "4.1", HighestAttempt: 1, Zones: []string{"a"}, Team: "red", CPUs: 1, GPUs: 4, MemoryGB: 1,
-			Placements: []storage.Placement{{Machine: machineName(i), Incarnation: 1, Attempt: 1}}})
+		page, err := protocol.Encode(storage.PlacementPage{
+			WriteName: "4.1", HighestAttempt: 1, Zones: []string{"a"}, Team: "red", CPUs: 1, GPUs: 4, MemoryGB: 1,
+			Placements: []storage.Placement{{Machine: machineName(i), Incarnation: 1, Attempt: 1}},
+		})
 		if err != nil {
 			t.Fatal(err)
 		}
-		r.LiveJobs = append(r.LiveJobs, protocol.KeyValue{Key: storage.LiveJobKey(id), Value: live, Revision: uint64(i + 10)})
+		r.LiveJobs = append(
+			r.LiveJobs,
+			protocol.KeyValue{Key: storage.LiveJobKey(id), Value: live, Revision: uint64(i + 10)},
+		)
 		r.Pages = append(r.Pages, protocol.KeyValue{Key: productionPage(id, 0), Value: page, Revision: uint64(i + 10)})
 	}
 	return r
@@ -46,11 +51,40 @@
 	cfg := *b.scheduler.cfg
 	cfg.Quota.CoreShare, cfg.Cloud.RPS = 0.336, 4
 	records := largeFleetRecords(t, manyMachines)
-	records.MachineTypes = []protocol.MachineType{{Name: "g8", CPUs: 64, GPUs: 8, MemoryGB: 256, CacheGB: 100, FetchGBPerSecond: 1, HourlyPrice: 4, BootSeconds: 30, Zones: []string{"a"}}}
-	b.scheduler = New(0, &cfg, slog.New(slog.NewTextHandler(io.Discard, nil)), Term{Number: 5, Revision: 1}, records, 0, nil)
+	records.MachineTypes = []protocol.MachineType{
+		{
+			Name:             "g8",
+			CPUs:             64,
+			GPUs:             8,
+			MemoryGB:         256,
+			CacheGB:          100,
+			FetchGBPerSecond: 1,
+			HourlyPrice:      4,
+			BootSeconds:      30,
+			Zones:            []string{"a"},
+		},
+	}
+	b.scheduler = New(
+		0,
+		&cfg,
+		slog.New(slog.NewTextHandler(io.Discard, nil)),
+		Term{Number: 5, Revision: 1},
+		records,
+		0,
+		nil,
+	)
 	var list []protocol.ListedMachine
 	for i := range manyMachines {
-		list = append(list, protocol.ListedMachine{Name: machineName(i), Addr: "x", Type: "g8", Zone: "a", State: protocol.MachineRunning})
+		list = append(
+			list,
+			protocol.ListedMachine{
+				Name:  machineName(i),
+				Addr:  "x",
+				Type:  "g8",
+				Zone:  "a",
+				State: protocol.MachineRunning,
+			},
+		)
 		b.zoneOf[machineName(i)], b.tasks[machineName(i)] = "a", map[protocol.TaskID]protocol.TaskStatus{}
 	}
 	asked, second := map[string]int{}, 0
@@ -142,7 +176,14 @@
 		return zonefailover.TaskAttempt{Job: fmt.Sprintf("j-%06d", i), Attempt: 1}
 	}
 	for i := range loans {
-		loan := zonefailover.Loan{Term: 6, Number: uint64(i + 1), Lender: lender(i), Borrower: borrower(i), Machine: "m", Zone: "a"}
+		loan := zonefailover.Loan{
+			Term:     6,
+			Number:   uint64(i + 1),
+			Lender:   lender(i),
+			Borrower: borrower(i),
+			Machine:  "m",
+			Zone:     "a",
+		}
 		if err := z.ledger.Open(loan); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/coordination/scheduler/lifecycle.go
+++ b/internal/coordination/scheduler/lifecycle.go
@@ -57,8 +57,23 @@
 					j.HasRun[pl.Task.Index] = true
 				}
 				j.Failures = max(0, j.Failures-1)
-				c.log.Debug("running", "task", pl.Task, "class", j.Spec.Class, "attempt", pl.Attempt, "machine", pl.Machine,
-					"waited", now-j.WaitingSince, "placed", now-pl.ReservedAt, "image", j.Spec.Image)
+				c.log.Debug(
+					"running",
+					"task",
+					pl.Task,
+					"class",
+					j.Spec.Class,
+					"attempt",
+					pl.Attempt,
+					"machine",
+					pl.Machine,
+					"waited",
+					now-j.WaitingSince,
+					"placed",
+					now-pl.ReservedAt,
+					"image",
+					j.Spec.Image,
+				)
 			}
 			continue
 		}
@@ -225,7 +240,8 @@
 		return
 	}
 	grace := 0.0
-	if j.Spec.CheckpointIntervalSeconds > 0 && config.Seconds(j.Spec.SaveSeconds+c.cfg.Workers.HeartbeatSeconds) < within {
+	if j.Spec.CheckpointIntervalSeconds > 0 &&
+		config.Seconds(j.Spec.SaveSeconds+c.cfg.Workers.HeartbeatSeconds) < within {
 		grace = j.Spec.SaveSeconds + c.cfg.Workers.GangPeerSeconds
 	}
 	if j.Spec.Shape != protocol.Gang {
--- a/internal/coordination/scheduler/placementpages.go
+++ b/internal/coordination/scheduler/placementpages.go
@@ -62,7 +62,11 @@
 		}
 		if pl := j.Placements[t]; pl != nil {
 			r.Placements = append(r.Placements, storage.Placement{
-				Task: t, Machine: pl.Machine, Incarnation: pl.Incarnation, Attempt: pl.Attempt, Zone: r.ZoneIndex(pl.Zone),
+				Task:        t,
+				Machine:     pl.Machine,
+				Incarnation: pl.Incarnation,
+				Attempt:     pl.Attempt,
+				Zone:        r.ZoneIndex(pl.Zone),
 			})
 		}
 	}
--- a/internal/coordination/scheduler/placementwriter.go
+++ b/internal/coordination/scheduler/placementwriter.go
@@ -200,7 +200,9 @@
 			c.recordStarts(now)
 		}
 	}
-	c.emit(Write{ID: id, Txn: t, Priority: purpose, VerifyKey: t.Then[0].PutKey, Name: name, Splittable: len(parts) > 1})
+	c.emit(
+		Write{ID: id, Txn: t, Priority: purpose, VerifyKey: t.Then[0].PutKey, Name: name, Splittable: len(parts) > 1},
+	)
 }
 
 // batchWritten takes in the outcome of a transaction. A failed condition of one job concerns that job
@@ -233,7 +235,10 @@
 // jobWriteFailed takes in that a transaction failed of which this was a part.
 func (c *Scheduler) jobWriteFailed(now time.Duration, p *jobWrite, failed []string) {
 	j := p.job
-	stale := slices.ContainsFunc(p.compares, func(cond protocol.Compare) bool { return slices.Contains(failed, cond.Key) })
+	stale := slices.ContainsFunc(
+		p.compares,
+		func(cond protocol.Compare) bool { return slices.Contains(failed, cond.Key) },
+	)
 	switch {
 	case slices.Contains(failed, storage.LiveJobKey(j.Spec.ID)):
 		c.cancelUnstarted(now, j)
@@ -250,8 +255,9 @@
 	}
 }
 
-// jobWriteRejected takes in that a part alone was refused for its form: fewer of its pages are written at a time, and then
-// they are cut narrower, as far as that goes. Else it is tried again after a pause, in which others have their turn.
+// jobWriteRejected takes in that a part alone was refused for its form: fewer of its pages are written at a time, and
+// then they are cut narrower, as far as that goes. Else it is tried again after a pause, in which others have their
+// turn.
 func (c *Scheduler) jobWriteRejected(now time.Duration, t *protocol.Txn, p *jobWrite) {
 	j := p.job
 	c.requeue(now, p)
--- a/internal/coordination/scheduler/placementwriter_test.go
+++ b/internal/coordination/scheduler/placementwriter_test.go
@@ -27,7 +27,15 @@
 // submit accepts a job of single tasks of half a machine.
 func (s *manualStore) submit(id string, prio protocol.Priority, tasks int) {
 	s.revision++
-	s.step(JobAccepted{Record: storage.LiveJobRecord{Job: jobSpec(id, protocol.Array, prio, tasks, 4), AcceptedAtMS: s.now.Milliseconds()}, Revision: s.revision})
+	s.step(
+		JobAccepted{
+			Record: storage.LiveJobRecord{
+				Job:          jobSpec(id, protocol.Array, prio, tasks, 4),
+				AcceptedAtMS: s.now.Milliseconds(),
+			},
+			Revision: s.revision,
+		},
+	)
 }
 
 // cycleOnce lets a cycle pass and keeps what is written.
@@ -84,7 +92,10 @@
 		t.Fatalf("%d pages under way with an urgent job, %d without", got, under)
 	}
 	s.answer(TransactionOutcome{WriteID: s.startWrites()[0].ID, Succeeded: true})
-	if !slices.ContainsFunc(s.startWrites(), func(w Write) bool { return slices.Contains(jobsOfWrite(w), "j-urgent") }) {
+	if !slices.ContainsFunc(
+		s.startWrites(),
+		func(w Write) bool { return slices.Contains(jobsOfWrite(w), "j-urgent") },
+	) {
 		t.Errorf("the urgent start's record is not the next: %d others are under way", len(s.startWrites()))
 	}
 }
@@ -265,7 +276,13 @@
 					s.inFlight = append(s.inFlight, e)
 				case SendCommandBatch:
 					s.executeCommands(e.Machine, e.Batch.FencingToken, e.Batch.Commands)
-					s.step(CommandBatchResult{Machine: e.Machine, Acknowledged: true, Heartbeat: s.nextHeartbeat(e.Machine)})
+					s.step(
+						CommandBatchResult{
+							Machine:      e.Machine,
+							Acknowledged: true,
+							Heartbeat:    s.nextHeartbeat(e.Machine),
+						},
+					)
 				}
 			}
 			s.inFlight = slices.DeleteFunc(s.inFlight, func(o Write) bool { return o.ID == open[0].ID })
@@ -289,7 +306,20 @@
 			now += time.Duration(rapid.IntRange(0, 3).Draw(t, "pause")) * time.Second
 			for range rapid.IntRange(0, 2).Draw(t, "new") {
 				made++
-				j := NewJob(jobSpec(fmt.Sprintf("j-%06d", made), protocol.Array, rapid.SampledFrom([]protocol.Priority{"urgent", "urgent", "normal", "best_effort"}).Draw(t, "level"), 1, 1), 1, 0, 0, storage.PageLayout{TasksPerPage: 10})
+				j := NewJob(
+					jobSpec(
+						fmt.Sprintf("j-%06d", made),
+						protocol.Array,
+						rapid.SampledFrom([]protocol.Priority{"urgent", "urgent", "normal", "best_effort"}).
+							Draw(t, "level"),
+						1,
+						1,
+					),
+					1,
+					0,
+					0,
+					storage.PageLayout{TasksPerPage: 10},
+				)
 				j.Spec.Team = rapid.SampledFrom([]string{"red", "blue", "green"}).Draw(t, "team")
 				j.unstarted = []*machineregistry.Placement{{}}
 				q.add(j)
--- a/internal/coordination/scheduler/poolscore.go
+++ b/internal/coordination/scheduler/poolscore.go
@@ -20,7 +20,11 @@
 		return true
 	}
 	for name, t := range c.machines.MachineTypes() {
-		if fetch := c.fetchSeconds(j, name); fetch > max(aim, t.BootSeconds) || fetch*machineregistry.SlowFetchFactor > aim {
+		if fetch := c.fetchSeconds(
+			j,
+			name,
+		); fetch > max(aim, t.BootSeconds) ||
+			fetch*machineregistry.SlowFetchFactor > aim {
 			return true
 		}
 	}
@@ -30,7 +34,8 @@
 // poolFeasible says whether machines of a pool may do for a job.
 func (c *Scheduler) poolFeasible(j *Job, l *zoneLimits, p machineindex.Pool) bool {
 	t := c.machines.MachineType(p.Type)
-	return t != nil && (!p.Spot || j.Spec.SpotAllowed) && t.AllowedBy(&j.Spec) && (l.tasksPerZone == nil || l.allows(p.Zone))
+	return t != nil && (!p.Spot || j.Spec.SpotAllowed) && t.AllowedBy(&j.Spec) &&
+		(l.tasksPerZone == nil || l.allows(p.Zone))
 }
 
 // poolScore is what every machine of a pool adds to a score.
