--- a/internal/coordination/scheduler/preempt.go
+++ b/internal/coordination/scheduler/preempt.go
@@ -93,7 +93,8 @@
 	}
 	best, victims := c.finder.cheapestPreemption(now, j, l, within, level)
 	if best == nil {
-		if within == math.MaxInt64 && len(j.AvoidedMachines()) == 0 && len(j.ReservedMachines) == 0 && !c.inZoneFailover() {
+		if within == math.MaxInt64 && len(j.AvoidedMachines()) == 0 && len(j.ReservedMachines) == 0 &&
+			!c.inZoneFailover() {
 			c.noVictimsSince[k] = c.capacityEvents
 		}
 		return false
@@ -114,7 +115,12 @@
 
 // preemptPlacement stops a placement for another job that wants its room, and can wait for work to be
 // saved for as long as the patience.
-func (c *Scheduler) preemptPlacement(now time.Duration, pl *machineregistry.Placement, id string, patience time.Duration) {
+func (c *Scheduler) preemptPlacement(
+	now time.Duration,
+	pl *machineregistry.Placement,
+	id string,
+	patience time.Duration,
+) {
 	c.log.Info("preempted", "task", pl.Task, "for", id, "machine", pl.Machine)
 	if pl.Job != nil && pl.Job.SaveSeconds >= pl.Job.CheckpointIntervalSeconds/2 {
 		patience = 0 // to save takes as long as what is lost without, and the room is wanted
@@ -135,7 +141,12 @@
 
 // selectVictims chooses the work that would have to leave a machine. Its cost is in
 // seconds of work lost or moved.
-func (c *Scheduler) selectVictims(now time.Duration, j *Job, x *candidate, level int) (out []*machineregistry.Placement, cost float64, ok bool) {
+func (c *Scheduler) selectVictims(
+	now time.Duration,
+	j *Job,
+	x *candidate,
+	level int,
+) (out []*machineregistry.Placement, cost float64, ok bool) {
 	room := x.free // less what this cycle has given away already
 	var lower []*machineregistry.Placement
 	x.machine.EachPlacement(func(pl *machineregistry.Placement) {
@@ -171,7 +182,11 @@
 		}
 		// An old job has been passed over or stopped before, and is the more
 		// likely to be late for it.
-		cost += 1 + lost*pl.Resources.DominantShare(machineregistry.CapacityOf(x.machineType)) + c.jobAge(now, pl).Seconds()/10
+		cost += 1 + lost*pl.Resources.DominantShare(
+			machineregistry.CapacityOf(x.machineType),
+		) + c.jobAge(now, pl).
+			Seconds()/
+			10
 		if pl.Job != nil && pl.Job.Shape == protocol.Gang {
 			// All of it has to find room, and often its image, again.
 			cost += float64(pl.Job.TaskCount) * x.machineType.BootSeconds
--- a/internal/coordination/scheduler/preempt_test.go
+++ b/internal/coordination/scheduler/preempt_test.go
@@ -99,7 +99,18 @@
 		t.Fatal("no room was cleared")
 	}
 	b.runCycle()
-	b.heartbeat("m1", "a", false, protocol.TaskStatus{TaskName: id.String(), Attempt: 1, State: protocol.TaskExited, Cause: protocol.CauseStopped, CheckpointSaved: true})
+	b.heartbeat(
+		"m1",
+		"a",
+		false,
+		protocol.TaskStatus{
+			TaskName:        id.String(),
+			Attempt:         1,
+			State:           protocol.TaskExited,
+			Cause:           protocol.CauseStopped,
+			CheckpointSaved: true,
+		},
+	)
 	b.runCycle()
 	if b.startedTasks("j-2") != 1 {
 		t.Error("the cleared room was not taken")
@@ -116,7 +127,13 @@
 	}{{5, "j-2"}, {25, "j-3"}, {70, "j-2"}} {
 		b := newHarness([]config.Team{{Name: "red"}}, "a")
 		b.setObjectives([]config.Objective{
-			{Kind: "wait", Class: "big", WithinSeconds: 20, Fraction: 0.9}, {Kind: "finished", Class: "big", WithinSeconds: 30, Fraction: 0.9},
+			{
+				Kind:          "wait",
+				Class:         "big",
+				WithinSeconds: 20,
+				Fraction:      0.9,
+			},
+			{Kind: "finished", Class: "big", WithinSeconds: 30, Fraction: 0.9},
 		})
 		gang := jobSpec("j-1", protocol.Gang, "urgent", 1, 8)
 		gang.Class, gang.EstimateSeconds = "big", 20
@@ -133,10 +150,26 @@
 		}
 		gang.ID = "j-3"
 		b.addJob(gang)
-		b.heartbeat("m1", "a", false, protocol.TaskStatus{TaskName: id.String(), Attempt: 1, State: protocol.TaskExited, Cause: protocol.CauseDone})
+		b.heartbeat(
+			"m1",
+			"a",
+			false,
+			protocol.TaskStatus{
+				TaskName: id.String(),
+				Attempt:  1,
+				State:    protocol.TaskExited,
+				Cause:    protocol.CauseDone,
+			},
+		)
 		b.runCycle()
 		if b.startedTasks(x.want) != 1 || b.startedTasks("j-2")+b.startedTasks("j-3") != 1 {
-			t.Errorf("after %d s j-2 started %d, j-3 %d, want %s", x.waited, b.startedTasks("j-2"), b.startedTasks("j-3"), x.want)
+			t.Errorf(
+				"after %d s j-2 started %d, j-3 %d, want %s",
+				x.waited,
+				b.startedTasks("j-2"),
+				b.startedTasks("j-3"),
+				x.want,
+			)
 		}
 	}
 }
@@ -273,7 +306,17 @@
 		b.addJob(next)
 		b.runCycle()
 		if _, stopped := b.stops[two]; stopped {
-			b.heartbeat("m1", "a", false, protocol.TaskStatus{TaskName: two.String(), Attempt: 1, State: protocol.TaskExited, Cause: protocol.CauseStopped})
+			b.heartbeat(
+				"m1",
+				"a",
+				false,
+				protocol.TaskStatus{
+					TaskName: two.String(),
+					Attempt:  1,
+					State:    protocol.TaskExited,
+					Cause:    protocol.CauseStopped,
+				},
+			)
 		}
 		b.runCycle()
 		if got := b.machineOf[protocol.TaskID{JobID: "j-3"}]; got != x.want {
--- a/internal/coordination/scheduler/quota.go
+++ b/internal/coordination/scheduler/quota.go
@@ -69,5 +69,6 @@
 	if t == nil || t.GuaranteedCPUs == 0 && t.GuaranteedGPUs == 0 {
 		return false
 	}
-	return (t.GuaranteedCPUs == 0 || used.CPUs <= t.GuaranteedCPUs) && (t.GuaranteedGPUs == 0 || used.GPUs <= t.GuaranteedGPUs)
+	return (t.GuaranteedCPUs == 0 || used.CPUs <= t.GuaranteedCPUs) &&
+		(t.GuaranteedGPUs == 0 || used.GPUs <= t.GuaranteedGPUs)
 }
--- a/internal/coordination/scheduler/recovery.go
+++ b/internal/coordination/scheduler/recovery.go
@@ -51,14 +51,20 @@
 	var covered []storage.PageID
 	for _, p := range pages {
 		counts := func(task int) bool {
-			return !slices.ContainsFunc(covered, func(n storage.PageID) bool { return task >= n.FirstTask() && task < n.EndTask() })
+			return !slices.ContainsFunc(
+				covered,
+				func(n storage.PageID) bool { return task >= n.FirstTask() && task < n.EndTask() },
+			)
 		}
 		if p.id.Layout == j.layout {
 			own := j.page(p.id.Number)
 			own.revision, own.highestAttempt = p.revision, max(own.highestAttempt, p.record.HighestAttempt)
 		} else {
 			j.supersededPages = append(j.supersededPages, supersededPage{p.id, p.revision, p.record.HighestAttempt})
-			j.eachOverlappingPage(p.id, func(n int) { j.page(n).highestAttempt = max(j.page(n).highestAttempt, p.record.HighestAttempt) })
+			j.eachOverlappingPage(
+				p.id,
+				func(n int) { j.page(n).highestAttempt = max(j.page(n).highestAttempt, p.record.HighestAttempt) },
+			)
 		}
 		c.recoverPageTasks(now, j, p.record, counts)
 		covered = append(covered, p.id)
@@ -81,8 +87,10 @@
 // newEndedJob makes up a job that is over, and whose tasks may not be gone: they still count.
 func (c *Scheduler) newEndedJob(now time.Duration, id string, pages []storedPage) *Job {
 	rec := pages[0].record
-	j := NewJob(protocol.Job{ID: id, Team: rec.Team, CPUs: rec.CPUs, GPUs: rec.GPUs,
-		MemoryGB: rec.MemoryGB, Priority: "best_effort"}, 0, 0, now, c.newJobLayout())
+	j := NewJob(protocol.Job{
+		ID: id, Team: rec.Team, CPUs: rec.CPUs, GPUs: rec.GPUs,
+		MemoryGB: rec.MemoryGB, Priority: "best_effort",
+	}, 0, 0, now, c.newJobLayout())
 	for _, p := range pages {
 		if more := p.id.EndTask() - len(j.TaskStates); more > 0 {
 			j.TaskStates = append(j.TaskStates, make([]TaskState, more)...)
@@ -96,7 +104,12 @@
 }
 
 // recoverPageTasks takes over what a page records of the tasks for which it counts.
-func (c *Scheduler) recoverPageTasks(now time.Duration, j *Job, rec *storage.PlacementPage, counts func(task int) bool) {
+func (c *Scheduler) recoverPageTasks(
+	now time.Duration,
+	j *Job,
+	rec *storage.PlacementPage,
+	counts func(task int) bool,
+) {
 	for _, d := range rec.DoneRanges {
 		for t := d[0]; t <= d[1]; t++ {
 			if counts(t) {
@@ -109,8 +122,18 @@
 			continue
 		}
 		np := &machineregistry.Placement{
-			Task: protocol.TaskID{JobID: j.Spec.ID, Index: pl.Task}, Attempt: pl.Attempt, Machine: pl.Machine, Incarnation: pl.Incarnation,
-			Zone: rec.Zones[pl.Zone], Resources: j.TaskResources, Team: j.Spec.Team, PriorityLevel: j.EffectivePriority, Job: &j.Spec,
+			Task: protocol.TaskID{
+				JobID: j.Spec.ID,
+				Index: pl.Task,
+			},
+			Attempt:       pl.Attempt,
+			Machine:       pl.Machine,
+			Incarnation:   pl.Incarnation,
+			Zone:          rec.Zones[pl.Zone],
+			Resources:     j.TaskResources,
+			Team:          j.Spec.Team,
+			PriorityLevel: j.EffectivePriority,
+			Job:           &j.Spec,
 		}
 		j.Placements[pl.Task] = np
 		if j.TaskStates[pl.Task] != TaskDone {
--- a/internal/coordination/scheduler/recovery_test.go
+++ b/internal/coordination/scheduler/recovery_test.go
@@ -36,7 +36,15 @@
 		t.Fatal("nothing was written down")
 	}
 	next := newHarness([]config.Team{{Name: "red"}}, "a")
-	next.scheduler = New(0, next.scheduler.cfg, next.scheduler.log, Term{Number: 6, Revision: 2}, RecoveredRecords{MachineTypes: []protocol.MachineType{*b.scheduler.machines.MachineType("g8")}, Images: warm}, 0, nil)
+	next.scheduler = New(
+		0,
+		next.scheduler.cfg,
+		next.scheduler.log,
+		Term{Number: 6, Revision: 2},
+		RecoveredRecords{MachineTypes: []protocol.MachineType{*b.scheduler.machines.MachineType("g8")}, Images: warm},
+		0,
+		nil,
+	)
 	for _, m := range []string{"m1", "m2", "m3"} {
 		next.heartbeat(m, "a", false)
 	}
@@ -53,7 +61,13 @@
 func TestNewLeaderRecoversWaitingTimes(t *testing.T) {
 	b := newHarness([]config.Team{{Name: "red"}}, "a")
 	b.setObjectives([]config.Objective{
-		{Kind: "wait", Class: "big", WithinSeconds: 20, Fraction: 0.9}, {Kind: "finished", Class: "big", WithinSeconds: 30, Fraction: 0.9},
+		{
+			Kind:          "wait",
+			Class:         "big",
+			WithinSeconds: 20,
+			Fraction:      0.9,
+		},
+		{Kind: "finished", Class: "big", WithinSeconds: 30, Fraction: 0.9},
 	})
 	const wallMS = 100_000
 	var live []protocol.KeyValue
@@ -66,7 +80,15 @@
 		}
 		live = append(live, protocol.KeyValue{Key: storage.LiveJobKey(id), Value: value, Revision: 3})
 	}
-	b.scheduler = New(0, b.scheduler.cfg, b.scheduler.log, Term{Number: 6, Revision: 2}, RecoveredRecords{MachineTypes: []protocol.MachineType{*b.scheduler.machines.MachineType("g8")}, LiveJobs: live}, wallMS, nil)
+	b.scheduler = New(
+		0,
+		b.scheduler.cfg,
+		b.scheduler.log,
+		Term{Number: 6, Revision: 2},
+		RecoveredRecords{MachineTypes: []protocol.MachineType{*b.scheduler.machines.MachineType("g8")}, LiveJobs: live},
+		wallMS,
+		nil,
+	)
 	b.heartbeat("m1", "a", false)
 	b.runCycle()
 	if b.startedTasks("j-1") != 0 || b.startedTasks("j-2") != 1 {
@@ -152,7 +174,19 @@
 	}
 	boot := 30 * time.Second
 	want := b.scheduler.expectedArrivals(b.now, "quick", boot)
-	next := New(0, b.scheduler.cfg, b.scheduler.log, Term{Number: 6, Revision: 2}, RecoveredRecords{MachineTypes: []protocol.MachineType{*b.scheduler.machines.MachineType("g8")}, LiveJobs: live, Images: warm}, b.now.Milliseconds(), nil)
+	next := New(
+		0,
+		b.scheduler.cfg,
+		b.scheduler.log,
+		Term{Number: 6, Revision: 2},
+		RecoveredRecords{
+			MachineTypes: []protocol.MachineType{*b.scheduler.machines.MachineType("g8")},
+			LiveJobs:     live,
+			Images:       warm,
+		},
+		b.now.Milliseconds(),
+		nil,
+	)
 	got := next.expectedArrivals(0, "quick", boot)
 	if want == 0 || got < want/3 || got > want*1.2 {
 		t.Errorf("expects %v jobs after the take-over, %v before", got, want)
@@ -166,7 +200,10 @@
 	b := newHarness([]config.Team{{Name: "red"}}, "a")
 	var list []protocol.ListedMachine
 	for i, state := range []string{protocol.MachineRunning, protocol.MachineRunning, protocol.MachineStarting, protocol.MachineFailed} {
-		list = append(list, protocol.ListedMachine{Name: fmt.Sprintf("m%d", i), Addr: "x", Type: "g8", Zone: "a", State: state})
+		list = append(
+			list,
+			protocol.ListedMachine{Name: fmt.Sprintf("m%d", i), Addr: "x", Type: "g8", Zone: "a", State: state},
+		)
 	}
 	b.heartbeat("m0", "a", false)
 	asked := map[string]int{}
@@ -202,7 +239,16 @@
 	perSecond := int(probesPerCore * b.scheduler.cfg.Quota.CoreShare)
 	var list []protocol.ListedMachine
 	for i := range machines {
-		list = append(list, protocol.ListedMachine{Name: fmt.Sprintf("m%03d", i), Addr: "x", Type: "g8", Zone: "a", State: protocol.MachineRunning})
+		list = append(
+			list,
+			protocol.ListedMachine{
+				Name:  fmt.Sprintf("m%03d", i),
+				Addr:  "x",
+				Type:  "g8",
+				Zone:  "a",
+				State: protocol.MachineRunning,
+			},
+		)
 	}
 	asked := map[string]int{}
 	count := func(effects []Effect) (n int) {
--- a/internal/coordination/scheduler/recoveryorder.go
+++ b/internal/coordination/scheduler/recoveryorder.go
@@ -37,11 +37,21 @@
 	}
 	keys := make(map[*Job]recoverySortKey, len(jobs))
 	for _, j := range jobs {
-		keys[j] = recoverySortKey{z.order.Position(j.Spec.Class, j.Spec.Team), j.EffectivePriority, debts[j.Spec.ID], c.startLatencyObjective(j.Spec.Class)}
+		keys[j] = recoverySortKey{
+			z.order.Position(j.Spec.Class, j.Spec.Team),
+			j.EffectivePriority,
+			debts[j.Spec.ID],
+			c.startLatencyObjective(j.Spec.Class),
+		}
 	}
 	slices.SortStableFunc(jobs, func(a, b *Job) int {
 		x, y := keys[a], keys[b]
-		return cmp.Or(cmp.Compare(x.position, y.position), cmp.Compare(x.priorityLevel, y.priorityLevel), cmp.Compare(y.debt, x.debt), cmp.Compare(x.objective, y.objective))
+		return cmp.Or(
+			cmp.Compare(x.position, y.position),
+			cmp.Compare(x.priorityLevel, y.priorityLevel),
+			cmp.Compare(y.debt, x.debt),
+			cmp.Compare(x.objective, y.objective),
+		)
 	})
 }
 
@@ -103,7 +113,8 @@
 // zoneRiskPenalty is what a start of a critical replica costs more, in seconds, in a zone that may
 // be lost again at any time.
 func (c *Scheduler) zoneRiskPenalty(j *Job, zone string) float64 {
-	if c.zoneFailover == nil || j.EffectivePriority > 0 || j.Spec.Shape != protocol.Service || c.zoneFailover.monitor.State(zone) == zonefailover.Available {
+	if c.zoneFailover == nil || j.EffectivePriority > 0 || j.Spec.Shape != protocol.Service ||
+		c.zoneFailover.monitor.State(zone) == zonefailover.Available {
 		return 0
 	}
 	return c.cfg.Workers.LeaseSeconds
--- a/internal/coordination/scheduler/scheduler.go
+++ b/internal/coordination/scheduler/scheduler.go
@@ -113,14 +113,42 @@
 
 // New returns the core of a term that has read the records, at the given time of day. order
 // turns on zone return; nil leaves it off.
-func New(now time.Duration, cfg *config.Deployment, log *slog.Logger, term Term, rec RecoveredRecords, wallMS int64, order *zonefailover.RecoveryOrder) *Scheduler {
+func New(
+	now time.Duration,
+	cfg *config.Deployment,
+	log *slog.Logger,
+	term Term,
+	rec RecoveredRecords,
+	wallMS int64,
+	order *zonefailover.RecoveryOrder,
+) *Scheduler {
 	c := &Scheduler{
-		cfg: cfg, log: log, term: term.Number, termRevision: term.Revision, controller: term.Controller, termStartedMS: wallMS, dependencies: dependency.New(),
-		machines: machineregistry.New(term.Number, cfg.Workers), autoscaler: autoscaler.New(term.Number, cfg.Cloud, cfg.Workers), jobs: map[string]*Job{}, cancellationIntents: map[string]time.Duration{},
-		writesInFlight: map[uint64]func(time.Duration, TransactionOutcome){}, cycleDue: true, termStartedAt: now,
-		lastCycleAt: now - CycleInterval, lastPlanAt: now - CycleInterval,
-		arrivals: map[string][]time.Duration{}, newestJobs: map[string]*protocol.Job{}, meanTasks: map[string]float64{},
-		decayedArrivals: map[string]float64{}, inheritedArrivals: map[string]float64{}, imageHintPages: map[string]string{}, imageHintsWrittenAt: now,
+		cfg:           cfg,
+		log:           log,
+		term:          term.Number,
+		termRevision:  term.Revision,
+		controller:    term.Controller,
+		termStartedMS: wallMS,
+		dependencies:  dependency.New(),
+		machines: machineregistry.New(
+			term.Number,
+			cfg.Workers,
+		),
+		autoscaler:          autoscaler.New(term.Number, cfg.Cloud, cfg.Workers),
+		jobs:                map[string]*Job{},
+		cancellationIntents: map[string]time.Duration{},
+		writesInFlight:      map[uint64]func(time.Duration, TransactionOutcome){},
+		cycleDue:            true,
+		termStartedAt:       now,
+		lastCycleAt:         now - CycleInterval,
+		lastPlanAt:          now - CycleInterval,
+		arrivals:            map[string][]time.Duration{},
+		newestJobs:          map[string]*protocol.Job{},
+		meanTasks:           map[string]float64{},
+		decayedArrivals:     map[string]float64{},
+		inheritedArrivals:   map[string]float64{},
+		imageHintPages:      map[string]string{},
+		imageHintsWrittenAt: now,
 	}
 	c.setFeatureLevel(term.FeatureLevel)
 	c.queues, c.candidateIndex, c.finder, c.preemptionRound = newJobQueues(), newCandidateIndex(), indexFinder{c}, 1
@@ -289,7 +317,9 @@
 	c.runDelayedCalls(now)
 	c.sendProbes(now)
 	full := now-c.lastPlanAt >= CycleInterval
-	if full || c.cycleDue && now-c.lastCycleAt >= min(maxCyclePause, MinCycleInterval*time.Duration(1+len(c.jobs)/jobsPerCyclePause)) {
+	if full ||
+		c.cycleDue &&
+			now-c.lastCycleAt >= min(maxCyclePause, MinCycleInterval*time.Duration(1+len(c.jobs)/jobsPerCyclePause)) {
 		c.lastCycleAt, c.cycleDue = now, false
 		if full && c.zoneFailover != nil {
 			c.updateZoneStates(now, c.sortedJobs())
--- a/internal/coordination/scheduler/score.go
+++ b/internal/coordination/scheduler/score.go
@@ -36,7 +36,8 @@
 
 // feasible is the predicate: whether the job allows the machine at all.
 func (c *Scheduler) feasible(now time.Duration, j *Job, x *candidate, l *zoneLimits) bool {
-	if x.machine.Spot && !j.Spec.SpotAllowed || !x.machineType.AllowedBy(&j.Spec) || !l.allows(x.machine.Zone) || j.AvoidedMachines()[x.machine.Name] {
+	if x.machine.Spot && !j.Spec.SpotAllowed || !x.machineType.AllowedBy(&j.Spec) || !l.allows(x.machine.Zone) ||
+		j.AvoidedMachines()[x.machine.Name] {
 		return false
 	}
 	return !c.nominatedForOther(now, x.machine, j.Spec.ID)
@@ -64,12 +65,16 @@
 	warm := c.machines.FetchTimeWithout(now, x.machine, &j.Spec, yields)
 	s := warm.Seconds() + c.machines.FetchDelayWithout(now, x.machine, &j.Spec, yields).Seconds()
 	cap := machineregistry.CapacityOf(x.machineType)
-	if aim := c.startLatencyObjective(j.Spec.Class); math.IsInf(aim, 1) || warm > config.Seconds(max(aim, x.machineType.BootSeconds)) {
+	if aim := c.startLatencyObjective(
+		j.Spec.Class,
+	); math.IsInf(aim, 1) ||
+		warm > config.Seconds(max(aim, x.machineType.BootSeconds)) {
 		// No aim presses, or the fetch outlasts the aim and a boot. The next of its kind will want
 		// to start here without one, so room beside it, free or held by arrays,
 		// is worth having: half the fetch at most, as a warm machine stays better.
 		s += 1 - warm.Seconds()/2*x.free.Minus(j.TaskResources).Plus(x.machine.ArrayUsage()).DominantShare(cap)
-	} else if warm > 0 && warm.Seconds()*machineregistry.SlowFetchFactor > c.startLatencyObjective(j.Spec.Class) && x.machine.PlacementCount() > 0 {
+	} else if warm > 0 && warm.Seconds()*machineregistry.SlowFetchFactor > c.startLatencyObjective(j.Spec.Class) &&
+		x.machine.PlacementCount() > 0 {
 		// The same for smaller fetches, but an empty machine is left to jobs that
 		// want a whole one.
 		s -= x.free.Minus(j.TaskResources).Plus(x.machine.ArrayUsage()).DominantShare(cap)
@@ -94,7 +99,12 @@
 
 // selectMachine chooses the machine for a task. attempted says that one was passed over
 // just for this task's sake, so that another task may still have it.
-func (c *Scheduler) selectMachine(now time.Duration, j *Job, task int, l *zoneLimits) (best *candidate, attempted bool) {
+func (c *Scheduler) selectMachine(
+	now time.Duration,
+	j *Job,
+	task int,
+	l *zoneLimits,
+) (best *candidate, attempted bool) {
 	id := protocol.TaskID{JobID: j.Spec.ID, Index: task}
 	best = c.finder.bestMachine(now, j, l, func(x *candidate) bool {
 		if !j.TaskResources.Fits(c.freeForJob(x, j)) || !c.feasible(now, j, x, l) {
@@ -119,7 +129,8 @@
 		return nil
 	}
 	return func(pl *machineregistry.Placement) bool {
-		return pl.PriorityLevel >= j.EffectivePriority+2 && pl.Job != nil && pl.Job.Shape == protocol.Array && pl.Job.Image != j.Spec.Image &&
+		return pl.PriorityLevel >= j.EffectivePriority+2 && pl.Job != nil && pl.Job.Shape == protocol.Array &&
+			pl.Job.Image != j.Spec.Image &&
 			(!pl.StartAllowed || pl.State == protocol.TaskFetching) // one from an earlier term may run unseen
 	}
 }
@@ -127,7 +138,8 @@
 // stopCompetingFetches stops the fetches that yield to a task's.
 func (c *Scheduler) stopCompetingFetches(now time.Duration, j *Job, x *candidate) {
 	yields := c.yieldingFetches(j)
-	if yields == nil || c.machines.FetchTime(now, x.machine, &j.Spec) == c.machines.FetchTimeWithout(now, x.machine, &j.Spec, yields) {
+	if yields == nil ||
+		c.machines.FetchTime(now, x.machine, &j.Spec) == c.machines.FetchTimeWithout(now, x.machine, &j.Spec, yields) {
 		return
 	}
 	for _, pl := range c.placementsOn(x.machine) {
--- a/internal/coordination/scheduler/search.go
+++ b/internal/coordination/scheduler/search.go
@@ -18,7 +18,13 @@
 	bestWithImage(now time.Duration, j *Job, l *zoneLimits, allowed func(*candidate) bool) *candidate
 	// cheapestPreemption returns the candidate on which it costs least to make room for a task of the
 	// job, by stopping work of at least the given level, and what would have to leave.
-	cheapestPreemption(now time.Duration, j *Job, l *zoneLimits, within time.Duration, level int) (*candidate, []*machineregistry.Placement)
+	cheapestPreemption(
+		now time.Duration,
+		j *Job,
+		l *zoneLimits,
+		within time.Duration,
+		level int,
+	) (*candidate, []*machineregistry.Placement)
 	// mostFreeCapacity returns the candidate with most free room of those that the job allows and that
 	// could hold a task of it, but for those taken.
 	mostFreeCapacity(now time.Duration, j *Job, l *zoneLimits, taken map[*candidate]bool) *candidate
@@ -99,7 +105,13 @@
 }
 
 // searchWithImage looks at the machines that certainly have the job's image.
-func (f indexFinder) searchWithImage(now time.Duration, j *Job, q machineindex.Query, judge evaluation, best *machineindex.Best[*candidate]) (complete bool) {
+func (f indexFinder) searchWithImage(
+	now time.Duration,
+	j *Job,
+	q machineindex.Query,
+	judge evaluation,
+	best *machineindex.Best[*candidate],
+) (complete bool) {
 	set := f.scheduler.machines.MachinesWithImage(j.Spec.Image)
 	if set == nil {
 		return true
@@ -146,7 +158,13 @@
 }
 
 // searchSet looks at machines in name order, until one scores the least that is possible.
-func (f indexFinder) searchSet(set *machineregistry.MachineSet, j *Job, least float64, judge evaluation, best *machineindex.Best[*candidate]) {
+func (f indexFinder) searchSet(
+	set *machineregistry.MachineSet,
+	j *Job,
+	least float64,
+	judge evaluation,
+	best *machineindex.Best[*candidate],
+) {
 	looks := 0
 	set.Scan(func(m *machineregistry.Machine) bool {
 		if looks++; looks > f.scheduler.searchLimit<<j.SearchDoublings {
@@ -165,7 +183,12 @@
 }
 
 // searchWithoutImage looks at the machines without the job's image.
-func (f indexFinder) searchWithoutImage(j *Job, q machineindex.Query, judge evaluation, best *machineindex.Best[*candidate]) (complete bool) {
+func (f indexFinder) searchWithoutImage(
+	j *Job,
+	q machineindex.Query,
+	judge evaluation,
+	best *machineindex.Best[*candidate],
+) (complete bool) {
 	base := q.PoolScore
 	q.PoolScore = func(p machineindex.Pool) float64 { return base(p) + f.scheduler.fetchSeconds(j, p.Type) }
 	prefersRoom := f.scheduler.prefersFreeCapacity(j)
@@ -183,18 +206,26 @@
 
 // query returns a query for machines with room for a task of the job, tightest first.
 func (f indexFinder) query(j *Job, l *zoneLimits) machineindex.Query {
-	return machineindex.Query{Need: j.TaskResources, MaxExamined: f.scheduler.searchLimit << j.SearchDoublings, MaxTies: maxExaminedTies, PoolScore: func(p machineindex.Pool) float64 {
-		if !f.scheduler.poolFeasible(j, l, p) {
-			return math.Inf(1)
-		}
-		return f.scheduler.poolScore(j, l, p)
-	}}
+	return machineindex.Query{
+		Need:        j.TaskResources,
+		MaxExamined: f.scheduler.searchLimit << j.SearchDoublings,
+		MaxTies:     maxExaminedTies,
+		PoolScore: func(p machineindex.Pool) float64 {
+			if !f.scheduler.poolFeasible(j, l, p) {
+				return math.Inf(1)
+			}
+			return f.scheduler.poolScore(j, l, p)
+		},
+	}
 }
 
 // scoreBoundWithoutImage bounds what a machine without the job's image scores beyond one fetch of it (see
 // score). While other fetches share its rate, or where a fetch outlasts the aim, the score
 // falls with the room on the machine, by no more than that fetch takes.
-func (f indexFinder) scoreBoundWithoutImage(j *Job, prefersRoom bool) func(capacity, free machineregistry.Resources) float64 {
+func (f indexFinder) scoreBoundWithoutImage(
+	j *Job,
+	prefersRoom bool,
+) func(capacity, free machineregistry.Resources) float64 {
 	aim := f.scheduler.startLatencyObjective(j.Spec.Class)
 	if prefersRoom {
 		longest := 0.0
@@ -231,7 +262,8 @@
 	q.ScoreBound = func(capacity, free machineregistry.Resources) float64 { return -free.DominantShare(capacity) }
 	f.scheduler.candidateIndex.index.Search(q, &best, func(x *candidate) (float64, bool) {
 		capacity := machineregistry.CapacityOf(x.machineType)
-		if taken[x] || !f.scheduler.checkSchedulable(now, x) || !f.scheduler.feasible(now, j, x, l) || !j.TaskResources.Fits(capacity) {
+		if taken[x] || !f.scheduler.checkSchedulable(now, x) || !f.scheduler.feasible(now, j, x, l) ||
+			!j.TaskResources.Fits(capacity) {
 			return 0, false
 		}
 		return -x.free.DominantShare(capacity), true
--- a/internal/coordination/scheduler/startqueue.go
+++ b/internal/coordination/scheduler/startqueue.go
@@ -38,7 +38,11 @@
 }
 
 func lessByTurn(a, b *Job) bool {
-	return cmp.Or(cmp.Compare(a.EffectivePriority, b.EffectivePriority), cmp.Compare(a.startTurn, b.startTurn), cmp.Compare(a.startNumber, b.startNumber)) < 0
+	return cmp.Or(
+		cmp.Compare(a.EffectivePriority, b.EffectivePriority),
+		cmp.Compare(a.startTurn, b.startTurn),
+		cmp.Compare(a.startNumber, b.startNumber),
+	) < 0
 }
 
 func lessByAge(a, b *Job) bool {
--- a/internal/coordination/scheduler/victimsearch.go
+++ b/internal/coordination/scheduler/victimsearch.go
@@ -16,7 +16,13 @@
 
 // cheapestPreemption looks at the machines that have work which may have to leave: of at least the level,
 // or about to leave anyhow, or any if the job's team is within its guarantee.
-func (f indexFinder) cheapestPreemption(now time.Duration, j *Job, l *zoneLimits, within time.Duration, level int) (*candidate, []*machineregistry.Placement) {
+func (f indexFinder) cheapestPreemption(
+	now time.Duration,
+	j *Job,
+	l *zoneLimits,
+	within time.Duration,
+	level int,
+) (*candidate, []*machineregistry.Placement) {
 	lowest := level
 	if f.scheduler.withinGuaranteedQuota(j) {
 		lowest = 0
@@ -33,7 +39,17 @@
 	if total > maxExaminedMachines {
 		from = f.scheduler.preemptionCursor
 	}
-	s := victimSearch{scheduler: f.scheduler, now: now, job: j, limits: l, maxFetchTime: within, victimLevel: level, candidateLevel: lowest, cost: math.Inf(1), remaining: maxExaminedMachines}
+	s := victimSearch{
+		scheduler:      f.scheduler,
+		now:            now,
+		job:            j,
+		limits:         l,
+		maxFetchTime:   within,
+		victimLevel:    level,
+		candidateLevel: lowest,
+		cost:           math.Inf(1),
+		remaining:      maxExaminedMachines,
+	}
 	for _, set := range sets {
 		s.scan(set, from)
 	}
@@ -83,8 +99,10 @@
 	c.preemptionBudgetLeft--
 	c.machinesExamined++
 	x := c.candidateOf(s.now, m)
-	if x == nil || !j.TaskResources.Fits(x.free.Plus(m.PreemptibleResources(s.candidateLevel))) || !j.TaskResources.Fits(machineregistry.CapacityOf(x.machineType)) ||
-		!c.feasible(s.now, j, x, s.limits) || m.IsReservedFor(s.now, j.Spec.ID) {
+	if x == nil || !j.TaskResources.Fits(x.free.Plus(m.PreemptibleResources(s.candidateLevel))) ||
+		!j.TaskResources.Fits(machineregistry.CapacityOf(x.machineType)) ||
+		!c.feasible(s.now, j, x, s.limits) ||
+		m.IsReservedFor(s.now, j.Spec.ID) {
 		return
 	}
 	warm := c.machines.FetchTime(s.now, m, &j.Spec)
--- a/internal/coordination/scheduler/zonefailover.go
+++ b/internal/coordination/scheduler/zonefailover.go
@@ -43,9 +43,14 @@
 func (c *Scheduler) startZoneFailover(now time.Duration, order *zonefailover.RecoveryOrder, pages []protocol.KeyValue) {
 	names := c.allowedZones(&protocol.Job{})
 	z := &zoneFailoverState{
-		order: order, multiZone: len(names) > 1, awaitingPreemption: map[zonefailover.TaskAttempt]bool{}, departedMachines: map[string]string{}, loansByJob: map[string]int{}, records: newFailoverRecords(),
-		monitor: zonefailover.NewMonitor(now, config.Seconds(c.cfg.Workers.LeaseSeconds), names),
-		ledger:  zonefailover.NewLedger(c.maxOpenLoans()),
+		order:              order,
+		multiZone:          len(names) > 1,
+		awaitingPreemption: map[zonefailover.TaskAttempt]bool{},
+		departedMachines:   map[string]string{},
+		loansByJob:         map[string]int{},
+		records:            newFailoverRecords(),
+		monitor:            zonefailover.NewMonitor(now, config.Seconds(c.cfg.Workers.LeaseSeconds), names),
+		ledger:             zonefailover.NewLedger(c.maxOpenLoans()),
 	}
 	c.zoneFailover = z
 	c.addDecision(zonefailover.RecoveryOrderInEffect{Order: order.String(), ZoneCount: len(names)})
@@ -98,7 +103,8 @@
 // inZoneFailover says whether a zone is lost or not yet trusted again, so that the order of
 // return is in force.
 func (c *Scheduler) inZoneFailover() bool {
-	return c.zoneFailover != nil && c.zoneFailover.multiZone && c.zoneFailover.monitor.AnyInState(zonefailover.Lost, zonefailover.Returning)
+	return c.zoneFailover != nil && c.zoneFailover.multiZone &&
+		c.zoneFailover.monitor.AnyInState(zonefailover.Lost, zonefailover.Returning)
 }
 
 // wallClockMS is the time of day at a moment, in milliseconds.
@@ -117,7 +123,9 @@
 		z.records.dirty[z.records.firstPage()] = true
 		switch change.To {
 		case zonefailover.Lost:
-			c.addDecision(zonefailover.RecoveryOrderInEffect{Order: z.order.String(), ZoneCount: len(z.monitor.Zones())})
+			c.addDecision(
+				zonefailover.RecoveryOrderInEffect{Order: z.order.String(), ZoneCount: len(z.monitor.Zones())},
+			)
 		case zonefailover.Returning:
 			c.probeZone(change.Zone)
 		case zonefailover.Available:
--- a/internal/coordination/scheduler/zonefailover_test.go
+++ b/internal/coordination/scheduler/zonefailover_test.go
@@ -24,12 +24,19 @@
 		order := zonefailover.DefaultRecoveryOrder()
 		if rapid.Bool().Draw(t, "stated") {
 			var err error
-			order, err = zonefailover.ParseRecoveryOrder("d > team blue", &config.Deployment{Teams: []config.Team{{Name: "blue"}}, Objectives: []config.Objective{{Class: "d"}}})
+			order, err = zonefailover.ParseRecoveryOrder(
+				"d > team blue",
+				&config.Deployment{Teams: []config.Team{{Name: "blue"}}, Objectives: []config.Objective{{Class: "d"}}},
+			)
 			if err != nil {
 				t.Fatal(err)
 			}
 		}
-		b := newZoneHarness(order, config.Team{Name: "red"}, config.Team{Name: "blue", GuaranteedGPUs: float64(rapid.SampledFrom([]int{0, 8, 16}).Draw(t, "guarantee"))})
+		b := newZoneHarness(
+			order,
+			config.Team{Name: "red"},
+			config.Team{Name: "blue", GuaranteedGPUs: float64(rapid.SampledFrom([]int{0, 8, 16}).Draw(t, "guarantee"))},
+		)
 		perZone := rapid.SampledFrom([]int{2, 3, 4, 5}).Draw(t, "machines")
 		for i := range 2 * perZone {
 			name := fmt.Sprintf("m%02d", i)
@@ -51,7 +58,11 @@
 		b.runSeconds(20*12 + 100) // until what is never repaid is written off
 		made += b.loanOracle.LoanCount
 		if b.loanOracle.LoanCount > maxRandomLoans {
-			t.Fatalf("%d loans: room goes to and fro\n%s", b.loanOracle.LoanCount, strings.Join(b.describeDecisions(), "\n"))
+			t.Fatalf(
+				"%d loans: room goes to and fro\n%s",
+				b.loanOracle.LoanCount,
+				strings.Join(b.describeDecisions(), "\n"),
+			)
 		}
 		fenced += countDecisions[zonefailover.MachineFenced](b.decisions)
 		lost += countDecisions[zonefailover.RecoveryOrderInEffect](b.decisions) - 1
@@ -72,11 +83,21 @@
 // TestUnusableFailoverRecords: a record that cannot be read, or is of a newer format, is reported and
 // left alone, and nothing else suffers.
 func TestUnusableFailoverRecords(t *testing.T) {
-	newer, err := protocol.Encode(storage.ZoneFailoverRecord{Format: storage.ZoneFailoverFormat + 1, Zones: []storage.ZoneRow{{Name: "a", State: int(zonefailover.Lost)}}})
+	newer, err := protocol.Encode(
+		storage.ZoneFailoverRecord{
+			Format: storage.ZoneFailoverFormat + 1,
+			Zones:  []storage.ZoneRow{{Name: "a", State: int(zonefailover.Lost)}},
+		},
+	)
 	if err != nil {
 		t.Fatal(err)
 	}
-	wrong, err := protocol.Encode(storage.ZoneFailoverRecord{Format: storage.ZoneFailoverFormat, Loans: []storage.LoanRow{{Lender: "x", Borrower: "j-1"}}})
+	wrong, err := protocol.Encode(
+		storage.ZoneFailoverRecord{
+			Format: storage.ZoneFailoverFormat,
+			Loans:  []storage.LoanRow{{Lender: "x", Borrower: "j-1"}},
+		},
+	)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -86,7 +107,8 @@
 		b.records[key] = protocol.KeyValue{Key: key, Value: value, Revision: 9}
 		b.takeOver(6)
 		b.runSeconds(3)
-		if countDecisions[zonefailover.RecordIgnored](b.decisions) != 1 || b.scheduler.zoneFailover.monitor.State("a") != zonefailover.Available {
+		if countDecisions[zonefailover.RecordIgnored](b.decisions) != 1 ||
+			b.scheduler.zoneFailover.monitor.State("a") != zonefailover.Available {
 			t.Errorf("%s: %v", name, b.describeDecisions())
 		}
 		if got := b.records[key]; got.Revision != 9 || string(got.Value) != string(value) {
@@ -103,10 +125,19 @@
 // TestSingleZone: with a single zone there is nothing to do, and the log says so.
 func TestSingleZone(t *testing.T) {
 	b := newHarness([]config.Team{{Name: "red"}}, "a")
-	c := New(0, b.scheduler.cfg, b.scheduler.log, Term{Number: 6, Revision: 2}, RecoveredRecords{MachineTypes: []protocol.MachineType{*b.scheduler.machines.MachineType("g8")}}, 0, zonefailover.DefaultRecoveryOrder())
+	c := New(
+		0,
+		b.scheduler.cfg,
+		b.scheduler.log,
+		Term{Number: 6, Revision: 2},
+		RecoveredRecords{MachineTypes: []protocol.MachineType{*b.scheduler.machines.MachineType("g8")}},
+		0,
+		zonefailover.DefaultRecoveryOrder(),
+	)
 	for _, e := range c.Step(0, Tick{}) {
 		if d, ok := e.(ZoneDecision); ok {
-			if o, ok := d.Decision.(zonefailover.RecoveryOrderInEffect); !ok || !strings.Contains(o.Describe(), "nothing to do") {
+			if o, ok := d.Decision.(zonefailover.RecoveryOrderInEffect); !ok ||
+				!strings.Contains(o.Describe(), "nothing to do") {
 				t.Errorf("%s", d.Decision.Describe())
 			}
 		}
--- a/internal/coordination/scheduler/zonefailoverrecords.go
+++ b/internal/coordination/scheduler/zonefailoverrecords.go
@@ -29,8 +29,10 @@
 }
 
 func newFailoverRecords() failoverRecords {
-	return failoverRecords{revisions: map[int]uint64{}, contents: map[int]string{}, unusable: map[int]bool{}, dirty: map[int]bool{},
-		pageOf: map[zonefailover.TaskAttempt]int{}, loansOnPage: map[int]int{}}
+	return failoverRecords{
+		revisions: map[int]uint64{}, contents: map[int]string{}, unusable: map[int]bool{}, dirty: map[int]bool{},
+		pageOf: map[zonefailover.TaskAttempt]int{}, loansOnPage: map[int]int{},
+	}
 }
 
 // firstPage is the page that the zones stand on.
@@ -95,12 +97,19 @@
 		z.records.revisions[number] = p.Revision
 		for _, row := range rec.Zones {
 			since := now - time.Duration(max(0, c.termStartedMS-row.SinceMS))*time.Millisecond
-			z.monitor.Restore(zonefailover.Zone{Name: row.Name, State: zonefailover.State(row.State), Since: since, Flaps: row.Flaps})
+			z.monitor.Restore(
+				zonefailover.Zone{Name: row.Name, State: zonefailover.State(row.State), Since: since, Flaps: row.Flaps},
+			)
 		}
 		for _, row := range rec.Loans {
 			loan := loanFromRow(row)
 			if err := z.ledger.Open(loan); err != nil {
-				c.addDecision(zonefailover.RecordIgnored{Key: p.Key, Reason: fmt.Sprintf("loan of %s/%d: %v", row.Lender, row.Task, err)})
+				c.addDecision(
+					zonefailover.RecordIgnored{
+						Key:    p.Key,
+						Reason: fmt.Sprintf("loan of %s/%d: %v", row.Lender, row.Task, err),
+					},
+				)
 				continue
 			}
 			z.records.assignPage(loan.Lender, number)
@@ -114,15 +123,31 @@
 
 func loanFromRow(r storage.LoanRow) zonefailover.Loan {
 	return zonefailover.Loan{
-		Term: r.Term, Number: r.Number, Lender: zonefailover.TaskAttempt{Job: r.Lender, Task: r.Task, Attempt: r.Attempt},
-		Borrower: r.Borrower, Machine: r.Machine, Zone: r.Zone, LostSeconds: r.LostSeconds, CreatedMS: r.CreatedMS, ExpiresMS: r.ExpiresMS,
+		Term:        r.Term,
+		Number:      r.Number,
+		Lender:      zonefailover.TaskAttempt{Job: r.Lender, Task: r.Task, Attempt: r.Attempt},
+		Borrower:    r.Borrower,
+		Machine:     r.Machine,
+		Zone:        r.Zone,
+		LostSeconds: r.LostSeconds,
+		CreatedMS:   r.CreatedMS,
+		ExpiresMS:   r.ExpiresMS,
 	}
 }
 
 func loanToRow(l zonefailover.Loan) storage.LoanRow {
 	return storage.LoanRow{
-		Term: l.Term, Number: l.Number, Lender: l.Lender.Job, Task: l.Lender.Task, Attempt: l.Lender.Attempt,
-		Borrower: l.Borrower, Machine: l.Machine, Zone: l.Zone, LostSeconds: l.LostSeconds, CreatedMS: l.CreatedMS, ExpiresMS: l.ExpiresMS,
+		Term:        l.Term,
+		Number:      l.Number,
+		Lender:      l.Lender.Job,
+		Task:        l.Lender.Task,
+		Attempt:     l.Lender.Attempt,
+		Borrower:    l.Borrower,
+		Machine:     l.Machine,
+		Zone:        l.Zone,
+		LostSeconds: l.LostSeconds,
+		CreatedMS:   l.CreatedMS,
+		ExpiresMS:   l.ExpiresMS,
 	}
 }
 
@@ -137,7 +162,15 @@
 	}
 	if first := pages[z.records.firstPage()]; first != nil {
 		for _, zone := range z.monitor.Zones() {
-			first.Zones = append(first.Zones, storage.ZoneRow{Name: zone.Name, State: int(zone.State), SinceMS: c.wallClockMS(zone.Since), Flaps: zone.Flaps})
+			first.Zones = append(
+				first.Zones,
+				storage.ZoneRow{
+					Name:    zone.Name,
+					State:   int(zone.State),
+					SinceMS: c.wallClockMS(zone.Since),
+					Flaps:   zone.Flaps,
+				},
+			)
 		}
 	}
 	for _, loan := range z.ledger.Loans() {
@@ -197,7 +230,8 @@
 // otherwise gathered for a cycle.
 func (c *Scheduler) writeFailoverRecords(now time.Duration) {
 	z := c.zoneFailover
-	if z == nil || c.writesPaused || len(z.records.dirty) == 0 || z.records.writeInFlight || len(z.awaitingPreemption) == 0 && now-z.records.lastWrite < CycleInterval {
+	if z == nil || c.writesPaused || len(z.records.dirty) == 0 || z.records.writeInFlight ||
+		len(z.awaitingPreemption) == 0 && now-z.records.lastWrite < CycleInterval {
 		return
 	}
 	id, name := c.nextWriteID()
@@ -262,7 +296,10 @@
 	txn := protocol.Txn{If: []protocol.Compare{{Key: storage.TermKey, Revision: c.termRevision}}}
 	contents := map[int]string{}
 	add := func(number int, content string, op protocol.Op) {
-		txn.If = append(txn.If, protocol.Compare{Key: storage.ZoneFailoverKey(number), Revision: z.records.revisions[number]})
+		txn.If = append(
+			txn.If,
+			protocol.Compare{Key: storage.ZoneFailoverKey(number), Revision: z.records.revisions[number]},
+		)
 		txn.Then = append(txn.Then, op)
 		contents[number] = content
 	}
--- a/internal/coordination/scheduler/zonefencing.go
+++ b/internal/coordination/scheduler/zonefencing.go
@@ -90,7 +90,11 @@
 
 // placementsInLostZones returns the placements of a job on machines of lost zones that have been
 // silent for longer than the patience.
-func (c *Scheduler) placementsInLostZones(now time.Duration, j *Job, patience time.Duration) (held []*machineregistry.Placement) {
+func (c *Scheduler) placementsInLostZones(
+	now time.Duration,
+	j *Job,
+	patience time.Duration,
+) (held []*machineregistry.Placement) {
 	for _, pl := range sortedPlacements(j) {
 		m := c.machines.Machine(pl.Machine)
 		if c.isZoneLost(pl.Zone) && m != nil && now-m.LastHeartbeat > patience {
@@ -120,10 +124,19 @@
 	total := 0
 	for _, zone := range c.zoneFailover.monitor.Zones() {
 		allowed := j.Spec.Zone == "" || j.Spec.Zone == zone.Name
-		if left := min(tasks, limits.maxTasksPerZone-limits.tasksPerZone[zone.Name]); allowed && left > 0 && zone.State == zonefailover.Available {
+		if left := min(
+			tasks,
+			limits.maxTasksPerZone-limits.tasksPerZone[zone.Name],
+		); allowed && left > 0 &&
+			zone.State == zonefailover.Available {
 			perZone[zone.Name] = left
 			total += left
 		}
 	}
-	return zonefailover.CapacityRequest{Need: j.TaskResources, Tasks: min(tasks, total), MaxPerZone: perZone, DisturbanceCost: c.disturbanceCost()}, total > 0
+	return zonefailover.CapacityRequest{
+		Need:            j.TaskResources,
+		Tasks:           min(tasks, total),
+		MaxPerZone:      perZone,
+		DisturbanceCost: c.disturbanceCost(),
+	}, total > 0
 }
--- a/internal/coordination/scheduler/zoneharness_test.go
+++ b/internal/coordination/scheduler/zoneharness_test.go
@@ -34,8 +34,10 @@
 }
 
 func newZoneHarness(order *zonefailover.RecoveryOrder, teams ...config.Team) *zoneHarness {
-	b := &zoneHarness{harness: newHarness(teams, "a", "b"), order: order, silent: map[string]bool{}, incarnation: map[string]uint64{},
-		records: map[string]protocol.KeyValue{}, loanOracle: simulation.NewLoanOracle()}
+	b := &zoneHarness{
+		harness: newHarness(teams, "a", "b"), order: order, silent: map[string]bool{}, incarnation: map[string]uint64{},
+		records: map[string]protocol.KeyValue{}, loanOracle: simulation.NewLoanOracle(),
+	}
 	b.scheduler.cfg.Quota.CoreShare = 1
 	b.scheduler.cfg.Workers.CancelSeconds = 12 // so that a loan that is never repaid is written off soon
 	b.takeOver(5)
@@ -48,8 +50,19 @@
 	for _, p := range b.records {
 		pages = append(pages, p)
 	}
-	records := RecoveredRecords{MachineTypes: []protocol.MachineType{*b.scheduler.machines.MachineType("g8")}, ZoneReturnPages: pages}
-	b.scheduler = New(b.now, b.scheduler.cfg, b.scheduler.log, Term{Number: term, Revision: term}, records, b.now.Milliseconds(), b.order)
+	records := RecoveredRecords{
+		MachineTypes:    []protocol.MachineType{*b.scheduler.machines.MachineType("g8")},
+		ZoneReturnPages: pages,
+	}
+	b.scheduler = New(
+		b.now,
+		b.scheduler.cfg,
+		b.scheduler.log,
+		Term{Number: term, Revision: term},
+		records,
+		b.now.Milliseconds(),
+		b.order,
+	)
 }
 
 // step hands an event to the core and carries out what it asks for.
@@ -135,8 +148,14 @@
 // lenderFacts tells of a loan's lender, from the core's books when the loan was made.
 func (b *zoneHarness) lenderFacts(row storage.LoanRow) simulation.LenderObservation {
 	lender, borrower := b.scheduler.jobs[row.Lender], b.scheduler.jobs[row.Borrower]
-	return simulation.LenderObservation{LenderLevel: lender.EffectivePriority, BorrowerLevel: borrower.EffectivePriority,
-		ProtectedByQuota: fitsGuaranteedQuota(b.scheduler.cfg.Team(lender.Spec.Team), b.scheduler.machines.TeamUsage(lender.Spec.Team))}
+	return simulation.LenderObservation{
+		LenderLevel:   lender.EffectivePriority,
+		BorrowerLevel: borrower.EffectivePriority,
+		ProtectedByQuota: fitsGuaranteedQuota(
+			b.scheduler.cfg.Team(lender.Spec.Team),
+			b.scheduler.machines.TeamUsage(lender.Spec.Team),
+		),
+	}
 }
 
 func (b *zoneHarness) heartbeatOf(name string) *protocol.WorkerHeartbeat {
@@ -161,7 +180,10 @@
 		}
 	}
 	before := b.placedAttempts()
-	used := map[string]machineregistry.Resources{"red": b.scheduler.machines.TeamUsage("red"), "blue": b.scheduler.machines.TeamUsage("blue")}
+	used := map[string]machineregistry.Resources{
+		"red":  b.scheduler.machines.TeamUsage("red"),
+		"blue": b.scheduler.machines.TeamUsage("blue"),
+	}
 	b.excluded = b.excludedMachines() // some are free for another attempt once the cycle is over
 	b.step(Tick{})
 	if b.scheduler.inZoneFailover() {
@@ -209,14 +231,20 @@
 
 // startsSince returns what was placed since, with what teams used before. What fits into its
 // team's guarantee besides that waits for nobody.
-func (b *zoneHarness) startsSince(before map[placedAttempt]bool, used map[string]machineregistry.Resources) (starts []simulation.PlacedTask) {
+func (b *zoneHarness) startsSince(
+	before map[placedAttempt]bool,
+	used map[string]machineregistry.Resources,
+) (starts []simulation.PlacedTask) {
 	for _, j := range b.scheduler.jobs {
 		team := used[j.Spec.Team]
 		for _, pl := range sortedPlacements(j) {
 			if !before[placedAttempt{pl.Task, pl.Attempt}] {
 				team = team.Plus(pl.Resources)
 				guaranteed := fitsGuaranteedQuota(b.scheduler.cfg.Team(pl.Team), team)
-				starts = append(starts, simulation.PlacedTask{Job: b.recoveryJob(j), Machine: pl.Machine, WithinQuota: guaranteed})
+				starts = append(
+					starts,
+					simulation.PlacedTask{Job: b.recoveryJob(j), Machine: pl.Machine, WithinQuota: guaranteed},
+				)
 			}
 		}
 	}
@@ -227,7 +255,9 @@
 // reason: their team's limit, a record under way, or that backfill is allowed just now.
 func (b *zoneHarness) waitingJobs() (waiting []simulation.WaitingJob) {
 	for _, j := range b.scheduler.jobs {
-		if !b.scheduler.placeableNow(b.now, j) || b.scheduler.tasksWithinQuotaLimit(j) == 0 || j.Spec.Shape == protocol.Gang && (b.scheduler.tasksWithinQuotaLimit(j) < j.Spec.TaskCount || j.UnschedulableCycles%(gangHoldCycles+1) == 0) {
+		if !b.scheduler.placeableNow(b.now, j) || b.scheduler.tasksWithinQuotaLimit(j) == 0 ||
+			j.Spec.Shape == protocol.Gang &&
+				(b.scheduler.tasksWithinQuotaLimit(j) < j.Spec.TaskCount || j.UnschedulableCycles%(gangHoldCycles+1) == 0) {
 			continue
 		}
 		waiting = append(waiting, b.recoveryJob(j))
@@ -251,7 +281,14 @@
 }
 
 func (b *zoneHarness) recoveryJob(j *Job) simulation.WaitingJob {
-	r := simulation.WaitingJob{ID: j.Spec.ID, Position: b.order.Position(j.Spec.Class, j.Spec.Team), PriorityLevel: j.EffectivePriority, Resources: j.TaskResources, Tasks: 1, MaxPerZone: map[string]int{}}
+	r := simulation.WaitingJob{
+		ID:            j.Spec.ID,
+		Position:      b.order.Position(j.Spec.Class, j.Spec.Team),
+		PriorityLevel: j.EffectivePriority,
+		Resources:     j.TaskResources,
+		Tasks:         1,
+		MaxPerZone:    map[string]int{},
+	}
 	if j.Spec.Shape == protocol.Gang {
 		r.Tasks, r.SameZone = j.Spec.TaskCount, j.Spec.SameZone
 	}
@@ -325,9 +362,16 @@
 // submitRandomJobs submits a mixture of jobs that asks for so many GPUs in all.
 func (b *zoneHarness) submitRandomJobs(t *rapid.T, gpus int) {
 	for i := 0; gpus > 0; i++ {
-		shape := rapid.SampledFrom([]protocol.Shape{protocol.Array, protocol.Array, protocol.Gang, protocol.Service}).Draw(t, "shape")
+		shape := rapid.SampledFrom([]protocol.Shape{protocol.Array, protocol.Array, protocol.Gang, protocol.Service}).
+			Draw(t, "shape")
 		prio := rapid.SampledFrom([]protocol.Priority{"critical", "urgent", "normal", "best_effort"}).Draw(t, "prio")
-		j := jobSpec(fmt.Sprintf("j-%d", i), shape, prio, rapid.IntRange(1, 4).Draw(t, "tasks"), float64(rapid.IntRange(1, 8).Draw(t, "gpus")))
+		j := jobSpec(
+			fmt.Sprintf("j-%d", i),
+			shape,
+			prio,
+			rapid.IntRange(1, 4).Draw(t, "tasks"),
+			float64(rapid.IntRange(1, 8).Draw(t, "gpus")),
+		)
 		j.Class = rapid.SampledFrom([]string{"c", "d", "e"}).Draw(t, "class")
 		j.Team = rapid.SampledFrom([]string{"red", "blue"}).Draw(t, "team")
 		j.Spread = shape == protocol.Service && rapid.Bool().Draw(t, "spread")
@@ -336,7 +380,12 @@
 			j.CheckpointIntervalSeconds, j.SaveSeconds = 10, 2
 		}
 		gpus -= j.TaskCount * int(j.GPUs)
-		b.step(JobAccepted{Record: storage.LiveJobRecord{Job: j, AcceptedAtMS: b.now.Milliseconds()}, Revision: uint64(i + 1)})
+		b.step(
+			JobAccepted{
+				Record:   storage.LiveJobRecord{Job: j, AcceptedAtMS: b.now.Milliseconds()},
+				Revision: uint64(i + 1),
+			},
+		)
 	}
 }
 
--- a/internal/coordination/scheduler/zoneloans.go
+++ b/internal/coordination/scheduler/zoneloans.go
@@ -15,9 +15,15 @@
 		pl := c.jobs[task.Job].Placements[task.Task]
 		z.lastLoanNumber++
 		loans = append(loans, zonefailover.Loan{
-			Term: c.term, Number: z.lastLoanNumber, Lender: task, Borrower: j.Spec.ID, Machine: pl.Machine, Zone: j.DisplacedFromZone,
-			LostSeconds: c.lostWorkSeconds(now, pl), CreatedMS: c.wallClockMS(now),
-			ExpiresMS: c.wallClockMS(now + config.Seconds(writeOffCancelTimes*c.cfg.Workers.CancelSeconds)),
+			Term:        c.term,
+			Number:      z.lastLoanNumber,
+			Lender:      task,
+			Borrower:    j.Spec.ID,
+			Machine:     pl.Machine,
+			Zone:        j.DisplacedFromZone,
+			LostSeconds: c.lostWorkSeconds(now, pl),
+			CreatedMS:   c.wallClockMS(now),
+			ExpiresMS:   c.wallClockMS(now + config.Seconds(writeOffCancelTimes*c.cfg.Workers.CancelSeconds)),
 		})
 	}
 	if err := z.ledger.Open(loans...); err != nil {
--- a/internal/coordination/scheduler/zoneloans_test.go
+++ b/internal/coordination/scheduler/zoneloans_test.go
@@ -88,17 +88,32 @@
 	b := newLendingHarness(t, 2)
 	b.runUntilLoan(t)
 	loan := b.scheduler.zoneFailover.ledger.Loans()[0]
-	rec := &storage.ZoneFailoverRecord{Format: storage.ZoneFailoverFormat, Loans: []storage.LoanRow{loanToRow(loan)},
-		Zones: []storage.ZoneRow{{Name: "a", State: int(zonefailover.Lost), SinceMS: b.now.Milliseconds()}}}
+	rec := &storage.ZoneFailoverRecord{
+		Format: storage.ZoneFailoverFormat, Loans: []storage.LoanRow{loanToRow(loan)},
+		Zones: []storage.ZoneRow{{Name: "a", State: int(zonefailover.Lost), SinceMS: b.now.Milliseconds()}},
+	}
 	value, err := protocol.Encode(rec)
 	if err != nil {
 		t.Fatal(err)
 	}
 	next := newZoneHarness(zonefailover.DefaultRecoveryOrder(), config.Team{Name: "red"})
 	next.now = b.now
-	next.records[storage.ZoneFailoverKey(0)] = protocol.KeyValue{Key: storage.ZoneFailoverKey(0), Value: value, Revision: 3}
-	page := storage.PlacementPage{HighestAttempt: loan.Lender.Attempt, Team: "red", GPUs: 4, CPUs: 1, MemoryGB: 1, Zones: []string{"b"},
-		Placements: []storage.Placement{{Task: loan.Lender.Task, Machine: loan.Machine, Incarnation: 1, Attempt: loan.Lender.Attempt}}}
+	next.records[storage.ZoneFailoverKey(0)] = protocol.KeyValue{
+		Key:      storage.ZoneFailoverKey(0),
+		Value:    value,
+		Revision: 3,
+	}
+	page := storage.PlacementPage{
+		HighestAttempt: loan.Lender.Attempt,
+		Team:           "red",
+		GPUs:           4,
+		CPUs:           1,
+		MemoryGB:       1,
+		Zones:          []string{"b"},
+		Placements: []storage.Placement{
+			{Task: loan.Lender.Task, Machine: loan.Machine, Incarnation: 1, Attempt: loan.Lender.Attempt},
+		},
+	}
 	raw, err := protocol.Encode(page)
 	if err != nil {
 		t.Fatal(err)
@@ -108,15 +123,34 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	next.scheduler = New(next.now, next.scheduler.cfg, next.scheduler.log, Term{Number: 6, Revision: 6}, RecoveredRecords{
-		MachineTypes: []protocol.MachineType{*b.scheduler.machines.MachineType("g8")}, LiveJobs: []protocol.KeyValue{{Key: storage.LiveJobKey(low.ID), Value: live, Revision: 1}},
-		Pages: []protocol.KeyValue{{Key: productionPage(low.ID, 0), Value: raw, Revision: 2}}, ZoneReturnPages: []protocol.KeyValue{next.records[storage.ZoneFailoverKey(0)]},
-	}, next.now.Milliseconds(), next.order)
-	if next.scheduler.zoneFailover.monitor.State("a") != zonefailover.Lost || next.scheduler.zoneFailover.ledger.Len() != 1 {
+	next.scheduler = New(
+		next.now,
+		next.scheduler.cfg,
+		next.scheduler.log,
+		Term{Number: 6, Revision: 6},
+		RecoveredRecords{
+			MachineTypes: []protocol.MachineType{
+				*b.scheduler.machines.MachineType("g8"),
+			},
+			LiveJobs: []protocol.KeyValue{{Key: storage.LiveJobKey(low.ID), Value: live, Revision: 1}},
+			Pages: []protocol.KeyValue{
+				{Key: productionPage(low.ID, 0), Value: raw, Revision: 2},
+			},
+			ZoneReturnPages: []protocol.KeyValue{next.records[storage.ZoneFailoverKey(0)]},
+		},
+		next.now.Milliseconds(),
+		next.order,
+	)
+	if next.scheduler.zoneFailover.monitor.State("a") != zonefailover.Lost ||
+		next.scheduler.zoneFailover.ledger.Len() != 1 {
 		t.Fatalf("the records are not taken over: %+v", next.scheduler.zoneFailover.monitor.Zones())
 	}
 	next.tasks[loan.Machine], next.zoneOf[loan.Machine] = map[protocol.TaskID]protocol.TaskStatus{
-		{JobID: low.ID, Index: loan.Lender.Task}: runningTask(protocol.TaskID{JobID: low.ID, Index: loan.Lender.Task}, loan.Lender.Attempt)}, "b"
+		{JobID: low.ID, Index: loan.Lender.Task}: runningTask(
+			protocol.TaskID{JobID: low.ID, Index: loan.Lender.Task},
+			loan.Lender.Attempt,
+		),
+	}, "b"
 	next.sequences[loan.Machine], next.tokens[loan.Machine] = 100, protocol.FencingToken(5, 0)
 	next.runSeconds(3)
 	if ends := next.loanOutcomes(); len(ends) != 1 || ends[0] != zonefailover.LenderNotPreempted {
@@ -171,7 +205,8 @@
 	b.scheduler.jobs["j-0"].Spec.Zone = "" // it was there by chance, and may go anywhere
 	b.loseZone()
 	b.runSeconds(60)
-	if countDecisions[zonefailover.LoanMade](b.decisions)+countDecisions[zonefailover.MachineFenced](b.decisions) > 0 || len(b.stops) > 0 {
+	if countDecisions[zonefailover.LoanMade](b.decisions)+countDecisions[zonefailover.MachineFenced](b.decisions) > 0 ||
+		len(b.stops) > 0 {
 		t.Fatalf("room is taken for half of a gang:\n%s", strings.Join(b.describeDecisions(), "\n"))
 	}
 	b.restoreZone(func(int) bool { return true })
@@ -238,7 +273,11 @@
 		guarantee float64
 		lends     bool
 	}{{8, false}, {4, true}} {
-		b := newZoneHarness(zonefailover.DefaultRecoveryOrder(), config.Team{Name: "red", GuaranteedGPUs: row.guarantee}, config.Team{Name: "blue"})
+		b := newZoneHarness(
+			zonefailover.DefaultRecoveryOrder(),
+			config.Team{Name: "red", GuaranteedGPUs: row.guarantee},
+			config.Team{Name: "blue"},
+		)
 		for i := range 6 {
 			name := fmt.Sprintf("m%02d", i)
 			b.tasks[name], b.zoneOf[name] = map[protocol.TaskID]protocol.TaskStatus{}, []string{"a", "b"}[i%2]
@@ -268,7 +307,13 @@
 		b.scheduler.zoneFailover.monitor.Restore(zonefailover.Zone{Name: "a", State: zonefailover.Lost, Since: b.now})
 		b.runSeconds(5)
 		if got := countDecisions[zonefailover.LoanMade](b.decisions) > 0; got != row.lends {
-			t.Errorf("guarantee %v: lent %v, want %v\n%s", row.guarantee, got, row.lends, strings.Join(b.describeDecisions(), "\n"))
+			t.Errorf(
+				"guarantee %v: lent %v, want %v\n%s",
+				row.guarantee,
+				got,
+				row.lends,
+				strings.Join(b.describeDecisions(), "\n"),
+			)
 		}
 	}
 }
--- a/internal/coordination/scheduler/zonestates.go
+++ b/internal/coordination/scheduler/zonestates.go
@@ -68,12 +68,18 @@
 	for _, zone := range c.zoneFailover.monitor.Zones() {
 		switch zone.State {
 		case zonefailover.Suspected:
-			policies[zone.Name] = autoscaler.ZonePolicy{NoScaleOut: true, NoFencingUntil: zone.Since + 2*c.maxLeaseLifetime()}
+			policies[zone.Name] = autoscaler.ZonePolicy{
+				NoScaleOut:     true,
+				NoFencingUntil: zone.Since + 2*c.maxLeaseLifetime(),
+			}
 		case zonefailover.Lost:
 			policies[zone.Name] = c.lostZonePolicy(now, zone)
 		case zonefailover.Returning:
 			// Until a machine there is heard, one at a time shows whether others would be.
-			policies[zone.Name] = autoscaler.ZonePolicy{ProbeOnly: zone.Evidence.Reachable == 0, NoFencingUntil: zone.Since + lease}
+			policies[zone.Name] = autoscaler.ZonePolicy{
+				ProbeOnly:      zone.Evidence.Reachable == 0,
+				NoFencingUntil: zone.Since + lease,
+			}
 		}
 	}
 	c.autoscaler.SetZonePolicies(policies)
@@ -88,7 +94,12 @@
 		return autoscaler.ZonePolicy{}
 	}
 	probe := now-zone.Since > probeLostZoneLeases*lease
-	return autoscaler.ZonePolicy{NoScaleOut: !probe, ProbeOnly: probe, IgnoreSilent: true, NoFencingUntil: zone.Since + retainLostZoneLeases*lease}
+	return autoscaler.ZonePolicy{
+		NoScaleOut:     !probe,
+		ProbeOnly:      probe,
+		IgnoreSilent:   true,
+		NoFencingUntil: zone.Since + retainLostZoneLeases*lease,
+	}
 }
 
 // noteDepartedMachine notes that a machine has failed, or has left the cloud's list by itself, while its zone
--- a/internal/coordination/zonefailover/decisions.go
+++ b/internal/coordination/zonefailover/decisions.go
@@ -48,7 +48,14 @@
 
 // Describe implements Decision.
 func (d ZoneChanged) Describe() string {
-	return fmt.Sprintf("zone %s was %s and is %s (%s), watched for %v on its return", d.Zone, d.From, d.To, d.Evidence, d.Hold)
+	return fmt.Sprintf(
+		"zone %s was %s and is %s (%s), watched for %v on its return",
+		d.Zone,
+		d.From,
+		d.To,
+		d.Evidence,
+		d.Hold,
+	)
 }
 
 // Describe implements Decision.
--- a/internal/coordination/zonefailover/ledger.go
+++ b/internal/coordination/zonefailover/ledger.go
@@ -102,7 +102,11 @@
 		out = append(out, loan)
 	}
 	slices.SortFunc(out, func(a, b Loan) int {
-		return cmp.Or(cmp.Compare(a.CreatedMS, b.CreatedMS), cmp.Compare(a.Term, b.Term), cmp.Compare(a.Number, b.Number))
+		return cmp.Or(
+			cmp.Compare(a.CreatedMS, b.CreatedMS),
+			cmp.Compare(a.Term, b.Term),
+			cmp.Compare(a.Number, b.Number),
+		)
 	})
 	return out
 }
--- a/internal/coordination/zonefailover/ledger_test.go
+++ b/internal/coordination/zonefailover/ledger_test.go
@@ -17,7 +17,11 @@
 		open := map[TaskAttempt]bool{}
 		for i := range rapid.IntRange(1, 40).Draw(t, "steps") {
 			task := func() TaskAttempt {
-				return TaskAttempt{Job: fmt.Sprintf("j-%d", rapid.IntRange(0, 3).Draw(t, "job")), Task: rapid.IntRange(0, 2).Draw(t, "task"), Attempt: 1}
+				return TaskAttempt{
+					Job:     fmt.Sprintf("j-%d", rapid.IntRange(0, 3).Draw(t, "job")),
+					Task:    rapid.IntRange(0, 2).Draw(t, "task"),
+					Attempt: 1,
+				}
 			}
 			if rapid.Bool().Draw(t, "close") {
 				lender := task()
@@ -34,11 +38,15 @@
 				lender := task()
 				twice = twice || open[lender] || fresh[lender]
 				fresh[lender] = true
-				loans = append(loans, Loan{Number: uint64(10*i + n), Lender: lender, CreatedMS: int64(i), LostSeconds: 2})
+				loans = append(
+					loans,
+					Loan{Number: uint64(10*i + n), Lender: lender, CreatedMS: int64(i), LostSeconds: 2},
+				)
 			}
 			err := l.Open(loans...)
 			full := len(open)+len(loans) > most
-			if (err != nil) != (twice || full) || err != nil && !errors.Is(err, ErrLedgerFull) && !errors.Is(err, ErrAlreadyLent) {
+			if (err != nil) != (twice || full) ||
+				err != nil && !errors.Is(err, ErrLedgerFull) && !errors.Is(err, ErrAlreadyLent) {
 				t.Fatalf("%v: twice %v, full %v", err, twice, full)
 			}
 			if err == nil {
--- a/internal/coordination/zonefailover/lenders.go
+++ b/internal/coordination/zonefailover/lenders.go
@@ -77,7 +77,14 @@
 }
 
 func newLenderSearch(r CapacityRequest, offers []CapacityOffer) *lenderSearch {
-	s := &lenderSearch{request: r, offers: offers, zoneRemaining: map[string]int{}, preempted: map[TaskAttempt]bool{}, disturbedJobs: map[string]bool{}, gangs: map[string][]gangMember{}}
+	s := &lenderSearch{
+		request:       r,
+		offers:        offers,
+		zoneRemaining: map[string]int{},
+		preempted:     map[TaskAttempt]bool{},
+		disturbedJobs: map[string]bool{},
+		gangs:         map[string][]gangMember{},
+	}
 	for zone, n := range r.MaxPerZone {
 		s.zoneRemaining[zone] = n
 	}
--- a/internal/coordination/zonefailover/lenders_test.go
+++ b/internal/coordination/zonefailover/lenders_test.go
@@ -17,17 +17,31 @@
 
 // randomCase makes up a request, and machines with what runs on them.
 func randomCase(rng *rand.Rand) (CapacityRequest, []CapacityOffer) {
-	r := CapacityRequest{Need: gpus(1 + rng.IntN(8)), Tasks: 1 + rng.IntN(3), MaxPerZone: map[string]int{"a": 1 + rng.IntN(3), "b": rng.IntN(3)}, DisturbanceCost: 3}
+	r := CapacityRequest{
+		Need:            gpus(1 + rng.IntN(8)),
+		Tasks:           1 + rng.IntN(3),
+		MaxPerZone:      map[string]int{"a": 1 + rng.IntN(3), "b": rng.IntN(3)},
+		DisturbanceCost: 3,
+	}
 	var offers []CapacityOffer
 	gangs := map[int]int{}
 	for m := range 2 + rng.IntN(4) {
-		o := CapacityOffer{Machine: fmt.Sprintf("m%d", m), Zone: []string{"a", "b"}[rng.IntN(2)], StartCost: float64(rng.IntN(5))}
+		o := CapacityOffer{
+			Machine:   fmt.Sprintf("m%d", m),
+			Zone:      []string{"a", "b"}[rng.IntN(2)],
+			StartCost: float64(rng.IntN(5)),
+		}
 		left := 8
 		for left > 0 && rng.IntN(6) > 0 {
 			n := min(left, 1+rng.IntN(4))
 			left -= n
 			job := rng.IntN(6)
-			lender := Lender{Task: TaskAttempt{Job: fmt.Sprintf("j-%d", job), Task: gangs[job], Attempt: 1}, Need: gpus(n), Cost: float64(rng.IntN(30)), Gang: job < 2}
+			lender := Lender{
+				Task: TaskAttempt{Job: fmt.Sprintf("j-%d", job), Task: gangs[job], Attempt: 1},
+				Need: gpus(n),
+				Cost: float64(rng.IntN(30)),
+				Gang: job < 2,
+			}
 			gangs[job]++
 			o.Lenders = append(o.Lenders, lender)
 		}
@@ -57,10 +71,17 @@
 			if job[l.Task.Job] == 0 {
 				job[l.Task.Job] = variable(r.DisturbanceCost)
 			}
-			constraints = append(constraints, solver.PropClause(-leaves[l.Task], job[l.Task.Job])) // who leaves disturbs the job
+			constraints = append(
+				constraints,
+				solver.PropClause(-leaves[l.Task], job[l.Task.Job]),
+			) // who leaves disturbs the job
 			if l.Gang {
 				if other := gang[l.Task.Job]; other != 0 {
-					constraints = append(constraints, solver.PropClause(-leaves[l.Task], other), solver.PropClause(leaves[l.Task], -other))
+					constraints = append(
+						constraints,
+						solver.PropClause(-leaves[l.Task], other),
+						solver.PropClause(leaves[l.Task], -other),
+					)
 				}
 				gang[l.Task.Job] = leaves[l.Task]
 			}
@@ -121,7 +142,15 @@
 			t.Fatalf("room where there is none: %+v %+v %+v", r, offers, got)
 		}
 	}
-	t.Logf("%d cases with room: cost %.0f, the best %.0f (%.1f%% more); %d of %d cases missed", both, chosen, best, 100*(chosen/best-1), missed, both+missed)
+	t.Logf(
+		"%d cases with room: cost %.0f, the best %.0f (%.1f%% more); %d of %d cases missed",
+		both,
+		chosen,
+		best,
+		100*(chosen/best-1),
+		missed,
+		both+missed,
+	)
 	if chosen > 1.08*best || missed > cases/50 {
 		t.Errorf("cost %.0f against %.0f, %d missed", chosen, best, missed)
 	}
@@ -200,7 +229,14 @@
 	for m := range 100 {
 		o := CapacityOffer{Machine: fmt.Sprintf("m%d", m), Zone: "a"}
 		for k := range 8 {
-			o.Lenders = append(o.Lenders, Lender{Task: TaskAttempt{Job: fmt.Sprintf("j-%d", (m+k)%30), Task: m*8 + k}, Need: gpus(1), Cost: float64((m * k) % 17)})
+			o.Lenders = append(
+				o.Lenders,
+				Lender{
+					Task: TaskAttempt{Job: fmt.Sprintf("j-%d", (m+k)%30), Task: m*8 + k},
+					Need: gpus(1),
+					Cost: float64((m * k) % 17),
+				},
+			)
 		}
 		offers = append(offers, o)
 	}
--- a/internal/coordination/zonefailover/monitor.go
+++ b/internal/coordination/zonefailover/monitor.go
@@ -236,7 +236,8 @@
 
 // mostlySilent says whether most of the zone's machines are silent while others are heard.
 func (e Evidence) mostlySilent() bool {
-	return e.Machines >= minMachinesToSuspect && float64(e.Silent) > suspectFraction*float64(e.Machines) && e.otherZonesReachable()
+	return e.Machines >= minMachinesToSuspect && float64(e.Silent) > suspectFraction*float64(e.Machines) &&
+		e.otherZonesReachable()
 }
 
 // otherZonesReachable says whether the machines elsewhere are heard. Without it nothing can be said
--- a/internal/coordination/zonefailover/monitor_test.go
+++ b/internal/coordination/zonefailover/monitor_test.go
@@ -34,26 +34,57 @@
 		name string
 		rows []row
 	}{
-		{"lost and back", []row{{silent, otherZone, 1, Suspected}, {expired, otherZone, 1, Lost}, {heard, otherZone, 1, Returning},
-			{heard, otherZone, hold - 1, Returning}, {heard, otherZone, 2, Available}}},
+		{"lost and back", []row{
+			{silent, otherZone, 1, Suspected},
+			{expired, otherZone, 1, Lost},
+			{heard, otherZone, 1, Returning},
+			{heard, otherZone, hold - 1, Returning},
+			{heard, otherZone, 2, Available},
+		}},
 		{"silent for a moment", []row{{silent, otherZone, 1, Suspected}, {heard, otherZone, 1, Available}}},
 		{"our own network", []row{{expired, network, 1, Available}, {expired, network, hold, Available}}},
 		{"suspected, then our own network", []row{{silent, otherZone, 1, Suspected}, {expired, network, 1, Suspected}, {expired, otherZone, 1, Lost}}},
 		{"a few machines", []row{{someHung, otherZone, 1, Available}}},
 		{"half of it", []row{{expired, otherZone, 1, Suspected}, {expired, otherZone, 1, Lost}, {half, otherZone, 1, Returning}, {half, otherZone, hold, Available}}},
-		{"all of it is gone", []row{{silent, otherZone, 1, Suspected}, {Observation{Zone: "a", Departed: 3}, otherZone, 1, Lost}, {Observation{Zone: "a", Departed: 3}, otherZone, hold, Lost},
-			{heard, otherZone, 1, Returning}}},
-		{"empty for long", []row{{silent, otherZone, 1, Suspected}, {expired, otherZone, 1, Lost}, {Observation{Zone: "a"}, otherZone, emptyZoneHolds*hold - 1, Lost},
-			{Observation{Zone: "a", Booting: 1}, otherZone, 1, Returning}, {Observation{Zone: "a", Booting: 1}, otherZone, 2 * hold, Returning}, {heard, otherZone, 1, Available}}},
-		{"empty, and nothing is wanted there", []row{{silent, otherZone, 1, Suspected}, {expired, otherZone, 1, Lost}, {Observation{Zone: "a"}, otherZone, emptyZoneHolds * hold, Returning},
-			{Observation{Zone: "a"}, otherZone, hold - 1, Returning}, {Observation{Zone: "a"}, otherZone, 1, Available}}},
-		{"silent machines are no empty zone", []row{{silent, otherZone, 1, Suspected}, {expired, otherZone, 1, Lost}, {expired, otherZone, 2 * emptyZoneHolds * hold, Lost},
-			{Observation{Zone: "a"}, otherZone, emptyZoneHolds*hold - 1, Lost}}},
+		{"all of it is gone", []row{
+			{silent, otherZone, 1, Suspected},
+			{Observation{Zone: "a", Departed: 3}, otherZone, 1, Lost},
+			{Observation{Zone: "a", Departed: 3}, otherZone, hold, Lost},
+			{heard, otherZone, 1, Returning},
+		}},
+		{"empty for long", []row{
+			{silent, otherZone, 1, Suspected},
+			{expired, otherZone, 1, Lost},
+			{Observation{Zone: "a"}, otherZone, emptyZoneHolds*hold - 1, Lost},
+			{Observation{Zone: "a", Booting: 1}, otherZone, 1, Returning},
+			{Observation{Zone: "a", Booting: 1}, otherZone, 2 * hold, Returning},
+			{heard, otherZone, 1, Available},
+		}},
+		{"empty, and nothing is wanted there", []row{
+			{silent, otherZone, 1, Suspected},
+			{expired, otherZone, 1, Lost},
+			{Observation{Zone: "a"}, otherZone, emptyZoneHolds * hold, Returning},
+			{Observation{Zone: "a"}, otherZone, hold - 1, Returning},
+			{Observation{Zone: "a"}, otherZone, 1, Available},
+		}},
+		{"silent machines are no empty zone", []row{
+			{silent, otherZone, 1, Suspected},
+			{expired, otherZone, 1, Lost},
+			{expired, otherZone, 2 * emptyZoneHolds * hold, Lost},
+			{Observation{Zone: "a"}, otherZone, emptyZoneHolds*hold - 1, Lost},
+		}},
 		{"all of it was returned", []row{{silent, otherZone, 1, Suspected}, {Observation{Zone: "a"}, otherZone, 1, Available}}},
 		{"its tasks still run", []row{{silent, otherZone, 1, Suspected}, {silent, otherZone, hold, Suspected}}},
 		{"a new leader has not heard it yet", []row{{unheard, otherZone, 1, Available}, {unheard, otherZone, hold, Available}}},
-		{"it flaps", []row{{silent, otherZone, 1, Suspected}, {expired, otherZone, 1, Lost}, {heard, otherZone, 1, Returning}, {silent, otherZone, 1, Suspected},
-			{heard, otherZone, 1, Returning}, {heard, otherZone, hold + 1, Returning}, {heard, otherZone, hold, Available}}},
+		{"it flaps", []row{
+			{silent, otherZone, 1, Suspected},
+			{expired, otherZone, 1, Lost},
+			{heard, otherZone, 1, Returning},
+			{silent, otherZone, 1, Suspected},
+			{heard, otherZone, 1, Returning},
+			{heard, otherZone, hold + 1, Returning},
+			{heard, otherZone, hold, Available},
+		}},
 		{"single zone", []row{{expired, Observation{}, 1, Available}}},
 	} {
 		m := NewMonitor(0, hold, []string{"a", "b"})
@@ -92,7 +123,8 @@
 					continue
 				}
 				f, other := facts[0], facts[1]
-				if c.To == Lost && f.Machines > 0 && (4*f.LeaseExpired < 3*f.Machines || 2*other.Reachable < other.Machines) {
+				if c.To == Lost && f.Machines > 0 &&
+					(4*f.LeaseExpired < 3*f.Machines || 2*other.Reachable < other.Machines) {
 					t.Fatalf("lost with %+v and %+v", f, other)
 				}
 				if c.From == Lost && f.Machines > 0 && f.Reachable == 0 {
@@ -136,10 +168,17 @@
 	m.Restore(Zone{Name: "a", State: Lost, Since: 20 * time.Second, Flaps: -3})
 	m.Restore(Zone{Name: "b", State: Returning + 1})
 	m.Restore(Zone{Name: "elsewhere", State: Lost})
-	if since, ok := m.LostSince("a"); !ok || since != 20*time.Second || m.Zones()[0].Flaps != 0 || m.State("b") != Available || len(m.Zones()) != 2 {
+	if since, ok := m.LostSince(
+		"a",
+	); !ok || since != 20*time.Second || m.Zones()[0].Flaps != 0 || m.State("b") != Available ||
+		len(m.Zones()) != 2 {
 		t.Errorf("%+v", m.Zones())
 	}
-	if c := m.Observe(time.Minute, []Observation{{Zone: "a", Machines: 4, Reachable: 2}, otherZone}); len(c) != 1 || c[0].To != Returning {
+	if c := m.Observe(
+		time.Minute,
+		[]Observation{{Zone: "a", Machines: 4, Reachable: 2}, otherZone},
+	); len(c) != 1 ||
+		c[0].To != Returning {
 		t.Errorf("%+v", c)
 	}
 }
--- a/internal/coordination/zonefailover/recoveryorder.go
+++ b/internal/coordination/zonefailover/recoveryorder.go
@@ -142,7 +142,11 @@
 	if err != nil {
 		return nil, fmt.Errorf("lexer of orders: %w", err)
 	}
-	parser, err := participle.Build[orderText](participle.Lexer(words), participle.Elide("Space"), participle.Unquote("Quoted"))
+	parser, err := participle.Build[orderText](
+		participle.Lexer(words),
+		participle.Elide("Space"),
+		participle.Unquote("Quoted"),
+	)
 	if err != nil {
 		return nil, fmt.Errorf("parser of orders: %w", err)
 	}
--- a/internal/coordination/zonefailover/recoveryorder_test.go
+++ b/internal/coordination/zonefailover/recoveryorder_test.go
@@ -84,7 +84,10 @@
 				}
 			}
 		}
-		again, err := ParseRecoveryOrder(strings.TrimSuffix(o.String(), " > the rest by priority, aim and age"), settings())
+		again, err := ParseRecoveryOrder(
+			strings.TrimSuffix(o.String(), " > the rest by priority, aim and age"),
+			settings(),
+		)
 		if err != nil || again.String() != o.String() {
 			t.Fatalf("%s, read again: %v %v", o, again, err)
 		}
--- a/internal/daemon/controller.go
+++ b/internal/daemon/controller.go
@@ -115,14 +115,44 @@
 }
 
 // New returns a controller that is not running yet. It draws its random numbers from the source.
-func New(network transport.Network, source *random.Source, cfg *config.Settings, features Features, log *slog.Logger) *Controller {
+func New(
+	network transport.Network,
+	source *random.Source,
+	cfg *config.Settings,
+	features Features,
+	log *slog.Logger,
+) *Controller {
 	d := &cfg.Deployment
-	c := &Controller{network: network, random: source, cfg: cfg, features: features, log: log.With("node", cfg.Name), start: time.Now(), times: Times(d), electionMailbox: actor.NewMailbox[election.Event](),
-		fencingMailbox: actor.NewMailbox[fencing.Event](), fencingMonitor: fencing.New(fencingTimes(d)),
-		peers: map[string]election.PeerStatus{}, standbyRenewers: map[string]time.Duration{}, heartbeatNow: map[string]chan struct{}{}, redirects: NewRedirectTracker(config.Seconds(d.Workers.LeaseSeconds))}
-	c.store = storage.NewClient(network, source, d, cfg.Endpoints.Store, config.Seconds(min(d.Workers.LeaseSeconds/5, d.Workers.GangPeerSeconds/2)))
+	c := &Controller{
+		network:         network,
+		random:          source,
+		cfg:             cfg,
+		features:        features,
+		log:             log.With("node", cfg.Name),
+		start:           time.Now(),
+		times:           Times(d),
+		electionMailbox: actor.NewMailbox[election.Event](),
+		fencingMailbox:  actor.NewMailbox[fencing.Event](),
+		fencingMonitor:  fencing.New(fencingTimes(d)),
+		peers:           map[string]election.PeerStatus{},
+		standbyRenewers: map[string]time.Duration{},
+		heartbeatNow:    map[string]chan struct{}{},
+		redirects:       NewRedirectTracker(config.Seconds(d.Workers.LeaseSeconds)),
+	}
+	c.store = storage.NewClient(
+		network,
+		source,
+		d,
+		cfg.Endpoints.Store,
+		config.Seconds(min(d.Workers.LeaseSeconds/5, d.Workers.GangPeerSeconds/2)),
+	)
 	c.cloud = leader.NewCloudClient(network, cfg.Endpoints.Cloud, d.Cloud)
-	c.workers = transport.NewClient(network, 1, max(1, int(float64(d.Quota.MaxSockets)*commandSocketShare)), config.Seconds(d.Workers.LeaseSeconds))
+	c.workers = transport.NewClient(
+		network,
+		1,
+		max(1, int(float64(d.Quota.MaxSockets)*commandSocketShare)),
+		config.Seconds(d.Workers.LeaseSeconds),
+	)
 	c.api = api.New(d, c.store, source, c.log, c.jobStatuses, c.announceCancellation)
 	peers := map[string]string{}
 	var names []string
@@ -136,11 +166,20 @@
 	}
 	keep := intentRetention(d, c.times)
 	// The state service's writes bound how many cancellations there can be.
-	c.intents = cancellation.New(source, names, keep, c.now()+c.times.RecoveryPeriod, int(max(1, d.Store.WriteRPS*keep.Seconds())))
+	c.intents = cancellation.New(
+		source,
+		names,
+		keep,
+		c.now()+c.times.RecoveryPeriod,
+		int(max(1, d.Store.WriteRPS*keep.Seconds())),
+	)
 	c.mesh = transport.NewMesh(network, cfg.Name, peers, c.times.LeaderTimeout/2, c.log, c.handlePeerMessage,
 		func(node string) { c.electionMailbox.Send(election.PeerDisconnected{Peer: node}) })
 	if features.Ownership {
-		c.failureDetector = &failureDetector{mailbox: actor.NewMailbox[failuredetector.Event](), malformedLogLimit: rate.Sometimes{Interval: c.times.LeaderTimeout}}
+		c.failureDetector = &failureDetector{
+			mailbox:           actor.NewMailbox[failuredetector.Event](),
+			malformedLogLimit: rate.Sometimes{Interval: c.times.LeaderTimeout},
+		}
 		c.ownership = c.newOwnershipState()
 	}
 	c.levelMailbox = actor.NewMailbox[featurelevel.Event]()
@@ -159,7 +198,11 @@
 
 // Run serves until the context ends.
 func (c *Controller) Run(ctx context.Context) error {
-	l, err := transport.Listen(c.network, c.cfg.ListenAddr, int(float64(c.cfg.Deployment.Quota.MaxSockets)*serverSocketShare))
+	l, err := transport.Listen(
+		c.network,
+		c.cfg.ListenAddr,
+		int(float64(c.cfg.Deployment.Quota.MaxSockets)*serverSocketShare),
+	)
 	if err != nil {
 		return err
 	}
--- a/internal/daemon/failuredetection.go
+++ b/internal/daemon/failuredetection.go
@@ -33,7 +33,11 @@
 
 // failureDetectorTimes derives the times of suspicion from those of the election.
 func (c *Controller) failureDetectorTimes() failuredetector.Timing {
-	return failuredetector.Timing{TickInterval: followerHeartbeatFactor * c.times.HeartbeatInterval, SuspicionTimeout: c.times.LeaderTimeout, OpinionTTL: c.times.LeaderTimeout}
+	return failuredetector.Timing{
+		TickInterval:     followerHeartbeatFactor * c.times.HeartbeatInterval,
+		SuspicionTimeout: c.times.LeaderTimeout,
+		OpinionTTL:       c.times.LeaderTimeout,
+	}
 }
 
 // runFailureDetector is the actor; it ends at once while suspicions are off.
@@ -70,8 +74,15 @@
 			heard = -1
 		}
 		out.opinions = append(out.opinions, protocol.PeerOpinion{
-			Controller: name, Incarnation: o.Incarnation.Process, Refutations: o.Incarnation.Refutations, HeardAgoMS: heard, Suspected: o.Suspected,
-			SuspectedForMS: o.SuspectedFor.Milliseconds(), Phi: o.Phi, Failed: o.Failed, UnreachableThrough: o.UnreachableThrough,
+			Controller:         name,
+			Incarnation:        o.Incarnation.Process,
+			Refutations:        o.Incarnation.Refutations,
+			HeardAgoMS:         heard,
+			Suspected:          o.Suspected,
+			SuspectedForMS:     o.SuspectedFor.Milliseconds(),
+			Phi:                o.Phi,
+			Failed:             o.Failed,
+			UnreachableThrough: o.UnreachableThrough,
 		})
 	}
 	s.published.Store(out)
@@ -82,7 +93,12 @@
 	case failuredetector.DecisionMade:
 		c.log.Info("suspicion", "decision", e.Decision.Describe())
 		if v, ok := e.Decision.(failuredetector.Verdict); ok {
-			c.ownership.mailbox.Send(ownership.Verdict{Member: ownership.Member{Controller: v.Controller, Incarnation: v.Incarnation}, Reason: v.Describe()})
+			c.ownership.mailbox.Send(
+				ownership.Verdict{
+					Member: ownership.Member{Controller: v.Controller, Incarnation: v.Incarnation},
+					Reason: v.Describe(),
+				},
+			)
 		}
 	case failuredetector.Probe:
 		for _, through := range e.Through {
@@ -97,7 +113,9 @@
 	if err != nil || r.TargetReached == nil {
 		return
 	}
-	c.failureDetector.mailbox.Send(failuredetector.ProbeResult{Target: target, Through: through, Reached: *r.TargetReached})
+	c.failureDetector.mailbox.Send(
+		failuredetector.ProbeResult{Target: target, Through: through, Reached: *r.TargetReached},
+	)
 }
 
 // probeTimeoutDivisor is the part of a call's time, as its inverse, that a probe on behalf of a peer may take:
@@ -112,7 +130,11 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), c.times.LeaderTimeout/2/probeTimeoutDivisor)
 	defer cancel()
-	_, err := c.mesh.Call(ctx, m.ProbeTarget, protocol.PeerMessage{Kind: protocol.PeerStatusQuery, ProbeTarget: m.ProbeTarget})
+	_, err := c.mesh.Call(
+		ctx,
+		m.ProbeTarget,
+		protocol.PeerMessage{Kind: protocol.PeerStatusQuery, ProbeTarget: m.ProbeTarget},
+	)
 	reached := err == nil
 	reply.TargetReached = &reached
 }
@@ -133,7 +155,12 @@
 	if c.failureDetector == nil || m.Incarnation == 0 {
 		return
 	}
-	heard := failuredetector.PeerHeartbeat{Peer: m.From, Incarnation: failuredetector.Incarnation{Process: m.Incarnation, Refutations: m.Refutations}, HealthScore: max(0, m.HealthScore), Voting: m.Recovered}
+	heard := failuredetector.PeerHeartbeat{
+		Peer:        m.From,
+		Incarnation: failuredetector.Incarnation{Process: m.Incarnation, Refutations: m.Refutations},
+		HealthScore: max(0, m.HealthScore),
+		Voting:      m.Recovered,
+	}
 	if err := protocol.CheckOpinions(m.Opinions); err != nil {
 		c.failureDetector.malformedLogLimit.Do(func() { c.log.Info("opinions refused", "from", m.From, "err", err) })
 	} else {
@@ -150,8 +177,18 @@
 			heard = -1
 		}
 		out[o.Controller] = failuredetector.Opinion{
-			Incarnation: failuredetector.Incarnation{Process: o.Incarnation, Refutations: o.Refutations}, HeardAgo: heard, Suspected: o.Suspected,
-			SuspectedFor: time.Duration(o.SuspectedForMS) * time.Millisecond, Phi: o.Phi, Failed: o.Failed, UnreachableThrough: o.UnreachableThrough,
+			Incarnation: failuredetector.Incarnation{
+				Process:     o.Incarnation,
+				Refutations: o.Refutations,
+			},
+			HeardAgo:  heard,
+			Suspected: o.Suspected,
+			SuspectedFor: time.Duration(
+				o.SuspectedForMS,
+			) * time.Millisecond,
+			Phi:                o.Phi,
+			Failed:             o.Failed,
+			UnreachableThrough: o.UnreachableThrough,
 		}
 	}
 	return out
--- a/internal/daemon/featurelevels.go
+++ b/internal/daemon/featurelevels.go
@@ -104,6 +104,7 @@
 	}
 	key := storage.FeatureLevelKey(c.cfg.Name)
 	_, ok, err := c.store.Txn(ctx, storage.BudgetUrgent, protocol.Txn{
-		If: []protocol.Compare{{Key: key, Revision: e.Revision}}, Then: []protocol.Op{{PutKey: key, Value: value}}})
+		If: []protocol.Compare{{Key: key, Revision: e.Revision}}, Then: []protocol.Op{{PutKey: key, Value: value}},
+	})
 	c.log.Info("feature level recorded", "level", e.Level, "ok", ok, "err", err)
 }
--- a/internal/daemon/fencing.go
+++ b/internal/daemon/fencing.go
@@ -16,7 +16,11 @@
 // heard elsewhere, and the rest for the machine list and the release.
 func fencingTimes(d *config.Deployment) fencing.Timing {
 	cancel := config.Seconds(d.Workers.CancelSeconds)
-	return fencing.Timing{GracePeriod: cancel / 4, MinIntentAge: cancel / 2, Retention: cancel + 4*config.Seconds(d.Cloud.ListLagSeconds)}
+	return fencing.Timing{
+		GracePeriod:  cancel / 4,
+		MinIntentAge: cancel / 2,
+		Retention:    cancel + 4*config.Seconds(d.Cloud.ListLagSeconds),
+	}
 }
 
 // runFencing is the actor that returns silent machines while no leader can be elected.
--- a/internal/daemon/heartbeats.go
+++ b/internal/daemon/heartbeats.go
@@ -44,7 +44,14 @@
 	if standby {
 		// Nobody can lead: keep the tasks alive, with the token that the worker
 		// has, but for those whose users may have been told that they are cancelled.
-		transport.WriteResponse(w, http.StatusOK, protocol.WorkerHeartbeatReply{FencingToken: rep.FencingToken, Commands: rep.StopCommands(c.cancellationRequested)})
+		transport.WriteResponse(
+			w,
+			http.StatusOK,
+			protocol.WorkerHeartbeatReply{
+				FencingToken: rep.FencingToken,
+				Commands:     rep.StopCommands(c.cancellationRequested),
+			},
+		)
 		return
 	}
 	if c.routeByOwner(w, r, l, view, rep, raw) {
@@ -79,7 +86,12 @@
 }
 
 // forwardToLeader passes a report to the leader and its answer to the worker, and says whether there was one.
-func (c *Controller) forwardToLeader(ctx context.Context, w http.ResponseWriter, leader string, m protocol.PeerMessage) bool {
+func (c *Controller) forwardToLeader(
+	ctx context.Context,
+	w http.ResponseWriter,
+	leader string,
+	m protocol.PeerMessage,
+) bool {
 	reply, err := c.mesh.Call(ctx, leader, m)
 	if err != nil || len(reply.Body) == 0 {
 		c.redirect(w, "")
@@ -129,7 +141,11 @@
 // redirect sends a worker to the leader, or away if none is known.
 func (c *Controller) redirect(w http.ResponseWriter, leader string) {
 	if leader == "" {
-		transport.WriteResponse(w, http.StatusServiceUnavailable, protocol.ErrorResponse{Error: "no leader is known here"})
+		transport.WriteResponse(
+			w,
+			http.StatusServiceUnavailable,
+			protocol.ErrorResponse{Error: "no leader is known here"},
+		)
 		return
 	}
 	transport.WriteResponse(w, http.StatusMisdirectedRequest, protocol.Redirect{Leader: leader})
--- a/internal/daemon/leadership.go
+++ b/internal/daemon/leadership.go
@@ -37,17 +37,30 @@
 	case election.RenewLease:
 		go func() {
 			err := c.store.RenewLease(ctx, e.LeaseID)
-			c.electionMailbox.Send(election.RenewalResult{LeaseExpired: errors.Is(err, storage.ErrLeaseNotFound), Term: e.Term})
+			c.electionMailbox.Send(
+				election.RenewalResult{LeaseExpired: errors.Is(err, storage.ErrLeaseNotFound), Term: e.Term},
+			)
 		}()
 	case election.BecomeLeader:
 		l := leader.Start(ctx, leader.Deps{
-			Deployment: &c.cfg.Deployment, Log: c.log, Store: c.store, Random: c.random, Cloud: c.cloud, Workers: c.workers, Now: c.now,
-			MachineTypesRead: c.api.SetMachineTypes, ZoneReturn: c.features.ZoneReturn, Timing: c.features.Timing,
+			Deployment:       &c.cfg.Deployment,
+			Log:              c.log,
+			Store:            c.store,
+			Random:           c.random,
+			Cloud:            c.cloud,
+			Workers:          c.workers,
+			Now:              c.now,
+			MachineTypesRead: c.api.SetMachineTypes,
+			ZoneReturn:       c.features.ZoneReturn,
+			Timing:           c.features.Timing,
 			Confirmed: func() bool {
 				v := c.view.Load()
 				return v.Leading && v.Term == e.Term && c.now() < v.ConfirmedUntil
 			},
-			WatchTimeout: c.times.LeaderTimeout / 2, ConfirmWithin: c.times.CancellationTimeout, CancellationIntents: c.intents.NewestByJob, HasCancellationIntent: c.cancellationRequested,
+			WatchTimeout:          c.times.LeaderTimeout / 2,
+			ConfirmWithin:         c.times.CancellationTimeout,
+			CancellationIntents:   c.intents.NewestByJob,
+			HasCancellationIntent: c.cancellationRequested,
 			Fresh: func(term uint64, at time.Duration) {
 				c.electionMailbox.Send(election.WatchProgress{Term: term, UpTo: at})
 			},
@@ -97,7 +110,13 @@
 	}
 	if rec.FeatureLevel > int(c.features.featureLevel()) {
 		c.newerLevelLogged.Do(func() {
-			c.log.Error("a newer feature level is final: this version can't lead any more", "level", rec.FeatureLevel, "own", c.features.featureLevel())
+			c.log.Error(
+				"a newer feature level is final: this version can't lead any more",
+				"level",
+				rec.FeatureLevel,
+				"own",
+				c.features.featureLevel(),
+			)
 		})
 		return election.ClaimResult{}
 	}
@@ -116,7 +135,14 @@
 	// A worker may have seen a token that no record tells of any more only if
 	// the state service lost it; be above what we have seen all the same.
 	term := max(rec.Term, e.AboveTerm) + 1
-	value, err := storage.EncodeTerm(storage.TermRecord{Term: term, Controller: c.cfg.Name, ClaimID: fmt.Sprint(lease), FeatureLevel: rec.FeatureLevel})
+	value, err := storage.EncodeTerm(
+		storage.TermRecord{
+			Term:         term,
+			Controller:   c.cfg.Name,
+			ClaimID:      fmt.Sprint(lease),
+			FeatureLevel: rec.FeatureLevel,
+		},
+	)
 	if err != nil {
 		return fail(err)
 	}
@@ -125,13 +151,26 @@
 		return fail(err)
 	}
 	rev, ok, err := c.store.Txn(ctx, storage.BudgetUrgent, protocol.Txn{
-		If:   []protocol.Compare{{Key: storage.TermKey, Revision: tp.Revision}, {Key: storage.LeaderKey, Revision: lp.Revision}},
-		Then: []protocol.Op{{PutKey: storage.TermKey, Value: value}, {PutKey: storage.LeaderKey, Value: lvalue, LeaseID: lease}},
+		If: []protocol.Compare{
+			{Key: storage.TermKey, Revision: tp.Revision},
+			{Key: storage.LeaderKey, Revision: lp.Revision},
+		},
+		Then: []protocol.Op{
+			{PutKey: storage.TermKey, Value: value},
+			{PutKey: storage.LeaderKey, Value: lvalue, LeaseID: lease},
+		},
 	})
 	if err != nil || !ok {
 		return fail(fmt.Errorf("transaction ok=%v: %w", ok, err))
 	}
-	return election.ClaimResult{Won: true, Term: term, Revision: rev, FeatureLevel: rec.FeatureLevel, LeaseID: lease, SentAt: sent}
+	return election.ClaimResult{
+		Won:          true,
+		Term:         term,
+		Revision:     rev,
+		FeatureLevel: rec.FeatureLevel,
+		LeaseID:      lease,
+		SentAt:       sent,
+	}
 }
 
 // watchLeader follows the leader's key.
--- a/internal/daemon/ownerheartbeats.go
+++ b/internal/daemon/ownerheartbeats.go
@@ -18,7 +18,14 @@
 // routeByOwner takes a report by who owns its machine, and says whether it has answered it: the owner answers what
 // tells nothing new and passes the rest on to the leader, others send the worker to its owner. What is not answered
 // here goes as without owners.
-func (c *Controller) routeByOwner(w http.ResponseWriter, r *http.Request, l *leader.Leader, v *election.View, rep *protocol.WorkerHeartbeat, raw []byte) bool {
+func (c *Controller) routeByOwner(
+	w http.ResponseWriter,
+	r *http.Request,
+	l *leader.Leader,
+	v *election.View,
+	rep *protocol.WorkerHeartbeat,
+	raw []byte,
+) bool {
 	if c.ownership == nil {
 		return false
 	}
@@ -66,16 +73,29 @@
 	now := c.now()
 	c.peersMu.Lock()
 	defer c.peersMu.Unlock()
-	s := ownership.OwnerStatus{Table: table, Controller: c.cfg.Name, Process: c.intents.Incarnation(), Leader: v.Leader,
-		DigestAge: now - time.Duration(c.ownership.digestAcknowledgedAt.Load()), MaxDigestAge: c.times.LeaderTimeout,
-		KnowsCancellations: election.KnowsCancellations(now, c.times, c.intents.Recovered(now), c.mesh.Peers(), c.peers)}
+	s := ownership.OwnerStatus{
+		Table:        table,
+		Controller:   c.cfg.Name,
+		Process:      c.intents.Incarnation(),
+		Leader:       v.Leader,
+		DigestAge:    now - time.Duration(c.ownership.digestAcknowledgedAt.Load()),
+		MaxDigestAge: c.times.LeaderTimeout,
+		KnowsCancellations: election.KnowsCancellations(
+			now,
+			c.times,
+			c.intents.Recovered(now),
+			c.mesh.Peers(),
+			c.peers,
+		),
+	}
 	if at := c.ownership.leaderEpoch.Load(); at != nil && at.node == v.Leader {
 		s.LeaderEpoch = at.epoch
 	}
 	return s
 }
 
-// ownerReachable says whether an owner is likely to take a worker. The leader knows by its digests, others by its answers.
+// ownerReachable says whether an owner is likely to take a worker. The leader knows by its digests, others by its
+// answers.
 func (c *Controller) ownerReachable(owner string, leads bool) bool {
 	now := c.now()
 	if leads {
@@ -90,14 +110,21 @@
 	return ok && now-p.SentAt <= c.times.LeaderTimeout/2
 }
 
-// returnedFromOwner says whether a machine was sent to its owner and has come back: it can't reach it, and is served here for a
-// while.
+// returnedFromOwner says whether a machine was sent to its owner and has come back: it can't reach it, and is served
+// here for a while.
 func (c *Controller) returnedFromOwner(machine string, table *ownership.Table) bool {
 	return c.ownership.ownerRedirects.ShouldRelay(machine, fmt.Sprint(table.Epoch), false, c.now())
 }
 
 // answerAsOwner answers a report of a machine that this controller owns.
-func (c *Controller) answerAsOwner(w http.ResponseWriter, r *http.Request, table *ownership.Table, v *election.View, rep *protocol.WorkerHeartbeat, raw []byte) {
+func (c *Controller) answerAsOwner(
+	w http.ResponseWriter,
+	r *http.Request,
+	table *ownership.Table,
+	v *election.View,
+	rep *protocol.WorkerHeartbeat,
+	raw []byte,
+) {
 	o := c.ownership
 	o.mu.Lock()
 	news := o.heartbeats.MustForward(c.now(), rep, v.Term)
@@ -111,15 +138,20 @@
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), heartbeatTimeout)
 	defer cancel()
-	if c.forwardToLeader(ctx, w, v.Leader, protocol.PeerMessage{Kind: protocol.PeerForwardedHeartbeat, Body: raw, OwnershipEpoch: table.Epoch}) {
+	if c.forwardToLeader(
+		ctx,
+		w,
+		v.Leader,
+		protocol.PeerMessage{Kind: protocol.PeerForwardedHeartbeat, Body: raw, OwnershipEpoch: table.Epoch},
+	) {
 		o.mu.Lock()
 		o.heartbeats.Forwarded(c.now(), rep)
 		o.mu.Unlock()
 	}
 }
 
-// sendDigests tells the leader regularly which machines this controller has answered; it ends at once while ownership is
-// off.
+// sendDigests tells the leader regularly which machines this controller has answered; it ends at once while ownership
+// is off.
 func (c *Controller) sendDigests(ctx context.Context) {
 	if c.ownership == nil {
 		return
@@ -147,10 +179,20 @@
 		part := alive[:min(len(alive), maxDigestMachines)]
 		alive = alive[len(part):]
 		sent := c.now()
-		m := protocol.PeerMessage{Kind: protocol.PeerUnchangedHeartbeats, OwnershipEpoch: table.Epoch, Incarnation: c.intents.Incarnation()}
+		m := protocol.PeerMessage{
+			Kind:           protocol.PeerUnchangedHeartbeats,
+			OwnershipEpoch: table.Epoch,
+			Incarnation:    c.intents.Incarnation(),
+		}
 		for _, a := range part {
 			m.Machines = append(m.Machines, a.Machine)
-			m.MachineIncarnations, m.HeartbeatSequences = append(m.MachineIncarnations, a.Incarnation), append(m.HeartbeatSequences, a.Sequence)
+			m.MachineIncarnations, m.HeartbeatSequences = append(
+				m.MachineIncarnations,
+				a.Incarnation,
+			), append(
+				m.HeartbeatSequences,
+				a.Sequence,
+			)
 		}
 		r, err := c.mesh.Call(ctx, leader, m)
 		if err != nil || r.OwnershipEpoch != table.Epoch {
@@ -188,7 +230,11 @@
 	defer cancel()
 	machines := make([]scheduler.UnchangedHeartbeat, len(m.MachineIncarnations))
 	for i := range machines {
-		machines[i] = scheduler.UnchangedHeartbeat{Machine: m.Machines[i], Incarnation: m.MachineIncarnations[i], Seq: m.HeartbeatSequences[i]}
+		machines[i] = scheduler.UnchangedHeartbeat{
+			Machine:     m.Machines[i],
+			Incarnation: m.MachineIncarnations[i],
+			Seq:         m.HeartbeatSequences[i],
+		}
 	}
 	passOn, ok := l.UnchangedHeartbeats(ctx, machines)
 	if !ok || c.leading.Load() != l {
--- a/internal/daemon/ownership.go
+++ b/internal/daemon/ownership.go
@@ -42,13 +42,19 @@
 
 func (c *Controller) newOwnershipState() *ownershipState {
 	lease := config.Seconds(c.cfg.Deployment.Workers.LeaseSeconds)
-	return &ownershipState{mailbox: actor.NewMailbox[ownership.Event](), heartbeats: ownership.NewHeartbeatFilter(lease / 2),
-		digestReceivedAt: map[string]time.Duration{}, ownerRedirects: NewRedirectTracker(lease)}
+	return &ownershipState{
+		mailbox: actor.NewMailbox[ownership.Event](), heartbeats: ownership.NewHeartbeatFilter(lease / 2),
+		digestReceivedAt: map[string]time.Duration{}, ownerRedirects: NewRedirectTracker(lease),
+	}
 }
 
 // ownershipTimes derives the times of ownership from those of the election.
 func (c *Controller) ownershipTimes() ownership.Timing {
-	return ownership.Timing{TickInterval: followerHeartbeatFactor * c.times.HeartbeatInterval, PeerTimeout: c.times.LeaderTimeout, RejoinDelay: 2 * c.times.LeaderTimeout}
+	return ownership.Timing{
+		TickInterval: followerHeartbeatFactor * c.times.HeartbeatInterval,
+		PeerTimeout:  c.times.LeaderTimeout,
+		RejoinDelay:  2 * c.times.LeaderTimeout,
+	}
 }
 
 // runOwnership is the actor that keeps the ownership record; it ends at once while ownership is off.
@@ -117,7 +123,14 @@
 	}
 	entry := storage.OwnershipRecord{Format: storage.OwnershipFormat, Epoch: r.Epoch, Term: rec.Term, Reason: r.Reason}
 	for _, m := range r.Members {
-		entry.Members = append(entry.Members, storage.OwnershipMember{Controller: m.Controller, Incarnation: m.Incarnation.Process, Refutations: m.Incarnation.Refutations})
+		entry.Members = append(
+			entry.Members,
+			storage.OwnershipMember{
+				Controller:  m.Controller,
+				Incarnation: m.Incarnation.Process,
+				Refutations: m.Incarnation.Refutations,
+			},
+		)
 	}
 	value, err := protocol.Encode(entry)
 	if err != nil {
@@ -126,7 +139,10 @@
 	// Two survivors that hold the same verdict write on the same versions: one of them fails, and so does a
 	// transaction that comes late.
 	_, ok, err := c.store.Txn(ctx, storage.BudgetPlacement, protocol.Txn{
-		If:   []protocol.Compare{{Key: storage.TermKey, Revision: term.Revision}, {Key: storage.OwnershipKey, Revision: r.Revision}},
+		If: []protocol.Compare{
+			{Key: storage.TermKey, Revision: term.Revision},
+			{Key: storage.OwnershipKey, Revision: r.Revision},
+		},
 		Then: []protocol.Op{{PutKey: storage.OwnershipKey, Value: value}},
 	})
 	if err == nil && !ok {
@@ -194,8 +210,8 @@
 	}
 }
 
-// handleOwnershipRecord takes in the record as the state service has it. One that can't be read is reported and left alone:
-// what was in force before stays, and this controller proposes nothing.
+// handleOwnershipRecord takes in the record as the state service has it. One that can't be read is reported and left
+// alone: what was in force before stays, and this controller proposes nothing.
 func (c *Controller) handleOwnershipRecord(value []byte, version uint64) {
 	rec, err := storage.DecodeOwnership(value)
 	if err != nil {
@@ -204,13 +220,20 @@
 	}
 	r := ownership.Record{Epoch: rec.Epoch, Reason: rec.Reason, Revision: version}
 	for _, e := range rec.Members {
-		r.Members = append(r.Members, ownership.Member{Controller: e.Controller, Incarnation: failuredetector.Incarnation{Process: e.Incarnation, Refutations: e.Refutations}})
+		r.Members = append(
+			r.Members,
+			ownership.Member{
+				Controller:  e.Controller,
+				Incarnation: failuredetector.Incarnation{Process: e.Incarnation, Refutations: e.Refutations},
+			},
+		)
 	}
 	c.ownership.mailbox.Send(ownership.RecordRead{Record: r})
 }
 
-// Drain hands the machines of a controller that is about to end to the others, and returns when its workers have had time to
-// move, or when nobody takes them within the time in which a leader would be replaced. A leader's are its successor's.
+// Drain hands the machines of a controller that is about to end to the others, and returns when its workers have had
+// time to move, or when nobody takes them within the time in which a leader would be replaced. A leader's are its
+// successor's.
 func (c *Controller) Drain(ctx context.Context) {
 	if c.ownership == nil || c.leading.Load() != nil {
 		return
@@ -233,11 +256,14 @@
 	}
 	c.log.Info("drained: the others own the machines")
 	// A worker that reports once more is sent to its new owner.
-	_ = actor.Sleep(context.WithoutCancel(ctx), config.Seconds(drainHeartbeats*c.cfg.Deployment.Workers.HeartbeatSeconds))
+	_ = actor.Sleep(
+		context.WithoutCancel(ctx),
+		config.Seconds(drainHeartbeats*c.cfg.Deployment.Workers.HeartbeatSeconds),
+	)
 }
 
-// drainHeartbeats is for how many intervals of reports a drained controller goes on sending workers to their new owners: they
-// report up to a quarter later, and pause up to half a second.
+// drainHeartbeats is for how many intervals of reports a drained controller goes on sending workers to their new
+// owners: they report up to a quarter later, and pause up to half a second.
 const drainHeartbeats = 1.5
 
 // addOwnership puts into a heartbeat, or its answer, that this controller can own machines, and if it leads, by which
@@ -258,7 +284,15 @@
 	if c.ownership == nil || m.Incarnation == 0 {
 		return
 	}
-	c.ownership.mailbox.Send(ownership.PeerHeartbeat{CanOwn: m.CanOwn, Member: ownership.Member{Controller: m.From, Incarnation: failuredetector.Incarnation{Process: m.Incarnation, Refutations: m.Refutations}}})
+	c.ownership.mailbox.Send(
+		ownership.PeerHeartbeat{
+			CanOwn: m.CanOwn,
+			Member: ownership.Member{
+				Controller:  m.From,
+				Incarnation: failuredetector.Incarnation{Process: m.Incarnation, Refutations: m.Refutations},
+			},
+		},
+	)
 	if m.Leader == m.From {
 		c.ownership.leaderEpoch.Store(&leaderEpoch{node: m.From, epoch: m.OwnershipEpoch})
 	}
--- a/internal/daemon/peers.go
+++ b/internal/daemon/peers.go
@@ -27,7 +27,15 @@
 	c.peersMu.Lock()
 	defer c.peersMu.Unlock()
 	now := c.now()
-	return election.MayRenewWithoutLeader(now, c.times, *c.view.Load(), c.storeReachable(), c.intents.Recovered(now), c.mesh.Peers(), c.peers)
+	return election.MayRenewWithoutLeader(
+		now,
+		c.times,
+		*c.view.Load(),
+		c.storeReachable(),
+		c.intents.Recovered(now),
+		c.mesh.Peers(),
+		c.peers,
+	)
 }
 
 // cancellationRequested says whether a user may have been told that the job is cancelled.
@@ -219,7 +227,14 @@
 			t.Reset(interval)
 		}
 		sent := c.now()
-		m := protocol.PeerMessage{Kind: protocol.PeerHeartbeat, Term: v.Term, Leader: v.Leader, StoreReachable: c.storeReachable(), RenewsLeases: c.renewsOnStandby(), FeatureLevel: int(c.features.featureLevel())}
+		m := protocol.PeerMessage{
+			Kind:           protocol.PeerHeartbeat,
+			Term:           v.Term,
+			Leader:         v.Leader,
+			StoreReachable: c.storeReachable(),
+			RenewsLeases:   c.renewsOnStandby(),
+			FeatureLevel:   int(c.features.featureLevel()),
+		}
 		c.intents.FillMessage(sent, peer, 0, &m)
 		c.addOpinions(&m)
 		c.addOwnership(&m)
@@ -261,12 +276,19 @@
 	c.handleOwnershipStatus(r)
 	t := c.mergeIntents(r, true)
 	c.peersMu.Lock()
-	p := election.PeerStatus{SentAt: sent, StoreReachable: r.StoreReachable, Leader: r.Leader, IntentsReceivedAt: c.peers[r.From].IntentsReceivedAt}
+	p := election.PeerStatus{
+		SentAt:            sent,
+		StoreReachable:    r.StoreReachable,
+		Leader:            r.Leader,
+		IntentsReceivedAt: c.peers[r.From].IntentsReceivedAt,
+	}
 	if t.Complete && t.Recovered {
 		p.IntentsReceivedAt = sent
 	}
 	c.peers[r.From] = p
 	c.peersMu.Unlock()
-	c.electionMailbox.Send(election.PeerHeartbeat{From: r.From, Term: r.Term, Leader: r.Leader, Reply: true, SentAt: sent,
-		IntentsComplete: t.Complete, Recovered: t.Recovered, IncarnationSince: t.IncarnationSince})
+	c.electionMailbox.Send(election.PeerHeartbeat{
+		From: r.From, Term: r.Term, Leader: r.Leader, Reply: true, SentAt: sent,
+		IntentsComplete: t.Complete, Recovered: t.Recovered, IncarnationSince: t.IncarnationSince,
+	})
 }
--- a/internal/daemon/times_test.go
+++ b/internal/daemon/times_test.go
@@ -40,7 +40,9 @@
 // everybody while there is none, sends all. Even with one lost, peers hear of a follower
 // often enough to count it when they look for a majority.
 func TestHeartbeatPace(t *testing.T) {
-	c := &Controller{times: election.Timing{HeartbeatInterval: 100 * time.Millisecond, LeaderTimeout: 800 * time.Millisecond}}
+	c := &Controller{
+		times: election.Timing{HeartbeatInterval: 100 * time.Millisecond, LeaderTimeout: 800 * time.Millisecond},
+	}
 	for _, row := range []struct {
 		view election.View
 		want time.Duration
--- a/internal/loadtest/config.go
+++ b/internal/loadtest/config.go
@@ -165,7 +165,12 @@
 	case l.Workers < 1 || l.Workers > maxWorkers:
 		return fmt.Errorf("%d workers, want 1 to %d", l.Workers, maxWorkers)
 	case l.Controllers < 1 || c.WorkerProcesses < 0 || l.Controllers+c.WorkerProcesses > maxProcesses:
-		return fmt.Errorf("%d controllers and %d worker processes, want 1 to %d processes in all", l.Controllers, c.WorkerProcesses, maxProcesses)
+		return fmt.Errorf(
+			"%d controllers and %d worker processes, want 1 to %d processes in all",
+			l.Controllers,
+			c.WorkerProcesses,
+			maxProcesses,
+		)
 	case l.Teams < 1:
 		return fmt.Errorf("%d teams, want at least one", l.Teams)
 	case l.Zones < 1:
@@ -196,7 +201,11 @@
 	tasks := float64(l.Workers) * l.TasksPerWorker
 	need := float64(l.Workers)*workerBytes + tasks*taskBytes + float64(l.Controllers)*controllerBytes
 	if most := float64(*info.MemTotal) * kib * memoryShare; need > most {
-		return fmt.Errorf("needs about %.0f MB of memory, more than %.0f MB, half of the machine's", need/(1<<20), most/(1<<20))
+		return fmt.Errorf(
+			"needs about %.0f MB of memory, more than %.0f MB, half of the machine's",
+			need/(1<<20),
+			most/(1<<20),
+		)
 	}
 	var limit unix.Rlimit
 	if err := unix.Getrlimit(unix.RLIMIT_NOFILE, &limit); err != nil {
--- a/internal/loadtest/controllers.go
+++ b/internal/loadtest/controllers.go
@@ -46,15 +46,31 @@
 }
 
 // controllerSettings returns the settings file of one controller.
-func controllerSettings(c *Config, l Load, teams []config.Team, node int, stateAddr, cloudAddr string) *config.Settings {
+func controllerSettings(
+	c *Config,
+	l Load,
+	teams []config.Team,
+	node int,
+	stateAddr, cloudAddr string,
+) *config.Settings {
 	zones := zoneNames(l.Zones)
 	s := &config.Settings{
-		Name: controllerName(node), Location: zones[node%len(zones)], ListenAddr: c.controllerAddr(node), MeshAddr: c.meshAddr(node),
-		Endpoints: config.Endpoints{Cloud: cloudAddr, Store: stateAddr},
+		Name: controllerName(
+			node,
+		),
+		Location:   zones[node%len(zones)],
+		ListenAddr: c.controllerAddr(node),
+		MeshAddr:   c.meshAddr(node),
+		Endpoints:  config.Endpoints{Cloud: cloudAddr, Store: stateAddr},
 		Deployment: config.Deployment{
 			Controllers: l.Controllers, Zones: zones, MaxClockOffsetMS: 250, Teams: teams,
-			Workers: config.Workers{HeartbeatSeconds: c.HeartbeatInterval.Seconds(), LeaseSeconds: c.Lease.Seconds(), GangWaitSeconds: 3 * c.Lease.Seconds(),
-				GangPeerSeconds: 5, CancelSeconds: 4 * c.Lease.Seconds()},
+			Workers: config.Workers{
+				HeartbeatSeconds: c.HeartbeatInterval.Seconds(),
+				LeaseSeconds:     c.Lease.Seconds(),
+				GangWaitSeconds:  3 * c.Lease.Seconds(),
+				GangPeerSeconds:  5,
+				CancelSeconds:    4 * c.Lease.Seconds(),
+			},
 			Store: c.stateLimits(), Cloud: c.cloudLimits(),
 			Quota:      config.Quota{CoreShare: c.CoreShare, RAMMB: c.RAMMB, MaxSockets: c.MaxSockets},
 			Objectives: []config.Objective{{Kind: "wait", Class: classUrgent, WithinSeconds: 1.1, Fraction: 0.99}},
@@ -62,7 +78,10 @@
 	}
 	for peer := range l.Controllers {
 		if peer != node {
-			s.Seeds = append(s.Seeds, config.Peer{Name: controllerName(peer), Location: zones[peer%len(zones)], Addr: c.meshAddr(peer)})
+			s.Seeds = append(
+				s.Seeds,
+				config.Peer{Name: controllerName(peer), Location: zones[peer%len(zones)], Addr: c.meshAddr(peer)},
+			)
 		}
 	}
 	return s
@@ -295,7 +314,11 @@
 	if err != nil {
 		return fail(err)
 	}
-	u := resourceUsage{CPU: stat.CPUTime(), MemMB: float64(stat.ResidentMemory()) / (1 << 20), Bytes: io.RChar + io.WChar}
+	u := resourceUsage{
+		CPU:   stat.CPUTime(),
+		MemMB: float64(stat.ResidentMemory()) / (1 << 20),
+		Bytes: io.RChar + io.WChar,
+	}
 	for _, t := range targets {
 		if strings.HasPrefix(t, "socket:") {
 			u.Sockets++
--- a/internal/loadtest/load.go
+++ b/internal/loadtest/load.go
@@ -55,8 +55,19 @@
 	defer r.mu.Unlock()
 	r.jobCount++
 	return protocol.Job{
-		ID: fmt.Sprintf("j-%06d", r.jobCount), Class: class, Team: team, Shape: shape, Priority: "normal", TaskCount: tasks,
-		CPUs: taskCPUs, MemoryGB: taskMemoryGB, Image: fmt.Sprintf("image-%02d", r.rng.IntN(imageCount)), ImageGB: imageGB,
+		ID: fmt.Sprintf(
+			"j-%06d",
+			r.jobCount,
+		),
+		Class:           class,
+		Team:            team,
+		Shape:           shape,
+		Priority:        "normal",
+		TaskCount:       tasks,
+		CPUs:            taskCPUs,
+		MemoryGB:        taskMemoryGB,
+		Image:           fmt.Sprintf("image-%02d", r.rng.IntN(imageCount)),
+		ImageGB:         imageGB,
 		EstimateSeconds: r.cfg.MeanRunTime.Seconds(),
 	}
 }
@@ -187,7 +198,14 @@
 // pollUntilFinal asks for an accepted job until it is over.
 func (r *run) pollUntilFinal(id string) {
 	for r.sleep(pollInterval) == nil {
-		if status, st := r.users.Request(r.ctx, r.randomController(), simulation.RequestQuery, id, nil); status == http.StatusOK && st.State.Final() {
+		if status, st := r.users.Request(
+			r.ctx,
+			r.randomController(),
+			simulation.RequestQuery,
+			id,
+			nil,
+		); status == http.StatusOK &&
+			st.State.Final() {
 			return
 		}
 	}
@@ -216,7 +234,14 @@
 // cancelJob calls a job off until told that it is over.
 func (r *run) cancelJob(id string) {
 	for r.ctx.Err() == nil {
-		if status, st := r.users.Request(r.ctx, r.randomController(), simulation.RequestCancel, id, nil); status == http.StatusOK && st.State.Final() {
+		if status, st := r.users.Request(
+			r.ctx,
+			r.randomController(),
+			simulation.RequestCancel,
+			id,
+			nil,
+		); status == http.StatusOK &&
+			st.State.Final() {
 			return
 		}
 		if r.sleep(retryPause) != nil {
--- a/internal/loadtest/loadtest.go
+++ b/internal/loadtest/loadtest.go
@@ -24,8 +24,17 @@
 // Run plays all sizes, one after the other. A broken rule ends it with ErrInvariantViolated; what was
 // measured until then is returned all the same.
 func Run(ctx context.Context, cfg *Config, log *slog.Logger) (*Result, error) {
-	result := &Result{At: time.Now().UTC().Truncate(time.Second), Vary: cfg.Vary, Seed: cfg.Seed, HeartbeatInterval: cfg.HeartbeatInterval.String(),
-		Lease: cfg.Lease.String(), RunTimeS: cfg.MeanRunTime.Seconds(), StateLimits: [2]float64{cfg.StateRPS, cfg.StateWriteRPS}}
+	result := &Result{
+		At: time.Now().
+			UTC().
+			Truncate(time.Second),
+		Vary:              cfg.Vary,
+		Seed:              cfg.Seed,
+		HeartbeatInterval: cfg.HeartbeatInterval.String(),
+		Lease:             cfg.Lease.String(),
+		RunTimeS:          cfg.MeanRunTime.Seconds(),
+		StateLimits:       [2]float64{cfg.StateRPS, cfg.StateWriteRPS},
+	}
 	for _, size := range cfg.Sizes {
 		log.Info("size", "vary", cfg.Vary, "size", size)
 		one, err := runSize(ctx, cfg, size, log)
@@ -90,7 +99,11 @@
 		return r.tasksOnMachines() >= int(nearlyAll*serviceShare*float64(r.load.Workers)*r.load.TasksPerWorker)
 	}
 	var err error
-	if result.ServicesRunning, err = r.waitUntil("standing work runs", warmupTimeoutFactor*r.cfg.Warmup, filled); err != nil {
+	if result.ServicesRunning, err = r.waitUntil(
+		"standing work runs",
+		warmupTimeoutFactor*r.cfg.Warmup,
+		filled,
+	); err != nil {
 		return err
 	}
 	r.log.Info("filled", "tasks", r.tasksOnMachines(), "after", r.now().Round(time.Second))
--- a/internal/loadtest/loadtest_test.go
+++ b/internal/loadtest/loadtest_test.go
@@ -44,12 +44,41 @@
 		t.Fatal(err)
 	}
 	return &Config{
-		WorkerProcesses: 2, WorkerProgram: self,
-		Program: buildController(t), Vary: Workers, Sizes: []int{6, 8, 10, 12},
-		Load: Load{Controllers: 3, Workers: 10, Teams: 2, Zones: 2, TasksPerWorker: 4, StartsPerS: 10, ArrayTasks: 5, GangShare: 0.2,
-			GangTasks: 2, UrgentPerS: 2, PipelinesPerS: 1, CancelShare: 0.2, Overcommit: 1.5},
-		HeartbeatInterval: 300 * time.Millisecond, Lease: 3 * time.Second, MeanRunTime: time.Second, Warmup: 2 * time.Second, MeasureTime: 2 * time.Second,
-		Slices: 2, Seed: 1, Port: freePort(t), CoreShare: 1, RAMMB: 256, MaxSockets: 500, StateRPS: 600, StateWriteRPS: 180, StateTxnOps: 16, CloudRPS: 4,
+		WorkerProcesses: 2,
+		WorkerProgram:   self,
+		Program:         buildController(t),
+		Vary:            Workers,
+		Sizes:           []int{6, 8, 10, 12},
+		Load: Load{
+			Controllers:    3,
+			Workers:        10,
+			Teams:          2,
+			Zones:          2,
+			TasksPerWorker: 4,
+			StartsPerS:     10,
+			ArrayTasks:     5,
+			GangShare:      0.2,
+			GangTasks:      2,
+			UrgentPerS:     2,
+			PipelinesPerS:  1,
+			CancelShare:    0.2,
+			Overcommit:     1.5,
+		},
+		HeartbeatInterval: 300 * time.Millisecond,
+		Lease:             3 * time.Second,
+		MeanRunTime:       time.Second,
+		Warmup:            2 * time.Second,
+		MeasureTime:       2 * time.Second,
+		Slices:            2,
+		Seed:              1,
+		Port:              freePort(t),
+		CoreShare:         1,
+		RAMMB:             256,
+		MaxSockets:        500,
+		StateRPS:          600,
+		StateWriteRPS:     180,
+		StateTxnOps:       16,
+		CloudRPS:          4,
 	}
 }
 
@@ -117,7 +146,14 @@
 	}
 	for _, s := range result.Sizes {
 		if !s.ServicesRunning || s.Starts == 0 || s.CheckedReplies == 0 || len(s.Faults) != 1 {
-			t.Errorf("%d workers: filled %v, %d starts, %d answers judged, %d troubles", s.Size, s.ServicesRunning, s.Starts, s.CheckedReplies, len(s.Faults))
+			t.Errorf(
+				"%d workers: filled %v, %d starts, %d answers judged, %d troubles",
+				s.Size,
+				s.ServicesRunning,
+				s.Starts,
+				s.CheckedReplies,
+				len(s.Faults),
+			)
 		}
 		for _, name := range []string{figHeartbeats, figStateRequests, figLeaderMemory, figFollowerSockets, figWorkerBytes, figProcessMemory} {
 			if s.Figures[name].Mean <= 0 {
@@ -137,9 +173,9 @@
 	checkRoundTrip(t, result)
 }
 
-// TestShardOwnersAsProcesses has real processes part the machines among them, and kills and freezes the leader and owners: no
-// rule is broken, an epoch is in force on every controller, and no process is left. How long anything takes decides
-// nothing.
+// TestShardOwnersAsProcesses has real processes part the machines among them, and kills and freezes the leader and
+// owners: no rule is broken, an epoch is in force on every controller, and no process is left. How long anything takes
+// decides nothing.
 func TestShardOwnersAsProcesses(t *testing.T) {
 	cfg := tinyConfig(t)
 	cfg.Sizes, cfg.Ownership, cfg.LogDir = []int{12}, true, t.TempDir()
@@ -194,7 +230,11 @@
 		t.Errorf("tables differ, or have no slopes:\n%s", b.String())
 	}
 	var capacity strings.Builder
-	if err := result.WriteCapacity(&capacity, 1000); err != nil || !strings.Contains(capacity.String(), "extrapolated, 83.3 times") {
+	if err := result.WriteCapacity(
+		&capacity,
+		1000,
+	); err != nil ||
+		!strings.Contains(capacity.String(), "extrapolated, 83.3 times") {
 		t.Errorf("capacity: %v\n%s", err, capacity.String())
 	}
 	if err := (&Result{}).WriteCapacity(&capacity, 10); !errors.Is(err, ErrInvalidConfig) {
@@ -284,14 +324,32 @@
 		"odd share":        {func(c *Config) { c.Load.GangShare = 2 }, "share"},
 		"no more asked":    {func(c *Config) { c.Load.TeamsAtLimit, c.Load.Overcommit = true, 1 }, "limits"},
 	} {
-		cfg := &Config{Program: program, Vary: Workers, Sizes: []int{10}, Slices: 2, Port: 23_000, HeartbeatInterval: time.Second, Lease: 5 * time.Second,
-			MeanRunTime: time.Second, MeasureTime: time.Second,
-			Load: Load{Controllers: 1, Workers: 10, Teams: 1, Zones: 1, TasksPerWorker: 1, ArrayTasks: 1, GangTasks: 1}}
+		cfg := &Config{
+			Program:           program,
+			Vary:              Workers,
+			Sizes:             []int{10},
+			Slices:            2,
+			Port:              23_000,
+			HeartbeatInterval: time.Second,
+			Lease:             5 * time.Second,
+			MeanRunTime:       time.Second,
+			MeasureTime:       time.Second,
+			Load: Load{
+				Controllers:    1,
+				Workers:        10,
+				Teams:          1,
+				Zones:          1,
+				TasksPerWorker: 1,
+				ArrayTasks:     1,
+				GangTasks:      1,
+			},
+		}
 		if err := cfg.Validate(); err != nil {
 			t.Fatalf("the base is refused: %v", err)
 		}
 		x.change(cfg)
-		if err := cfg.Validate(); !errors.Is(err, ErrInvalidConfig) || !strings.Contains(err.Error(), x.names) || strings.Contains(err.Error(), "\n") {
+		if err := cfg.Validate(); !errors.Is(err, ErrInvalidConfig) || !strings.Contains(err.Error(), x.names) ||
+			strings.Contains(err.Error(), "\n") {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
@@ -318,7 +376,8 @@
 			t.Errorf("slope %g, want %g; error %g", got[0].Slope, slope, got[0].StandardError)
 		}
 		// Five standard errors, and what rounding leaves.
-		if d := got[0].Slope - slope; off > near && (d > 5*got[0].StandardError+near || -d > 5*got[0].StandardError+near) {
+		if d := got[0].Slope - slope; off > near &&
+			(d > 5*got[0].StandardError+near || -d > 5*got[0].StandardError+near) {
 			t.Errorf("slope %g is %g standard errors from %g", got[0].Slope, d/got[0].StandardError, slope)
 		}
 	})
@@ -361,7 +420,10 @@
 func TestMirroredWorkersAreChecked(t *testing.T) {
 	kind := &protocol.MachineType{Name: workerProcessType, CPUs: 8, MemoryGB: 8}
 	report := func(machine string, state protocol.TaskState) *protocol.WorkerHeartbeat {
-		return &protocol.WorkerHeartbeat{Machine: machine, Tasks: []protocol.TaskStatus{{TaskName: "j-1/0", Attempt: 1, State: state}}}
+		return &protocol.WorkerHeartbeat{
+			Machine: machine,
+			Tasks:   []protocol.TaskStatus{{TaskName: "j-1/0", Attempt: 1, State: state}},
+		}
 	}
 	const second = time.Second
 	for name, x := range map[string]struct {
--- a/internal/loadtest/measure.go
+++ b/internal/loadtest/measure.go
@@ -26,8 +26,14 @@
 }
 
 func (r *run) sample() (sample, error) {
-	s := sample{at: time.Now(), controllers: map[string]resourceUsage{}, state: r.state.Usage(), messagesByKind: r.meter.messageCounts(),
-		replies: r.replyCount.Load(), accepted: r.acceptedJobs.Load()}
+	s := sample{
+		at:             time.Now(),
+		controllers:    map[string]resourceUsage{},
+		state:          r.state.Usage(),
+		messagesByKind: r.meter.messageCounts(),
+		replies:        r.replyCount.Load(),
+		accepted:       r.acceptedJobs.Load(),
+	}
 	if p := r.leader(); p != nil {
 		s.leader = p.name
 	}
--- a/internal/loadtest/meter.go
+++ b/internal/loadtest/meter.go
@@ -45,7 +45,15 @@
 	latencyCount
 )
 
-var latencyNames = [latencyCount]string{"report", "submission", "question", "cancellation", "urgent start", "start", "freed to started"}
+var latencyNames = [latencyCount]string{
+	"report",
+	"submission",
+	"question",
+	"cancellation",
+	"urgent start",
+	"start",
+	"freed to started",
+}
 
 func (l Latency) String() string { return latencyNames[l] }
 
@@ -120,8 +128,10 @@
 
 func newTimes(h *hdrhistogram.Histogram) Times {
 	const microsPerMilli = 1000
-	return Times{Count: h.TotalCount(), P50: float64(h.ValueAtQuantile(50)) / microsPerMilli,
-		P99: float64(h.ValueAtQuantile(99)) / microsPerMilli, Max: float64(h.Max()) / microsPerMilli}
+	return Times{
+		Count: h.TotalCount(), P50: float64(h.ValueAtQuantile(50)) / microsPerMilli,
+		P99: float64(h.ValueAtQuantile(99)) / microsPerMilli, Max: float64(h.Max()) / microsPerMilli,
+	}
 }
 
 // messageCounts copies the messages by kind.
--- a/internal/loadtest/output.go
+++ b/internal/loadtest/output.go
@@ -129,15 +129,34 @@
 		for _, t := range s.Faults {
 			if !any {
 				any = true
-				fmt.Fprint(w, "\n| size\t| trouble\t| first answer, s\t| most answered, s\t| records read, s\t| report p99, longest, ms\t| question p99, longest, ms\t"+
-					"| urgent start p99, longest, ms\t| heartbeat p99, longest, ms\t| cycle longest, ms\t|\n")
+				fmt.Fprint(
+					w,
+					"\n| size\t| trouble\t| first answer, s\t| most answered, s\t| records read, s\t| report p99, longest, ms\t| question p99, longest, ms\t"+
+						"| urgent start p99, longest, ms\t| heartbeat p99, longest, ms\t| cycle longest, ms\t|\n",
+				)
 				const columns = 10
 				writeRule(w, columns)
 			}
 			report, question, urgent := t.Times[HeartbeatReply.String()], t.Times[QueryReply.String()], t.Times[UrgentStart.String()]
 			beat, cycle := t.Steps["heartbeat"], t.Steps["cycle"]
-			fmt.Fprintf(w, "| %d\t| %s\t| %.3g\t| %.3g\t| %.3g\t| %.4g, %.4g\t| %.4g, %.4g\t| %.4g, %.4g\t| %.4g, %.4g\t| %.4g\t|\n", s.Size, t.Fault,
-				t.FirstReplyS, t.MostRepliedS, t.RecoveryS, report.P99, report.Max, question.P99, question.Max, urgent.P99, urgent.Max, beat.P99MS, beat.MaxMS, cycle.MaxMS)
+			fmt.Fprintf(
+				w,
+				"| %d\t| %s\t| %.3g\t| %.3g\t| %.3g\t| %.4g, %.4g\t| %.4g, %.4g\t| %.4g, %.4g\t| %.4g, %.4g\t| %.4g\t|\n",
+				s.Size,
+				t.Fault,
+				t.FirstReplyS,
+				t.MostRepliedS,
+				t.RecoveryS,
+				report.P99,
+				report.Max,
+				question.P99,
+				question.Max,
+				urgent.P99,
+				urgent.Max,
+				beat.P99MS,
+				beat.MaxMS,
+				cycle.MaxMS,
+			)
 		}
 	}
 }
@@ -146,12 +165,25 @@
 	if len(r.Slopes) == 0 {
 		return
 	}
-	fmt.Fprintf(w, "\n| figure\t| at none\t| for each of %s\t| standard error\t| R2\t| farthest off the line\t|\n", r.Vary)
+	fmt.Fprintf(
+		w,
+		"\n| figure\t| at none\t| for each of %s\t| standard error\t| R2\t| farthest off the line\t|\n",
+		r.Vary,
+	)
 	const columns = 6
 	writeRule(w, columns)
 	for _, s := range r.Slopes {
 		const percent = 100
-		fmt.Fprintf(w, "| %s\t| %.4g\t| %.4g\t| %.2g\t| %.3f\t| %.0f%%\t|\n", s.Figure, s.Intercept, s.Slope, s.StandardError, s.R2, percent*s.WorstResidual)
+		fmt.Fprintf(
+			w,
+			"| %s\t| %.4g\t| %.4g\t| %.2g\t| %.3f\t| %.0f%%\t|\n",
+			s.Figure,
+			s.Intercept,
+			s.Slope,
+			s.StandardError,
+			s.R2,
+			percent*s.WorstResidual,
+		)
 	}
 }
 
--- a/internal/loadtest/run.go
+++ b/internal/loadtest/run.go
@@ -81,10 +81,31 @@
 func newRun(ctx context.Context, cfg *Config, load Load, dir string, log *slog.Logger) (*run, error) {
 	slots := float64(int(load.TasksPerWorker*capacityFactor + 1))
 	r := &run{
-		cfg: cfg, load: load, log: log, startedAt: time.Now(), meter: NewMeter(), rng: rand.New(rand.NewPCG(cfg.Seed, uint64(load.Workers))),
-		agents: map[string]*simulation.Agent{}, workerHosts: map[string]string{}, acceptedAt: map[string]time.Duration{}, processes: map[string]*workerProcessHandle{}, state: simulation.NewStore(),
-		machineTypes: []protocol.MachineType{{Name: machineType, CPUs: slots * taskCPUs, GPUs: machineGPUs, MemoryGB: slots * taskMemoryGB,
-			CacheGB: imageCount * imageGB, FetchGBPerSecond: fetchGBPerS, HourlyPrice: 10, HourlySpotPrice: 5, BootSeconds: bootS, Zones: zoneNames(load.Zones)}},
+		cfg:         cfg,
+		load:        load,
+		log:         log,
+		startedAt:   time.Now(),
+		meter:       NewMeter(),
+		rng:         rand.New(rand.NewPCG(cfg.Seed, uint64(load.Workers))),
+		agents:      map[string]*simulation.Agent{},
+		workerHosts: map[string]string{},
+		acceptedAt:  map[string]time.Duration{},
+		processes:   map[string]*workerProcessHandle{},
+		state:       simulation.NewStore(),
+		machineTypes: []protocol.MachineType{
+			{
+				Name:             machineType,
+				CPUs:             slots * taskCPUs,
+				GPUs:             machineGPUs,
+				MemoryGB:         slots * taskMemoryGB,
+				CacheGB:          imageCount * imageGB,
+				FetchGBPerSecond: fetchGBPerS,
+				HourlyPrice:      10,
+				HourlySpotPrice:  5,
+				BootSeconds:      bootS,
+				Zones:            zoneNames(load.Zones),
+			},
+		},
 	}
 	if cfg.WorkerProcesses > 0 {
 		process := r.machineTypes[0]
@@ -99,9 +120,17 @@
 	r.ledger = simulation.NewAnswerChecker(r.allTasksDone, r.recordCancelled)
 	r.ledger.Dependencies, r.ledger.CancelTimeout = r.dependencies, r.world.CancelTimeout
 	network := meteredNetwork{from: []byte{127, 0, 0, 1}, bytes: &r.meter.bytes[LinkUsers]}
-	r.users = &simulation.UserClient{Client: transport.NewClient(network, userConnections, userConnections, time.Minute), Checker: r.ledger,
-		Now: r.now, OnError: r.fail, OnAnswer: r.recordUserReply}
-	r.surroundings = &simulation.Environment{Lock: &r.mu, Now: r.now, Random: random.New(cfg.Seed), HeartbeatInterval: cfg.HeartbeatInterval, OnError: r.fail}
+	r.users = &simulation.UserClient{
+		Client: transport.NewClient(network, userConnections, userConnections, time.Minute), Checker: r.ledger,
+		Now: r.now, OnError: r.fail, OnAnswer: r.recordUserReply,
+	}
+	r.surroundings = &simulation.Environment{
+		Lock:              &r.mu,
+		Now:               r.now,
+		Random:            random.New(cfg.Seed),
+		HeartbeatInterval: cfg.HeartbeatInterval,
+		OnError:           r.fail,
+	}
 	for node := range load.Controllers {
 		s := controllerSettings(cfg, load, r.teams, node, cfg.stateAddr(), cfg.cloudAddr())
 		p, err := newController(cfg, dir, s)
@@ -109,7 +138,10 @@
 			return nil, err
 		}
 		r.controllers = append(r.controllers, p)
-		r.surroundings.Controllers = append(r.surroundings.Controllers, simulation.Controller{Name: p.name, Addr: p.addr})
+		r.surroundings.Controllers = append(
+			r.surroundings.Controllers,
+			simulation.Controller{Name: p.name, Addr: p.addr},
+		)
 	}
 	return r, nil
 }
@@ -175,7 +207,8 @@
 		addr string
 		h    http.Handler
 	}{
-		{LinkState, r.cfg.stateAddr(), r.state}, {LinkCloud, r.cfg.cloudAddr(), r.cloud},
+		{LinkState, r.cfg.stateAddr(), r.state},
+		{LinkCloud, r.cfg.cloudAddr(), r.cloud},
 		{LinkCommands, fmt.Sprintf("0.0.0.0:%d", r.cfg.workersPort()), http.HandlerFunc(r.serveCommands)},
 		{LinkObserver, r.cfg.observerAddr(), http.HandlerFunc(r.serveObserver)},
 	} {
--- a/internal/loadtest/workerprocess.go
+++ b/internal/loadtest/workerprocess.go
@@ -48,19 +48,38 @@
 func RunWorker(ctx context.Context, cfg *WorkerConfig) error {
 	ctx, stop := context.WithCancelCause(ctx)
 	defer stop(nil)
-	w := &processWorker{cfg: cfg, startedAt: time.Now(), stop: stop,
-		client: &http.Client{Timeout: protocol.HeartbeatTimeout}}
+	w := &processWorker{
+		cfg: cfg, startedAt: time.Now(), stop: stop,
+		client: &http.Client{Timeout: protocol.HeartbeatTimeout},
+	}
 	w.world = simulation.NewWorld(0, fetchTime, cfg.RunTime)
 	w.world.LookupJob = w.fetchJob
 	worker := w.world.AddMachine(0, cfg.Name, cfg.Zone, false, &cfg.Type, cfg.Lease)
-	s := &simulation.Environment{Lock: &w.mu, Now: w.now, Random: random.New(cfg.Seed), Controllers: cfg.Controllers, HeartbeatInterval: cfg.Report, OnError: func(err error) { stop(err) }}
-	a := simulation.NewAgent(ctx, s, worker, cfg.Addr, transport.NewClient(transport.TCP{}, 1, 2, idleConnectionTimeout))
+	s := &simulation.Environment{
+		Lock:              &w.mu,
+		Now:               w.now,
+		Random:            random.New(cfg.Seed),
+		Controllers:       cfg.Controllers,
+		HeartbeatInterval: cfg.Report,
+		OnError:           func(err error) { stop(err) },
+	}
+	a := simulation.NewAgent(
+		ctx,
+		s,
+		worker,
+		cfg.Addr,
+		transport.NewClient(transport.TCP{}, 1, 2, idleConnectionTimeout),
+	)
 	a.OnTaskStatus = w.reportToObserver
 	l, err := net.Listen("tcp4", cfg.Addr)
 	if err != nil {
 		return fmt.Errorf("%w: %w", ErrInvalidConfig, err)
 	}
-	srv := &http.Server{Handler: a, ErrorLog: slog.NewLogLogger(slog.DiscardHandler, slog.LevelError), ReadHeaderTimeout: time.Minute}
+	srv := &http.Server{
+		Handler:           a,
+		ErrorLog:          slog.NewLogLogger(slog.DiscardHandler, slog.LevelError),
+		ReadHeaderTimeout: time.Minute,
+	}
 	context.AfterFunc(ctx, func() { srv.Close() })
 	go func() { _ = srv.Serve(l) }()
 	go w.advanceModel(ctx, worker)
@@ -165,8 +184,18 @@
 // startWorkerProcess starts a worker as a process; the world's lock is held.
 func (r *run) startWorkerProcess(m protocol.ListedMachine) {
 	kind := r.machineTypes[1]
-	cfg := WorkerConfig{Name: m.Name, Addr: m.Addr, Zone: m.Zone, Type: kind, Controllers: r.surroundings.Controllers, Report: r.cfg.HeartbeatInterval,
-		Lease: r.cfg.Lease, RunTime: r.cfg.MeanRunTime, Observer: r.cfg.observerAddr(), Seed: r.cfg.Seed + uint64(len(r.processes))}
+	cfg := WorkerConfig{
+		Name:        m.Name,
+		Addr:        m.Addr,
+		Zone:        m.Zone,
+		Type:        kind,
+		Controllers: r.surroundings.Controllers,
+		Report:      r.cfg.HeartbeatInterval,
+		Lease:       r.cfg.Lease,
+		RunTime:     r.cfg.MeanRunTime,
+		Observer:    r.cfg.observerAddr(),
+		Seed:        r.cfg.Seed + uint64(len(r.processes)),
+	}
 	raw, err := json.Marshal(cfg)
 	if err != nil {
 		r.fail(err)
--- a/internal/loadtest/workers.go
+++ b/internal/loadtest/workers.go
@@ -20,7 +20,12 @@
 // workerIP returns a worker's address.
 func workerIP(number int) net.IP {
 	const octet = 250 // addresses that end in 0 or 255 are left out
-	return net.IPv4(firstWorkerIP[0], firstWorkerIP[1]+byte(number/octet/octet), byte(number/octet%octet), byte(1+number%octet))
+	return net.IPv4(
+		firstWorkerIP[0],
+		firstWorkerIP[1]+byte(number/octet/octet),
+		byte(number/octet%octet),
+		byte(1+number%octet),
+	)
 }
 
 // idleConnectionTimeout is how long a worker keeps a connection that it does not use: longer than
@@ -40,7 +45,13 @@
 		return
 	}
 	network := meteredNetwork{from: net.ParseIP(host), bytes: &r.meter.bytes[LinkHeartbeats]}
-	a := simulation.NewAgent(r.ctx, r.surroundings, w, m.Addr, transport.NewClient(network, 1, 2, idleConnectionTimeout))
+	a := simulation.NewAgent(
+		r.ctx,
+		r.surroundings,
+		w,
+		m.Addr,
+		transport.NewClient(network, 1, 2, idleConnectionTimeout),
+	)
 	a.OnHeartbeat = func(*protocol.WorkerHeartbeat) { r.meter.CountMessage(LinkHeartbeats, "report") }
 	a.OnReply = func(took time.Duration, status int) {
 		r.meter.RecordLatency(HeartbeatReply, took)
@@ -106,8 +117,10 @@
 	if err != nil {
 		return fmt.Errorf("%w: %w", ErrInvalidConfig, err)
 	}
-	srv := &http.Server{Handler: r.meter.handler(link, h), ErrorLog: slog.NewLogLogger(slog.DiscardHandler, slog.LevelError),
-		ReadHeaderTimeout: time.Minute}
+	srv := &http.Server{
+		Handler: r.meter.handler(link, h), ErrorLog: slog.NewLogLogger(slog.DiscardHandler, slog.LevelError),
+		ReadHeaderTimeout: time.Minute,
+	}
 	r.wg.Go(func() { _ = srv.Serve(meteredListener{l, &r.meter.bytes[link]}) })
 	context.AfterFunc(r.ctx, func() { srv.Close() })
 	return nil
--- a/internal/protocol/compatibility_test.go
+++ b/internal/protocol/compatibility_test.go
@@ -13,8 +13,10 @@
 // written the same but for the feature level, a field that production ignores.
 func TestPeerMessagesAsInProduction(t *testing.T) {
 	for name, want := range map[string]PeerMessage{
-		"beat": {Kind: PeerHeartbeat, ID: 9, From: "bothy-1", Term: 7, Leader: "bothy-1", StoreReachable: true, Incarnation: 77, Recovered: true, IntentOffset: 2, ExpiredIntents: 1,
-			Intents: []CancellationIntent{{JobID: "j-000398", AnnouncementID: 5}}, AckedIncarnation: 66, AckedIntents: 4},
+		"beat": {
+			Kind: PeerHeartbeat, ID: 9, From: "bothy-1", Term: 7, Leader: "bothy-1", StoreReachable: true, Incarnation: 77, Recovered: true, IntentOffset: 2, ExpiredIntents: 1,
+			Intents: []CancellationIntent{{JobID: "j-000398", AnnouncementID: 5}}, AckedIncarnation: 66, AckedIntents: 4,
+		},
 		"beat-reply":   {Kind: PeerReply, ID: 9, From: "bothy-2", Term: 7, Leader: "bothy-1", StoreReachable: true, RenewsLeases: true, Incarnation: 66, MoreIntents: true},
 		"status":       {Kind: PeerStatusQuery, ID: 10, From: "bothy-2", JobIDs: []string{"j-000412"}},
 		"status-reply": {Kind: PeerReply, ID: 10, From: "bothy-1", Statuses: []JobStatus{{ID: "j-000412", State: JobRunning, DoneTasks: 3, RunningTasks: 13}}},
@@ -32,8 +34,8 @@
 	}
 }
 
-// TestDependenciesOfSubmissions: awaited jobs are read each once; null and a missing list are none, and a complaint names the
-// field.
+// TestDependenciesOfSubmissions: awaited jobs are read each once; null and a missing list are none, and a complaint
+// names the field.
 func TestDependenciesOfSubmissions(t *testing.T) {
 	job := Job{ID: "j-1", Class: "c", Team: "red", Shape: Array, Priority: "normal", TaskCount: 1, CPUs: 1, Image: "i"}
 	for name, x := range map[string]struct {
@@ -70,14 +72,15 @@
 			}
 			continue
 		}
-		if err != nil || len(got.Dependencies) != len(x.want) || len(x.want) > 0 && !reflect.DeepEqual(got.Dependencies, x.want) {
+		if err != nil || len(got.Dependencies) != len(x.want) ||
+			len(x.want) > 0 && !reflect.DeepEqual(got.Dependencies, x.want) {
 			t.Errorf("%s: %v, %v", name, got, err)
 		}
 	}
 }
 
-// TestUnchangedHeartbeatLists: what an owner tells of machines is taken only with a session and a number for each, and no more
-// machines than a message may name.
+// TestUnchangedHeartbeatLists: what an owner tells of machines is taken only with a session and a number for each, and
+// no more machines than a message may name.
 func TestUnchangedHeartbeatLists(t *testing.T) {
 	for name, x := range map[string]struct {
 		machines, sessions, numbers int
@@ -91,7 +94,16 @@
 		"no machines":       {0, 1, 1, false},
 		"too many":          {MaxMachinesPerMessage + 1, MaxMachinesPerMessage + 1, MaxMachinesPerMessage + 1, false},
 	} {
-		raw, err := EncodePeerMessage(&PeerMessage{Kind: PeerUnchangedHeartbeats, From: "b", OwnershipEpoch: 3, Machines: make([]string, x.machines), MachineIncarnations: make([]uint64, x.sessions), HeartbeatSequences: make([]uint64, x.numbers)})
+		raw, err := EncodePeerMessage(
+			&PeerMessage{
+				Kind:                PeerUnchangedHeartbeats,
+				From:                "b",
+				OwnershipEpoch:      3,
+				Machines:            make([]string, x.machines),
+				MachineIncarnations: make([]uint64, x.sessions),
+				HeartbeatSequences:  make([]uint64, x.numbers),
+			},
+		)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/protocol/cost_test.go
+++ b/internal/protocol/cost_test.go
@@ -7,12 +7,30 @@
 
 // testPeerHeartbeat is one of a quiet deployment.
 func testPeerHeartbeat() *PeerMessage {
-	return &PeerMessage{Kind: PeerHeartbeat, ID: 7, From: "controller-0", Term: 3, Leader: "controller-0", StoreReachable: true, Incarnation: 1 << 60, Recovered: true, AckedIncarnation: 1 << 59}
+	return &PeerMessage{
+		Kind:             PeerHeartbeat,
+		ID:               7,
+		From:             "controller-0",
+		Term:             3,
+		Leader:           "controller-0",
+		StoreReachable:   true,
+		Incarnation:      1 << 60,
+		Recovered:        true,
+		AckedIncarnation: 1 << 59,
+	}
 }
 
 // testWorkerHeartbeat is a worker's with the given number of running tasks.
 func testWorkerHeartbeat(tasks int) *WorkerHeartbeat {
-	r := &WorkerHeartbeat{Machine: "host-000001", Addr: "10.1.0.1:9000", Type: "g8", Zone: "a", Incarnation: 1, Sequence: 9, FencingToken: FencingToken(3, 1)}
+	r := &WorkerHeartbeat{
+		Machine:      "host-000001",
+		Addr:         "10.1.0.1:9000",
+		Type:         "g8",
+		Zone:         "a",
+		Incarnation:  1,
+		Sequence:     9,
+		FencingToken: FencingToken(3, 1),
+	}
 	for i := range tasks {
 		r.Tasks = append(r.Tasks, TaskStatus{TaskName: fmt.Sprintf("j-000001/%d", i), Attempt: 1, State: TaskRunning})
 	}
@@ -37,7 +55,13 @@
 	})
 	t.Logf("%d bytes, %.0f allocations", len(raw), allocations)
 	if len(raw) > mostBytes || allocations > mostAllocations {
-		t.Errorf("%d bytes and %.0f allocations, want %d and %d at most", len(raw), allocations, mostBytes, mostAllocations)
+		t.Errorf(
+			"%d bytes and %.0f allocations, want %d and %d at most",
+			len(raw),
+			allocations,
+			mostBytes,
+			mostAllocations,
+		)
 	}
 }
 
@@ -64,17 +88,49 @@
 
 // BenchmarkMessages shows what the messages of a quiet deployment cost to write and read.
 func BenchmarkMessages(b *testing.B) {
-	job := &Job{ID: "j-000001", Class: "c", Team: "t", Shape: Array, Priority: "normal", TaskCount: 20, CPUs: 8, GPUs: 1, MemoryGB: 40, Image: "img-01", ImageGB: 40}
+	job := &Job{
+		ID:        "j-000001",
+		Class:     "c",
+		Team:      "t",
+		Shape:     Array,
+		Priority:  "normal",
+		TaskCount: 20,
+		CPUs:      8,
+		GPUs:      1,
+		MemoryGB:  40,
+		Image:     "img-01",
+		ImageGB:   40,
+	}
 	rows := []struct {
 		name   string
 		encode func() ([]byte, error)
 		decode func([]byte) error
 	}{
-		{"heartbeat", func() ([]byte, error) { return EncodePeerMessage(testPeerHeartbeat()) }, func(raw []byte) error { _, err := DecodePeerMessage(raw); return err }},
-		{"report-8", func() ([]byte, error) { return Encode(testWorkerHeartbeat(8)) }, func(raw []byte) error { _, err := DecodeWorkerHeartbeat(raw); return err }},
-		{"answer", func() ([]byte, error) { return Encode(WorkerHeartbeatReply{FencingToken: 1}) }, func(raw []byte) error { return Decode(raw, &WorkerHeartbeatReply{}) }},
-		{"submission", func() ([]byte, error) { return Encode(job) }, func(raw []byte) error { _, err := DecodeJob(raw); return err }},
-		{"status", func() ([]byte, error) { return Encode(JobStatus{ID: "j-000001", State: JobRunning}) }, func(raw []byte) error { return Decode(raw, &JobStatus{}) }},
+		{
+			"heartbeat",
+			func() ([]byte, error) { return EncodePeerMessage(testPeerHeartbeat()) },
+			func(raw []byte) error { _, err := DecodePeerMessage(raw); return err },
+		},
+		{
+			"report-8",
+			func() ([]byte, error) { return Encode(testWorkerHeartbeat(8)) },
+			func(raw []byte) error { _, err := DecodeWorkerHeartbeat(raw); return err },
+		},
+		{
+			"answer",
+			func() ([]byte, error) { return Encode(WorkerHeartbeatReply{FencingToken: 1}) },
+			func(raw []byte) error { return Decode(raw, &WorkerHeartbeatReply{}) },
+		},
+		{
+			"submission",
+			func() ([]byte, error) { return Encode(job) },
+			func(raw []byte) error { _, err := DecodeJob(raw); return err },
+		},
+		{
+			"status",
+			func() ([]byte, error) { return Encode(JobStatus{ID: "j-000001", State: JobRunning}) },
+			func(raw []byte) error { return Decode(raw, &JobStatus{}) },
+		},
 	}
 	for _, row := range rows {
 		raw, err := row.encode()
--- a/internal/protocol/heartbeat.go
+++ b/internal/protocol/heartbeat.go
@@ -97,7 +97,10 @@
 	for i := range r.Tasks {
 		t := &r.Tasks[i]
 		if id, err := ParseTaskID(t.TaskName); err == nil && t.State != TaskExited && job(id.JobID) {
-			out = append(out, Command{Verb: VerbStop, TaskName: t.TaskName, Attempt: t.Attempt, GraceSeconds: new(float64)})
+			out = append(
+				out,
+				Command{Verb: VerbStop, TaskName: t.TaskName, Attempt: t.Attempt, GraceSeconds: new(float64)},
+			)
 		}
 	}
 	return out
--- a/internal/protocol/job.go
+++ b/internal/protocol/job.go
@@ -154,8 +154,15 @@
 	amounts := []struct {
 		field string
 		v     *float64
-	}{{"vcpus", s.CPUs}, {"accelerators", s.GPUs}, {"memory_gb", s.MemoryGB}, {"size_gb", s.ImageGB},
-		{"reckon_s", s.EstimateSeconds}, {"bookmark_s", s.CheckpointIntervalSeconds}, {"stow_s", s.SaveSeconds}}
+	}{
+		{"vcpus", s.CPUs},
+		{"accelerators", s.GPUs},
+		{"memory_gb", s.MemoryGB},
+		{"size_gb", s.ImageGB},
+		{"reckon_s", s.EstimateSeconds},
+		{"bookmark_s", s.CheckpointIntervalSeconds},
+		{"stow_s", s.SaveSeconds},
+	}
 	for _, a := range amounts {
 		if a.v == nil || !(*a.v >= 0) || math.IsInf(*a.v, 0) {
 			return nil, bad(a.field, "missing or not an amount")
@@ -174,10 +181,25 @@
 		}
 	}
 	j := &Job{
-		ID: *s.ID, Class: *s.Class, Team: *s.Team, Shape: Shape(*s.Shape), Priority: Priority(*s.Priority),
-		TaskCount: int(*s.TaskCount), CPUs: *s.CPUs, GPUs: *s.GPUs, MemoryGB: *s.MemoryGB, Image: *s.Image, ImageGB: *s.ImageGB,
-		SameZone: *s.SameZone, Spread: *s.Spread, SpotAllowed: *s.SpotAllowed,
-		EstimateSeconds: *s.EstimateSeconds, CheckpointIntervalSeconds: *s.CheckpointIntervalSeconds, SaveSeconds: *s.SaveSeconds,
+		ID:       *s.ID,
+		Class:    *s.Class,
+		Team:     *s.Team,
+		Shape:    Shape(*s.Shape),
+		Priority: Priority(*s.Priority),
+		TaskCount: int(
+			*s.TaskCount,
+		),
+		CPUs:                      *s.CPUs,
+		GPUs:                      *s.GPUs,
+		MemoryGB:                  *s.MemoryGB,
+		Image:                     *s.Image,
+		ImageGB:                   *s.ImageGB,
+		SameZone:                  *s.SameZone,
+		Spread:                    *s.Spread,
+		SpotAllowed:               *s.SpotAllowed,
+		EstimateSeconds:           *s.EstimateSeconds,
+		CheckpointIntervalSeconds: *s.CheckpointIntervalSeconds,
+		SaveSeconds:               *s.SaveSeconds,
 	}
 	if s.MachineTypes != nil {
 		if len(*s.MachineTypes) == 0 {
@@ -239,10 +261,10 @@
 
 // JobStatus answers a user.
 type JobStatus struct {
-	ID           string   `msgpack:"name_id" cbor:"1,keyasint"`
+	ID           string   `msgpack:"name_id"  cbor:"1,keyasint"`
 	State        JobState `msgpack:"standing" cbor:"2,keyasint"`
-	DoneTasks    int      `msgpack:"done" cbor:"3,keyasint"`
-	RunningTasks int      `msgpack:"running" cbor:"4,keyasint"`
+	DoneTasks    int      `msgpack:"done"     cbor:"3,keyasint"`
+	RunningTasks int      `msgpack:"running"  cbor:"4,keyasint"`
 	// Unblocked says, between controllers, that all jobs that it awaits are durably done.
 	Unblocked bool `msgpack:"-" cbor:"5,keyasint,omitempty"`
 }
--- a/internal/protocol/peermessage.go
+++ b/internal/protocol/peermessage.go
@@ -119,12 +119,21 @@
 	if len(m.Machines) > MaxMachinesPerMessage {
 		return nil, fmt.Errorf("%w: mesh message with %d machines", ErrMalformed, len(m.Machines))
 	}
-	if len(m.MachineIncarnations) != len(m.HeartbeatSequences) || len(m.MachineIncarnations) > 0 && len(m.MachineIncarnations) != len(m.Machines) {
-		return nil, fmt.Errorf("%w: mesh message with %d machines, %d sessions and %d numbers", ErrMalformed, len(m.Machines), len(m.MachineIncarnations), len(m.HeartbeatSequences))
+	if len(m.MachineIncarnations) != len(m.HeartbeatSequences) ||
+		len(m.MachineIncarnations) > 0 && len(m.MachineIncarnations) != len(m.Machines) {
+		return nil, fmt.Errorf(
+			"%w: mesh message with %d machines, %d sessions and %d numbers",
+			ErrMalformed,
+			len(m.Machines),
+			len(m.MachineIncarnations),
+			len(m.HeartbeatSequences),
+		)
 	}
 	// What is out of form must never pass for consent.
-	if len(m.Intents) > MaxIntentsPerMessage || m.Incarnation == 0 && (m.Recovered || len(m.Intents) > 0 || m.AckedIntents > 0) ||
-		m.IntentOffset+uint64(len(m.Intents)) < m.IntentOffset || m.ExpiredIntents > m.IntentOffset {
+	if len(m.Intents) > MaxIntentsPerMessage ||
+		m.Incarnation == 0 && (m.Recovered || len(m.Intents) > 0 || m.AckedIntents > 0) ||
+		m.IntentOffset+uint64(len(m.Intents)) < m.IntentOffset ||
+		m.ExpiredIntents > m.IntentOffset {
 		return nil, fmt.Errorf("%w: mesh intents from %q", ErrMalformed, m.From)
 	}
 	for _, n := range m.Intents {
--- a/internal/protocol/peermessage_test.go
+++ b/internal/protocol/peermessage_test.go
@@ -19,7 +19,9 @@
 		}
 		var all []string
 		for _, list := range SplitMachineNames(names) {
-			raw, err := EncodePeerMessage(&PeerMessage{Version: PeerProtocolVersion, Kind: PeerLiveMachinesQuery, From: "n-0", Machines: list})
+			raw, err := EncodePeerMessage(
+				&PeerMessage{Version: PeerProtocolVersion, Kind: PeerLiveMachinesQuery, From: "n-0", Machines: list},
+			)
 			if err != nil || len(raw) > MaxBodyBytes {
 				t.Fatalf("%d names in %d bytes: %v", len(list), len(raw), err)
 			}
@@ -36,7 +38,16 @@
 
 // TestMalformedOpinions: opinions that no controller can mean are refused, and those that one can are not.
 func TestMalformedOpinions(t *testing.T) {
-	good := PeerOpinion{Controller: "n-1", Incarnation: 5, HeardAgoMS: 1200, Suspected: true, SuspectedForMS: 300, Phi: 9.5, Failed: true, UnreachableThrough: []string{"n-2"}}
+	good := PeerOpinion{
+		Controller:         "n-1",
+		Incarnation:        5,
+		HeardAgoMS:         1200,
+		Suspected:          true,
+		SuspectedForMS:     300,
+		Phi:                9.5,
+		Failed:             true,
+		UnreachableThrough: []string{"n-2"},
+	}
 	if err := CheckOpinions([]PeerOpinion{good, {Controller: "n-2", HeardAgoMS: -1}}); err != nil {
 		t.Error(err)
 	}
--- a/internal/protocol/peeropinion.go
+++ b/internal/protocol/peeropinion.go
@@ -29,8 +29,16 @@
 	}
 	for _, o := range opinions {
 		switch {
-		case o.Controller == "", len(o.UnreachableThrough) > MaxOpinions, o.HeardAgoMS < -1, o.SuspectedForMS < 0, o.HeardAgoMS > math.MaxInt32, o.SuspectedForMS > math.MaxInt32,
-			!(o.Phi >= 0), math.IsInf(o.Phi, 0), o.Failed && !o.Suspected, o.HeardAgoMS >= 0 && o.Incarnation == 0:
+		case o.Controller == "",
+			len(o.UnreachableThrough) > MaxOpinions,
+			o.HeardAgoMS < -1,
+			o.SuspectedForMS < 0,
+			o.HeardAgoMS > math.MaxInt32,
+			o.SuspectedForMS > math.MaxInt32,
+			!(o.Phi >= 0),
+			math.IsInf(o.Phi, 0),
+			o.Failed && !o.Suspected,
+			o.HeardAgoMS >= 0 && o.Incarnation == 0:
 			return fmt.Errorf("%w: opinion of %q", ErrMalformed, o.Controller)
 		}
 	}
--- a/internal/protocol/protocol_test.go
+++ b/internal/protocol/protocol_test.go
@@ -21,13 +21,26 @@
 
 func randomJob(t *rapid.T) Job {
 	j := Job{
-		ID: "j-" + rapid.StringMatching(`[0-9]{6}`).Draw(t, "id"), Class: word().Draw(t, "class"), Team: word().Draw(t, "team"),
-		Shape:     rapid.SampledFrom([]Shape{Array, Gang, Service}).Draw(t, "shape"),
-		Priority:  rapid.SampledFrom([]Priority{"critical", "urgent", "normal", "best_effort"}).Draw(t, "priority"),
-		TaskCount: rapid.IntRange(1, MaxTasks).Draw(t, "tasks"), CPUs: amount().Draw(t, "cpus"), GPUs: amount().Draw(t, "gpus"),
-		MemoryGB: amount().Draw(t, "mem"), Image: word().Draw(t, "image"), ImageGB: amount().Draw(t, "gb"),
-		SameZone: rapid.Bool().Draw(t, "same"), Spread: rapid.Bool().Draw(t, "spread"), SpotAllowed: rapid.Bool().Draw(t, "spot"),
-		EstimateSeconds: amount().Draw(t, "est"), CheckpointIntervalSeconds: amount().Draw(t, "cp"), SaveSeconds: amount().Draw(t, "save"),
+		ID: "j-" + rapid.StringMatching(`[0-9]{6}`).
+			Draw(t, "id"),
+		Class:    word().Draw(t, "class"),
+		Team:     word().Draw(t, "team"),
+		Shape:    rapid.SampledFrom([]Shape{Array, Gang, Service}).Draw(t, "shape"),
+		Priority: rapid.SampledFrom([]Priority{"critical", "urgent", "normal", "best_effort"}).Draw(t, "priority"),
+		TaskCount: rapid.IntRange(1, MaxTasks).
+			Draw(t, "tasks"),
+		CPUs:     amount().Draw(t, "cpus"),
+		GPUs:     amount().Draw(t, "gpus"),
+		MemoryGB: amount().Draw(t, "mem"),
+		Image:    word().Draw(t, "image"),
+		ImageGB:  amount().Draw(t, "gb"),
+		SameZone: rapid.Bool().
+			Draw(t, "same"),
+		Spread:                    rapid.Bool().Draw(t, "spread"),
+		SpotAllowed:               rapid.Bool().Draw(t, "spot"),
+		EstimateSeconds:           amount().Draw(t, "est"),
+		CheckpointIntervalSeconds: amount().Draw(t, "cp"),
+		SaveSeconds:               amount().Draw(t, "save"),
 	}
 	if rapid.Bool().Draw(t, "limited") {
 		j.MachineTypes = rapid.SliceOfN(word(), 1, 4).Draw(t, "types")
@@ -84,8 +97,13 @@
 		}
 		f := rapid.SampledFrom(fields).Draw(t, "field")
 		bad := map[string]any{
-			"missing": nil, "list": []any{1}, "negative": -1.5, "nan": math.NaN(), "inf": math.Inf(1), "map": map[string]any{},
-			"long": strings.Repeat("x", maxNameBytes+1),
+			"missing":  nil,
+			"list":     []any{1},
+			"negative": -1.5,
+			"nan":      math.NaN(),
+			"inf":      math.Inf(1),
+			"map":      map[string]any{},
+			"long":     strings.Repeat("x", maxNameBytes+1),
 		}
 		kind := rapid.SampledFrom([]string{"missing", "list", "negative", "nan", "inf", "map", "long"}).Draw(t, "kind")
 		if kind == "missing" {
@@ -155,8 +173,14 @@
 func TestWorkerHeartbeatSurvivesTheWire(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := WorkerHeartbeat{
-			Machine: word().Draw(t, "m"), Addr: word().Draw(t, "a"), Type: word().Draw(t, "t"), Zone: word().Draw(t, "z"),
-			Spot: rapid.Bool().Draw(t, "spot"), Incarnation: rapid.Uint64Min(1).Draw(t, "s"), Sequence: rapid.Uint64().Draw(t, "q"),
+			Machine: word().Draw(t, "m"),
+			Addr:    word().Draw(t, "a"),
+			Type:    word().Draw(t, "t"),
+			Zone:    word().Draw(t, "z"),
+			Spot: rapid.Bool().
+				Draw(t, "spot"),
+			Incarnation:  rapid.Uint64Min(1).Draw(t, "s"),
+			Sequence:     rapid.Uint64().Draw(t, "q"),
 			FencingToken: rapid.Uint64().Draw(t, "token"),
 		}
 		if rapid.Bool().Draw(t, "notice") {
@@ -165,8 +189,10 @@
 		}
 		for i := range rapid.IntRange(0, 5).Draw(t, "tasks") {
 			r.Tasks = append(r.Tasks, TaskStatus{
-				TaskName: TaskID{"j-000001", i}.String(), Attempt: rapid.Uint64().Draw(t, "try"),
-				State: rapid.SampledFrom([]TaskState{TaskFetching, TaskWaiting, TaskRunning, TaskSaving, TaskExited}).Draw(t, "state"),
+				TaskName: TaskID{"j-000001", i}.String(),
+				Attempt:  rapid.Uint64().Draw(t, "try"),
+				State: rapid.SampledFrom([]TaskState{TaskFetching, TaskWaiting, TaskRunning, TaskSaving, TaskExited}).
+					Draw(t, "state"),
 				Cause: rapid.SampledFrom([]ExitCause{"", CauseDone, CauseError}).Draw(t, "cause"),
 			})
 		}
@@ -189,7 +215,10 @@
 
 func TestTaskIDs(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		id := TaskID{"j-" + rapid.StringMatching(`[0-9]{1,9}`).Draw(t, "job"), rapid.IntRange(0, MaxTasks-1).Draw(t, "task")}
+		id := TaskID{
+			"j-" + rapid.StringMatching(`[0-9]{1,9}`).Draw(t, "job"),
+			rapid.IntRange(0, MaxTasks-1).Draw(t, "task"),
+		}
 		if got, err := ParseTaskID(id.String()); err != nil || got != id {
 			t.Fatalf("%v: %v %v", id, got, err)
 		}
@@ -204,18 +233,37 @@
 func TestPeerMessages(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := PeerMessage{
-			Kind: rapid.IntRange(PeerHeartbeat, PeerReply).Draw(t, "kind"), ID: rapid.Uint64().Draw(t, "id"), From: word().Draw(t, "from"),
-			Term: rapid.Uint64().Draw(t, "term"), Leader: word().Draw(t, "leader"), StoreReachable: rapid.Bool().Draw(t, "ok"),
+			Kind: rapid.IntRange(PeerHeartbeat, PeerReply).
+				Draw(t, "kind"),
+			ID:   rapid.Uint64().Draw(t, "id"),
+			From: word().Draw(t, "from"),
+			Term: rapid.Uint64().
+				Draw(t, "term"),
+			Leader:         word().Draw(t, "leader"),
+			StoreReachable: rapid.Bool().Draw(t, "ok"),
 		}
 		if rapid.Bool().Draw(t, "status") {
 			m.Status = &JobStatus{ID: "j-1", State: JobRunning, DoneTasks: 3, RunningTasks: 2}
 		}
 		if rapid.Bool().Draw(t, "intents") {
-			m.Incarnation, m.Recovered, m.MoreIntents = rapid.Uint64Min(1).Draw(t, "life"), rapid.Bool().Draw(t, "whole"), rapid.Bool().Draw(t, "more")
-			m.IntentOffset, m.AckedIncarnation, m.AckedIntents = rapid.Uint64Max(1<<40).Draw(t, "base"), rapid.Uint64().Draw(t, "held life"), rapid.Uint64().Draw(t, "held")
+			m.Incarnation, m.Recovered, m.MoreIntents = rapid.Uint64Min(1).
+				Draw(t, "life"),
+				rapid.Bool().
+					Draw(t, "whole"),
+				rapid.Bool().
+					Draw(t, "more")
+			m.IntentOffset, m.AckedIncarnation, m.AckedIntents = rapid.Uint64Max(1<<40).
+				Draw(t, "base"),
+				rapid.Uint64().
+					Draw(t, "held life"),
+				rapid.Uint64().
+					Draw(t, "held")
 			m.ExpiredIntents = rapid.Uint64Max(m.IntentOffset).Draw(t, "expired")
 			for i := range rapid.IntRange(0, 3).Draw(t, "n") {
-				m.Intents = append(m.Intents, CancellationIntent{JobID: "j-" + strconv.Itoa(i), AnnouncementID: rapid.Uint64().Draw(t, "mark")})
+				m.Intents = append(
+					m.Intents,
+					CancellationIntent{JobID: "j-" + strconv.Itoa(i), AnnouncementID: rapid.Uint64().Draw(t, "mark")},
+				)
 			}
 		}
 		raw, err := EncodePeerMessage(&m)
@@ -258,7 +306,9 @@
 		}
 	}
 	// What an older version sends is understood, and says nothing of intents.
-	old, err := cborEncMode.Marshal(map[int]any{1: PeerProtocolVersion, 2: PeerHeartbeat, 3: 7, 4: "n", 5: 3, 6: "n", 7: true})
+	old, err := cborEncMode.Marshal(
+		map[int]any{1: PeerProtocolVersion, 2: PeerHeartbeat, 3: 7, 4: "n", 5: 3, 6: "n", 7: true},
+	)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/simulation/agent.go
+++ b/internal/simulation/agent.go
@@ -60,7 +60,14 @@
 
 // NewAgent returns an agent that runs until the context ends or it is stopped.
 func NewAgent(ctx context.Context, s *Environment, w *Worker, addr string, client *transport.Client) *Agent {
-	a := &Agent{Environment: s, Worker: w, Addr: addr, Client: client, resume: make(chan struct{}), wake: make(chan struct{}, 1)}
+	a := &Agent{
+		Environment: s,
+		Worker:      w,
+		Addr:        addr,
+		Client:      client,
+		resume:      make(chan struct{}),
+		wake:        make(chan struct{}, 1),
+	}
 	a.ctx, a.cancel = context.WithCancel(ctx)
 	w.OnChange = a.wakeUp
 	return a
@@ -219,7 +226,13 @@
 		a.pause(protocol.HeartbeatTimeout)
 		return a.nextController(at), false
 	}
-	status, raw, err := a.Client.Do(a.ctx, protocol.HeartbeatTimeout, http.MethodPost, "http://"+a.Controllers[at].Addr+"/v1/report", report)
+	status, raw, err := a.Client.Do(
+		a.ctx,
+		protocol.HeartbeatTimeout,
+		http.MethodPost,
+		"http://"+a.Controllers[at].Addr+"/v1/report",
+		report,
+	)
 	if err != nil {
 		return a.nextController(at), false
 	}
--- a/internal/simulation/answerchecker.go
+++ b/internal/simulation/answerchecker.go
@@ -21,8 +21,8 @@
 	// that a user was told.
 	AllTasksDone func(id string) bool
 	OnCancelled  func(id string, at time.Duration)
-	// Dependencies, if set, lists the jobs that a job awaits, and CancelTimeout is how long after the cancellation of one
-	// of them it may still be called queued.
+	// Dependencies, if set, lists the jobs that a job awaits, and CancelTimeout is how long after the cancellation of
+	// one of them it may still be called queued.
 	Dependencies  func(id string) []string
 	CancelTimeout time.Duration
 	violations    []string
@@ -37,8 +37,15 @@
 
 // NewAnswerChecker returns an empty ledger.
 func NewAnswerChecker(allDone func(string) bool, toldCancelled func(string, time.Duration)) *AnswerChecker {
-	return &AnswerChecker{submitted: map[string]bool{}, cancelRequested: map[string]bool{}, accepted: map[string]time.Duration{},
-		finals: map[string]finalAnswer{}, answered: map[string]time.Duration{}, AllTasksDone: allDone, OnCancelled: toldCancelled}
+	return &AnswerChecker{
+		submitted:       map[string]bool{},
+		cancelRequested: map[string]bool{},
+		accepted:        map[string]time.Duration{},
+		finals:          map[string]finalAnswer{},
+		answered:        map[string]time.Duration{},
+		AllTasksDone:    allDone,
+		OnCancelled:     toldCancelled,
+	}
 }
 
 // Kinds of users' requests.
--- a/internal/simulation/answerchecker_test.go
+++ b/internal/simulation/answerchecker_test.go
@@ -40,7 +40,10 @@
 		"cancelled by nobody":      {[]step{{RequestSubmit, 0, 1, 201, q}, {RequestQuery, 2, 3, 200, c}}, false, "went_back"},
 	} {
 		var told []string
-		l := NewAnswerChecker(func(string) bool { return h.done }, func(id string, _ time.Duration) { told = append(told, id) })
+		l := NewAnswerChecker(
+			func(string) bool { return h.done },
+			func(id string, _ time.Duration) { told = append(told, id) },
+		)
 		for _, s := range h.steps {
 			l.RecordRequest(s.kind, "j-1")
 			l.RecordAnswer(s.kind, "j-1", time.Duration(s.sent)*time.Second, time.Duration(s.now)*time.Second, s.status,
@@ -89,7 +92,8 @@
 			at := time.Duration(a.at) * time.Second
 			l.RecordAnswer(a.kind, a.id, at, at, 200, protocol.JobStatus{ID: a.id, State: a.standing})
 		}
-		if h.broken == "" && len(l.violations) > 0 || h.broken != "" && (len(l.violations) != 1 || !strings.HasPrefix(l.violations[0], h.broken)) {
+		if h.broken == "" && len(l.violations) > 0 ||
+			h.broken != "" && (len(l.violations) != 1 || !strings.HasPrefix(l.violations[0], h.broken)) {
 			t.Errorf("%s: %v, want %q", name, l.violations, h.broken)
 		}
 	}
@@ -102,11 +106,18 @@
 	for done := range 3 {
 		w := NewWorld(10*time.Second, 0, time.Hour)
 		w.Jobs["j-1"] = &protocol.Job{ID: "j-1", Shape: protocol.Array, TaskCount: 2, Team: "red"}
-		w.Jobs["j-2"] = &protocol.Job{ID: "j-2", Shape: protocol.Array, TaskCount: 1, Team: "red", Dependencies: []string{"j-1"}}
+		w.Jobs["j-2"] = &protocol.Job{
+			ID:           "j-2",
+			Shape:        protocol.Array,
+			TaskCount:    1,
+			Team:         "red",
+			Dependencies: []string{"j-1"},
+		}
 		for task := range done {
 			w.Done[protocol.TaskID{JobID: "j-1", Index: task}] = true
 		}
-		w.AddMachine(0, "a1", "a", false, kind, time.Minute).HandleCommands(0, protocol.CommandBatch{Incarnation: 1, Commands: []protocol.Command{{Verb: protocol.VerbRun, TaskName: "j-2/0", Attempt: 1}}})
+		w.AddMachine(0, "a1", "a", false, kind, time.Minute).
+			HandleCommands(0, protocol.CommandBatch{Incarnation: 1, Commands: []protocol.Command{{Verb: protocol.VerbRun, TaskName: "j-2/0", Attempt: 1}}})
 		for now := time.Duration(0); now < 3*time.Second; now += 100 * time.Millisecond {
 			w.Advance(now)
 		}
@@ -147,7 +158,15 @@
 		}
 		for i, r := range h.runs {
 			m, task, _ := strings.Cut(r, " ")
-			w.Workers[m].HandleCommands(0, protocol.CommandBatch{Incarnation: 1, Commands: []protocol.Command{{Verb: protocol.VerbRun, TaskName: "j-1/" + task, Attempt: uint64(i + 1)}}})
+			w.Workers[m].HandleCommands(
+				0,
+				protocol.CommandBatch{
+					Incarnation: 1,
+					Commands: []protocol.Command{
+						{Verb: protocol.VerbRun, TaskName: "j-1/" + task, Attempt: uint64(i + 1)},
+					},
+				},
+			)
 			w.Advance(time.Duration(i+2) * time.Second)
 		}
 		if h.cancel {
@@ -160,7 +179,8 @@
 		}
 		w.Workers["a1"].Hung = false
 		w.Advance(14 * time.Second)
-		if (h.broken == "") != (len(w.Violations) == 0) || h.broken != "" && !strings.HasPrefix(w.Violations[0], h.broken) {
+		if (h.broken == "") != (len(w.Violations) == 0) ||
+			h.broken != "" && !strings.HasPrefix(w.Violations[0], h.broken) {
 			t.Errorf("%s: %v, want %q", name, w.Violations, h.broken)
 		}
 	}
--- a/internal/simulation/cloud.go
+++ b/internal/simulation/cloud.go
@@ -162,7 +162,8 @@
 func (c *Cloud) add(kind, zone string, spot bool) *rentedMachine {
 	number := len(c.machines) + 1
 	m := &rentedMachine{rentedAt: c.now(), ListedMachine: protocol.ListedMachine{
-		Name: fmt.Sprintf("host-%06d", number), Addr: c.Address(number), Type: kind, Zone: zone, Spot: spot}}
+		Name: fmt.Sprintf("host-%06d", number), Addr: c.Address(number), Type: kind, Zone: zone, Spot: spot,
+	}}
 	c.machines = append(c.machines, m)
 	c.byName[m.Name] = m
 	return m
--- a/internal/simulation/cluster_check_test.go
+++ b/internal/simulation/cluster_check_test.go
@@ -84,7 +84,14 @@
 }
 
 // runScenario runs a scenario in simulated time.
-func runScenario(t *testing.T, seed uint64, controllers int, w config.Workers, f func(l *cluster), options ...func(*cluster)) {
+func runScenario(
+	t *testing.T,
+	seed uint64,
+	controllers int,
+	w config.Workers,
+	f func(l *cluster),
+	options ...func(*cluster),
+) {
 	synctest.Test(t, func(t *testing.T) {
 		l := newCluster(t, seed, controllers, w, options...)
 		defer l.checkViolations()
--- a/internal/simulation/cluster_test.go
+++ b/internal/simulation/cluster_test.go
@@ -77,13 +77,29 @@
 
 // times are the workers' times of a deployment.
 var (
-	fastTimings = config.Workers{HeartbeatSeconds: 1, LeaseSeconds: 10, GangWaitSeconds: 45, GangPeerSeconds: 4, CancelSeconds: 40}
-	slowTimings = config.Workers{HeartbeatSeconds: 3, LeaseSeconds: 29, GangWaitSeconds: 60, GangPeerSeconds: 5, CancelSeconds: 59}
+	fastTimings = config.Workers{
+		HeartbeatSeconds: 1,
+		LeaseSeconds:     10,
+		GangWaitSeconds:  45,
+		GangPeerSeconds:  4,
+		CancelSeconds:    40,
+	}
+	slowTimings = config.Workers{
+		HeartbeatSeconds: 3,
+		LeaseSeconds:     29,
+		GangWaitSeconds:  60,
+		GangPeerSeconds:  5,
+		CancelSeconds:    59,
+	}
 )
 
 func newCluster(t *testing.T, seed uint64, controllers int, w config.Workers, options ...func(*cluster)) *cluster {
 	l := &cluster{
-		t: t, start: time.Now(), net: NewNetwork(seed), store: NewStore(), random: random.New(seed),
+		t:      t,
+		start:  time.Now(),
+		net:    NewNetwork(seed),
+		store:  NewStore(),
+		random: random.New(seed),
 		cfg: config.Deployment{
 			Controllers: controllers, Zones: []string{"a", "b"}, MaxClockOffsetMS: 250,
 			Teams:   []config.Team{{Name: "red", MaxGPUs: 40}, {Name: "blue", GuaranteedGPUs: 8, MaxGPUs: 24}},
@@ -92,10 +108,17 @@
 			Quota:      config.Quota{CoreShare: 0.1, RAMMB: 70, MaxSockets: 500},
 			Objectives: []config.Objective{{Kind: "wait", Class: "daemon", WithinSeconds: 5, Fraction: 0.9}},
 		},
-		types: []protocol.MachineType{{Name: "g8", CPUs: 64, GPUs: 8, MemoryGB: 256, CacheGB: 100, FetchGBPerSecond: 4, HourlyPrice: 10,
-			HourlySpotPrice: 4, BootSeconds: 8, Zones: []string{"a", "b"}}},
-		logs: &bytes.Buffer{}, workers: map[string]*workerProcess{}, blockedLinks: map[string]int{}, occurred: map[string]int{},
-		features: func(int) daemon.Features { return daemon.Features{} }, deadZones: map[string]bool{}, cloudCapacity: 12,
+		types: []protocol.MachineType{{
+			Name: "g8", CPUs: 64, GPUs: 8, MemoryGB: 256, CacheGB: 100, FetchGBPerSecond: 4, HourlyPrice: 10,
+			HourlySpotPrice: 4, BootSeconds: 8, Zones: []string{"a", "b"},
+		}},
+		logs:          &bytes.Buffer{},
+		workers:       map[string]*workerProcess{},
+		blockedLinks:  map[string]int{},
+		occurred:      map[string]int{},
+		features:      func(int) daemon.Features { return daemon.Features{} },
+		deadZones:     map[string]bool{},
+		cloudCapacity: 12,
 	}
 	for _, option := range options {
 		option(l)
@@ -114,8 +137,10 @@
 	}
 	l.logWriter = &lockedWriter{w: l.logs}
 	l.log = slog.New(slog.NewTextHandler(l.logWriter, &slog.HandlerOptions{Level: level}))
-	l.users = &UserClient{Client: transport.NewClient(l.net.Host(usersHost), 64, 256, time.Minute), Checker: l.answers, Now: l.now,
-		OnError: func(err error) { l.t.Error(err) }}
+	l.users = &UserClient{
+		Client: transport.NewClient(l.net.Host(usersHost), 64, 256, time.Minute), Checker: l.answers, Now: l.now,
+		OnError: func(err error) { l.t.Error(err) },
+	}
 	l.cloud = l.newCloud()
 	l.net.SetBlocked(func(from, to string) bool {
 		l.mu.Lock()
@@ -126,11 +151,16 @@
 	l.serve(cloudAddr, l.cloud)
 	for i := range controllers {
 		ip := fmt.Sprintf("10.0.0.%d", i+1)
-		s := config.Settings{Name: fmt.Sprintf("n-%d", i), Location: "a", ListenAddr: ip + ":8080", MeshAddr: ip + ":8081",
-			Endpoints: config.Endpoints{Cloud: cloudAddr, Store: stateAddr}, Deployment: l.cfg}
+		s := config.Settings{
+			Name: fmt.Sprintf("n-%d", i), Location: "a", ListenAddr: ip + ":8080", MeshAddr: ip + ":8081",
+			Endpoints: config.Endpoints{Cloud: cloudAddr, Store: stateAddr}, Deployment: l.cfg,
+		}
 		for k := range controllers {
 			if k != i {
-				s.Seeds = append(s.Seeds, config.Peer{Name: fmt.Sprintf("n-%d", k), Location: "a", Addr: fmt.Sprintf("10.0.0.%d:8081", k+1)})
+				s.Seeds = append(
+					s.Seeds,
+					config.Peer{Name: fmt.Sprintf("n-%d", k), Location: "a", Addr: fmt.Sprintf("10.0.0.%d:8081", k+1)},
+				)
 			}
 		}
 		l.controllers = append(l.controllers, &controller{name: s.Name, ip: ip, settings: s, features: l.features(i)})
--- a/internal/simulation/cluster_user_test.go
+++ b/internal/simulation/cluster_user_test.go
@@ -94,7 +94,12 @@
 			}
 		}
 		for l.ctx.Err() == nil {
-			if status, _ := l.requestAndVerify(l.anyController(j.ID), RequestSubmit, j.ID); status == 200 || status == 201 {
+			if status, _ := l.requestAndVerify(
+				l.anyController(j.ID),
+				RequestSubmit,
+				j.ID,
+			); status == 200 ||
+				status == 201 {
 				break
 			}
 			time.Sleep(time.Second)
@@ -123,7 +128,12 @@
 func (l *cluster) cancelUntilFinal(id string, at []*controller, within time.Duration) bool {
 	end := l.now() + within
 	for l.ctx.Err() == nil && l.now() < end {
-		if status, st := l.requestAndVerify(at[l.randomInt("cancel "+id, len(at))], RequestCancel, id); status == 200 && st.State.Final() {
+		if status, st := l.requestAndVerify(
+			at[l.randomInt("cancel "+id, len(at))],
+			RequestCancel,
+			id,
+		); status == 200 &&
+			st.State.Final() {
 			return st.State == protocol.JobCancelled
 		}
 		time.Sleep(300 * ms)
@@ -137,9 +147,22 @@
 	defer l.mu.Unlock()
 	id := fmt.Sprintf("j-%06d", len(l.jobIDs))
 	j := protocol.Job{
-		ID: id, Class: string(shape), Team: []string{"red", "blue"}[l.randomInt("team "+id, 2)], Shape: shape,
-		Priority: "normal", TaskCount: tasks, CPUs: 4, GPUs: gpus, MemoryGB: 16,
-		Image: fmt.Sprintf("img-%d", l.randomInt("image "+id, 3)), ImageGB: 4, EstimateSeconds: 20, DeadlineSeconds: 900,
+		ID:        id,
+		Class:     string(shape),
+		Team:      []string{"red", "blue"}[l.randomInt("team "+id, 2)],
+		Shape:     shape,
+		Priority:  "normal",
+		TaskCount: tasks,
+		CPUs:      4,
+		GPUs:      gpus,
+		MemoryGB:  16,
+		Image: fmt.Sprintf(
+			"img-%d",
+			l.randomInt("image "+id, 3),
+		),
+		ImageGB:         4,
+		EstimateSeconds: 20,
+		DeadlineSeconds: 900,
 	}
 	if shape == protocol.Service {
 		j.Priority, j.EstimateSeconds = "critical", 0
--- a/internal/simulation/cluster_worker_test.go
+++ b/internal/simulation/cluster_worker_test.go
@@ -26,7 +26,14 @@
 // startWorker starts a machine's worker; l.mu is held.
 func (l *cluster) startWorker(m protocol.ListedMachine) {
 	r := &workerProcess{cluster: l, machine: m, ip: HostOf(m.Addr)}
-	r.model = l.world.AddMachine(l.now(), m.Name, m.Zone, m.Spot, &l.types[0], config.Seconds(l.cfg.Workers.LeaseSeconds))
+	r.model = l.world.AddMachine(
+		l.now(),
+		m.Name,
+		m.Zone,
+		m.Spot,
+		&l.types[0],
+		config.Seconds(l.cfg.Workers.LeaseSeconds),
+	)
 	l.workers[m.Name] = r
 	r.host = l.net.Host(r.ip)
 	r.Agent = NewAgent(l.ctx, l.environment(), r.model, m.Addr, transport.NewClient(r.host, 2, 4, time.Minute))
@@ -61,7 +68,13 @@
 
 // environment is what the workers share.
 func (l *cluster) environment() *Environment {
-	s := &Environment{Lock: &l.mu, Now: l.now, Random: l.random.Named("workers"), HeartbeatInterval: config.Seconds(l.cfg.Workers.HeartbeatSeconds), OnError: func(err error) { l.t.Error(err) }}
+	s := &Environment{
+		Lock:              &l.mu,
+		Now:               l.now,
+		Random:            l.random.Named("workers"),
+		HeartbeatInterval: config.Seconds(l.cfg.Workers.HeartbeatSeconds),
+		OnError:           func(err error) { l.t.Error(err) },
+	}
 	for _, n := range l.controllers {
 		s.Controllers = append(s.Controllers, Controller{Name: n.name, Addr: n.ip + ":8080"})
 	}
@@ -82,7 +95,14 @@
 // deliverCopy sends a copy of a report to a controller; nobody hears the answer.
 func (l *cluster) deliverCopy(rep *protocol.WorkerHeartbeat, to *controller) {
 	c := transport.NewClient(l.net.Host("10.1.9.9"), 4, 4, time.Second)
-	if status, _, err := c.Do(l.ctx, protocol.HeartbeatTimeout, http.MethodPost, "http://"+to.ip+":8080/v1/report", rep); err == nil && status == http.StatusOK {
+	if status, _, err := c.Do(
+		l.ctx,
+		protocol.HeartbeatTimeout,
+		http.MethodPost,
+		"http://"+to.ip+":8080/v1/report",
+		rep,
+	); err == nil &&
+		status == http.StatusOK {
 		l.recordOccurrence("late report taken")
 	}
 	l.recordOccurrence("late report")
--- a/internal/simulation/failoveroracle_test.go
+++ b/internal/simulation/failoveroracle_test.go
@@ -12,7 +12,14 @@
 func TestRecoveryOrderOracle(t *testing.T) {
 	need := func(n float64) machineregistry.Resources { return machineregistry.Resources{GPUs: n} }
 	job := func(id string, position, level, tasks int, n float64) WaitingJob {
-		return WaitingJob{ID: id, Position: position, PriorityLevel: level, Tasks: tasks, Resources: need(n), MaxPerZone: map[string]int{"b": 2}}
+		return WaitingJob{
+			ID:            id,
+			Position:      position,
+			PriorityLevel: level,
+			Tasks:         tasks,
+			Resources:     need(n),
+			MaxPerZone:    map[string]int{"b": 2},
+		}
 	}
 	rooms := map[string]FreeMachine{"m1": {"b", need(1)}, "m2": {"b", need(0)}, "m3": {"c", need(0)}}
 	late := job("late", 1, 0, 1, 4)
@@ -29,10 +36,16 @@
 		{"in the order", []PlacedTask{{late, "m1", false}}, job("later", 2, 0, 1, 4), false},
 		{"a gang that is short all the same", []PlacedTask{{late, "m1", false}}, job("early", 0, 0, 2, 4), false},
 		{"a gang that had been whole", []PlacedTask{{late, "m1", false}, {late, "m2", false}}, job("early", 0, 0, 2, 4), true},
-		{"a machine that it must not use", []PlacedTask{{late, "m1", false}}, WaitingJob{ID: "early", Tasks: 1, Resources: need(4),
-			MaxPerZone: map[string]int{"b": 2}, ExcludedMachines: map[string]bool{"m1": true}}, false},
-		{"a gang of one zone with room in two", []PlacedTask{{late, "m1", false}, {late, "m3", false}},
-			WaitingJob{ID: "early", Tasks: 2, SameZone: true, Resources: need(4), MaxPerZone: map[string]int{"b": 2, "c": 2}}, false},
+		{"a machine that it must not use", []PlacedTask{{late, "m1", false}}, WaitingJob{
+			ID: "early", Tasks: 1, Resources: need(4),
+			MaxPerZone: map[string]int{"b": 2}, ExcludedMachines: map[string]bool{"m1": true},
+		}, false},
+		{
+			"a gang of one zone with room in two",
+			[]PlacedTask{{late, "m1", false}, {late, "m3", false}},
+			WaitingJob{ID: "early", Tasks: 2, SameZone: true, Resources: need(4), MaxPerZone: map[string]int{"b": 2, "c": 2}},
+			false,
+		},
 		{"a zone that it must not use", []PlacedTask{{late, "m1", false}}, WaitingJob{ID: "early", Tasks: 1, Resources: need(4)}, false},
 	} {
 		var o RecoveryOrderOracle
--- a/internal/simulation/faults_test.go
+++ b/internal/simulation/faults_test.go
@@ -44,7 +44,15 @@
 func isolateLeader(l *cluster) func() {
 	n := l.leader()
 	l.recordOccurrence("apart")
-	heal, a, b := l.isolateFrom(n, l.others(n)...), l.blockLink(n.ip, HostOf(stateAddr)), l.blockLink(HostOf(stateAddr), n.ip)
+	heal, a, b := l.isolateFrom(
+		n,
+		l.others(n)...), l.blockLink(
+		n.ip,
+		HostOf(stateAddr),
+	), l.blockLink(
+		HostOf(stateAddr),
+		n.ip,
+	)
 	return func() { heal(); a(); b() }
 }
 
@@ -228,7 +236,10 @@
 				return
 			}
 			to := l.controllers[l.randomInt("copy to "+name, len(l.controllers))]
-			time.AfterFunc(l.randomDuration("late "+name, time.Duration(2.5*l.cfg.Workers.LeaseSeconds*float64(time.Second))), func() { l.deliverCopy(r, to) })
+			time.AfterFunc(
+				l.randomDuration("late "+name, time.Duration(2.5*l.cfg.Workers.LeaseSeconds*float64(time.Second))),
+				func() { l.deliverCopy(r, to) },
+			)
 		})
 	}
 }
--- a/internal/simulation/figures_test.go
+++ b/internal/simulation/figures_test.go
@@ -46,12 +46,33 @@
 			t.Run(fmt.Sprintf("%s, on %v", loss.name, on), func(t *testing.T) {
 				sum := lossCost{down: map[protocol.Shape]float64{}, recoveredAt: map[protocol.Shape]time.Duration{}}
 				for seed := uint64(1); seed <= seeds; seed++ {
-					runScenario(t, 700+seed, 3, fastTimings, func(l *cluster) { l.measureLoss(loss.do, &sum) }, withZoneFailover(func(int) bool { return on }))
+					runScenario(
+						t,
+						700+seed,
+						3,
+						fastTimings,
+						func(l *cluster) { l.measureLoss(loss.do, &sum) },
+						withZoneFailover(func(int) bool { return on }),
+					)
 				}
 				for _, shape := range []protocol.Shape{protocol.Service, protocol.Gang, protocol.Array} {
-					t.Logf("FIGURE %-10s on=%-5v %-7s down %6.0f s, whole after %5.0f s", loss.name, on, shape, sum.down[shape]/seeds, sum.recoveredAt[shape].Seconds()/seeds)
+					t.Logf(
+						"FIGURE %-10s on=%-5v %-7s down %6.0f s, whole after %5.0f s",
+						loss.name,
+						on,
+						shape,
+						sum.down[shape]/seeds,
+						sum.recoveredAt[shape].Seconds()/seeds,
+					)
 				}
-				t.Logf("FIGURE %-10s on=%-5v %.1f loans, %.0f s lost by lenders, %.0f starts", loss.name, on, float64(sum.lent)/seeds, sum.lostS/seeds, float64(sum.starts)/seeds)
+				t.Logf(
+					"FIGURE %-10s on=%-5v %.1f loans, %.0f s lost by lenders, %.0f starts",
+					loss.name,
+					on,
+					float64(sum.lent)/seeds,
+					sum.lostS/seeds,
+					float64(sum.starts)/seeds,
+				)
 			})
 		}
 	}
--- a/internal/simulation/network.go
+++ b/internal/simulation/network.go
@@ -33,9 +33,11 @@
 
 // NewNetwork returns a network without hosts.
 func NewNetwork(seed uint64) *Network {
-	return &Network{random: random.New(seed).Named("network"), listeners: map[string]*listener{},
+	return &Network{
+		random: random.New(seed).Named("network"), listeners: map[string]*listener{},
 		blocked: func(string, string) bool { return false }, changed: make(chan struct{}), done: make(chan struct{}),
-		extraDelay: map[string]time.Duration{}, packets: map[link]int{}}
+		extraDelay: map[string]time.Duration{}, packets: map[link]int{},
+	}
 }
 
 // SetExtraDelay makes a host short of processor time: what it sends and receives takes so much
--- a/internal/simulation/occupancy.go
+++ b/internal/simulation/occupancy.go
@@ -27,8 +27,10 @@
 }
 
 func newOccupancy() occupancy {
-	return occupancy{tasks: map[protocol.TaskID]int{}, zones: map[string]map[string]int{}, teams: map[string]*teamUsage{},
-		gangs: map[gangAttempt]map[int]*Task{}}
+	return occupancy{
+		tasks: map[protocol.TaskID]int{}, zones: map[string]map[string]int{}, teams: map[string]*teamUsage{},
+		gangs: map[gangAttempt]map[int]*Task{},
+	}
 }
 
 // usage returns the CPUs and GPUs that a team's tasks take.
--- a/internal/simulation/owners_test.go
+++ b/internal/simulation/owners_test.go
@@ -65,37 +65,237 @@
 	told        []string
 }{
 	{"quiet", 3, fastTimings, []step{{0, submissionStorm(30 * s)}}, nil, nil},
-	{"an owner ends", 3, fastTimings, []step{{0, crashFollower(25 * s)}, {1 * s, cancelJobs(2, 0)}}, []string{"crash", "cancelled"}, []string{logVerdict}},
-	{"an owner ends and is back within a moment", 3, fastTimings, []step{{0, crashFollower(300 * ms)}, {5 * s, crashFollower(300 * ms)}}, []string{"crash"}, nil},
-	{"the leader ends", 3, fastTimings, []step{{0, crashLeader(25 * s)}, {2 * s, cancelJobs(2, 0)}}, []string{"crash", "cancelled"}, []string{logVerdict}},
-	{"two of five at once", 5, fastTimings, []step{{0, atOnce(crashLeader(25*s), crashFollower(25*s))}, {3 * s, cancelJobs(3, 0)}}, []string{"crash", "cancelled"}, []string{logVerdict}},
-	{"an owner stands still for longer than the suspicion window", 3, fastTimings, []step{{0, during(20*s, standstill(firstFollower))}, {200 * ms, cancelJobs(3, 0)}, {4 * s, cancelJobs(3, 0)}, {19900 * ms, cancelJobs(2, 0)}},
-		[]string{"standstill", "cancelled"}, []string{logVerdict, logEpochEnded}},
-	{"the same, slowly", 5, slowTimings, []step{{0, during(60*s, standstill(firstFollower))}, {200 * ms, cancelJobs(3, 0)}, {30 * s, cancelJobs(3, 0)}}, []string{"standstill", "cancelled"}, []string{logVerdict, logEpochEnded}},
-	{"the leader stands still", 3, fastTimings, []step{{0, during(25*s, standstill(currentLeader))}, {1 * s, cancelJobs(3, 0)}, {10 * s, cancelJobs(3, 0)}}, []string{"standstill", "cancelled"}, []string{logVerdict}},
-	{"an owner stands still again and again", 3, fastTimings, []step{{0, during(12*s, standstill(firstFollower))}, {25 * s, during(12*s, standstill(firstFollower))}, {50 * s, during(12*s, standstill(firstFollower))}, {52 * s, cancelJobs(3, 0)}},
-		[]string{"standstill", "cancelled"}, []string{logVerdict}},
-	{"one link is cut", 3, fastTimings, []step{{0, during(40*s, blockLeaderLink)}, {5 * s, cancelJobs(3, 0)}}, []string{"link", "cancelled"}, nil},
-	{"slow owners", 3, fastTimings, []step{{0, during(40*s, slowController(200*ms, firstFollower))}, {5 * s, cancelJobs(3, 0)}}, []string{"slow", "cancelled"}, nil},
-	{"all end during a verdict", 3, fastTimings, []step{{0, crashFollower(25 * s)}, {4500 * ms, crashAllControllers(2 * s)}, {6 * s, cancelJobs(2, 0)}}, []string{"crash", "cancelled"}, nil},
-	{"the verdict's transaction is carried out and its answer lost", 3, fastTimings, []step{{0, during(30*s, ownershipWrites(Outcome{}))}, {0, crashFollower(25 * s)}, {5 * s, cancelJobs(2, 0)}}, []string{"crash", "ownership write"}, []string{logVerdict}},
-	{"the verdict's transaction comes late, from a deposed leader", 3, fastTimings, []step{{0, during(12*s, ownershipWrites(Outcome{Delay: 9 * s}))}, {0, crashFollower(25 * s)}, {6 * s, crashLeader(5 * s)}, {7 * s, cancelJobs(2, 0)}},
-		[]string{"crash", "ownership write"}, nil},
-	{"the new owner ends within its handover", 5, fastTimings, []step{{0, crashFollower(40 * s)}, {5 * s, crashFollower(20 * s)}, {8 * s, cancelJobs(3, 0)}}, []string{"crash", "cancelled"}, []string{logVerdict}},
-	{"the leader is refused, then the service is out", 3, fastTimings, []step{{0, during(60*s, refuseLeader)}, {500 * ms, cancelJobs(4, 0)}, {1500 * ms, during(50*s, storeOutage)}, {4 * s, cancelJobs(2, 0)}}, []string{"refused", "outage"}, nil},
-	{"an owner stands still in an outage", 5, fastTimings, []step{{0, during(50*s, storeOutage)}, {2 * s, during(20*s, standstill(firstFollower))}, {3 * s, cancelJobs(3, 0)}}, []string{"outage", "standstill"}, nil},
-	{"workers reach only an owner that is cut from the others", 3, fastTimings, []step{{0, during(30*s, isolateZone)}, {3 * s, cancelJobs(4, 0)}}, []string{"zone", "cancelled"}, nil},
-	{"machines are deaf and mute", 3, fastTimings, []step{{0, during(20*s, holdReplies(3))}, {0, during(20*s, loseHeartbeats(3))}, {2 * s, cancelJobs(4, 0)}, {8 * s, crashFollower(5 * s)}}, []string{"deaf", "cancelled"}, nil},
-	{"cancelled and hung as an owner ends", 3, fastTimings, []step{{0, cancelJobs(4, 60*s)}, {100 * ms, crashFollower(20 * s)}, {1 * s, cancelJobs(3, 0)}}, []string{"hang", "cancelled", "crash"}, nil},
-	{"old reports and late transactions", 3, fastTimings, []step{{0, during(60*s, duplicateHeartbeats(0.3))}, {0, during(40*s, delayedWrites(0.2))}, {0, pipelines(8)}, {5 * s, crashFollower(5 * s)}, {12 * s, crashLeader(5 * s)}, {20 * s, cancelJobs(3, 0)}},
-		[]string{"late report", "crash"}, nil},
-	{"pipelines, and owners that end in turn", 5, fastTimings, []step{{0, pipelines(12)}, {3 * s, crashFollower(5 * s)}, {12 * s, crashLeader(5 * s)}, {20 * s, during(15*s, standstill(secondFollower))}, {24 * s, cancelJobs(3, 0)}}, []string{"pipeline", "crash"}, nil},
-	{"ten leaders", 3, fastTimings, []step{{0, staggeredCompletions(6)}, {0, crashLeader(5 * s)}, {8 * s, crashLeader(5 * s)}, {16 * s, crashLeader(300 * ms)}, {20 * s, cancelJobs(3, 20*s)}, {24 * s, crashLeader(5 * s)}, {32 * s, crashLeader(300 * ms)}, {40 * s, crashLeader(5 * s)}},
-		[]string{"crash"}, nil},
+	{
+		"an owner ends",
+		3,
+		fastTimings,
+		[]step{{0, crashFollower(25 * s)}, {1 * s, cancelJobs(2, 0)}},
+		[]string{"crash", "cancelled"},
+		[]string{logVerdict},
+	},
+	{
+		"an owner ends and is back within a moment",
+		3,
+		fastTimings,
+		[]step{{0, crashFollower(300 * ms)}, {5 * s, crashFollower(300 * ms)}},
+		[]string{"crash"},
+		nil,
+	},
+	{
+		"the leader ends",
+		3,
+		fastTimings,
+		[]step{{0, crashLeader(25 * s)}, {2 * s, cancelJobs(2, 0)}},
+		[]string{"crash", "cancelled"},
+		[]string{logVerdict},
+	},
+	{
+		"two of five at once",
+		5,
+		fastTimings,
+		[]step{{0, atOnce(crashLeader(25*s), crashFollower(25*s))}, {3 * s, cancelJobs(3, 0)}},
+		[]string{"crash", "cancelled"},
+		[]string{logVerdict},
+	},
+	{
+		"an owner stands still for longer than the suspicion window",
+		3,
+		fastTimings,
+		[]step{
+			{0, during(20*s, standstill(firstFollower))},
+			{200 * ms, cancelJobs(3, 0)},
+			{4 * s, cancelJobs(3, 0)},
+			{19900 * ms, cancelJobs(2, 0)},
+		},
+		[]string{"standstill", "cancelled"},
+		[]string{logVerdict, logEpochEnded},
+	},
+	{
+		"the same, slowly",
+		5,
+		slowTimings,
+		[]step{{0, during(60*s, standstill(firstFollower))}, {200 * ms, cancelJobs(3, 0)}, {30 * s, cancelJobs(3, 0)}},
+		[]string{"standstill", "cancelled"},
+		[]string{logVerdict, logEpochEnded},
+	},
+	{
+		"the leader stands still",
+		3,
+		fastTimings,
+		[]step{{0, during(25*s, standstill(currentLeader))}, {1 * s, cancelJobs(3, 0)}, {10 * s, cancelJobs(3, 0)}},
+		[]string{"standstill", "cancelled"},
+		[]string{logVerdict},
+	},
+	{
+		"an owner stands still again and again",
+		3,
+		fastTimings,
+		[]step{
+			{0, during(12*s, standstill(firstFollower))},
+			{25 * s, during(12*s, standstill(firstFollower))},
+			{50 * s, during(12*s, standstill(firstFollower))},
+			{52 * s, cancelJobs(3, 0)},
+		},
+		[]string{"standstill", "cancelled"},
+		[]string{logVerdict},
+	},
+	{
+		"one link is cut",
+		3,
+		fastTimings,
+		[]step{{0, during(40*s, blockLeaderLink)}, {5 * s, cancelJobs(3, 0)}},
+		[]string{"link", "cancelled"},
+		nil,
+	},
+	{
+		"slow owners",
+		3,
+		fastTimings,
+		[]step{{0, during(40*s, slowController(200*ms, firstFollower))}, {5 * s, cancelJobs(3, 0)}},
+		[]string{"slow", "cancelled"},
+		nil,
+	},
+	{
+		"all end during a verdict",
+		3,
+		fastTimings,
+		[]step{{0, crashFollower(25 * s)}, {4500 * ms, crashAllControllers(2 * s)}, {6 * s, cancelJobs(2, 0)}},
+		[]string{"crash", "cancelled"},
+		nil,
+	},
+	{
+		"the verdict's transaction is carried out and its answer lost",
+		3,
+		fastTimings,
+		[]step{{0, during(30*s, ownershipWrites(Outcome{}))}, {0, crashFollower(25 * s)}, {5 * s, cancelJobs(2, 0)}},
+		[]string{"crash", "ownership write"},
+		[]string{logVerdict},
+	},
+	{
+		"the verdict's transaction comes late, from a deposed leader",
+		3,
+		fastTimings,
+		[]step{
+			{0, during(12*s, ownershipWrites(Outcome{Delay: 9 * s}))},
+			{0, crashFollower(25 * s)},
+			{6 * s, crashLeader(5 * s)},
+			{7 * s, cancelJobs(2, 0)},
+		},
+		[]string{"crash", "ownership write"},
+		nil,
+	},
+	{
+		"the new owner ends within its handover",
+		5,
+		fastTimings,
+		[]step{{0, crashFollower(40 * s)}, {5 * s, crashFollower(20 * s)}, {8 * s, cancelJobs(3, 0)}},
+		[]string{"crash", "cancelled"},
+		[]string{logVerdict},
+	},
+	{
+		"the leader is refused, then the service is out",
+		3,
+		fastTimings,
+		[]step{
+			{0, during(60*s, refuseLeader)},
+			{500 * ms, cancelJobs(4, 0)},
+			{1500 * ms, during(50*s, storeOutage)},
+			{4 * s, cancelJobs(2, 0)},
+		},
+		[]string{"refused", "outage"},
+		nil,
+	},
+	{
+		"an owner stands still in an outage",
+		5,
+		fastTimings,
+		[]step{
+			{0, during(50*s, storeOutage)},
+			{2 * s, during(20*s, standstill(firstFollower))},
+			{3 * s, cancelJobs(3, 0)},
+		},
+		[]string{"outage", "standstill"},
+		nil,
+	},
+	{
+		"workers reach only an owner that is cut from the others",
+		3,
+		fastTimings,
+		[]step{{0, during(30*s, isolateZone)}, {3 * s, cancelJobs(4, 0)}},
+		[]string{"zone", "cancelled"},
+		nil,
+	},
+	{
+		"machines are deaf and mute",
+		3,
+		fastTimings,
+		[]step{
+			{0, during(20*s, holdReplies(3))},
+			{0, during(20*s, loseHeartbeats(3))},
+			{2 * s, cancelJobs(4, 0)},
+			{8 * s, crashFollower(5 * s)},
+		},
+		[]string{"deaf", "cancelled"},
+		nil,
+	},
+	{
+		"cancelled and hung as an owner ends",
+		3,
+		fastTimings,
+		[]step{{0, cancelJobs(4, 60*s)}, {100 * ms, crashFollower(20 * s)}, {1 * s, cancelJobs(3, 0)}},
+		[]string{"hang", "cancelled", "crash"},
+		nil,
+	},
+	{
+		"old reports and late transactions",
+		3,
+		fastTimings,
+		[]step{
+			{0, during(60*s, duplicateHeartbeats(0.3))},
+			{0, during(40*s, delayedWrites(0.2))},
+			{0, pipelines(8)},
+			{5 * s, crashFollower(5 * s)},
+			{12 * s, crashLeader(5 * s)},
+			{20 * s, cancelJobs(3, 0)},
+		},
+		[]string{"late report", "crash"},
+		nil,
+	},
+	{
+		"pipelines, and owners that end in turn",
+		5,
+		fastTimings,
+		[]step{
+			{0, pipelines(12)},
+			{3 * s, crashFollower(5 * s)},
+			{12 * s, crashLeader(5 * s)},
+			{20 * s, during(15*s, standstill(secondFollower))},
+			{24 * s, cancelJobs(3, 0)},
+		},
+		[]string{"pipeline", "crash"},
+		nil,
+	},
+	{
+		"ten leaders",
+		3,
+		fastTimings,
+		[]step{
+			{0, staggeredCompletions(6)},
+			{0, crashLeader(5 * s)},
+			{8 * s, crashLeader(5 * s)},
+			{16 * s, crashLeader(300 * ms)},
+			{20 * s, cancelJobs(3, 20*s)},
+			{24 * s, crashLeader(5 * s)},
+			{32 * s, crashLeader(300 * ms)},
+			{40 * s, crashLeader(5 * s)},
+		},
+		[]string{"crash"},
+		nil,
+	},
 }
 
-// TestOwners plays failures of owners under all oracles: every rule holds, no confirmed cancellation misses its time, no
-// final answer changes, and all work is served in the end. Verdicts come into force by the record.
+// TestOwners plays failures of owners under all oracles: every rule holds, no confirmed cancellation misses its time,
+// no final answer changes, and all work is served in the end. Verdicts come into force by the record.
 func TestOwners(t *testing.T) {
 	for i, x := range ownerScenarios {
 		t.Run(x.name, func(t *testing.T) {
@@ -126,20 +326,29 @@
 	}{
 		{"on at one", []step{{0, crashLeader(5 * s)}, {20 * s, cancelJobs(3, 0)}, {25 * s, crashLeader(5 * s)}}, []func(*cluster){withOwnership(one)}},
 		{"on at two", []step{{0, crashLeader(5 * s)}, {20 * s, cancelJobs(3, 0)}, {25 * s, crashFollower(20 * s)}, {50 * s, crashLeader(5 * s)}}, []func(*cluster){withOwnership(two)}},
-		{"with an upgrade from production in the midst", []step{{0, lowerLimitsOnceUpgraded}, {0, upgrade([]int{2, 0, 1}, 8*s, 5*s)}, {4 * s, cancelJobs(3, 0)}, {24 * s, pipelines(6)}, {40 * s, crashFollower(20 * s)}},
+		{
+			"with an upgrade from production in the midst",
+			[]step{{0, lowerLimitsOnceUpgraded}, {0, upgrade([]int{2, 0, 1}, 8*s, 5*s)}, {4 * s, cancelJobs(3, 0)}, {24 * s, pipelines(6)}, {40 * s, crashFollower(20 * s)}},
 			[]func(*cluster){announceLowerLimits, func(l *cluster) {
 				l.features = func(int) daemon.Features { return daemon.Features{PinProductionLevel: true, Ownership: true} }
-			}}},
+			}},
+		},
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			t.Parallel()
-			runScenario(t, uint64(940+i), 3, fastTimings, func(l *cluster) { l.runToCompletion(x.steps, nil) }, x.options...)
+			runScenario(
+				t,
+				uint64(940+i),
+				3,
+				fastTimings,
+				func(l *cluster) { l.runToCompletion(x.steps, nil) },
+				x.options...)
 		})
 	}
 }
 
-// TestOwnersTakeTheLoad: with owners, the leader is reported to by its own machines alone, and the others' reports reach it
-// only when they tell something; without, all are. No rule rests on that: it is what ownership is for.
+// TestOwnersTakeTheLoad: with owners, the leader is reported to by its own machines alone, and the others' reports
+// reach it only when they tell something; without, all are. No rule rests on that: it is what ownership is for.
 func TestOwnersTakeTheLoad(t *testing.T) {
 	const machines = 12
 	connections := func(options ...func(*cluster)) (leader, most int) {
@@ -166,14 +375,25 @@
 	}
 	without, _ := connections()
 	with, most := connections(withOwnership(everywhere))
-	t.Logf("reports to the leader in a minute, of %d machines at the most: %d without owners, %d with; most to one controller %d", machines, without, with, most)
+	t.Logf(
+		"reports to the leader in a minute, of %d machines at the most: %d without owners, %d with; most to one controller %d",
+		machines,
+		without,
+		with,
+		most,
+	)
 	if with > without*2/3 || most > without*2/3 {
-		t.Errorf("reports to the leader in a minute: %d without owners, %d with; most to one controller %d", without, with, most)
+		t.Errorf(
+			"reports to the leader in a minute: %d without owners, %d with; most to one controller %d",
+			without,
+			with,
+			most,
+		)
 	}
 }
 
-// TestOwnersThatLeave: all controllers but the leader are asked to end, one after the other, and come back. Their workers
-// have moved when they end: nobody reports to them any more, no lease ends, and nothing is started anew.
+// TestOwnersThatLeave: all controllers but the leader are asked to end, one after the other, and come back. Their
+// workers have moved when they end: nobody reports to them any more, no lease ends, and nothing is started anew.
 func TestOwnersThatLeave(t *testing.T) {
 	runScenario(t, 970, 5, fastTimings, func(l *cluster) {
 		time.Sleep(60 * s)
@@ -237,7 +457,8 @@
 			t.Errorf("the verdict is in force on %d of 4 controllers that are left", verdicts)
 		}
 		for epoch, what := range owners {
-			if strings.Contains(what, "verdict: controller "+n.name) && strings.Contains(strings.SplitN(what, "reason", 2)[0], n.name) {
+			if strings.Contains(what, "verdict: controller "+n.name) &&
+				strings.Contains(strings.SplitN(what, "reason", 2)[0], n.name) {
 				t.Errorf("epoch %s: %s still owns machines: %s", epoch, n.name, what)
 			}
 		}
@@ -271,7 +492,13 @@
 			term = r.Term
 		}
 		if rec.Term != term || rec.Epoch != epoch+1 {
-			l.t.Errorf("epoch %d of term %d came into force in term %d after epoch %d", rec.Epoch, rec.Term, term, epoch)
+			l.t.Errorf(
+				"epoch %d of term %d came into force in term %d after epoch %d",
+				rec.Epoch,
+				rec.Term,
+				term,
+				epoch,
+			)
 		}
 		epoch = rec.Epoch
 	}
--- a/internal/simulation/pipeline_test.go
+++ b/internal/simulation/pipeline_test.go
@@ -26,8 +26,11 @@
 		awaits []int
 	}
 	stages := []stage{
-		{protocol.Array, 2, "best_effort", nil}, {protocol.Array, 3, "best_effort", []int{0}}, {protocol.Array, 2, "best_effort", []int{0}},
-		{protocol.Gang, 2, "normal", []int{1}}, {protocol.Array, 1, "urgent", []int{2, 3}},
+		{protocol.Array, 2, "best_effort", nil},
+		{protocol.Array, 3, "best_effort", []int{0}},
+		{protocol.Array, 2, "best_effort", []int{0}},
+		{protocol.Gang, 2, "normal", []int{1}},
+		{protocol.Array, 1, "urgent", []int{2, 3}},
 	}
 	var accepted []chan struct{}
 	for i, st := range stages {
@@ -65,7 +68,10 @@
 				}
 				for k, id := range l.pipeline(earlier) {
 					if l.chance("call off "+id, 0.06) {
-						time.AfterFunc(l.randomDuration("call off after "+id, time.Duration(5+5*k)*s), func() { l.cancelUntilFinal(id, l.controllers, 3*time.Minute) })
+						time.AfterFunc(
+							l.randomDuration("call off after "+id, time.Duration(5+5*k)*s),
+							func() { l.cancelUntilFinal(id, l.controllers, 3*time.Minute) },
+						)
 					}
 				}
 				l.recordOccurrence("pipeline")
@@ -143,20 +149,126 @@
 	options     []func(*cluster)
 }{
 	{"quiet", 3, fastTimings, []step{{0, pipelines(8)}}, []string{"pipeline", "cancelled"}, nil},
-	{"close looks", 3, fastTimings, []step{{0, during(60*s, queryAfterAnswers)}, {0, pipelines(10)}}, []string{"looks", "cancelled"}, nil},
-	{"leaders end", 3, fastTimings, []step{{0, pipelines(12)}, {6 * s, crashLeader(5 * s)}, {14 * s, crashLeader(300 * ms)}, {22 * s, crashLeader(5 * s)}}, []string{"crash", "cancelled"}, nil},
-	{"all controllers end", 5, fastTimings, []step{{0, pipelines(10)}, {7 * s, crashAllControllers(14 * s)}, {40 * s, crashAllControllers(300 * ms)}}, []string{"crash", "cancelled"}, nil},
-	{"an outage longer than a cancellation takes, after the leader alone is refused", 3, fastTimings,
-		[]step{{0, pipelines(12)}, {8 * s, during(50*s, refuseLeader)}, {8 * s, cancelJobs(3, 0)}, {9 * s, during(48*s, storeOutage)}, {60 * s, pipelines(4)}}, []string{"refused", "outage", "cancelled"}, nil},
-	{"the leader is cut from the service and the others", 3, fastTimings, []step{{0, pipelines(12)}, {5 * s, during(45*s, isolateLeader)}, {8 * s, cancelJobs(4, 0)}}, []string{"apart", "cancelled"}, nil},
-	{"transactions come late", 3, fastTimings, []step{{0, during(60*s, delayedWrites(0.25))}, {0, pipelines(12)}, {15 * s, crashLeader(5 * s)}}, []string{"write", "cancelled"}, nil},
-	{"only answers are lost", 3, fastTimings, []step{{0, during(60*s, lostReplies(0.3))}, {0, pipelines(12)}, {18 * s, crashLeader(300 * ms)}}, []string{"write", "cancelled"}, nil},
-	{"old reports, and machines are lost", 3, fastTimings, []step{{0, during(60*s, duplicateHeartbeats(0.3))}, {0, during(60*s, replayToNextLeader(0.3, 0))}, {0, pipelines(12)}, {6 * s, loseMachines(2)}, {9 * s, crashLeader(5 * s)}, {15 * s, loseMachines(2)}},
-		[]string{"late report", "lost", "crash"}, nil},
-	{"machines hang and are deaf", 3, slowTimings, []step{{0, pipelines(12)}, {5 * s, during(20*s, holdReplies(3))}, {8 * s, hangWorkers(3, 30*s)}, {9 * s, cancelJobs(4, 0)}, {12 * s, crashLeader(5 * s)}}, []string{"deaf", "hang", "cancelled"}, nil},
-	{"ends and cancellations at one moment", 3, fastTimings, []step{{0, pipelines(10)}, {0, cancelAtCompletion(10)}, {10 * s, cancelAtCompletion(6)}}, []string{"at end", "cancelled"}, nil},
-	{"more work than room", 3, fastTimings, []step{{0, overload(16)}, {5 * s, pipelines(12)}, {20 * s, cancelJobs(4, 0)}}, []string{"pipeline", "cancelled"}, nil},
-	{"a zone is cut off", 3, fastTimings, []step{{0, pipelines(12)}, {6 * s, during(30*s, isolateZone)}, {20 * s, cancelJobs(2, 0)}}, []string{"zone"}, nil},
+	{
+		"close looks",
+		3,
+		fastTimings,
+		[]step{{0, during(60*s, queryAfterAnswers)}, {0, pipelines(10)}},
+		[]string{"looks", "cancelled"},
+		nil,
+	},
+	{
+		"leaders end",
+		3,
+		fastTimings,
+		[]step{
+			{0, pipelines(12)},
+			{6 * s, crashLeader(5 * s)},
+			{14 * s, crashLeader(300 * ms)},
+			{22 * s, crashLeader(5 * s)},
+		},
+		[]string{"crash", "cancelled"},
+		nil,
+	},
+	{
+		"all controllers end",
+		5,
+		fastTimings,
+		[]step{{0, pipelines(10)}, {7 * s, crashAllControllers(14 * s)}, {40 * s, crashAllControllers(300 * ms)}},
+		[]string{"crash", "cancelled"},
+		nil,
+	},
+	{
+		"an outage longer than a cancellation takes, after the leader alone is refused",
+		3,
+		fastTimings,
+		[]step{
+			{0, pipelines(12)},
+			{8 * s, during(50*s, refuseLeader)},
+			{8 * s, cancelJobs(3, 0)},
+			{9 * s, during(48*s, storeOutage)},
+			{60 * s, pipelines(4)},
+		},
+		[]string{"refused", "outage", "cancelled"},
+		nil,
+	},
+	{
+		"the leader is cut from the service and the others",
+		3,
+		fastTimings,
+		[]step{{0, pipelines(12)}, {5 * s, during(45*s, isolateLeader)}, {8 * s, cancelJobs(4, 0)}},
+		[]string{"apart", "cancelled"},
+		nil,
+	},
+	{
+		"transactions come late",
+		3,
+		fastTimings,
+		[]step{{0, during(60*s, delayedWrites(0.25))}, {0, pipelines(12)}, {15 * s, crashLeader(5 * s)}},
+		[]string{"write", "cancelled"},
+		nil,
+	},
+	{
+		"only answers are lost",
+		3,
+		fastTimings,
+		[]step{{0, during(60*s, lostReplies(0.3))}, {0, pipelines(12)}, {18 * s, crashLeader(300 * ms)}},
+		[]string{"write", "cancelled"},
+		nil,
+	},
+	{
+		"old reports, and machines are lost",
+		3,
+		fastTimings,
+		[]step{
+			{0, during(60*s, duplicateHeartbeats(0.3))},
+			{0, during(60*s, replayToNextLeader(0.3, 0))},
+			{0, pipelines(12)},
+			{6 * s, loseMachines(2)},
+			{9 * s, crashLeader(5 * s)},
+			{15 * s, loseMachines(2)},
+		},
+		[]string{"late report", "lost", "crash"},
+		nil,
+	},
+	{
+		"machines hang and are deaf",
+		3,
+		slowTimings,
+		[]step{
+			{0, pipelines(12)},
+			{5 * s, during(20*s, holdReplies(3))},
+			{8 * s, hangWorkers(3, 30*s)},
+			{9 * s, cancelJobs(4, 0)},
+			{12 * s, crashLeader(5 * s)},
+		},
+		[]string{"deaf", "hang", "cancelled"},
+		nil,
+	},
+	{
+		"ends and cancellations at one moment",
+		3,
+		fastTimings,
+		[]step{{0, pipelines(10)}, {0, cancelAtCompletion(10)}, {10 * s, cancelAtCompletion(6)}},
+		[]string{"at end", "cancelled"},
+		nil,
+	},
+	{
+		"more work than room",
+		3,
+		fastTimings,
+		[]step{{0, overload(16)}, {5 * s, pipelines(12)}, {20 * s, cancelJobs(4, 0)}},
+		[]string{"pipeline", "cancelled"},
+		nil,
+	},
+	{
+		"a zone is cut off",
+		3,
+		fastTimings,
+		[]step{{0, pipelines(12)}, {6 * s, during(30*s, isolateZone)}, {20 * s, cancelJobs(2, 0)}},
+		[]string{"zone"},
+		nil,
+	},
 }
 
 // TestPipelineScenarios plays pipelines among troubles: no task starts before all that its job awaits is done,
@@ -181,7 +293,10 @@
 		lower := l.cfg.Store
 		lower.ValueKB, lower.TxnOps = 0.4, 2
 		l.store.SetLimits(lower)
-		l.runToCompletion([]step{{0, pipelines(8)}, {0, overload(8)}, {10 * s, crashLeader(5 * s)}, {15 * s, cancelJobs(3, 0)}}, []string{"pipeline", "cancelled"})
+		l.runToCompletion(
+			[]step{{0, pipelines(8)}, {0, overload(8)}, {10 * s, crashLeader(5 * s)}, {15 * s, cancelJobs(3, 0)}},
+			[]string{"pipeline", "cancelled"},
+		)
 		l.checkRecords()
 		if l.store.Usage().TooLarge == 0 {
 			t.Error("nothing was refused for its size: the scenario shows nothing")
@@ -270,9 +385,30 @@
 			rng := rand.New(rand.NewPCG(seed, 11))
 			controllers := []int{3, 3, 5}[rng.IntN(3)]
 			steps, names := randomScenario(rng)
-			steps = append([]step{{0, lowerLimitsOnceUpgraded}, {0, pipelines(15)}, {0, upgrade(rng.Perm(controllers), time.Duration(1+rng.IntN(10))*s, []time.Duration{200 * ms, 5 * s}[rng.IntN(2)])}}, steps...)
+			steps = append(
+				[]step{
+					{0, lowerLimitsOnceUpgraded},
+					{0, pipelines(15)},
+					{
+						0,
+						upgrade(
+							rng.Perm(controllers),
+							time.Duration(1+rng.IntN(10))*s,
+							[]time.Duration{200 * ms, 5 * s}[rng.IntN(2)],
+						),
+					},
+				},
+				steps...)
 			t.Log(names)
-			runScenario(t, seed, controllers, []config.Workers{fastTimings, fastTimings, slowTimings}[rng.IntN(3)], func(l *cluster) { l.runToCompletion(steps, nil) }, productionLevel, announceLowerLimits)
+			runScenario(
+				t,
+				seed,
+				controllers,
+				[]config.Workers{fastTimings, fastTimings, slowTimings}[rng.IntN(3)],
+				func(l *cluster) { l.runToCompletion(steps, nil) },
+				productionLevel,
+				announceLowerLimits,
+			)
 		})
 	}
 }
--- a/internal/simulation/random_scenarios_test.go
+++ b/internal/simulation/random_scenarios_test.go
@@ -50,14 +50,28 @@
 		name string
 		do   func(l *cluster)
 	}{
-		{"refuse the leader", during(lasts(2, 40), refuseLeader)}, {"outage", during(lasts(2, 60), storeOutage)},
-		{"leader apart", during(lasts(2, 40), isolateLeader)}, {"crash the leader", crashLeader(back)}, {"crash all", crashAllControllers(back)},
-		{"zone cut", during(lasts(3, 40), isolateZone)}, {"mute", during(lasts(3, 40), loseHeartbeats(3))}, {"deaf", during(lasts(3, 40), holdReplies(3))},
-		{"hang", hangWorkers(3, lasts(3, 60))}, {"late writes", during(lasts(5, 50), delayedWrites(0.25))},
-		{"lost answers", during(lasts(5, 50), lostReplies(0.3))}, {"slow writes", during(lasts(5, 50), slowWrites(0.5, s))},
-		{"late reports", during(lasts(10, 60), duplicateHeartbeats(0.2))}, {"for the next", during(lasts(20, 60), replayToNextLeader(0.3, 0))},
-		{"close looks", during(lasts(20, 60), queryAfterAnswers)}, {"cancels", cancelJobs(4, 0)}, {"cancels and hang", cancelJobs(4, lasts(10, 60))},
-		{"storm", submissionStorm(lasts(10, 40))}, {"ends far apart", staggeredCompletions(5)}, {"at end", cancelAtCompletion(5)}, {"crowd", overload(10)}, {"lose", loseMachines(2)},
+		{"refuse the leader", during(lasts(2, 40), refuseLeader)},
+		{"outage", during(lasts(2, 60), storeOutage)},
+		{"leader apart", during(lasts(2, 40), isolateLeader)},
+		{"crash the leader", crashLeader(back)},
+		{"crash all", crashAllControllers(back)},
+		{"zone cut", during(lasts(3, 40), isolateZone)},
+		{"mute", during(lasts(3, 40), loseHeartbeats(3))},
+		{"deaf", during(lasts(3, 40), holdReplies(3))},
+		{"hang", hangWorkers(3, lasts(3, 60))},
+		{"late writes", during(lasts(5, 50), delayedWrites(0.25))},
+		{"lost answers", during(lasts(5, 50), lostReplies(0.3))},
+		{"slow writes", during(lasts(5, 50), slowWrites(0.5, s))},
+		{"late reports", during(lasts(10, 60), duplicateHeartbeats(0.2))},
+		{"for the next", during(lasts(20, 60), replayToNextLeader(0.3, 0))},
+		{"close looks", during(lasts(20, 60), queryAfterAnswers)},
+		{"cancels", cancelJobs(4, 0)},
+		{"cancels and hang", cancelJobs(4, lasts(10, 60))},
+		{"storm", submissionStorm(lasts(10, 40))},
+		{"ends far apart", staggeredCompletions(5)},
+		{"at end", cancelAtCompletion(5)},
+		{"crowd", overload(10)},
+		{"lose", loseMachines(2)},
 		{"quick boots", during(lasts(20, 60), fastBoots)},
 	}
 	at := time.Duration(0)
@@ -87,7 +101,13 @@
 			rng := rand.New(rand.NewPCG(seed, 9))
 			steps, names := randomScenario(rng)
 			t.Log(names)
-			runScenario(t, seed, []int{3, 3, 3, 5}[rng.IntN(4)], []config.Workers{fastTimings, fastTimings, slowTimings}[rng.IntN(3)], func(l *cluster) { l.runToCompletion(steps, nil) })
+			runScenario(
+				t,
+				seed,
+				[]int{3, 3, 3, 5}[rng.IntN(4)],
+				[]config.Workers{fastTimings, fastTimings, slowTimings}[rng.IntN(3)],
+				func(l *cluster) { l.runToCompletion(steps, nil) },
+			)
 		})
 	}
 }
--- a/internal/simulation/records_test.go
+++ b/internal/simulation/records_test.go
@@ -14,7 +14,11 @@
 // jobsInWrite returns the jobs whose placements a transaction records.
 func jobsInWrite(t *protocol.Txn) (jobs []string) {
 	for _, op := range t.Then {
-		if id, _, ok := strings.Cut(strings.TrimPrefix(op.PutKey, storage.PlacementPrefix), "/"); ok && strings.HasPrefix(op.PutKey, storage.PlacementPrefix) && !slices.Contains(jobs, id) {
+		if id, _, ok := strings.Cut(
+			strings.TrimPrefix(op.PutKey, storage.PlacementPrefix),
+			"/",
+		); ok && strings.HasPrefix(op.PutKey, storage.PlacementPrefix) &&
+			!slices.Contains(jobs, id) {
 			jobs = append(jobs, id)
 		}
 	}
@@ -80,21 +84,47 @@
 		options  []func(*cluster)
 	}{
 		{"its answer is lost", fastTimings, []step{{0, during(40*s, faultySharedWrites(0.5, loseReply))}, {1 * s, submissionStorm(20 * s)}, {2 * s, submitBatches(8)}}, []string{"shared"}, nil},
-		{"it is carried out late, after newer ones", fastTimings, []step{{0, during(40*s, faultySharedWrites(0.5, delayWrite))}, {1 * s, submissionStorm(20 * s)}, {2 * s, submitBatches(8)}, {20 * s, cancelJobs(3, 0)}},
-			[]string{"shared"}, nil},
-		{"by a deposed leader", fastTimings, []step{{0, during(20*s, faultySharedWrites(1, delayWrite))}, {1 * s, submitBatches(2)}, {5500 * ms, crashLeader(5 * s)}, {6 * s, submitBatches(4)}, {14 * s, crashLeader(300 * ms)}, {15 * s, submitBatches(3)}},
-			[]string{"shared", "crash"}, nil},
-		{"a job of it is cancelled", fastTimings, []step{{0, during(40*s, faultySharedWrites(0.7, delayReply))}, {1 * s, submissionStorm(30 * s)}, {2 * s, submitBatches(4)}, {10 * s, cancelJobs(4, 0)}, {11 * s, submitBatches(3)}, {17 * s, cancelJobs(4, 0)}},
-			[]string{"shared", "cancelled"}, nil},
+		{
+			"it is carried out late, after newer ones", fastTimings,
+			[]step{{0, during(40*s, faultySharedWrites(0.5, delayWrite))}, {1 * s, submissionStorm(20 * s)}, {2 * s, submitBatches(8)}, {20 * s, cancelJobs(3, 0)}},
+			[]string{"shared"},
+			nil,
+		},
+		{
+			"by a deposed leader", fastTimings,
+			[]step{{0, during(20*s, faultySharedWrites(1, delayWrite))}, {1 * s, submitBatches(2)}, {5500 * ms, crashLeader(5 * s)}, {6 * s, submitBatches(4)}, {14 * s, crashLeader(300 * ms)}, {15 * s, submitBatches(3)}},
+			[]string{"shared", "crash"},
+			nil,
+		},
+		{
+			"a job of it is cancelled", fastTimings,
+			[]step{{0, during(40*s, faultySharedWrites(0.7, delayReply))}, {1 * s, submissionStorm(30 * s)}, {2 * s, submitBatches(4)}, {10 * s, cancelJobs(4, 0)}, {11 * s, submitBatches(3)}, {17 * s, cancelJobs(4, 0)}},
+			[]string{"shared", "cancelled"},
+			nil,
+		},
 		{"a job ends in it", fastTimings, []step{{0, during(40*s, faultySharedWrites(0.5, delayReply))}, {0, staggeredCompletions(8)}, {1 * s, submissionStorm(20 * s)}, {2 * s, submitBatches(4)}, {12 * s, staggeredCompletions(4)}}, []string{"shared"}, nil},
-		{"the state service is at its limits, slow, out and back", fastTimings, []step{{0, during(30*s, faultySharedWrites(0.5, delayReply))}, {0, submissionStorm(30 * s)}, {1 * s, submitBatches(5)}, {32 * s, during(15*s, storeOutage)}, {40 * s, submissionStorm(15 * s)}},
-			[]string{"shared", "outage"}, []func(*cluster){smallStoreLimits}},
-		{"the same, slowly", slowTimings, []step{{0, during(60*s, faultySharedWrites(0.5, delayWrite))}, {0, submissionStorm(30 * s)}, {1 * s, submitBatches(5)}, {15 * s, cancelJobs(3, 0)}, {20 * s, crashLeader(5 * s)}, {32 * s, during(40*s, storeOutage)}},
-			[]string{"shared", "outage", "crash"}, []func(*cluster){smallStoreLimits}},
+		{
+			"the state service is at its limits, slow, out and back", fastTimings,
+			[]step{{0, during(30*s, faultySharedWrites(0.5, delayReply))}, {0, submissionStorm(30 * s)}, {1 * s, submitBatches(5)}, {32 * s, during(15*s, storeOutage)}, {40 * s, submissionStorm(15 * s)}},
+			[]string{"shared", "outage"},
+			[]func(*cluster){smallStoreLimits},
+		},
+		{
+			"the same, slowly", slowTimings,
+			[]step{{0, during(60*s, faultySharedWrites(0.5, delayWrite))}, {0, submissionStorm(30 * s)}, {1 * s, submitBatches(5)}, {15 * s, cancelJobs(3, 0)}, {20 * s, crashLeader(5 * s)}, {32 * s, during(40*s, storeOutage)}},
+			[]string{"shared", "outage", "crash"},
+			[]func(*cluster){smallStoreLimits},
+		},
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			t.Parallel()
-			runScenario(t, uint64(600+i), 3, x.w, func(l *cluster) { l.runToCompletion(x.steps, x.happened) }, x.options...)
+			runScenario(
+				t,
+				uint64(600+i),
+				3,
+				x.w,
+				func(l *cluster) { l.runToCompletion(x.steps, x.happened) },
+				x.options...)
 		})
 	}
 }
--- a/internal/simulation/repeat_test.go
+++ b/internal/simulation/repeat_test.go
@@ -27,7 +27,14 @@
 }
 
 // recordArrivals plays steps for a while, and returns everything that arrived anywhere.
-func recordArrivals(t *testing.T, seed uint64, controllers int, w config.Workers, steps []step, options ...func(*cluster)) (all []packetArrival) {
+func recordArrivals(
+	t *testing.T,
+	seed uint64,
+	controllers int,
+	w config.Workers,
+	steps []step,
+	options ...func(*cluster),
+) (all []packetArrival) {
 	runScenario(t, seed, controllers, w, func(l *cluster) {
 		l.net.Tap(func(from, to string, data []byte) {
 			all = append(all, newArrival(l.now(), from, to, data))
@@ -42,7 +49,10 @@
 		if a.at != b.at {
 			return int(a.at - b.at)
 		}
-		return slices.Compare([]string{a.from, a.to, fmt.Sprint(a.content)}, []string{b.from, b.to, fmt.Sprint(b.content)})
+		return slices.Compare(
+			[]string{a.from, a.to, fmt.Sprint(a.content)},
+			[]string{b.from, b.to, fmt.Sprint(b.content)},
+		)
 	})
 	return all
 }
