--- a/internal/simulation/scenarios_test.go
+++ b/internal/simulation/scenarios_test.go
@@ -52,7 +52,15 @@
 }
 
 func (g storeGap) String() string {
-	return fmt.Sprintf("%v before, %.1f, crash %v, confirmers %q, leader %q, workers %q", g.before, g.outage, g.crash, g.after, g.leader, g.worker)
+	return fmt.Sprintf(
+		"%v before, %.1f, crash %v, confirmers %q, leader %q, workers %q",
+		g.before,
+		g.outage,
+		g.crash,
+		g.after,
+		g.leader,
+		g.worker,
+	)
 }
 
 func (g storeGap) run(l *cluster) {
@@ -142,18 +150,50 @@
 		{3, fastTimings, storeGap{before: time.Second, outage: 2, cancellationsExpected: true}},
 		{3, fastTimings, storeGap{before: 20 * time.Second, outage: 1.3, cancellationsExpected: true}},
 		{3, fastTimings, storeGap{before: 2 * time.Second, outage: 1.3, crash: true}},
-		{3, fastTimings, storeGap{before: 2 * time.Second, outage: 1.3, after: "one killed", cancellationsExpected: true}},
-		{3, fastTimings, storeGap{before: 2 * time.Second, outage: 1.3, after: "back at once", cancellationsExpected: true}},
+		{
+			3,
+			fastTimings,
+			storeGap{before: 2 * time.Second, outage: 1.3, after: "one killed", cancellationsExpected: true},
+		},
+		{
+			3,
+			fastTimings,
+			storeGap{before: 2 * time.Second, outage: 1.3, after: "back at once", cancellationsExpected: true},
+		},
 		{3, slowTimings, storeGap{before: 2600 * ms, outage: 1.3, after: "killed", cancellationsExpected: true}},
 		{3, fastTimings, storeGap{before: 2 * time.Second, outage: 1.3, after: "cut", cancellationsExpected: true}},
 		{3, fastTimings, storeGap{before: 2 * time.Second, outage: 1.3, leader: "cut", cancellationsExpected: true}},
-		{5, slowTimings, storeGap{before: 2600 * ms, outage: 1.3, leader: "cut", after: "one killed", cancellationsExpected: true}},
-		{3, fastTimings, storeGap{before: 2 * time.Second, outage: 1.3, leader: "cut", after: "back at once", cancellationsExpected: true}},
+		{
+			5,
+			slowTimings,
+			storeGap{before: 2600 * ms, outage: 1.3, leader: "cut", after: "one killed", cancellationsExpected: true},
+		},
+		{
+			3,
+			fastTimings,
+			storeGap{
+				before:                2 * time.Second,
+				outage:                1.3,
+				leader:                "cut",
+				after:                 "back at once",
+				cancellationsExpected: true,
+			},
+		},
 		{3, fastTimings, storeGap{before: 2 * time.Second, outage: 1.3, worker: "hung", cancellationsExpected: true}},
 		{3, slowTimings, storeGap{before: 2600 * ms, outage: 1.3, worker: "deaf", cancellationsExpected: true}},
 		{3, fastTimings, storeGap{before: 2 * time.Second, outage: 1.3, worker: "mute", cancellationsExpected: true}},
 		{3, fastTimings, storeGap{before: time.Second, outage: 1.5, leader: "apart", cancellationsExpected: true}},
-		{5, fastTimings, storeGap{before: time.Second, outage: 1.5, leader: "apart", after: "one killed", cancellationsExpected: true}},
+		{
+			5,
+			fastTimings,
+			storeGap{
+				before:                time.Second,
+				outage:                1.5,
+				leader:                "apart",
+				after:                 "one killed",
+				cancellationsExpected: true,
+			},
+		},
 		{3, fastTimings, storeGap{before: 600 * ms, outage: 1.5, crash: true, cancellationsExpected: true}},
 	}
 	for i, r := range rows {
@@ -183,7 +223,13 @@
 			rng := rand.New(rand.NewPCG(seed, 5))
 			g := randomStoreGap(rng)
 			t.Log(g)
-			runScenario(t, seed, []int{3, 3, 5}[rng.IntN(3)], []config.Workers{fastTimings, slowTimings}[rng.IntN(2)], g.run)
+			runScenario(
+				t,
+				seed,
+				[]int{3, 3, 5}[rng.IntN(3)],
+				[]config.Workers{fastTimings, slowTimings}[rng.IntN(2)],
+				g.run,
+			)
 		})
 	}
 }
@@ -198,52 +244,179 @@
 	steps    []step
 	happened []string
 }{
-
-	{"close looks", fastTimings, []step{{0, during(60*s, queryAfterAnswers)}, {1 * s, submissionStorm(40 * s)}, {2 * s, cancelAtCompletion(6)},
-		{5 * s, cancelJobs(4, 0)}, {20 * s, cancelJobs(2, 0)}}, []string{"looks", "cancelled"}},
-	{"only the answer is lost", fastTimings, []step{{0, during(50*s, queryAfterAnswers)}, {0, during(50*s, lostReplies(0.3))},
-		{1 * s, submissionStorm(40 * s)}, {3 * s, cancelJobs(4, 0)}, {30 * s, crashLeader(5 * s)}}, []string{"write", "looks", "cancelled"}},
-	{"teams at their limits, cut and hung machines, a new leader", fastTimings, []step{{0, overload(16)}, {20 * s, cancelJobs(6, 60*s)},
-		{20500 * ms, during(50*s, holdReplies(3))}, {21 * s, crashLeader(6 * s)}, {40 * s, cancelJobs(4, 0)}}, []string{"hang", "deaf", "crash", "cancelled"}},
-	{"the same, slowly", slowTimings, []step{{0, overload(16)}, {20 * s, cancelJobs(6, 100*s)},
-		{21 * s, during(80*s, holdReplies(3))}, {22 * s, crashLeader(6 * s)}, {50 * s, cancelJobs(4, 0)}}, []string{"hang", "deaf", "crash", "cancelled"}},
-	{"cancelled while work changes hands", fastTimings, []step{{0, cancelJobs(2, 0)}, {50 * ms, crashLeader(300 * ms)}, {300 * ms, cancelJobs(3, 0)},
-		{10 * s, during(8*s, isolateLeader)}, {10500 * ms, cancelJobs(3, 0)}, {13 * s, cancelJobs(3, 0)}}, []string{"crash", "apart", "cancelled"}},
-	{"quick machines, late writes, the leader ends", fastTimings, []step{{0, during(60*s, fastBoots)}, {0, during(40*s, delayedWrites(0.25))},
-		{1 * s, overload(9)}, {4 * s, crashLeader(5 * s)}, {16 * s, crashLeader(300 * ms)}}, []string{"write", "crash"}},
-	{"old reports for the next leader", fastTimings, []step{{0, during(90*s, replayToNextLeader(0.3, 0))}, {0, staggeredCompletions(6)}, {10 * s, crashLeader(5 * s)},
-		{14 * s, cancelJobs(3, 0)}, {30 * s, crashLeader(5 * s)}, {45 * s, crashAllControllers(2 * s)}}, []string{"late report", "crash", "cancelled"}},
-	{"a report held back until the next leader has acted", fastTimings, []step{{0, during(90*s, replayToNextLeader(0.3, 4*s))}, {0, staggeredCompletions(6)},
-		{10 * s, crashLeader(5 * s)}, {30 * s, crashLeader(300 * ms)}}, []string{"late report taken", "crash"}},
+	{"close looks", fastTimings, []step{
+		{0, during(60*s, queryAfterAnswers)},
+		{1 * s, submissionStorm(40 * s)},
+		{2 * s, cancelAtCompletion(6)},
+		{5 * s, cancelJobs(4, 0)},
+		{20 * s, cancelJobs(2, 0)},
+	}, []string{"looks", "cancelled"}},
+	{"only the answer is lost", fastTimings, []step{
+		{0, during(50*s, queryAfterAnswers)},
+		{0, during(50*s, lostReplies(0.3))},
+		{1 * s, submissionStorm(40 * s)},
+		{3 * s, cancelJobs(4, 0)},
+		{30 * s, crashLeader(5 * s)},
+	}, []string{"write", "looks", "cancelled"}},
+	{"teams at their limits, cut and hung machines, a new leader", fastTimings, []step{
+		{0, overload(16)},
+		{20 * s, cancelJobs(6, 60*s)},
+		{20500 * ms, during(50*s, holdReplies(3))},
+		{21 * s, crashLeader(6 * s)},
+		{40 * s, cancelJobs(4, 0)},
+	}, []string{"hang", "deaf", "crash", "cancelled"}},
+	{"the same, slowly", slowTimings, []step{
+		{0, overload(16)},
+		{20 * s, cancelJobs(6, 100*s)},
+		{21 * s, during(80*s, holdReplies(3))},
+		{22 * s, crashLeader(6 * s)},
+		{50 * s, cancelJobs(4, 0)},
+	}, []string{"hang", "deaf", "crash", "cancelled"}},
+	{"cancelled while work changes hands", fastTimings, []step{
+		{0, cancelJobs(2, 0)},
+		{50 * ms, crashLeader(300 * ms)},
+		{300 * ms, cancelJobs(3, 0)},
+		{10 * s, during(8*s, isolateLeader)},
+		{10500 * ms, cancelJobs(3, 0)},
+		{13 * s, cancelJobs(3, 0)},
+	}, []string{"crash", "apart", "cancelled"}},
+	{"quick machines, late writes, the leader ends", fastTimings, []step{
+		{0, during(60*s, fastBoots)},
+		{0, during(40*s, delayedWrites(0.25))},
+		{1 * s, overload(9)},
+		{4 * s, crashLeader(5 * s)},
+		{16 * s, crashLeader(300 * ms)},
+	}, []string{"write", "crash"}},
+	{"old reports for the next leader", fastTimings, []step{
+		{0, during(90*s, replayToNextLeader(0.3, 0))},
+		{0, staggeredCompletions(6)},
+		{10 * s, crashLeader(5 * s)},
+		{14 * s, cancelJobs(3, 0)},
+		{30 * s, crashLeader(5 * s)},
+		{45 * s, crashAllControllers(2 * s)},
+	}, []string{"late report", "crash", "cancelled"}},
+	{"a report held back until the next leader has acted", fastTimings, []step{
+		{0, during(90*s, replayToNextLeader(0.3, 4*s))},
+		{0, staggeredCompletions(6)},
+		{10 * s, crashLeader(5 * s)},
+		{30 * s, crashLeader(300 * ms)},
+	}, []string{"late report taken", "crash"}},
 	{"one-task jobs come fast", fastTimings, []step{{0, submissionStorm(150 * s)}}, []string{"cancelled"}},
-	{"old reports after newer ones", slowTimings, []step{{0, during(90*s, duplicateHeartbeats(0.2))}, {0, staggeredCompletions(6)}, {5 * s, during(40*s, holdReplies(2))},
-		{20 * s, loseMachines(1)}, {30 * s, cancelJobs(3, 0)}}, []string{"late report taken", "cancelled"}},
-	{"the leader ends while machines are out of reach", fastTimings, []step{{0, during(30*s, loseHeartbeats(2))}, {0, during(30*s, holdReplies(2))},
-		{1 * s, crashLeader(6 * s)}, {4 * s, cancelJobs(4, 0)}}, []string{"mute", "deaf", "crash", "cancelled"}},
-	{"all controllers are away for longer than a lease", fastTimings, []step{{0, cancelJobs(2, 0)}, {200 * ms, crashAllControllers(14 * s)}, {60 * s, crashAllControllers(300 * ms)}},
-		[]string{"crash", "cancelled"}},
-	{"transactions come late", fastTimings, []step{{0, during(60*s, delayedWrites(0.25))}, {0, submissionStorm(30 * s)}, {0, staggeredCompletions(4)}, {5 * s, cancelJobs(4, 0)},
-		{20 * s, crashLeader(5 * s)}, {25 * s, cancelJobs(3, 0)}}, []string{"write", "cancelled"}},
-	{"a zone is cut off", fastTimings, []step{{0, during(30*s, isolateZone)}, {3 * s, cancelJobs(4, 0)}, {40 * s, cancelJobs(2, 0)}}, []string{"zone", "cancelled"}},
-	{"a leader without service and peers", fastTimings, []step{{0, during(40*s, isolateLeader)}, {1 * s, cancelJobs(3, 0)}, {6 * s, cancelJobs(3, 0)}},
-		[]string{"apart", "cancelled"}},
-	{"a slow service, then refused, then out", fastTimings, []step{{0, during(30*s, slowWrites(0.5, 800*ms))}, {0, during(100*s, queryAfterAnswers)}, {2 * s, cancelJobs(3, 0)},
-		{20 * s, during(40*s, refuseLeader)}, {20 * s, cancelJobs(3, 0)}, {22 * s, during(50*s, storeOutage)}, {30 * s, cancelJobs(2, 0)}},
-		[]string{"refused", "outage", "looks", "cancelled"}},
-	{"jobs of one zone lose machines", fastTimings, []step{{0, overload(12)}, {12 * s, loseMachines(2)}, {20 * s, during(20*s, isolateZone)}, {50 * s, loseMachines(2)}}, []string{"lost", "zone"}},
-	{"ends far apart, and new leaders", fastTimings, []step{{0, staggeredCompletions(8)}, {10 * s, crashLeader(5 * s)}, {22 * s, crashLeader(5 * s)}, {34 * s, cancelJobs(2, 0)},
-		{35 * s, crashLeader(5 * s)}}, []string{"crash", "cancelled"}},
-	{"everything at the end of a job", fastTimings, []step{{0, during(60*s, queryAfterAnswers)}, {0, cancelAtCompletion(12)}, {20 * s, cancelAtCompletion(12)}}, []string{"at end", "looks"}},
-	{"ten leaders in two minutes", fastTimings, []step{{0, staggeredCompletions(6)}, {0, crashLeader(5 * s)}, {12 * s, crashLeader(5 * s)}, {20 * s, cancelJobs(3, 40*s)},
-		{24 * s, crashLeader(5 * s)}, {36 * s, crashLeader(5 * s)}, {48 * s, during(15*s, storeOutage)}, {50 * s, crashLeader(5 * s)}, {60 * s, crashLeader(5 * s)},
-		{72 * s, crashLeader(5 * s)}, {84 * s, crashLeader(5 * s)}, {96 * s, crashLeader(5 * s)}, {108 * s, crashLeader(5 * s)}},
-		[]string{"crash", "outage", "cancelled"}},
-	{"commands are held up", fastTimings, []step{{0, during(9*s, holdReplies(3))}, {0, cancelJobs(4, 0)}, {20 * s, hangWorkers(3, 7*s)}, {21 * s, cancelJobs(3, 0)},
-		{26 * s, crashLeader(5 * s)}}, []string{"deaf", "hang", "cancelled"}},
-	{"most machines hang, some with cancelled tasks", slowTimings, []step{{0, cancelJobs(6, 100*s)}, {100 * ms, hangWorkers(9, 100*s)}}, []string{"hang", "cancelled"}},
+	{"old reports after newer ones", slowTimings, []step{
+		{0, during(90*s, duplicateHeartbeats(0.2))},
+		{0, staggeredCompletions(6)},
+		{5 * s, during(40*s, holdReplies(2))},
+		{20 * s, loseMachines(1)},
+		{30 * s, cancelJobs(3, 0)},
+	}, []string{"late report taken", "cancelled"}},
+	{"the leader ends while machines are out of reach", fastTimings, []step{
+		{0, during(30*s, loseHeartbeats(2))},
+		{0, during(30*s, holdReplies(2))},
+		{1 * s, crashLeader(6 * s)},
+		{4 * s, cancelJobs(4, 0)},
+	}, []string{"mute", "deaf", "crash", "cancelled"}},
+	{
+		"all controllers are away for longer than a lease", fastTimings,
+		[]step{{0, cancelJobs(2, 0)}, {200 * ms, crashAllControllers(14 * s)}, {60 * s, crashAllControllers(300 * ms)}},
+		[]string{"crash", "cancelled"},
+	},
+	{"transactions come late", fastTimings, []step{
+		{0, during(60*s, delayedWrites(0.25))},
+		{0, submissionStorm(30 * s)},
+		{0, staggeredCompletions(4)},
+		{5 * s, cancelJobs(4, 0)},
+		{20 * s, crashLeader(5 * s)},
+		{25 * s, cancelJobs(3, 0)},
+	}, []string{"write", "cancelled"}},
+	{
+		"a zone is cut off",
+		fastTimings,
+		[]step{{0, during(30*s, isolateZone)}, {3 * s, cancelJobs(4, 0)}, {40 * s, cancelJobs(2, 0)}},
+		[]string{"zone", "cancelled"},
+	},
+	{
+		"a leader without service and peers", fastTimings,
+		[]step{{0, during(40*s, isolateLeader)}, {1 * s, cancelJobs(3, 0)}, {6 * s, cancelJobs(3, 0)}},
+		[]string{"apart", "cancelled"},
+	},
+	{
+		"a slow service, then refused, then out", fastTimings,
+		[]step{
+			{0, during(30*s, slowWrites(0.5, 800*ms))},
+			{0, during(100*s, queryAfterAnswers)},
+			{2 * s, cancelJobs(3, 0)},
+			{20 * s, during(40*s, refuseLeader)},
+			{20 * s, cancelJobs(3, 0)},
+			{22 * s, during(50*s, storeOutage)},
+			{30 * s, cancelJobs(2, 0)},
+		},
+		[]string{"refused", "outage", "looks", "cancelled"},
+	},
+	{
+		"jobs of one zone lose machines",
+		fastTimings,
+		[]step{
+			{0, overload(12)},
+			{12 * s, loseMachines(2)},
+			{20 * s, during(20*s, isolateZone)},
+			{50 * s, loseMachines(2)},
+		},
+		[]string{"lost", "zone"},
+	},
+	{"ends far apart, and new leaders", fastTimings, []step{
+		{0, staggeredCompletions(8)},
+		{10 * s, crashLeader(5 * s)},
+		{22 * s, crashLeader(5 * s)},
+		{34 * s, cancelJobs(2, 0)},
+		{35 * s, crashLeader(5 * s)},
+	}, []string{"crash", "cancelled"}},
+	{
+		"everything at the end of a job",
+		fastTimings,
+		[]step{{0, during(60*s, queryAfterAnswers)}, {0, cancelAtCompletion(12)}, {20 * s, cancelAtCompletion(12)}},
+		[]string{"at end", "looks"},
+	},
+	{
+		"ten leaders in two minutes", fastTimings,
+		[]step{
+			{0, staggeredCompletions(6)},
+			{0, crashLeader(5 * s)},
+			{12 * s, crashLeader(5 * s)},
+			{20 * s, cancelJobs(3, 40*s)},
+			{24 * s, crashLeader(5 * s)},
+			{36 * s, crashLeader(5 * s)},
+			{48 * s, during(15*s, storeOutage)},
+			{50 * s, crashLeader(5 * s)},
+			{60 * s, crashLeader(5 * s)},
+			{72 * s, crashLeader(5 * s)},
+			{84 * s, crashLeader(5 * s)},
+			{96 * s, crashLeader(5 * s)},
+			{108 * s, crashLeader(5 * s)},
+		},
+		[]string{"crash", "outage", "cancelled"},
+	},
+	{"commands are held up", fastTimings, []step{
+		{0, during(9*s, holdReplies(3))},
+		{0, cancelJobs(4, 0)},
+		{20 * s, hangWorkers(3, 7*s)},
+		{21 * s, cancelJobs(3, 0)},
+		{26 * s, crashLeader(5 * s)},
+	}, []string{"deaf", "hang", "cancelled"}},
+	{
+		"most machines hang, some with cancelled tasks",
+		slowTimings,
+		[]step{{0, cancelJobs(6, 100*s)}, {100 * ms, hangWorkers(9, 100*s)}},
+		[]string{"hang", "cancelled"},
+	},
 	{"more work than room", fastTimings, []step{{0, overload(24)}, {30 * s, cancelJobs(3, 0)}}, []string{"cancelled"}},
-	{"handed over and back", fastTimings, []step{{0, crashLeader(300 * ms)}, {3 * s, crashLeader(300 * ms)}, {6 * s, crashLeader(300 * ms)},
-		{12 * s, crashAllControllers(500 * ms)}, {20 * s, crashAllControllers(5 * s)}, {21 * s, cancelJobs(3, 0)}}, []string{"crash", "cancelled"}},
+	{"handed over and back", fastTimings, []step{
+		{0, crashLeader(300 * ms)},
+		{3 * s, crashLeader(300 * ms)},
+		{6 * s, crashLeader(300 * ms)},
+		{12 * s, crashAllControllers(500 * ms)},
+		{20 * s, crashAllControllers(5 * s)},
+		{21 * s, cancelJobs(3, 0)},
+	}, []string{"crash", "cancelled"}},
 }
 
 // TestScenarios plays every scenario on three controllers.
--- a/internal/simulation/starvation_test.go
+++ b/internal/simulation/starvation_test.go
@@ -19,14 +19,32 @@
 	steps    []step
 	happened []string
 }{
-	{"a slow leader, cancellations, then a crash", fastTimings, []step{{0, during(60*s, slowController(400*ms, (*cluster).leader))}, {2 * s, cancelJobs(4, 0)},
-		{20 * s, crashLeader(5 * s)}, {21 * s, cancelJobs(3, 0)}}, []string{"slow", "cancelled", "crash"}},
-	{"a slow follower takes over in an outage", fastTimings, []step{{0, during(90*s, slowController(500*ms, firstFollower))}, {s, cancelJobs(3, 0)},
-		{3 * s, during(20*s, storeOutage)}, {4 * s, crashLeader(5 * s)}, {30 * s, cancelJobs(3, 0)}}, []string{"slow", "outage", "cancelled", "crash"}},
-	{"so slow that others lead, and back", slowTimings, []step{{0, during(30*s, slowController(4*s, (*cluster).leader))}, {2 * s, cancelJobs(3, 0)},
-		{10 * s, cancelJobs(3, 0)}, {32 * s, cancelJobs(2, 0)}}, []string{"slow", "cancelled"}},
-	{"slow, with late writes and reports", fastTimings, []step{{0, during(60*s, slowController(300*ms, (*cluster).leader))}, {0, during(50*s, delayedWrites(0.2))},
-		{0, during(60*s, duplicateHeartbeats(0.2))}, {s, submissionStorm(30 * s)}, {5 * s, cancelJobs(4, 0)}}, []string{"slow", "write", "late report", "cancelled"}},
+	{"a slow leader, cancellations, then a crash", fastTimings, []step{
+		{0, during(60*s, slowController(400*ms, (*cluster).leader))},
+		{2 * s, cancelJobs(4, 0)},
+		{20 * s, crashLeader(5 * s)},
+		{21 * s, cancelJobs(3, 0)},
+	}, []string{"slow", "cancelled", "crash"}},
+	{"a slow follower takes over in an outage", fastTimings, []step{
+		{0, during(90*s, slowController(500*ms, firstFollower))},
+		{s, cancelJobs(3, 0)},
+		{3 * s, during(20*s, storeOutage)},
+		{4 * s, crashLeader(5 * s)},
+		{30 * s, cancelJobs(3, 0)},
+	}, []string{"slow", "outage", "cancelled", "crash"}},
+	{"so slow that others lead, and back", slowTimings, []step{
+		{0, during(30*s, slowController(4*s, (*cluster).leader))},
+		{2 * s, cancelJobs(3, 0)},
+		{10 * s, cancelJobs(3, 0)},
+		{32 * s, cancelJobs(2, 0)},
+	}, []string{"slow", "cancelled"}},
+	{"slow, with late writes and reports", fastTimings, []step{
+		{0, during(60*s, slowController(300*ms, (*cluster).leader))},
+		{0, during(50*s, delayedWrites(0.2))},
+		{0, during(60*s, duplicateHeartbeats(0.2))},
+		{s, submissionStorm(30 * s)},
+		{5 * s, cancelJobs(4, 0)},
+	}, []string{"slow", "write", "late report", "cancelled"}},
 }
 
 // TestStarvation plays every scenario of starvation on three controllers.
@@ -50,7 +68,13 @@
 			by := time.Duration(100+rng.IntN(1500)) * ms
 			steps = append([]step{{0, during(60*s, slowController(by, which))}}, steps...)
 			t.Log(by, names)
-			runScenario(t, seed, []int{3, 5}[rng.IntN(2)], []config.Workers{fastTimings, slowTimings}[rng.IntN(2)], func(l *cluster) { l.runToCompletion(steps, []string{"slow"}) })
+			runScenario(
+				t,
+				seed,
+				[]int{3, 5}[rng.IntN(2)],
+				[]config.Workers{fastTimings, slowTimings}[rng.IntN(2)],
+				func(l *cluster) { l.runToCompletion(steps, []string{"slow"}) },
+			)
 		})
 	}
 }
--- a/internal/simulation/store.go
+++ b/internal/simulation/store.go
@@ -154,7 +154,12 @@
 
 // NewStore returns an empty state service.
 func NewStore() *Store {
-	return &Store{keys: &btree.Map[string, entry]{}, leases: map[uint64]*lease{}, refused: map[string]bool{}, changed: make(chan struct{})}
+	return &Store{
+		keys:    &btree.Map[string, entry]{},
+		leases:  map[uint64]*lease{},
+		refused: map[string]bool{},
+		changed: make(chan struct{}),
+	}
 }
 
 // notifyWatches wakes open watches; s.mu is held.
@@ -338,7 +343,9 @@
 			s.Oversized++
 		}
 		s.keys.Set(op.PutKey, entry{op.Value, s.revision, op.LeaseID})
-		s.appendEvent(event{s.revision, protocol.WatchEvent{PutKey: op.PutKey, Value: op.Value, Revision: s.revision}, op.PutKey})
+		s.appendEvent(
+			event{s.revision, protocol.WatchEvent{PutKey: op.PutKey, Value: op.Value, Revision: s.revision}, op.PutKey},
+		)
 	}
 	return s.revision, nil, false
 }
--- a/internal/simulation/store_http.go
+++ b/internal/simulation/store_http.go
@@ -123,7 +123,11 @@
 		writeResponse(w, http.StatusBadRequest, protocol.ErrorResponse{Error: err.Error()})
 		return
 	}
-	writeResponse(w, http.StatusOK, protocol.LeaseResult{LeaseID: s.GrantLease(time.Duration(l.TTLMS) * time.Millisecond)})
+	writeResponse(
+		w,
+		http.StatusOK,
+		protocol.LeaseResult{LeaseID: s.GrantLease(time.Duration(l.TTLMS) * time.Millisecond)},
+	)
 }
 
 func (s *Store) serveLease(w http.ResponseWriter, path string) {
@@ -157,7 +161,12 @@
 
 // waitForChanges is a watch: it ends when something has changed or the time is up, and stays
 // open while the host is not served.
-func (s *Store) waitForChanges(r *http.Request, host, prefix string, rev uint64, block time.Duration) ([]protocol.WatchEvent, uint64) {
+func (s *Store) waitForChanges(
+	r *http.Request,
+	host, prefix string,
+	rev uint64,
+	block time.Duration,
+) ([]protocol.WatchEvent, uint64) {
 	end := time.NewTimer(block)
 	defer end.Stop()
 	over := block == 0
--- a/internal/simulation/system_outside_test.go
+++ b/internal/simulation/system_outside_test.go
@@ -33,12 +33,23 @@
 	case autoscaler.ListMachines:
 		asked := s.now
 		list := s.listMachines()
-		s.callAfter(200*ms, func() { s.step(l, scheduler.MachinesListed{RequestedAt: asked, Machines: list, Failed: s.chance(0.1)}) })
+		s.callAfter(
+			200*ms,
+			func() { s.step(l, scheduler.MachinesListed{RequestedAt: asked, Machines: list, Failed: s.chance(0.1)}) },
+		)
 	case autoscaler.ScaleOut:
 		asked := s.now
 		s.callAfter(s.randomDuration(time.Second), func() {
 			names := s.rentMachines(e.Rental)
-			s.step(l, scheduler.ScaleOutResult{Request: e.Rental.RequestID, RequestedAt: asked, Machines: names, Refused: len(names) == 0})
+			s.step(
+				l,
+				scheduler.ScaleOutResult{
+					Request:     e.Rental.RequestID,
+					RequestedAt: asked,
+					Machines:    names,
+					Refused:     len(names) == 0,
+				},
+			)
 		})
 	case autoscaler.ScaleIn:
 		s.callAfter(s.randomDuration(time.Second), func() {
@@ -73,7 +84,12 @@
 			s.callAfter(time.Second, func() { s.write(l, w, true) }) // the answer was lost
 			return
 		}
-		out := scheduler.TransactionOutcome{WriteID: w.ID, Succeeded: len(failed) == 0, Revision: rev, FailedKeys: failed}
+		out := scheduler.TransactionOutcome{
+			WriteID:    w.ID,
+			Succeeded:  len(failed) == 0,
+			Revision:   rev,
+			FailedKeys: failed,
+		}
 		if !out.Succeeded && uncertain {
 			p := s.store.Get(w.VerifyKey)
 			var rec struct {
@@ -101,7 +117,10 @@
 		}
 		r, ok := m.HandleCommands(s.now, o.Batch)
 		if answer {
-			s.callAfter(5*ms, func() { s.step(l, scheduler.CommandBatchResult{Machine: o.Machine, Acknowledged: ok, Heartbeat: r}) })
+			s.callAfter(
+				5*ms,
+				func() { s.step(l, scheduler.CommandBatchResult{Machine: o.Machine, Acknowledged: ok, Heartbeat: r}) },
+			)
 		}
 	}
 	lost := func() {
@@ -127,8 +146,10 @@
 func (s *simulatedSystem) listMachines() []protocol.ListedMachine {
 	var out []protocol.ListedMachine
 	for _, m := range s.world.sortedWorkers() {
-		out = append(out, protocol.ListedMachine{Name: m.Name, Addr: "addr:" + m.Name, Type: m.Type, Zone: m.Zone, Spot: m.Spot,
-			State: protocol.MachineRunning})
+		out = append(out, protocol.ListedMachine{
+			Name: m.Name, Addr: "addr:" + m.Name, Type: m.Type, Zone: m.Zone, Spot: m.Spot,
+			State: protocol.MachineRunning,
+		})
 	}
 	for n, at := range s.removedAt {
 		if s.now-at < 8*time.Second {
@@ -155,7 +176,14 @@
 			continue // never comes up
 		}
 		s.callAfter(2*time.Second+s.randomDuration(10*time.Second), func() {
-			s.world.AddMachine(s.now, name, r.Zone, r.Spot, &s.types[0], time.Duration(s.cfg.Workers.LeaseSeconds*float64(time.Second)))
+			s.world.AddMachine(
+				s.now,
+				name,
+				r.Zone,
+				r.Spot,
+				&s.types[0],
+				time.Duration(s.cfg.Workers.LeaseSeconds*float64(time.Second)),
+			)
 			s.scheduleHeartbeats(name)
 		})
 	}
@@ -184,7 +212,10 @@
 	r := m.NextHeartbeat()
 	sent, session := s.now, m.Incarnation
 	if s.chance(0.05) {
-		s.callAfter(s.randomDuration(30*time.Second), func() { s.step(s.leaders[len(s.leaders)-1], scheduler.HeartbeatReceived{Heartbeat: r}) })
+		s.callAfter(
+			s.randomDuration(30*time.Second),
+			func() { s.step(s.leaders[len(s.leaders)-1], scheduler.HeartbeatReceived{Heartbeat: r}) },
+		)
 	}
 	if s.unreachable(name) && s.chance(0.7) || s.chance(0.03) {
 		return
--- a/internal/simulation/system_test.go
+++ b/internal/simulation/system_test.go
@@ -85,21 +85,36 @@
 
 func newSimulatedSystem(t *testing.T, seed uint64) *simulatedSystem {
 	cfg := &config.Deployment{
-		Controllers: 3, Zones: []string{"a", "b"},
-		Teams:      []config.Team{{Name: "red", MaxGPUs: 40}, {Name: "blue", GuaranteedGPUs: 8}},
-		Workers:    config.Workers{HeartbeatSeconds: 1, LeaseSeconds: 8, GangWaitSeconds: 20, GangPeerSeconds: 3, CancelSeconds: 30},
+		Controllers: 3,
+		Zones:       []string{"a", "b"},
+		Teams:       []config.Team{{Name: "red", MaxGPUs: 40}, {Name: "blue", GuaranteedGPUs: 8}},
+		Workers: config.Workers{
+			HeartbeatSeconds: 1,
+			LeaseSeconds:     8,
+			GangWaitSeconds:  20,
+			GangPeerSeconds:  3,
+			CancelSeconds:    30,
+		},
 		Store:      config.StoreLimits{RPS: 100, WriteRPS: 30, ValueKB: 1, TxnOps: 8},
 		Cloud:      config.Cloud{RPS: 2, ListLagSeconds: 4},
 		Quota:      config.Quota{CoreShare: 0.1, RAMMB: 64, MaxSockets: 400},
 		Objectives: []config.Objective{{Kind: "wait", Class: "service", WithinSeconds: 2, Fraction: 0.9}},
 	}
 	s := &simulatedSystem{
-		t: t, rng: rand.New(rand.NewPCG(seed, 7)), cfg: cfg,
-		types: []protocol.MachineType{{Name: "g8", CPUs: 64, GPUs: 8, MemoryGB: 256, CacheGB: 100, FetchGBPerSecond: 2, HourlyPrice: 10,
-			HourlySpotPrice: 4, BootSeconds: 10, Zones: []string{"a", "b"}}},
-		store: NewStore(), world: NewWorld(30*time.Second, 2*time.Second, 12*time.Second),
-		rentals: map[string][]string{}, removedAt: map[string]time.Duration{}, answeredStates: map[string]protocol.JobState{},
-		accepted: map[string]bool{}, unreachableUntil: map[string]time.Duration{},
+		t:   t,
+		rng: rand.New(rand.NewPCG(seed, 7)),
+		cfg: cfg,
+		types: []protocol.MachineType{{
+			Name: "g8", CPUs: 64, GPUs: 8, MemoryGB: 256, CacheGB: 100, FetchGBPerSecond: 2, HourlyPrice: 10,
+			HourlySpotPrice: 4, BootSeconds: 10, Zones: []string{"a", "b"},
+		}},
+		store:            NewStore(),
+		world:            NewWorld(30*time.Second, 2*time.Second, 12*time.Second),
+		rentals:          map[string][]string{},
+		removedAt:        map[string]time.Duration{},
+		answeredStates:   map[string]protocol.JobState{},
+		accepted:         map[string]bool{},
+		unreachableUntil: map[string]time.Duration{},
 	}
 	s.store.MaxValue = 1024
 	s.world.TeamLimits["red"] = [2]float64{0, 40}
@@ -128,8 +143,20 @@
 	warm, _ := s.store.List(storage.ImageHintPrefix)
 	l := &leaderInstance{revision: liveRev}
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
-	l.core = scheduler.New(s.now, s.cfg, log, scheduler.Term{Number: s.term, Revision: rev},
-		scheduler.RecoveredRecords{MachineTypes: s.types, LiveJobs: live, Pages: pages, Images: warm}, s.now.Milliseconds(), nil)
+	l.core = scheduler.New(
+		s.now,
+		s.cfg,
+		log,
+		scheduler.Term{Number: s.term, Revision: rev},
+		scheduler.RecoveredRecords{
+			MachineTypes: s.types,
+			LiveJobs:     live,
+			Pages:        pages,
+			Images:       warm,
+		},
+		s.now.Milliseconds(),
+		nil,
+	)
 	s.leaders = append(s.leaders, l)
 	s.tickLeader(l)
 }
@@ -240,7 +267,16 @@
 				j := s.world.Jobs[id]
 				if !s.answeredStates[id].Final() && j.Shape != protocol.Service {
 					left++
-					t.Logf("not over: %s %s tasks %d gpus %v team %s zone %v spread %v", id, j.Shape, j.TaskCount, j.GPUs, j.Team, j.SameZone, j.Spread)
+					t.Logf(
+						"not over: %s %s tasks %d gpus %v team %s zone %v spread %v",
+						id,
+						j.Shape,
+						j.TaskCount,
+						j.GPUs,
+						j.Team,
+						j.SameZone,
+						j.Spread,
+					)
 				}
 			}
 			if left > 0 {
--- a/internal/simulation/system_users_test.go
+++ b/internal/simulation/system_users_test.go
@@ -33,8 +33,13 @@
 	}
 	s.world.Jobs[id] = &j
 	_, failed, _ := s.store.Txn(protocol.Txn{
-		If:   []protocol.Compare{{Key: storage.LiveJobKey(id)}, {Key: storage.EndedJobKey(id)}},
-		Then: []protocol.Op{{PutKey: storage.LiveJobKey(id), Value: s.encode(storage.LiveJobRecord{Job: j, AcceptedAtMS: s.now.Milliseconds()})}},
+		If: []protocol.Compare{{Key: storage.LiveJobKey(id)}, {Key: storage.EndedJobKey(id)}},
+		Then: []protocol.Op{
+			{
+				PutKey: storage.LiveJobKey(id),
+				Value:  s.encode(storage.LiveJobRecord{Job: j, AcceptedAtMS: s.now.Milliseconds()}),
+			},
+		},
 	})
 	if failed != nil {
 		s.t.Fatalf("submission failed: %v", failed)
@@ -53,8 +58,10 @@
 	}
 	_, failed, _ := s.store.Txn(protocol.Txn{
 		If: []protocol.Compare{{Key: storage.LiveJobKey(id), Revision: p.Revision}, {Key: storage.EndedJobKey(id)}},
-		Then: []protocol.Op{{DeleteKey: storage.LiveJobKey(id)},
-			{PutKey: storage.EndedJobKey(id), Value: s.encode(storage.EndedJobRecord{State: protocol.JobCancelled})}},
+		Then: []protocol.Op{
+			{DeleteKey: storage.LiveJobKey(id)},
+			{PutKey: storage.EndedJobKey(id), Value: s.encode(storage.EndedJobRecord{State: protocol.JobCancelled})},
+		},
 	})
 	if failed == nil {
 		s.world.Cancelled[id] = s.now
--- a/internal/simulation/traffic_test.go
+++ b/internal/simulation/traffic_test.go
@@ -32,7 +32,11 @@
 // feature levels, zone return and ownership. They keep to what repeats to the byte; see TestSameSeedSameRun for the
 // two known causes of difference.
 func trafficScenarios() []trafficScenario {
-	everyoneOwns, zoneReturn := []func(*cluster){withOwnership(everywhere)}, []func(*cluster){withZoneFailover(everywhere)}
+	everyoneOwns, zoneReturn := []func(*cluster){
+		withOwnership(everywhere),
+	}, []func(*cluster){
+		withZoneFailover(everywhere),
+	}
 	upgrading := []func(*cluster){productionLevel, announceLowerLimits}
 	oneOwns := []func(*cluster){withOwnership(func(node int) bool { return node == 1 })}
 	return []trafficScenario{
@@ -40,30 +44,96 @@
 		{"storm", 3, fastTimings, []step{{0, submissionStorm(40 * s)}}, nil},
 		{"crowd", 3, fastTimings, []step{{0, overload(24)}, {30 * s, cancelJobs(3, 0)}}, nil},
 		{"crowd-slow", 3, slowTimings, []step{{0, overload(16)}, {20 * s, cancelJobs(6, 60*s)}}, nil},
-		{"leader-crash", 3, fastTimings, []step{{0, staggeredCompletions(6)}, {10 * s, crashLeader(5 * s)}, {20 * s, cancelJobs(3, 0)}}, nil},
-		{"leader-crashes", 3, fastTimings, []step{{0, staggeredCompletions(6)}, {1 * s, crashLeader(300 * ms)}, {12 * s, crashLeader(5 * s)},
-			{20 * s, cancelJobs(3, 40*s)}, {30 * s, crashLeader(5 * s)}}, nil},
+		{
+			"leader-crash",
+			3,
+			fastTimings,
+			[]step{{0, staggeredCompletions(6)}, {10 * s, crashLeader(5 * s)}, {20 * s, cancelJobs(3, 0)}},
+			nil,
+		},
+		{"leader-crashes", 3, fastTimings, []step{
+			{0, staggeredCompletions(6)},
+			{1 * s, crashLeader(300 * ms)},
+			{12 * s, crashLeader(5 * s)},
+			{20 * s, cancelJobs(3, 40*s)},
+			{30 * s, crashLeader(5 * s)},
+		}, nil},
 		{"all-crash", 3, fastTimings, []step{{0, cancelJobs(2, 0)}, {200 * ms, crashAllControllers(14 * s)}}, nil},
-		{"outage", 5, fastTimings, []step{{0, overload(12)}, {10 * s, cancelJobs(4, 20*s)}, {10100 * ms, during(20*s, storeOutage)},
-			{12 * s, cancelJobs(2, 0)}}, nil},
-		{"refused-then-outage", 3, fastTimings, []step{{0, during(60*s, refuseLeader)}, {500 * ms, cancelJobs(4, 0)},
-			{1500 * ms, during(50*s, storeOutage)}}, nil},
-		{"leader-apart", 3, fastTimings, []step{{0, during(40*s, isolateLeader)}, {1 * s, cancelJobs(3, 0)}, {6 * s, cancelJobs(3, 0)}}, nil},
-		{"zone-cut", 3, fastTimings, []step{{0, during(30*s, isolateZone)}, {3 * s, cancelJobs(4, 0)}, {40 * s, cancelJobs(2, 0)}}, nil},
-		{"late-writes", 3, fastTimings, []step{{0, during(60*s, delayedWrites(0.25))}, {0, submissionStorm(30 * s)}, {5 * s, cancelJobs(4, 0)}}, nil},
-		{"late-reports", 3, slowTimings, []step{{0, during(90*s, duplicateHeartbeats(0.2))}, {0, staggeredCompletions(6)}, {5 * s, during(40*s, holdReplies(2))},
-			{20 * s, loseMachines(1)}, {30 * s, cancelJobs(3, 0)}}, nil},
+		{"outage", 5, fastTimings, []step{
+			{0, overload(12)},
+			{10 * s, cancelJobs(4, 20*s)},
+			{10100 * ms, during(20*s, storeOutage)},
+			{12 * s, cancelJobs(2, 0)},
+		}, nil},
+		{"refused-then-outage", 3, fastTimings, []step{
+			{0, during(60*s, refuseLeader)},
+			{500 * ms, cancelJobs(4, 0)},
+			{1500 * ms, during(50*s, storeOutage)},
+		}, nil},
+		{
+			"leader-apart",
+			3,
+			fastTimings,
+			[]step{{0, during(40*s, isolateLeader)}, {1 * s, cancelJobs(3, 0)}, {6 * s, cancelJobs(3, 0)}},
+			nil,
+		},
+		{
+			"zone-cut",
+			3,
+			fastTimings,
+			[]step{{0, during(30*s, isolateZone)}, {3 * s, cancelJobs(4, 0)}, {40 * s, cancelJobs(2, 0)}},
+			nil,
+		},
+		{
+			"late-writes",
+			3,
+			fastTimings,
+			[]step{{0, during(60*s, delayedWrites(0.25))}, {0, submissionStorm(30 * s)}, {5 * s, cancelJobs(4, 0)}},
+			nil,
+		},
+		{"late-reports", 3, slowTimings, []step{
+			{0, during(90*s, duplicateHeartbeats(0.2))},
+			{0, staggeredCompletions(6)},
+			{5 * s, during(40*s, holdReplies(2))},
+			{20 * s, loseMachines(1)},
+			{30 * s, cancelJobs(3, 0)},
+		}, nil},
 		{"hung-machines", 3, slowTimings, []step{{0, cancelJobs(6, 100*s)}, {100 * ms, hangWorkers(9, 100*s)}}, nil},
 		{"pipelines", 3, fastTimings, []step{{0, pipelines(10)}, {20 * s, overload(8)}}, nil},
 		{"pipelines-leader-crash", 3, fastTimings, []step{{0, pipelines(10)}, {6 * s, crashLeader(5 * s)}}, nil},
-		{"upgrade", 3, fastTimings, []step{{0, lowerLimitsOnceUpgraded}, {0, submitBatches(6)}, {0, upgrade([]int{0, 1, 2}, 10*s, 5*s)},
-			{34 * s, pipelines(8)}}, upgrading},
-		{"zone-return", 3, fastTimings, []step{{0, lowPriorityArrays(8)}, {8 * s, during(40*s, silenceZone("b", 1))}}, zoneReturn},
-		{"zone-return-crash", 3, fastTimings, []step{{0, lowPriorityArrays(8)}, {8 * s, during(40*s, silenceZone("b", 1))},
-			{20 * s, crashLeader(5 * s)}}, zoneReturn},
+		{"upgrade", 3, fastTimings, []step{
+			{0, lowerLimitsOnceUpgraded},
+			{0, submitBatches(6)},
+			{0, upgrade([]int{0, 1, 2}, 10*s, 5*s)},
+			{34 * s, pipelines(8)},
+		}, upgrading},
+		{
+			"zone-return",
+			3,
+			fastTimings,
+			[]step{{0, lowPriorityArrays(8)}, {8 * s, during(40*s, silenceZone("b", 1))}},
+			zoneReturn,
+		},
+		{"zone-return-crash", 3, fastTimings, []step{
+			{0, lowPriorityArrays(8)},
+			{8 * s, during(40*s, silenceZone("b", 1))},
+			{20 * s, crashLeader(5 * s)},
+		}, zoneReturn},
 		{"owners", 3, fastTimings, []step{{30 * s, submissionStorm(20 * s)}, {40 * s, cancelJobs(3, 0)}}, everyoneOwns},
-		{"owners-follower-crash", 3, fastTimings, []step{{20 * s, crashFollower(25 * s)}, {21 * s, cancelJobs(2, 0)}}, everyoneOwns},
-		{"owners-link-cut", 5, fastTimings, []step{{20 * s, during(20*s, blockLeaderLink)}, {21 * s, cancelJobs(3, 0)}}, everyoneOwns},
+		{
+			"owners-follower-crash",
+			3,
+			fastTimings,
+			[]step{{20 * s, crashFollower(25 * s)}, {21 * s, cancelJobs(2, 0)}},
+			everyoneOwns,
+		},
+		{
+			"owners-link-cut",
+			5,
+			fastTimings,
+			[]step{{20 * s, during(20*s, blockLeaderLink)}, {21 * s, cancelJobs(3, 0)}},
+			everyoneOwns,
+		},
 		{"owners-mixed", 3, fastTimings, []step{{20 * s, cancelJobs(3, 0)}, {25 * s, crashLeader(20 * s)}}, oneOwns},
 	}
 }
@@ -121,7 +191,14 @@
 	})
 	var out bytes.Buffer
 	for _, at := range order {
-		fmt.Fprintf(&out, "%4d s %-8s %5d %016x\n", int(at.second/time.Second), at.name, slots[at].packets, slots[at].sum)
+		fmt.Fprintf(
+			&out,
+			"%4d s %-8s %5d %016x\n",
+			int(at.second/time.Second),
+			at.name,
+			slots[at].packets,
+			slots[at].sum,
+		)
 	}
 	return out.String()
 }
--- a/internal/simulation/worker.go
+++ b/internal/simulation/worker.go
@@ -82,7 +82,16 @@
 		Incarnation: m.Incarnation, Sequence: m.Sequence, FencingToken: m.FencingToken,
 	}
 	for _, t := range m.sortedTasks() {
-		r.Tasks = append(r.Tasks, protocol.TaskStatus{TaskName: t.ID.String(), Attempt: t.Attempt, State: t.State, Cause: t.Cause, CheckpointSaved: t.Saved})
+		r.Tasks = append(
+			r.Tasks,
+			protocol.TaskStatus{
+				TaskName:        t.ID.String(),
+				Attempt:         t.Attempt,
+				State:           t.State,
+				Cause:           t.Cause,
+				CheckpointSaved: t.Saved,
+			},
+		)
 	}
 	return r
 }
--- a/internal/simulation/world.go
+++ b/internal/simulation/world.go
@@ -48,11 +48,18 @@
 // NewWorld returns a world without machines or jobs.
 func NewWorld(cancel, fetch, run time.Duration) *World {
 	return &World{
-		Jobs: map[string]*protocol.Job{}, Workers: map[string]*Worker{}, Done: map[protocol.TaskID]bool{}, DoneAt: map[string]time.Duration{},
-		Cancelled: map[string]time.Duration{}, CancelTimeout: cancel, TeamLimits: map[string][2]float64{}, FetchTime: fetch, RunTime: run,
-		RunTimes: map[string]time.Duration{},
-		occupied: newOccupancy(),
-		agenda:   btree.NewBTreeGOptions(lessByDueTime, btree.Options{NoLocks: true}),
+		Jobs:          map[string]*protocol.Job{},
+		Workers:       map[string]*Worker{},
+		Done:          map[protocol.TaskID]bool{},
+		DoneAt:        map[string]time.Duration{},
+		Cancelled:     map[string]time.Duration{},
+		CancelTimeout: cancel,
+		TeamLimits:    map[string][2]float64{},
+		FetchTime:     fetch,
+		RunTime:       run,
+		RunTimes:      map[string]time.Duration{},
+		occupied:      newOccupancy(),
+		agenda:        btree.NewBTreeGOptions(lessByDueTime, btree.Options{NoLocks: true}),
 	}
 }
 
@@ -68,7 +75,13 @@
 }
 
 // AddMachine brings up a machine.
-func (w *World) AddMachine(now time.Duration, name, zone string, spot bool, kind *protocol.MachineType, lease time.Duration) *Worker {
+func (w *World) AddMachine(
+	now time.Duration,
+	name, zone string,
+	spot bool,
+	kind *protocol.MachineType,
+	lease time.Duration,
+) *Worker {
 	m := &Worker{
 		Name: name, Type: kind.Name, Zone: zone, Spot: spot, Capacity: [3]float64{kind.CPUs, kind.GPUs, kind.MemoryGB},
 		Incarnation: 1, Tasks: map[protocol.TaskID]*Task{}, LeaseTimeout: lease, answeredSentAt: now, World: w,
--- a/internal/simulation/zone_test.go
+++ b/internal/simulation/zone_test.go
@@ -214,7 +214,10 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	o.CheckRecords(rows, func(row storage.LoanRow) LenderObservation {
-		return LenderObservation{LenderLevel: l.world.Jobs[row.Lender].Priority.Rank(), BorrowerLevel: l.world.Jobs[row.Borrower].Priority.Rank()}
+		return LenderObservation{
+			LenderLevel:   l.world.Jobs[row.Lender].Priority.Rank(),
+			BorrowerLevel: l.world.Jobs[row.Borrower].Priority.Rank(),
+		}
 	})
 	l.occurred["loan"] = o.LoanCount
 }
@@ -236,14 +239,23 @@
 }
 
 // runZoneScenario plays a scenario of a zone's loss under all oracles.
-func runZoneScenario(t *testing.T, seed uint64, w config.Workers, steps []step, happened []string, options ...func(*cluster)) {
+func runZoneScenario(
+	t *testing.T,
+	seed uint64,
+	w config.Workers,
+	steps []step,
+	happened []string,
+	options ...func(*cluster),
+) {
 	runScenario(t, seed, 3, w, func(l *cluster) {
 		loans := l.watchLoans()
 		time.Sleep(5 * s)
 		submitZoneJobs(l)
 		time.Sleep(25 * s)
 		l.runSteps(steps)
-		time.Sleep(20*config.Seconds(l.cfg.Workers.CancelSeconds) + 2*time.Minute) // until what is never repaid is written off
+		time.Sleep(
+			20*config.Seconds(l.cfg.Workers.CancelSeconds) + 2*time.Minute,
+		) // until what is never repaid is written off
 		l.checkAllServed()
 		l.checkLoans(loans)
 		for _, what := range happened {
@@ -261,31 +273,122 @@
 	steps    []step
 	happened []string
 }{
-	{"cut off and back", fastTimings, []step{{0, lowPriorityArrays(12)}, {8 * s, during(60*s, silenceZone(zoneOfGangs, 1))}},
-		[]string{"zone silent", "is lost", "order of return", "loan", "decision=\"loan", ": repaid", "is returning"}},
-	{"dead and back", fastTimings, []step{{0, during(70*s, killZone("b"))}, {10 * s, lowPriorityArrays(6)}}, []string{"zone dead"}},
+	{
+		"cut off and back", fastTimings,
+		[]step{{0, lowPriorityArrays(12)}, {8 * s, during(60*s, silenceZone(zoneOfGangs, 1))}},
+		[]string{"zone silent", "is lost", "order of return", "loan", "decision=\"loan", ": repaid", "is returning"},
+	},
+	{
+		"dead and back",
+		fastTimings,
+		[]step{{0, during(70*s, killZone("b"))}, {10 * s, lowPriorityArrays(6)}},
+		[]string{"zone dead"},
+	},
 	// How many machines the second cut finds depends on how many the first has cost; that a flap
 	// is told as one is TestZoneStates' to show.
-	{"flaps twice in a minute", fastTimings, []step{{0, during(25*s, silenceZone("b", 1))}, {5 * s, lowPriorityArrays(4)}, {35 * s, during(20*s, silenceZone("b", 1))}},
-		[]string{"is lost", "is returning"}},
-	{"back with half of its machines", fastTimings, []step{{0, during(50*s, silenceZone("b", 0.5))}, {10 * s, lowPriorityArrays(6)}}, []string{"is lost", "is returning", "returning and is available"}},
-	{"back while the leader changes", fastTimings, []step{{0, during(50*s, silenceZone("b", 1))}, {10 * s, lowPriorityArrays(4)}, {49 * s, crashLeader(5 * s)}, {52 * s, crashLeader(300 * ms)}},
-		[]string{"is lost", "crash", "is returning"}},
-	{"the leader ends before its loan is written", fastTimings, []step{{0, crashLeaderOnLoan(false)}, {0, lowPriorityArrays(12)}, {8 * s, during(80*s, silenceZone(zoneOfGangs, 1))}},
-		[]string{"is lost", "crash on loan"}},
-	{"the leader ends when its loan is written", fastTimings, []step{{0, crashLeaderOnLoan(true)}, {0, lowPriorityArrays(12)}, {8 * s, during(80*s, silenceZone(zoneOfGangs, 1))}},
-		[]string{"is lost", "crash on loan"}},
-	{"the state service is out during the loss", fastTimings, []step{{0, during(60*s, silenceZone("b", 1))}, {10 * s, during(25*s, storeOutage)}, {40 * s, lowPriorityArrays(4)}},
-		[]string{"is lost", "outage"}},
-	{"both zones in turn", fastTimings, []step{{0, during(22*s, silenceZone("b", 1))}, {5 * s, lowPriorityArrays(4)}, {60 * s, lowPriorityArrays(4)}, {70 * s, during(40*s, silenceZone("a", 1))}},
-		[]string{"zone b was suspected and is lost", "zone a was suspected and is lost"}},
-	{"cancelled lenders and borrowers", fastTimings, []step{{0, during(60*s, silenceZone(zoneOfGangs, 1))}, {5 * s, lowPriorityArrays(4)}, {18 * s, cancelJobs(3, 0)}, {22 * s, cancelJobs(3, 0)}, {30 * s, cancelJobs(2, 0)}},
-		[]string{"is lost", "cancelled"}},
-	{"hung machines with cancelled tasks in the lost zone", slowTimings, []step{{0, cancelJobs(4, 100*s)}, {100 * ms, hangZone("b", 100*s)}, {100 * ms, lowPriorityArrays(4)}},
-		[]string{"hang", "cancelled"}},
-	{"a crowd of every level", fastTimings, []step{{0, overload(14)}, {10 * s, during(50*s, silenceZone("b", 1))}, {20 * s, cancelJobs(2, 0)}}, []string{"is lost"}},
-	{"slowly", slowTimings, []step{{0, during(130*s, silenceZone("b", 1))}, {5 * s, lowPriorityArrays(6)}, {140 * s, cancelJobs(3, 0)}}, []string{"is lost", "is returning", "returning and is available"}},
-	{"a controller is cut off with it", fastTimings, []step{{0, during(50*s, isolateZone)}, {5 * s, lowPriorityArrays(4)}, {20 * s, cancelJobs(2, 0)}}, []string{"zone", "cancelled"}},
+	{
+		"flaps twice in a minute",
+		fastTimings,
+		[]step{
+			{0, during(25*s, silenceZone("b", 1))},
+			{5 * s, lowPriorityArrays(4)},
+			{35 * s, during(20*s, silenceZone("b", 1))},
+		},
+		[]string{"is lost", "is returning"},
+	},
+	{
+		"back with half of its machines",
+		fastTimings,
+		[]step{{0, during(50*s, silenceZone("b", 0.5))}, {10 * s, lowPriorityArrays(6)}},
+		[]string{"is lost", "is returning", "returning and is available"},
+	},
+	{
+		"back while the leader changes",
+		fastTimings,
+		[]step{
+			{0, during(50*s, silenceZone("b", 1))},
+			{10 * s, lowPriorityArrays(4)},
+			{49 * s, crashLeader(5 * s)},
+			{52 * s, crashLeader(300 * ms)},
+		},
+		[]string{"is lost", "crash", "is returning"},
+	},
+	{
+		"the leader ends before its loan is written",
+		fastTimings,
+		[]step{
+			{0, crashLeaderOnLoan(false)},
+			{0, lowPriorityArrays(12)},
+			{8 * s, during(80*s, silenceZone(zoneOfGangs, 1))},
+		},
+		[]string{"is lost", "crash on loan"},
+	},
+	{
+		"the leader ends when its loan is written",
+		fastTimings,
+		[]step{
+			{0, crashLeaderOnLoan(true)},
+			{0, lowPriorityArrays(12)},
+			{8 * s, during(80*s, silenceZone(zoneOfGangs, 1))},
+		},
+		[]string{"is lost", "crash on loan"},
+	},
+	{
+		"the state service is out during the loss",
+		fastTimings,
+		[]step{
+			{0, during(60*s, silenceZone("b", 1))},
+			{10 * s, during(25*s, storeOutage)},
+			{40 * s, lowPriorityArrays(4)},
+		},
+		[]string{"is lost", "outage"},
+	},
+	{
+		"both zones in turn",
+		fastTimings,
+		[]step{
+			{0, during(22*s, silenceZone("b", 1))},
+			{5 * s, lowPriorityArrays(4)},
+			{60 * s, lowPriorityArrays(4)},
+			{70 * s, during(40*s, silenceZone("a", 1))},
+		},
+		[]string{"zone b was suspected and is lost", "zone a was suspected and is lost"},
+	},
+	{
+		"cancelled lenders and borrowers",
+		fastTimings,
+		[]step{
+			{0, during(60*s, silenceZone(zoneOfGangs, 1))},
+			{5 * s, lowPriorityArrays(4)},
+			{18 * s, cancelJobs(3, 0)},
+			{22 * s, cancelJobs(3, 0)},
+			{30 * s, cancelJobs(2, 0)},
+		},
+		[]string{"is lost", "cancelled"},
+	},
+	{
+		"hung machines with cancelled tasks in the lost zone", slowTimings,
+		[]step{{0, cancelJobs(4, 100*s)}, {100 * ms, hangZone("b", 100*s)}, {100 * ms, lowPriorityArrays(4)}},
+		[]string{"hang", "cancelled"},
+	},
+	{
+		"a crowd of every level",
+		fastTimings,
+		[]step{{0, overload(14)}, {10 * s, during(50*s, silenceZone("b", 1))}, {20 * s, cancelJobs(2, 0)}},
+		[]string{"is lost"},
+	},
+	{
+		"slowly",
+		slowTimings,
+		[]step{{0, during(130*s, silenceZone("b", 1))}, {5 * s, lowPriorityArrays(6)}, {140 * s, cancelJobs(3, 0)}},
+		[]string{"is lost", "is returning", "returning and is available"},
+	},
+	{
+		"a controller is cut off with it",
+		fastTimings,
+		[]step{{0, during(50*s, isolateZone)}, {5 * s, lowPriorityArrays(4)}, {20 * s, cancelJobs(2, 0)}},
+		[]string{"zone", "cancelled"},
+	},
 }
 
 // hangZone makes all machines of a zone execute nothing for a while.
@@ -318,8 +421,20 @@
 	for _, on := range []int{0, 1, 2} {
 		t.Run(fmt.Sprint(on), func(t *testing.T) {
 			t.Parallel()
-			steps := []step{{0, during(70*s, silenceZone("b", 1))}, {5 * s, lowPriorityArrays(4)}, {25 * s, crashLeader(8 * s)}, {45 * s, crashLeader(8 * s)}}
-			runZoneScenario(t, uint64(440+on), fastTimings, steps, []string{"crash"}, withZoneFailover(func(node int) bool { return node == on }))
+			steps := []step{
+				{0, during(70*s, silenceZone("b", 1))},
+				{5 * s, lowPriorityArrays(4)},
+				{25 * s, crashLeader(8 * s)},
+				{45 * s, crashLeader(8 * s)},
+			}
+			runZoneScenario(
+				t,
+				uint64(440+on),
+				fastTimings,
+				steps,
+				[]string{"crash"},
+				withZoneFailover(func(node int) bool { return node == on }),
+			)
 		})
 	}
 }
@@ -370,7 +485,14 @@
 			rng := rand.New(rand.NewPCG(seed, 19))
 			steps := randomZoneLoss(rng)
 			slices.SortStableFunc(steps, func(a, b step) int { return int(a.at - b.at) })
-			runZoneScenario(t, seed, []config.Workers{fastTimings, fastTimings, slowTimings}[rng.IntN(3)], steps, nil, withZoneFailover(everywhere))
+			runZoneScenario(
+				t,
+				seed,
+				[]config.Workers{fastTimings, fastTimings, slowTimings}[rng.IntN(3)],
+				steps,
+				nil,
+				withZoneFailover(everywhere),
+			)
 		})
 	}
 }
--- a/internal/storage/budgets.go
+++ b/internal/storage/budgets.go
@@ -13,13 +13,20 @@
 // readRates divides the service's requests a second between the uses of a controller.
 func (c *Client) readRates(limits config.StoreLimits) map[Budget]float64 {
 	n := float64(c.controllers)
-	return map[Budget]float64{BudgetPlacement: limits.RPS * 0.5, BudgetAcceptance: limits.RPS / n, BudgetPoll: limits.RPS * 0.6 / n, BudgetMaintenance: limits.RPS * 0.1}
+	return map[Budget]float64{
+		BudgetPlacement:   limits.RPS * 0.5,
+		BudgetAcceptance:  limits.RPS / n,
+		BudgetPoll:        limits.RPS * 0.6 / n,
+		BudgetMaintenance: limits.RPS * 0.1,
+	}
 }
 
 // writeRates divides the service's writes a second between the uses of a controller.
 func (c *Client) writeRates(limits config.StoreLimits) map[Budget]float64 {
-	return map[Budget]float64{BudgetPlacement: limits.WriteRPS * PlacementShare, BudgetAcceptance: limits.WriteRPS / float64(c.controllers),
-		BudgetMaintenance: limits.WriteRPS * 0.2, BudgetCompletion: limits.WriteRPS * PlacementShare * completionFloor}
+	return map[Budget]float64{
+		BudgetPlacement: limits.WriteRPS * PlacementShare, BudgetAcceptance: limits.WriteRPS / float64(c.controllers),
+		BudgetMaintenance: limits.WriteRPS * 0.2, BudgetCompletion: limits.WriteRPS * PlacementShare * completionFloor,
+	}
 }
 
 // burstFor is how much of a budget may be used at a moment: a second's share. What is beyond that waits; the
@@ -103,7 +110,8 @@
 	defer c.completionMu.Unlock()
 	l := c.writeLimiters[BudgetPlacement]
 	now := time.Now()
-	if l.Tokens() <= -completionBacklog*float64(l.Limit()) && !c.writeLimiters[BudgetCompletion].AllowN(now, min(n, c.writeLimiters[BudgetCompletion].Burst())) {
+	if l.Tokens() <= -completionBacklog*float64(l.Limit()) &&
+		!c.writeLimiters[BudgetCompletion].AllowN(now, min(n, c.writeLimiters[BudgetCompletion].Burst())) {
 		return false
 	}
 	l.ReserveN(now, n)
--- a/internal/storage/client.go
+++ b/internal/storage/client.go
@@ -80,7 +80,13 @@
 
 // NewClient returns a client. The limits of the service are shared between
 // the controllers; within a controller no use can starve one before it.
-func NewClient(network transport.Network, source *random.Source, d *config.Deployment, addr string, timeout time.Duration) *Client {
+func NewClient(
+	network transport.Network,
+	source *random.Source,
+	d *config.Deployment,
+	addr string,
+	timeout time.Duration,
+) *Client {
 	perHost := max(4, d.Quota.MaxSockets/stateSocketsDivisor)
 	c := &Client{
 		base:          "http://" + addr,
--- a/internal/storage/compatibility_test.go
+++ b/internal/storage/compatibility_test.go
@@ -13,18 +13,41 @@
 // TestProductionRecords: every record of the version in production is read, and below the first feature level
 // written the same, byte by byte: both versions work on each other's data.
 func TestProductionRecords(t *testing.T) {
-	job := protocol.Job{ID: "j-000412", Class: "train", Team: "vision", Shape: protocol.Gang, Priority: "urgent", TaskCount: 16, CPUs: 8, GPUs: 1, MemoryGB: 64,
-		Image: "img-07", ImageGB: 6.2, MachineTypes: []string{"g8"}, Zone: "a", SameZone: true, SpotAllowed: true, EstimateSeconds: 240, CheckpointIntervalSeconds: 30, SaveSeconds: 4, DeadlineSeconds: 900}
+	job := protocol.Job{
+		ID:                        "j-000412",
+		Class:                     "train",
+		Team:                      "vision",
+		Shape:                     protocol.Gang,
+		Priority:                  "urgent",
+		TaskCount:                 16,
+		CPUs:                      8,
+		GPUs:                      1,
+		MemoryGB:                  64,
+		Image:                     "img-07",
+		ImageGB:                   6.2,
+		MachineTypes:              []string{"g8"},
+		Zone:                      "a",
+		SameZone:                  true,
+		SpotAllowed:               true,
+		EstimateSeconds:           240,
+		CheckpointIntervalSeconds: 30,
+		SaveSeconds:               4,
+		DeadlineSeconds:           900,
+	}
 	for name, want := range map[string]any{
 		"live":            &storage.LiveJobRecord{Job: job, AcceptedAtMS: 1764682355123},
 		"ended-done":      &storage.EndedJobRecord{State: protocol.JobDone, DoneTasks: 16, WriteName: "7.42"},
 		"ended-cancelled": &storage.EndedJobRecord{State: protocol.JobCancelled},
 		"leader":          &storage.LeaderRecord{Controller: "bothy-1", Term: 7},
-		"images": &storage.ImageHintRecord{Images: []string{"img-07", "img-09"}, SizesGB: []float64{6.2, 118}, Machines: []storage.MachineImages{{Name: "host-000231", Images: []int{0, 1}}},
-			Arrivals: []storage.ClassArrivals{{Class: "train", Jobs: 2.25, MeanTasks: 11.5}}},
+		"images": &storage.ImageHintRecord{
+			Images: []string{"img-07", "img-09"}, SizesGB: []float64{6.2, 118}, Machines: []storage.MachineImages{{Name: "host-000231", Images: []int{0, 1}}},
+			Arrivals: []storage.ClassArrivals{{Class: "train", Jobs: 2.25, MeanTasks: 11.5}},
+		},
 		"types": &protocol.MachineTypes{Types: []protocol.MachineType{{Name: "g8", CPUs: 96, GPUs: 8, MemoryGB: 768, CacheGB: 200, FetchGBPerSecond: 1, HourlyPrice: 12, HourlySpotPrice: 4.5, BootSeconds: 45, Zones: []string{"a", "b"}}}},
-		"zone-return": &storage.ZoneFailoverRecord{Format: 1, WriteName: "7.43", Zones: []storage.ZoneRow{{Name: "a", State: 1, SinceMS: 1764682355123, Flaps: 2}},
-			Loans: []storage.LoanRow{{Term: 7, Number: 3, Lender: "j-1", Task: 4, Attempt: 2, Borrower: "j-2", Machine: "host-000231", Zone: "b", LostSeconds: 12.5, CreatedMS: 5, ExpiresMS: 6}}},
+		"zone-return": &storage.ZoneFailoverRecord{
+			Format: 1, WriteName: "7.43", Zones: []storage.ZoneRow{{Name: "a", State: 1, SinceMS: 1764682355123, Flaps: 2}},
+			Loans: []storage.LoanRow{{Term: 7, Number: 3, Lender: "j-1", Task: 4, Attempt: 2, Borrower: "j-2", Machine: "host-000231", Zone: "b", LostSeconds: 12.5, CreatedMS: 5, ExpiresMS: 6}},
+		},
 	} {
 		raw := testutil.Production(t, name)
 		got := reflect.New(reflect.TypeOf(want).Elem()).Interface()
@@ -39,9 +62,20 @@
 
 // TestProductionPage does the same for a page of placements.
 func TestProductionPage(t *testing.T) {
-	want := storage.PlacementPage{WriteName: "7.41", HighestAttempt: 3, DoneRanges: [][2]int{{0, 4}, {6, 6}}, Zones: []string{"a", "b"},
-		Placements: []storage.Placement{{Task: 5, Machine: "host-000231", Incarnation: 2, Attempt: 3, Zone: 0}, {Task: 7, Machine: "host-000232", Incarnation: 1, Attempt: 1, Zone: 1}},
-		Team:       "vision", CPUs: 8, GPUs: 1, MemoryGB: 64}
+	want := storage.PlacementPage{
+		WriteName:      "7.41",
+		HighestAttempt: 3,
+		DoneRanges:     [][2]int{{0, 4}, {6, 6}},
+		Zones:          []string{"a", "b"},
+		Placements: []storage.Placement{
+			{Task: 5, Machine: "host-000231", Incarnation: 2, Attempt: 3, Zone: 0},
+			{Task: 7, Machine: "host-000232", Incarnation: 1, Attempt: 1, Zone: 1},
+		},
+		Team:     "vision",
+		CPUs:     8,
+		GPUs:     1,
+		MemoryGB: 64,
+	}
 	layout := storage.PageLayout{TasksPerPage: storage.OriginalPageTasks(8)}
 	raw := testutil.Production(t, "page")
 	got, err := storage.DecodePage(raw, layout)
@@ -51,7 +85,8 @@
 	if written, err := storage.EncodePage(&want, layout); err != nil || !bytes.Equal(written, raw) {
 		t.Errorf("it is written otherwise: %x, want %x, %v", written, raw, err)
 	}
-	if key := (storage.PageID{Job: "j-000412", Layout: layout, Number: 3}).Key(); key != "place/j-000412/0003" || layout.TasksPerPage != 96 {
+	if key := (storage.PageID{Job: "j-000412", Layout: layout, Number: 3}).Key(); key != "place/j-000412/0003" ||
+		layout.TasksPerPage != 96 {
 		t.Errorf("its key is %q, and it covers %d tasks", key, layout.TasksPerPage)
 	}
 }
--- a/internal/storage/leases.go
+++ b/internal/storage/leases.go
@@ -12,7 +12,14 @@
 
 // GrantLease asks for a lease.
 func (c *Client) GrantLease(ctx context.Context, ttl time.Duration) (uint64, error) {
-	_, raw, err := c.call(ctx, BudgetUrgent, 0, http.MethodPost, "/grants", protocol.LeaseRequest{TTLMS: ttl.Milliseconds()})
+	_, raw, err := c.call(
+		ctx,
+		BudgetUrgent,
+		0,
+		http.MethodPost,
+		"/grants",
+		protocol.LeaseRequest{TTLMS: ttl.Milliseconds()},
+	)
 	if err != nil {
 		return 0, err
 	}
@@ -25,7 +32,14 @@
 
 // RenewLease renews a lease.
 func (c *Client) RenewLease(ctx context.Context, lease uint64) error {
-	status, _, err := c.call(ctx, BudgetUrgent, 0, http.MethodPost, "/grants/"+strconv.FormatUint(lease, 10)+"/extend", struct{}{})
+	status, _, err := c.call(
+		ctx,
+		BudgetUrgent,
+		0,
+		http.MethodPost,
+		"/grants/"+strconv.FormatUint(lease, 10)+"/extend",
+		struct{}{},
+	)
 	if err == nil && status == http.StatusNotFound {
 		return ErrLeaseNotFound
 	}
--- a/internal/storage/ownership.go
+++ b/internal/storage/ownership.go
@@ -49,7 +49,13 @@
 		return nil, fmt.Errorf("ownership record: %w", err)
 	}
 	if rec.Format != OwnershipFormat || rec.Epoch == 0 || rec.Term == 0 {
-		return nil, fmt.Errorf("%w: format %d, epoch %d, term %d", errMalformedOwnership, rec.Format, rec.Epoch, rec.Term)
+		return nil, fmt.Errorf(
+			"%w: format %d, epoch %d, term %d",
+			errMalformedOwnership,
+			rec.Format,
+			rec.Epoch,
+			rec.Term,
+		)
 	}
 	seen := map[string]bool{}
 	for _, e := range rec.Members {
--- a/internal/storage/ownership_test.go
+++ b/internal/storage/ownership_test.go
@@ -11,12 +11,21 @@
 	"pinebay/internal/storage"
 )
 
-// TestOwnershipRecords: a record in form survives, and one that is out of form, or of a newer format, is never taken for
-// consent.
+// TestOwnershipRecords: a record in form survives, and one that is out of form, or of a newer format, is never taken
+// for consent.
 func TestOwnershipRecords(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		rec := storage.OwnershipRecord{Format: storage.OwnershipFormat, Epoch: rapid.Uint64Min(1).Draw(t, "epoch"), Term: rapid.Uint64Min(1).Draw(t, "term"),
-			Reason: rapid.String().Draw(t, "reason"), Members: []storage.OwnershipMember{{Controller: "a", Incarnation: 1}, {Controller: "b", Incarnation: 2, Refutations: 3}}}
+		rec := storage.OwnershipRecord{
+			Format: storage.OwnershipFormat,
+			Epoch:  rapid.Uint64Min(1).Draw(t, "epoch"),
+			Term:   rapid.Uint64Min(1).Draw(t, "term"),
+			Reason: rapid.String().
+				Draw(t, "reason"),
+			Members: []storage.OwnershipMember{
+				{Controller: "a", Incarnation: 1},
+				{Controller: "b", Incarnation: 2, Refutations: 3},
+			},
+		}
 		broken := true
 		want := error(nil)
 		switch rapid.IntRange(0, 6).Draw(t, "how") {
--- a/internal/storage/placementpages.go
+++ b/internal/storage/placementpages.go
@@ -164,7 +164,16 @@
 	if !layout.Compact {
 		return protocol.Encode(r)
 	}
-	page := compactPage{WriteName: r.WriteName, HighestAttempt: r.HighestAttempt, DoneRanges: r.DoneRanges, Zones: r.Zones, Team: r.Team, CPUs: r.CPUs, GPUs: r.GPUs, MemoryGB: r.MemoryGB}
+	page := compactPage{
+		WriteName:      r.WriteName,
+		HighestAttempt: r.HighestAttempt,
+		DoneRanges:     r.DoneRanges,
+		Zones:          r.Zones,
+		Team:           r.Team,
+		CPUs:           r.CPUs,
+		GPUs:           r.GPUs,
+		MemoryGB:       r.MemoryGB,
+	}
 	type session struct {
 		machine string
 		number  uint64
@@ -177,7 +186,10 @@
 		if !ok {
 			i = len(page.Machines)
 			index[key] = i
-			page.Machines = append(page.Machines, compactMachine{Name: pl.Machine, Zone: pl.Zone, Incarnation: pl.Incarnation})
+			page.Machines = append(
+				page.Machines,
+				compactMachine{Name: pl.Machine, Zone: pl.Zone, Incarnation: pl.Incarnation},
+			)
 		}
 		page.Machines[i].Tasks = append(page.Machines[i].Tasks, compactTask{uint64(pl.Task), pl.Attempt})
 	}
@@ -217,13 +229,31 @@
 	if err := protocol.Decode(raw, &page); err != nil {
 		return err
 	}
-	*rec = PlacementPage{WriteName: page.WriteName, HighestAttempt: page.HighestAttempt, DoneRanges: page.DoneRanges, Zones: page.Zones, Team: page.Team, CPUs: page.CPUs, GPUs: page.GPUs, MemoryGB: page.MemoryGB}
+	*rec = PlacementPage{
+		WriteName:      page.WriteName,
+		HighestAttempt: page.HighestAttempt,
+		DoneRanges:     page.DoneRanges,
+		Zones:          page.Zones,
+		Team:           page.Team,
+		CPUs:           page.CPUs,
+		GPUs:           page.GPUs,
+		MemoryGB:       page.MemoryGB,
+	}
 	for _, m := range page.Machines {
 		for _, task := range m.Tasks {
 			if task[0] >= protocol.MaxTasks {
 				return fmt.Errorf("%w: placement of task %d", errMalformedPage, task[0])
 			}
-			rec.Placements = append(rec.Placements, Placement{Task: int(task[0]), Machine: m.Name, Incarnation: m.Incarnation, Attempt: task[1], Zone: m.Zone})
+			rec.Placements = append(
+				rec.Placements,
+				Placement{
+					Task:        int(task[0]),
+					Machine:     m.Name,
+					Incarnation: m.Incarnation,
+					Attempt:     task[1],
+					Zone:        m.Zone,
+				},
+			)
 		}
 	}
 	return nil
--- a/internal/storage/reads.go
+++ b/internal/storage/reads.go
@@ -89,8 +89,19 @@
 }
 
 // Watch waits up to wait for changes after rev to keys with the prefix; see Changes for those that are too long.
-func (c *Client) Watch(ctx context.Context, prefix string, rev uint64, wait time.Duration) (*protocol.WatchResponse, error) {
-	path := fmt.Sprintf("%s/changes?prefix=%s&from=%d&block_ms=%d", c.base, url.QueryEscape(prefix), rev, wait.Milliseconds())
+func (c *Client) Watch(
+	ctx context.Context,
+	prefix string,
+	rev uint64,
+	wait time.Duration,
+) (*protocol.WatchResponse, error) {
+	path := fmt.Sprintf(
+		"%s/changes?prefix=%s&from=%d&block_ms=%d",
+		c.base,
+		url.QueryEscape(prefix),
+		rev,
+		wait.Milliseconds(),
+	)
 	status, raw, err := c.watches.Do(ctx, wait+2*c.timeout, http.MethodGet, path, nil)
 	if errors.Is(err, transport.ErrResponseTooLarge) {
 		return nil, fmt.Errorf("%w: %w", ErrCompacted, err)
--- a/internal/storage/storage_test.go
+++ b/internal/storage/storage_test.go
@@ -32,8 +32,10 @@
 func newTestClient(t *testing.T, h http.Handler) *storage.Client {
 	srv := httptest.NewServer(h)
 	t.Cleanup(srv.Close)
-	d := &config.Deployment{Controllers: 1, Store: config.StoreLimits{RPS: 1e6, WriteRPS: 1e6, TxnOps: 16},
-		Workers: config.Workers{LeaseSeconds: 10}, Quota: config.Quota{MaxSockets: 500}}
+	d := &config.Deployment{
+		Controllers: 1, Store: config.StoreLimits{RPS: 1e6, WriteRPS: 1e6, TxnOps: 16},
+		Workers: config.Workers{LeaseSeconds: 10}, Quota: config.Quota{MaxSockets: 500},
+	}
 	return storage.NewClient(transport.TCP{}, random.New(1), d, strings.TrimPrefix(srv.URL, "http://"), time.Minute)
 }
 
@@ -117,14 +119,23 @@
 		}
 		n := layout.TasksPerPage
 		base := protocol.MaxTasks - n
-		rec := storage.PlacementPage{WriteName: "1234567.1234567", HighestAttempt: 1 << 40, Team: strings.Repeat("t", 40), CPUs: 1.0 / 3, GPUs: 1.0 / 3, MemoryGB: 1.0 / 3}
+		rec := storage.PlacementPage{
+			WriteName:      "1234567.1234567",
+			HighestAttempt: 1 << 40,
+			Team:           strings.Repeat("t", 40),
+			CPUs:           1.0 / 3,
+			GPUs:           1.0 / 3,
+			MemoryGB:       1.0 / 3,
+		}
 		for i := range n {
 			if rapid.IntRange(0, 3).Draw(t, "done") == 0 {
 				rec.AddDoneTask(base + i)
 				continue
 			}
-			rec.Placements = append(rec.Placements, storage.Placement{Task: base + i, Machine: "host-12345678", Incarnation: 1 << 20, Attempt: 1 << 20,
-				Zone: rec.ZoneIndex(rapid.SampledFrom([]string{"kaolackinland", "dublinbay"}).Draw(t, "zone"))})
+			rec.Placements = append(rec.Placements, storage.Placement{
+				Task: base + i, Machine: "host-12345678", Incarnation: 1 << 20, Attempt: 1 << 20,
+				Zone: rec.ZoneIndex(rapid.SampledFrom([]string{"kaolackinland", "dublinbay"}).Draw(t, "zone")),
+			})
 		}
 		raw, err := storage.EncodePage(&rec, layout)
 		if err != nil {
@@ -143,14 +154,21 @@
 			t.Fatalf("%d bytes are taken for %d: %v", len(out), size, err)
 		}
 		name := storage.PageID{Job: "j-000001", Layout: layout, Number: 17}
-		if parsed, err := storage.ParsePageKey(name.Key(), storage.OriginalPageTasks(kb)); err != nil || parsed != name {
+		if parsed, err := storage.ParsePageKey(
+			name.Key(),
+			storage.OriginalPageTasks(kb),
+		); err != nil ||
+			parsed != name {
 			t.Fatalf("%s is read as %+v: %v", name.Key(), parsed, err)
 		}
 		got, err := storage.DecodePage(raw, layout)
 		if err != nil {
 			t.Fatal(err)
 		}
-		slices.SortFunc(got.Placements, func(a, b storage.Placement) int { return a.Task - b.Task }) // compact pages list them by machine
+		slices.SortFunc(
+			got.Placements,
+			func(a, b storage.Placement) int { return a.Task - b.Task },
+		) // compact pages list them by machine
 		if !reflect.DeepEqual(*got, rec) {
 			t.Fatalf("%+v\n%+v", *got, rec)
 		}
@@ -159,7 +177,11 @@
 
 func TestMalformedPagesAreRejected(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		rec := storage.PlacementPage{Zones: []string{"a"}, Placements: []storage.Placement{{Task: 1, Machine: "m", Zone: 0}}, DoneRanges: [][2]int{{2, 3}}}
+		rec := storage.PlacementPage{
+			Zones:      []string{"a"},
+			Placements: []storage.Placement{{Task: 1, Machine: "m", Zone: 0}},
+			DoneRanges: [][2]int{{2, 3}},
+		}
 		switch rapid.IntRange(0, 3).Draw(t, "how") {
 		case 0:
 			rec.Placements[0].Zone = rapid.IntRange(1, 9).Draw(t, "zone")
@@ -210,7 +232,11 @@
 		_, _ = w.Write(rec.Body.Bytes())
 	}))
 	ok, err := c.TxnHedged(context.Background(), storage.BudgetAcceptance, protocol.Txn{
-		If: []protocol.Compare{{Key: "live/j-1"}}, Then: []protocol.Op{{PutKey: "live/j-1", Value: mustEncode(t, map[string]int{"n": 1})}}})
+		If: []protocol.Compare{
+			{Key: "live/j-1"},
+		},
+		Then: []protocol.Op{{PutKey: "live/j-1", Value: mustEncode(t, map[string]int{"n": 1})}},
+	})
 	close(release)
 	if err != nil || ok {
 		t.Errorf("second try: %v %v, want a failed condition", ok, err)
@@ -228,7 +254,12 @@
 	if c.Answered() {
 		t.Error("an answer is claimed before there was any")
 	}
-	if _, err := c.Get(context.Background(), storage.BudgetUrgent, "k"); !errors.Is(err, storage.ErrUnavailable) || c.Answered() {
+	if _, err := c.Get(
+		context.Background(),
+		storage.BudgetUrgent,
+		"k",
+	); !errors.Is(err, storage.ErrUnavailable) ||
+		c.Answered() {
 		t.Errorf("a refusal is taken for an answer: %v", err)
 	}
 	status = http.StatusNotFound
@@ -242,10 +273,25 @@
 func TestZoneFailoverPages(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		valueKB := float64(rapid.SampledFrom([]int{1, 8, 64}).Draw(t, "value"))
-		rec := storage.ZoneFailoverRecord{Format: storage.ZoneFailoverFormat, WriteName: "123456.123456", Zones: []storage.ZoneRow{{Name: "shannonside", State: 2, SinceMS: 1 << 41, Flaps: 3}}}
+		rec := storage.ZoneFailoverRecord{
+			Format:    storage.ZoneFailoverFormat,
+			WriteName: "123456.123456",
+			Zones:     []storage.ZoneRow{{Name: "shannonside", State: 2, SinceMS: 1 << 41, Flaps: 3}},
+		}
 		for i := range rapid.IntRange(0, storage.LoansPerPage(valueKB)).Draw(t, "loans") {
-			rec.Loans = append(rec.Loans, storage.LoanRow{Term: 1 << 20, Number: uint64(i), Lender: "j-123456", Task: 99_999, Attempt: 1 << 20, Borrower: "j-654321",
-				Machine: "host-123456", Zone: "shannonside", LostSeconds: 123.456789012345, CreatedMS: 1 << 41, ExpiresMS: 1 << 41})
+			rec.Loans = append(rec.Loans, storage.LoanRow{
+				Term:        1 << 20,
+				Number:      uint64(i),
+				Lender:      "j-123456",
+				Task:        99_999,
+				Attempt:     1 << 20,
+				Borrower:    "j-654321",
+				Machine:     "host-123456",
+				Zone:        "shannonside",
+				LostSeconds: 123.456789012345,
+				CreatedMS:   1 << 41,
+				ExpiresMS:   1 << 41,
+			})
 		}
 		raw, err := protocol.Encode(rec)
 		if err != nil {
@@ -263,7 +309,9 @@
 			t.Fatalf("%+v %v", got, err)
 		}
 		if cut := rapid.IntRange(0, len(raw)-1).Draw(t, "cut"); cut > 0 {
-			if _, err := storage.DecodeZoneFailover(protocol.KeyValue{Key: storage.ZoneFailoverKey(0), Value: raw[:cut]}); err == nil {
+			if _, err := storage.DecodeZoneFailover(
+				protocol.KeyValue{Key: storage.ZoneFailoverKey(0), Value: raw[:cut]},
+			); err == nil {
 				t.Fatalf("%d of %d bytes were taken", cut, len(raw))
 			}
 		}
@@ -271,7 +319,10 @@
 		if raw, err = protocol.Encode(rec); err != nil {
 			t.Fatal(err)
 		}
-		if _, err := storage.DecodeZoneFailover(protocol.KeyValue{Key: storage.ZoneFailoverKey(0), Value: raw}); (err == nil) || errors.Is(err, storage.ErrNewerFormat) != (rec.Format > storage.ZoneFailoverFormat) {
+		if _, err := storage.DecodeZoneFailover(
+			protocol.KeyValue{Key: storage.ZoneFailoverKey(0), Value: raw},
+		); (err == nil) ||
+			errors.Is(err, storage.ErrNewerFormat) != (rec.Format > storage.ZoneFailoverFormat) {
 			t.Fatalf("format %d: %v", rec.Format, err)
 		}
 	})
@@ -282,8 +333,12 @@
 func TestPlacementsHaveBudgetBesideCompletions(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const perSecond = 20
-		d := &config.Deployment{Controllers: 1, Store: config.StoreLimits{RPS: 1000, WriteRPS: perSecond / storage.PlacementShare, TxnOps: 16},
-			Workers: config.Workers{LeaseSeconds: 10}, Quota: config.Quota{MaxSockets: 500}}
+		d := &config.Deployment{
+			Controllers: 1,
+			Store:       config.StoreLimits{RPS: 1000, WriteRPS: perSecond / storage.PlacementShare, TxnOps: 16},
+			Workers:     config.Workers{LeaseSeconds: 10},
+			Quota:       config.Quota{MaxSockets: 500},
+		}
 		n := simulation.NewNetwork(1)
 		service, controller := n.Host("10.2.0.1"), n.Host("10.0.0.1")
 		state := simulation.NewStore()
@@ -304,7 +359,11 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		var ends atomic.Int64
 		write := func(use storage.Budget, key string) error {
-			_, ok, err := c.Txn(ctx, use, protocol.Txn{Then: []protocol.Op{{PutKey: key, Value: mustEncode(t, map[string]int{})}}})
+			_, ok, err := c.Txn(
+				ctx,
+				use,
+				protocol.Txn{Then: []protocol.Op{{PutKey: key, Value: mustEncode(t, map[string]int{})}}},
+			)
 			if err == nil && !ok {
 				return errors.New("refused")
 			}
@@ -349,11 +408,22 @@
 	value := mustEncode(t, map[string]string{"x": strings.Repeat("x", 8000)})
 	var events []protocol.WatchEvent
 	for i := range 1200 {
-		events = append(events, protocol.WatchEvent{PutKey: fmt.Sprintf("live/j-%06d", i), Value: value, Revision: uint64(i + 1)})
+		events = append(
+			events,
+			protocol.WatchEvent{PutKey: fmt.Sprintf("live/j-%06d", i), Value: value, Revision: uint64(i + 1)},
+		)
 	}
 	raw := mustEncode(t, protocol.WatchResponse{Revision: uint64(len(events)), Events: events})
 	c := newTestClient(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write(raw) }))
-	if _, err := c.Changes(t.Context(), storage.BudgetPoll, storage.LiveJobPrefix, 0); !errors.Is(err, storage.ErrCompacted) {
+	if _, err := c.Changes(
+		t.Context(),
+		storage.BudgetPoll,
+		storage.LiveJobPrefix,
+		0,
+	); !errors.Is(
+		err,
+		storage.ErrCompacted,
+	) {
 		t.Errorf("changes: %v", err)
 	}
 	if _, err := c.Watch(t.Context(), storage.LiveJobPrefix, 0, time.Second); !errors.Is(err, storage.ErrCompacted) {
--- a/internal/storage/terms.go
+++ b/internal/storage/terms.go
@@ -47,7 +47,14 @@
 	if r.FeatureLevel == 0 {
 		return protocol.Encode(termWithoutLevel{Term: r.Term, Controller: r.Controller, ClaimID: r.ClaimID})
 	}
-	return protocol.Encode(termWithLevel{Term: termNumberWithLevel{Number: r.Term, Level: r.FeatureLevel}, Controller: r.Controller, ClaimID: r.ClaimID, WriteName: r.WriteName})
+	return protocol.Encode(
+		termWithLevel{
+			Term:       termNumberWithLevel{Number: r.Term, Level: r.FeatureLevel},
+			Controller: r.Controller,
+			ClaimID:    r.ClaimID,
+			WriteName:  r.WriteName,
+		},
+	)
 }
 
 // DecodeTerm reads a stored record of either form.
@@ -69,5 +76,11 @@
 	if err := protocol.Decode(raw, &leveled); err != nil {
 		return TermRecord{}, fmt.Errorf("term record: %w", err)
 	}
-	return TermRecord{Term: leveled.Term.Number, Controller: leveled.Controller, ClaimID: leveled.ClaimID, FeatureLevel: leveled.Term.Level, WriteName: leveled.WriteName}, nil
+	return TermRecord{
+		Term:         leveled.Term.Number,
+		Controller:   leveled.Controller,
+		ClaimID:      leveled.ClaimID,
+		FeatureLevel: leveled.Term.Level,
+		WriteName:    leveled.WriteName,
+	}, nil
 }
--- a/internal/storage/transactions.go
+++ b/internal/storage/transactions.go
@@ -17,7 +17,11 @@
 }
 
 // TxnFailed is Txn, and also returns the keys whose conditions failed.
-func (c *Client) TxnFailed(ctx context.Context, use Budget, t protocol.Txn) (rev uint64, ok bool, failed []string, err error) {
+func (c *Client) TxnFailed(
+	ctx context.Context,
+	use Budget,
+	t protocol.Txn,
+) (rev uint64, ok bool, failed []string, err error) {
 	if err := c.admit(ctx, use, firstKeyOf(&t), len(t.Then)); err != nil {
 		return 0, false, nil, err
 	}
@@ -69,7 +73,11 @@
 }
 
 // TxnAdmitted is TxnFailed for a transaction that has its place.
-func (c *Client) TxnAdmitted(ctx context.Context, a Admission, t protocol.Txn) (rev uint64, ok bool, failed []string, err error) {
+func (c *Client) TxnAdmitted(
+	ctx context.Context,
+	a Admission,
+	t protocol.Txn,
+) (rev uint64, ok bool, failed []string, err error) {
 	if a.leftover {
 		err = c.admitCompletion(ctx, firstKeyOf(&t), len(t.Then))
 	} else {
@@ -89,7 +97,11 @@
 	return t.Then[0].PutKey + t.Then[0].DeleteKey
 }
 
-func (c *Client) try(ctx context.Context, use Budget, t protocol.Txn) (rev uint64, ok bool, failed []string, err error) {
+func (c *Client) try(
+	ctx context.Context,
+	use Budget,
+	t protocol.Txn,
+) (rev uint64, ok bool, failed []string, err error) {
 	status, raw, err := c.send(ctx, use, http.MethodPost, "/multi", t)
 	if err != nil {
 		return 0, false, nil, err
--- a/internal/storage/zonefailover.go
+++ b/internal/storage/zonefailover.go
@@ -89,8 +89,10 @@
 		}
 	}
 	for _, l := range rec.Loans {
-		if !protocol.ValidJobID(l.Lender) || !protocol.ValidJobID(l.Borrower) || l.Task < 0 || l.Task >= protocol.MaxTasks ||
-			!(l.LostSeconds >= 0) || math.IsInf(l.LostSeconds, 0) {
+		if !protocol.ValidJobID(l.Lender) || !protocol.ValidJobID(l.Borrower) || l.Task < 0 ||
+			l.Task >= protocol.MaxTasks ||
+			!(l.LostSeconds >= 0) ||
+			math.IsInf(l.LostSeconds, 0) {
 			return nil, fmt.Errorf("key %q: %w: loan of %q", p.Key, errMalformedZoneFailover, l.Lender)
 		}
 	}
--- a/internal/transport/mesh.go
+++ b/internal/transport/mesh.go
@@ -72,8 +72,17 @@
 // NewMesh returns a mesh of self with the named peers. handle answers a
 // peer's request; lost is told when a peer's connection to us ends.
 func NewMesh(network Network, self string, peers map[string]string, timeout time.Duration, log *slog.Logger,
-	handle func(*protocol.PeerMessage) *protocol.PeerMessage, lost func(string)) *Mesh {
-	m := &Mesh{network: network, self: self, timeout: timeout, log: log, handle: handle, onPeerLost: lost, peers: map[string]*peer{}}
+	handle func(*protocol.PeerMessage) *protocol.PeerMessage, lost func(string),
+) *Mesh {
+	m := &Mesh{
+		network:    network,
+		self:       self,
+		timeout:    timeout,
+		log:        log,
+		handle:     handle,
+		onPeerLost: lost,
+		peers:      map[string]*peer{},
+	}
 	for node, addr := range peers {
 		m.peers[node] = &peer{addr: addr, pending: map[uint64]chan *protocol.PeerMessage{}}
 	}
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -65,9 +65,17 @@
 		t.Fatal(err)
 	}
 	lost := make(chan string, 1)
-	server := NewMesh(TCP{}, "b", map[string]string{"a": "127.0.0.1:1"}, time.Minute, discardLogger(), func(m *protocol.PeerMessage) *protocol.PeerMessage {
-		return &protocol.PeerMessage{Kind: protocol.PeerReply, Term: m.Term + 1}
-	}, func(n string) { lost <- n })
+	server := NewMesh(
+		TCP{},
+		"b",
+		map[string]string{"a": "127.0.0.1:1"},
+		time.Minute,
+		discardLogger(),
+		func(m *protocol.PeerMessage) *protocol.PeerMessage {
+			return &protocol.PeerMessage{Kind: protocol.PeerReply, Term: m.Term + 1}
+		},
+		func(n string) { lost <- n },
+	)
 	ctx, cancel := context.WithCancel(context.Background())
 	served := make(chan error, 1)
 	go func() { served <- server.Serve(ctx, l) }()
