--- a/internal/actor/pool.go
+++ b/internal/actor/pool.go
@@ -2,21 +2,21 @@
 
 import "sync"
 
-// Pool carries out work in the order in which it was given, so many pieces at a time. Its goroutines
-// end when nothing is left.
+// Pool runs a function on pieces of work, in the order in which they were added and a limited
+// number at a time. It has no goroutines while it has no work. It is safe for concurrent use.
 type Pool[W any] struct {
 	do    func(W)
 	limit int
 
-	mu      sync.Mutex
+	mu      sync.Mutex // guards what follows
 	pending []W
 	running int
 }
 
-// NewPool returns a pool that hands work to do, at most so many pieces at a time.
-func NewPool[W any](most int, do func(W)) *Pool[W] { return &Pool[W]{do: do, limit: most} }
+// NewPool returns a pool that calls do for each piece of work, on at most limit goroutines.
+func NewPool[W any](limit int, do func(W)) *Pool[W] { return &Pool[W]{do: do, limit: limit} }
 
-// Add gives the pool a piece of work, and does not wait.
+// Add adds a piece of work. It does not wait.
 func (p *Pool[W]) Add(work W) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -28,6 +28,7 @@
 	go p.run(work)
 }
 
+// run works until nothing is pending.
 func (p *Pool[W]) run(work W) {
 	for {
 		p.do(work)
@@ -39,6 +40,7 @@
 	}
 }
 
+// next returns the next pending piece of work. Without one, the calling goroutine must end.
 func (p *Pool[W]) next() (work W, ok bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/actor/pool_test.go
+++ b/internal/actor/pool_test.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-// TestPool: work begins in the order in which it was given, no more than so many pieces at a time,
-// and all of it is done.
+// TestPool checks that work starts in the order in which it was added, that no more than the limit
+// runs at a time, and that all of it is done.
 func TestPool(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		const most, pieces = 3, 40
-		began := make(chan int, pieces)
-		p := NewPool(most, func(n int) {
-			began <- n
+		const limit, pieces = 3, 40
+		started := make(chan int, pieces)
+		p := NewPool(limit, func(n int) {
+			started <- n
 			time.Sleep(time.Second)
 		})
 		start := time.Now()
@@ -23,22 +23,22 @@
 		}
 		var order []int
 		for range pieces {
-			order = append(order, <-began)
+			order = append(order, <-started)
 		}
-		// Those that begin at one moment do so in no order.
-		for i := 0; i+most <= pieces; i += most {
-			slices.Sort(order[i : i+most])
+		// Those that start at the same time do so in no particular order.
+		for i := 0; i+limit <= pieces; i += limit {
+			slices.Sort(order[i : i+limit])
 		}
 		if !slices.IsSorted(order) {
-			t.Errorf("began as %v", order)
+			t.Errorf("work started in the order %v", order)
 		}
-		if took, want := time.Since(start), time.Duration((pieces-1)/most)*time.Second; took != want {
-			t.Errorf("the last began after %v, want %v", took, want)
+		if took, want := time.Since(start), time.Duration((pieces-1)/limit)*time.Second; took != want {
+			t.Errorf("the last piece started after %v, want %v", took, want)
 		}
 		time.Sleep(2 * time.Second)
 		p.Add(pieces)
-		if n := <-began; n != pieces {
-			t.Errorf("%d, after it had come to rest", n)
+		if n := <-started; n != pieces {
+			t.Errorf("piece %d started after the pool was idle, want %d", n, pieces)
 		}
 		time.Sleep(2 * time.Second)
 	})
--- a/internal/daemon/failuredetection.go
+++ b/internal/daemon/failuredetection.go
@@ -54,14 +54,11 @@
 			c.applyDetectorEffect(ctx, effect)
 		}
 	}
-	ticked := c.now()
-	c.failureDetector.mailbox.Run(ctx, times.TickInterval, step, func() {
-		if now := c.now(); now-ticked >= times.TickInterval {
-			ticked = now
-			step(failuredetector.Tick{})
-			c.failureDetector.publish(now, machine)
-		}
+	tick := actor.Every(times.TickInterval, c.now, func(now time.Duration) {
+		step(failuredetector.Tick{})
+		c.failureDetector.publish(now, machine)
 	})
+	c.failureDetector.mailbox.Run(ctx, times.TickInterval, step, tick)
 }
 
 func (s *failureDetector) publish(now time.Duration, m *failuredetector.Detector) {
--- a/internal/daemon/fencing.go
+++ b/internal/daemon/fencing.go
@@ -5,6 +5,7 @@
 	"slices"
 	"time"
 
+	"pinebay/internal/actor"
 	"pinebay/internal/config"
 	"pinebay/internal/coordination/election"
 	"pinebay/internal/coordination/fencing"
@@ -30,15 +31,9 @@
 			c.applyFencingEffect(ctx, effect)
 		}
 	}
-	assessed := c.now()
-	c.fencingMailbox.Run(ctx, c.times.LeaderTimeout, step, func() {
-		// Every controller of a majority lists the machines at this pace, and the
-		// cloud's rate is shared.
-		if now := c.now(); now-assessed >= c.times.LeaderTimeout {
-			assessed = now
-			step(c.assessFencing(now))
-		}
-	})
+	// Every controller of a quorum lists the machines at this pace, and they share the cloud's rate.
+	assess := actor.Every(c.times.LeaderTimeout, c.now, func(now time.Duration) { step(c.assessFencing(now)) })
+	c.fencingMailbox.Run(ctx, c.times.LeaderTimeout, step, assess)
 }
 
 // assessFencing tells the fencing how this controller stands.
--- a/internal/random/random_test.go
+++ b/internal/random/random_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// TestSameSeedSameNumbers: numbers follow from seed, purpose and moment alone, and differ when one of
-// them does. Scenarios that were drawn in the order in which goroutines ran differed from run to run.
+// TestSameSeedSameNumbers checks that numbers depend on seed, purpose and time alone, and differ if
+// one of these does. Numbers that depended on the order of goroutines made runs differ.
 func TestSameSeedSameNumbers(t *testing.T) {
 	draw := func(s *Source) (numbers []uint64) {
 		synctest.Test(t, func(*testing.T) {
@@ -28,14 +28,14 @@
 		}
 	}
 	if first[0] == first[1] || first[0] == first[2] || first[1] == first[2] {
-		t.Errorf("%v: purposes or moments don't matter", first)
+		t.Errorf("%v: purpose or time makes no difference", first)
 	}
 	if draw(New(1).Named("n-0"))[0] == draw(New(1).Named("n-1"))[0] {
 		t.Error("two named sources draw the same")
 	}
 }
 
-// TestUpTo: durations lie in their range, and spread over it.
+// TestUpTo checks that durations lie in their range and are spread over it.
 func TestUpTo(t *testing.T) {
 	s, sum := New(7), time.Duration(0)
 	const draws = 1000
@@ -44,7 +44,7 @@
 			time.Sleep(time.Nanosecond)
 			d := s.UpTo("test", time.Second)
 			if d < 0 || d >= time.Second {
-				t.Fatal(d)
+				t.Fatalf("%v is not in [0, 1s)", d)
 			}
 			sum += d
 		}
