--- a/cmd/pinebay/main.go
+++ b/cmd/pinebay/main.go
@@ -15,6 +15,7 @@
 	_ "runtime/cgo"
 	"runtime/debug"
 	"strings"
+	"sync"
 	"syscall"
 
 	"github.com/spf13/cobra"
@@ -30,7 +31,7 @@
 // version is that of CHANGELOG.md.
 const version = "0.1.0"
 
-// errUsage marks what ends the program with status 2.
+// errUsage marks errors that end the program with exit status 2.
 var errUsage = errors.New("usage")
 
 func main() {
@@ -43,10 +44,16 @@
 	}
 }
 
+// flags are the command line's.
+type flags struct {
+	settingsPath string
+	stepTimes    bool
+	ownership    bool
+	zoneReturn   zoneReturnFlags
+}
+
 func newCommand() *cobra.Command {
-	var path string
-	var stepTimes, ownership bool
-	var zoneReturn zoneReturnFlags
+	var f flags
 	cmd := &cobra.Command{
 		Use:           "pinebay --config FILE",
 		Short:         "Run a controller of the pinebay scheduler",
@@ -55,51 +62,70 @@
 		SilenceErrors: true,
 		SilenceUsage:  true,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			if path == "" {
-				return fmt.Errorf("%w: --config FILE is missing", errUsage)
-			}
-			cfg, err := config.Load(path)
-			if err != nil {
-				return fmt.Errorf("%w: %w", errUsage, err)
-			}
-			features, err := zoneReturn.features(cfg)
+			controller, err := f.newController()
 			if err != nil {
 				return fmt.Errorf("%w: %w", errUsage, err)
 			}
-			features.Ownership = ownership
-			if stepTimes {
-				features.Timing = timing.NewRecorder()
-			}
-			log, err := newLogger(os.Stderr, os.Getenv("LOG_LEVEL"))
-			if err != nil {
-				return fmt.Errorf("%w: %w", errUsage, err)
-			}
-			limitRuntime(cfg)
-			return run(cmd.Context(), daemon.New(transport.TCP{}, random.NewSystemSeeded(), cfg, features, log))
+			return run(cmd.Context(), controller)
 		},
 	}
 	cmd.SetContext(context.Background())
-	cmd.Flags().StringVar(&path, "config", "", "settings file of this controller (TOML)")
-	cmd.Flags().
-		BoolVar(&ownership, "ownership", false, "watch the other controllers for failures, and part the machines among those that live")
-	cmd.Flags().BoolVar(&stepTimes, "step-times", false, "log how long the leader's steps and heartbeats take")
-	zoneReturn.add(cmd)
+	f.add(cmd)
 	cmd.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return fmt.Errorf("%w: %w", errUsage, err) })
 	return cmd
 }
 
-// run runs a controller until a signal asks it to end, and has it hand over what it owns first.
+func (f *flags) add(cmd *cobra.Command) {
+	set := cmd.Flags()
+	set.StringVar(&f.settingsPath, "config", "", "settings file of this controller (TOML)")
+	set.BoolVar(&f.ownership, "ownership", false,
+		"watch the other controllers for failures, and part the machines among those that live")
+	set.BoolVar(&f.stepTimes, "step-times", false, "log how long the leader's steps and heartbeats take")
+	f.zoneReturn.add(cmd)
+}
+
+// newController checks flags, settings and environment, limits the runtime by the settings, and returns a controller
+// that is not running yet. Every error is one of usage.
+func (f *flags) newController() (*daemon.Controller, error) {
+	if f.settingsPath == "" {
+		return nil, errors.New("--config FILE is missing")
+	}
+	settings, err := config.Load(f.settingsPath)
+	if err != nil {
+		return nil, err
+	}
+	features, err := f.zoneReturn.features(settings)
+	if err != nil {
+		return nil, err
+	}
+	features.Ownership = f.ownership
+	if f.stepTimes {
+		features.Timing = timing.NewRecorder()
+	}
+	log, err := newLogger(os.Stderr, os.Getenv("LOG_LEVEL"))
+	if err != nil {
+		return nil, err
+	}
+	limitRuntime(settings)
+	return daemon.New(transport.TCP{}, random.NewSystemSeeded(), settings, features, log), nil
+}
+
+// run runs a controller until SIGINT or SIGTERM. The controller hands its machines to the others before it ends.
 func run(ctx context.Context, controller *daemon.Controller) error {
 	signalled, stop := signal.NotifyContext(ctx, os.Interrupt, syscall.SIGTERM)
-	defer stop()
 	ctx, end := context.WithCancel(ctx)
-	defer end()
-	go func() {
+	var draining sync.WaitGroup
+	draining.Go(func() {
 		<-signalled.Done()
 		controller.Drain(ctx)
 		end()
-	}()
-	return controller.Run(ctx)
+	})
+	err := controller.Run(ctx)
+	// Should the controller end by itself, these end the wait for a signal, and nothing is drained any more.
+	end()
+	stop()
+	draining.Wait()
+	return err
 }
 
 // zoneReturnFlags are the flags of zone return.
@@ -110,8 +136,8 @@
 
 func (f *zoneReturnFlags) add(cmd *cobra.Command) {
 	cmd.Flags().BoolVar(&f.enabled, "zone-return", false, "bring work back in a stated order when a zone is lost")
-	cmd.Flags().
-		StringVar(&f.order, "zone-return-order", "", `with --zone-return, which classes and teams come first, as in "cluesmith > team guests"`)
+	cmd.Flags().StringVar(&f.order, "zone-return-order", "",
+		`with --zone-return, which classes and teams come first, as in "cluesmith > team guests"`)
 }
 
 // features checks the flags against the settings.
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -1,6 +1,7 @@
 package config
 
 import (
+	"errors"
 	"strings"
 	"testing"
 
@@ -109,8 +110,47 @@
 		switch {
 		case row.field == "" && err != nil:
 			t.Errorf("%s: %v", row.to, err)
-		case row.field != "" && (err == nil || !strings.Contains(err.Error(), row.field) || strings.Contains(err.Error(), "\n")):
+		case row.field == "":
+		case err == nil || !strings.Contains(err.Error(), row.field) || strings.Contains(err.Error(), "\n"):
 			t.Errorf("%s: %v", row.to, err)
 		}
 	}
 }
+
+// TestErrorTypes: callers can tell the field of an invalid setting, and operators read the same line as before.
+func TestErrorTypes(t *testing.T) {
+	for _, row := range []struct{ name, from, to, field, line string }{
+		{"missing", `node = "n-0"`, "", "node", "settings: field node: missing"},
+		{
+			"address", `listen = "10.0.0.1:8080"`, `listen = "here"`, "listen",
+			`settings: field listen: "here" is not an IP address with a port`,
+		},
+		{
+			"not positive", "cancel_s = 40.0", "cancel_s = 0.0", "deployment.workers.cancel_s",
+			"settings: field deployment.workers.cancel_s: must be greater than 0",
+		},
+		{
+			"negative team quota", `name = "red"`, "name = \"red\"\ngpus_max = -1.0", "deployment.teams[0]",
+			"settings: field deployment.teams[0]: amounts must not be negative",
+		},
+		{
+			"not a number in future", "txn_ops = 16", "txn_ops = 16\nnext = {rps = nan}", "deployment.state.next.rps",
+			"settings: field deployment.state.next.rps: must not be negative",
+		},
+	} {
+		t.Run(row.name, func(t *testing.T) {
+			_, err := Parse([]byte(strings.Replace(validSettings, row.from, row.to, 1)))
+			var invalid *FieldError
+			if !errors.As(err, &invalid) || invalid.Field != row.field || err.Error() != row.line {
+				t.Errorf("%v, want %q", err, row.line)
+			}
+		})
+	}
+	_, err := Parse([]byte(strings.Replace(validSettings, `node = "n-0"`, "node = 3", 1)))
+	var decoding *DecodeError
+	const line = "settings: line 2 column 8, field [node]: toml: cannot decode TOML integer into struct field " +
+		"config.Settings.Name of type string"
+	if !errors.As(err, &decoding) || decoding.Line != 2 || err.Error() != line {
+		t.Errorf("%v, want %q", err, line)
+	}
+}
