--- a/internal/coordination/scheduler/allocate.go
+++ b/internal/coordination/scheduler/allocate.go
@@ -24,7 +24,7 @@
 		c.placeWithinQuota(now, waiting)
 	}
 	queue := c.newFairShareQueue(waiting)
-	for j := queue.next(); j != nil; j = queue.next() {
+	for j, ok := queue.Next(); ok; j, ok = queue.Next() {
 		j.LastTriedCycle = c.cycleCount
 		if len(j.ReservedMachines) > 0 {
 			c.capacityEvents++ // what is cleared for it may be had by others from now on
--- a/internal/coordination/scheduler/borrowablecapacity.go
+++ b/internal/coordination/scheduler/borrowablecapacity.go
@@ -127,7 +127,7 @@
 // protectedByQuota says whether a placement runs within its team's guarantee, given what of the
 // team leaves already.
 func (k *borrowableCapacity) protectedByQuota(pl *machineregistry.Placement) bool {
-	return fitsGuaranteedQuota(k.scheduler.team(pl.Team), k.teamUsage(pl.Team))
+	return k.scheduler.quotas.GuaranteeCovers(pl.Team, k.teamUsage(pl.Team))
 }
 
 func (k *borrowableCapacity) teamUsage(team string) machineregistry.Resources {
@@ -211,7 +211,7 @@
 			if !ok {
 				used = k.teamUsage(pl.Team)
 			}
-			if fitsGuaranteedQuota(k.scheduler.team(pl.Team), used) {
+			if k.scheduler.quotas.GuaranteeCovers(pl.Team, used) {
 				return true
 			}
 			usage[pl.Team] = used.Minus(pl.Resources)
--- a/internal/coordination/scheduler/fairshare_test.go
+++ b/internal/coordination/scheduler/fairshare_test.go
@@ -1,107 +1,16 @@
 package scheduler
 
 import (
-	"cmp"
 	"fmt"
-	"slices"
 	"testing"
 	"time"
 
 	"pgregory.net/rapid"
 
 	"pinebay/internal/config"
-	"pinebay/internal/coordination/machineregistry"
 	"pinebay/internal/protocol"
-	"pinebay/internal/storage"
 )
 
-// TestFairShareQueue: on drawn queues the next job is always the one at the head of its team's queue that
-// goes first by guarantee, priority, the team's share and age, also when usage changes between two
-// turns; every job has its turn once.
-func TestFairShareQueue(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) {
-		var teams []config.Team
-		for i := range rapid.IntRange(2, 6).Draw(t, "teams") {
-			teams = append(
-				teams,
-				config.Team{
-					Name:           fmt.Sprintf("team-%d", i),
-					GuaranteedGPUs: float64(rapid.IntRange(0, 1).Draw(t, "guarantee") * 4),
-				},
-			)
-		}
-		b := newHarness(teams, "a")
-		var waiting []*Job
-		for i := range rapid.IntRange(0, 30).Draw(t, "jobs") {
-			j := jobSpec(
-				fmt.Sprintf("j-%d", i),
-				protocol.Array,
-				rapid.SampledFrom([]protocol.Priority{"critical", "normal"}).Draw(t, "priority"),
-				1,
-				float64(rapid.IntRange(1, 3).Draw(t, "gpus")),
-			)
-			j.Team = teams[rapid.IntRange(0, len(teams)-1).Draw(t, "team")].Name
-			waiting = append(waiting, NewJob(j, 1, int64(i), 0, storage.PageLayout{TasksPerPage: 10}))
-		}
-		slices.SortFunc(waiting, func(a, b *Job) int {
-			if scheduledBefore(a, b) {
-				return -1
-			}
-			return 1
-		})
-		left := slices.Clone(waiting)
-		turns := b.scheduler.newFairShareQueue(waiting)
-		for len(left) > 0 {
-			want := referenceNext(b.scheduler, left)
-			got := turns.next()
-			if got != want {
-				t.Fatalf("turn of %v, want %v", got, want.Spec.ID)
-			}
-			left = slices.DeleteFunc(left, func(j *Job) bool { return j == got })
-			if rapid.Bool().Draw(t, "placed") {
-				occupy(b, got)
-			}
-		}
-		if got := turns.next(); got != nil {
-			t.Errorf("%s has two turns", got.Spec.ID)
-		}
-	})
-}
-
-// occupy puts a task of a job on a machine, so that its team uses more.
-func occupy(b *harness, j *Job) {
-	b.scheduler.machines.Adopt(0, &machineregistry.Placement{
-		Task: protocol.TaskID{JobID: j.Spec.ID}, Attempt: 1, Machine: "m-" + j.Spec.ID, Resources: j.TaskResources,
-		Team: j.Spec.Team, PriorityLevel: j.EffectivePriority, Job: &j.Spec,
-	})
-}
-
-// referenceNext walks all heads of queues.
-func referenceNext(c *Scheduler, left []*Job) *Job {
-	var best *Job
-	seen := map[string]bool{}
-	for _, j := range left {
-		if seen[j.Spec.Team] {
-			continue
-		}
-		seen[j.Spec.Team] = true
-		if best == nil || referenceBefore(c, j, best) {
-			best = j
-		}
-	}
-	return best
-}
-
-func referenceBefore(c *Scheduler, a, b *Job) bool {
-	if c.withinGuaranteedQuota(a) != c.withinGuaranteedQuota(b) {
-		return c.withinGuaranteedQuota(a)
-	}
-	return cmp.Or(
-		cmp.Compare(a.EffectivePriority, b.EffectivePriority),
-		cmp.Compare(c.weightedUsage(a.Spec.Team), c.weightedUsage(b.Spec.Team)),
-	) < 0
-}
-
 // TestEachTeamIsServed: while room for one task after the other comes up, teams that wait are
 // served in turn, however many jobs each of them has waiting and whoever came first.
 func TestEachTeamIsServed(t *testing.T) {
--- a/internal/coordination/scheduler/preempt.go
+++ b/internal/coordination/scheduler/preempt.go
@@ -207,7 +207,7 @@
 	if pl.Team == j.Spec.Team {
 		return pl.PriorityLevel >= level
 	}
-	return c.exceedsGuaranteedQuota(pl) && (pl.PriorityLevel >= level || c.withinGuaranteedQuota(j))
+	return c.quotas.ExceedsGuarantee(pl.Team) && (pl.PriorityLevel >= level || c.withinGuaranteedQuota(j))
 }
 
 // jobAge is how long the job of a placement has been known.
--- a/internal/coordination/scheduler/recoveryorder.go
+++ b/internal/coordination/scheduler/recoveryorder.go
@@ -103,7 +103,8 @@
 		if j.Spec.Shape == protocol.Gang {
 			least = j.Spec.TaskCount
 		}
-		if n := min(c.tasksWithinQuotaLimit(j), c.tasksWithinGuaranteedQuota(j)); n >= least {
+		guaranteed := c.quotas.TasksWithinGuarantee(j.Spec.Team, j.TaskResources, j.TaskCounts[TaskPending])
+		if n := min(c.tasksWithinQuotaLimit(j), guaranteed); n >= least {
 			c.placeJob(now, j, n)
 		}
 		beyond[j.Spec.Team] = j.TaskCounts[TaskPending] > 0
--- a/internal/coordination/scheduler/scheduler.go
+++ b/internal/coordination/scheduler/scheduler.go
@@ -8,6 +8,7 @@
 	"pinebay/internal/config"
 	"pinebay/internal/coordination/autoscaler"
 	"pinebay/internal/coordination/dependency"
+	"pinebay/internal/coordination/fairshare"
 	"pinebay/internal/coordination/featurelevel"
 	"pinebay/internal/coordination/machineregistry"
 	"pinebay/internal/coordination/zonefailover"
@@ -51,7 +52,7 @@
 	autoscaler             *autoscaler.Autoscaler
 	jobs                   map[string]*Job
 	queues                 *jobQueues
-	teams                  map[string]*config.Team
+	quotas                 *fairshare.Quotas
 	startLatencyObjectives map[string]float64 // by class, in seconds
 	candidateIndex         candidateIndex
 	finder                 machineFinder
@@ -153,10 +154,8 @@
 	c.setFeatureLevel(term.FeatureLevel)
 	c.queues, c.candidateIndex, c.finder, c.preemptionRound = newJobQueues(), newCandidateIndex(), indexFinder{c}, 1
 	c.searchLimit, c.preemptionBudget = maxExaminedMachines, preemptionBudgetPerCycle
-	c.teams, c.startLatencyObjectives = map[string]*config.Team{}, startLatencyObjectivesOf(cfg.Objectives)
-	for i := range cfg.Teams {
-		c.teams[cfg.Teams[i].Name] = &cfg.Teams[i]
-	}
+	c.quotas = fairshare.NewQuotas(cfg.Teams, c.machines)
+	c.startLatencyObjectives = startLatencyObjectivesOf(cfg.Objectives)
 	c.machines.SetMachineTypes(rec.MachineTypes)
 	c.recoverImageHints(rec.Images)
 	started := jobsWithPlacementPages(rec.Pages)
--- a/internal/coordination/scheduler/zoneharness_test.go
+++ b/internal/coordination/scheduler/zoneharness_test.go
@@ -10,6 +10,7 @@
 
 	"pinebay/internal/config"
 	"pinebay/internal/coordination/autoscaler"
+	"pinebay/internal/coordination/fairshare"
 	"pinebay/internal/coordination/machineregistry"
 	"pinebay/internal/coordination/zonefailover"
 	"pinebay/internal/protocol"
@@ -151,7 +152,7 @@
 	return simulation.LenderObservation{
 		LenderLevel:   lender.EffectivePriority,
 		BorrowerLevel: borrower.EffectivePriority,
-		ProtectedByQuota: fitsGuaranteedQuota(
+		ProtectedByQuota: fairshare.GuaranteeCovers(
 			b.scheduler.cfg.Team(lender.Spec.Team),
 			b.scheduler.machines.TeamUsage(lender.Spec.Team),
 		),
@@ -240,7 +241,7 @@
 		for _, pl := range sortedPlacements(j) {
 			if !before[placedAttempt{pl.Task, pl.Attempt}] {
 				team = team.Plus(pl.Resources)
-				guaranteed := fitsGuaranteedQuota(b.scheduler.cfg.Team(pl.Team), team)
+				guaranteed := fairshare.GuaranteeCovers(b.scheduler.cfg.Team(pl.Team), team)
 				starts = append(
 					starts,
 					simulation.PlacedTask{Job: b.recoveryJob(j), Machine: pl.Machine, WithinQuota: guaranteed},
