--- a/internal/coordination/scheduler/allocate.go
+++ b/internal/coordination/scheduler/allocate.go
@@ -200,8 +200,8 @@
 			Task: protocol.TaskID{JobID: j.Spec.ID, Index: t}, Attempt: a, Machine: x.machine.Name,
 			Resources: j.TaskResources, Team: j.Spec.Team, PriorityLevel: j.EffectivePriority, Job: &j.Spec,
 		})
-		p := j.pageOfTask(t)
-		p.highestAttempt = max(p.highestAttempt, a)
+		page := j.Pages.PageOf(t)
+		page.HighestAttempt = max(page.HighestAttempt, a)
 	}
 	if !c.machines.Reserve(now, ps) {
 		c.cycleDue, c.candidateIndex.stale = true, true // the partition knows better; ask again with what it says
@@ -212,7 +212,7 @@
 		j.SetTask(t, TaskPlaced)
 		j.Placements[t] = pl
 		j.markDirty(t, now)
-		j.unstarted = append(j.unstarted, pl)
+		j.Unstarted = append(j.Unstarted, pl)
 		j.Queues.addPlaced(j)
 		if m := c.machines.Machine(pl.Machine); m.ReservedJob == j.Spec.ID {
 			m.ReservedJob = ""
--- a/internal/coordination/scheduler/completion_test.go
+++ b/internal/coordination/scheduler/completion_test.go
@@ -144,7 +144,7 @@
 	for task := range 100 {
 		j.markDirty(task, 0)
 	}
-	j.unstarted = []*machineregistry.Placement{{Task: protocol.TaskID{JobID: "j-1", Index: 95}}}
+	j.Unstarted = []*machineregistry.Placement{{Task: protocol.TaskID{JobID: "j-1", Index: 95}}}
 	if got := j.pagesToWrite(3); !slices.Equal(got, []int{0, 1, 9}) {
 		t.Errorf("pages %v, want the one of the start and two more", got)
 	}
--- a/internal/coordination/scheduler/consolidate.go
+++ b/internal/coordination/scheduler/consolidate.go
@@ -82,7 +82,7 @@
 	ok := true
 	x.machine.EachPlacement(func(pl *machineregistry.Placement) {
 		j := c.jobs[pl.Task.JobID]
-		if j == nil || j.Ended || j.writeInFlight || j.Spec.Shape != protocol.Service || pl.Stopping ||
+		if j == nil || j.Ended || j.WriteInFlight || j.Spec.Shape != protocol.Service || pl.Stopping ||
 			pl.State != protocol.TaskRunning || now-pl.StateSince < startCountsAfter {
 			ok = false
 		}
@@ -170,7 +170,7 @@
 // says, and for large images that is longer than some aims on waiting; a task
 // that has not started loses nothing by the move.
 func (c *Scheduler) relocateFetchingTask(now time.Duration, j *Job) {
-	if c.startForbidden(j) || j.writeInFlight || j.TaskCounts[TaskPending] > 0 {
+	if c.startForbidden(j) || j.WriteInFlight || j.TaskCounts[TaskPending] > 0 {
 		return
 	}
 	for _, pl := range sortedPlacements(j) {
--- a/internal/coordination/scheduler/dependencies.go
+++ b/internal/coordination/scheduler/dependencies.go
@@ -143,7 +143,7 @@
 			j := c.cancelledDependents[0]
 			c.cancelledDependents[0] = nil
 			c.cancelledDependents = c.cancelledDependents[1:]
-			if j.Ended || j.writeInFlight || j.Ending {
+			if j.Ended || j.WriteInFlight || j.Ending {
 				continue // it has ended by itself
 			}
 			value, err := protocol.Encode(
--- a/internal/coordination/scheduler/featurelevel.go
+++ b/internal/coordination/scheduler/featurelevel.go
@@ -97,11 +97,12 @@
 		c.stateLimits.TxnOps,
 	)
 	for _, j := range c.sortedJobs() {
-		if layout := c.layoutAtMost(j.layout.TasksPerPage); layout != j.layout {
-			j.changeLayout(layout)
+		current := j.Pages.Layout()
+		if layout := c.layoutAtMost(current.TasksPerPage); layout != current {
+			j.Pages.ChangeLayout(layout)
 		}
-		j.recordNotBefore = 0
-		if len(j.dirtyPages()) > 0 {
+		j.RecordNotBefore = 0
+		if len(j.Pages.Dirty()) > 0 {
 			j.Queues.addEnded(now, j)
 		}
 		switch {
@@ -123,8 +124,12 @@
 		return
 	}
 	left := c.maxCompletionPages()
-	for _, j := range c.sortedJobsWhere(func(j *Job) bool { return len(j.supersededPages) > 0 && !j.Ended && !j.Ending && !j.writeInFlight }) {
-		j.markReplacementsDirty(now)
+	canReplace := func(j *Job) bool {
+		return len(j.Pages.Superseded()) > 0 && !j.Ended && !j.Ending && !j.WriteInFlight
+	}
+	for _, j := range c.sortedJobsWhere(canReplace) {
+		j.Pages.MarkReplacementsDirty()
+		j.Queues.addEnded(now, j)
 		if left--; left <= 0 {
 			return
 		}
--- a/internal/coordination/scheduler/featurelevel_test.go
+++ b/internal/coordination/scheduler/featurelevel_test.go
@@ -199,9 +199,8 @@
 			case 2:
 				s.step(FinaliseFeatureLevel{Level: featurelevel.Pipelines})
 			case 3:
-				if j := s.scheduler.jobs["j-1"]; j != nil && j.layout.Compact && !j.writeInFlight &&
-					j.layout.TasksPerPage > 1 {
-					j.changeLayout(storage.PageLayout{TasksPerPage: (j.layout.TasksPerPage + 1) / 2, Compact: true})
+				if j := s.scheduler.jobs["j-1"]; j != nil && j.Pages.CanNarrow() && !j.WriteInFlight {
+					j.Pages.Narrow()
 				}
 			default:
 				if len(s.inFlight) > 0 {
@@ -265,8 +264,8 @@
 				t.Fatalf("task %d would get attempt %d again", task, got.NextAttempt(task))
 			}
 		}
-		if s.scheduler.level >= featurelevel.Pipelines && len(j.supersededPages) > 0 {
-			t.Fatalf("%d pages of another layout are left after many quiet cycles", len(j.supersededPages))
+		if s.scheduler.level >= featurelevel.Pipelines && len(j.Pages.Superseded()) > 0 {
+			t.Fatalf("%d pages of another layout are left after many quiet cycles", len(j.Pages.Superseded()))
 		}
 	})
 }
@@ -301,13 +300,13 @@
 	s.answerAllWrites()
 	s.step(FinaliseFeatureLevel{Level: featurelevel.Pipelines})
 	s.answerAllWrites()
-	for width := s.scheduler.jobs["j-1"].layout.TasksPerPage; width > 8; width /= 2 {
+	for width := s.scheduler.jobs["j-1"].Pages.Layout().TasksPerPage; width > 8; width /= 2 {
 		s.cycleWithHeartbeats()
 		i := slices.IndexFunc(s.inFlight, func(w Write) bool { return slices.Contains(jobsOfWrite(w), "j-1") })
 		if i < 0 {
 			t.Fatalf("the record is not written with pages of %d tasks", width)
 		}
-		if got := s.scheduler.jobs["j-1"].layout.TasksPerPage; got != width {
+		if got := s.scheduler.jobs["j-1"].Pages.Layout().TasksPerPage; got != width {
 			t.Fatalf("pages of %d tasks, want %d", got, width)
 		}
 		s.answer(TransactionOutcome{WriteID: s.inFlight[i].ID, Malformed: true})
@@ -315,8 +314,8 @@
 	}
 	s.cycleWithHeartbeats()
 	s.answerAllWrites()
-	if j := s.scheduler.jobs["j-1"]; len(j.unstarted) > 0 {
-		t.Errorf("%d starts still wait for their record", len(j.unstarted))
+	if j := s.scheduler.jobs["j-1"]; len(j.Unstarted) > 0 {
+		t.Errorf("%d starts still wait for their record", len(j.Unstarted))
 	}
 }
 
--- a/internal/coordination/scheduler/gangorder.go
+++ b/internal/coordination/scheduler/gangorder.go
@@ -95,7 +95,7 @@
 
 // placeableNow says whether a job has tasks that may be placed now.
 func (c *Scheduler) placeableNow(now time.Duration, j *Job) bool {
-	if j.TaskCounts[TaskPending] == 0 || c.startForbidden(j) || j.writeInFlight || now < j.BackoffUntil {
+	if j.TaskCounts[TaskPending] == 0 || c.startForbidden(j) || j.WriteInFlight || now < j.BackoffUntil {
 		return false
 	}
 	// Starts of an array or a service are gathered in its record while that waits for its turn.
--- a/internal/coordination/scheduler/job.go
+++ b/internal/coordination/scheduler/job.go
@@ -10,6 +10,7 @@
 
 	"pinebay/internal/coordination/dependency"
 	"pinebay/internal/coordination/machineregistry"
+	"pinebay/internal/coordination/placementpages"
 	"pinebay/internal/protocol"
 	"pinebay/internal/storage"
 )
@@ -37,12 +38,8 @@
 	TaskCounts    [3]int
 	lowestPending int // no task below it is pending
 	Placements    map[int]*machineregistry.Placement
-	HasRun        map[int]bool // replicas that have run, and should be back soon if lost
-	pages         map[int]*placementPage
-	layout        storage.PageLayout
-	// supersededPages are stored pages of other layouts, wider than the job's own. They count for tasks of
-	// whose own page nothing is stored yet, and are dropped when they count for none.
-	supersededPages []supersededPage
+	HasRun        map[int]bool       // replicas that have run, and should be back soon if lost
+	Pages         placementpages.Set // the records of its placements
 
 	// Blocked says that a job that it awaits is not durably done, or that it is cancelled with one.
 	Blocked bool
@@ -51,15 +48,15 @@
 
 	Ended         bool // cancelled, or its end is recorded
 	Ending        bool // the transaction that ends it is under way
-	writeInFlight bool
-	unstarted     []*machineregistry.Placement // wait for their record
-	// What follows is the place in the queue of starts, while inStartQueue, and when the record may be
+	WriteInFlight bool
+	Unstarted     []*machineregistry.Placement // wait for their record
+	// What follows is the place in the queue of starts, while InStartQueue, and when the record may be
 	// tried again after it was found not to be what the books say, and how often it was.
-	inStartQueue        bool
-	startTurn           uint64
-	startNumber         uint64
-	recordNotBefore     time.Duration
-	recordAttempts      int
+	InStartQueue        bool
+	StartTurn           uint64
+	StartNumber         uint64
+	RecordNotBefore     time.Duration
+	RecordAttempts      int
 	GangStopping        bool          // gang: being stopped as a whole
 	LastTaskStart       time.Duration // when a task of it was last seen to start running
 	StartCounted        bool          // it has run so long that its start counts
@@ -100,8 +97,7 @@
 		TaskCounts:        [3]int{spec.TaskCount, 0, 0},
 		Placements:        map[int]*machineregistry.Placement{},
 		HasRun:            map[int]bool{},
-		pages:             map[int]*placementPage{},
-		layout:            layout,
+		Pages:             placementpages.NewSet(spec.ID, spec.TaskCount, layout),
 		FailedOn:          map[string]bool{},
 	}
 }
@@ -138,13 +134,9 @@
 // NextAttempt returns the next attempt number of a task; those of a gang agree.
 func (j *Job) NextAttempt(task int) uint64 {
 	if j.Spec.Shape != protocol.Gang {
-		return j.pageOfTask(task).highestAttempt + 1
+		return j.Pages.PageOf(task).HighestAttempt + 1
 	}
-	n := uint64(0)
-	for _, p := range j.pages {
-		n = max(n, p.highestAttempt)
-	}
-	return n + 1
+	return j.Pages.HighestAttempt() + 1
 }
 
 // HasStoppingTasks says whether tasks are being stopped, and will have to be placed anew.
--- a/internal/coordination/scheduler/jobcompletion.go
+++ b/internal/coordination/scheduler/jobcompletion.go
@@ -16,7 +16,7 @@
 	if j.Ending || j.Ended {
 		return
 	}
-	if j.writeInFlight || c.writesPaused {
+	if j.WriteInFlight || c.writesPaused {
 		return // the outcome of that write, or the end of the pause, comes back here
 	}
 	j.Ending = true
@@ -84,13 +84,6 @@
 	return c.lastWriteID, fmt.Sprintf("%d.%d", c.term, c.lastWriteID)
 }
 
-func (c *Scheduler) forgetExits(p *placementPage) {
-	for _, pl := range p.unrecordedExits {
-		c.machines.MarkOutcomeRecorded(pl)
-	}
-	p.unrecordedExits = nil
-}
-
 // endedMeanwhile says whether a write failed because the job is over. Any other
 // reason means that somebody else leads or that the books are wrong; either
 // way a new term, which reads everything afresh, is the safe answer.
@@ -112,14 +105,14 @@
 
 // cleanUpEndedJob removes the pages of a job that is over, once nothing of it is left.
 func (c *Scheduler) cleanUpEndedJob(now time.Duration, j *Job) {
-	if !j.Ended || j.writeInFlight || len(j.Placements) > 0 || c.writesPaused {
+	if !j.Ended || j.WriteInFlight || len(j.Placements) > 0 || c.writesPaused {
 		return
 	}
-	if len(j.supersededPages) == 0 {
-		for n, p := range j.pages {
-			if p.revision == 0 {
-				c.forgetExits(p)
-				delete(j.pages, n)
+	if len(j.Pages.Superseded()) == 0 {
+		for number, page := range j.Pages.All() {
+			if page.Revision == 0 {
+				c.recordExits(page)
+				j.Pages.Remove(number)
 			}
 		}
 	}
@@ -130,10 +123,10 @@
 		c.queues.remove(j)
 		return
 	}
-	j.writeInFlight = true
+	j.WriteInFlight = true
 	id, _ := c.nextWriteID()
 	c.writesInFlight[id] = func(now time.Duration, w TransactionOutcome) {
-		j.writeInFlight = false
+		j.WriteInFlight = false
 		if w.Malformed {
 			c.shrinkTransactions(&t)
 			c.callAt(now+rejectedRetryDelay, func(now time.Duration) { c.cleanUpEndedJob(now, j) })
@@ -152,7 +145,7 @@
 // startRecorded lets recorded placements go; a gang's only when all are recorded.
 func (c *Scheduler) startRecorded(j *Job) {
 	var rest []*machineregistry.Placement
-	for _, pl := range j.unstarted {
+	for _, pl := range j.Unstarted {
 		if !pl.Recorded {
 			rest = append(rest, pl)
 		}
@@ -160,18 +153,18 @@
 	if j.Spec.Shape == protocol.Gang && len(rest) > 0 {
 		return
 	}
-	for _, pl := range j.unstarted {
+	for _, pl := range j.Unstarted {
 		if pl.Recorded && !pl.Terminated {
 			c.machines.AllowStart(pl)
 		}
 	}
-	j.unstarted = rest
+	j.Unstarted = rest
 	c.cycleDue = c.cycleDue || j.TaskCounts[TaskPending] > 0
 }
 
 func (c *Scheduler) cancelUnstarted(now time.Duration, j *Job) {
-	granted := j.unstarted
-	j.unstarted = nil
+	granted := j.Unstarted
+	j.Unstarted = nil
 	for _, pl := range granted {
 		if !pl.StartAllowed {
 			c.stopPlacement(now, j, pl, 0)
--- a/internal/coordination/scheduler/jobqueues.go
+++ b/internal/coordination/scheduler/jobqueues.go
@@ -61,7 +61,7 @@
 		q.blockedJobs.Delete(j)
 		q.fetchingJobs.Delete(j)
 	}
-	queued := j.inStartQueue
+	queued := j.InStartQueue
 	if queued {
 		q.starts.remove(j)
 	}
@@ -81,7 +81,7 @@
 		return
 	}
 	q.fetchingJobs.Set(j)
-	if len(j.unstarted) > 0 {
+	if len(j.Unstarted) > 0 {
 		q.starts.add(j)
 	}
 }
@@ -104,7 +104,7 @@
 		q.endedJobs[0] = nil
 		q.endedJobs = q.endedJobs[1:]
 		j.CompletionQueued = false
-		if !j.Ended && !j.Ending && !j.writeInFlight && len(j.unstarted) == 0 && len(j.dirtyPages()) > 0 {
+		if !j.Ended && !j.Ending && !j.WriteInFlight && len(j.Unstarted) == 0 && len(j.Pages.Dirty()) > 0 {
 			return j
 		}
 	}
--- a/internal/coordination/scheduler/lifecycle.go
+++ b/internal/coordination/scheduler/lifecycle.go
@@ -86,8 +86,8 @@
 	c.cycleDue = true
 	task := pl.Task.Index
 	delete(j.Placements, task)
-	pg := j.pageOfTask(task)
-	pg.unrecordedExits = append(pg.unrecordedExits, pl)
+	page := j.Pages.PageOf(task)
+	page.UnrecordedExits = append(page.UnrecordedExits, pl)
 	if lost {
 		c.markDisplaced(j, pl)
 		c.log.Info("task lost with its machine", "task", pl.Task, "attempt", pl.Attempt, "machine", pl.Machine)
@@ -190,7 +190,7 @@
 // stopPlacement asks a placement to end, and takes in when that needs no proof.
 func (c *Scheduler) stopPlacement(now time.Duration, j *Job, pl *machineregistry.Placement, graceS float64) {
 	c.capacityEvents++
-	if c.machines.Stop(now, pl, graceS) && !pl.StartAllowed && j.writeInFlight {
+	if c.machines.Stop(now, pl, graceS) && !pl.StartAllowed && j.WriteInFlight {
 		// Its record may be written at this moment; it names a placement that
 		// was never started, which a later write replaces.
 		c.log.Debug("placement withdrawn before its record", "task", pl.Task)
--- a/internal/coordination/scheduler/placementwriter.go
+++ b/internal/coordination/scheduler/placementwriter.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"pinebay/internal/coordination/machineregistry"
+	"pinebay/internal/coordination/placementpages"
 	"pinebay/internal/protocol"
 	"pinebay/internal/storage"
 )
@@ -31,7 +32,7 @@
 	size         int                          // of its records, about, as the limits count them
 	coveredExits map[int]int                  // of a page, how many of its exits the record no longer counts on
 	starting     []*machineregistry.Placement // whose start waits for this record
-	replaces     []supersededPage             // stored pages that count for no task once this is written
+	replaces     []placementpages.Superseded  // stored pages that count for no task once this is written
 	compares     []protocol.Compare
 	ops          []protocol.Op
 }
@@ -73,7 +74,7 @@
 	stated := c.failoverOrder()
 	for pages > 0 {
 		j := c.queues.starts.next(now, stated)
-		if j == nil || len(batch) > 0 && j.recordAttempts > 0 {
+		if j == nil || len(batch) > 0 && j.RecordAttempts > 0 {
 			return batch // what has failed is tried alone
 		}
 		p := c.newJobWrite(j, pages)
@@ -83,7 +84,7 @@
 		c.queues.starts.dequeue(j)
 		batch = append(batch, p)
 		pages, bytes = pages-p.operations(), bytes-p.size
-		if j.recordAttempts > 0 {
+		if j.RecordAttempts > 0 {
 			return batch
 		}
 	}
@@ -109,8 +110,8 @@
 		if j == nil {
 			return
 		}
-		if now < j.recordNotBefore {
-			c.callAt(j.recordNotBefore, func(now time.Duration) { j.Queues.addEnded(now, j) })
+		if now < j.RecordNotBefore {
+			c.callAt(j.RecordNotBefore, func(now time.Duration) { j.Queues.addEnded(now, j) })
 			continue
 		}
 		c.writeBatch(PriorityCompletion, []*jobWrite{c.newJobWrite(j, c.pagesPerTransaction())})
@@ -130,13 +131,13 @@
 		p.pages = append(p.pages, n)
 		p.size += bytes
 	}
-	for _, pl := range j.unstarted {
-		if slices.Contains(p.pages, pl.Task.Index/j.layout.TasksPerPage) {
+	for _, pl := range j.Unstarted {
+		if slices.Contains(p.pages, j.Pages.NumberOf(pl.Task.Index)) {
 			p.starting = append(p.starting, pl)
 		}
 	}
-	for _, old := range j.supersededPages {
-		if p.operations() < most && j.fullyReplaced(old, p.pages) {
+	for _, old := range j.Pages.Superseded() {
+		if p.operations() < most && j.Pages.FullyReplaced(old, p.pages) {
 			p.replaces = append(p.replaces, old)
 		}
 	}
@@ -147,7 +148,7 @@
 func (p *jobWrite) operations() int { return len(p.pages) + len(p.replaces) }
 
 // coversAllStarts says whether the part has all that its job's starts wait for.
-func (p *jobWrite) coversAllStarts() bool { return len(p.starting) == len(p.job.unstarted) }
+func (p *jobWrite) coversAllStarts() bool { return len(p.starting) == len(p.job.Unstarted) }
 
 // encode makes the part's conditions and operations, for a transaction of the given name.
 func (p *jobWrite) encode(name string) error {
@@ -160,14 +161,14 @@
 		if err != nil {
 			return err
 		}
-		page, key := j.page(n), j.pageID(n).Key()
-		p.coveredExits[n] = len(page.unrecordedExits)
-		p.compares = append(p.compares, protocol.Compare{Key: key, Revision: page.revision})
+		page, key := j.Pages.Page(n), j.Pages.ID(n).Key()
+		p.coveredExits[n] = len(page.UnrecordedExits)
+		p.compares = append(p.compares, protocol.Compare{Key: key, Revision: page.Revision})
 		p.ops = append(p.ops, protocol.Op{PutKey: key, Value: value})
 	}
 	for _, old := range p.replaces {
-		p.compares = append(p.compares, protocol.Compare{Key: old.id.Key(), Revision: old.revision})
-		p.ops = append(p.ops, protocol.Op{DeleteKey: old.id.Key()})
+		p.compares = append(p.compares, protocol.Compare{Key: old.ID.Key(), Revision: old.Revision})
+		p.ops = append(p.ops, protocol.Op{DeleteKey: old.ID.Key()})
 	}
 	return nil
 }
@@ -185,9 +186,9 @@
 		t.Then = append(t.Then, p.ops...)
 	}
 	for _, p := range parts {
-		p.job.writeInFlight = true
+		p.job.WriteInFlight = true
 		for _, n := range p.pages {
-			p.job.page(n).dirty = false
+			p.job.Pages.Page(n).Dirty = false
 		}
 	}
 	c.pagesInFlight[purpose] += len(t.Then)
@@ -210,7 +211,7 @@
 // been carried out and never will be, as its conditions hold no longer.
 func (c *Scheduler) batchWritten(now time.Duration, t *protocol.Txn, parts []*jobWrite, w TransactionOutcome) {
 	for _, p := range parts {
-		p.job.writeInFlight = false
+		p.job.WriteInFlight = false
 	}
 	if !w.Succeeded && !w.Malformed && (len(w.FailedKeys) == 0 || slices.Contains(w.FailedKeys, storage.TermKey)) {
 		// Somebody else leads, or the books are wrong: a new term reads everything afresh.
@@ -245,12 +246,12 @@
 		c.endJob(now, j)
 	case !stale:
 		c.requeue(now, p)
-	case j.recordAttempts >= maxRecordAttempts:
+	case j.RecordAttempts >= maxRecordAttempts:
 		c.emit(StepDown{Reason: fmt.Sprintf("conditions failed: %v", failed)})
 	default:
-		c.log.Info("record is not what the books say", "job", j.Spec.ID, "tries", j.recordAttempts)
-		j.recordNotBefore = now + recordBackoff<<j.recordAttempts
-		j.recordAttempts++
+		c.log.Info("record is not what the books say", "job", j.Spec.ID, "tries", j.RecordAttempts)
+		j.RecordNotBefore = now + recordBackoff<<j.RecordAttempts
+		j.RecordAttempts++
 		c.requeue(now, p)
 	}
 }
@@ -261,21 +262,21 @@
 func (c *Scheduler) jobWriteRejected(now time.Duration, t *protocol.Txn, p *jobWrite) {
 	j := p.job
 	c.requeue(now, p)
-	j.recordNotBefore = now + rejectedRetryDelay
+	j.RecordNotBefore = now + rejectedRetryDelay
 	if c.shrinkTransactions(t) {
-		j.recordNotBefore = now // it is written with fewer pages at a time
+		j.RecordNotBefore = now // it is written with fewer pages at a time
 		return
 	}
-	if j.layout.Compact && j.layout.TasksPerPage > 1 && !j.Ended {
-		j.changeLayout(storage.PageLayout{TasksPerPage: (j.layout.TasksPerPage + 1) / 2, Compact: true})
-		j.recordNotBefore = now
+	if j.Pages.CanNarrow() && !j.Ended {
+		j.Pages.Narrow()
+		j.RecordNotBefore = now
 	}
-	c.log.Error("record refused", "job", j.Spec.ID, "pages", len(p.pages), "width now", j.layout.TasksPerPage)
+	c.log.Error("record refused", "job", j.Spec.ID, "pages", len(p.pages), "width now", j.Pages.Layout().TasksPerPage)
 }
 
 // retryAlone has a job's record tried alone from now on, until it succeeds.
 func (c *Scheduler) retryAlone(now time.Duration, p *jobWrite) {
-	p.job.recordAttempts = max(p.job.recordAttempts, 1)
+	p.job.RecordAttempts = max(p.job.RecordAttempts, 1)
 	c.requeue(now, p)
 }
 
@@ -283,7 +284,7 @@
 func (c *Scheduler) requeue(now time.Duration, p *jobWrite) {
 	j := p.job
 	for _, n := range p.pages {
-		j.page(n).dirty = true
+		j.Pages.Page(n).Dirty = true
 	}
 	if j.Ended {
 		c.cancelUnstarted(now, j)
@@ -297,17 +298,17 @@
 // jobWriteSucceeded takes in that a part is written.
 func (c *Scheduler) jobWriteSucceeded(now time.Duration, p *jobWrite, rev uint64) {
 	j := p.job
-	j.recordAttempts, j.recordNotBefore = 0, 0
+	j.RecordAttempts, j.RecordNotBefore = 0, 0
 	for _, n := range p.pages {
-		page := j.page(n)
-		page.revision = rev
-		for _, pl := range page.unrecordedExits[:p.coveredExits[n]] {
+		page := j.Pages.Page(n)
+		page.Revision = rev
+		for _, pl := range page.UnrecordedExits[:p.coveredExits[n]] {
 			c.machines.MarkOutcomeRecorded(pl)
 		}
-		page.unrecordedExits = page.unrecordedExits[p.coveredExits[n]:]
+		page.UnrecordedExits = page.UnrecordedExits[p.coveredExits[n]:]
 	}
 	for _, old := range p.replaces {
-		j.supersededPages = slices.DeleteFunc(j.supersededPages, func(s supersededPage) bool { return s == old })
+		j.Pages.RemoveSuperseded(old)
 	}
 	if j.Ended {
 		c.cancelUnstarted(now, j)
@@ -321,7 +322,7 @@
 	switch {
 	case j.TaskCounts[TaskDone] == len(j.TaskStates):
 		c.completeJob(now, j)
-	case len(j.unstarted) > 0:
+	case len(j.Unstarted) > 0:
 		c.queues.starts.add(j)
 	default:
 		c.queues.addEnded(now, j)
--- a/internal/coordination/scheduler/placementwriter_test.go
+++ b/internal/coordination/scheduler/placementwriter_test.go
@@ -321,7 +321,7 @@
 					storage.PageLayout{TasksPerPage: 10},
 				)
 				j.Spec.Team = rapid.SampledFrom([]string{"red", "blue", "green"}).Draw(t, "team")
-				j.unstarted = []*machineregistry.Placement{{}}
+				j.Unstarted = []*machineregistry.Placement{{}}
 				q.add(j)
 				waiting[j] = oldestEvery * (len(waiting) + 1)
 			}
@@ -356,7 +356,7 @@
 	q := newStartQueue()
 	job := func(id, team string) *Job {
 		j := NewJob(jobSpec(id, protocol.Array, "normal", 1, 1), 1, 0, 0, storage.PageLayout{TasksPerPage: 10})
-		j.Spec.Team, j.unstarted = team, []*machineregistry.Placement{{}}
+		j.Spec.Team, j.Unstarted = team, []*machineregistry.Placement{{}}
 		return j
 	}
 	for i := range 100 {
--- a/internal/coordination/scheduler/recovery.go
+++ b/internal/coordination/scheduler/recovery.go
@@ -47,7 +47,7 @@
 	if j == nil {
 		j = c.newEndedJob(now, id, pages)
 	}
-	j.layout = c.layoutAtMost(pages[0].id.Layout.TasksPerPage)
+	j.Pages.Restore(len(j.TaskStates), c.layoutAtMost(pages[0].id.Layout.TasksPerPage))
 	var covered []storage.PageID
 	for _, p := range pages {
 		counts := func(task int) bool {
@@ -56,16 +56,7 @@
 				func(n storage.PageID) bool { return task >= n.FirstTask() && task < n.EndTask() },
 			)
 		}
-		if p.id.Layout == j.layout {
-			own := j.page(p.id.Number)
-			own.revision, own.highestAttempt = p.revision, max(own.highestAttempt, p.record.HighestAttempt)
-		} else {
-			j.supersededPages = append(j.supersededPages, supersededPage{p.id, p.revision, p.record.HighestAttempt})
-			j.eachOverlappingPage(
-				p.id,
-				func(n int) { j.page(n).highestAttempt = max(j.page(n).highestAttempt, p.record.HighestAttempt) },
-			)
-		}
+		j.Pages.RestorePage(p.id, p.revision, p.record.HighestAttempt)
 		c.recoverPageTasks(now, j, p.record, counts)
 		covered = append(covered, p.id)
 	}
--- a/internal/coordination/scheduler/startqueue.go
+++ b/internal/coordination/scheduler/startqueue.go
@@ -40,18 +40,18 @@
 func lessByTurn(a, b *Job) bool {
 	return cmp.Or(
 		cmp.Compare(a.EffectivePriority, b.EffectivePriority),
-		cmp.Compare(a.startTurn, b.startTurn),
-		cmp.Compare(a.startNumber, b.startNumber),
+		cmp.Compare(a.StartTurn, b.StartTurn),
+		cmp.Compare(a.StartNumber, b.StartNumber),
 	) < 0
 }
 
 func lessByAge(a, b *Job) bool {
-	return a.startNumber < b.startNumber
+	return a.StartNumber < b.StartNumber
 }
 
 // add enters a job that has just got placements to be recorded, unless it waits already.
 func (q *startQueue) add(j *Job) {
-	if q == nil || j.inStartQueue {
+	if q == nil || j.InStartQueue {
 		return
 	}
 	turns := q.teamTurns[j.EffectivePriority]
@@ -60,28 +60,28 @@
 		q.teamTurns[j.EffectivePriority] = turns
 	}
 	q.enqueued++
-	j.startNumber = q.enqueued
-	j.startTurn = max(turns.current, turns.lastByTeam[j.Spec.Team]) + 1
-	turns.lastByTeam[j.Spec.Team] = j.startTurn
+	j.StartNumber = q.enqueued
+	j.StartTurn = max(turns.current, turns.lastByTeam[j.Spec.Team]) + 1
+	turns.lastByTeam[j.Spec.Team] = j.StartTurn
 	q.requeue(j)
 }
 
 // requeue enters a job where it was, if it still has placements to be recorded.
 func (q *startQueue) requeue(j *Job) {
-	if j.inStartQueue || len(j.unstarted) == 0 {
+	if j.InStartQueue || len(j.Unstarted) == 0 {
 		return
 	}
-	j.inStartQueue = true
+	j.InStartQueue = true
 	q.byTurn.Set(j)
 	q.byAge.Set(j)
 }
 
 // remove takes a job out of the queue.
 func (q *startQueue) remove(j *Job) {
-	if !j.inStartQueue {
+	if !j.InStartQueue {
 		return
 	}
-	j.inStartQueue = false
+	j.InStartQueue = false
 	q.byTurn.Delete(j)
 	q.byAge.Delete(j)
 }
@@ -90,7 +90,7 @@
 func (q *startQueue) dequeue(j *Job) {
 	q.remove(j)
 	if turns := q.teamTurns[j.EffectivePriority]; turns != nil && !q.oldestIsNext() {
-		turns.current = max(turns.current, j.startTurn)
+		turns.current = max(turns.current, j.StartTurn)
 	}
 	q.dequeued++
 }
@@ -110,9 +110,9 @@
 	var idle []*Job
 	look := func(j *Job) bool {
 		switch {
-		case j.Ended || j.Ending || len(j.unstarted) == 0:
+		case j.Ended || j.Ending || len(j.Unstarted) == 0:
 			idle = append(idle, j)
-		case !j.writeInFlight && now >= j.recordNotBefore:
+		case !j.WriteInFlight && now >= j.RecordNotBefore:
 			next = j
 		}
 		return next == nil
@@ -121,7 +121,7 @@
 		jobs.Scan(look)
 	}
 	for _, j := range listed {
-		if j.inStartQueue && !look(j) {
+		if j.InStartQueue && !look(j) {
 			break
 		}
 	}
--- a/internal/coordination/scheduler/zonefailover.go
+++ b/internal/coordination/scheduler/zonefailover.go
@@ -76,14 +76,7 @@
 }
 
 // hasStarted says whether a task of the job was ever placed.
-func (j *Job) hasStarted() bool {
-	for _, p := range j.pages {
-		if p.highestAttempt > 0 {
-			return true
-		}
-	}
-	return false
-}
+func (j *Job) hasStarted() bool { return j.Pages.HighestAttempt() > 0 }
 
 // addDecision notes a decision, to be told with the next effects.
 func (c *Scheduler) addDecision(d zonefailover.Decision) {
