--- a/internal/coordination/scheduler/recovery_test.go
+++ b/internal/coordination/scheduler/recovery_test.go
@@ -199,7 +199,10 @@
 func TestNewLeaderProbesMachines(t *testing.T) {
 	b := newHarness([]config.Team{{Name: "red"}}, "a")
 	var list []protocol.ListedMachine
-	for i, state := range []string{protocol.MachineRunning, protocol.MachineRunning, protocol.MachineStarting, protocol.MachineFailed} {
+	states := []protocol.MachineState{
+		protocol.MachineRunning, protocol.MachineRunning, protocol.MachineStarting, protocol.MachineFailed,
+	}
+	for i, state := range states {
 		list = append(
 			list,
 			protocol.ListedMachine{Name: fmt.Sprintf("m%d", i), Addr: "x", Type: "g8", Zone: "a", State: state},
--- a/internal/protocol/codec.go
+++ b/internal/protocol/codec.go
@@ -1,7 +1,3 @@
-// Package protocol holds the messages of every interface: users, workers, the
-// cloud, the state service and the other controllers. The words that are used
-// on the wire appear only in the tags of these types; the rest of the daemon
-// uses the field's terms.
 package protocol
 
 import (
@@ -10,19 +6,15 @@
 	"fmt"
 	"io"
 
-	"github.com/fxamacker/cbor/v2"
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// ContentType is that of every HTTP body.
+// ContentType is the content type of every HTTP body.
 const ContentType = "application/msgpack"
 
-// MaxBodyBytes bounds request bodies, and responses to workers and users.
+// MaxBodyBytes is the limit of request bodies, and of responses to workers and users.
 const MaxBodyBytes = 64 << 10
 
-// ErrMalformed is wrapped by every complaint about a message's form.
-var ErrMalformed = errors.New("malformed")
-
 // Encode returns v as MessagePack.
 func Encode(v any) ([]byte, error) {
 	var buf bytes.Buffer
@@ -36,53 +28,49 @@
 	return buf.Bytes(), nil
 }
 
-// Decode reads one MessagePack map into v and refuses anything else.
-func Decode(raw []byte, v any) (err error) {
+// Decode decodes raw, which must be exactly one MessagePack map, into v. Any other content is an error that matches
+// [ErrMalformed].
+func Decode(raw []byte, v any) error {
 	if !IsMap(raw) {
-		return fmt.Errorf("%w: not a map", ErrMalformed)
+		return Malformed("not a map")
 	}
 	return DecodeAny(raw, v)
 }
 
-// DecodeAny reads one MessagePack value into v.
+// DecodeAny decodes raw, which must be exactly one MessagePack value, into v. Any other content is an error that
+// matches [ErrMalformed].
 func DecodeAny(raw []byte, v any) (err error) {
-	// A value from outside must never end the process, whatever the library
-	// thinks of it.
+	// The decoder may panic on malformed input. Input from outside must never end the process.
 	defer func() {
 		if r := recover(); r != nil {
-			err = fmt.Errorf("%w: %v", ErrMalformed, r)
+			err = Malformed("%v", r)
 		}
 	}()
-	r := bytes.NewReader(raw)
 	dec := msgpack.GetDecoder()
 	defer msgpack.PutDecoder(dec)
-	dec.Reset(r)
+	dec.Reset(bytes.NewReader(raw))
 	if err := dec.Decode(v); err != nil {
-		return fmt.Errorf("%w: %w", ErrMalformed, err)
+		return undecodable(err)
 	}
-	if _, err := dec.PeekCode(); err != io.EOF {
-		return fmt.Errorf("%w: bytes after the value", ErrMalformed)
+	if _, err := dec.PeekCode(); !errors.Is(err, io.EOF) {
+		return Malformed("bytes after the value")
 	}
 	return nil
 }
 
-// IsMap says whether an encoded value is a map.
+// First bytes of MessagePack maps: a map of up to 15 pairs has the length in the low bits of its first byte.
+const (
+	codeFixMap     = 0x80
+	codeFixMapMask = 0xf0
+	codeMap16      = 0xde
+	codeMap32      = 0xdf
+)
+
+// IsMap reports whether an encoded value is a MessagePack map.
 func IsMap(raw []byte) bool {
 	if len(raw) == 0 {
 		return false
 	}
-	c := raw[0]
-	return c&0xf0 == 0x80 || c == 0xde || c == 0xdf
-}
-
-var (
-	cborEncMode = must(cbor.EncOptions{}.EncMode())
-	cborDecMode = must(cbor.DecOptions{MaxNestedLevels: 16, MaxArrayElements: 1 << 16, MaxMapPairs: 1 << 10}.DecMode())
-)
-
-func must[T any](v T, err error) T {
-	if err != nil {
-		panic(err) // options that are fixed above
-	}
-	return v
+	code := raw[0]
+	return code&codeFixMapMask == codeFixMap || code == codeMap16 || code == codeMap32
 }
--- a/internal/protocol/cost_test.go
+++ b/internal/protocol/cost_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// testPeerHeartbeat is one of a quiet deployment.
+// testPeerHeartbeat returns a heartbeat of a deployment without failures.
 func testPeerHeartbeat() *PeerMessage {
 	return &PeerMessage{
 		Kind:             PeerHeartbeat,
@@ -20,7 +20,7 @@
 	}
 }
 
-// testWorkerHeartbeat is a worker's with the given number of running tasks.
+// testWorkerHeartbeat returns a heartbeat with the given number of running tasks.
 func testWorkerHeartbeat(tasks int) *WorkerHeartbeat {
 	r := &WorkerHeartbeat{
 		Machine:      "host-000001",
@@ -39,7 +39,7 @@
 
 // TestCostOfAPeerHeartbeat: a heartbeat is small and costs few allocations on both sides.
 func TestCostOfAPeerHeartbeat(t *testing.T) {
-	const mostBytes, mostAllocations = 75, 8
+	const maxBytes, maxAllocations = 75, 8
 	raw, err := EncodePeerMessage(testPeerHeartbeat())
 	if err != nil {
 		t.Fatal(err)
@@ -54,19 +54,13 @@
 		}
 	})
 	t.Logf("%d bytes, %.0f allocations", len(raw), allocations)
-	if len(raw) > mostBytes || allocations > mostAllocations {
-		t.Errorf(
-			"%d bytes and %.0f allocations, want %d and %d at most",
-			len(raw),
-			allocations,
-			mostBytes,
-			mostAllocations,
-		)
+	if len(raw) > maxBytes || allocations > maxAllocations {
+		t.Errorf("%d bytes and %.0f allocations, want %d and %d at most",
+			len(raw), allocations, maxBytes, maxAllocations)
 	}
 }
 
-// TestCostOfAWorkerHeartbeat: decoding a report costs a fixed number of allocations and a few for
-// each task.
+// TestCostOfAWorkerHeartbeat: decoding a heartbeat costs a fixed number of allocations and a few for each task.
 func TestCostOfAWorkerHeartbeat(t *testing.T) {
 	const fixed, perTask = 8, 4
 	for _, tasks := range []int{0, 8, 64} {
@@ -86,7 +80,7 @@
 	}
 }
 
-// BenchmarkMessages shows what the messages of a quiet deployment cost to write and read.
+// BenchmarkMessages measures encoding and decoding the messages of a deployment without failures.
 func BenchmarkMessages(b *testing.B) {
 	job := &Job{
 		ID:        "j-000001",
@@ -107,17 +101,17 @@
 		decode func([]byte) error
 	}{
 		{
-			"heartbeat",
+			"peer heartbeat",
 			func() ([]byte, error) { return EncodePeerMessage(testPeerHeartbeat()) },
 			func(raw []byte) error { _, err := DecodePeerMessage(raw); return err },
 		},
 		{
-			"report-8",
+			"worker heartbeat",
 			func() ([]byte, error) { return Encode(testWorkerHeartbeat(8)) },
 			func(raw []byte) error { _, err := DecodeWorkerHeartbeat(raw); return err },
 		},
 		{
-			"answer",
+			"worker heartbeat reply",
 			func() ([]byte, error) { return Encode(WorkerHeartbeatReply{FencingToken: 1}) },
 			func(raw []byte) error { return Decode(raw, &WorkerHeartbeatReply{}) },
 		},
@@ -137,7 +131,7 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		b.Run(row.name+"/write", func(b *testing.B) {
+		b.Run(row.name+"/encode", func(b *testing.B) {
 			b.ReportAllocs()
 			b.ReportMetric(float64(len(raw)), "bytes")
 			for b.Loop() {
@@ -146,7 +140,7 @@
 				}
 			}
 		})
-		b.Run(row.name+"/read", func(b *testing.B) {
+		b.Run(row.name+"/decode", func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
 				if err := row.decode(raw); err != nil {
--- /dev/null
+++ b/internal/protocol/peercodec.go
@@ -0,0 +1,96 @@
+package protocol
+
+import (
+	"fmt"
+
+	"github.com/fxamacker/cbor/v2"
+)
+
+// Limits of what the decoder accepts from a peer.
+const (
+	maxCBORNesting       = 16
+	maxCBORArrayElements = 1 << 16
+	maxCBORMapPairs      = 1 << 10
+)
+
+var (
+	cborEncMode = must(cbor.EncOptions{}.EncMode())
+	cborDecMode = must(cbor.DecOptions{
+		MaxNestedLevels:  maxCBORNesting,
+		MaxArrayElements: maxCBORArrayElements,
+		MaxMapPairs:      maxCBORMapPairs,
+	}.DecMode())
+)
+
+// must returns v. It panics on an error, which constant options cannot cause.
+func must[T any](v T, err error) T {
+	if err != nil {
+		panic(err)
+	}
+	return v
+}
+
+// EncodePeerMessage sets the message's version and returns the message as CBOR.
+func EncodePeerMessage(m *PeerMessage) ([]byte, error) {
+	m.Version = PeerProtocolVersion
+	raw, err := cborEncMode.Marshal(m)
+	if err != nil {
+		return nil, fmt.Errorf("encode peer message: %w", err)
+	}
+	return raw, nil
+}
+
+// DecodePeerMessage decodes and validates a message of another controller. It does not validate the opinions, which a
+// controller may reject without the rest of the message (see [CheckOpinions]).
+func DecodePeerMessage(raw []byte) (*PeerMessage, error) {
+	var m PeerMessage
+	if err := cborDecMode.Unmarshal(raw, &m); err != nil {
+		return nil, undecodable(fmt.Errorf("peer message: %w", err))
+	}
+	if err := m.validate(); err != nil {
+		return nil, err
+	}
+	return &m, nil
+}
+
+func (m *PeerMessage) validate() error {
+	if m.Version != PeerProtocolVersion {
+		return Malformed("peer message of version %d", m.Version)
+	}
+	if m.Kind < PeerHeartbeat || m.Kind > PeerUnchangedHeartbeats || m.From == "" {
+		return Malformed("peer message of kind %d from %q", m.Kind, m.From)
+	}
+	if err := m.validateMachines(); err != nil {
+		return err
+	}
+	return m.validateIntents()
+}
+
+// validateMachines checks the lists of machines, which must be of one length if more than the names are given.
+func (m *PeerMessage) validateMachines() error {
+	machines, incarnations, sequences := len(m.Machines), len(m.MachineIncarnations), len(m.HeartbeatSequences)
+	if machines > MaxMachinesPerMessage {
+		return Malformed("peer message with %d machines", machines)
+	}
+	if incarnations != sequences || incarnations > 0 && incarnations != machines {
+		return Malformed("peer message with %d machines, %d incarnations and %d sequences",
+			machines, incarnations, sequences)
+	}
+	return nil
+}
+
+// validateIntents checks the fields about cancellation intents. They decide whether a controller counts toward a quorum,
+// so a malformed message must never pass for agreement.
+func (m *PeerMessage) validateIntents() error {
+	withoutIncarnation := m.Incarnation == 0 && (m.Recovered || len(m.Intents) > 0 || m.AckedIntents > 0)
+	overflow := m.IntentOffset+uint64(len(m.Intents)) < m.IntentOffset
+	if len(m.Intents) > MaxIntentsPerMessage || withoutIncarnation || overflow || m.ExpiredIntents > m.IntentOffset {
+		return Malformed("peer message with invalid intents from %q", m.From)
+	}
+	for _, intent := range m.Intents {
+		if !ValidJobID(intent.JobID) {
+			return Malformed("peer message with an intent for %.80q", intent.JobID)
+		}
+	}
+	return nil
+}
--- a/internal/protocol/peermessage_test.go
+++ b/internal/protocol/peermessage_test.go
@@ -1,16 +1,189 @@
 package protocol
 
 import (
+	"bytes"
+	"errors"
 	"math"
+	"reflect"
 	"slices"
+	"strconv"
 	"strings"
 	"testing"
 
 	"pgregory.net/rapid"
+
+	"pinebay/internal/testutil"
 )
 
-// TestSplitMachineNames: names in any number and length are parted into messages that their receiver
-// takes, and none is lost.
+// TestPeerMessages: valid messages survive the wire, and messages of another version are rejected.
+func TestPeerMessages(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		m := PeerMessage{
+			Kind:           PeerMessageKind(rapid.IntRange(int(PeerHeartbeat), int(PeerReply)).Draw(t, "kind")),
+			ID:             rapid.Uint64().Draw(t, "id"),
+			From:           word().Draw(t, "from"),
+			Term:           rapid.Uint64().Draw(t, "term"),
+			Leader:         word().Draw(t, "leader"),
+			StoreReachable: rapid.Bool().Draw(t, "store reachable"),
+		}
+		if rapid.Bool().Draw(t, "status") {
+			m.Status = &JobStatus{ID: "j-1", State: JobRunning, DoneTasks: 3, RunningTasks: 2}
+		}
+		if rapid.Bool().Draw(t, "intents") {
+			m.Incarnation = rapid.Uint64Min(1).Draw(t, "incarnation")
+			m.Recovered = rapid.Bool().Draw(t, "recovered")
+			m.MoreIntents = rapid.Bool().Draw(t, "more")
+			m.IntentOffset = rapid.Uint64Max(1<<40).Draw(t, "offset")
+			m.AckedIncarnation = rapid.Uint64().Draw(t, "acked incarnation")
+			m.AckedIntents = rapid.Uint64().Draw(t, "acked")
+			m.ExpiredIntents = rapid.Uint64Max(m.IntentOffset).Draw(t, "expired")
+			for i := range rapid.IntRange(0, 3).Draw(t, "n") {
+				m.Intents = append(m.Intents, CancellationIntent{
+					JobID:          "j-" + strconv.Itoa(i),
+					AnnouncementID: rapid.Uint64().Draw(t, "announcement"),
+				})
+			}
+		}
+		raw, err := EncodePeerMessage(&m)
+		if err != nil {
+			t.Fatal(err)
+		}
+		got, err := DecodePeerMessage(raw)
+		if err != nil || !reflect.DeepEqual(*got, m) {
+			t.Fatalf("got %+v %v, want %+v", got, err, m)
+		}
+		m.Version = PeerProtocolVersion + 1
+		other, err := cborEncMode.Marshal(m)
+		if err != nil {
+			t.Fatal(err)
+		}
+		if _, err := DecodePeerMessage(other); !errors.Is(err, ErrMalformed) {
+			t.Fatalf("another version: %v", err)
+		}
+	})
+}
+
+// TestMalformedIntents: a malformed message must never pass for agreement.
+func TestMalformedIntents(t *testing.T) {
+	for name, m := range map[string]PeerMessage{
+		"no incarnation but recovered": {Recovered: true},
+		"no incarnation but acked":     {AckedIntents: 3},
+		"no incarnation but intents":   {Intents: []CancellationIntent{{JobID: "j-1"}}},
+		"not a job":                    {Incarnation: 1, Intents: []CancellationIntent{{JobID: "x"}}},
+		"too many":                     {Incarnation: 1, Intents: make([]CancellationIntent, MaxIntentsPerMessage+1)},
+		"more expired than skipped":    {Incarnation: 1, IntentOffset: 1, ExpiredIntents: 2},
+		"overflow": {
+			Incarnation:  1,
+			IntentOffset: math.MaxUint64,
+			Intents:      []CancellationIntent{{JobID: "j-1"}},
+		},
+	} {
+		m.Kind, m.From = PeerHeartbeat, "n"
+		raw, err := EncodePeerMessage(&m)
+		if err != nil {
+			t.Fatal(err)
+		}
+		if _, err := DecodePeerMessage(raw); !errors.Is(err, ErrMalformed) {
+			t.Errorf("%s: %v", name, err)
+		}
+	}
+	// A message of an older version is accepted, without any fields about intents.
+	old, err := cborEncMode.Marshal(
+		map[int]any{1: PeerProtocolVersion, 2: PeerHeartbeat, 3: 7, 4: "n", 5: 3, 6: "n", 7: true},
+	)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if m, err := DecodePeerMessage(old); err != nil || m.Incarnation != 0 || m.Term != 3 || !m.StoreReachable {
+		t.Errorf("a heartbeat of an older version: %+v %v", m, err)
+	}
+}
+
+// TestPeerMessagesAsInProduction: every message between controllers is decoded from, and encoded to, the bytes of the
+// version in production.
+func TestPeerMessagesAsInProduction(t *testing.T) {
+	for name, want := range map[string]PeerMessage{
+		"beat": {
+			Kind:             PeerHeartbeat,
+			ID:               9,
+			From:             "bothy-1",
+			Term:             7,
+			Leader:           "bothy-1",
+			StoreReachable:   true,
+			Incarnation:      77,
+			Recovered:        true,
+			IntentOffset:     2,
+			ExpiredIntents:   1,
+			Intents:          []CancellationIntent{{JobID: "j-000398", AnnouncementID: 5}},
+			AckedIncarnation: 66,
+			AckedIntents:     4,
+		},
+		"beat-reply": {
+			Kind:           PeerReply,
+			ID:             9,
+			From:           "bothy-2",
+			Term:           7,
+			Leader:         "bothy-1",
+			StoreReachable: true,
+			RenewsLeases:   true,
+			Incarnation:    66,
+			MoreIntents:    true,
+		},
+		"status": {Kind: PeerStatusQuery, ID: 10, From: "bothy-2", JobIDs: []string{"j-000412"}},
+		"status-reply": {
+			Kind:     PeerReply,
+			ID:       10,
+			From:     "bothy-1",
+			Statuses: []JobStatus{{ID: "j-000412", State: JobRunning, DoneTasks: 3, RunningTasks: 13}},
+		},
+		"report": {Kind: PeerForwardedHeartbeat, ID: 11, From: "bothy-2", Body: []byte{0x80}},
+		"heard":  {Kind: PeerLiveMachinesQuery, ID: 12, From: "bothy-2", Machines: []string{"host-000231"}},
+	} {
+		raw := testutil.Production(t, name)
+		written, err := EncodePeerMessage(&want)
+		if err != nil || !bytes.Equal(written, raw) {
+			t.Errorf("%s is encoded as %x, want %x, %v", name, written, raw, err)
+		}
+		if got, err := DecodePeerMessage(raw); err != nil || !reflect.DeepEqual(*got, want) {
+			t.Errorf("%s is decoded as %+v: %v", name, got, err)
+		}
+	}
+}
+
+// TestUnchangedHeartbeatLists: a list of unchanged heartbeats is accepted only with an incarnation and a sequence for
+// each machine, and with no more machines than a message may name.
+func TestUnchangedHeartbeatLists(t *testing.T) {
+	for name, x := range map[string]struct {
+		machines, incarnations, sequences int
+		ok                                bool
+	}{
+		"none":                   {0, 0, 0, true},
+		"three":                  {3, 3, 3, true},
+		"an incarnation missing": {3, 2, 3, false},
+		"a sequence missing":     {3, 3, 2, false},
+		"both missing":           {3, 2, 2, false},
+		"no machines":            {0, 1, 1, false},
+		"too many":               {MaxMachinesPerMessage + 1, MaxMachinesPerMessage + 1, MaxMachinesPerMessage + 1, false},
+	} {
+		raw, err := EncodePeerMessage(&PeerMessage{
+			Kind:                PeerUnchangedHeartbeats,
+			From:                "b",
+			OwnershipEpoch:      3,
+			Machines:            make([]string, x.machines),
+			MachineIncarnations: make([]uint64, x.incarnations),
+			HeartbeatSequences:  make([]uint64, x.sequences),
+		})
+		if err != nil {
+			t.Fatal(err)
+		}
+		if _, err := DecodePeerMessage(raw); (err == nil) != x.ok {
+			t.Errorf("%s: %v", name, err)
+		}
+	}
+}
+
+// TestSplitMachineNames: names in any number and length are split into messages that their receiver accepts, and none
+// is lost.
 func TestSplitMachineNames(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var names []string
@@ -36,7 +209,7 @@
 	})
 }
 
-// TestMalformedOpinions: opinions that no controller can mean are refused, and those that one can are not.
+// TestMalformedOpinions: opinions that no controller can hold are rejected, and others are not.
 func TestMalformedOpinions(t *testing.T) {
 	good := PeerOpinion{
 		Controller:         "n-1",
@@ -52,23 +225,23 @@
 		t.Error(err)
 	}
 	for name, change := range map[string]func(*PeerOpinion){
-		"nobody":           func(o *PeerOpinion) { o.Controller = "" },
-		"heard in future":  func(o *PeerOpinion) { o.HeardAgoMS = -2 },
-		"too long ago":     func(o *PeerOpinion) { o.HeardAgoMS = math.MaxInt64 },
-		"suspected ahead":  func(o *PeerOpinion) { o.SuspectedForMS = -1 },
-		"no phi":           func(o *PeerOpinion) { o.Phi = math.NaN() },
-		"endless phi":      func(o *PeerOpinion) { o.Phi = math.Inf(1) },
-		"failed unbidden":  func(o *PeerOpinion) { o.Suspected = false },
-		"heard of no life": func(o *PeerOpinion) { o.Incarnation = 0 },
-		"too many probes":  func(o *PeerOpinion) { o.UnreachableThrough = make([]string, MaxOpinions+1) },
+		"nobody":                    func(o *PeerOpinion) { o.Controller = "" },
+		"heard in the future":       func(o *PeerOpinion) { o.HeardAgoMS = -2 },
+		"too long ago":              func(o *PeerOpinion) { o.HeardAgoMS = math.MaxInt64 },
+		"suspected in the future":   func(o *PeerOpinion) { o.SuspectedForMS = -1 },
+		"no phi":                    func(o *PeerOpinion) { o.Phi = math.NaN() },
+		"infinite phi":              func(o *PeerOpinion) { o.Phi = math.Inf(1) },
+		"failed but not suspected":  func(o *PeerOpinion) { o.Suspected = false },
+		"heard without incarnation": func(o *PeerOpinion) { o.Incarnation = 0 },
+		"too many peers":            func(o *PeerOpinion) { o.UnreachableThrough = make([]string, MaxOpinions+1) },
 	} {
 		bad := good
 		change(&bad)
 		if CheckOpinions([]PeerOpinion{bad}) == nil {
-			t.Errorf("%s: taken", name)
+			t.Errorf("%s: accepted", name)
 		}
 	}
 	if CheckOpinions(make([]PeerOpinion, MaxOpinions+1)) == nil {
-		t.Error("too many: taken")
+		t.Error("too many: accepted")
 	}
 }
--- /dev/null
+++ b/internal/protocol/submission.go
@@ -0,0 +1,218 @@
+package protocol
+
+import (
+	"math"
+	"slices"
+
+	"github.com/vmihailenco/msgpack/v5"
+)
+
+// maxNameBytes is the limit of names that users choose. It leaves most of a stored value to the rest of the record.
+const maxNameBytes = 200
+
+// submission is a job as it is received: pointers tell a missing field from one with the zero value.
+type submission struct {
+	ID                        *string   `msgpack:"name_id"`
+	Class                     *string   `msgpack:"docket"`
+	Team                      *string   `msgpack:"crew"`
+	Shape                     *string   `msgpack:"shape"`
+	Priority                  *string   `msgpack:"urgency"`
+	TaskCount                 *int64    `msgpack:"pieces"`
+	CPUs                      *float64  `msgpack:"vcpus"`
+	GPUs                      *float64  `msgpack:"accelerators"`
+	MemoryGB                  *float64  `msgpack:"memory_gb"`
+	Image                     *string   `msgpack:"kit"`
+	ImageGB                   *float64  `msgpack:"size_gb"`
+	MachineTypes              *[]string `msgpack:"breeds"`
+	Zone                      *string   `msgpack:"parish"`
+	SameZone                  *bool     `msgpack:"same_place"`
+	Spread                    *bool     `msgpack:"spread"`
+	SpotAllowed               *bool     `msgpack:"lendable"`
+	EstimateSeconds           *float64  `msgpack:"reckon_s"`
+	CheckpointIntervalSeconds *float64  `msgpack:"bookmark_s"`
+	SaveSeconds               *float64  `msgpack:"stow_s"`
+	DeadlineSeconds           *float64  `msgpack:"due_s"`
+	// Dependencies is decoded separately, so that an error names the field.
+	Dependencies msgpack.RawMessage `msgpack:"awaits"`
+}
+
+// DecodeJob decodes and validates a submission. An error about a field is a [*MalformedError] that names it; the
+// fields are validated in a fixed order, and the first one at fault is reported.
+func DecodeJob(raw []byte) (*Job, error) {
+	var s submission
+	if err := Decode(raw, &s); err != nil {
+		return nil, err
+	}
+	for _, validate := range []func() error{
+		s.validateNames,
+		s.validateKind,
+		s.validateAmounts,
+		s.validateFlags,
+		s.validatePlacement,
+	} {
+		if err := validate(); err != nil {
+			return nil, err
+		}
+	}
+	dependencies, err := decodeDependencies(s.Dependencies)
+	if err != nil {
+		return nil, err
+	}
+	return s.job(dependencies), nil
+}
+
+// validateNames checks the fields that must be names.
+func (s *submission) validateNames() error {
+	names := []struct {
+		field string
+		value *string
+	}{
+		{"name_id", s.ID},
+		{"docket", s.Class},
+		{"crew", s.Team},
+		{"shape", s.Shape},
+		{"urgency", s.Priority},
+		{"kit", s.Image},
+	}
+	for _, name := range names {
+		if name.value == nil || *name.value == "" {
+			return malformedField(name.field, "missing")
+		}
+		if len(*name.value) > maxNameBytes {
+			return malformedField(name.field, "too long")
+		}
+	}
+	return nil
+}
+
+// validateKind checks the id, the shape, the priority and the number of tasks, of which all names are present.
+func (s *submission) validateKind() error {
+	if !ValidJobID(*s.ID) {
+		return malformedField("name_id", "not a job id")
+	}
+	switch Shape(*s.Shape) {
+	case Array, Gang, Service:
+	default:
+		return malformedField("shape", "unknown")
+	}
+	if Priority(*s.Priority).Rank() < 0 {
+		return malformedField("urgency", "unknown")
+	}
+	if s.TaskCount == nil || *s.TaskCount < 1 || *s.TaskCount > MaxTasks {
+		return malformedField("pieces", "missing or out of range")
+	}
+	return nil
+}
+
+// validateAmounts checks resources and durations.
+func (s *submission) validateAmounts() error {
+	amounts := []struct {
+		field string
+		value *float64
+	}{
+		{"vcpus", s.CPUs},
+		{"accelerators", s.GPUs},
+		{"memory_gb", s.MemoryGB},
+		{"size_gb", s.ImageGB},
+		{"reckon_s", s.EstimateSeconds},
+		{"bookmark_s", s.CheckpointIntervalSeconds},
+		{"stow_s", s.SaveSeconds},
+	}
+	for _, amount := range amounts {
+		if amount.value == nil || !isAmount(*amount.value) {
+			return malformedField(amount.field, "missing or not an amount")
+		}
+	}
+	if s.DeadlineSeconds != nil && !isAmount(*s.DeadlineSeconds) {
+		return malformedField("due_s", "not an amount")
+	}
+	return nil
+}
+
+// isAmount reports whether a number is finite and not negative. NaN is not.
+func isAmount(x float64) bool { return x >= 0 && !math.IsInf(x, 0) }
+
+// validateFlags checks that all flags are present.
+func (s *submission) validateFlags() error {
+	flags := []struct {
+		field string
+		value *bool
+	}{
+		{"same_place", s.SameZone},
+		{"spread", s.Spread},
+		{"lendable", s.SpotAllowed},
+	}
+	for _, flag := range flags {
+		if flag.value == nil {
+			return malformedField(flag.field, "missing")
+		}
+	}
+	return nil
+}
+
+// validatePlacement checks the optional limits on machine types and zones.
+func (s *submission) validatePlacement() error {
+	if s.MachineTypes != nil && len(*s.MachineTypes) == 0 {
+		return malformedField("breeds", "empty")
+	}
+	if s.Zone != nil && (*s.Zone == "" || len(*s.Zone) > maxNameBytes) {
+		return malformedField("parish", "not a zone")
+	}
+	return nil
+}
+
+// decodeDependencies decodes a list of job ids, which it returns sorted and each once. A missing list is empty.
+func decodeDependencies(raw []byte) ([]string, error) {
+	if len(raw) == 0 {
+		return nil, nil
+	}
+	var ids []string
+	if err := DecodeAny(raw, &ids); err != nil {
+		return nil, malformedDependencies()
+	}
+	for _, id := range ids {
+		if !ValidJobID(id) {
+			return nil, malformedDependencies()
+		}
+	}
+	slices.Sort(ids)
+	return slices.Compact(ids), nil
+}
+
+func malformedDependencies() error { return malformedField("awaits", "not a list of job ids") }
+
+// job returns the job of a valid submission.
+func (s *submission) job(dependencies []string) *Job {
+	return &Job{
+		ID:                        *s.ID,
+		Class:                     *s.Class,
+		Team:                      *s.Team,
+		Shape:                     Shape(*s.Shape),
+		Priority:                  Priority(*s.Priority),
+		TaskCount:                 int(*s.TaskCount),
+		CPUs:                      *s.CPUs,
+		GPUs:                      *s.GPUs,
+		MemoryGB:                  *s.MemoryGB,
+		Image:                     *s.Image,
+		ImageGB:                   *s.ImageGB,
+		MachineTypes:              valueOrZero(s.MachineTypes),
+		Zone:                      valueOrZero(s.Zone),
+		SameZone:                  *s.SameZone,
+		Spread:                    *s.Spread,
+		SpotAllowed:               *s.SpotAllowed,
+		EstimateSeconds:           *s.EstimateSeconds,
+		CheckpointIntervalSeconds: *s.CheckpointIntervalSeconds,
+		SaveSeconds:               *s.SaveSeconds,
+		DeadlineSeconds:           valueOrZero(s.DeadlineSeconds),
+		Dependencies:              dependencies,
+	}
+}
+
+// valueOrZero returns the value of an optional field, or the zero value if the field is missing.
+func valueOrZero[T any](value *T) T {
+	if value == nil {
+		var zero T
+		return zero
+	}
+	return *value
+}
