--- a/internal/coordination/election/candidacy.go
+++ b/internal/coordination/election/candidacy.go
@@ -5,85 +5,116 @@
 	"time"
 )
 
-// candidateRank spreads candidates that wake at the same time; the order changes from
-// term to term, so that a bad candidate is not first for ever.
-func (m *Election) candidateRank() int {
-	all := append([]string{m.self}, m.peers...)
+const (
+	// recentHeartbeats is for how many heartbeat intervals a peer counts as heard.
+	recentHeartbeats = 3
+	// stableHeartbeats is for how many heartbeat intervals a quorum must have been heard before
+	// this controller trusts that it is not itself the one that is cut off.
+	stableHeartbeats = 3
+	// reconnectHeartbeats is how many heartbeat intervals a follower waits for a leader whose
+	// connection has ended. A live leader connects again within one.
+	reconnectHeartbeats = 2
+	// renewalsPerTTL is how many times the leader renews its lease within the lease's time to live.
+	renewalsPerTTL = 3
+)
+
+// candidateRank spreads the claims of candidates that become ready together. The order changes
+// with the term, so that a candidate that cannot lead is not always first.
+func (e *Election) candidateRank() int {
+	all := append([]string{e.self}, e.peers...)
 	sort.Strings(all)
-	return int((uint64(sort.SearchStrings(all, m.self)) + m.term) % uint64(len(all)))
+	position := uint64(sort.SearchStrings(all, e.self))
+	return int((position + e.term) % uint64(len(all)))
 }
 
-func (m *Election) scheduleClaim(at time.Duration) {
-	at += time.Duration(m.candidateRank()) * m.timing.CandidateDelay
-	if m.claimAt == 0 || at < m.claimAt {
-		m.claimAt = at
+// scheduleClaim plans a claim at a time, delayed by the candidate's rank. An earlier planned claim
+// stays.
+func (e *Election) scheduleClaim(at time.Duration) {
+	at += time.Duration(e.candidateRank()) * e.timing.CandidateDelay
+	if e.claimAt == 0 || at < e.claimAt {
+		e.claimAt = at
 	}
 }
 
-func (m *Election) tick(now time.Duration) {
-	switch m.role {
+func (e *Election) tick(now time.Duration) {
+	switch e.role {
 	case roleFollower:
-		// When connections come back, the leader's may be the last to.
-		switch {
-		case !m.quorumHeardAfter(now, 0):
-			m.quorumHeardSince = 0
-		case m.quorumHeardSince == 0:
-			m.quorumHeardSince = now
-		}
-		if m.claimAt == 0 && (now-m.leaderHeardAt > m.timing.LeaderTimeout || m.keyMissing) {
-			m.scheduleClaim(now)
-		}
-		if m.claimAt != 0 && now >= max(m.claimAt, m.deferUntil) && m.mayReplaceLeader(now) {
-			m.claimAt = 0
-			m.role = roleCandidate
-			m.effects = append(m.effects, Claim{AboveTerm: m.term})
-		}
+		e.tickFollower(now)
 	case roleLeader:
-		if now >= m.confirmedUntil(now) {
-			// Nobody confirms us: others may lead, and know of cancellations
-			// that we don't. Our workers must be free to find them.
-			m.stepDown(now)
-			m.leader = ""
-			return
-		}
-		if !m.renewing && now-m.renewalSentAt >= m.timing.LeaseTTL/3 {
-			m.renewing, m.renewalSentAt = true, now
-			m.effects = append(m.effects, RenewLease{m.leaseID, m.term})
-		}
+		e.tickLeader(now)
+	case roleCandidate:
+		// The outcome of the claim decides.
+	}
+}
+
+func (e *Election) tickFollower(now time.Duration) {
+	e.trackQuorum(now)
+	if e.claimAt == 0 && (now-e.leaderHeardAt > e.timing.LeaderTimeout || e.keyMissing) {
+		e.scheduleClaim(now)
+	}
+	if e.claimAt != 0 && now >= max(e.claimAt, e.deferUntil) && e.mayReplaceLeader(now) {
+		e.claimAt = 0
+		e.role = roleCandidate
+		e.emit(Claim{AboveTerm: e.term})
+	}
+}
+
+// trackQuorum notes since when a quorum has been heard without interruption. When connections come
+// back after a cut, the leader's may be the last one.
+func (e *Election) trackQuorum(now time.Duration) {
+	switch {
+	case !e.quorumHeardAfter(now, 0):
+		e.quorumHeardSince = 0
+	case e.quorumHeardSince == 0:
+		e.quorumHeardSince = now
+	}
+}
+
+func (e *Election) tickLeader(now time.Duration) {
+	if now >= e.confirmedUntil(now) {
+		// Others may lead by now, and know of cancellations that we don't. Workers must be free to
+		// find them.
+		e.stepDown(now)
+		e.leader = ""
+		return
+	}
+	if !e.renewing && now-e.renewalSentAt >= e.timing.LeaseTTL/renewalsPerTTL {
+		e.renewing, e.renewalSentAt = true, now
+		e.emit(RenewLease{LeaseID: e.leaseID, Term: e.term})
 	}
 }
 
-// mayReplaceLeader says whether the silence of a leader whose key is there may be
-// taken for its end: only while a majority is heard. A controller that hears
-// hardly anybody is more likely to be cut off from the others itself, or they
-// all are from each other, while the leader serves the workers and keeps its
-// key. Without this the leadership went round from one to the next for as long
-// as connections between controllers were refused. The key's lease still ends
-// the term of a leader that is gone.
-func (m *Election) mayReplaceLeader(now time.Duration) bool {
-	if m.keyMissing || m.leader == "" || m.leader == m.self {
+// mayReplaceLeader says whether a silent leader whose key is still there counts as failed: only
+// while a quorum is heard. A controller that hears hardly anybody is more likely cut off itself;
+// or all are cut off from each other, while the leader serves the workers and keeps its key.
+// Without this check the leadership moved on again and again as long as connections between
+// controllers were refused. The lease of the key still ends the term of a leader that has failed.
+func (e *Election) mayReplaceLeader(now time.Duration) bool {
+	if e.keyMissing || e.leader == "" || e.leader == e.self {
 		return true
 	}
-	return m.quorumHeardSince != 0 && now-m.quorumHeardSince >= 3*m.timing.HeartbeatInterval &&
-		m.quorumHeardAfter(now, m.leaderDisconnectedAt+m.timing.HeartbeatInterval/2)
+	stable := stableHeartbeats * e.timing.HeartbeatInterval
+	return e.quorumHeardSince != 0 && now-e.quorumHeardSince >= stable &&
+		e.quorumHeardAfter(now, e.leaderDisconnectedAt+e.timing.HeartbeatInterval/2)
 }
 
-// quorumHeardAfter says whether a majority, with this controller, was heard lately and
-// since the given time.
-func (m *Election) quorumHeardAfter(now, since time.Duration) bool {
-	n := 1
-	for _, at := range m.peerHeardAt {
-		if now-at <= 3*m.timing.HeartbeatInterval && at > since {
-			n++
+// quorumHeardAfter says whether a quorum, including this controller, was heard recently and after
+// the given time.
+func (e *Election) quorumHeardAfter(now, after time.Duration) bool {
+	heard := 1
+	for _, at := range e.peerHeardAt {
+		if now-at <= recentHeartbeats*e.timing.HeartbeatInterval && at > after {
+			heard++
 		}
 	}
-	return IsQuorum(n, len(m.peers))
+	return IsQuorum(heard, len(e.peers))
 }
 
-func (m *Election) stepDown(now time.Duration) {
-	m.effects = append(m.effects, StepDown{m.term, m.leaseID})
-	m.role, m.leaseID, m.renewing = roleFollower, 0, false
-	m.leaderHeardAt = now
-	clear(m.ackedAt)
-	clear(m.intentsReceivedAt)
+// stepDown makes a leader a follower.
+func (e *Election) stepDown(now time.Duration) {
+	e.emit(StepDown{Term: e.term, LeaseID: e.leaseID})
+	e.role, e.leaseID, e.renewing = roleFollower, 0, false
+	e.leaderHeardAt = now
+	clear(e.ackedAt)
+	clear(e.intentsReceivedAt)
 }
--- a/internal/coordination/election/handlers.go
+++ b/internal/coordination/election/handlers.go
@@ -4,86 +4,116 @@
 	"time"
 )
 
-func (m *Election) handleLeaderKey(now time.Duration, e LeaderKey) {
-	if e.Present && e.Term >= m.keyTerm {
-		m.keyTerm, m.keyMissing = e.Term, false
-		if e.Term > m.term || e.Term == m.term && m.leader == "" && m.role != roleLeader {
-			m.adoptTerm(now, e.Term, e.Holder)
-		}
-		if e.Holder == m.self && m.role == roleFollower && e.Term == m.term {
-			// An earlier life of ours held it: nobody is there.
-			m.leader = ""
-			m.scheduleClaim(now)
-		}
+func (e *Election) handleLeaderKey(now time.Duration, key LeaderKey) {
+	if key.Term < e.keyTerm {
+		return
 	}
-	if !e.Present && e.Term >= m.keyTerm {
-		m.keyMissing = true
-		if m.role == roleFollower {
-			m.scheduleClaim(now)
+	if !key.Present {
+		e.keyMissing = true
+		if e.role == roleFollower {
+			e.scheduleClaim(now)
 		}
+		return
+	}
+	e.keyTerm, e.keyMissing = key.Term, false
+	if key.Term > e.term || key.Term == e.term && e.leader == "" && e.role != roleLeader {
+		e.adoptTerm(now, key.Term, key.Holder)
+	}
+	if key.Holder == e.self && e.role == roleFollower && key.Term == e.term {
+		// An earlier process of this controller holds the key, so nobody leads.
+		e.leader = ""
+		e.scheduleClaim(now)
 	}
 }
 
-func (m *Election) handleHeartbeat(now time.Duration, e PeerHeartbeat) {
-	if e.Term > m.term {
-		m.adoptTerm(now, e.Term, e.Leader)
-	}
-	if m.role == roleLeader && e.Reply && e.Term == m.term && e.Leader == m.self {
-		m.ackedAt[e.From] = max(m.ackedAt[e.From], e.SentAt)
-		if e.IntentsComplete && (e.Recovered || m.forgottenIntentsSettled(e.IncarnationSince)) {
-			m.intentsReceivedAt[e.From] = max(m.intentsReceivedAt[e.From], e.SentAt)
+func (e *Election) handleHeartbeat(now time.Duration, h PeerHeartbeat) {
+	e.peerHeardAt[h.From] = now
+	if h.Term > e.term {
+		e.adoptTerm(now, h.Term, h.Leader)
+	}
+	if e.role == roleLeader && h.Reply && h.Term == e.term && h.Leader == e.self {
+		e.ackedAt[h.From] = max(e.ackedAt[h.From], h.SentAt)
+		if h.IntentsComplete && (h.Recovered || e.forgottenIntentsSettled(h.IncarnationSince)) {
+			e.intentsReceivedAt[h.From] = max(e.intentsReceivedAt[h.From], h.SentAt)
 		}
 	}
-	if m.role != roleLeader && !e.Reply && e.Term == m.term && e.Leader == e.From {
-		m.leader, m.leaderHeardAt = e.From, now
-		m.claimAt = 0
+	if e.role != roleLeader && !h.Reply && h.Term == e.term && h.Leader == h.From {
+		e.leader, e.leaderHeardAt = h.From, now
+		e.claimAt = 0
 	}
 }
 
-// adoptTerm takes in that a later term exists.
-func (m *Election) adoptTerm(now time.Duration, term uint64, leader string) {
-	if term < m.term || term == m.term && leader == "" {
+func (e *Election) handleDisconnect(now time.Duration, d PeerDisconnected) {
+	delete(e.peerHeardAt, d.Peer)
+	if e.role == roleFollower && d.Peer == e.leader {
+		e.leaderDisconnectedAt = now
+		e.scheduleClaim(now + reconnectHeartbeats*e.timing.HeartbeatInterval)
+	}
+}
+
+// adoptTerm follows a later term, or learns the leader of the current one. leader is "" if it is
+// not known.
+func (e *Election) adoptTerm(now time.Duration, term uint64, leader string) {
+	if term < e.term || term == e.term && leader == "" {
 		return
 	}
-	if m.role == roleLeader && term > m.term {
-		m.stepDown(now)
+	if e.role == roleLeader && term > e.term {
+		e.stepDown(now)
 	}
-	m.term, m.leader, m.leaderHeardAt = term, leader, now
-	m.keyMissing = m.keyMissing && term <= m.keyTerm
-	m.claimAt = 0
+	e.term, e.leader, e.leaderHeardAt = term, leader, now
+	e.keyMissing = e.keyMissing && term <= e.keyTerm
+	e.claimAt = 0
 }
 
-func (m *Election) handleClaimResult(now time.Duration, e ClaimResult) {
-	if m.role != roleCandidate {
+func (e *Election) handleClaimResult(now time.Duration, r ClaimResult) {
+	if e.role != roleCandidate {
 		return
 	}
-	m.role = roleFollower
-	if !e.Won {
-		// The state service was silent or somebody was quicker: be calm.
-		m.scheduleClaim(now + m.timing.LeaseTTL/4)
+	e.role = roleFollower
+	if !r.Won {
+		// The store did not answer, or another candidate was quicker and will be heard.
+		e.scheduleClaim(now + e.timing.LeaseTTL/4)
 		return
 	}
-	if e.Term <= m.term && m.term != 0 && m.leader != "" && m.leader != m.self {
+	if r.Term <= e.term && e.term != 0 && e.leader != "" && e.leader != e.self {
 		return // a later leader is known already
 	}
-	m.role, m.term, m.leader = roleLeader, e.Term, m.self
-	m.leaseID, m.claimSentAt, m.changesKnownUpTo, m.renewalSentAt, m.renewing = e.LeaseID, e.SentAt, 0, now, false
-	m.keyMissing, m.keyTerm = false, e.Term
-	m.claimAt = 0
-	clear(m.ackedAt)
-	clear(m.intentsReceivedAt)
-	m.effects = append(m.effects, BecomeLeader{Term: e.Term, Revision: e.Revision, FeatureLevel: e.FeatureLevel})
+	e.becomeLeader(now, r)
+}
+
+func (e *Election) becomeLeader(now time.Duration, r ClaimResult) {
+	e.role, e.term, e.leader = roleLeader, r.Term, e.self
+	e.leaseID, e.claimSentAt, e.renewalSentAt, e.renewing = r.LeaseID, r.SentAt, now, false
+	e.changesKnownUpTo = 0
+	e.keyMissing, e.keyTerm = false, r.Term
+	e.claimAt = 0
+	clear(e.ackedAt)
+	clear(e.intentsReceivedAt)
+	e.emit(BecomeLeader{Term: r.Term, Revision: r.Revision, FeatureLevel: r.FeatureLevel})
+}
+
+func (e *Election) handleRenewalResult(now time.Duration, r RenewalResult) {
+	if e.role != roleLeader || r.Term != e.term {
+		return
+	}
+	e.renewing = false
+	if r.LeaseExpired {
+		e.stepDown(now)
+		e.leader = ""
+		e.keyMissing = true
+		e.scheduleClaim(now)
+	}
 }
 
-func (m *Election) handleRenewalResult(now time.Duration, e RenewalResult) {
-	if m.role != roleLeader || e.Term != m.term {
+func (e *Election) handleResign(now time.Duration, r Resign) {
+	if e.role != roleLeader || r.Term != e.term {
 		return
 	}
-	m.renewing = false
-	if e.LeaseExpired {
-		m.stepDown(now)
-		m.leader = ""
-		m.keyMissing = true
-		m.scheduleClaim(now)
+	e.stepDown(now)
+	e.leader = ""
+	if r.DeferToOthers {
+		e.deferUntil = now + 2*e.timing.LeaseTTL
+	} else {
+		e.scheduleClaim(now + e.timing.HeartbeatInterval)
 	}
 }
--- a/internal/coordination/election/quorum.go
+++ b/internal/coordination/election/quorum.go
@@ -6,45 +6,45 @@
 	"time"
 )
 
-// IsQuorum says whether so many controllers are one, in a group of one with so many
-// peers.
-func IsQuorum(n, peers int) bool { return 2*n > peers+1 }
+// IsQuorum says whether count controllers are a majority of a group that consists of one
+// controller and its peers.
+func IsQuorum(count, peers int) bool { return 2*count > peers+1 }
 
-// confirmedUntil is until when the leadership counts as confirmed, by knowing the state
-// service or by a majority that follows. That its lease is renewed does not count: the
-// key may be ours while a cancellation that another controller confirmed has not
+// confirmedUntil is when the leadership stops being confirmed. It is confirmed by following the
+// changes of the store, or by heartbeats that a quorum acknowledges. A renewed lease does not
+// confirm it: the key may be ours while a cancellation that another controller confirmed has not
 // reached us.
-func (m *Election) confirmedUntil(now time.Duration) time.Duration {
-	return max(m.claimSentAt, m.changesKnownUpTo, m.quorumTime(now, m.ackedAt)) + m.timing.ConfirmationTimeout
+func (e *Election) confirmedUntil(now time.Duration) time.Duration {
+	return max(e.claimSentAt, e.changesKnownUpTo, e.quorumTime(now, e.ackedAt)) + e.timing.ConfirmationTimeout
 }
 
-// cancellationsKnownUpTo is up to when we surely know of every cancellation that users were told
-// of; 0 if that cannot be said of any time. Either the state service has shown us
-// its changes; or a majority, of which each has forgotten nothing, has handed us
-// its intents: a cancellation is not committed before a majority holds its intent,
-// and two majorities meet.
-func (m *Election) cancellationsKnownUpTo(now time.Duration) time.Duration {
-	if now < m.startedAt+m.timing.RecoveryPeriod && !m.forgottenIntentsSettled(m.startedAt) {
-		return m.changesKnownUpTo // our own part of a majority may be forgotten
+// cancellationsKnownUpTo is the time up to which this controller certainly knows of every
+// cancellation that users were told of, or 0. Either the store has shown its changes up to then;
+// or a quorum, none of which lacks an intent, has handed over its intents: a cancellation is not
+// confirmed before a quorum holds its intent, and two quorums have a member in common.
+func (e *Election) cancellationsKnownUpTo(now time.Duration) time.Duration {
+	if now < e.startedAt+e.timing.RecoveryPeriod && !e.forgottenIntentsSettled(e.startedAt) {
+		return e.changesKnownUpTo // this controller itself may lack intents, so it counts for no quorum
 	}
-	return max(m.changesKnownUpTo, m.quorumTime(now, m.intentsReceivedAt))
+	return max(e.changesKnownUpTo, e.quorumTime(now, e.intentsReceivedAt))
 }
 
-// quorumTime is the latest time since which a majority, with us, has spoken.
-func (m *Election) quorumTime(now time.Duration, spoke map[string]time.Duration) time.Duration {
-	need := (len(m.peers) + 1) / 2
-	if need == 0 {
-		return now // nobody else tells users anything
+// quorumTime returns the latest time at or after which a quorum, including this controller, was
+// heard, by the time at which each peer was last heard. Without a quorum it is 0.
+func (e *Election) quorumTime(now time.Duration, heardAt map[string]time.Duration) time.Duration {
+	needed := (len(e.peers) + 1) / 2
+	if needed == 0 {
+		return now // there are no peers
 	}
-	if at := slices.Sorted(maps.Values(spoke)); len(at) >= need {
-		return at[len(at)-need]
+	if times := slices.Sorted(maps.Values(heardAt)); len(times) >= needed {
+		return times[len(times)-needed]
 	}
 	return 0
 }
 
-// forgottenIntentsSettled says whether the state service has shown us all that a process which
-// began at the given time may have forgotten: intents that it held before have
-// been committed since, or never will be by their own.
-func (m *Election) forgottenIntentsSettled(began time.Duration) bool {
-	return m.changesKnownUpTo >= began+m.timing.CancellationTimeout+m.timing.LeaderTimeout
+// forgottenIntentsSettled says whether the store has shown every cancellation of which a process
+// that started at the given time may lack the intent. Intents of before its start have been
+// committed by now, or never will be without a new intent.
+func (e *Election) forgottenIntentsSettled(startedAt time.Duration) bool {
+	return e.changesKnownUpTo >= startedAt+e.timing.CancellationTimeout+e.timing.LeaderTimeout
 }
--- a/internal/coordination/election/standby.go
+++ b/internal/coordination/election/standby.go
@@ -2,82 +2,83 @@
 
 import "time"
 
-// PeerStatus is what a peer last said of itself, in answer to a message sent At.
+// PeerStatus is what a peer last reported about itself, in its answer to a heartbeat of ours that
+// was sent at SentAt.
 type PeerStatus struct {
 	SentAt         time.Duration
-	StoreReachable bool   // it reaches the state service
-	Leader         string // whom it takes for the leader
-	// IntentsReceivedAt is when a message was last sent whose answer brought all its intents, of
-	// which it had forgotten none that may still matter; 0: never.
+	StoreReachable bool
+	Leader         string // "" if the peer knows none
+	// IntentsReceivedAt is when the last heartbeat was sent whose answer completed the peer's
+	// cancellation intents, of which it lacked none that still matters; 0: never.
 	IntentsReceivedAt time.Duration
 }
 
-// MayRenewWithoutLeader says whether this controller may renew workers' leases although
-// nobody leads: when the leader has died in an outage of the state service,
-// no other can be chosen, and all tasks would be killed by their leases.
+// GroupStatus is what a controller knows of itself and its peers at one moment. It decides what
+// the controller may do while nobody leads.
+type GroupStatus struct {
+	Now    time.Duration
+	Timing Timing
+	View   View
+	// StoreReachable says that this controller reaches the store.
+	StoreReachable bool
+	// Recovered says that this controller lacks no intent that still matters.
+	Recovered bool
+	// Peers names all other controllers, and Statuses holds those that have answered.
+	Peers    []string
+	Statuses map[string]PeerStatus
+}
+
+// MayRenewLeases says whether this controller may renew workers' leases although nobody leads. If
+// the leader fails during an outage of the store, no other one can be elected, and all tasks would
+// be killed when their leases expire.
 //
-// It takes a majority, with this controller, of those that have just said that
-// they reach neither the state service nor a leader: nobody could do better. And it
-// takes one that has handed on all its intents not long ago. Before a user is told that
-// a job is cancelled, a majority holds an intent of it; so one of those did, and the
-// intents of all of them together tell what has to be stopped. Leases may be renewed on
-// the strength of that within the Horizon. A controller that began lately has forgotten
-// its intents and counts for nothing: until every task has ended whose lease was last
-// renewed without knowing what it forgot. No other command is given, and a lease is
-// never a proof that a task is gone.
-func MayRenewWithoutLeader(
-	now time.Duration,
-	t Timing,
-	v View,
-	stateOK, whole bool,
-	peers []string,
-	heard map[string]PeerStatus,
-) bool {
-	return len(peers) > 0 && KnowsCancellations(now, t, whole, peers, heard) &&
-		Leaderless(now, t, "", v, stateOK, peers, heard)
+// It takes a quorum, including this controller, that has just reported that it reaches neither the
+// store nor a leader: nobody else could do better. It also takes a quorum that has recently handed
+// over all its cancellation intents. Before a user is told that a job is cancelled, a quorum holds
+// an intent of it, so the intents of any quorum together name every task that must be stopped.
+// On that basis leases may be renewed within the renewal horizon. A controller that has started
+// recently lacks the intents of its earlier process and counts for nothing, until every task has
+// ended whose lease was last renewed without them. No command other than those stops is given, and
+// a lease never proves that a task has ended.
+func (g GroupStatus) MayRenewLeases() bool {
+	return len(g.Peers) > 0 && g.KnowsCancellations() && g.Leaderless("")
 }
 
-// KnowsCancellations says whether this controller may renew leases, as far as cancellations go: a majority, with this
-// one, has handed on all its intents within the horizon, and none of it has forgotten any.
-func KnowsCancellations(now time.Duration, t Timing, whole bool, peers []string, heard map[string]PeerStatus) bool {
-	if !whole {
+// KnowsCancellations says whether this controller knows every cancellation that whoever renews
+// leases must know: a quorum, including this controller, has handed over all its intents within
+// the renewal horizon, and none of it lacks any.
+func (g GroupStatus) KnowsCancellations() bool {
+	if !g.Recovered {
 		return false
 	}
 	known := 1
-	for _, name := range peers {
-		if p, ok := heard[name]; ok && p.IntentsReceivedAt > 0 && now-p.IntentsReceivedAt <= t.RenewalHorizon {
+	for _, name := range g.Peers {
+		p, ok := g.Statuses[name]
+		if ok && p.IntentsReceivedAt > 0 && g.Now-p.IntentsReceivedAt <= g.Timing.RenewalHorizon {
 			known++
 		}
 	}
-	return IsQuorum(known, len(peers))
+	return IsQuorum(known, len(g.Peers))
 }
 
-// Leaderless says whether a majority, with this controller, has just said that it
-// reaches neither the state service nor a leader, so that none can be elected. A peer
-// that takes the named controller for the leader does not count against it; "" names
-// none.
-func Leaderless(
-	now time.Duration,
-	t Timing,
-	self string,
-	v View,
-	stateOK bool,
-	peers []string,
-	heard map[string]PeerStatus,
-) bool {
-	if v.Leading || v.Leader != "" || stateOK {
+// Leaderless says whether a quorum, including this controller, has just reported that it reaches
+// neither the store nor a leader, so that none can be elected. A peer that takes the controller
+// named ignored for the leader does not count against it; "" names none.
+func (g GroupStatus) Leaderless(ignored string) bool {
+	if g.View.Leading || g.View.Leader != "" || g.StoreReachable {
 		return false
 	}
-	agree := 1
-	for _, name := range peers {
-		p, ok := heard[name]
+	agreeing := 1
+	for _, name := range g.Peers {
+		p, ok := g.Statuses[name]
 		switch {
-		case !ok || now-p.SentAt > t.LeaderTimeout/2:
-		case p.StoreReachable || p.Leader != "" && p.Leader != self:
-			return false // it will lead, or knows who does
+		case !ok || g.Now-p.SentAt > g.Timing.LeaderTimeout/2:
+			// Not heard recently: neither agrees nor objects.
+		case p.StoreReachable || p.Leader != "" && p.Leader != ignored:
+			return false // it can be elected, or knows who leads
 		default:
-			agree++
+			agreeing++
 		}
 	}
-	return IsQuorum(agree, len(peers))
+	return IsQuorum(agreeing, len(g.Peers))
 }
--- a/internal/daemon/fencing.go
+++ b/internal/daemon/fencing.go
@@ -53,7 +53,14 @@
 	}
 	c.peersMu.Lock()
 	defer c.peersMu.Unlock()
-	return election.Leaderless(now, c.times, c.cfg.Name, v, c.storeReachable(), c.mesh.Peers(), c.peers)
+	return election.GroupStatus{
+		Now:            now,
+		Timing:         c.times,
+		View:           v,
+		StoreReachable: c.storeReachable(),
+		Peers:          c.mesh.Peers(),
+		Statuses:       c.peers,
+	}.Leaderless(c.cfg.Name)
 }
 
 // applyFencingEffect carries out an effect. Whatever waits runs on its own goroutine.
--- a/internal/daemon/ownerheartbeats.go
+++ b/internal/daemon/ownerheartbeats.go
@@ -80,13 +80,13 @@
 		Leader:       v.Leader,
 		DigestAge:    now - time.Duration(c.ownership.digestAcknowledgedAt.Load()),
 		MaxDigestAge: c.times.LeaderTimeout,
-		KnowsCancellations: election.KnowsCancellations(
-			now,
-			c.times,
-			c.intents.Recovered(now),
-			c.mesh.Peers(),
-			c.peers,
-		),
+		KnowsCancellations: election.GroupStatus{
+			Now:       now,
+			Timing:    c.times,
+			Recovered: c.intents.Recovered(now),
+			Peers:     c.mesh.Peers(),
+			Statuses:  c.peers,
+		}.KnowsCancellations(),
 	}
 	if at := c.ownership.leaderEpoch.Load(); at != nil && at.node == v.Leader {
 		s.LeaderEpoch = at.epoch
--- a/internal/daemon/peers.go
+++ b/internal/daemon/peers.go
@@ -27,15 +27,15 @@
 	c.peersMu.Lock()
 	defer c.peersMu.Unlock()
 	now := c.now()
-	return election.MayRenewWithoutLeader(
-		now,
-		c.times,
-		*c.view.Load(),
-		c.storeReachable(),
-		c.intents.Recovered(now),
-		c.mesh.Peers(),
-		c.peers,
-	)
+	return election.GroupStatus{
+		Now:            now,
+		Timing:         c.times,
+		View:           *c.view.Load(),
+		StoreReachable: c.storeReachable(),
+		Recovered:      c.intents.Recovered(now),
+		Peers:          c.mesh.Peers(),
+		Statuses:       c.peers,
+	}.MayRenewLeases()
 }
 
 // cancellationRequested says whether a user may have been told that the job is cancelled.
