--- a/internal/coordination/scheduler/allocate.go
+++ b/internal/coordination/scheduler/allocate.go
@@ -3,6 +3,7 @@
 import (
 	"time"
 
+	"pinebay/internal/coordination/candidates"
 	"pinebay/internal/coordination/machineregistry"
 	"pinebay/internal/protocol"
 )
@@ -14,7 +15,7 @@
 // runCycle is the cycle: jobs by priority, then age, teams in turn.
 func (c *Scheduler) runCycle(now time.Duration) {
 	c.cycleCount++
-	c.refreshCandidates(now)
+	c.candidates.Refresh(now)
 	waiting := c.schedulableJobs(now)
 	c.orderGangsByDeadline(now, waiting)
 	c.holdHeadroom(now)
@@ -93,7 +94,7 @@
 // allocation is room taken for tasks.
 type allocation []struct {
 	task int
-	x    *candidate
+	x    *candidates.Candidate
 }
 
 // allocate takes room for up to n tasks, task by task.
@@ -111,14 +112,14 @@
 			continue
 		}
 		c.stopCompetingFetches(now, j, x)
-		c.setFree(x, x.free.Minus(j.TaskResources))
-		l.tasksPerZone[x.machine.Zone]++
+		c.candidates.SetFree(x, x.Free.Minus(j.TaskResources))
+		l.tasksPerZone[x.Machine.Zone]++
 		if j.Spec.SameZone {
-			l.onlyZone = x.machine.Zone
+			l.onlyZone = x.Machine.Zone
 		}
 		got = append(got, struct {
 			task int
-			x    *candidate
+			x    *candidates.Candidate
 		}{t, x})
 	}
 	return got
@@ -127,7 +128,7 @@
 func (c *Scheduler) undoAllocation(j *Job, got allocation) {
 	c.capacityEvents++
 	for _, g := range got {
-		c.setFree(g.x, g.x.free.Plus(j.TaskResources))
+		c.candidates.SetFree(g.x, g.x.Free.Plus(j.TaskResources))
 	}
 }
 
@@ -140,7 +141,7 @@
 		got := c.allocate(now, j, zl, j.Spec.TaskCount)
 		s := 0.0
 		for _, g := range got {
-			s = max(s, c.machines.FetchTime(now, g.x.machine, &j.Spec).Seconds())
+			s = max(s, c.machines.FetchTime(now, g.x.Machine, &j.Spec).Seconds())
 		}
 		return got, zl, s
 	}
@@ -169,14 +170,14 @@
 		c.undoAllocation(j, got)
 		return
 	}
-	taken := map[*candidate]bool{}
+	taken := map[*candidates.Candidate]bool{}
 	for range missing {
 		x := c.finder.mostFreeCapacity(now, j, l, taken)
 		if x == nil {
 			return
 		}
 		taken[x] = true
-		c.setFree(x, machineregistry.Resources{CPUs: -1, GPUs: -1, MemoryGB: -1})
+		c.candidates.SetFree(x, machineregistry.Resources{CPUs: -1, GPUs: -1, MemoryGB: -1})
 	}
 }
 
@@ -197,14 +198,15 @@
 			a = j.NextAttempt(t)
 		}
 		ps = append(ps, &machineregistry.Placement{
-			Task: protocol.TaskID{JobID: j.Spec.ID, Index: t}, Attempt: a, Machine: x.machine.Name,
+			Task: protocol.TaskID{JobID: j.Spec.ID, Index: t}, Attempt: a, Machine: x.Machine.Name,
 			Resources: j.TaskResources, Team: j.Spec.Team, PriorityLevel: j.EffectivePriority, Job: &j.Spec,
 		})
 		page := j.Pages.PageOf(t)
 		page.HighestAttempt = max(page.HighestAttempt, a)
 	}
 	if !c.machines.Reserve(now, ps) {
-		c.cycleDue, c.candidateIndex.stale = true, true // the partition knows better; ask again with what it says
+		c.cycleDue = true
+		c.candidates.MarkStale() // the registry knows better; ask again with what it says
 		return
 	}
 	for _, pl := range ps {
--- a/internal/coordination/scheduler/borrowablecapacity.go
+++ b/internal/coordination/scheduler/borrowablecapacity.go
@@ -5,6 +5,7 @@
 	"slices"
 	"time"
 
+	"pinebay/internal/coordination/candidates"
 	"pinebay/internal/coordination/machineregistry"
 	"pinebay/internal/coordination/zonefailover"
 	"pinebay/internal/protocol"
@@ -22,19 +23,19 @@
 
 // borrowableMachine is a machine on the market.
 type borrowableMachine struct {
-	candidate *candidate
+	candidate *candidates.Candidate
 	free      machineregistry.Resources
 	lenders   []*machineregistry.Placement
 }
 
 // newBorrowableCapacity returns the room on all machines of zones that are available.
 func (c *Scheduler) newBorrowableCapacity(now time.Duration) *borrowableCapacity {
-	c.refreshCandidates(now)
-	return c.borrowableCapacityOf(now, c.schedulableCandidates(now))
+	c.candidates.Refresh(now)
+	return c.borrowableCapacityOf(now, c.candidates.All(now))
 }
 
 // borrowableCapacityOf returns the room on candidates, less what this cycle has given away.
-func (c *Scheduler) borrowableCapacityOf(now time.Duration, cands []*candidate) *borrowableCapacity {
+func (c *Scheduler) borrowableCapacityOf(now time.Duration, cands []*candidates.Candidate) *borrowableCapacity {
 	k := &borrowableCapacity{
 		scheduler:   c,
 		now:         now,
@@ -42,11 +43,11 @@
 		lent:        map[zonefailover.TaskAttempt]bool{},
 	}
 	for _, x := range cands {
-		if c.zoneFailover.monitor.State(x.machine.Zone) != zonefailover.Available {
+		if c.zoneFailover.monitor.State(x.Machine.Zone) != zonefailover.Available {
 			continue
 		}
-		room := &borrowableMachine{candidate: x, free: x.free}
-		x.machine.EachPlacement(func(pl *machineregistry.Placement) {
+		room := &borrowableMachine{candidate: x, free: x.Free}
+		x.Machine.EachPlacement(func(pl *machineregistry.Placement) {
 			switch {
 			case pl.Stopping:
 				room.free = room.free.Plus(pl.Resources)
@@ -77,18 +78,18 @@
 func (k *borrowableCapacity) choose(
 	j *Job,
 	request zonefailover.CapacityRequest,
-	allowed func(*candidate) bool,
+	allowed func(*candidates.Candidate) bool,
 ) zonefailover.Choice {
 	var offers []zonefailover.CapacityOffer
 	for _, room := range k.machines {
 		x := room.candidate
-		if request.MaxPerZone[x.machine.Zone] <= 0 || !allowed(x) ||
-			!j.TaskResources.Fits(machineregistry.CapacityOf(x.machineType)) {
+		if request.MaxPerZone[x.Machine.Zone] <= 0 || !allowed(x) ||
+			!j.TaskResources.Fits(x.Capacity()) {
 			continue
 		}
 		offers = append(offers, zonefailover.CapacityOffer{
-			Machine: x.machine.Name, Zone: x.machine.Zone, Free: room.free, Lenders: k.lendersFor(j, room),
-			StartCost: k.scheduler.machines.FetchTime(k.now, x.machine, &j.Spec).Seconds(),
+			Machine: x.Machine.Name, Zone: x.Machine.Zone, Free: room.free, Lenders: k.lendersFor(j, room),
+			StartCost: k.scheduler.machines.FetchTime(k.now, x.Machine, &j.Spec).Seconds(),
 		})
 	}
 	return zonefailover.ChooseLenders(request, offers)
@@ -97,7 +98,7 @@
 // lendersFor returns the work on a machine that lends its room to a job: lower work that its
 // team does not run within its guarantee.
 func (k *borrowableCapacity) lendersFor(j *Job, room *borrowableMachine) (lenders []zonefailover.Lender) {
-	capacity := machineregistry.CapacityOf(room.candidate.machineType)
+	capacity := machineregistry.CapacityOf(room.candidate.Type)
 	for _, pl := range room.lenders {
 		if pl.PriorityLevel <= j.EffectivePriority || k.scheduler.recoversBefore(pl, j) || k.lent[taskAttemptOf(pl)] ||
 			k.protectedByQuota(pl) {
@@ -114,7 +115,7 @@
 			k.scheduler.zoneFailover.loansByJob[pl.Task.JobID],
 		)
 		if gang {
-			cost += room.candidate.machineType.BootSeconds // all of it has to find room, and often its image, again
+			cost += room.candidate.Type.BootSeconds // all of it has to find room, and often its image, again
 		}
 		lenders = append(
 			lenders,
@@ -149,7 +150,7 @@
 // placeJob finds room for tasks of a job and takes it off the market, and returns for how many
 // there is room; for a job that must be whole, and in one zone if it says so, none or all.
 func (k *borrowableCapacity) placeJob(j *Job, request zonefailover.CapacityRequest, whole bool) int {
-	anywhere := func(*candidate) bool { return true }
+	anywhere := func(*candidates.Candidate) bool { return true }
 	choose := k.choose
 	if j.Spec.SameZone {
 		choose = k.chooseSingleZone
@@ -166,7 +167,7 @@
 func (k *borrowableCapacity) chooseSingleZone(
 	j *Job,
 	request zonefailover.CapacityRequest,
-	allowed func(*candidate) bool,
+	allowed func(*candidates.Candidate) bool,
 ) (best zonefailover.Choice) {
 	for _, zone := range k.scheduler.allowedZones(&j.Spec) {
 		one := request
@@ -191,7 +192,7 @@
 			room.free = room.free.Plus(pl.Resources)
 		}
 		for _, pick := range choice.Picks {
-			if pick.Machine == room.candidate.machine.Name {
+			if pick.Machine == room.candidate.Machine.Name {
 				room.free = room.free.Minus(j.TaskResources)
 			}
 		}
--- a/internal/coordination/scheduler/borrowing.go
+++ b/internal/coordination/scheduler/borrowing.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"pinebay/internal/config"
+	"pinebay/internal/coordination/candidates"
 	"pinebay/internal/coordination/zonefailover"
 	"pinebay/internal/protocol"
 )
@@ -46,10 +47,10 @@
 	if l.onlyZone != "" {
 		request.MaxPerZone = map[string]int{l.onlyZone: request.MaxPerZone[l.onlyZone]}
 	}
-	cands := c.schedulableCandidates(now)
+	cands := c.candidates.All(now)
 	k := c.borrowableCapacityOf(now, cands)
-	choice := k.choose(j, request, func(x *candidate) bool {
-		return c.feasible(now, j, x, l) && !x.machine.IsReservedFor(now, j.Spec.ID)
+	choice := k.choose(j, request, func(x *candidates.Candidate) bool {
+		return c.feasible(now, j, x, l) && !x.Machine.IsReservedFor(now, j.Spec.ID)
 	})
 	if len(choice.Picks) == 0 || j.Spec.Shape == protocol.Gang && len(choice.Picks) < n || k.violatesQuota(choice) {
 		j.NextLoanSearch = now + searchRetryDelay
@@ -80,7 +81,7 @@
 func (c *Scheduler) reserveChosenMachines(
 	now time.Duration,
 	j *Job,
-	cands []*candidate,
+	cands []*candidates.Candidate,
 	l *zoneLimits,
 	choice zonefailover.Choice,
 ) {
@@ -89,11 +90,11 @@
 		save = max(save, c.jobs[task.Job].Spec.SaveSeconds+c.cfg.Workers.GangPeerSeconds)
 	}
 	for _, x := range cands {
-		if !slices.ContainsFunc(choice.Picks, func(p zonefailover.Pick) bool { return p.Machine == x.machine.Name }) {
+		if !slices.ContainsFunc(choice.Picks, func(p zonefailover.Pick) bool { return p.Machine == x.Machine.Name }) {
 			continue
 		}
-		c.claimNomination(x)
-		l.tasksPerZone[x.machine.Zone]++
-		c.nominate(x.machine, j, now+config.Seconds(save+3*c.cfg.Workers.HeartbeatSeconds)+2*CycleInterval)
+		c.candidates.ClaimNomination(x)
+		l.tasksPerZone[x.Machine.Zone]++
+		c.nominate(x.Machine, j, now+config.Seconds(save+3*c.cfg.Workers.HeartbeatSeconds)+2*CycleInterval)
 	}
 }
--- a/internal/coordination/scheduler/candidateindex_test.go
+++ b/internal/coordination/scheduler/candidateindex_test.go
@@ -7,6 +7,7 @@
 	"pgregory.net/rapid"
 
 	"pinebay/internal/config"
+	"pinebay/internal/coordination/candidates"
 	"pinebay/internal/coordination/machineindex"
 	"pinebay/internal/coordination/machineregistry"
 	"pinebay/internal/protocol"
@@ -15,12 +16,12 @@
 // indexErrors counts the machines of which the roster says something else than the books.
 func (b *harness) indexErrors() (wrong int) {
 	b.scheduler.machines.Each(func(m *machineregistry.Machine) {
-		x, ok := m.SchedulerData.(*candidate)
+		x, ok := m.SchedulerData.(*candidates.Candidate)
 		open := b.scheduler.machines.Schedulable(b.now, m)
 		switch {
-		case !ok || open && !b.scheduler.candidateIndex.index.Has(x.indexEntry):
+		case !ok || open && !b.scheduler.candidates.Machines.Has(x.Entry):
 			wrong++
-		case open && x.free != b.scheduler.machines.FreeCapacity(m):
+		case open && x.Free != b.scheduler.machines.FreeCapacity(m):
 			wrong++
 		}
 	})
@@ -55,19 +56,19 @@
 		b.runCycle()
 		b.runFetchingTasks()
 		b.scheduler.machines.Each(func(m *machineregistry.Machine) {
-			x := m.SchedulerData.(*candidate)
+			x := m.SchedulerData.(*candidates.Candidate)
 			switch rapid.IntRange(0, 3).Draw(t, "break") {
 			case 0:
-				b.scheduler.candidateIndex.index.Remove(x.indexEntry)
+				b.scheduler.candidates.Machines.Remove(x.Entry)
 			case 1:
-				x.free = machineregistry.Resources{CPUs: 1000, GPUs: 1000, MemoryGB: 1000}
-				b.scheduler.indexCandidate(x)
+				x.Free = machineregistry.Resources{CPUs: 1000, GPUs: 1000, MemoryGB: 1000}
+				b.scheduler.candidates.Machines.Put(x.Entry, x.Pool(), x.Capacity(), x.Free)
 			case 2:
-				b.scheduler.candidateIndex.index.Put(
-					x.indexEntry,
+				b.scheduler.candidates.Machines.Put(
+					x.Entry,
 					machineindex.Pool{Type: "g8", Zone: "elsewhere"},
-					machineregistry.CapacityOf(x.machineType),
-					x.free,
+					x.Capacity(),
+					x.Free,
 				)
 			}
 		})
@@ -84,7 +85,7 @@
 			b.runFetchingTasks()
 		}
 		b.checkCapacity(t)
-		b.scheduler.refreshCandidates(b.now) // with what has been reported since the last
+		b.scheduler.candidates.Refresh(b.now) // with what has been reported since the last
 		if n := b.indexErrors(); n > 0 {
 			t.Errorf("the index is wrong about %d machines", n)
 		}
@@ -143,7 +144,7 @@
 			})
 		}
 		b := w.benches[0]
-		b.scheduler.refreshCandidates(b.now)
+		b.scheduler.candidates.Refresh(b.now)
 		if n := b.indexErrors(); n > 0 {
 			t.Errorf("the index is wrong about %d of %d machines", n, b.scheduler.machines.Len())
 		}
--- a/internal/coordination/scheduler/consolidate.go
+++ b/internal/coordination/scheduler/consolidate.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"pinebay/internal/config"
+	"pinebay/internal/coordination/candidates"
 	"pinebay/internal/coordination/machineregistry"
 	"pinebay/internal/protocol"
 )
@@ -33,10 +34,10 @@
 			continue
 		}
 		c.lastConsolidation = now
-		x.machine.EachPlacement(func(pl *machineregistry.Placement) {
+		x.Machine.EachPlacement(func(pl *machineregistry.Placement) {
 			c.log.Info("moving", "task", pl.Task, "from", pl.Machine)
 		})
-		for _, pl := range c.placementsOn(x.machine) {
+		for _, pl := range c.placementsOn(x.Machine) {
 			c.stopPlacement(now, c.jobs[pl.Task.JobID], pl, 0)
 		}
 		return
@@ -44,14 +45,14 @@
 }
 
 // utilization is the part of a machine that is in use.
-func (c *Scheduler) utilization(x *candidate) float64 {
-	capacity := machineregistry.CapacityOf(x.machineType)
-	return capacity.Minus(c.machines.FreeCapacity(x.machine)).DominantShare(capacity)
+func (c *Scheduler) utilization(x *candidates.Candidate) float64 {
+	capacity := x.Capacity()
+	return capacity.Minus(c.machines.FreeCapacity(x.Machine)).DominantShare(capacity)
 }
 
 // underutilizedMachines lists machines that could be emptied. In a large fleet it looks at a part of
 // the machines, and the next time at the next.
-func (c *Scheduler) underutilizedMachines(now time.Duration) (light []*candidate) {
+func (c *Scheduler) underutilizedMachines(now time.Duration) (light []*candidates.Candidate) {
 	left := maxExaminedMachines
 	from := c.consolidationCursor
 	c.consolidationCursor = ""
@@ -60,7 +61,7 @@
 			c.consolidationCursor = m.Name
 			return false
 		}
-		if x := c.candidateOf(now, m); x != nil && c.canBeEmptied(now, x) {
+		if x := c.candidates.Of(now, m); x != nil && c.canBeEmptied(now, x) {
 			light = append(light, x)
 		}
 		return true
@@ -75,12 +76,12 @@
 }
 
 // canBeEmptied says whether a machine holds nothing but a few settled replicas.
-func (c *Scheduler) canBeEmptied(now time.Duration, x *candidate) bool {
-	if x.machine.PlacementCount() == 0 || c.nominatedForOther(now, x.machine, "") {
+func (c *Scheduler) canBeEmptied(now time.Duration, x *candidates.Candidate) bool {
+	if x.Machine.PlacementCount() == 0 || c.nominatedForOther(now, x.Machine, "") {
 		return false
 	}
 	ok := true
-	x.machine.EachPlacement(func(pl *machineregistry.Placement) {
+	x.Machine.EachPlacement(func(pl *machineregistry.Placement) {
 		j := c.jobs[pl.Task.JobID]
 		if j == nil || j.Ended || j.WriteInFlight || j.Spec.Shape != protocol.Service || pl.Stopping ||
 			pl.State != protocol.TaskRunning || now-pl.StateSince < startCountsAfter {
@@ -92,9 +93,9 @@
 
 // fitsElsewhere says whether all that a machine holds fits on machines that
 // are fuller, have the images and are in the same zone.
-func (c *Scheduler) fitsElsewhere(now time.Duration, x *candidate) bool {
-	taken := map[*candidate]machineregistry.Resources{}
-	for _, pl := range c.placementsOn(x.machine) {
+func (c *Scheduler) fitsElsewhere(now time.Duration, x *candidates.Candidate) bool {
+	taken := map[*candidates.Candidate]machineregistry.Resources{}
+	for _, pl := range c.placementsOn(x.Machine) {
 		best := c.fullestTarget(now, x, pl, taken)
 		if best == nil {
 			return false
@@ -107,10 +108,10 @@
 // fullestTarget returns the fullest machine that a placement could move to, or nil.
 func (c *Scheduler) fullestTarget(
 	now time.Duration,
-	x *candidate,
+	x *candidates.Candidate,
 	pl *machineregistry.Placement,
-	taken map[*candidate]machineregistry.Resources,
-) (best *candidate) {
+	taken map[*candidates.Candidate]machineregistry.Resources,
+) (best *candidates.Candidate) {
 	set := c.machines.MachinesWithImage(pl.Job.Image)
 	if set == nil {
 		return nil
@@ -120,13 +121,15 @@
 		if looks++; looks > maxExaminedMachines {
 			return false
 		}
-		y := c.candidateOf(now, m)
-		if y == nil || y == x || m.Zone != x.machine.Zone || m.Spot || !y.machineType.AllowedBy(pl.Job) || c.utilization(y) < c.utilization(x) || m.PlacementCount() == 0 ||
+		y := c.candidates.Of(now, m)
+		if y == nil || y == x || m.Zone != x.Machine.Zone || m.Spot || !y.Type.AllowedBy(pl.Job) ||
+			c.utilization(y) < c.utilization(x) ||
+			m.PlacementCount() == 0 ||
 			m.HasAttempt(pl.Task) ||
 			len(m.FailedJobs) > 0 ||
 			c.machines.FetchTime(now, m, pl.Job) > 0 ||
 			c.nominatedForOther(now, m, "") ||
-			!pl.Resources.Fits(y.free.Minus(taken[y])) {
+			!pl.Resources.Fits(y.Free.Minus(taken[y])) {
 			return true
 		}
 		if best == nil || c.utilization(y) > c.utilization(best) {
@@ -184,17 +187,17 @@
 		if len(j.Placements) == 1 {
 			l.onlyZone = j.Spec.Zone
 		}
-		best := c.finder.bestWithImage(now, j, l, func(x *candidate) bool {
-			return x.machine != m && c.feasible(now, j, x, l) && j.TaskResources.Fits(c.freeForJob(x, j)) &&
-				!x.machine.HasAttempt(pl.Task) &&
-				len(x.machine.FailedJobs) == 0
+		best := c.finder.bestWithImage(now, j, l, func(x *candidates.Candidate) bool {
+			return x.Machine != m && c.feasible(now, j, x, l) && j.TaskResources.Fits(c.freeForJob(x, j)) &&
+				!x.Machine.HasAttempt(pl.Task) &&
+				len(x.Machine.FailedJobs) == 0
 		})
 		if best == nil {
 			continue
 		}
-		c.log.Info("moving to a machine with the image", "task", pl.Task, "from", pl.Machine, "to", best.machine.Name)
-		c.setFree(best, best.free.Minus(j.TaskResources))
-		c.nominate(best.machine, j, now+config.Seconds(2*c.cfg.Workers.HeartbeatSeconds))
+		c.log.Info("moving to a machine with the image", "task", pl.Task, "from", pl.Machine, "to", best.Machine.Name)
+		c.candidates.SetFree(best, best.Free.Minus(j.TaskResources))
+		c.nominate(best.Machine, j, now+config.Seconds(2*c.cfg.Workers.HeartbeatSeconds))
 		c.stopPlacement(now, j, pl, 0)
 		return
 	}
--- a/internal/coordination/scheduler/fullscan_test.go
+++ b/internal/coordination/scheduler/fullscan_test.go
@@ -12,6 +12,7 @@
 	"pgregory.net/rapid"
 
 	"pinebay/internal/config"
+	"pinebay/internal/coordination/candidates"
 	"pinebay/internal/coordination/machineregistry"
 	"pinebay/internal/coordination/zonefailover"
 	"pinebay/internal/protocol"
@@ -24,10 +25,10 @@
 	now time.Duration,
 	j *Job,
 	l *zoneLimits,
-	allowed func(*candidate) bool,
-) (best *candidate) {
+	allowed func(*candidates.Candidate) bool,
+) (best *candidates.Candidate) {
 	bestScore := 0.0
-	for _, x := range f.scheduler.schedulableCandidates(now) {
+	for _, x := range f.scheduler.candidates.All(now) {
 		if !allowed(x) {
 			continue
 		}
@@ -38,9 +39,14 @@
 	return best
 }
 
-func (f fullScan) bestWithImage(now time.Duration, j *Job, l *zoneLimits, allowed func(*candidate) bool) *candidate {
-	return f.bestMachine(now, j, l, func(x *candidate) bool {
-		return f.scheduler.machines.FetchTime(now, x.machine, &j.Spec) == 0 && allowed(x)
+func (f fullScan) bestWithImage(
+	now time.Duration,
+	j *Job,
+	l *zoneLimits,
+	allowed func(*candidates.Candidate) bool,
+) *candidates.Candidate {
+	return f.bestMachine(now, j, l, func(x *candidates.Candidate) bool {
+		return f.scheduler.machines.FetchTime(now, x.Machine, &j.Spec) == 0 && allowed(x)
 	})
 }
 
@@ -50,14 +56,14 @@
 	l *zoneLimits,
 	within time.Duration,
 	level int,
-) (best *candidate, bestVictims []*machineregistry.Placement) {
+) (best *candidates.Candidate, bestVictims []*machineregistry.Placement) {
 	bestCost := math.Inf(1)
-	for _, x := range f.scheduler.schedulableCandidates(now) {
-		if !f.scheduler.feasible(now, j, x, l) || x.machine.IsReservedFor(now, j.Spec.ID) ||
-			!j.TaskResources.Fits(machineregistry.CapacityOf(x.machineType)) {
+	for _, x := range f.scheduler.candidates.All(now) {
+		if !f.scheduler.feasible(now, j, x, l) || x.Machine.IsReservedFor(now, j.Spec.ID) ||
+			!j.TaskResources.Fits(x.Capacity()) {
 			continue
 		}
-		warm := f.scheduler.machines.FetchTime(now, x.machine, &j.Spec)
+		warm := f.scheduler.machines.FetchTime(now, x.Machine, &j.Spec)
 		if warm > within {
 			continue
 		}
@@ -74,18 +80,18 @@
 	now time.Duration,
 	j *Job,
 	l *zoneLimits,
-	taken map[*candidate]bool,
-) (best *candidate) {
-	for _, x := range f.scheduler.schedulableCandidates(now) {
+	taken map[*candidates.Candidate]bool,
+) (best *candidates.Candidate) {
+	for _, x := range f.scheduler.candidates.All(now) {
 		if taken[x] || !f.scheduler.feasible(now, j, x, l) ||
-			!j.TaskResources.Fits(machineregistry.CapacityOf(x.machineType)) {
+			!j.TaskResources.Fits(x.Capacity()) {
 			continue
 		}
 		if best == nil ||
-			x.free.DominantShare(
-				machineregistry.CapacityOf(x.machineType),
-			) > best.free.DominantShare(
-				machineregistry.CapacityOf(best.machineType),
+			x.Free.DominantShare(
+				x.Capacity(),
+			) > best.Free.DominantShare(
+				best.Capacity(),
 			) {
 			best = x
 		}
--- /dev/null
+++ b/internal/coordination/scheduler/headroom.go
@@ -0,0 +1,71 @@
+package scheduler
+
+import (
+	"math"
+	"time"
+
+	"pinebay/internal/coordination/autoscaler"
+	"pinebay/internal/coordination/candidates"
+	"pinebay/internal/coordination/machineregistry"
+	"pinebay/internal/protocol"
+)
+
+// freeForJob returns the free capacity of a candidate that a job may use: all but the headroom that is
+// held for classes that go before it.
+func (c *Scheduler) freeForJob(x *candidates.Candidate, j *Job) machineregistry.Resources {
+	if !x.HasHeadroom() {
+		return x.Free
+	}
+	objective := c.startLatencyObjective(j.Spec.Class)
+	return x.FreeBeyondHeadroom(j.EffectivePriority, objective, c.recoveryPosition(&j.Spec))
+}
+
+// holdHeadroom holds back the capacity that classes with a start latency objective are likely to need
+// soon. It is held against jobs of the same priority only, as long as lower ones can be preempted in
+// time. In a zone failover it is held against all lower priorities too: what is meant for a job that is
+// earlier in the recovery order must not go to a later one.
+func (c *Scheduler) holdHeadroom(now time.Duration) {
+	recovering := c.inZoneFailover()
+	for _, u := range c.forecastUnits {
+		j := &Job{
+			Spec:              *u.Job,
+			TaskResources:     machineregistry.TaskResources(u.Job),
+			EffectivePriority: u.Job.Priority.Rank(),
+		}
+		lowest := j.EffectivePriority
+		if u.MustBeFree || recovering {
+			lowest = max(lowest, autoscaler.PriorityLevels-1)
+		}
+		c.holdHeadroomFor(now, j, u.Zone, u.Count, lowest)
+	}
+}
+
+// holdHeadroomFor holds capacity for a number of tasks like those of a job, in the zone if one is given,
+// against jobs of its priority down to the lowest one given.
+func (c *Scheduler) holdHeadroomFor(now time.Duration, j *Job, zone string, tasks, lowest int) {
+	anyZone := &zoneLimits{}
+	headroom := candidates.Headroom{
+		StartLatencySeconds: c.startLatencyObjective(j.Spec.Class),
+		RecoveryPosition:    c.recoveryPosition(&j.Spec),
+		Resources:           j.TaskResources,
+	}
+	allowed := func(x *candidates.Candidate) bool {
+		return (zone == "" || zone == x.Machine.Zone) &&
+			j.TaskResources.Fits(x.FreeBeyondHeadroom(j.EffectivePriority, math.Inf(1), math.MaxInt)) &&
+			allowsMachine(&j.Spec, x)
+	}
+	for range tasks {
+		best := c.finder.bestMachine(now, j, anyZone, allowed)
+		if best == nil {
+			return
+		}
+		for headroom.Priority = j.EffectivePriority; headroom.Priority <= lowest; headroom.Priority++ {
+			c.candidates.HoldHeadroom(best, headroom)
+		}
+	}
+}
+
+// allowsMachine reports whether a job's own constraints admit the type and kind of a machine.
+func allowsMachine(spec *protocol.Job, x *candidates.Candidate) bool {
+	return (!x.Machine.Spot || spec.SpotAllowed) && x.Type.AllowedBy(spec)
+}
--- /dev/null
+++ b/internal/coordination/scheduler/nomination.go
@@ -0,0 +1,50 @@
+package scheduler
+
+import (
+	"time"
+
+	"pinebay/internal/coordination/candidates"
+	"pinebay/internal/coordination/machineregistry"
+)
+
+// A machine is nominated for a job while work on it is being preempted for the job, so that the capacity
+// does not go to a later one as it becomes free.
+
+// nominate nominates a machine for a job until the given time.
+func (c *Scheduler) nominate(m *machineregistry.Machine, j *Job, until time.Duration) {
+	m.ReservedJob, m.ReservedUntil = j.Spec.ID, until
+	if j.ReservedMachines == nil {
+		j.ReservedMachines = map[*machineregistry.Machine]bool{}
+	}
+	j.ReservedMachines[m] = true
+}
+
+// nominatedCandidates returns the candidates that are nominated for a job, in name order.
+func (c *Scheduler) nominatedCandidates(now time.Duration, j *Job) (list []*candidates.Candidate) {
+	for m := range j.ReservedMachines {
+		if !m.IsReservedFor(now, j.Spec.ID) || m.Removed() {
+			delete(j.ReservedMachines, m)
+			continue
+		}
+		if x := c.candidates.Of(now, m); x != nil {
+			list = append(list, x)
+		}
+	}
+	candidates.SortByName(list)
+	return list
+}
+
+// nominatedForOther reports whether a machine is nominated for another job that goes first. A job that
+// comes before the nominated one in this cycle may take the capacity: if every gang kept what was
+// preempted for it, each could hold a part of what one of them needs. A job that has found capacity
+// elsewhere keeps none.
+func (c *Scheduler) nominatedForOther(now time.Duration, m *machineregistry.Machine, id string) bool {
+	if m.ReservedJob == "" || m.ReservedJob == id || now >= m.ReservedUntil {
+		return false
+	}
+	o := c.jobs[m.ReservedJob]
+	if o == nil || o.Ended || o.TaskCounts[TaskPending] == 0 && !o.HasStoppingTasks() {
+		return false
+	}
+	return o.LastWaitingCycle != c.cycleCount || o.LastTriedCycle == c.cycleCount
+}
--- a/internal/coordination/scheduler/preempt.go
+++ b/internal/coordination/scheduler/preempt.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"pinebay/internal/config"
+	"pinebay/internal/coordination/candidates"
 	"pinebay/internal/coordination/machineregistry"
 	"pinebay/internal/protocol"
 )
@@ -15,7 +16,13 @@
 // last longer than the class's aim on waiting. It clears such room of work
 // that is at least two steps lower in priority. Free room is no reason to make
 // a critical replica wait for a fetch of most of a minute.
-func (c *Scheduler) waitForMachineWithImage(now time.Duration, j *Job, task int, x *candidate, l *zoneLimits) bool {
+func (c *Scheduler) waitForMachineWithImage(
+	now time.Duration,
+	j *Job,
+	task int,
+	x *candidates.Candidate,
+	l *zoneLimits,
+) bool {
 	within := c.startLatencyObjective(j.Spec.Class)
 	if math.IsInf(within, 1) || c.mayBorrow(j) {
 		return false
@@ -24,15 +31,15 @@
 	if left <= 0 && j.HasRun[task] {
 		left = config.Seconds(within) // a replica that was lost should be back as soon
 	}
-	if left <= 0 || c.machines.FetchTimeWithout(now, x.machine, &j.Spec, c.yieldingFetches(j)) <= left {
+	if left <= 0 || c.machines.FetchTimeWithout(now, x.Machine, &j.Spec, c.yieldingFetches(j)) <= left {
 		return false
 	}
 	for _, y := range c.nominatedCandidates(now, j) {
 		// Room that is free by now is no longer waited for: had it been the
 		// better one, the task would have got it.
-		if !y.nominationClaimed && l.allows(y.machine.Zone) && !j.TaskResources.Fits(y.free) {
-			c.claimNomination(y) // being cleared for one task of the job already
-			l.tasksPerZone[y.machine.Zone]++
+		if !y.NominationClaimed && l.allows(y.Machine.Zone) && !j.TaskResources.Fits(y.Free) {
+			c.candidates.ClaimNomination(y) // being cleared for one task of the job already
+			l.tasksPerZone[y.Machine.Zone]++
 			return true
 		}
 	}
@@ -100,16 +107,16 @@
 		return false
 	}
 	wait := 0.0
-	patience := c.checkpointAllowance(now, j, c.machines.FetchTime(now, best.machine, &j.Spec))
+	patience := c.checkpointAllowance(now, j, c.machines.FetchTime(now, best.Machine, &j.Spec))
 	for _, v := range victims {
 		if !v.Stopping {
 			c.preemptPlacement(now, v, j.Spec.ID, patience)
 		}
 		wait = max(wait, v.GraceS)
 	}
-	c.claimNomination(best)
-	l.tasksPerZone[best.machine.Zone]++
-	c.nominate(best.machine, j, now+config.Seconds(wait+3*c.cfg.Workers.HeartbeatSeconds)+CycleInterval)
+	c.candidates.ClaimNomination(best)
+	l.tasksPerZone[best.Machine.Zone]++
+	c.nominate(best.Machine, j, now+config.Seconds(wait+3*c.cfg.Workers.HeartbeatSeconds)+CycleInterval)
 	return true
 }
 
@@ -144,12 +151,12 @@
 func (c *Scheduler) selectVictims(
 	now time.Duration,
 	j *Job,
-	x *candidate,
+	x *candidates.Candidate,
 	level int,
 ) (out []*machineregistry.Placement, cost float64, ok bool) {
-	room := x.free // less what this cycle has given away already
+	room := x.Free // less what this cycle has given away already
 	var lower []*machineregistry.Placement
-	x.machine.EachPlacement(func(pl *machineregistry.Placement) {
+	x.Machine.EachPlacement(func(pl *machineregistry.Placement) {
 		switch {
 		case pl.Stopping:
 			room = room.Plus(pl.Resources)
@@ -183,13 +190,13 @@
 		// An old job has been passed over or stopped before, and is the more
 		// likely to be late for it.
 		cost += 1 + lost*pl.Resources.DominantShare(
-			machineregistry.CapacityOf(x.machineType),
+			x.Capacity(),
 		) + c.jobAge(now, pl).
 			Seconds()/
 			10
 		if pl.Job != nil && pl.Job.Shape == protocol.Gang {
 			// All of it has to find room, and often its image, again.
-			cost += float64(pl.Job.TaskCount) * x.machineType.BootSeconds
+			cost += float64(pl.Job.TaskCount) * x.Type.BootSeconds
 		}
 	}
 	return out, cost, len(out) > 0 && j.TaskResources.Fits(room)
--- a/internal/coordination/scheduler/scheduler.go
+++ b/internal/coordination/scheduler/scheduler.go
@@ -7,6 +7,7 @@
 
 	"pinebay/internal/config"
 	"pinebay/internal/coordination/autoscaler"
+	"pinebay/internal/coordination/candidates"
 	"pinebay/internal/coordination/dependency"
 	"pinebay/internal/coordination/fairshare"
 	"pinebay/internal/coordination/featurelevel"
@@ -54,7 +55,7 @@
 	queues                 *jobQueues
 	quotas                 *fairshare.Quotas
 	startLatencyObjectives map[string]float64 // by class, in seconds
-	candidateIndex         candidateIndex
+	candidates             *candidates.Index
 	finder                 machineFinder
 	// pagesInFlight counts the pages that are being written, by purpose.
 	pagesInFlight [PriorityMaintenance + 1]int
@@ -152,7 +153,8 @@
 		imageHintsWrittenAt: now,
 	}
 	c.setFeatureLevel(term.FeatureLevel)
-	c.queues, c.candidateIndex, c.finder, c.preemptionRound = newJobQueues(), newCandidateIndex(), indexFinder{c}, 1
+	c.queues, c.candidates = newJobQueues(), candidates.NewIndex(c.machines)
+	c.finder, c.preemptionRound = indexFinder{c}, 1
 	c.searchLimit, c.preemptionBudget = maxExaminedMachines, preemptionBudgetPerCycle
 	c.quotas = fairshare.NewQuotas(cfg.Teams, c.machines)
 	c.startLatencyObjectives = startLatencyObjectivesOf(cfg.Objectives)
@@ -338,7 +340,7 @@
 // planCapacity has the fleet rent and return machines, and does what else is due once a second.
 func (c *Scheduler) planCapacity(now time.Duration) {
 	c.lastPlanAt = now
-	c.verifyCandidates(now)
+	c.candidates.Verify(now)
 	units := c.capacityDemand(now)
 	for _, e := range c.autoscaler.Plan(now, c.machines, units) {
 		c.emit(CloudRequest{e})
--- a/internal/coordination/scheduler/score.go
+++ b/internal/coordination/scheduler/score.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"pinebay/internal/config"
+	"pinebay/internal/coordination/candidates"
 	"pinebay/internal/coordination/machineregistry"
 	"pinebay/internal/protocol"
 )
@@ -35,66 +36,51 @@
 }
 
 // feasible is the predicate: whether the job allows the machine at all.
-func (c *Scheduler) feasible(now time.Duration, j *Job, x *candidate, l *zoneLimits) bool {
-	if x.machine.Spot && !j.Spec.SpotAllowed || !x.machineType.AllowedBy(&j.Spec) || !l.allows(x.machine.Zone) ||
-		j.AvoidedMachines()[x.machine.Name] {
+func (c *Scheduler) feasible(now time.Duration, j *Job, x *candidates.Candidate, l *zoneLimits) bool {
+	if x.Machine.Spot && !j.Spec.SpotAllowed || !x.Type.AllowedBy(&j.Spec) || !l.allows(x.Machine.Zone) ||
+		j.AvoidedMachines()[x.Machine.Name] {
 		return false
 	}
-	return !c.nominatedForOther(now, x.machine, j.Spec.ID)
-}
-
-// nominatedForOther says whether a machine's room is being cleared for another job that
-// goes before. A job that comes first may take it: did every gang keep what was
-// cleared for it, each could sit on a part of what one of them needs. And a job
-// that has found its room elsewhere keeps none.
-func (c *Scheduler) nominatedForOther(now time.Duration, m *machineregistry.Machine, id string) bool {
-	if m.ReservedJob == "" || m.ReservedJob == id || now >= m.ReservedUntil {
-		return false
-	}
-	o := c.jobs[m.ReservedJob]
-	if o == nil || o.Ended || o.TaskCounts[TaskPending] == 0 && !o.HasStoppingTasks() {
-		return false
-	}
-	return o.LastWaitingCycle != c.cycleCount || o.LastTriedCycle == c.cycleCount
+	return !c.nominatedForOther(now, x.Machine, j.Spec.ID)
 }
 
 // score orders machines that fit, lower is better, in seconds: the wait for
 // the image, then what packs tightly.
-func (c *Scheduler) score(now time.Duration, j *Job, x *candidate, l *zoneLimits) float64 {
+func (c *Scheduler) score(now time.Duration, j *Job, x *candidates.Candidate, l *zoneLimits) float64 {
 	yields := c.yieldingFetches(j)
-	warm := c.machines.FetchTimeWithout(now, x.machine, &j.Spec, yields)
-	s := warm.Seconds() + c.machines.FetchDelayWithout(now, x.machine, &j.Spec, yields).Seconds()
-	cap := machineregistry.CapacityOf(x.machineType)
+	warm := c.machines.FetchTimeWithout(now, x.Machine, &j.Spec, yields)
+	s := warm.Seconds() + c.machines.FetchDelayWithout(now, x.Machine, &j.Spec, yields).Seconds()
+	cap := x.Capacity()
 	if aim := c.startLatencyObjective(
 		j.Spec.Class,
 	); math.IsInf(aim, 1) ||
-		warm > config.Seconds(max(aim, x.machineType.BootSeconds)) {
+		warm > config.Seconds(max(aim, x.Type.BootSeconds)) {
 		// No aim presses, or the fetch outlasts the aim and a boot. The next of its kind will want
 		// to start here without one, so room beside it, free or held by arrays,
 		// is worth having: half the fetch at most, as a warm machine stays better.
-		s += 1 - warm.Seconds()/2*x.free.Minus(j.TaskResources).Plus(x.machine.ArrayUsage()).DominantShare(cap)
+		s += 1 - warm.Seconds()/2*x.Free.Minus(j.TaskResources).Plus(x.Machine.ArrayUsage()).DominantShare(cap)
 	} else if warm > 0 && warm.Seconds()*machineregistry.SlowFetchFactor > c.startLatencyObjective(j.Spec.Class) &&
-		x.machine.PlacementCount() > 0 {
+		x.Machine.PlacementCount() > 0 {
 		// The same for smaller fetches, but an empty machine is left to jobs that
 		// want a whole one.
-		s -= x.free.Minus(j.TaskResources).Plus(x.machine.ArrayUsage()).DominantShare(cap)
+		s -= x.Free.Minus(j.TaskResources).Plus(x.Machine.ArrayUsage()).DominantShare(cap)
 	} else {
-		s += x.free.Minus(j.TaskResources).DominantShare(cap)
+		s += x.Free.Minus(j.TaskResources).DominantShare(cap)
 	}
 	if j.Spec.Spread && l.tasksPerZone != nil {
-		s += float64(l.tasksPerZone[x.machine.Zone]) / float64(j.Spec.TaskCount)
+		s += float64(l.tasksPerZone[x.Machine.Zone]) / float64(j.Spec.TaskCount)
 	}
-	if x.machine.Spot {
+	if x.Machine.Spot {
 		if j.Spec.CheckpointIntervalSeconds > 0 {
 			s--
 		} else {
-			s += x.machineType.BootSeconds
+			s += x.Type.BootSeconds
 		}
 	}
-	if j.FailedOn[x.machine.Name] {
-		s += 10 * x.machineType.BootSeconds
+	if j.FailedOn[x.Machine.Name] {
+		s += 10 * x.Type.BootSeconds
 	}
-	return s + float64(len(x.machine.FailedJobs))*x.machineType.BootSeconds + c.zoneRiskPenalty(j, x.machine.Zone)
+	return s + float64(len(x.Machine.FailedJobs))*x.Type.BootSeconds + c.zoneRiskPenalty(j, x.Machine.Zone)
 }
 
 // selectMachine chooses the machine for a task. attempted says that one was passed over
@@ -104,13 +90,13 @@
 	j *Job,
 	task int,
 	l *zoneLimits,
-) (best *candidate, attempted bool) {
+) (best *candidates.Candidate, attempted bool) {
 	id := protocol.TaskID{JobID: j.Spec.ID, Index: task}
-	best = c.finder.bestMachine(now, j, l, func(x *candidate) bool {
+	best = c.finder.bestMachine(now, j, l, func(x *candidates.Candidate) bool {
 		if !j.TaskResources.Fits(c.freeForJob(x, j)) || !c.feasible(now, j, x, l) {
 			return false
 		}
-		if x.machine.HasAttempt(id) {
+		if x.Machine.HasAttempt(id) {
 			attempted = true
 			return false
 		}
@@ -136,13 +122,13 @@
 }
 
 // stopCompetingFetches stops the fetches that yield to a task's.
-func (c *Scheduler) stopCompetingFetches(now time.Duration, j *Job, x *candidate) {
+func (c *Scheduler) stopCompetingFetches(now time.Duration, j *Job, x *candidates.Candidate) {
 	yields := c.yieldingFetches(j)
 	if yields == nil ||
-		c.machines.FetchTime(now, x.machine, &j.Spec) == c.machines.FetchTimeWithout(now, x.machine, &j.Spec, yields) {
+		c.machines.FetchTime(now, x.Machine, &j.Spec) == c.machines.FetchTimeWithout(now, x.Machine, &j.Spec, yields) {
 		return
 	}
-	for _, pl := range c.placementsOn(x.machine) {
+	for _, pl := range c.placementsOn(x.Machine) {
 		if o := c.jobs[pl.Task.JobID]; o != nil && !pl.Stopping && yields(pl) {
 			c.log.Info("stopped fetching", "task", pl.Task, "for", j.Spec.ID, "machine", pl.Machine)
 			c.stopPlacement(now, o, pl, 0)
--- a/internal/coordination/scheduler/search.go
+++ b/internal/coordination/scheduler/search.go
@@ -1,11 +1,10 @@
 package scheduler
 
 import (
-	"cmp"
 	"math"
-	"slices"
 	"time"
 
+	"pinebay/internal/coordination/candidates"
 	"pinebay/internal/coordination/machineindex"
 	"pinebay/internal/coordination/machineregistry"
 )
@@ -13,9 +12,19 @@
 // machineFinder looks for machines within a cycle. Tests have another one that looks at all of them.
 type machineFinder interface {
 	// bestMachine returns the allowed candidate with the lowest score for a task of the job, or nil.
-	bestMachine(now time.Duration, j *Job, l *zoneLimits, allowed func(*candidate) bool) *candidate
+	bestMachine(
+		now time.Duration,
+		j *Job,
+		l *zoneLimits,
+		allowed func(*candidates.Candidate) bool,
+	) *candidates.Candidate
 	// bestWithImage is best among those that have the job's image.
-	bestWithImage(now time.Duration, j *Job, l *zoneLimits, allowed func(*candidate) bool) *candidate
+	bestWithImage(
+		now time.Duration,
+		j *Job,
+		l *zoneLimits,
+		allowed func(*candidates.Candidate) bool,
+	) *candidates.Candidate
 	// cheapestPreemption returns the candidate on which it costs least to make room for a task of the
 	// job, by stopping work of at least the given level, and what would have to leave.
 	cheapestPreemption(
@@ -24,10 +33,15 @@
 		l *zoneLimits,
 		within time.Duration,
 		level int,
-	) (*candidate, []*machineregistry.Placement)
+	) (*candidates.Candidate, []*machineregistry.Placement)
 	// mostFreeCapacity returns the candidate with most free room of those that the job allows and that
 	// could hold a task of it, but for those taken.
-	mostFreeCapacity(now time.Duration, j *Job, l *zoneLimits, taken map[*candidate]bool) *candidate
+	mostFreeCapacity(
+		now time.Duration,
+		j *Job,
+		l *zoneLimits,
+		taken map[*candidates.Candidate]bool,
+	) *candidates.Candidate
 }
 
 // Bounds of one search. In a fleet of up to maxExaminedTies machines a search finds what looking at all
@@ -41,34 +55,40 @@
 // indexFinder finds machines by the roster's index and the partition's views.
 type indexFinder struct{ scheduler *Scheduler }
 
-func sortCandidates(list []*candidate) {
-	slices.SortFunc(list, func(a, b *candidate) int { return cmp.Compare(a.machine.Name, b.machine.Name) })
-}
-
 // bestMachine first looks at the machines that have the image or fetch it. The others are looked at
 // only if one of them could score better, with the fetch that it would need.
-func (f indexFinder) bestMachine(now time.Duration, j *Job, l *zoneLimits, allowed func(*candidate) bool) *candidate {
-	var best machineindex.Best[*candidate]
+func (f indexFinder) bestMachine(
+	now time.Duration,
+	j *Job,
+	l *zoneLimits,
+	allowed func(*candidates.Candidate) bool,
+) *candidates.Candidate {
+	var best machineindex.Best[*candidates.Candidate]
 	q := f.query(j, l)
-	if !f.scheduler.candidateIndex.index.MayFit(q) {
+	if !f.scheduler.candidates.Machines.MayFit(q) {
 		return nil
 	}
 	judge := f.evaluator(now, j, l, allowed)
 	complete := f.searchWithImage(now, j, q, judge, &best)
 	f.searchFetching(now, j, judge, &best)
 	complete = f.searchWithoutImage(j, q, judge, &best) && complete
-	f.scheduler.removeUnschedulable(now)
+	f.scheduler.candidates.RemoveUnschedulable(now)
 	f.widenNextSearch(j, best.Found, complete)
 	return foundCandidate(&best)
 }
 
-func (f indexFinder) bestWithImage(now time.Duration, j *Job, l *zoneLimits, allowed func(*candidate) bool) *candidate {
-	var best machineindex.Best[*candidate]
+func (f indexFinder) bestWithImage(
+	now time.Duration,
+	j *Job,
+	l *zoneLimits,
+	allowed func(*candidates.Candidate) bool,
+) *candidates.Candidate {
+	var best machineindex.Best[*candidates.Candidate]
 	f.searchWithImage(now, j, f.query(j, l), f.evaluator(now, j, l, allowed), &best)
 	return foundCandidate(&best)
 }
 
-func foundCandidate(best *machineindex.Best[*candidate]) *candidate {
+func foundCandidate(best *machineindex.Best[*candidates.Candidate]) *candidates.Candidate {
 	if !best.Found {
 		return nil
 	}
@@ -91,13 +111,18 @@
 }
 
 // evaluation returns the score of a candidate, and whether it will do.
-type evaluation func(*candidate) (float64, bool)
+type evaluation func(*candidates.Candidate) (float64, bool)
 
 // evaluator returns the judgement by a job's score.
-func (f indexFinder) evaluator(now time.Duration, j *Job, l *zoneLimits, allowed func(*candidate) bool) evaluation {
-	return func(x *candidate) (float64, bool) {
+func (f indexFinder) evaluator(
+	now time.Duration,
+	j *Job,
+	l *zoneLimits,
+	allowed func(*candidates.Candidate) bool,
+) evaluation {
+	return func(x *candidates.Candidate) (float64, bool) {
 		f.scheduler.machinesExamined++
-		if !f.scheduler.checkSchedulable(now, x) || !allowed(x) {
+		if !f.scheduler.candidates.CheckSchedulable(now, x) || !allowed(x) {
 			return 0, false
 		}
 		return f.scheduler.score(now, j, x, l), true
@@ -110,14 +135,14 @@
 	j *Job,
 	q machineindex.Query,
 	judge evaluation,
-	best *machineindex.Best[*candidate],
+	best *machineindex.Best[*candidates.Candidate],
 ) (complete bool) {
 	set := f.scheduler.machines.MachinesWithImage(j.Spec.Image)
 	if set == nil {
 		return true
 	}
-	has := func(x *candidate) (float64, bool) {
-		if !x.machine.HasImage(j.Spec.Image) || f.scheduler.machines.FetchTime(now, x.machine, &j.Spec) > 0 {
+	has := func(x *candidates.Candidate) (float64, bool) {
+		if !x.Machine.HasImage(j.Spec.Image) || f.scheduler.machines.FetchTime(now, x.Machine, &j.Spec) > 0 {
 			return 0, false
 		}
 		return judge(x)
@@ -132,14 +157,19 @@
 	if f.scheduler.lacksStartLatencyObjective(j) {
 		q.ScoreBound = func(_, _ machineregistry.Resources) float64 { return 1 } // all score the same
 	}
-	return f.scheduler.candidateIndex.index.Search(q, best, has)
+	return f.scheduler.candidates.Machines.Search(q, best, has)
 }
 
 // searchFetching looks at the machines that fetch the job's image.
-func (f indexFinder) searchFetching(now time.Duration, j *Job, judge evaluation, best *machineindex.Best[*candidate]) {
+func (f indexFinder) searchFetching(
+	now time.Duration,
+	j *Job,
+	judge evaluation,
+	best *machineindex.Best[*candidates.Candidate],
+) {
 	if set := f.scheduler.machines.MachinesFetching(j.Spec.Image); set != nil {
-		f.searchSet(set, j, math.Inf(-1), func(x *candidate) (float64, bool) {
-			if f.scheduler.machines.FetchTime(now, x.machine, &j.Spec) == 0 {
+		f.searchSet(set, j, math.Inf(-1), func(x *candidates.Candidate) (float64, bool) {
+			if f.scheduler.machines.FetchTime(now, x.Machine, &j.Spec) == 0 {
 				return 0, false // it was looked at already
 			}
 			return judge(x)
@@ -150,7 +180,7 @@
 // minScoreWithImage is the least that a machine with the job's image can score.
 func (f indexFinder) minScoreWithImage(q machineindex.Query, j *Job) float64 {
 	least := math.Inf(1)
-	f.scheduler.candidateIndex.index.Pools(func(p machineindex.Pool) { least = min(least, q.PoolScore(p)) })
+	f.scheduler.candidates.Machines.Pools(func(p machineindex.Pool) { least = min(least, q.PoolScore(p)) })
 	if f.scheduler.lacksStartLatencyObjective(j) {
 		least++
 	}
@@ -163,20 +193,20 @@
 	j *Job,
 	least float64,
 	judge evaluation,
-	best *machineindex.Best[*candidate],
+	best *machineindex.Best[*candidates.Candidate],
 ) {
 	looks := 0
 	set.Scan(func(m *machineregistry.Machine) bool {
 		if looks++; looks > f.scheduler.searchLimit<<j.SearchDoublings {
 			return false
 		}
-		x, ok := m.SchedulerData.(*candidate)
-		if !ok || !f.scheduler.candidateIndex.index.Has(x.indexEntry) || !j.TaskResources.Fits(x.free) {
+		x := f.scheduler.candidates.Indexed(m)
+		if x == nil || !j.TaskResources.Fits(x.Free) {
 			return true
 		}
 		score, ok := judge(x)
 		if ok {
-			best.Offer(x.indexEntry, score)
+			best.Offer(x.Entry, score)
 		}
 		return !ok || score > least
 	})
@@ -187,7 +217,7 @@
 	j *Job,
 	q machineindex.Query,
 	judge evaluation,
-	best *machineindex.Best[*candidate],
+	best *machineindex.Best[*candidates.Candidate],
 ) (complete bool) {
 	base := q.PoolScore
 	q.PoolScore = func(p machineindex.Pool) float64 { return base(p) + f.scheduler.fetchSeconds(j, p.Type) }
@@ -196,8 +226,8 @@
 	if prefersRoom {
 		q.Order = machineindex.WorstFit
 	}
-	return f.scheduler.candidateIndex.index.Search(q, best, func(x *candidate) (float64, bool) {
-		if x.machine.HasImage(j.Spec.Image) {
+	return f.scheduler.candidates.Machines.Search(q, best, func(x *candidates.Candidate) (float64, bool) {
+		if x.Machine.HasImage(j.Spec.Image) {
 			return 0, false
 		}
 		return judge(x)
@@ -248,8 +278,13 @@
 }
 
 // mostFreeCapacity looks at the machines with most room first.
-func (f indexFinder) mostFreeCapacity(now time.Duration, j *Job, l *zoneLimits, taken map[*candidate]bool) *candidate {
-	var best machineindex.Best[*candidate]
+func (f indexFinder) mostFreeCapacity(
+	now time.Duration,
+	j *Job,
+	l *zoneLimits,
+	taken map[*candidates.Candidate]bool,
+) *candidates.Candidate {
+	var best machineindex.Best[*candidates.Candidate]
 	q := f.query(j, l)
 	q.IgnoreFree, q.Order = true, machineindex.WorstFit
 	base := q.PoolScore
@@ -260,14 +295,14 @@
 		return 0
 	}
 	q.ScoreBound = func(capacity, free machineregistry.Resources) float64 { return -free.DominantShare(capacity) }
-	f.scheduler.candidateIndex.index.Search(q, &best, func(x *candidate) (float64, bool) {
-		capacity := machineregistry.CapacityOf(x.machineType)
-		if taken[x] || !f.scheduler.checkSchedulable(now, x) || !f.scheduler.feasible(now, j, x, l) ||
+	f.scheduler.candidates.Machines.Search(q, &best, func(x *candidates.Candidate) (float64, bool) {
+		capacity := x.Capacity()
+		if taken[x] || !f.scheduler.candidates.CheckSchedulable(now, x) || !f.scheduler.feasible(now, j, x, l) ||
 			!j.TaskResources.Fits(capacity) {
 			return 0, false
 		}
-		return -x.free.DominantShare(capacity), true
+		return -x.Free.DominantShare(capacity), true
 	})
-	f.scheduler.removeUnschedulable(now)
+	f.scheduler.candidates.RemoveUnschedulable(now)
 	return foundCandidate(&best)
 }
--- a/internal/coordination/scheduler/victimsearch.go
+++ b/internal/coordination/scheduler/victimsearch.go
@@ -4,6 +4,7 @@
 	"math"
 	"time"
 
+	"pinebay/internal/coordination/candidates"
 	"pinebay/internal/coordination/machineregistry"
 )
 
@@ -22,7 +23,7 @@
 	l *zoneLimits,
 	within time.Duration,
 	level int,
-) (*candidate, []*machineregistry.Placement) {
+) (*candidates.Candidate, []*machineregistry.Placement) {
 	lowest := level
 	if f.scheduler.withinGuaranteedQuota(j) {
 		lowest = 0
@@ -71,7 +72,7 @@
 	remaining      int // machines that may still be looked at
 	lastExamined   string
 
-	best    *candidate
+	best    *candidates.Candidate
 	victims []*machineregistry.Placement
 	cost    float64
 }
@@ -98,9 +99,9 @@
 	c, j := s.scheduler, s.job
 	c.preemptionBudgetLeft--
 	c.machinesExamined++
-	x := c.candidateOf(s.now, m)
-	if x == nil || !j.TaskResources.Fits(x.free.Plus(m.PreemptibleResources(s.candidateLevel))) ||
-		!j.TaskResources.Fits(machineregistry.CapacityOf(x.machineType)) ||
+	x := c.candidates.Of(s.now, m)
+	if x == nil || !j.TaskResources.Fits(x.Free.Plus(m.PreemptibleResources(s.candidateLevel))) ||
+		!j.TaskResources.Fits(x.Capacity()) ||
 		!c.feasible(s.now, j, x, s.limits) ||
 		m.IsReservedFor(s.now, j.Spec.ID) {
 		return
@@ -112,7 +113,7 @@
 	c.preemptionBudgetLeft -= victimSelectionCost
 	victims, cost, ok := c.selectVictims(s.now, j, x, s.victimLevel)
 	cost += warm.Seconds()
-	if ok && (cost < s.cost || cost == s.cost && s.best != nil && m.Name < s.best.machine.Name) {
+	if ok && (cost < s.cost || cost == s.cost && s.best != nil && m.Name < s.best.Machine.Name) {
 		s.best, s.victims, s.cost = x, victims, cost
 	}
 }
