--- a/internal/coordination/leader/effects.go
+++ b/internal/coordination/leader/effects.go
@@ -1,6 +1,7 @@
 package leader
 
 import (
+	"context"
 	"errors"
 	"net/http"
 	"time"
@@ -14,7 +15,7 @@
 
 // applyEffects carries out effects. Whatever waits runs on its own goroutine and comes
 // back as an event.
-func (l *Leader) applyEffects(effects []scheduler.Effect) {
+func (l *Leader) applyEffects(ctx context.Context, effects []scheduler.Effect) {
 	for _, e := range effects {
 		switch e := e.(type) {
 		case scheduler.HeartbeatReply:
@@ -22,36 +23,39 @@
 				ch <- e.Body
 			}
 		case scheduler.StepDown:
-			l.Log.Info("deposed", "reason", e.Reason, "later", e.LaterTerm)
-			l.Deposed(l.term, e)
+			l.log.Info("deposed", "reason", e.Reason, "later", e.LaterTerm)
+			l.deps.Leadership.StepDown(e)
 		case scheduler.Write:
-			go l.write(e, l.Store.Admit(writeUse(e.Priority), &e.Txn))
+			// Writes are admitted in the order of the effects.
+			admission := l.deps.Store.Admit(writeUse(e.Priority), &e.Txn)
+			l.tasks.Go(func() { l.write(ctx, e, admission) })
 		case scheduler.SendCommandBatch:
-			go l.sendCommands(e)
+			l.tasks.Go(func() { l.sendCommands(ctx, e) })
 		case scheduler.Probe:
+			l.tasks.Add(1)
 			l.probes.Add(e)
 		case scheduler.ReadFinalState:
-			go l.readEndedJob(e)
+			l.tasks.Go(func() { l.readEndedJob(ctx, e) })
 		case scheduler.FeatureLevelFinal:
-			l.LevelReached(e.Level)
+			l.deps.Observer.FeatureLevelFinal(e.Level)
 		case scheduler.ZoneDecision:
-			l.Log.Info("zone return", "decision", e.Decision.Describe())
+			l.log.Info("zone return", "decision", e.Decision.Describe())
 		case scheduler.CloudRequest:
-			l.applyCloudEffect(e.Effect)
+			l.applyCloudEffect(ctx, e.Effect)
 		}
 	}
 }
 
 // applyCloudEffect carries out what the fleet asks of the cloud.
-func (l *Leader) applyCloudEffect(effect autoscaler.Effect) {
-	turn := l.Cloud.Reserve()
+func (l *Leader) applyCloudEffect(ctx context.Context, effect autoscaler.Effect) {
+	turn := l.deps.Cloud.Reserve()
 	switch e := effect.(type) {
 	case autoscaler.ScaleOut:
-		go l.rentMachines(e, turn)
+		l.tasks.Go(func() { l.rentMachines(ctx, e, turn) })
 	case autoscaler.ScaleIn:
-		go l.releaseMachines(e, turn)
+		l.tasks.Go(func() { l.releaseMachines(ctx, e, turn) })
 	case autoscaler.ListMachines:
-		go l.listMachines(turn)
+		l.tasks.Go(func() { l.listMachines(ctx, turn) })
 	}
 }
 
@@ -70,11 +74,11 @@
 // write tries a transaction until its outcome is known. After a try without an
 // answer, a failed condition may be the work of that very try: the record that
 // names the write tells. It has its place within the budgets.
-func (l *Leader) write(w scheduler.Write, admission storage.Admission) {
+func (l *Leader) write(ctx context.Context, w scheduler.Write, admission storage.Admission) {
 	use := writeUse(w.Priority)
 	uncertain := false
-	for ; l.ctx.Err() == nil; admission = l.Store.Admit(use, &w.Txn) {
-		rev, ok, failed, err := l.Store.TxnAdmitted(l.ctx, admission, w.Txn)
+	for ; ctx.Err() == nil; admission = l.deps.Store.Admit(use, &w.Txn) {
+		rev, ok, failed, err := l.deps.Store.TxnAdmitted(ctx, admission, w.Txn)
 		switch {
 		case err == nil && ok:
 			l.mailbox.Send(scheduler.TransactionOutcome{WriteID: w.ID, Succeeded: true, Revision: rev})
@@ -83,7 +87,7 @@
 			l.mailbox.Send(scheduler.TransactionOutcome{WriteID: w.ID, FailedKeys: failed})
 			return
 		case err == nil:
-			if mine, rev, known := l.verifyWrite(use, w, uncertain); known {
+			if mine, rev, known := l.verifyWrite(ctx, use, w, uncertain); known {
 				l.mailbox.Send(
 					scheduler.TransactionOutcome{WriteID: w.ID, Succeeded: mine, Revision: rev, FailedKeys: failed},
 				)
@@ -93,21 +97,22 @@
 			uncertain = true
 		case !errors.Is(err, storage.ErrUnavailable):
 			// Refused for its form: as it is it will never be carried out, unless an earlier try was.
-			l.Log.Error("write refused", "key", w.VerifyKey, "err", err)
-			if mine, rev, known := l.verifyWrite(use, w, uncertain); known {
+			l.log.Error("write refused", "key", w.VerifyKey, "err", err)
+			if mine, rev, known := l.verifyWrite(ctx, use, w, uncertain); known {
 				l.mailbox.Send(
 					scheduler.TransactionOutcome{WriteID: w.ID, Succeeded: mine, Revision: rev, Malformed: !mine},
 				)
 				return
 			}
 		}
-		l.Random.Pause(l.ctx, w.VerifyKey, scheduler.CycleInterval/10)
+		l.deps.Random.Pause(ctx, w.VerifyKey, scheduler.CycleInterval/10)
 	}
 }
 
 // verifyWrite says whether an earlier try of a write, of which no answer came, was carried out: then the record
 // names it. known is false if that can't be told now.
 func (l *Leader) verifyWrite(
+	ctx context.Context,
 	use storage.Budget,
 	w scheduler.Write,
 	uncertain bool,
@@ -115,7 +120,7 @@
 	if !uncertain {
 		return false, 0, true
 	}
-	p, err := l.Store.Get(l.ctx, use, w.VerifyKey)
+	p, err := l.deps.Store.Get(ctx, use, w.VerifyKey)
 	if err != nil {
 		return false, 0, false
 	}
@@ -130,23 +135,23 @@
 }
 
 // readEndedJob reads how a job has ended.
-func (l *Leader) readEndedJob(e scheduler.ReadFinalState) {
+func (l *Leader) readEndedJob(ctx context.Context, e scheduler.ReadFinalState) {
 	read := scheduler.FinalStateRead{ID: e.ID}
-	p, err := l.Store.Get(l.ctx, storage.BudgetPlacement, storage.EndedJobKey(e.ID))
+	p, err := l.deps.Store.Get(ctx, storage.BudgetPlacement, storage.EndedJobKey(e.ID))
 	var rec storage.EndedJobRecord
 	switch {
 	case err != nil:
-		l.Log.Debug("end not read", "job", e.ID, "err", err)
+		l.log.Debug("end not read", "job", e.ID, "err", err)
 	case p.Revision != 0 && protocol.Decode(p.Value, &rec) == nil:
 		read.State = rec.State
 	}
 	l.mailbox.Send(read)
 }
 
-func (l *Leader) sendCommands(o scheduler.SendCommandBatch) {
-	status, raw, err := l.Workers.Do(
-		l.ctx,
-		commandTimeout(l.Deployment),
+func (l *Leader) sendCommands(ctx context.Context, o scheduler.SendCommandBatch) {
+	status, raw, err := l.deps.Workers.Do(
+		ctx,
+		commandTimeout(l.options.Deployment),
 		http.MethodPost,
 		"http://"+o.Addr+"/commands",
 		o.Batch,
@@ -158,26 +163,26 @@
 		}
 	}
 	if done.Heartbeat == nil {
-		l.Log.Info("command unanswered", "machine", o.Machine, "status", status, "err", err)
+		l.log.Info("command unanswered", "machine", o.Machine, "status", status, "err", err)
 	}
 	l.mailbox.Send(done)
 }
 
 // probe asks a machine how it stands. A new leader asks all of them at once;
 // some at a time are asked in fact.
-func (l *Leader) probe(e scheduler.Probe) {
-	if l.ctx.Err() != nil {
+func (l *Leader) probe(ctx context.Context, e scheduler.Probe) {
+	if ctx.Err() != nil {
 		return
 	}
-	status, raw, err := l.Workers.Do(
-		l.ctx,
-		commandTimeout(l.Deployment),
+	status, raw, err := l.deps.Workers.Do(
+		ctx,
+		commandTimeout(l.options.Deployment),
 		http.MethodGet,
 		"http://"+e.Addr+"/inspect",
 		nil,
 	)
 	if err != nil || status != http.StatusOK {
-		l.Log.Debug("not inspected", "machine", e.Machine, "status", status, "err", err)
+		l.log.Debug("not inspected", "machine", e.Machine, "status", status, "err", err)
 		return
 	}
 	if r, err := protocol.DecodeWorkerHeartbeat(raw); err == nil && r.Machine == e.Machine {
@@ -191,19 +196,19 @@
 	return config.Seconds(min(cfg.Workers.HeartbeatSeconds*1.5, cfg.Workers.GangPeerSeconds/2))
 }
 
-func (l *Leader) listMachines(turn CallSlot) {
-	asked := l.Now()
-	ms, err := l.Cloud.List(l.ctx, turn)
+func (l *Leader) listMachines(ctx context.Context, turn CallSlot) {
+	asked := l.deps.Now()
+	ms, err := l.deps.Cloud.List(ctx, turn)
 	if err != nil {
-		l.Log.Info("machine list not read", "err", err)
+		l.log.Info("machine list not read", "err", err)
 	}
 	l.mailbox.Send(scheduler.MachinesListed{RequestedAt: asked, Machines: ms, Failed: err != nil})
 }
 
-func (l *Leader) rentMachines(e autoscaler.ScaleOut, turn CallSlot) {
-	asked := l.Now()
-	for ; l.ctx.Err() == nil; turn = l.Cloud.Reserve() {
-		names, refused, err := l.Cloud.Rent(l.ctx, turn, e.Rental)
+func (l *Leader) rentMachines(ctx context.Context, e autoscaler.ScaleOut, turn CallSlot) {
+	asked := l.deps.Now()
+	for ; ctx.Err() == nil; turn = l.deps.Cloud.Reserve() {
+		names, refused, err := l.deps.Cloud.Rent(ctx, turn, e.Rental)
 		if err == nil {
 			l.mailbox.Send(
 				scheduler.ScaleOutResult{
@@ -216,19 +221,19 @@
 			return
 		}
 		// The same name rents nothing twice, so trying again is safe.
-		l.Log.Info("rental unanswered", "request", e.Rental.RequestID, "err", err)
-		l.Random.Pause(l.ctx, e.Rental.RequestID, scheduler.CycleInterval)
+		l.log.Info("rental unanswered", "request", e.Rental.RequestID, "err", err)
+		l.deps.Random.Pause(ctx, e.Rental.RequestID, scheduler.CycleInterval)
 	}
 }
 
-func (l *Leader) releaseMachines(e autoscaler.ScaleIn, turn CallSlot) {
-	for ; l.ctx.Err() == nil; turn = l.Cloud.Reserve() {
-		err := l.Cloud.Release(l.ctx, turn, e.Machines)
+func (l *Leader) releaseMachines(ctx context.Context, e autoscaler.ScaleIn, turn CallSlot) {
+	for ; ctx.Err() == nil; turn = l.deps.Cloud.Reserve() {
+		err := l.deps.Cloud.Release(ctx, turn, e.Machines)
 		if err == nil {
 			l.mailbox.Send(scheduler.ScaleInResult{Machines: e.Machines, Succeeded: true})
 			return
 		}
-		l.Log.Info("release unanswered", "machines", len(e.Machines), "err", err)
-		l.Random.Pause(l.ctx, "release "+e.Machines[0], scheduler.CycleInterval)
+		l.log.Info("release unanswered", "machines", len(e.Machines), "err", err)
+		l.deps.Random.Pause(ctx, "release "+e.Machines[0], scheduler.CycleInterval)
 	}
 }
--- a/internal/coordination/leader/leader.go
+++ b/internal/coordination/leader/leader.go
@@ -5,8 +5,7 @@
 import (
 	"context"
 	"log/slog"
-	"maps"
-	"slices"
+	"sync"
 	"sync/atomic"
 	"time"
 
@@ -22,68 +21,71 @@
 	"pinebay/internal/transport"
 )
 
-// Deps is what a leader needs of its controller.
-type Deps struct {
-	Deployment *config.Deployment
-	Log        *slog.Logger
+// Leadership is the election's side of one term.
+type Leadership interface {
+	// Confirmed returns whether this controller is the confirmed leader of the term at this moment.
+	Confirmed() bool
+	// JobsKnownUpTo is called when the leader has received every change of the accepted jobs up to a time.
+	JobsKnownUpTo(at time.Duration)
+	// StepDown is called when the leader gives up the term, with the reason.
+	StepDown(reason scheduler.StepDown)
+}
+
+// CancellationIntents are the intents to cancel jobs that this controller knows of.
+type CancellationIntents interface {
+	// NewestByJob returns the jobs with an intent, each with the time of its newest one.
+	NewestByJob(now time.Duration) map[string]time.Duration
+	// HasIntent returns whether there is an intent to cancel the job.
+	HasIntent(now time.Duration, job string) bool
+}
+
+// Observer is called for what the whole controller should know of a leader's work.
+type Observer interface {
+	// MachineTypesRead is called each time that the leader has read the cloud's machine types and prices.
+	MachineTypesRead(types []protocol.MachineType)
+	// FeatureLevelFinal is called when the leader has recorded that a feature level is final.
+	FeatureLevelFinal(level featurelevel.Level)
+}
+
+// Dependencies are what a leader uses of its controller.
+type Dependencies struct {
+	Leadership Leadership
+	Intents    CancellationIntents
+	Observer   Observer
 	Store      *storage.Client
-	Random     *random.Source
 	Cloud      *CloudClient
 	Workers    *transport.Client
+	Random     *random.Source
+	Log        *slog.Logger
 	Now        func() time.Duration
-	// Confirmed says whether the leadership is, at this moment.
-	Confirmed func() bool
-	// WatchTimeout is how long a look at the state service's changes may wait for one, and
-	// Fresh is told up to when all of them are known.
+}
+
+// Options are the settings of a leader.
+type Options struct {
+	Deployment *config.Deployment
+	// WatchTimeout is how long one request for the store's changes may wait for a change.
 	WatchTimeout time.Duration
-	Fresh        func(term uint64, at time.Duration)
-	// CancellationIntents returns the jobs of which an intent of cancellation is held, and when
-	// the newest came; HasCancellationIntent says it of one. Without another, a cancellation is
-	// confirmed within Confirm of its intent or not at all.
-	CancellationIntents   func(now time.Duration) map[string]time.Duration
-	HasCancellationIntent func(job string) bool
-	ConfirmWithin         time.Duration
-	// Deposed is told that the term is over, and why.
-	Deposed func(term uint64, d scheduler.StepDown)
+	// ConfirmWithin is how long after its intent a cancellation is confirmed, or never without another intent.
+	ConfirmWithin time.Duration
 	// ZoneReturn is the order in which work returns when a zone is lost; nil: off.
 	ZoneReturn *zonefailover.RecoveryOrder
-	// MachineTypesRead is told of machine types that were read.
-	MachineTypesRead func([]protocol.MachineType)
-	// LevelReached is told of a feature level that this leader has made final.
-	LevelReached func(featurelevel.Level)
 	// Timing measures the steps; nil: off.
 	Timing *timing.Recorder
 }
 
-// Leader is one term of leadership.
+// Leader is one term of leadership. Its methods may be called from any goroutine.
 type Leader struct {
-	Deps
-	schedulerTerm scheduler.Term
-	term          uint64
-	mailbox       *actor.Mailbox[any] // of scheduler.Event, query and loaded
-	ctx           context.Context
-	cancel        context.CancelFunc
-	probes        *actor.Pool[scheduler.Probe]
-	ready         atomic.Bool // the records are read
-}
-
-// earlyHeartbeats keeps the newest report of each machine that came before the records were read,
-// in the order in which the machines were first heard.
-type earlyHeartbeats struct {
-	heartbeats []scheduler.HeartbeatReceived
-	index      map[string]int
-}
-
-func (e *earlyHeartbeats) add(r scheduler.HeartbeatReceived) {
-	if i, ok := e.index[r.Heartbeat.Machine]; ok {
-		e.heartbeats[i] = r
-		return
-	}
-	if e.index == nil {
-		e.index = map[string]int{}
-	}
-	e.index[r.Heartbeat.Machine] = len(e.heartbeats)
-	e.heartbeats = append(e.heartbeats, r)
+	deps    Dependencies
+	options Options
+	term    scheduler.Term
+	log     *slog.Logger
+	mailbox *actor.Mailbox[any] // of scheduler.Event, statusQuery and loadedRecords
+	probes  *actor.Pool[scheduler.Probe]
+	cancel  context.CancelFunc
+	done    <-chan struct{} // closed when the term is over
+	tasks   sync.WaitGroup  // goroutines of this term but its main loop
+	stopped chan struct{}   // closed when the main loop and all tasks have ended
+	ready   atomic.Bool     // the records are read
 }
 
 // statusQuery asks for the status of jobs.
@@ -96,21 +98,39 @@
 // they stand at a time: fewer than may command, so that commands have their turn.
 const probeSocketDivisor = 32
 
-// Start begins a term.
-func Start(ctx context.Context, d Deps, term scheduler.Term) *Leader {
-	l := &Leader{Deps: d, schedulerTerm: term, term: term.Number, mailbox: actor.NewMailbox[any]()}
-	l.probes = actor.NewPool(max(1, d.Deployment.Quota.MaxSockets/probeSocketDivisor), l.probe)
-	l.Log = d.Log.With("term", term.Number)
-	l.ctx, l.cancel = context.WithCancel(ctx)
-	go l.run()
+// Start begins a term, which lasts until the context ends, Stop is called or the leader steps down.
+func Start(ctx context.Context, deps Dependencies, options Options, term scheduler.Term) *Leader {
+	ctx, cancel := context.WithCancel(ctx)
+	l := &Leader{
+		deps:    deps,
+		options: options,
+		term:    term,
+		log:     deps.Log.With("term", term.Number),
+		mailbox: actor.NewMailbox[any](),
+		cancel:  cancel,
+		done:    ctx.Done(),
+		stopped: make(chan struct{}),
+	}
+	concurrentProbes := max(1, options.Deployment.Quota.MaxSockets/probeSocketDivisor)
+	l.probes = actor.NewPool(concurrentProbes, func(p scheduler.Probe) {
+		defer l.tasks.Done()
+		l.probe(ctx, p)
+	})
+	go func() {
+		defer close(l.stopped)
+		l.run(ctx)
+	}()
 	return l
 }
 
-// Stop ends the term. Answers under way still go out: they are fenced.
+// Stop ends the term and does not wait for it. Answers under way still go out: they are fenced.
 func (l *Leader) Stop() { l.cancel() }
 
+// Wait returns when the term is over and none of its goroutines is left.
+func (l *Leader) Wait() { <-l.stopped }
+
 // Term returns the term's number.
-func (l *Leader) Term() uint64 { return l.term }
+func (l *Leader) Term() uint64 { return l.term.Number }
 
 // Ready says whether the leader has read the records, and so knows where tasks are.
 func (l *Leader) Ready() bool { return l.ready.Load() }
@@ -127,7 +147,7 @@
 	select {
 	case a := <-reply:
 		return a, true
-	case <-l.ctx.Done():
+	case <-l.done:
 	case <-ctx.Done():
 	}
 	return protocol.WorkerHeartbeatReply{}, false
@@ -143,7 +163,7 @@
 	select {
 	case passOn := <-reply:
 		return passOn, true
-	case <-l.ctx.Done():
+	case <-l.done:
 	case <-ctx.Done():
 	}
 	return nil, false
@@ -151,14 +171,7 @@
 
 // AddCancellationIntent tells that a user may be about to hear that the job is cancelled.
 func (l *Leader) AddCancellationIntent(job string, at time.Duration) {
-	l.mailbox.Send(scheduler.CancellationIntent{ID: job, ValidUntil: at + l.ConfirmWithin})
-}
-
-func machineNames(machines []scheduler.UnchangedHeartbeat) (names []string) {
-	for _, m := range machines {
-		names = append(names, m.Machine)
-	}
-	return names
+	l.mailbox.Send(scheduler.CancellationIntent{ID: job, ValidUntil: at + l.options.ConfirmWithin})
 }
 
 // FinaliseLevel asks that a feature level be made final.
@@ -174,135 +187,8 @@
 	select {
 	case s := <-q.reply:
 		return s, true
-	case <-l.ctx.Done():
+	case <-l.done:
 	case <-ctx.Done():
 	}
 	return nil, false
 }
-
-func (l *Leader) run() {
-	defer l.cancel()
-	l.Log.Info("leading")
-	began := l.Now()
-	go l.loadRecords()
-	var core *scheduler.Scheduler
-	var early earlyHeartbeats
-	var changes []scheduler.Event // of the accepted jobs, since they were read
-	step := func(e any) {
-		if !l.stillConfirmed() {
-			return
-		}
-		now := l.Now()
-		if core != nil {
-			switch e := e.(type) {
-			case statusQuery:
-				e.reply <- core.Statuses(e.jobs)
-			case scheduler.Event:
-				l.applyEffects(core.Step(now, e))
-				l.recordStepTime(e, now)
-			}
-			return
-		}
-		// Until the records are read, workers get answers that renew their
-		// leases, and nothing is decided.
-		switch e := e.(type) {
-		case statusQuery:
-			e.reply <- nil
-		case scheduler.UnchangedHeartbeats:
-			e.ForwardNext(machineNames(e.Heartbeats)) // nothing is known of them yet
-		case scheduler.HeartbeatReceived:
-			if t := protocol.TermOfToken(e.Heartbeat.FencingToken); t > l.term {
-				l.Deposed(l.term, scheduler.StepDown{LaterTerm: t, Reason: "a worker has seen a later term"})
-				return
-			}
-			// What users may have been told is cancelled ends all the same.
-			e.ReplyTo.(chan protocol.WorkerHeartbeatReply) <- protocol.WorkerHeartbeatReply{FencingToken: protocol.FencingToken(l.term, 0), Commands: e.Heartbeat.StopCommands(l.HasCancellationIntent)}
-			e.ReplyTo = nil // it has its answer
-			early.add(e)
-		case loadedRecords:
-			records := scheduler.RecoveredRecords{
-				MachineTypes:    e.types,
-				LiveJobs:        e.liveJobs,
-				Pages:           e.pages,
-				Images:          e.images,
-				ZoneReturnPages: e.zones,
-			}
-			core = scheduler.New(
-				now,
-				l.Deployment,
-				l.Log,
-				l.schedulerTerm,
-				records,
-				time.Now().UnixMilli(),
-				l.ZoneReturn,
-			)
-			l.Log.Info("records read", "jobs", len(e.liveJobs), "pages", len(e.pages), "took", now-began)
-			withdrawals := l.CancellationIntents(now)
-			for _, job := range slices.Sorted(maps.Keys(withdrawals)) {
-				l.applyEffects(
-					core.Step(
-						now,
-						scheduler.CancellationIntent{ID: job, ValidUntil: withdrawals[job] + l.ConfirmWithin},
-					),
-				)
-			}
-			for _, c := range changes {
-				l.applyEffects(core.Step(now, c))
-			}
-			changes = nil
-			l.ready.Store(true)
-			for _, r := range early.heartbeats {
-				l.applyEffects(core.Step(now, r))
-			}
-			go l.refreshMachineTypes()
-		case scheduler.JobAccepted, scheduler.JobEnded, scheduler.WatchProgress, scheduler.FinaliseFeatureLevel:
-			changes = append(changes, e.(scheduler.Event))
-		}
-	}
-	rest := time.Duration(0)
-	l.mailbox.Run(l.ctx, scheduler.CycleInterval/8, step, func() {
-		now := l.Now()
-		if core == nil || now < rest || !l.stillConfirmed() {
-			return
-		}
-		cycles := core.CycleCount()
-		l.applyEffects(core.Step(now, scheduler.Tick{}))
-		if core.CycleCount() > cycles {
-			l.Timing.Record(timing.Cycle, l.Now()-now)
-		}
-		// A cycle that takes long is followed by a pause, so that reports and
-		// questions have most of the time, however many jobs wait.
-		rest = l.Now() + cyclePauseFactor*(l.Now()-now)
-	})
-	l.Log.Info("term over")
-}
-
-// recordStepTime notes how long a step took that began at the given time.
-func (l *Leader) recordStepTime(e scheduler.Event, began time.Duration) {
-	if l.Timing == nil {
-		return
-	}
-	kind := timing.Other
-	if _, ok := e.(scheduler.HeartbeatReceived); ok {
-		kind = timing.WorkerHeartbeat
-	}
-	l.Timing.Record(kind, l.Now()-began)
-}
-
-// cyclePauseFactor is how many times as long as a cycle the pause after it is.
-const cyclePauseFactor = 3
-
-// stillConfirmed says whether the term still stands, and ends it if not. A process that
-// stood still while its clocks ran on finds its books full of machines that seem
-// silent and leases that seem over; by then others may lead, and it must not act on
-// any of that.
-func (l *Leader) stillConfirmed() bool {
-	if l.Confirmed() {
-		return true
-	}
-	if l.ctx.Err() == nil {
-		l.Deposed(l.term, scheduler.StepDown{Reason: "unconfirmed"})
-		l.cancel()
-	}
-	return false
-}
--- a/internal/coordination/leader/leader_test.go
+++ b/internal/coordination/leader/leader_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"io"
 	"log/slog"
 	"net/http/httptest"
 	"strings"
@@ -11,6 +10,7 @@
 	"time"
 
 	"pinebay/internal/config"
+	"pinebay/internal/coordination/featurelevel"
 	"pinebay/internal/coordination/scheduler"
 	"pinebay/internal/protocol"
 	"pinebay/internal/random"
@@ -53,26 +53,18 @@
 	deposed := make(chan scheduler.StepDown, 1)
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
-	l := Start(ctx, Deps{
-		Deployment: cfg,
-		Log:        slog.New(slog.NewTextHandler(io.Discard, nil)),
-		Random:     random.New(1),
+	l := Start(ctx, Dependencies{
+		Leadership: fakeLeadership{stale: &stale, deposed: deposed},
+		Intents:    noIntents{},
+		Observer:   noObserver{},
 		Store:      storage.NewClient(transport.TCP{}, random.New(1), cfg, addr, time.Minute),
-		Cloud: NewCloudClient(
-			transport.TCP{},
-			addr,
-			cfg.Cloud,
-		),
-		Workers:               transport.NewClient(transport.TCP{}, 1, 4, time.Minute),
-		Now:                   func() time.Duration { return time.Since(start) },
-		MachineTypesRead:      func([]protocol.MachineType) {},
-		Confirmed:             func() bool { return !stale.Load() },
-		Deposed:               func(_ uint64, d scheduler.StepDown) { deposed <- d },
-		Fresh:                 func(uint64, time.Duration) {},
-		WatchTimeout:          time.Second,
-		CancellationIntents:   func(time.Duration) map[string]time.Duration { return nil },
-		HasCancellationIntent: func(string) bool { return false },
-	}, scheduler.Term{Number: 3, Revision: 1})
+		Cloud:      NewCloudClient(transport.TCP{}, addr, cfg.Cloud),
+		Workers:    transport.NewClient(transport.TCP{}, 1, 4, time.Minute),
+		Random:     random.New(1),
+		Log:        slog.New(slog.DiscardHandler),
+		Now:        func() time.Duration { return time.Since(start) },
+	}, Options{Deployment: cfg, WatchTimeout: time.Second}, scheduler.Term{Number: 3, Revision: 1})
+
 	r := &protocol.WorkerHeartbeat{
 		Machine:     "m1",
 		Addr:        "127.0.0.1:1",
@@ -92,4 +84,27 @@
 	if d := <-deposed; d.TransferLeadership || d.LaterTerm != 0 {
 		t.Errorf("gave up with %+v", d)
 	}
+	l.Wait() // a term that was given up leaves nothing running
+}
+
+// fakeLeadership is confirmed until it is stale.
+type fakeLeadership struct {
+	stale   *atomic.Bool
+	deposed chan<- scheduler.StepDown
 }
+
+func (f fakeLeadership) Confirmed() bool                    { return !f.stale.Load() }
+func (f fakeLeadership) JobsKnownUpTo(time.Duration)        {}
+func (f fakeLeadership) StepDown(reason scheduler.StepDown) { f.deposed <- reason }
+
+// noIntents knows of no cancellation.
+type noIntents struct{}
+
+func (noIntents) NewestByJob(time.Duration) map[string]time.Duration { return nil }
+func (noIntents) HasIntent(time.Duration, string) bool               { return false }
+
+// noObserver ignores everything.
+type noObserver struct{}
+
+func (noObserver) MachineTypesRead([]protocol.MachineType) {}
+func (noObserver) FeatureLevelFinal(featurelevel.Level)    {}
--- a/internal/coordination/leader/recovery.go
+++ b/internal/coordination/leader/recovery.go
@@ -1,6 +1,7 @@
 package leader
 
 import (
+	"context"
 	"errors"
 	"time"
 
@@ -19,47 +20,47 @@
 
 // loadRecords reads the records, trying until it can. The jobs come first and are watched from
 // then on, so that no change is missed.
-func (l *Leader) loadRecords() {
+func (l *Leader) loadRecords(ctx context.Context) {
 	var got loadedRecords
 	watching := false
-	for l.ctx.Err() == nil {
+	for ctx.Err() == nil {
 		var err error
 		if !watching {
 			var rev uint64
-			asked := l.Now()
-			if got.liveJobs, rev, err = l.Store.List(l.ctx, storage.LiveJobPrefix); err == nil {
+			asked := l.deps.Now()
+			if got.liveJobs, rev, err = l.deps.Store.List(ctx, storage.LiveJobPrefix); err == nil {
 				watching = true
 				l.markFresh(asked)
-				go l.watchJobs(rev)
+				l.tasks.Go(func() { l.watchJobs(ctx, rev) })
 			}
 		}
 		if err == nil {
-			err = l.loadRemaining(&got)
+			err = l.loadRemaining(ctx, &got)
 		}
 		if err == nil {
-			l.MachineTypesRead(got.types)
+			l.deps.Observer.MachineTypesRead(got.types)
 			l.mailbox.Send(got)
 			return
 		}
-		l.Log.Info("recovery delayed", "err", err)
-		l.Random.Pause(l.ctx, "recovery", scheduler.CycleInterval/5)
+		l.log.Info("recovery delayed", "err", err)
+		l.deps.Random.Pause(ctx, "recovery", scheduler.CycleInterval/5)
 	}
 }
 
 // loadRemaining reads all records but the jobs.
-func (l *Leader) loadRemaining(got *loadedRecords) (err error) {
-	if got.pages, _, err = l.Store.List(l.ctx, storage.PlacementPrefix); err != nil {
+func (l *Leader) loadRemaining(ctx context.Context, got *loadedRecords) (err error) {
+	if got.pages, _, err = l.deps.Store.List(ctx, storage.PlacementPrefix); err != nil {
 		return err
 	}
-	if got.images, _, err = l.Store.List(l.ctx, storage.ImageHintPrefix); err != nil {
+	if got.images, _, err = l.deps.Store.List(ctx, storage.ImageHintPrefix); err != nil {
 		return err
 	}
-	if l.ZoneReturn != nil {
-		if got.zones, _, err = l.Store.List(l.ctx, storage.ZoneFailoverPrefix); err != nil {
+	if l.options.ZoneReturn != nil {
+		if got.zones, _, err = l.deps.Store.List(ctx, storage.ZoneFailoverPrefix); err != nil {
 			return err
 		}
 	}
-	got.types, err = l.Cloud.MachineTypes(l.ctx, l.Store)
+	got.types, err = l.deps.Cloud.MachineTypes(ctx, l.deps.Store)
 	return err
 }
 
@@ -67,21 +68,21 @@
 // in the mailbox.
 func (l *Leader) markFresh(at time.Duration) {
 	l.mailbox.Send(scheduler.WatchProgress{At: at})
-	l.Fresh(l.term, at)
+	l.deps.Leadership.JobsKnownUpTo(at)
 }
 
 // watchJobs follows the accepted jobs. It looks often, for only an answer shows that
 // nothing has changed until the question was sent: a watch that hangs shows nothing.
-func (l *Leader) watchJobs(rev uint64) {
-	for l.ctx.Err() == nil {
-		asked := l.Now()
-		ev, err := l.Store.Watch(l.ctx, storage.LiveJobPrefix, rev, l.WatchTimeout)
+func (l *Leader) watchJobs(ctx context.Context, rev uint64) {
+	for ctx.Err() == nil {
+		asked := l.deps.Now()
+		ev, err := l.deps.Store.Watch(ctx, storage.LiveJobPrefix, rev, l.options.WatchTimeout)
 		if errors.Is(err, storage.ErrCompacted) {
-			l.Deposed(l.term, scheduler.StepDown{Reason: "fell behind the changes"})
+			l.deps.Leadership.StepDown(scheduler.StepDown{Reason: "fell behind the changes"})
 			return
 		}
 		if err != nil {
-			l.Random.Pause(l.ctx, "watch jobs", scheduler.CycleInterval/5)
+			l.deps.Random.Pause(ctx, "watch jobs", scheduler.CycleInterval/5)
 			continue
 		}
 		rev = max(rev, ev.Revision)
@@ -92,7 +93,7 @@
 			}
 			var rec storage.LiveJobRecord
 			if err := protocol.Decode(e.Value, &rec); err != nil {
-				l.Log.Error("live record out of form", "key", e.PutKey, "err", err)
+				l.log.Error("live record out of form", "key", e.PutKey, "err", err)
 				continue
 			}
 			l.mailbox.Send(scheduler.JobAccepted{Record: rec, Revision: e.Revision})
@@ -102,15 +103,15 @@
 }
 
 // refreshMachineTypes follows the cloud's prices.
-func (l *Leader) refreshMachineTypes() {
-	for l.ctx.Err() == nil {
-		l.Random.Pause(l.ctx, "machine types", config.Seconds(8*l.Deployment.Cloud.ListLagSeconds))
-		types, err := l.Cloud.fetchMachineTypes(l.ctx)
+func (l *Leader) refreshMachineTypes(ctx context.Context) {
+	for ctx.Err() == nil {
+		l.deps.Random.Pause(ctx, "machine types", config.Seconds(8*l.options.Deployment.Cloud.ListLagSeconds))
+		types, err := l.deps.Cloud.fetchMachineTypes(ctx)
 		if err != nil {
-			l.Log.Info("prices not read", "err", err)
+			l.log.Info("prices not read", "err", err)
 			continue
 		}
-		l.MachineTypesRead(types)
+		l.deps.Observer.MachineTypesRead(types)
 		l.mailbox.Send(scheduler.MachineTypesUpdated{Types: types})
 	}
 }
--- a/internal/daemon/leadership.go
+++ b/internal/daemon/leadership.go
@@ -42,36 +42,7 @@
 			)
 		}()
 	case election.BecomeLeader:
-		l := leader.Start(ctx, leader.Deps{
-			Deployment:       &c.cfg.Deployment,
-			Log:              c.log,
-			Store:            c.store,
-			Random:           c.random,
-			Cloud:            c.cloud,
-			Workers:          c.workers,
-			Now:              c.now,
-			MachineTypesRead: c.api.SetMachineTypes,
-			ZoneReturn:       c.features.ZoneReturn,
-			Timing:           c.features.Timing,
-			Confirmed: func() bool {
-				v := c.view.Load()
-				return v.Leading && v.Term == e.Term && c.now() < v.ConfirmedUntil
-			},
-			WatchTimeout:          c.times.LeaderTimeout / 2,
-			ConfirmWithin:         c.times.CancellationTimeout,
-			CancellationIntents:   c.intents.NewestByJob,
-			HasCancellationIntent: c.cancellationRequested,
-			Fresh: func(term uint64, at time.Duration) {
-				c.electionMailbox.Send(election.WatchProgress{Term: term, UpTo: at})
-			},
-			Deposed: func(term uint64, d scheduler.StepDown) {
-				if d.LaterTerm > term {
-					c.electionMailbox.Send(election.HigherTerm{Term: d.LaterTerm})
-				}
-				c.electionMailbox.Send(election.Resign{Term: term, DeferToOthers: d.TransferLeadership})
-			},
-			LevelReached: c.notifyLevelFinalised,
-		}, scheduler.Term{Number: e.Term, Revision: e.Revision, Controller: c.cfg.Name, FeatureLevel: featurelevel.Level(e.FeatureLevel)})
+		l := c.startLeader(ctx, e)
 		if old := c.leading.Swap(l); old != nil {
 			old.Stop()
 		}
@@ -90,6 +61,66 @@
 	}
 }
 
+// startLeader starts the leader of a term that this controller has won.
+func (c *Controller) startLeader(ctx context.Context, won election.BecomeLeader) *leader.Leader {
+	return leader.Start(ctx, leader.Dependencies{
+		Leadership: &leadership{controller: c, term: won.Term},
+		Intents:    c.intents,
+		Observer:   leaderObserver{c},
+		Store:      c.store,
+		Cloud:      c.cloud,
+		Workers:    c.workers,
+		Random:     c.random,
+		Log:        c.log,
+		Now:        c.now,
+	}, leader.Options{
+		Deployment:    &c.cfg.Deployment,
+		WatchTimeout:  c.times.LeaderTimeout / 2,
+		ConfirmWithin: c.times.CancellationTimeout,
+		ZoneReturn:    c.features.ZoneReturn,
+		Timing:        c.features.Timing,
+	}, scheduler.Term{
+		Number:       won.Term,
+		Revision:     won.Revision,
+		Controller:   c.cfg.Name,
+		FeatureLevel: featurelevel.Level(won.FeatureLevel),
+	})
+}
+
+// leadership connects a leader with the election that made it one.
+type leadership struct {
+	controller *Controller
+	term       uint64
+}
+
+// Confirmed implements leader.Leadership.
+func (l *leadership) Confirmed() bool {
+	v := l.controller.view.Load()
+	return v.Leading && v.Term == l.term && l.controller.now() < v.ConfirmedUntil
+}
+
+// JobsKnownUpTo implements leader.Leadership.
+func (l *leadership) JobsKnownUpTo(at time.Duration) {
+	l.controller.electionMailbox.Send(election.WatchProgress{Term: l.term, UpTo: at})
+}
+
+// StepDown implements leader.Leadership.
+func (l *leadership) StepDown(reason scheduler.StepDown) {
+	if reason.LaterTerm > l.term {
+		l.controller.electionMailbox.Send(election.HigherTerm{Term: reason.LaterTerm})
+	}
+	l.controller.electionMailbox.Send(election.Resign{Term: l.term, DeferToOthers: reason.TransferLeadership})
+}
+
+// leaderObserver tells the rest of the controller what its leader has read and made final.
+type leaderObserver struct{ *Controller }
+
+// MachineTypesRead implements leader.Observer.
+func (o leaderObserver) MachineTypesRead(types []protocol.MachineType) { o.api.SetMachineTypes(types) }
+
+// FeatureLevelFinal implements leader.Observer.
+func (o leaderObserver) FeatureLevelFinal(level featurelevel.Level) { o.notifyLevelFinalised(level) }
+
 // claim tries to take the leadership once. Its transaction holds only while
 // neither the leader's key nor the term has changed.
 func (c *Controller) claim(ctx context.Context, e election.Claim) election.ClaimResult {
