--- a/internal/daemon/heartbeats.go
+++ b/internal/daemon/heartbeats.go
@@ -5,87 +5,161 @@
 	"net/http"
 	"time"
 
+	"pinebay/internal/coordination/election"
 	"pinebay/internal/coordination/fencing"
+	"pinebay/internal/coordination/leader"
 	"pinebay/internal/protocol"
 	"pinebay/internal/transport"
 )
 
-// handleHeartbeat takes a worker's report. The leader answers it; others send the worker
-// there, or pass its report on if it comes from there and so cannot reach it.
+// heartbeatTimeout is how long a leader may take to answer a heartbeat. It stays inside the 4 s that a worker waits.
+const heartbeatTimeout = 3 * time.Second
+
+// heartbeatRequest is a worker's heartbeat on its way to an answer.
+type heartbeatRequest struct {
+	w         http.ResponseWriter
+	r         *http.Request
+	heartbeat *protocol.WorkerHeartbeat
+	raw       []byte         // the heartbeat as it came
+	leader    *leader.Leader // of this process when the request came; nil: none
+	view      *election.View // of the same moment
+	epoch     uint64         // of ownership; 0: none is in force
+}
+
+// handleHeartbeat answers a worker's heartbeat, or sends the worker to the controller that does. What is done is
+// decided by routeHeartbeat.
+//
+// The reads of what others publish have an order:
+//
+//   - The leader of this process comes before the view. The election publishes a view and only then starts or stops
+//     the leader, so a view read second is at least as new as the leader read first. Without a leader here, a view that
+//     names this controller says that its leader is about to start, or has just ended: nobody leads.
+//   - Whether this controller renews leases on standby is decided after no leader was found here, by a view of its own.
+//   - All of this comes before the body, since most heartbeats without a leader are refused unread.
+//   - Readiness of the leader, and ownership, are read after the body. A body may take long, and an owner answers by
+//     what is fresh at the time of the answer.
+//   - When the leader has answered, first the leader and then the view are read again: see askLeader.
 func (c *Controller) handleHeartbeat(w http.ResponseWriter, r *http.Request) {
 	l := c.leading.Load()
 	view := c.view.Load()
-	leader := view.Leader
-	standby := l == nil && c.mayRenewOnStandby()
-	nobody := l == nil && (leader == "" || leader == c.cfg.Name)
-	if nobody && !standby && c.storeReachable() {
+	known := c.leadershipView(l, view)
+	if known.refusesUnread() {
 		c.redirect(w, c.standbyRenewer())
 		return
 	}
-	raw, err := transport.ReadBody(w, r)
+	heartbeat, raw, err := c.readHeartbeat(w, r)
 	if err != nil {
 		transport.WriteResponse(w, http.StatusBadRequest, protocol.ErrorResponse{Error: err.Error()})
 		return
 	}
-	rep, err := protocol.DecodeWorkerHeartbeat(raw)
-	if err != nil {
-		c.log.Info("report refused", "remote", r.RemoteAddr, "err", err)
-		transport.WriteResponse(w, http.StatusBadRequest, protocol.ErrorResponse{Error: err.Error()})
-		return
+	if known.leaderless() || l != nil && !l.Ready() {
+		c.fencingMailbox.Send(fencing.HeartbeatReceived{Heartbeat: heartbeat})
 	}
-	if nobody || l != nil && !l.Ready() {
-		c.fencingMailbox.Send(fencing.HeartbeatReceived{Heartbeat: rep})
+	owners := c.ownershipView(known, l, view, heartbeat.Machine)
+	tokenTerm := protocol.TermOfToken(heartbeat.FencingToken)
+	route := routeHeartbeat(known, owners, tokenTerm)
+	if route.action == redirectToOwner && c.returnedFromOwner(heartbeat.Machine, owners.epoch) {
+		owners.ownerReachable = false // for this worker
+		route = routeHeartbeat(known, owners, tokenTerm)
 	}
-	if nobody && !standby {
-		// Its lease may be about to end: it should not have to try every controller.
-		c.redirect(w, c.standbyRenewer())
-		return
+	c.carryOutRoute(route, heartbeatRequest{w, r, heartbeat, raw, l, view, owners.epoch})
+}
+
+// leadershipView returns what is known of the leader, given the leader of this process and a view read after it.
+func (c *Controller) leadershipView(l *leader.Leader, view *election.View) leadershipView {
+	v := leadershipView{self: c.cfg.Name, leadsHere: l != nil, leader: view.Leader, term: view.Term}
+	v.renewsOnStandby = !v.leadsHere && c.mayRenewOnStandby()
+	if v.leaderless() && !v.renewsOnStandby {
+		v.storeReachable = c.storeReachable()
 	}
-	if standby {
-		// Nobody can lead: keep the tasks alive, with the token that the worker
-		// has, but for those whose users may have been told that they are cancelled.
-		transport.WriteResponse(
-			w,
-			http.StatusOK,
-			protocol.WorkerHeartbeatReply{
-				FencingToken: rep.FencingToken,
-				Commands:     rep.StopCommands(c.cancellationRequested),
-			},
-		)
-		return
+	return v
+}
+
+// readHeartbeat reads and decodes the body of a request.
+func (c *Controller) readHeartbeat(w http.ResponseWriter, r *http.Request) (*protocol.WorkerHeartbeat, []byte, error) {
+	raw, err := transport.ReadBody(w, r)
+	if err != nil {
+		return nil, nil, err
 	}
-	if c.routeByOwner(w, r, l, view, rep, raw) {
-		return
+	heartbeat, err := protocol.DecodeWorkerHeartbeat(raw)
+	if err != nil {
+		c.log.Info("report refused", "remote", r.RemoteAddr, "err", err)
+		return nil, nil, err
+	}
+	return heartbeat, raw, nil
+}
+
+// carryOutRoute does what was decided for a heartbeat.
+func (c *Controller) carryOutRoute(route heartbeatRoute, q heartbeatRequest) {
+	switch route.action {
+	case refuseHeartbeat:
+		// The worker's lease may be about to end: it should not have to try every controller.
+		c.redirect(q.w, c.standbyRenewer())
+	case renewOnStandby:
+		c.renewOnStandby(q)
+	case answerAsOwner:
+		c.answerAsOwner(route.controller, q)
+	case redirectToOwner:
+		c.redirect(q.w, route.controller)
+	case answerAsLeader:
+		c.answerAsLeader(q)
+	case sendToLeader:
+		c.sendToLeader(route, q)
 	}
-	ctx, cancel := context.WithTimeout(r.Context(), heartbeatTimeout)
+}
+
+// renewOnStandby keeps the worker's tasks alive while nobody can lead, with the token that the worker has, but for
+// those whose users may have been told that they are cancelled.
+func (c *Controller) renewOnStandby(q heartbeatRequest) {
+	transport.WriteResponse(q.w, http.StatusOK, protocol.WorkerHeartbeatReply{
+		FencingToken: q.heartbeat.FencingToken,
+		Commands:     q.heartbeat.StopCommands(c.cancellationRequested),
+	})
+}
+
+// answerAsLeader has the leader of this process answer.
+func (c *Controller) answerAsLeader(q heartbeatRequest) {
+	ctx, cancel := context.WithTimeout(q.r.Context(), heartbeatTimeout)
 	defer cancel()
-	if l == nil {
-		// With owners a worker may have the leader's word from one of those.
-		met := protocol.TermOfToken(rep.FencingToken) == view.Term && !c.ownershipEffective(view)
-		if c.redirects.ShouldRelay(rep.Machine, leader, met, c.now()) {
-			c.relay(ctx, w, leader, raw)
-		} else {
-			c.redirect(w, leader)
-		}
+	reply, ok := c.askLeader(ctx, q.leader, q.heartbeat, false)
+	if !ok {
+		c.redirect(q.w, "")
 		return
 	}
-	a, ok := l.Heartbeat(ctx, rep, false)
-	if !ok || c.leading.Load() != l || !c.knowsCancellations() {
-		// A 200 with a token that the worker has to drop would hold it here, and one
-		// by a leader that may not know of a cancellation would keep its tasks alive.
-		c.redirect(w, "")
+	transport.WriteResponse(q.w, http.StatusOK, reply)
+}
+
+// sendToLeader redirects a worker to the leader, or relays the heartbeat of one that comes from there.
+func (c *Controller) sendToLeader(route heartbeatRoute, q heartbeatRequest) {
+	if !c.redirects.ShouldRelay(q.heartbeat.Machine, route.controller, route.answeredByLeader, c.now()) {
+		c.redirect(q.w, route.controller)
 		return
 	}
-	transport.WriteResponse(w, http.StatusOK, a)
+	ctx, cancel := context.WithTimeout(q.r.Context(), heartbeatTimeout)
+	defer cancel()
+	c.forwardToLeader(ctx, q.w, route.controller, protocol.PeerMessage{
+		Kind: protocol.PeerForwardedHeartbeat,
+		Body: q.raw,
+	})
 }
 
-// relay passes a report to the leader and its answer to the worker, so the 200
-// carries the leader's word.
-func (c *Controller) relay(ctx context.Context, w http.ResponseWriter, leader string, raw []byte) {
-	c.forwardToLeader(ctx, w, leader, protocol.PeerMessage{Kind: protocol.PeerForwardedHeartbeat, Body: raw})
+// askLeader returns the answer of a leader of this process to a heartbeat, and whether it may be given to the worker.
+// By the time of the answer the leader must not have been replaced, and must know of every cancellation: a token of an
+// ended term would be dropped by the worker, and hold it here; and a leader that may not know of a cancellation would
+// keep its tasks alive. The leader is read before the view: the election publishes the view before it stops a leader,
+// so the view is at least as new.
+func (c *Controller) askLeader(
+	ctx context.Context,
+	l *leader.Leader,
+	heartbeat *protocol.WorkerHeartbeat,
+	relayed bool,
+) (protocol.WorkerHeartbeatReply, bool) {
+	reply, ok := l.Heartbeat(ctx, heartbeat, relayed)
+	return reply, ok && c.leading.Load() == l && c.knowsCancellations()
 }
 
-// forwardToLeader passes a report to the leader and its answer to the worker, and says whether there was one.
+// forwardToLeader forwards a heartbeat to the leader's controller and its answer to the worker, and returns whether there
+// was one.
 func (c *Controller) forwardToLeader(
 	ctx context.Context,
 	w http.ResponseWriter,
@@ -103,25 +177,26 @@
 	return true
 }
 
-// answerRelayedHeartbeat answers a report that another controller passed on.
+// answerRelayedHeartbeat answers a heartbeat that another controller has forwarded; nil: not answered.
 func (c *Controller) answerRelayedHeartbeat(m *protocol.PeerMessage) []byte {
 	l := c.leading.Load()
 	if l == nil {
 		return nil
 	}
-	rep, err := protocol.DecodeWorkerHeartbeat(m.Body)
+	heartbeat, err := protocol.DecodeWorkerHeartbeat(m.Body)
 	if err != nil {
 		c.log.Info("report refused", "from", m.From, "err", err)
 		return nil
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), heartbeatTimeout)
 	defer cancel()
-	// An owner ends the connections of machines that may well be in our reach; others pass on what can't reach us.
-	a, ok := l.Heartbeat(ctx, rep, m.OwnershipEpoch == 0)
-	if !ok || c.leading.Load() != l || !c.knowsCancellations() {
+	// An owner ends the connections of machines that may well be in our reach; others relay for what can't reach us.
+	relayed := m.OwnershipEpoch == 0
+	reply, ok := c.askLeader(ctx, l, heartbeat, relayed)
+	if !ok {
 		return nil
 	}
-	raw, err := protocol.Encode(a)
+	raw, err := protocol.Encode(reply)
 	if err != nil {
 		c.log.Error("report answer", "err", err)
 		return nil
@@ -129,18 +204,16 @@
 	return raw
 }
 
-// knowsCancellations says whether workers may be answered by the leader that we are.
+// knowsCancellations returns whether this controller leads and may renew leases: it knows of every cancellation that
+// users may have been told of.
 func (c *Controller) knowsCancellations() bool {
 	v := c.view.Load()
 	return v.Leading && c.now() < v.MayRenewUntil
 }
 
-// heartbeatTimeout stays inside the 4 s that a worker waits.
-const heartbeatTimeout = 3 * time.Second
-
-// redirect sends a worker to the leader, or away if none is known.
-func (c *Controller) redirect(w http.ResponseWriter, leader string) {
-	if leader == "" {
+// redirect sends a worker to another controller, or asks it to try again later if there is none.
+func (c *Controller) redirect(w http.ResponseWriter, controller string) {
+	if controller == "" {
 		transport.WriteResponse(
 			w,
 			http.StatusServiceUnavailable,
@@ -148,5 +221,5 @@
 		)
 		return
 	}
-	transport.WriteResponse(w, http.StatusMisdirectedRequest, protocol.Redirect{Leader: leader})
+	transport.WriteResponse(w, http.StatusMisdirectedRequest, protocol.Redirect{Leader: controller})
 }
--- a/internal/daemon/ownerheartbeats.go
+++ b/internal/daemon/ownerheartbeats.go
@@ -15,34 +15,30 @@
 	"pinebay/internal/transport"
 )
 
-// routeByOwner takes a report by who owns its machine, and says whether it has answered it: the owner answers what
-// tells nothing new and passes the rest on to the leader, others send the worker to its owner. What is not answered
-// here goes as without owners.
-func (c *Controller) routeByOwner(
-	w http.ResponseWriter,
-	r *http.Request,
+// ownershipView returns what is known of the ownership of a machine. The order of the reads is that of the decision: the
+// table and the leader's epoch first, so that what is read of the owner is at least as new.
+func (c *Controller) ownershipView(
+	known leadershipView,
 	l *leader.Leader,
-	v *election.View,
-	rep *protocol.WorkerHeartbeat,
-	raw []byte,
-) bool {
-	if c.ownership == nil {
-		return false
+	view *election.View,
+	machine string,
+) ownershipView {
+	if c.ownership == nil || known.renewsOnStandby || known.leaderless() {
+		return ownershipView{} // owners answer for a leader
 	}
-	table := c.effectiveTable(l, v)
+	table := c.effectiveTable(l, view)
 	if table == nil {
-		return false
+		return ownershipView{}
 	}
-	owner := table.Owner(rep.Machine)
+	o := ownershipView{epoch: table.Epoch, owner: table.Owner(machine)}
 	switch {
-	case owner == c.cfg.Name && l == nil && c.ownerStatus(table, v).MayAnswer():
-		c.answerAsOwner(w, r, table, v, rep, raw)
-		return true
-	case owner == c.cfg.Name || owner == "" || !c.ownerReachable(owner, l != nil) || c.returnedFromOwner(rep.Machine, table):
-		return false
-	}
-	c.redirect(w, owner)
-	return true
+	case o.owner == "":
+	case o.owner != known.self:
+		o.ownerReachable = c.ownerReachable(o.owner, known.leadsHere)
+	case !known.leadsHere:
+		o.mayAnswer = c.ownerStatus(table, view).MayAnswer()
+	}
+	return o
 }
 
 // effectiveTable returns the owners if the leader goes by them, or nil.
@@ -63,11 +59,6 @@
 	return table
 }
 
-// ownershipEffective says whether the leader goes by a record of owners.
-func (c *Controller) ownershipEffective(v *election.View) bool {
-	return c.ownership != nil && c.effectiveTable(nil, v) != nil
-}
-
 // ownerStatus is what decides whether this controller may answer workers as an owner.
 func (c *Controller) ownerStatus(table *ownership.Table, v *election.View) ownership.OwnerStatus {
 	now := c.now()
@@ -112,40 +103,34 @@
 
 // returnedFromOwner says whether a machine was sent to its owner and has come back: it can't reach it, and is served
 // here for a while.
-func (c *Controller) returnedFromOwner(machine string, table *ownership.Table) bool {
-	return c.ownership.ownerRedirects.ShouldRelay(machine, fmt.Sprint(table.Epoch), false, c.now())
+func (c *Controller) returnedFromOwner(machine string, epoch uint64) bool {
+	return c.ownership.ownerRedirects.ShouldRelay(machine, fmt.Sprint(epoch), false, c.now())
 }
 
-// answerAsOwner answers a report of a machine that this controller owns.
-func (c *Controller) answerAsOwner(
-	w http.ResponseWriter,
-	r *http.Request,
-	table *ownership.Table,
-	v *election.View,
-	rep *protocol.WorkerHeartbeat,
-	raw []byte,
-) {
+// answerAsOwner answers the heartbeat of a machine that this controller owns, or forwards it to the leader if that has
+// to know of it.
+func (c *Controller) answerAsOwner(leader string, q heartbeatRequest) {
 	o := c.ownership
 	o.mu.Lock()
-	news := o.heartbeats.MustForward(c.now(), rep, v.Term)
+	mustForward := o.heartbeats.MustForward(c.now(), q.heartbeat, q.view.Term)
 	o.mu.Unlock()
-	if !news {
-		transport.WriteResponse(w, http.StatusOK, ownership.UnchangedReply(rep, c.cancellationRequested))
+	if !mustForward {
+		transport.WriteResponse(q.w, http.StatusOK, ownership.UnchangedReply(q.heartbeat, c.cancellationRequested))
 		o.mu.Lock()
-		o.heartbeats.AnsweredLocally(rep)
+		o.heartbeats.AnsweredLocally(q.heartbeat)
 		o.mu.Unlock()
 		return
 	}
-	ctx, cancel := context.WithTimeout(r.Context(), heartbeatTimeout)
+	ctx, cancel := context.WithTimeout(q.r.Context(), heartbeatTimeout)
 	defer cancel()
-	if c.forwardToLeader(
-		ctx,
-		w,
-		v.Leader,
-		protocol.PeerMessage{Kind: protocol.PeerForwardedHeartbeat, Body: raw, OwnershipEpoch: table.Epoch},
-	) {
+	forwarded := c.forwardToLeader(ctx, q.w, leader, protocol.PeerMessage{
+		Kind:           protocol.PeerForwardedHeartbeat,
+		Body:           q.raw,
+		OwnershipEpoch: q.epoch,
+	})
+	if forwarded {
 		o.mu.Lock()
-		o.heartbeats.Forwarded(c.now(), rep)
+		o.heartbeats.Forwarded(c.now(), q.heartbeat)
 		o.mu.Unlock()
 	}
 }
