--- a/internal/coordination/leader/term.go
+++ b/internal/coordination/leader/term.go
@@ -131,7 +131,8 @@
 
 // step has the scheduler process an event, and applies the effects.
 func (t *termLoop) step(ctx context.Context, now time.Duration, event scheduler.Event) {
-	t.applyEffects(ctx, t.scheduler.Step(now, event))
+	effects := t.scheduler.Step(now, event) //nolint:contextcheck // a state machine without I/O; it only logs
+	t.applyEffects(ctx, effects)
 }
 
 // tick runs a scheduling cycle if one is due. One that takes long is followed by a pause, so that heartbeats and
--- a/internal/daemon/failuredetection.go
+++ b/internal/daemon/failuredetection.go
@@ -4,6 +4,7 @@
 	"context"
 	"maps"
 	"slices"
+	"sync"
 	"sync/atomic"
 	"time"
 
@@ -15,13 +16,26 @@
 	"pinebay/internal/protocol"
 )
 
-// failureDetector is the actor that judges whether other controllers have failed.
-type failureDetector struct {
+// failureDetectorActor judges whether other controllers have failed. A nil actor is off.
+type failureDetectorActor struct {
+	*environment
 	mailbox *actor.Mailbox[failuredetector.Event]
-	// published is what the next heartbeats say of it.
+	// published is what the next heartbeats say.
 	published atomic.Pointer[publishedOpinions]
 	// malformedLogLimit bounds how often malformed opinions are logged.
 	malformedLogLimit rate.Sometimes
+	// verdicts receives the verdicts.
+	verdicts *actor.Mailbox[ownership.Event]
+	tasks    sync.WaitGroup // probes under way
+}
+
+func newFailureDetectorActor(env *environment, verdicts *actor.Mailbox[ownership.Event]) *failureDetectorActor {
+	return &failureDetectorActor{
+		environment:       env,
+		mailbox:           actor.NewMailbox[failuredetector.Event](),
+		malformedLogLimit: rate.Sometimes{Interval: env.times.LeaderTimeout},
+		verdicts:          verdicts,
+	}
 }
 
 // publishedOpinions is what a controller tells the others with its heartbeats.
@@ -31,37 +45,47 @@
 	opinions    []protocol.PeerOpinion
 }
 
-// failureDetectorTimes derives the times of suspicion from those of the election.
-func (c *Controller) failureDetectorTimes() failuredetector.Timing {
+// detectorTimes derives the times of suspicion from those of the election.
+func (a *failureDetectorActor) detectorTimes() failuredetector.Timing {
 	return failuredetector.Timing{
-		TickInterval:     followerHeartbeatFactor * c.times.HeartbeatInterval,
-		SuspicionTimeout: c.times.LeaderTimeout,
-		OpinionTTL:       c.times.LeaderTimeout,
+		TickInterval:     followerHeartbeatFactor * a.times.HeartbeatInterval,
+		SuspicionTimeout: a.times.LeaderTimeout,
+		OpinionTTL:       a.times.LeaderTimeout,
 	}
 }
 
-// runFailureDetector is the actor; it ends at once while suspicions are off.
-func (c *Controller) runFailureDetector(ctx context.Context) {
-	if c.failureDetector == nil {
+// run is the actor. It returns when the context has ended and nothing is under way any more, or at once if it is off.
+func (a *failureDetectorActor) run(ctx context.Context) {
+	if a == nil {
 		return
 	}
-	times := c.failureDetectorTimes()
-	machine := failuredetector.New(c.now(), c.cfg.Name, c.intents.Incarnation(), c.mesh.Peers(), times)
+	defer a.tasks.Wait()
+	times := a.detectorTimes()
+	detector := failuredetector.New(a.now(), a.cfg.Name, a.intents.Incarnation(), a.mesh.Peers(), times)
 	step := func(e failuredetector.Event) {
-		now := c.now()
-		machine.SetVoting(c.intents.Recovered(now))
-		for _, effect := range machine.Step(now, e) {
-			c.applyDetectorEffect(ctx, effect)
+		now := a.now()
+		detector.SetVoting(a.intents.Recovered(now))
+		for _, effect := range detector.Step(now, e) {
+			a.apply(ctx, effect)
 		}
 	}
-	tick := actor.Every(times.TickInterval, c.now, func(now time.Duration) {
+	tick := actor.Every(times.TickInterval, a.now, func(now time.Duration) {
 		step(failuredetector.Tick{})
-		c.failureDetector.publish(now, machine)
+		a.publish(now, detector)
 	})
-	c.failureDetector.mailbox.Run(ctx, times.TickInterval, step, tick)
+	a.mailbox.Run(ctx, times.TickInterval, step, tick)
 }
 
-func (s *failureDetector) publish(now time.Duration, m *failuredetector.Detector) {
+// incarnation returns the current one of this process.
+func (a *failureDetectorActor) incarnation() failuredetector.Incarnation {
+	if s := a.published.Load(); s != nil {
+		return s.incarnation
+	}
+	return failuredetector.Incarnation{Process: a.intents.Incarnation()}
+}
+
+// publish makes the opinions available for the next heartbeats.
+func (a *failureDetectorActor) publish(now time.Duration, m *failuredetector.Detector) {
 	out := &publishedOpinions{incarnation: m.Incarnation(), health: m.HealthScore()}
 	opinions := m.Opinions(now)
 	for _, name := range slices.Sorted(maps.Keys(opinions)) {
@@ -82,35 +106,34 @@
 			UnreachableThrough: o.UnreachableThrough,
 		})
 	}
-	s.published.Store(out)
+	a.published.Store(out)
 }
 
-func (c *Controller) applyDetectorEffect(ctx context.Context, effect failuredetector.Effect) {
+// apply carries out an effect. Whatever waits runs on its own goroutine.
+func (a *failureDetectorActor) apply(ctx context.Context, effect failuredetector.Effect) {
 	switch e := effect.(type) {
 	case failuredetector.DecisionMade:
-		c.log.Info("suspicion", "decision", e.Decision.Describe())
+		a.log.Info("suspicion", "decision", e.Decision.Describe())
 		if v, ok := e.Decision.(failuredetector.Verdict); ok {
-			c.ownership.mailbox.Send(
-				ownership.Verdict{
-					Member: ownership.Member{Controller: v.Controller, Incarnation: v.Incarnation},
-					Reason: v.Describe(),
-				},
-			)
+			a.verdicts.Send(ownership.Verdict{
+				Member: ownership.Member{Controller: v.Controller, Incarnation: v.Incarnation},
+				Reason: v.Describe(),
+			})
 		}
 	case failuredetector.Probe:
 		for _, through := range e.Through {
-			go c.probeThrough(ctx, e.Target, through)
+			a.tasks.Go(func() { a.probeThrough(ctx, e.Target, through) })
 		}
 	}
 }
 
 // probeThrough asks a peer whether it reaches a controller. No answer tells nothing.
-func (c *Controller) probeThrough(ctx context.Context, target, through string) {
-	r, err := c.mesh.Call(ctx, through, protocol.PeerMessage{Kind: protocol.PeerStatusQuery, ProbeTarget: target})
+func (a *failureDetectorActor) probeThrough(ctx context.Context, target, through string) {
+	r, err := a.mesh.Call(ctx, through, protocol.PeerMessage{Kind: protocol.PeerStatusQuery, ProbeTarget: target})
 	if err != nil || r.TargetReached == nil {
 		return
 	}
-	c.failureDetector.mailbox.Send(
+	a.mailbox.Send(
 		failuredetector.ProbeResult{Target: target, Through: through, Reached: *r.TargetReached},
 	)
 }
@@ -121,13 +144,13 @@
 
 // handleProbe answers whether a controller is reached from here. Any answer of it will do, also of
 // one without suspicions.
-func (c *Controller) handleProbe(m *protocol.PeerMessage, reply *protocol.PeerMessage) {
-	if c.failureDetector == nil || m.ProbeTarget == "" || m.ProbeTarget == c.cfg.Name {
+func (a *failureDetectorActor) handleProbe(m *protocol.PeerMessage, reply *protocol.PeerMessage) {
+	if a == nil || m.ProbeTarget == "" || m.ProbeTarget == a.cfg.Name {
 		return
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), c.times.LeaderTimeout/2/probeTimeoutDivisor)
+	ctx, cancel := context.WithTimeout(context.Background(), a.times.LeaderTimeout/2/probeTimeoutDivisor)
 	defer cancel()
-	_, err := c.mesh.Call(
+	_, err := a.mesh.Call(
 		ctx,
 		m.ProbeTarget,
 		protocol.PeerMessage{Kind: protocol.PeerStatusQuery, ProbeTarget: m.ProbeTarget},
@@ -136,20 +159,20 @@
 	reply.TargetReached = &reached
 }
 
-// addOpinions puts into a heartbeat, or its answer, what this controller holds of the others.
-func (c *Controller) addOpinions(m *protocol.PeerMessage) {
-	if c.failureDetector == nil {
+// fill puts into a heartbeat, or its answer, what this controller holds of the others.
+func (a *failureDetectorActor) fill(m *protocol.PeerMessage) {
+	if a == nil {
 		return
 	}
-	if s := c.failureDetector.published.Load(); s != nil {
+	if s := a.published.Load(); s != nil {
 		m.Refutations, m.HealthScore, m.Opinions = s.incarnation.Refutations, s.health, s.opinions
 	}
 }
 
-// handleOpinions takes in a peer's heartbeat, or its answer to ours. Opinions that are out of form are
+// peerHeard takes in a peer's heartbeat, or its answer to ours. Opinions that are out of form are
 // dropped, and with them whatever they could consent to.
-func (c *Controller) handleOpinions(m *protocol.PeerMessage) {
-	if c.failureDetector == nil || m.Incarnation == 0 {
+func (a *failureDetectorActor) peerHeard(m *protocol.PeerMessage) {
+	if a == nil || m.Incarnation == 0 {
 		return
 	}
 	heard := failuredetector.PeerHeartbeat{
@@ -159,11 +182,11 @@
 		Voting:      m.Recovered,
 	}
 	if err := protocol.CheckOpinions(m.Opinions); err != nil {
-		c.failureDetector.malformedLogLimit.Do(func() { c.log.Info("opinions refused", "from", m.From, "err", err) })
+		a.malformedLogLimit.Do(func() { a.log.Info("opinions refused", "from", m.From, "error", err) })
 	} else {
 		heard.Opinions = decodeOpinions(m.Opinions)
 	}
-	c.failureDetector.mailbox.Send(heard)
+	a.mailbox.Send(heard)
 }
 
 func decodeOpinions(list []protocol.PeerOpinion) map[string]failuredetector.Opinion {
@@ -174,15 +197,10 @@
 			heard = -1
 		}
 		out[o.Controller] = failuredetector.Opinion{
-			Incarnation: failuredetector.Incarnation{
-				Process:     o.Incarnation,
-				Refutations: o.Refutations,
-			},
-			HeardAgo:  heard,
-			Suspected: o.Suspected,
-			SuspectedFor: time.Duration(
-				o.SuspectedForMS,
-			) * time.Millisecond,
+			Incarnation:        failuredetector.Incarnation{Process: o.Incarnation, Refutations: o.Refutations},
+			HeardAgo:           heard,
+			Suspected:          o.Suspected,
+			SuspectedFor:       time.Duration(o.SuspectedForMS) * time.Millisecond,
 			Phi:                o.Phi,
 			Failed:             o.Failed,
 			UnreachableThrough: o.UnreachableThrough,
--- a/internal/daemon/featurelevels.go
+++ b/internal/daemon/featurelevels.go
@@ -3,84 +3,113 @@
 import (
 	"context"
 	"slices"
+	"sync"
 
+	"pinebay/internal/actor"
+	"pinebay/internal/coordination/api"
 	"pinebay/internal/coordination/featurelevel"
 	"pinebay/internal/protocol"
 	"pinebay/internal/storage"
 )
 
-// runLevels is the feature levels' actor.
-func (c *Controller) runLevels(ctx context.Context) {
-	var missing []string
+// featureLevelActor finds out which feature level all controllers speak, so that the leader can make it final.
+type featureLevelActor struct {
+	*environment
+	mailbox *actor.Mailbox[featurelevel.Event]
+	gate    *featurelevel.Gate
+	api     *api.Server
+	missing []string       // controllers that have not shown this version's level, as logged
+	tasks   sync.WaitGroup // requests under way
+}
+
+func newFeatureLevelActor(env *environment, peers []string, users *api.Server) *featureLevelActor {
+	level := env.features.featureLevel()
+	return &featureLevelActor{
+		environment: env,
+		mailbox:     actor.NewMailbox[featurelevel.Event](),
+		gate:        featurelevel.New(env.cfg.Name, peers, level, env.times.LeaderTimeout/2),
+		api:         users,
+	}
+}
+
+// run is the actor. It returns when the context has ended and nothing is under way any more.
+func (a *featureLevelActor) run(ctx context.Context) {
+	defer a.tasks.Wait()
 	step := func(e featurelevel.Event) {
-		if _, ok := e.(featurelevel.RecordsListed); ok {
-			defer func() { missing = c.logMissingLevels(missing) }()
+		for _, effect := range a.gate.Step(a.now(), e) {
+			a.apply(ctx, effect)
 		}
-		for _, effect := range c.levels.Step(c.now(), e) {
-			c.applyLevelEffect(ctx, effect)
+		if _, ok := e.(featurelevel.RecordsListed); ok {
+			a.logMissing()
 		}
 	}
-	c.levelMailbox.Run(ctx, c.times.HeartbeatInterval, step, func() {
-		l := c.leading.Load()
+	a.mailbox.Run(ctx, a.times.HeartbeatInterval, step, func() {
+		l := a.leading.Load()
 		step(featurelevel.Leadership{Leading: l != nil && l.Ready()})
 		step(featurelevel.Tick{})
 	})
 }
 
-// logMissingLevels logs which controllers have not shown this version's level, if these are others than were told of.
-func (c *Controller) logMissingLevels(told []string) []string {
-	missing := c.levels.Missing()
-	if !slices.Equal(missing, told) && c.levels.Final() < c.features.featureLevel() {
-		c.log.Info("feature level waits for controllers", "level", c.features.featureLevel(), "missing", missing)
+// peerHeard is called for each heartbeat of a peer, and each of its answers to one.
+func (a *featureLevelActor) peerHeard(m *protocol.PeerMessage) {
+	a.mailbox.Send(featurelevel.PeerHeartbeat{Controller: m.From, Level: featurelevel.Level(m.FeatureLevel)})
+}
+
+// finalised is called when the leader of this process has made a level final.
+func (a *featureLevelActor) finalised(level featurelevel.Level) {
+	a.mailbox.Send(featurelevel.Finalised{Level: level})
+}
+
+// logMissing logs which controllers have not shown this version's level, if these are others than before.
+func (a *featureLevelActor) logMissing() {
+	missing := a.gate.Missing()
+	if !slices.Equal(missing, a.missing) && a.gate.Final() < a.features.featureLevel() {
+		a.log.Info("feature level waits for controllers", "level", a.features.featureLevel(), "missing", missing)
 	}
-	return missing
+	a.missing = missing
 }
 
-func (c *Controller) applyLevelEffect(ctx context.Context, effect featurelevel.Effect) {
+// apply carries out an effect. Whatever waits runs on its own goroutine.
+func (a *featureLevelActor) apply(ctx context.Context, effect featurelevel.Effect) {
 	switch e := effect.(type) {
 	case featurelevel.ListRecords:
-		go func() { c.levelMailbox.Send(c.listLevels(ctx)) }()
+		a.tasks.Go(func() { a.mailbox.Send(a.listLevels(ctx)) })
 	case featurelevel.Announce:
-		go func() {
-			c.recordLevel(ctx, e)
-			c.levelMailbox.Send(featurelevel.AnnounceDone{})
-		}()
+		a.tasks.Go(func() {
+			a.recordLevel(ctx, e)
+			a.mailbox.Send(featurelevel.AnnounceDone{})
+		})
 	case featurelevel.Finalise:
-		if l := c.leading.Load(); l != nil {
+		if l := a.leading.Load(); l != nil {
 			l.FinaliseLevel(e.Level)
 		}
 	case featurelevel.Activate:
-		c.log.Info("feature level in force", "level", e.Level)
-		c.store.SetLimits(c.cfg.Deployment.Store.Lowest())
-		c.api.SetFeatureLevel(e.Level)
+		a.log.Info("feature level in force", "level", e.Level)
+		a.store.SetLimits(a.cfg.Deployment.Store.Lowest())
+		a.api.SetFeatureLevel(e.Level)
 	}
 }
 
-// notifyLevelFinalised takes in that the leader here has made a level final.
-func (c *Controller) notifyLevelFinalised(level featurelevel.Level) {
-	c.levelMailbox.Send(featurelevel.Finalised{Level: level})
-}
-
 // listLevels reads what levels the controllers have recorded, and which one is final.
-func (c *Controller) listLevels(ctx context.Context) featurelevel.RecordsListed {
+func (a *featureLevelActor) listLevels(ctx context.Context) featurelevel.RecordsListed {
 	fail := func(err error) featurelevel.RecordsListed {
-		c.log.Debug("feature levels not read", "err", err)
+		a.log.Debug("feature levels not read", "error", err)
 		return featurelevel.RecordsListed{Failed: true}
 	}
-	pairs, _, err := c.store.ListWithBudget(ctx, storage.BudgetUrgent, storage.FeatureLevelPrefix)
+	pairs, _, err := a.store.ListWithBudget(ctx, storage.BudgetUrgent, storage.FeatureLevelPrefix)
 	if err != nil {
 		return fail(err)
 	}
 	listed := featurelevel.RecordsListed{Controllers: map[string]featurelevel.Record{}}
 	for _, p := range pairs {
-		node, rec, err := storage.DecodeFeatureLevel(p)
+		controller, rec, err := storage.DecodeFeatureLevel(p)
 		if err != nil {
-			c.log.Error("feature level out of form", "err", err)
+			a.log.Error("malformed feature level record", "error", err)
 			continue
 		}
-		listed.Controllers[node] = featurelevel.Record{Level: featurelevel.Level(rec.Level), Revision: p.Revision}
+		listed.Controllers[controller] = featurelevel.Record{Level: featurelevel.Level(rec.Level), Revision: p.Revision}
 	}
-	term, err := c.store.Get(ctx, storage.BudgetUrgent, storage.TermKey)
+	term, err := a.store.Get(ctx, storage.BudgetUrgent, storage.TermKey)
 	if err != nil {
 		return fail(err)
 	}
@@ -96,15 +125,15 @@
 
 // recordLevel records the level that this controller speaks. Should the answer be lost, the next look
 // shows whether it is recorded.
-func (c *Controller) recordLevel(ctx context.Context, e featurelevel.Announce) {
+func (a *featureLevelActor) recordLevel(ctx context.Context, e featurelevel.Announce) {
 	value, err := protocol.Encode(storage.FeatureLevelRecord{Level: int(e.Level)})
 	if err != nil {
-		c.log.Error("feature level", "err", err)
+		a.log.Error("feature level not recorded", "error", err)
 		return
 	}
-	key := storage.FeatureLevelKey(c.cfg.Name)
-	_, ok, err := c.store.Txn(ctx, storage.BudgetUrgent, protocol.Txn{
+	key := storage.FeatureLevelKey(a.cfg.Name)
+	_, ok, err := a.store.Txn(ctx, storage.BudgetUrgent, protocol.Txn{
 		If: []protocol.Compare{{Key: key, Revision: e.Revision}}, Then: []protocol.Op{{PutKey: key, Value: value}},
 	})
-	c.log.Info("feature level recorded", "level", e.Level, "ok", ok, "err", err)
+	a.log.Info("feature level recorded", "level", e.Level, "ok", ok, "error", err)
 }
--- a/internal/daemon/fencing.go
+++ b/internal/daemon/fencing.go
@@ -3,11 +3,11 @@
 import (
 	"context"
 	"slices"
+	"sync"
 	"time"
 
 	"pinebay/internal/actor"
 	"pinebay/internal/config"
-	"pinebay/internal/coordination/election"
 	"pinebay/internal/coordination/fencing"
 	"pinebay/internal/protocol"
 )
@@ -24,124 +24,115 @@
 	}
 }
 
-// runFencing is the actor that returns silent machines while no leader can be elected.
-func (c *Controller) runFencing(ctx context.Context) {
+// fencingActor returns silent machines to the cloud while no leader can be elected.
+type fencingActor struct {
+	*environment
+	mailbox *actor.Mailbox[fencing.Event]
+	fencer  *fencing.Fencer
+	peers   *peerTable
+	tasks   sync.WaitGroup // requests under way
+}
+
+func newFencingActor(env *environment, peers *peerTable) *fencingActor {
+	return &fencingActor{
+		environment: env,
+		mailbox:     actor.NewMailbox[fencing.Event](),
+		fencer:      fencing.New(fencingTimes(&env.cfg.Deployment)),
+		peers:       peers,
+	}
+}
+
+// run is the actor. It returns when the context has ended and nothing is under way any more.
+func (a *fencingActor) run(ctx context.Context) {
+	defer a.tasks.Wait()
 	step := func(e fencing.Event) {
-		for _, effect := range c.fencingMonitor.Step(c.now(), e) {
-			c.applyFencingEffect(ctx, effect)
+		for _, effect := range a.fencer.Step(a.now(), e) {
+			a.apply(ctx, effect)
 		}
 	}
 	// Every controller of a quorum lists the machines at this pace, and they share the cloud's rate.
-	assess := actor.Every(c.times.LeaderTimeout, c.now, func(now time.Duration) { step(c.assessFencing(now)) })
-	c.fencingMailbox.Run(ctx, c.times.LeaderTimeout, step, assess)
+	assess := actor.Every(a.times.LeaderTimeout, a.now, func(now time.Duration) { step(a.assess(now)) })
+	a.mailbox.Run(ctx, a.times.LeaderTimeout, step, assess)
 }
 
-// assessFencing tells the fencing how this controller stands.
-func (c *Controller) assessFencing(now time.Duration) fencing.Assessment {
-	a := fencing.Assessment{Leaderless: c.leaderless(now), Recovering: !c.intents.Recovered(now)}
-	a.OldestIntentAt, a.HasIntent = c.intents.OldestIntentAt(now)
-	return a
+// assess returns what fencing depends on: whether nobody can lead, and which intents this controller holds.
+func (a *fencingActor) assess(now time.Duration) fencing.Assessment {
+	result := fencing.Assessment{Leaderless: a.peers.leaderless(now), Recovering: !a.intents.Recovered(now)}
+	result.OldestIntentAt, result.HasIntent = a.intents.OldestIntentAt(now)
+	return result
 }
 
-// leaderless says whether a majority agrees that nobody leads and nobody can. A leader
-// that could not read the records before the state service went does not know where
-// tasks are placed, and counts as none.
-func (c *Controller) leaderless(now time.Duration) bool {
-	v := *c.view.Load()
-	if l := c.leading.Load(); l != nil && !l.Ready() {
-		v.Leading, v.Leader = false, ""
-	}
-	c.peersMu.Lock()
-	defer c.peersMu.Unlock()
-	return election.GroupStatus{
-		Now:            now,
-		Timing:         c.times,
-		View:           v,
-		StoreReachable: c.storeReachable(),
-		Peers:          c.mesh.Peers(),
-		Statuses:       c.peers,
-	}.Leaderless(c.cfg.Name)
-}
-
-// applyFencingEffect carries out an effect. Whatever waits runs on its own goroutine.
-func (c *Controller) applyFencingEffect(ctx context.Context, effect fencing.Effect) {
+// apply carries out an effect. Whatever waits runs on its own goroutine.
+func (a *fencingActor) apply(ctx context.Context, effect fencing.Effect) {
 	switch e := effect.(type) {
 	case fencing.ListMachines:
-		go func() {
-			list, err := c.cloud.List(ctx, c.cloud.Reserve())
+		a.tasks.Go(func() {
+			list, err := a.cloud.List(ctx, a.cloud.Reserve())
 			if err != nil {
-				c.log.Info("machine list not read", "err", err)
+				a.log.Info("machine list not read", "error", err)
 				return // the next assessment asks again
 			}
-			c.fencingMailbox.Send(fencing.MachinesListed{Machines: list})
-		}()
+			a.mailbox.Send(fencing.MachinesListed{Machines: list})
+		})
 	case fencing.QueryPeers:
-		go func() {
-			silent, certain := fencing.StillSilent(e.Machines, c.askPeers(ctx, e.Machines))
+		a.tasks.Go(func() {
+			silent, certain := fencing.StillSilent(e.Machines, a.askPeers(ctx, e.Machines))
 			if !certain {
-				c.log.Info("machines not fenced yet: a peer did not answer", "machines", len(e.Machines))
+				a.log.Info("machines not fenced yet: a peer did not answer", "machines", len(e.Machines))
 				return // the next assessment asks again
 			}
-			c.fencingMailbox.Send(fencing.SilenceConfirmed{Machines: silent})
-		}()
+			a.mailbox.Send(fencing.SilenceConfirmed{Machines: silent})
+		})
 	case fencing.ReleaseMachines:
-		go c.releaseSilentMachines(ctx, e.Machines)
+		a.tasks.Go(func() { a.releaseSilentMachines(ctx, e.Machines) })
 	case fencing.AnswerPeer:
 		e.Reply <- e.Heard
 	}
 }
 
 // askPeers asks every peer which of the machines it hears.
-func (c *Controller) askPeers(ctx context.Context, machines []string) []fencing.PeerReply {
+func (a *fencingActor) askPeers(ctx context.Context, machines []string) []fencing.PeerReply {
 	var answers []fencing.PeerReply
-	for _, peer := range c.mesh.Peers() {
-		answers = append(answers, c.askPeer(ctx, peer, machines))
+	for _, peer := range a.mesh.Peers() {
+		answers = append(answers, a.askPeer(ctx, peer, machines))
 	}
 	return answers
 }
 
-func (c *Controller) askPeer(ctx context.Context, peer string, machines []string) fencing.PeerReply {
-	a := fencing.PeerReply{Answered: true, InQuorum: c.recentlyHeard(peer)}
+func (a *fencingActor) askPeer(ctx context.Context, peer string, machines []string) fencing.PeerReply {
+	reply := fencing.PeerReply{Answered: true, InQuorum: a.peers.recentlyHeard(peer)}
 	for _, asked := range protocol.SplitMachineNames(machines) {
-		r, err := c.mesh.Call(ctx, peer, protocol.PeerMessage{Kind: protocol.PeerLiveMachinesQuery, Machines: asked})
+		r, err := a.mesh.Call(ctx, peer, protocol.PeerMessage{Kind: protocol.PeerLiveMachinesQuery, Machines: asked})
 		if err != nil {
-			a.Answered = false
-			return a
+			reply.Answered = false
+			return reply
 		}
-		a.Heard = append(a.Heard, r.Machines...)
+		reply.Heard = append(reply.Heard, r.Machines...)
 	}
-	return a
-}
-
-// recentlyHeard says whether a peer has answered so lately that it counts for a majority.
-func (c *Controller) recentlyHeard(peer string) bool {
-	c.peersMu.Lock()
-	defer c.peersMu.Unlock()
-	p, ok := c.peers[peer]
-	return ok && c.now()-p.SentAt <= c.times.LeaderTimeout/2
+	return reply
 }
 
 // releaseSilentMachines returns machines to the cloud. What fails is tried again after the next
 // assessment.
-func (c *Controller) releaseSilentMachines(ctx context.Context, machines []string) {
+func (a *fencingActor) releaseSilentMachines(ctx context.Context, machines []string) {
 	for names := range slices.Chunk(machines, protocol.MaxMachinesPerRelease) {
-		c.log.Info("fencing silent machines without a leader", "machines", names)
-		if err := c.cloud.Release(ctx, c.cloud.Reserve(), names); err != nil {
-			c.log.Info("release unanswered", "machines", len(names), "err", err)
+		a.log.Info("fencing silent machines without a leader", "machines", names)
+		if err := a.cloud.Release(ctx, a.cloud.Reserve(), names); err != nil {
+			a.log.Info("machine release failed", "machines", len(names), "error", err)
 			return
 		}
-		c.fencingMailbox.Send(fencing.MachinesReleased{Machines: names})
+		a.mailbox.Send(fencing.MachinesReleased{Machines: names})
 	}
 }
 
-// heardMachines answers a peer that asks which machines report here.
-func (c *Controller) heardMachines(machines []string) []string {
+// heardMachines returns which of a peer's list of machines send their heartbeats here.
+func (a *fencingActor) heardMachines(machines []string) []string {
 	reply := make(chan []string, 1)
-	c.fencingMailbox.Send(fencing.PeerQuery{Machines: machines, Reply: reply})
+	a.mailbox.Send(fencing.PeerQuery{Machines: machines, Reply: reply})
 	select {
 	case heard := <-reply:
 		return heard
-	case <-time.After(c.times.LeaderTimeout / 2):
+	case <-time.After(a.times.LeaderTimeout / 2):
 		return nil // we are ending
 	}
 }
--- a/internal/daemon/heartbeatrouting_test.go
+++ b/internal/daemon/heartbeatrouting_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// TestHeartbeatRoutes: a worker's heartbeat is answered by the leader, by the machine's owner, on standby, or elsewhere.
+// TestHeartbeatRoutes: a worker's heartbeat is answered by the leader, by the machine's owner, on standby, or not here.
 func TestHeartbeatRoutes(t *testing.T) {
 	const term, epoch = 7, 3
 	follower := leadershipView{self: "n-0", leader: "n-1", term: term}
@@ -22,20 +22,29 @@
 	}{
 		{"nobody leads", leadershipView{self: "n-0"}, ownershipView{}, term, heartbeatRoute{action: refuseHeartbeat}},
 		{
-			"nobody leads, whoever owns", leadershipView{self: "n-0"}, owns, term,
+			"nobody leads, whoever owns",
+			leadershipView{self: "n-0"},
+			owns, term,
 			heartbeatRoute{action: refuseHeartbeat},
 		},
 		{
-			"elected, but the leader does not run yet", leadershipView{self: "n-0", leader: "n-0", term: term},
-			ownershipView{}, term, heartbeatRoute{action: refuseHeartbeat},
+			"elected, but the leader does not run yet",
+			leadershipView{self: "n-0", leader: "n-0", term: term},
+			ownershipView{},
+			term,
+			heartbeatRoute{action: refuseHeartbeat},
 		},
 		{
-			"standby without a leader", leadershipView{self: "n-0", renewsOnStandby: true}, ownershipView{}, term,
+			"standby without a leader",
+			leadershipView{self: "n-0", renewsOnStandby: true},
+			ownershipView{},
+			term,
 			heartbeatRoute{action: renewOnStandby},
 		},
 		{
 			"standby, although a leader has been heard of since",
-			leadershipView{self: "n-0", leader: "n-1", renewsOnStandby: true}, ownedElsewhere, term,
+			leadershipView{self: "n-0", leader: "n-1", renewsOnStandby: true},
+			ownedElsewhere, term,
 			heartbeatRoute{action: renewOnStandby},
 		},
 		{"leads here", here, ownershipView{}, 0, heartbeatRoute{action: answerAsLeader}},
@@ -45,16 +54,22 @@
 			heartbeatRoute{action: redirectToOwner, controller: "n-2"},
 		},
 		{
-			"leads here, owner not reachable", here, ownershipView{epoch: epoch, owner: "n-2"}, 0,
+			"leads here, owner not reachable", here,
+			ownershipView{epoch: epoch, owner: "n-2"},
+			0,
 			heartbeatRoute{action: answerAsLeader},
 		},
 		{
-			"leads here, owned by nobody", here, ownershipView{epoch: epoch, ownerReachable: true}, 0,
+			"leads here, owned by nobody", here,
+			ownershipView{epoch: epoch, ownerReachable: true},
+			0,
 			heartbeatRoute{action: answerAsLeader},
 		},
 		{"follower", follower, ownershipView{}, term - 1, toLeader},
 		{
-			"follower, answered by this leader", follower, ownershipView{}, term,
+			"follower, answered by this leader", follower,
+			ownershipView{},
+			term,
 			heartbeatRoute{action: sendToLeader, controller: "n-1", answeredByLeader: true},
 		},
 		{"owner", follower, owns, term, heartbeatRoute{action: answerAsOwner, controller: "n-1"}},
@@ -65,7 +80,8 @@
 		},
 		{
 			"follower, owned by the leader", follower,
-			ownershipView{epoch: epoch, owner: "n-1", ownerReachable: true}, term,
+			ownershipView{epoch: epoch, owner: "n-1", ownerReachable: true},
+			term,
 			heartbeatRoute{action: redirectToOwner, controller: "n-1"},
 		},
 		{
@@ -92,7 +108,12 @@
 					self: "n-0", leader: leader, leadsHere: bools[bits&1], storeReachable: bools[bits>>1&1],
 					renewsOnStandby: bools[bits>>2&1] && !bools[bits&1],
 				}
-				o := ownershipView{epoch: 1, owner: owner, mayAnswer: bools[bits>>3&1], ownerReachable: bools[bits>>4&1]}
+				o := ownershipView{
+					epoch:          1,
+					owner:          owner,
+					mayAnswer:      bools[bits>>3&1],
+					ownerReachable: bools[bits>>4&1],
+				}
 				got := routeHeartbeat(v, o, 1)
 				what := fmt.Sprintf("%+v %+v: %+v", v, o, got)
 				switch {
--- a/internal/daemon/heartbeats.go
+++ b/internal/daemon/heartbeats.go
@@ -8,6 +8,7 @@
 	"pinebay/internal/coordination/election"
 	"pinebay/internal/coordination/fencing"
 	"pinebay/internal/coordination/leader"
+	"pinebay/internal/coordination/ownership"
 	"pinebay/internal/protocol"
 	"pinebay/internal/transport"
 )
@@ -18,7 +19,6 @@
 // heartbeatRequest is a worker's heartbeat on its way to an answer.
 type heartbeatRequest struct {
 	w         http.ResponseWriter
-	r         *http.Request
 	heartbeat *protocol.WorkerHeartbeat
 	raw       []byte         // the heartbeat as it came
 	leader    *leader.Leader // of this process when the request came; nil: none
@@ -26,7 +26,16 @@
 	epoch     uint64         // of ownership; 0: none is in force
 }
 
-// handleHeartbeat answers a worker's heartbeat, or sends the worker to the controller that does. What is done is
+// workerHeartbeats answers the heartbeats of workers.
+type workerHeartbeats struct {
+	*environment
+	peers     *peerTable
+	fencing   *fencingActor
+	owner     *machineOwner    // nil: ownership is off
+	redirects *RedirectTracker // machines that were sent to the leader
+}
+
+// handle answers a worker's heartbeat, or sends the worker to the controller that does. What is done is
 // decided by routeHeartbeat.
 //
 // The reads of what others publish have an order:
@@ -39,105 +48,135 @@
 //   - Readiness of the leader, and ownership, are read after the body. A body may take long, and an owner answers by
 //     what is fresh at the time of the answer.
 //   - When the leader has answered, first the leader and then the view are read again: see askLeader.
-func (c *Controller) handleHeartbeat(w http.ResponseWriter, r *http.Request) {
-	l := c.leading.Load()
-	view := c.view.Load()
-	known := c.leadershipView(l, view)
+func (h *workerHeartbeats) handle(w http.ResponseWriter, r *http.Request) {
+	l := h.leading.Load()
+	view := h.view.Load()
+	known := h.leadershipView(l, view)
 	if known.refusesUnread() {
-		c.redirect(w, c.standbyRenewer())
+		h.redirect(w, h.peers.standbyRenewer())
 		return
 	}
-	heartbeat, raw, err := c.readHeartbeat(w, r)
+	heartbeat, raw, err := h.readHeartbeat(w, r)
 	if err != nil {
 		transport.WriteResponse(w, http.StatusBadRequest, protocol.ErrorResponse{Error: err.Error()})
 		return
 	}
 	if known.leaderless() || l != nil && !l.Ready() {
-		c.fencingMailbox.Send(fencing.HeartbeatReceived{Heartbeat: heartbeat})
+		h.fencing.mailbox.Send(fencing.HeartbeatReceived{Heartbeat: heartbeat})
 	}
-	owners := c.ownershipView(known, l, view, heartbeat.Machine)
+	owners := h.owner.viewOf(known, l, view, heartbeat.Machine)
 	tokenTerm := protocol.TermOfToken(heartbeat.FencingToken)
 	route := routeHeartbeat(known, owners, tokenTerm)
-	if route.action == redirectToOwner && c.returnedFromOwner(heartbeat.Machine, owners.epoch) {
+	if route.action == redirectToOwner && h.owner.returnedFromOwner(heartbeat.Machine, owners.epoch) {
 		owners.ownerReachable = false // for this worker
 		route = routeHeartbeat(known, owners, tokenTerm)
 	}
-	c.carryOutRoute(route, heartbeatRequest{w, r, heartbeat, raw, l, view, owners.epoch})
+	h.carryOut(r.Context(), route, heartbeatRequest{
+		w:         w,
+		heartbeat: heartbeat,
+		raw:       raw,
+		leader:    l,
+		view:      view,
+		epoch:     owners.epoch,
+	})
 }
 
 // leadershipView returns what is known of the leader, given the leader of this process and a view read after it.
-func (c *Controller) leadershipView(l *leader.Leader, view *election.View) leadershipView {
-	v := leadershipView{self: c.cfg.Name, leadsHere: l != nil, leader: view.Leader, term: view.Term}
-	v.renewsOnStandby = !v.leadsHere && c.mayRenewOnStandby()
+func (h *workerHeartbeats) leadershipView(l *leader.Leader, view *election.View) leadershipView {
+	v := leadershipView{self: h.cfg.Name, leadsHere: l != nil, leader: view.Leader, term: view.Term}
+	v.renewsOnStandby = !v.leadsHere && h.peers.mayRenewOnStandby()
 	if v.leaderless() && !v.renewsOnStandby {
-		v.storeReachable = c.storeReachable()
+		v.storeReachable = h.storeReachable()
 	}
 	return v
 }
 
 // readHeartbeat reads and decodes the body of a request.
-func (c *Controller) readHeartbeat(w http.ResponseWriter, r *http.Request) (*protocol.WorkerHeartbeat, []byte, error) {
+func (h *workerHeartbeats) readHeartbeat(
+	w http.ResponseWriter,
+	r *http.Request,
+) (*protocol.WorkerHeartbeat, []byte, error) {
 	raw, err := transport.ReadBody(w, r)
 	if err != nil {
 		return nil, nil, err
 	}
 	heartbeat, err := protocol.DecodeWorkerHeartbeat(raw)
 	if err != nil {
-		c.log.Info("report refused", "remote", r.RemoteAddr, "err", err)
+		h.log.Info("heartbeat refused", "remote", r.RemoteAddr, "error", err)
 		return nil, nil, err
 	}
 	return heartbeat, raw, nil
 }
 
-// carryOutRoute does what was decided for a heartbeat.
-func (c *Controller) carryOutRoute(route heartbeatRoute, q heartbeatRequest) {
+// carryOut does what was decided for a heartbeat.
+func (h *workerHeartbeats) carryOut(ctx context.Context, route heartbeatRoute, q heartbeatRequest) {
 	switch route.action {
 	case refuseHeartbeat:
 		// The worker's lease may be about to end: it should not have to try every controller.
-		c.redirect(q.w, c.standbyRenewer())
+		h.redirect(q.w, h.peers.standbyRenewer())
 	case renewOnStandby:
-		c.renewOnStandby(q)
+		h.renewOnStandby(q)
 	case answerAsOwner:
-		c.answerAsOwner(route.controller, q)
+		h.answerAsOwner(ctx, route.controller, q)
 	case redirectToOwner:
-		c.redirect(q.w, route.controller)
+		h.redirect(q.w, route.controller)
 	case answerAsLeader:
-		c.answerAsLeader(q)
+		h.answerAsLeader(ctx, q)
 	case sendToLeader:
-		c.sendToLeader(route, q)
+		h.sendToLeader(ctx, route, q)
 	}
 }
 
 // renewOnStandby keeps the worker's tasks alive while nobody can lead, with the token that the worker has, but for
 // those whose users may have been told that they are cancelled.
-func (c *Controller) renewOnStandby(q heartbeatRequest) {
+func (h *workerHeartbeats) renewOnStandby(q heartbeatRequest) {
 	transport.WriteResponse(q.w, http.StatusOK, protocol.WorkerHeartbeatReply{
 		FencingToken: q.heartbeat.FencingToken,
-		Commands:     q.heartbeat.StopCommands(c.cancellationRequested),
+		Commands:     q.heartbeat.StopCommands(h.cancellationRequested),
 	})
 }
 
+// answerAsOwner answers the heartbeat of a machine that this controller owns, or forwards it to the leader if that has
+// to know of it.
+func (h *workerHeartbeats) answerAsOwner(ctx context.Context, leader string, q heartbeatRequest) {
+	if !h.owner.mustForward(q.heartbeat, q.view.Term) {
+		transport.WriteResponse(q.w, http.StatusOK, ownership.UnchangedReply(q.heartbeat, h.cancellationRequested))
+		h.owner.answered(q.heartbeat)
+		return
+	}
+	ctx, cancel := context.WithTimeout(ctx, heartbeatTimeout)
+	defer cancel()
+	forwarded := h.forwardToLeader(ctx, q.w, leader, protocol.PeerMessage{
+		Kind:           protocol.PeerForwardedHeartbeat,
+		Body:           q.raw,
+		OwnershipEpoch: q.epoch,
+	})
+	if forwarded {
+		h.owner.forwarded(q.heartbeat)
+	}
+}
+
 // answerAsLeader has the leader of this process answer.
-func (c *Controller) answerAsLeader(q heartbeatRequest) {
-	ctx, cancel := context.WithTimeout(q.r.Context(), heartbeatTimeout)
+func (h *workerHeartbeats) answerAsLeader(ctx context.Context, q heartbeatRequest) {
+	ctx, cancel := context.WithTimeout(ctx, heartbeatTimeout)
 	defer cancel()
-	reply, ok := c.askLeader(ctx, q.leader, q.heartbeat, false)
+	reply, ok := h.askLeader(ctx, q.leader, q.heartbeat, false)
 	if !ok {
-		c.redirect(q.w, "")
+		h.redirect(q.w, "")
 		return
 	}
 	transport.WriteResponse(q.w, http.StatusOK, reply)
 }
 
 // sendToLeader redirects a worker to the leader, or relays the heartbeat of one that comes from there.
-func (c *Controller) sendToLeader(route heartbeatRoute, q heartbeatRequest) {
-	if !c.redirects.ShouldRelay(q.heartbeat.Machine, route.controller, route.answeredByLeader, c.now()) {
-		c.redirect(q.w, route.controller)
+func (h *workerHeartbeats) sendToLeader(ctx context.Context, route heartbeatRoute, q heartbeatRequest) {
+	if !h.redirects.ShouldRelay(q.heartbeat.Machine, route.controller, route.answeredByLeader, h.now()) {
+		h.redirect(q.w, route.controller)
 		return
 	}
-	ctx, cancel := context.WithTimeout(q.r.Context(), heartbeatTimeout)
+	ctx, cancel := context.WithTimeout(ctx, heartbeatTimeout)
 	defer cancel()
-	c.forwardToLeader(ctx, q.w, route.controller, protocol.PeerMessage{
+	h.forwardToLeader(ctx, q.w, route.controller, protocol.PeerMessage{
 		Kind: protocol.PeerForwardedHeartbeat,
 		Body: q.raw,
 	})
@@ -148,27 +187,27 @@
 // ended term would be dropped by the worker, and hold it here; and a leader that may not know of a cancellation would
 // keep its tasks alive. The leader is read before the view: the election publishes the view before it stops a leader,
 // so the view is at least as new.
-func (c *Controller) askLeader(
+func (h *workerHeartbeats) askLeader(
 	ctx context.Context,
 	l *leader.Leader,
 	heartbeat *protocol.WorkerHeartbeat,
 	relayed bool,
 ) (protocol.WorkerHeartbeatReply, bool) {
 	reply, ok := l.Heartbeat(ctx, heartbeat, relayed)
-	return reply, ok && c.leading.Load() == l && c.knowsCancellations()
+	return reply, ok && h.leading.Load() == l && h.knowsCancellations()
 }
 
-// forwardToLeader forwards a heartbeat to the leader's controller and its answer to the worker, and returns whether there
-// was one.
-func (c *Controller) forwardToLeader(
+// forwardToLeader forwards a heartbeat to the leader's controller and its answer to the worker. It returns whether
+// there was one.
+func (h *workerHeartbeats) forwardToLeader(
 	ctx context.Context,
 	w http.ResponseWriter,
 	leader string,
 	m protocol.PeerMessage,
 ) bool {
-	reply, err := c.mesh.Call(ctx, leader, m)
+	reply, err := h.mesh.Call(ctx, leader, m)
 	if err != nil || len(reply.Body) == 0 {
-		c.redirect(w, "")
+		h.redirect(w, "")
 		return false
 	}
 	w.Header().Set("Content-Type", protocol.ContentType)
@@ -178,41 +217,34 @@
 }
 
 // answerRelayedHeartbeat answers a heartbeat that another controller has forwarded; nil: not answered.
-func (c *Controller) answerRelayedHeartbeat(m *protocol.PeerMessage) []byte {
-	l := c.leading.Load()
+func (h *workerHeartbeats) answerRelayedHeartbeat(m *protocol.PeerMessage) []byte {
+	l := h.leading.Load()
 	if l == nil {
 		return nil
 	}
 	heartbeat, err := protocol.DecodeWorkerHeartbeat(m.Body)
 	if err != nil {
-		c.log.Info("report refused", "from", m.From, "err", err)
+		h.log.Info("heartbeat refused", "from", m.From, "error", err)
 		return nil
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), heartbeatTimeout)
 	defer cancel()
 	// An owner ends the connections of machines that may well be in our reach; others relay for what can't reach us.
 	relayed := m.OwnershipEpoch == 0
-	reply, ok := c.askLeader(ctx, l, heartbeat, relayed)
+	reply, ok := h.askLeader(ctx, l, heartbeat, relayed)
 	if !ok {
 		return nil
 	}
 	raw, err := protocol.Encode(reply)
 	if err != nil {
-		c.log.Error("report answer", "err", err)
+		h.log.Error("heartbeat reply not encoded", "error", err)
 		return nil
 	}
 	return raw
 }
 
-// knowsCancellations returns whether this controller leads and may renew leases: it knows of every cancellation that
-// users may have been told of.
-func (c *Controller) knowsCancellations() bool {
-	v := c.view.Load()
-	return v.Leading && c.now() < v.MayRenewUntil
-}
-
 // redirect sends a worker to another controller, or asks it to try again later if there is none.
-func (c *Controller) redirect(w http.ResponseWriter, controller string) {
+func (h *workerHeartbeats) redirect(w http.ResponseWriter, controller string) {
 	if controller == "" {
 		transport.WriteResponse(
 			w,
--- a/internal/daemon/leadership.go
+++ b/internal/daemon/leadership.go
@@ -3,260 +3,223 @@
 import (
 	"context"
 	"errors"
-	"fmt"
+	"sync"
 	"time"
 
-	"pinebay/internal/config"
+	"pinebay/internal/actor"
+	"pinebay/internal/coordination/api"
 	"pinebay/internal/coordination/election"
 	"pinebay/internal/coordination/featurelevel"
 	"pinebay/internal/coordination/leader"
 	"pinebay/internal/coordination/scheduler"
 	"pinebay/internal/protocol"
 	"pinebay/internal/storage"
+	"pinebay/internal/transport"
 )
 
-// runElection is the election's actor.
-func (c *Controller) runElection(ctx context.Context) {
+// electionActor takes part in the election, and starts and stops the leader of this process.
+type electionActor struct {
+	*environment
+	mailbox          *actor.Mailbox[election.Event]
+	election         *election.Election
+	api              *api.Server
+	workers          *transport.Client
+	levels           *featureLevelActor
+	newerLevelLogged sync.Once
+	tasks            sync.WaitGroup // requests under way, and leaders
+}
+
+func newElectionActor(
+	env *environment,
+	peers []string,
+	users *api.Server,
+	workers *transport.Client,
+	levels *featureLevelActor,
+) *electionActor {
+	a := &electionActor{
+		environment: env,
+		mailbox:     actor.NewMailbox[election.Event](),
+		election:    election.New(env.now(), env.cfg.Name, peers, env.times),
+		api:         users,
+		workers:     workers,
+		levels:      levels,
+	}
+	a.publishView()
+	return a
+}
+
+func (a *electionActor) publishView() {
+	v := a.election.View(a.now())
+	a.view.Store(&v)
+}
+
+// peerDisconnected is called when the connection to a peer has ended.
+func (a *electionActor) peerDisconnected(peer string) {
+	a.mailbox.Send(election.PeerDisconnected{Peer: peer})
+}
+
+// run is the actor. It returns when the context has ended, the leader has stopped, and nothing is under way any more.
+func (a *electionActor) run(ctx context.Context) {
+	defer a.tasks.Wait()
 	step := func(e election.Event) {
-		effects := c.election.Step(c.now(), e)
-		c.publishView()
-		for _, e := range effects {
-			c.applyElectionEffect(ctx, e)
+		effects := a.election.Step(a.now(), e)
+		a.publishView()
+		for _, effect := range effects {
+			a.apply(ctx, effect)
 		}
 	}
-	c.electionMailbox.Run(ctx, c.times.HeartbeatInterval, step, func() { step(election.Tick{}) })
-	if l := c.leading.Swap(nil); l != nil {
+	a.mailbox.Run(ctx, a.times.HeartbeatInterval, step, func() { step(election.Tick{}) })
+	if l := a.leading.Swap(nil); l != nil {
 		l.Stop()
 	}
 }
 
-func (c *Controller) applyElectionEffect(ctx context.Context, effect election.Effect) {
+// apply carries out an effect. Whatever waits runs on its own goroutine.
+func (a *electionActor) apply(ctx context.Context, effect election.Effect) {
 	switch e := effect.(type) {
 	case election.Claim:
-		go func() { c.electionMailbox.Send(c.claim(ctx, e)) }()
+		a.tasks.Go(func() { a.mailbox.Send(a.claim(ctx, e)) })
 	case election.RenewLease:
-		go func() {
-			err := c.store.RenewLease(ctx, e.LeaseID)
-			c.electionMailbox.Send(
-				election.RenewalResult{LeaseExpired: errors.Is(err, storage.ErrLeaseNotFound), Term: e.Term},
-			)
-		}()
+		a.tasks.Go(func() {
+			err := a.store.RenewLease(ctx, e.LeaseID)
+			expired := errors.Is(err, storage.ErrLeaseNotFound)
+			a.mailbox.Send(election.RenewalResult{LeaseExpired: expired, Term: e.Term})
+		})
 	case election.BecomeLeader:
-		l := c.startLeader(ctx, e)
-		if old := c.leading.Swap(l); old != nil {
+		l := a.startLeader(ctx, e)
+		if old := a.leading.Swap(l); old != nil {
 			old.Stop()
 		}
 	case election.StepDown:
-		c.log.Info("yielding", "term", e.Term)
-		// Its key ends with the lease, and others need not wait for that.
-		go func() {
-			if err := c.store.RevokeLease(ctx, e.LeaseID); err != nil {
-				c.log.Debug("lease not ended", "err", err)
-			}
-		}()
-		if l := c.leading.Load(); l != nil && l.Term() == e.Term {
-			c.leading.Store(nil)
-			l.Stop()
+		a.stepDown(ctx, e)
+	}
+}
+
+// stepDown ends the leadership of a term.
+func (a *electionActor) stepDown(ctx context.Context, e election.StepDown) {
+	a.log.Info("stepping down", "term", e.Term)
+	// The leader's key ends with the lease, and others need not wait for that.
+	a.tasks.Go(func() {
+		if err := a.store.RevokeLease(ctx, e.LeaseID); err != nil {
+			a.log.Debug("lease not revoked", "error", err)
 		}
+	})
+	if l := a.leading.Load(); l != nil && l.Term() == e.Term {
+		a.leading.Store(nil)
+		l.Stop()
 	}
 }
 
 // startLeader starts the leader of a term that this controller has won.
-func (c *Controller) startLeader(ctx context.Context, won election.BecomeLeader) *leader.Leader {
-	return leader.Start(ctx, leader.Dependencies{
-		Leadership: &leadership{controller: c, term: won.Term},
-		Intents:    c.intents,
-		Observer:   leaderObserver{c},
-		Store:      c.store,
-		Cloud:      c.cloud,
-		Workers:    c.workers,
-		Random:     c.random,
-		Log:        c.log,
-		Now:        c.now,
+func (a *electionActor) startLeader(ctx context.Context, won election.BecomeLeader) *leader.Leader {
+	l := leader.Start(ctx, leader.Dependencies{
+		Leadership: &electedTerm{electionActor: a, term: won.Term},
+		Intents:    a.intents,
+		Observer:   leaderObserver{a},
+		Store:      a.store,
+		Cloud:      a.cloud,
+		Workers:    a.workers,
+		Random:     a.random,
+		Log:        a.log,
+		Now:        a.now,
 	}, leader.Options{
-		Deployment:    &c.cfg.Deployment,
-		WatchTimeout:  c.times.LeaderTimeout / 2,
-		ConfirmWithin: c.times.CancellationTimeout,
-		ZoneReturn:    c.features.ZoneReturn,
-		Timing:        c.features.Timing,
+		Deployment:    &a.cfg.Deployment,
+		WatchTimeout:  a.times.LeaderTimeout / 2,
+		ConfirmWithin: a.times.CancellationTimeout,
+		ZoneReturn:    a.features.ZoneReturn,
+		Timing:        a.features.Timing,
 	}, scheduler.Term{
 		Number:       won.Term,
 		Revision:     won.Revision,
-		Controller:   c.cfg.Name,
+		Controller:   a.cfg.Name,
 		FeatureLevel: featurelevel.Level(won.FeatureLevel),
 	})
+	a.tasks.Go(l.Wait)
+	return l
 }
 
-// leadership connects a leader with the election that made it one.
-type leadership struct {
-	controller *Controller
-	term       uint64
+// electedTerm connects a leader with the election that it was elected by.
+type electedTerm struct {
+	*electionActor
+	term uint64
 }
 
 // Confirmed implements leader.Leadership.
-func (l *leadership) Confirmed() bool {
-	v := l.controller.view.Load()
-	return v.Leading && v.Term == l.term && l.controller.now() < v.ConfirmedUntil
+func (t *electedTerm) Confirmed() bool {
+	v := t.view.Load()
+	return v.Leading && v.Term == t.term && t.now() < v.ConfirmedUntil
 }
 
 // JobsKnownUpTo implements leader.Leadership.
-func (l *leadership) JobsKnownUpTo(at time.Duration) {
-	l.controller.electionMailbox.Send(election.WatchProgress{Term: l.term, UpTo: at})
+func (t *electedTerm) JobsKnownUpTo(at time.Duration) {
+	t.mailbox.Send(election.WatchProgress{Term: t.term, UpTo: at})
 }
 
 // StepDown implements leader.Leadership.
-func (l *leadership) StepDown(reason scheduler.StepDown) {
-	if reason.LaterTerm > l.term {
-		l.controller.electionMailbox.Send(election.HigherTerm{Term: reason.LaterTerm})
+func (t *electedTerm) StepDown(reason scheduler.StepDown) {
+	if reason.LaterTerm > t.term {
+		t.mailbox.Send(election.HigherTerm{Term: reason.LaterTerm})
 	}
-	l.controller.electionMailbox.Send(election.Resign{Term: l.term, DeferToOthers: reason.TransferLeadership})
+	t.mailbox.Send(election.Resign{Term: t.term, DeferToOthers: reason.TransferLeadership})
 }
 
-// leaderObserver tells the rest of the controller what its leader has read and made final.
-type leaderObserver struct{ *Controller }
+// leaderObserver passes on what a leader has read and made final.
+type leaderObserver struct{ *electionActor }
 
 // MachineTypesRead implements leader.Observer.
 func (o leaderObserver) MachineTypesRead(types []protocol.MachineType) { o.api.SetMachineTypes(types) }
 
 // FeatureLevelFinal implements leader.Observer.
-func (o leaderObserver) FeatureLevelFinal(level featurelevel.Level) { o.notifyLevelFinalised(level) }
+func (o leaderObserver) FeatureLevelFinal(level featurelevel.Level) { o.levels.finalised(level) }
 
-// claim tries to take the leadership once. Its transaction holds only while
-// neither the leader's key nor the term has changed.
-func (c *Controller) claim(ctx context.Context, e election.Claim) election.ClaimResult {
-	sent := c.now()
-	fail := func(err error) election.ClaimResult {
-		c.log.Debug("claim failed", "err", err)
-		return election.ClaimResult{}
-	}
-	tp, err := c.store.Get(ctx, storage.BudgetUrgent, storage.TermKey)
-	if err != nil {
-		return fail(err)
-	}
-	var rec storage.TermRecord
-	if tp.Revision != 0 {
-		if rec, err = storage.DecodeTerm(tp.Value); err != nil {
-			return fail(err)
-		}
-	}
-	if rec.FeatureLevel > int(c.features.featureLevel()) {
-		c.newerLevelLogged.Do(func() {
-			c.log.Error(
-				"a newer feature level is final: this version can't lead any more",
-				"level",
-				rec.FeatureLevel,
-				"own",
-				c.features.featureLevel(),
-			)
-		})
-		return election.ClaimResult{}
-	}
-	lp, err := c.store.Get(ctx, storage.BudgetUrgent, storage.LeaderKey)
-	if err != nil {
-		return fail(err)
-	}
-	if rec.Term > e.AboveTerm && lp.Revision != 0 && rec.Controller != c.cfg.Name {
-		c.electionMailbox.Send(election.LeaderKey{Present: true, Holder: rec.Controller, Term: rec.Term})
-		return election.ClaimResult{}
-	}
-	lease, err := c.store.GrantLease(ctx, c.times.LeaseTTL)
-	if err != nil {
-		return fail(err)
-	}
-	// A worker may have seen a token that no record tells of any more only if
-	// the state service lost it; be above what we have seen all the same.
-	term := max(rec.Term, e.AboveTerm) + 1
-	value, err := storage.EncodeTerm(
-		storage.TermRecord{
-			Term:         term,
-			Controller:   c.cfg.Name,
-			ClaimID:      fmt.Sprint(lease),
-			FeatureLevel: rec.FeatureLevel,
+// watchLeaderKey passes the leader's key and its changes to the election until the context ends.
+func (a *electionActor) watchLeaderKey(ctx context.Context) {
+	watch := keyWatch{
+		environment: a.environment,
+		key:         storage.LeaderKey,
+		name:        "watch leader",
+		read:        a.readLeaderKey,
+		changed: func(e protocol.WatchEvent) {
+			if e.DeleteKey != "" {
+				a.leaderKeyRead(nil, 0)
+			} else {
+				a.leaderKeyRead(e.Value, e.Revision)
+			}
 		},
-	)
-	if err != nil {
-		return fail(err)
 	}
-	lvalue, err := protocol.Encode(storage.LeaderRecord{Controller: c.cfg.Name, Term: term})
+	watch.run(ctx)
+}
+
+// readLeaderKey reads the leader's key. The revision of a key that isn't there comes from a list.
+func (a *electionActor) readLeaderKey(ctx context.Context, known uint64) (uint64, error) {
+	key, err := a.store.Get(ctx, storage.BudgetUrgent, storage.LeaderKey)
 	if err != nil {
-		return fail(err)
+		return 0, err
 	}
-	rev, ok, err := c.store.Txn(ctx, storage.BudgetUrgent, protocol.Txn{
-		If: []protocol.Compare{
-			{Key: storage.TermKey, Revision: tp.Revision},
-			{Key: storage.LeaderKey, Revision: lp.Revision},
-		},
-		Then: []protocol.Op{
-			{PutKey: storage.TermKey, Value: value},
-			{PutKey: storage.LeaderKey, Value: lvalue, LeaseID: lease},
-		},
-	})
-	if err != nil || !ok {
-		return fail(fmt.Errorf("transaction ok=%v: %w", ok, err))
+	a.leaderKeyRead(key.Value, key.Revision)
+	if key.Revision != 0 {
+		return max(known, key.Revision), nil
 	}
-	return election.ClaimResult{
-		Won:          true,
-		Term:         term,
-		Revision:     rev,
-		FeatureLevel: rec.FeatureLevel,
-		LeaseID:      lease,
-		SentAt:       sent,
+	keys, revision, err := a.store.List(ctx, storage.LeaderKey)
+	if err != nil {
+		return 0, err
 	}
-}
-
-// watchLeader follows the leader's key.
-func (c *Controller) watchLeader(ctx context.Context) {
-	var rev uint64
-	wait := config.Seconds(c.cfg.Deployment.Workers.LeaseSeconds)
-	fresh := false
-	for ctx.Err() == nil {
-		if !fresh {
-			p, err := c.store.Get(ctx, storage.BudgetUrgent, storage.LeaderKey)
-			if err != nil {
-				c.random.Pause(ctx, "watch leader", c.times.HeartbeatInterval)
-				continue
-			}
-			c.handleLeaderKey(p.Value, p.Revision)
-			rev, fresh = max(rev, p.Revision), true
-			if p.Revision == 0 {
-				pairs, r, err := c.store.List(ctx, storage.LeaderKey)
-				if err != nil {
-					fresh = false
-					c.random.Pause(ctx, "watch leader", c.times.HeartbeatInterval)
-					continue
-				}
-				rev = max(rev, r)
-				for _, p := range pairs {
-					c.handleLeaderKey(p.Value, p.Revision)
-				}
-			}
-		}
-		ev, err := c.store.Watch(ctx, storage.LeaderKey, rev, wait)
-		if err != nil {
-			fresh = !errors.Is(err, storage.ErrCompacted)
-			c.random.Pause(ctx, "watch leader", c.times.HeartbeatInterval)
-			continue
-		}
-		rev = max(rev, ev.Revision)
-		for _, e := range ev.Events {
-			if e.DeleteKey != "" {
-				c.handleLeaderKey(nil, 0)
-			} else {
-				c.handleLeaderKey(e.Value, e.Revision)
-			}
-		}
+	for _, key := range keys {
+		a.leaderKeyRead(key.Value, key.Revision)
 	}
+	return max(known, revision), nil
 }
 
-func (c *Controller) handleLeaderKey(value []byte, version uint64) {
-	if version == 0 {
-		c.electionMailbox.Send(election.LeaderKey{Term: c.view.Load().Term})
+// leaderKeyRead passes the leader's key to the election; a revision of 0 says that there is none.
+func (a *electionActor) leaderKeyRead(value []byte, revision uint64) {
+	if revision == 0 {
+		a.mailbox.Send(election.LeaderKey{Term: a.view.Load().Term})
 		return
 	}
 	var rec storage.LeaderRecord
 	if err := protocol.Decode(value, &rec); err != nil {
-		c.log.Error("leader record out of form", "err", err)
+		a.log.Error("malformed leader record", "error", err)
 		return
 	}
-	c.electionMailbox.Send(election.LeaderKey{Present: true, Holder: rec.Controller, Term: rec.Term})
+	a.mailbox.Send(election.LeaderKey{Present: true, Holder: rec.Controller, Term: rec.Term})
 }
--- a/internal/daemon/ownerheartbeats.go
+++ b/internal/daemon/ownerheartbeats.go
@@ -3,47 +3,75 @@
 import (
 	"context"
 	"fmt"
-	"net/http"
+	"sync"
+	"sync/atomic"
 	"time"
 
 	"pinebay/internal/actor"
+	"pinebay/internal/config"
 	"pinebay/internal/coordination/election"
 	"pinebay/internal/coordination/leader"
 	"pinebay/internal/coordination/ownership"
 	"pinebay/internal/coordination/scheduler"
 	"pinebay/internal/protocol"
-	"pinebay/internal/transport"
 )
 
-// ownershipView returns what is known of the ownership of a machine. The order of the reads is that of the decision: the
+// machineOwner answers the heartbeats of the machines that this controller owns, and tells the leader of them. A nil
+// machineOwner is off.
+type machineOwner struct {
+	*environment
+	ownership *ownershipActor
+	peers     *peerTable
+	redirects *RedirectTracker // machines that were sent to their owner
+	// digestAcknowledgedAt is when the last acknowledged digest was sent to the leader, on the controller's clock.
+	digestAcknowledgedAt atomic.Int64
+
+	mu               sync.Mutex // guards what follows
+	heartbeats       *ownership.HeartbeatFilter
+	digestReceivedAt map[string]time.Duration // at the leader: when each owner's last digest came
+}
+
+func newMachineOwner(env *environment, record *ownershipActor, peers *peerTable) *machineOwner {
+	lease := config.Seconds(env.cfg.Deployment.Workers.LeaseSeconds)
+	return &machineOwner{
+		environment:      env,
+		ownership:        record,
+		peers:            peers,
+		redirects:        NewRedirectTracker(lease),
+		heartbeats:       ownership.NewHeartbeatFilter(lease / 2),
+		digestReceivedAt: map[string]time.Duration{},
+	}
+}
+
+// viewOf returns what is known of the ownership of a machine. The order of the reads is that of the decision: the
 // table and the leader's epoch first, so that what is read of the owner is at least as new.
-func (c *Controller) ownershipView(
+func (o *machineOwner) viewOf(
 	known leadershipView,
 	l *leader.Leader,
 	view *election.View,
 	machine string,
 ) ownershipView {
-	if c.ownership == nil || known.renewsOnStandby || known.leaderless() {
+	if o == nil || known.renewsOnStandby || known.leaderless() {
 		return ownershipView{} // owners answer for a leader
 	}
-	table := c.effectiveTable(l, view)
+	table := o.effectiveTable(l, view)
 	if table == nil {
 		return ownershipView{}
 	}
-	o := ownershipView{epoch: table.Epoch, owner: table.Owner(machine)}
+	v := ownershipView{epoch: table.Epoch, owner: table.Owner(machine)}
 	switch {
-	case o.owner == "":
-	case o.owner != known.self:
-		o.ownerReachable = c.ownerReachable(o.owner, known.leadsHere)
+	case v.owner == "":
+	case v.owner != known.self:
+		v.ownerReachable = o.ownerReachable(v.owner, known.leadsHere)
 	case !known.leadsHere:
-		o.mayAnswer = c.ownerStatus(table, view).MayAnswer()
+		v.mayAnswer = o.ownerStatus(table, view).MayAnswer()
 	}
-	return o
+	return v
 }
 
 // effectiveTable returns the owners if the leader goes by them, or nil.
-func (c *Controller) effectiveTable(l *leader.Leader, v *election.View) *ownership.Table {
-	table := c.ownership.table.Load()
+func (o *machineOwner) effectiveTable(l *leader.Leader, v *election.View) *ownership.Table {
+	table := o.ownership.table.Load()
 	if table == nil {
 		return nil
 	}
@@ -53,33 +81,25 @@
 		}
 		return table
 	}
-	if at := c.ownership.leaderEpoch.Load(); at == nil || at.node != v.Leader || at.epoch != table.Epoch {
+	if at := o.ownership.leaderEpoch.Load(); at == nil || at.leader != v.Leader || at.epoch != table.Epoch {
 		return nil
 	}
 	return table
 }
 
 // ownerStatus is what decides whether this controller may answer workers as an owner.
-func (c *Controller) ownerStatus(table *ownership.Table, v *election.View) ownership.OwnerStatus {
-	now := c.now()
-	c.peersMu.Lock()
-	defer c.peersMu.Unlock()
+func (o *machineOwner) ownerStatus(table *ownership.Table, v *election.View) ownership.OwnerStatus {
+	now := o.now()
 	s := ownership.OwnerStatus{
-		Table:        table,
-		Controller:   c.cfg.Name,
-		Process:      c.intents.Incarnation(),
-		Leader:       v.Leader,
-		DigestAge:    now - time.Duration(c.ownership.digestAcknowledgedAt.Load()),
-		MaxDigestAge: c.times.LeaderTimeout,
-		KnowsCancellations: election.GroupStatus{
-			Now:       now,
-			Timing:    c.times,
-			Recovered: c.intents.Recovered(now),
-			Peers:     c.mesh.Peers(),
-			Statuses:  c.peers,
-		}.KnowsCancellations(),
-	}
-	if at := c.ownership.leaderEpoch.Load(); at != nil && at.node == v.Leader {
+		Table:              table,
+		Controller:         o.cfg.Name,
+		Process:            o.intents.Incarnation(),
+		Leader:             v.Leader,
+		DigestAge:          now - time.Duration(o.digestAcknowledgedAt.Load()),
+		MaxDigestAge:       o.times.LeaderTimeout,
+		KnowsCancellations: o.peers.intentsKnown(now),
+	}
+	if at := o.ownership.leaderEpoch.Load(); at != nil && at.leader == v.Leader {
 		s.LeaderEpoch = at.epoch
 	}
 	return s
@@ -87,107 +107,92 @@
 
 // ownerReachable says whether an owner is likely to take a worker. The leader knows by its digests, others by its
 // answers.
-func (c *Controller) ownerReachable(owner string, leads bool) bool {
-	now := c.now()
-	if leads {
-		c.ownership.mu.Lock()
-		defer c.ownership.mu.Unlock()
-		at, ok := c.ownership.digestReceivedAt[owner]
-		return ok && now-at <= c.times.LeaderTimeout/2
-	}
-	c.peersMu.Lock()
-	defer c.peersMu.Unlock()
-	p, ok := c.peers[owner]
-	return ok && now-p.SentAt <= c.times.LeaderTimeout/2
+func (o *machineOwner) ownerReachable(owner string, leads bool) bool {
+	if !leads {
+		return o.peers.recentlyHeard(owner)
+	}
+	now := o.now()
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	at, ok := o.digestReceivedAt[owner]
+	return ok && now-at <= o.times.LeaderTimeout/2
 }
 
 // returnedFromOwner says whether a machine was sent to its owner and has come back: it can't reach it, and is served
 // here for a while.
-func (c *Controller) returnedFromOwner(machine string, epoch uint64) bool {
-	return c.ownership.ownerRedirects.ShouldRelay(machine, fmt.Sprint(epoch), false, c.now())
+func (o *machineOwner) returnedFromOwner(machine string, epoch uint64) bool {
+	return o.redirects.ShouldRelay(machine, fmt.Sprint(epoch), false, o.now())
 }
 
-// answerAsOwner answers the heartbeat of a machine that this controller owns, or forwards it to the leader if that has
-// to know of it.
-func (c *Controller) answerAsOwner(leader string, q heartbeatRequest) {
-	o := c.ownership
+// mustForward returns whether the leader has to know of a heartbeat. If not, this controller may answer it.
+func (o *machineOwner) mustForward(heartbeat *protocol.WorkerHeartbeat, term uint64) bool {
 	o.mu.Lock()
-	mustForward := o.heartbeats.MustForward(c.now(), q.heartbeat, q.view.Term)
-	o.mu.Unlock()
-	if !mustForward {
-		transport.WriteResponse(q.w, http.StatusOK, ownership.UnchangedReply(q.heartbeat, c.cancellationRequested))
-		o.mu.Lock()
-		o.heartbeats.AnsweredLocally(q.heartbeat)
-		o.mu.Unlock()
-		return
-	}
-	ctx, cancel := context.WithTimeout(q.r.Context(), heartbeatTimeout)
-	defer cancel()
-	forwarded := c.forwardToLeader(ctx, q.w, leader, protocol.PeerMessage{
-		Kind:           protocol.PeerForwardedHeartbeat,
-		Body:           q.raw,
-		OwnershipEpoch: q.epoch,
-	})
-	if forwarded {
-		o.mu.Lock()
-		o.heartbeats.Forwarded(c.now(), q.heartbeat)
-		o.mu.Unlock()
-	}
+	defer o.mu.Unlock()
+	return o.heartbeats.MustForward(o.now(), heartbeat, term)
+}
+
+// answered records that this controller has answered a heartbeat.
+func (o *machineOwner) answered(heartbeat *protocol.WorkerHeartbeat) {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	o.heartbeats.AnsweredLocally(heartbeat)
+}
+
+// forwarded records that the leader has answered a heartbeat.
+func (o *machineOwner) forwarded(heartbeat *protocol.WorkerHeartbeat) {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	o.heartbeats.Forwarded(o.now(), heartbeat)
 }
 
 // sendDigests tells the leader regularly which machines this controller has answered; it ends at once while ownership
 // is off.
-func (c *Controller) sendDigests(ctx context.Context) {
-	if c.ownership == nil {
+func (o *machineOwner) sendDigests(ctx context.Context) {
+	if o == nil {
 		return
 	}
-	for actor.Sleep(ctx, followerHeartbeatFactor*c.times.HeartbeatInterval) == nil {
-		v := c.view.Load()
-		table := c.ownership.table.Load()
-		if table == nil || v.Leader == "" || v.Leader == c.cfg.Name || c.leading.Load() != nil {
+	for actor.Sleep(ctx, followerHeartbeatFactor*o.times.HeartbeatInterval) == nil {
+		v := o.view.Load()
+		table := o.ownership.table.Load()
+		if table == nil || v.Leader == "" || v.Leader == o.cfg.Name || o.leading.Load() != nil {
 			continue
 		}
-		if _, ok := table.Member(c.cfg.Name); ok {
-			c.sendDigest(ctx, v.Leader, table)
+		if _, ok := table.Member(o.cfg.Name); ok {
+			o.sendDigest(ctx, v.Leader, table)
 		}
 	}
 }
 
 // sendDigest tells the leader which machines were answered since the last digest, and takes in which of their reports
 // it wants.
-func (c *Controller) sendDigest(ctx context.Context, leader string, table *ownership.Table) {
-	c.ownership.mu.Lock()
-	c.ownership.heartbeats.Expire(c.now())
-	alive := c.ownership.heartbeats.TakeUnchanged()
-	c.ownership.mu.Unlock()
+func (o *machineOwner) sendDigest(ctx context.Context, leader string, table *ownership.Table) {
+	o.mu.Lock()
+	o.heartbeats.Expire(o.now())
+	alive := o.heartbeats.TakeUnchanged()
+	o.mu.Unlock()
 	for {
 		part := alive[:min(len(alive), maxDigestMachines)]
 		alive = alive[len(part):]
-		sent := c.now()
+		sent := o.now()
 		m := protocol.PeerMessage{
 			Kind:           protocol.PeerUnchangedHeartbeats,
 			OwnershipEpoch: table.Epoch,
-			Incarnation:    c.intents.Incarnation(),
+			Incarnation:    o.intents.Incarnation(),
 		}
 		for _, a := range part {
 			m.Machines = append(m.Machines, a.Machine)
-			m.MachineIncarnations, m.HeartbeatSequences = append(
-				m.MachineIncarnations,
-				a.Incarnation,
-			), append(
-				m.HeartbeatSequences,
-				a.Sequence,
-			)
+			m.MachineIncarnations = append(m.MachineIncarnations, a.Incarnation)
+			m.HeartbeatSequences = append(m.HeartbeatSequences, a.Sequence)
 		}
-		r, err := c.mesh.Call(ctx, leader, m)
+		r, err := o.mesh.Call(ctx, leader, m)
 		if err != nil || r.OwnershipEpoch != table.Epoch {
-			c.log.Debug("digest not acknowledged", "leader", leader, "epoch", table.Epoch, "err", err)
+			o.log.Debug("digest not acknowledged", "leader", leader, "epoch", table.Epoch, "error", err)
 			return
 		}
-		c.ownership.digestAcknowledgedAt.Store(int64(sent))
-		c.ownership.mu.Lock()
-		c.ownership.heartbeats.ForwardNext(r.Machines)
-		c.ownership.mu.Unlock()
+		o.digestAcknowledgedAt.Store(int64(sent))
+		o.mu.Lock()
+		o.heartbeats.ForwardNext(r.Machines)
+		o.mu.Unlock()
 		if len(alive) == 0 {
 			return
 		}
@@ -199,19 +204,22 @@
 
 // handleDigest takes in which machines an owner has answered. A digest of another epoch, or of a controller that owns
 // nothing in this one, is not acknowledged: whoever sent it stops answering as an owner.
-func (c *Controller) handleDigest(m, reply *protocol.PeerMessage) {
-	l := c.leading.Load()
-	if c.ownership == nil || l == nil || !l.Ready() {
+func (o *machineOwner) handleDigest(m, reply *protocol.PeerMessage) {
+	if o == nil {
 		return
 	}
-	table := c.ownership.table.Load()
+	l := o.leading.Load()
+	if l == nil || !l.Ready() {
+		return
+	}
+	table := o.ownership.table.Load()
 	if table == nil || m.OwnershipEpoch != table.Epoch {
 		return
 	}
 	if owner, ok := table.Member(m.From); !ok || owner.Incarnation.Process != m.Incarnation {
 		return
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), c.times.LeaderTimeout/2)
+	ctx, cancel := context.WithTimeout(context.Background(), o.times.LeaderTimeout/2)
 	defer cancel()
 	machines := make([]scheduler.UnchangedHeartbeat, len(m.MachineIncarnations))
 	for i := range machines {
@@ -222,11 +230,11 @@
 		}
 	}
 	passOn, ok := l.UnchangedHeartbeats(ctx, machines)
-	if !ok || c.leading.Load() != l {
+	if !ok || o.leading.Load() != l {
 		return
 	}
 	reply.OwnershipEpoch, reply.Machines = table.Epoch, passOn
-	c.ownership.mu.Lock()
-	defer c.ownership.mu.Unlock()
-	c.ownership.digestReceivedAt[m.From] = c.now()
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	o.digestReceivedAt[m.From] = o.now()
 }
--- a/internal/daemon/times_test.go
+++ b/internal/daemon/times_test.go
@@ -40,9 +40,9 @@
 // everybody while there is none, sends all. Even with one lost, peers hear of a follower
 // often enough to count it when they look for a majority.
 func TestHeartbeatPace(t *testing.T) {
-	c := &Controller{
+	c := &peerExchange{environment: &environment{
 		times: election.Timing{HeartbeatInterval: 100 * time.Millisecond, LeaderTimeout: 800 * time.Millisecond},
-	}
+	}}
 	for _, row := range []struct {
 		view election.View
 		want time.Duration
