--- a/internal/coordination/autoscaler/autoscaler.go
+++ b/internal/coordination/autoscaler/autoscaler.go
@@ -145,7 +145,7 @@
 			m.Addr, m.Type, m.Zone, m.Spot = l.Addr, l.Type, l.Zone, l.Spot
 		}
 		if l.State == protocol.MachineFailed {
-			m.Terminating = true
+			m.MarkTerminating()
 		}
 	}
 	for name, first := range f.firstListed {
--- a/internal/coordination/autoscaler/fence.go
+++ b/internal/coordination/autoscaler/fence.go
@@ -32,7 +32,7 @@
 		case now-m.LastHeartbeat > p.SilenceTimeout() && m.FencingDue(now):
 			// Its zone may be dark, and it may have ended its tasks by itself; but users
 			// were told that they are gone.
-			m.Terminating = true
+			m.MarkTerminating()
 		case now-m.LastHeartbeat > patience && now >= f.zonePolicies[m.Zone].NoFencingUntil:
 			dead = append(dead, m)
 		}
@@ -50,7 +50,7 @@
 			}
 			fenced[m.Zone]++
 		}
-		m.Terminating = true
+		m.MarkTerminating()
 	}
 }
 
--- a/internal/coordination/autoscaler/limits_test.go
+++ b/internal/coordination/autoscaler/limits_test.go
@@ -52,10 +52,10 @@
 	overdue := map[string]bool{}
 	for i := range manyMachines {
 		name := fmt.Sprintf("m%04d", i)
-		m, _, _ := p.HandleHeartbeat(
+		m := p.HandleHeartbeat(
 			10*s,
 			&protocol.WorkerHeartbeat{Machine: name, Addr: "x", Type: "g8", Zone: "a", Incarnation: 1, Sequence: 1},
-		)
+		).Machine
 		if i >= manyMachines/2 {
 			overdue[name] = true
 			pl := &machineregistry.Placement{
@@ -69,7 +69,7 @@
 			}
 			pl.FenceAt = 11 * s
 		}
-		m.Terminating = true
+		m.MarkTerminating()
 	}
 	perPlan := 2 * protocol.MaxMachinesPerRelease
 	returned := map[string]bool{}
--- a/internal/coordination/autoscaler/scalein.go
+++ b/internal/coordination/autoscaler/scalein.go
@@ -28,7 +28,7 @@
 	for call := range slices.Chunk(leaving, protocol.MaxMachinesPerRelease) {
 		names := make([]string, len(call))
 		for i, m := range call {
-			m.Terminating = true
+			m.MarkTerminating()
 			f.releasing[m.Name] = true
 			names[i] = m.Name
 		}
--- a/internal/coordination/machineregistry/commands.go
+++ b/internal/coordination/machineregistry/commands.go
@@ -4,178 +4,255 @@
 	"cmp"
 	"maps"
 	"slices"
-	"sort"
 	"time"
 
 	"pinebay/internal/config"
 	"pinebay/internal/protocol"
 )
 
-// exitedTask is an exited task that the machine still reports.
+// maxCommandsPerBatch keeps a batch, and a heartbeat's reply with it, within the protocol's limit.
+const maxCommandsPerBatch = 400
+
+// commandQueue is the state of the commands to one machine. What is due follows from the
+// machine's placements, unknown tasks and exited tasks; commands that the machine has not
+// executed, as far as its heartbeats say, are due again.
+type commandQueue struct {
+	inFlight bool          // a direct command has no answer yet
+	retryAt  time.Duration // when the next direct command may be sent
+	// newDue says that something new is due since the last batch was taken.
+	newDue bool
+
+	// epoch is the part of the fencing token that this leader raises to make the worker refuse
+	// delayed copies of earlier commands.
+	epoch         uint64
+	epochRaisedAt time.Duration
+}
+
+// exitedTask is an exited task that the worker still lists, and refuses to start again, until it
+// is told to forget it.
 type exitedTask struct {
 	attempt         uint64
-	outcomeRecorded bool // the record no longer counts on it
-	runFencingToken uint64
+	outcomeRecorded bool   // no record names the attempt as running any more
+	runFencingToken uint64 // of the last run command
 	exitedAt        time.Duration
 }
 
-// TakeDueCommands returns the commands that are due to a machine, and notes that they
-// are on their way. maxOrders keeps an answer inside the protocol's limit.
-func (p *Registry) TakeDueCommands(now time.Duration, m *Machine) []protocol.Command {
-	const maxOrders = 400
-	p.raiseCommandEpochIfNeeded(now, m)
-	m.newCommandsDue = false
-	var out []protocol.Command
-	run := func(pl *Placement) {
-		pl.runSent = true
-		pl.runFencingToken = p.FencingToken(m)
-		out = append(out, protocol.Command{Verb: protocol.VerbRun, TaskName: pl.Task.String(), Attempt: pl.Attempt})
-	}
-	stop := func(id protocol.TaskID, attempt uint64, graceS float64) {
-		out = append(
-			out,
-			protocol.Command{Verb: protocol.VerbStop, TaskName: id.String(), Attempt: attempt, GraceSeconds: &graceS},
-		)
-	}
+// commandBatch collects the commands to one machine up to the limit.
+type commandBatch []protocol.Command
+
+func (b *commandBatch) isFull() bool { return len(*b) >= maxCommandsPerBatch }
+
+func (b *commandBatch) addRun(task protocol.TaskID, attempt uint64) {
+	*b = append(*b, protocol.Command{Verb: protocol.VerbRun, TaskName: task.String(), Attempt: attempt})
+}
+
+func (b *commandBatch) addStop(task protocol.TaskID, attempt uint64, graceSeconds float64) {
+	*b = append(*b, protocol.Command{
+		Verb:         protocol.VerbStop,
+		TaskName:     task.String(),
+		Attempt:      attempt,
+		GraceSeconds: &graceSeconds,
+	})
+}
+
+func (b *commandBatch) addForget(task protocol.TaskID, attempt uint64) {
+	*b = append(*b, protocol.Command{Verb: protocol.VerbForget, TaskName: task.String(), Attempt: attempt})
+}
+
+// TakeDueCommands returns the commands that are due to a machine, in a fixed order, and marks
+// them as sent. Commands beyond the limit of a batch are left for the next one.
+func (r *Registry) TakeDueCommands(now time.Duration, m *Machine) []protocol.Command {
+	r.raiseEpochIfNeeded(now, m)
+	m.commands.newDue = false
+	var batch commandBatch
 	if len(m.placements) > 0 {
 		for _, pl := range sortedPlacements(m.placements) {
-			if len(out) >= maxOrders || !pl.StartAllowed || pl.Incarnation != m.Incarnation {
-				continue
-			}
-			switch {
-			case !pl.Stopping && !pl.Reported:
-				run(pl)
-			case pl.Stopping && pl.Reported:
-				if pl.State != protocol.TaskSaving || pl.GraceS == 0 {
-					stop(pl.Task, pl.Attempt, pl.GraceS)
-				}
-			case pl.Stopping:
-				// A run may still be under way. It is not repeated, for long after
-				// a cancel not even a moment on the machine is allowed; the raised
-				// epoch makes it invalid, and the next report tells (see absent).
-				stop(pl.Task, pl.Attempt, 0)
+			if !batch.isFull() {
+				r.addPlacementCommand(&batch, m, pl)
 			}
 		}
 	}
 	for _, id := range sortedTaskIDs(m.unknownTasks) {
-		if len(out) < maxOrders {
-			stop(id, m.unknownTasks[id], 0)
+		if !batch.isFull() {
+			batch.addStop(id, m.unknownTasks[id], 0)
 		}
 	}
 	for _, id := range sortedTaskIDs(m.exitedTasks) {
-		if e := m.exitedTasks[id]; len(out) < maxOrders && p.canForget(m, e) {
-			out = append(out, protocol.Command{Verb: protocol.VerbForget, TaskName: id.String(), Attempt: e.attempt})
+		if e := m.exitedTasks[id]; !batch.isFull() && canForget(m, e) {
+			batch.addForget(id, e.attempt)
 			delete(m.exitedTasks, id)
 		}
 	}
-	return out
+	return batch
 }
 
-// sortedTaskIDs lists the tasks of a machine in an order that does not depend on chance.
-func sortedTaskIDs[V any](tasks map[protocol.TaskID]V) []protocol.TaskID {
-	if len(tasks) == 0 {
-		return nil
+// addPlacementCommand adds the command that is due for a placement, if any.
+func (r *Registry) addPlacementCommand(batch *commandBatch, m *Machine, pl *Placement) {
+	if !pl.needsCommand() || pl.Incarnation != m.Incarnation {
+		return
 	}
-	list := slices.AppendSeq(make([]protocol.TaskID, 0, len(tasks)), maps.Keys(tasks))
-	slices.SortFunc(list, func(a, b protocol.TaskID) int {
-		return cmp.Or(cmp.Compare(a.JobID, b.JobID), cmp.Compare(a.Index, b.Index))
-	})
-	return list
+	switch {
+	case !pl.Stopping:
+		pl.runSent = true
+		pl.runFencingToken = r.FencingToken(m)
+		batch.addRun(pl.Task, pl.Attempt)
+	case pl.Reported:
+		batch.addStop(pl.Task, pl.Attempt, pl.GraceS)
+	default:
+		// The run command may still be delayed on its way. It is not repeated in order to stop the
+		// task then: a cancelled task must not run even for a moment. The raised epoch makes the
+		// worker refuse the run, and its next heartbeat proves that (see removeAbsent).
+		batch.addStop(pl.Task, pl.Attempt, 0)
+	}
+}
+
+// needsCommand reports whether a run or stop command is due for the placement. A task that is
+// saving a checkpoint already needs no other stop command, unless its grace period was cut to 0.
+func (pl *Placement) needsCommand() bool {
+	if !pl.StartAllowed {
+		return false
+	}
+	return !pl.Reported || pl.Stopping && (pl.State != protocol.TaskSaving || pl.GraceS == 0)
 }
 
-// canForget says whether no run of an exited attempt can reach the machine
-// any more: after forget, a late copy would start the attempt again. Commands
-// with a token below the highest that the worker has seen are refused.
-func (p *Registry) canForget(m *Machine, e *exitedTask) bool {
+// canForget reports whether the worker may forget an exited task. A run command that arrived
+// after that would start the attempt again, so none may be acceptable to the worker any more: it
+// refuses commands whose token is below the highest that it has seen.
+func canForget(m *Machine, e *exitedTask) bool {
 	return e.outcomeRecorded && e.runFencingToken < m.HighestFencingToken
 }
 
-// FencingToken is what commands to the machine carry now.
-func (p *Registry) FencingToken(m *Machine) uint64 {
-	return protocol.FencingToken(p.term, m.commandEpoch)
+// FencingToken returns the token that commands to the machine carry now.
+func (r *Registry) FencingToken(m *Machine) uint64 {
+	return protocol.FencingToken(r.term, m.commands.epoch)
 }
 
-// raiseCommandEpochIfNeeded raises the machine's epoch when exited entries wait for it, so that
-// late copies of their runs are refused and the entries can be forgotten, or
-// when a start without an answer is to be withdrawn. It waits for commands and
-// starts under way, which the change would only delay.
-func (p *Registry) raiseCommandEpochIfNeeded(now time.Duration, m *Machine) {
-	pause := config.Seconds(p.workerSettings.LeaseSeconds / 2)
-	if m.CommandInFlight || m.commandEpoch >= protocol.MaxTokenEpoch {
+// lastTokenOfEarlierTerms is the highest token that an earlier leader may have sent.
+func (r *Registry) lastTokenOfEarlierTerms() uint64 { return protocol.FencingToken(r.term, 0) - 1 }
+
+// raiseEpochIfNeeded raises the machine's command epoch in two cases: to make the worker refuse a
+// run that is to be stopped before the machine has reported it, and to be able to forget exited
+// tasks. It waits for a command in flight, and the second case for starts as well, which the new
+// epoch would only delay.
+func (r *Registry) raiseEpochIfNeeded(now time.Duration, m *Machine) {
+	if m.commands.inFlight || m.commands.epoch >= protocol.MaxTokenEpoch {
 		return
 	}
-	starting, withdraw := false, false
+	starting, stopping := r.unreportedRuns(m)
+	if stopping || !starting && r.exitedTasksWait(now, m) {
+		m.commands.epoch++
+		m.commands.epochRaisedAt = now
+	}
+}
+
+// unreportedRuns reports whether a placement is starting, and whether one is stopping whose run
+// command the worker would still accept, among those that the machine has not reported.
+func (r *Registry) unreportedRuns(m *Machine) (starting, stopping bool) {
 	for _, pl := range m.placements {
 		switch {
 		case !pl.StartAllowed || pl.Reported || pl.Incarnation != m.Incarnation:
 		case !pl.Stopping:
 			starting = true
-		case pl.runFencingToken >= p.FencingToken(m):
-			withdraw = true
-		}
-	}
-	settled := false
-	if !starting && now-m.commandEpochRaisedAt >= pause {
-		for _, e := range m.exitedTasks {
-			if e.outcomeRecorded && e.runFencingToken >= p.FencingToken(m) && now-e.exitedAt > pause {
-				settled = true
-				break
-			}
+		case pl.runFencingToken >= r.FencingToken(m):
+			stopping = true
 		}
 	}
-	if settled || withdraw {
-		m.commandEpoch++
-		m.commandEpochRaisedAt = now
-	}
+	return starting, stopping
 }
 
-// needsCommand says whether a placement needs a command.
-func (pl *Placement) needsCommand() bool {
-	return pl.StartAllowed && (!pl.Reported || pl.Stopping && (pl.State != protocol.TaskSaving || pl.GraceS == 0))
+// exitedTasksWait reports whether an exited task has been waiting for a higher epoch for half a
+// lease, and the epoch is as old.
+func (r *Registry) exitedTasksWait(now time.Duration, m *Machine) bool {
+	pause := config.Seconds(r.workerSettings.LeaseSeconds / 2)
+	if now-m.commands.epochRaisedAt < pause {
+		return false
+	}
+	for _, e := range m.exitedTasks {
+		if e.outcomeRecorded && e.runFencingToken >= r.FencingToken(m) && now-e.exitedAt > pause {
+			return true
+		}
+	}
+	return false
 }
 
-// MachinesToCommand returns the machines that should be sent commands directly, since
-// waiting for their next report would be noticed. Only those are looked at on
-// which something is due: this is asked with every message.
-func (p *Registry) MachinesToCommand(now time.Duration) []*Machine {
-	var out []*Machine
-	for name, m := range p.commandsDue {
-		if p.machines[name] != m {
-			delete(p.commandsDue, name)
+// MachinesToCommand returns, in name order, the machines to which due commands should be sent
+// directly, as waiting for their next heartbeat would delay a start or a stop. It is called after
+// every event and looks only at machines on which something may be due.
+func (r *Registry) MachinesToCommand(now time.Duration) []*Machine {
+	var list []*Machine
+	for name, m := range r.commandsDue {
+		if r.machines[name] != m {
+			delete(r.commandsDue, name)
 			continue
 		}
-		any, here := false, false
-		for _, pl := range m.placements {
-			if pl.needsCommand() {
-				any, here = true, here || pl.Incarnation == m.Incarnation
-			}
-		}
+		due, reachable := m.placementsNeedCommand()
 		switch {
-		case !any:
-			delete(p.commandsDue, name)
-		case here && m.Registered && !m.CommandInFlight && !m.Relayed && m.Addr != "" && now >= m.CommandRetryAt:
-			out = append(out, m)
+		case !due:
+			delete(r.commandsDue, name)
+		case reachable && m.canBeCommanded(now):
+			list = append(list, m)
 		}
 	}
-	sort.Slice(out, func(i, j int) bool { return out[i].Name < out[j].Name })
-	return out
+	slices.SortFunc(list, func(a, b *Machine) int { return cmp.Compare(a.Name, b.Name) })
+	return list
 }
 
-// CommandAnswered notes the outcome of a direct command: ok when it was executed.
-func (p *Registry) CommandAnswered(now time.Duration, m *Machine, ok bool) {
-	m.CommandInFlight = false
-	if !ok {
-		// The next report is the natural time for another try; a machine that is
-		// silent is tried seldom, or hundreds behind a cut would take the turns of
-		// those that answer.
-		pause := p.workerSettings.HeartbeatSeconds
-		if now-m.LastHeartbeat > p.SilenceTimeout() {
-			pause = p.workerSettings.LeaseSeconds / 2
+// placementsNeedCommand reports whether a command is due for any placement, and for any of the
+// worker's present incarnation.
+func (m *Machine) placementsNeedCommand() (due, ofIncarnation bool) {
+	for _, pl := range m.placements {
+		if pl.needsCommand() {
+			due = true
+			ofIncarnation = ofIncarnation || pl.Incarnation == m.Incarnation
 		}
-		m.CommandRetryAt = now + config.Seconds(pause)
-		return
 	}
-	if !m.newCommandsDue {
-		m.CommandRetryAt = now + config.Seconds(p.workerSettings.HeartbeatSeconds/4)
+	return due, ofIncarnation
+}
+
+// canBeCommanded reports whether a direct command may be sent to the machine now.
+func (m *Machine) canBeCommanded(now time.Duration) bool {
+	return m.Registered && !m.Relayed && m.Addr != "" && !m.commands.inFlight && now >= m.commands.retryAt
+}
+
+// CommandSent notes that a direct command has been sent to the machine. No other is sent until
+// CommandAnswered.
+func (r *Registry) CommandSent(m *Machine) { m.commands.inFlight = true }
+
+// CommandAnswered notes the outcome of a direct command. After a success, commands are repeated
+// only once a heartbeat could have confirmed them. After a failure the next heartbeat is the
+// natural moment to try again; a silent machine is tried more seldom, as hundreds that are cut off
+// would otherwise delay the commands to those that answer.
+func (r *Registry) CommandAnswered(now time.Duration, m *Machine, ok bool) {
+	const pausesPerHeartbeat = 4
+	m.commands.inFlight = false
+	heartbeat := r.workerSettings.HeartbeatSeconds
+	switch {
+	case ok && m.commands.newDue:
+	case ok:
+		m.commands.retryAt = now + config.Seconds(heartbeat/pausesPerHeartbeat)
+	case now-m.LastHeartbeat > r.SilenceTimeout():
+		m.commands.retryAt = now + config.Seconds(r.workerSettings.LeaseSeconds/2)
+	default:
+		m.commands.retryAt = now + config.Seconds(heartbeat)
+	}
+}
+
+// expediteCommand lets the next command to a placement's machine be sent without a pause.
+func (r *Registry) expediteCommand(pl *Placement) {
+	if m := r.machines[pl.Machine]; m != nil {
+		m.commands.retryAt, m.commands.newDue = 0, true
+		r.commandsDue[m.Name] = m
 	}
 }
+
+// sortedTaskIDs returns the keys of a map in task order.
+func sortedTaskIDs[V any](tasks map[protocol.TaskID]V) []protocol.TaskID {
+	if len(tasks) == 0 {
+		return nil
+	}
+	list := slices.AppendSeq(make([]protocol.TaskID, 0, len(tasks)), maps.Keys(tasks))
+	slices.SortFunc(list, func(a, b protocol.TaskID) int {
+		return cmp.Or(cmp.Compare(a.JobID, b.JobID), cmp.Compare(a.Index, b.Index))
+	})
+	return list
+}
--- a/internal/coordination/machineregistry/heartbeat.go
+++ b/internal/coordination/machineregistry/heartbeat.go
@@ -1,205 +1,233 @@
 package machineregistry
 
 import (
-	"slices"
 	"time"
 
 	"pinebay/internal/config"
 	"pinebay/internal/protocol"
 )
 
-// Observation is something that a partition learnt of a placement.
+// Observation is a change of a placement that a heartbeat, or a removal, has shown.
 type Observation struct {
 	Placement *Placement
-	Lost      bool // gone without having exited by itself
+	Lost      bool // terminated without an exit of the task
 }
 
-// HandleHeartbeat takes in a worker's message. It returns what changed; newer is false
-// for copies and latecomers, whose task lists prove nothing but exits.
-func (p *Registry) HandleHeartbeat(
-	now time.Duration,
-	r *protocol.WorkerHeartbeat,
-) (m *Machine, facts []Observation, newer bool) {
-	m = p.GetOrCreate(now, r.Machine)
-	if !p.Schedulable(now, m) {
-		defer p.markChanged(m) // it may be open now
-	}
-	newer = r.Incarnation > m.Incarnation || r.Incarnation == m.Incarnation && r.Sequence > m.Seq
-	if r.Incarnation > m.Incarnation {
-		// The worker has killed everything of its earlier sessions.
-		for _, pl := range sortedPlacements(m.placements) {
-			if pl.Incarnation < r.Incarnation {
-				p.removePlacement(now, m, pl)
-				facts = append(facts, Observation{pl, true})
-			}
-		}
-		if m.Incarnation != 0 {
-			// Its lease ran out while we may have been answering: wait until it
-			// has shown that it takes commands.
-			m.UnresponsiveUntil = now + config.Seconds(p.workerSettings.HeartbeatSeconds)
-		}
-		m.exitedTasks, m.unknownTasks = map[protocol.TaskID]*exitedTask{}, map[protocol.TaskID]uint64{}
-		m.Incarnation, m.Seq = r.Incarnation, 0
-	}
-	if r.Incarnation < m.Incarnation {
-		return m, facts, false
+// HeartbeatResult is the outcome of a heartbeat.
+type HeartbeatResult struct {
+	Machine      *Machine
+	Observations []Observation
+	// Newer is false for duplicates and delayed heartbeats, which prove nothing but the exits that
+	// they list.
+	Newer bool
+}
+
+// HandleHeartbeat brings a machine up to date with a heartbeat of its worker and reconciles its
+// placements with the tasks that the worker lists. An unknown machine is created. Heartbeats may
+// be duplicated, delayed and reordered.
+func (r *Registry) HandleHeartbeat(now time.Duration, heartbeat *protocol.WorkerHeartbeat) HeartbeatResult {
+	m := r.GetOrCreate(now, heartbeat.Machine)
+	if !r.Schedulable(now, m) {
+		defer r.markChanged(m) // it may be schedulable from now on
+	}
+	rec := reconciliation{
+		registry: r,
+		now:      now,
+		machine:  m,
+		newer: heartbeat.Incarnation > m.Incarnation ||
+			heartbeat.Incarnation == m.Incarnation && heartbeat.Sequence > m.Seq,
+	}
+	if heartbeat.Incarnation > m.Incarnation {
+		rec.beginIncarnation(heartbeat.Incarnation)
+	}
+	if heartbeat.Incarnation < m.Incarnation {
+		return HeartbeatResult{Machine: m}
+	}
+	if rec.newer {
+		rec.updateMachine(heartbeat)
+	}
+	rec.reconcileTasks(heartbeat)
+	return HeartbeatResult{Machine: m, Observations: rec.observations, Newer: rec.newer}
+}
+
+// HandleUnchangedHeartbeat notes that another controller, the machine's owner, has answered a
+// heartbeat in which nothing had changed. It returns false if that is not enough: the leader knows
+// less of the machine than the owner, or the machine has commands to receive, so that the next
+// heartbeat must reach the leader.
+func (r *Registry) HandleUnchangedHeartbeat(now time.Duration, machine string, incarnation, sequence uint64) bool {
+	m := r.machines[machine]
+	if m == nil || !m.Registered || m.Incarnation != incarnation {
+		return false
 	}
-	if newer {
-		m.Seq = r.Sequence
-		m.LastHeartbeat, m.Registered = now, true
-		if m.Type != r.Type || m.Zone != r.Zone || m.Spot != r.Spot {
-			p.markChanged(m)
-		}
-		m.Addr, m.Type, m.Zone, m.Spot = r.Addr, r.Type, r.Zone, r.Spot
-		m.HighestFencingToken = max(m.HighestFencingToken, r.FencingToken)
-		if r.InterruptionNoticeSeconds != nil && !m.InterruptionNotice {
-			m.InterruptionNotice = true
-			p.indexes.withInterruptionNotice.Set(m)
+	if sequence > m.Seq {
+		if !r.Schedulable(now, m) {
+			defer r.markChanged(m) // it may be schedulable from now on
 		}
-		clear(m.unknownTasks)
+		m.Seq, m.LastHeartbeat, m.Relayed = sequence, now, false
 	}
-	listed := make(map[protocol.TaskID]uint64, len(r.Tasks))
-	for i := range r.Tasks {
-		t := &r.Tasks[i]
-		id, err := protocol.ParseTaskID(t.TaskName)
-		if err != nil {
-			continue // a stranger's task is nothing that we can command
-		}
-		listed[id] = t.Attempt
-		if f, ok := p.handleTaskStatus(now, m, id, t, newer); ok {
-			facts = append(facts, f)
+	return r.commandsDue[machine] != m && len(m.unknownTasks) == 0 && len(m.exitedTasks) == 0
+}
+
+// reconciliation is the work on one heartbeat.
+type reconciliation struct {
+	registry     *Registry
+	now          time.Duration
+	machine      *Machine
+	newer        bool
+	observations []Observation
+}
+
+// beginIncarnation drops what belonged to earlier incarnations of the worker: a new one has killed
+// all their tasks before its first heartbeat.
+func (c *reconciliation) beginIncarnation(incarnation uint64) {
+	m := c.machine
+	for _, pl := range sortedPlacements(m.placements) {
+		if pl.Incarnation < incarnation {
+			c.terminateLost(pl)
 		}
 	}
-	if newer {
-		facts = append(facts, p.removeAbsent(now, m, r.FencingToken, listed)...)
+	if m.Incarnation != 0 {
+		// The worker's lease expired while the leader may have answered its heartbeats. It has yet
+		// to show that commands reach it.
+		m.MarkUnresponsive(c.now + config.Seconds(c.registry.workerSettings.HeartbeatSeconds))
 	}
-	return m, facts, newer
+	m.exitedTasks, m.unknownTasks = map[protocol.TaskID]*exitedTask{}, map[protocol.TaskID]uint64{}
+	m.Incarnation, m.Seq = incarnation, 0
 }
 
-// HandleUnchangedHeartbeat takes in that an owner has answered a report which told nothing new, and says whether it
-// knows as much of the machine: if not, or if the machine has commands to take, the next report is to be passed on.
-func (p *Registry) HandleUnchangedHeartbeat(now time.Duration, name string, session, seq uint64) bool {
-	m := p.machines[name]
-	if m == nil || !m.Registered || m.Incarnation != session {
-		return false
-	}
-	if seq > m.Seq {
-		if !p.Schedulable(now, m) {
-			defer p.markChanged(m) // it may be open now
+// updateMachine takes over what a newer heartbeat says of the machine itself.
+func (c *reconciliation) updateMachine(heartbeat *protocol.WorkerHeartbeat) {
+	m := c.machine
+	m.Seq = heartbeat.Sequence
+	m.LastHeartbeat, m.Registered = c.now, true
+	if m.Type != heartbeat.Type || m.Zone != heartbeat.Zone || m.Spot != heartbeat.Spot {
+		c.registry.markChanged(m)
+	}
+	m.Addr, m.Type, m.Zone, m.Spot = heartbeat.Addr, heartbeat.Type, heartbeat.Zone, heartbeat.Spot
+	m.HighestFencingToken = max(m.HighestFencingToken, heartbeat.FencingToken)
+	if heartbeat.InterruptionNoticeSeconds != nil && !m.InterruptionNotice {
+		m.InterruptionNotice = true
+		c.registry.indexes.withInterruptionNotice.Set(m)
+	}
+	clear(m.unknownTasks)
+}
+
+// reconcileTasks compares the tasks that the worker lists with the machine's placements.
+func (c *reconciliation) reconcileTasks(heartbeat *protocol.WorkerHeartbeat) {
+	listed := make(map[protocol.TaskID]uint64, len(heartbeat.Tasks))
+	for i := range heartbeat.Tasks {
+		status := &heartbeat.Tasks[i]
+		id, err := protocol.ParseTaskID(status.TaskName)
+		if err != nil {
+			continue // not a task of ours, and no command could name it
 		}
-		m.Seq, m.LastHeartbeat, m.Relayed = seq, now, false
+		listed[id] = status.Attempt
+		c.reconcileTask(id, status)
+	}
+	if c.newer {
+		c.terminateAbsent(heartbeat.FencingToken, listed)
 	}
-	return p.commandsDue[name] != m && len(m.unknownTasks) == 0 && len(m.exitedTasks) == 0
 }
 
-// removeAbsent finds the placements that are to end and are proven not to be there.
-// A worker refuses runs whose token is below the highest that it has seen. So
-// when it reports a token above all those that a run of the attempt was sent
-// with, none can be executed any more, and an attempt that it does not list is
-// not there and will not be. Without the token, absence proves nothing.
-func (p *Registry) removeAbsent(
-	now time.Duration,
-	m *Machine,
-	token uint64,
-	listed map[protocol.TaskID]uint64,
-) (facts []Observation) {
-	for _, pl := range sortedPlacements(m.placements) {
-		if !pl.Stopping || pl.Reported || pl.Incarnation != m.Incarnation || token <= pl.runFencingToken ||
-			listed[pl.Task] == pl.Attempt {
-			continue
-		}
-		p.removePlacement(now, m, pl)
-		p.abandonFetch(m, pl)
-		facts = append(facts, Observation{pl, true})
+// reconcileTask brings the placement of a listed task up to date.
+func (c *reconciliation) reconcileTask(id protocol.TaskID, status *protocol.TaskStatus) {
+	pl := c.machine.placements[id]
+	if pl == nil || pl.Attempt != status.Attempt || pl.Incarnation != c.machine.Incarnation {
+		c.noteUnplaced(id, status, pl)
+		return
+	}
+	first := !pl.Reported
+	pl.runSent, pl.Reported = true, true
+	switch {
+	case status.State == protocol.TaskExited:
+		c.recordExit(pl, status)
+		c.observations = append(c.observations, Observation{Placement: pl})
+	case c.updateState(pl, status) || first:
+		c.observations = append(c.observations, Observation{Placement: pl})
 	}
-	return facts
 }
 
-// handleTaskStatus takes in one task of a report.
-func (p *Registry) handleTaskStatus(
-	now time.Duration,
-	m *Machine,
-	id protocol.TaskID,
-	t *protocol.TaskStatus,
-	newer bool,
-) (Observation, bool) {
-	pl := m.placements[id]
-	if pl == nil || pl.Attempt != t.Attempt || pl.Incarnation != m.Incarnation {
-		e := m.exitedTasks[id]
-		known := e != nil && e.attempt == t.Attempt
-		switch {
-		case t.State == protocol.TaskExited && !known && (pl == nil || pl.Attempt > t.Attempt) && (e == nil || e.attempt < t.Attempt):
-			// Nothing of this term: an earlier leader's, whose outcome is
-			// recorded, or else the record would still name it.
-			m.exitedTasks[id] = &exitedTask{
-				attempt:         t.Attempt,
-				outcomeRecorded: true,
-				runFencingToken: protocol.FencingToken(p.term, 0) - 1,
-				exitedAt:        now,
-			}
-		case t.State != protocol.TaskExited && newer && !known:
-			m.unknownTasks[id] = t.Attempt
-		}
-		return Observation{}, false
-	}
-	pl.runSent = true
-	changed := !pl.Reported
-	pl.Reported = true
-	if t.State == protocol.TaskExited {
-		pl.State, pl.Cause, pl.CheckpointSaved, pl.StateSince = t.State, t.Cause, t.CheckpointSaved, now
-		p.removePlacement(now, m, pl)
-		m.exitedTasks[id] = &exitedTask{attempt: pl.Attempt, runFencingToken: pl.runFencingToken, exitedAt: now}
-		switch t.Cause {
-		case protocol.CauseDone:
-			clear(m.FailedJobs)
-		case protocol.CauseError:
-			m.FailedJobs[id.JobID] = true
-		}
-		if t.Cause != protocol.CauseDone {
-			p.abandonFetch(m, pl)
-		}
-		return Observation{Placement: pl}, true
-	}
-	if newer && pl.State != t.State {
-		pl.State, pl.StateSince = t.State, now
-		changed = true
-		if t.State != protocol.TaskFetching && pl.Job != nil {
-			if im := m.images[pl.Job.Image]; im != nil {
-				if !im.confirmed {
-					im.confirmed = true
-					p.setImage(m, pl.Job.Image, im)
-				}
-			} else {
-				p.setImage(m, pl.Job.Image, &imageEntry{sizeGB: pl.Job.ImageGB, confirmed: true, lastUsed: now})
-			}
+// noteUnplaced notes a listed task without a placement of that attempt; pl is the placement of
+// another attempt or incarnation, or nil. The machine is to forget it if it has exited, and to stop
+// it otherwise.
+func (c *reconciliation) noteUnplaced(id protocol.TaskID, status *protocol.TaskStatus, pl *Placement) {
+	m := c.machine
+	exited := m.exitedTasks[id]
+	if exited != nil && exited.attempt == status.Attempt {
+		return
+	}
+	if status.State != protocol.TaskExited {
+		if c.newer {
+			m.unknownTasks[id] = status.Attempt
 		}
+		return
+	}
+	if pl != nil && pl.Attempt <= status.Attempt || exited != nil && exited.attempt >= status.Attempt {
+		return
+	}
+	// An earlier leader placed it, and its outcome is recorded: otherwise the record would still
+	// name it, and this leader would have adopted it.
+	m.exitedTasks[id] = &exitedTask{
+		attempt:         status.Attempt,
+		outcomeRecorded: true,
+		runFencingToken: c.registry.lastTokenOfEarlierTerms(),
+		exitedAt:        c.now,
 	}
-	return Observation{Placement: pl}, changed
 }
 
-// Remove says that a machine is proven gone, with all that was on it.
-func (p *Registry) Remove(now time.Duration, name string) []Observation {
-	m := p.machines[name]
-	if m == nil {
-		return nil
-	}
-	var facts []Observation
-	for _, pl := range sortedPlacements(m.placements) {
-		p.removePlacement(now, m, pl)
-		facts = append(facts, Observation{pl, true})
+// recordExit terminates a placement whose task has exited.
+func (c *reconciliation) recordExit(pl *Placement, status *protocol.TaskStatus) {
+	m := c.machine
+	pl.State, pl.StateSince = status.State, c.now
+	pl.Cause, pl.CheckpointSaved = status.Cause, status.CheckpointSaved
+	c.registry.removePlacement(c.now, m, pl)
+	m.exitedTasks[pl.Task] = &exitedTask{
+		attempt:         pl.Attempt,
+		runFencingToken: pl.runFencingToken,
+		exitedAt:        c.now,
+	}
+	switch status.Cause {
+	case protocol.CauseDone:
+		clear(m.FailedJobs)
+		return
+	case protocol.CauseError:
+		m.FailedJobs[pl.Task.JobID] = true
+	}
+	c.registry.abandonFetch(m, pl)
+}
+
+// updateState takes over the state of a task that has not exited, and reports whether it is new.
+func (c *reconciliation) updateState(pl *Placement, status *protocol.TaskStatus) bool {
+	if !c.newer || pl.State == status.State {
+		return false
 	}
-	p.unindexMachine(m)
-	delete(p.machines, name)
-	if i, ok := slices.BinarySearchFunc(p.sortedMachines, name, compareName); ok {
-		p.sortedMachines = slices.Delete(p.sortedMachines, i, i+1)
+	pl.State, pl.StateSince = status.State, c.now
+	if status.State != protocol.TaskFetching && pl.Job != nil {
+		c.registry.confirmImage(c.now, c.machine, pl.Job)
 	}
-	return facts
+	return true
 }
 
-func sortedPlacements(ps map[protocol.TaskID]*Placement) []*Placement {
-	list := make([]*Placement, 0, len(ps))
-	for _, id := range sortedTaskIDs(ps) {
-		list = append(list, ps[id])
+// terminateAbsent terminates the placements that are to end and are proven not to be on the
+// machine. A worker refuses run commands whose token is below the highest that it has seen. So
+// once it reports a token above that of every run command of an attempt, none of these is executed
+// any more, and an attempt that it does not list is not there and will not be. Without that token,
+// absence proves nothing: a run command may still be delayed on its way.
+func (c *reconciliation) terminateAbsent(reportedToken uint64, listed map[protocol.TaskID]uint64) {
+	for _, pl := range sortedPlacements(c.machine.placements) {
+		if !pl.Stopping || pl.Reported || pl.Incarnation != c.machine.Incarnation {
+			continue
+		}
+		if reportedToken <= pl.runFencingToken || listed[pl.Task] == pl.Attempt {
+			continue
+		}
+		c.terminateLost(pl)
+		c.registry.abandonFetch(c.machine, pl)
 	}
-	return list
+}
+
+// terminateLost terminates a placement whose task is gone without having exited.
+func (c *reconciliation) terminateLost(pl *Placement) {
+	c.registry.removePlacement(c.now, c.machine, pl)
+	c.observations = append(c.observations, Observation{Placement: pl, Lost: true})
 }
--- a/internal/coordination/machineregistry/images.go
+++ b/internal/coordination/machineregistry/images.go
@@ -1,192 +1,233 @@
 package machineregistry
 
 import (
-	"sort"
+	"cmp"
+	"slices"
 	"time"
 
 	"pinebay/internal/config"
 	"pinebay/internal/protocol"
 )
 
-// imageEntry is a machine's copy of an image, as far as can be told.
+// SlowFetchFactor is how much longer than the machine type's rate suggests a fetch may take.
+const SlowFetchFactor = 4.0 / 3
+
+// CachedImage is an image in a machine's cache.
+type CachedImage struct {
+	Image  string
+	SizeGB float64
+}
+
+// imageCache is an estimate of the images in a machine's cache, by name. Workers do not report
+// their cache: the estimate follows from the placements and the states of their tasks.
+type imageCache map[string]*imageEntry
+
+// imageEntry is an image that is in the cache or being fetched.
 type imageEntry struct {
 	sizeGB     float64
-	expectedAt time.Duration // when it should be there, as the type's rate says
-	latestAt   time.Duration // when at the latest, as fetches take up to a third longer
-	confirmed  bool          // a task that needs it has got past its fetch
+	expectedAt time.Duration // when the fetch is over at the machine type's rate
+	latestAt   time.Duration // when it is over if it is slow
+	confirmed  bool          // a task that needs it has been seen past its fetch
 	lastUsed   time.Duration
 }
 
-// SlowFetchFactor is how much longer than the type's rate says a fetch may take.
-const SlowFetchFactor = 4.0 / 3
-
-// remainingFetch estimates how long the machine still needs to have the image. A fetch
-// that should be over may go on: until a task has been seen past it, the image
-// is not taken for granted, or tasks would be moved from one unfinished fetch
-// to the next, and each would start from nothing.
-func (im *imageEntry) remainingFetch(now time.Duration) time.Duration {
-	third := im.latestAt - im.expectedAt
+// remainingFetch estimates how long the fetch will still take. A fetch that should be over may
+// still go on, so until the image is confirmed some time is left: otherwise tasks would be moved
+// from one unfinished fetch to the next, and each would begin anew.
+func (e *imageEntry) remainingFetch(now time.Duration) time.Duration {
+	third := e.latestAt - e.expectedAt
 	switch {
-	case im.confirmed:
+	case e.confirmed:
 		return 0
-	case now < im.expectedAt-third:
-		return im.expectedAt - now
+	case now < e.expectedAt-third:
+		return e.expectedAt - now
 	default:
-		return max(im.latestAt-now, third/2) / 2
+		return max(e.latestAt-now, third/2) / 2
 	}
 }
 
-// CachedImage is a machine's copy of an image.
-type CachedImage struct {
-	Image  string
-	SizeGB float64
+// confirmedImages returns the images that are known to be in the cache, by name.
+func (c imageCache) confirmedImages() []CachedImage {
+	var list []CachedImage
+	for name, e := range c {
+		if e.confirmed {
+			list = append(list, CachedImage{Image: name, SizeGB: e.sizeGB})
+		}
+	}
+	slices.SortFunc(list, func(a, b CachedImage) int { return cmp.Compare(a.Image, b.Image) })
+	return list
 }
 
-// CachedImages returns the images that machines have, as far as can be told.
-func (p *Registry) CachedImages() map[string][]CachedImage {
-	out := map[string][]CachedImage{}
-	for _, m := range p.sortedMachines {
-		n := m.Name
-		for name, im := range m.images {
-			if im.confirmed {
-				out[n] = append(out[n], CachedImage{name, im.sizeGB})
-			}
+// leastRecentlyUsed returns the image that is evicted first, except those in use, or "" if there
+// is none, and the size of the whole cache.
+func (c imageCache) leastRecentlyUsed(inUse map[string]bool) (name string, totalGB float64) {
+	for candidate, e := range c {
+		totalGB += e.sizeGB
+		if !inUse[candidate] && (name == "" || c.evictedBefore(candidate, name)) {
+			name = candidate
 		}
-		sort.Slice(out[n], func(i, j int) bool { return out[n][i].Image < out[n][j].Image })
 	}
-	return out
+	return name, totalGB
 }
 
-// SetImageHint tells which images a machine had when an earlier leader last wrote them
-// down. It is no more than a hint: a wrong one costs a fetch.
-func (p *Registry) SetImageHint(name string, copies []CachedImage) { p.imageHints[name] = copies }
+// evictedBefore orders images by their last use, and those of equal use by name.
+func (c imageCache) evictedBefore(a, b string) bool {
+	if usedA, usedB := c[a].lastUsed, c[b].lastUsed; usedA != usedB {
+		return usedA < usedB
+	}
+	return a < b
+}
+
+// CachedImages returns the images that are known to be in the caches, by machine.
+func (r *Registry) CachedImages() map[string][]CachedImage {
+	byMachine := map[string][]CachedImage{}
+	for _, m := range r.sortedMachines {
+		if images := m.images.confirmedImages(); len(images) > 0 {
+			byMachine[m.Name] = images
+		}
+	}
+	return byMachine
+}
+
+// SetImageHint sets the images that a machine had when an earlier leader last recorded them. They
+// are taken for confirmed when the machine is created; a wrong hint costs no more than a fetch.
+func (r *Registry) SetImageHint(machine string, images []CachedImage) { r.imageHints[machine] = images }
 
-// FetchTime estimates how long a machine needs until it has the job's image.
-func (p *Registry) FetchTime(now time.Duration, m *Machine, j *protocol.Job) time.Duration {
-	return p.FetchTimeWithout(now, m, j, nil)
+// HasImage reports whether the machine has an image or is fetching it.
+func (m *Machine) HasImage(image string) bool { return m.images[image] != nil }
+
+// FetchTime estimates how long a machine takes until it has the job's image.
+func (r *Registry) FetchTime(now time.Duration, m *Machine, j *protocol.Job) time.Duration {
+	return r.FetchTimeWithout(now, m, j, nil)
 }
 
-// FetchTimeWithout is FetchTime if those tasks left that the function names.
-func (p *Registry) FetchTimeWithout(
+// FetchTimeWithout is FetchTime in case the placements for which leaves returns true end. A nil
+// leaves stands for none of them.
+func (r *Registry) FetchTimeWithout(
 	now time.Duration,
 	m *Machine,
 	j *protocol.Job,
-	leave func(*Placement) bool,
+	leaves func(*Placement) bool,
 ) time.Duration {
-	if im := m.images[j.Image]; im != nil {
-		return im.remainingFetch(now)
+	if e := m.images[j.Image]; e != nil {
+		return e.remainingFetch(now)
 	}
-	t := p.machineTypes[m.Type]
+	t := r.machineTypes[m.Type]
 	if t == nil || t.FetchGBPerSecond <= 0 {
 		return 0
 	}
 	fetches := 1
-	for name, im := range m.images {
-		if !im.confirmed && !m.fetchedOnlyFor(name, leave) {
+	for name, e := range m.images {
+		if !e.confirmed && !m.fetchedOnlyFor(name, leaves) {
 			fetches++
 		}
 	}
 	return config.Seconds(j.ImageGB / t.FetchGBPerSecond * float64(fetches))
 }
 
-// fetchedOnlyFor says whether an image is fetched for nothing but tasks that the
-// function names.
-func (m *Machine) fetchedOnlyFor(image string, which func(*Placement) bool) bool {
-	if which == nil {
-		return false
-	}
-	for _, pl := range m.placements {
-		if pl.Job != nil && pl.Job.Image == image && !which(pl) {
-			return false
-		}
-	}
-	return true
-}
-
-// FetchDelayWithout estimates by how much, in all, a fetch of the job's image would
-// delay other fetches on the machine, which share its rate, if those tasks left
-// that the function names.
-func (p *Registry) FetchDelayWithout(
+// FetchDelayWithout estimates by how much, summed up, a fetch of the job's image would delay the
+// other fetches on the machine, which share its rate, in case the placements for which leaves
+// returns true end.
+func (r *Registry) FetchDelayWithout(
 	now time.Duration,
 	m *Machine,
 	j *protocol.Job,
-	leave func(*Placement) bool,
+	leaves func(*Placement) bool,
 ) time.Duration {
-	t := p.machineTypes[m.Type]
+	t := r.machineTypes[m.Type]
 	if m.images[j.Image] != nil || t == nil || t.FetchGBPerSecond <= 0 {
 		return 0
 	}
-	whole := config.Seconds(j.ImageGB / t.FetchGBPerSecond)
+	fetch := config.Seconds(j.ImageGB / t.FetchGBPerSecond)
 	sum := time.Duration(0)
-	for name, im := range m.images {
-		if !im.confirmed && !m.fetchedOnlyFor(name, leave) {
-			sum += min(whole, im.remainingFetch(now))
+	for name, e := range m.images {
+		if !e.confirmed && !m.fetchedOnlyFor(name, leaves) {
+			sum += min(fetch, e.remainingFetch(now))
 		}
 	}
 	return sum
 }
 
-// recordImageUse notes that a machine will have an image, and which ones give way.
-func (p *Registry) recordImageUse(now time.Duration, m *Machine, j *protocol.Job) {
-	im := m.images[j.Image]
-	if im == nil {
-		whole := p.FetchTime(now, m, j)
-		im = &imageEntry{
+// fetchedOnlyFor reports whether all placements that need an image are among those for which
+// leaves returns true.
+func (m *Machine) fetchedOnlyFor(image string, leaves func(*Placement) bool) bool {
+	if leaves == nil {
+		return false
+	}
+	for _, pl := range m.placements {
+		if pl.Job != nil && pl.Job.Image == image && !leaves(pl) {
+			return false
+		}
+	}
+	return true
+}
+
+// recordImageUse adds the job's image to the machine's cache if it is not there, and evicts
+// others, least recently used first, as the worker is expected to.
+func (r *Registry) recordImageUse(now time.Duration, m *Machine, j *protocol.Job) {
+	e := m.images[j.Image]
+	if e == nil {
+		fetch := r.FetchTime(now, m, j)
+		e = &imageEntry{
 			sizeGB:     j.ImageGB,
-			expectedAt: now + whole,
-			latestAt:   now + time.Duration(float64(whole)*SlowFetchFactor),
+			expectedAt: now + fetch,
+			latestAt:   now + time.Duration(float64(fetch)*SlowFetchFactor),
 		}
-		p.setImage(m, j.Image, im)
+		r.setImage(m, j.Image, e)
 	}
-	im.lastUsed = now
-	t := p.machineTypes[m.Type]
+	e.lastUsed = now
+	t := r.machineTypes[m.Type]
 	if t == nil {
 		return
 	}
-	// What a task on the machine needs is in use, however long ago it started.
-	needed := map[string]bool{j.Image: true}
-	for _, pl := range m.placements {
-		if pl.Job != nil {
-			needed[pl.Job.Image] = true
-		}
-	}
+	inUse := m.imagesInUse()
+	inUse[j.Image] = true
 	for {
-		total, oldest := 0.0, ""
-		for name, im := range m.images {
-			total += im.sizeGB
-			if !needed[name] && (oldest == "" || evictedBefore(m, name, oldest)) {
-				oldest = name
-			}
-		}
-		if total <= t.CacheGB || oldest == "" {
+		oldest, totalGB := m.images.leastRecentlyUsed(inUse)
+		if totalGB <= t.CacheGB || oldest == "" {
 			return
 		}
-		p.deleteImage(m, oldest)
+		r.deleteImage(m, oldest)
 	}
 }
 
-// evictedBefore says whether one image gives way before another: the one that was used longer ago,
-// or else the first by name, for the same decisions every time.
-func evictedBefore(m *Machine, a, b string) bool {
-	if usedA, usedB := m.images[a].lastUsed, m.images[b].lastUsed; usedA != usedB {
-		return usedA < usedB
+// imagesInUse returns the images that placements need, however long ago they started.
+func (m *Machine) imagesInUse() map[string]bool {
+	inUse := map[string]bool{}
+	for _, pl := range m.placements {
+		if pl.Job != nil {
+			inUse[pl.Job.Image] = true
+		}
+	}
+	return inUse
+}
+
+// confirmImage notes that a task of the job is past its fetch, so that the machine has the image.
+func (r *Registry) confirmImage(now time.Duration, m *Machine, j *protocol.Job) {
+	e := m.images[j.Image]
+	switch {
+	case e == nil:
+		r.setImage(m, j.Image, &imageEntry{sizeGB: j.ImageGB, confirmed: true, lastUsed: now})
+	case !e.confirmed:
+		e.confirmed = true
+		r.setImage(m, j.Image, e)
 	}
-	return a < b
 }
 
-// abandonFetch forgets an image whose fetch was given up with its last task.
-func (p *Registry) abandonFetch(m *Machine, pl *Placement) {
+// abandonFetch drops the image of a placement that has ended if its fetch may be unfinished and
+// no other placement needs it: the worker gives up such a fetch.
+func (r *Registry) abandonFetch(m *Machine, pl *Placement) {
 	if pl.Job == nil {
 		return
 	}
-	im := m.images[pl.Job.Image]
-	if im == nil || im.confirmed {
+	e := m.images[pl.Job.Image]
+	if e == nil || e.confirmed {
 		return
 	}
-	for _, o := range m.placements {
-		if o.Job != nil && o.Job.Image == pl.Job.Image {
+	for _, other := range m.placements {
+		if other.Job != nil && other.Job.Image == pl.Job.Image {
 			return
 		}
 	}
-	p.deleteImage(m, pl.Job.Image)
+	r.deleteImage(m, pl.Job.Image)
 }
--- a/internal/coordination/machineregistry/limits_test.go
+++ b/internal/coordination/machineregistry/limits_test.go
@@ -15,7 +15,7 @@
 	small := testMachineType
 	small.GPUs = tasks
 	p.SetMachineTypes([]protocol.MachineType{small})
-	m, _, _ := p.HandleHeartbeat(0, testHeartbeat(1, 1, 0))
+	m := p.HandleHeartbeat(0, testHeartbeat(1, 1, 0)).Machine
 	for i := range tasks {
 		pl := newTestPlacement(i, 1)
 		if !p.Reserve(0, []*Placement{pl}) {
--- a/internal/coordination/machineregistry/machine.go
+++ b/internal/coordination/machineregistry/machine.go
@@ -6,125 +6,114 @@
 	"pinebay/internal/protocol"
 )
 
-// Machine is a rented machine.
+// Machine is a worker machine. Other packages read its fields freely but change its state by the
+// methods below and by those of Registry only.
+//
+// A machine starts unregistered, known from a rental, the cloud's list or a record. Its first
+// heartbeat registers it. From then on Registry.Schedulable says whether it takes new tasks; four
+// conditions prevent that:
+//   - unresponsive: it did not execute a command, or its worker restarted; ends by itself;
+//   - quarantined: the tasks of several jobs failed on it; for good;
+//   - interrupted: the cloud has announced that it will take the machine away; for good;
+//   - terminating: it is to be returned to the cloud; for good.
+//
+// Registry.Remove ends it, once the machine is proven to be gone.
 type Machine struct {
-	Name, Addr, Type, Zone                string
-	Spot                                  bool
-	Incarnation, Seq, HighestFencingToken uint64
-	Registered                            bool          // its worker has been heard
-	RentedAt                              time.Duration // when the request was sent, as far as known
-	LastHeartbeat                         time.Duration // last message, or when we began to listen
-	InterruptionNotice                    bool          // the cloud takes it away
-	Terminating                           bool          // it is being returned; nothing new goes there
-	Quarantined                           bool          // it fails tasks, or cannot be commanded
-	UnresponsiveUntil                     time.Duration // it does not take commands
-	IdleSince                             time.Duration
-	Relayed                               bool // its reports come by another controller: it may be out of our reach
-	CommandInFlight                       bool // a direct command is on its way
-	CommandRetryAt                        time.Duration
-	newCommandsDue                        bool // something new is due since the command on its way left
-
-	commandEpoch         uint64        // of the commands to it, within our term
-	commandEpochRaisedAt time.Duration // when the epoch was raised
-
-	// SchedulerData is what the scheduler knows of the machine beyond this; the partition does not look at it.
-	SchedulerData any
-
-	ReservedJob   string // job that room is being cleared for
+	// Identity and location, from the cloud until the worker reports its own.
+	Name string
+	Addr string // empty while unknown
+	Type string // empty while unknown
+	Zone string
+	Spot bool
+
+	// The worker, as of its newest heartbeat.
+	Incarnation         uint64
+	Seq                 uint64 // of the newest heartbeat of that incarnation
+	HighestFencingToken uint64 // commands with a lower token are refused by the worker
+	Registered          bool
+	Relayed             bool          // its heartbeats arrive through another controller
+	LastHeartbeat       time.Duration // or when the machine became known
+	RentedAt            time.Duration // when it was requested, as far as known
+	IdleSince           time.Duration // when the last placement ended
+
+	// Conditions that prevent new placements; see above.
+	UnresponsiveUntil  time.Duration
+	Quarantined        bool
+	InterruptionNotice bool
+	Terminating        bool
+
+	// ReservedJob is the job for which capacity is being cleared by preemption, until ReservedUntil.
+	ReservedJob   string
 	ReservedUntil time.Duration
 
-	FailedJobs   map[string]bool // jobs whose tasks failed here since the last success
+	// FailedJobs are the jobs of which a task failed here since a task last succeeded.
+	FailedJobs map[string]bool
+
+	// SchedulerData belongs to the scheduler, which attaches what its cycles know of the machine.
+	// The registry does not read it.
+	SchedulerData any
+
 	placements   map[protocol.TaskID]*Placement
-	used         Resources
 	exitedTasks  map[protocol.TaskID]*exitedTask
-	unknownTasks map[protocol.TaskID]uint64
-	images       map[string]*imageEntry
-
-	removed             bool                           // it is proven gone
-	listedAsChanged     bool                           // see Partition.Changed
-	usageByPriority     [PriorityLevels]placementUsage // what placements of each priority take
-	stoppingUsage       placementUsage                 // what those take that are to end
-	checkpointableUsage [PriorityLevels]placementUsage // what those of each priority take that can save
-}
+	unknownTasks map[protocol.TaskID]uint64 // attempts of tasks that should not be there
+	commands     commandQueue
+	images       imageCache
+	usage        machineUsage
 
-// placementUsage is what some placements on a machine take.
-type placementUsage struct {
-	count     int
-	resources Resources
+	removed         bool
+	listedAsChanged bool // see Registry.TakeChanged
 }
 
-// PriorityLevels is the number of priorities.
-const PriorityLevels = 4
+// MarkTerminating says that the machine is to be returned to the cloud.
+func (m *Machine) MarkTerminating() { m.Terminating = true }
 
-// Removed says whether the machine is proven gone.
-func (m *Machine) Removed() bool { return m.removed }
+// Quarantine keeps new tasks off the machine for good.
+func (m *Machine) Quarantine() { m.Quarantined = true }
 
-// PreemptibleResources is at most the room that work of at least the given level would leave, with what is
-// about to leave anyhow.
-func (m *Machine) PreemptibleResources(level int) Resources {
-	n := m.stoppingUsage.resources
-	for r := max(0, level); r < PriorityLevels; r++ {
-		n = n.Plus(m.usageByPriority[r].resources)
-	}
-	return n
-}
+// MarkUnresponsive keeps new tasks off the machine until the given time.
+func (m *Machine) MarkUnresponsive(until time.Duration) { m.UnresponsiveUntil = until }
 
-// CheckpointableResources is the room that work of at least the given level takes that can save, but for services.
-func (m *Machine) CheckpointableResources(level int) Resources {
-	var n Resources
-	for r := max(0, level); r < PriorityLevels; r++ {
-		n = n.Plus(m.checkpointableUsage[r].resources)
-	}
-	return n
+// ReserveFor says that capacity is being cleared on the machine for a job until the given time.
+func (m *Machine) ReserveFor(job string, until time.Duration) {
+	m.ReservedJob, m.ReservedUntil = job, until
 }
 
-// HasImage says whether the machine has a job's image or is fetching it.
-func (m *Machine) HasImage(image string) bool { return m.images[image] != nil }
+// ClearReservation ends what ReserveFor began.
+func (m *Machine) ClearReservation() { m.ReservedJob = "" }
 
-// EachPlacement calls f for each placement that may be on the machine, in no order.
-func (m *Machine) EachPlacement(f func(*Placement)) {
-	for _, p := range m.placements {
-		f(p)
-	}
-}
-
-// IsReservedFor says whether room is being cleared on the machine for the job.
+// IsReservedFor reports whether capacity is being cleared on the machine for the job.
 func (m *Machine) IsReservedFor(now time.Duration, job string) bool {
 	return m.ReservedJob == job && now < m.ReservedUntil
 }
 
-// FencingDue says whether a cancelled task may still be there when it must not be any
-// more: a machine that hangs may go on with it at any time.
-func (m *Machine) FencingDue(now time.Duration) bool {
-	for _, p := range m.placements {
-		if p.FenceAt > 0 && now >= p.FenceAt {
-			return true
-		}
+// Removed reports whether the machine has been removed from its registry.
+func (m *Machine) Removed() bool { return m.removed }
+
+// EachPlacement calls f for each placement on the machine, in no particular order.
+func (m *Machine) EachPlacement(f func(*Placement)) {
+	for _, pl := range m.placements {
+		f(pl)
 	}
-	return false
 }
 
-// PlacementCount returns how many tasks may be on the machine.
+// PlacementCount returns the number of placements on the machine.
 func (m *Machine) PlacementCount() int { return len(m.placements) }
 
-// ArrayUsage returns the room that arrays take.
-func (m *Machine) ArrayUsage() Resources {
-	var n Resources
-	for _, p := range m.placements {
-		if p.Job != nil && p.Job.Shape == protocol.Array {
-			n = n.Plus(p.Resources)
+// FencingDue reports whether a cancelled task may still be on the machine although its time is
+// over. A machine that hangs may resume the task at any moment, so only fencing stops it.
+func (m *Machine) FencingDue(now time.Duration) bool {
+	for _, pl := range m.placements {
+		if pl.FenceAt > 0 && now >= pl.FenceAt {
+			return true
 		}
 	}
-	return n
+	return false
 }
 
-// Machine returns a machine, or nil.
-func (p *Registry) Machine(name string) *Machine { return p.machines[name] }
-
-// HasAttempt says whether an earlier attempt of the task is or was on the machine
-// and its run may still come again, late. A new attempt there would replace
-// the exited entry that makes such a copy harmless, and the old attempt could
-// start once the new one has left.
+// HasAttempt reports whether an earlier attempt of the task is on the machine, or a delayed copy
+// of its run command may still arrive there. A new attempt would replace the worker's entry for
+// the exited one, which makes such a copy harmless; once the new attempt had left, the copy would
+// start the old one again.
 func (m *Machine) HasAttempt(task protocol.TaskID) bool {
 	return m.placements[task] != nil || m.exitedTasks[task] != nil
 }
--- a/internal/coordination/machineregistry/registry_test.go
+++ b/internal/coordination/machineregistry/registry_test.go
@@ -165,22 +165,31 @@
 		do   func(p *Registry) []Observation
 		gone bool
 	}{
-		{"newer report without it", func(p *Registry) []Observation { _, f, _ := p.HandleHeartbeat(5, testHeartbeat(3, 50, 0)); return f }, false},
-		{"older session", func(p *Registry) []Observation { _, f, _ := p.HandleHeartbeat(5, testHeartbeat(2, 99, 0)); return f }, false},
+		{"newer report without it", func(p *Registry) []Observation {
+			f := p.HandleHeartbeat(5, testHeartbeat(3, 50, 0)).Observations
+			return f
+		}, false},
+		{"older session", func(p *Registry) []Observation {
+			f := p.HandleHeartbeat(5, testHeartbeat(2, 99, 0)).Observations
+			return f
+		}, false},
 		{"another attempt exited", func(p *Registry) []Observation {
-			_, f, _ := p.HandleHeartbeat(5, testHeartbeat(3, 50, 0, protocol.TaskStatus{TaskName: testTaskID(1).String(), Attempt: 7, State: protocol.TaskExited}))
+			f := p.HandleHeartbeat(5, testHeartbeat(3, 50, 0, protocol.TaskStatus{TaskName: testTaskID(1).String(), Attempt: 7, State: protocol.TaskExited})).Observations
 			return f
 		}, false},
 		{"its attempt exited in another session", func(p *Registry) []Observation {
-			_, f, _ := p.HandleHeartbeat(5, testHeartbeat(2, 50, 0, protocol.TaskStatus{TaskName: testTaskID(1).String(), Attempt: 1, State: protocol.TaskExited}))
+			f := p.HandleHeartbeat(5, testHeartbeat(2, 50, 0, protocol.TaskStatus{TaskName: testTaskID(1).String(), Attempt: 1, State: protocol.TaskExited})).Observations
 			return f
 		}, false},
 		{"its attempt exited, told late", func(p *Registry) []Observation {
 			p.HandleHeartbeat(4, testHeartbeat(3, 60, 0))
-			_, f, _ := p.HandleHeartbeat(5, testHeartbeat(3, 50, 0, protocol.TaskStatus{TaskName: testTaskID(1).String(), Attempt: 1, State: protocol.TaskExited}))
+			f := p.HandleHeartbeat(5, testHeartbeat(3, 50, 0, protocol.TaskStatus{TaskName: testTaskID(1).String(), Attempt: 1, State: protocol.TaskExited})).Observations
+			return f
+		}, true},
+		{"larger session", func(p *Registry) []Observation {
+			f := p.HandleHeartbeat(5, testHeartbeat(4, 1, 0)).Observations
 			return f
 		}, true},
-		{"larger session", func(p *Registry) []Observation { _, f, _ := p.HandleHeartbeat(5, testHeartbeat(4, 1, 0)); return f }, true},
 		{"machine lost", func(p *Registry) []Observation { return p.Remove(5, "m1") }, true},
 	} {
 		p := newTestRegistry(2)
@@ -271,13 +280,13 @@
 	if got := verbsOf(p.TakeDueCommands(2, m)); got != "stop " || p.FencingToken(m) <= sent {
 		t.Errorf("%q with token %d after %d", got, p.FencingToken(m), sent)
 	}
-	if _, f, _ := p.HandleHeartbeat(3, testHeartbeat(1, 2, sent)); len(f) != 0 || pl.Terminated {
+	if f := p.HandleHeartbeat(3, testHeartbeat(1, 2, sent)).Observations; len(f) != 0 || pl.Terminated {
 		t.Error("absence with the run's own token proved something")
 	}
-	if _, f, _ := p.HandleHeartbeat(
+	if f := p.HandleHeartbeat(
 		4,
 		testHeartbeat(1, 3, p.FencingToken(m)),
-	); len(f) != 1 || !f[0].Lost ||
+	).Observations; len(f) != 1 || !f[0].Lost ||
 		!pl.Terminated {
 		t.Errorf("absence with a higher token: %v", f)
 	}
@@ -286,10 +295,10 @@
 	adopted.Incarnation = 1
 	p.Adopt(5, adopted)
 	p.Stop(5, adopted, 0)
-	if _, f, _ := p.HandleHeartbeat(6, testHeartbeat(1, 4, protocol.FencingToken(1, 9))); len(f) != 0 {
+	if f := p.HandleHeartbeat(6, testHeartbeat(1, 4, protocol.FencingToken(1, 9))).Observations; len(f) != 0 {
 		t.Error("absence with an earlier leader's token proved something")
 	}
-	if _, f, _ := p.HandleHeartbeat(7, testHeartbeat(1, 5, p.FencingToken(m))); len(f) != 1 {
+	if f := p.HandleHeartbeat(7, testHeartbeat(1, 5, p.FencingToken(m))).Observations; len(f) != 1 {
 		t.Errorf("absence with our token: %v", f)
 	}
 
@@ -380,7 +389,7 @@
 		t.Error("a new start waits for the pause after the last command")
 	}
 	// The same for what comes up while a command is on its way.
-	m.CommandInFlight = true
+	p.CommandSent(m)
 	third := newTestPlacement(3, 1)
 	if !p.Reserve(now, []*Placement{third}) {
 		t.Fatal("no room")
--- a/internal/coordination/machineregistry/resources.go
+++ b/internal/coordination/machineregistry/resources.go
@@ -4,14 +4,18 @@
 	"pinebay/internal/protocol"
 )
 
-// Resources is what a task takes of its machine.
+// Resources is an amount of processors, accelerators and memory: what a task requests, or what a
+// machine offers.
 type Resources struct{ CPUs, GPUs, MemoryGB float64 }
 
-const tolerance = 1e-6 // amounts are decimal numbers
+// tolerance is by how much an amount may exceed a capacity: sums of decimal fractions are inexact.
+const tolerance = 1e-6
 
-// Fits says whether n fits into room.
-func (n Resources) Fits(room Resources) bool {
-	return n.CPUs <= room.CPUs+tolerance && n.GPUs <= room.GPUs+tolerance && n.MemoryGB <= room.MemoryGB+tolerance
+// Fits reports whether n fits into a capacity.
+func (n Resources) Fits(capacity Resources) bool {
+	return n.CPUs <= capacity.CPUs+tolerance &&
+		n.GPUs <= capacity.GPUs+tolerance &&
+		n.MemoryGB <= capacity.MemoryGB+tolerance
 }
 
 // Plus returns the sum of both.
@@ -19,23 +23,29 @@
 	return Resources{n.CPUs + o.CPUs, n.GPUs + o.GPUs, n.MemoryGB + o.MemoryGB}
 }
 
-// Minus returns what is left of n without o.
+// Minus returns n less o. Amounts may become negative.
 func (n Resources) Minus(o Resources) Resources {
 	return Resources{n.CPUs - o.CPUs, n.GPUs - o.GPUs, n.MemoryGB - o.MemoryGB}
 }
 
-// DominantShare returns the largest part of cap that n takes.
-func (n Resources) DominantShare(cap Resources) float64 {
-	s := 0.0
-	for _, r := range [][2]float64{{n.CPUs, cap.CPUs}, {n.GPUs, cap.GPUs}, {n.MemoryGB, cap.MemoryGB}} {
-		if r[1] > 0 {
-			s = max(s, r[0]/r[1])
-		}
+// DominantShare returns the largest fraction of a capacity's processors, accelerators or memory
+// that n takes, as in dominant resource fairness. What the capacity has none of is left out.
+func (n Resources) DominantShare(capacity Resources) float64 {
+	return max(
+		fraction(n.CPUs, capacity.CPUs),
+		fraction(n.GPUs, capacity.GPUs),
+		fraction(n.MemoryGB, capacity.MemoryGB),
+	)
+}
+
+func fraction(amount, capacity float64) float64 {
+	if capacity > 0 {
+		return max(0, amount/capacity)
 	}
-	return s
+	return 0
 }
 
-// TaskResources returns what each task of the job takes.
+// TaskResources returns what each task of the job requests.
 func TaskResources(j *protocol.Job) Resources { return Resources{j.CPUs, j.GPUs, j.MemoryGB} }
 
 // CapacityOf returns what a machine of the type offers.
--- a/internal/coordination/scheduler/allocate.go
+++ b/internal/coordination/scheduler/allocate.go
@@ -217,7 +217,7 @@
 		j.Unstarted = append(j.Unstarted, pl)
 		j.Queues.addPlaced(j)
 		if m := c.machines.Machine(pl.Machine); m.ReservedJob == j.Spec.ID {
-			m.ReservedJob = ""
+			m.ClearReservation()
 		}
 	}
 }
--- a/internal/coordination/scheduler/heartbeats.go
+++ b/internal/coordination/scheduler/heartbeats.go
@@ -59,7 +59,7 @@
 	if e.Heartbeat == nil {
 		// Its reports may arrive though commands don't: nothing new goes there
 		// until it has had time for another report.
-		m.UnresponsiveUntil = now + config.Seconds(2*c.cfg.Workers.HeartbeatSeconds)
+		m.MarkUnresponsive(now + config.Seconds(2*c.cfg.Workers.HeartbeatSeconds))
 	}
 }
 
@@ -81,17 +81,17 @@
 		return nil, false
 	}
 	up := c.machines.Registered(r.Machine)
-	m, facts, newer := c.machines.HandleHeartbeat(now, r)
+	result := c.machines.HandleHeartbeat(now, r)
 	c.cycleDue = c.cycleDue || !up
-	c.applyObservations(now, facts)
-	c.quarantineIfFailing(m)
-	return m, newer
+	c.applyObservations(now, result.Observations)
+	c.quarantineIfFailing(result.Machine)
+	return result.Machine, result.Newer
 }
 
 // quarantineIfFailing sets a machine aside that fails the tasks of several jobs.
 func (c *Scheduler) quarantineIfFailing(m *machineregistry.Machine) {
 	if len(m.FailedJobs) >= 2 && !m.Quarantined {
-		m.Quarantined = true
+		m.Quarantine()
 		c.log.Info("machine set aside: it fails tasks of several jobs", "machine", m.Name)
 	}
 }
@@ -103,7 +103,7 @@
 		if len(cmds) == 0 {
 			continue
 		}
-		m.CommandInFlight = true
+		c.machines.CommandSent(m)
 		c.emit(
 			SendCommandBatch{
 				Machine: m.Name,
--- a/internal/coordination/scheduler/lifecycle.go
+++ b/internal/coordination/scheduler/lifecycle.go
@@ -156,7 +156,7 @@
 	case protocol.CauseNoCapacity, protocol.CauseOtherAttempt:
 		// The machine holds something that we don't know of.
 		if m != nil {
-			m.UnresponsiveUntil = max(m.UnresponsiveUntil, now+config.Seconds(2*c.cfg.Workers.HeartbeatSeconds))
+			m.MarkUnresponsive(max(m.UnresponsiveUntil, now+config.Seconds(2*c.cfg.Workers.HeartbeatSeconds)))
 		}
 		j.BackoffUntil = now + CycleInterval/4
 	case protocol.CauseUnknownTask:
--- a/internal/coordination/scheduler/nomination.go
+++ b/internal/coordination/scheduler/nomination.go
@@ -12,7 +12,7 @@
 
 // nominate nominates a machine for a job until the given time.
 func (c *Scheduler) nominate(m *machineregistry.Machine, j *Job, until time.Duration) {
-	m.ReservedJob, m.ReservedUntil = j.Spec.ID, until
+	m.ReserveFor(j.Spec.ID, until)
 	if j.ReservedMachines == nil {
 		j.ReservedMachines = map[*machineregistry.Machine]bool{}
 	}
--- a/internal/coordination/scheduler/zonefencing.go
+++ b/internal/coordination/scheduler/zonefencing.go
@@ -111,7 +111,7 @@
 		return 0
 	}
 	since, _ := c.zoneFailover.monitor.LostSince(pl.Zone)
-	m.Terminating = true
+	m.MarkTerminating()
 	c.addDecision(zonefailover.MachineFenced{Machine: m.Name, Zone: m.Zone, Job: j.Spec.ID, LostFor: now - since})
 	return 1
 }
