--- a/internal/coordination/autoscaler/autoscaler_test.go
+++ b/internal/coordination/autoscaler/autoscaler_test.go
@@ -25,11 +25,29 @@
 	testCloudSettings  = config.Cloud{RPS: 2, ListLagSeconds: 5}
 )
 
+// setup returns an autoscaler without a machine list and an empty registry with one machine type.
 func setup() (*Autoscaler, *machineregistry.Registry) {
-	p := machineregistry.New(3, testWorkerSettings)
-	p.SetMachineTypes([]protocol.MachineType{testMachineType})
-	f := New(3, testCloudSettings, testWorkerSettings)
-	return f, p
+	registry := machineregistry.New(3, testWorkerSettings)
+	registry.SetMachineTypes([]protocol.MachineType{testMachineType})
+	scaler := New(3, testCloudSettings, testWorkerSettings)
+	return scaler, registry
+}
+
+// sendHeartbeat registers a machine of the test's type, or shows that it is still there.
+func sendHeartbeat(
+	registry *machineregistry.Registry,
+	now time.Duration,
+	machine, zone string,
+	sequence uint64,
+) machineregistry.HeartbeatResult {
+	return registry.HandleHeartbeat(now, &protocol.WorkerHeartbeat{
+		Machine:     machine,
+		Addr:        "x",
+		Type:        testMachineType.Name,
+		Zone:        zone,
+		Incarnation: 1,
+		Sequence:    sequence,
+	})
 }
 
 func rentals(effects []Effect) (out []protocol.Rental) {
@@ -52,38 +70,38 @@
 
 const s = time.Second
 
-// TestScaleOutCoversMissingCapacity: nothing is rented before the list is known, tasks
-// share machines, what is on its way counts, and names are never reused.
+// TestScaleOutCoversMissingCapacity: nothing is requested before the machine list is known, tasks
+// share machines, requested machines count as capacity, and request identifiers are never reused.
 func TestScaleOutCoversMissingCapacity(t *testing.T) {
-	f, p := setup()
+	scaler, registry := setup()
 	j := &protocol.Job{ID: "j-1", GPUs: 2}
 	want := []Demand{{Job: j, Count: 10}}
-	if got := rentals(f.Plan(1*s, p, want)); got != nil {
+	if got := rentals(scaler.Plan(1*s, registry, want)); got != nil {
 		t.Errorf("before the list: %v", got)
 	}
-	f.HandleList(2*s, 1*s, p, nil)
-	got := rentals(f.Plan(2*s, p, want))
+	scaler.HandleList(2*s, 1*s, registry, nil)
+	got := rentals(scaler.Plan(2*s, registry, want))
 	if n := totalCount(got); n != 3 {
 		t.Errorf("10 tasks of 2 GPUs: %v", got)
 	}
-	if again := rentals(f.Plan(3*s, p, want)); again != nil {
-		t.Errorf("rented twice: %v", again)
+	if again := rentals(scaler.Plan(3*s, registry, want)); again != nil {
+		t.Errorf("requested twice: %v", again)
 	}
 	for _, r := range got {
-		f.HandleScaleOut(3*s, 2*s, p, r.RequestID, nil, true)
+		scaler.HandleScaleOut(3*s, registry, RentalOutcome{RequestID: r.RequestID, RequestedAt: 2 * s, Refused: true})
 	}
 	seen := map[string]bool{}
 	for i := range 40 {
-		for _, r := range rentals(f.Plan(time.Duration(4+i)*s, p, want)) {
+		for _, r := range rentals(scaler.Plan(time.Duration(4+i)*s, registry, want)) {
 			if seen[r.RequestID] {
-				t.Errorf("name %s again", r.RequestID)
+				t.Errorf("request %s again", r.RequestID)
 			}
 			seen[r.RequestID] = true
-			f.HandleScaleOut(time.Duration(4+i)*s, 0, p, r.RequestID, nil, true)
+			scaler.HandleScaleOut(time.Duration(4+i)*s, registry, RentalOutcome{RequestID: r.RequestID, Refused: true})
 		}
 	}
 	if len(seen) < 2 || len(seen) > 30 {
-		t.Errorf("%d tries in 40 s against refusals", len(seen))
+		t.Errorf("%d requests in 40 s although all were refused", len(seen))
 	}
 }
 
@@ -95,8 +113,8 @@
 	return n
 }
 
-// TestSpotOnlyForCheckpointableJobs: spot is rented only for jobs that allow it
-// and save their progress.
+// TestSpotOnlyForCheckpointableJobs: spot machines are requested only for jobs that allow them and
+// save checkpoints.
 func TestSpotOnlyForCheckpointableJobs(t *testing.T) {
 	for _, x := range []struct {
 		job  protocol.Job
@@ -106,66 +124,63 @@
 		{protocol.Job{GPUs: 8, SpotAllowed: true}, false},
 		{protocol.Job{GPUs: 8, CheckpointIntervalSeconds: 10}, false},
 	} {
-		f, p := setup()
-		f.HandleList(1, 0, p, nil)
-		got := rentals(f.Plan(2, p, []Demand{{Job: &x.job, Count: 1}}))
+		scaler, registry := setup()
+		scaler.HandleList(1, 0, registry, nil)
+		got := rentals(scaler.Plan(2, registry, []Demand{{Job: &x.job, Count: 1}}))
 		if len(got) != 1 || got[0].Spot != x.spot {
 			t.Errorf("%+v: %v", x.job, got)
 		}
 	}
 }
 
-// TestListProvesOnlyLaterAbsence: lists lag and go back in time, so a machine is
-// gone only when it is missing from a list that describes a later moment than
-// one that had it, and only if it is silent.
+// TestListProvesOnlyLaterAbsence: lists lag and may describe an earlier moment than the one before.
+// A machine is gone only if it is missing from a list that describes a later moment than one that
+// had it, and only if it is silent.
 func TestListProvesOnlyLaterAbsence(t *testing.T) {
-	f, p := setup()
+	scaler, registry := setup()
 	m1 := []protocol.ListedMachine{{Name: "m1", Addr: "x", Type: "g8", Zone: "a", State: protocol.MachineRunning}}
-	f.HandleList(10*s, 9*s, p, m1)
-	if gone := f.HandleList(19*s, 18*s, p, nil); gone != nil {
+	scaler.HandleList(10*s, 9*s, registry, m1)
+	if gone := scaler.HandleList(19*s, 18*s, registry, nil); gone != nil {
 		t.Errorf("an old list proved %v", gone)
 	}
-	p.HandleHeartbeat(
-		25*s,
-		&protocol.WorkerHeartbeat{Machine: "m1", Addr: "x", Type: "g8", Zone: "a", Incarnation: 1, Sequence: 1},
-	)
-	if gone := f.HandleList(30*s, 29*s, p, nil); gone != nil {
-		t.Errorf("a machine that speaks is gone: %v", gone)
+	sendHeartbeat(registry, 25*s, "m1", "a", 1)
+	if gone := scaler.HandleList(30*s, 29*s, registry, nil); gone != nil {
+		t.Errorf("a machine with heartbeats is gone: %v", gone)
 	}
-	if gone := f.HandleList(50*s, 49*s, p, nil); len(gone) != 1 {
+	if gone := scaler.HandleList(50*s, 49*s, registry, nil); len(gone) != 1 {
 		t.Errorf("missing for good: %v", gone)
 	}
 }
 
-// TestScaleIn: machines that are idle, never came up, or failed go back; one
-// silent machine is fenced after a lease, many at once are not.
+// TestScaleIn: machines that are idle, never came up, or failed are returned. One silent machine is
+// fenced after its timeout, many at once are not.
 func TestScaleIn(t *testing.T) {
-	f, p := setup()
-	f.HandleList(
+	scaler, registry := setup()
+	scaler.HandleList(
 		1*s,
 		0,
-		p,
+		registry,
 		[]protocol.ListedMachine{{Name: "bad", Addr: "x", Type: "g8", Zone: "a", State: protocol.MachineFailed}},
 	)
-	if got := releasedMachines(f.Plan(2*s, p, nil)); len(got) != 1 || got[0] != "bad" {
+	if got := releasedMachines(scaler.Plan(2*s, registry, nil)); len(got) != 1 || got[0] != "bad" {
 		t.Errorf("failed machine: %v", got)
 	}
-	f.HandleScaleIn(2*s, []string{"bad"}, true)
-	p.Remove(2*s, "bad")
-	f.HandleList(
+	scaler.HandleScaleIn(2*s, []string{"bad"}, true)
+	registry.Remove(2*s, "bad")
+	scaler.HandleList(
 		3*s,
 		2*s,
-		p,
+		registry,
 		[]protocol.ListedMachine{{Name: "bad", Type: "g8", Zone: "a", State: protocol.MachineRunning}},
 	)
-	if p.Machine("bad") != nil {
-		t.Error("an old list brought a returned machine back")
+	if registry.Machine("bad") != nil {
+		t.Error("an old list brought back a returned machine")
 	}
-	p.GetOrCreate(3*s, "boot").Type = "g8"
-	if got := releasedMachines(f.Plan(100*s, p, nil)); got != nil {
+	registry.GetOrCreate(3*s, "boot").Type = "g8"
+	if got := releasedMachines(scaler.Plan(100*s, registry, nil)); got != nil {
 		t.Errorf("still booting: %v", got)
 	}
-	if got := releasedMachines(f.Plan(200*s, p, nil)); len(got) != 1 || got[0] != "boot" {
+	if got := releasedMachines(scaler.Plan(200*s, registry, nil)); len(got) != 1 || got[0] != "boot" {
 		t.Errorf("never came up: %v", got)
 	}
 
@@ -176,38 +191,28 @@
 		{12, 8, 7, 0}, // the last one to find its way is none to be fenced
 		{300, 60, 0, 60},
 	} {
-		f, p := setup()
-		f.HandleList(1*s, 0, p, nil)
+		scaler, registry := setup()
+		scaler.HandleList(1*s, 0, registry, nil)
 		hear := func(now time.Duration, from int, seq uint64) {
 			for i := from; i < x.machines; i++ {
-				p.HandleHeartbeat(
-					now,
-					&protocol.WorkerHeartbeat{
-						Machine:     fmt.Sprintf("m%03d", i),
-						Addr:        "x",
-						Type:        "g8",
-						Zone:        "a",
-						Incarnation: 1,
-						Sequence:    seq,
-					},
-				)
+				sendHeartbeat(registry, now, fmt.Sprintf("m%03d", i), "a", seq)
 			}
 		}
 		hear(10*s, 0, 1)
 		hear(16*s, x.silent, 2)
-		if got := releasedMachines(f.Plan(16*s, p, nil)); got != nil {
+		if got := releasedMachines(scaler.Plan(16*s, registry, nil)); got != nil {
 			t.Errorf("%d of %d just silent: fenced %v", x.silent, x.machines, got)
 		}
 		hear(18*s, x.silent-x.back, 3)
-		if got := releasedMachines(f.Plan(18*s, p, nil)); len(got) != x.want {
+		if got := releasedMachines(scaler.Plan(18*s, registry, nil)); len(got) != x.want {
 			t.Errorf("%d of %d silent, %d back: fenced %v", x.silent, x.machines, x.back, got)
 		}
 	}
 }
 
-// TestSilentZoneIsNotFenced: when a zone is cut off, machines fall silent one after
-// the other, each when its next report would have been due. None is fenced before
-// it is plain that all do, whatever the times of the settings.
+// TestSilentZoneIsNotFenced: when a zone is cut off, its machines fall silent one after the other,
+// each when its next heartbeat is due. None is fenced before it shows that all do, whatever the
+// intervals in the settings.
 func TestSilentZoneIsNotFenced(t *testing.T) {
 	for _, w := range []config.Workers{
 		{HeartbeatSeconds: 1, LeaseSeconds: 10, CancelSeconds: 40},
@@ -215,76 +220,53 @@
 		{HeartbeatSeconds: 2.5, LeaseSeconds: 15.25, CancelSeconds: 45},
 		{HeartbeatSeconds: 3, LeaseSeconds: 8, CancelSeconds: 40},
 	} {
-		f, p := New(3, testCloudSettings, w), machineregistry.New(3, w)
-		p.SetMachineTypes([]protocol.MachineType{testMachineType})
-		f.HandleList(1*s, 0, p, nil)
+		scaler, registry := New(3, testCloudSettings, w), machineregistry.New(3, w)
+		registry.SetMachineTypes([]protocol.MachineType{testMachineType})
+		scaler.HandleList(1*s, 0, registry, nil)
 		const n = 200
 		for i := range n {
 			zone, now := "a", 10*s+config.Seconds(1.25*w.HeartbeatSeconds*float64(i)/n)
 			if i%2 == 0 {
 				zone = "b"
 			}
-			p.HandleHeartbeat(
-				now,
-				&protocol.WorkerHeartbeat{
-					Machine:     fmt.Sprintf("m%03d", i),
-					Addr:        "x",
-					Type:        "g8",
-					Zone:        zone,
-					Incarnation: 1,
-					Sequence:    1,
-				},
-			)
+			sendHeartbeat(registry, now, fmt.Sprintf("m%03d", i), zone, 1)
 		}
 		for now := 11 * s; now < 10*s+config.Seconds(2*w.LeaseSeconds); now += s {
 			for i := 0; i < n; i += 2 { // zone b goes on
-				p.HandleHeartbeat(
-					now,
-					&protocol.WorkerHeartbeat{
-						Machine:     fmt.Sprintf("m%03d", i),
-						Addr:        "x",
-						Type:        "g8",
-						Zone:        "b",
-						Incarnation: 1,
-						Sequence:    2 + uint64(now),
-					},
-				)
+				sendHeartbeat(registry, now, fmt.Sprintf("m%03d", i), "b", 2+uint64(now))
 			}
-			for _, name := range releasedMachines(f.Plan(now, p, nil)) {
-				if p.Machine(name).Zone == "a" {
-					t.Fatalf("report %v s, lease %v s: %s fenced at %v", w.HeartbeatSeconds, w.LeaseSeconds, name, now)
+			for _, name := range releasedMachines(scaler.Plan(now, registry, nil)) {
+				if registry.Machine(name).Zone == "a" {
+					t.Fatalf(
+						"heartbeat %v s, lease %v s: %s fenced at %v",
+						w.HeartbeatSeconds,
+						w.LeaseSeconds,
+						name,
+						now,
+					)
 				}
 			}
 		}
 	}
 }
 
-// TestCancelledTasksAreFencedInAnUnreachableZone: when most of a zone is silent it is given
-// time, but not those machines that may still have a cancelled task beyond its day. That
-// holds as well while somebody else decides on the zone's machines.
+// TestCancelledTasksAreFencedInAnUnreachableZone: machines of an unreachable zone are not fenced,
+// except those on which a cancelled task is overdue. That holds as well while the zone failover
+// decides on the zone's machines.
 func TestCancelledTasksAreFencedInAnUnreachableZone(t *testing.T) {
-	t.Run("usual", func(t *testing.T) { checkCancelledTasksAreFenced(t, nil) })
-	t.Run("kept", func(t *testing.T) {
+	t.Run("no policy", func(t *testing.T) { checkCancelledTasksAreFenced(t, nil) })
+	t.Run("zone failover decides", func(t *testing.T) {
 		checkCancelledTasksAreFenced(t, map[string]ZonePolicy{"a": {NoFencingUntil: time.Hour}})
 	})
 }
 
 func checkCancelledTasksAreFenced(t *testing.T, policies map[string]ZonePolicy) {
-	f, p := setup()
-	f.SetZonePolicies(policies)
-	f.HandleList(1*s, 0, p, nil)
+	t.Helper()
+	scaler, registry := setup()
+	scaler.SetZonePolicies(policies)
+	scaler.HandleList(1*s, 0, registry, nil)
 	for i := range 9 {
-		p.HandleHeartbeat(
-			10*s,
-			&protocol.WorkerHeartbeat{
-				Machine:     fmt.Sprintf("m%d", i),
-				Addr:        "x",
-				Type:        "g8",
-				Zone:        "a",
-				Incarnation: 1,
-				Sequence:    1,
-			},
-		)
+		sendHeartbeat(registry, 10*s, fmt.Sprintf("m%d", i), "a", 1)
 	}
 	pl := &machineregistry.Placement{
 		Task:    protocol.TaskID{JobID: "j-1"},
@@ -292,12 +274,12 @@
 		Machine: "m3",
 		Job:     &protocol.Job{ID: "j-1"},
 	}
-	if !p.Reserve(10*s, []*machineregistry.Placement{pl}) {
-		t.Fatal("no room")
+	if !registry.Reserve(10*s, []*machineregistry.Placement{pl}) {
+		t.Fatal("not reserved")
 	}
 	pl.FenceAt = 20 * s
 	for now := 11 * s; now < 30*s; now += s {
-		got := releasedMachines(f.Plan(now, p, nil))
+		got := releasedMachines(scaler.Plan(now, registry, nil))
 		if (now < 20*s) != (len(got) == 0) {
 			t.Fatalf("%v returned at %v", got, now)
 		}
@@ -312,17 +294,17 @@
 
 // TestReleasedMachinesAreForgotten: the memory of returned machines is bounded.
 func TestReleasedMachinesAreForgotten(t *testing.T) {
-	f, _ := setup()
+	scaler, _ := setup()
 	for i := range 1000 {
-		f.HandleScaleIn(time.Duration(i)*10*s, []string{fmt.Sprintf("m%d", i)}, true)
+		scaler.HandleScaleIn(time.Duration(i)*10*s, []string{fmt.Sprintf("m%d", i)}, true)
 	}
-	if n := len(f.releasedAt); n > 100 || !f.RecentlyReleased("m999") {
+	if n := len(scaler.list.releasedAt); n > 100 || !scaler.RecentlyReleased("m999") {
 		t.Errorf("%d returned machines remembered", n)
 	}
 }
 
-// TestHeadroomCountsPreemptibleWork: room kept for jobs to come need not be empty
-// where lower work that can save holds it, unless there is no time to clear it.
+// TestHeadroomCountsPreemptibleWork: headroom may be held by less important work that can save a
+// checkpoint, unless it must be free.
 func TestHeadroomCountsPreemptibleWork(t *testing.T) {
 	for _, x := range []struct {
 		shape      protocol.Shape
@@ -337,12 +319,9 @@
 		{protocol.Array, 10, true, 1},
 		{protocol.Gang, 10, true, 1},
 	} {
-		f, p := setup()
-		f.HandleList(2*s, 1*s, p, nil)
-		p.HandleHeartbeat(
-			2*s,
-			&protocol.WorkerHeartbeat{Machine: "m1", Addr: "a", Type: "g8", Zone: "a", Incarnation: 1, Sequence: 1},
-		)
+		scaler, registry := setup()
+		scaler.HandleList(2*s, 1*s, registry, nil)
+		sendHeartbeat(registry, 2*s, "m1", "a", 1)
 		low := &protocol.Job{
 			ID:                        "j-1",
 			Shape:                     x.shape,
@@ -358,99 +337,83 @@
 			PriorityLevel: low.Priority.Rank(),
 			Job:           low,
 		}
-		if !p.Reserve(2*s, []*machineregistry.Placement{pl}) {
-			t.Fatal("no room")
+		if !registry.Reserve(2*s, []*machineregistry.Placement{pl}) {
+			t.Fatal("not reserved")
 		}
 		high := &protocol.Job{ID: "j-2", Shape: protocol.Service, Priority: "critical", GPUs: 8}
 		if n := totalCount(
-			rentals(f.Plan(3*s, p, []Demand{{Job: high, Count: 1, Headroom: true, MustBeFree: x.quick}})),
+			rentals(scaler.Plan(3*s, registry, []Demand{{Job: high, Count: 1, Headroom: true, MustBeFree: x.quick}})),
 		); n != x.want {
-			t.Errorf("%+v: rented %d", x, n)
+			t.Errorf("%+v: requested %d", x, n)
 		}
 	}
 }
 
-// TestSilentHeadroomStays: idle machines that cannot be heard for the moment, as when
-// the leader is cut off from all workers, are neither returned nor replaced. The
-// spare room of a whole fleet had been given back in such a moment.
+// TestSilentHeadroomStays: idle machines that are silent for a moment, as when the leader is cut off
+// from all workers, are neither returned nor replaced. Once, the headroom of all zones was returned
+// in such a moment.
 func TestSilentHeadroomStays(t *testing.T) {
-	f, p := setup()
-	f.HandleList(1*s, 0, p, nil)
+	scaler, registry := setup()
+	scaler.HandleList(1*s, 0, registry, nil)
 	want := []Demand{{Job: &protocol.Job{ID: "j-1", GPUs: 8}, Count: 6, Headroom: true}}
 	for i := range 6 {
-		p.HandleHeartbeat(
-			100*s,
-			&protocol.WorkerHeartbeat{
-				Machine:     fmt.Sprintf("m%d", i),
-				Addr:        "x",
-				Type:        "g8",
-				Zone:        "a",
-				Incarnation: 1,
-				Sequence:    1,
-			},
-		)
+		sendHeartbeat(registry, 100*s, fmt.Sprintf("m%d", i), "a", 1)
 	}
 	for now := 101 * s; now < 110*s; now += s {
-		effects := f.Plan(now, p, want)
+		effects := scaler.Plan(now, registry, want)
 		if got := releasedMachines(effects); got != nil {
 			t.Errorf("at %v: returned %v", now, got)
 		}
 		if got := rentals(effects); got != nil {
-			t.Errorf("at %v: rented %v", now, got)
+			t.Errorf("at %v: requested %v", now, got)
 		}
 	}
 }
 
-// TestZonePolicies: nothing is rented in a closed zone and one machine at a time in one that is
-// probed, silent machines of an uncounted one are no room, and those of a kept one stay until
-// its time is over.
+// TestZonePolicies: nothing is requested in a zone without scale out, and one machine at a time in a
+// zone that is probed. Silent machines do not count where they are ignored, and are not fenced until
+// the policy says so.
 func TestZonePolicies(t *testing.T) {
-	f, p := setup()
-	f.HandleList(1*s, 0, p, nil)
-	there := func(policy ZonePolicy, now time.Duration) map[string]int {
-		f.SetZonePolicies(map[string]ZonePolicy{"a": policy})
+	scaler, registry := setup()
+	scaler.HandleList(1*s, 0, registry, nil)
+	requestsPerZone := func(policy ZonePolicy, now time.Duration) map[string]int {
+		scaler.SetZonePolicies(map[string]ZonePolicy{"a": policy})
 		counts := map[string]int{}
-		for _, r := range rentals(f.Plan(now, p, []Demand{{Job: &protocol.Job{ID: "j-1", GPUs: 8, Zone: "a"}, Count: 3}, {Job: &protocol.Job{ID: "j-2", GPUs: 8, Zone: "b"}, Count: 2}})) {
+		demands := []Demand{
+			{Job: &protocol.Job{ID: "j-1", GPUs: 8, Zone: "a"}, Count: 3},
+			{Job: &protocol.Job{ID: "j-2", GPUs: 8, Zone: "b"}, Count: 2},
+		}
+		for _, r := range rentals(scaler.Plan(now, registry, demands)) {
 			counts[r.Zone] += r.Count
-			f.HandleScaleOut(now, now, p, r.RequestID, nil, false)
+			scaler.HandleScaleOut(now, registry, RentalOutcome{RequestID: r.RequestID, RequestedAt: now})
 		}
-		clear(f.blockedUntil)
+		clear(scaler.backoff)
 		return counts
 	}
 	for i, row := range []struct {
 		policy ZonePolicy
 		want   int
 	}{{ZonePolicy{NoScaleOut: true}, 0}, {ZonePolicy{ProbeOnly: true}, 1}, {ZonePolicy{}, 3}} {
-		if got := there(row.policy, time.Duration(2+i)*s); got["a"] != row.want || got["b"] != 2 {
+		if got := requestsPerZone(row.policy, time.Duration(2+i)*s); got["a"] != row.want || got["b"] != 2 {
 			t.Errorf("%+v: %v, want %d in a and 2 in b", row.policy, got, row.want)
 		}
 	}
-	f, p = setup()
-	f.HandleList(1*s, 0, p, nil)
+	scaler, registry = setup()
+	scaler.HandleList(1*s, 0, registry, nil)
 	for i := range 4 {
-		p.HandleHeartbeat(
-			10*s,
-			&protocol.WorkerHeartbeat{
-				Machine:     fmt.Sprintf("m%d", i),
-				Addr:        "x",
-				Type:        "g8",
-				Zone:        "a",
-				Incarnation: 1,
-				Sequence:    1,
-			},
-		)
-	}
-	f.SetZonePolicies(map[string]ZonePolicy{"a": {IgnoreSilent: true, NoFencingUntil: 60 * s}})
+		sendHeartbeat(registry, 10*s, fmt.Sprintf("m%d", i), "a", 1)
+	}
+	scaler.SetZonePolicies(map[string]ZonePolicy{"a": {IgnoreSilent: true, NoFencingUntil: 60 * s}})
 	for now := 11 * s; now < 60*s; now += s {
-		effects := f.Plan(now, p, []Demand{{Job: &protocol.Job{ID: "j-1", GPUs: 8}, Count: 1}})
+		effects := scaler.Plan(now, registry, []Demand{{Job: &protocol.Job{ID: "j-1", GPUs: 8}, Count: 1}})
 		if got := releasedMachines(effects); len(got) > 0 {
 			t.Fatalf("returned %v at %v", got, now)
 		}
-		if got := rentals(effects); now == 20*s && f.pendingCounts["r-3-1"] != 1 {
-			t.Errorf("silent machines counted as room: %v", got)
+		if got := rentals(effects); now == 20*s && scaler.pendingRentals["r-3-1"].count != 1 {
+			t.Errorf("silent machines counted as capacity: %v", got)
 		}
 	}
-	if got := releasedMachines(f.Plan(120*s, p, nil)); len(got) == 0 {
-		t.Error("kept beyond their time")
+	if got := releasedMachines(scaler.Plan(120*s, registry, nil)); len(got) == 0 {
+		t.Error("not fenced once the policy allowed it")
 	}
 }
--- a/internal/coordination/autoscaler/limits_test.go
+++ b/internal/coordination/autoscaler/limits_test.go
@@ -13,18 +13,18 @@
 // manyMachines is more than any deployment has run with.
 const manyMachines = 4000
 
-// TestManyRentals: what one plan may rent follows from the cloud's rate, goes out in requests of a
-// size that the cloud takes, and the rest goes out with the next plans until everything is rented.
+// TestManyRentals: the cloud's request rate limits what one plan requests. The requests are of a
+// size that the cloud accepts, and the next plans request the rest.
 func TestManyRentals(t *testing.T) {
 	for _, rps := range []float64{1, 2, 4, 24} {
-		f, p := setup()
-		f.cloudSettings.RPS = rps
-		f.HandleList(1*s, 0, p, nil)
+		scaler, registry := setup()
+		scaler.cloudSettings.RPS = rps
+		scaler.HandleList(1*s, 0, registry, nil)
 		units := []Demand{{Job: &protocol.Job{ID: "j-1", GPUs: 8}, Count: manyMachines}}
 		perPlan := protocol.MaxMachinesPerRental * max(1, int(rps/2))
 		total, plans, names := 0, 0, map[string]bool{}
 		for now := 2 * s; total < manyMachines && plans <= manyMachines; now += s {
-			got := rentals(f.Plan(now, p, units))
+			got := rentals(scaler.Plan(now, registry, units))
 			if n := totalCount(got); n > perPlan || n < min(perPlan, manyMachines-total) {
 				t.Fatalf("%v calls a second: %d machines in one plan, want %d", rps, n, perPlan)
 			}
@@ -43,19 +43,16 @@
 	}
 }
 
-// TestManyReleases: machines on which cancelled tasks are overdue are returned before all others,
-// however many those are, and all of them are in the end, none twice.
+// TestManyReleases: machines with overdue cancelled tasks are returned before all others, however
+// many there are. All machines are returned in the end, none of them twice.
 func TestManyReleases(t *testing.T) {
-	f, p := setup()
-	f.cloudSettings.RPS = 4
-	f.HandleList(1*s, 0, p, nil)
+	scaler, registry := setup()
+	scaler.cloudSettings.RPS = 4
+	scaler.HandleList(1*s, 0, registry, nil)
 	overdue := map[string]bool{}
 	for i := range manyMachines {
 		name := fmt.Sprintf("m%04d", i)
-		m := p.HandleHeartbeat(
-			10*s,
-			&protocol.WorkerHeartbeat{Machine: name, Addr: "x", Type: "g8", Zone: "a", Incarnation: 1, Sequence: 1},
-		).Machine
+		m := sendHeartbeat(registry, 10*s, name, "a", 1).Machine
 		if i >= manyMachines/2 {
 			overdue[name] = true
 			pl := &machineregistry.Placement{
@@ -64,8 +61,8 @@
 				Machine: name,
 				Job:     &protocol.Job{ID: "j-1"},
 			}
-			if !p.Reserve(10*s, []*machineregistry.Placement{pl}) {
-				t.Fatal("no room")
+			if !registry.Reserve(10*s, []*machineregistry.Placement{pl}) {
+				t.Fatal("not reserved")
 			}
 			pl.FenceAt = 11 * s
 		}
@@ -74,12 +71,12 @@
 	perPlan := 2 * protocol.MaxMachinesPerRelease
 	returned := map[string]bool{}
 	for now := 12 * s; len(returned) < manyMachines && now < time.Hour; now += s {
-		for _, e := range f.Plan(now, p, nil) {
+		for _, e := range scaler.Plan(now, registry, nil) {
 			if r, ok := e.(ScaleIn); ok && len(r.Machines) > protocol.MaxMachinesPerRelease {
 				t.Fatalf("%d names in a call", len(r.Machines))
 			}
 		}
-		names := f.releasing
+		names := scaler.releasing
 		if len(names) > perPlan {
 			t.Fatalf("%d machines in one plan, want %d", len(names), perPlan)
 		}
@@ -88,8 +85,8 @@
 				t.Fatalf("%s is returned as number %d", name, len(returned))
 			}
 			returned[name] = true
-			p.Remove(now, name)
-			f.HandleScaleIn(now, []string{name}, true)
+			registry.Remove(now, name)
+			scaler.HandleScaleIn(now, []string{name}, true)
 		}
 	}
 	if len(returned) != manyMachines {
@@ -97,8 +94,8 @@
 	}
 }
 
-// TestListInterval: reading the list takes no more than its part of the cloud's calls, however many
-// pages it has: rentals and releases would have stood behind it.
+// TestListInterval: reading the list takes no more than its share of the cloud's request rate,
+// however many pages it has, as it would delay scale out and scale in.
 func TestListInterval(t *testing.T) {
 	for _, x := range []struct {
 		rps      float64
@@ -112,8 +109,8 @@
 		{4, 10_000, 10500 * time.Millisecond},
 		{24, 10_000, 2500 * time.Millisecond},
 	} {
-		f := New(1, config.Cloud{RPS: x.rps, ListLagSeconds: 5}, testWorkerSettings)
-		if got := f.listInterval(x.machines); got != x.want {
+		scaler := New(1, config.Cloud{RPS: x.rps, ListLagSeconds: 5}, testWorkerSettings)
+		if got := scaler.listInterval(x.machines); got != x.want {
 			t.Errorf("%d machines at %v calls a second: read every %v, want %v", x.machines, x.rps, got, x.want)
 		}
 	}
--- a/internal/coordination/autoscaler/packing.go
+++ b/internal/coordination/autoscaler/packing.go
@@ -2,7 +2,6 @@
 
 import (
 	"container/heap"
-	"fmt"
 	"maps"
 	"slices"
 	"sort"
@@ -13,282 +12,256 @@
 	"pinebay/internal/protocol"
 )
 
-// bin is a machine, there or to be rented, in which wanted tasks are packed.
+// bin is a machine into which demanded tasks are packed: one that is there, one that has been
+// requested, or one that this plan is to request.
 type bin struct {
-	name        string
+	name        string // "" unless the machine is there
 	pool        machinePool
 	machineType *protocol.MachineType
 	free        machineregistry.Resources
-	// machine is nil for one to be rented.
-	machine *machineregistry.Machine
+	machine     *machineregistry.Machine // nil unless the machine is there
 }
 
-// PriorityLevels is the number of priorities.
-const PriorityLevels = machineregistry.PriorityLevels
-
-// freeFor is the room for a unit. What work takes that can save, and is of lower priority, is room
-// that a job to come could have at once, and so as good as free.
-func (r *bin) freeFor(u *Demand) machineregistry.Resources {
-	if !u.Headroom || u.MustBeFree || r.machine == nil {
-		return r.free
+// freeFor is the free capacity for a demand. For headroom, what is held by less important work
+// that can save a checkpoint is as good as free: it can be preempted when a job arrives.
+func (b *bin) freeFor(d *Demand) machineregistry.Resources {
+	if !d.Headroom || d.MustBeFree || b.machine == nil {
+		return b.free
 	}
-	return r.free.Plus(r.machine.CheckpointableResources(max(0, u.Job.Priority.Rank()) + 1))
+	return b.free.Plus(b.machine.CheckpointableResources(max(0, d.Job.Priority.Rank()) + 1))
 }
 
-// demandKey is what it depends on whether a room will do for a unit that avoids no machine.
+// demandKey is all that decides whether a bin suits a demand without excluded machines.
 type demandKey struct {
 	resources            machineregistry.Resources
-	types                string
+	machineTypes         string
 	zone, jobZone        string
 	priorityLevel        int
 	spot, checkpointable bool
 	headroom, mustBeFree bool
 }
 
-func demandKeyOf(u *Demand) demandKey {
+func demandKeyOf(d *Demand) demandKey {
 	return demandKey{
-		resources: machineregistry.TaskResources(
-			u.Job,
-		),
-		types:          strings.Join(u.Job.MachineTypes, " "),
-		zone:           u.Zone,
-		jobZone:        u.Job.Zone,
-		priorityLevel:  u.Job.Priority.Rank(),
-		spot:           u.Job.SpotAllowed,
-		checkpointable: u.Job.CheckpointIntervalSeconds > 0,
-		headroom:       u.Headroom,
-		mustBeFree:     u.MustBeFree,
+		resources:      machineregistry.TaskResources(d.Job),
+		machineTypes:   strings.Join(d.Job.MachineTypes, " "),
+		zone:           d.Zone,
+		jobZone:        d.Job.Zone,
+		priorityLevel:  d.Job.Priority.Rank(),
+		spot:           d.Job.SpotAllowed,
+		checkpointable: d.Job.CheckpointIntervalSeconds > 0,
+		headroom:       d.Headroom,
+		mustBeFree:     d.MustBeFree,
 	}
 }
 
-// packing packs wanted tasks into rooms, and finds out what must be rented for the rest.
+// packing packs demanded tasks into bins, best fit first, and finds out which machines must be
+// requested for the rest.
 type packing struct {
 	autoscaler      *Autoscaler
 	now             time.Duration
 	registry        *machineregistry.Registry
 	bins            []bin
 	machinesPerZone map[string]int
-	usedMachines    map[string]bool // machines that wanted tasks fit on
-	toRent          map[machinePool]int
-	toRentTotal     int
-	maxToRent       int // may be rented in all
-	// scannedBins is up to where the rooms are known not to do for a kind, and denied says that none
-	// can be rented for it: rooms only get fuller while tasks are packed.
+	usedMachines    map[string]bool // into which tasks were packed
+
+	toRent      map[machinePool]int
+	toRentTotal int
+	maxToRent   int
+
+	// scannedBins is the number of bins, from the first on, that are known not to suit a demand,
+	// and unrentable says that no machine can be requested for it. Both stay true while tasks are
+	// packed: bins only get fuller.
 	scannedBins map[demandKey]int
 	unrentable  map[demandKey]bool
 }
 
-// scaleOut returns the rentals that the units ask for, and the machines that they would use.
-func (f *Autoscaler) scaleOut(
-	now time.Duration,
-	p *machineregistry.Registry,
-	units []Demand,
-) (effects []Effect, used map[string]bool) {
-	if len(f.zonePolicies) > 0 {
-		f.countStarting(p)
-	}
-	k := f.newPacking(now, p)
-	if len(units) > 0 {
-		k.addBins()
-	}
-	for i := range units {
-		k.pack(&units[i])
-	}
-	f.binBuffer = k.bins // to be filled anew the next time
-	return f.scaleOutEffects(k.toRent), k.usedMachines
-}
-
-func (f *Autoscaler) newPacking(now time.Duration, p *machineregistry.Registry) *packing {
+func (a *Autoscaler) newPacking(now time.Duration, registry *machineregistry.Registry) *packing {
 	return &packing{
-		autoscaler:      f,
+		autoscaler:      a,
 		now:             now,
-		registry:        p,
-		bins:            f.binBuffer[:0],
+		registry:        registry,
+		bins:            a.binBuffer[:0],
 		machinesPerZone: map[string]int{},
 		usedMachines:    map[string]bool{},
 		toRent:          map[machinePool]int{},
-		maxToRent:       protocol.MaxMachinesPerRental * f.callsPerPlan(),
+		maxToRent:       protocol.MaxMachinesPerRental * a.callsPerPlan(),
 		scannedBins:     map[demandKey]int{},
 		unrentable:      map[demandKey]bool{},
 	}
 }
 
-// addBins lists the rooms that are there or on their way.
-func (k *packing) addBins() {
-	f, p := k.autoscaler, k.registry
-	p.Each(func(m *machineregistry.Machine) {
-		t := p.MachineType(m.Type)
-		if t == nil || m.Terminating || m.InterruptionNotice || m.Quarantined {
-			return
+// addBins adds the machines that are there or requested.
+func (p *packing) addBins() {
+	p.registry.Each(p.addMachine)
+	pending := p.autoscaler.pendingRentals
+	for _, id := range slices.Sorted(maps.Keys(pending)) {
+		rental := pending[id]
+		t := p.registry.MachineType(rental.pool.machineType)
+		if t == nil {
+			continue
 		}
-		k.machinesPerZone[m.Zone]++
-		if m.Registered && k.now-m.LastHeartbeat > p.SilenceTimeout() &&
-			(k.now >= f.unreachableUntil[m.Zone] || f.zonePolicies[m.Zone].IgnoreSilent) {
-			return // not to be counted on, unless all of them are to come back
-		}
-		k.bins = append(
-			k.bins,
-			bin{
-				name:        m.Name,
-				pool:        machinePool{m.Type, m.Zone, m.Spot},
-				machineType: t,
-				free:        p.FreeCapacity(m),
-				machine:     m,
-			},
-		)
-	})
-	for _, req := range slices.Sorted(maps.Keys(f.pendingRentals)) {
-		pl := f.pendingRentals[req]
-		if t := p.MachineType(pl.machineType); t != nil {
-			for range f.pendingCounts[req] {
-				k.machinesPerZone[pl.zone]++
-				k.bins = append(k.bins, bin{pool: pl, machineType: t, free: machineregistry.CapacityOf(t)})
-			}
+		for range rental.count {
+			p.machinesPerZone[rental.pool.zone]++
+			p.bins = append(p.bins, emptyBin(rental.pool, t))
 		}
 	}
 }
 
-// pack packs a unit's tasks, into rooms to be rented if need be.
-func (k *packing) pack(u *Demand) {
-	kind, left := demandKeyOf(u), u.Count
-	for _, i := range k.tightestBins(u, kind, left) {
-		left = k.fill(u, &k.bins[i], left)
+// addMachine adds the bin of a machine if it can be counted on.
+func (p *packing) addMachine(m *machineregistry.Machine) {
+	t := p.registry.MachineType(m.Type)
+	if t == nil || m.Terminating || m.InterruptionNotice || m.Quarantined {
+		return
+	}
+	p.machinesPerZone[m.Zone]++
+	if m.Registered && p.now-m.LastHeartbeat > p.registry.SilenceTimeout() && !p.expectsReturn(m.Zone) {
+		return
+	}
+	p.bins = append(p.bins, bin{
+		name:        m.Name,
+		pool:        machinePool{machineType: m.Type, zone: m.Zone, spot: m.Spot},
+		machineType: t,
+		free:        p.registry.FreeCapacity(m),
+		machine:     m,
+	})
+}
+
+// expectsReturn reports whether the silent machines of a zone are likely to return, since the zone
+// is unreachable as a whole.
+func (p *packing) expectsReturn(zone string) bool {
+	return p.now < p.autoscaler.unreachableUntil[zone] && !p.autoscaler.zonePolicies[zone].IgnoreSilent
+}
+
+func emptyBin(pool machinePool, t *protocol.MachineType) bin {
+	return bin{pool: pool, machineType: t, free: machineregistry.CapacityOf(t)}
+}
+
+// pack packs the tasks of a demand, into machines to be requested if need be.
+func (p *packing) pack(d *Demand) {
+	key, left := demandKeyOf(d), d.Count
+	for _, i := range p.tightestBins(d, key, left) {
+		left = p.fill(d, &p.bins[i], left)
 		if left == 0 {
 			return
 		}
 	}
 	for left > 0 {
-		r := k.openBin(u, kind)
-		if r == nil {
+		b := p.openBin(d, key)
+		if b == nil {
 			return
 		}
-		left = k.fill(u, r, left)
+		left = p.fill(d, b, left)
 	}
 }
 
-// fill packs as many tasks of a unit into a room as it holds, and returns how many are left.
-func (k *packing) fill(u *Demand, r *bin, left int) int {
-	need := machineregistry.TaskResources(u.Job)
-	k.usedMachines[r.name] = true
-	for left > 0 && need.Fits(r.freeFor(u)) {
-		r.free = r.free.Minus(need)
+// fill packs as many of the tasks left into a bin as fit, and returns how many are left then.
+func (p *packing) fill(d *Demand, b *bin, left int) int {
+	resources := machineregistry.TaskResources(d.Job)
+	p.usedMachines[b.name] = true
+	for left > 0 && resources.Fits(b.freeFor(d)) {
+		b.free = b.free.Minus(resources)
 		left--
-		if need == (machineregistry.Resources{}) {
-			return 0
+		if resources == (machineregistry.Resources{}) {
+			return 0 // any number of them fits
 		}
 	}
 	return left
 }
 
-// tightestBins returns up to so many rooms that will do for a unit: those with least free, the
-// tightest first. Each of them takes a task at least.
-func (k *packing) tightestBins(u *Demand, kind demandKey, most int) []int {
-	few := &leastTightHeap{packing: k, demand: u}
-	for i := k.scannedBins[kind]; i < len(k.bins); i++ {
-		if !k.feasible(u, kind.resources, &k.bins[i]) {
+// tightestBins returns the indexes of at most the given number of bins that suit a demand: those
+// with the least free capacity, the tightest first. Each of them holds one task at least.
+func (p *packing) tightestBins(d *Demand, key demandKey, limit int) []int {
+	selected := &loosestFirst{packing: p, demand: d}
+	for i := p.scannedBins[key]; i < len(p.bins); i++ {
+		if !p.feasible(d, key.resources, &p.bins[i]) {
 			continue
 		}
 		switch {
-		case len(few.bins) < most:
-			heap.Push(few, i)
-		case few.before(i, few.bins[0]):
-			few.bins[0] = i
-			heap.Fix(few, 0)
+		case len(selected.bins) < limit:
+			heap.Push(selected, i)
+		case selected.isTighter(i, selected.bins[0]):
+			selected.bins[0] = i
+			heap.Fix(selected, 0)
 		}
 	}
-	if len(few.bins) == 0 && len(u.ExcludedMachines) == 0 {
-		k.scannedBins[kind] = len(k.bins)
+	if len(selected.bins) == 0 && len(d.ExcludedMachines) == 0 {
+		p.scannedBins[key] = len(p.bins)
 	}
-	sort.Slice(few.bins, func(i, j int) bool { return few.before(few.bins[i], few.bins[j]) })
-	return few.bins
+	bins := selected.bins
+	sort.Slice(bins, func(i, j int) bool { return selected.isTighter(bins[i], bins[j]) })
+	return bins
 }
 
-// leastTightHeap is a heap of rooms with the least tight at its top.
-type leastTightHeap struct {
+// feasible reports whether a bin suits a demand and holds one of its tasks at least.
+func (p *packing) feasible(d *Demand, resources machineregistry.Resources, b *bin) bool {
+	return resources.Fits(b.freeFor(d)) && b.machineType.AllowedBy(d.Job) && d.allowsZone(b.pool.zone) &&
+		(!b.pool.spot || d.Job.SpotAllowed) && !d.ExcludedMachines[b.name]
+}
+
+// openBin adds a machine to be requested for a demand, or returns nil if none can be.
+func (p *packing) openBin(d *Demand, key demandKey) *bin {
+	if p.unrentable[key] || p.toRentTotal >= p.maxToRent {
+		return nil
+	}
+	pool, ok := p.autoscaler.choosePool(p.now, p.registry, d, p.machinesPerZone)
+	if !ok {
+		p.unrentable[key] = true
+		return nil
+	}
+	t := p.registry.MachineType(pool.machineType)
+	if !key.resources.Fits(machineregistry.CapacityOf(t)) {
+		return nil
+	}
+	p.bins = append(p.bins, emptyBin(pool, t))
+	p.toRent[pool]++
+	p.toRentTotal++
+	p.machinesPerZone[pool.zone]++
+	if p.autoscaler.startingByZone != nil {
+		p.autoscaler.startingByZone[pool.zone]++
+	}
+	return &p.bins[len(p.bins)-1]
+}
+
+// loosestFirst is a heap of bins, by index, with the one of most free capacity at its top. It
+// implements heap.Interface.
+type loosestFirst struct {
 	packing *packing
 	demand  *Demand
 	bins    []int
 }
 
-// before says whether a room is tighter than another, or as tight and earlier in the list.
-func (t *leastTightHeap) before(i, j int) bool {
-	a, b := t.packing.bins[i].freeFor(t.demand), t.packing.bins[j].freeFor(t.demand)
+// isTighter reports whether a bin is tighter than another, or as tight and earlier in the list.
+func (h *loosestFirst) isTighter(i, j int) bool {
+	a, b := h.packing.bins[i].freeFor(h.demand), h.packing.bins[j].freeFor(h.demand)
 	if tighter(a, b) || tighter(b, a) {
 		return tighter(a, b)
 	}
 	return i < j
 }
 
-// Len, Less, Swap, Push and Pop make it a heap.
-
-func (t *leastTightHeap) Len() int { return len(t.bins) }
-
-func (t *leastTightHeap) Less(i, j int) bool { return t.before(t.bins[j], t.bins[i]) }
+// Len is the number of bins.
+func (h *loosestFirst) Len() int { return len(h.bins) }
 
-func (t *leastTightHeap) Swap(i, j int) { t.bins[i], t.bins[j] = t.bins[j], t.bins[i] }
+// Less puts the looser bin first.
+func (h *loosestFirst) Less(i, j int) bool { return h.isTighter(h.bins[j], h.bins[i]) }
 
-func (t *leastTightHeap) Push(x any) { t.bins = append(t.bins, x.(int)) }
+// Swap exchanges two bins.
+func (h *loosestFirst) Swap(i, j int) { h.bins[i], h.bins[j] = h.bins[j], h.bins[i] }
 
-func (t *leastTightHeap) Pop() any {
-	last := t.bins[len(t.bins)-1]
-	t.bins = t.bins[:len(t.bins)-1]
-	return last
-}
-
-func (k *packing) feasible(u *Demand, need machineregistry.Resources, r *bin) bool {
-	return need.Fits(r.freeFor(u)) && r.machineType.AllowedBy(u.Job) && (u.Zone == "" || u.Zone == r.pool.zone) &&
-		(u.Job.Zone == "" || u.Job.Zone == r.pool.zone) && (!r.pool.spot || u.Job.SpotAllowed) && !u.ExcludedMachines[r.name]
+// Push adds the index of a bin.
+func (h *loosestFirst) Push(x any) {
+	h.bins = append(h.bins, x.(int)) //nolint:errcheck,forcetypeassert // heap.Push is called with indexes only
 }
 
-// openBin adds a room to be rented for a unit, or returns nil if there can be none.
-func (k *packing) openBin(u *Demand, kind demandKey) *bin {
-	if k.unrentable[kind] || k.toRentTotal >= k.maxToRent {
-		return nil
-	}
-	pl, ok := k.autoscaler.choosePool(k.now, k.registry, *u, k.machinesPerZone)
-	if !ok {
-		k.unrentable[kind] = true
-		return nil
-	}
-	t := k.registry.MachineType(pl.machineType)
-	if !kind.resources.Fits(machineregistry.CapacityOf(t)) {
-		return nil
-	}
-	k.bins = append(k.bins, bin{pool: pl, machineType: t, free: machineregistry.CapacityOf(t)})
-	k.toRent[pl]++
-	k.machinesPerZone[pl.zone]++
-	if k.autoscaler.startingByZone != nil {
-		k.autoscaler.startingByZone[pl.zone]++
-	}
-	k.toRentTotal++
-	return &k.bins[len(k.bins)-1]
-}
-
-// scaleOutEffects asks for the wanted machines, as many in a request as the cloud allows.
-func (f *Autoscaler) scaleOutEffects(wanted map[machinePool]int) (effects []Effect) {
-	pools := make([]machinePool, 0, len(wanted))
-	for pl := range wanted {
-		pools = append(pools, pl)
-	}
-	sort.Slice(pools, func(i, j int) bool { return fmt.Sprint(pools[i]) < fmt.Sprint(pools[j]) })
-	for _, pl := range pools {
-		for left := wanted[pl]; left > 0; left -= protocol.MaxMachinesPerRental {
-			effects = append(effects, f.scaleOutEffect(pl, min(left, protocol.MaxMachinesPerRental)))
-		}
-	}
-	return effects
-}
-
-func (f *Autoscaler) scaleOutEffect(pl machinePool, count int) Effect {
-	f.requestSeq++
-	// The term makes the name unique across leaders and restarts.
-	req := fmt.Sprintf("r-%d-%d", f.term, f.requestSeq)
-	f.pendingRentals[req], f.pendingCounts[req] = pl, count
-	return ScaleOut{
-		protocol.Rental{RequestID: req, MachineType: pl.machineType, Zone: pl.zone, Spot: pl.spot, Count: count},
-	}
+// Pop removes the last bin.
+func (h *loosestFirst) Pop() any {
+	last := h.bins[len(h.bins)-1]
+	h.bins = h.bins[:len(h.bins)-1]
+	return last
 }
 
+// tighter orders free capacity by accelerators, then by processors.
 func tighter(a, b machineregistry.Resources) bool {
 	if a.GPUs != b.GPUs {
 		return a.GPUs < b.GPUs
--- a/internal/coordination/autoscaler/reference_test.go
+++ b/internal/coordination/autoscaler/reference_test.go
@@ -15,36 +15,37 @@
 
 func TestMain(m *testing.M) { testutil.Main(m) }
 
-// referencePack packs units one task after the other into the tightest of all rooms.
-func referencePack(k *packing, units []Demand) {
+// referencePack packs one task after the other into the tightest of all bins.
+func referencePack(packed *packing, units []Demand) {
 	for n := range units {
 		u := &units[n]
 		need := machineregistry.TaskResources(u.Job)
 		for left := u.Count; left > 0; {
 			var best *bin
-			for i := range k.bins {
-				if r := &k.bins[i]; k.feasible(u, need, r) && (best == nil || tighter(r.freeFor(u), best.freeFor(u))) {
+			for i := range packed.bins {
+				if r := &packed.bins[i]; packed.feasible(u, need, r) &&
+					(best == nil || tighter(r.freeFor(u), best.freeFor(u))) {
 					best = r
 				}
 			}
 			if best == nil {
-				if best = k.openBin(u, demandKeyOf(u)); best == nil {
+				if best = packed.openBin(u, demandKeyOf(u)); best == nil {
 					break
 				}
 			}
-			left = k.fill(u, best, left)
+			left = packed.fill(u, best, left)
 		}
 	}
 }
 
-// TestPackingMatchesFullScan: on drawn fleets and demands, what is rented and which machines are wanted is
-// what packing into the tightest of all rooms, time and again, comes to.
+// TestPackingMatchesFullScan: for random machines and demands, the packing uses and requests the
+// same machines as the reference, which scans all bins for every task.
 func TestPackingMatchesFullScan(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		f, p := setup()
-		f.HandleList(time.Second, 0, p, nil)
+		scaler, registry := setup()
+		scaler.HandleList(time.Second, 0, registry, nil)
 		for i := range rapid.IntRange(0, 25).Draw(t, "machines") {
-			m := p.GetOrCreate(0, fmt.Sprintf("m%02d", i))
+			m := registry.GetOrCreate(0, fmt.Sprintf("m%02d", i))
 			m.Type, m.Zone, m.Spot = "g8", rapid.SampledFrom([]string{"a", "b"}).
 				Draw(t, "zone"),
 				rapid.Bool().
@@ -54,7 +55,7 @@
 				Shape:                     protocol.Array,
 				CheckpointIntervalSeconds: float64(rapid.IntRange(0, 1).Draw(t, "saves")),
 			}
-			p.Adopt(0, &machineregistry.Placement{
+			registry.Adopt(0, &machineregistry.Placement{
 				Task: protocol.TaskID{
 					JobID: job.ID,
 				},
@@ -94,22 +95,22 @@
 			}
 			units = append(units, u)
 		}
-		packed := func(pack func(*packing)) *packing {
-			k := f.newPacking(time.Second, p)
-			k.addBins()
-			pack(k)
-			return k
+		packWith := func(pack func(*packing)) *packing {
+			packed := scaler.newPacking(time.Second, registry)
+			packed.addBins()
+			pack(packed)
+			return packed
 		}
-		got := packed(func(k *packing) {
+		got := packWith(func(packed *packing) {
 			for i := range units {
-				k.pack(&units[i])
+				packed.pack(&units[i])
 			}
 		})
-		want := packed(func(k *packing) { referencePack(k, units) })
+		want := packWith(func(packed *packing) { referencePack(packed, units) })
 		if !reflect.DeepEqual(got.toRent, want.toRent) || !reflect.DeepEqual(got.usedMachines, want.usedMachines) ||
 			got.toRentTotal != want.toRentTotal {
 			t.Errorf(
-				"rents %v and uses %v, want %v and %v",
+				"requests %v and uses %v, want %v and %v",
 				got.toRent,
 				got.usedMachines,
 				want.toRent,
--- a/internal/coordination/autoscaler/scalein.go
+++ b/internal/coordination/autoscaler/scalein.go
@@ -9,14 +9,46 @@
 	"pinebay/internal/protocol"
 )
 
-// scaleIn returns the machines that are condemned, never came up, or have had nothing to do for
-// long enough; as many as the cloud's rate allows, those first on which cancelled tasks are overdue.
-// The others have their turn in the next plans.
-func (f *Autoscaler) scaleIn(now time.Duration, p *machineregistry.Registry, used map[string]bool) (effects []Effect) {
+// Times after which machines are returned.
+const (
+	// bootTimeoutFactor is after how many boot times a machine counts as never having come up.
+	bootTimeoutFactor = 4
+	// idleBootDivisor is the part of a boot time for which an idle machine is kept.
+	idleBootDivisor = 8
+	// minRentalTime is what the cloud charges for at least.
+	minRentalTime = time.Minute
+)
+
+// HandleScaleIn notes the outcome of a ScaleIn effect. If it succeeded, the machines are proven to
+// be gone: the caller must remove them from the registry. Otherwise they are returned once more.
+func (a *Autoscaler) HandleScaleIn(now time.Duration, machines []string, succeeded bool) {
+	remember := config.Seconds(releasedMemoryFactor * a.workerSettings.CancelSeconds)
+	for name, releasedAt := range a.list.releasedAt {
+		if now-releasedAt > remember {
+			delete(a.list.releasedAt, name)
+		}
+	}
+	for _, name := range machines {
+		delete(a.releasing, name)
+		if succeeded {
+			a.list.releasedAt[name] = now
+			delete(a.list.firstSeen, name)
+		}
+	}
+}
+
+// scaleIn returns machines to the cloud that are no longer needed or usable, except those that are
+// used for the demands. The cloud's rate limits how many; machines with overdue cancelled tasks go
+// first, and the rest waits for the next plan.
+func (a *Autoscaler) scaleIn(
+	now time.Duration,
+	registry *machineregistry.Registry,
+	used map[string]bool,
+) (effects []Effect) {
 	var overdue, others []*machineregistry.Machine
-	p.Each(func(m *machineregistry.Machine) {
+	registry.Each(func(m *machineregistry.Machine) {
 		switch {
-		case f.releasing[m.Name] || !f.shouldScaleIn(now, p, m, used):
+		case a.releasing[m.Name] || !a.shouldScaleIn(now, registry, m, used):
 		case m.FencingDue(now):
 			overdue = append(overdue, m)
 		default:
@@ -24,41 +56,53 @@
 		}
 	})
 	leaving := append(overdue, others...)
-	leaving = leaving[:min(len(leaving), protocol.MaxMachinesPerRelease*f.callsPerPlan())]
-	for call := range slices.Chunk(leaving, protocol.MaxMachinesPerRelease) {
-		names := make([]string, len(call))
-		for i, m := range call {
+	leaving = leaving[:min(len(leaving), protocol.MaxMachinesPerRelease*a.callsPerPlan())]
+	for batch := range slices.Chunk(leaving, protocol.MaxMachinesPerRelease) {
+		names := make([]string, len(batch))
+		for i, m := range batch {
 			m.MarkTerminating()
-			f.releasing[m.Name] = true
+			a.releasing[m.Name] = true
 			names[i] = m.Name
 		}
-		effects = append(effects, ScaleIn{names})
+		effects = append(effects, ScaleIn{Machines: names})
 	}
 	return effects
 }
 
-// shouldScaleIn says whether a machine is to be returned.
-func (f *Autoscaler) shouldScaleIn(
+// shouldScaleIn reports whether a machine is to be returned.
+func (a *Autoscaler) shouldScaleIn(
 	now time.Duration,
-	p *machineregistry.Registry,
+	registry *machineregistry.Registry,
 	m *machineregistry.Machine,
 	used map[string]bool,
 ) bool {
-	t := p.MachineType(m.Type)
+	empty := m.PlacementCount() == 0
+	t := registry.MachineType(m.Type)
 	if t == nil {
-		return m.PlacementCount() > 0 && m.Terminating
+		return !empty && m.Terminating
 	}
 	boot := config.Seconds(t.BootSeconds)
 	switch {
-	case m.Quarantined && m.PlacementCount() == 0, m.InterruptionNotice && m.PlacementCount() == 0, m.Terminating:
+	case m.Terminating, m.Quarantined && empty, m.InterruptionNotice && empty:
 		return true
-	case !m.Registered && now-m.RentedAt > 4*boot && now-m.LastHeartbeat > boot && (m.PlacementCount() == 0 || now >= f.zonePolicies[m.Zone].NoFencingUntil):
-		return true // it never came up, and is charged until it is deleted
+	case !m.Registered:
+		return a.neverCameUp(now, m, boot)
 	default:
-		// Idle beyond what is forecast; a machine is paid for a minute anyway.
-		return m.Registered && m.PlacementCount() == 0 && !used[m.Name] && f.HasMachineList() &&
-			now-m.IdleSince > boot/8 &&
-			now-m.RentedAt > time.Minute &&
-			now-m.LastHeartbeat <= p.SilenceTimeout()
+		return empty && !used[m.Name] && a.HasMachineList() && isIdle(now, m, boot) &&
+			now-m.LastHeartbeat <= registry.SilenceTimeout()
 	}
 }
+
+// neverCameUp reports whether a machine that is not registered is given up. It is charged until it
+// is returned.
+func (a *Autoscaler) neverCameUp(now time.Duration, m *machineregistry.Machine, boot time.Duration) bool {
+	if now-m.RentedAt <= bootTimeoutFactor*boot || now-m.LastHeartbeat <= boot {
+		return false
+	}
+	return m.PlacementCount() == 0 || now >= a.zonePolicies[m.Zone].NoFencingUntil
+}
+
+// isIdle reports whether an empty machine has been idle for long enough to be returned.
+func isIdle(now time.Duration, m *machineregistry.Machine, boot time.Duration) bool {
+	return now-m.IdleSince > boot/idleBootDivisor && now-m.RentedAt > minRentalTime
+}
--- a/internal/coordination/scheduler/scheduler.go
+++ b/internal/coordination/scheduler/scheduler.go
@@ -246,7 +246,12 @@
 		}
 	case ScaleOutResult:
 		c.log.Info("rented", "request", e.Request, "machines", len(e.Machines), "refused", e.Refused)
-		c.autoscaler.HandleScaleOut(now, e.RequestedAt, c.machines, e.Request, e.Machines, e.Refused)
+		c.autoscaler.HandleScaleOut(now, c.machines, autoscaler.RentalOutcome{
+			RequestID:   e.Request,
+			RequestedAt: e.RequestedAt,
+			Machines:    e.Machines,
+			Refused:     e.Refused,
+		})
 	case ScaleInResult:
 		c.autoscaler.HandleScaleIn(now, e.Machines, e.Succeeded)
 		if e.Succeeded {
