--- /dev/null
+++ b/internal/coordination/machineregistry/heartbeat_test.go
@@ -0,0 +1,84 @@
+package machineregistry
+
+import (
+	"testing"
+	"time"
+
+	"pinebay/internal/config"
+	"pinebay/internal/protocol"
+)
+
+// TestUnchangedHeartbeat: an unchanged heartbeat that the owner has answered keeps a machine from
+// counting as silent if nothing newer is known and the leader knows the same incarnation. It proves
+// nothing of tasks. The next heartbeat must reach the leader if it does not know the machine, or
+// has commands for it.
+func TestUnchangedHeartbeat(t *testing.T) {
+	registry := New(3, config.Workers{HeartbeatSeconds: 1, LeaseSeconds: 10})
+	registered := time.Second
+	if registry.HandleUnchangedHeartbeat(registered, "m1", 1, 1) {
+		t.Error("enough for a machine that is not registered")
+	}
+	registry.HandleHeartbeat(registered, testHeartbeat(2, 5, 7))
+	now := registered + 5*time.Second
+	for _, x := range []struct {
+		name                  string
+		incarnation, sequence uint64
+		enough                bool
+		lastHeartbeat         time.Duration
+	}{
+		{"earlier incarnation", 1, 9, false, registered},
+		{"later incarnation", 3, 1, false, registered},
+		{"known already", 2, 5, true, registered},
+		{"newer", 2, 6, true, now},
+	} {
+		enough := registry.HandleUnchangedHeartbeat(now, "m1", x.incarnation, x.sequence)
+		if last := registry.Machine("m1").LastHeartbeat; enough != x.enough || last != x.lastHeartbeat {
+			t.Errorf("%s: enough %v, last heartbeat at %v", x.name, enough, last)
+		}
+	}
+	pl := &Placement{Task: protocol.TaskID{JobID: "j-1"}, Attempt: 1, Machine: "m1", Incarnation: 2, StartAllowed: true}
+	registry.Adopt(now, pl)
+	if registry.HandleUnchangedHeartbeat(now, "m1", 2, 7) || pl.Terminated {
+		t.Errorf("enough although a command is due, or terminated: %v", pl.Terminated)
+	}
+}
+
+// TestAbsenceProvesNoTermination: delayed heartbeats, and heartbeats without the task, never
+// terminate a placement. An exit, a later incarnation or the removal of the machine does.
+func TestAbsenceProvesNoTermination(t *testing.T) {
+	otherAttempt := testStatus(1, protocol.TaskExited)
+	otherAttempt.Attempt = 7
+	heartbeat := func(incarnation, sequence uint64, tasks ...protocol.TaskStatus) func(*Registry) []Observation {
+		return func(registry *Registry) []Observation {
+			return registry.HandleHeartbeat(5, testHeartbeat(incarnation, sequence, 0, tasks...)).Observations
+		}
+	}
+	exit := testStatus(1, protocol.TaskExited)
+	for _, x := range []struct {
+		name       string
+		do         func(*Registry) []Observation
+		terminated bool
+	}{
+		{"newer heartbeat without it", heartbeat(3, 50), false},
+		{"earlier incarnation", heartbeat(2, 99), false},
+		{"another attempt exited", heartbeat(3, 50, otherAttempt), false},
+		{"its attempt exited in another incarnation", heartbeat(2, 50, exit), false},
+		{"its attempt exited, heartbeat delayed", func(registry *Registry) []Observation {
+			registry.HandleHeartbeat(4, testHeartbeat(3, 60, 0))
+			return heartbeat(3, 50, exit)(registry)
+		}, true},
+		{"later incarnation", heartbeat(4, 1), true},
+		{"machine removed", func(registry *Registry) []Observation { return registry.Remove(5, "m1") }, true},
+	} {
+		registry := newTestRegistry(2)
+		pl := newTestPlacement(1, 1)
+		pl.Incarnation = 3
+		registry.Adopt(0, pl)
+		registry.HandleHeartbeat(1, testHeartbeat(3, 10, 0))
+		observations := x.do(registry)
+		terminated := len(observations) == 1 && observations[0].Placement == pl && pl.Terminated
+		if terminated != x.terminated || pl.Terminated != x.terminated {
+			t.Errorf("%s: terminated %v, observations %v", x.name, terminated, observations)
+		}
+	}
+}
