--- a/internal/coordination/machineindex/index.go
+++ b/internal/coordination/machineindex/index.go
@@ -1,8 +1,10 @@
-// Package machineindex orders machines by what a search for room asks for: their pool (type,
-// zone and kind) and their free room. A search looks at the machines that may score best
-// first and passes over whole groups that cannot fit or cannot win, so that what it costs
-// does not grow with the number of machines. The index decides nothing: whoever searches
-// judges each machine, and whoever grants room asks the machine's own books.
+// Package machineindex is an in-memory index of machines by pool (type, zone, spot or on-demand) and free
+// capacity, for branch-and-bound searches: a search examines the machines that may score best first, and
+// skips pools and buckets in which no machine fits or can win. The cost of a search therefore does not grow
+// with the number of machines.
+//
+// The index makes no decisions. The caller of Search filters and scores each machine that it examines, and
+// the machine registry has the last word on what is reserved.
 package machineindex
 
 import (
@@ -14,7 +16,8 @@
 	"pinebay/internal/coordination/machineregistry"
 )
 
-// Pool names machines that predicates cannot tell apart.
+// Pool identifies machines that differ only in their state: they are of one type, in one zone and all spot
+// or all on demand.
 type Pool struct {
 	Type, Zone string
 	Spot       bool
@@ -30,39 +33,42 @@
 	return cmp.Or(cmp.Compare(a.Type, b.Type), cmp.Compare(a.Zone, b.Zone), cmp.Compare(spot(a), spot(b)))
 }
 
-// Entry is a machine in the index, with what its user keeps of it.
+// Entry is the place of one machine in an index.
 type Entry[T any] struct {
-	Value  T
+	// Value is what the user of the index associates with the machine.
+	Value T
+
 	name   string
 	free   machineregistry.Resources
-	bucket *bucket[T]
+	bucket *bucket[T] // nil while the entry is not in the index
 }
 
-// Index is an index of machines. Its methods are called by one goroutine at a time.
+// Index is an index of machines. It is not safe for concurrent use, and must not be changed during a search.
 type Index[T any] struct {
-	pools []*pool[T] // in order
+	pools []*pool[T] // sorted by comparePools
 	size  int
 }
 
-// pool holds the machines of one Pool in cells.
+// pool holds the machines of one Pool in buckets. Machines whose type had another capacity when they were
+// indexed are in a pool of their own.
 type pool[T any] struct {
 	id       Pool
 	capacity machineregistry.Resources
-	buckets  []*bucket[T] // not empty, in the order of their levels
+	buckets  []*bucket[T] // none of them empty, sorted by compareBucketKeys
 }
 
-// bucket holds the machines whose free room is at the same level of each resource.
+// bucket holds the machines of a pool whose free capacity is in the same range of each resource.
 type bucket[T any] struct {
 	pool    *pool[T]
 	key     bucketKey
-	entries *btree.BTreeG[*Entry[T]] // by free room, then by name
+	entries *btree.BTreeG[*Entry[T]] // sorted by free capacity, then by name
 }
 
-// bucketsPerResource is into how many parts the room of a machine is divided by each resource.
+// bucketsPerResource is the number of ranges into which the capacity of each resource is divided.
 const bucketsPerResource = 16
 
-// bucketKey are a cell's level of each resource, the highest first, so that cells in order go
-// from full machines to empty ones.
+// bucketKey is a bucket's range of each resource, from 0 for hardly any to bucketsPerResource for all of
+// it. The highest comes first, so that sorted buckets go from full machines to empty ones.
 type bucketKey struct{ highest, cpus, gpus, memory int }
 
 func compareBucketKeys(a, b bucketKey) int {
@@ -74,9 +80,10 @@
 	)
 }
 
-const tolerance = 1e-9 // amounts are decimal numbers
+// tolerance absorbs the rounding of sums of decimal amounts.
+const tolerance = 1e-9
 
-// bucketOf is the level of an amount: 0 for hardly any, bucketsPerResource for all.
+// bucketOf returns the range that an amount is in.
 func bucketOf(free, capacity float64) int {
 	if capacity <= 0 || free <= 0 {
 		return 0
@@ -85,26 +92,27 @@
 }
 
 func bucketKeyOf(free, capacity machineregistry.Resources) bucketKey {
-	l := bucketKey{
+	key := bucketKey{
 		cpus:   bucketOf(free.CPUs, capacity.CPUs),
 		gpus:   bucketOf(free.GPUs, capacity.GPUs),
 		memory: bucketOf(free.MemoryGB, capacity.MemoryGB),
 	}
-	l.highest = max(l.cpus, l.gpus, l.memory)
-	return l
+	key.highest = max(key.cpus, key.gpus, key.memory)
+	return key
 }
 
-// bucketBounds are the least and the most room that a machine at some level has.
-func bucketBounds(level int, capacity float64) (low, high float64) {
-	low = float64(level) / bucketsPerResource * capacity
-	high = min(capacity, float64(level+1)/bucketsPerResource*capacity)
+// bucketBounds returns the least and the most that is free of a resource in a range.
+func bucketBounds(index int, capacity float64) (low, high float64) {
+	low = float64(index) / bucketsPerResource * capacity
+	high = min(capacity, float64(index+1)/bucketsPerResource*capacity)
 	return low, high
 }
 
-func (c *bucket[T]) bounds() (low, high machineregistry.Resources) {
-	low.CPUs, high.CPUs = bucketBounds(c.key.cpus, c.pool.capacity.CPUs)
-	low.GPUs, high.GPUs = bucketBounds(c.key.gpus, c.pool.capacity.GPUs)
-	low.MemoryGB, high.MemoryGB = bucketBounds(c.key.memory, c.pool.capacity.MemoryGB)
+// bounds returns the least and the most free capacity that a machine in the bucket can have.
+func (b *bucket[T]) bounds() (low, high machineregistry.Resources) {
+	low.CPUs, high.CPUs = bucketBounds(b.key.cpus, b.pool.capacity.CPUs)
+	low.GPUs, high.GPUs = bucketBounds(b.key.gpus, b.pool.capacity.GPUs)
+	low.MemoryGB, high.MemoryGB = bucketBounds(b.key.memory, b.pool.capacity.MemoryGB)
 	return low, high
 }
 
@@ -117,25 +125,25 @@
 // NewEntry returns an entry that is not in the index yet.
 func NewEntry[T any](name string, value T) *Entry[T] { return &Entry[T]{name: name, Value: value} }
 
-// Put enters a machine, or moves it to where its pool and free room say.
-func (x *Index[T]) Put(e *Entry[T], key Pool, capacity, free machineregistry.Resources) {
-	at := bucketKeyOf(free, capacity)
-	if h := e.bucket; h != nil && h.pool.id == key && h.pool.capacity == capacity && h.key == at {
+// Put adds a machine to the index, or moves it after its pool or its free capacity has changed.
+func (x *Index[T]) Put(e *Entry[T], id Pool, capacity, free machineregistry.Resources) {
+	key := bucketKeyOf(free, capacity)
+	if b := e.bucket; b != nil && b.pool.id == id && b.pool.capacity == capacity && b.key == key {
 		if e.free != free {
-			h.entries.Delete(e)
+			b.entries.Delete(e)
 			e.free = free
-			h.entries.Set(e)
+			b.entries.Set(e)
 		}
 		return
 	}
 	x.Remove(e)
 	e.free = free
-	e.bucket = x.ensureBucket(key, capacity, at)
+	e.bucket = x.ensurePool(id, capacity).ensureBucket(key)
 	e.bucket.entries.Set(e)
 	x.size++
 }
 
-// Remove takes a machine out of the index, if it is there.
+// Remove removes a machine from the index, if it is there.
 func (x *Index[T]) Remove(e *Entry[T]) {
 	if e.bucket == nil {
 		return
@@ -148,35 +156,39 @@
 	x.size--
 }
 
-// Has says whether an entry is in the index.
+// Has reports whether an entry is in the index.
 func (x *Index[T]) Has(e *Entry[T]) bool { return e.bucket != nil }
 
-func comparePoolTo[T any](p *pool[T], key Pool) int { return comparePools(p.id, key) }
+func comparePoolTo[T any](p *pool[T], id Pool) int { return comparePools(p.id, id) }
 
-func compareBucketTo[T any](c *bucket[T], at bucketKey) int { return compareBucketKeys(c.key, at) }
+func compareBucketTo[T any](b *bucket[T], key bucketKey) int { return compareBucketKeys(b.key, key) }
 
-// ensureBucket returns the cell of a pool at some levels, making both if need be.
-func (x *Index[T]) ensureBucket(key Pool, capacity machineregistry.Resources, at bucketKey) *bucket[T] {
-	i, ok := slices.BinarySearchFunc(x.pools, key, comparePoolTo[T])
-	for ok && i < len(x.pools) && x.pools[i].id == key && x.pools[i].capacity != capacity {
-		i++ // machines whose type was another when they were entered
+// ensurePool returns the pool of machines with a capacity, and creates it if need be.
+func (x *Index[T]) ensurePool(id Pool, capacity machineregistry.Resources) *pool[T] {
+	i, found := slices.BinarySearchFunc(x.pools, id, comparePoolTo[T])
+	for found && i < len(x.pools) && x.pools[i].id == id && x.pools[i].capacity != capacity {
+		i++ // machines that were indexed with another capacity of their type
 	}
-	if i == len(x.pools) || x.pools[i].id != key || x.pools[i].capacity != capacity {
-		x.pools = slices.Insert(x.pools, i, &pool[T]{id: key, capacity: capacity})
+	if i == len(x.pools) || x.pools[i].id != id || x.pools[i].capacity != capacity {
+		x.pools = slices.Insert(x.pools, i, &pool[T]{id: id, capacity: capacity})
 	}
-	p := x.pools[i]
-	k, ok := slices.BinarySearchFunc(p.buckets, at, compareBucketTo[T])
-	if !ok {
-		c := &bucket[T]{pool: p, key: at, entries: btree.NewBTreeGOptions(entryBefore[T], btree.Options{NoLocks: true})}
-		p.buckets = slices.Insert(p.buckets, k, c)
+	return x.pools[i]
+}
+
+// ensureBucket returns the bucket of a key, and creates it if need be.
+func (p *pool[T]) ensureBucket(key bucketKey) *bucket[T] {
+	i, found := slices.BinarySearchFunc(p.buckets, key, compareBucketTo[T])
+	if !found {
+		entries := btree.NewBTreeGOptions(entryBefore[T], btree.Options{NoLocks: true})
+		p.buckets = slices.Insert(p.buckets, i, &bucket[T]{pool: p, key: key, entries: entries})
 	}
-	return p.buckets[k]
+	return p.buckets[i]
 }
 
-// removeBucket removes an empty cell, and its pool if that is empty too.
-func (x *Index[T]) removeBucket(c *bucket[T]) {
-	p := c.pool
-	if k := slices.Index(p.buckets, c); k >= 0 {
+// removeBucket removes an empty bucket, and its pool if that is empty too.
+func (x *Index[T]) removeBucket(b *bucket[T]) {
+	p := b.pool
+	if k := slices.Index(p.buckets, b); k >= 0 {
 		p.buckets = slices.Delete(p.buckets, k, k+1)
 	}
 	if len(p.buckets) > 0 {
@@ -187,7 +199,7 @@
 	}
 }
 
-// entryBefore orders the entries of a cell.
+// entryBefore orders the entries of a bucket.
 func entryBefore[T any](a, b *Entry[T]) bool {
 	if a.free != b.free {
 		return compareFree(a.free, b.free) < 0
@@ -199,7 +211,7 @@
 	return cmp.Or(cmp.Compare(a.CPUs, b.CPUs), cmp.Compare(a.GPUs, b.GPUs), cmp.Compare(a.MemoryGB, b.MemoryGB))
 }
 
-// maxName sorts after every name of a machine.
+// maxName sorts after the name of every machine.
 const maxName = "\U0010ffff"
 
 // Pools calls f for every pool that has machines.
@@ -212,8 +224,8 @@
 // Each calls f for every machine in the index.
 func (x *Index[T]) Each(f func(T)) {
 	for _, p := range x.pools {
-		for _, c := range p.buckets {
-			c.entries.Scan(func(e *Entry[T]) bool {
+		for _, b := range p.buckets {
+			b.entries.Scan(func(e *Entry[T]) bool {
 				f(e.Value)
 				return true
 			})
--- a/internal/coordination/machineindex/index_test.go
+++ b/internal/coordination/machineindex/index_test.go
@@ -13,12 +13,12 @@
 
 func TestMain(m *testing.M) { testutil.Main(m) }
 
-// machine is the model's view of a machine.
+// machine is a machine of the test, scored by its pool, its free capacity and a penalty.
 type machine struct {
 	entry   *Entry[*machine]
 	pool    Pool
 	free    machineregistry.Resources
-	penalty float64 // what it scores beyond its room
+	penalty float64 // what it scores beyond its free capacity
 	closed  bool
 }
 
@@ -33,7 +33,7 @@
 	}
 }
 
-// score is what a machine scores for a need; Loosest turns it round.
+// score returns a machine's score for a need. With WorstFit more free capacity scores lower.
 func (m *machine) score(order Order, need machineregistry.Resources) float64 {
 	if order == WorstFit {
 		return testPoolScore(m.pool) - m.free.DominantShare(capacity) + m.penalty
@@ -51,8 +51,8 @@
 	return 0
 }
 
-func newQuery(order Order, need machineregistry.Resources, looks int) Query {
-	q := Query{Need: need, Order: order, MaxExamined: looks, MaxTies: looks, PoolScore: testPoolScore}
+func newQuery(order Order, need machineregistry.Resources, maxExamined int) Query {
+	q := Query{Need: need, Order: order, MaxExamined: maxExamined, MaxTies: maxExamined, PoolScore: testPoolScore}
 	q.ScoreBound = func(capacity, free machineregistry.Resources) float64 {
 		return free.Minus(need).DominantShare(capacity)
 	}
@@ -62,7 +62,7 @@
 	return q
 }
 
-// TestSearchFindsTheBest: however machines came, moved and went, a search with enough looks finds
+// TestSearchFindsTheBest: however machines came, moved and went, a search with a sufficient limit finds
 // just the machine that a scan of all finds, in either order.
 func TestSearchFindsTheBest(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -129,8 +129,8 @@
 	})
 }
 
-// TestExaminedMachinesDoNotGrow: what a search looks at does not grow with the number of machines, whether
-// they are all alike, all different, full, or nearly full.
+// TestExaminedMachinesDoNotGrow: the number of machines that a search examines does not grow with the size
+// of the index, whether they are all alike, all different, full, or nearly full.
 func TestExaminedMachinesDoNotGrow(t *testing.T) {
 	const most = 40
 	need := machineregistry.Resources{CPUs: 2, MemoryGB: 4}
@@ -141,7 +141,11 @@
 			return machineregistry.Resources{CPUs: float64(i % 3), GPUs: 8, MemoryGB: 8}
 		},
 		"different": func(i int) machineregistry.Resources {
-			return machineregistry.Resources{CPUs: float64(i*7919%6400) / 100, GPUs: float64(i % 9), MemoryGB: float64(i * 31 % 256)}
+			return machineregistry.Resources{
+				CPUs:     float64(i*7919%6400) / 100,
+				GPUs:     float64(i % 9),
+				MemoryGB: float64(i * 31 % 256),
+			}
 		},
 	} {
 		for _, n := range []int{100, 1000, 18_000} {
@@ -151,22 +155,22 @@
 				m.entry = NewEntry(fmt.Sprintf("m%05d", i), m)
 				x.Put(m.entry, m.pool, capacity, m.free)
 			}
-			looks := 0
+			examined := 0
 			var best Best[*machine]
 			q := newQuery(BestFit, need, 1000)
 			q.MaxTies = 8
 			x.Search(q, &best, func(m *machine) (float64, bool) {
-				looks++
+				examined++
 				return m.score(BestFit, need), true
 			})
-			if looks > most || best.Found != (name != "full") {
-				t.Errorf("%s, %d machines: %d looks, found %v", name, n, looks, best.Found)
+			if examined > most || best.Found != (name != "full") {
+				t.Errorf("%s, %d machines: %d examined, found %v", name, n, examined, best.Found)
 			}
 		}
 	}
 }
 
-// TestSearchLimit: a search whose looks are used up says so, and has the best of what it saw.
+// TestSearchLimit: a search that reaches its limit reports that, and returns the best of what it examined.
 func TestSearchLimit(t *testing.T) {
 	x := New[*machine]()
 	for i := range 20 {
@@ -180,7 +184,7 @@
 		&best,
 		func(m *machine) (float64, bool) { return m.score(BestFit, machineregistry.Resources{}), true },
 	) {
-		t.Error("five looks at twenty machines that all differ were enough")
+		t.Error("examining five of twenty machines that all differ was enough")
 	}
 	if !best.Found || best.Entry.name != "m04" {
 		t.Errorf("best of the first five is %+v", best)
--- a/internal/coordination/machineindex/search.go
+++ b/internal/coordination/machineindex/search.go
@@ -5,67 +5,74 @@
 	"math"
 	"slices"
 
+	"github.com/tidwall/btree"
+
 	"pinebay/internal/coordination/machineregistry"
 )
 
-// Order says which machines a search looks at first.
+// Order is the order in which a search examines machines.
 type Order int
 
-// Orders.
 const (
-	BestFit  Order = iota // those with least free room
-	WorstFit              // those with most
+	// BestFit examines the machines with the least free capacity first.
+	BestFit Order = iota
+	// WorstFit examines the machines with the most free capacity first.
+	WorstFit
 )
 
-// Query is what a search asks for.
+// Query describes a search. Lower scores are better.
 type Query struct {
-	// Need is the room that a machine must have free; nothing passes over none.
+	// Need is what a machine must have free.
 	Need machineregistry.Resources
-	// IgnoreFree looks at machines whatever room they have.
+	// IgnoreFree includes machines that do not have Need free.
 	IgnoreFree bool
 	Order      Order
-	// PoolScore is the least that every machine of a pool scores, infinite if none of them will do,
-	// and Bound the least that one with so much free room scores beyond that. With Tightest the
-	// bound must not fall as the room grows, with Loosest not rise.
-	PoolScore  func(Pool) float64
+	// PoolScore returns a lower bound of the score of every machine of a pool. It is infinite if none of
+	// them is feasible.
+	PoolScore func(Pool) float64
+	// ScoreBound returns a lower bound of what a machine with so much free capacity scores beyond the
+	// PoolScore. With BestFit it must not fall as the free capacity grows, with WorstFit it must not rise.
 	ScoreBound func(capacity, free machineregistry.Resources) float64
-	// MaxExamined is at how many machines the search looks at the most, and Ties at how many that
-	// cannot score better than the best but may be its equals.
-	MaxExamined, MaxTies int
+	// MaxExamined limits the machines that the search examines.
+	MaxExamined int
+	// MaxTies limits those among them that by their bound cannot beat the best, but may equal it.
+	MaxTies int
 }
 
-// Best is the best machine found so far.
+// Best is the best machine found so far. The zero value has found none.
 type Best[T any] struct {
 	Found bool
 	Score float64
 	Entry *Entry[T]
 }
 
-// offer takes in a machine's score. Of equals the first by name is the best, so that the
-// outcome does not depend on the order of the looks.
-func (b *Best[T]) offer(e *Entry[T], score float64) {
+// Offer replaces the best by a machine that scores lower. Of equals the first by name is the best, so that
+// the outcome does not depend on the order in which machines are examined.
+func (b *Best[T]) Offer(e *Entry[T], score float64) {
 	if !b.Found || score < b.Score || score == b.Score && e.name < b.Entry.name {
 		b.Found, b.Score, b.Entry = true, score, e
 	}
 }
 
-// Offer takes in the score of a machine that was looked at outside a search.
-func (b *Best[T]) Offer(e *Entry[T], score float64) { b.offer(e, score) }
-
-// search is a search under way.
+// search is the state of one search.
 type search[T any] struct {
 	Query
 	best     *Best[T]
-	evaluate func(T) (float64, bool)
+	evaluate func(T) (score float64, feasible bool)
 	examined int
 	ties     int
 }
 
-// Search looks at machines until no other can score less than the best, or the looks are
-// used up. look returns a machine's score, and whether it will do. The best of earlier
-// searches may be handed in. It says whether every machine that could be better was looked at.
-func (x *Index[T]) Search(q Query, best *Best[T], look func(T) (float64, bool)) (complete bool) {
-	s := &search[T]{Query: q, best: best, evaluate: look}
+// Search examines machines until no other can score less than the best, or a limit of the query is
+// reached. evaluate returns a machine's score, and whether it is feasible at all. best may hold the result
+// of earlier searches, and receives the result. Search reports whether it examined every machine that could
+// be better.
+func (x *Index[T]) Search(
+	q Query,
+	best *Best[T],
+	evaluate func(T) (score float64, feasible bool),
+) (complete bool) {
+	s := &search[T]{Query: q, best: best, evaluate: evaluate}
 	for _, p := range x.poolsByScore(q.PoolScore) {
 		if s.cannotWin(p.score + s.minScore(p.pool)) {
 			continue
@@ -77,14 +84,14 @@
 	return true
 }
 
-// MayFit says whether some machine of a pool that will do has room for the query's need.
+// MayFit reports whether some machine of a feasible pool has the query's need free.
 func (x *Index[T]) MayFit(q Query) bool {
 	for _, p := range x.pools {
 		if math.IsInf(q.PoolScore(p.id), 1) {
 			continue
 		}
-		for _, c := range p.buckets {
-			if _, high := c.bounds(); q.Need.Fits(high) && c.hasFree(q.Need) {
+		for _, b := range p.buckets {
+			if _, high := b.bounds(); q.Need.Fits(high) && b.hasFree(q.Need) {
 				return true
 			}
 		}
@@ -92,39 +99,44 @@
 	return false
 }
 
-// hasFree says whether some machine of the cell has so much room.
-func (c *bucket[T]) hasFree(need machineregistry.Resources) bool {
-	it := c.entries.Iter()
+// hasFree reports whether some machine of the bucket has the need free.
+func (b *bucket[T]) hasFree(need machineregistry.Resources) bool {
+	it := b.entries.Iter()
 	defer it.Release()
 	for ok := it.First(); ok; {
 		e := it.Item()
 		if need.Fits(e.free) {
 			return true
 		}
-		ok = it.Seek(&Entry[T]{free: e.free, name: maxName})
+		ok = seekPast(&it, e.free)
 	}
 	return false
 }
 
-// scoredPool is a pool with what each of its machines scores at least.
+// seekPast moves an iterator past all machines with the same free capacity.
+func seekPast[T any](it *btree.IterG[*Entry[T]], free machineregistry.Resources) bool {
+	return it.Seek(&Entry[T]{free: free, name: maxName})
+}
+
+// scoredPool is a pool with the lower bound of its machines' scores.
 type scoredPool[T any] struct {
 	*pool[T]
 	score float64
 }
 
-// poolsByScore lists the pools that will do, those that score least first.
-func (x *Index[T]) poolsByScore(base func(Pool) float64) []scoredPool[T] {
+// poolsByScore returns the feasible pools, those with the lowest bound first.
+func (x *Index[T]) poolsByScore(poolScore func(Pool) float64) []scoredPool[T] {
 	list := make([]scoredPool[T], 0, len(x.pools))
 	for _, p := range x.pools {
-		if b := base(p.id); !math.IsInf(b, 1) {
-			list = append(list, scoredPool[T]{p, b})
+		if score := poolScore(p.id); !math.IsInf(score, 1) {
+			list = append(list, scoredPool[T]{p, score})
 		}
 	}
 	slices.SortStableFunc(list, func(a, b scoredPool[T]) int { return cmp.Compare(a.score, b.score) })
 	return list
 }
 
-// minScore is the least that any machine of a pool can score beyond its base.
+// minScore returns a lower bound of what the machines of a pool score beyond the PoolScore.
 func (s *search[T]) minScore(p *pool[T]) float64 {
 	if s.Order == WorstFit {
 		return s.ScoreBound(p.capacity, p.capacity)
@@ -132,32 +144,32 @@
 	return s.ScoreBound(p.capacity, s.Need)
 }
 
-// searchPool searches a pool's cells, and says whether the search goes on.
+// searchPool searches a pool's buckets. It returns false when a limit was reached.
 func (s *search[T]) searchPool(p scoredPool[T]) bool {
 	for i := range p.buckets {
-		c := p.buckets[i]
+		b := p.buckets[i]
 		if s.Order == WorstFit {
-			c = p.buckets[len(p.buckets)-1-i]
+			b = p.buckets[len(p.buckets)-1-i]
 		}
-		low, high := c.bounds()
+		low, high := b.bounds()
 		if !s.IgnoreFree && !s.Need.Fits(high) {
 			continue
 		}
-		room := maxResources(low, s.Need)
+		bestFree := maxResources(low, s.Need)
 		if s.Order == WorstFit {
-			room = high
+			bestFree = high
 		}
-		if s.cannotWin(p.score + s.ScoreBound(p.capacity, room)) {
+		if s.cannotWin(p.score + s.ScoreBound(p.capacity, bestFree)) {
 			continue
 		}
-		if !s.searchBucket(c, p.score) {
+		if !s.searchBucket(b, p.score) {
 			return false
 		}
 	}
 	return true
 }
 
-// maxResources is the larger of two amounts of each resource.
+// maxResources returns the larger of two amounts of each resource.
 func maxResources(a, b machineregistry.Resources) machineregistry.Resources {
 	return machineregistry.Resources{
 		CPUs:     max(a.CPUs, b.CPUs),
@@ -166,42 +178,50 @@
 	}
 }
 
-// cannotWin says whether a bound shows that a machine is worse than the best. Bounds are computed
-// in another order than scores, and may be above them by rounding.
+// cannotWin reports whether a lower bound excludes a machine. Bounds are summed in another order than
+// scores, and may exceed them by rounding.
 func (s *search[T]) cannotWin(bound float64) bool {
 	return s.best.Found && bound-tolerance > s.best.Score
 }
 
-// searchBucket looks at the machines of a cell, and says whether the search goes on.
-func (s *search[T]) searchBucket(c *bucket[T], base float64) bool {
-	it := c.entries.Iter()
+// searchBucket examines the machines of a bucket. It returns false when a limit was reached.
+func (s *search[T]) searchBucket(b *bucket[T], poolScore float64) bool {
+	it := b.entries.Iter()
 	defer it.Release()
 	ok := it.First()
 	for ok {
 		e := it.Item()
-		bound := base + s.ScoreBound(c.pool.capacity, e.free)
+		bound := poolScore + s.ScoreBound(b.pool.capacity, e.free)
 		if !s.IgnoreFree && !s.Need.Fits(e.free) || s.cannotWin(bound) {
-			ok = it.Seek(&Entry[T]{free: e.free, name: maxName}) // past all with just this room
+			ok = seekPast(&it, e.free)
 			continue
 		}
-		if s.examined++; s.examined > s.MaxExamined {
+		if !s.countExamined(bound) {
 			return false
 		}
-		if s.best.Found && bound+tolerance >= s.best.Score {
-			if s.ties++; s.ties > s.MaxTies {
-				return false
-			}
-		}
-		score, fits := s.evaluate(e.Value)
-		if fits {
-			s.best.offer(e, score)
+		score, feasible := s.evaluate(e.Value)
+		if feasible {
+			s.best.Offer(e, score)
 		}
-		if fits && score <= bound+tolerance {
-			// No other with just this room can be better, or its equal with an earlier name.
-			ok = it.Seek(&Entry[T]{free: e.free, name: maxName})
+		if feasible && score <= bound+tolerance {
+			// Others with the same free capacity cannot score lower, and have later names.
+			ok = seekPast(&it, e.free)
 			continue
 		}
 		ok = it.Next()
 	}
 	return true
 }
+
+// countExamined counts a machine that is about to be examined, and reports whether the limits allow it.
+func (s *search[T]) countExamined(bound float64) bool {
+	s.examined++
+	if s.examined > s.MaxExamined {
+		return false
+	}
+	if s.best.Found && bound+tolerance >= s.best.Score {
+		s.ties++
+		return s.ties <= s.MaxTies
+	}
+	return true
+}
