--- a/internal/coordination/failuredetector/decision.go
+++ b/internal/coordination/failuredetector/decision.go
@@ -6,19 +6,21 @@
 	"time"
 )
 
-// Decision is a typed decision with its reasons; Describe tells it in one line, for people and scripts.
+// Decision is a decision with its reasons. Describe returns it as one line, for the log and for
+// the reason in the ownership record.
 type Decision interface{ Describe() string }
 
-// Suspected says that a controller is suspected.
+// Suspected says that this controller suspects another one.
 type Suspected struct {
 	Controller  string
 	Incarnation Incarnation
 	SilentFor   time.Duration
 	Phi         float64
-	HealthScore int // of the observer's own timers
+	HealthScore int // of the observer
 }
 
-// SuspicionCleared says that a suspicion has ended: the controller was heard, or reached through a peer.
+// SuspicionCleared says that a suspicion has ended because the controller was heard, or reached
+// through a peer.
 type SuspicionCleared struct {
 	Controller     string
 	Incarnation    Incarnation
@@ -33,11 +35,11 @@
 	Opinion     Opinion
 }
 
-// Verdict says that a majority holds that a controller has failed, and why.
+// Verdict says that a quorum holds that a controller has failed, and why.
 type Verdict struct {
 	Controller  string
 	Incarnation Incarnation
-	GroupSize   int // that there are
+	GroupSize   int // number of controllers, including the failed one
 	Evidence    []Observation
 }
 
@@ -47,60 +49,42 @@
 	Incarnation, FailedIncarnation Incarnation
 }
 
-// String returns an incarnation in a form for logs.
+// String returns the incarnation as PROCESS.REFUTATIONS.
 func (i Incarnation) String() string { return fmt.Sprintf("%x.%d", i.Process, i.Refutations) }
 
-// Describe tells the decision.
+// Describe implements Decision.
 func (d Suspected) Describe() string {
-	return fmt.Sprintf(
-		"controller %s (%s) is suspected: silent for %v, phi %.1f, own timers %s",
-		d.Controller,
-		d.Incarnation,
-		roundToMillisecond(d.SilentFor),
-		d.Phi,
-		describeHealthScore(d.HealthScore),
-	)
+	return fmt.Sprintf("controller %s (%s) is suspected: silent for %v, phi %.1f, own timers %s",
+		d.Controller, d.Incarnation, roundToMillisecond(d.SilentFor), d.Phi, describeHealthScore(d.HealthScore))
 }
 
-// Describe tells the decision.
+// Describe implements Decision.
 func (d SuspicionCleared) Describe() string {
 	how := "it was heard"
 	if d.ReachedThrough != "" {
 		how = "it was reached through " + d.ReachedThrough
 	}
-	return fmt.Sprintf(
-		"controller %s (%s) is no longer suspected after %v: %s",
-		d.Controller,
-		d.Incarnation,
-		roundToMillisecond(d.SuspectedFor),
-		how,
-	)
+	return fmt.Sprintf("controller %s (%s) is no longer suspected after %v: %s",
+		d.Controller, d.Incarnation, roundToMillisecond(d.SuspectedFor), how)
 }
 
-// Describe tells the decision.
+// Describe implements Decision.
 func (d Verdict) Describe() string {
-	var lines []string
-	for _, e := range d.Evidence {
-		lines = append(lines, fmt.Sprintf(
-			"%s heard it %v ago, phi %.1f, not reached through %s, own timers %s",
-			e.Observer,
-			roundToMillisecond(e.Opinion.HeardAgo),
-			e.Opinion.Phi,
-			strings.Join(e.Opinion.UnreachableThrough, " and "),
-			describeHealthScore(e.HealthScore),
-		))
+	var observations []string
+	for _, o := range d.Evidence {
+		observations = append(observations, o.describe())
 	}
-	return fmt.Sprintf(
-		"verdict: controller %s (%s) has failed, by %d of %d: %s",
-		d.Controller,
-		d.Incarnation,
-		len(d.Evidence),
-		d.GroupSize,
-		strings.Join(lines, "; "),
-	)
+	return fmt.Sprintf("verdict: controller %s (%s) has failed, by %d of %d: %s",
+		d.Controller, d.Incarnation, len(d.Evidence), d.GroupSize, strings.Join(observations, "; "))
+}
+
+func (o Observation) describe() string {
+	return fmt.Sprintf("%s heard it %v ago, phi %.1f, not reached through %s, own timers %s",
+		o.Observer, roundToMillisecond(o.Opinion.HeardAgo), o.Opinion.Phi,
+		strings.Join(o.Opinion.UnreachableThrough, " and "), describeHealthScore(o.HealthScore))
 }
 
-// Describe tells the decision.
+// Describe implements Decision.
 func (d Returned) Describe() string {
 	return fmt.Sprintf(
 		"controller %s is back as %s after the verdict on %s",
@@ -112,9 +96,9 @@
 
 func roundToMillisecond(d time.Duration) time.Duration { return d.Round(time.Millisecond) }
 
-func describeHealthScore(health int) string {
-	if health == 0 {
+func describeHealthScore(score int) string {
+	if score == 0 {
 		return "punctual"
 	}
-	return fmt.Sprintf("late (%d of %d)", health, maxHealthScore)
+	return fmt.Sprintf("late (%d of %d)", score, maxHealthScore)
 }
--- /dev/null
+++ b/internal/coordination/failuredetector/suspicion.go
@@ -0,0 +1,93 @@
+package failuredetector
+
+import "time"
+
+// suspect starts a suspicion and has the other peers probe the controller.
+func (d *Detector) suspect(now time.Duration, name string, p *peer) {
+	p.suspected, p.suspectedSince, p.failed = true, now, false
+	clear(p.unreachableThrough)
+	d.emitDecision(Suspected{
+		Controller:  name,
+		Incarnation: p.incarnation,
+		SilentFor:   now - p.accrual.lastHeardAt,
+		Phi:         d.phi(now, p),
+		HealthScore: d.healthScore,
+	})
+	d.requestProbes(now, name, p)
+}
+
+// confirmSuspicion has a suspected controller probed again, and holds that it has failed once the
+// suspicion has lasted and no probe succeeded. An observer without a peer that could probe holds
+// nothing: it is as likely to be cut off itself.
+func (d *Detector) confirmSuspicion(now time.Duration, name string, p *peer) {
+	if now-p.probedAt >= d.timing.SuspicionTimeout/2 {
+		d.requestProbes(now, name, p)
+	}
+	timedOut := now-p.suspectedSince >= d.timing.SuspicionTimeout+d.slack()
+	p.failed = p.failed || timedOut && len(p.unreachableThrough) > 0
+}
+
+// requestProbes has the target probed through every peer that is not suspected.
+func (d *Detector) requestProbes(now time.Duration, target string, p *peer) {
+	p.probedAt = now
+	var through []string
+	for _, name := range d.peerNames {
+		if o := d.peers[name]; name != target && o.known && !o.suspected {
+			through = append(through, name)
+		}
+	}
+	if len(through) > 0 {
+		d.emit(Probe{Target: target, Through: through})
+	}
+}
+
+func (d *Detector) handleProbeResult(now time.Duration, r ProbeResult) {
+	p := d.peers[r.Target]
+	if p == nil || d.peers[r.Through] == nil || !p.suspected {
+		return
+	}
+	if !r.Reached {
+		p.unreachableThrough[r.Through] = true
+		return
+	}
+	// It lives; only the connection between it and this controller has failed.
+	d.clearSuspicion(now, r.Target, p, r.Through)
+	p.accrual.lastReachedAt = now
+}
+
+// clearSuspicion ends a suspicion because the controller was heard, or reached through a peer. An
+// incarnation on which there is a verdict stays suspected, so that it learns of the verdict and
+// goes on as another one.
+func (d *Detector) clearSuspicion(now time.Duration, name string, p *peer, through string) {
+	if !p.suspected || p.verdictReached {
+		return
+	}
+	d.emitDecision(SuspicionCleared{
+		Controller:     name,
+		Incarnation:    p.incarnation,
+		SuspectedFor:   now - p.suspectedSince,
+		ReachedThrough: through,
+	})
+	p.suspected, p.failed = false, false
+	clear(p.unreachableThrough)
+}
+
+// applyRefutations ends suspicions that a peer knows to be wrong, because it has recently heard a
+// later incarnation of the suspected controller.
+func (d *Detector) applyRefutations(now time.Duration, h PeerHeartbeat) {
+	for _, name := range d.peerNames {
+		p, o := d.peers[name], h.Opinions[name]
+		refuted := o.Incarnation.Process == p.incarnation.Process &&
+			o.Incarnation.Refutations > p.incarnation.Refutations
+		if name != h.Peer && p.suspected && refuted && d.heardRecently(o) {
+			d.updateIncarnation(name, p, o.Incarnation)
+			d.clearSuspicion(now, name, p, h.Peer)
+			p.accrual.lastReachedAt = now - o.HeardAgo
+		}
+	}
+}
+
+// heardRecently says whether the observer had recently heard the controller itself.
+func (d *Detector) heardRecently(o Opinion) bool {
+	return o.HeardAgo >= 0 && o.HeardAgo <= d.timing.OpinionTTL
+}
