--- a/internal/coordination/fencing/fencer_test.go
+++ b/internal/coordination/fencing/fencer_test.go
@@ -23,250 +23,313 @@
 	return New(Timing{GracePeriod: testGracePeriod, MinIntentAge: testMinIntentAge, Retention: time.Minute})
 }
 
-// machineList is a machine list with everything running but "starting" and "failed".
+// machineList returns a machine list on which everything runs but "starting" and "failed".
 func machineList(names ...string) MachinesListed {
-	var l MachinesListed
-	for _, n := range names {
+	var list MachinesListed
+	for _, name := range names {
 		state := protocol.MachineRunning
-		switch n {
+		switch name {
 		case "starting":
 			state = protocol.MachineStarting
 		case "failed":
 			state = protocol.MachineFailed
 		}
-		l.Machines = append(l.Machines, protocol.ListedMachine{Name: n, State: state})
+		list.Machines = append(list.Machines, protocol.ListedMachine{Name: name, State: state})
 	}
-	return l
+	return list
 }
 
-// asksForMachines says whether the monitor asks for the machine list.
-func asksForMachines(m *Fencer, now time.Duration, a Assessment) bool {
-	return slices.Contains(m.Step(now, a), Effect(ListMachines{}))
+func heartbeat(machine string, incarnation, sequence uint64) HeartbeatReceived {
+	return HeartbeatReceived{
+		Heartbeat: &protocol.WorkerHeartbeat{Machine: machine, Incarnation: incarnation, Sequence: sequence},
+	}
+}
+
+// asksForMachines says whether the fencer asks for the machine list.
+func asksForMachines(f *Fencer, now time.Duration, a Assessment) bool {
+	return slices.Contains(f.Step(now, a), Effect(ListMachines{}))
 }
 
-// TestReleaseWaitsForGracePeriodAndIntent: machines are fenced only after a spell without a leader that is
-// long enough for healthy ones to be heard, and only if a cancellation may be due.
+// fatalHelper is what helpers need of *testing.T and *rapid.T.
+type fatalHelper interface {
+	Helper()
+	Fatalf(format string, args ...any)
+}
+
+// requireQuery returns the machines that the only effect asks the peers about.
+func requireQuery(t fatalHelper, effects []Effect) []string {
+	t.Helper()
+	if len(effects) != 1 {
+		t.Fatalf("%d effects, want a QueryPeers", len(effects))
+	}
+	query, ok := effects[0].(QueryPeers)
+	if !ok {
+		t.Fatalf("effect %T, want a QueryPeers", effects[0])
+	}
+	return query.Machines
+}
+
+// TestReleaseWaitsForGracePeriodAndIntent checks that machines are released only after a grace period
+// without a leader, and only if the deadline of a cancellation may be near.
 func TestReleaseWaitsForGracePeriodAndIntent(t *testing.T) {
-	for _, row := range []struct {
-		name string
-		a    Assessment
-		want bool
+	const start, end = time.Second, time.Second + testGracePeriod
+	for _, test := range []struct {
+		name       string
+		assessment Assessment
+		want       bool
 	}{
-		{"forgetful", Assessment{Leaderless: true, Recovering: true}, true},
-		{"an old intent", Assessment{Leaderless: true, HasIntent: true, OldestIntentAt: testGracePeriod + time.Second - testMinIntentAge}, true},
-		{"a young intent", Assessment{Leaderless: true, HasIntent: true, OldestIntentAt: testGracePeriod + 2*time.Second - testMinIntentAge}, false},
+		{"intents may be lacking", Assessment{Leaderless: true, Recovering: true}, true},
+		{"old intent", Assessment{Leaderless: true, HasIntent: true, OldestIntentAt: end - testMinIntentAge}, true},
+		{"recent intent", Assessment{
+			Leaderless:     true,
+			HasIntent:      true,
+			OldestIntentAt: end - testMinIntentAge + time.Second,
+		}, false},
 		{"no intent", Assessment{Leaderless: true}, false},
-		{"a leader", Assessment{Recovering: true, HasIntent: true}, false},
+		{"leader", Assessment{Recovering: true, HasIntent: true}, false},
 	} {
-		m := newTestFencer()
-		if asksForMachines(m, time.Second, row.a) {
-			t.Errorf("%s: due at once", row.name)
-		}
-		if asksForMachines(m, testGracePeriod, row.a) {
-			t.Errorf("%s: due before the grace is over", row.name)
-		}
-		if got := asksForMachines(m, testGracePeriod+time.Second, row.a); got != row.want {
-			t.Errorf("%s: due %v, want %v", row.name, got, row.want)
-		}
+		t.Run(test.name, func(t *testing.T) {
+			f := newTestFencer()
+			if asksForMachines(f, start, test.assessment) {
+				t.Error("asks for the machines at once")
+			}
+			if asksForMachines(f, end-time.Second, test.assessment) {
+				t.Error("asks for the machines before the grace period is over")
+			}
+			if got := asksForMachines(f, end, test.assessment); got != test.want {
+				t.Errorf("asks for the machines after the grace period: %v, want %v", got, test.want)
+			}
+		})
 	}
 }
 
-// TestLeaderResetsGracePeriod: a leader in between ends the spell, and lists and
-// answers that were asked for before it release nothing.
+// TestLeaderResetsGracePeriod checks that a leader starts the grace period over, and that lists and
+// replies that were asked for before it release nothing.
 func TestLeaderResetsGracePeriod(t *testing.T) {
-	m := newTestFencer()
-	orphaned := Assessment{Leaderless: true, Recovering: true}
-	m.Step(0, orphaned)
-	if !asksForMachines(m, testGracePeriod, orphaned) {
-		t.Fatal("not due")
+	f := newTestFencer()
+	leaderless := Assessment{Leaderless: true, Recovering: true}
+	f.Step(0, leaderless)
+	if !asksForMachines(f, testGracePeriod, leaderless) {
+		t.Fatal("does not ask for the machines")
 	}
-	m.Step(testGracePeriod+1, Assessment{})
-	if out := m.Step(testGracePeriod+2, machineList("m1")); out != nil {
-		t.Errorf("a list of before the leader leads to %v", out)
+	f.Step(testGracePeriod+1, Assessment{})
+	if effects := f.Step(testGracePeriod+2, machineList("m1")); effects != nil {
+		t.Errorf("effects %v of a list from before the leader", effects)
 	}
-	if out := m.Step(testGracePeriod+2, SilenceConfirmed{Machines: []string{"m1"}}); out != nil {
-		t.Errorf("an answer of before the leader leads to %v", out)
+	if effects := f.Step(testGracePeriod+2, SilenceConfirmed{Machines: []string{"m1"}}); effects != nil {
+		t.Errorf("effects %v of replies from before the leader", effects)
 	}
-	if asksForMachines(m, testGracePeriod+3, orphaned) {
-		t.Error("due at once after a leader")
+	if asksForMachines(f, testGracePeriod+3, leaderless) {
+		t.Error("asks for the machines right after a leader")
 	}
 }
 
-// TestStaleHeartbeatsAreIgnored: a machine that hangs is not heard because a copy of an
-// older report arrives.
+// TestStaleHeartbeatsAreIgnored checks that a machine that hangs does not count as heard because a
+// copy of an older heartbeat arrives.
 func TestStaleHeartbeatsAreIgnored(t *testing.T) {
-	m := newTestFencer()
-	m.Step(0, Assessment{Leaderless: true, Recovering: true})
-	m.Step(time.Second, HeartbeatReceived{&protocol.WorkerHeartbeat{Machine: "m1", Incarnation: 2, Sequence: 7}})
-	m.Step(2*testGracePeriod, HeartbeatReceived{&protocol.WorkerHeartbeat{Machine: "m1", Incarnation: 2, Sequence: 7}})
-	m.Step(2*testGracePeriod, HeartbeatReceived{&protocol.WorkerHeartbeat{Machine: "m1", Incarnation: 1, Sequence: 9}})
-	m.Step(2*testGracePeriod, Assessment{Leaderless: true, Recovering: true})
-	out := m.Step(2*testGracePeriod, machineList("m1"))
-	if len(out) != 1 || !slices.Equal(out[0].(QueryPeers).Machines, []string{"m1"}) {
-		t.Errorf("a machine with old copies leads to %v", out)
+	f := newTestFencer()
+	const later = 2 * testGracePeriod
+	f.Step(0, Assessment{Leaderless: true, Recovering: true})
+	f.Step(time.Second, heartbeat("m1", 2, 7))
+	f.Step(later, heartbeat("m1", 2, 7))
+	f.Step(later, heartbeat("m1", 1, 9))
+	f.Step(later, Assessment{Leaderless: true, Recovering: true})
+	if asked := requireQuery(t, f.Step(later, machineList("m1"))); !slices.Equal(asked, []string{"m1"}) {
+		t.Errorf("asks about %v, want m1", asked)
+	}
+}
+
+// releaseModel follows what a fencer may release.
+type releaseModel struct {
+	t               *rapid.T
+	fencer          *Fencer
+	now             time.Duration
+	sequence        uint64
+	heardAt         map[string]time.Duration
+	released        map[string]bool
+	leaderlessSince time.Duration // negative: there is a leader
+}
+
+// heartbeat sends a new heartbeat of a machine.
+func (m *releaseModel) heartbeat(machine string) {
+	m.sequence++
+	m.heardAt[machine] = m.now
+	m.apply(m.fencer.Step(m.now, heartbeat(machine, 1, m.sequence)))
+}
+
+func (m *releaseModel) assess(leaderless bool) {
+	switch {
+	case !leaderless:
+		m.leaderlessSince = -1
+	case m.leaderlessSince < 0:
+		m.leaderlessSince = m.now
 	}
+	m.apply(m.fencer.Step(m.now, Assessment{Leaderless: leaderless, Recovering: true}))
+}
+
+func (m *releaseModel) heardRecently(machine string) bool {
+	at, heard := m.heardAt[machine]
+	return heard && m.now-at <= testGracePeriod
 }
 
-// TestOnlySilentMachinesAreReleased draws reports, peers' answers, lists and releases, and
-// checks that what is released has been silent for the grace, runs as far as the list
-// says, and is released once.
+// apply checks effects and carries out releases.
+func (m *releaseModel) apply(effects []Effect) {
+	m.t.Helper()
+	for _, effect := range effects {
+		switch e := effect.(type) {
+		case QueryPeers:
+			m.requireGracePeriod()
+		case ReleaseMachines:
+			m.requireGracePeriod()
+			for _, name := range e.Machines {
+				if name == "starting" || name == "failed" || m.released[name] || m.heardRecently(name) {
+					m.t.Fatalf("%s released at %v, heard at %v, released before: %v",
+						name, m.now, m.heardAt, m.released)
+				}
+				m.released[name] = true
+			}
+			m.fencer.Step(m.now, MachinesReleased(e))
+		}
+	}
+}
+
+func (m *releaseModel) requireGracePeriod() {
+	m.t.Helper()
+	if m.leaderlessSince < 0 || m.now-m.leaderlessSince < testGracePeriod {
+		m.t.Fatalf("at %v: release without a leader since %v", m.now, m.leaderlessSince)
+	}
+}
+
+// TestOnlySilentMachinesAreReleased draws heartbeats, replies of peers, lists and releases. It checks
+// that a machine is released only if it has been silent for the grace period and runs according to
+// the list, and only once.
 func TestOnlySilentMachinesAreReleased(t *testing.T) {
 	names := []string{"m1", "m2", "m3", "starting", "failed"}
 	released := 0
 	rapid.Check(t, func(t *rapid.T) {
-		m := newTestFencer()
-		now := time.Duration(0)
-		last := map[string]time.Duration{}
-		gone := map[string]bool{}
-		sequence := uint64(0)
-		since := time.Duration(-1)
-		handle := func(out []Effect) {
-			for _, effect := range out {
-				switch e := effect.(type) {
-				case QueryPeers:
-					if now-since < testGracePeriod {
-						t.Fatalf("asks %v after a spell, %v after its start", now-since, since)
-					}
-				case ReleaseMachines:
-					for _, name := range e.Machines {
-						at, heard := last[name]
-						if name == "starting" || name == "failed" || gone[name] || heard && now-at <= testGracePeriod ||
-							now-since < testGracePeriod {
-							t.Fatalf("%s released at %v, heard %v at %v, spell from %v", name, now, heard, at, since)
-						}
-						released++
-					}
-					m.Step(now, MachinesReleased(e))
-					for _, name := range e.Machines {
-						gone[name] = true
-					}
-				}
-			}
+		m := &releaseModel{
+			t:               t,
+			fencer:          newTestFencer(),
+			heardAt:         map[string]time.Duration{},
+			released:        map[string]bool{},
+			leaderlessSince: -1,
 		}
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
-			now += time.Duration(rapid.IntRange(0, 4000).Draw(t, "ms")) * time.Millisecond
+			m.now += time.Duration(rapid.IntRange(0, 4000).Draw(t, "ms")) * time.Millisecond
 			switch rapid.IntRange(0, 3).Draw(t, "event") {
 			case 0:
-				leaderless := rapid.IntRange(0, 19).Draw(t, "leader") > 0
-				if !leaderless {
-					since = -1
-				} else if since < 0 {
-					since = now
-				}
-				handle(m.Step(now, Assessment{Leaderless: leaderless, Recovering: true}))
+				m.assess(rapid.IntRange(0, 19).Draw(t, "leader") > 0)
 			case 1:
-				name := rapid.SampledFrom(names).Draw(t, "machine")
-				sequence++
-				last[name] = now
-				handle(
-					m.Step(
-						now,
-						HeartbeatReceived{&protocol.WorkerHeartbeat{Machine: name, Incarnation: 1, Sequence: sequence}},
-					),
-				)
+				m.heartbeat(rapid.SampledFrom(names).Draw(t, "machine"))
 			case 2:
-				for _, effect := range m.Step(now, machineList(names...)) {
-					silent := effect.(QueryPeers).Machines
-					handle([]Effect{effect})
-					if rapid.Bool().Draw(t, "a report meanwhile") {
-						sequence++
-						last[silent[0]] = now
-						m.Step(
-							now,
-							HeartbeatReceived{
-								&protocol.WorkerHeartbeat{Machine: silent[0], Incarnation: 1, Sequence: sequence},
-							},
-						)
-					}
-					handle(m.Step(now, SilenceConfirmed{Machines: silent}))
+				effects := m.fencer.Step(m.now, machineList(names...))
+				if len(effects) == 0 {
+					break
+				}
+				silent := requireQuery(t, effects)
+				m.apply(effects)
+				if rapid.Bool().Draw(t, "heartbeat meanwhile") {
+					m.heartbeat(silent[0])
 				}
+				m.apply(m.fencer.Step(m.now, SilenceConfirmed{Machines: silent}))
 			case 3:
 				reply := make(chan []string, 1)
-				for _, effect := range m.Step(now, PeerQuery{Machines: names, Reply: reply}) {
-					for _, name := range effect.(AnswerPeer).Heard {
-						if at, heard := last[name]; !heard || now-at > testGracePeriod {
-							t.Fatalf("%s is called heard at %v", name, now)
+				for _, effect := range m.fencer.Step(m.now, PeerQuery{Machines: names, Reply: reply}) {
+					answer, ok := effect.(AnswerPeer)
+					if !ok {
+						t.Fatalf("effect %T of a peer's query", effect)
+					}
+					for _, name := range answer.Heard {
+						if !m.heardRecently(name) {
+							t.Fatalf("%s is reported as heard at %v", name, m.now)
 						}
 					}
 				}
 			}
 		}
+		released += len(m.released)
 	})
 	if released == 0 {
-		t.Error("nothing was ever released: the test shows nothing")
+		t.Error("nothing was released, so nothing was tested")
 	}
 }
 
-// TestUnansweredPeerDefersRelease: a peer that counts and does not answer puts a release
-// off, since machines may report to it alone; one that is gone does not.
+// TestUnansweredPeerDefersRelease checks that a peer in the quorum that does not answer defers a
+// release, since machines may report to it alone, and that a peer that has failed does not.
 func TestUnansweredPeerDefersRelease(t *testing.T) {
 	machines := []string{"a", "b", "c"}
-	for _, row := range []struct {
+	for _, test := range []struct {
 		name    string
-		answers []PeerReply
+		replies []PeerReply
 		silent  []string
 		certain bool
 	}{
-		{"all answer", []PeerReply{{Answered: true, Heard: []string{"b"}, InQuorum: true}, {Answered: true}}, []string{"a", "c"}, true},
-		{"a peer is gone", []PeerReply{{Answered: true, Heard: []string{"a"}}, {}}, []string{"b", "c"}, true},
-		{"a peer that counts misses it", []PeerReply{{Answered: true, Heard: []string{"a"}}, {InQuorum: true}}, nil, false},
-		{"part of its answer", []PeerReply{{Heard: []string{"a"}, InQuorum: true}}, nil, false},
+		{
+			name:    "all answer",
+			replies: []PeerReply{{Answered: true, Heard: []string{"b"}, InQuorum: true}, {Answered: true}},
+			silent:  []string{"a", "c"},
+			certain: true,
+		},
+		{
+			name:    "failed peer",
+			replies: []PeerReply{{Answered: true, Heard: []string{"a"}}, {}},
+			silent:  []string{"b", "c"},
+			certain: true,
+		},
+		{
+			name:    "peer in the quorum does not answer",
+			replies: []PeerReply{{Answered: true, Heard: []string{"a"}}, {InQuorum: true}},
+		},
+		{
+			name:    "peer in the quorum answers in part",
+			replies: []PeerReply{{Heard: []string{"a"}, InQuorum: true}},
+		},
 	} {
-		if silent, certain := StillSilent(
-			machines,
-			row.answers,
-		); certain != row.certain ||
-			!slices.Equal(silent, row.silent) {
-			t.Errorf("%s: %v %v, want %v %v", row.name, silent, certain, row.silent, row.certain)
-		}
+		t.Run(test.name, func(t *testing.T) {
+			silent, certain := StillSilent(machines, test.replies)
+			if certain != test.certain || !slices.Equal(silent, test.silent) {
+				t.Errorf("silent %v, certain %v, want %v, %v", silent, certain, test.silent, test.certain)
+			}
+		})
 	}
 }
 
-// TestManySilentMachines: of thousands of machines just those are asked about that are not heard here,
-// and just those returned that no peer hears either.
+// TestManySilentMachines checks that of thousands of machines exactly those are asked about that are
+// not heard here, and exactly those released that no peer hears either.
 func TestManySilentMachines(t *testing.T) {
 	const machines = 4000
-	m := newTestFencer()
+	f := newTestFencer()
 	var names []string
 	for i := range machines {
 		names = append(names, fmt.Sprintf("m%05d", i))
 	}
-	assessed := Assessment{Leaderless: true, HasIntent: true}
-	m.Step(0, assessed)
-	now := m.timing.GracePeriod + m.timing.MinIntentAge
+	assessment := Assessment{Leaderless: true, HasIntent: true}
+	f.Step(0, assessment)
+	now := testGracePeriod + testMinIntentAge
 	for i := 0; i < machines; i += 2 {
-		m.Step(
-			now,
-			HeartbeatReceived{Heartbeat: &protocol.WorkerHeartbeat{Machine: names[i], Incarnation: 1, Sequence: 1}},
-		)
+		f.Step(now, heartbeat(names[i], 1, 1))
 	}
-	if effects := m.Step(now, assessed); len(effects) != 1 {
-		t.Fatalf("%v", effects)
+	if !asksForMachines(f, now, assessment) {
+		t.Fatal("does not ask for the machines")
 	}
-	effects := m.Step(now, machineList(names...))
-	if len(effects) != 1 {
-		t.Fatalf("%d effects", len(effects))
-	}
-	asked := effects[0].(QueryPeers).Machines
+	asked := requireQuery(t, f.Step(now, machineList(names...)))
 	if len(asked) != machines/2 {
-		t.Fatalf("asked about %d machines, want %d", len(asked), machines/2)
+		t.Fatalf("asks about %d machines, want %d", len(asked), machines/2)
 	}
-	var heard []string // by one peer a fourth of all, by another the first of them again
+	var heard []string // by one peer a quarter of all, by another the first of them again
 	for i := 1; i < machines; i += 4 {
 		heard = append(heard, names[i])
 	}
-	silent, certain := StillSilent(
-		asked,
-		[]PeerReply{{Answered: true, Heard: heard}, {Answered: true, Heard: heard[:1]}},
-	)
+	replies := []PeerReply{{Answered: true, Heard: heard}, {Answered: true, Heard: heard[:1]}}
+	silent, certain := StillSilent(asked, replies)
 	if !certain || len(silent) != machines/4 {
-		t.Fatalf("%d are silent, want %d", len(silent), machines/4)
+		t.Fatalf("%d machines are silent, want %d", len(silent), machines/4)
 	}
-	returned := 0
-	for _, e := range m.Step(now, SilenceConfirmed{Machines: silent}) {
-		returned += len(e.(ReleaseMachines).Machines)
+	effects := f.Step(now, SilenceConfirmed{Machines: silent})
+	if len(effects) != 1 {
+		t.Fatalf("%d effects, want a ReleaseMachines", len(effects))
 	}
-	if returned != machines/4 {
-		t.Errorf("%d are returned, want %d", returned, machines/4)
+	if release, ok := effects[0].(ReleaseMachines); !ok || len(release.Machines) != machines/4 {
+		t.Errorf("effect %T with %d machines, want %d released", effects[0], len(release.Machines), machines/4)
 	}
 }
