--- a/internal/coordination/featurelevel/gate_test.go
+++ b/internal/coordination/featurelevel/gate_test.go
@@ -1,7 +1,6 @@
 package featurelevel
 
 import (
-	"maps"
 	"slices"
 	"testing"
 	"time"
@@ -25,111 +24,96 @@
 	return Production
 }
 
-// TestFinalNeedsEveryController: a level is made final only by a leader, once every configured controller has
-// recorded it and none has stated less in its last heartbeat, whatever else is heard and read, in any order.
+// TestFinalNeedsEveryController checks, with random events, that a level is made final only by a
+// leader, once every configured controller has recorded it and none has stated a lower one in its
+// last heartbeat.
 func TestFinalNeedsEveryController(t *testing.T) {
-	members := []string{"a", "b", "c"}
+	controllers := []string{"a", "b", "c"}
 	rapid.Check(t, func(t *rapid.T) {
-		m := New("a", members[1:], Pipelines, testPollInterval)
-		leading, heard := false, map[string]Level{}
+		g := New("a", controllers[1:], Pipelines, testPollInterval)
+		leading, stated := false, map[string]Level{}
 		for range rapid.IntRange(1, 30).Draw(t, "steps") {
-			switch rapid.IntRange(0, 2).Draw(t, "what") {
+			switch rapid.IntRange(0, 2).Draw(t, "event") {
 			case 0:
-				leading = rapid.Bool().Draw(t, "leads")
-				m.Step(0, Leadership{Leading: leading})
+				leading = rapid.Bool().Draw(t, "leading")
+				g.Step(0, Leadership{Leading: leading})
 			case 1:
-				node := rapid.SampledFrom(append(members[1:], "stranger")).Draw(t, "from")
-				heard[node] = rapid.SampledFrom([]Level{Production, Pipelines}).Draw(t, "level")
-				m.Step(0, PeerHeartbeat{Controller: node, Level: heard[node]})
+				name := rapid.SampledFrom([]string{"b", "c", "stranger"}).Draw(t, "from")
+				stated[name] = rapid.SampledFrom([]Level{Production, Pipelines}).Draw(t, "level")
+				g.Step(0, PeerHeartbeat{Controller: name, Level: stated[name]})
 			case 2:
-				nodes := map[string]Record{}
-				for _, node := range append(members, "stranger") {
-					if rapid.IntRange(0, 3).Draw(t, "recorded "+node) > 0 {
-						nodes[node] = Record{
-							Level: rapid.SampledFrom([]Level{Production, Pipelines, Pipelines}).
-								Draw(t, "recorded level"),
-							Revision: 7,
-						}
-					}
-				}
-				want := leading && !slices.ContainsFunc(members, func(node string) bool {
-					level, told := heard[node]
-					return nodes[node].Level < Pipelines || told && level < Pipelines
+				records := drawRecords(t, append(slices.Clone(controllers), "stranger"))
+				held := slices.ContainsFunc(controllers, func(name string) bool {
+					level, ok := stated[name]
+					return records[name].Level < Pipelines || ok && level < Pipelines
 				})
-				if got := finalisedLevel(m.Step(0, RecordsListed{Controllers: nodes})); (got == Pipelines) != want {
-					t.Fatalf(
-						"leading %v, recorded %v, heard %v: asks for level %d, want one %v",
-						leading,
-						nodes,
-						heard,
-						got,
-						want,
-					)
+				got := finalisedLevel(g.Step(0, RecordsListed{Controllers: records}))
+				if want := leading && !held; (got == Pipelines) != want {
+					t.Fatalf("leading %v, recorded %v, stated %v: makes level %d final, want one: %v",
+						leading, records, stated, got, want)
 				}
 			}
 		}
 	})
 }
 
-// TestPollsUntilOwnLevelIsFinal: a controller records its level when the record lacks it, whatever became of an
-// earlier try, looks again at the interval, and no more once its level is final.
-func TestPollsUntilOwnLevelIsFinal(t *testing.T) {
-	m := New("a", []string{"b"}, Pipelines, testPollInterval)
-	looks := func(now time.Duration) bool { return slices.Contains(m.Step(now, Tick{}), Effect(ListRecords{})) }
-	if !looks(0) || looks(testPollInterval) {
-		t.Fatal("it looks once, and not again while the answer is awaited")
-	}
-	m.Step(0, RecordsListed{Failed: true})
-	if looks(testPollInterval/2) || !looks(testPollInterval) {
-		t.Fatal("after a failure it looks again at the interval")
-	}
-	if got := m.Step(
-		testPollInterval,
-		RecordsListed{Controllers: map[string]Record{"a": {Level: Production, Revision: 3}}},
-	); !slices.Contains(
-		got,
-		Effect(Announce{Level: Pipelines, Revision: 3}),
-	) {
-		t.Fatalf("its record lacks the level: %v", got)
-	}
-	m.Step(testPollInterval, AnnounceDone{})
-	if !looks(testPollInterval) {
-		t.Fatal("it looks at once whether its level is recorded")
-	}
-	nodes := map[string]Record{"a": {Level: Pipelines}}
-	if got := m.Step(
-		testPollInterval,
-		RecordsListed{Controllers: nodes},
-	); len(got) != 0 ||
-		!slices.Equal(m.Missing(), []string{"b"}) {
-		t.Fatalf("with its own level recorded: %v, missing %v", got, m.Missing())
+// drawRecords draws which of the controllers have a record, and its level.
+func drawRecords(t *rapid.T, names []string) map[string]Record {
+	records := map[string]Record{}
+	for _, name := range names {
+		if rapid.IntRange(0, 3).Draw(t, "recorded "+name) > 0 {
+			level := rapid.SampledFrom([]Level{Production, Pipelines, Pipelines}).Draw(t, "recorded level")
+			records[name] = Record{Level: level, Revision: 7}
+		}
 	}
-	nodes = maps.Clone(nodes)
-	nodes["b"] = Record{Level: Pipelines}
-	if got := m.Step(
-		2*testPollInterval,
-		RecordsListed{Controllers: nodes, Final: Pipelines},
-	); !slices.Contains(
-		got,
-		Effect(Activate{Level: Pipelines}),
-	) {
-		t.Fatalf("the level is final: %v", got)
+	return records
+}
+
+// requireEffects fails the test unless an event has exactly these effects.
+func requireEffects(t *testing.T, g *Gate, now time.Duration, event Event, want ...Effect) {
+	t.Helper()
+	if got := g.Step(now, event); !slices.Equal(got, want) {
+		t.Fatalf("at %v: %#v has the effects %#v, want %#v", now, event, got, want)
 	}
-	if looks(10*testPollInterval) || m.Final() != Pipelines {
-		t.Error("it looks on although its level is final")
+}
+
+// TestPollsUntilOwnLevelIsFinal checks that a controller polls the records at the interval, also after
+// a failure, announces its level if its record lacks it, and stops when its level is final.
+func TestPollsUntilOwnLevelIsFinal(t *testing.T) {
+	g := New("a", []string{"b"}, Pipelines, testPollInterval)
+	requireEffects(t, g, 0, Tick{}, ListRecords{})
+	requireEffects(t, g, testPollInterval, Tick{}) // the first request is pending
+
+	requireEffects(t, g, 0, RecordsListed{Failed: true})
+	requireEffects(t, g, testPollInterval/2, Tick{})
+	requireEffects(t, g, testPollInterval, Tick{}, ListRecords{})
+
+	records := map[string]Record{"a": {Level: Production, Revision: 3}}
+	requireEffects(t, g, testPollInterval, RecordsListed{Controllers: records}, Announce{Level: Pipelines, Revision: 3})
+	requireEffects(t, g, testPollInterval, AnnounceDone{})
+	requireEffects(t, g, testPollInterval, Tick{}, ListRecords{}) // at once, to see the outcome
+
+	records = map[string]Record{"a": {Level: Pipelines}}
+	requireEffects(t, g, testPollInterval, RecordsListed{Controllers: records})
+	if missing := g.Missing(); !slices.Equal(missing, []string{"b"}) {
+		t.Fatalf("missing %v, want b", missing)
 	}
-	if got := m.Step(0, Finalised{Level: Pipelines}); len(got) != 0 {
-		t.Errorf("what is known already is told again: %v", got)
+
+	records = map[string]Record{"a": {Level: Pipelines}, "b": {Level: Pipelines}}
+	listed := RecordsListed{Controllers: records, Final: Pipelines}
+	requireEffects(t, g, 2*testPollInterval, listed, Activate{Level: Pipelines})
+	requireEffects(t, g, 10*testPollInterval, Tick{})
+	requireEffects(t, g, 0, Finalised{Level: Pipelines})
+	if g.Final() != Pipelines {
+		t.Errorf("final level %d, want %d", g.Final(), Pipelines)
 	}
 }
 
-// TestProductionLevelDoesNothing: a controller held at the level of the version in production looks at nothing and
-// records nothing.
+// TestProductionLevelDoesNothing checks that a controller that is held at the lowest level neither
+// polls nor records anything.
 func TestProductionLevelDoesNothing(t *testing.T) {
-	m := New("a", []string{"b"}, Production, testPollInterval)
+	g := New("a", []string{"b"}, Production, testPollInterval)
 	for now := time.Duration(0); now < 10*testPollInterval; now += testPollInterval {
-		if got := m.Step(now, Tick{}); len(got) != 0 {
-			t.Fatalf("it asks for %v", got)
-		}
+		requireEffects(t, g, now, Tick{})
 	}
 }
