--- a/internal/coordination/ownership/assigner.go
+++ b/internal/coordination/ownership/assigner.go
@@ -1,9 +1,18 @@
-// Package ownership decides which controllers end the connections of which workers. The leader keeps one record: an
-// epoch, the controllers that own machines with their incarnations, and the verdict because of which the epoch began,
-// with its evidence. What is not in the record is not in force. An owner answers for the leader: it decides nothing, so
-// a wrong verdict costs reconnections and never a rule.
+// Package ownership decides which controllers serve the connections of which workers.
 //
-// Machine is a pure step function: it does no I/O and reads no clock.
+// The leader maintains one record in the store. It holds an epoch, the controllers that own
+// machines with their incarnations, and why the epoch began. Nothing but this record is in force.
+// An owner answers workers on behalf of the leader and decides nothing itself, so a wrong verdict
+// on an owner costs reconnections but breaks no guarantee.
+//
+//   - Assigner maintains the record.
+//   - Table maps machines to owners in an epoch.
+//   - OwnerStatus decides whether a controller may answer as an owner.
+//   - HeartbeatFilter decides which heartbeats an owner must forward to the leader.
+//
+// Assigner is a pure state machine: it does no I/O, reads no clock and is not safe for concurrent
+// use. The caller passes every event to Step and carries out the effects in the order in which they
+// were returned.
 package ownership
 
 import (
@@ -14,213 +23,181 @@
 	"pinebay/internal/coordination/failuredetector"
 )
 
-// Timing are derived from the settings.
+// Timing holds the intervals of the ownership. All are derived from the settings.
 type Timing struct {
-	// TickInterval is the time between two ticks.
+	// TickInterval is the time between two Ticks.
 	TickInterval time.Duration
-	// PeerTimeout is for how long what a peer says of itself counts.
+	// PeerTimeout is how long a peer's heartbeat counts.
 	PeerTimeout time.Duration
-	// RejoinDelay is the pause before a controller owns machines again after a verdict on it. It doubles with each
-	// further verdict, up to maxRejoinDoublings times, and is forgotten after as long without one.
+	// RejoinDelay is how long a controller owns no machines after a verdict on it. It doubles with
+	// each further verdict, up to maxRejoinDoublings times. The verdicts are forgotten after twice the
+	// last delay without another one.
 	RejoinDelay time.Duration
 }
 
-// maxRejoinDoublings is how often the pause before a controller owns machines again doubles.
 const maxRejoinDoublings = 6
 
-// Record is what is in force, with the version of its key; an epoch of 0 says that there is none.
+// defaultReason is the reason of an epoch that did not begin because of a verdict.
+const defaultReason = "controllers have come, or begun anew"
+
+// Record is the ownership that is in force. Epoch 0 means that there is none.
 type Record struct {
 	Epoch   uint64
-	Members []Member
-	// Reason is the verdict because of which the epoch began, with its evidence, or what else changed.
+	Members []Member // in the order of their names
+	// Reason is the verdict because of which the epoch began, with its evidence, or what else
+	// changed.
 	Reason   string
-	Revision uint64
+	Revision uint64 // of the record's key; 0: there is no record
 }
 
-// Events.
-type (
-	// Event is what a step takes.
-	Event interface{ event() }
-	// Tick lets time pass.
-	Tick struct{}
-	// PeerHeartbeat is a heartbeat of a peer: its incarnation, and whether it can own machines.
-	PeerHeartbeat struct {
-		Member Member
-		CanOwn bool
-	}
-	// Verdict says that a majority holds that a controller's incarnation has failed, and why.
-	Verdict struct {
-		Member Member
-		Reason string
-	}
-	// OwnIncarnation tells this controller's own incarnation.
-	OwnIncarnation struct{ Incarnation failuredetector.Incarnation }
-	// Leadership says whether this controller leads, has read the records, and may use ownership.
-	Leadership struct{ Leading bool }
-	// RecordRead is the record as the state service has it.
-	RecordRead struct{ Record Record }
-	// WriteDone says that a write has ended, whatever came of it; the record tells.
-	WriteDone struct{}
-)
-
-// Effects.
-type (
-	// Effect is what a step asks for.
-	Effect interface{ effect() }
-	// WriteRecord asks that a record replace the one of its version, if this controller still leads.
-	WriteRecord struct{ Record Record }
-	// AdoptRecord says that a record is in force from now on.
-	AdoptRecord struct{ Record Record }
-)
-
-func (Tick) event()           {}
-func (PeerHeartbeat) event()  {}
-func (Verdict) event()        {}
-func (OwnIncarnation) event() {}
-func (Leadership) event()     {}
-func (RecordRead) event()     {}
-func (WriteDone) event()      {}
-
-func (WriteRecord) effect() {}
-func (AdoptRecord) effect() {}
-
 // peer is what is known of one other controller.
 type peer struct {
-	incarnation        failuredetector.Incarnation
-	canOwn             bool
-	heardAt            time.Duration
-	verdicts           int           // lately
-	excludedUntil      time.Duration // until then it owns nothing, after a verdict
-	verdictsExpireAt   time.Duration // from when on its verdicts are forgotten
+	incarnation failuredetector.Incarnation
+	canOwn      bool
+	heardAt     time.Duration // 0: never
+
+	verdicts           int           // recent ones
+	verdictsExpireAt   time.Duration // when they are forgotten
+	excludedUntil      time.Duration // it owns nothing before
 	failedIncarnations map[failuredetector.Incarnation]bool
 }
 
-// Assigner is one controller's part in the ownership record.
+// Assigner is the state machine of one controller. Only that of the leader proposes records.
 type Assigner struct {
 	self          string
 	timing        Timing
 	incarnation   failuredetector.Incarnation
 	leading       bool
-	leadingSince  time.Duration // when it began to lead
+	leadingSince  time.Duration
 	peers         map[string]*peer
 	record        Record
 	recordKnown   bool // the record was read
 	writing       bool
-	pendingReason string // of the next epoch: the last verdict that is not in the record
+	pendingReason string // the last verdict that is not reflected by the record
 }
 
-// New returns the machine of a controller.
-func New(self string, peers []string, times Timing) *Assigner {
-	m := &Assigner{self: self, timing: times, peers: map[string]*peer{}}
+// New returns the assigner of a controller that knows no record.
+func New(self string, peers []string, timing Timing) *Assigner {
+	a := &Assigner{self: self, timing: timing, peers: map[string]*peer{}}
 	for _, name := range peers {
-		m.peers[name] = &peer{failedIncarnations: map[failuredetector.Incarnation]bool{}}
+		a.peers[name] = &peer{failedIncarnations: map[failuredetector.Incarnation]bool{}}
 	}
-	return m
+	return a
 }
 
-// Step takes an event and returns what is to be done.
-func (m *Assigner) Step(now time.Duration, event Event) []Effect {
+// Step processes an event and returns the effects that the caller must carry out, in order.
+func (a *Assigner) Step(now time.Duration, event Event) []Effect {
 	switch e := event.(type) {
 	case Tick:
-		return m.propose(now)
+		return a.propose(now)
 	case PeerHeartbeat:
-		m.handleHeartbeat(now, e)
+		a.handleHeartbeat(now, e)
 	case Verdict:
-		m.handleVerdict(now, e)
-		return m.propose(now)
+		a.handleVerdict(now, e)
+		return a.propose(now)
 	case OwnIncarnation:
-		m.incarnation = e.Incarnation
+		a.incarnation = e.Incarnation
 	case Leadership:
-		if e.Leading && !m.leading {
-			m.leadingSince = now
+		if e.Leading && !a.leading {
+			a.leadingSince = now
 		}
-		m.leading = e.Leading
+		a.leading = e.Leading
 	case RecordRead:
-		return m.adopt(e.Record)
+		return a.adopt(e.Record)
 	case WriteDone:
-		m.writing = false
+		a.writing = false
 	}
 	return nil
 }
 
-// handleHeartbeat takes in a peer's heartbeat.
-func (m *Assigner) handleHeartbeat(now time.Duration, e PeerHeartbeat) {
-	p := m.peers[e.Member.Controller]
+func (a *Assigner) handleHeartbeat(now time.Duration, h PeerHeartbeat) {
+	p := a.peers[h.Member.Controller]
 	if p == nil {
 		return
 	}
-	p.incarnation, p.canOwn, p.heardAt = e.Member.Incarnation, e.CanOwn, now
+	p.incarnation, p.canOwn, p.heardAt = h.Member.Incarnation, h.CanOwn, now
 }
 
-// handleVerdict takes in that an incarnation is over. The controller owns machines again as another one, after a pause
-// that grows for one that fails again and again.
-func (m *Assigner) handleVerdict(now time.Duration, e Verdict) {
-	p := m.peers[e.Member.Controller]
-	if p == nil || p.failedIncarnations[e.Member.Incarnation] {
+// handleVerdict excludes a controller whose incarnation has failed. It owns machines again in
+// another incarnation, after a delay that grows if it fails again and again.
+func (a *Assigner) handleVerdict(now time.Duration, v Verdict) {
+	p := a.peers[v.Member.Controller]
+	if p == nil || p.failedIncarnations[v.Member.Incarnation] {
 		return
 	}
 	if now >= p.verdictsExpireAt {
 		p.verdicts = 0
 	}
-	clear(p.failedIncarnations) // of earlier ones nothing is heard any more
-	p.failedIncarnations[e.Member.Incarnation] = true
-	pause := m.timing.RejoinDelay << min(p.verdicts, maxRejoinDoublings)
+	clear(p.failedIncarnations) // earlier ones are not heard any more
+	p.failedIncarnations[v.Member.Incarnation] = true
+	delay := a.timing.RejoinDelay << min(p.verdicts, maxRejoinDoublings)
 	p.verdicts++
-	p.excludedUntil = now + pause
-	p.verdictsExpireAt = p.excludedUntil + 2*pause
-	m.pendingReason = e.Reason
+	p.excludedUntil = now + delay
+	p.verdictsExpireAt = p.excludedUntil + 2*delay
+	a.pendingReason = v.Reason
 }
 
-// adopt takes in the record.
-func (m *Assigner) adopt(r Record) []Effect {
-	if m.recordKnown && r.Revision <= m.record.Revision {
+// adopt puts a record into force, unless a later one is.
+func (a *Assigner) adopt(r Record) []Effect {
+	if a.recordKnown && r.Revision <= a.record.Revision {
 		return nil
 	}
-	m.recordKnown, m.record = true, r
+	a.recordKnown, a.record = true, r
 	return []Effect{AdoptRecord{Record: r}}
 }
 
-// propose asks for another epoch if other controllers should own machines than do.
-func (m *Assigner) propose(now time.Duration) []Effect {
-	// A leader that has just begun hears its peers first, or all machines would move for nothing.
-	if !m.leading || !m.recordKnown || m.writing || now-m.leadingSince < m.timing.PeerTimeout {
+// propose asks to write the next epoch if other controllers should own machines than do.
+func (a *Assigner) propose(now time.Duration) []Effect {
+	if !a.leading || !a.recordKnown || a.writing {
 		return nil
 	}
-	wanted := m.desiredMembers(now)
-	if m.record.Epoch > 0 && slices.Equal(wanted, m.record.Members) {
-		m.pendingReason = ""
+	// A new leader hears its peers first, or all machines would move for nothing.
+	if now-a.leadingSince < a.timing.PeerTimeout {
 		return nil
 	}
-	reason := m.pendingReason
-	if reason == "" {
-		reason = "controllers have come, or begun anew"
-	}
-	m.writing = true
-	return []Effect{
-		WriteRecord{
-			Record: Record{Epoch: m.record.Epoch + 1, Members: wanted, Reason: reason, Revision: m.record.Revision},
-		},
+	members := a.desiredMembers(now)
+	if a.record.Epoch > 0 && slices.Equal(members, a.record.Members) {
+		a.pendingReason = ""
+		return nil
 	}
+	a.writing = true
+	return []Effect{WriteRecord{Record: Record{
+		Epoch:    a.record.Epoch + 1,
+		Members:  members,
+		Reason:   cmp.Or(a.pendingReason, defaultReason),
+		Revision: a.record.Revision,
+	}}}
 }
 
-// desiredMembers lists the controllers that should own machines: this one, and peers that can and of which nobody holds
-// that they have failed. One that owns machines already keeps them without being heard, until there is a verdict.
-func (m *Assigner) desiredMembers(now time.Duration) []Member {
-	members := []Member{{Controller: m.self, Incarnation: m.incarnation}}
-	for name, p := range m.peers {
-		old, owned := findMember(m.record.Members, name)
-		fresh := p.heardAt > 0 && now-p.heardAt <= m.timing.PeerTimeout
-		switch {
-		case fresh && p.canOwn && owned && old.Incarnation.Process == p.incarnation.Process && !p.failedIncarnations[old.Incarnation]:
-			members = append(members, old) // that it has refuted a suspicion changes nothing
-		case fresh && p.canOwn && now >= p.excludedUntil && !p.failedIncarnations[p.incarnation]:
-			members = append(members, Member{Controller: name, Incarnation: p.incarnation})
-		case fresh && !p.canOwn:
-			// It was restarted without the feature.
-		case owned && !p.failedIncarnations[old.Incarnation] && now >= p.excludedUntil:
-			members = append(members, old)
+// desiredMembers returns the controllers that should own machines, in the order of their names:
+// this one, and every peer that should.
+func (a *Assigner) desiredMembers(now time.Duration) []Member {
+	members := []Member{{Controller: a.self, Incarnation: a.incarnation}}
+	for name := range a.peers {
+		if m, ok := a.desiredMember(now, name); ok {
+			members = append(members, m)
 		}
 	}
-	slices.SortFunc(members, func(a, b Member) int { return cmp.Compare(a.Controller, b.Controller) })
+	slices.SortFunc(members, func(x, y Member) int { return cmp.Compare(x.Controller, y.Controller) })
 	return members
 }
+
+// desiredMember returns the entry that a peer should have, if any. A peer that owns machines keeps
+// them while it is silent, until there is a verdict.
+func (a *Assigner) desiredMember(now time.Duration, name string) (Member, bool) {
+	p := a.peers[name]
+	current, owns := findMember(a.record.Members, name)
+	recent := p.heardAt > 0 && now-p.heardAt <= a.timing.PeerTimeout
+	switch {
+	case recent && p.canOwn && owns && current.Incarnation.Process == p.incarnation.Process &&
+		!p.failedIncarnations[current.Incarnation]:
+		return current, true // a refuted suspicion is no reason for another epoch
+	case recent && p.canOwn && now >= p.excludedUntil && !p.failedIncarnations[p.incarnation]:
+		return Member{Controller: name, Incarnation: p.incarnation}, true
+	case recent && !p.canOwn:
+		return Member{}, false // it was restarted without ownership, or is draining
+	case owns && !p.failedIncarnations[current.Incarnation] && now >= p.excludedUntil:
+		return current, true
+	}
+	return Member{}, false
+}
--- a/internal/coordination/ownership/heartbeatfilter.go
+++ b/internal/coordination/ownership/heartbeatfilter.go
@@ -9,112 +9,112 @@
 	"pinebay/internal/protocol"
 )
 
-// UnchangedHeartbeat is the last report of a machine that told nothing new.
+// UnchangedHeartbeat identifies the last heartbeat of a machine that the owner answered itself.
 type UnchangedHeartbeat struct {
 	Machine               string
 	Incarnation, Sequence uint64
 }
 
-// HeartbeatFilter tells which reports an owner passes on to the leader, and which it may answer itself: those that tell
-// nothing that the leader has not heard. It belongs to one goroutine at a time.
+// HeartbeatFilter decides, on an owner, which heartbeats must be forwarded to the leader and which
+// the owner may answer itself: those that contain nothing that the leader does not know. It is not
+// safe for concurrent use.
 type HeartbeatFilter struct {
 	refreshInterval time.Duration
 	seed            maphash.Seed
 	term            uint64
-	forwarded       map[string]*forwardedHeartbeat
-	unchanged       map[string]UnchangedHeartbeat
+	forwarded       map[string]*forwardedHeartbeat // by machine
+	unchanged       map[string]UnchangedHeartbeat  // by machine, since the last TakeUnchanged
 }
 
-// forwardedHeartbeat is what the leader was last told of a machine.
+// forwardedHeartbeat is the last heartbeat of a machine that the leader has answered.
 type forwardedHeartbeat struct {
 	forwardedAt        time.Duration
 	incarnation, token uint64
 	notice             bool
-	tasksHash          uint64 // a hash of them
-	forwardNext        bool   // the leader wants the next report, whatever it tells
+	tasksHash          uint64
+	forwardNext        bool // the leader wants the next heartbeat, whatever it contains
 }
 
-// NewHeartbeatFilter returns an owner's memory of reports. Each machine's report is passed on at least as often as
-// refresh.
-func NewHeartbeatFilter(refresh time.Duration) *HeartbeatFilter {
+// NewHeartbeatFilter returns a filter that has forwarded nothing. A heartbeat of each machine is
+// forwarded at least once per refresh interval.
+func NewHeartbeatFilter(refreshInterval time.Duration) *HeartbeatFilter {
 	return &HeartbeatFilter{
-		refreshInterval: refresh,
+		refreshInterval: refreshInterval,
 		seed:            maphash.MakeSeed(),
 		forwarded:       map[string]*forwardedHeartbeat{},
 		unchanged:       map[string]UnchangedHeartbeat{},
 	}
 }
 
-// MustForward says whether a report is to be passed on to the leader of a term: it tells something new, or a task that
-// has exited, which only the leader may have forgotten, or the leader has asked for it.
-func (r *HeartbeatFilter) MustForward(now time.Duration, rep *protocol.WorkerHeartbeat, term uint64) bool {
-	if term != r.term {
-		r.term = term
-		clear(r.forwarded) // another leader knows nothing of them
-		clear(r.unchanged)
+// MustForward says whether a heartbeat must be forwarded to the leader of a term: it contains
+// something new, or an exited task, which only the leader may drop, or the leader has asked for it.
+func (f *HeartbeatFilter) MustForward(now time.Duration, h *protocol.WorkerHeartbeat, term uint64) bool {
+	if term != f.term {
+		f.term = term
+		clear(f.forwarded) // the new leader knows none of them
+		clear(f.unchanged)
 	}
-	s := r.forwarded[rep.Machine]
-	return s == nil || s.forwardNext || now-s.forwardedAt >= r.refreshInterval || s.incarnation != rep.Incarnation || s.token != rep.FencingToken ||
-		s.notice != (rep.InterruptionNoticeSeconds != nil) ||
-		s.tasksHash != r.tasksHash(rep) ||
-		protocol.TermOfToken(rep.FencingToken) != term ||
-		slices.ContainsFunc(rep.Tasks, func(t protocol.TaskStatus) bool { return t.State == protocol.TaskExited })
+	last := f.forwarded[h.Machine]
+	return last == nil ||
+		last.forwardNext ||
+		now-last.forwardedAt >= f.refreshInterval ||
+		last.incarnation != h.Incarnation ||
+		last.token != h.FencingToken ||
+		last.notice != (h.InterruptionNoticeSeconds != nil) ||
+		last.tasksHash != f.tasksHash(h) ||
+		protocol.TermOfToken(h.FencingToken) != term ||
+		slices.ContainsFunc(h.Tasks, func(t protocol.TaskStatus) bool { return t.State == protocol.TaskExited })
 }
 
-// tasksHash tells one list of tasks from another.
-func (r *HeartbeatFilter) tasksHash(rep *protocol.WorkerHeartbeat) uint64 {
-	var h maphash.Hash
-	h.SetSeed(r.seed)
-	for _, t := range rep.Tasks {
-		maphash.WriteComparable(&h, t)
+// tasksHash returns a hash of the reported tasks.
+func (f *HeartbeatFilter) tasksHash(h *protocol.WorkerHeartbeat) uint64 {
+	var hash maphash.Hash
+	hash.SetSeed(f.seed)
+	for _, t := range h.Tasks {
+		maphash.WriteComparable(&hash, t)
 	}
-	return h.Sum64()
+	return hash.Sum64()
 }
 
-// Forwarded notes that the leader has answered a report.
-func (r *HeartbeatFilter) Forwarded(now time.Duration, rep *protocol.WorkerHeartbeat) {
-	r.forwarded[rep.Machine] = &forwardedHeartbeat{
+// Forwarded notes that the leader has answered a heartbeat.
+func (f *HeartbeatFilter) Forwarded(now time.Duration, h *protocol.WorkerHeartbeat) {
+	f.forwarded[h.Machine] = &forwardedHeartbeat{
 		forwardedAt: now,
-		incarnation: rep.Incarnation,
-		token:       rep.FencingToken,
-		notice:      rep.InterruptionNoticeSeconds != nil,
-		tasksHash:   r.tasksHash(rep),
+		incarnation: h.Incarnation,
+		token:       h.FencingToken,
+		notice:      h.InterruptionNoticeSeconds != nil,
+		tasksHash:   f.tasksHash(h),
 	}
-	delete(r.unchanged, rep.Machine)
+	delete(f.unchanged, h.Machine)
 }
 
-// AnsweredLocally notes that the owner has answered a report that told nothing new.
-func (r *HeartbeatFilter) AnsweredLocally(rep *protocol.WorkerHeartbeat) {
-	r.unchanged[rep.Machine] = UnchangedHeartbeat{
-		Machine:     rep.Machine,
-		Incarnation: rep.Incarnation,
-		Sequence:    rep.Sequence,
-	}
+// AnsweredLocally notes that the owner has answered a heartbeat itself.
+func (f *HeartbeatFilter) AnsweredLocally(h *protocol.WorkerHeartbeat) {
+	f.unchanged[h.Machine] = UnchangedHeartbeat{Machine: h.Machine, Incarnation: h.Incarnation, Sequence: h.Sequence}
 }
 
-// TakeUnchanged returns the machines that were answered since it was last called, in name order.
-func (r *HeartbeatFilter) TakeUnchanged() []UnchangedHeartbeat {
-	list := make([]UnchangedHeartbeat, 0, len(r.unchanged))
-	for _, name := range slices.Sorted(maps.Keys(r.unchanged)) {
-		list = append(list, r.unchanged[name])
+// TakeUnchanged returns and forgets the machines that were answered locally, in name order.
+func (f *HeartbeatFilter) TakeUnchanged() []UnchangedHeartbeat {
+	list := make([]UnchangedHeartbeat, 0, len(f.unchanged))
+	for _, name := range slices.Sorted(maps.Keys(f.unchanged)) {
+		list = append(list, f.unchanged[name])
 	}
-	clear(r.unchanged)
+	clear(f.unchanged)
 	return list
 }
 
-// ForwardNext has the next reports of machines passed on.
-func (r *HeartbeatFilter) ForwardNext(machines []string) {
+// ForwardNext makes the next heartbeats of machines be forwarded, whatever they contain.
+func (f *HeartbeatFilter) ForwardNext(machines []string) {
 	for _, name := range machines {
-		if s := r.forwarded[name]; s != nil {
-			s.forwardNext = true
+		if last := f.forwarded[name]; last != nil {
+			last.forwardNext = true
 		}
 	}
 }
 
-// Expire drops the machines that were not passed on for long: they report elsewhere.
-func (r *HeartbeatFilter) Expire(now time.Duration) {
-	maps.DeleteFunc(
-		r.forwarded,
-		func(_ string, s *forwardedHeartbeat) bool { return now-s.forwardedAt > 2*r.refreshInterval },
-	)
+// Expire drops the machines of which nothing was forwarded for long: they report elsewhere.
+func (f *HeartbeatFilter) Expire(now time.Duration) {
+	maps.DeleteFunc(f.forwarded, func(_ string, last *forwardedHeartbeat) bool {
+		return now-last.forwardedAt > 2*f.refreshInterval
+	})
 }
--- a/internal/coordination/ownership/ownerstatus.go
+++ b/internal/coordination/ownership/ownerstatus.go
@@ -6,24 +6,28 @@
 	"pinebay/internal/protocol"
 )
 
-// OwnerStatus is what decides whether a controller may answer workers as an owner.
+// OwnerStatus is what decides, at one moment, whether a controller may answer workers as an owner.
 type OwnerStatus struct {
-	Table      *Table // in force, as far as this controller has read; nil: none
-	Controller string // this controller
-	Process    uint64 // of its process
-	// Leader is who leads, as far as lately heard; "": nobody. LeaderEpoch is the epoch that it goes by.
+	// Table is in force as far as this controller has read; nil: none.
+	Table *Table
+	// Controller is this controller, and Process the number of its process.
+	Controller string
+	Process    uint64
+	// Leader is who leads according to a recent heartbeat, and LeaderEpoch the ownership epoch in
+	// which it works; "": nobody is known.
 	Leader      string
 	LeaderEpoch uint64
-	// DigestAge is how long ago the last digest was sent that the leader has taken in, and Fresh for how long that
-	// counts.
+	// DigestAge is how long ago the last digest of unchanged heartbeats was sent that the leader has
+	// acknowledged. It must not exceed MaxDigestAge.
 	DigestAge, MaxDigestAge time.Duration
-	// KnowsCancellations says that this controller knows of every cancellation, as far as whoever renews leases must.
+	// KnowsCancellations says that this controller knows every cancellation that whoever renews leases
+	// must know.
 	KnowsCancellations bool
 }
 
-// MayAnswer says whether the controller may answer workers as an owner: it is one in the epoch by which the leader
-// goes, the leader has lately taken in whom it answered, and it knows of every cancellation. A process that stood still
-// finds none of that fresh when it wakes.
+// MayAnswer says whether the controller may answer workers as an owner: it is one in the epoch in
+// which the leader works, the leader has recently acknowledged which machines it answered, and it
+// knows every cancellation. None of that is recent for a process that wakes after it stood still.
 func (s OwnerStatus) MayAnswer() bool {
 	if s.Table == nil || s.Leader == "" || s.Leader == s.Controller || s.LeaderEpoch != s.Table.Epoch {
 		return false
@@ -32,8 +36,9 @@
 	return ok && m.Incarnation.Process == s.Process && s.DigestAge <= s.MaxDigestAge && s.KnowsCancellations
 }
 
-// UnchangedReply is an owner's answer to a report that tells nothing new. The token is the worker's own, so that
-// nothing is commanded but that what users may have been told is cancelled ends.
-func UnchangedReply(rep *protocol.WorkerHeartbeat, withdrawn func(job string) bool) protocol.WorkerHeartbeatReply {
-	return protocol.WorkerHeartbeatReply{FencingToken: rep.FencingToken, Commands: rep.StopCommands(withdrawn)}
+// UnchangedReply is an owner's reply to a heartbeat that it need not forward. The fencing token is
+// the worker's own, and the only commands are those that stop tasks of jobs of which users may
+// have been told that they are cancelled.
+func UnchangedReply(h *protocol.WorkerHeartbeat, cancelled func(job string) bool) protocol.WorkerHeartbeatReply {
+	return protocol.WorkerHeartbeatReply{FencingToken: h.FencingToken, Commands: h.StopCommands(cancelled)}
 }
--- a/internal/coordination/ownership/table.go
+++ b/internal/coordination/ownership/table.go
@@ -15,8 +15,8 @@
 	Incarnation failuredetector.Incarnation
 }
 
-// Table says who owns which machines in an epoch. It is never changed, so that other actors may read it. The owners
-// follow from the members by rendezvous hashing: a change of one moves the machines of that one alone.
+// Table maps machines to their owners in one epoch, by rendezvous hashing of the members' names: a
+// change of one member moves only that one's machines. It is immutable and safe for concurrent use.
 type Table struct {
 	Epoch   uint64
 	members []Member
@@ -25,25 +25,26 @@
 
 // NewTable returns the table of an epoch.
 func NewTable(epoch uint64, members []Member) *Table {
-	t := &Table{Epoch: epoch, members: slices.Clone(members)}
-	nodes := make([]string, len(members))
+	names := make([]string, len(members))
 	for i, m := range members {
-		nodes[i] = m.Controller
+		names[i] = m.Controller
+	}
+	slices.Sort(names)
+	return &Table{
+		Epoch:   epoch,
+		members: slices.Clone(members),
+		hash:    rendezvous.New(names, xxhash.Sum64String),
 	}
-	slices.Sort(nodes)
-	t.hash = rendezvous.New(nodes, xxhash.Sum64String)
-	return t
 }
 
 // Members returns the controllers that own machines.
 func (t *Table) Members() []Member { return slices.Clone(t.members) }
 
-// Member returns a controller's entry.
-func (t *Table) Member(node string) (Member, bool) { return findMember(t.members, node) }
+// Member returns a controller's entry, if it owns machines.
+func (t *Table) Member(controller string) (Member, bool) { return findMember(t.members, controller) }
 
-// findMember returns a controller's entry among members.
-func findMember(members []Member, node string) (Member, bool) {
-	i := slices.IndexFunc(members, func(m Member) bool { return m.Controller == node })
+func findMember(members []Member, controller string) (Member, bool) {
+	i := slices.IndexFunc(members, func(m Member) bool { return m.Controller == controller })
 	if i < 0 {
 		return Member{}, false
 	}
