--- a/internal/coordination/leader/cloud_test.go
+++ b/internal/coordination/leader/cloud_test.go
@@ -1,6 +1,7 @@
 package leader
 
 import (
+	"errors"
 	"fmt"
 	"net/http"
 	"net/http/httptest"
@@ -52,3 +53,38 @@
 		t.Errorf("%d calls", n)
 	}
 }
+
+// TestRentalRefusals: a rental that the cloud can't serve is told from one whose outcome is unknown.
+func TestRentalRefusals(t *testing.T) {
+	for _, row := range []struct {
+		name    string
+		status  int
+		body    any
+		refused bool
+		failed  bool
+	}{
+		{"rented", http.StatusOK, protocol.MachineNames{Machines: []string{"host-000001"}}, false, false},
+		{"no capacity", http.StatusServiceUnavailable, protocol.ErrorResponse{Error: "no capacity"}, true, true},
+		{"not offered", http.StatusBadRequest, protocol.ErrorResponse{Error: "no such type"}, true, true},
+		{"out of order", http.StatusServiceUnavailable, protocol.ErrorResponse{Error: "maintenance"}, false, true},
+		{"over the rate", http.StatusTooManyRequests, protocol.ErrorResponse{}, false, true},
+	} {
+		t.Run(row.name, func(t *testing.T) {
+			srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+				transport.WriteResponse(w, row.status, row.body)
+			}))
+			defer srv.Close()
+			addr := strings.TrimPrefix(srv.URL, "http://")
+			c := NewCloudClient(transport.TCP{}, addr, config.Cloud{RPS: 1e6, ListLagSeconds: 10})
+			names, err := c.Rent(t.Context(), c.Reserve(), protocol.Rental{})
+			if errors.Is(err, ErrRentalRefused) != row.refused || (err != nil) != row.failed ||
+				row.failed == (len(names) > 0) {
+				t.Errorf("%v %v", names, err)
+			}
+			var answer *CloudError
+			if row.failed && (!errors.As(err, &answer) || answer.Status != row.status || answer.Path != "/machines") {
+				t.Errorf("%v is not the cloud's answer", err)
+			}
+		})
+	}
+}
--- a/internal/coordination/leader/effects.go
+++ b/internal/coordination/leader/effects.go
@@ -13,8 +13,8 @@
 	"pinebay/internal/storage"
 )
 
-// applyEffects carries out effects. Whatever waits runs on its own goroutine and comes
-// back as an event.
+// applyEffects carries out effects. Whatever waits runs on its own goroutine and sends its
+// outcome as an event.
 func (l *Leader) applyEffects(ctx context.Context, effects []scheduler.Effect) {
 	for _, e := range effects {
 		switch e := e.(type) {
@@ -23,11 +23,11 @@
 				ch <- e.Body
 			}
 		case scheduler.StepDown:
-			l.log.Info("deposed", "reason", e.Reason, "later", e.LaterTerm)
+			l.log.Info("leadership lost", "reason", e.Reason, "later_term", e.LaterTerm)
 			l.deps.Leadership.StepDown(e)
 		case scheduler.Write:
 			// Writes are admitted in the order of the effects.
-			admission := l.deps.Store.Admit(writeUse(e.Priority), &e.Txn)
+			admission := l.deps.Store.Admit(writeBudget(e.Priority), &e.Txn)
 			l.tasks.Go(func() { l.write(ctx, e, admission) })
 		case scheduler.SendCommandBatch:
 			l.tasks.Go(func() { l.sendCommands(ctx, e) })
@@ -46,21 +46,21 @@
 	}
 }
 
-// applyCloudEffect carries out what the fleet asks of the cloud.
+// applyCloudEffect makes a request of the autoscaler to the cloud. Requests are made in the order of the effects.
 func (l *Leader) applyCloudEffect(ctx context.Context, effect autoscaler.Effect) {
-	turn := l.deps.Cloud.Reserve()
+	slot := l.deps.Cloud.Reserve()
 	switch e := effect.(type) {
 	case autoscaler.ScaleOut:
-		l.tasks.Go(func() { l.rentMachines(ctx, e, turn) })
+		l.tasks.Go(func() { l.rentMachines(ctx, e, slot) })
 	case autoscaler.ScaleIn:
-		l.tasks.Go(func() { l.releaseMachines(ctx, e, turn) })
+		l.tasks.Go(func() { l.releaseMachines(ctx, e, slot) })
 	case autoscaler.ListMachines:
-		l.tasks.Go(func() { l.listMachines(ctx, turn) })
+		l.tasks.Go(func() { l.listMachines(ctx, slot) })
 	}
 }
 
-// writeUse says out of which budget a write is paid.
-func writeUse(p scheduler.WritePriority) storage.Budget {
+// writeBudget returns the budget that a write counts against.
+func writeBudget(p scheduler.WritePriority) storage.Budget {
 	switch p {
 	case scheduler.PriorityCompletion:
 		return storage.BudgetCompletion
@@ -73,35 +73,45 @@
 
 // write tries a transaction until its outcome is known. After a try without an
 // answer, a failed condition may be the work of that very try: the record that
-// names the write tells. It has its place within the budgets.
+// names the write tells. Each try is admitted to its budget.
 func (l *Leader) write(ctx context.Context, w scheduler.Write, admission storage.Admission) {
-	use := writeUse(w.Priority)
-	uncertain := false
-	for ; ctx.Err() == nil; admission = l.deps.Store.Admit(use, &w.Txn) {
-		rev, ok, failed, err := l.deps.Store.TxnAdmitted(ctx, admission, w.Txn)
+	budget := writeBudget(w.Priority)
+	uncertain := false // an earlier try had no answer
+	for ; ctx.Err() == nil; admission = l.deps.Store.Admit(budget, &w.Txn) {
+		revision, ok, failed, err := l.deps.Store.TxnAdmitted(ctx, admission, w.Txn)
 		switch {
 		case err == nil && ok:
-			l.mailbox.Send(scheduler.TransactionOutcome{WriteID: w.ID, Succeeded: true, Revision: rev})
+			l.mailbox.Send(scheduler.TransactionOutcome{WriteID: w.ID, Succeeded: true, Revision: revision})
 			return
 		case err == nil && !uncertain:
 			l.mailbox.Send(scheduler.TransactionOutcome{WriteID: w.ID, FailedKeys: failed})
 			return
 		case err == nil:
-			if mine, rev, known := l.verifyWrite(ctx, use, w, uncertain); known {
-				l.mailbox.Send(
-					scheduler.TransactionOutcome{WriteID: w.ID, Succeeded: mine, Revision: rev, FailedKeys: failed},
-				)
+			if earlier, err := l.findEarlierTry(ctx, budget, w); err == nil {
+				l.mailbox.Send(scheduler.TransactionOutcome{
+					WriteID:    w.ID,
+					Succeeded:  earlier.succeeded,
+					Revision:   earlier.revision,
+					FailedKeys: failed,
+				})
 				return
 			}
 		case errors.Is(err, storage.ErrOutcomeUnknown):
 			uncertain = true
 		case !errors.Is(err, storage.ErrUnavailable):
-			// Refused for its form: as it is it will never be carried out, unless an earlier try was.
-			l.log.Error("write refused", "key", w.VerifyKey, "err", err)
-			if mine, rev, known := l.verifyWrite(ctx, use, w, uncertain); known {
-				l.mailbox.Send(
-					scheduler.TransactionOutcome{WriteID: w.ID, Succeeded: mine, Revision: rev, Malformed: !mine},
-				)
+			// Malformed: as it is it will never succeed, unless an earlier try has.
+			l.log.Error("write refused", "key", w.VerifyKey, "error", err)
+			if !uncertain {
+				l.mailbox.Send(scheduler.TransactionOutcome{WriteID: w.ID, Malformed: true})
+				return
+			}
+			if earlier, err := l.findEarlierTry(ctx, budget, w); err == nil {
+				l.mailbox.Send(scheduler.TransactionOutcome{
+					WriteID:   w.ID,
+					Succeeded: earlier.succeeded,
+					Revision:  earlier.revision,
+					Malformed: !earlier.succeeded,
+				})
 				return
 			}
 		}
@@ -109,39 +119,36 @@
 	}
 }
 
-// verifyWrite says whether an earlier try of a write, of which no answer came, was carried out: then the record
-// names it. known is false if that can't be told now.
-func (l *Leader) verifyWrite(
-	ctx context.Context,
-	use storage.Budget,
-	w scheduler.Write,
-	uncertain bool,
-) (mine bool, rev uint64, known bool) {
-	if !uncertain {
-		return false, 0, true
-	}
-	p, err := l.deps.Store.Get(ctx, use, w.VerifyKey)
+// earlierTry is what became of a write's tries without an answer.
+type earlierTry struct {
+	succeeded bool
+	revision  uint64 // of the record now
+}
+
+// findEarlierTry reads the record that names the write, if the write has succeeded.
+func (l *Leader) findEarlierTry(ctx context.Context, budget storage.Budget, w scheduler.Write) (earlierTry, error) {
+	record, err := l.deps.Store.Get(ctx, budget, w.VerifyKey)
 	if err != nil {
-		return false, 0, false
+		return earlierTry{}, err
 	}
-	var rec struct {
-		Write string `msgpack:"w"`
+	if record.Revision == 0 {
+		return earlierTry{succeeded: w.Name == ""}, nil // a write without a name deletes the record
 	}
-	mine = w.Name == "" && p.Revision == 0
-	if p.Revision != 0 && protocol.Decode(p.Value, &rec) == nil && rec.Write == w.Name {
-		mine = true
+	var named struct {
+		Write string `msgpack:"w"`
 	}
-	return mine, p.Revision, true
+	succeeded := protocol.Decode(record.Value, &named) == nil && named.Write == w.Name
+	return earlierTry{succeeded: succeeded, revision: record.Revision}, nil
 }
 
-// readEndedJob reads how a job has ended.
+// readEndedJob reads the final state of a job.
 func (l *Leader) readEndedJob(ctx context.Context, e scheduler.ReadFinalState) {
 	read := scheduler.FinalStateRead{ID: e.ID}
 	p, err := l.deps.Store.Get(ctx, storage.BudgetPlacement, storage.EndedJobKey(e.ID))
 	var rec storage.EndedJobRecord
 	switch {
 	case err != nil:
-		l.log.Debug("end not read", "job", e.ID, "err", err)
+		l.log.Debug("final state not read", "job", e.ID, "error", err)
 	case p.Revision != 0 && protocol.Decode(p.Value, &rec) == nil:
 		read.State = rec.State
 	}
@@ -156,20 +163,19 @@
 		"http://"+o.Addr+"/commands",
 		o.Batch,
 	)
-	done := scheduler.CommandBatchResult{Machine: o.Machine}
+	result := scheduler.CommandBatchResult{Machine: o.Machine}
 	if err == nil && (status == http.StatusOK || status == http.StatusConflict) {
 		if r, err := protocol.DecodeWorkerHeartbeat(raw); err == nil {
-			done.Acknowledged, done.Heartbeat = status == http.StatusOK, r
+			result.Acknowledged, result.Heartbeat = status == http.StatusOK, r
 		}
 	}
-	if done.Heartbeat == nil {
-		l.log.Info("command unanswered", "machine", o.Machine, "status", status, "err", err)
+	if result.Heartbeat == nil {
+		l.log.Info("command failed", "machine", o.Machine, "status", status, "error", err)
 	}
-	l.mailbox.Send(done)
+	l.mailbox.Send(result)
 }
 
-// probe asks a machine how it stands. A new leader asks all of them at once;
-// some at a time are asked in fact.
+// probe asks a machine for its state. A new leader probes all of them; the pool bounds how many at a time.
 func (l *Leader) probe(ctx context.Context, e scheduler.Probe) {
 	if ctx.Err() != nil {
 		return
@@ -182,7 +188,7 @@
 		nil,
 	)
 	if err != nil || status != http.StatusOK {
-		l.log.Debug("not inspected", "machine", e.Machine, "status", status, "err", err)
+		l.log.Debug("probe failed", "machine", e.Machine, "status", status, "error", err)
 		return
 	}
 	if r, err := protocol.DecodeWorkerHeartbeat(raw); err == nil && r.Machine == e.Machine {
@@ -190,26 +196,27 @@
 	}
 }
 
-// commandTimeout is how long a direct command may take: a report's interval,
-// give or take, after which the machine's next report is the better way.
+// commandTimeout is how long a direct command may take: about the interval of the heartbeats,
+// after which the answer to the machine's next heartbeat is the better way.
 func commandTimeout(cfg *config.Deployment) time.Duration {
 	return config.Seconds(min(cfg.Workers.HeartbeatSeconds*1.5, cfg.Workers.GangPeerSeconds/2))
 }
 
-func (l *Leader) listMachines(ctx context.Context, turn CallSlot) {
+func (l *Leader) listMachines(ctx context.Context, slot CallSlot) {
 	asked := l.deps.Now()
-	ms, err := l.deps.Cloud.List(ctx, turn)
+	ms, err := l.deps.Cloud.List(ctx, slot)
 	if err != nil {
-		l.log.Info("machine list not read", "err", err)
+		l.log.Info("machine list not read", "error", err)
 	}
 	l.mailbox.Send(scheduler.MachinesListed{RequestedAt: asked, Machines: ms, Failed: err != nil})
 }
 
-func (l *Leader) rentMachines(ctx context.Context, e autoscaler.ScaleOut, turn CallSlot) {
+func (l *Leader) rentMachines(ctx context.Context, e autoscaler.ScaleOut, slot CallSlot) {
 	asked := l.deps.Now()
-	for ; ctx.Err() == nil; turn = l.deps.Cloud.Reserve() {
-		names, refused, err := l.deps.Cloud.Rent(ctx, turn, e.Rental)
-		if err == nil {
+	for ; ctx.Err() == nil; slot = l.deps.Cloud.Reserve() {
+		names, err := l.deps.Cloud.Rent(ctx, slot, e.Rental)
+		refused := errors.Is(err, ErrRentalRefused)
+		if err == nil || refused {
 			l.mailbox.Send(
 				scheduler.ScaleOutResult{
 					Request:     e.Rental.RequestID,
@@ -221,19 +228,19 @@
 			return
 		}
 		// The same name rents nothing twice, so trying again is safe.
-		l.log.Info("rental unanswered", "request", e.Rental.RequestID, "err", err)
+		l.log.Info("rental failed", "request", e.Rental.RequestID, "error", err)
 		l.deps.Random.Pause(ctx, e.Rental.RequestID, scheduler.CycleInterval)
 	}
 }
 
-func (l *Leader) releaseMachines(ctx context.Context, e autoscaler.ScaleIn, turn CallSlot) {
-	for ; ctx.Err() == nil; turn = l.deps.Cloud.Reserve() {
-		err := l.deps.Cloud.Release(ctx, turn, e.Machines)
+func (l *Leader) releaseMachines(ctx context.Context, e autoscaler.ScaleIn, slot CallSlot) {
+	for ; ctx.Err() == nil; slot = l.deps.Cloud.Reserve() {
+		err := l.deps.Cloud.Release(ctx, slot, e.Machines)
 		if err == nil {
 			l.mailbox.Send(scheduler.ScaleInResult{Machines: e.Machines, Succeeded: true})
 			return
 		}
-		l.log.Info("release unanswered", "machines", len(e.Machines), "err", err)
+		l.log.Info("machine release failed", "machines", len(e.Machines), "error", err)
 		l.deps.Random.Pause(ctx, "release "+e.Machines[0], scheduler.CycleInterval)
 	}
 }
--- a/internal/coordination/leader/recovery.go
+++ b/internal/coordination/leader/recovery.go
@@ -11,7 +11,7 @@
 	"pinebay/internal/storage"
 )
 
-// loadedRecords is what recovery read.
+// loadedRecords are the records of the key-value store that a scheduler starts from.
 type loadedRecords struct {
 	types           []protocol.MachineType
 	liveJobs, pages []protocol.KeyValue
@@ -42,7 +42,7 @@
 			l.mailbox.Send(got)
 			return
 		}
-		l.log.Info("recovery delayed", "err", err)
+		l.log.Info("recovery delayed", "error", err)
 		l.deps.Random.Pause(ctx, "recovery", scheduler.CycleInterval/5)
 	}
 }
@@ -64,15 +64,15 @@
 	return err
 }
 
-// markFresh notes that all changes up to the given time have been taken in or wait
+// markFresh records that all changes up to the given time have been processed or wait
 // in the mailbox.
 func (l *Leader) markFresh(at time.Duration) {
 	l.mailbox.Send(scheduler.WatchProgress{At: at})
 	l.deps.Leadership.JobsKnownUpTo(at)
 }
 
-// watchJobs follows the accepted jobs. It looks often, for only an answer shows that
-// nothing has changed until the question was sent: a watch that hangs shows nothing.
+// watchJobs follows the accepted jobs. Its requests wait briefly: only an answer shows that
+// nothing had changed when the request was sent.
 func (l *Leader) watchJobs(ctx context.Context, rev uint64) {
 	for ctx.Err() == nil {
 		asked := l.deps.Now()
@@ -93,7 +93,7 @@
 			}
 			var rec storage.LiveJobRecord
 			if err := protocol.Decode(e.Value, &rec); err != nil {
-				l.log.Error("live record out of form", "key", e.PutKey, "err", err)
+				l.log.Error("malformed job record", "key", e.PutKey, "error", err)
 				continue
 			}
 			l.mailbox.Send(scheduler.JobAccepted{Record: rec, Revision: e.Revision})
@@ -102,13 +102,13 @@
 	}
 }
 
-// refreshMachineTypes follows the cloud's prices.
+// refreshMachineTypes reads the machine types regularly, as prices change.
 func (l *Leader) refreshMachineTypes(ctx context.Context) {
 	for ctx.Err() == nil {
 		l.deps.Random.Pause(ctx, "machine types", config.Seconds(8*l.options.Deployment.Cloud.ListLagSeconds))
 		types, err := l.deps.Cloud.fetchMachineTypes(ctx)
 		if err != nil {
-			l.log.Info("prices not read", "err", err)
+			l.log.Info("machine types not read", "error", err)
 			continue
 		}
 		l.deps.Observer.MachineTypesRead(types)
--- a/internal/coordination/leader/term.go
+++ b/internal/coordination/leader/term.go
@@ -112,7 +112,7 @@
 		time.Now().UnixMilli(),
 		t.options.ZoneReturn,
 	)
-	t.log.Info("records read", "jobs", len(loaded.liveJobs), "pages", len(loaded.pages), "took", now-t.startedAt)
+	t.log.Info("records read", "jobs", len(loaded.liveJobs), "pages", len(loaded.pages), "duration", now-t.startedAt)
 	intents := t.deps.Intents.NewestByJob(now)
 	for _, job := range slices.Sorted(maps.Keys(intents)) {
 		validUntil := intents[job] + t.options.ConfirmWithin
