--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -35,7 +35,7 @@
 	Store string `toml:"state"`
 }
 
-// Deployment describes what all controllers share.
+// Deployment holds the settings that all controllers share.
 type Deployment struct {
 	Controllers      int         `toml:"nodes"`
 	Zones            []string    `toml:"zones"`
@@ -57,36 +57,42 @@
 	MaxGPUs        float64 `toml:"gpus_max"`
 }
 
-// Objective is an aim on starting ("wait"), finishing ("finished") or meeting a job's own deadline ("deadline").
+// Objective is a service-level objective on starting ("wait"), finishing ("finished") or meeting a job's own deadline
+// ("deadline"): the fraction of the jobs of a class that is to do so within a time.
 type Objective struct {
 	Kind          string  `toml:"kind"`
 	Class         string  `toml:"class"`
 	WithinSeconds float64 `toml:"within_s"`
 	Fraction      float64 `toml:"share"`
-	// DeadlineFactor is how many times its deadline a job may take, for aims on deadlines.
+	// DeadlineFactor is how many times its deadline a job may take, for objectives on deadlines.
 	DeadlineFactor float64 `toml:"times"`
 }
 
-// Workers holds the times of the workers' protocol, in seconds.
+// Workers holds the times of the workers' protocol.
 type Workers struct {
+	// HeartbeatSeconds is the interval of a worker's heartbeats, give or take a quarter.
 	HeartbeatSeconds float64 `toml:"report_s"`
-	LeaseSeconds     float64 `toml:"lease_s"`
-	GangWaitSeconds  float64 `toml:"gang_wait_s"`
-	GangPeerSeconds  float64 `toml:"gang_peer_s"`
-	CancelSeconds    float64 `toml:"cancel_s"`
+	// LeaseSeconds is for how long a worker runs its tasks after it has sent the last heartbeat that was answered.
+	LeaseSeconds float64 `toml:"lease_s"`
+	// GangWaitSeconds is how long a task waits for its gang to be complete.
+	GangWaitSeconds float64 `toml:"gang_wait_s"`
+	// GangPeerSeconds is within what time the tasks of a gang notice that one is lost, or have to be stopped together.
+	GangPeerSeconds float64 `toml:"gang_peer_s"`
+	// CancelSeconds is within what time the tasks of a job end after its user has learnt that it is cancelled.
+	CancelSeconds float64 `toml:"cancel_s"`
 }
 
-// StoreLimits holds the limits of the state service.
+// StoreLimits holds the limits of the key-value store.
 type StoreLimits struct {
 	RPS      float64 `toml:"rps"`
 	WriteRPS float64 `toml:"write_rps"`
 	ValueKB  float64 `toml:"value_kb"`
 	TxnOps   int     `toml:"txn_ops"`
-	// Next holds the limits that the service will have from some moment after an upgrade; a limit of 0 stays.
+	// Next holds the limits that the store will have at some time after an upgrade; one of 0 does not change.
 	Next FutureStoreLimits `toml:"next"`
 }
 
-// FutureStoreLimits are limits of the state service that may come into force later.
+// FutureStoreLimits are limits of the key-value store that may come into force later.
 type FutureStoreLimits struct {
 	RPS      float64 `toml:"rps"`
 	WriteRPS float64 `toml:"write_rps"`
--- a/internal/coordination/leader/effects.go
+++ b/internal/coordination/leader/effects.go
@@ -72,8 +72,8 @@
 }
 
 // write tries a transaction until its outcome is known. After a try without an
-// answer, a failed condition may be the work of that very try: the record that
-// names the write tells. Each try is admitted to its budget.
+// answer, a failed comparison may be due to that very try: whether it is follows
+// from the record, which names the write. Each try is admitted to its budget.
 func (l *Leader) write(ctx context.Context, w scheduler.Write, admission storage.Admission) {
 	budget := writeBudget(w.Priority)
 	uncertain := false // an earlier try had no answer
--- a/internal/coordination/leader/leader.go
+++ b/internal/coordination/leader/leader.go
@@ -1,5 +1,5 @@
 // Package leader runs one term of a leader: it reads the records, drives the
-// scheduler's state machine and carries out its effects.
+// scheduler, which is a state machine, and carries out its effects.
 package leader
 
 import (
@@ -94,8 +94,8 @@
 	reply chan []protocol.JobStatus
 }
 
-// probeSocketDivisor is the part of a process's sockets that may ask machines how
-// they stand at a time: fewer than may command, so that commands have their turn.
+// probeSocketDivisor is the part of a process's sockets, as its inverse, that may probe
+// machines at a time: fewer than may send commands, so that commands are not held up.
 const probeSocketDivisor = 32
 
 // Start begins a term, which lasts until the context ends, Stop is called or the leader steps down.
@@ -135,8 +135,8 @@
 // Ready says whether the leader has read the records, and so knows where tasks are.
 func (l *Leader) Ready() bool { return l.ready.Load() }
 
-// Heartbeat hands a worker's report to the leader and returns the answer, or
-// false if none came in time. relayed says that another controller passed it on.
+// Heartbeat passes a worker's heartbeat to the leader and returns the answer. It returns
+// false if none came in time. relayed says that the worker can't reach this controller.
 func (l *Leader) Heartbeat(
 	ctx context.Context,
 	r *protocol.WorkerHeartbeat,
@@ -153,8 +153,8 @@
 	return protocol.WorkerHeartbeatReply{}, false
 }
 
-// UnchangedHeartbeats hands in which machines an owner has heard that told nothing new, and returns those of which the
-// next report is to be passed on; false if no answer came in time.
+// UnchangedHeartbeats passes an owner's digest of unchanged heartbeats to the leader, and returns the machines of which
+// the owner has to forward the next heartbeat. It returns false if no answer came in time.
 func (l *Leader) UnchangedHeartbeats(ctx context.Context, machines []scheduler.UnchangedHeartbeat) ([]string, bool) {
 	reply := make(chan []string, 1)
 	l.mailbox.Send(
@@ -169,18 +169,18 @@
 	return nil, false
 }
 
-// AddCancellationIntent tells that a user may be about to hear that the job is cancelled.
+// AddCancellationIntent says that a user may be about to learn that the job is cancelled.
 func (l *Leader) AddCancellationIntent(job string, at time.Duration) {
 	l.mailbox.Send(scheduler.CancellationIntent{ID: job, ValidUntil: at + l.options.ConfirmWithin})
 }
 
-// FinaliseLevel asks that a feature level be made final.
+// FinaliseLevel has the leader make a feature level final.
 func (l *Leader) FinaliseLevel(level featurelevel.Level) {
 	l.mailbox.Send(scheduler.FinaliseFeatureLevel{Level: level})
 }
 
-// JobStatuses asks what the leader knows of jobs; those that it does not know are missing.
-// false means that it did not answer.
+// JobStatuses returns what the leader knows of jobs; those that it does not know are missing.
+// It returns false if no answer came in time.
 func (l *Leader) JobStatuses(ctx context.Context, ids []string) ([]protocol.JobStatus, bool) {
 	q := statusQuery{ids, make(chan []protocol.JobStatus, 1)}
 	l.mailbox.Send(q)
--- a/internal/coordination/leader/term.go
+++ b/internal/coordination/leader/term.go
@@ -81,7 +81,7 @@
 		return
 	}
 	if reply, ok := m.ReplyTo.(chan protocol.WorkerHeartbeatReply); ok {
-		// What users may have been told is cancelled ends all the same.
+		// Jobs of which users may have been told that they are cancelled end all the same.
 		reply <- protocol.WorkerHeartbeatReply{
 			FencingToken: protocol.FencingToken(t.term.Number, 0),
 			Commands: m.Heartbeat.StopCommands(func(job string) bool {
--- a/internal/daemon/cancellations.go
+++ b/internal/daemon/cancellations.go
@@ -42,7 +42,7 @@
 func (c *cancellations) announce(ctx context.Context, job string) (time.Time, error) {
 	now := c.now()
 	if !c.peers.hearsQuorum(now) {
-		return time.Time{}, errNoQuorum // the user is told at once when to come back
+		return time.Time{}, errNoQuorum // the user learns at once when to try again
 	}
 	own, err := c.intents.Announce(now, api.MaxIntentAge/4, job)
 	if err != nil {
--- a/internal/daemon/claim.go
+++ b/internal/daemon/claim.go
@@ -53,8 +53,8 @@
 	if err != nil {
 		return election.ClaimResult{}, err
 	}
-	// A worker may have seen a token that no record tells of any more only if
-	// the store lost it; be above what we have seen all the same.
+	// A worker may have a token of a later term than the record's only if the
+	// store has lost that record; be above what we have seen all the same.
 	term := max(current.term.Term, e.AboveTerm) + 1
 	revision, err := a.writeClaim(ctx, current, term, lease)
 	if err != nil {
--- a/internal/daemon/cost_test.go
+++ b/internal/daemon/cost_test.go
@@ -42,7 +42,7 @@
 			routes := c.routes()
 			status := 0
 			allocations := testing.AllocsPerRun(200, func() {
-				r := httptest.NewRequest(http.MethodPost, "/v1/report", bytes.NewReader(raw))
+				r := httptest.NewRequestWithContext(t.Context(), http.MethodPost, "/v1/report", bytes.NewReader(raw))
 				r.Header.Set("Content-Type", protocol.ContentType)
 				w := httptest.NewRecorder()
 				routes.ServeHTTP(w, r)
--- a/internal/daemon/failuredetection.go
+++ b/internal/daemon/failuredetection.go
@@ -38,7 +38,7 @@
 	}
 }
 
-// publishedOpinions is what a controller tells the others with its heartbeats.
+// publishedOpinions is what a controller's heartbeats say about failures.
 type publishedOpinions struct {
 	incarnation failuredetector.Incarnation
 	health      int
@@ -127,7 +127,7 @@
 	}
 }
 
-// probeThrough asks a peer whether it reaches a controller. No answer tells nothing.
+// probeThrough asks a peer whether it reaches a controller. No answer proves nothing.
 func (a *failureDetectorActor) probeThrough(ctx context.Context, target, through string) {
 	r, err := a.mesh.Call(ctx, through, protocol.PeerMessage{Kind: protocol.PeerStatusQuery, ProbeTarget: target})
 	if err != nil || r.TargetReached == nil {
@@ -142,8 +142,8 @@
 // the peer's own call must not end before.
 const probeTimeoutDivisor = 2
 
-// handleProbe answers whether a controller is reached from here. Any answer of it will do, also of
-// one without suspicions.
+// handleProbe answers whether a controller is reachable from here. Any answer of it will do, also of
+// one without failure detection.
 func (a *failureDetectorActor) handleProbe(m *protocol.PeerMessage, reply *protocol.PeerMessage) {
 	if a == nil || m.ProbeTarget == "" || m.ProbeTarget == a.cfg.Name {
 		return
@@ -159,7 +159,7 @@
 	reply.TargetReached = &reached
 }
 
-// fill puts into a heartbeat, or its answer, what this controller holds of the others.
+// fill sets in a heartbeat, or its answer, the opinions of this controller about the others.
 func (a *failureDetectorActor) fill(m *protocol.PeerMessage) {
 	if a == nil {
 		return
@@ -169,8 +169,8 @@
 	}
 }
 
-// peerHeard takes in a peer's heartbeat, or its answer to ours. Opinions that are out of form are
-// dropped, and with them whatever they could consent to.
+// peerHeard passes on a peer's heartbeat, or its answer to one. Malformed opinions are dropped, and with them their
+// votes.
 func (a *failureDetectorActor) peerHeard(m *protocol.PeerMessage) {
 	if a == nil || m.Incarnation == 0 {
 		return
@@ -182,7 +182,7 @@
 		Voting:      m.Recovered,
 	}
 	if err := protocol.CheckOpinions(m.Opinions); err != nil {
-		a.malformedLogLimit.Do(func() { a.log.Info("opinions refused", "from", m.From, "error", err) })
+		a.malformedLogLimit.Do(func() { a.log.Info("malformed opinions ignored", "from", m.From, "error", err) })
 	} else {
 		heard.Opinions = decodeOpinions(m.Opinions)
 	}
--- a/internal/daemon/ownerheartbeats.go
+++ b/internal/daemon/ownerheartbeats.go
@@ -16,8 +16,8 @@
 	"pinebay/internal/protocol"
 )
 
-// machineOwner answers the heartbeats of the machines that this controller owns, and tells the leader of them. A nil
-// machineOwner is off.
+// machineOwner answers unchanged heartbeats of the machines that this controller owns, and reports them to the leader
+// in digests. A nil machineOwner is off.
 type machineOwner struct {
 	*environment
 	ownership *ownershipActor
@@ -69,7 +69,7 @@
 	return v
 }
 
-// effectiveTable returns the owners if the leader goes by them, or nil.
+// effectiveTable returns the table of owners if it is that of the leader's epoch, or nil.
 func (o *machineOwner) effectiveTable(l *leader.Leader, v *election.View) *ownership.Table {
 	table := o.ownership.table.Load()
 	if table == nil {
@@ -87,7 +87,7 @@
 	return table
 }
 
-// ownerStatus is what decides whether this controller may answer workers as an owner.
+// ownerStatus returns what decides whether this controller may answer workers as an owner.
 func (o *machineOwner) ownerStatus(table *ownership.Table, v *election.View) ownership.OwnerStatus {
 	now := o.now()
 	s := ownership.OwnerStatus{
@@ -105,8 +105,8 @@
 	return s
 }
 
-// ownerReachable says whether an owner is likely to take a worker. The leader knows by its digests, others by its
-// answers.
+// ownerReachable returns whether an owner is likely to answer a worker. The leader knows by the owner's digests, others
+// by its answers to heartbeats.
 func (o *machineOwner) ownerReachable(owner string, leads bool) bool {
 	if !leads {
 		return o.peers.recentlyHeard(owner)
@@ -118,8 +118,8 @@
 	return ok && now-at <= o.times.LeaderTimeout/2
 }
 
-// returnedFromOwner says whether a machine was sent to its owner and has come back: it can't reach it, and is served
-// here for a while.
+// returnedFromOwner returns whether a machine was redirected to its owner and has come back: it can't reach the owner,
+// and is served here for a while.
 func (o *machineOwner) returnedFromOwner(machine string, epoch uint64) bool {
 	return o.redirects.ShouldRelay(machine, fmt.Sprint(epoch), false, o.now())
 }
@@ -145,8 +145,8 @@
 	o.heartbeats.Forwarded(o.now(), heartbeat)
 }
 
-// sendDigests tells the leader regularly which machines this controller has answered; it ends at once while ownership
-// is off.
+// sendDigests regularly reports to the leader which machines this controller has answered, until the context ends; it
+// returns at once if ownership is off.
 func (o *machineOwner) sendDigests(ctx context.Context) {
 	if o == nil {
 		return
@@ -163,8 +163,8 @@
 	}
 }
 
-// sendDigest tells the leader which machines were answered since the last digest, and takes in which of their reports
-// it wants.
+// sendDigest reports to the leader which machines were answered since the last digest. The leader answers with those of
+// which it wants the next heartbeat.
 func (o *machineOwner) sendDigest(ctx context.Context, leader string, table *ownership.Table) {
 	o.mu.Lock()
 	o.heartbeats.Expire(o.now())
@@ -199,11 +199,11 @@
 	}
 }
 
-// maxDigestMachines is how many machines one message tells of, so that it fits a frame.
+// maxDigestMachines is how many machines one message of a digest names, so that it fits a frame.
 const maxDigestMachines = protocol.MaxMachinesPerMessage
 
-// handleDigest takes in which machines an owner has answered. A digest of another epoch, or of a controller that owns
-// nothing in this one, is not acknowledged: whoever sent it stops answering as an owner.
+// handleDigest passes the digest of an owner to the leader of this process. A digest of another epoch, or of a
+// controller that owns nothing in this one, is not acknowledged: its sender stops answering as an owner.
 func (o *machineOwner) handleDigest(m, reply *protocol.PeerMessage) {
 	if o == nil {
 		return
--- a/internal/daemon/ownership.go
+++ b/internal/daemon/ownership.go
@@ -22,16 +22,16 @@
 	mailbox  *actor.Mailbox[ownership.Event]
 	api      *api.Server
 	detector *failureDetectorActor
-	// table is what is in force, as far as this controller has read; nil: nothing.
+	// table is that of the record in force, as far as this controller has read; nil: none.
 	table atomic.Pointer[ownership.Table]
-	// leaderEpoch is what the last heartbeat of a leader said of ownership.
+	// leaderEpoch is the epoch in the last heartbeat of a leader.
 	leaderEpoch atomic.Pointer[leaderEpoch]
 	// draining says that this controller is about to end, and should own nothing any more.
 	draining atomic.Bool
 	tasks    sync.WaitGroup // writes under way
 }
 
-// leaderEpoch is the epoch by which a leader goes; 0: none.
+// leaderEpoch is the ownership epoch of a leader; 0: none.
 type leaderEpoch struct {
 	leader string
 	epoch  uint64
@@ -93,7 +93,7 @@
 	errSuperseded = errors.New("another record is in force")
 )
 
-// writeRecord replaces the record, if this controller still leads and the record is the one that it goes by.
+// writeRecord replaces the record if this controller still leads and the record has not changed.
 func (a *ownershipActor) writeRecord(ctx context.Context, r ownership.Record) error {
 	l := a.leading.Load()
 	if l == nil {
@@ -122,7 +122,7 @@
 	if err != nil {
 		return err
 	}
-	// Two survivors that hold the same verdict write on the same versions: one of them fails, and so does a
+	// Two controllers with the same verdict write on the same revisions: one of them fails, and so does a
 	// transaction that comes late.
 	_, ok, err := a.store.Txn(ctx, storage.BudgetPlacement, protocol.Txn{
 		If: []protocol.Compare{
@@ -137,7 +137,7 @@
 	return err
 }
 
-// adopt takes in the record that is in force.
+// adopt puts a record in force for this controller.
 func (a *ownershipActor) adopt(r ownership.Record) {
 	old := a.table.Load()
 	if r.Epoch == 0 {
@@ -234,31 +234,31 @@
 		}
 	}
 	a.log.Info("drained: the others own the machines")
-	// A worker that reports once more is sent to its new owner.
+	// A worker that sends one more heartbeat is redirected to its new owner.
 	_ = actor.Sleep(
 		context.WithoutCancel(ctx),
 		config.Seconds(drainHeartbeats*a.cfg.Deployment.Workers.HeartbeatSeconds),
 	)
 }
 
-// drainHeartbeats is for how many intervals of reports a drained controller goes on sending workers to their new
-// owners: they report up to a quarter later, and pause up to half a second.
+// drainHeartbeats is for how many heartbeat intervals a drained controller goes on redirecting workers to their new
+// owners: heartbeats come up to a quarter late, after a pause of up to half a second.
 const drainHeartbeats = 1.5
 
-// fill puts into a heartbeat, or its answer, that this controller can own machines, and if it leads, by which
-// epoch it goes.
+// fill sets in a heartbeat, or its answer, whether this controller can own machines, and if it leads, its ownership
+// epoch.
 func (a *ownershipActor) fill(m *protocol.PeerMessage) {
 	if a == nil {
 		return
 	}
-	// One that has just begun may have forgotten cancellations, and could not answer anybody.
+	// A process that has just started may lack cancellations, and could not answer anybody.
 	m.CanOwn = a.intents.Recovered(a.now()) && !a.draining.Load()
 	if t := a.table.Load(); t != nil && a.leading.Load() != nil {
 		m.OwnershipEpoch = t.Epoch
 	}
 }
 
-// peerHeard takes in what a peer's heartbeat says of ownership.
+// peerHeard passes on what a peer's heartbeat, or its answer to one, says about ownership.
 func (a *ownershipActor) peerHeard(m *protocol.PeerMessage) {
 	if a == nil || m.Incarnation == 0 {
 		return
--- a/internal/daemon/peers.go
+++ b/internal/daemon/peers.go
@@ -107,7 +107,7 @@
 
 // sendHeartbeats sends heartbeats to one peer until the context ends.
 func (x *peerExchange) sendHeartbeats(ctx context.Context, peer string) {
-	// The election's own timer has had its turn when this one is due: a heartbeat says what
+	// The election's timer fires before this one, so that a heartbeat carries what
 	// the election has just decided.
 	if actor.Sleep(ctx, x.times.HeartbeatInterval/heartbeatPhaseDivisor) != nil {
 		return
--- a/internal/daemon/redirects.go
+++ b/internal/daemon/redirects.go
@@ -6,38 +6,38 @@
 	"time"
 )
 
-// RedirectTracker remembers which machines were sent to the leader. One that comes from
-// there cannot reach it, although we can: its reports are passed on, or its
-// lease would run out while it goes round in a circle. After a lease it is sent
-// to the leader once more, for commands reach it sooner there.
+// RedirectTracker remembers which machines were redirected to a target, the leader. One that
+// comes back cannot reach it, although this controller can: its heartbeats are relayed, or its
+// lease would expire while it is redirected in a circle. After a lease it is redirected
+// once more, since commands reach it sooner from the target.
 type RedirectTracker struct {
 	mu        sync.Mutex
 	lease     time.Duration
-	leader    string
+	target    string
 	visits    map[string]visit
-	expiredAt time.Duration // when those that are too old were last dropped
+	expiredAt time.Duration // when expire last dropped visits
 }
 
-// visit is when a machine last came and since when its reports are passed on;
+// visit is when a machine was last here and since when its heartbeats are relayed;
 // 0 if they are not.
 type visit struct{ lastSeen, relayedSince time.Duration }
 
-// retentionLeases is how long a machine that was sent away is remembered.
+// retentionLeases is for how many leases a machine that was redirected is remembered.
 const retentionLeases = 3
 
-// NewRedirectTracker returns an empty memory.
+// NewRedirectTracker returns an empty tracker.
 func NewRedirectTracker(lease time.Duration) *RedirectTracker {
 	return &RedirectTracker{lease: lease, visits: map[string]visit{}}
 }
 
-// ShouldRelay notes that a machine is here although the named node leads, and says
-// whether its report should be passed on. met says that it has had the leader's
-// word, and so would be there if it could.
-func (t *RedirectTracker) ShouldRelay(machine, leader string, met bool, now time.Duration) bool {
+// ShouldRelay records that a machine is here although it should be at the target, and returns
+// whether its heartbeat should be relayed. answered says that the target has answered the machine
+// already: it would not be here if it could reach the target. A new target forgets all machines.
+func (t *RedirectTracker) ShouldRelay(machine, target string, answered bool, now time.Duration) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if leader != t.leader {
-		t.leader = leader
+	if target != t.target {
+		t.target = target
 		clear(t.visits)
 	}
 	v, known := t.visits[machine]
@@ -46,7 +46,7 @@
 	case recent && v.relayedSince > 0 && now-v.relayedSince > t.lease:
 		v.relayedSince = 0 // time for another try
 	case recent && v.relayedSince > 0:
-	case recent || met:
+	case recent || answered:
 		v.relayedSince = now
 	default:
 		v.relayedSince = 0
@@ -57,8 +57,8 @@
 	return v.relayedSince > 0
 }
 
-// expire drops the machines that have not come for long, once in a lease: had each new machine been
-// compared with all others, thousands that come at once would have been millions of looks.
+// expire drops the machines that were not here for long, at most once per lease: were all compared whenever one is
+// recorded, thousands that come at once would cost millions of comparisons.
 func (t *RedirectTracker) expire(now time.Duration) {
 	if now-t.expiredAt < t.lease {
 		return
--- a/internal/timing/timing.go
+++ b/internal/timing/timing.go
@@ -1,4 +1,4 @@
-// Package timing measures how long a controller's steps take, for operators who ask for it.
+// Package timing measures how long a controller's steps take and logs histograms, for operators who turn it on.
 package timing
 
 import (
@@ -10,18 +10,18 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Kind is what was measured.
+// Kind is what was measured, as it stands in the log.
 type Kind string
 
 // Kinds of measurements.
 const (
 	Cycle           Kind = "cycle"     // a step of the leader in which the scheduling cycle ran
-	WorkerHeartbeat Kind = "report"    // a step that takes in a worker's report
+	WorkerHeartbeat Kind = "report"    // a step that processes a worker's heartbeat
 	Other           Kind = "other"     // any other step of the leader
 	PeerHeartbeat   Kind = "heartbeat" // from a heartbeat until its answer
 )
 
-// interval is the time between two log lines, and maxMicroseconds the longest duration told apart.
+// logInterval is the time between two log lines, and maxMicroseconds the longest duration that is recorded as it is.
 const (
 	logInterval       = time.Second
 	maxMicroseconds   = int64(time.Hour / time.Microsecond)
