--- a/internal/daemon/cancellations.go
+++ b/internal/daemon/cancellations.go
@@ -5,7 +5,6 @@
 	"errors"
 	"time"
 
-	"pinebay/internal/config"
 	"pinebay/internal/coordination/api"
 	"pinebay/internal/coordination/cancellation"
 	"pinebay/internal/coordination/election"
@@ -16,12 +15,6 @@
 // would know of it.
 var errNoQuorum = errors.New("no majority holds the intent")
 
-// intentRetention is how long intents are kept: until their tasks must be gone, and
-// for longer than a controller may have forgotten some.
-func intentRetention(d *config.Deployment, t election.Timing) time.Duration {
-	return config.Seconds(d.Workers.CancelSeconds) + t.RecoveryPeriod
-}
-
 // cancellations exchanges the intents to cancel jobs with the other controllers.
 type cancellations struct {
 	*environment
--- a/internal/daemon/controller.go
+++ b/internal/daemon/controller.go
@@ -18,7 +18,6 @@
 	"pinebay/internal/config"
 	"pinebay/internal/coordination/api"
 	"pinebay/internal/coordination/cancellation"
-	"pinebay/internal/coordination/election"
 	"pinebay/internal/coordination/leader"
 	"pinebay/internal/random"
 	"pinebay/internal/storage"
@@ -53,22 +52,6 @@
 	workers   *workerHeartbeats
 }
 
-// Times derives the election's times from the settings.
-func Times(d *config.Deployment) election.Timing {
-	lease, cancel := config.Seconds(d.Workers.LeaseSeconds), config.Seconds(d.Workers.CancelSeconds)
-	base := min(lease, cancel/4)
-	t := election.Timing{
-		HeartbeatInterval: base / 40, LeaderTimeout: base / 5, LeaseTTL: max(3*base/10, 100*time.Millisecond),
-		ConfirmationTimeout: base / 2, CandidateDelay: base / 50, CancellationTimeout: api.MaxIntentAge,
-	}
-	t.ConfirmationTimeout = min(t.ConfirmationTimeout, max((cancel-lease)/4, 4*t.HeartbeatInterval))
-	// A controller that does not know of a cancellation renews a lease for the last time within
-	// the horizon of its confirmation, and the task must be gone within the cancel time.
-	t.RenewalHorizon = max(t.ConfirmationTimeout, cancel-cancel/8-lease)
-	t.RecoveryPeriod = lease + t.RenewalHorizon + t.LeaderTimeout
-	return t
-}
-
 // New returns a controller that is not running yet. It draws its random numbers from the source.
 func New(
 	network transport.Network,
--- a/internal/daemon/failuredetection.go
+++ b/internal/daemon/failuredetection.go
@@ -45,22 +45,13 @@
 	opinions    []protocol.PeerOpinion
 }
 
-// detectorTimes derives the times of suspicion from those of the election.
-func (a *failureDetectorActor) detectorTimes() failuredetector.Timing {
-	return failuredetector.Timing{
-		TickInterval:     followerHeartbeatFactor * a.times.HeartbeatInterval,
-		SuspicionTimeout: a.times.LeaderTimeout,
-		OpinionTTL:       a.times.LeaderTimeout,
-	}
-}
-
 // run is the actor. It returns when the context has ended and nothing is under way any more, or at once if it is off.
 func (a *failureDetectorActor) run(ctx context.Context) {
 	if a == nil {
 		return
 	}
 	defer a.tasks.Wait()
-	times := a.detectorTimes()
+	times := detectorTimes(a.times)
 	detector := failuredetector.New(a.now(), a.cfg.Name, a.intents.Incarnation(), a.mesh.Peers(), times)
 	step := func(e failuredetector.Event) {
 		now := a.now()
--- a/internal/daemon/fencing.go
+++ b/internal/daemon/fencing.go
@@ -7,23 +7,10 @@
 	"time"
 
 	"pinebay/internal/actor"
-	"pinebay/internal/config"
 	"pinebay/internal/coordination/fencing"
 	"pinebay/internal/protocol"
 )
 
-// fencingTimes derives the intervals of fencing without a leader. Cancel time is spent
-// as follows: a half until a leader would have fenced, a quarter for the machine to be
-// heard elsewhere, and the rest for the machine list and the release.
-func fencingTimes(d *config.Deployment) fencing.Timing {
-	cancel := config.Seconds(d.Workers.CancelSeconds)
-	return fencing.Timing{
-		GracePeriod:  cancel / 4,
-		MinIntentAge: cancel / 2,
-		Retention:    cancel + 4*config.Seconds(d.Cloud.ListLagSeconds),
-	}
-}
-
 // fencingActor returns silent machines to the cloud while no leader can be elected.
 type fencingActor struct {
 	*environment
--- a/internal/daemon/heartbeats.go
+++ b/internal/daemon/heartbeats.go
@@ -44,7 +44,8 @@
 //     the leader, so a view read second is at least as new as the leader read first. Without a leader here, a view that
 //     names this controller says that its leader is about to start, or has just ended: nobody leads.
 //   - Whether this controller renews leases on standby is decided after no leader was found here, by a view of its own.
-//   - All of this comes before the body, since most heartbeats without a leader are refused unread.
+//   - All of this comes before the body, since most heartbeats without a leader are refused unread. A body that takes
+//     long does not prolong what was decided: a lease is renewed from when the worker sent its heartbeat.
 //   - Readiness of the leader, and ownership, are read after the body. A body may take long, and an owner answers by
 //     what is fresh at the time of the answer.
 //   - When the leader has answered, first the leader and then the view are read again: see askLeader.
--- a/internal/daemon/ownership.go
+++ b/internal/daemon/ownership.go
@@ -43,22 +43,13 @@
 	return a
 }
 
-// ownershipTimes derives the times of ownership from those of the election.
-func (a *ownershipActor) ownershipTimes() ownership.Timing {
-	return ownership.Timing{
-		TickInterval: followerHeartbeatFactor * a.times.HeartbeatInterval,
-		PeerTimeout:  a.times.LeaderTimeout,
-		RejoinDelay:  2 * a.times.LeaderTimeout,
-	}
-}
-
 // run is the actor. It returns when the context has ended and nothing is under way any more, or at once if it is off.
 func (a *ownershipActor) run(ctx context.Context) {
 	if a == nil {
 		return
 	}
 	defer a.tasks.Wait()
-	times := a.ownershipTimes()
+	times := ownershipTimes(a.times)
 	assigner := ownership.New(a.cfg.Name, a.mesh.Peers(), times)
 	step := func(e ownership.Event) {
 		for _, effect := range assigner.Step(a.now(), e) {
