--- a/internal/daemon/controller.go
+++ b/internal/daemon/controller.go
@@ -166,18 +166,25 @@
 		addresses[p.Name] = p.Addr
 	}
 	timeout := env.times.LeaderTimeout / 2
-	return transport.NewMesh(network, env.cfg.Name, addresses, timeout, env.log, exchange.handle,
-		elections.peerDisconnected)
+	return transport.NewMesh(transport.MeshConfig{
+		Network:    network,
+		Self:       env.cfg.Name,
+		Peers:      addresses,
+		Timeout:    timeout,
+		Log:        env.log,
+		Handle:     exchange.handle,
+		OnPeerLost: elections.peerDisconnected,
+	})
 }
 
 // Run serves until the context ends, and returns when nothing of the controller runs any more.
 func (c *Controller) Run(ctx context.Context) error {
 	sockets := int(float64(c.cfg.Deployment.Quota.MaxSockets) * serverSocketShare)
-	listener, err := transport.Listen(c.network, c.cfg.ListenAddr, sockets)
+	listener, err := transport.Listen(ctx, c.network, c.cfg.ListenAddr, sockets)
 	if err != nil {
 		return err
 	}
-	meshListener, err := c.network.Listen(c.cfg.MeshAddr)
+	meshListener, err := c.network.Listen(ctx, c.cfg.MeshAddr)
 	if err != nil {
 		_ = listener.Close() // nothing was accepted
 		return err
--- a/internal/loadtest/meter.go
+++ b/internal/loadtest/meter.go
@@ -201,7 +201,10 @@
 }
 
 // Listen is not needed by those who only call.
-func (n meteredNetwork) Listen(addr string) (net.Listener, error) { return net.Listen("tcp4", addr) }
+func (n meteredNetwork) Listen(ctx context.Context, addr string) (net.Listener, error) {
+	var config net.ListenConfig
+	return config.Listen(ctx, "tcp4", addr)
+}
 
 // Dial connects to an address.
 func (n meteredNetwork) Dial(ctx context.Context, addr string) (net.Conn, error) {
--- a/internal/protocol/heartbeat.go
+++ b/internal/protocol/heartbeat.go
@@ -12,8 +12,8 @@
 	Spot    bool   `msgpack:"lendable"`
 	// Incarnation starts at 1 and increases each time the worker's lease expires.
 	Incarnation uint64 `msgpack:"shift"`
-	// Sequence increases with every heartbeat of an incarnation. Of two heartbeats of a machine, the one with the larger
-	// (Incarnation, Sequence) is the newer.
+	// Sequence increases with every heartbeat of an incarnation. Of two heartbeats of a machine, the one with the
+	// larger (Incarnation, Sequence) is the newer.
 	Sequence uint64 `msgpack:"tally"`
 	// FencingToken is the highest token that the worker has seen.
 	FencingToken uint64 `msgpack:"warrant"`
@@ -54,8 +54,8 @@
 	return commands
 }
 
-// WorkerHeartbeatReply is the reply to a worker's heartbeat. It renews the worker's lease if its token is not lower than
-// the highest one that the worker has seen.
+// WorkerHeartbeatReply is the reply to a worker's heartbeat. It renews the worker's lease if its token is not lower
+// than the highest one that the worker has seen.
 type WorkerHeartbeatReply struct {
 	FencingToken uint64    `msgpack:"warrant"`
 	Commands     []Command `msgpack:"orders"`
--- a/internal/protocol/peercodec.go
+++ b/internal/protocol/peercodec.go
@@ -79,8 +79,8 @@
 	return nil
 }
 
-// validateIntents checks the fields about cancellation intents. They decide whether a controller counts toward a quorum,
-// so a malformed message must never pass for agreement.
+// validateIntents checks the fields about cancellation intents. They decide whether a controller counts toward a
+// quorum, so a malformed message must never pass for agreement.
 func (m *PeerMessage) validateIntents() error {
 	withoutIncarnation := m.Incarnation == 0 && (m.Recovered || len(m.Intents) > 0 || m.AckedIntents > 0)
 	overflow := m.IntentOffset+uint64(len(m.Intents)) < m.IntentOffset
--- a/internal/protocol/peermessage.go
+++ b/internal/protocol/peermessage.go
@@ -6,7 +6,8 @@
 // PeerMessageKind is the kind of a message between controllers.
 type PeerMessageKind int
 
-// The kinds of messages between controllers. Each but PeerReply is a request, which a PeerReply with the same ID answers.
+// The kinds of messages between controllers. Each but PeerReply is a request, which a PeerReply with the same ID
+// answers.
 const (
 	// PeerHeartbeat says whom the sender takes for the leader, and whether it reaches the key-value store.
 	PeerHeartbeat PeerMessageKind = 1
@@ -17,8 +18,8 @@
 	PeerForwardedHeartbeat PeerMessageKind = 4
 	// PeerLiveMachinesQuery asks which of the named machines send heartbeats to the receiver. The reply names those.
 	PeerLiveMachinesQuery PeerMessageKind = 5
-	// PeerUnchangedHeartbeats names machines whose unchanged heartbeats an owner has answered. The reply names those whose
-	// next heartbeat must be forwarded.
+	// PeerUnchangedHeartbeats names machines whose unchanged heartbeats an owner has answered. The reply names those
+	// whose next heartbeat must be forwarded.
 	PeerUnchangedHeartbeats PeerMessageKind = 6
 )
 
@@ -56,8 +57,8 @@
 	Incarnation uint64 `cbor:"11,keyasint,omitempty"`
 	// Recovered says that no intent that may still matter can have been lost with an earlier process.
 	Recovered bool `cbor:"12,keyasint,omitempty"`
-	// Intents are intents of the sender in its order, beginning after the first IntentOffset ones of its incarnation, of
-	// which the first ExpiredIntents have expired. MoreIntents says that the list goes on.
+	// Intents are intents of the sender in its order, beginning after the first IntentOffset ones of its incarnation,
+	// of which the first ExpiredIntents have expired. MoreIntents says that the list goes on.
 	IntentOffset   uint64               `cbor:"13,keyasint,omitempty"`
 	ExpiredIntents uint64               `cbor:"18,keyasint,omitempty"`
 	Intents        []CancellationIntent `cbor:"14,keyasint,omitempty"`
--- a/internal/protocol/peermessage_test.go
+++ b/internal/protocol/peermessage_test.go
@@ -153,6 +153,7 @@
 // TestUnchangedHeartbeatLists: a list of unchanged heartbeats is accepted only with an incarnation and a sequence for
 // each machine, and with no more machines than a message may name.
 func TestUnchangedHeartbeatLists(t *testing.T) {
+	const tooMany = MaxMachinesPerMessage + 1
 	for name, x := range map[string]struct {
 		machines, incarnations, sequences int
 		ok                                bool
@@ -163,7 +164,7 @@
 		"a sequence missing":     {3, 3, 2, false},
 		"both missing":           {3, 2, 2, false},
 		"no machines":            {0, 1, 1, false},
-		"too many":               {MaxMachinesPerMessage + 1, MaxMachinesPerMessage + 1, MaxMachinesPerMessage + 1, false},
+		"too many":               {tooMany, tooMany, tooMany, false},
 	} {
 		raw, err := EncodePeerMessage(&PeerMessage{
 			Kind:                PeerUnchangedHeartbeats,
--- a/internal/simulation/cluster_test.go
+++ b/internal/simulation/cluster_test.go
@@ -233,7 +233,7 @@
 // serve runs an outside service.
 func (l *cluster) serve(addr string, h http.Handler) *Host {
 	host := l.net.Host(HostOf(addr))
-	ln, err := host.Listen(addr)
+	ln, err := host.Listen(l.ctx, addr)
 	if err != nil {
 		l.t.Fatal(err)
 	}
--- a/internal/simulation/cluster_worker_test.go
+++ b/internal/simulation/cluster_worker_test.go
@@ -45,7 +45,7 @@
 			l.occurred["mute"]++
 		}
 	}
-	ln, err := r.host.Listen(m.Addr)
+	ln, err := r.host.Listen(l.ctx, m.Addr)
 	if err != nil {
 		l.t.Error(err)
 		return
--- a/internal/simulation/network.go
+++ b/internal/simulation/network.go
@@ -184,7 +184,7 @@
 func (a addr) String() string  { return string(a) }
 
 // Listen opens an address of the host.
-func (h *Host) Listen(address string) (net.Listener, error) {
+func (h *Host) Listen(_ context.Context, address string) (net.Listener, error) {
 	l := &listener{host: h, addr: addr(address), queue: make(chan net.Conn, 1024), closed: make(chan struct{})}
 	h.net.mu.Lock()
 	defer h.net.mu.Unlock()
--- a/internal/storage/storage_test.go
+++ b/internal/storage/storage_test.go
@@ -342,7 +342,7 @@
 		n := simulation.NewNetwork(1)
 		service, controller := n.Host("10.2.0.1"), n.Host("10.0.0.1")
 		state := simulation.NewStore()
-		l, err := service.Listen("10.2.0.1:2379")
+		l, err := service.Listen(t.Context(), "10.2.0.1:2379")
 		if err != nil {
 			t.Fatal(err)
 		}
--- /dev/null
+++ b/internal/transport/frame.go
@@ -0,0 +1,41 @@
+package transport
+
+import (
+	"encoding/binary"
+	"io"
+
+	"pinebay/internal/protocol"
+)
+
+// frameHeaderBytes is the size of a frame's header, which is the length of its content as a big-endian number.
+const frameHeaderBytes = 4
+
+// maxFrameBytes is the limit of a frame's content: a body of another interface and the fields around it.
+const maxFrameBytes = protocol.MaxBodyBytes + 4<<10
+
+// WriteFrame writes raw as one frame, in one call of w.Write.
+func WriteFrame(w io.Writer, raw []byte) error {
+	if len(raw) > maxFrameBytes {
+		return protocol.Malformed("frame of %d bytes", len(raw))
+	}
+	frame := make([]byte, 0, frameHeaderBytes+len(raw))
+	frame = binary.BigEndian.AppendUint32(frame, uint32(len(raw)))
+	_, err := w.Write(append(frame, raw...))
+	return err
+}
+
+// ReadFrame reads one frame and returns its content. An empty or too long frame is an error that matches
+// [protocol.ErrMalformed]; other errors are those of r.
+func ReadFrame(r io.Reader) ([]byte, error) {
+	var header [frameHeaderBytes]byte
+	if _, err := io.ReadFull(r, header[:]); err != nil {
+		return nil, err
+	}
+	n := binary.BigEndian.Uint32(header[:])
+	if n == 0 || n > maxFrameBytes {
+		return nil, protocol.Malformed("frame of %d bytes", n)
+	}
+	raw := make([]byte, n)
+	_, err := io.ReadFull(r, raw)
+	return raw, err
+}
--- a/internal/transport/mesh.go
+++ b/internal/transport/mesh.go
@@ -3,10 +3,8 @@
 import (
 	"bufio"
 	"context"
-	"encoding/binary"
 	"errors"
 	"fmt"
-	"io"
 	"log/slog"
 	"maps"
 	"net"
@@ -17,74 +15,46 @@
 	"pinebay/internal/protocol"
 )
 
-// maxFrameBytes bounds a frame of the mesh: a body of the other interfaces with
-// what goes around it.
-const maxFrameBytes = protocol.MaxBodyBytes + 4<<10
-
-// dialTimeoutDivisor is the part of a call's time, as its inverse, that opening a connection may
-// take.
+// dialTimeoutDivisor sets the part of a call's timeout that dialing may take.
 const dialTimeoutDivisor = 4
 
-// readBufferBytes is the read buffer of a connection between controllers: a heartbeat comes
-// in one system call instead of two, its head and its body.
-const readBufferBytes = 1 << 10
+// peerReadBufferBytes is the size of the read buffer of a connection between controllers. With it a heartbeat takes one
+// system call instead of two, one for the header and one for the content.
+const peerReadBufferBytes = 1 << 10
 
-// ErrPeerUnreachable says that a peer cannot be reached.
+// ErrPeerUnreachable matches the errors of calls that could not be sent to their peer.
 var ErrPeerUnreachable = errors.New("peer not reachable")
 
-// WriteFrame writes one length-framed message.
-func WriteFrame(w io.Writer, raw []byte) error {
-	if len(raw) > maxFrameBytes {
-		return fmt.Errorf("%w: frame of %d bytes", protocol.ErrMalformed, len(raw))
-	}
-	buf := binary.BigEndian.AppendUint32(make([]byte, 0, 4+len(raw)), uint32(len(raw)))
-	_, err := w.Write(append(buf, raw...))
-	return err
-}
-
-// ReadFrame reads one length-framed message.
-func ReadFrame(r io.Reader) ([]byte, error) {
-	var head [4]byte
-	if _, err := io.ReadFull(r, head[:]); err != nil {
-		return nil, err
-	}
-	n := binary.BigEndian.Uint32(head[:])
-	if n == 0 || n > maxFrameBytes {
-		return nil, fmt.Errorf("%w: frame of %d bytes", protocol.ErrMalformed, n)
-	}
-	raw := make([]byte, n)
-	_, err := io.ReadFull(r, raw)
-	return raw, err
+// MeshConfig configures a Mesh.
+type MeshConfig struct {
+	Network Network
+	// Self is the name of this controller.
+	Self string
+	// Peers are the addresses of the other controllers by name.
+	Peers map[string]string
+	// Timeout is the limit of each call, and of sending each reply.
+	Timeout time.Duration
+	Log     *slog.Logger
+	// Handle answers a request of a peer. It is called one at a time for the heartbeats of a connection, and
+	// concurrently otherwise.
+	Handle func(*protocol.PeerMessage) *protocol.PeerMessage
+	// OnPeerLost is called when a connection that a peer had opened ends.
+	OnPeerLost func(peer string)
 }
 
-// Mesh connects the controllers. Every pair holds one connection a direction;
-// requests go out on the own one and are answered there.
+// Mesh connects the controllers with each other. Each controller opens one connection to each peer, on which it sends
+// its requests and receives the replies; the requests of the peer arrive on the peer's connection. A Mesh is safe for
+// concurrent use. Its connections to peers stay open until the peer closes them or a call on them fails.
 type Mesh struct {
-	network    Network
-	self       string
-	timeout    time.Duration
-	log        *slog.Logger
-	handle     func(*protocol.PeerMessage) *protocol.PeerMessage
-	onPeerLost func(node string)
-	peers      map[string]*peer
+	config MeshConfig
+	peers  map[string]*peer
 }
 
-// NewMesh returns a mesh of self with the named peers. handle answers a
-// peer's request; lost is told when a peer's connection to us ends.
-func NewMesh(network Network, self string, peers map[string]string, timeout time.Duration, log *slog.Logger,
-	handle func(*protocol.PeerMessage) *protocol.PeerMessage, lost func(string),
-) *Mesh {
-	m := &Mesh{
-		network:    network,
-		self:       self,
-		timeout:    timeout,
-		log:        log,
-		handle:     handle,
-		onPeerLost: lost,
-		peers:      map[string]*peer{},
-	}
-	for node, addr := range peers {
-		m.peers[node] = &peer{addr: addr, pending: map[uint64]chan *protocol.PeerMessage{}}
+// NewMesh returns a mesh. It opens no connection before the first call.
+func NewMesh(config MeshConfig) *Mesh {
+	m := &Mesh{config: config, peers: map[string]*peer{}}
+	for name, addr := range config.Peers {
+		m.peers[name] = newPeer(addr)
 	}
 	return m
 }
@@ -94,9 +64,15 @@
 	return slices.Sorted(maps.Keys(m.peers))
 }
 
-// Serve answers peers on the listener until the context ends.
+// Serve answers the requests that peers send over connections of the listener, until ctx ends or the listener fails. It
+// closes the listener before it returns, and each connection when ctx ends.
 func (m *Mesh) Serve(ctx context.Context, l net.Listener) error {
-	context.AfterFunc(ctx, func() { l.Close() })
+	stop := context.AfterFunc(ctx, func() { _ = l.Close() })
+	defer func() {
+		if stop() {
+			_ = l.Close()
+		}
+	}()
 	for {
 		c, err := l.Accept()
 		if err != nil {
@@ -109,177 +85,101 @@
 	}
 }
 
-func (m *Mesh) serveConn(ctx context.Context, c net.Conn) {
-	defer c.Close()
-	stop := context.AfterFunc(ctx, func() { c.Close() })
+// serveConn answers the requests on one connection until it ends. A malformed message, or one of an unknown sender,
+// ends it.
+func (m *Mesh) serveConn(ctx context.Context, conn net.Conn) {
+	defer func() { _ = conn.Close() }()
+	stop := context.AfterFunc(ctx, func() { _ = conn.Close() })
 	defer stop()
 	from := ""
-	var wmu sync.Mutex
-	r := bufio.NewReaderSize(c, readBufferBytes)
+	replies := &replyWriter{conn: conn, timeout: m.config.Timeout}
+	r := bufio.NewReaderSize(conn, peerReadBufferBytes)
 	for {
 		raw, err := ReadFrame(r)
 		if err != nil {
 			if from != "" && !errors.Is(err, protocol.ErrMalformed) {
-				m.onPeerLost(from)
+				m.config.OnPeerLost(from)
 			}
 			return
 		}
-		msg, err := protocol.DecodePeerMessage(raw)
-		if err != nil || m.peers[msg.From] == nil {
-			m.log.Info("mesh frame refused", "remote", c.RemoteAddr(), "err", err)
+		request, err := protocol.DecodePeerMessage(raw)
+		if err != nil || m.peers[request.From] == nil {
+			m.config.Log.Info("peer message rejected", "remote", conn.RemoteAddr(), "error", err)
 			return
 		}
-		from = msg.From
-		if msg.Kind != protocol.PeerHeartbeat {
-			// What may wait for the leader must not hold up the beats behind it.
-			go m.answer(c, &wmu, msg)
+		from = request.From
+		if request.Kind != protocol.PeerHeartbeat {
+			// Other requests may wait for the leader. They must not delay the heartbeats behind them.
+			go m.answer(replies, request)
 			continue
 		}
-		m.answer(c, &wmu, msg)
+		m.answer(replies, request)
 	}
 }
 
-func (m *Mesh) answer(c net.Conn, wmu *sync.Mutex, msg *protocol.PeerMessage) {
-	reply := m.handle(msg)
-	reply.ID, reply.From = msg.ID, m.self
-	out, err := protocol.EncodePeerMessage(reply)
+// answer handles a request and sends the reply.
+func (m *Mesh) answer(replies *replyWriter, request *protocol.PeerMessage) {
+	reply := m.config.Handle(request)
+	reply.ID, reply.From = request.ID, m.config.Self
+	raw, err := protocol.EncodePeerMessage(reply)
 	if err != nil {
-		m.log.Error("mesh reply", "err", err)
+		m.config.Log.Error("peer reply not encoded", "error", err)
 		return
 	}
-	wmu.Lock()
-	defer wmu.Unlock()
-	err = c.SetWriteDeadline(time.Now().Add(m.timeout))
-	if err == nil {
-		err = WriteFrame(c, out)
-	}
-	if err != nil {
-		c.Close() // its reader ends, and the peer connects again
-	}
+	replies.write(raw)
 }
 
-type peer struct {
-	addr    string
+// replyWriter writes replies to a connection, one at a time.
+type replyWriter struct {
 	mu      sync.Mutex
 	conn    net.Conn
-	dialing bool
-	lastID  uint64
-	pending map[uint64]chan *protocol.PeerMessage
+	timeout time.Duration
 }
 
-// Call sends a request to a peer and returns its answer.
-func (m *Mesh) Call(ctx context.Context, node string, msg protocol.PeerMessage) (*protocol.PeerMessage, error) {
-	p := m.peers[node]
-	if p == nil {
-		return nil, fmt.Errorf("%w: unknown node %q", ErrPeerUnreachable, node)
+// write sends a reply. If that fails it closes the connection, which ends its reader; the peer then connects again.
+func (w *replyWriter) write(raw []byte) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	if err := writeFrameBefore(w.conn, time.Now().Add(w.timeout), raw); err != nil {
+		_ = w.conn.Close()
 	}
-	ctx, cancel := context.WithTimeout(ctx, m.timeout)
-	defer cancel()
-	if err := p.connect(ctx, m.network, m.timeout/dialTimeoutDivisor); err != nil {
-		return nil, err
+}
+
+// writeFrameBefore writes a frame, and fails at the deadline.
+func writeFrameBefore(conn net.Conn, deadline time.Time, raw []byte) error {
+	if err := conn.SetWriteDeadline(deadline); err != nil {
+		return err
 	}
-	answer := make(chan *protocol.PeerMessage, 1)
-	p.mu.Lock()
-	c := p.conn
-	if c == nil {
-		p.mu.Unlock()
-		return nil, ErrPeerUnreachable
+	return WriteFrame(conn, raw)
+}
+
+// Call sends a request to a peer and returns its reply. It returns at the latest when ctx ends or the mesh's timeout is
+// over. An error that matches [ErrPeerUnreachable] says that the peer is unknown or not connected, or that its
+// connection ended. A call that gets no reply in time closes the connection, as it may be broken without notice, so
+// that the next call opens another one.
+func (m *Mesh) Call(ctx context.Context, name string, request protocol.PeerMessage) (*protocol.PeerMessage, error) {
+	p := m.peers[name]
+	if p == nil {
+		return nil, fmt.Errorf("%w: unknown controller %q", ErrPeerUnreachable, name)
 	}
-	p.lastID++
-	id := p.lastID
-	msg.ID, msg.From = id, m.self
-	raw, err := protocol.EncodePeerMessage(&msg)
-	if err != nil {
-		p.mu.Unlock()
+	ctx, cancel := context.WithTimeout(ctx, m.config.Timeout)
+	defer cancel()
+	if err := p.connect(ctx, m.config.Network, m.config.Timeout/dialTimeoutDivisor); err != nil {
 		return nil, err
 	}
-	p.pending[id] = answer
-	deadline, _ := ctx.Deadline()
-	err = c.SetWriteDeadline(deadline)
-	if err == nil {
-		err = WriteFrame(c, raw)
-	}
-	p.mu.Unlock()
+	request.From = m.config.Self
+	conn, reply, err := p.send(ctx, &request)
 	if err != nil {
-		p.closeConn(c)
-		return nil, fmt.Errorf("mesh to %s: %w", node, err)
+		return nil, fmt.Errorf("call %s: %w", name, err)
 	}
 	select {
-	case r, ok := <-answer:
+	case message, ok := <-reply:
 		if !ok {
-			return nil, fmt.Errorf("mesh to %s: %w", node, ErrPeerUnreachable)
+			return nil, fmt.Errorf("call %s: %w", name, ErrPeerUnreachable)
 		}
-		return r, nil
+		return message, nil
 	case <-ctx.Done():
-		// A silent connection may be behind a cut: begin anew next time.
-		p.closeConn(c)
-		return nil, fmt.Errorf("mesh to %s: %w", node, ctx.Err())
-	}
-}
-
-func (p *peer) connect(ctx context.Context, network Network, timeout time.Duration) error {
-	p.mu.Lock()
-	if p.conn != nil {
-		p.mu.Unlock()
-		return nil
-	}
-	if p.dialing {
-		p.mu.Unlock()
-		return ErrPeerUnreachable
-	}
-	p.dialing = true
-	p.mu.Unlock()
-	// A connection to a controller that is down hangs. Given up soon, the next attempt
-	// finds the controller as soon as it is back.
-	dialCtx, cancel := context.WithTimeout(ctx, timeout)
-	defer cancel()
-	c, err := network.Dial(dialCtx, p.addr)
-	p.mu.Lock()
-	p.dialing = false
-	if err == nil {
-		p.conn = c
-	}
-	p.mu.Unlock()
-	if err != nil {
-		return fmt.Errorf("%w: %w", ErrPeerUnreachable, err)
-	}
-	go p.read(c)
-	return nil
-}
-
-func (p *peer) read(c net.Conn) {
-	defer p.closeConn(c)
-	r := bufio.NewReaderSize(c, readBufferBytes)
-	for {
-		raw, err := ReadFrame(r)
-		if err != nil {
-			return
-		}
-		msg, err := protocol.DecodePeerMessage(raw)
-		if err != nil {
-			return
-		}
-		p.mu.Lock()
-		ch := p.pending[msg.ID]
-		delete(p.pending, msg.ID)
-		p.mu.Unlock()
-		if ch != nil {
-			ch <- msg
-		}
-	}
-}
-
-// closeConn closes a connection and fails what waits on it.
-func (p *peer) closeConn(c net.Conn) {
-	c.Close()
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.conn != c {
-		return
-	}
-	p.conn = nil
-	for id, ch := range p.pending {
-		close(ch)
-		delete(p.pending, id)
+		p.closeConn(conn)
+		return nil, fmt.Errorf("call %s: %w", name, ctx.Err())
 	}
 }
--- /dev/null
+++ b/internal/transport/server.go
@@ -0,0 +1,42 @@
+package transport
+
+import (
+	"errors"
+	"fmt"
+	"io"
+	"net/http"
+
+	"pinebay/internal/protocol"
+)
+
+// ReadBody reads the body of a request, up to [protocol.MaxBodyBytes]. A longer body is not read to its end: the error
+// matches [protocol.ErrMalformed], and the connection is closed after the response.
+func ReadBody(w http.ResponseWriter, r *http.Request) ([]byte, error) {
+	if r.ContentLength > protocol.MaxBodyBytes {
+		w.Header().Set("Connection", "close")
+		return nil, protocol.Malformed("body of %d bytes", r.ContentLength)
+	}
+	raw, err := io.ReadAll(http.MaxBytesReader(w, r.Body, protocol.MaxBodyBytes))
+	if err != nil {
+		var tooLarge *http.MaxBytesError
+		if errors.As(err, &tooLarge) {
+			w.Header().Set("Connection", "close")
+			return nil, protocol.Malformed("body too long")
+		}
+		return nil, fmt.Errorf("read body: %w", err)
+	}
+	return raw, nil
+}
+
+// WriteResponse writes a response with body as MessagePack. If the body cannot be encoded, the response is a 500
+// without body. Errors of the connection are ignored: a client that has lost the response asks again.
+func WriteResponse(w http.ResponseWriter, status int, body any) {
+	raw, err := protocol.Encode(body)
+	if err != nil {
+		w.WriteHeader(http.StatusInternalServerError)
+		return
+	}
+	w.Header().Set("Content-Type", protocol.ContentType)
+	w.WriteHeader(status)
+	_, _ = w.Write(raw)
+}
--- /dev/null
+++ b/internal/transport/server_test.go
@@ -0,0 +1,48 @@
+package transport
+
+import (
+	"errors"
+	"net/http"
+	"net/http/httptest"
+	"strings"
+	"testing"
+
+	"pinebay/internal/protocol"
+)
+
+// TestReadBody: a body above the limit is malformed and ends the connection, whether its length is announced or not.
+func TestReadBody(t *testing.T) {
+	for name, x := range map[string]struct {
+		bytes     int
+		announced bool
+		want      string
+	}{
+		"at the limit":           {protocol.MaxBodyBytes, true, ""},
+		"announced and too long": {protocol.MaxBodyBytes + 1, true, "malformed: body of 65537 bytes"},
+		"streamed, at the limit": {protocol.MaxBodyBytes, false, ""},
+		"streamed and too long":  {protocol.MaxBodyBytes + 1, false, "malformed: body too long"},
+		"empty":                  {0, true, ""},
+	} {
+		t.Run(name, func(t *testing.T) {
+			body := strings.NewReader(strings.Repeat("x", x.bytes))
+			r := httptest.NewRequestWithContext(t.Context(), http.MethodPost, "/submissions", body)
+			if !x.announced {
+				r.ContentLength = -1
+			}
+			w := httptest.NewRecorder()
+			raw, err := ReadBody(w, r)
+			if x.want == "" {
+				if err != nil || len(raw) != x.bytes {
+					t.Errorf("%d bytes, %v", len(raw), err)
+				}
+				return
+			}
+			if !errors.Is(err, protocol.ErrMalformed) || err.Error() != x.want {
+				t.Errorf("%v, want %q", err, x.want)
+			}
+			if w.Header().Get("Connection") != "close" {
+				t.Error("the connection stays open")
+			}
+		})
+	}
+}
