--- a/internal/coordination/scheduler/job.go
+++ b/internal/coordination/jobstate/job.go
@@ -1,8 +1,6 @@
-// Package scheduler is the leader's state machine: jobs and their tasks, the
-// cycle that places them, and what follows from reports, records and failures.
-// It does no I/O and reads no clock: a step takes an event and the time, and
-// returns effects.
-package scheduler
+// Package jobstate holds what a leader knows of one job: its tasks and their placements, the pages that record
+// them, its progress towards its end, and the queues that it stands in. It does no I/O and reads no clock.
+package jobstate
 
 import (
 	"strings"
@@ -50,11 +48,11 @@
 	Ending        bool // the transaction that ends it is under way
 	WriteInFlight bool
 	Unstarted     []*machineregistry.Placement // wait for their record
-	// What follows is the place in the queue of starts, while InStartQueue, and when the record may be
+	// What follows is the place in the queue of starts, while inStartQueue, and when the record may be
 	// tried again after it was found not to be what the books say, and how often it was.
-	InStartQueue        bool
-	StartTurn           uint64
-	StartNumber         uint64
+	inStartQueue        bool
+	startTurn           uint64
+	startNumber         uint64
 	RecordNotBefore     time.Duration
 	RecordAttempts      int
 	GangStopping        bool          // gang: being stopped as a whole
@@ -75,15 +73,15 @@
 	ReservedMachines map[*machineregistry.Machine]bool
 	// SearchDoublings is how often the looks of its searches were doubled.
 	SearchDoublings int
-	// CompletionQueued says that it is queued for the record of what has ended, since CompletionQueuedAt.
-	CompletionQueued   bool
-	CompletionQueuedAt time.Duration
+	// completionQueued says that it is queued for the record of what has ended, since completionQueuedAt.
+	completionQueued   bool
+	completionQueuedAt time.Duration
 	// PreemptionRound and PreemptionCycle are when work to stop was last looked for.
 	PreemptionRound, PreemptionCycle uint64
-	Queues                           *jobQueues // nil until it is in some
+	Queues                           *Queues // nil until it is in some
 }
 
-func NewJob(spec protocol.Job, stamp uint64, atMS int64, now time.Duration, layout storage.PageLayout) *Job {
+func New(spec protocol.Job, stamp uint64, atMS int64, now time.Duration, layout storage.PageLayout) *Job {
 	return &Job{
 		Spec:              spec,
 		TaskResources:     machineregistry.TaskResources(&spec),
@@ -114,7 +112,7 @@
 		j.lowestPending = task
 	}
 	if waited != (j.TaskCounts[TaskPending] > 0) {
-		j.Queues.update(j)
+		j.Queues.Update(j)
 	}
 }
 
@@ -175,3 +173,6 @@
 	}
 	return s
 }
+
+// HasStarted says whether a task of the job was ever placed.
+func (j *Job) HasStarted() bool { return j.Pages.HighestAttempt() > 0 }
--- /dev/null
+++ b/internal/coordination/jobstate/pages.go
@@ -0,0 +1,95 @@
+package jobstate
+
+import (
+	"fmt"
+	"slices"
+	"time"
+
+	"pinebay/internal/storage"
+)
+
+// MarkDirty causes the page of a task to be written again.
+func (j *Job) MarkDirty(task int, now time.Duration) {
+	j.Pages.PageOf(task).Dirty = true
+	j.Queues.AddCompletion(now, j)
+}
+
+// PageRecord returns a page as it should be stored, by a transaction of the given name.
+func (j *Job) PageRecord(number int, writeName string) *storage.PlacementPage {
+	record := &storage.PlacementPage{
+		WriteName:      writeName,
+		HighestAttempt: j.Pages.Page(number).HighestAttempt,
+		Team:           j.Spec.Team,
+		CPUs:           j.TaskResources.CPUs,
+		GPUs:           j.TaskResources.GPUs,
+		MemoryGB:       j.TaskResources.MemoryGB,
+	}
+	first, end := j.Pages.Tasks(number)
+	for task := first; task < end; task++ {
+		if j.TaskStates[task] == TaskDone {
+			record.AddDoneTask(task)
+		}
+		if pl := j.Placements[task]; pl != nil {
+			record.Placements = append(record.Placements, storage.Placement{
+				Task:        task,
+				Machine:     pl.Machine,
+				Incarnation: pl.Incarnation,
+				Attempt:     pl.Attempt,
+				Zone:        record.ZoneIndex(pl.Zone),
+			})
+		}
+	}
+	return record
+}
+
+// EncodePage returns a page as its layout stores it, for a transaction of the given name.
+func (j *Job) EncodePage(number int, writeName string) ([]byte, error) {
+	value, err := storage.EncodePage(j.PageRecord(number, writeName), j.Pages.Layout())
+	if err != nil {
+		return nil, fmt.Errorf("encode page %d of %s: %w", number, j.Spec.ID, err)
+	}
+	return value, nil
+}
+
+// Upper bounds of what a record takes beside its placements, in the JSON form that the limits count.
+const (
+	recordHeaderBytes = 512
+	doneRangeBytes    = 16
+)
+
+// EstimatedPageBytes returns an upper bound of the size of a page's record.
+func (j *Job) EstimatedPageBytes(number int) int {
+	size := recordHeaderBytes
+	previousDone := false
+	first, end := j.Pages.Tasks(number)
+	for task := first; task < end; task++ {
+		done := j.TaskStates[task] == TaskDone
+		if done && !previousDone {
+			size += doneRangeBytes
+		}
+		previousDone = done
+		if j.Placements[task] != nil {
+			size += storage.PlacementBytes
+		}
+	}
+	return size
+}
+
+// PagesToWrite returns the numbers of the next pages to be written, in rising order and up to a limit. Those that
+// starts wait for are chosen first.
+func (j *Job) PagesToWrite(limit int) []int {
+	var numbers []int
+	add := func(number int) {
+		if len(numbers) < limit && !slices.Contains(numbers, number) {
+			numbers = append(numbers, number)
+		}
+	}
+	for _, pl := range j.Unstarted {
+		add(j.Pages.NumberOf(pl.Task.Index))
+	}
+	for _, number := range j.Pages.Dirty() {
+		add(number)
+	}
+	slices.Sort(numbers)
+	return numbers
+}
--- a/internal/coordination/scheduler/startqueue.go
+++ b/internal/coordination/jobstate/startqueue.go
@@ -1,4 +1,4 @@
-package scheduler
+package jobstate
 
 import (
 	"cmp"
@@ -7,12 +7,12 @@
 	"github.com/tidwall/btree"
 )
 
-// startQueue holds the jobs with placements that wait for their record. Their order is by priority;
+// StartQueue holds the jobs with placements that wait for their record. Their order is by priority;
 // among equals the teams are served in turn, and of a team the job that has waited for longest. Every
 // fourth goes to the job that has waited for longest of all, so that none waits for ever: with n jobs
 // in the queue it is served after no more than 4n others, whatever their priority.
-type startQueue struct {
-	byTurn    *btree.BTreeG[*Job]
+type StartQueue struct {
+	ByTurn    *btree.BTreeG[*Job]
 	byAge     *btree.BTreeG[*Job]
 	teamTurns map[int]*priorityTurns
 	enqueued  uint64 // jobs that were entered so far
@@ -29,9 +29,9 @@
 	lastByTeam map[string]uint64
 }
 
-func newStartQueue() *startQueue {
-	return &startQueue{
-		byTurn:    btree.NewBTreeGOptions(lessByTurn, btree.Options{NoLocks: true}),
+func NewStartQueue() *StartQueue {
+	return &StartQueue{
+		ByTurn:    btree.NewBTreeGOptions(lessByTurn, btree.Options{NoLocks: true}),
 		byAge:     btree.NewBTreeGOptions(lessByAge, btree.Options{NoLocks: true}),
 		teamTurns: map[int]*priorityTurns{},
 	}
@@ -40,18 +40,18 @@
 func lessByTurn(a, b *Job) bool {
 	return cmp.Or(
 		cmp.Compare(a.EffectivePriority, b.EffectivePriority),
-		cmp.Compare(a.StartTurn, b.StartTurn),
-		cmp.Compare(a.StartNumber, b.StartNumber),
+		cmp.Compare(a.startTurn, b.startTurn),
+		cmp.Compare(a.startNumber, b.startNumber),
 	) < 0
 }
 
 func lessByAge(a, b *Job) bool {
-	return a.StartNumber < b.StartNumber
+	return a.startNumber < b.startNumber
 }
 
-// add enters a job that has just got placements to be recorded, unless it waits already.
-func (q *startQueue) add(j *Job) {
-	if q == nil || j.InStartQueue {
+// Add enters a job that has just got placements to be recorded, unless it waits already.
+func (q *StartQueue) Add(j *Job) {
+	if q == nil || j.inStartQueue {
 		return
 	}
 	turns := q.teamTurns[j.EffectivePriority]
@@ -60,49 +60,49 @@
 		q.teamTurns[j.EffectivePriority] = turns
 	}
 	q.enqueued++
-	j.StartNumber = q.enqueued
-	j.StartTurn = max(turns.current, turns.lastByTeam[j.Spec.Team]) + 1
-	turns.lastByTeam[j.Spec.Team] = j.StartTurn
-	q.requeue(j)
+	j.startNumber = q.enqueued
+	j.startTurn = max(turns.current, turns.lastByTeam[j.Spec.Team]) + 1
+	turns.lastByTeam[j.Spec.Team] = j.startTurn
+	q.Requeue(j)
 }
 
-// requeue enters a job where it was, if it still has placements to be recorded.
-func (q *startQueue) requeue(j *Job) {
-	if j.InStartQueue || len(j.Unstarted) == 0 {
+// Requeue enters a job where it was, if it still has placements to be recorded.
+func (q *StartQueue) Requeue(j *Job) {
+	if j.inStartQueue || len(j.Unstarted) == 0 {
 		return
 	}
-	j.InStartQueue = true
-	q.byTurn.Set(j)
+	j.inStartQueue = true
+	q.ByTurn.Set(j)
 	q.byAge.Set(j)
 }
 
 // remove takes a job out of the queue.
-func (q *startQueue) remove(j *Job) {
-	if !j.InStartQueue {
+func (q *StartQueue) remove(j *Job) {
+	if !j.inStartQueue {
 		return
 	}
-	j.InStartQueue = false
-	q.byTurn.Delete(j)
+	j.inStartQueue = false
+	q.ByTurn.Delete(j)
 	q.byAge.Delete(j)
 }
 
-// dequeue takes the job out whose turn it is.
-func (q *startQueue) dequeue(j *Job) {
+// Dequeue takes the job out whose turn it is.
+func (q *StartQueue) Dequeue(j *Job) {
 	q.remove(j)
 	if turns := q.teamTurns[j.EffectivePriority]; turns != nil && !q.oldestIsNext() {
-		turns.current = max(turns.current, j.StartTurn)
+		turns.current = max(turns.current, j.startTurn)
 	}
 	q.dequeued++
 }
 
 // oldestIsNext says whether the next turn is that of the job that has waited for longest of all.
-func (q *startQueue) oldestIsNext() bool { return q.dequeued%oldestEvery == oldestEvery-1 }
+func (q *StartQueue) oldestIsNext() bool { return q.dequeued%oldestEvery == oldestEvery-1 }
 
-// next returns the job whose turn it is, or nil if there is none that may be written now. Jobs that
+// Next returns the job whose turn it is, or nil if there is none that may be written now. Jobs that
 // wait for nothing any more are dropped. If jobs are listed in another order, that goes before the
 // queue's own.
-func (q *startQueue) next(now time.Duration, listed []*Job) *Job {
-	jobs := q.byTurn
+func (q *StartQueue) Next(now time.Duration, listed []*Job) *Job {
+	jobs := q.ByTurn
 	if q.oldestIsNext() {
 		jobs = q.byAge
 	}
@@ -121,7 +121,7 @@
 		jobs.Scan(look)
 	}
 	for _, j := range listed {
-		if j.InStartQueue && !look(j) {
+		if j.inStartQueue && !look(j) {
 			break
 		}
 	}
--- a/internal/coordination/scheduler/allocate.go
+++ b/internal/coordination/scheduler/allocate.go
@@ -4,6 +4,7 @@
 	"time"
 
 	"pinebay/internal/coordination/candidates"
+	"pinebay/internal/coordination/jobstate"
 	"pinebay/internal/coordination/machineregistry"
 	"pinebay/internal/protocol"
 )
@@ -30,17 +31,17 @@
 		if len(j.ReservedMachines) > 0 {
 			c.capacityEvents++ // what is cleared for it may be had by others from now on
 		}
-		if j.TaskCounts[TaskPending] == 0 {
+		if j.TaskCounts[jobstate.TaskPending] == 0 {
 			continue // placed within its team's guarantee just now
 		}
-		k := j.searchKey()
+		k := searchKeyOf(j)
 		if failed[k] >= maxFailuresPerSearchKey {
 			j.UnschedulableCycles++
 			continue
 		}
-		before := j.TaskCounts[TaskPending]
+		before := j.TaskCounts[jobstate.TaskPending]
 		c.placeJob(now, j, c.tasksWithinQuotaLimit(j))
-		if j.Spec.Shape != protocol.Gang && j.TaskCounts[TaskPending] == before {
+		if j.Spec.Shape != protocol.Gang && j.TaskCounts[jobstate.TaskPending] == before {
 			failed[k]++
 		}
 	}
@@ -51,8 +52,8 @@
 }
 
 // schedulableJobs lists the jobs that have tasks to place, in order.
-func (c *Scheduler) schedulableJobs(now time.Duration) (waiting []*Job) {
-	c.queues.pendingJobs.Scan(func(j *Job) bool {
+func (c *Scheduler) schedulableJobs(now time.Duration) (waiting []*jobstate.Job) {
+	c.queues.Pending.Scan(func(j *jobstate.Job) bool {
 		if c.placeableNow(now, j) {
 			j.LastWaitingCycle = c.cycleCount
 			waiting = append(waiting, j)
@@ -65,7 +66,7 @@
 
 // placeJob allocates as much of a job as there is room for, of so many tasks that are
 // allowed: up to minAvailable or nothing for a gang, task by task for the others.
-func (c *Scheduler) placeJob(now time.Duration, j *Job, allowed int) {
+func (c *Scheduler) placeJob(now time.Duration, j *jobstate.Job, allowed int) {
 	gang := j.Spec.Shape == protocol.Gang
 	if gang && allowed < j.Spec.TaskCount {
 		return
@@ -75,13 +76,13 @@
 	if gang && j.Spec.SameZone && l.onlyZone == "" {
 		got, l = c.bestZone(now, j, l)
 	} else {
-		got = c.allocate(now, j, l, min(allowed, j.TaskCounts[TaskPending]))
+		got = c.allocate(now, j, l, min(allowed, j.TaskCounts[jobstate.TaskPending]))
 	}
 	if gang && len(got) < j.Spec.TaskCount {
 		c.holdForGang(now, j, got, l)
 		return
 	}
-	wanted := min(allowed, j.TaskCounts[TaskPending])
+	wanted := min(allowed, j.TaskCounts[jobstate.TaskPending])
 	c.bind(now, j, got)
 	if len(got) < wanted {
 		j.UnschedulableCycles++
@@ -98,7 +99,7 @@
 }
 
 // allocate takes room for up to n tasks, task by task.
-func (c *Scheduler) allocate(now time.Duration, j *Job, l *zoneLimits, n int) allocation {
+func (c *Scheduler) allocate(now time.Duration, j *jobstate.Job, l *zoneLimits, n int) allocation {
 	var got allocation
 	for t := j.NextPending(0); t >= 0 && len(got) < n; t = j.NextPending(t + 1) {
 		x, attempted := c.selectMachine(now, j, t, l)
@@ -125,7 +126,7 @@
 	return got
 }
 
-func (c *Scheduler) undoAllocation(j *Job, got allocation) {
+func (c *Scheduler) undoAllocation(j *jobstate.Job, got allocation) {
 	c.capacityEvents++
 	for _, g := range got {
 		c.candidates.SetFree(g.x, g.x.Free.Plus(j.TaskResources))
@@ -134,7 +135,7 @@
 
 // bestZone tries the zones for a gang that must be in one, and keeps the room
 // in the one that holds all of it, or else most of it.
-func (c *Scheduler) bestZone(now time.Duration, j *Job, l *zoneLimits) (allocation, *zoneLimits) {
+func (c *Scheduler) bestZone(now time.Duration, j *jobstate.Job, l *zoneLimits) (allocation, *zoneLimits) {
 	best, bestN, bestScore := "", -1, 0.0
 	try := func(z string) (allocation, *zoneLimits, float64) {
 		zl := &zoneLimits{onlyZone: z, tasksPerZone: map[string]int{}, maxTasksPerZone: l.maxTasksPerZone}
@@ -162,7 +163,7 @@
 // holdForGang keeps the room of a short gang closed to others until the next cycle:
 // what it was allocated, and for each task without room the machine that is
 // nearest to having it. Every fourth short cycle smaller jobs may backfill.
-func (c *Scheduler) holdForGang(now time.Duration, j *Job, got allocation, l *zoneLimits) {
+func (c *Scheduler) holdForGang(now time.Duration, j *jobstate.Job, got allocation, l *zoneLimits) {
 	j.UnschedulableCycles++
 	missing := j.Spec.TaskCount - len(got)
 	c.preempt(now, j, l, missing)
@@ -182,7 +183,7 @@
 }
 
 // bind promises room for the tasks, and has their placements recorded.
-func (c *Scheduler) bind(now time.Duration, j *Job, got allocation) {
+func (c *Scheduler) bind(now time.Duration, j *jobstate.Job, got allocation) {
 	if len(got) == 0 {
 		return
 	}
@@ -211,11 +212,11 @@
 	}
 	for _, pl := range ps {
 		t := pl.Task.Index
-		j.SetTask(t, TaskPlaced)
+		j.SetTask(t, jobstate.TaskPlaced)
 		j.Placements[t] = pl
-		j.markDirty(t, now)
+		j.MarkDirty(t, now)
 		j.Unstarted = append(j.Unstarted, pl)
-		j.Queues.addPlaced(j)
+		j.Queues.AddPlaced(j)
 		if m := c.machines.Machine(pl.Machine); m.ReservedJob == j.Spec.ID {
 			m.ClearReservation()
 		}
--- a/internal/coordination/scheduler/borrowablecapacity.go
+++ b/internal/coordination/scheduler/borrowablecapacity.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"pinebay/internal/coordination/candidates"
+	"pinebay/internal/coordination/jobstate"
 	"pinebay/internal/coordination/machineregistry"
 	"pinebay/internal/coordination/zonefailover"
 	"pinebay/internal/protocol"
@@ -76,7 +77,7 @@
 
 // choose looks for room for the request, without taking it.
 func (k *borrowableCapacity) choose(
-	j *Job,
+	j *jobstate.Job,
 	request zonefailover.CapacityRequest,
 	allowed func(*candidates.Candidate) bool,
 ) zonefailover.Choice {
@@ -97,7 +98,7 @@
 
 // lendersFor returns the work on a machine that lends its room to a job: lower work that its
 // team does not run within its guarantee.
-func (k *borrowableCapacity) lendersFor(j *Job, room *borrowableMachine) (lenders []zonefailover.Lender) {
+func (k *borrowableCapacity) lendersFor(j *jobstate.Job, room *borrowableMachine) (lenders []zonefailover.Lender) {
 	capacity := machineregistry.CapacityOf(room.candidate.Type)
 	for _, pl := range room.lenders {
 		if pl.PriorityLevel <= j.EffectivePriority || k.scheduler.recoversBefore(pl, j) || k.lent[taskAttemptOf(pl)] ||
@@ -149,7 +150,7 @@
 
 // placeJob finds room for tasks of a job and takes it off the market, and returns for how many
 // there is room; for a job that must be whole, and in one zone if it says so, none or all.
-func (k *borrowableCapacity) placeJob(j *Job, request zonefailover.CapacityRequest, whole bool) int {
+func (k *borrowableCapacity) placeJob(j *jobstate.Job, request zonefailover.CapacityRequest, whole bool) int {
 	anywhere := func(*candidates.Candidate) bool { return true }
 	choose := k.choose
 	if j.Spec.SameZone {
@@ -165,7 +166,7 @@
 
 // chooseSingleZone looks for room in a single zone, where it costs least among those with most.
 func (k *borrowableCapacity) chooseSingleZone(
-	j *Job,
+	j *jobstate.Job,
 	request zonefailover.CapacityRequest,
 	allowed func(*candidates.Candidate) bool,
 ) (best zonefailover.Choice) {
@@ -181,7 +182,7 @@
 }
 
 // commit takes a choice off the market.
-func (k *borrowableCapacity) commit(j *Job, choice zonefailover.Choice) {
+func (k *borrowableCapacity) commit(j *jobstate.Job, choice zonefailover.Choice) {
 	for _, room := range k.machines {
 		for _, pl := range room.lenders {
 			if !slices.Contains(choice.Lenders, taskAttemptOf(pl)) {
--- a/internal/coordination/scheduler/borrowing.go
+++ b/internal/coordination/scheduler/borrowing.go
@@ -6,6 +6,7 @@
 
 	"pinebay/internal/config"
 	"pinebay/internal/coordination/candidates"
+	"pinebay/internal/coordination/jobstate"
 	"pinebay/internal/coordination/zonefailover"
 	"pinebay/internal/protocol"
 )
@@ -15,7 +16,7 @@
 
 // mayBorrow says whether a job may borrow room: it has lost tasks with a zone that is not
 // trusted again yet.
-func (c *Scheduler) mayBorrow(j *Job) bool {
+func (c *Scheduler) mayBorrow(j *jobstate.Job) bool {
 	if c.zoneFailover == nil || j.DisplacedFromZone == "" {
 		return false
 	}
@@ -24,7 +25,7 @@
 
 // awaitsLentCapacity says whether room that a job was lent is about to come free. Backfill would take
 // what it has meanwhile, only to be stopped for it at once.
-func (c *Scheduler) awaitsLentCapacity(now time.Duration, j *Job) bool {
+func (c *Scheduler) awaitsLentCapacity(now time.Duration, j *jobstate.Job) bool {
 	if !c.mayBorrow(j) {
 		return false
 	}
@@ -35,7 +36,7 @@
 // stopped for it is recorded first: should we end in between, the next leader finds who
 // was to lend to whom. It says whether that is how the job gets room: not when no further
 // loan can be recorded.
-func (c *Scheduler) borrowCapacity(now time.Duration, j *Job, l *zoneLimits, n int) bool {
+func (c *Scheduler) borrowCapacity(now time.Duration, j *jobstate.Job, l *zoneLimits, n int) bool {
 	n -= len(c.nominatedCandidates(now, j)) // lent already, and not yet free
 	if n <= 0 {
 		return true
@@ -65,7 +66,7 @@
 }
 
 // acquireSearch says whether room to borrow may be looked for now, and counts that it is.
-func (c *Scheduler) acquireSearch(now time.Duration, j *Job) bool {
+func (c *Scheduler) acquireSearch(now time.Duration, j *jobstate.Job) bool {
 	z := c.zoneFailover
 	if now < j.NextLoanSearch {
 		return false
@@ -80,7 +81,7 @@
 // reserveChosenMachines keeps the machines of a choice for the job until the lenders have left.
 func (c *Scheduler) reserveChosenMachines(
 	now time.Duration,
-	j *Job,
+	j *jobstate.Job,
 	cands []*candidates.Candidate,
 	l *zoneLimits,
 	choice zonefailover.Choice,
--- a/internal/coordination/scheduler/cancellation.go
+++ b/internal/coordination/scheduler/cancellation.go
@@ -4,6 +4,7 @@
 	"time"
 
 	"pinebay/internal/config"
+	"pinebay/internal/coordination/jobstate"
 	"pinebay/internal/protocol"
 )
 
@@ -35,7 +36,7 @@
 }
 
 // setFencingDeadline says by when a job's tasks must be gone.
-func (c *Scheduler) setFencingDeadline(j *Job, by time.Duration) {
+func (c *Scheduler) setFencingDeadline(j *jobstate.Job, by time.Duration) {
 	for _, pl := range j.Placements {
 		if pl.FenceAt == 0 {
 			pl.FenceAt = by
@@ -55,7 +56,7 @@
 }
 
 // startForbidden says whether a job must not start anything.
-func (c *Scheduler) startForbidden(j *Job) bool {
+func (c *Scheduler) startForbidden(j *jobstate.Job) bool {
 	_, ok := c.cancellationIntents[j.Spec.ID]
 	return ok || j.Ended || j.Ending || j.Blocked
 }
--- a/internal/coordination/scheduler/completion_test.go
+++ b/internal/coordination/scheduler/completion_test.go
@@ -6,6 +6,7 @@
 	"testing"
 
 	"pinebay/internal/config"
+	"pinebay/internal/coordination/jobstate"
 	"pinebay/internal/coordination/machineregistry"
 	"pinebay/internal/protocol"
 	"pinebay/internal/storage"
@@ -140,12 +141,12 @@
 // TestPagesOfStartsAreWrittenFirst: of a job with many pages to write, those go first for which starts
 // wait.
 func TestPagesOfStartsAreWrittenFirst(t *testing.T) {
-	j := NewJob(jobSpec("j-1", protocol.Array, "normal", 100, 1), 1, 0, 0, storage.PageLayout{TasksPerPage: 10})
+	j := jobstate.New(jobSpec("j-1", protocol.Array, "normal", 100, 1), 1, 0, 0, storage.PageLayout{TasksPerPage: 10})
 	for task := range 100 {
-		j.markDirty(task, 0)
+		j.MarkDirty(task, 0)
 	}
 	j.Unstarted = []*machineregistry.Placement{{Task: protocol.TaskID{JobID: "j-1", Index: 95}}}
-	if got := j.pagesToWrite(3); !slices.Equal(got, []int{0, 1, 9}) {
+	if got := j.PagesToWrite(3); !slices.Equal(got, []int{0, 1, 9}) {
 		t.Errorf("pages %v, want the one of the start and two more", got)
 	}
 }
--- a/internal/coordination/scheduler/consolidate.go
+++ b/internal/coordination/scheduler/consolidate.go
@@ -7,6 +7,7 @@
 
 	"pinebay/internal/config"
 	"pinebay/internal/coordination/candidates"
+	"pinebay/internal/coordination/jobstate"
 	"pinebay/internal/coordination/machineregistry"
 	"pinebay/internal/protocol"
 )
@@ -142,9 +143,9 @@
 
 // relocateFetchingTasks has a look at the jobs of which tasks may still fetch their image.
 func (c *Scheduler) relocateFetchingTasks(now time.Duration) {
-	for _, j := range c.inSchedulingOrder(c.queues.fetchingJobs) {
+	for _, j := range c.inSchedulingOrder(c.queues.Fetching) {
 		if !c.mayRelocate(j) || !mayBeFetching(j) {
-			c.queues.fetchingJobs.Delete(j)
+			c.queues.Fetching.Delete(j)
 			continue
 		}
 		c.relocateFetchingTask(now, j)
@@ -153,13 +154,13 @@
 
 // mayRelocate says whether tasks of a job are ever moved to a machine with its image. Those of a
 // gang wait for the slowest, and would have to move together.
-func (c *Scheduler) mayRelocate(j *Job) bool {
+func (c *Scheduler) mayRelocate(j *jobstate.Job) bool {
 	return !j.Ended && !math.IsInf(c.startLatencyObjective(j.Spec.Class), 1) &&
 		(j.Spec.Shape != protocol.Gang || j.Spec.TaskCount == 1)
 }
 
 // mayBeFetching says whether a task of the job may still fetch its image.
-func mayBeFetching(j *Job) bool {
+func mayBeFetching(j *jobstate.Job) bool {
 	for _, pl := range j.Placements {
 		if !pl.Reported || pl.State == protocol.TaskFetching {
 			return true
@@ -172,8 +173,8 @@
 // has come free meanwhile. Fetches take up to a third longer than the type
 // says, and for large images that is longer than some aims on waiting; a task
 // that has not started loses nothing by the move.
-func (c *Scheduler) relocateFetchingTask(now time.Duration, j *Job) {
-	if c.startForbidden(j) || j.WriteInFlight || j.TaskCounts[TaskPending] > 0 {
+func (c *Scheduler) relocateFetchingTask(now time.Duration, j *jobstate.Job) {
+	if c.startForbidden(j) || j.WriteInFlight || j.TaskCounts[jobstate.TaskPending] > 0 {
 		return
 	}
 	for _, pl := range sortedPlacements(j) {
--- a/internal/coordination/scheduler/cycle_bench_test.go
+++ b/internal/coordination/scheduler/cycle_bench_test.go
@@ -5,6 +5,7 @@
 	"testing"
 
 	"pinebay/internal/config"
+	"pinebay/internal/coordination/jobstate"
 	"pinebay/internal/protocol"
 )
 
@@ -71,7 +72,7 @@
 			l := largeHarness(n)
 			waiting := 0
 			for _, j := range l.scheduler.jobs {
-				waiting += j.TaskCounts[TaskPending]
+				waiting += j.TaskCounts[jobstate.TaskPending]
 			}
 			b.ResetTimer()
 			b.ReportMetric(float64(waiting), "waiting")
--- a/internal/coordination/scheduler/demand.go
+++ b/internal/coordination/scheduler/demand.go
@@ -8,6 +8,7 @@
 
 	"pinebay/internal/config"
 	"pinebay/internal/coordination/autoscaler"
+	"pinebay/internal/coordination/jobstate"
 	"pinebay/internal/coordination/machineregistry"
 	"pinebay/internal/protocol"
 )
@@ -17,8 +18,8 @@
 func (c *Scheduler) capacityDemand(now time.Duration) []autoscaler.Demand {
 	var units []autoscaler.Demand
 	zones := map[zoneChoiceKey]string{}
-	for _, j := range c.inSchedulingOrder(c.queues.pendingJobs) {
-		n := min(j.TaskCounts[TaskPending], c.tasksWithinQuotaLimit(j))
+	for _, j := range c.inSchedulingOrder(c.queues.Pending) {
+		n := min(j.TaskCounts[jobstate.TaskPending], c.tasksWithinQuotaLimit(j))
 		if n == 0 || c.startForbidden(j) {
 			continue
 		}
@@ -63,7 +64,7 @@
 // chooseZone picks the zone in which room for a job that must be in one is gathered, and
 // remembers it for its like. Without it, machines in several zones could look like enough room
 // while no zone has it, and the job would wait for ever.
-func (c *Scheduler) chooseZone(now time.Duration, j *Job, known map[zoneChoiceKey]string) string {
+func (c *Scheduler) chooseZone(now time.Duration, j *jobstate.Job, known map[zoneChoiceKey]string) string {
 	q := zoneChoiceKey{j.TaskResources, j.AllowedTypes, j.Spec.Zone, j.Spec.TaskCount, j.Spec.SpotAllowed}
 	zone, ok := known[q]
 	if !ok {
@@ -74,7 +75,7 @@
 }
 
 // zoneWithMostCapacity returns the zone with room for most of a job's tasks, there or to be rented.
-func (c *Scheduler) zoneWithMostCapacity(now time.Duration, j *Job) string {
+func (c *Scheduler) zoneWithMostCapacity(now time.Duration, j *jobstate.Job) string {
 	room := map[string]int{}
 	c.machines.Each(func(m *machineregistry.Machine) {
 		t := c.machines.MachineType(m.Type)
--- a/internal/coordination/scheduler/dependencies.go
+++ b/internal/coordination/scheduler/dependencies.go
@@ -7,6 +7,7 @@
 	"pinebay/internal/config"
 	"pinebay/internal/coordination/autoscaler"
 	"pinebay/internal/coordination/dependency"
+	"pinebay/internal/coordination/jobstate"
 	"pinebay/internal/protocol"
 	"pinebay/internal/storage"
 )
@@ -23,7 +24,7 @@
 }
 
 // addDependencies enters a job that was accepted, and what it awaits.
-func (c *Scheduler) addDependencies(now time.Duration, j *Job) {
+func (c *Scheduler) addDependencies(now time.Duration, j *jobstate.Job) {
 	due := dependency.NoDeadline
 	if j.Spec.DeadlineSeconds > 0 {
 		due = j.WaitingSince + config.Seconds(j.Spec.DeadlineSeconds)
@@ -92,7 +93,7 @@
 	for _, id := range change.Cancelled {
 		if j := c.jobs[id]; j != nil && !j.Ended {
 			j.Blocked = true
-			c.queues.update(j)
+			c.queues.Update(j)
 			c.cancelledDependents = append(c.cancelledDependents, j)
 		}
 	}
@@ -100,20 +101,20 @@
 }
 
 // unblock lets a job begin of which all needs are durably done. Its waiting times count from now on.
-func (c *Scheduler) unblock(now time.Duration, j *Job) {
+func (c *Scheduler) unblock(now time.Duration, j *jobstate.Job) {
 	if j == nil || j.Ended || !j.Blocked {
 		return
 	}
 	c.log.Debug("freed", "job", j.Spec.ID, "class", j.Spec.Class, "after", now-j.WaitingSince)
 	j.Blocked, j.WaitingSince = false, now
-	c.queues.update(j)
+	c.queues.Update(j)
 	c.recordArrival(j, now)
 	c.cycleDue = true
 }
 
 // reprioritise gives a job the priority and the latest start that it has by itself and by those that await it.
 // Its running tasks go on, and count by the new priority.
-func (c *Scheduler) reprioritise(j *Job) {
+func (c *Scheduler) reprioritise(j *jobstate.Job) {
 	if j == nil || j.Ended {
 		return
 	}
@@ -125,7 +126,7 @@
 	if !ok || level == j.EffectivePriority && start == j.LatestStart {
 		return
 	}
-	c.queues.reorder(j, func() { j.EffectivePriority, j.LatestStart = level, start })
+	c.queues.Reorder(j, func() { j.EffectivePriority, j.LatestStart = level, start })
 	for _, pl := range j.Placements {
 		c.machines.SetPriorityLevel(pl, level)
 	}
@@ -138,7 +139,7 @@
 	for len(c.cancelledDependents) > 0 && !c.writesPaused && c.pagesInFlight[PriorityCompletion] < c.maxCompletionPages() {
 		id, name := c.nextWriteID()
 		t := protocol.Txn{If: []protocol.Compare{{Key: storage.TermKey, Revision: c.termRevision}}}
-		var jobs []*Job
+		var jobs []*jobstate.Job
 		for len(c.cancelledDependents) > 0 && len(t.Then)+minTransactionOperations <= max(minTransactionOperations, c.stateLimits.TxnOps) {
 			j := c.cancelledDependents[0]
 			c.cancelledDependents[0] = nil
@@ -170,7 +171,7 @@
 }
 
 // writeCancellations writes the ends of jobs in one transaction.
-func (c *Scheduler) writeCancellations(id uint64, name string, t protocol.Txn, jobs []*Job) {
+func (c *Scheduler) writeCancellations(id uint64, name string, t protocol.Txn, jobs []*jobstate.Job) {
 	c.pagesInFlight[PriorityCompletion] += len(t.Then)
 	for _, j := range jobs {
 		j.Ending = true
@@ -207,7 +208,7 @@
 
 // handleEndedElsewhere says whether a transaction about several jobs failed because some of them are over, and takes
 // that in.
-func (c *Scheduler) handleEndedElsewhere(now time.Duration, jobs []*Job, w TransactionOutcome) bool {
+func (c *Scheduler) handleEndedElsewhere(now time.Duration, jobs []*jobstate.Job, w TransactionOutcome) bool {
 	over := false
 	for _, j := range jobs {
 		if slices.Contains(w.FailedKeys, storage.LiveJobKey(j.Spec.ID)) ||
@@ -223,7 +224,7 @@
 // they await all run, and are likely to be done by then.
 func (c *Scheduler) forecastBlockedJobs(now time.Duration) (units []autoscaler.Demand) {
 	left := maxForecastJobs
-	c.queues.blockedJobs.Scan(func(j *Job) bool {
+	c.queues.Blocked.Scan(func(j *jobstate.Job) bool {
 		if left--; left < 0 {
 			return false
 		}
@@ -247,7 +248,7 @@
 const maxForecastJobs = 256
 
 // dependenciesEndSoon says whether all that a job awaits is likely to be done within a boot time.
-func (c *Scheduler) dependenciesEndSoon(now time.Duration, j *Job) bool {
+func (c *Scheduler) dependenciesEndSoon(now time.Duration, j *jobstate.Job) bool {
 	boot := 0.0
 	for _, t := range c.machines.MachineTypes() {
 		boot = max(boot, t.BootSeconds)
@@ -257,7 +258,7 @@
 		if need == nil || need.Ended {
 			continue
 		}
-		if need.LastTaskStart == 0 || need.TaskCounts[TaskPending] > 0 ||
+		if need.LastTaskStart == 0 || need.TaskCounts[jobstate.TaskPending] > 0 ||
 			(need.LastTaskStart+config.Seconds(need.Spec.EstimateSeconds)-now).Seconds() > boot {
 			return false
 		}
--- a/internal/coordination/scheduler/featurelevel.go
+++ b/internal/coordination/scheduler/featurelevel.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"pinebay/internal/coordination/featurelevel"
+	"pinebay/internal/coordination/jobstate"
 	"pinebay/internal/protocol"
 	"pinebay/internal/storage"
 )
@@ -103,12 +104,12 @@
 		}
 		j.RecordNotBefore = 0
 		if len(j.Pages.Dirty()) > 0 {
-			j.Queues.addEnded(now, j)
+			j.Queues.AddCompletion(now, j)
 		}
 		switch {
 		case j.Ended:
 			c.cleanUpEndedJob(now, j)
-		case j.TaskCounts[TaskDone] == len(j.TaskStates):
+		case j.TaskCounts[jobstate.TaskDone] == len(j.TaskStates):
 			c.completeJob(now, j)
 		}
 	}
@@ -124,12 +125,12 @@
 		return
 	}
 	left := c.maxCompletionPages()
-	canReplace := func(j *Job) bool {
+	canReplace := func(j *jobstate.Job) bool {
 		return len(j.Pages.Superseded()) > 0 && !j.Ended && !j.Ending && !j.WriteInFlight
 	}
 	for _, j := range c.sortedJobsWhere(canReplace) {
 		j.Pages.MarkReplacementsDirty()
-		j.Queues.addEnded(now, j)
+		j.Queues.AddCompletion(now, j)
 		if left--; left <= 0 {
 			return
 		}
--- a/internal/coordination/scheduler/featurelevel_test.go
+++ b/internal/coordination/scheduler/featurelevel_test.go
@@ -11,6 +11,7 @@
 
 	"pinebay/internal/config"
 	"pinebay/internal/coordination/featurelevel"
+	"pinebay/internal/coordination/jobstate"
 	"pinebay/internal/coordination/machineregistry"
 	"pinebay/internal/protocol"
 	"pinebay/internal/storage"
@@ -77,12 +78,12 @@
 }
 
 // knownTasks is what a core knows of a job's tasks that a new leader must know too.
-func knownTasks(j *Job) map[int]string {
+func knownTasks(j *jobstate.Job) map[int]string {
 	known := map[int]string{}
 	for task, state := range j.TaskStates {
 		pl := j.Placements[task]
-		if state == TaskDone || pl != nil {
-			known[task] = describeTask(state == TaskDone, pl)
+		if state == jobstate.TaskDone || pl != nil {
+			known[task] = describeTask(state == jobstate.TaskDone, pl)
 		}
 	}
 	return known
@@ -208,7 +209,7 @@
 				}
 			}
 		}
-		nextLeader := func() *Job {
+		nextLeader := func() *jobstate.Job {
 			pages := slices.Collect(maps.Values(stored))
 			pages = slices.DeleteFunc(
 				pages,
--- a/internal/coordination/scheduler/fullscan_test.go
+++ b/internal/coordination/scheduler/fullscan_test.go
@@ -13,6 +13,7 @@
 
 	"pinebay/internal/config"
 	"pinebay/internal/coordination/candidates"
+	"pinebay/internal/coordination/jobstate"
 	"pinebay/internal/coordination/machineregistry"
 	"pinebay/internal/coordination/zonefailover"
 	"pinebay/internal/protocol"
@@ -23,7 +24,7 @@
 
 func (f fullScan) bestMachine(
 	now time.Duration,
-	j *Job,
+	j *jobstate.Job,
 	l *zoneLimits,
 	allowed func(*candidates.Candidate) bool,
 ) (best *candidates.Candidate) {
@@ -41,7 +42,7 @@
 
 func (f fullScan) bestWithImage(
 	now time.Duration,
-	j *Job,
+	j *jobstate.Job,
 	l *zoneLimits,
 	allowed func(*candidates.Candidate) bool,
 ) *candidates.Candidate {
@@ -52,7 +53,7 @@
 
 func (f fullScan) cheapestPreemption(
 	now time.Duration,
-	j *Job,
+	j *jobstate.Job,
 	l *zoneLimits,
 	within time.Duration,
 	level int,
@@ -78,7 +79,7 @@
 
 func (f fullScan) mostFreeCapacity(
 	now time.Duration,
-	j *Job,
+	j *jobstate.Job,
 	l *zoneLimits,
 	taken map[*candidates.Candidate]bool,
 ) (best *candidates.Candidate) {
--- a/internal/coordination/scheduler/gangorder.go
+++ b/internal/coordination/scheduler/gangorder.go
@@ -4,6 +4,7 @@
 	"sort"
 	"time"
 
+	"pinebay/internal/coordination/jobstate"
 	"pinebay/internal/coordination/machineregistry"
 	"pinebay/internal/protocol"
 )
@@ -22,7 +23,8 @@
 	victimLevel              int // level of the work that may leave, for searches for that
 }
 
-func (j *Job) searchKey() searchKey {
+// searchKeyOf returns the key of a job's searches.
+func searchKeyOf(j *jobstate.Job) searchKey {
 	return searchKey{
 		team:        j.Spec.Team,
 		image:       j.Spec.Image,
@@ -41,7 +43,7 @@
 // priority and age: first, by age, those that can still meet an aim. When more is
 // asked than can be done, age alone would spend all room on gangs that are late
 // whatever is done, until every gang is late.
-func (c *Scheduler) orderGangsByDeadline(now time.Duration, waiting []*Job) {
+func (c *Scheduler) orderGangsByDeadline(now time.Duration, waiting []*jobstate.Job) {
 	type queue struct {
 		class, team string
 		level       int
@@ -54,7 +56,7 @@
 		}
 	}
 	for _, at := range slots {
-		jobs := make([]*Job, len(at))
+		jobs := make([]*jobstate.Job, len(at))
 		for k, i := range at {
 			jobs[k] = waiting[i]
 		}
@@ -72,7 +74,7 @@
 // aim asks for, 1 for one that can at least still be done in time, 2 for others.
 // A gang that has waited twice as long as its longest aim comes first again:
 // none waits for ever.
-func (c *Scheduler) deadlineTier(now time.Duration, j *Job) int {
+func (c *Scheduler) deadlineTier(now time.Duration, j *jobstate.Job) int {
 	waited := (now - j.WaitingSince).Seconds()
 	class, longest := 2, 0.0
 	for _, o := range c.cfg.Objectives {
@@ -94,8 +96,8 @@
 }
 
 // placeableNow says whether a job has tasks that may be placed now.
-func (c *Scheduler) placeableNow(now time.Duration, j *Job) bool {
-	if j.TaskCounts[TaskPending] == 0 || c.startForbidden(j) || j.WriteInFlight || now < j.BackoffUntil {
+func (c *Scheduler) placeableNow(now time.Duration, j *jobstate.Job) bool {
+	if j.TaskCounts[jobstate.TaskPending] == 0 || c.startForbidden(j) || j.WriteInFlight || now < j.BackoffUntil {
 		return false
 	}
 	// Starts of an array or a service are gathered in its record while that waits for its turn.
--- a/internal/coordination/scheduler/headroom.go
+++ b/internal/coordination/scheduler/headroom.go
@@ -6,13 +6,14 @@
 
 	"pinebay/internal/coordination/autoscaler"
 	"pinebay/internal/coordination/candidates"
+	"pinebay/internal/coordination/jobstate"
 	"pinebay/internal/coordination/machineregistry"
 	"pinebay/internal/protocol"
 )
 
 // freeForJob returns the free capacity of a candidate that a job may use: all but the headroom that is
 // held for classes that go before it.
-func (c *Scheduler) freeForJob(x *candidates.Candidate, j *Job) machineregistry.Resources {
+func (c *Scheduler) freeForJob(x *candidates.Candidate, j *jobstate.Job) machineregistry.Resources {
 	if !x.HasHeadroom() {
 		return x.Free
 	}
@@ -27,7 +28,7 @@
 func (c *Scheduler) holdHeadroom(now time.Duration) {
 	recovering := c.inZoneFailover()
 	for _, u := range c.forecastUnits {
-		j := &Job{
+		j := &jobstate.Job{
 			Spec:              *u.Job,
 			TaskResources:     machineregistry.TaskResources(u.Job),
 			EffectivePriority: u.Job.Priority.Rank(),
@@ -42,7 +43,7 @@
 
 // holdHeadroomFor holds capacity for a number of tasks like those of a job, in the zone if one is given,
 // against jobs of its priority down to the lowest one given.
-func (c *Scheduler) holdHeadroomFor(now time.Duration, j *Job, zone string, tasks, lowest int) {
+func (c *Scheduler) holdHeadroomFor(now time.Duration, j *jobstate.Job, zone string, tasks, lowest int) {
 	anyZone := &zoneLimits{}
 	headroom := candidates.Headroom{
 		StartLatencySeconds: c.startLatencyObjective(j.Spec.Class),
--- a/internal/coordination/scheduler/jobcompletion.go
+++ b/internal/coordination/scheduler/jobcompletion.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"pinebay/internal/coordination/dependency"
+	"pinebay/internal/coordination/jobstate"
 	"pinebay/internal/coordination/machineregistry"
 	"pinebay/internal/protocol"
 	"pinebay/internal/storage"
@@ -12,7 +13,7 @@
 
 // completeJob records that all tasks are done. The job's end moves it from its
 // live key to its final one; pages without placements go with it.
-func (c *Scheduler) completeJob(now time.Duration, j *Job) {
+func (c *Scheduler) completeJob(now time.Duration, j *jobstate.Job) {
 	if j.Ending || j.Ended {
 		return
 	}
@@ -87,7 +88,7 @@
 // endedMeanwhile says whether a write failed because the job is over. Any other
 // reason means that somebody else leads or that the books are wrong; either
 // way a new term, which reads everything afresh, is the safe answer.
-func (c *Scheduler) endedMeanwhile(now time.Duration, j *Job, w TransactionOutcome) bool {
+func (c *Scheduler) endedMeanwhile(now time.Duration, j *jobstate.Job, w TransactionOutcome) bool {
 	for _, k := range w.FailedKeys {
 		if k == storage.TermKey {
 			c.emit(StepDown{Reason: "the term has changed"})
@@ -104,7 +105,7 @@
 }
 
 // cleanUpEndedJob removes the pages of a job that is over, once nothing of it is left.
-func (c *Scheduler) cleanUpEndedJob(now time.Duration, j *Job) {
+func (c *Scheduler) cleanUpEndedJob(now time.Duration, j *jobstate.Job) {
 	if !j.Ended || j.WriteInFlight || len(j.Placements) > 0 || c.writesPaused {
 		return
 	}
@@ -120,7 +121,7 @@
 	dropped := c.addPageDeletions(j, &t)
 	if len(t.Then) == 0 {
 		delete(c.jobs, j.Spec.ID)
-		c.queues.remove(j)
+		c.queues.Remove(j)
 		return
 	}
 	j.WriteInFlight = true
@@ -143,7 +144,7 @@
 }
 
 // startRecorded lets recorded placements go; a gang's only when all are recorded.
-func (c *Scheduler) startRecorded(j *Job) {
+func (c *Scheduler) startRecorded(j *jobstate.Job) {
 	var rest []*machineregistry.Placement
 	for _, pl := range j.Unstarted {
 		if !pl.Recorded {
@@ -159,10 +160,10 @@
 		}
 	}
 	j.Unstarted = rest
-	c.cycleDue = c.cycleDue || j.TaskCounts[TaskPending] > 0
+	c.cycleDue = c.cycleDue || j.TaskCounts[jobstate.TaskPending] > 0
 }
 
-func (c *Scheduler) cancelUnstarted(now time.Duration, j *Job) {
+func (c *Scheduler) cancelUnstarted(now time.Duration, j *jobstate.Job) {
 	granted := j.Unstarted
 	j.Unstarted = nil
 	for _, pl := range granted {
--- a/internal/coordination/scheduler/lifecycle.go
+++ b/internal/coordination/scheduler/lifecycle.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"pinebay/internal/config"
+	"pinebay/internal/coordination/jobstate"
 	"pinebay/internal/coordination/machineregistry"
 	"pinebay/internal/protocol"
 	"pinebay/internal/storage"
@@ -19,7 +20,7 @@
 		}
 		return
 	}
-	j := NewJob(rec.Job, stamp, rec.AcceptedAtMS, since, c.newJobLayout())
+	j := jobstate.New(rec.Job, stamp, rec.AcceptedAtMS, since, c.newJobLayout())
 	c.jobs[id] = j
 	c.addDependencies(now, j)
 	c.enqueue(j)
@@ -31,7 +32,7 @@
 }
 
 // recordArrival remembers when a job came that may begin, for the forecast of arrivals.
-func (c *Scheduler) recordArrival(j *Job, since time.Duration) {
+func (c *Scheduler) recordArrival(j *jobstate.Job, since time.Duration) {
 	class := j.Spec.Class
 	c.arrivals[class] = append(c.arrivals[class], since)
 	c.newestJobs[class] = &j.Spec
@@ -82,7 +83,7 @@
 }
 
 // placementGone takes in that a placement is proven gone.
-func (c *Scheduler) placementGone(now time.Duration, j *Job, pl *machineregistry.Placement, lost bool) {
+func (c *Scheduler) placementGone(now time.Duration, j *jobstate.Job, pl *machineregistry.Placement, lost bool) {
 	c.cycleDue = true
 	task := pl.Task.Index
 	delete(j.Placements, task)
@@ -94,32 +95,32 @@
 	}
 	switch {
 	case j.Ended:
-		j.SetTask(task, TaskDone)
+		j.SetTask(task, jobstate.TaskDone)
 		c.cleanUpEndedJob(now, j)
 		return
-	case j.TaskStates[task] == TaskDone:
+	case j.TaskStates[task] == jobstate.TaskDone:
 		return
 	case !lost && pl.Cause == protocol.CauseDone:
-		j.SetTask(task, TaskDone)
-		j.markDirty(task, now)
+		j.SetTask(task, jobstate.TaskDone)
+		j.MarkDirty(task, now)
 		if j.Spec.Shape == protocol.Gang {
 			// A gang completes together.
 			for t := range j.TaskStates {
-				if j.TaskStates[t] != TaskDone {
-					j.SetTask(t, TaskDone)
-					j.markDirty(t, now)
+				if j.TaskStates[t] != jobstate.TaskDone {
+					j.SetTask(t, jobstate.TaskDone)
+					j.MarkDirty(t, now)
 				}
 			}
 		}
-		if j.TaskCounts[TaskDone] == len(j.TaskStates) {
+		if j.TaskCounts[jobstate.TaskDone] == len(j.TaskStates) {
 			c.completeJob(now, j)
 		}
 		return
 	}
 	j.StartCounted = j.StartCounted || j.LastTaskStart > 0 && now-j.LastTaskStart >= startCountsAfter
 	j.LastTaskStart = 0
-	j.SetTask(task, TaskPending)
-	j.markDirty(task, now) // or its exited entry could never be forgotten
+	j.SetTask(task, jobstate.TaskPending)
+	j.MarkDirty(task, now) // or its exited entry could never be forgotten
 	if !lost {
 		c.taskFailed(now, j, pl)
 	}
@@ -132,7 +133,7 @@
 }
 
 // taskFailed draws the conclusions from an exit that was not asked for.
-func (c *Scheduler) taskFailed(now time.Duration, j *Job, pl *machineregistry.Placement) {
+func (c *Scheduler) taskFailed(now time.Duration, j *jobstate.Job, pl *machineregistry.Placement) {
 	switch pl.Cause {
 	case protocol.CauseStopped, protocol.CausePeerLost, protocol.CauseDone:
 		return
@@ -169,7 +170,7 @@
 
 // stopGang stops all of a gang that has lost a task: below minAvailable it is
 // requeued as a whole, from its checkpoint.
-func (c *Scheduler) stopGang(now time.Duration, j *Job) {
+func (c *Scheduler) stopGang(now time.Duration, j *jobstate.Job) {
 	for _, pl := range sortedPlacements(j) {
 		if !pl.Stopping || pl.GraceS > 0 {
 			c.stopPlacement(now, j, pl, 0)
@@ -178,7 +179,7 @@
 	j.GangStopping = len(j.Placements) > 0
 }
 
-func sortedPlacements(j *Job) []*machineregistry.Placement {
+func sortedPlacements(j *jobstate.Job) []*machineregistry.Placement {
 	list := make([]*machineregistry.Placement, 0, len(j.Placements))
 	for _, pl := range j.Placements {
 		list = append(list, pl)
@@ -188,7 +189,7 @@
 }
 
 // stopPlacement asks a placement to end, and takes in when that needs no proof.
-func (c *Scheduler) stopPlacement(now time.Duration, j *Job, pl *machineregistry.Placement, graceS float64) {
+func (c *Scheduler) stopPlacement(now time.Duration, j *jobstate.Job, pl *machineregistry.Placement, graceS float64) {
 	c.capacityEvents++
 	if c.machines.Stop(now, pl, graceS) && !pl.StartAllowed && j.WriteInFlight {
 		// Its record may be written at this moment; it names a placement that
@@ -201,7 +202,7 @@
 }
 
 // stopJobTasks stops everything of a job that is over.
-func (c *Scheduler) stopJobTasks(now time.Duration, j *Job) {
+func (c *Scheduler) stopJobTasks(now time.Duration, j *jobstate.Job) {
 	for _, pl := range sortedPlacements(j) {
 		c.stopPlacement(now, j, pl, 0)
 	}
@@ -209,12 +210,12 @@
 }
 
 // endJob takes in that a job is over.
-func (c *Scheduler) endJob(now time.Duration, j *Job) {
+func (c *Scheduler) endJob(now time.Duration, j *jobstate.Job) {
 	j.Ended, j.LiveRevision = true, 0
 	c.liveRecordDeleted(now, j.Spec.ID)
-	c.queues.update(j)
+	c.queues.Update(j)
 	c.cycleDue = true
-	if j.TaskCounts[TaskDone] < len(j.TaskStates) {
+	if j.TaskCounts[jobstate.TaskDone] < len(j.TaskStates) {
 		c.setFencingDeadline(j, c.fencingDeadline(now))
 	}
 	c.stopJobTasks(now, j)
--- a/internal/coordination/scheduler/nomination.go
+++ b/internal/coordination/scheduler/nomination.go
@@ -4,6 +4,7 @@
 	"time"
 
 	"pinebay/internal/coordination/candidates"
+	"pinebay/internal/coordination/jobstate"
 	"pinebay/internal/coordination/machineregistry"
 )
 
@@ -11,7 +12,7 @@
 // does not go to a later one as it becomes free.
 
 // nominate nominates a machine for a job until the given time.
-func (c *Scheduler) nominate(m *machineregistry.Machine, j *Job, until time.Duration) {
+func (c *Scheduler) nominate(m *machineregistry.Machine, j *jobstate.Job, until time.Duration) {
 	m.ReserveFor(j.Spec.ID, until)
 	if j.ReservedMachines == nil {
 		j.ReservedMachines = map[*machineregistry.Machine]bool{}
@@ -20,7 +21,7 @@
 }
 
 // nominatedCandidates returns the candidates that are nominated for a job, in name order.
-func (c *Scheduler) nominatedCandidates(now time.Duration, j *Job) (list []*candidates.Candidate) {
+func (c *Scheduler) nominatedCandidates(now time.Duration, j *jobstate.Job) (list []*candidates.Candidate) {
 	for m := range j.ReservedMachines {
 		if !m.IsReservedFor(now, j.Spec.ID) || m.Removed() {
 			delete(j.ReservedMachines, m)
@@ -43,7 +44,7 @@
 		return false
 	}
 	o := c.jobs[m.ReservedJob]
-	if o == nil || o.Ended || o.TaskCounts[TaskPending] == 0 && !o.HasStoppingTasks() {
+	if o == nil || o.Ended || o.TaskCounts[jobstate.TaskPending] == 0 && !o.HasStoppingTasks() {
 		return false
 	}
 	return o.LastWaitingCycle != c.cycleCount || o.LastTriedCycle == c.cycleCount
--- a/internal/coordination/scheduler/placementwriter.go
+++ b/internal/coordination/scheduler/placementwriter.go
@@ -5,6 +5,7 @@
 	"slices"
 	"time"
 
+	"pinebay/internal/coordination/jobstate"
 	"pinebay/internal/coordination/machineregistry"
 	"pinebay/internal/coordination/placementpages"
 	"pinebay/internal/protocol"
@@ -27,7 +28,7 @@
 
 // jobWrite is what one job writes in a transaction that several may share.
 type jobWrite struct {
-	job          *Job
+	job          *jobstate.Job
 	pages        []int
 	size         int                          // of its records, about, as the limits count them
 	coveredExits map[int]int                  // of a page, how many of its exits the record no longer counts on
@@ -73,7 +74,7 @@
 	pages, bytes := min(pages, c.stateLimits.TxnOps), maxTransactionBytes
 	stated := c.failoverOrder()
 	for pages > 0 {
-		j := c.queues.starts.next(now, stated)
+		j := c.queues.Starts.Next(now, stated)
 		if j == nil || len(batch) > 0 && j.RecordAttempts > 0 {
 			return batch // what has failed is tried alone
 		}
@@ -81,7 +82,7 @@
 		if len(batch) > 0 && (p.size > bytes || !p.coversAllStarts() || p.operations() > pages) {
 			return batch // it goes with the next
 		}
-		c.queues.starts.dequeue(j)
+		c.queues.Starts.Dequeue(j)
 		batch = append(batch, p)
 		pages, bytes = pages-p.operations(), bytes-p.size
 		if j.RecordAttempts > 0 {
@@ -93,11 +94,11 @@
 
 // failoverOrder lists the jobs whose records wait in the order of return while that is in force; nil
 // stands for the usual order.
-func (c *Scheduler) failoverOrder() []*Job {
+func (c *Scheduler) failoverOrder() []*jobstate.Job {
 	if !c.recoveryOrderInEffect() {
 		return nil
 	}
-	jobs := c.queues.starts.byTurn.Items()
+	jobs := c.queues.Starts.ByTurn.Items()
 	c.sortForRecovery(jobs)
 	return jobs
 }
@@ -106,12 +107,12 @@
 // the state service takes it.
 func (c *Scheduler) recordCompletions(now time.Duration) {
 	for !c.writesPaused && c.pagesInFlight[PriorityCompletion] < c.maxCompletionPages() {
-		j := c.queues.nextEnded(now - completionDelay)
+		j := c.queues.NextCompletion(now - completionDelay)
 		if j == nil {
 			return
 		}
 		if now < j.RecordNotBefore {
-			c.callAt(j.RecordNotBefore, func(now time.Duration) { j.Queues.addEnded(now, j) })
+			c.callAt(j.RecordNotBefore, func(now time.Duration) { j.Queues.AddCompletion(now, j) })
 			continue
 		}
 		c.writeBatch(PriorityCompletion, []*jobWrite{c.newJobWrite(j, c.pagesPerTransaction())})
@@ -120,11 +121,11 @@
 
 // newJobWrite returns what a job writes, up to so many pages, those first for which starts wait, and no
 // more than one transaction takes.
-func (c *Scheduler) newJobWrite(j *Job, most int) *jobWrite {
+func (c *Scheduler) newJobWrite(j *jobstate.Job, most int) *jobWrite {
 	c.narrowToFit(j)
 	p := &jobWrite{job: j}
-	for _, n := range j.pagesToWrite(most) {
-		bytes := j.estimatedPageBytes(n)
+	for _, n := range j.PagesToWrite(most) {
+		bytes := j.EstimatedPageBytes(n)
 		if len(p.pages) > 0 && p.size+bytes > maxTransactionBytes {
 			break
 		}
@@ -157,7 +158,7 @@
 	p.ops = nil
 	p.compares = []protocol.Compare{{Key: storage.LiveJobKey(j.Spec.ID), Revision: j.LiveRevision}}
 	for _, n := range p.pages {
-		value, err := j.encodePage(n, name)
+		value, err := j.EncodePage(n, name)
 		if err != nil {
 			return err
 		}
@@ -291,8 +292,8 @@
 		c.stopJobTasks(now, j)
 		return
 	}
-	c.queues.starts.requeue(j)
-	j.Queues.addEnded(now, j)
+	c.queues.Starts.Requeue(j)
+	j.Queues.AddCompletion(now, j)
 }
 
 // jobWriteSucceeded takes in that a part is written.
@@ -320,11 +321,11 @@
 	}
 	c.startRecorded(j)
 	switch {
-	case j.TaskCounts[TaskDone] == len(j.TaskStates):
+	case j.TaskCounts[jobstate.TaskDone] == len(j.TaskStates):
 		c.completeJob(now, j)
 	case len(j.Unstarted) > 0:
-		c.queues.starts.add(j)
+		c.queues.Starts.Add(j)
 	default:
-		c.queues.addEnded(now, j)
+		c.queues.AddCompletion(now, j)
 	}
 }
--- a/internal/coordination/scheduler/placementwriter_test.go
+++ b/internal/coordination/scheduler/placementwriter_test.go
@@ -7,10 +7,7 @@
 	"testing"
 	"time"
 
-	"pgregory.net/rapid"
-
 	"pinebay/internal/config"
-	"pinebay/internal/coordination/machineregistry"
 	"pinebay/internal/protocol"
 	"pinebay/internal/storage"
 )
@@ -293,87 +290,3 @@
 		t.Errorf("%d records for %d starts", records, starts)
 	}
 }
-
-// TestStartQueue: whatever comes and goes, a job in the queue is served after no more than four times
-// as many others as there are, urgent ones that keep coming included; of those that are chosen by
-// their turn the most urgent goes first.
-func TestStartQueue(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) {
-		q := newStartQueue()
-		now, made := time.Duration(0), 0
-		waiting := map[*Job]int{} // and after how many others it must be served
-		for range rapid.IntRange(1, 300).Draw(t, "steps") {
-			now += time.Duration(rapid.IntRange(0, 3).Draw(t, "pause")) * time.Second
-			for range rapid.IntRange(0, 2).Draw(t, "new") {
-				made++
-				j := NewJob(
-					jobSpec(
-						fmt.Sprintf("j-%06d", made),
-						protocol.Array,
-						rapid.SampledFrom([]protocol.Priority{"urgent", "urgent", "normal", "best_effort"}).
-							Draw(t, "level"),
-						1,
-						1,
-					),
-					1,
-					0,
-					0,
-					storage.PageLayout{TasksPerPage: 10},
-				)
-				j.Spec.Team = rapid.SampledFrom([]string{"red", "blue", "green"}).Draw(t, "team")
-				j.Unstarted = []*machineregistry.Placement{{}}
-				q.add(j)
-				waiting[j] = oldestEvery * (len(waiting) + 1)
-			}
-			byWait := q.oldestIsNext()
-			j := q.next(now, nil)
-			if (j == nil) != (len(waiting) == 0) {
-				t.Fatalf("%v with %d waiting", j, len(waiting))
-			}
-			if j == nil {
-				continue
-			}
-			q.dequeue(j)
-			delete(waiting, j)
-			for o, left := range waiting {
-				if left == 0 {
-					t.Fatalf("%s of level %d is passed over for ever", o.Spec.ID, o.EffectivePriority)
-				}
-				waiting[o] = left - 1
-				if !byWait && o.EffectivePriority < j.EffectivePriority {
-					t.Fatalf("level %d before level %d", j.EffectivePriority, o.EffectivePriority)
-				}
-			}
-		}
-		if q.byTurn.Len() != len(waiting) {
-			t.Fatalf("%d in the queue, %d wait", q.byTurn.Len(), len(waiting))
-		}
-	})
-}
-
-// TestStartQueueServesTeamsInTurn: a team with one job to record does not wait for all of one with a hundred.
-func TestStartQueueServesTeamsInTurn(t *testing.T) {
-	q := newStartQueue()
-	job := func(id, team string) *Job {
-		j := NewJob(jobSpec(id, protocol.Array, "normal", 1, 1), 1, 0, 0, storage.PageLayout{TasksPerPage: 10})
-		j.Spec.Team, j.Unstarted = team, []*machineregistry.Placement{{}}
-		return j
-	}
-	for i := range 100 {
-		q.add(job(fmt.Sprintf("j-%03d", i), "red"))
-	}
-	for range 10 {
-		q.dequeue(q.next(0, nil))
-	}
-	q.add(job("j-blue", "blue"))
-	for served := 0; ; served++ {
-		j := q.next(time.Second, nil)
-		q.dequeue(j)
-		if j.Spec.Team == "blue" {
-			if served > oldestEvery {
-				t.Errorf("served after %d of the other team", served)
-			}
-			return
-		}
-	}
-}
--- a/internal/coordination/scheduler/poolscore.go
+++ b/internal/coordination/scheduler/poolscore.go
@@ -4,17 +4,18 @@
 	"math"
 
 	"pinebay/internal/config"
+	"pinebay/internal/coordination/jobstate"
 	"pinebay/internal/coordination/machineindex"
 	"pinebay/internal/coordination/machineregistry"
 )
 
 // lacksStartLatencyObjective says whether no aim on waiting is stated for a job's class.
-func (c *Scheduler) lacksStartLatencyObjective(j *Job) bool {
+func (c *Scheduler) lacksStartLatencyObjective(j *jobstate.Job) bool {
 	return math.IsInf(c.startLatencyObjective(j.Spec.Class), 1)
 }
 
 // prefersFreeCapacity says whether the score of machines without the job's image falls with their room.
-func (c *Scheduler) prefersFreeCapacity(j *Job) bool {
+func (c *Scheduler) prefersFreeCapacity(j *jobstate.Job) bool {
 	aim := c.startLatencyObjective(j.Spec.Class)
 	if c.lacksStartLatencyObjective(j) {
 		return true
@@ -32,14 +33,14 @@
 }
 
 // poolFeasible says whether machines of a pool may do for a job.
-func (c *Scheduler) poolFeasible(j *Job, l *zoneLimits, p machineindex.Pool) bool {
+func (c *Scheduler) poolFeasible(j *jobstate.Job, l *zoneLimits, p machineindex.Pool) bool {
 	t := c.machines.MachineType(p.Type)
 	return t != nil && (!p.Spot || j.Spec.SpotAllowed) && t.AllowedBy(&j.Spec) &&
 		(l.tasksPerZone == nil || l.allows(p.Zone))
 }
 
 // poolScore is what every machine of a pool adds to a score.
-func (c *Scheduler) poolScore(j *Job, l *zoneLimits, p machineindex.Pool) float64 {
+func (c *Scheduler) poolScore(j *jobstate.Job, l *zoneLimits, p machineindex.Pool) float64 {
 	s := c.zoneRiskPenalty(j, p.Zone)
 	if j.Spec.Spread && l.tasksPerZone != nil {
 		s += float64(l.tasksPerZone[p.Zone]) / float64(j.Spec.TaskCount)
@@ -55,7 +56,7 @@
 }
 
 // fetchSeconds is how long a type of machines takes for the job's image, in seconds.
-func (c *Scheduler) fetchSeconds(j *Job, kind string) float64 {
+func (c *Scheduler) fetchSeconds(j *jobstate.Job, kind string) float64 {
 	t := c.machines.MachineType(kind)
 	if t == nil || t.FetchGBPerSecond <= 0 {
 		return 0
--- a/internal/coordination/scheduler/preempt.go
+++ b/internal/coordination/scheduler/preempt.go
@@ -7,6 +7,7 @@
 
 	"pinebay/internal/config"
 	"pinebay/internal/coordination/candidates"
+	"pinebay/internal/coordination/jobstate"
 	"pinebay/internal/coordination/machineregistry"
 	"pinebay/internal/protocol"
 )
@@ -18,7 +19,7 @@
 // a critical replica wait for a fetch of most of a minute.
 func (c *Scheduler) waitForMachineWithImage(
 	now time.Duration,
-	j *Job,
+	j *jobstate.Job,
 	task int,
 	x *candidates.Candidate,
 	l *zoneLimits,
@@ -48,7 +49,7 @@
 
 // preempt stops work of lower priority to make room for up to n tasks, on the
 // machines where least is lost, and reserves the room.
-func (c *Scheduler) preempt(now time.Duration, j *Job, l *zoneLimits, n int) {
+func (c *Scheduler) preempt(now time.Duration, j *jobstate.Job, l *zoneLimits, n int) {
 	if c.mayBorrow(j) && c.borrowCapacity(now, j, l, n) {
 		return // its room comes by the ledger, or not at all
 	}
@@ -75,7 +76,7 @@
 
 // maySearchVictims says whether work to stop may be looked for now. When the searches of a
 // cycle are used up, the jobs that had theirs in this round wait until the others have had one.
-func (c *Scheduler) maySearchVictims(j *Job, k searchKey) bool {
+func (c *Scheduler) maySearchVictims(j *jobstate.Job, k searchKey) bool {
 	if at, ok := c.noVictimsSince[k]; ok && at == c.capacityEvents {
 		return false // none was found for its like, and no room has come up since
 	}
@@ -92,8 +93,14 @@
 // preemptForTask makes room for one task on the machine where that costs least, among
 // those where the task could run within the given time, and reserves it. Only
 // work of at least the given level leaves.
-func (c *Scheduler) preemptForTask(now time.Duration, j *Job, l *zoneLimits, within time.Duration, level int) bool {
-	k := j.searchKey()
+func (c *Scheduler) preemptForTask(
+	now time.Duration,
+	j *jobstate.Job,
+	l *zoneLimits,
+	within time.Duration,
+	level int,
+) bool {
+	k := searchKeyOf(j)
 	k.victimLevel = level
 	if !c.maySearchVictims(j, k) {
 		return false
@@ -138,7 +145,7 @@
 // checkpointAllowance is how long a job can wait for work to be saved and still start in
 // the time that its class's aim asks for. One that will be late anyhow, or has
 // no such aim, waits as long as it takes.
-func (c *Scheduler) checkpointAllowance(now time.Duration, j *Job, warm time.Duration) time.Duration {
+func (c *Scheduler) checkpointAllowance(now time.Duration, j *jobstate.Job, warm time.Duration) time.Duration {
 	within := c.startLatencyObjective(j.Spec.Class)
 	if left := config.Seconds(within) - (now - j.WaitingSince) - warm; !math.IsInf(within, 1) && left > 0 {
 		return left
@@ -150,7 +157,7 @@
 // seconds of work lost or moved.
 func (c *Scheduler) selectVictims(
 	now time.Duration,
-	j *Job,
+	j *jobstate.Job,
 	x *candidates.Candidate,
 	level int,
 ) (out []*machineregistry.Placement, cost float64, ok bool) {
@@ -207,7 +214,7 @@
 // guarantee, for a team within its own. What a team runs within its guarantee need not
 // yield to another team. Lower work of other teams had been spared altogether: a guest's
 // idle-time batch then kept whole machines while urgent gangs waited for minutes.
-func (c *Scheduler) mayPreempt(j *Job, pl *machineregistry.Placement, level int) bool {
+func (c *Scheduler) mayPreempt(j *jobstate.Job, pl *machineregistry.Placement, level int) bool {
 	if c.recoversBefore(pl, j) {
 		return false
 	}
--- a/internal/coordination/scheduler/recovery.go
+++ b/internal/coordination/scheduler/recovery.go
@@ -6,6 +6,7 @@
 	"slices"
 	"time"
 
+	"pinebay/internal/coordination/jobstate"
 	"pinebay/internal/coordination/machineregistry"
 	"pinebay/internal/protocol"
 	"pinebay/internal/storage"
@@ -60,7 +61,7 @@
 		c.recoverPageTasks(now, j, p.record, counts)
 		covered = append(covered, p.id)
 	}
-	j.Queues.addPlaced(j)
+	j.Queues.AddPlaced(j)
 }
 
 // compareLayouts orders layouts by which counts for a task that pages of several cover: the narrower one, and of two
@@ -76,16 +77,16 @@
 }
 
 // newEndedJob makes up a job that is over, and whose tasks may not be gone: they still count.
-func (c *Scheduler) newEndedJob(now time.Duration, id string, pages []storedPage) *Job {
+func (c *Scheduler) newEndedJob(now time.Duration, id string, pages []storedPage) *jobstate.Job {
 	rec := pages[0].record
-	j := NewJob(protocol.Job{
+	j := jobstate.New(protocol.Job{
 		ID: id, Team: rec.Team, CPUs: rec.CPUs, GPUs: rec.GPUs,
 		MemoryGB: rec.MemoryGB, Priority: "best_effort",
 	}, 0, 0, now, c.newJobLayout())
 	for _, p := range pages {
 		if more := p.id.EndTask() - len(j.TaskStates); more > 0 {
-			j.TaskStates = append(j.TaskStates, make([]TaskState, more)...)
-			j.TaskCounts[TaskPending] += more
+			j.TaskStates = append(j.TaskStates, make([]jobstate.TaskState, more)...)
+			j.TaskCounts[jobstate.TaskPending] += more
 		}
 	}
 	j.Ended = true
@@ -97,14 +98,14 @@
 // recoverPageTasks takes over what a page records of the tasks for which it counts.
 func (c *Scheduler) recoverPageTasks(
 	now time.Duration,
-	j *Job,
+	j *jobstate.Job,
 	rec *storage.PlacementPage,
 	counts func(task int) bool,
 ) {
 	for _, d := range rec.DoneRanges {
 		for t := d[0]; t <= d[1]; t++ {
 			if counts(t) {
-				j.SetTask(t, TaskDone)
+				j.SetTask(t, jobstate.TaskDone)
 			}
 		}
 	}
@@ -127,8 +128,8 @@
 			Job:           &j.Spec,
 		}
 		j.Placements[pl.Task] = np
-		if j.TaskStates[pl.Task] != TaskDone {
-			j.SetTask(pl.Task, TaskPlaced)
+		if j.TaskStates[pl.Task] != jobstate.TaskDone {
+			j.SetTask(pl.Task, jobstate.TaskPlaced)
 		}
 		c.machines.Adopt(now, np)
 	}
--- a/internal/coordination/scheduler/recoveryorder.go
+++ b/internal/coordination/scheduler/recoveryorder.go
@@ -5,6 +5,7 @@
 	"slices"
 	"time"
 
+	"pinebay/internal/coordination/jobstate"
 	"pinebay/internal/coordination/machineregistry"
 	"pinebay/internal/coordination/zonefailover"
 	"pinebay/internal/protocol"
@@ -26,7 +27,7 @@
 // sortForRecovery puts jobs into the order of return: by the stated order, priority, what
 // lenders are owed once no zone is lost, the class's aim on waiting, and age. The list is
 // sorted by priority and age when it comes.
-func (c *Scheduler) sortForRecovery(jobs []*Job) {
+func (c *Scheduler) sortForRecovery(jobs []*jobstate.Job) {
 	z := c.zoneFailover
 	if !c.recoveryOrderInEffect() {
 		return
@@ -35,7 +36,7 @@
 	if !z.monitor.AnyInState(zonefailover.Lost) {
 		debts = z.ledger.Debts()
 	}
-	keys := make(map[*Job]recoverySortKey, len(jobs))
+	keys := make(map[*jobstate.Job]recoverySortKey, len(jobs))
 	for _, j := range jobs {
 		keys[j] = recoverySortKey{
 			z.order.Position(j.Spec.Class, j.Spec.Team),
@@ -44,7 +45,7 @@
 			c.startLatencyObjective(j.Spec.Class),
 		}
 	}
-	slices.SortStableFunc(jobs, func(a, b *Job) int {
+	slices.SortStableFunc(jobs, func(a, b *jobstate.Job) int {
 		x, y := keys[a], keys[b]
 		return cmp.Or(
 			cmp.Compare(x.position, y.position),
@@ -70,7 +71,7 @@
 
 // recoversBefore says whether, by the order in force, the work of a placement goes before a
 // job, whatever their priorities are.
-func (c *Scheduler) recoversBefore(pl *machineregistry.Placement, j *Job) bool {
+func (c *Scheduler) recoversBefore(pl *machineregistry.Placement, j *jobstate.Job) bool {
 	if !c.inZoneFailover() {
 		return false
 	}
@@ -93,7 +94,7 @@
 // placeWithinQuota places what teams run within their guarantee, which need not wait for
 // other teams, in the order of return. What is beyond it has its turn with the others, and
 // so have the team's jobs after it: a guarantee is held against other teams, not within one.
-func (c *Scheduler) placeWithinQuota(now time.Duration, waiting []*Job) {
+func (c *Scheduler) placeWithinQuota(now time.Duration, waiting []*jobstate.Job) {
 	beyond := map[string]bool{} // teams
 	for _, j := range waiting {
 		if beyond[j.Spec.Team] {
@@ -103,17 +104,17 @@
 		if j.Spec.Shape == protocol.Gang {
 			least = j.Spec.TaskCount
 		}
-		guaranteed := c.quotas.TasksWithinGuarantee(j.Spec.Team, j.TaskResources, j.TaskCounts[TaskPending])
+		guaranteed := c.quotas.TasksWithinGuarantee(j.Spec.Team, j.TaskResources, j.TaskCounts[jobstate.TaskPending])
 		if n := min(c.tasksWithinQuotaLimit(j), guaranteed); n >= least {
 			c.placeJob(now, j, n)
 		}
-		beyond[j.Spec.Team] = j.TaskCounts[TaskPending] > 0
+		beyond[j.Spec.Team] = j.TaskCounts[jobstate.TaskPending] > 0
 	}
 }
 
 // zoneRiskPenalty is what a start of a critical replica costs more, in seconds, in a zone that may
 // be lost again at any time.
-func (c *Scheduler) zoneRiskPenalty(j *Job, zone string) float64 {
+func (c *Scheduler) zoneRiskPenalty(j *jobstate.Job, zone string) float64 {
 	if c.zoneFailover == nil || j.EffectivePriority > 0 || j.Spec.Shape != protocol.Service ||
 		c.zoneFailover.monitor.State(zone) == zonefailover.Available {
 		return 0
--- a/internal/coordination/scheduler/scheduler.go
+++ b/internal/coordination/scheduler/scheduler.go
@@ -1,3 +1,7 @@
+// Package scheduler is the leader's state machine: jobs and their tasks, the
+// cycle that places them, and what follows from reports, records and failures.
+// It does no I/O and reads no clock: a step takes an event and the time, and
+// returns effects.
 package scheduler
 
 import (
@@ -11,6 +15,7 @@
 	"pinebay/internal/coordination/dependency"
 	"pinebay/internal/coordination/fairshare"
 	"pinebay/internal/coordination/featurelevel"
+	"pinebay/internal/coordination/jobstate"
 	"pinebay/internal/coordination/machineregistry"
 	"pinebay/internal/coordination/zonefailover"
 	"pinebay/internal/protocol"
@@ -46,13 +51,13 @@
 	writesPaused        bool
 	targetLevel         featurelevel.Level // while paused: the level to be made final
 	dependencies        *dependency.Graph
-	cancelledDependents []*Job // cancelled with a job that they await, and not recorded yet
+	cancelledDependents []*jobstate.Job // cancelled with a job that they await, and not recorded yet
 	delayedCalls        []delayedCall
 
 	machines               *machineregistry.Registry
 	autoscaler             *autoscaler.Autoscaler
-	jobs                   map[string]*Job
-	queues                 *jobQueues
+	jobs                   map[string]*jobstate.Job
+	queues                 *jobstate.Queues
 	quotas                 *fairshare.Quotas
 	startLatencyObjectives map[string]float64 // by class, in seconds
 	candidates             *candidates.Index
@@ -137,7 +142,7 @@
 			cfg.Workers,
 		),
 		autoscaler:          autoscaler.New(term.Number, cfg.Cloud, cfg.Workers),
-		jobs:                map[string]*Job{},
+		jobs:                map[string]*jobstate.Job{},
 		cancellationIntents: map[string]time.Duration{},
 		writesInFlight:      map[uint64]func(time.Duration, TransactionOutcome){},
 		cycleDue:            true,
@@ -153,7 +158,7 @@
 		imageHintsWrittenAt: now,
 	}
 	c.setFeatureLevel(term.FeatureLevel)
-	c.queues, c.candidates = newJobQueues(), candidates.NewIndex(c.machines)
+	c.queues, c.candidates = jobstate.NewQueues(), candidates.NewIndex(c.machines)
 	c.finder, c.preemptionRound = indexFinder{c}, 1
 	c.searchLimit, c.preemptionBudget = maxExaminedMachines, preemptionBudgetPerCycle
 	c.quotas = fairshare.NewQuotas(cfg.Teams, c.machines)
@@ -180,7 +185,7 @@
 	c.recoverPages(now, rec.Pages)
 	for _, j := range c.sortedJobs() {
 		// A gang that the last leader did not finish writing starts anew.
-		if j.Spec.Shape == protocol.Gang && len(j.Placements) > 0 && j.TaskCounts[TaskPending] > 0 {
+		if j.Spec.Shape == protocol.Gang && len(j.Placements) > 0 && j.TaskCounts[jobstate.TaskPending] > 0 {
 			c.stopGang(now, j)
 		}
 		if j.Ended {
@@ -293,11 +298,13 @@
 func (c *Scheduler) CycleCount() uint64 { return c.cycleCount }
 
 // sortedJobs returns the jobs in an order that does not depend on chance.
-func (c *Scheduler) sortedJobs() []*Job { return c.sortedJobsWhere(func(*Job) bool { return true }) }
+func (c *Scheduler) sortedJobs() []*jobstate.Job {
+	return c.sortedJobsWhere(func(*jobstate.Job) bool { return true })
+}
 
 // sortedJobsWhere is sorted for the jobs that the function names.
-func (c *Scheduler) sortedJobsWhere(which func(*Job) bool) []*Job {
-	var list []*Job
+func (c *Scheduler) sortedJobsWhere(which func(*jobstate.Job) bool) []*jobstate.Job {
+	var list []*jobstate.Job
 	for _, j := range c.jobs {
 		if which(j) {
 			list = append(list, j)
--- a/internal/coordination/scheduler/score.go
+++ b/internal/coordination/scheduler/score.go
@@ -6,6 +6,7 @@
 
 	"pinebay/internal/config"
 	"pinebay/internal/coordination/candidates"
+	"pinebay/internal/coordination/jobstate"
 	"pinebay/internal/coordination/machineregistry"
 	"pinebay/internal/protocol"
 )
@@ -17,7 +18,7 @@
 	maxTasksPerZone int // tasks in one zone
 }
 
-func (c *Scheduler) zoneLimitsOf(j *Job) *zoneLimits {
+func (c *Scheduler) zoneLimitsOf(j *jobstate.Job) *zoneLimits {
 	l := &zoneLimits{onlyZone: j.Spec.Zone, tasksPerZone: map[string]int{}, maxTasksPerZone: math.MaxInt}
 	for _, pl := range j.Placements {
 		l.tasksPerZone[pl.Zone]++
@@ -36,7 +37,7 @@
 }
 
 // feasible is the predicate: whether the job allows the machine at all.
-func (c *Scheduler) feasible(now time.Duration, j *Job, x *candidates.Candidate, l *zoneLimits) bool {
+func (c *Scheduler) feasible(now time.Duration, j *jobstate.Job, x *candidates.Candidate, l *zoneLimits) bool {
 	if x.Machine.Spot && !j.Spec.SpotAllowed || !x.Type.AllowedBy(&j.Spec) || !l.allows(x.Machine.Zone) ||
 		j.AvoidedMachines()[x.Machine.Name] {
 		return false
@@ -46,7 +47,7 @@
 
 // score orders machines that fit, lower is better, in seconds: the wait for
 // the image, then what packs tightly.
-func (c *Scheduler) score(now time.Duration, j *Job, x *candidates.Candidate, l *zoneLimits) float64 {
+func (c *Scheduler) score(now time.Duration, j *jobstate.Job, x *candidates.Candidate, l *zoneLimits) float64 {
 	yields := c.yieldingFetches(j)
 	warm := c.machines.FetchTimeWithout(now, x.Machine, &j.Spec, yields)
 	s := warm.Seconds() + c.machines.FetchDelayWithout(now, x.Machine, &j.Spec, yields).Seconds()
@@ -87,7 +88,7 @@
 // just for this task's sake, so that another task may still have it.
 func (c *Scheduler) selectMachine(
 	now time.Duration,
-	j *Job,
+	j *jobstate.Job,
 	task int,
 	l *zoneLimits,
 ) (best *candidates.Candidate, attempted bool) {
@@ -110,7 +111,7 @@
 // steps lower in priority that are fetching, and lose nothing but that. In a
 // crowd, as when a fleet is opened, arrays had come first, and replicas that shared
 // the rate with them took twice as long to be up.
-func (c *Scheduler) yieldingFetches(j *Job) func(*machineregistry.Placement) bool {
+func (c *Scheduler) yieldingFetches(j *jobstate.Job) func(*machineregistry.Placement) bool {
 	if j.Spec.Shape == protocol.Gang || math.IsInf(c.startLatencyObjective(j.Spec.Class), 1) {
 		return nil
 	}
@@ -122,7 +123,7 @@
 }
 
 // stopCompetingFetches stops the fetches that yield to a task's.
-func (c *Scheduler) stopCompetingFetches(now time.Duration, j *Job, x *candidates.Candidate) {
+func (c *Scheduler) stopCompetingFetches(now time.Duration, j *jobstate.Job, x *candidates.Candidate) {
 	yields := c.yieldingFetches(j)
 	if yields == nil ||
 		c.machines.FetchTime(now, x.Machine, &j.Spec) == c.machines.FetchTimeWithout(now, x.Machine, &j.Spec, yields) {
--- a/internal/coordination/scheduler/search.go
+++ b/internal/coordination/scheduler/search.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"pinebay/internal/coordination/candidates"
+	"pinebay/internal/coordination/jobstate"
 	"pinebay/internal/coordination/machineindex"
 	"pinebay/internal/coordination/machineregistry"
 )
@@ -14,14 +15,14 @@
 	// bestMachine returns the allowed candidate with the lowest score for a task of the job, or nil.
 	bestMachine(
 		now time.Duration,
-		j *Job,
+		j *jobstate.Job,
 		l *zoneLimits,
 		allowed func(*candidates.Candidate) bool,
 	) *candidates.Candidate
 	// bestWithImage is best among those that have the job's image.
 	bestWithImage(
 		now time.Duration,
-		j *Job,
+		j *jobstate.Job,
 		l *zoneLimits,
 		allowed func(*candidates.Candidate) bool,
 	) *candidates.Candidate
@@ -29,7 +30,7 @@
 	// job, by stopping work of at least the given level, and what would have to leave.
 	cheapestPreemption(
 		now time.Duration,
-		j *Job,
+		j *jobstate.Job,
 		l *zoneLimits,
 		within time.Duration,
 		level int,
@@ -38,7 +39,7 @@
 	// could hold a task of it, but for those taken.
 	mostFreeCapacity(
 		now time.Duration,
-		j *Job,
+		j *jobstate.Job,
 		l *zoneLimits,
 		taken map[*candidates.Candidate]bool,
 	) *candidates.Candidate
@@ -59,7 +60,7 @@
 // only if one of them could score better, with the fetch that it would need.
 func (f indexFinder) bestMachine(
 	now time.Duration,
-	j *Job,
+	j *jobstate.Job,
 	l *zoneLimits,
 	allowed func(*candidates.Candidate) bool,
 ) *candidates.Candidate {
@@ -79,7 +80,7 @@
 
 func (f indexFinder) bestWithImage(
 	now time.Duration,
-	j *Job,
+	j *jobstate.Job,
 	l *zoneLimits,
 	allowed func(*candidates.Candidate) bool,
 ) *candidates.Candidate {
@@ -101,7 +102,7 @@
 // widenNextSearch lets the next search for a job look at twice as many machines when this one found none
 // among those that it may look at: or the job would be passed over for ever while the first ones
 // have room that is not for it.
-func (f indexFinder) widenNextSearch(j *Job, found, complete bool) {
+func (f indexFinder) widenNextSearch(j *jobstate.Job, found, complete bool) {
 	switch {
 	case found:
 		j.SearchDoublings = 0
@@ -116,7 +117,7 @@
 // evaluator returns the judgement by a job's score.
 func (f indexFinder) evaluator(
 	now time.Duration,
-	j *Job,
+	j *jobstate.Job,
 	l *zoneLimits,
 	allowed func(*candidates.Candidate) bool,
 ) evaluation {
@@ -132,7 +133,7 @@
 // searchWithImage looks at the machines that certainly have the job's image.
 func (f indexFinder) searchWithImage(
 	now time.Duration,
-	j *Job,
+	j *jobstate.Job,
 	q machineindex.Query,
 	judge evaluation,
 	best *machineindex.Best[*candidates.Candidate],
@@ -163,7 +164,7 @@
 // searchFetching looks at the machines that fetch the job's image.
 func (f indexFinder) searchFetching(
 	now time.Duration,
-	j *Job,
+	j *jobstate.Job,
 	judge evaluation,
 	best *machineindex.Best[*candidates.Candidate],
 ) {
@@ -178,7 +179,7 @@
 }
 
 // minScoreWithImage is the least that a machine with the job's image can score.
-func (f indexFinder) minScoreWithImage(q machineindex.Query, j *Job) float64 {
+func (f indexFinder) minScoreWithImage(q machineindex.Query, j *jobstate.Job) float64 {
 	least := math.Inf(1)
 	f.scheduler.candidates.Machines.Pools(func(p machineindex.Pool) { least = min(least, q.PoolScore(p)) })
 	if f.scheduler.lacksStartLatencyObjective(j) {
@@ -190,7 +191,7 @@
 // searchSet looks at machines in name order, until one scores the least that is possible.
 func (f indexFinder) searchSet(
 	set *machineregistry.MachineSet,
-	j *Job,
+	j *jobstate.Job,
 	least float64,
 	judge evaluation,
 	best *machineindex.Best[*candidates.Candidate],
@@ -214,7 +215,7 @@
 
 // searchWithoutImage looks at the machines without the job's image.
 func (f indexFinder) searchWithoutImage(
-	j *Job,
+	j *jobstate.Job,
 	q machineindex.Query,
 	judge evaluation,
 	best *machineindex.Best[*candidates.Candidate],
@@ -235,7 +236,7 @@
 }
 
 // query returns a query for machines with room for a task of the job, tightest first.
-func (f indexFinder) query(j *Job, l *zoneLimits) machineindex.Query {
+func (f indexFinder) query(j *jobstate.Job, l *zoneLimits) machineindex.Query {
 	return machineindex.Query{
 		Need:        j.TaskResources,
 		MaxExamined: f.scheduler.searchLimit << j.SearchDoublings,
@@ -253,7 +254,7 @@
 // score). While other fetches share its rate, or where a fetch outlasts the aim, the score
 // falls with the room on the machine, by no more than that fetch takes.
 func (f indexFinder) scoreBoundWithoutImage(
-	j *Job,
+	j *jobstate.Job,
 	prefersRoom bool,
 ) func(capacity, free machineregistry.Resources) float64 {
 	aim := f.scheduler.startLatencyObjective(j.Spec.Class)
@@ -280,7 +281,7 @@
 // mostFreeCapacity looks at the machines with most room first.
 func (f indexFinder) mostFreeCapacity(
 	now time.Duration,
-	j *Job,
+	j *jobstate.Job,
 	l *zoneLimits,
 	taken map[*candidates.Candidate]bool,
 ) *candidates.Candidate {
--- a/internal/coordination/scheduler/victimsearch.go
+++ b/internal/coordination/scheduler/victimsearch.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"pinebay/internal/coordination/candidates"
+	"pinebay/internal/coordination/jobstate"
 	"pinebay/internal/coordination/machineregistry"
 )
 
@@ -19,7 +20,7 @@
 // or about to leave anyhow, or any if the job's team is within its guarantee.
 func (f indexFinder) cheapestPreemption(
 	now time.Duration,
-	j *Job,
+	j *jobstate.Job,
 	l *zoneLimits,
 	within time.Duration,
 	level int,
@@ -64,7 +65,7 @@
 type victimSearch struct {
 	scheduler      *Scheduler
 	now            time.Duration
-	job            *Job
+	job            *jobstate.Job
 	limits         *zoneLimits
 	maxFetchTime   time.Duration
 	victimLevel    int // work of at least it leaves
--- a/internal/coordination/scheduler/zonefailover.go
+++ b/internal/coordination/scheduler/zonefailover.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"pinebay/internal/config"
+	"pinebay/internal/coordination/jobstate"
 	"pinebay/internal/coordination/machineregistry"
 	"pinebay/internal/coordination/zonefailover"
 	"pinebay/internal/protocol"
@@ -68,16 +69,13 @@
 			continue
 		}
 		for _, j := range c.jobs {
-			if j.TaskCounts[TaskPending] > 0 && j.hasStarted() {
+			if j.TaskCounts[jobstate.TaskPending] > 0 && j.HasStarted() {
 				j.DisplacedFromZone = zone.Name
 			}
 		}
 	}
 }
 
-// hasStarted says whether a task of the job was ever placed.
-func (j *Job) hasStarted() bool { return j.Pages.HighestAttempt() > 0 }
-
 // addDecision notes a decision, to be told with the next effects.
 func (c *Scheduler) addDecision(d zonefailover.Decision) {
 	c.zoneFailover.pendingDecisions = append(c.zoneFailover.pendingDecisions, d)
@@ -106,7 +104,7 @@
 }
 
 // updateZoneStates judges the zones, and draws the conclusions.
-func (c *Scheduler) updateZoneStates(now time.Duration, jobs []*Job) {
+func (c *Scheduler) updateZoneStates(now time.Duration, jobs []*jobstate.Job) {
 	z := c.zoneFailover
 	if z == nil || !z.multiZone {
 		return
@@ -137,7 +135,7 @@
 }
 
 // markDisplaced notes that a job has lost a task, which counts if it went with its zone.
-func (c *Scheduler) markDisplaced(j *Job, pl *machineregistry.Placement) {
+func (c *Scheduler) markDisplaced(j *jobstate.Job, pl *machineregistry.Placement) {
 	if c.zoneFailover == nil || j.Ended {
 		return
 	}
--- a/internal/coordination/scheduler/zonefencing.go
+++ b/internal/coordination/scheduler/zonefencing.go
@@ -4,6 +4,7 @@
 	"time"
 
 	"pinebay/internal/config"
+	"pinebay/internal/coordination/jobstate"
 	"pinebay/internal/coordination/machineregistry"
 	"pinebay/internal/coordination/zonefailover"
 	"pinebay/internal/protocol"
@@ -27,7 +28,7 @@
 // fenceLostMachines returns machines of lost zones whose tasks would find room elsewhere, in the
 // order of return: only that proves the tasks gone. What would find no room stays, and goes
 // on at once when the zone comes back.
-func (c *Scheduler) fenceLostMachines(now time.Duration, jobs []*Job) {
+func (c *Scheduler) fenceLostMachines(now time.Duration, jobs []*jobstate.Job) {
 	if !c.zoneFailover.monitor.AnyInState(zonefailover.Lost) {
 		return
 	}
@@ -40,14 +41,14 @@
 			return
 		}
 		held := c.placementsInLostZones(now, j, patience)
-		waiting := min(j.TaskCounts[TaskPending], c.tasksWithinQuotaLimit(j), maxWaitingConsidered)
+		waiting := min(j.TaskCounts[jobstate.TaskPending], c.tasksWithinQuotaLimit(j), maxWaitingConsidered)
 		if c.startForbidden(j) || len(held)+waiting == 0 || now < j.NextLoanSearch {
 			continue
 		}
 		whole := j.Spec.Shape == protocol.Gang || j.Spec.SameZone
 		wanted := waiting + len(held)
 		if whole {
-			wanted = j.TaskCounts[TaskPending] + len(j.Placements)
+			wanted = j.TaskCounts[jobstate.TaskPending] + len(j.Placements)
 		}
 		request, ok := c.requestInAvailableZones(j, wanted)
 		if !ok {
@@ -92,7 +93,7 @@
 // silent for longer than the patience.
 func (c *Scheduler) placementsInLostZones(
 	now time.Duration,
-	j *Job,
+	j *jobstate.Job,
 	patience time.Duration,
 ) (held []*machineregistry.Placement) {
 	for _, pl := range sortedPlacements(j) {
@@ -105,7 +106,7 @@
 }
 
 // fenceMachineOf has the machine of a placement returned, and says how many that makes.
-func (c *Scheduler) fenceMachineOf(now time.Duration, j *Job, pl *machineregistry.Placement) int {
+func (c *Scheduler) fenceMachineOf(now time.Duration, j *jobstate.Job, pl *machineregistry.Placement) int {
 	m := c.machines.Machine(pl.Machine)
 	if m == nil || m.Terminating {
 		return 0
@@ -118,7 +119,7 @@
 
 // requestInAvailableZones is the room that tasks of a job may take outside the lost zones; false if
 // its limits allow none.
-func (c *Scheduler) requestInAvailableZones(j *Job, tasks int) (zonefailover.CapacityRequest, bool) {
+func (c *Scheduler) requestInAvailableZones(j *jobstate.Job, tasks int) (zonefailover.CapacityRequest, bool) {
 	perZone := map[string]int{}
 	limits := c.zoneLimitsOf(j)
 	total := 0
--- a/internal/coordination/scheduler/zoneharness_test.go
+++ b/internal/coordination/scheduler/zoneharness_test.go
@@ -11,6 +11,7 @@
 	"pinebay/internal/config"
 	"pinebay/internal/coordination/autoscaler"
 	"pinebay/internal/coordination/fairshare"
+	"pinebay/internal/coordination/jobstate"
 	"pinebay/internal/coordination/machineregistry"
 	"pinebay/internal/coordination/zonefailover"
 	"pinebay/internal/protocol"
@@ -281,7 +282,7 @@
 	return barred
 }
 
-func (b *zoneHarness) recoveryJob(j *Job) simulation.WaitingJob {
+func (b *zoneHarness) recoveryJob(j *jobstate.Job) simulation.WaitingJob {
 	r := simulation.WaitingJob{
 		ID:            j.Spec.ID,
 		Position:      b.order.Position(j.Spec.Class, j.Spec.Team),
--- a/internal/coordination/scheduler/zoneloans.go
+++ b/internal/coordination/scheduler/zoneloans.go
@@ -4,11 +4,17 @@
 	"time"
 
 	"pinebay/internal/config"
+	"pinebay/internal/coordination/jobstate"
 	"pinebay/internal/coordination/zonefailover"
 )
 
 // openLoans enters the loans of a choice.
-func (c *Scheduler) openLoans(now time.Duration, j *Job, k *borrowableCapacity, choice zonefailover.Choice) error {
+func (c *Scheduler) openLoans(
+	now time.Duration,
+	j *jobstate.Job,
+	k *borrowableCapacity,
+	choice zonefailover.Choice,
+) error {
 	z := c.zoneFailover
 	var loans []zonefailover.Loan
 	for _, task := range choice.Lenders {
@@ -75,7 +81,8 @@
 // loanOutcome says how a loan has ended, or "" while it is open.
 func (c *Scheduler) loanOutcome(now time.Duration, loan zonefailover.Loan) zonefailover.LoanOutcome {
 	j := c.jobs[loan.Lender.Job]
-	if j == nil || j.Ended || loan.Lender.Task >= len(j.TaskStates) || j.TaskStates[loan.Lender.Task] == TaskDone {
+	if j == nil || j.Ended || loan.Lender.Task >= len(j.TaskStates) ||
+		j.TaskStates[loan.Lender.Task] == jobstate.TaskDone {
 		return zonefailover.LenderEnded
 	}
 	pl := j.Placements[loan.Lender.Task]
