--- a/internal/daemon/controller.go
+++ b/internal/daemon/controller.go
@@ -86,7 +86,7 @@
 		peers:       peers,
 		fencing:     c.fencing,
 		owner:       c.owner,
-		redirects:   NewRedirectTracker(config.Seconds(cfg.Deployment.Workers.LeaseSeconds)),
+		redirects:   newRedirectTracker(config.Seconds(cfg.Deployment.Workers.LeaseSeconds)),
 	}
 	c.exchange = &peerExchange{
 		environment:   env,
--- a/internal/daemon/cost_test.go
+++ b/internal/daemon/cost_test.go
@@ -46,7 +46,7 @@
 				r.Header.Set("Content-Type", protocol.ContentType)
 				w := httptest.NewRecorder()
 				routes.ServeHTTP(w, r)
-				c.workers.redirects = NewRedirectTracker(1) // each is the first
+				c.workers.redirects = newRedirectTracker(1) // each is the first
 				status = w.Code
 			})
 			t.Logf("%v allocations", allocations)
--- a/internal/daemon/heartbeats.go
+++ b/internal/daemon/heartbeats.go
@@ -32,7 +32,7 @@
 	peers     *peerTable
 	fencing   *fencingActor
 	owner     *machineOwner    // nil: ownership is off
-	redirects *RedirectTracker // machines that were sent to the leader
+	redirects *redirectTracker // machines that were sent to the leader
 }
 
 // handle answers a worker's heartbeat, or sends the worker to the controller that does. What is done is
@@ -171,7 +171,7 @@
 
 // sendToLeader redirects a worker to the leader, or relays the heartbeat of one that comes from there.
 func (h *workerHeartbeats) sendToLeader(ctx context.Context, route heartbeatRoute, q heartbeatRequest) {
-	if !h.redirects.ShouldRelay(q.heartbeat.Machine, route.controller, route.answeredByLeader, h.now()) {
+	if !h.redirects.shouldRelay(q.heartbeat.Machine, route.controller, route.answeredByLeader, h.now()) {
 		h.redirect(q.w, route.controller)
 		return
 	}
--- a/internal/daemon/ownerheartbeats.go
+++ b/internal/daemon/ownerheartbeats.go
@@ -22,7 +22,7 @@
 	*environment
 	ownership *ownershipActor
 	peers     *peerTable
-	redirects *RedirectTracker // machines that were sent to their owner
+	redirects *redirectTracker // machines that were sent to their owner
 	// digestAcknowledgedAt is when the last acknowledged digest was sent to the leader, on the controller's clock.
 	digestAcknowledgedAt atomic.Int64
 
@@ -37,7 +37,7 @@
 		environment:      env,
 		ownership:        record,
 		peers:            peers,
-		redirects:        NewRedirectTracker(lease),
+		redirects:        newRedirectTracker(lease),
 		heartbeats:       ownership.NewHeartbeatFilter(lease / 2),
 		digestReceivedAt: map[string]time.Duration{},
 	}
@@ -121,7 +121,7 @@
 // returnedFromOwner returns whether a machine was redirected to its owner and has come back: it can't reach the owner,
 // and is served here for a while.
 func (o *machineOwner) returnedFromOwner(machine string, epoch uint64) bool {
-	return o.redirects.ShouldRelay(machine, fmt.Sprint(epoch), false, o.now())
+	return o.redirects.shouldRelay(machine, fmt.Sprint(epoch), false, o.now())
 }
 
 // mustForward returns whether the leader has to know of a heartbeat. If not, this controller may answer it.
--- a/internal/daemon/redirects.go
+++ b/internal/daemon/redirects.go
@@ -6,11 +6,11 @@
 	"time"
 )
 
-// RedirectTracker remembers which machines were redirected to a target, the leader. One that
+// redirectTracker remembers which machines were redirected to a target, the leader. One that
 // comes back cannot reach it, although this controller can: its heartbeats are relayed, or its
 // lease would expire while it is redirected in a circle. After a lease it is redirected
 // once more, since commands reach it sooner from the target.
-type RedirectTracker struct {
+type redirectTracker struct {
 	mu        sync.Mutex
 	lease     time.Duration
 	target    string
@@ -25,15 +25,15 @@
 // retentionLeases is for how many leases a machine that was redirected is remembered.
 const retentionLeases = 3
 
-// NewRedirectTracker returns an empty tracker.
-func NewRedirectTracker(lease time.Duration) *RedirectTracker {
-	return &RedirectTracker{lease: lease, visits: map[string]visit{}}
+// newRedirectTracker returns an empty tracker.
+func newRedirectTracker(lease time.Duration) *redirectTracker {
+	return &redirectTracker{lease: lease, visits: map[string]visit{}}
 }
 
-// ShouldRelay records that a machine is here although it should be at the target, and returns
+// shouldRelay records that a machine is here although it should be at the target, and returns
 // whether its heartbeat should be relayed. answered says that the target has answered the machine
 // already: it would not be here if it could reach the target. A new target forgets all machines.
-func (t *RedirectTracker) ShouldRelay(machine, target string, answered bool, now time.Duration) bool {
+func (t *redirectTracker) shouldRelay(machine, target string, answered bool, now time.Duration) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if target != t.target {
@@ -59,7 +59,7 @@
 
 // expire drops the machines that were not here for long, at most once per lease: were all compared whenever one is
 // recorded, thousands that come at once would cost millions of comparisons.
-func (t *RedirectTracker) expire(now time.Duration) {
+func (t *redirectTracker) expire(now time.Duration) {
 	if now-t.expiredAt < t.lease {
 		return
 	}
--- a/internal/daemon/redirects_test.go
+++ b/internal/daemon/redirects_test.go
@@ -11,7 +11,7 @@
 // second way round had cost half of a large fleet its tasks. From time to time
 // they try the leader again, and a new leader gets its chance.
 func TestRedirectTracker(t *testing.T) {
-	tr := NewRedirectTracker(10 * time.Second)
+	tr := newRedirectTracker(10 * time.Second)
 	for i, x := range []struct {
 		machine, leader string
 		met             bool
@@ -29,7 +29,7 @@
 		{"m1", "b", false, 41 * time.Second, false},
 		{"m1", "b", false, 46 * time.Second, true},
 	} {
-		if got := tr.ShouldRelay(x.machine, x.leader, x.met, x.at); got != x.relay {
+		if got := tr.shouldRelay(x.machine, x.leader, x.met, x.at); got != x.relay {
 			t.Errorf("%d: %+v: %v", i, x, got)
 		}
 	}
