--- a/internal/coordination/scheduler/allocate.go
+++ b/internal/coordination/scheduler/allocate.go
@@ -20,7 +20,7 @@
 	waiting := c.schedulableJobs(now)
 	c.orderGangsByDeadline(now, waiting)
 	c.holdHeadroom(now)
-	c.beginPreemptionCycle()
+	c.preemption.beginCycle()
 	failed := map[searchKey]int{}
 	if c.inZoneFailover() {
 		c.placeWithinQuota(now, waiting)
@@ -29,7 +29,7 @@
 	for j, ok := queue.Next(); ok; j, ok = queue.Next() {
 		j.LastTriedCycle = c.cycleCount
 		if len(j.ReservedMachines) > 0 {
-			c.capacityEvents++ // what is cleared for it may be had by others from now on
+			c.preemption.capacityMayBeFree() // later jobs may take what it is nominated for
 		}
 		if j.TaskCounts[jobstate.TaskPending] == 0 {
 			continue // placed within its team's guarantee just now
@@ -45,7 +45,7 @@
 			failed[k]++
 		}
 	}
-	c.endPreemptionCycle()
+	c.preemption.endCycle()
 	c.relocateFetchingTasks(now)
 	// Last, with the room that is left: what waits still could not use it.
 	c.consolidate(now)
@@ -127,7 +127,7 @@
 }
 
 func (c *Scheduler) undoAllocation(j *jobstate.Job, got allocation) {
-	c.capacityEvents++
+	c.preemption.capacityMayBeFree()
 	for _, g := range got {
 		c.candidates.SetFree(g.x, g.x.Free.Plus(j.TaskResources))
 	}
--- a/internal/coordination/scheduler/candidateindex_test.go
+++ b/internal/coordination/scheduler/candidateindex_test.go
@@ -152,29 +152,31 @@
 }
 
 // TestMachinesExaminedPerStart: how many machines are looked at for a start does not grow with the fleet, and a
-// cycle in which nothing can be placed looks at none again and again.
+// cycle in which nothing can be placed examines none again and again.
 func TestMachinesExaminedPerStart(t *testing.T) {
 	const mostPerStart, mostPerWaiting = 80, 4
 	for _, machines := range []int{200, 2000, 6000} {
 		b := newFleetHarness(machines, 50, 0)
 		b.fill(50, serviceSlots)
 		b.heartbeatAll()
-		b.scheduler.machinesExamined, b.started = 0, 0
+		finder := indexFinderOf(t, b.scheduler)
+		finder.examined, b.started = 0, 0
 		for range 10 {
 			b.submit(protocol.Array, b.rng.IntN(50), 64, "normal")
 			b.advance(MinCycleInterval)
 		}
 		b.advance(CycleInterval)
-		if b.started != 640 || b.scheduler.machinesExamined > uint64(mostPerStart*b.started) {
-			t.Errorf("%d machines: %d looks for %d starts", machines, b.scheduler.machinesExamined, b.started)
+		if b.started != 640 || finder.examined > uint64(mostPerStart*b.started) {
+			t.Errorf("%d machines: %d machines examined for %d starts", machines, finder.examined, b.started)
 		}
-		t.Logf("%d machines: %.1f looks a start", machines, float64(b.scheduler.machinesExamined)/float64(b.started))
+		t.Logf("%d machines: %.1f machines examined per start", machines, float64(finder.examined)/float64(b.started))
 	}
 	b := newOverloadedHarness(200, 50, 500)
-	b.scheduler.machinesExamined = 0
+	finder := indexFinderOf(t, b.scheduler)
+	finder.examined = 0
 	b.advance(CycleInterval)
-	if most := uint64(mostPerWaiting * 500); b.scheduler.machinesExamined > most {
-		t.Errorf("%d looks in a cycle in which 500 jobs wait, want %d at most", b.scheduler.machinesExamined, most)
+	if most := uint64(mostPerWaiting * 500); finder.examined > most {
+		t.Errorf("%d machines examined in a cycle in which 500 jobs wait, want %d at most", finder.examined, most)
 	}
 }
 
--- a/internal/coordination/scheduler/consolidate.go
+++ b/internal/coordination/scheduler/consolidate.go
@@ -16,6 +16,12 @@
 // only if no command stops the task within this time, by the protocol.
 const startCountsAfter = 30 * time.Second
 
+// consolidation is the state between two consolidations.
+type consolidation struct {
+	lastAt time.Duration
+	cursor string // the machine at which the next search for machines to empty begins
+}
+
 // consolidationPause is the time between two machines that are emptied.
 const consolidationPause = 2 * CycleInterval
 
@@ -25,7 +31,7 @@
 // for as long as it lives. The old attempt is proven gone before the new one
 // starts, as always.
 func (c *Scheduler) consolidate(now time.Duration) {
-	if now-c.lastConsolidation < consolidationPause {
+	if now-c.consolidation.lastAt < consolidationPause {
 		return
 	}
 	light := c.underutilizedMachines(now)
@@ -34,7 +40,7 @@
 		if !c.fitsElsewhere(now, x) {
 			continue
 		}
-		c.lastConsolidation = now
+		c.consolidation.lastAt = now
 		x.Machine.EachPlacement(func(pl *machineregistry.Placement) {
 			c.log.Info("moving", "task", pl.Task, "from", pl.Machine)
 		})
@@ -55,11 +61,11 @@
 // the machines, and the next time at the next.
 func (c *Scheduler) underutilizedMachines(now time.Duration) (light []*candidates.Candidate) {
 	left := maxExaminedMachines
-	from := c.consolidationCursor
-	c.consolidationCursor = ""
+	from := c.consolidation.cursor
+	c.consolidation.cursor = ""
 	c.machines.EachFrom(from, func(m *machineregistry.Machine) bool {
 		if left--; left < 0 {
-			c.consolidationCursor = m.Name
+			c.consolidation.cursor = m.Name
 			return false
 		}
 		if x := c.candidates.Of(now, m); x != nil && c.canBeEmptied(now, x) {
--- a/internal/coordination/scheduler/fairshare_test.go
+++ b/internal/coordination/scheduler/fairshare_test.go
@@ -54,13 +54,13 @@
 	}
 }
 
-// TestPreemptionBudgetStarvesNoJob: when the looks for work to stop are used up in each cycle, every job
+// TestPreemptionBudgetStarvesNoJob: when the budget of searches for victims is used up in each cycle, every job
 // that waits for some has its turn all the same, also behind older ones that never find any.
 func TestPreemptionBudgetStarvesNoJob(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(2, 10).Draw(t, "jobs")
 		b := newHarness([]config.Team{{Name: "red"}}, "a", "b")
-		b.scheduler.preemptionBudget = 1
+		b.scheduler.preemption.perCycle = 1
 		for i := range n {
 			b.heartbeat(fmt.Sprintf("m%02d", i), "a", false)
 			b.addJob(jobSpec(fmt.Sprintf("j-low%d", i), protocol.Array, "normal", 1, 8))
@@ -89,12 +89,12 @@
 }
 
 // TestSearchesWiden: a job finds the one machine with room for it, although more machines than a
-// search may look at have room that is kept from it, and however few looks there are.
+// search may examine have capacity that is held from it, however few those are.
 func TestSearchesWiden(t *testing.T) {
 	const machines = 30
-	for _, looks := range []int{1, 4} {
+	for _, limit := range []int{1, 4} {
 		b := newHarness([]config.Team{{Name: "red"}}, "a")
-		b.scheduler.searchLimit = looks
+		indexFinderOf(t, b.scheduler).maxExamined = limit
 		for i := range machines {
 			b.heartbeat(fmt.Sprintf("m%02d", i), "a", false)
 		}
@@ -114,7 +114,7 @@
 			b.runFetchingTasks()
 		}
 		if b.startedTasks("j-1") != 1 {
-			t.Errorf("%d looks: the job was passed over", looks)
+			t.Errorf("limit %d: the job was passed over", limit)
 		}
 	}
 }
--- a/internal/coordination/scheduler/fullscan_test.go
+++ b/internal/coordination/scheduler/fullscan_test.go
@@ -100,6 +100,16 @@
 	return best
 }
 
+// indexFinderOf returns the finder of a scheduler that uses the index.
+func indexFinderOf(t testing.TB, c *Scheduler) *indexFinder {
+	t.Helper()
+	f, ok := c.finder.(*indexFinder)
+	if !ok {
+		t.Fatalf("the finder is a %T", c.finder)
+	}
+	return f
+}
+
 // schedulerPair are two cores that get the same events, one with the index and one that scans all.
 type schedulerPair struct {
 	t        *rapid.T
--- a/internal/coordination/scheduler/preempt.go
+++ b/internal/coordination/scheduler/preempt.go
@@ -61,35 +61,6 @@
 	}
 }
 
-// beginPreemptionCycle gives the cycle its share of searches for work to stop.
-func (c *Scheduler) beginPreemptionCycle() {
-	c.preemptionBudgetLeft = c.preemptionBudget
-	c.noVictimsSince = map[searchKey]uint64{}
-}
-
-// endPreemptionCycle begins a new round of searches if all that waited have had theirs.
-func (c *Scheduler) endPreemptionCycle() {
-	if c.preemptionBudgetLeft > 0 {
-		c.preemptionRound++
-	}
-}
-
-// maySearchVictims says whether work to stop may be looked for now. When the searches of a
-// cycle are used up, the jobs that had theirs in this round wait until the others have had one.
-func (c *Scheduler) maySearchVictims(j *jobstate.Job, k searchKey) bool {
-	if at, ok := c.noVictimsSince[k]; ok && at == c.capacityEvents {
-		return false // none was found for its like, and no room has come up since
-	}
-	if c.preemptionBudgetLeft <= 0 {
-		return false
-	}
-	if j.PreemptionRound == c.preemptionRound && j.PreemptionCycle != c.cycleCount {
-		return false // it had its turn in an earlier cycle of the round
-	}
-	j.PreemptionRound, j.PreemptionCycle = c.preemptionRound, c.cycleCount
-	return true
-}
-
 // preemptForTask makes room for one task on the machine where that costs least, among
 // those where the task could run within the given time, and reserves it. Only
 // work of at least the given level leaves.
@@ -102,14 +73,14 @@
 ) bool {
 	k := searchKeyOf(j)
 	k.victimLevel = level
-	if !c.maySearchVictims(j, k) {
+	if !c.preemption.admit(j, k, c.cycleCount) {
 		return false
 	}
 	best, victims := c.finder.cheapestPreemption(now, j, l, within, level)
 	if best == nil {
 		if within == math.MaxInt64 && len(j.AvoidedMachines()) == 0 && len(j.ReservedMachines) == 0 &&
 			!c.inZoneFailover() {
-			c.noVictimsSince[k] = c.capacityEvents
+			c.preemption.noVictims(k)
 		}
 		return false
 	}
--- a/internal/coordination/scheduler/scheduler.go
+++ b/internal/coordination/scheduler/scheduler.go
@@ -64,19 +64,8 @@
 	finder                 machineFinder
 	// pagesInFlight counts the pages that are being written, by purpose.
 	pagesInFlight [PriorityMaintenance + 1]int
-	// capacityEvents counts what may have made room within a cycle.
-	capacityEvents uint64
-	// preemptionBudgetLeft is what searches for work to stop may still cost in this cycle,
-	// PreemptionRound counts the rounds in which every waiting job has one, and preemptionCursor is
-	// where the next search of a large fleet begins.
-	preemptionBudgetLeft int
-	preemptionRound      uint64
-	preemptionCursor     string
-	noVictimsSince       map[searchKey]uint64
-	searchLimit          int    // at how many machines a search looks at first
-	preemptionBudget     int    // what preemptionBudgetLeft begins with
-	machinesExamined     uint64 // machines that searches have looked at
-	consolidationCursor  string // where the next look for machines to empty begins
+	preemption    preemptionBudget
+	consolidation consolidation
 	// cancellationIntents holds the jobs that users may have been told are cancelled, until the
 	// state service tells, by when one must have been told.
 	cancellationIntents map[string]time.Duration
@@ -88,7 +77,6 @@
 	cycleCount          uint64
 	lastCycleAt         time.Duration
 	lastPlanAt          time.Duration // when the fleet was last planned
-	lastConsolidation   time.Duration
 	termStartedAt       time.Duration
 	arrivals            map[string][]time.Duration // by class, newest last
 	newestJobs          map[string]*protocol.Job   // the newest job of each class
@@ -159,8 +147,8 @@
 	}
 	c.setFeatureLevel(term.FeatureLevel)
 	c.queues, c.candidates = jobstate.NewQueues(), candidates.NewIndex(c.machines)
-	c.finder, c.preemptionRound = indexFinder{c}, 1
-	c.searchLimit, c.preemptionBudget = maxExaminedMachines, preemptionBudgetPerCycle
+	c.preemption = newPreemptionBudget()
+	c.finder = newIndexFinder(c)
 	c.quotas = fairshare.NewQuotas(cfg.Teams, c.machines)
 	c.startLatencyObjectives = startLatencyObjectivesOf(cfg.Objectives)
 	c.machines.SetMachineTypes(rec.MachineTypes)
--- a/internal/coordination/scheduler/search.go
+++ b/internal/coordination/scheduler/search.go
@@ -53,12 +53,22 @@
 	maxExaminedTies     = 64
 )
 
-// indexFinder finds machines by the roster's index and the partition's views.
-type indexFinder struct{ scheduler *Scheduler }
+// indexFinder finds machines by the candidate index and the registry's sets of machines.
+type indexFinder struct {
+	scheduler   *Scheduler
+	maxExamined int    // by a search that was not widened
+	examined    uint64 // by all searches so far
+	// victimCursor is the machine at which the next search for victims of a large fleet begins.
+	victimCursor string
+}
+
+func newIndexFinder(c *Scheduler) *indexFinder {
+	return &indexFinder{scheduler: c, maxExamined: maxExaminedMachines}
+}
 
 // bestMachine first looks at the machines that have the image or fetch it. The others are looked at
 // only if one of them could score better, with the fetch that it would need.
-func (f indexFinder) bestMachine(
+func (f *indexFinder) bestMachine(
 	now time.Duration,
 	j *jobstate.Job,
 	l *zoneLimits,
@@ -78,7 +88,7 @@
 	return foundCandidate(&best)
 }
 
-func (f indexFinder) bestWithImage(
+func (f *indexFinder) bestWithImage(
 	now time.Duration,
 	j *jobstate.Job,
 	l *zoneLimits,
@@ -102,7 +112,7 @@
 // widenNextSearch lets the next search for a job look at twice as many machines when this one found none
 // among those that it may look at: or the job would be passed over for ever while the first ones
 // have room that is not for it.
-func (f indexFinder) widenNextSearch(j *jobstate.Job, found, complete bool) {
+func (f *indexFinder) widenNextSearch(j *jobstate.Job, found, complete bool) {
 	switch {
 	case found:
 		j.SearchDoublings = 0
@@ -115,14 +125,14 @@
 type evaluation func(*candidates.Candidate) (float64, bool)
 
 // evaluator returns the judgement by a job's score.
-func (f indexFinder) evaluator(
+func (f *indexFinder) evaluator(
 	now time.Duration,
 	j *jobstate.Job,
 	l *zoneLimits,
 	allowed func(*candidates.Candidate) bool,
 ) evaluation {
 	return func(x *candidates.Candidate) (float64, bool) {
-		f.scheduler.machinesExamined++
+		f.examined++
 		if !f.scheduler.candidates.CheckSchedulable(now, x) || !allowed(x) {
 			return 0, false
 		}
@@ -131,7 +141,7 @@
 }
 
 // searchWithImage looks at the machines that certainly have the job's image.
-func (f indexFinder) searchWithImage(
+func (f *indexFinder) searchWithImage(
 	now time.Duration,
 	j *jobstate.Job,
 	q machineindex.Query,
@@ -162,7 +172,7 @@
 }
 
 // searchFetching looks at the machines that fetch the job's image.
-func (f indexFinder) searchFetching(
+func (f *indexFinder) searchFetching(
 	now time.Duration,
 	j *jobstate.Job,
 	judge evaluation,
@@ -179,7 +189,7 @@
 }
 
 // minScoreWithImage is the least that a machine with the job's image can score.
-func (f indexFinder) minScoreWithImage(q machineindex.Query, j *jobstate.Job) float64 {
+func (f *indexFinder) minScoreWithImage(q machineindex.Query, j *jobstate.Job) float64 {
 	least := math.Inf(1)
 	f.scheduler.candidates.Machines.Pools(func(p machineindex.Pool) { least = min(least, q.PoolScore(p)) })
 	if f.scheduler.lacksStartLatencyObjective(j) {
@@ -189,7 +199,7 @@
 }
 
 // searchSet looks at machines in name order, until one scores the least that is possible.
-func (f indexFinder) searchSet(
+func (f *indexFinder) searchSet(
 	set *machineregistry.MachineSet,
 	j *jobstate.Job,
 	least float64,
@@ -198,7 +208,7 @@
 ) {
 	looks := 0
 	set.Scan(func(m *machineregistry.Machine) bool {
-		if looks++; looks > f.scheduler.searchLimit<<j.SearchDoublings {
+		if looks++; looks > f.maxExamined<<j.SearchDoublings {
 			return false
 		}
 		x := f.scheduler.candidates.Indexed(m)
@@ -214,7 +224,7 @@
 }
 
 // searchWithoutImage looks at the machines without the job's image.
-func (f indexFinder) searchWithoutImage(
+func (f *indexFinder) searchWithoutImage(
 	j *jobstate.Job,
 	q machineindex.Query,
 	judge evaluation,
@@ -236,10 +246,10 @@
 }
 
 // query returns a query for machines with room for a task of the job, tightest first.
-func (f indexFinder) query(j *jobstate.Job, l *zoneLimits) machineindex.Query {
+func (f *indexFinder) query(j *jobstate.Job, l *zoneLimits) machineindex.Query {
 	return machineindex.Query{
 		Need:        j.TaskResources,
-		MaxExamined: f.scheduler.searchLimit << j.SearchDoublings,
+		MaxExamined: f.maxExamined << j.SearchDoublings,
 		MaxTies:     maxExaminedTies,
 		PoolScore: func(p machineindex.Pool) float64 {
 			if !f.scheduler.poolFeasible(j, l, p) {
@@ -253,7 +263,7 @@
 // scoreBoundWithoutImage bounds what a machine without the job's image scores beyond one fetch of it (see
 // score). While other fetches share its rate, or where a fetch outlasts the aim, the score
 // falls with the room on the machine, by no more than that fetch takes.
-func (f indexFinder) scoreBoundWithoutImage(
+func (f *indexFinder) scoreBoundWithoutImage(
 	j *jobstate.Job,
 	prefersRoom bool,
 ) func(capacity, free machineregistry.Resources) float64 {
@@ -279,7 +289,7 @@
 }
 
 // mostFreeCapacity looks at the machines with most room first.
-func (f indexFinder) mostFreeCapacity(
+func (f *indexFinder) mostFreeCapacity(
 	now time.Duration,
 	j *jobstate.Job,
 	l *zoneLimits,
--- a/internal/coordination/scheduler/victimsearch.go
+++ b/internal/coordination/scheduler/victimsearch.go
@@ -9,16 +9,9 @@
 	"pinebay/internal/coordination/machineregistry"
 )
 
-// preemptionLooks bounds what searches for work to stop may cost in a cycle, in machines looked
-// at; one whose work must be chosen counts as several.
-const (
-	preemptionBudgetPerCycle = 1 << 18
-	victimSelectionCost      = 8
-)
-
 // cheapestPreemption looks at the machines that have work which may have to leave: of at least the level,
 // or about to leave anyhow, or any if the job's team is within its guarantee.
-func (f indexFinder) cheapestPreemption(
+func (f *indexFinder) cheapestPreemption(
 	now time.Duration,
 	j *jobstate.Job,
 	l *zoneLimits,
@@ -39,10 +32,10 @@
 	}
 	from := ""
 	if total > maxExaminedMachines {
-		from = f.scheduler.preemptionCursor
+		from = f.victimCursor
 	}
 	s := victimSearch{
-		scheduler:      f.scheduler,
+		finder:         f,
 		now:            now,
 		job:            j,
 		limits:         l,
@@ -56,14 +49,14 @@
 		s.scan(set, from)
 	}
 	if total > maxExaminedMachines {
-		f.scheduler.preemptionCursor = s.lastExamined
+		f.victimCursor = s.lastExamined
 	}
 	return s.best, s.victims
 }
 
 // victimSearch is a search for work to stop.
 type victimSearch struct {
-	scheduler      *Scheduler
+	finder         *indexFinder
 	now            time.Duration
 	job            *jobstate.Job
 	limits         *zoneLimits
@@ -97,9 +90,9 @@
 
 // examine takes a machine into account.
 func (s *victimSearch) examine(m *machineregistry.Machine) {
-	c, j := s.scheduler, s.job
-	c.preemptionBudgetLeft--
-	c.machinesExamined++
+	c, j := s.finder.scheduler, s.job
+	c.preemption.spend(1)
+	s.finder.examined++
 	x := c.candidates.Of(s.now, m)
 	if x == nil || !j.TaskResources.Fits(x.Free.Plus(m.PreemptibleResources(s.candidateLevel))) ||
 		!j.TaskResources.Fits(x.Capacity()) ||
@@ -111,7 +104,7 @@
 	if warm > s.maxFetchTime {
 		return
 	}
-	c.preemptionBudgetLeft -= victimSelectionCost
+	c.preemption.spend(victimSelectionCost)
 	victims, cost, ok := c.selectVictims(s.now, j, x, s.victimLevel)
 	cost += warm.Seconds()
 	if ok && (cost < s.cost || cost == s.cost && s.best != nil && m.Name < s.best.Machine.Name) {
