--- a/internal/coordination/scheduler/nomination.go
+++ b/internal/coordination/placement/nomination.go
@@ -1,4 +1,4 @@
-package scheduler
+package placement
 
 import (
 	"time"
@@ -11,23 +11,23 @@
 // A machine is nominated for a job while work on it is being preempted for the job, so that the capacity
 // does not go to a later one as it becomes free.
 
-// nominate nominates a machine for a job until the given time.
-func (c *Scheduler) nominate(m *machineregistry.Machine, j *jobstate.Job, until time.Duration) {
-	m.ReserveFor(j.Spec.ID, until)
+// Nominate nominates a machine for a job until the given time.
+func (r *Rules) Nominate(m *machineregistry.Machine, j *jobstate.Job, until time.Duration) {
+	m.ReservedJob, m.ReservedUntil = j.Spec.ID, until
 	if j.ReservedMachines == nil {
 		j.ReservedMachines = map[*machineregistry.Machine]bool{}
 	}
 	j.ReservedMachines[m] = true
 }
 
-// nominatedCandidates returns the candidates that are nominated for a job, in name order.
-func (c *Scheduler) nominatedCandidates(now time.Duration, j *jobstate.Job) (list []*candidates.Candidate) {
+// Nominated returns the candidates that are nominated for a job, in name order.
+func (r *Rules) Nominated(now time.Duration, j *jobstate.Job) (list []*candidates.Candidate) {
 	for m := range j.ReservedMachines {
 		if !m.IsReservedFor(now, j.Spec.ID) || m.Removed() {
 			delete(j.ReservedMachines, m)
 			continue
 		}
-		if x := c.candidates.Of(now, m); x != nil {
+		if x := r.Candidates.Of(now, m); x != nil {
 			list = append(list, x)
 		}
 	}
@@ -35,17 +35,17 @@
 	return list
 }
 
-// nominatedForOther reports whether a machine is nominated for another job that goes first. A job that
+// NominatedForOther reports whether a machine is nominated for another job that goes first. A job that
 // comes before the nominated one in this cycle may take the capacity: if every gang kept what was
 // preempted for it, each could hold a part of what one of them needs. A job that has found capacity
 // elsewhere keeps none.
-func (c *Scheduler) nominatedForOther(now time.Duration, m *machineregistry.Machine, id string) bool {
+func (r *Rules) NominatedForOther(now time.Duration, m *machineregistry.Machine, id string) bool {
 	if m.ReservedJob == "" || m.ReservedJob == id || now >= m.ReservedUntil {
 		return false
 	}
-	o := c.jobs[m.ReservedJob]
+	o := r.Jobs[m.ReservedJob]
 	if o == nil || o.Ended || o.TaskCounts[jobstate.TaskPending] == 0 && !o.HasStoppingTasks() {
 		return false
 	}
-	return o.LastWaitingCycle != c.cycleCount || o.LastTriedCycle == c.cycleCount
+	return o.LastWaitingCycle != r.Cycle || o.LastTriedCycle == r.Cycle
 }
--- a/internal/coordination/scheduler/allocate.go
+++ b/internal/coordination/scheduler/allocate.go
@@ -6,6 +6,7 @@
 	"pinebay/internal/coordination/candidates"
 	"pinebay/internal/coordination/jobstate"
 	"pinebay/internal/coordination/machineregistry"
+	"pinebay/internal/coordination/placement"
 	"pinebay/internal/protocol"
 )
 
@@ -13,15 +14,21 @@
 // smaller jobs may backfill it, for one cycle at a time.
 const gangHoldCycles = 3
 
+// maxFailuresPerSearchKey is after how many jobs of a kind that found no room the others of
+// the kind are not tried in the same cycle: thousands of jobs that wait must
+// not cost thousands of searches.
+const maxFailuresPerSearchKey = 16
+
 // runCycle is the cycle: jobs by priority, then age, teams in turn.
 func (c *Scheduler) runCycle(now time.Duration) {
 	c.cycleCount++
+	c.rules.Cycle = c.cycleCount
 	c.candidates.Refresh(now)
 	waiting := c.schedulableJobs(now)
 	c.orderGangsByDeadline(now, waiting)
 	c.holdHeadroom(now)
-	c.preemption.beginCycle()
-	failed := map[searchKey]int{}
+	c.preemption.BeginCycle()
+	failed := map[placement.SearchKey]int{}
 	if c.inZoneFailover() {
 		c.placeWithinQuota(now, waiting)
 	}
@@ -29,12 +36,12 @@
 	for j, ok := queue.Next(); ok; j, ok = queue.Next() {
 		j.LastTriedCycle = c.cycleCount
 		if len(j.ReservedMachines) > 0 {
-			c.preemption.capacityMayBeFree() // later jobs may take what it is nominated for
+			c.preemption.CapacityMayBeFree() // later jobs may take what it is nominated for
 		}
 		if j.TaskCounts[jobstate.TaskPending] == 0 {
 			continue // placed within its team's guarantee just now
 		}
-		k := searchKeyOf(j)
+		k := placement.SearchKeyOf(j)
 		if failed[k] >= maxFailuresPerSearchKey {
 			j.UnschedulableCycles++
 			continue
@@ -45,7 +52,7 @@
 			failed[k]++
 		}
 	}
-	c.preemption.endCycle()
+	c.preemption.EndCycle()
 	c.relocateFetchingTasks(now)
 	// Last, with the room that is left: what waits still could not use it.
 	c.consolidate(now)
@@ -71,9 +78,9 @@
 	if gang && allowed < j.Spec.TaskCount {
 		return
 	}
-	l := c.zoneLimitsOf(j)
+	l := placement.ZoneLimitsOf(j)
 	var got allocation
-	if gang && j.Spec.SameZone && l.onlyZone == "" {
+	if gang && j.Spec.SameZone && l.OnlyZone == "" {
 		got, l = c.bestZone(now, j, l)
 	} else {
 		got = c.allocate(now, j, l, min(allowed, j.TaskCounts[jobstate.TaskPending]))
@@ -99,7 +106,7 @@
 }
 
 // allocate takes room for up to n tasks, task by task.
-func (c *Scheduler) allocate(now time.Duration, j *jobstate.Job, l *zoneLimits, n int) allocation {
+func (c *Scheduler) allocate(now time.Duration, j *jobstate.Job, l *placement.ZoneLimits, n int) allocation {
 	var got allocation
 	for t := j.NextPending(0); t >= 0 && len(got) < n; t = j.NextPending(t + 1) {
 		x, attempted := c.selectMachine(now, j, t, l)
@@ -114,9 +121,9 @@
 		}
 		c.stopCompetingFetches(now, j, x)
 		c.candidates.SetFree(x, x.Free.Minus(j.TaskResources))
-		l.tasksPerZone[x.Machine.Zone]++
+		l.TasksPerZone[x.Machine.Zone]++
 		if j.Spec.SameZone {
-			l.onlyZone = x.Machine.Zone
+			l.OnlyZone = x.Machine.Zone
 		}
 		got = append(got, struct {
 			task int
@@ -126,8 +133,30 @@
 	return got
 }
 
+// selectMachine chooses the machine for a task. attempted says that one was passed over
+// just for this task's sake, so that another task may still have it.
+func (c *Scheduler) selectMachine(
+	now time.Duration,
+	j *jobstate.Job,
+	task int,
+	l *placement.ZoneLimits,
+) (best *candidates.Candidate, attempted bool) {
+	id := protocol.TaskID{JobID: j.Spec.ID, Index: task}
+	best = c.finder.BestMachine(now, j, l, func(x *candidates.Candidate) bool {
+		if !j.TaskResources.Fits(c.freeForJob(x, j)) || !c.rules.Feasible(now, j, x, l) {
+			return false
+		}
+		if x.Machine.HasAttempt(id) {
+			attempted = true
+			return false
+		}
+		return true
+	})
+	return best, attempted
+}
+
 func (c *Scheduler) undoAllocation(j *jobstate.Job, got allocation) {
-	c.preemption.capacityMayBeFree()
+	c.preemption.CapacityMayBeFree()
 	for _, g := range got {
 		c.candidates.SetFree(g.x, g.x.Free.Plus(j.TaskResources))
 	}
@@ -135,10 +164,14 @@
 
 // bestZone tries the zones for a gang that must be in one, and keeps the room
 // in the one that holds all of it, or else most of it.
-func (c *Scheduler) bestZone(now time.Duration, j *jobstate.Job, l *zoneLimits) (allocation, *zoneLimits) {
+func (c *Scheduler) bestZone(
+	now time.Duration,
+	j *jobstate.Job,
+	l *placement.ZoneLimits,
+) (allocation, *placement.ZoneLimits) {
 	best, bestN, bestScore := "", -1, 0.0
-	try := func(z string) (allocation, *zoneLimits, float64) {
-		zl := &zoneLimits{onlyZone: z, tasksPerZone: map[string]int{}, maxTasksPerZone: l.maxTasksPerZone}
+	try := func(z string) (allocation, *placement.ZoneLimits, float64) {
+		zl := &placement.ZoneLimits{OnlyZone: z, TasksPerZone: map[string]int{}, MaxTasksPerZone: l.MaxTasksPerZone}
 		got := c.allocate(now, j, zl, j.Spec.TaskCount)
 		s := 0.0
 		for _, g := range got {
@@ -163,7 +196,7 @@
 // holdForGang keeps the room of a short gang closed to others until the next cycle:
 // what it was allocated, and for each task without room the machine that is
 // nearest to having it. Every fourth short cycle smaller jobs may backfill.
-func (c *Scheduler) holdForGang(now time.Duration, j *jobstate.Job, got allocation, l *zoneLimits) {
+func (c *Scheduler) holdForGang(now time.Duration, j *jobstate.Job, got allocation, l *placement.ZoneLimits) {
 	j.UnschedulableCycles++
 	missing := j.Spec.TaskCount - len(got)
 	c.preempt(now, j, l, missing)
@@ -173,7 +206,7 @@
 	}
 	taken := map[*candidates.Candidate]bool{}
 	for range missing {
-		x := c.finder.mostFreeCapacity(now, j, l, taken)
+		x := c.finder.MostFreeCapacity(now, j, l, taken)
 		if x == nil {
 			return
 		}
--- a/internal/coordination/scheduler/borrowing.go
+++ b/internal/coordination/scheduler/borrowing.go
@@ -7,6 +7,7 @@
 	"pinebay/internal/config"
 	"pinebay/internal/coordination/candidates"
 	"pinebay/internal/coordination/jobstate"
+	"pinebay/internal/coordination/placement"
 	"pinebay/internal/coordination/zonefailover"
 	"pinebay/internal/protocol"
 )
@@ -29,15 +30,15 @@
 	if !c.mayBorrow(j) {
 		return false
 	}
-	return len(c.nominatedCandidates(now, j)) > 0
+	return len(c.rules.Nominated(now, j)) > 0
 }
 
 // borrowCapacity finds room for up to n tasks of a job that lost them with a zone. What is to be
 // stopped for it is recorded first: should we end in between, the next leader finds who
 // was to lend to whom. It says whether that is how the job gets room: not when no further
 // loan can be recorded.
-func (c *Scheduler) borrowCapacity(now time.Duration, j *jobstate.Job, l *zoneLimits, n int) bool {
-	n -= len(c.nominatedCandidates(now, j)) // lent already, and not yet free
+func (c *Scheduler) borrowCapacity(now time.Duration, j *jobstate.Job, l *placement.ZoneLimits, n int) bool {
+	n -= len(c.rules.Nominated(now, j)) // lent already, and not yet free
 	if n <= 0 {
 		return true
 	}
@@ -45,13 +46,13 @@
 	if !ok || !c.acquireSearch(now, j) {
 		return true
 	}
-	if l.onlyZone != "" {
-		request.MaxPerZone = map[string]int{l.onlyZone: request.MaxPerZone[l.onlyZone]}
+	if l.OnlyZone != "" {
+		request.MaxPerZone = map[string]int{l.OnlyZone: request.MaxPerZone[l.OnlyZone]}
 	}
 	cands := c.candidates.All(now)
 	k := c.borrowableCapacityOf(now, cands)
 	choice := k.choose(j, request, func(x *candidates.Candidate) bool {
-		return c.feasible(now, j, x, l) && !x.Machine.IsReservedFor(now, j.Spec.ID)
+		return c.rules.Feasible(now, j, x, l) && !x.Machine.IsReservedFor(now, j.Spec.ID)
 	})
 	if len(choice.Picks) == 0 || j.Spec.Shape == protocol.Gang && len(choice.Picks) < n || k.violatesQuota(choice) {
 		j.NextLoanSearch = now + searchRetryDelay
@@ -83,7 +84,7 @@
 	now time.Duration,
 	j *jobstate.Job,
 	cands []*candidates.Candidate,
-	l *zoneLimits,
+	l *placement.ZoneLimits,
 	choice zonefailover.Choice,
 ) {
 	save := 0.0
@@ -95,7 +96,7 @@
 			continue
 		}
 		c.candidates.ClaimNomination(x)
-		l.tasksPerZone[x.Machine.Zone]++
-		c.nominate(x.Machine, j, now+config.Seconds(save+3*c.cfg.Workers.HeartbeatSeconds)+2*CycleInterval)
+		l.TasksPerZone[x.Machine.Zone]++
+		c.rules.Nominate(x.Machine, j, now+config.Seconds(save+3*c.cfg.Workers.HeartbeatSeconds)+2*CycleInterval)
 	}
 }
--- a/internal/coordination/scheduler/candidateindex_test.go
+++ b/internal/coordination/scheduler/candidateindex_test.go
@@ -160,23 +160,23 @@
 		b.fill(50, serviceSlots)
 		b.heartbeatAll()
 		finder := indexFinderOf(t, b.scheduler)
-		finder.examined, b.started = 0, 0
+		finder.Examined, b.started = 0, 0
 		for range 10 {
 			b.submit(protocol.Array, b.rng.IntN(50), 64, "normal")
 			b.advance(MinCycleInterval)
 		}
 		b.advance(CycleInterval)
-		if b.started != 640 || finder.examined > uint64(mostPerStart*b.started) {
-			t.Errorf("%d machines: %d machines examined for %d starts", machines, finder.examined, b.started)
+		if b.started != 640 || finder.Examined > uint64(mostPerStart*b.started) {
+			t.Errorf("%d machines: %d machines examined for %d starts", machines, finder.Examined, b.started)
 		}
-		t.Logf("%d machines: %.1f machines examined per start", machines, float64(finder.examined)/float64(b.started))
+		t.Logf("%d machines: %.1f machines examined per start", machines, float64(finder.Examined)/float64(b.started))
 	}
 	b := newOverloadedHarness(200, 50, 500)
 	finder := indexFinderOf(t, b.scheduler)
-	finder.examined = 0
+	finder.Examined = 0
 	b.advance(CycleInterval)
-	if most := uint64(mostPerWaiting * 500); finder.examined > most {
-		t.Errorf("%d machines examined in a cycle in which 500 jobs wait, want %d at most", finder.examined, most)
+	if most := uint64(mostPerWaiting * 500); finder.Examined > most {
+		t.Errorf("%d machines examined in a cycle in which 500 jobs wait, want %d at most", finder.Examined, most)
 	}
 }
 
--- a/internal/coordination/scheduler/consolidate.go
+++ b/internal/coordination/scheduler/consolidate.go
@@ -9,6 +9,7 @@
 	"pinebay/internal/coordination/candidates"
 	"pinebay/internal/coordination/jobstate"
 	"pinebay/internal/coordination/machineregistry"
+	"pinebay/internal/coordination/placement"
 	"pinebay/internal/protocol"
 )
 
@@ -60,7 +61,7 @@
 // underutilizedMachines lists machines that could be emptied. In a large fleet it looks at a part of
 // the machines, and the next time at the next.
 func (c *Scheduler) underutilizedMachines(now time.Duration) (light []*candidates.Candidate) {
-	left := maxExaminedMachines
+	left := placement.MaxExaminedMachines
 	from := c.consolidation.cursor
 	c.consolidation.cursor = ""
 	c.machines.EachFrom(from, func(m *machineregistry.Machine) bool {
@@ -84,7 +85,7 @@
 
 // canBeEmptied says whether a machine holds nothing but a few settled replicas.
 func (c *Scheduler) canBeEmptied(now time.Duration, x *candidates.Candidate) bool {
-	if x.Machine.PlacementCount() == 0 || c.nominatedForOther(now, x.Machine, "") {
+	if x.Machine.PlacementCount() == 0 || c.rules.NominatedForOther(now, x.Machine, "") {
 		return false
 	}
 	ok := true
@@ -125,7 +126,7 @@
 	}
 	looks := 0
 	set.Scan(func(m *machineregistry.Machine) bool {
-		if looks++; looks > maxExaminedMachines {
+		if looks++; looks > placement.MaxExaminedMachines {
 			return false
 		}
 		y := c.candidates.Of(now, m)
@@ -135,7 +136,7 @@
 			m.HasAttempt(pl.Task) ||
 			len(m.FailedJobs) > 0 ||
 			c.machines.FetchTime(now, m, pl.Job) > 0 ||
-			c.nominatedForOther(now, m, "") ||
+			c.rules.NominatedForOther(now, m, "") ||
 			!pl.Resources.Fits(y.Free.Minus(taken[y])) {
 			return true
 		}
@@ -161,7 +162,7 @@
 // mayRelocate says whether tasks of a job are ever moved to a machine with its image. Those of a
 // gang wait for the slowest, and would have to move together.
 func (c *Scheduler) mayRelocate(j *jobstate.Job) bool {
-	return !j.Ended && !math.IsInf(c.startLatencyObjective(j.Spec.Class), 1) &&
+	return !j.Ended && !math.IsInf(c.rules.StartLatency.Seconds(j.Spec.Class), 1) &&
 		(j.Spec.Shape != protocol.Gang || j.Spec.TaskCount == 1)
 }
 
@@ -189,13 +190,13 @@
 			c.machines.FetchTime(now, m, &j.Spec) < config.Seconds(3*c.cfg.Workers.HeartbeatSeconds) {
 			continue
 		}
-		l := c.zoneLimitsOf(j)
-		l.tasksPerZone[pl.Zone]--
+		l := placement.ZoneLimitsOf(j)
+		l.TasksPerZone[pl.Zone]--
 		if len(j.Placements) == 1 {
-			l.onlyZone = j.Spec.Zone
+			l.OnlyZone = j.Spec.Zone
 		}
-		best := c.finder.bestWithImage(now, j, l, func(x *candidates.Candidate) bool {
-			return x.Machine != m && c.feasible(now, j, x, l) && j.TaskResources.Fits(c.freeForJob(x, j)) &&
+		best := c.finder.BestWithImage(now, j, l, func(x *candidates.Candidate) bool {
+			return x.Machine != m && c.rules.Feasible(now, j, x, l) && j.TaskResources.Fits(c.freeForJob(x, j)) &&
 				!x.Machine.HasAttempt(pl.Task) &&
 				len(x.Machine.FailedJobs) == 0
 		})
@@ -204,7 +205,7 @@
 		}
 		c.log.Info("moving to a machine with the image", "task", pl.Task, "from", pl.Machine, "to", best.Machine.Name)
 		c.candidates.SetFree(best, best.Free.Minus(j.TaskResources))
-		c.nominate(best.Machine, j, now+config.Seconds(2*c.cfg.Workers.HeartbeatSeconds))
+		c.rules.Nominate(best.Machine, j, now+config.Seconds(2*c.cfg.Workers.HeartbeatSeconds))
 		c.stopPlacement(now, j, pl, 0)
 		return
 	}
--- a/internal/coordination/scheduler/demand.go
+++ b/internal/coordination/scheduler/demand.go
@@ -10,6 +10,7 @@
 	"pinebay/internal/coordination/autoscaler"
 	"pinebay/internal/coordination/jobstate"
 	"pinebay/internal/coordination/machineregistry"
+	"pinebay/internal/coordination/placement"
 	"pinebay/internal/protocol"
 )
 
@@ -33,14 +34,14 @@
 				n = 1
 			}
 		}
-		l := c.zoneLimitsOf(j)
-		if j.Spec.SameZone && l.onlyZone == "" && n > 1 {
-			l.onlyZone = c.chooseZone(now, j, zones)
+		l := placement.ZoneLimitsOf(j)
+		if j.Spec.SameZone && l.OnlyZone == "" && n > 1 {
+			l.OnlyZone = c.chooseZone(now, j, zones)
 		}
-		if !j.Spec.Spread || l.onlyZone != "" {
+		if !j.Spec.Spread || l.OnlyZone != "" {
 			units = append(
 				units,
-				autoscaler.Demand{Job: &j.Spec, Zone: l.onlyZone, Count: n, ExcludedMachines: j.AvoidedMachines()},
+				autoscaler.Demand{Job: &j.Spec, Zone: l.OnlyZone, Count: n, ExcludedMachines: j.AvoidedMachines()},
 			)
 			continue
 		}
@@ -119,14 +120,14 @@
 }
 
 // unitsByZone deals tasks to zones as the job's spread demands.
-func (c *Scheduler) unitsByZone(spec *protocol.Job, l *zoneLimits, n int) []autoscaler.Demand {
+func (c *Scheduler) unitsByZone(spec *protocol.Job, l *placement.ZoneLimits, n int) []autoscaler.Demand {
 	names := c.allowedZones(spec)
 	counts := map[string]int{}
 	for ; n > 0; n-- {
 		best := ""
 		for _, z := range names {
-			if l.tasksPerZone[z]+counts[z] < l.maxTasksPerZone &&
-				(best == "" || l.tasksPerZone[z]+counts[z] < l.tasksPerZone[best]+counts[best]) {
+			if l.TasksPerZone[z]+counts[z] < l.MaxTasksPerZone &&
+				(best == "" || l.TasksPerZone[z]+counts[z] < l.TasksPerZone[best]+counts[best]) {
 				best = z
 			}
 		}
@@ -150,7 +151,7 @@
 	var units []autoscaler.Demand
 	for _, class := range slices.Sorted(maps.Keys(c.newestJobs)) {
 		spec := c.newestJobs[class]
-		within := c.startLatencyObjective(class)
+		within := c.rules.StartLatency.Seconds(class)
 		boot, ready := 0.0, math.Inf(1)
 		for _, t := range c.machines.MachineTypes() {
 			if t.AllowedBy(spec) && t.TaskCapacity(spec) > 0 && t.FetchGBPerSecond > 0 {
@@ -175,7 +176,7 @@
 			continue
 		}
 		if spec.Spread {
-			l := &zoneLimits{tasksPerZone: map[string]int{}, maxTasksPerZone: (tasks + 1) / 2}
+			l := &placement.ZoneLimits{TasksPerZone: map[string]int{}, MaxTasksPerZone: (tasks + 1) / 2}
 			for _, u := range c.unitsByZone(spec, l, tasks) {
 				u.Headroom, u.MustBeFree = true, quick
 				units = append(units, u)
--- a/internal/coordination/scheduler/fairshare_test.go
+++ b/internal/coordination/scheduler/fairshare_test.go
@@ -60,7 +60,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(2, 10).Draw(t, "jobs")
 		b := newHarness([]config.Team{{Name: "red"}}, "a", "b")
-		b.scheduler.preemption.perCycle = 1
+		b.scheduler.preemption.PerCycle = 1
 		for i := range n {
 			b.heartbeat(fmt.Sprintf("m%02d", i), "a", false)
 			b.addJob(jobSpec(fmt.Sprintf("j-low%d", i), protocol.Array, "normal", 1, 8))
@@ -94,7 +94,7 @@
 	const machines = 30
 	for _, limit := range []int{1, 4} {
 		b := newHarness([]config.Team{{Name: "red"}}, "a")
-		indexFinderOf(t, b.scheduler).maxExamined = limit
+		indexFinderOf(t, b.scheduler).MaxExamined = limit
 		for i := range machines {
 			b.heartbeat(fmt.Sprintf("m%02d", i), "a", false)
 		}
--- a/internal/coordination/scheduler/fullscan_test.go
+++ b/internal/coordination/scheduler/fullscan_test.go
@@ -15,6 +15,7 @@
 	"pinebay/internal/coordination/candidates"
 	"pinebay/internal/coordination/jobstate"
 	"pinebay/internal/coordination/machineregistry"
+	"pinebay/internal/coordination/placement"
 	"pinebay/internal/coordination/zonefailover"
 	"pinebay/internal/protocol"
 )
@@ -22,45 +23,45 @@
 // fullScan is the reference of the index: it looks at every machine for every task.
 type fullScan struct{ scheduler *Scheduler }
 
-func (f fullScan) bestMachine(
+func (f fullScan) BestMachine(
 	now time.Duration,
 	j *jobstate.Job,
-	l *zoneLimits,
-	allowed func(*candidates.Candidate) bool,
+	l *placement.ZoneLimits,
+	admits placement.Filter,
 ) (best *candidates.Candidate) {
 	bestScore := 0.0
 	for _, x := range f.scheduler.candidates.All(now) {
-		if !allowed(x) {
+		if !admits(x) {
 			continue
 		}
-		if s := f.scheduler.score(now, j, x, l); best == nil || s < bestScore {
+		if s := f.scheduler.rules.Score(now, j, x, l); best == nil || s < bestScore {
 			best, bestScore = x, s
 		}
 	}
 	return best
 }
 
-func (f fullScan) bestWithImage(
+func (f fullScan) BestWithImage(
 	now time.Duration,
 	j *jobstate.Job,
-	l *zoneLimits,
-	allowed func(*candidates.Candidate) bool,
+	l *placement.ZoneLimits,
+	admits placement.Filter,
 ) *candidates.Candidate {
-	return f.bestMachine(now, j, l, func(x *candidates.Candidate) bool {
-		return f.scheduler.machines.FetchTime(now, x.Machine, &j.Spec) == 0 && allowed(x)
+	return f.BestMachine(now, j, l, func(x *candidates.Candidate) bool {
+		return f.scheduler.machines.FetchTime(now, x.Machine, &j.Spec) == 0 && admits(x)
 	})
 }
 
-func (f fullScan) cheapestPreemption(
+func (f fullScan) CheapestPreemption(
 	now time.Duration,
 	j *jobstate.Job,
-	l *zoneLimits,
+	l *placement.ZoneLimits,
 	within time.Duration,
 	level int,
 ) (best *candidates.Candidate, bestVictims []*machineregistry.Placement) {
 	bestCost := math.Inf(1)
 	for _, x := range f.scheduler.candidates.All(now) {
-		if !f.scheduler.feasible(now, j, x, l) || x.Machine.IsReservedFor(now, j.Spec.ID) ||
+		if !f.scheduler.rules.Feasible(now, j, x, l) || x.Machine.IsReservedFor(now, j.Spec.ID) ||
 			!j.TaskResources.Fits(x.Capacity()) {
 			continue
 		}
@@ -68,7 +69,7 @@
 		if warm > within {
 			continue
 		}
-		victims, cost, ok := f.scheduler.selectVictims(now, j, x, level)
+		victims, cost, ok := f.scheduler.rules.SelectVictims(now, j, x, level)
 		cost += warm.Seconds()
 		if ok && cost < bestCost {
 			best, bestVictims, bestCost = x, victims, cost
@@ -77,14 +78,14 @@
 	return best, bestVictims
 }
 
-func (f fullScan) mostFreeCapacity(
+func (f fullScan) MostFreeCapacity(
 	now time.Duration,
 	j *jobstate.Job,
-	l *zoneLimits,
+	l *placement.ZoneLimits,
 	taken map[*candidates.Candidate]bool,
 ) (best *candidates.Candidate) {
 	for _, x := range f.scheduler.candidates.All(now) {
-		if taken[x] || !f.scheduler.feasible(now, j, x, l) ||
+		if taken[x] || !f.scheduler.rules.Feasible(now, j, x, l) ||
 			!j.TaskResources.Fits(x.Capacity()) {
 			continue
 		}
@@ -101,9 +102,9 @@
 }
 
 // indexFinderOf returns the finder of a scheduler that uses the index.
-func indexFinderOf(t testing.TB, c *Scheduler) *indexFinder {
+func indexFinderOf(t testing.TB, c *Scheduler) *placement.Finder {
 	t.Helper()
-	f, ok := c.finder.(*indexFinder)
+	f, ok := c.finder.(*placement.Finder)
 	if !ok {
 		t.Fatalf("the finder is a %T", c.finder)
 	}
--- a/internal/coordination/scheduler/gangorder.go
+++ b/internal/coordination/scheduler/gangorder.go
@@ -5,40 +5,9 @@
 	"time"
 
 	"pinebay/internal/coordination/jobstate"
-	"pinebay/internal/coordination/machineregistry"
 	"pinebay/internal/protocol"
 )
 
-// maxFailuresPerSearchKey is after how many jobs of a kind that found no room the others of
-// the kind are not tried in the same cycle: thousands of jobs that wait must
-// not cost thousands of searches.
-const maxFailuresPerSearchKey = 16
-
-// searchKey is what the search for room depends on.
-type searchKey struct {
-	team, image, zone, types string
-	need                     machineregistry.Resources
-	level, placedTasks       int
-	sameZone, spread, spot   bool
-	victimLevel              int // level of the work that may leave, for searches for that
-}
-
-// searchKeyOf returns the key of a job's searches.
-func searchKeyOf(j *jobstate.Job) searchKey {
-	return searchKey{
-		team:        j.Spec.Team,
-		image:       j.Spec.Image,
-		zone:        j.Spec.Zone,
-		types:       j.AllowedTypes,
-		need:        j.TaskResources,
-		level:       j.EffectivePriority,
-		placedTasks: len(j.Placements),
-		sameZone:    j.Spec.SameZone,
-		spread:      j.Spec.Spread,
-		spot:        j.Spec.SpotAllowed,
-	}
-}
-
 // orderGangsByDeadline reorders the gangs of each class among themselves, in a list sorted by
 // priority and age: first, by age, those that can still meet an aim. When more is
 // asked than can be done, age alone would spend all room on gangs that are late
--- a/internal/coordination/scheduler/harness_test.go
+++ b/internal/coordination/scheduler/harness_test.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"pinebay/internal/config"
+	"pinebay/internal/coordination/placement"
 	"pinebay/internal/protocol"
 	"pinebay/internal/storage"
 	"pinebay/internal/testutil"
@@ -102,7 +103,7 @@
 // setObjectives replaces the aims.
 func (b *harness) setObjectives(objectives []config.Objective) {
 	b.scheduler.cfg.Objectives = objectives
-	b.scheduler.startLatencyObjectives = startLatencyObjectivesOf(objectives)
+	b.scheduler.rules.StartLatency = placement.StartLatencyObjectivesOf(objectives)
 }
 
 func (b *harness) apply(e Event) {
--- a/internal/coordination/scheduler/headroom.go
+++ b/internal/coordination/scheduler/headroom.go
@@ -8,7 +8,7 @@
 	"pinebay/internal/coordination/candidates"
 	"pinebay/internal/coordination/jobstate"
 	"pinebay/internal/coordination/machineregistry"
-	"pinebay/internal/protocol"
+	"pinebay/internal/coordination/placement"
 )
 
 // freeForJob returns the free capacity of a candidate that a job may use: all but the headroom that is
@@ -17,7 +17,7 @@
 	if !x.HasHeadroom() {
 		return x.Free
 	}
-	objective := c.startLatencyObjective(j.Spec.Class)
+	objective := c.rules.StartLatency.Seconds(j.Spec.Class)
 	return x.FreeBeyondHeadroom(j.EffectivePriority, objective, c.recoveryPosition(&j.Spec))
 }
 
@@ -44,19 +44,19 @@
 // holdHeadroomFor holds capacity for a number of tasks like those of a job, in the zone if one is given,
 // against jobs of its priority down to the lowest one given.
 func (c *Scheduler) holdHeadroomFor(now time.Duration, j *jobstate.Job, zone string, tasks, lowest int) {
-	anyZone := &zoneLimits{}
+	anyZone := &placement.ZoneLimits{}
 	headroom := candidates.Headroom{
-		StartLatencySeconds: c.startLatencyObjective(j.Spec.Class),
+		StartLatencySeconds: c.rules.StartLatency.Seconds(j.Spec.Class),
 		RecoveryPosition:    c.recoveryPosition(&j.Spec),
 		Resources:           j.TaskResources,
 	}
 	allowed := func(x *candidates.Candidate) bool {
 		return (zone == "" || zone == x.Machine.Zone) &&
 			j.TaskResources.Fits(x.FreeBeyondHeadroom(j.EffectivePriority, math.Inf(1), math.MaxInt)) &&
-			allowsMachine(&j.Spec, x)
+			placement.AllowsMachine(&j.Spec, x)
 	}
 	for range tasks {
-		best := c.finder.bestMachine(now, j, anyZone, allowed)
+		best := c.finder.BestMachine(now, j, anyZone, allowed)
 		if best == nil {
 			return
 		}
@@ -65,8 +65,3 @@
 		}
 	}
 }
-
-// allowsMachine reports whether a job's own constraints admit the type and kind of a machine.
-func allowsMachine(spec *protocol.Job, x *candidates.Candidate) bool {
-	return (!x.Machine.Spot || spec.SpotAllowed) && x.Type.AllowedBy(spec)
-}
--- a/internal/coordination/scheduler/lifecycle.go
+++ b/internal/coordination/scheduler/lifecycle.go
@@ -190,7 +190,7 @@
 
 // stopPlacement asks a placement to end, and takes in when that needs no proof.
 func (c *Scheduler) stopPlacement(now time.Duration, j *jobstate.Job, pl *machineregistry.Placement, graceS float64) {
-	c.preemption.capacityMayBeFree()
+	c.preemption.CapacityMayBeFree()
 	if c.machines.Stop(now, pl, graceS) && !pl.StartAllowed && j.WriteInFlight {
 		// Its record may be written at this moment; it names a placement that
 		// was never started, which a later write replaces.
--- a/internal/coordination/scheduler/preempt.go
+++ b/internal/coordination/scheduler/preempt.go
@@ -2,14 +2,13 @@
 
 import (
 	"math"
-	"sort"
 	"time"
 
 	"pinebay/internal/config"
 	"pinebay/internal/coordination/candidates"
 	"pinebay/internal/coordination/jobstate"
 	"pinebay/internal/coordination/machineregistry"
-	"pinebay/internal/protocol"
+	"pinebay/internal/coordination/placement"
 )
 
 // waitForMachineWithImage says whether a task should rather wait a moment for room on a
@@ -22,9 +21,9 @@
 	j *jobstate.Job,
 	task int,
 	x *candidates.Candidate,
-	l *zoneLimits,
+	l *placement.ZoneLimits,
 ) bool {
-	within := c.startLatencyObjective(j.Spec.Class)
+	within := c.rules.StartLatency.Seconds(j.Spec.Class)
 	if math.IsInf(within, 1) || c.mayBorrow(j) {
 		return false
 	}
@@ -32,15 +31,15 @@
 	if left <= 0 && j.HasRun[task] {
 		left = config.Seconds(within) // a replica that was lost should be back as soon
 	}
-	if left <= 0 || c.machines.FetchTimeWithout(now, x.Machine, &j.Spec, c.yieldingFetches(j)) <= left {
+	if left <= 0 || c.machines.FetchTimeWithout(now, x.Machine, &j.Spec, c.rules.YieldingFetches(j)) <= left {
 		return false
 	}
-	for _, y := range c.nominatedCandidates(now, j) {
+	for _, y := range c.rules.Nominated(now, j) {
 		// Room that is free by now is no longer waited for: had it been the
 		// better one, the task would have got it.
-		if !y.NominationClaimed && l.allows(y.Machine.Zone) && !j.TaskResources.Fits(y.Free) {
+		if !y.NominationClaimed && l.Allows(y.Machine.Zone) && !j.TaskResources.Fits(y.Free) {
 			c.candidates.ClaimNomination(y) // being cleared for one task of the job already
-			l.tasksPerZone[y.Machine.Zone]++
+			l.TasksPerZone[y.Machine.Zone]++
 			return true
 		}
 	}
@@ -49,14 +48,14 @@
 
 // preempt stops work of lower priority to make room for up to n tasks, on the
 // machines where least is lost, and reserves the room.
-func (c *Scheduler) preempt(now time.Duration, j *jobstate.Job, l *zoneLimits, n int) {
+func (c *Scheduler) preempt(now time.Duration, j *jobstate.Job, l *placement.ZoneLimits, n int) {
 	if c.mayBorrow(j) && c.borrowCapacity(now, j, l, n) {
 		return // its room comes by the ledger, or not at all
 	}
 	if j.UnschedulableCycles < 2 {
 		return
 	}
-	n -= len(c.nominatedCandidates(now, j)) // cleared already, and not yet free
+	n -= len(c.rules.Nominated(now, j)) // cleared already, and not yet free
 	for ; n > 0 && c.preemptForTask(now, j, l, math.MaxInt64, j.EffectivePriority+1); n-- {
 	}
 }
@@ -67,20 +66,20 @@
 func (c *Scheduler) preemptForTask(
 	now time.Duration,
 	j *jobstate.Job,
-	l *zoneLimits,
+	l *placement.ZoneLimits,
 	within time.Duration,
 	level int,
 ) bool {
-	k := searchKeyOf(j)
-	k.victimLevel = level
-	if !c.preemption.admit(j, k, c.cycleCount) {
+	k := placement.SearchKeyOf(j)
+	k.VictimPriority = level
+	if !c.preemption.Admit(j, k, c.cycleCount) {
 		return false
 	}
-	best, victims := c.finder.cheapestPreemption(now, j, l, within, level)
+	best, victims := c.finder.CheapestPreemption(now, j, l, within, level)
 	if best == nil {
 		if within == math.MaxInt64 && len(j.AvoidedMachines()) == 0 && len(j.ReservedMachines) == 0 &&
 			!c.inZoneFailover() {
-			c.preemption.noVictims(k)
+			c.preemption.NoVictims(k)
 		}
 		return false
 	}
@@ -93,8 +92,8 @@
 		wait = max(wait, v.GraceS)
 	}
 	c.candidates.ClaimNomination(best)
-	l.tasksPerZone[best.Machine.Zone]++
-	c.nominate(best.Machine, j, now+config.Seconds(wait+3*c.cfg.Workers.HeartbeatSeconds)+CycleInterval)
+	l.TasksPerZone[best.Machine.Zone]++
+	c.rules.Nominate(best.Machine, j, now+config.Seconds(wait+3*c.cfg.Workers.HeartbeatSeconds)+CycleInterval)
 	return true
 }
 
@@ -117,88 +116,24 @@
 // the time that its class's aim asks for. One that will be late anyhow, or has
 // no such aim, waits as long as it takes.
 func (c *Scheduler) checkpointAllowance(now time.Duration, j *jobstate.Job, warm time.Duration) time.Duration {
-	within := c.startLatencyObjective(j.Spec.Class)
+	within := c.rules.StartLatency.Seconds(j.Spec.Class)
 	if left := config.Seconds(within) - (now - j.WaitingSince) - warm; !math.IsInf(within, 1) && left > 0 {
 		return left
 	}
 	return math.MaxInt64
 }
 
-// selectVictims chooses the work that would have to leave a machine. Its cost is in
-// seconds of work lost or moved.
-func (c *Scheduler) selectVictims(
-	now time.Duration,
-	j *jobstate.Job,
-	x *candidates.Candidate,
-	level int,
-) (out []*machineregistry.Placement, cost float64, ok bool) {
-	room := x.Free // less what this cycle has given away already
-	var lower []*machineregistry.Placement
-	x.Machine.EachPlacement(func(pl *machineregistry.Placement) {
-		switch {
-		case pl.Stopping:
-			room = room.Plus(pl.Resources)
-			out = append(out, pl)
-		case c.mayPreempt(j, pl, level):
-			lower = append(lower, pl)
-		}
-	})
-	sort.Slice(lower, func(a, b int) bool {
-		if lower[a].PriorityLevel != lower[b].PriorityLevel {
-			return lower[a].PriorityLevel > lower[b].PriorityLevel
-		}
-		if ja, jb := c.jobAge(now, lower[a]), c.jobAge(now, lower[b]); ja != jb {
-			return ja < jb
-		}
-		if lower[a].StateSince != lower[b].StateSince {
-			return lower[a].StateSince > lower[b].StateSince
-		}
-		return lower[a].Task.String() < lower[b].Task.String()
-	})
-	for _, pl := range lower {
-		if j.TaskResources.Fits(room) {
-			break
-		}
-		room = room.Plus(pl.Resources)
-		out = append(out, pl)
-		lost := (now - pl.StateSince).Seconds()
-		if pl.Job != nil && pl.Job.CheckpointIntervalSeconds > 0 {
-			lost = pl.Job.SaveSeconds
-		}
-		// An old job has been passed over or stopped before, and is the more
-		// likely to be late for it.
-		cost += 1 + lost*pl.Resources.DominantShare(
-			x.Capacity(),
-		) + c.jobAge(now, pl).
-			Seconds()/
-			10
-		if pl.Job != nil && pl.Job.Shape == protocol.Gang {
-			// All of it has to find room, and often its image, again.
-			cost += float64(pl.Job.TaskCount) * x.Type.BootSeconds
-		}
-	}
-	return out, cost, len(out) > 0 && j.TaskResources.Fits(room)
-}
-
-// mayPreempt says whether a placement may be stopped to make room for a job: work of at
-// least the given level, and work of any level that another team runs beyond its
-// guarantee, for a team within its own. What a team runs within its guarantee need not
-// yield to another team. Lower work of other teams had been spared altogether: a guest's
-// idle-time batch then kept whole machines while urgent gangs waited for minutes.
-func (c *Scheduler) mayPreempt(j *jobstate.Job, pl *machineregistry.Placement, level int) bool {
-	if c.recoversBefore(pl, j) {
-		return false
-	}
-	if pl.Team == j.Spec.Team {
-		return pl.PriorityLevel >= level
+// stopCompetingFetches stops the fetches that yield to a task's.
+func (c *Scheduler) stopCompetingFetches(now time.Duration, j *jobstate.Job, x *candidates.Candidate) {
+	yields := c.rules.YieldingFetches(j)
+	if yields == nil ||
+		c.machines.FetchTime(now, x.Machine, &j.Spec) == c.machines.FetchTimeWithout(now, x.Machine, &j.Spec, yields) {
+		return
 	}
-	return c.quotas.ExceedsGuarantee(pl.Team) && (pl.PriorityLevel >= level || c.withinGuaranteedQuota(j))
-}
-
-// jobAge is how long the job of a placement has been known.
-func (c *Scheduler) jobAge(now time.Duration, pl *machineregistry.Placement) time.Duration {
-	if j := c.jobs[pl.Task.JobID]; j != nil {
-		return now - j.WaitingSince
+	for _, pl := range c.placementsOn(x.Machine) {
+		if o := c.jobs[pl.Task.JobID]; o != nil && !pl.Stopping && yields(pl) {
+			c.log.Info("stopped fetching", "task", pl.Task, "for", j.Spec.ID, "machine", pl.Machine)
+			c.stopPlacement(now, o, pl, 0)
+		}
 	}
-	return 0
 }
--- a/internal/coordination/scheduler/recoveryorder.go
+++ b/internal/coordination/scheduler/recoveryorder.go
@@ -42,7 +42,7 @@
 			z.order.Position(j.Spec.Class, j.Spec.Team),
 			j.EffectivePriority,
 			debts[j.Spec.ID],
-			c.startLatencyObjective(j.Spec.Class),
+			c.rules.StartLatency.Seconds(j.Spec.Class),
 		}
 	}
 	slices.SortStableFunc(jobs, func(a, b *jobstate.Job) int {
--- a/internal/coordination/scheduler/scheduler.go
+++ b/internal/coordination/scheduler/scheduler.go
@@ -17,6 +17,7 @@
 	"pinebay/internal/coordination/featurelevel"
 	"pinebay/internal/coordination/jobstate"
 	"pinebay/internal/coordination/machineregistry"
+	"pinebay/internal/coordination/placement"
 	"pinebay/internal/coordination/zonefailover"
 	"pinebay/internal/protocol"
 	"pinebay/internal/storage"
@@ -54,17 +55,17 @@
 	cancelledDependents []*jobstate.Job // cancelled with a job that they await, and not recorded yet
 	delayedCalls        []delayedCall
 
-	machines               *machineregistry.Registry
-	autoscaler             *autoscaler.Autoscaler
-	jobs                   map[string]*jobstate.Job
-	queues                 *jobstate.Queues
-	quotas                 *fairshare.Quotas
-	startLatencyObjectives map[string]float64 // by class, in seconds
-	candidates             *candidates.Index
-	finder                 machineFinder
+	machines   *machineregistry.Registry
+	autoscaler *autoscaler.Autoscaler
+	jobs       map[string]*jobstate.Job
+	queues     *jobstate.Queues
+	quotas     *fairshare.Quotas
+	rules      *placement.Rules
+	candidates *candidates.Index
+	finder     machineFinder
 	// pagesInFlight counts the pages that are being written, by purpose.
 	pagesInFlight [PriorityMaintenance + 1]int
-	preemption    preemptionBudget
+	preemption    *placement.PreemptionBudget
 	consolidation consolidation
 	// cancellationIntents holds the jobs that users may have been told are cancelled, until the
 	// state service tells, by when one must have been told.
@@ -147,10 +148,17 @@
 	}
 	c.setFeatureLevel(term.FeatureLevel)
 	c.queues, c.candidates = jobstate.NewQueues(), candidates.NewIndex(c.machines)
-	c.preemption = newPreemptionBudget()
-	c.finder = newIndexFinder(c)
 	c.quotas = fairshare.NewQuotas(cfg.Teams, c.machines)
-	c.startLatencyObjectives = startLatencyObjectivesOf(cfg.Objectives)
+	c.rules = &placement.Rules{
+		Machines:     c.machines,
+		Candidates:   c.candidates,
+		Quotas:       c.quotas,
+		StartLatency: placement.StartLatencyObjectivesOf(cfg.Objectives),
+		Zones:        zonePolicy{c},
+		Jobs:         c.jobs,
+	}
+	c.preemption = placement.NewPreemptionBudget()
+	c.finder = placement.NewFinder(c.rules, c.preemption)
 	c.machines.SetMachineTypes(rec.MachineTypes)
 	c.recoverImageHints(rec.Images)
 	started := jobsWithPlacementPages(rec.Pages)
--- a/internal/coordination/scheduler/zonefencing.go
+++ b/internal/coordination/scheduler/zonefencing.go
@@ -6,6 +6,7 @@
 	"pinebay/internal/config"
 	"pinebay/internal/coordination/jobstate"
 	"pinebay/internal/coordination/machineregistry"
+	"pinebay/internal/coordination/placement"
 	"pinebay/internal/coordination/zonefailover"
 	"pinebay/internal/protocol"
 )
@@ -121,13 +122,13 @@
 // its limits allow none.
 func (c *Scheduler) requestInAvailableZones(j *jobstate.Job, tasks int) (zonefailover.CapacityRequest, bool) {
 	perZone := map[string]int{}
-	limits := c.zoneLimitsOf(j)
+	limits := placement.ZoneLimitsOf(j)
 	total := 0
 	for _, zone := range c.zoneFailover.monitor.Zones() {
 		allowed := j.Spec.Zone == "" || j.Spec.Zone == zone.Name
 		if left := min(
 			tasks,
-			limits.maxTasksPerZone-limits.tasksPerZone[zone.Name],
+			limits.MaxTasksPerZone-limits.TasksPerZone[zone.Name],
 		); allowed && left > 0 &&
 			zone.State == zonefailover.Available {
 			perZone[zone.Name] = left
--- a/internal/coordination/scheduler/zoneharness_test.go
+++ b/internal/coordination/scheduler/zoneharness_test.go
@@ -13,6 +13,7 @@
 	"pinebay/internal/coordination/fairshare"
 	"pinebay/internal/coordination/jobstate"
 	"pinebay/internal/coordination/machineregistry"
+	"pinebay/internal/coordination/placement"
 	"pinebay/internal/coordination/zonefailover"
 	"pinebay/internal/protocol"
 	"pinebay/internal/simulation"
@@ -295,10 +296,10 @@
 		r.Tasks, r.SameZone = j.Spec.TaskCount, j.Spec.SameZone
 	}
 	r.ExcludedMachines = b.excluded[j.Spec.ID]
-	l := b.scheduler.zoneLimitsOf(j)
+	l := placement.ZoneLimitsOf(j)
 	for _, zone := range []string{"a", "b"} {
-		if l.allows(zone) {
-			r.MaxPerZone[zone] = min(j.Spec.TaskCount, l.maxTasksPerZone-l.tasksPerZone[zone])
+		if l.Allows(zone) {
+			r.MaxPerZone[zone] = min(j.Spec.TaskCount, l.MaxTasksPerZone-l.TasksPerZone[zone])
 		}
 	}
 	return r
