--- a/internal/coordination/api/dependencies.go
+++ b/internal/coordination/api/dependencies.go
@@ -2,8 +2,6 @@
 
 import (
 	"context"
-	"fmt"
-	"net/http"
 	"time"
 
 	"golang.org/x/sync/errgroup"
@@ -13,92 +11,77 @@
 	"pinebay/internal/storage"
 )
 
-// requestError is why a submission is not accepted.
-type requestError struct {
-	status  int
-	message string
-}
-
-// maxDependencyShare is the part of a stored value that the ids of awaited jobs may take.
+// maxDependencyShare is the part of a stored value that the ids of dependencies may take.
 const maxDependencyShare = 0.5
 
-// idOverheadBytes is what an id takes in a list beside its characters, in the JSON form that limits count.
+// idOverheadBytes is the size of an id in a list beyond its characters, in the JSON form in which limits are counted.
 const idOverheadBytes = 4
 
-// checkDependencies says whether the jobs that a job awaits can be awaited, and what its user is to be told it is
-// once it is accepted: cancelled if one of them is.
-func (s *Server) checkDependencies(ctx context.Context, job *protocol.Job) (protocol.JobState, *requestError) {
+// bytesPerKB converts the limits of the settings.
+const bytesPerKB = 1024
+
+// checkDependencies returns the state in which a job is accepted: cancelled if a dependency is, and queued otherwise.
+// It returns an error if the job cannot have these dependencies, or if their states cannot be read.
+func (s *Server) checkDependencies(ctx context.Context, job *protocol.Job) (protocol.JobState, error) {
 	if len(job.Dependencies) == 0 {
 		return protocol.JobQueued, nil
 	}
-	if no := s.validateDependencies(job); no != nil {
-		return "", no
+	if err := s.validateDependencies(job); err != nil {
+		return "", err
+	}
+	answers, err := s.lookupAll(ctx, job.Dependencies)
+	if err != nil {
+		return "", unavailable(storeUnavailable, err)
 	}
-	answers := make([]jobAnswer, len(job.Dependencies))
-	g, ctx := errgroup.WithContext(ctx)
-	for i, id := range job.Dependencies {
-		g.Go(func() (err error) {
+	state := protocol.JobQueued
+	for i, answer := range answers {
+		switch id := job.Dependencies[i]; {
+		case !answer.found:
+			return "", unprocessable("it awaits %s, which was never accepted", id)
+		case answer.shape == protocol.Service:
+			return "", unprocessable("it awaits %s, which is a service and never done", id)
+		case answer.status.State == protocol.JobCancelled:
+			state = protocol.JobCancelled
+		}
+	}
+	return state, nil
+}
+
+// lookupAll looks up several jobs concurrently. The answers are in the order of the ids.
+func (s *Server) lookupAll(ctx context.Context, ids []string) ([]jobAnswer, error) {
+	answers := make([]jobAnswer, len(ids))
+	group, ctx := errgroup.WithContext(ctx)
+	for i, id := range ids {
+		group.Go(func() (err error) {
 			answers[i], err = s.reader.lookup(ctx, id)
 			return err
 		})
 	}
-	if err := g.Wait(); err != nil {
-		s.log.Debug("awaited jobs not read", "job", job.ID, "err", err)
-		return "", &requestError{http.StatusServiceUnavailable, "the state service did not answer"}
-	}
-	standing := protocol.JobQueued
-	for i, a := range answers {
-		switch {
-		case !a.found:
-			return "", &requestError{
-				http.StatusUnprocessableEntity,
-				fmt.Sprintf("it awaits %s, which was never accepted", job.Dependencies[i]),
-			}
-		case a.shape == protocol.Service:
-			return "", &requestError{
-				http.StatusUnprocessableEntity,
-				fmt.Sprintf("it awaits %s, which is a service and never done", job.Dependencies[i]),
-			}
-		case a.status.State == protocol.JobCancelled:
-			standing = protocol.JobCancelled
-		}
-	}
-	return standing, nil
+	return answers, group.Wait()
 }
 
-// validateDependencies says why a job can't await what it names, whatever that is, or nil.
-func (s *Server) validateDependencies(job *protocol.Job) *requestError {
+// validateDependencies checks the dependencies of a job without looking them up.
+func (s *Server) validateDependencies(job *protocol.Job) error {
 	if s.FeatureLevel() < featurelevel.Pipelines {
-		return &requestError{
-			http.StatusServiceUnavailable,
-			"an upgrade is under way: not all controllers can read awaited jobs yet",
-		}
+		return unavailable(upgradeInProgress, nil)
 	}
-	bytes, longest := 0, 0
+	size, largest := 0, 0
 	for _, id := range job.Dependencies {
 		if id == job.ID {
-			return &requestError{http.StatusUnprocessableEntity, fmt.Sprintf("it awaits itself, %s", id)}
+			return unprocessable("it awaits itself, %s", id)
 		}
-		bytes += len(id) + idOverheadBytes
-		longest = max(longest, len(id)+idOverheadBytes)
+		size += len(id) + idOverheadBytes
+		largest = max(largest, len(id)+idOverheadBytes)
 	}
-	limit := s.cfg.Store.Lowest().ValueKB * 1024
-	if most := limit * maxDependencyShare; float64(bytes) > most {
-		return &requestError{
-			http.StatusUnprocessableEntity,
-			fmt.Sprintf(
-				"it awaits %d jobs, and at most %d with ids as long as these can be recorded",
-				len(job.Dependencies),
-				int(most)/longest,
-			),
-		}
+	// The record must also fit the lower limits that were announced for the future.
+	valueKB := s.cfg.Store.Lowest().ValueKB
+	if limit := valueKB * bytesPerKB * maxDependencyShare; float64(size) > limit {
+		return unprocessable("it awaits %d jobs, and at most %d with ids as long as these can be recorded",
+			len(job.Dependencies), int(limit)/largest)
 	}
-	value, err := protocol.Encode(storage.LiveJobRecord{Job: *job, AcceptedAtMS: time.Now().UnixMilli()})
-	if err != nil || !storage.FitsValueLimit(value, limit/1024) {
-		return &requestError{
-			http.StatusUnprocessableEntity,
-			fmt.Sprintf("with the %d jobs that it awaits it is too long to be recorded", len(job.Dependencies)),
-		}
+	record, err := protocol.Encode(storage.LiveJobRecord{Job: *job, AcceptedAtMS: time.Now().UnixMilli()})
+	if err != nil || !storage.FitsValueLimit(record, valueKB) {
+		return unprocessable("with the %d jobs that it awaits it is too long to be recorded", len(job.Dependencies))
 	}
 	return nil
 }
--- a/internal/coordination/api/dependencies_test.go
+++ b/internal/coordination/api/dependencies_test.go
@@ -15,27 +15,32 @@
 	"pinebay/internal/storage"
 )
 
-// dependentJob returns an array that awaits others.
-func dependentJob(id string, awaits ...string) protocol.Job {
+// dependentJob returns an array with dependencies.
+func dependentJob(id string, dependencies ...string) protocol.Job {
 	j := arrayJob(id)
-	j.Dependencies = awaits
+	j.Dependencies = dependencies
 	return j
 }
 
-// newPipelineCluster returns a site on which jobs may await others.
-func newPipelineCluster(t testing.TB) *testCluster {
-	s := newTestClusterWith(
-		t,
-		config.StoreLimits{RPS: 1e6, WriteRPS: 1e6, TxnOps: 16, ValueKB: 8, Next: config.FutureStoreLimits{ValueKB: 2}},
-	)
+// newPipelineCluster returns a cluster on which jobs may have dependencies.
+func newPipelineCluster(tb testing.TB) *testCluster {
+	tb.Helper()
+	s := newTestClusterWith(tb, config.StoreLimits{
+		RPS:      1e6,
+		WriteRPS: 1e6,
+		TxnOps:   16,
+		ValueKB:  8,
+		Next:     config.FutureStoreLimits{ValueKB: 2},
+	})
 	for _, server := range s.servers {
 		server.SetFeatureLevel(featurelevel.Pipelines)
 	}
 	return s
 }
 
-// endJob records how a job ended, as a leader does.
+// endJob records the end of a live job, as a leader does.
 func (s *testCluster) endJob(id string, rec storage.EndedJobRecord) {
+	s.t.Helper()
 	live := s.store.Get(storage.LiveJobKey(id))
 	if live.Revision == 0 {
 		return
@@ -44,15 +49,13 @@
 	if err != nil {
 		s.t.Fatal(err)
 	}
-	s.store.Txn(
-		protocol.Txn{
-			If:   []protocol.Compare{{Key: live.Key, Revision: live.Revision}},
-			Then: []protocol.Op{{DeleteKey: live.Key}, {PutKey: storage.EndedJobKey(id), Value: value}},
-		},
-	)
+	s.store.Txn(protocol.Txn{
+		If:   []protocol.Compare{{Key: live.Key, Revision: live.Revision}},
+		Then: []protocol.Op{{DeleteKey: live.Key}, {PutKey: storage.EndedJobKey(id), Value: value}},
+	})
 }
 
-// TestSubmissionsWithDependencies: each answer that a submission with awaited jobs may get.
+// TestSubmissionsWithDependencies: each answer that a submission with dependencies may get.
 func TestSubmissionsWithDependencies(t *testing.T) {
 	s := newPipelineCluster(t)
 	service := arrayJob("j-3")
@@ -69,10 +72,10 @@
 		many.Dependencies = append(many.Dependencies, fmt.Sprintf("j-%04d", i))
 	}
 	for _, x := range []struct {
-		job      protocol.Job
-		code     int
-		standing protocol.JobState
-		names    string
+		job   protocol.Job
+		code  int
+		state protocol.JobState
+		names string
 	}{
 		{dependentJob("j-10", "j-1"), 201, protocol.JobQueued, ""},
 		{dependentJob("j-10", "j-1"), 200, protocol.JobQueued, ""},
@@ -91,23 +94,17 @@
 			if node > 0 && want == 201 {
 				want = 200
 			}
-			if code != want || st.State != x.standing || !strings.Contains(why, x.names) {
-				t.Errorf(
-					"%s after %v at controller %d: %d %s %q, want %d %s naming %q",
-					x.job.ID,
-					x.job.Dependencies,
-					node,
-					code,
-					st.State,
-					why,
-					want,
-					x.standing,
-					x.names,
-				)
+			if code != want || st.State != x.state || !strings.Contains(why, x.names) {
+				t.Errorf("%s after %v at controller %d: %d %s %q, want %d %s naming %q",
+					x.job.ID, x.job.Dependencies, node, code, st.State, why, want, x.state, x.names)
 			}
 		}
 	}
-	for id, want := range map[string]protocol.JobState{"j-10": protocol.JobQueued, "j-16": protocol.JobCancelled, "j-18": protocol.JobCancelled} {
+	for id, want := range map[string]protocol.JobState{
+		"j-10": protocol.JobQueued,
+		"j-16": protocol.JobCancelled,
+		"j-18": protocol.JobCancelled,
+	} {
 		if code, st, _ := s.call(1, "GET", "/submissions/"+id, nil); code != 200 || st.State != want {
 			t.Errorf("%s: %d %s, want %s", id, code, st.State, want)
 		}
@@ -117,13 +114,14 @@
 	}
 }
 
-// submit submits a job at a controller, and returns the reason if it is refused.
+// submit submits a job to a controller, and returns the text of an error.
 func (s *testCluster) submit(node int, j protocol.Job) (int, protocol.JobStatus, string) {
+	s.t.Helper()
 	return s.callWithReason(node, "POST", "/submissions", encodeJob(s.t, j))
 }
 
-// TestDependenciesNeedTheFeatureLevel: until all controllers can read awaited jobs, a submission that names some is
-// told when to come back, and is never accepted without them. Others are accepted.
+// TestDependenciesNeedTheFeatureLevel: until all controllers can read dependencies, a submission with some is told to
+// retry, and is never accepted without them. Others are accepted.
 func TestDependenciesNeedTheFeatureLevel(t *testing.T) {
 	s := newTestClusterWith(t, config.StoreLimits{RPS: 1e6, WriteRPS: 1e6, TxnOps: 16, ValueKB: 8})
 	s.call(0, "POST", "/submissions", encodeJob(t, arrayJob("j-1")))
@@ -134,37 +132,33 @@
 	}
 	s.servers[0].SetFeatureLevel(featurelevel.Pipelines)
 	s.store.Unavailable = true
-	if code, _, h := s.call(
-		0,
-		"POST",
-		"/submissions",
-		encodeJob(t, dependentJob("j-2", "j-1")),
-	); code != http.StatusServiceUnavailable ||
-		h.Get("Retry-After") == "" {
+	code, _, h = s.call(0, "POST", "/submissions", encodeJob(t, dependentJob("j-2", "j-1")))
+	if code != http.StatusServiceUnavailable || h.Get("Retry-After") == "" {
 		t.Errorf("in an outage: %d %v", code, h)
 	}
 }
 
-// TestCancelledWithItsDependency plays users of a graph of jobs at both controllers, and a leader that ends some and
-// records cascades late or never: what a job that awaits a cancelled one was called never goes back, and within
-// the very next question every controller calls it cancelled, without a majority, which nobody needs for it.
+// TestCancelledWithItsDependency has users of a graph of jobs at both controllers, and a leader that ends some and
+// records cascading cancellations late or never: the state of a job with a cancelled dependency never goes back, and
+// with the next query every controller calls it cancelled, without announcing an intent.
 func TestCancelledWithItsDependency(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		s := newPipelineCluster(t)
-		awaits, ended := map[string][]string{}, map[string]protocol.JobState{}
+		dependencies, ended := map[string][]string{}, map[string]protocol.JobState{}
 		var ids []string
-		var cancelledWithNeed func(id string) bool
-		cancelledWithNeed = func(id string) bool {
-			for _, need := range awaits[id] {
-				if ended[need] == protocol.JobCancelled || ended[need] == "" && cancelledWithNeed(need) {
+		var cancelledByDependency func(id string) bool
+		cancelledByDependency = func(id string) bool {
+			for _, dependency := range dependencies[id] {
+				if ended[dependency] == protocol.JobCancelled ||
+					ended[dependency] == "" && cancelledByDependency(dependency) {
 					return true
 				}
 			}
 			return false
 		}
-		free := func(id string) bool {
-			for _, need := range awaits[id] {
-				if ended[need] != protocol.JobDone {
+		unblocked := func(id string) bool {
+			for _, dependency := range dependencies[id] {
+				if ended[dependency] != protocol.JobDone {
 					return false
 				}
 			}
@@ -175,16 +169,20 @@
 			if len(ids) == 0 || rapid.IntRange(0, 1).Draw(rt, "what") == 0 {
 				id := fmt.Sprintf("j-%02d", i)
 				for _, other := range ids {
-					if rapid.IntRange(0, 2).Draw(rt, "awaits "+other) == 0 {
-						awaits[id] = append(awaits[id], other)
+					if rapid.IntRange(0, 2).Draw(rt, "depends on "+other) == 0 {
+						dependencies[id] = append(dependencies[id], other)
 					}
 				}
 				want := protocol.JobQueued
-				if cancelledWithNeed(id) {
+				if cancelledByDependency(id) {
 					want = protocol.JobCancelled
 				}
-				if code, st, why := s.submit(node, dependentJob(id, awaits[id]...)); code != 201 || st.State != want {
-					rt.Fatalf("%s after %v: %d %s %s, want %s", id, awaits[id], code, st.State, why, want)
+				if code, st, why := s.submit(
+					node,
+					dependentJob(id, dependencies[id]...),
+				); code != 201 ||
+					st.State != want {
+					rt.Fatalf("%s after %v: %d %s %s, want %s", id, dependencies[id], code, st.State, why, want)
 				}
 				ids = append(ids, id)
 				continue
@@ -192,12 +190,12 @@
 			id := rapid.SampledFrom(ids).Draw(rt, "job")
 			switch {
 			case rapid.IntRange(0, 2).Draw(rt, "ask") == 0:
-			case cancelledWithNeed(id) && rapid.Bool().Draw(rt, "record"):
+			case cancelledByDependency(id) && rapid.Bool().Draw(rt, "record"):
 				if ended[id] == "" {
 					ended[id] = protocol.JobCancelled
 					s.endJob(id, storage.EndedJobRecord{State: protocol.JobCancelled, CancelledDependency: "j-00"})
 				}
-			case free(id) && rapid.Bool().Draw(rt, "done"):
+			case unblocked(id) && rapid.Bool().Draw(rt, "done"):
 				if ended[id] == "" {
 					ended[id] = protocol.JobDone
 					s.endJob(id, storage.EndedJobRecord{State: protocol.JobDone, DoneTasks: 2})
@@ -207,13 +205,8 @@
 				if ended[id] == protocol.JobDone {
 					want = protocol.JobDone
 				}
-				if code, st, _ := s.call(
-					node,
-					"POST",
-					"/submissions/"+id+"/withdraw",
-					nil,
-				); code != 200 ||
-					st.State != want {
+				code, st, _ := s.call(node, "POST", "/submissions/"+id+"/withdraw", nil)
+				if code != 200 || st.State != want {
 					rt.Fatalf("cancelling %s: %d %s, want %s", id, code, st.State, want)
 				}
 				ended[id] = want
@@ -221,13 +214,13 @@
 			for _, id := range ids {
 				want := ended[id]
 				switch {
-				case want == "" && cancelledWithNeed(id):
+				case want == "" && cancelledByDependency(id):
 					want = protocol.JobCancelled
 				case want == "":
 					want = protocol.JobQueued
 				}
 				if code, st, _ := s.call(1-node, "GET", "/submissions/"+id, nil); code != 200 || st.State != want {
-					rt.Fatalf("%s after %v: %d %s, want %s", id, awaits[id], code, st.State, want)
+					rt.Fatalf("%s after %v: %d %s, want %s", id, dependencies[id], code, st.State, want)
 				}
 			}
 		}
--- a/internal/coordination/api/jobreader.go
+++ b/internal/coordination/api/jobreader.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"errors"
 	"fmt"
 	"log/slog"
 	"sync"
@@ -13,344 +12,201 @@
 	"pinebay/internal/storage"
 )
 
-// jobReader answers questions about jobs, many with the same requests: it follows which
-// jobs live, and looks at what has changed once for all questions that wait. A look
-// that is sent after a question came shows everything that anybody was told before
-// it. A question of its own for every user asked more of the state service, in a
-// crowd, than the service gives, and most users were refused for minutes.
+// maxBatch is the limit of the queries that the leader is asked for in one message.
+const maxBatch = 256
+
+// jobReader answers queries about jobs. It coalesces them: queries that arrive while others are being answered form the
+// next batch, and one read of what has changed in the key-value store answers all of a batch. An answer includes
+// everything that any user was told before the query came, since the read begins after it.
+//
+// The key-value store does not allow enough requests for one read per query when hundreds of users ask at once.
 type jobReader struct {
 	store          *storage.Client
 	log            *slog.Logger
 	leaderStatuses LeaderStatuses
-	maxFinals      int // final states that are kept
+	finals         *finalStates
+	index          *jobIndex // used by answerBatches only
 
 	mu                sync.Mutex
 	waiting           []*jobQuery
-	running           bool
-	leaderSilentUntil time.Time // the leader did not answer; it is not asked until then
-
-	// What follows belongs to the one batch under way, but for finals.
-	synced        bool
-	liveRevision  uint64 // up to which live is known
-	endedRevision uint64 // up to which finals were followed
-	liveShapes    map[string]protocol.Shape
-	graph         *dependency.Graph     // of the live jobs
-	finals        map[string]finalState // guarded by mu
+	running           bool      // there is a goroutine in answerBatches
+	leaderSilentUntil time.Time // the leader did not answer, and is not asked before
 }
 
-// LeaderStatuses asks the leader about jobs, briefly. It returns those that it knows, and
-// whether it answered.
-type LeaderStatuses func(ctx context.Context, ids []string) (map[string]protocol.JobStatus, bool)
-
-// finalState is how a job ended. told says that users may be told without another intent.
-type finalState struct {
-	status    protocol.JobStatus
-	announced bool
-}
-
-// jobQuery asks about a job; answer is closed once the rest is filled in.
+// jobQuery is a query that waits for its batch.
 type jobQuery struct {
-	id      string
-	done    chan struct{}
-	status  protocol.JobStatus
-	shape   protocol.Shape // of a job that lives
-	found   bool
-	unknown bool // neither live nor among those that were seen to end
-	// unreadDependencies are jobs that it awaits, directly or not, of which it must be read how they ended.
-	unreadDependencies []string
-	err                error
+	id   string
+	done chan struct{} // closed when the fields below are set
+
+	answer jobAnswer
+	// unknown says that the job is not live and that its end was not observed.
+	unknown bool
+	// unread are direct and indirect dependencies whose ends must be read before there is an answer.
+	unread []string
+	err    error
 }
 
-func newJobReader(store *storage.Client, log *slog.Logger, status LeaderStatuses, most int) *jobReader {
-	return &jobReader{store: store, log: log, leaderStatuses: status, maxFinals: most, finals: map[string]finalState{}}
+// jobAnswer is what is known of a job.
+type jobAnswer struct {
+	status protocol.JobStatus
+	shape  protocol.Shape // of a live job, otherwise empty
+	found  bool
 }
 
-// maxBatch bounds the questions that go to the leader in one message.
-const maxBatch = 256
+// live reports whether the job has a live record.
+func (a *jobAnswer) live() bool { return a.shape != "" }
 
-// maxFinalReads bounds the ends that one question reads at a time.
-const maxFinalReads = 16
+func newJobReader(
+	store *storage.Client,
+	log *slog.Logger,
+	statuses LeaderStatuses,
+	finals *finalStates,
+) *jobReader {
+	return &jobReader{
+		store:          store,
+		log:            log,
+		leaderStatuses: statuses,
+		finals:         finals,
+		index:          newJobIndex(store, log, finals),
+	}
+}
 
 // lookup returns what is known of a job at some moment after the call.
 func (r *jobReader) lookup(ctx context.Context, id string) (jobAnswer, error) {
 	for {
-		a, unread, err := r.lookupOnce(ctx, id)
+		answer, unread, err := r.lookupOnce(ctx, id)
 		if err != nil || len(unread) == 0 {
-			return a, err
+			return answer, err
 		}
-		for _, need := range unread {
-			if err := r.ensureFinalState(ctx, need); err != nil {
+		for _, dependencyID := range unread {
+			if err := r.ensureFinalState(ctx, dependencyID); err != nil {
 				return jobAnswer{}, err
 			}
 		}
 	}
 }
 
-// jobAnswer is what is known of a job.
-type jobAnswer struct {
-	status protocol.JobStatus
-	shape  protocol.Shape // of a job that lives; "" of others
-	found  bool
-}
-
-// ensureFinalState reads how a job has ended that others await, and remembers it.
-func (r *jobReader) ensureFinalState(ctx context.Context, id string) error {
-	if _, ok := r.finalState(id); ok {
-		return nil
-	}
-	_, found, err := r.readFinalState(ctx, id)
-	if err == nil && !found {
-		err = fmt.Errorf("%w: the end of %s", errNotReadable, id)
+// lookupOnce returns an answer, or the jobs whose ends must be read before there is one.
+func (r *jobReader) lookupOnce(ctx context.Context, id string) (answer jobAnswer, unread []string, err error) {
+	if final, ok := r.finals.get(id); ok {
+		return jobAnswer{status: final.status, found: true}, nil, nil
 	}
-	return err
-}
-
-// readFinalState reads how a job has ended, if there is a record of that, and remembers it.
-func (r *jobReader) readFinalState(ctx context.Context, id string) (f finalState, found bool, err error) {
-	p, err := r.store.Get(ctx, storage.BudgetPoll, storage.EndedJobKey(id))
-	if err != nil || p.Revision == 0 {
-		return finalState{}, false, err
+	query := r.enqueue(id) //nolint:contextcheck // the batch outlives the request that starts it
+	select {
+	case <-query.done:
+	case <-ctx.Done():
+		return jobAnswer{}, nil, ctx.Err()
 	}
-	if f, err = decodeFinalState(id, p.Value); err != nil {
-		return finalState{}, false, err
+	if query.err != nil || !query.unknown {
+		return query.answer, query.unread, query.err
 	}
-	r.rememberFinal(f.status, f.announced)
-	return f, true, nil
+	// The job ended before the index began, or nobody submitted it.
+	final, found, err := r.readFinalState(ctx, id)
+	return jobAnswer{status: final.status, found: found}, nil, err
 }
 
-// errNotReadable says that a job is neither live nor recorded as over, for the moment.
-var errNotReadable = errors.New("not to be read yet")
-
-// lookupOnce asks once; unread are jobs whose ends have to be read before there is an answer.
-func (r *jobReader) lookupOnce(ctx context.Context, id string) (a jobAnswer, unread []string, err error) {
-	if f, ok := r.finalState(id); ok {
-		return jobAnswer{status: f.status, found: true}, nil, nil
-	}
-	q := &jobQuery{id: id, done: make(chan struct{})}
+// enqueue adds a query to the next batch, and makes sure that it will be answered.
+func (r *jobReader) enqueue(id string) *jobQuery {
+	query := &jobQuery{id: id, done: make(chan struct{})}
 	r.mu.Lock()
-	r.waiting = append(r.waiting, q)
+	defer r.mu.Unlock()
+	r.waiting = append(r.waiting, query)
 	if !r.running {
 		r.running = true
 		go r.answerBatches()
 	}
-	r.mu.Unlock()
-	select {
-	case <-q.done:
-	case <-ctx.Done():
-		return jobAnswer{}, nil, ctx.Err()
-	}
-	if !q.unknown || q.err != nil {
-		return jobAnswer{status: q.status, shape: q.shape, found: q.found}, q.unreadDependencies, q.err
-	}
-	// It ended before we followed, or nobody submitted it.
-	f, found, err := r.readFinalState(ctx, id)
-	return jobAnswer{status: f.status, found: found}, nil, err
-}
-
-// decodeFinalState reads the record of a job that is over. One that was cancelled with a job that it awaited has
-// never had a task, so that nobody has to know of its cancellation before users are told.
-func decodeFinalState(id string, value []byte) (finalState, error) {
-	var rec storage.EndedJobRecord
-	if err := protocol.Decode(value, &rec); err != nil {
-		return finalState{}, err
-	}
-	return finalState{
-		status:    protocol.JobStatus{ID: id, State: rec.State, DoneTasks: rec.DoneTasks},
-		announced: rec.CancelledDependency != "",
-	}, nil
+	return query
 }
 
-// answerBatches answers batches until nobody waits.
+// answerBatches answers batches of queries until none waits.
 func (r *jobReader) answerBatches() {
 	for {
-		r.mu.Lock()
-		batch := r.waiting[:min(len(r.waiting), maxBatch)]
-		r.waiting = r.waiting[len(batch):]
+		batch, askLeader := r.nextBatch()
 		if len(batch) == 0 {
-			r.waiting, r.running = nil, false
-			r.mu.Unlock()
 			return
 		}
-		quiet := time.Now().Before(r.leaderSilentUntil)
-		r.mu.Unlock()
-		r.answerBatch(batch, quiet)
+		r.answerBatch(batch, askLeader)
 	}
 }
 
-func (r *jobReader) answerBatch(batch []*jobQuery, quiet bool) {
+// nextBatch returns the next queries to answer, and whether to ask the leader about them. An empty batch ends
+// answerBatches.
+func (r *jobReader) nextBatch() (batch []*jobQuery, askLeader bool) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	batch = r.waiting[:min(len(r.waiting), maxBatch)]
+	r.waiting = r.waiting[len(batch):]
+	if len(batch) == 0 {
+		r.waiting, r.running = nil, false
+		return nil, false
+	}
+	return batch, !time.Now().Before(r.leaderSilentUntil)
+}
+
+// answerBatch answers queries with one message to the leader and one read of the key-value store.
+func (r *jobReader) answerBatch(batch []*jobQuery, askLeader bool) {
+	// The context is not that of a request: every request of the batch has one of its own.
 	ctx, cancel := context.WithTimeout(context.Background(), queryTimeout)
 	defer cancel()
-	// The leader first, the service last: a cancellation between the two would
-	// otherwise be followed by an older answer.
+	// The store is read last: otherwise a cancellation between the two would be followed by an older answer.
 	var statuses map[string]protocol.JobStatus
-	if !quiet {
-		ids := make([]string, len(batch))
-		for i, q := range batch {
-			ids[i] = q.id
-		}
-		var ok bool
-		if statuses, ok = r.leaderStatuses(ctx, ids); !ok {
-			r.mu.Lock()
-			r.leaderSilentUntil = time.Now().Add(storage.MaxQueueTime)
-			r.mu.Unlock()
-		}
+	if askLeader {
+		statuses = r.askLeader(ctx, batch)
 	}
-	err := r.refresh(ctx)
-	for _, q := range batch {
-		q.err = err
+	err := r.index.refresh(ctx)
+	for _, query := range batch {
+		query.err = err
 		if err == nil {
-			r.answerQuery(q, statuses)
+			r.index.answer(query, statuses)
 		}
-		close(q.done)
+		close(query.done)
 	}
 }
 
-func (r *jobReader) answerQuery(q *jobQuery, statuses map[string]protocol.JobStatus) {
-	q.found = true
-	if f, ok := r.finalState(q.id); ok {
-		q.status = f.status
-		return
-	}
-	shape, live := r.liveShapes[q.id]
-	if !live {
-		q.found, q.unknown = false, true
-		return
+// askLeader returns the leader's statuses of the jobs. If the leader does not answer, it is not asked for a while.
+func (r *jobReader) askLeader(ctx context.Context, batch []*jobQuery) map[string]protocol.JobStatus {
+	ids := make([]string, len(batch))
+	for i, query := range batch {
+		ids[i] = query.id
 	}
-	q.shape = shape
-	st, ok := statuses[q.id]
+	statuses, ok := r.leaderStatuses(ctx, ids)
 	if !ok {
-		st = protocol.JobStatus{ID: q.id, State: protocol.JobQueued}
-	}
-	if st.Unblocked {
-		r.graph.Unblock(q.id) // the leader has read that all that it awaits is done
-	}
-	if q.unreadDependencies = r.unreadDependencies(q.id); len(q.unreadDependencies) > 0 {
-		return
-	}
-	if r.graph.State(q.id) == dependency.Cancelled {
-		st = protocol.JobStatus{ID: q.id, State: protocol.JobCancelled}
-	}
-	q.status = st
-}
-
-// unreadDependencies lists jobs that a job awaits, directly or not, of which it must be read how they ended.
-func (r *jobReader) unreadDependencies(id string) []string {
-	for {
-		ids := r.graph.UnknownOutcomesBefore(id, maxFinalReads)
-		settled := false
-		for _, need := range ids {
-			if f, ok := r.finalState(need); ok {
-				r.graph.End(need, dependencyState(f.status.State))
-				settled = true
-			}
-		}
-		if !settled {
-			return ids
-		}
-	}
-}
-
-// dependencyState is a final standing as the graph has it.
-func dependencyState(standing protocol.JobState) dependency.State {
-	if standing == protocol.JobDone {
-		return dependency.Done
+		r.mu.Lock()
+		r.leaderSilentUntil = time.Now().Add(storage.MaxQueueTime)
+		r.mu.Unlock()
 	}
-	return dependency.Cancelled
+	return statuses
 }
 
-// refresh takes in what has changed: first of the live keys, then of the final ones, for
-// the move is one way.
-func (r *jobReader) refresh(ctx context.Context) error {
-	if !r.synced {
-		pairs, rev, err := r.store.ListWithBudget(ctx, storage.BudgetPoll, storage.LiveJobPrefix)
-		if err != nil {
-			return err
-		}
-		r.liveShapes, r.graph = make(map[string]protocol.Shape, len(pairs)), dependency.New()
-		for _, p := range pairs {
-			r.addLiveJob(p.Key, p.Value)
-		}
-		// The list came in pages, from its first on: what changed meanwhile follows.
-		r.synced, r.liveRevision, r.endedRevision = true, rev, rev
-	}
-	ev, err := r.store.Changes(ctx, storage.BudgetPoll, storage.LiveJobPrefix, r.liveRevision)
-	if err != nil {
-		r.synced = r.synced && !errors.Is(err, storage.ErrCompacted)
-		return err
-	}
-	dropped := false
-	for _, e := range ev.Events {
-		if e.DeleteKey != "" {
-			id := e.DeleteKey[len(storage.LiveJobPrefix):]
-			delete(r.liveShapes, id)
-			r.graph.EndWithUnknownOutcome(id)
-			dropped = true
-		} else {
-			r.addLiveJob(e.PutKey, e.Value)
-		}
-	}
-	r.liveRevision = max(r.liveRevision, ev.Revision)
-	if !dropped {
-		return nil
-	}
-	ev, err = r.store.Changes(ctx, storage.BudgetPoll, storage.EndedJobPrefix, r.endedRevision)
-	if err != nil {
-		// They are read one by one, until the next look.
-		r.synced = r.synced && !errors.Is(err, storage.ErrCompacted)
+// ensureFinalState makes sure that the final state of a job that must have ended is known.
+func (r *jobReader) ensureFinalState(ctx context.Context, id string) error {
+	if _, ok := r.finals.get(id); ok {
 		return nil
 	}
-	for _, e := range ev.Events {
-		if e.PutKey == "" {
-			continue
-		}
-		id := e.PutKey[len(storage.EndedJobPrefix):]
-		f, err := decodeFinalState(id, e.Value)
-		if err != nil {
-			r.log.Error("ended record out of form", "key", e.PutKey, "err", err)
-			continue
-		}
-		r.rememberFinal(f.status, f.announced)
-		r.graph.End(id, dependencyState(f.status.State))
+	_, found, err := r.readFinalState(ctx, id)
+	if err == nil && !found {
+		err = fmt.Errorf("%w: job %s", errNotReadable, id)
 	}
-	r.endedRevision = max(r.endedRevision, ev.Revision)
-	return nil
+	return err
 }
 
-// addLiveJob takes in a job that lives, with what it awaits.
-func (r *jobReader) addLiveJob(key string, value []byte) {
-	id := key[len(storage.LiveJobPrefix):]
-	var rec struct {
-		Job struct {
-			Shape  protocol.Shape `msgpack:"shape"`
-			Awaits []string       `msgpack:"awaits"`
-		} `msgpack:"job"`
+// readFinalState reads the ended record of a job, if there is one, and remembers its final state.
+func (r *jobReader) readFinalState(ctx context.Context, id string) (final finalState, found bool, err error) {
+	pair, err := r.store.Get(ctx, storage.BudgetPoll, storage.EndedJobKey(id))
+	if err != nil || pair.Revision == 0 {
+		return finalState{}, false, err
 	}
-	if err := protocol.Decode(value, &rec); err != nil {
-		r.log.Error("live record out of form", "key", key, "err", err)
+	if final, err = decodeFinalState(id, pair.Value); err != nil {
+		return finalState{}, false, err
 	}
-	r.liveShapes[id] = rec.Job.Shape
-	r.graph.Add(dependency.Job{ID: id, Dependencies: rec.Job.Awaits, Deadline: dependency.NoDeadline})
-}
-
-func (r *jobReader) finalState(id string) (finalState, bool) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	f, ok := r.finals[id]
-	return f, ok
+	r.finals.put(final.status, final.announced)
+	return final, true, nil
 }
 
-// rememberFinal remembers how a job ended; that never changes.
-func (r *jobReader) rememberFinal(st protocol.JobStatus, told bool) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if len(r.finals) >= r.maxFinals {
-		n := r.maxFinals / 8
-		for id := range r.finals {
-			delete(r.finals, id)
-			if n--; n < 0 {
-				break
-			}
-		}
+// dependencyState returns a final state of a job as the graph of dependencies has it.
+func dependencyState(state protocol.JobState) dependency.State {
+	if state == protocol.JobDone {
+		return dependency.Done
 	}
-	r.finals[st.ID] = finalState{st, told || r.finals[st.ID].announced}
+	return dependency.Cancelled
 }
--- a/internal/coordination/api/api_test.go
+++ b/internal/coordination/api/server_test.go
@@ -28,56 +28,63 @@
 
 func TestMain(m *testing.M) { testutil.Main(m) }
 
+// testCluster is two servers of the users' interface on one key-value store, without a leader.
 type testCluster struct {
 	t        testing.TB
 	store    *simulation.Store
 	handlers []http.Handler
-	// servers are what serves them.
-	servers []*Server
-	// announceErr is what an announcement comes to.
+	servers  []*Server
+	// announceErr is the result of announcing a cancellation.
 	announceErr error
 }
 
 var testMachineTypes = []protocol.MachineType{{Name: "g8", CPUs: 64, GPUs: 8, MemoryGB: 256, Zones: []string{"a", "b"}}}
 
-func newTestCluster(t testing.TB) *testCluster {
-	return newTestClusterWith(t, config.StoreLimits{RPS: 1e6, WriteRPS: 1e6, TxnOps: 16})
+// newTestCluster returns a cluster on a store with hardly any limits.
+func newTestCluster(tb testing.TB) *testCluster {
+	tb.Helper()
+	return newTestClusterWith(tb, config.StoreLimits{RPS: 1e6, WriteRPS: 1e6, TxnOps: 16})
 }
 
-func newTestClusterWith(t testing.TB, rates config.StoreLimits) *testCluster {
-	s := &testCluster{t: t, store: simulation.NewStore()}
+// newTestClusterWith returns a cluster on a store with the given limits.
+func newTestClusterWith(tb testing.TB, limits config.StoreLimits) *testCluster {
+	tb.Helper()
+	s := &testCluster{t: tb, store: simulation.NewStore()}
 	srv := httptest.NewServer(s.store)
-	t.Cleanup(srv.Close)
+	tb.Cleanup(srv.Close)
 	cfg := &config.Deployment{
-		Controllers: 2, Teams: []config.Team{{Name: "red", MaxGPUs: 16}},
-		Store: rates, Workers: config.Workers{LeaseSeconds: 10}, Quota: config.Quota{RAMMB: 16, MaxSockets: 500},
+		Controllers: 2,
+		Teams:       []config.Team{{Name: "red", MaxGPUs: 16}},
+		Store:       limits,
+		Workers:     config.Workers{LeaseSeconds: 10},
+		Quota:       config.Quota{RAMMB: 16, MaxSockets: 500},
 	}
+	noLeader := func(context.Context, []string) (map[string]protocol.JobStatus, bool) { return nil, false }
+	announce := func(context.Context, string) (time.Time, error) { return time.Now(), s.announceErr }
+	addr := strings.TrimPrefix(srv.URL, "http://")
 	for range 2 {
-		store := storage.NewClient(
-			transport.TCP{},
-			random.New(1),
-			cfg,
-			strings.TrimPrefix(srv.URL, "http://"),
-			time.Minute,
-		)
-		in := New(cfg, store, random.New(1), slog.New(slog.NewTextHandler(io.Discard, nil)),
-			func(context.Context, []string) (map[string]protocol.JobStatus, bool) { return nil, false },
-			func(context.Context, string) (time.Time, error) { return time.Now(), s.announceErr })
-		in.SetMachineTypes(testMachineTypes)
+		store := storage.NewClient(transport.TCP{}, random.New(1), cfg, addr, time.Minute)
+		log := slog.New(slog.NewTextHandler(io.Discard, nil))
+		server := New(cfg, store, random.New(1), log, noLeader, announce)
+		server.SetMachineTypes(testMachineTypes)
 		r := chi.NewRouter()
-		in.Routes(r)
-		s.handlers, s.servers = append(s.handlers, r), append(s.servers, in)
+		server.Routes(r)
+		s.handlers, s.servers = append(s.handlers, r), append(s.servers, server)
 	}
 	return s
 }
 
+// call sends a request to one of the controllers, and returns the status, the job's status and the header of the
+// response.
 func (s *testCluster) call(node int, method, path string, body []byte) (int, protocol.JobStatus, http.Header) {
+	s.t.Helper()
 	w := s.send(node, method, path, body)
 	return w.Code, s.status(w), w.Header()
 }
 
-// callWithReason is call, and returns why the request was refused.
+// callWithReason is like call, but returns the text of an error instead of the header.
 func (s *testCluster) callWithReason(node int, method, path string, body []byte) (int, protocol.JobStatus, string) {
+	s.t.Helper()
 	w := s.send(node, method, path, body)
 	var p protocol.ErrorResponse
 	if w.Code >= 300 {
@@ -89,13 +96,15 @@
 }
 
 func (s *testCluster) send(node int, method, path string, body []byte) *httptest.ResponseRecorder {
-	req := httptest.NewRequest(method, path, bytes.NewReader(body))
+	s.t.Helper()
+	req := httptest.NewRequestWithContext(s.t.Context(), method, path, bytes.NewReader(body))
 	w := httptest.NewRecorder()
 	s.handlers[node].ServeHTTP(w, req)
 	return w
 }
 
 func (s *testCluster) status(w *httptest.ResponseRecorder) (st protocol.JobStatus) {
+	s.t.Helper()
 	if w.Code < 300 {
 		if err := protocol.Decode(w.Body.Bytes(), &st); err != nil {
 			s.t.Fatal(err)
@@ -104,14 +113,16 @@
 	return st
 }
 
-func encodeJob(t testing.TB, j protocol.Job) []byte {
+func encodeJob(tb testing.TB, j protocol.Job) []byte {
+	tb.Helper()
 	raw, err := protocol.Encode(j)
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	return raw
 }
 
+// arrayJob returns a job of two tasks.
 func arrayJob(id string) protocol.Job {
 	return protocol.Job{
 		ID:        id,
@@ -127,9 +138,8 @@
 	}
 }
 
-// TestAnswersNeverGoBack plays users of one job at both controllers, and a leader
-// that ends it: once a job was called accepted, cancelled or done, nothing
-// older is told by either.
+// TestAnswersNeverGoBack has users of one job at both controllers, and a leader that ends it: once any user was told
+// that the job is accepted, cancelled or done, neither controller gives an older answer.
 func TestAnswersNeverGoBack(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		s := newTestCluster(t)
@@ -190,6 +200,7 @@
 	})
 }
 
+// TestEveryStatus: each status that a submission and a query may get.
 func TestEveryStatus(t *testing.T) {
 	s := newTestCluster(t)
 	with := func(change func(*protocol.Job)) []byte {
@@ -219,16 +230,19 @@
 			t.Errorf("%s: %d, want %d", name, code, x.want)
 		}
 	}
-	for path, want := range map[string]int{"/submissions/j-999999": 404, "/submissions/nonsense": 404, "/submissions/j-000003": 200} {
+	for path, want := range map[string]int{
+		"/submissions/j-999999": 404,
+		"/submissions/nonsense": 404,
+		"/submissions/j-000003": 200,
+	} {
 		if code, _, _ := s.call(1, "GET", path, nil); code != want {
 			t.Errorf("%s: %d, want %d", path, code, want)
 		}
 	}
 }
 
-// TestCancellationNeedsAMajority: nobody is told that a job is cancelled, by whoever
-// cancelled it or by another controller that reads of it, before a majority of the
-// controllers holds an intent of it; and nothing is recorded before.
+// TestCancellationNeedsAMajority: neither the controller that cancels a job nor another one that reads of it tells a
+// user before a quorum holds an intent; and nothing is recorded before.
 func TestCancellationNeedsAMajority(t *testing.T) {
 	s := newTestCluster(t)
 	j := arrayJob("j-000001")
@@ -242,13 +256,8 @@
 		t.Error("it was recorded all the same")
 	}
 	s.announceErr = nil
-	if code, st, _ := s.call(
-		0,
-		"POST",
-		"/submissions/j-000001/withdraw",
-		nil,
-	); code != 200 ||
-		st.State != protocol.JobCancelled {
+	code, st, _ := s.call(0, "POST", "/submissions/j-000001/withdraw", nil)
+	if code != 200 || st.State != protocol.JobCancelled {
 		t.Errorf("with a majority: %d %+v", code, st)
 	}
 	s.announceErr = errors.New("cut off")
@@ -263,12 +272,16 @@
 	}
 }
 
-// TestOutageIsAnsweredAtOnce: what cannot be taken is answered at once, with when
-// to come back; it is not held until the user gives up.
+// TestOutageIsAnsweredAtOnce: what cannot be served is answered at once with a time to retry; it is not held until the
+// user gives up.
 func TestOutageIsAnsweredAtOnce(t *testing.T) {
 	s := newTestCluster(t)
 	s.store.Unavailable = true
-	for _, x := range [][2]string{{"POST", "/submissions"}, {"GET", "/submissions/j-000001"}, {"POST", "/submissions/j-000001/withdraw"}} {
+	for _, x := range [][2]string{
+		{"POST", "/submissions"},
+		{"GET", "/submissions/j-000001"},
+		{"POST", "/submissions/j-000001/withdraw"},
+	} {
 		code, _, h := s.call(0, x[0], x[1], encodeJob(t, arrayJob("j-000001")))
 		if code != http.StatusServiceUnavailable || h.Get("Retry-After") == "" {
 			t.Errorf("%v: %d %v", x, code, h)
@@ -276,22 +289,18 @@
 	}
 }
 
-// TestOverloadIsAnsweredWithRetryAfter: when more is submitted at once than the state service's
-// budget takes in the time after which users ask again, the others are not held but
-// told when to come back, and what was called accepted is there.
+// TestOverloadIsAnsweredWithRetryAfter: when more is submitted at once than the rate of the key-value store allows in
+// the time after which users ask again, the others are not held but told to retry, and what was accepted is recorded.
 func TestOverloadIsAnsweredWithRetryAfter(t *testing.T) {
-	const crowd = 100
-	s := newTestClusterWith(
-		t,
-		config.StoreLimits{RPS: 1e6, WriteRPS: 1e-3, TxnOps: 16},
-	) // room for one, and none for long
+	const users = 100
+	s := newTestClusterWith(t, config.StoreLimits{RPS: 1e6, WriteRPS: 1e-3, TxnOps: 16}) // one write, and none for long
 	type answer struct {
 		id     string
 		code   int
 		header http.Header
 	}
 	answers := make(chan answer)
-	for i := range crowd {
+	for i := range users {
 		go func() {
 			id := fmt.Sprintf("j-%03d", i)
 			code, _, h := s.call(0, http.MethodPost, "/submissions", encodeJob(t, arrayJob(id)))
@@ -299,7 +308,7 @@
 		}()
 	}
 	accepted := 0
-	for range crowd {
+	for range users {
 		switch a := <-answers; a.code {
 		case http.StatusCreated:
 			accepted++
@@ -315,7 +324,7 @@
 		}
 	}
 	if accepted != 1 {
-		t.Errorf("%d of %d accepted", accepted, crowd)
+		t.Errorf("%d of %d accepted", accepted, users)
 	}
 }
 
@@ -323,7 +332,7 @@
 // which some end meanwhile, and each asks again. What the state service allows for
 // questions would do for a tenth of them; all are answered, with nothing older.
 func TestManyQueriesAreAnswered(t *testing.T) {
-	const crowd = 500
+	const users = 500
 	s := newTestClusterWith(t, config.StoreLimits{RPS: 100, WriteRPS: 1e6, TxnOps: 16})
 	put := func(key string, v any) {
 		value, err := protocol.Encode(v)
@@ -335,7 +344,7 @@
 	id := func(i int) string { return fmt.Sprintf("j-%04d", i) }
 	ask := func(want func(i int) protocol.JobState) {
 		var wg sync.WaitGroup
-		for i := range crowd {
+		for i := range users {
 			wg.Go(func() {
 				code, st, _ := s.call(0, http.MethodGet, "/submissions/"+id(i), nil)
 				if code != http.StatusOK || st.State != want(i) {
@@ -345,12 +354,12 @@
 		}
 		wg.Wait()
 	}
-	for i := range crowd {
+	for i := range users {
 		put(storage.LiveJobKey(id(i)), storage.LiveJobRecord{Job: arrayJob(id(i))})
 	}
 	ask(func(int) protocol.JobState { return protocol.JobQueued })
 	end := map[int]protocol.JobState{0: protocol.JobDone, 1: protocol.JobCancelled}
-	for i := range crowd {
+	for i := range users {
 		if e, ok := end[i%3]; ok {
 			value, err := protocol.Encode(storage.EndedJobRecord{State: e})
 			if err != nil {
