--- a/internal/loadtest/load.go
+++ b/internal/loadtest/load.go
@@ -13,27 +13,28 @@
 
 // Classes of jobs.
 const (
-	classService = "standing" // services that fill half of the room
+	classService = "standing" // services, which run all the time
 	classArray   = "array"
 	classGang    = "gang"
 	classUrgent  = "urgent"
 )
 
-// urgentTeam has no limit, so that only the scheduler can hold its work up.
+// urgentTeam has no limit, so that only the scheduler can delay its jobs.
 const urgentTeam = "urgent"
 
-// Times of users.
+// What users do.
 const (
-	pollInterval         = 5 * time.Second
-	retryPause           = time.Second
-	serviceShare         = 0.5 // of the room
-	tasksPerService      = 96  // of a service
-	cancelRunTimeDivisor = 2   // parts of a run time, after which a user calls an array off
+	pollInterval    = 5 * time.Second
+	retryInterval   = time.Second
+	serviceShare    = 0.5 // of the tasks that are to run
+	tasksPerService = 96
+	// cancelRunTimeDivisor is the part of a run time after which a user cancels an array.
+	cancelRunTimeDivisor = 2
 )
 
 func teamName(i int) string { return fmt.Sprintf("team-%03d", i) }
 
-// newTeams returns the teams with their limits.
+// newTeams returns the teams, which have limits if they are to reach them.
 func newTeams(l Load) []config.Team {
 	teams := []config.Team{{Name: urgentTeam}}
 	for i := range l.Teams {
@@ -46,19 +47,16 @@
 	return teams
 }
 
-// tasksPerTeam is how many tasks are a team's part of all that are to run.
+// tasksPerTeam is each team's share of the tasks that are to run.
 func (l Load) tasksPerTeam() float64 { return float64(l.Workers) * l.TasksPerWorker / float64(l.Teams) }
 
-// newJob makes up a job; the caller says what is special about it.
+// newJob returns a new job with a random image.
 func (r *run) newJob(class string, shape protocol.Shape, tasks int, team string) protocol.Job {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.jobCount++
 	return protocol.Job{
-		ID: fmt.Sprintf(
-			"j-%06d",
-			r.jobCount,
-		),
+		ID:              fmt.Sprintf("j-%06d", r.jobCount),
 		Class:           class,
 		Team:            team,
 		Shape:           shape,
@@ -78,7 +76,7 @@
 	return teamName(r.rng.IntN(r.load.Teams))
 }
 
-// submitServices submits the services that run all the time.
+// submitServices submits the services of all teams.
 func (r *run) submitServices() {
 	perTeam := int(r.load.tasksPerTeam() * serviceShare)
 	for team := range r.load.Teams {
@@ -90,27 +88,33 @@
 	}
 }
 
-// submitArrivals submits arrays, gangs and urgent work for as long as the run lasts.
+// submitArrivals begins to submit arrays, gangs, urgent jobs and pipelines until the run ends.
 func (r *run) submitArrivals() {
 	if r.load.TeamsAtLimit {
 		for team := range r.load.Teams {
-			r.wg.Go(func() { r.keepTeamOverLimit(teamName(team)) })
+			r.keepTeamOverLimit(teamName(team))
 		}
 	} else {
-		arrays := r.load.StartsPerS * (1 - r.load.GangShare) / float64(r.load.ArrayTasks)
-		// As many as run at a time once the load is steady.
-		for range int(arrays * r.cfg.MeanRunTime.Seconds()) {
-			r.wg.Go(func() { r.runUserJob(r.newArray(r.randomTeam())) })
-		}
-		r.wg.Go(func() { r.atRate(arrays, func() { r.runUserJob(r.newArray(r.randomTeam())) }) })
-		gangs := r.load.StartsPerS * r.load.GangShare / r.meanGang()
-		r.wg.Go(func() { r.atRate(gangs, func() { r.runUserJob(r.newGang(r.randomTeam())) }) })
+		r.submitAtRates()
+	}
+	r.atRate(r.load.UrgentPerS, func() { r.runUserJob(r.newUrgent()) })
+	r.atRate(r.load.PipelinesPerS, r.submitPipeline)
+}
+
+// submitAtRates begins to submit arrays and gangs at the rates of the load, and as many arrays at
+// once as run at a time when the load is steady.
+func (r *run) submitAtRates() {
+	submitArray := func() { r.runUserJob(r.newArray(r.randomTeam())) }
+	submitGang := func() { r.runUserJob(r.newGang(r.randomTeam())) }
+	arraysPerS := r.load.StartsPerS * (1 - r.load.GangShare) / float64(r.load.ArrayTasks)
+	for range int(arraysPerS * r.cfg.MeanRunTime.Seconds()) {
+		r.wg.Go(submitArray)
 	}
-	r.wg.Go(func() { r.atRate(r.load.UrgentPerS, func() { r.runUserJob(r.newUrgent()) }) })
-	r.wg.Go(func() { r.atRate(r.load.PipelinesPerS, r.submitPipeline) })
+	r.atRate(arraysPerS, submitArray)
+	r.atRate(r.load.StartsPerS*r.load.GangShare/r.load.meanGangTasks(), submitGang)
 }
 
-// keepTeamOverLimit keeps a team asking for more than its limit.
+// keepTeamOverLimit begins to keep a team's demand above its limit.
 func (r *run) keepTeamOverLimit(team string) {
 	wanted := r.load.tasksPerTeam() * (r.load.Overcommit - serviceShare)
 	for range max(1, int(wanted)/r.load.ArrayTasks) {
@@ -122,21 +126,23 @@
 	}
 }
 
-// atRate calls f so many times a second, each call on its own.
-func (r *run) atRate(rate float64, f func()) {
-	if rate <= 0 {
+// atRate begins to call f at a rate a second, each call in a goroutine of its own.
+func (r *run) atRate(perSecond float64, f func()) {
+	if perSecond <= 0 {
 		return
 	}
-	ticker := time.NewTicker(time.Duration(float64(time.Second) / rate))
-	defer ticker.Stop()
-	for {
-		select {
-		case <-r.ctx.Done():
-			return
-		case <-ticker.C:
-			r.wg.Go(f)
+	r.wg.Go(func() {
+		ticker := time.NewTicker(time.Duration(float64(time.Second) / perSecond))
+		defer ticker.Stop()
+		for {
+			select {
+			case <-r.ctx.Done():
+				return
+			case <-ticker.C:
+				r.wg.Go(f)
+			}
 		}
-	}
+	})
 }
 
 func (r *run) newArray(team string) protocol.Job {
@@ -157,9 +163,9 @@
 	return sizes
 }
 
-func (r *run) meanGang() float64 {
+func (l Load) meanGangTasks() float64 {
 	sum := 0
-	sizes := r.load.gangSizes()
+	sizes := l.gangSizes()
 	for _, n := range sizes {
 		sum += n
 	}
@@ -173,45 +179,44 @@
 	r.mu.Unlock()
 	j := r.newJob(classGang, protocol.Gang, n, team)
 	j.SameZone = true
-	j.MachineTypes = []string{machineType} // hollow workers of a gang find each other, processes don't
+	j.MachineTypes = []string{hollowWorkerType} // workers that are processes know nothing of a gang's other tasks
 	j.CheckpointIntervalSeconds, j.SaveSeconds = r.cfg.MeanRunTime.Seconds()/4, 1
 	return j
 }
 
-// runUserJob submits a job, asks for it until it is over, and repeats what is refused. Some call
-// arrays off.
+// runUserJob submits a job and polls it until it is final. Some arrays are cancelled meanwhile.
 func (r *run) runUserJob(j protocol.Job) {
 	r.mu.Lock()
 	r.world.Jobs[j.ID] = &j
-	off := j.Class == classArray && r.rng.Float64() < r.load.CancelShare
+	cancels := j.Class == classArray && r.rng.Float64() < r.load.CancelShare
 	r.mu.Unlock()
 	if !r.submit(&j) {
 		return
 	}
-	if off {
+	if cancels {
 		timer := time.AfterFunc(r.cfg.MeanRunTime/cancelRunTimeDivisor, func() { r.cancelJob(j.ID) })
 		defer timer.Stop()
 	}
 	r.pollUntilFinal(j.ID)
 }
 
-// pollUntilFinal asks for an accepted job until it is over.
+// pollUntilFinal queries an accepted job until it is final.
 func (r *run) pollUntilFinal(id string) {
 	for r.sleep(pollInterval) == nil {
-		if status, st := r.users.Request(
-			r.ctx,
-			r.randomController(),
-			simulation.RequestQuery,
-			id,
-			nil,
-		); status == http.StatusOK &&
-			st.State.Final() {
+		if r.isFinalAfter(simulation.RequestQuery, id) {
 			return
 		}
 	}
 }
 
-// submit submits a job until it is accepted, and says whether it was.
+// isFinalAfter sends a request about a job to any controller, and reports whether the answer shows
+// a final state.
+func (r *run) isFinalAfter(request, id string) bool {
+	status, answer := r.users.Request(r.ctx, r.randomController(), request, id, nil)
+	return status == http.StatusOK && answer.State.Final()
+}
+
+// submit submits a job until it is accepted, and reports whether it was.
 func (r *run) submit(j *protocol.Job) bool {
 	for r.ctx.Err() == nil {
 		status, _ := r.users.Request(r.ctx, r.randomController(), simulation.RequestSubmit, j.ID, j)
@@ -224,27 +229,17 @@
 			r.fail(fmt.Errorf("%s was refused with status %d", j.ID, status))
 			return false
 		}
-		if r.sleep(retryPause) != nil {
+		if r.sleep(retryInterval) != nil {
 			return false
 		}
 	}
 	return false
 }
 
-// cancelJob calls a job off until told that it is over.
+// cancelJob repeats a cancellation until the job is final.
 func (r *run) cancelJob(id string) {
 	for r.ctx.Err() == nil {
-		if status, st := r.users.Request(
-			r.ctx,
-			r.randomController(),
-			simulation.RequestCancel,
-			id,
-			nil,
-		); status == http.StatusOK &&
-			st.State.Final() {
-			return
-		}
-		if r.sleep(retryPause) != nil {
+		if r.isFinalAfter(simulation.RequestCancel, id) || r.sleep(retryInterval) != nil {
 			return
 		}
 	}
@@ -256,11 +251,15 @@
 	return r.controllers[r.rng.IntN(len(r.controllers))].addr
 }
 
-// recordAccepted notes that a job was accepted, unless a task of it runs already.
+// startedBefore marks in acceptedAt a job that was started before its user had the answer, or a
+// second time.
+const startedBefore = -1
+
+// recordAccepted notes when a job was accepted, unless it has started already.
 func (r *run) recordAccepted(j *protocol.Job) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if at, ok := r.acceptedAt[j.ID]; ok && at < 0 {
+	if at, ok := r.acceptedAt[j.ID]; ok && at == startedBefore {
 		delete(r.acceptedAt, j.ID)
 		r.meter.RecordLatency(startLatencyOf(j.Class), 0)
 		return
@@ -268,22 +267,22 @@
 	r.acceptedAt[j.ID] = r.now()
 }
 
-// recordTaskStart takes in a task's start; the lock is held.
+// recordTaskStart records the start latency of a job when its first task starts: since the end of
+// its last dependency, or since it was accepted. The world's model calls it, with mu held.
 func (r *run) recordTaskStart(now time.Duration, id protocol.TaskID) {
 	if id.Index != 0 {
 		return
 	}
-	if freed, awaited := r.world.UnblockedAt(r.world.Jobs[id.JobID]); awaited {
+	if unblockedAt, ok := r.world.UnblockedAt(r.world.Jobs[id.JobID]); ok {
 		delete(r.acceptedAt, id.JobID)
-		r.meter.RecordLatency(UnblockedStart, now-freed)
+		r.meter.RecordLatency(UnblockedStart, now-unblockedAt)
 		return
 	}
 	at, ok := r.acceptedAt[id.JobID]
 	switch {
 	case !ok:
-		// It runs before its user has the answer, or runs again.
-		r.acceptedAt[id.JobID] = -1
-	case at >= 0:
+		r.acceptedAt[id.JobID] = startedBefore
+	case at != startedBefore:
 		delete(r.acceptedAt, id.JobID)
 		r.meter.RecordLatency(startLatencyOf(r.world.Jobs[id.JobID].Class), now-at)
 	}
@@ -296,7 +295,7 @@
 	return TaskStart
 }
 
-// recordUserReply takes in how long a user waited for an answer.
+// recordUserReply records how long a user waited for an answer.
 func (r *run) recordUserReply(kind string, took time.Duration, status int) {
 	r.meter.CountMessage(LinkUsers, fmt.Sprintf("%s %d", kind, status))
 	switch kind {
@@ -309,6 +308,7 @@
 	}
 }
 
+// allTasksDone reports whether all tasks of a job have succeeded.
 func (r *run) allTasksDone(id string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -321,6 +321,7 @@
 	return true
 }
 
+// recordCancelled notes when a user learned that a job is cancelled.
 func (r *run) recordCancelled(id string, at time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/loadtest/loadtest.go
+++ b/internal/loadtest/loadtest.go
@@ -8,49 +8,38 @@
 	"time"
 )
 
-// Result is what a run came to.
-type Result struct {
-	At                time.Time    `json:"at"`
-	Vary              Dimension    `json:"vary"`
-	Seed              uint64       `json:"seed"`
-	HeartbeatInterval string       `json:"report_interval"`
-	Lease             string       `json:"lease"`
-	RunTimeS          float64      `json:"run_time_s"`
-	StateLimits       [2]float64   `json:"state_limits"` // requests and writes a second
-	Sizes             []SizeResult `json:"sizes"`
-	Slopes            []Slope      `json:"slopes"`
-}
-
-// Run plays all sizes, one after the other. A broken rule ends it with ErrInvariantViolated; what was
-// measured until then is returned all the same.
+// Run tests all sizes, one after the other. The first error ends it, a violated invariant with
+// ErrInvariantViolated; the result then holds what was measured until that.
 func Run(ctx context.Context, cfg *Config, log *slog.Logger) (*Result, error) {
 	result := &Result{
-		At: time.Now().
-			UTC().
-			Truncate(time.Second),
+		At:                time.Now().UTC().Truncate(time.Second),
 		Vary:              cfg.Vary,
 		Seed:              cfg.Seed,
 		HeartbeatInterval: cfg.HeartbeatInterval.String(),
 		Lease:             cfg.Lease.String(),
 		RunTimeS:          cfg.MeanRunTime.Seconds(),
-		StateLimits:       [2]float64{cfg.StateRPS, cfg.StateWriteRPS},
+		StateLimits:       [2]float64{cfg.Store.RPS, cfg.Store.WriteRPS},
 	}
+	defer func() { result.Slopes = fitSlopes(result.Sizes) }()
 	for _, size := range cfg.Sizes {
-		log.Info("size", "vary", cfg.Vary, "size", size)
+		log.Info("load test of a size", "vary", cfg.Vary, "size", size)
 		one, err := runSize(ctx, cfg, size, log)
 		result.Sizes = append(result.Sizes, one)
 		if err != nil {
-			result.Slopes = fitSlopes(result.Sizes)
 			return result, fmt.Errorf("%s %d: %w", cfg.Vary, size, err)
 		}
 	}
-	result.Slopes = fitSlopes(result.Sizes)
 	return result, nil
 }
 
-// runSize plays one size.
+// runSize tests one size.
 func runSize(ctx context.Context, cfg *Config, size int, log *slog.Logger) (result SizeResult, err error) {
 	result = SizeResult{Size: size, Load: cfg.loadAt(size)}
+	defer func() {
+		if err != nil {
+			result.StopReason = err.Error()
+		}
+	}()
 	dir, remove, err := tempDir()
 	if err != nil {
 		return result, err
@@ -62,8 +51,8 @@
 	}
 	defer r.shutdown()
 	err = r.execute(&result)
-	if cause := context.Cause(r.ctx); err == nil && cause != nil {
-		err = cause
+	if err == nil {
+		err = r.cause()
 	}
 	if err == nil {
 		err = r.checkInvariants()
@@ -71,42 +60,34 @@
 	r.mu.Lock()
 	result.Starts = r.world.Starts
 	r.mu.Unlock()
-	result.CheckedReplies = r.ledger.BindingAnswers
-	if err != nil {
-		result.StopReason = err.Error()
-	}
+	result.CheckedReplies = r.checker.BindingAnswers
 	return result, err
 }
 
-// warmupTimeoutFactor is how many warm-up times workers may take to be heard, and the standing work to run.
-const warmupTimeoutFactor = 20
+// How long execute waits for each stage.
+const (
+	leaderTimeout = time.Minute
+	// warmupTimeoutFactor is in warm-up times, for the workers' registration and for the services.
+	warmupTimeoutFactor = 20
+)
 
-// execute brings everything up, lets it become steady, measures, and then breaks things.
+// nearlyAll is the share of workers, or tasks, that counts as all: some may be missing for other
+// reasons than the load.
+const nearlyAll = 0.95
+
+// execute starts everything, waits until the load is steady, measures, and injects the faults.
 func (r *run) execute(result *SizeResult) error {
 	if err := r.start(); err != nil {
 		return err
 	}
-	if ok, err := r.waitUntil("a leader", time.Minute, func() bool { return r.leader() != nil }); err != nil || !ok {
-		return errors.Join(err, errorUnless(ok, "nobody leads within a minute"))
-	}
-	watch := r.countReplies()
-	heard := func() bool { n, _ := watch.count(); return float64(n) >= nearlyAll*float64(r.load.Workers) }
-	if ok, err := r.waitUntil("workers heard", warmupTimeoutFactor*r.cfg.Warmup, heard); err != nil || !ok {
-		return errors.Join(err, errorUnless(ok, "most workers were not heard in time"))
+	if err := r.awaitWorkers(); err != nil {
+		return err
 	}
 	r.submitServices()
-	filled := func() bool {
-		return r.tasksOnMachines() >= int(nearlyAll*serviceShare*float64(r.load.Workers)*r.load.TasksPerWorker)
-	}
 	var err error
-	if result.ServicesRunning, err = r.waitUntil(
-		"standing work runs",
-		warmupTimeoutFactor*r.cfg.Warmup,
-		filled,
-	); err != nil {
+	if result.ServicesRunning, err = r.awaitServices(); err != nil {
 		return err
 	}
-	r.log.Info("filled", "tasks", r.tasksOnMachines(), "after", r.now().Round(time.Second))
 	r.submitArrivals()
 	if err := r.sleep(r.cfg.Warmup); err != nil {
 		return err
@@ -114,26 +95,55 @@
 	if err := r.measure(result); err != nil {
 		return err
 	}
-	for _, t := range r.cfg.Faults {
-		one, err := r.injectFault(t)
+	for _, f := range r.cfg.Faults {
+		one, err := r.injectFault(f)
 		if err != nil {
-			return err
+			return fmt.Errorf("fault %s: %w", f, err)
 		}
 		result.Faults = append(result.Faults, one)
 	}
 	return nil
 }
 
-// tasksOnMachines counts the tasks on machines.
+// awaitWorkers waits until a leader is elected and nearly all workers had a reply to a heartbeat.
+func (r *run) awaitWorkers() error {
+	ok, err := r.waitUntil("leader elected", leaderTimeout, func() bool { return r.leader() != nil })
+	if err != nil {
+		return err
+	}
+	if !ok {
+		return errors.New("nobody leads within a minute")
+	}
+	replies := r.countReplies()
+	ok, err = r.waitUntil("workers registered", warmupTimeoutFactor*r.cfg.Warmup, func() bool {
+		workers, _ := replies.count()
+		return float64(workers) >= nearlyAll*float64(r.load.Workers)
+	})
+	if err != nil {
+		return err
+	}
+	if !ok {
+		return errors.New("most workers were not heard in time")
+	}
+	return nil
+}
+
+// awaitServices waits until nearly all tasks of services run. It returns false if they do not in
+// time; the test goes on then.
+func (r *run) awaitServices() (bool, error) {
+	wanted := int(nearlyAll * serviceShare * float64(r.load.Workers) * r.load.TasksPerWorker)
+	running, err := r.waitUntil("services running", warmupTimeoutFactor*r.cfg.Warmup, func() bool {
+		return r.tasksOnMachines() >= wanted
+	})
+	if err != nil {
+		return false, err
+	}
+	r.log.Info("services submitted", "tasks", r.tasksOnMachines(), "duration", r.now().Round(time.Second))
+	return running, nil
+}
+
 func (r *run) tasksOnMachines() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.world.TasksOnMachines()
 }
-
-func errorUnless(ok bool, what string) error {
-	if ok {
-		return nil
-	}
-	return errors.New(what)
-}
--- a/internal/loadtest/measure.go
+++ b/internal/loadtest/measure.go
@@ -9,107 +9,6 @@
 	"pinebay/internal/simulation"
 )
 
-// sample is every counter at one moment.
-type sample struct {
-	at             time.Time
-	leader         string
-	controllers    map[string]resourceUsage
-	workers        []resourceUsage // of workers that are processes
-	self           resourceUsage
-	state          simulation.StoreUsage
-	bytes          [linkCount]int64
-	messages       [linkCount]int64
-	messagesByKind map[string]int64
-	starts         int
-	replies        int64
-	accepted       int64
-}
-
-func (r *run) sample() (sample, error) {
-	s := sample{
-		at:             time.Now(),
-		controllers:    map[string]resourceUsage{},
-		state:          r.state.Usage(),
-		messagesByKind: r.meter.messageCounts(),
-		replies:        r.replyCount.Load(),
-		accepted:       r.acceptedJobs.Load(),
-	}
-	if p := r.leader(); p != nil {
-		s.leader = p.name
-	}
-	for _, p := range r.controllers {
-		u, err := p.usage()
-		if err != nil {
-			return s, err
-		}
-		s.controllers[p.name] = u
-	}
-	for _, pid := range r.workerPIDs() {
-		u, err := readUsage(pid)
-		if err != nil {
-			return s, err
-		}
-		s.workers = append(s.workers, u)
-	}
-	var err error
-	if s.self, err = readUsage(os.Getpid()); err != nil {
-		return s, err
-	}
-	for i := range linkCount {
-		s.bytes[i], s.messages[i] = r.meter.bytes[i].Load(), r.meter.messages[i].Load()
-	}
-	r.mu.Lock()
-	s.starts = r.world.Starts
-	r.mu.Unlock()
-	return s, nil
-}
-
-// workerPIDs lists the workers that are processes, always in the same order.
-func (r *run) workerPIDs() (pids []int) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	for _, name := range slices.Sorted(maps.Keys(r.processes)) {
-		pids = append(pids, r.processes[name].cmd.Process.Pid)
-	}
-	return pids
-}
-
-// Figure is something measured: its mean, and the least and most of the slices.
-type Figure struct {
-	Mean float64 `json:"mean"`
-	Min  float64 `json:"min"`
-	Max  float64 `json:"max"`
-}
-
-func newFigure(values []float64) Figure {
-	if len(values) == 0 {
-		return Figure{}
-	}
-	sum := 0.0
-	for _, v := range values {
-		sum += v
-	}
-	return Figure{Mean: sum / float64(len(values)), Min: slices.Min(values), Max: slices.Max(values)}
-}
-
-// SizeResult is what one size came to.
-type SizeResult struct {
-	Size int  `json:"size"`
-	Load Load `json:"load"`
-	// ServicesRunning says whether the standing work ran before the measurement, and Stopped why the
-	// size was broken off, if it was.
-	ServicesRunning bool   `json:"filled"`
-	StopReason      string `json:"stopped,omitempty"`
-	// Figures are by name; names end in their unit.
-	Figures        map[string]Figure    `json:"figures"`
-	Messages       map[string]float64   `json:"messages_per_s"`
-	Times          map[string]Times     `json:"times"`
-	Steps          map[string]stepTimes `json:"steps"`
-	Faults         []FaultResult        `json:"troubles,omitempty"`
-	Starts         int                  `json:"starts"`
-	CheckedReplies int                  `json:"answers_judged"`
-}
-
 // Names of figures.
 const (
 	figLeaderCPU       = "leader cpu (cores)"
@@ -138,7 +37,35 @@
 	figProcessMemory   = "worker process memory (MB)"
 )
 
-// measure samples for the measured time, and returns the figures of its slices.
+// controllerFigures are the names of a controller's figures.
+type controllerFigures struct{ cpu, memory, sockets, bytes string }
+
+var (
+	leaderFigures   = controllerFigures{figLeaderCPU, figLeaderMemory, figLeaderSockets, figLeaderBytes}
+	followerFigures = controllerFigures{figFollowerCPU, figFollowerMemory, figFollowerSockets, figFollowerBytes}
+)
+
+// sample is every counter at one moment.
+type sample struct {
+	at              time.Time
+	leader          string
+	controllers     map[string]resourceUsage
+	workerProcesses []resourceUsage
+	models          resourceUsage // of this process, in which all models run
+	store           simulation.StoreUsage
+	bytes           [linkCount]int64
+	messages        [linkCount]int64
+	messagesByKind  map[string]int64
+	starts          int
+	replies         int64
+	acceptedJobs    int64
+}
+
+func (s *sample) workerMessages() int64 { return s.messages[LinkHeartbeats] + s.messages[LinkCommands] }
+
+func (s *sample) workerBytes() int64 { return s.bytes[LinkHeartbeats] + s.bytes[LinkCommands] }
+
+// measure takes samples at the bounds of the slices and fills in what they show.
 func (r *run) measure(result *SizeResult) error {
 	r.resetTimes()
 	samples := make([]sample, 0, r.cfg.Slices+1)
@@ -155,73 +82,161 @@
 		samples = append(samples, s)
 	}
 	result.Figures = r.figures(samples)
-	result.Messages = messageRates(samples[0], samples[len(samples)-1])
+	result.Messages = messageRates(&samples[0], &samples[len(samples)-1])
 	result.Times, result.Steps = r.meter.Times(), r.combinedStepTimes()
 	return nil
 }
 
-// messageRates are the messages a second of each kind between two samples.
-func messageRates(a, b sample) map[string]float64 {
-	seconds := b.at.Sub(a.at).Seconds()
-	out := map[string]float64{}
-	for kind, n := range b.messagesByKind {
-		if d := n - a.messagesByKind[kind]; d > 0 {
-			out[kind] = float64(d) / seconds
+// sample reads all counters.
+func (r *run) sample() (sample, error) {
+	s := sample{
+		at:             time.Now(),
+		controllers:    map[string]resourceUsage{},
+		store:          r.store.Usage(),
+		messagesByKind: r.meter.messageCounts(),
+		replies:        r.replyCount.Load(),
+		acceptedJobs:   r.acceptedJobs.Load(),
+	}
+	if err := r.sampleProcesses(&s); err != nil {
+		return s, err
+	}
+	for link := range linkCount {
+		s.bytes[link], s.messages[link] = r.meter.bytes[link].Load(), r.meter.messages[link].Load()
+	}
+	r.mu.Lock()
+	s.starts = r.world.Starts
+	r.mu.Unlock()
+	return s, nil
+}
+
+// sampleProcesses reads the usage of all processes.
+func (r *run) sampleProcesses(s *sample) error {
+	if p := r.leader(); p != nil {
+		s.leader = p.name
+	}
+	for _, p := range r.controllers {
+		usage, err := p.usage()
+		if err != nil {
+			return err
 		}
+		s.controllers[p.name] = usage
 	}
-	return out
+	for _, pid := range r.workerPIDs() {
+		usage, err := readUsage(pid)
+		if err != nil {
+			return err
+		}
+		s.workerProcesses = append(s.workerProcesses, usage)
+	}
+	var err error
+	s.models, err = readUsage(os.Getpid())
+	return err
 }
 
-// figures computes the figures of each slice between two samples.
+// workerPIDs returns the process IDs of the workers that are processes, in the order of their
+// machines.
+func (r *run) workerPIDs() (pids []int) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	for _, machine := range slices.Sorted(maps.Keys(r.processes)) {
+		pids = append(pids, r.processes[machine].pid())
+	}
+	return pids
+}
+
+// messageRates returns the messages a second of each kind between two samples.
+func messageRates(from, to *sample) map[string]float64 {
+	seconds := to.at.Sub(from.at).Seconds()
+	rates := map[string]float64{}
+	for kind, count := range to.messagesByKind {
+		if n := count - from.messagesByKind[kind]; n > 0 {
+			rates[kind] = float64(n) / seconds
+		}
+	}
+	return rates
+}
+
+// figures returns the figures of the slices between the samples.
 func (r *run) figures(samples []sample) map[string]Figure {
-	values := map[string][]float64{}
-	add := func(name string, v float64) { values[name] = append(values[name], v) }
-	const kilo = 1024
-	for i, b := range samples[1:] {
-		a := samples[i]
-		seconds := b.at.Sub(a.at).Seconds()
-		per := func(d float64) float64 { return d / seconds }
-		for node, u := range b.controllers {
-			before, ok := a.controllers[node]
-			if !ok || u.CPU < before.CPU {
-				continue // it was started anew
-			}
-			cpu, traffic := per(u.CPU-before.CPU), per(float64(u.Bytes-before.Bytes))/kilo
-			names := [4]string{figFollowerCPU, figFollowerMemory, figFollowerSockets, figFollowerBytes}
-			if node == b.leader {
-				names = [4]string{figLeaderCPU, figLeaderMemory, figLeaderSockets, figLeaderBytes}
-			}
-			for k, v := range []float64{cpu, u.MemMB, float64(u.Sockets), traffic} {
-				add(names[k], v)
-			}
+	values := figureValues{}
+	for i := range samples[1:] {
+		s := slice{values: values, from: &samples[i], to: &samples[i+1]}
+		s.seconds = s.to.at.Sub(s.from.at).Seconds()
+		s.addControllers()
+		s.addWorkerProcesses()
+		s.addRates()
+		s.addWorkers(r.load.Workers)
+	}
+	figures := map[string]Figure{}
+	for name, v := range values {
+		figures[name] = newFigure(v)
+	}
+	return figures
+}
+
+// figureValues are the values of figures, by name.
+type figureValues map[string][]float64
+
+// slice is the time between two samples. It adds the values of its figures.
+type slice struct {
+	values   figureValues
+	from, to *sample
+	seconds  float64
+}
+
+func (s *slice) add(name string, value float64) { s.values[name] = append(s.values[name], value) }
+
+// addRate adds how much a counter has grown in a second.
+func (s *slice) addRate(name string, from, to int64) { s.add(name, float64(to-from)/s.seconds) }
+
+// addByteRate adds how much a counter of bytes has grown in a second, in kilobytes.
+func (s *slice) addByteRate(name string, from, to int64) { s.add(name, float64(to-from)/s.seconds/kib) }
+
+func (s *slice) addControllers() {
+	for name, after := range s.to.controllers {
+		before, ok := s.from.controllers[name]
+		if !ok || after.CPUSeconds < before.CPUSeconds {
+			continue // it was restarted meanwhile
 		}
-		for k := range b.workers {
-			if k < len(a.workers) {
-				add(figProcessCPU, per(b.workers[k].CPU-a.workers[k].CPU))
-				add(figProcessMemory, b.workers[k].MemMB)
-			}
+		figures := followerFigures
+		if name == s.to.leader {
+			figures = leaderFigures
 		}
-		add(figModelsCPU, per(b.self.CPU-a.self.CPU))
-		add(figHeartbeats, per(float64(b.replies-a.replies)))
-		add(figCommands, per(float64(b.messages[LinkCommands]-a.messages[LinkCommands])))
-		add(figStarts, per(float64(b.starts-a.starts)))
-		add(figAccepted, per(float64(b.accepted-a.accepted)))
-		add(figStateRequests, per(float64(b.state.Requests-a.state.Requests)))
-		add(figStateWrites, per(float64(b.state.Writes-a.state.Writes)))
-		add(figStateRefused, per(float64(b.state.Refused-a.state.Refused)))
-		add(figStateBytes, per(float64(b.bytes[LinkState]-a.bytes[LinkState]))/kilo)
-		add(figStateKeys, float64(b.state.Keys))
-		add(figCloudRequests, per(float64(b.messages[LinkCloud]-a.messages[LinkCloud])))
-		add(figUserRequests, per(float64(b.messages[LinkUsers]-a.messages[LinkUsers])))
-		workers := float64(r.load.Workers)
-		toWorkers := func(s sample) float64 { return float64(s.messages[LinkHeartbeats] + s.messages[LinkCommands]) }
-		ofWorkers := func(s sample) float64 { return float64(s.bytes[LinkHeartbeats] + s.bytes[LinkCommands]) }
-		add(figWorkerMessages, per(toWorkers(b)-toWorkers(a))/workers)
-		add(figWorkerBytes, per(ofWorkers(b)-ofWorkers(a))/kilo/workers)
+		s.add(figures.cpu, (after.CPUSeconds-before.CPUSeconds)/s.seconds)
+		s.add(figures.memory, after.MemoryMB)
+		s.add(figures.sockets, float64(after.Sockets))
+		s.add(figures.bytes, float64(after.Bytes-before.Bytes)/s.seconds/kib)
 	}
-	out := map[string]Figure{}
-	for name, v := range values {
-		out[name] = newFigure(v)
+}
+
+func (s *slice) addWorkerProcesses() {
+	for i, after := range s.to.workerProcesses {
+		if i < len(s.from.workerProcesses) {
+			s.add(figProcessCPU, (after.CPUSeconds-s.from.workerProcesses[i].CPUSeconds)/s.seconds)
+			s.add(figProcessMemory, after.MemoryMB)
+		}
 	}
-	return out
+}
+
+func (s *slice) addRates() {
+	from, to := s.from, s.to
+	s.add(figModelsCPU, (to.models.CPUSeconds-from.models.CPUSeconds)/s.seconds)
+	s.addRate(figHeartbeats, from.replies, to.replies)
+	s.addRate(figCommands, from.messages[LinkCommands], to.messages[LinkCommands])
+	s.addRate(figStarts, int64(from.starts), int64(to.starts))
+	s.addRate(figAccepted, from.acceptedJobs, to.acceptedJobs)
+	s.addRate(figStateRequests, int64(from.store.Requests), int64(to.store.Requests))
+	s.addRate(figStateWrites, int64(from.store.Writes), int64(to.store.Writes))
+	s.addRate(figStateRefused, int64(from.store.Refused), int64(to.store.Refused))
+	s.addByteRate(figStateBytes, from.bytes[LinkState], to.bytes[LinkState])
+	s.add(figStateKeys, float64(to.store.Keys))
+	s.addRate(figCloudRequests, from.messages[LinkCloud], to.messages[LinkCloud])
+	s.addRate(figUserRequests, from.messages[LinkUsers], to.messages[LinkUsers])
+}
+
+// addWorkers adds the figures that are given for one worker.
+func (s *slice) addWorkers(workers int) {
+	perWorker := s.seconds * float64(workers)
+	s.add(figWorkerMessages, float64(s.to.workerMessages()-s.from.workerMessages())/perWorker)
+	s.add(figWorkerBytes, float64(s.to.workerBytes()-s.from.workerBytes())/perWorker/kib)
 }
--- a/internal/loadtest/meter.go
+++ b/internal/loadtest/meter.go
@@ -2,6 +2,8 @@
 
 import (
 	"context"
+	"errors"
+	"maps"
 	"net"
 	"net/http"
 	"strings"
@@ -22,15 +24,17 @@
 	LinkState
 	LinkCloud
 	LinkUsers
-	LinkObserver // workers that are processes, to who judges them
+	LinkObserver // workers that are processes, to the model that checks them
 	linkCount
 )
 
+// linkNames stand in kept results.
 var linkNames = [linkCount]string{"reports", "commands", "state", "cloud", "users", "observer"}
 
+// String returns the name in results.
 func (l Link) String() string { return linkNames[l] }
 
-// Latency is a kind of answer whose time is measured.
+// Latency is something whose duration is measured.
 type Latency int
 
 // Latencies.
@@ -41,10 +45,11 @@
 	CancellationReply
 	UrgentStart
 	TaskStart
-	UnblockedStart // from the end of the last job that a job awaits
+	UnblockedStart // since the end of a job's last dependency
 	latencyCount
 )
 
+// latencyNames stand in kept results.
 var latencyNames = [latencyCount]string{
 	"report",
 	"submission",
@@ -55,49 +60,49 @@
 	"freed to started",
 }
 
+// String returns the name in results.
 func (l Latency) String() string { return latencyNames[l] }
 
-// maxMillis is the longest time told apart, and digits how exactly.
+// The resolution of latencies: longer ones count as the longest.
 const (
-	maxMicros         = int64(10 * time.Minute / time.Microsecond)
+	maxLatencyMicros  = int64(10 * time.Minute / time.Microsecond)
 	significantDigits = 3
 )
 
-// Meter counts messages and bytes on links, and collects times.
+// Meter counts messages and bytes on links, and collects latencies. It is safe for concurrent use.
 type Meter struct {
 	bytes    [linkCount]atomic.Int64
 	messages [linkCount]atomic.Int64
 
 	mu             sync.Mutex
-	messagesByKind map[string]int64 // messages by link and path
+	messagesByKind map[string]int64 // by link and path
 	times          [latencyCount]*hdrhistogram.Histogram
 }
 
-// NewMeter returns a meter at zero.
+// NewMeter returns a meter that has counted nothing.
 func NewMeter() *Meter {
 	m := &Meter{messagesByKind: map[string]int64{}}
 	m.ResetTimes()
 	return m
 }
 
-// ResetTimes forgets the times that were collected.
+// ResetTimes drops the latencies that were collected. Counters are kept.
 func (m *Meter) ResetTimes() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for i := range m.times {
-		m.times[i] = hdrhistogram.New(1, maxMicros, significantDigits)
+		m.times[i] = hdrhistogram.New(1, maxLatencyMicros, significantDigits)
 	}
 }
 
-// RecordLatency notes how long an answer or a start took.
+// RecordLatency adds a duration to a latency's distribution.
 func (m *Meter) RecordLatency(l Latency, d time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	// Beyond the range is as good as at its end.
-	_ = m.times[l].RecordValue(min(max(1, d.Microseconds()), maxMicros))
+	_ = m.times[l].RecordValue(min(max(1, d.Microseconds()), maxLatencyMicros)) // within the range
 }
 
-// CountMessage counts a message of a kind.
+// CountMessage counts a message of a kind on a link.
 func (m *Meter) CountMessage(l Link, kind string) {
 	m.messages[l].Add(1)
 	m.mu.Lock()
@@ -105,7 +110,7 @@
 	m.mu.Unlock()
 }
 
-// Times returns what was collected since the last reset.
+// Times returns the distributions since the last reset, by the names of the latencies.
 func (m *Meter) Times() map[string]Times {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -118,7 +123,7 @@
 	return out
 }
 
-// Times is a distribution, in milliseconds.
+// Times is the distribution of a latency, in milliseconds.
 type Times struct {
 	Count int64   `json:"count"`
 	P50   float64 `json:"p50_ms"`
@@ -127,10 +132,11 @@
 }
 
 func newTimes(h *hdrhistogram.Histogram) Times {
-	const microsPerMilli = 1000
 	return Times{
-		Count: h.TotalCount(), P50: float64(h.ValueAtQuantile(50)) / microsPerMilli,
-		P99: float64(h.ValueAtQuantile(99)) / microsPerMilli, Max: float64(h.Max()) / microsPerMilli,
+		Count: h.TotalCount(),
+		P50:   float64(h.ValueAtQuantile(50)) / microsPerMilli,
+		P99:   float64(h.ValueAtQuantile(99)) / microsPerMilli,
+		Max:   float64(h.Max()) / microsPerMilli,
 	}
 }
 
@@ -138,14 +144,10 @@
 func (m *Meter) messageCounts() map[string]int64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	out := make(map[string]int64, len(m.messagesByKind))
-	for k, n := range m.messagesByKind {
-		out[k] = n
-	}
-	return out
+	return maps.Clone(m.messagesByKind)
 }
 
-// handler counts the requests that a service answers.
+// handler counts the requests of a service on a link.
 func (m *Meter) handler(l Link, next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		m.CountMessage(l, requestKind(r))
@@ -162,12 +164,13 @@
 	return r.Method + " /" + first
 }
 
-// meteredListener counts the bytes of the connections that it accepts.
+// meteredListener counts the bytes on the connections that it accepts.
 type meteredListener struct {
 	net.Listener
 	bytes *atomic.Int64
 }
 
+// Accept returns the next connection.
 func (l meteredListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err != nil {
@@ -176,34 +179,36 @@
 	return &meteredConn{Conn: c, bytes: l.bytes}, nil
 }
 
-// meteredConn counts the bytes that are read and written.
+// meteredConn counts the bytes that it reads and writes.
 type meteredConn struct {
 	net.Conn
 	bytes *atomic.Int64
 }
 
+// Read implements net.Conn.
 func (c *meteredConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	c.bytes.Add(int64(n))
 	return n, err
 }
 
+// Write implements net.Conn.
 func (c *meteredConn) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p)
 	c.bytes.Add(int64(n))
 	return n, err
 }
 
-// meteredNetwork dials from an address of its own and counts the bytes.
+// meteredNetwork dials from an IP address of its own and counts the bytes. It implements
+// transport.Network.
 type meteredNetwork struct {
 	from  net.IP
 	bytes *atomic.Int64
 }
 
-// Listen is not needed by those who only call.
-func (n meteredNetwork) Listen(ctx context.Context, addr string) (net.Listener, error) {
-	var config net.ListenConfig
-	return config.Listen(ctx, "tcp4", addr)
+// Listen is not supported: users and workers only call.
+func (n meteredNetwork) Listen(context.Context, string) (net.Listener, error) {
+	return nil, errors.ErrUnsupported
 }
 
 // Dial connects to an address.
--- a/internal/loadtest/pipelines.go
+++ b/internal/loadtest/pipelines.go
@@ -4,19 +4,20 @@
 	"pinebay/internal/protocol"
 )
 
-// classPipeline is the class of jobs that await others.
+// classPipeline is the class of jobs that depend on others.
 const classPipeline = "pipeline"
 
-// pipelineTasks are the tasks of a pipeline's stages, each of which awaits the one before.
+// pipelineTasks are the numbers of tasks of a pipeline's stages. Each stage depends on the one
+// before.
 var pipelineTasks = []int{8, 8, 2}
 
-// submitPipeline submits the stages of a pipeline one after another, each as soon as the one before is accepted, and
-// follows them until they are over. The last is urgent and has a deadline.
+// submitPipeline submits the stages of a pipeline, each once the one before is accepted, and polls
+// them until they are final. The last one is urgent and has a deadline.
 func (r *run) submitPipeline() {
-	var before []string
+	var dependencies []string
 	for i, tasks := range pipelineTasks {
 		j := r.newJob(classPipeline, protocol.Array, tasks, urgentTeam)
-		j.Priority, j.Dependencies = "best_effort", before
+		j.Priority, j.Dependencies = "best_effort", dependencies
 		if i == len(pipelineTasks)-1 {
 			j.Priority = "urgent"
 			j.DeadlineSeconds = float64(2*len(pipelineTasks)) * r.cfg.MeanRunTime.Seconds()
@@ -28,11 +29,11 @@
 			return
 		}
 		r.wg.Go(func() { r.pollUntilFinal(j.ID) })
-		before = []string{j.ID}
+		dependencies = []string{j.ID}
 	}
 }
 
-// dependencies lists the jobs that a job awaits.
+// dependencies returns the jobs on which a job depends.
 func (r *run) dependencies(id string) []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/loadtest/plots.go
+++ b/internal/loadtest/plots.go
@@ -2,40 +2,89 @@
 
 import (
 	"fmt"
+	"image/color"
+	"io"
 	"os"
 
 	"gonum.org/v1/plot"
+	"gonum.org/v1/plot/plotter"
 	"gonum.org/v1/plot/vg"
 	"gonum.org/v1/plot/vg/draw"
 	"gonum.org/v1/plot/vg/vgimg"
 )
 
-// PlottedFigures are the figures that are drawn.
+// The layout of the plots in the image.
+const (
+	plotColumns = 2
+	plotWidth   = 12 * vg.Centimeter
+	plotHeight  = 8 * vg.Centimeter
+)
+
+var (
+	pointColor = color.RGBA{B: 160, A: 255}
+	lineColor  = color.RGBA{R: 200, A: 255}
+)
+
+// PlottedFigures are the names of the figures that are plotted.
 func PlottedFigures() []string {
 	return []string{figLeaderCPU, figFollowerCPU, figLeaderMemory, figLeaderSockets, figStateWrites, figWorkerBytes}
 }
 
-// drawTiles writes plots in rows and columns as a PNG.
-func drawTiles(path string, rows, columns int, width, height vg.Length, tile func(i int) (*plot.Plot, error)) error {
-	canvas := vgimg.New(vg.Length(columns)*width, vg.Length(rows)*height)
+// WritePlots writes a PNG file in which each of the named figures is plotted over the sizes, with
+// its slope.
+func (r *Result) WritePlots(path string, figures []string) error {
+	rows := (len(figures) + plotColumns - 1) / plotColumns
+	canvas := vgimg.New(plotColumns*plotWidth, vg.Length(rows)*plotHeight)
 	area := draw.New(canvas)
-	tiles := draw.Tiles{Rows: rows, Cols: columns, PadX: vg.Millimeter, PadY: vg.Millimeter}
-	for i := range rows * columns {
-		p, err := tile(i)
+	tiles := draw.Tiles{Rows: rows, Cols: plotColumns, PadX: vg.Millimeter, PadY: vg.Millimeter}
+	for i, name := range figures {
+		p, err := r.plotFigure(name)
 		if err != nil {
 			return err
 		}
-		if p != nil {
-			p.Draw(tiles.At(area, i%columns, i/columns))
-		}
+		p.Draw(tiles.At(area, i%plotColumns, i/plotColumns))
+	}
+	if err := writeFile(path, vgimg.PngCanvas{Canvas: canvas}); err != nil {
+		return fmt.Errorf("write plots: %w", err)
 	}
+	return nil
+}
+
+func writeFile(path string, content io.WriterTo) error {
 	f, err := os.Create(path)
 	if err != nil {
-		return fmt.Errorf("picture: %w", err)
+		return err
 	}
-	defer f.Close()
-	if _, err := (vgimg.PngCanvas{Canvas: canvas}).WriteTo(f); err != nil {
-		return fmt.Errorf("picture: %w", err)
+	if _, err := content.WriteTo(f); err != nil {
+		_ = f.Close() // the first error counts
+		return err
 	}
 	return f.Close()
 }
+
+func (r *Result) plotFigure(name string) (*plot.Plot, error) {
+	p := plot.New()
+	p.Title.Text = name
+	p.X.Label.Text = string(r.Vary)
+	p.X.Min, p.Y.Min = 0, 0
+	var points plotter.XYs
+	for _, s := range r.Sizes {
+		if f, ok := s.Figures[name]; ok {
+			points = append(points, plotter.XY{X: float64(s.Size), Y: f.Mean})
+		}
+	}
+	scatter, err := plotter.NewScatter(points)
+	if err != nil {
+		return nil, fmt.Errorf("plot %s: %w", name, err)
+	}
+	scatter.Color = pointColor
+	p.Add(plotter.NewGrid(), scatter)
+	for _, s := range r.Slopes {
+		if s.Figure == name {
+			line := plotter.NewFunction(func(x float64) float64 { return s.Intercept + s.Slope*x })
+			line.Color = lineColor
+			p.Add(line)
+		}
+	}
+	return p, nil
+}
--- /dev/null
+++ b/internal/loadtest/ports_test.go
@@ -0,0 +1,17 @@
+package loadtest
+
+import (
+	"testing"
+)
+
+// TestWorkerAddresses: every hollow worker has a loopback address of its own.
+func TestWorkerAddresses(t *testing.T) {
+	seen := map[string]bool{}
+	for i := range 20_000 {
+		ip := hollowWorkerIP(i + 1)
+		if !ip.IsLoopback() || seen[ip.String()] || ip.To4()[3] == 0 || ip.To4()[3] == 255 {
+			t.Fatalf("worker %d has %s", i, ip)
+		}
+		seen[ip.String()] = true
+	}
+}
--- a/internal/loadtest/workerprocess.go
+++ b/internal/loadtest/workerprocess.go
@@ -7,14 +7,12 @@
 	"errors"
 	"fmt"
 	"io"
-	"log/slog"
 	"net"
 	"net/http"
 	"os"
 	"os/exec"
 	"strings"
 	"sync"
-	"syscall"
 	"time"
 
 	"pinebay/internal/protocol"
@@ -23,16 +21,17 @@
 	"pinebay/internal/transport"
 )
 
-// workerProcessType is the type of machines whose workers are processes of their own.
-const workerProcessType = "process"
+// WorkerEnvVar is the environment variable that holds the configuration of a worker's process.
+const WorkerEnvVar = "PINEBAY_SCALE_WORKER"
 
-// Paths of the service by which such workers find jobs and tell what becomes of their tasks.
+// Paths of the observer: the service by which workers that are processes look up jobs and report
+// their tasks to the model that checks the invariants.
 const (
 	jobsPath     = "/jobs/"
 	observedPath = "/observed"
 )
 
-// WorkerConfig is what a worker that runs as a process of its own needs to know.
+// WorkerConfig is the configuration of a worker that is a process of its own.
 type WorkerConfig struct {
 	Name, Addr, Zone string
 	Type             protocol.MachineType
@@ -43,19 +42,36 @@
 	Seed             uint64
 }
 
-// RunWorker is a worker: it reports over sockets of its own and serves commands until the
-// context ends. Its tasks run nothing, and whatever becomes of them is told to the observer first.
+// WorkerFromEnvironment returns the configuration in the environment variable.
+func WorkerFromEnvironment() (*WorkerConfig, error) {
+	var cfg WorkerConfig
+	if err := json.Unmarshal([]byte(os.Getenv(WorkerEnvVar)), &cfg); err != nil {
+		return nil, fmt.Errorf("%w: variable %s: %w", ErrInvalidConfig, WorkerEnvVar, err)
+	}
+	if len(cfg.Controllers) == 0 {
+		return nil, fmt.Errorf("%w: variable %s names no controllers", ErrInvalidConfig, WorkerEnvVar)
+	}
+	return &cfg, nil
+}
+
+// RunWorker runs a worker until the context ends: it sends heartbeats and serves commands over
+// sockets of its own. Its tasks run nothing. Every change of them is reported to the observer before
+// a controller learns of it.
 func RunWorker(ctx context.Context, cfg *WorkerConfig) error {
 	ctx, stop := context.WithCancelCause(ctx)
 	defer stop(nil)
-	w := &processWorker{
-		cfg: cfg, startedAt: time.Now(), stop: stop,
-		client: &http.Client{Timeout: protocol.HeartbeatTimeout},
-	}
-	w.world = simulation.NewWorld(0, fetchTime, cfg.RunTime)
-	w.world.LookupJob = w.fetchJob
-	worker := w.world.AddMachine(0, cfg.Name, cfg.Zone, false, &cfg.Type, cfg.Lease)
-	s := &simulation.Environment{
+	w := &workerProcess{
+		ctx:         ctx,
+		stop:        stop,
+		observer:    "http://" + cfg.Observer,
+		observerCtx: context.WithoutCancel(ctx),
+		client:      &http.Client{Timeout: protocol.HeartbeatTimeout},
+		startedAt:   time.Now(),
+		world:       simulation.NewWorld(0, fetchTime, cfg.RunTime),
+	}
+	w.world.LookupJob = w.lookUpJob
+	w.worker = w.world.AddMachine(0, cfg.Name, cfg.Zone, false, &cfg.Type, cfg.Lease)
+	environment := &simulation.Environment{
 		Lock:              &w.mu,
 		Now:               w.now,
 		Random:            random.New(cfg.Seed),
@@ -63,26 +79,16 @@
 		HeartbeatInterval: cfg.Report,
 		OnError:           func(err error) { stop(err) },
 	}
-	a := simulation.NewAgent(
-		ctx,
-		s,
-		worker,
-		cfg.Addr,
-		transport.NewClient(transport.TCP{}, 1, 2, idleConnectionTimeout),
-	)
+	a := simulation.NewAgent(ctx, environment, w.worker, cfg.Addr, newWorkerClient(transport.TCP{}))
 	a.OnTaskStatus = w.reportToObserver
-	l, err := net.Listen("tcp4", cfg.Addr)
+	l, err := new(net.ListenConfig).Listen(ctx, "tcp4", cfg.Addr)
 	if err != nil {
 		return fmt.Errorf("%w: %w", ErrInvalidConfig, err)
 	}
-	srv := &http.Server{
-		Handler:           a,
-		ErrorLog:          slog.NewLogLogger(slog.DiscardHandler, slog.LevelError),
-		ReadHeaderTimeout: time.Minute,
-	}
-	context.AfterFunc(ctx, func() { srv.Close() })
+	srv := newServer(a)
+	context.AfterFunc(ctx, func() { _ = srv.Close() })
 	go func() { _ = srv.Serve(l) }()
-	go w.advanceModel(ctx, worker)
+	go w.advanceModel()
 	a.Run(int(cfg.Seed) % len(cfg.Controllers))
 	if cause := context.Cause(ctx); !errors.Is(cause, context.Canceled) {
 		return cause
@@ -90,26 +96,30 @@
 	return nil
 }
 
-// processWorker is the state of such a process.
-type processWorker struct {
-	cfg       *WorkerConfig
-	startedAt time.Time
-	client    *http.Client
-	stop      context.CancelCauseFunc
-
-	mu    sync.Mutex // guards what follows
-	world *simulation.World
+// workerProcess is the state of a worker that is a process of its own.
+type workerProcess struct {
+	ctx      context.Context
+	stop     context.CancelCauseFunc
+	observer string // URL
+	// observerCtx does not end: the observer must learn of the tasks' last changes.
+	observerCtx context.Context
+	client      *http.Client
+	startedAt   time.Time
+
+	mu     sync.Mutex // guards the fields below
+	world  *simulation.World
+	worker *simulation.Worker
 }
 
-func (w *processWorker) now() time.Duration { return time.Since(w.startedAt) }
+func (w *workerProcess) now() time.Duration { return time.Since(w.startedAt) }
 
-// advanceModel lets time pass for the tasks. Starts are told at once.
-func (w *processWorker) advanceModel(ctx context.Context, worker *simulation.Worker) {
-	ticker := time.NewTicker(tickInterval)
+// advanceModel advances the tasks until the process ends. It reports starts at once.
+func (w *workerProcess) advanceModel() {
+	ticker := time.NewTicker(modelInterval)
 	defer ticker.Stop()
 	for {
 		select {
-		case <-ctx.Done():
+		case <-w.ctx.Done():
 			return
 		case <-ticker.C:
 		}
@@ -117,79 +127,93 @@
 		starts := w.world.Starts
 		w.world.Advance(w.now())
 		if w.world.Starts > starts {
-			w.reportToObserver(worker.PeekHeartbeat())
+			w.reportToObserver(w.worker.PeekHeartbeat())
 		}
 		w.mu.Unlock()
 	}
 }
 
-// fetchJob fetches a job's description.
-func (w *processWorker) fetchJob(id string) *protocol.Job {
-	res, err := w.client.Get("http://" + w.cfg.Observer + jobsPath + id)
+// lookUpJob asks the observer for a job. It returns nil if there is none.
+func (w *workerProcess) lookUpJob(id string) *protocol.Job {
+	status, body, err := w.call(http.MethodGet, jobsPath+id, nil)
 	if err != nil {
-		w.stop(fmt.Errorf("job %s: %w", id, err))
+		w.stop(fmt.Errorf("look up job %s: %w", id, err))
 		return nil
 	}
-	defer res.Body.Close()
 	var j protocol.Job
-	if res.StatusCode != http.StatusOK || json.NewDecoder(res.Body).Decode(&j) != nil {
+	if status != http.StatusOK || json.Unmarshal(body, &j) != nil {
 		return nil
 	}
 	return &j
 }
 
-// reportToObserver tells the observer of the worker's tasks; without an observer there is no judging, so the
-// worker ends.
-func (w *processWorker) reportToObserver(r *protocol.WorkerHeartbeat) {
-	raw, err := json.Marshal(r)
+// reportToObserver reports the worker's tasks. Without an observer no invariant is checked, so the
+// worker ends if that fails.
+func (w *workerProcess) reportToObserver(heartbeat *protocol.WorkerHeartbeat) {
+	raw, err := json.Marshal(heartbeat)
 	if err != nil {
-		w.stop(err)
+		w.stop(fmt.Errorf("encode the heartbeat for the observer: %w", err))
 		return
 	}
-	res, err := w.client.Post("http://"+w.cfg.Observer+observedPath, "application/json", bytes.NewReader(raw))
+	if _, _, err := w.call(http.MethodPost, observedPath, raw); err != nil {
+		w.stop(fmt.Errorf("report to the observer: %w", err))
+	}
+}
+
+// call sends a request to the observer.
+func (w *workerProcess) call(method, path string, body []byte) (status int, answer []byte, err error) {
+	req, err := http.NewRequestWithContext(w.observerCtx, method, w.observer+path, bytes.NewReader(body))
 	if err != nil {
-		w.stop(fmt.Errorf("observer: %w", err))
-		return
+		return 0, nil, err
 	}
-	res.Body.Close()
+	req.Header.Set("Content-Type", "application/json")
+	res, err := w.client.Do(req)
+	if err != nil {
+		return 0, nil, err
+	}
+	defer func() { _ = res.Body.Close() }() // it has been read
+	answer, err = io.ReadAll(res.Body)
+	return res.StatusCode, answer, err
 }
 
-// serveObserver answers the workers that are processes.
-func (r *run) serveObserver(w http.ResponseWriter, q *http.Request) {
-	if q.URL.Path == observedPath {
-		raw, err := io.ReadAll(q.Body)
-		var report protocol.WorkerHeartbeat
-		if err != nil || json.Unmarshal(raw, &report) != nil {
-			w.WriteHeader(http.StatusBadRequest)
-			return
-		}
-		r.mu.Lock()
-		r.world.ApplyHeartbeat(r.now(), &report)
-		r.mu.Unlock()
+// serveObserver serves the workers that are processes.
+func (r *run) serveObserver(w http.ResponseWriter, req *http.Request) {
+	if req.URL.Path == observedPath {
+		r.serveObserved(w, req)
 		return
 	}
 	r.mu.Lock()
-	j := r.world.Jobs[strings.TrimPrefix(q.URL.Path, jobsPath)]
+	j := r.world.Jobs[strings.TrimPrefix(req.URL.Path, jobsPath)]
 	r.mu.Unlock()
 	if j == nil {
 		w.WriteHeader(http.StatusNotFound)
 		return
 	}
-	_ = json.NewEncoder(w).Encode(j) // a worker that is gone needs none
+	_ = json.NewEncoder(w).Encode(j) // fails if the worker is gone, which needs no job then
 }
 
-// workerProcessIP is the address of a worker that is a process.
-func workerProcessIP(number int) string { return fmt.Sprintf("127.200.0.%d", number+1) }
+// serveObserved takes over the tasks that a worker reports into the world's model.
+func (r *run) serveObserved(w http.ResponseWriter, req *http.Request) {
+	raw, err := io.ReadAll(req.Body)
+	var heartbeat protocol.WorkerHeartbeat
+	if err != nil || json.Unmarshal(raw, &heartbeat) != nil {
+		w.WriteHeader(http.StatusBadRequest)
+		return
+	}
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.world.ApplyHeartbeat(r.now(), &heartbeat)
+}
 
-// startWorkerProcess starts a worker as a process; the world's lock is held.
+// startWorkerProcess starts the worker of a machine as a process. The caller holds mu.
 func (r *run) startWorkerProcess(m protocol.ListedMachine) {
-	kind := r.machineTypes[1]
+	machineType := r.machineTypes[1]
 	cfg := WorkerConfig{
 		Name:        m.Name,
 		Addr:        m.Addr,
 		Zone:        m.Zone,
-		Type:        kind,
-		Controllers: r.surroundings.Controllers,
+		Type:        machineType,
+		Controllers: r.environment.Controllers,
 		Report:      r.cfg.HeartbeatInterval,
 		Lease:       r.cfg.Lease,
 		RunTime:     r.cfg.MeanRunTime,
@@ -198,44 +222,17 @@
 	}
 	raw, err := json.Marshal(cfg)
 	if err != nil {
-		r.fail(err)
+		r.fail(fmt.Errorf("encode the configuration of worker %s: %w", m.Name, err))
 		return
 	}
-	r.world.AddMirrored(r.now(), m.Name, m.Zone, &kind)
+	r.world.AddMirrored(r.now(), m.Name, m.Zone, &machineType)
+	//nolint:noctx // stopWorker ends it
 	cmd := exec.Command(r.cfg.WorkerProgram, r.cfg.WorkerArgs...)
 	cmd.Env = append(os.Environ(), WorkerEnvVar+"="+string(raw))
-	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
-	if err := cmd.Start(); err != nil {
-		r.fail(fmt.Errorf("worker process: %w", err))
+	p, err := startProcess(cmd, nil)
+	if err != nil {
+		r.fail(fmt.Errorf("worker %s: %w", m.Name, err))
 		return
 	}
-	p := &workerProcessHandle{cmd: cmd, exited: make(chan struct{})}
 	r.processes[m.Name] = p
-	go func() {
-		_ = cmd.Wait() // how it ended does not matter; whether it should have is judged
-		close(p.exited)
-	}()
-}
-
-// workerProcessHandle is a worker's process.
-type workerProcessHandle struct {
-	cmd    *exec.Cmd
-	exited chan struct{}
-}
-
-func (p *workerProcessHandle) kill() {
-	_ = p.cmd.Process.Kill() // it may have ended by itself
-	<-p.exited
-}
-
-// WorkerEnvVar is the variable by which a worker's process gets its configuration.
-const WorkerEnvVar = "PINEBAY_SCALE_WORKER"
-
-// WorkerFromEnvironment returns the configuration of a worker's process.
-func WorkerFromEnvironment() (*WorkerConfig, error) {
-	var cfg WorkerConfig
-	if err := json.Unmarshal([]byte(os.Getenv(WorkerEnvVar)), &cfg); err != nil || len(cfg.Controllers) == 0 {
-		return nil, fmt.Errorf("%w: variable %s holds no worker's configuration", ErrInvalidConfig, WorkerEnvVar)
-	}
-	return &cfg, nil
 }
--- a/internal/loadtest/workers.go
+++ b/internal/loadtest/workers.go
@@ -13,45 +13,32 @@
 	"pinebay/internal/transport"
 )
 
-// firstWorkerIP is the first worker's address; each has one of its own on the loopback
-// device, and all share one listener.
-var firstWorkerIP = [4]byte{127, 1, 0, 0}
+// How a worker calls controllers.
+const (
+	workerConnectionsPerHost = 1
+	workerConnections        = 2
+	// idleConnectionTimeout is longer than the interval between two heartbeats.
+	idleConnectionTimeout = 5 * time.Minute
+)
 
-// workerIP returns a worker's address.
-func workerIP(number int) net.IP {
-	const octet = 250 // addresses that end in 0 or 255 are left out
-	return net.IPv4(
-		firstWorkerIP[0],
-		firstWorkerIP[1]+byte(number/octet/octet),
-		byte(number/octet%octet),
-		byte(1+number%octet),
-	)
+func newWorkerClient(network transport.Network) *transport.Client {
+	return transport.NewClient(network, workerConnectionsPerHost, workerConnections, idleConnectionTimeout)
 }
 
-// idleConnectionTimeout is how long a worker keeps a connection that it does not use: longer than
-// the time between two reports.
-const idleConnectionTimeout = 5 * time.Minute
-
-// startWorker starts a hollow worker; the world's lock is held.
+// startWorker starts the worker of a machine. The cloud's model calls it, with mu held.
 func (r *run) startWorker(m protocol.ListedMachine) {
 	if m.Type == workerProcessType {
 		r.startWorkerProcess(m)
 		return
 	}
-	w := r.world.AddMachine(r.now(), m.Name, m.Zone, m.Spot, &r.machineTypes[0], r.cfg.Lease)
+	worker := r.world.AddMachine(r.now(), m.Name, m.Zone, m.Spot, &r.machineTypes[0], r.cfg.Lease)
 	host, _, err := net.SplitHostPort(m.Addr)
 	if err != nil {
-		r.fail(fmt.Errorf("worker's address: %w", err))
+		r.fail(fmt.Errorf("address of worker %s: %w", m.Name, err))
 		return
 	}
 	network := meteredNetwork{from: net.ParseIP(host), bytes: &r.meter.bytes[LinkHeartbeats]}
-	a := simulation.NewAgent(
-		r.ctx,
-		r.surroundings,
-		w,
-		m.Addr,
-		transport.NewClient(network, 1, 2, idleConnectionTimeout),
-	)
+	a := simulation.NewAgent(r.ctx, r.environment, worker, m.Addr, newWorkerClient(network))
 	a.OnHeartbeat = func(*protocol.WorkerHeartbeat) { r.meter.CountMessage(LinkHeartbeats, "report") }
 	a.OnReply = func(took time.Duration, status int) {
 		r.meter.RecordLatency(HeartbeatReply, took)
@@ -61,14 +48,14 @@
 	}
 	r.agents[host] = a
 	r.workerHosts[m.Name] = host
-	at := r.rng.IntN(len(r.controllers))
+	firstController := r.rng.IntN(len(r.controllers))
 	r.wg.Go(func() {
 		r.stagger(a)
-		a.Run(at)
+		a.Run(firstController)
 	})
 }
 
-// stagger spreads the first reports over an interval.
+// stagger spreads the first heartbeats of the workers over one interval.
 func (r *run) stagger(a *simulation.Agent) {
 	r.mu.Lock()
 	pause := r.randomDuration(r.cfg.HeartbeatInterval)
@@ -79,24 +66,24 @@
 	}
 }
 
-// stopWorker ends a hollow worker; the world's lock is held.
-func (r *run) stopWorker(name string) {
-	if p := r.processes[name]; p != nil {
-		_ = p.cmd.Process.Kill() // it may have ended by itself
-		delete(r.processes, name)
+// stopWorker ends the worker of a machine. The cloud's model calls it, with mu held.
+func (r *run) stopWorker(machine string) {
+	if p := r.processes[machine]; p != nil {
+		_ = p.cmd.Process.Kill() // fails if it has exited already
+		delete(r.processes, machine)
 	}
-	host := r.workerHosts[name]
+	host := r.workerHosts[machine]
 	if a := r.agents[host]; a != nil {
 		a.Stop()
 		delete(r.agents, host)
-		delete(r.workerHosts, name)
+		delete(r.workerHosts, machine)
 	}
-	r.world.RemoveMachine(name)
+	r.world.RemoveMachine(machine)
 }
 
-// serveCommands passes a command to the worker whose address it was sent to.
-func (r *run) serveCommands(w http.ResponseWriter, q *http.Request) {
-	local, ok := q.Context().Value(http.LocalAddrContextKey).(*net.TCPAddr)
+// serveCommands passes a command on to the hollow worker at whose address it has arrived.
+func (r *run) serveCommands(w http.ResponseWriter, req *http.Request) {
+	local, ok := req.Context().Value(http.LocalAddrContextKey).(*net.TCPAddr)
 	if !ok || !local.IP.IsLoopback() {
 		w.WriteHeader(http.StatusForbidden)
 		return
@@ -105,23 +92,29 @@
 	a := r.agents[local.IP.String()]
 	r.mu.Unlock()
 	if a == nil {
-		// The machine is gone: nobody answers there.
-		panic(http.ErrAbortHandler)
+		panic(http.ErrAbortHandler) // the machine is gone: it does not answer
 	}
-	a.ServeHTTP(w, q)
+	a.ServeHTTP(w, req)
 }
 
-// serve runs a service on an address until the run ends.
-func (r *run) serve(link Link, addr string, h http.Handler) error {
-	l, err := net.Listen("tcp4", addr)
+// serve runs an HTTP service at an address until the run ends. An address that is not free is an
+// error of the configuration.
+func (r *run) serve(link Link, addr string, handler http.Handler) error {
+	l, err := new(net.ListenConfig).Listen(r.ctx, "tcp4", addr)
 	if err != nil {
 		return fmt.Errorf("%w: %w", ErrInvalidConfig, err)
 	}
-	srv := &http.Server{
-		Handler: r.meter.handler(link, h), ErrorLog: slog.NewLogLogger(slog.DiscardHandler, slog.LevelError),
+	srv := newServer(r.meter.handler(link, handler))
+	r.wg.Go(func() { _ = srv.Serve(meteredListener{l, &r.meter.bytes[link]}) }) // it ends with Close
+	context.AfterFunc(r.ctx, func() { _ = srv.Close() })                        // nobody is left to be told
+	return nil
+}
+
+// newServer returns an HTTP server that does not log: clients that break connections are normal.
+func newServer(handler http.Handler) *http.Server {
+	return &http.Server{
+		Handler:           handler,
+		ErrorLog:          slog.NewLogLogger(slog.DiscardHandler, slog.LevelError),
 		ReadHeaderTimeout: time.Minute,
 	}
-	r.wg.Go(func() { _ = srv.Serve(meteredListener{l, &r.meter.bytes[link]}) })
-	context.AfterFunc(r.ctx, func() { srv.Close() })
-	return nil
 }
