--- a/internal/coordination/featurelevel/gate.go
+++ b/internal/coordination/featurelevel/gate.go
@@ -20,8 +20,8 @@
 
 // Levels.
 const (
-	// Production is the level of versions that record none.
-	Production Level = 0
+	// Baseline is the level of versions that record none.
+	Baseline Level = 0
 	// Pipelines adds jobs with dependencies, compact placement pages, and the store's next limits.
 	Pipelines Level = 1
 	// Current is the level that this version speaks.
--- a/internal/coordination/featurelevel/gate_test.go
+++ b/internal/coordination/featurelevel/gate_test.go
@@ -14,14 +14,14 @@
 
 const testPollInterval = time.Second
 
-// finalisedLevel returns the level that the effects ask to make final, or Production.
+// finalisedLevel returns the level that the effects ask to make final, or Baseline.
 func finalisedLevel(effects []Effect) Level {
 	for _, e := range effects {
 		if f, ok := e.(Finalise); ok {
 			return f.Level
 		}
 	}
-	return Production
+	return Baseline
 }
 
 // TestFinalNeedsEveryController checks, with random events, that a level is made final only by a
@@ -39,7 +39,7 @@
 				g.Step(0, Leadership{Leading: leading})
 			case 1:
 				name := rapid.SampledFrom([]string{"b", "c", "stranger"}).Draw(t, "from")
-				stated[name] = rapid.SampledFrom([]Level{Production, Pipelines}).Draw(t, "level")
+				stated[name] = rapid.SampledFrom([]Level{Baseline, Pipelines}).Draw(t, "level")
 				g.Step(0, PeerHeartbeat{Controller: name, Level: stated[name]})
 			case 2:
 				records := drawRecords(t, append(slices.Clone(controllers), "stranger"))
@@ -62,7 +62,7 @@
 	records := map[string]Record{}
 	for _, name := range names {
 		if rapid.IntRange(0, 3).Draw(t, "recorded "+name) > 0 {
-			level := rapid.SampledFrom([]Level{Production, Pipelines, Pipelines}).Draw(t, "recorded level")
+			level := rapid.SampledFrom([]Level{Baseline, Pipelines, Pipelines}).Draw(t, "recorded level")
 			records[name] = Record{Level: level, Revision: 7}
 		}
 	}
@@ -88,7 +88,7 @@
 	requireEffects(t, g, testPollInterval/2, Tick{})
 	requireEffects(t, g, testPollInterval, Tick{}, ListRecords{})
 
-	records := map[string]Record{"a": {Level: Production, Revision: 3}}
+	records := map[string]Record{"a": {Level: Baseline, Revision: 3}}
 	requireEffects(t, g, testPollInterval, RecordsListed{Controllers: records}, Announce{Level: Pipelines, Revision: 3})
 	requireEffects(t, g, testPollInterval, AnnounceDone{})
 	requireEffects(t, g, testPollInterval, Tick{}, ListRecords{}) // at once, to see the outcome
@@ -109,10 +109,10 @@
 	}
 }
 
-// TestProductionLevelDoesNothing checks that a controller that is held at the lowest level neither
+// TestBaselineLevelDoesNothing checks that a controller that is held at the lowest level neither
 // polls nor records anything.
-func TestProductionLevelDoesNothing(t *testing.T) {
-	g := New("a", []string{"b"}, Production, testPollInterval)
+func TestBaselineLevelDoesNothing(t *testing.T) {
+	g := New("a", []string{"b"}, Baseline, testPollInterval)
 	for now := time.Duration(0); now < 10*testPollInterval; now += testPollInterval {
 		requireEffects(t, g, now, Tick{})
 	}
--- a/internal/coordination/scheduler/featurelevel_test.go
+++ b/internal/coordination/scheduler/featurelevel_test.go
@@ -154,7 +154,7 @@
 				TxnOps:  rapid.IntRange(2, 5).Draw(t, "next operations"),
 			},
 		}
-		s.scheduler.setFeatureLevel(featurelevel.Production)
+		s.scheduler.setFeatureLevel(featurelevel.Baseline)
 		tasks := rapid.IntRange(1, 120).Draw(t, "tasks")
 		s.accept(jobSpec("j-1", protocol.Array, "normal", tasks, 1))
 		stored, recorded := map[string]protocol.KeyValue{}, map[int]string{}
@@ -350,7 +350,7 @@
 		return writes, bytes
 	}
 	for tasks, most := range map[int]int{18: 1, 48: 1, 96: 2} {
-		oldWrites, oldBytes := cost(featurelevel.Production, tasks)
+		oldWrites, oldBytes := cost(featurelevel.Baseline, tasks)
 		writes, bytes := cost(featurelevel.Pipelines, tasks)
 		t.Logf("%d tasks: %d writes of %d bytes in all, before %d of %d", tasks, writes, bytes, oldWrites, oldBytes)
 		if writes > most || oldWrites != 1 || 10*bytes > 7*oldBytes {
--- a/internal/daemon/features.go
+++ b/internal/daemon/features.go
@@ -22,7 +22,7 @@
 // featureLevel is the feature level that a controller speaks.
 func (f Features) featureLevel() featurelevel.Level {
 	if f.PinProductionLevel {
-		return featurelevel.Production
+		return featurelevel.Baseline
 	}
 	return featurelevel.Current
 }
