--- a/internal/coordination/election/events.go
+++ b/internal/coordination/election/events.go
@@ -2,6 +2,8 @@
 
 import (
 	"time"
+
+	"pinebay/internal/coordination/featurelevel"
 )
 
 // Event is an input of Step.
@@ -43,8 +45,8 @@
 	ClaimResult struct {
 		Won          bool
 		Term         uint64
-		Revision     uint64 // of the term's record
-		FeatureLevel int    // that is final in this term
+		Revision     uint64             // of the term's record
+		FeatureLevel featurelevel.Level // that is final in this term
 		LeaseID      uint64
 		SentAt       time.Duration
 	}
@@ -92,8 +94,8 @@
 	// BecomeLeader starts this controller's leadership of a term.
 	BecomeLeader struct {
 		Term         uint64
-		Revision     uint64 // of the term's record
-		FeatureLevel int    // that is final in this term
+		Revision     uint64             // of the term's record
+		FeatureLevel featurelevel.Level // that is final in this term
 	}
 
 	// StepDown ends this controller's leadership of a term, and the lease that holds its key.
--- a/internal/daemon/claim.go
+++ b/internal/daemon/claim.go
@@ -6,6 +6,7 @@
 	"fmt"
 
 	"pinebay/internal/coordination/election"
+	"pinebay/internal/coordination/featurelevel"
 	"pinebay/internal/protocol"
 	"pinebay/internal/storage"
 )
@@ -64,7 +65,7 @@
 		Won:          true,
 		Term:         term,
 		Revision:     revision,
-		FeatureLevel: current.term.FeatureLevel,
+		FeatureLevel: featurelevel.Level(current.term.FeatureLevel),
 		LeaseID:      lease,
 		SentAt:       sent,
 	}, nil
--- a/internal/daemon/leadership.go
+++ b/internal/daemon/leadership.go
@@ -132,7 +132,7 @@
 		Number:       won.Term,
 		Revision:     won.Revision,
 		Controller:   a.cfg.Name,
-		FeatureLevel: featurelevel.Level(won.FeatureLevel),
+		FeatureLevel: won.FeatureLevel,
 	})
 	a.tasks.Go(l.Wait)
 	return l
