--- /dev/null
+++ b/internal/coordination/leader/write_test.go
@@ -0,0 +1,148 @@
+package leader
+
+import (
+	"log/slog"
+	"net/http/httptest"
+	"reflect"
+	"strings"
+	"testing"
+	"time"
+
+	"pinebay/internal/actor"
+	"pinebay/internal/config"
+	"pinebay/internal/coordination/scheduler"
+	"pinebay/internal/protocol"
+	"pinebay/internal/random"
+	"pinebay/internal/simulation"
+	"pinebay/internal/storage"
+	"pinebay/internal/transport"
+)
+
+// TestWriteOutcomes: a write is repeated until its outcome is known, and an earlier try that has succeeded without an
+// answer is recognised by its record.
+func TestWriteOutcomes(t *testing.T) {
+	const key, writeID = "ended/j-1", 7
+	executed := simulation.Outcome{}                // without an answer
+	lost := simulation.Outcome{Delay: time.Hour}    // executed too late to matter
+	answered := simulation.Outcome{Reply: true}     // executed
+	malformed := simulation.Outcome{Rejected: true} // never executed
+	value := func(name string) []byte { return encoded(t, storage.EndedJobRecord{WriteName: name}) }
+	put := protocol.Txn{
+		If:   []protocol.Compare{{Key: key}},
+		Then: []protocol.Op{{PutKey: key, Value: value("7.1")}},
+	}
+	remove := protocol.Txn{
+		If:   []protocol.Compare{{Key: key, Revision: 1}},
+		Then: []protocol.Op{{DeleteKey: key}},
+	}
+	for _, row := range []struct {
+		name     string
+		existing []byte // of the record before
+		txn      protocol.Txn
+		writer   string
+		outcomes []simulation.Outcome
+		want     scheduler.TransactionOutcome
+	}{
+		{
+			"at once", nil, put, "7.1",
+			[]simulation.Outcome{answered},
+			scheduler.TransactionOutcome{Succeeded: true, Revision: 1},
+		},
+		{
+			"comparison failed", value("6.9"), put, "7.1",
+			[]simulation.Outcome{answered},
+			scheduler.TransactionOutcome{FailedKeys: []string{key}},
+		},
+		{
+			"executed without an answer", nil, put, "7.1",
+			[]simulation.Outcome{executed, answered},
+			scheduler.TransactionOutcome{Succeeded: true, Revision: 1, FailedKeys: []string{key}},
+		},
+		{
+			"not executed and not answered", nil, put, "7.1",
+			[]simulation.Outcome{lost, answered},
+			scheduler.TransactionOutcome{Succeeded: true, Revision: 1},
+		},
+		{
+			"not answered, and another write was there", value("6.9"), put, "7.1",
+			[]simulation.Outcome{lost, answered},
+			scheduler.TransactionOutcome{Revision: 1, FailedKeys: []string{key}},
+		},
+		{
+			"removed without an answer", value("6.9"), remove, "",
+			[]simulation.Outcome{executed, answered},
+			scheduler.TransactionOutcome{Succeeded: true, FailedKeys: []string{key}},
+		},
+		{
+			"malformed", nil, put, "7.1",
+			[]simulation.Outcome{malformed},
+			scheduler.TransactionOutcome{Malformed: true},
+		},
+		{
+			"malformed after an execution without an answer", nil, put, "7.1",
+			[]simulation.Outcome{executed, malformed},
+			scheduler.TransactionOutcome{Succeeded: true, Revision: 1},
+		},
+		{
+			"malformed after a try that was not executed", nil, put, "7.1",
+			[]simulation.Outcome{lost, malformed},
+			scheduler.TransactionOutcome{Malformed: true},
+		},
+	} {
+		t.Run(row.name, func(t *testing.T) {
+			store := simulation.NewStore()
+			if row.existing != nil {
+				store.Txn(protocol.Txn{Then: []protocol.Op{{PutKey: key, Value: row.existing}}})
+			}
+			outcomes := row.outcomes
+			store.SetOutcomes(func(string, *protocol.Txn) simulation.Outcome {
+				next := outcomes[0]
+				outcomes = outcomes[1:]
+				return next
+			})
+			l := writer(t, store)
+			w := scheduler.Write{ID: writeID, Txn: row.txn, VerifyKey: key, Name: row.writer}
+			l.write(t.Context(), w, l.deps.Store.Admit(writeBudget(w.Priority), &w.Txn))
+			messages := l.mailbox.Drain()
+			if len(messages) != 1 || len(outcomes) != 0 {
+				t.Fatalf("%d messages, %d outcomes left", len(messages), len(outcomes))
+			}
+			row.want.WriteID = writeID
+			if !reflect.DeepEqual(messages[0], row.want) {
+				t.Errorf("%+v, want %+v", messages[0], row.want)
+			}
+		})
+	}
+}
+
+// writer returns a leader that only writes.
+func writer(t *testing.T, store *simulation.Store) *Leader {
+	t.Helper()
+	srv := httptest.NewServer(store)
+	t.Cleanup(srv.Close)
+	cfg := &config.Deployment{
+		Controllers: 3,
+		Workers:     config.Workers{LeaseSeconds: 10},
+		Store:       config.StoreLimits{RPS: 1e6, WriteRPS: 1e6, ValueKB: 8, TxnOps: 16},
+		Quota:       config.Quota{MaxSockets: 500},
+	}
+	const timeout = 100 * time.Millisecond
+	addr := strings.TrimPrefix(srv.URL, "http://")
+	return &Leader{
+		deps: Dependencies{
+			Store:  storage.NewClient(transport.TCP{}, random.New(1), cfg, addr, timeout),
+			Random: random.New(1),
+		},
+		log:     slog.New(slog.DiscardHandler),
+		mailbox: actor.NewMailbox[any](),
+	}
+}
+
+func encoded(t *testing.T, record any) []byte {
+	t.Helper()
+	raw, err := protocol.Encode(record)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return raw
+}
