--- a/internal/coordination/jobstate/job.go
+++ b/internal/coordination/jobstate/job.go
@@ -69,8 +69,8 @@
 	// NextLoanSearch is when room outside a lost zone is looked for again, after none was found.
 	NextLoanSearch time.Duration
 
-	// ReservedMachines are the machines on which room was cleared for it, as far as known.
-	ReservedMachines map[*machineregistry.Machine]bool
+	// NominatedMachines are the machines on which room was cleared for it, as far as known.
+	NominatedMachines map[*machineregistry.Machine]bool
 	// SearchDoublings is how often the looks of its searches were doubled.
 	SearchDoublings int
 	// completionQueued says that it is queued for the record of what has ended, since completionQueuedAt.
--- a/internal/coordination/machineregistry/machine.go
+++ b/internal/coordination/machineregistry/machine.go
@@ -42,9 +42,9 @@
 	InterruptionNotice bool
 	Terminating        bool
 
-	// ReservedJob is the job for which capacity is being cleared by preemption, until ReservedUntil.
-	ReservedJob   string
-	ReservedUntil time.Duration
+	// NominatedJob is the job for which capacity is being cleared by preemption, until NominatedUntil.
+	NominatedJob   string
+	NominatedUntil time.Duration
 
 	// FailedJobs are the jobs of which a task failed here since a task last succeeded.
 	FailedJobs map[string]bool
@@ -73,17 +73,17 @@
 // MarkUnresponsive keeps new tasks off the machine until the given time.
 func (m *Machine) MarkUnresponsive(until time.Duration) { m.UnresponsiveUntil = until }
 
-// ReserveFor says that capacity is being cleared on the machine for a job until the given time.
-func (m *Machine) ReserveFor(job string, until time.Duration) {
-	m.ReservedJob, m.ReservedUntil = job, until
+// NominateFor says that capacity is being cleared on the machine for a job until the given time.
+func (m *Machine) NominateFor(job string, until time.Duration) {
+	m.NominatedJob, m.NominatedUntil = job, until
 }
 
-// ClearReservation ends what ReserveFor began.
-func (m *Machine) ClearReservation() { m.ReservedJob = "" }
+// ClearNomination ends what NominateFor began.
+func (m *Machine) ClearNomination() { m.NominatedJob = "" }
 
-// IsReservedFor reports whether capacity is being cleared on the machine for the job.
-func (m *Machine) IsReservedFor(now time.Duration, job string) bool {
-	return m.ReservedJob == job && now < m.ReservedUntil
+// IsNominatedFor reports whether capacity is being cleared on the machine for the job.
+func (m *Machine) IsNominatedFor(now time.Duration, job string) bool {
+	return m.NominatedJob == job && now < m.NominatedUntil
 }
 
 // Removed reports whether the machine has been removed from its registry.
--- a/internal/coordination/placement/nomination.go
+++ b/internal/coordination/placement/nomination.go
@@ -13,18 +13,18 @@
 
 // Nominate nominates a machine for a job until the given time.
 func (r *Rules) Nominate(m *machineregistry.Machine, j *jobstate.Job, until time.Duration) {
-	m.ReservedJob, m.ReservedUntil = j.Spec.ID, until
-	if j.ReservedMachines == nil {
-		j.ReservedMachines = map[*machineregistry.Machine]bool{}
+	m.NominateFor(j.Spec.ID, until)
+	if j.NominatedMachines == nil {
+		j.NominatedMachines = map[*machineregistry.Machine]bool{}
 	}
-	j.ReservedMachines[m] = true
+	j.NominatedMachines[m] = true
 }
 
 // Nominated returns the candidates that are nominated for a job, in name order.
 func (r *Rules) Nominated(now time.Duration, j *jobstate.Job) (list []*candidates.Candidate) {
-	for m := range j.ReservedMachines {
-		if !m.IsReservedFor(now, j.Spec.ID) || m.Removed() {
-			delete(j.ReservedMachines, m)
+	for m := range j.NominatedMachines {
+		if !m.IsNominatedFor(now, j.Spec.ID) || m.Removed() {
+			delete(j.NominatedMachines, m)
 			continue
 		}
 		if x := r.Candidates.Of(now, m); x != nil {
@@ -40,10 +40,10 @@
 // preempted for it, each could hold a part of what one of them needs. A job that has found capacity
 // elsewhere keeps none.
 func (r *Rules) NominatedForOther(now time.Duration, m *machineregistry.Machine, id string) bool {
-	if m.ReservedJob == "" || m.ReservedJob == id || now >= m.ReservedUntil {
+	if m.NominatedJob == "" || m.NominatedJob == id || now >= m.NominatedUntil {
 		return false
 	}
-	o := r.Jobs[m.ReservedJob]
+	o := r.Jobs[m.NominatedJob]
 	if o == nil || o.Ended || o.TaskCounts[jobstate.TaskPending] == 0 && !o.HasStoppingTasks() {
 		return false
 	}
--- a/internal/coordination/placement/victims.go
+++ b/internal/coordination/placement/victims.go
@@ -123,7 +123,7 @@
 	return task.Fits(x.Free.Plus(x.Machine.PreemptibleResources(s.lowestPriority))) &&
 		task.Fits(x.Capacity()) &&
 		s.finder.rules.Feasible(s.now, s.job, x, s.limits) &&
-		!x.Machine.IsReservedFor(s.now, s.job.Spec.ID)
+		!x.Machine.IsNominatedFor(s.now, s.job.Spec.ID)
 }
 
 // SelectVictims selects the placements on a candidate that have to leave for a task of the job, and returns
--- a/internal/coordination/scheduler/allocate.go
+++ b/internal/coordination/scheduler/allocate.go
@@ -10,140 +10,86 @@
 	"pinebay/internal/protocol"
 )
 
-// gangHoldCycles is how many cycles a gang's partial room stays closed before
-// smaller jobs may backfill it, for one cycle at a time.
+// gangHoldCycles is the number of cycles in a row for which the partial capacity of a gang is held. In the
+// cycle after them smaller jobs may backfill it.
 const gangHoldCycles = 3
 
-// maxFailuresPerSearchKey is after how many jobs of a kind that found no room the others of
-// the kind are not tried in the same cycle: thousands of jobs that wait must
-// not cost thousands of searches.
-const maxFailuresPerSearchKey = 16
+// allocation is the capacity that the current cycle has set aside for tasks of a job.
+type allocation []allocatedTask
 
-// runCycle is the cycle: jobs by priority, then age, teams in turn.
-func (c *Scheduler) runCycle(now time.Duration) {
-	c.cycleCount++
-	c.rules.Cycle = c.cycleCount
-	c.candidates.Refresh(now)
-	waiting := c.schedulableJobs(now)
-	c.orderGangsByDeadline(now, waiting)
-	c.holdHeadroom(now)
-	c.preemption.BeginCycle()
-	failed := map[placement.SearchKey]int{}
-	if c.inZoneFailover() {
-		c.placeWithinQuota(now, waiting)
-	}
-	queue := c.newFairShareQueue(waiting)
-	for j, ok := queue.Next(); ok; j, ok = queue.Next() {
-		j.LastTriedCycle = c.cycleCount
-		if len(j.ReservedMachines) > 0 {
-			c.preemption.CapacityMayBeFree() // later jobs may take what it is nominated for
-		}
-		if j.TaskCounts[jobstate.TaskPending] == 0 {
-			continue // placed within its team's guarantee just now
-		}
-		k := placement.SearchKeyOf(j)
-		if failed[k] >= maxFailuresPerSearchKey {
-			j.UnschedulableCycles++
-			continue
-		}
-		before := j.TaskCounts[jobstate.TaskPending]
-		c.placeJob(now, j, c.tasksWithinQuotaLimit(j))
-		if j.Spec.Shape != protocol.Gang && j.TaskCounts[jobstate.TaskPending] == before {
-			failed[k]++
-		}
-	}
-	c.preemption.EndCycle()
-	c.relocateFetchingTasks(now)
-	// Last, with the room that is left: what waits still could not use it.
-	c.consolidate(now)
+type allocatedTask struct {
+	task      int
+	candidate *candidates.Candidate
 }
 
-// schedulableJobs lists the jobs that have tasks to place, in order.
-func (c *Scheduler) schedulableJobs(now time.Duration) (waiting []*jobstate.Job) {
-	c.queues.Pending.Scan(func(j *jobstate.Job) bool {
-		if c.placeableNow(now, j) {
-			j.LastWaitingCycle = c.cycleCount
-			waiting = append(waiting, j)
-		}
-		return true
-	})
-	c.sortForRecovery(waiting)
-	return waiting
-}
-
-// placeJob allocates as much of a job as there is room for, of so many tasks that are
-// allowed: up to minAvailable or nothing for a gang, task by task for the others.
+// placeJob places as many of a job's tasks as there is capacity for, up to the given number. A gang is
+// placed as a whole or not at all.
 func (c *Scheduler) placeJob(now time.Duration, j *jobstate.Job, allowed int) {
 	gang := j.Spec.Shape == protocol.Gang
 	if gang && allowed < j.Spec.TaskCount {
 		return
 	}
-	l := placement.ZoneLimitsOf(j)
-	var got allocation
-	if gang && j.Spec.SameZone && l.OnlyZone == "" {
-		got, l = c.bestZone(now, j, l)
+	wanted := min(allowed, j.TaskCounts[jobstate.TaskPending])
+	limits := placement.ZoneLimitsOf(j)
+	var allocated allocation
+	if gang && j.Spec.SameZone && limits.OnlyZone == "" {
+		allocated, limits = c.allocateInBestZone(now, j, limits)
 	} else {
-		got = c.allocate(now, j, l, min(allowed, j.TaskCounts[jobstate.TaskPending]))
+		allocated = c.allocate(now, j, limits, wanted)
 	}
-	if gang && len(got) < j.Spec.TaskCount {
-		c.holdForGang(now, j, got, l)
+	if gang && len(allocated) < j.Spec.TaskCount {
+		c.holdForGang(now, j, allocated, limits)
 		return
 	}
-	wanted := min(allowed, j.TaskCounts[jobstate.TaskPending])
-	c.bind(now, j, got)
-	if len(got) < wanted {
+	c.bind(now, j, allocated)
+	if len(allocated) < wanted {
 		j.UnschedulableCycles++
-		c.preempt(now, j, l, wanted-len(got))
+		c.preempt(now, j, limits, wanted-len(allocated))
 	} else {
 		j.UnschedulableCycles = 0
 	}
 }
 
-// allocation is room taken for tasks.
-type allocation []struct {
-	task int
-	x    *candidates.Candidate
-}
-
-// allocate takes room for up to n tasks, task by task.
-func (c *Scheduler) allocate(now time.Duration, j *jobstate.Job, l *placement.ZoneLimits, n int) allocation {
-	var got allocation
-	for t := j.NextPending(0); t >= 0 && len(got) < n; t = j.NextPending(t + 1) {
-		x, attempted := c.selectMachine(now, j, t, l)
+// allocate sets capacity aside for up to n tasks, one after the other, and updates the zone limits.
+func (c *Scheduler) allocate(
+	now time.Duration,
+	j *jobstate.Job,
+	limits *placement.ZoneLimits,
+	n int,
+) (allocated allocation) {
+	for task := j.NextPending(0); task >= 0 && len(allocated) < n; task = j.NextPending(task + 1) {
+		x, attempted := c.selectMachine(now, j, task, limits)
 		if x == nil {
 			if attempted {
-				continue
+				continue // another task may run there
 			}
 			break
 		}
-		if j.Spec.Shape != protocol.Gang && c.waitForMachineWithImage(now, j, t, x, l) {
+		if j.Spec.Shape != protocol.Gang && c.waitForMachineWithImage(now, j, task, x, limits) {
 			continue
 		}
 		c.stopCompetingFetches(now, j, x)
 		c.candidates.SetFree(x, x.Free.Minus(j.TaskResources))
-		l.TasksPerZone[x.Machine.Zone]++
+		limits.TasksPerZone[x.Machine.Zone]++
 		if j.Spec.SameZone {
-			l.OnlyZone = x.Machine.Zone
+			limits.OnlyZone = x.Machine.Zone
 		}
-		got = append(got, struct {
-			task int
-			x    *candidates.Candidate
-		}{t, x})
+		allocated = append(allocated, allocatedTask{task: task, candidate: x})
 	}
-	return got
+	return allocated
 }
 
-// selectMachine chooses the machine for a task. attempted says that one was passed over
-// just for this task's sake, so that another task may still have it.
+// selectMachine returns the best machine for a task, or nil. attempted reports that a machine was passed
+// over only because an earlier attempt of this very task may still be there.
 func (c *Scheduler) selectMachine(
 	now time.Duration,
 	j *jobstate.Job,
 	task int,
-	l *placement.ZoneLimits,
+	limits *placement.ZoneLimits,
 ) (best *candidates.Candidate, attempted bool) {
 	id := protocol.TaskID{JobID: j.Spec.ID, Index: task}
-	best = c.finder.BestMachine(now, j, l, func(x *candidates.Candidate) bool {
-		if !j.TaskResources.Fits(c.freeForJob(x, j)) || !c.rules.Feasible(now, j, x, l) {
+	best = c.finder.BestMachine(now, j, limits, func(x *candidates.Candidate) bool {
+		if !j.TaskResources.Fits(c.freeForJob(x, j)) || !c.rules.Feasible(now, j, x, limits) {
 			return false
 		}
 		if x.Machine.HasAttempt(id) {
@@ -155,103 +101,135 @@
 	return best, attempted
 }
 
-func (c *Scheduler) undoAllocation(j *jobstate.Job, got allocation) {
+// undoAllocation gives capacity that was set aside to later jobs of the cycle.
+func (c *Scheduler) undoAllocation(j *jobstate.Job, allocated allocation) {
 	c.preemption.CapacityMayBeFree()
-	for _, g := range got {
-		c.candidates.SetFree(g.x, g.x.Free.Plus(j.TaskResources))
+	for _, a := range allocated {
+		c.candidates.SetFree(a.candidate, a.candidate.Free.Plus(j.TaskResources))
 	}
 }
 
-// bestZone tries the zones for a gang that must be in one, and keeps the room
-// in the one that holds all of it, or else most of it.
-func (c *Scheduler) bestZone(
+// allocateInBestZone allocates a gang that must be in one zone, in the zone that holds most of it. Of zones
+// that hold as much, the one in which its images are there first.
+func (c *Scheduler) allocateInBestZone(
 	now time.Duration,
 	j *jobstate.Job,
-	l *placement.ZoneLimits,
+	limits *placement.ZoneLimits,
 ) (allocation, *placement.ZoneLimits) {
-	best, bestN, bestScore := "", -1, 0.0
-	try := func(z string) (allocation, *placement.ZoneLimits, float64) {
-		zl := &placement.ZoneLimits{OnlyZone: z, TasksPerZone: map[string]int{}, MaxTasksPerZone: l.MaxTasksPerZone}
-		got := c.allocate(now, j, zl, j.Spec.TaskCount)
-		s := 0.0
-		for _, g := range got {
-			s = max(s, c.machines.FetchTime(now, g.x.Machine, &j.Spec).Seconds())
+	bestZone, mostTasks, shortestFetch := "", -1, 0.0
+	for _, zone := range c.zonesByAvailability(&j.Spec) {
+		allocated, _ := c.allocateInZone(now, j, zone, limits.MaxTasksPerZone)
+		fetch := c.longestFetchSeconds(now, j, allocated)
+		c.undoAllocation(j, allocated)
+		if len(allocated) > mostTasks || len(allocated) == mostTasks && fetch < shortestFetch {
+			bestZone, mostTasks, shortestFetch = zone, len(allocated), fetch
 		}
-		return got, zl, s
 	}
-	for _, z := range c.zonesByAvailability(&j.Spec) {
-		got, _, s := try(z)
-		c.undoAllocation(j, got)
-		if len(got) > bestN || len(got) == bestN && s < bestScore {
-			best, bestN, bestScore = z, len(got), s
-		}
+	if bestZone == "" {
+		return nil, limits
 	}
-	if best == "" {
-		return nil, l
+	return c.allocateInZone(now, j, bestZone, limits.MaxTasksPerZone)
+}
+
+// allocateInZone allocates as much of a job as fits into a zone.
+func (c *Scheduler) allocateInZone(
+	now time.Duration,
+	j *jobstate.Job,
+	zone string,
+	maxTasks int,
+) (allocation, *placement.ZoneLimits) {
+	limits := &placement.ZoneLimits{OnlyZone: zone, TasksPerZone: map[string]int{}, MaxTasksPerZone: maxTasks}
+	return c.allocate(now, j, limits, j.Spec.TaskCount), limits
+}
+
+// longestFetchSeconds returns how long it takes until the job's image is on all machines of an allocation.
+func (c *Scheduler) longestFetchSeconds(now time.Duration, j *jobstate.Job, allocated allocation) float64 {
+	longest := 0.0
+	for _, a := range allocated {
+		longest = max(longest, c.machines.FetchTime(now, a.candidate.Machine, &j.Spec).Seconds())
 	}
-	got, zl, _ := try(best)
-	return got, zl
+	return longest
 }
 
-// holdForGang keeps the room of a short gang closed to others until the next cycle:
-// what it was allocated, and for each task without room the machine that is
-// nearest to having it. Every fourth short cycle smaller jobs may backfill.
-func (c *Scheduler) holdForGang(now time.Duration, j *jobstate.Job, got allocation, l *placement.ZoneLimits) {
+// holdForGang holds capacity for a gang that does not fit as a whole, against the later jobs of the cycle:
+// what was allocated, and for each other task the machine with the most free capacity. Every few cycles it
+// holds nothing, and smaller jobs may backfill.
+func (c *Scheduler) holdForGang(
+	now time.Duration,
+	j *jobstate.Job,
+	allocated allocation,
+	limits *placement.ZoneLimits,
+) {
 	j.UnschedulableCycles++
-	missing := j.Spec.TaskCount - len(got)
-	c.preempt(now, j, l, missing)
+	missing := j.Spec.TaskCount - len(allocated)
+	c.preempt(now, j, limits, missing)
 	if j.UnschedulableCycles%(gangHoldCycles+1) == 0 && !c.awaitsLentCapacity(now, j) {
-		c.undoAllocation(j, got)
+		c.undoAllocation(j, allocated)
 		return
 	}
-	taken := map[*candidates.Candidate]bool{}
+	nothingFree := machineregistry.Resources{CPUs: -1, GPUs: -1, MemoryGB: -1}
+	held := map[*candidates.Candidate]bool{}
 	for range missing {
-		x := c.finder.MostFreeCapacity(now, j, l, taken)
+		x := c.finder.MostFreeCapacity(now, j, limits, held)
 		if x == nil {
 			return
 		}
-		taken[x] = true
-		c.candidates.SetFree(x, machineregistry.Resources{CPUs: -1, GPUs: -1, MemoryGB: -1})
+		held[x] = true
+		c.candidates.SetFree(x, nothingFree)
 	}
 }
 
-// bind promises room for the tasks, and has their placements recorded.
-func (c *Scheduler) bind(now time.Duration, j *jobstate.Job, got allocation) {
-	if len(got) == 0 {
+// bind reserves the capacity of an allocation in the machine registry, all or nothing, and has the
+// placements recorded. Their tasks start once the record is written.
+func (c *Scheduler) bind(now time.Duration, j *jobstate.Job, allocated allocation) {
+	if len(allocated) == 0 {
 		return
 	}
-	attempt := uint64(0)
-	if j.Spec.Shape == protocol.Gang {
-		attempt = j.NextAttempt(0)
-	}
-	var ps []*machineregistry.Placement
-	for _, g := range got {
-		t, x := g.task, g.x
-		a := attempt
-		if a == 0 {
-			a = j.NextAttempt(t)
-		}
-		ps = append(ps, &machineregistry.Placement{
-			Task: protocol.TaskID{JobID: j.Spec.ID, Index: t}, Attempt: a, Machine: x.Machine.Name,
-			Resources: j.TaskResources, Team: j.Spec.Team, PriorityLevel: j.EffectivePriority, Job: &j.Spec,
-		})
-		page := j.Pages.PageOf(t)
-		page.HighestAttempt = max(page.HighestAttempt, a)
-	}
-	if !c.machines.Reserve(now, ps) {
+	placements := newPlacements(j, allocated)
+	if !c.machines.Reserve(now, placements) {
+		// The registry knows better. The next cycle asks again with what the registry says.
 		c.cycleDue = true
-		c.candidates.MarkStale() // the registry knows better; ask again with what it says
+		c.candidates.MarkStale()
 		return
 	}
-	for _, pl := range ps {
-		t := pl.Task.Index
-		j.SetTask(t, jobstate.TaskPlaced)
-		j.Placements[t] = pl
-		j.MarkDirty(t, now)
+	for _, pl := range placements {
+		task := pl.Task.Index
+		j.SetTask(task, jobstate.TaskPlaced)
+		j.Placements[task] = pl
+		j.MarkDirty(task, now)
 		j.Unstarted = append(j.Unstarted, pl)
 		j.Queues.AddPlaced(j)
-		if m := c.machines.Machine(pl.Machine); m.ReservedJob == j.Spec.ID {
-			m.ClearReservation()
+		if m := c.machines.Machine(pl.Machine); m.NominatedJob == j.Spec.ID {
+			m.ClearNomination()
 		}
 	}
 }
+
+// newPlacements returns the placements of an allocation, with new attempt numbers. The numbers count as used
+// even if the capacity is not reserved.
+func newPlacements(j *jobstate.Job, allocated allocation) []*machineregistry.Placement {
+	gang := j.Spec.Shape == protocol.Gang
+	gangAttempt := uint64(0)
+	if gang {
+		gangAttempt = j.NextAttempt(0)
+	}
+	placements := make([]*machineregistry.Placement, 0, len(allocated))
+	for _, a := range allocated {
+		attempt := gangAttempt
+		if !gang {
+			attempt = j.NextAttempt(a.task)
+		}
+		placements = append(placements, &machineregistry.Placement{
+			Task:          protocol.TaskID{JobID: j.Spec.ID, Index: a.task},
+			Attempt:       attempt,
+			Machine:       a.candidate.Machine.Name,
+			Resources:     j.TaskResources,
+			Team:          j.Spec.Team,
+			PriorityLevel: j.EffectivePriority,
+			Job:           &j.Spec,
+		})
+		page := j.Pages.PageOf(a.task)
+		page.HighestAttempt = max(page.HighestAttempt, attempt)
+	}
+	return placements
+}
--- a/internal/coordination/scheduler/borrowing.go
+++ b/internal/coordination/scheduler/borrowing.go
@@ -52,7 +52,7 @@
 	cands := c.candidates.All(now)
 	k := c.borrowableCapacityOf(now, cands)
 	choice := k.choose(j, request, func(x *candidates.Candidate) bool {
-		return c.rules.Feasible(now, j, x, l) && !x.Machine.IsReservedFor(now, j.Spec.ID)
+		return c.rules.Feasible(now, j, x, l) && !x.Machine.IsNominatedFor(now, j.Spec.ID)
 	})
 	if len(choice.Picks) == 0 || j.Spec.Shape == protocol.Gang && len(choice.Picks) < n || k.violatesQuota(choice) {
 		j.NextLoanSearch = now + searchRetryDelay
--- a/internal/coordination/scheduler/fairshare_test.go
+++ b/internal/coordination/scheduler/fairshare_test.go
@@ -102,7 +102,7 @@
 		for i := range machines - 1 {
 			// Cleared for a job that waits and goes first.
 			m := b.scheduler.machines.Machine(fmt.Sprintf("m%02d", i))
-			m.ReservedJob, m.ReservedUntil = "j-first", b.now+time.Hour
+			m.NominateFor("j-first", b.now+time.Hour)
 		}
 		first := jobSpec("j-first", protocol.Service, "critical", 1, 8)
 		first.Zone = "nowhere"
--- a/internal/coordination/scheduler/fullscan_test.go
+++ b/internal/coordination/scheduler/fullscan_test.go
@@ -61,7 +61,7 @@
 ) (best *candidates.Candidate, bestVictims []*machineregistry.Placement) {
 	bestCost := math.Inf(1)
 	for _, x := range f.scheduler.candidates.All(now) {
-		if !f.scheduler.rules.Feasible(now, j, x, l) || x.Machine.IsReservedFor(now, j.Spec.ID) ||
+		if !f.scheduler.rules.Feasible(now, j, x, l) || x.Machine.IsNominatedFor(now, j.Spec.ID) ||
 			!j.TaskResources.Fits(x.Capacity()) {
 			continue
 		}
--- a/internal/coordination/scheduler/gangorder.go
+++ b/internal/coordination/scheduler/gangorder.go
@@ -63,12 +63,3 @@
 	}
 	return class
 }
-
-// placeableNow says whether a job has tasks that may be placed now.
-func (c *Scheduler) placeableNow(now time.Duration, j *jobstate.Job) bool {
-	if j.TaskCounts[jobstate.TaskPending] == 0 || c.startForbidden(j) || j.WriteInFlight || now < j.BackoffUntil {
-		return false
-	}
-	// Starts of an array or a service are gathered in its record while that waits for its turn.
-	return j.Spec.Shape != protocol.Gang || len(j.Placements) == 0
-}
--- a/internal/coordination/scheduler/preempt.go
+++ b/internal/coordination/scheduler/preempt.go
@@ -77,7 +77,7 @@
 	}
 	best, victims := c.finder.CheapestPreemption(now, j, l, within, level)
 	if best == nil {
-		if within == math.MaxInt64 && len(j.AvoidedMachines()) == 0 && len(j.ReservedMachines) == 0 &&
+		if within == math.MaxInt64 && len(j.AvoidedMachines()) == 0 && len(j.NominatedMachines) == 0 &&
 			!c.inZoneFailover() {
 			c.preemption.NoVictims(k)
 		}
--- a/internal/coordination/scheduler/preempt_test.go
+++ b/internal/coordination/scheduler/preempt_test.go
@@ -194,7 +194,7 @@
 		b.addJob(jobSpec("j-2", protocol.Gang, "urgent", 2, 8))
 		b.addJob(jobSpec("j-3", protocol.Array, "normal", 1, 1))
 		m := b.scheduler.machines.Machine("m1")
-		m.ReservedJob, m.ReservedUntil = x.owner, b.now+time.Minute
+		m.NominateFor(x.owner, b.now+time.Minute)
 		b.runCycle()
 		for id, n := range x.want {
 			if got := b.startedTasks(id); got != n {
@@ -207,7 +207,7 @@
 	b.addJob(jobSpec("j-1", protocol.Service, "critical", 1, 16)) // fits nowhere
 	b.addJob(jobSpec("j-2", protocol.Array, "normal", 1, 1))
 	m := b.scheduler.machines.Machine("m1")
-	m.ReservedJob, m.ReservedUntil = "j-1", b.now+time.Minute
+	m.NominateFor("j-1", b.now+time.Minute)
 	b.runCycle()
 	if b.startedTasks("j-2") != 0 {
 		t.Error("a later job took room that is being cleared")
--- a/internal/coordination/scheduler/quota.go
+++ b/internal/coordination/scheduler/quota.go
@@ -10,12 +10,6 @@
 	return c.quotas.TasksWithinLimit(j.Spec.Team, j.TaskResources)
 }
 
-// withinGuaranteedQuota reports whether a job's team is still within its guaranteed quota with one more
-// of the job's tasks.
-func (c *Scheduler) withinGuaranteedQuota(j *jobstate.Job) bool {
-	return c.quotas.WithinGuarantee(j.Spec.Team, j.TaskResources)
-}
-
 // newFairShareQueue returns the queue of a cycle's jobs, which are in scheduling order. While the
 // recovery order of a zone failover is in effect, it goes before the teams' shares.
 func (c *Scheduler) newFairShareQueue(waiting []*jobstate.Job) *fairshare.Queue[*jobstate.Job] {
--- a/internal/coordination/scheduler/zoneharness_test.go
+++ b/internal/coordination/scheduler/zoneharness_test.go
@@ -308,7 +308,7 @@
 func (b *zoneHarness) freeCapacities() map[string]simulation.FreeMachine {
 	rooms := map[string]simulation.FreeMachine{}
 	b.scheduler.machines.Each(func(m *machineregistry.Machine) {
-		if b.scheduler.machines.Schedulable(b.now, m) && m.ReservedJob == "" {
+		if b.scheduler.machines.Schedulable(b.now, m) && m.NominatedJob == "" {
 			rooms[m.Name] = simulation.FreeMachine{Zone: m.Zone, Free: b.scheduler.machines.FreeCapacity(m)}
 		}
 	})
