--- a/internal/coordination/machineregistry/commands.go
+++ b/internal/coordination/machineregistry/commands.go
@@ -97,7 +97,7 @@
 		pl.runFencingToken = r.FencingToken(m)
 		batch.addRun(pl.Task, pl.Attempt)
 	case pl.Reported:
-		batch.addStop(pl.Task, pl.Attempt, pl.GraceS)
+		batch.addStop(pl.Task, pl.Attempt, pl.GraceSeconds)
 	default:
 		// The run command may still be delayed on its way. It is not repeated in order to stop the
 		// task then: a cancelled task must not run even for a moment. The raised epoch makes the
@@ -112,7 +112,7 @@
 	if !pl.StartAllowed {
 		return false
 	}
-	return !pl.Reported || pl.Stopping && (pl.State != protocol.TaskSaving || pl.GraceS == 0)
+	return !pl.Reported || pl.Stopping && (pl.State != protocol.TaskSaving || pl.GraceSeconds == 0)
 }
 
 // canForget reports whether the worker may forget an exited task. A run command that arrived
--- a/internal/coordination/machineregistry/heartbeat.go
+++ b/internal/coordination/machineregistry/heartbeat.go
@@ -35,7 +35,7 @@
 		now:      now,
 		machine:  m,
 		newer: heartbeat.Incarnation > m.Incarnation ||
-			heartbeat.Incarnation == m.Incarnation && heartbeat.Sequence > m.Seq,
+			heartbeat.Incarnation == m.Incarnation && heartbeat.Sequence > m.Sequence,
 	}
 	if heartbeat.Incarnation > m.Incarnation {
 		rec.beginIncarnation(heartbeat.Incarnation)
@@ -59,11 +59,11 @@
 	if m == nil || !m.Registered || m.Incarnation != incarnation {
 		return false
 	}
-	if sequence > m.Seq {
+	if sequence > m.Sequence {
 		if !r.Schedulable(now, m) {
 			defer r.markChanged(m) // it may be schedulable from now on
 		}
-		m.Seq, m.LastHeartbeat, m.Relayed = sequence, now, false
+		m.Sequence, m.LastHeartbeat, m.Relayed = sequence, now, false
 	}
 	return r.commandsDue[machine] != m && len(m.unknownTasks) == 0 && len(m.exitedTasks) == 0
 }
@@ -92,13 +92,13 @@
 		m.MarkUnresponsive(c.now + config.Seconds(c.registry.workerSettings.HeartbeatSeconds))
 	}
 	m.exitedTasks, m.unknownTasks = map[protocol.TaskID]*exitedTask{}, map[protocol.TaskID]uint64{}
-	m.Incarnation, m.Seq = incarnation, 0
+	m.Incarnation, m.Sequence = incarnation, 0
 }
 
 // updateMachine takes over what a newer heartbeat says of the machine itself.
 func (c *reconciliation) updateMachine(heartbeat *protocol.WorkerHeartbeat) {
 	m := c.machine
-	m.Seq = heartbeat.Sequence
+	m.Sequence = heartbeat.Sequence
 	m.LastHeartbeat, m.Registered = c.now, true
 	if m.Type != heartbeat.Type || m.Zone != heartbeat.Zone || m.Spot != heartbeat.Spot {
 		c.registry.markChanged(m)
--- a/internal/coordination/machineregistry/machine.go
+++ b/internal/coordination/machineregistry/machine.go
@@ -6,8 +6,9 @@
 	"pinebay/internal/protocol"
 )
 
-// Machine is a worker machine. Other packages read its fields freely but change its state by the
-// methods below and by those of Registry only.
+// Machine is a worker machine. Other packages read its fields freely. They change its conditions and
+// reservation only by the methods below and by those of Registry; where the machine is and what it
+// is, as the cloud says, they may set until it is registered.
 //
 // A machine starts unregistered, known from a rental, the cloud's list or a record. Its first
 // heartbeat registers it. From then on Registry.Schedulable says whether it takes new tasks; four
@@ -28,7 +29,7 @@
 
 	// The worker, as of its newest heartbeat.
 	Incarnation         uint64
-	Seq                 uint64 // of the newest heartbeat of that incarnation
+	Sequence            uint64 // of the newest heartbeat of that incarnation
 	HighestFencingToken uint64 // commands with a lower token are refused by the worker
 	Registered          bool
 	Relayed             bool          // its heartbeats arrive through another controller
--- a/internal/coordination/machineregistry/placement.go
+++ b/internal/coordination/machineregistry/placement.go
@@ -37,8 +37,8 @@
 	CheckpointSaved bool
 	Terminated      bool // proven not to run, now or later
 
-	Stopping bool
-	GraceS   float64 // seconds that the task has to save a checkpoint
+	Stopping     bool
+	GraceSeconds float64 // seconds that the task has to save a checkpoint
 	// FenceAt is when the machine is to be fenced if it is still silent then, since the job was
 	// cancelled; 0 means never.
 	FenceAt time.Duration
@@ -105,10 +105,10 @@
 		return false
 	}
 	if !pl.Stopping {
-		pl.Stopping, pl.GraceS = true, graceSeconds
+		pl.Stopping, pl.GraceSeconds = true, graceSeconds
 		r.indexStopping(pl)
 	}
-	pl.GraceS = min(pl.GraceS, graceSeconds)
+	pl.GraceSeconds = min(pl.GraceSeconds, graceSeconds)
 	r.expediteCommand(pl)
 	if !pl.runSent {
 		r.Unreserve(now, pl)
--- a/internal/coordination/scheduler/lifecycle.go
+++ b/internal/coordination/scheduler/lifecycle.go
@@ -172,7 +172,7 @@
 // requeued as a whole, from its checkpoint.
 func (c *Scheduler) stopGang(now time.Duration, j *jobstate.Job) {
 	for _, pl := range sortedPlacements(j) {
-		if !pl.Stopping || pl.GraceS > 0 {
+		if !pl.Stopping || pl.GraceSeconds > 0 {
 			c.stopPlacement(now, j, pl, 0)
 		}
 	}
--- a/internal/coordination/scheduler/preempt.go
+++ b/internal/coordination/scheduler/preempt.go
@@ -89,7 +89,7 @@
 		if !v.Stopping {
 			c.preemptPlacement(now, v, j.Spec.ID, patience)
 		}
-		wait = max(wait, v.GraceS)
+		wait = max(wait, v.GraceSeconds)
 	}
 	c.candidates.ClaimNomination(best)
 	l.TasksPerZone[best.Machine.Zone]++
