--- a/internal/coordination/machineregistry/machine.go
+++ b/internal/coordination/machineregistry/machine.go
@@ -11,8 +11,8 @@
 // is, as the cloud says, they may set until it is registered.
 //
 // A machine starts unregistered, known from a rental, the cloud's list or a record. Its first
-// heartbeat registers it. From then on Registry.Schedulable says whether it takes new tasks; four
-// conditions prevent that:
+// heartbeat registers it. From then on Registry.Schedulable says whether it takes new tasks: not
+// while it is silent or lists tasks that should not be there, nor under one of four conditions:
 //   - unresponsive: it did not execute a command, or its worker restarted; ends by itself;
 //   - quarantined: the tasks of several jobs failed on it; for good;
 //   - interrupted: the cloud has announced that it will take the machine away; for good;
@@ -30,7 +30,7 @@
 	// The worker, as of its newest heartbeat.
 	Incarnation         uint64
 	Sequence            uint64 // of the newest heartbeat of that incarnation
-	HighestFencingToken uint64 // commands with a lower token are refused by the worker
+	HighestFencingToken uint64 // that it has reported; it refuses commands with a lower one
 	Registered          bool
 	Relayed             bool          // its heartbeats arrive through another controller
 	LastHeartbeat       time.Duration // or when the machine became known
