--- a/internal/coordination/jobstate/job.go
+++ b/internal/coordination/jobstate/job.go
@@ -64,10 +64,6 @@
 	BackoffUntil        time.Duration
 	Failures            int
 	FailedOn            map[string]bool
-	// DisplacedFromZone is the zone that it lost tasks with, or "".
-	DisplacedFromZone string
-	// NextLoanSearch is when room outside a lost zone is looked for again, after none was found.
-	NextLoanSearch time.Duration
 
 	// NominatedMachines are the machines on which room was cleared for it, as far as known.
 	NominatedMachines map[*machineregistry.Machine]bool
--- a/internal/coordination/scheduler/borrowing.go
+++ b/internal/coordination/scheduler/borrowing.go
@@ -12,91 +12,83 @@
 	"pinebay/internal/protocol"
 )
 
-// disturbanceCost is what it counts for, in seconds of work, that one more job lends room.
-func (c *Scheduler) disturbanceCost() float64 { return 3 * c.cfg.Workers.HeartbeatSeconds }
+// borrowerOf describes a job for which zone failover searches for capacity.
+func (c *Scheduler) borrowerOf(j *jobstate.Job) zonefailover.Borrower {
+	limits := placement.ZoneLimitsOf(j)
+	return zonefailover.Borrower{
+		Job:       &j.Spec,
+		Need:      j.TaskResources,
+		Priority:  j.EffectivePriority,
+		MaxInZone: limits.MaxTasksPerZone,
+		InZone:    limits.TasksPerZone,
+	}
+}
 
-// mayBorrow says whether a job may borrow room: it has lost tasks with a zone that is not
-// trusted again yet.
+// mayBorrow reports whether a job may borrow capacity, since it has lost tasks with a zone that is not available
+// again.
 func (c *Scheduler) mayBorrow(j *jobstate.Job) bool {
-	if c.zoneFailover == nil || j.DisplacedFromZone == "" {
-		return false
-	}
-	return c.zoneFailover.monitor.State(j.DisplacedFromZone) != zonefailover.Available
+	return c.zoneFailover != nil && c.zoneFailover.MayBorrow(j.Spec.ID)
 }
 
-// awaitsLentCapacity says whether room that a job was lent is about to come free. Backfill would take
-// what it has meanwhile, only to be stopped for it at once.
+// awaitsLentCapacity reports whether capacity that a job was lent is about to come free. Backfill would take what the
+// job has meanwhile, only to be preempted for it at once.
 func (c *Scheduler) awaitsLentCapacity(now time.Duration, j *jobstate.Job) bool {
-	if !c.mayBorrow(j) {
-		return false
-	}
-	return len(c.rules.Nominated(now, j)) > 0
+	return c.mayBorrow(j) && len(c.rules.Nominated(now, j)) > 0
 }
 
-// borrowCapacity finds room for up to n tasks of a job that lost them with a zone. What is to be
-// stopped for it is recorded first: should we end in between, the next leader finds who
-// was to lend to whom. It says whether that is how the job gets room: not when no further
-// loan can be recorded.
+// borrowCapacity finds capacity for up to n tasks of a job that lost them with a zone. It reports whether that is how
+// the job gets its capacity, which it is unless no further loan can be recorded.
 func (c *Scheduler) borrowCapacity(now time.Duration, j *jobstate.Job, l *placement.ZoneLimits, n int) bool {
-	n -= len(c.rules.Nominated(now, j)) // lent already, and not yet free
+	n -= len(c.rules.Nominated(now, j)) // lent already, and not free yet
 	if n <= 0 {
 		return true
 	}
-	request, ok := c.requestInAvailableZones(j, n)
-	if !ok || !c.acquireSearch(now, j) {
+	m := c.zoneFailover
+	borrower := c.borrowerOf(j)
+	request, ok := m.Request(&borrower, n)
+	if !ok || !m.AcquireSearch(now, j.Spec.ID) {
 		return true
 	}
 	if l.OnlyZone != "" {
-		request.MaxPerZone = map[string]int{l.OnlyZone: request.MaxPerZone[l.OnlyZone]}
+		request = request.InZone(l.OnlyZone)
 	}
-	cands := c.candidates.All(now)
-	k := c.borrowableCapacityOf(now, cands)
-	choice := k.choose(j, request, func(x *candidates.Candidate) bool {
+	all := c.candidates.All(now)
+	capacity := m.BorrowableCapacity(now, all)
+	choice := capacity.Choose(&borrower, request, func(x *candidates.Candidate) bool {
 		return c.rules.Feasible(now, j, x, l) && !x.Machine.IsNominatedFor(now, j.Spec.ID)
 	})
-	if len(choice.Picks) == 0 || j.Spec.Shape == protocol.Gang && len(choice.Picks) < n || k.violatesQuota(choice) {
-		j.NextLoanSearch = now + searchRetryDelay
+	incomplete := j.Spec.Shape == protocol.Gang && len(choice.Picks) < n
+	if len(choice.Picks) == 0 || incomplete || capacity.ViolatesQuota(choice) {
+		m.DelaySearch(now, j.Spec.ID)
 		return true
 	}
-	if err := c.openLoans(now, j, k, choice); err != nil {
-		c.log.Info("no loan", "job", j.Spec.ID, "err", err)
+	if err := m.Lend(now, j.Spec.ID, choice.Lenders, c.failoverRecordLimits()); err != nil {
+		c.log.Info("loan not opened", "job", j.Spec.ID, "error", err)
 		return false
 	}
-	c.reserveChosenMachines(now, j, cands, l, choice)
+	c.nominateChosen(now, j, all, l, choice)
 	return true
 }
 
-// acquireSearch says whether room to borrow may be looked for now, and counts that it is.
-func (c *Scheduler) acquireSearch(now time.Duration, j *jobstate.Job) bool {
-	z := c.zoneFailover
-	if now < j.NextLoanSearch {
-		return false
-	}
-	if now-z.searchCycleStart >= CycleInterval {
-		z.searchCycleStart, z.searchesInCycle = now, 0
-	}
-	z.searchesInCycle++
-	return z.searchesInCycle <= c.searchBudget()
-}
-
-// reserveChosenMachines keeps the machines of a choice for the job until the lenders have left.
-func (c *Scheduler) reserveChosenMachines(
+// nominateChosen keeps the machines of a choice for the job until the lenders have left.
+func (c *Scheduler) nominateChosen(
 	now time.Duration,
 	j *jobstate.Job,
-	cands []*candidates.Candidate,
+	all []*candidates.Candidate,
 	l *placement.ZoneLimits,
 	choice zonefailover.Choice,
 ) {
 	save := 0.0
-	for _, task := range choice.Lenders {
-		save = max(save, c.jobs[task.Job].Spec.SaveSeconds+c.cfg.Workers.GangPeerSeconds)
+	for _, lender := range choice.Lenders {
+		save = max(save, c.jobs[lender.Job].Spec.SaveSeconds+c.cfg.Workers.GangPeerSeconds)
 	}
-	for _, x := range cands {
+	until := now + config.Seconds(save+3*c.cfg.Workers.HeartbeatSeconds) + 2*CycleInterval
+	for _, x := range all {
 		if !slices.ContainsFunc(choice.Picks, func(p zonefailover.Pick) bool { return p.Machine == x.Machine.Name }) {
 			continue
 		}
 		c.candidates.ClaimNomination(x)
 		l.TasksPerZone[x.Machine.Zone]++
-		c.rules.Nominate(x.Machine, j, now+config.Seconds(save+3*c.cfg.Workers.HeartbeatSeconds)+2*CycleInterval)
+		c.rules.Nominate(x.Machine, j, until)
 	}
 }
--- a/internal/coordination/scheduler/jobcompletion.go
+++ b/internal/coordination/scheduler/jobcompletion.go
@@ -121,6 +121,7 @@
 	dropped := c.addPageDeletions(j, &t)
 	if len(t.Then) == 0 {
 		delete(c.jobs, j.Spec.ID)
+		c.zoneFailover.ForgetJob(j.Spec.ID)
 		c.queues.Remove(j)
 		return
 	}
--- a/internal/coordination/scheduler/largefleet_test.go
+++ b/internal/coordination/scheduler/largefleet_test.go
@@ -168,9 +168,6 @@
 	b.scheduler.cfg.Quota.RAMMB = 49
 	b.takeOver(6)
 	z := b.scheduler.zoneFailover
-	if most := b.scheduler.maxOpenLoans(); most < loans {
-		t.Fatalf("%d loans may be open, want %d", most, loans)
-	}
 	borrower := func(i int) string { return fmt.Sprintf("j-%06d", 900_000+i/perBorrower) }
 	lender := func(i int) zonefailover.TaskAttempt {
 		return zonefailover.TaskAttempt{Job: fmt.Sprintf("j-%06d", i), Attempt: 1}
@@ -184,11 +181,9 @@
 			Machine:  "m",
 			Zone:     "a",
 		}
-		if err := z.ledger.Open(loan); err != nil {
-			t.Fatal(err)
+		if err := z.OpenLoans(b.scheduler.failoverRecordLimits(), loan); err != nil {
+			t.Fatalf("%d loans may be open, want %d: %v", i, loans, err)
 		}
-		z.awaitingPreemption[loan.Lender] = true
-		z.records.addLoan(loan.Lender, b.scheduler.loansPerPage())
 	}
 	recorded := map[string]protocol.KeyValue{}
 	rev := uint64(1000)
@@ -223,7 +218,7 @@
 				t.Fatal(err)
 			}
 			for _, row := range rec.Loans {
-				tasks[loanFromRow(row).Lender] = true
+				tasks[zonefailover.LoanFromRow(row).Lender] = true
 			}
 		}
 		return tasks
@@ -233,30 +228,35 @@
 		transactions++
 		onRecord, open := held(), map[string]bool{}
 		for i := range loans {
-			if z.awaitingPreemption[lender(i)] {
+			if z.AwaitsPreemption(lender(i)) {
 				open[borrower(i)] = true
 			} else if !onRecord[lender(i)] {
 				t.Fatalf("loan %d is taken and not recorded", i)
 			}
 		}
 		for i := range loans {
-			if open[borrower(i)] && !z.awaitingPreemption[lender(i)] {
+			if open[borrower(i)] && !z.AwaitsPreemption(lender(i)) {
 				t.Fatalf("loan %d is taken before others to the same job", i)
 			}
 		}
 	}
-	if len(z.awaitingPreemption) > 0 || transactions < 2 {
-		t.Errorf("%d loans are not taken after %d transactions", len(z.awaitingPreemption), transactions)
+	waiting := 0
+	for i := range loans {
+		if z.AwaitsPreemption(lender(i)) {
+			waiting++
+		}
+	}
+	if waiting > 0 || transactions < 2 {
+		t.Errorf("%d loans are not taken after %d transactions", waiting, transactions)
 	}
 	b.records = recorded
 	b.takeOver(7)
-	if got := b.scheduler.zoneFailover.ledger.Len(); got != loans {
+	if got := b.scheduler.zoneFailover.Ledger().Len(); got != loans {
 		t.Errorf("the next leader knows of %d loans, want %d", got, loans)
 	}
 	z = b.scheduler.zoneFailover
-	for i := range loans {
-		z.ledger.Close(lender(i))
-		z.records.removeLoan(lender(i))
+	for _, loan := range z.Ledger().Loans() {
+		z.CloseLoan(loan, zonefailover.Repaid)
 	}
 	for range loans {
 		b.now += CycleInterval
--- a/internal/coordination/scheduler/recoveryorder.go
+++ b/internal/coordination/scheduler/recoveryorder.go
@@ -1,8 +1,6 @@
 package scheduler
 
 import (
-	"cmp"
-	"slices"
 	"time"
 
 	"pinebay/internal/coordination/jobstate"
@@ -11,113 +9,67 @@
 	"pinebay/internal/protocol"
 )
 
-// recoverySortKey is what jobs are sorted by while the order of return is in force.
-type recoverySortKey struct {
-	position, priorityLevel int
-	debt                    float64
-	objective               float64
-}
-
-// recoveryOrderInEffect says whether jobs go in the order of return: while a zone is lost or not yet trusted
-// again, and until all loans are repaid.
-func (c *Scheduler) recoveryOrderInEffect() bool {
-	return c.zoneFailover != nil && (c.inZoneFailover() || c.zoneFailover.ledger.Len() > 0)
-}
-
-// sortForRecovery puts jobs into the order of return: by the stated order, priority, what
-// lenders are owed once no zone is lost, the class's aim on waiting, and age. The list is
-// sorted by priority and age when it comes.
+// sortForRecovery puts jobs, which come sorted by priority and age, into the recovery order while that is in effect.
 func (c *Scheduler) sortForRecovery(jobs []*jobstate.Job) {
-	z := c.zoneFailover
-	if !c.recoveryOrderInEffect() {
+	if c.zoneFailover == nil {
 		return
 	}
-	debts := map[string]float64{}
-	if !z.monitor.AnyInState(zonefailover.Lost) {
-		debts = z.ledger.Debts()
-	}
-	keys := make(map[*jobstate.Job]recoverySortKey, len(jobs))
-	for _, j := range jobs {
-		keys[j] = recoverySortKey{
-			z.order.Position(j.Spec.Class, j.Spec.Team),
-			j.EffectivePriority,
-			debts[j.Spec.ID],
-			c.rules.StartLatency.Seconds(j.Spec.Class),
+	zonefailover.SortByRecoveryOrder(c.zoneFailover, jobs, func(j *jobstate.Job) zonefailover.Rank {
+		return zonefailover.Rank{
+			Job:                   &j.Spec,
+			Priority:              j.EffectivePriority,
+			StartLatencyObjective: c.rules.StartLatency.Seconds(j.Spec.Class),
 		}
-	}
-	slices.SortStableFunc(jobs, func(a, b *jobstate.Job) int {
-		x, y := keys[a], keys[b]
-		return cmp.Or(
-			cmp.Compare(x.position, y.position),
-			cmp.Compare(x.priorityLevel, y.priorityLevel),
-			cmp.Compare(y.debt, x.debt),
-			cmp.Compare(x.objective, y.objective),
-		)
 	})
 }
 
-// zonesByAvailability lists the zones that a job allows, those that are available first: where several
-// have as little room, a lost one must not be where it waits for some.
+// zonesByAvailability lists the zones that a job may run in, those that are available first.
 func (c *Scheduler) zonesByAvailability(spec *protocol.Job) []string {
 	names := c.allowedZones(spec)
-	if c.zoneFailover == nil {
-		return names
-	}
-	slices.SortStableFunc(names, func(a, b string) int {
-		return cmp.Compare(c.zoneFailover.monitor.State(a), c.zoneFailover.monitor.State(b))
-	})
+	c.zoneFailover.SortZonesByState(names)
 	return names
 }
 
-// recoversBefore says whether, by the order in force, the work of a placement goes before a
-// job, whatever their priorities are.
-func (c *Scheduler) recoversBefore(pl *machineregistry.Placement, j *jobstate.Job) bool {
-	if !c.inZoneFailover() {
-		return false
-	}
-	class := ""
-	if pl.Job != nil {
-		class = pl.Job.Class
-	}
-	order := c.zoneFailover.order
-	return order.Position(class, pl.Team) < order.Position(j.Spec.Class, j.Spec.Team)
-}
-
-// recoveryPosition is a job's position in the order of return, while that is in force.
-func (c *Scheduler) recoveryPosition(spec *protocol.Job) int {
-	if !c.inZoneFailover() {
-		return 0
-	}
-	return c.zoneFailover.order.Position(spec.Class, spec.Team)
-}
-
-// placeWithinQuota places what teams run within their guarantee, which need not wait for
-// other teams, in the order of return. What is beyond it has its turn with the others, and
-// so have the team's jobs after it: a guarantee is held against other teams, not within one.
+// placeWithinQuota places what teams run within their guaranteed quotas, in the recovery order: it need not wait for
+// other teams. What is beyond a team's quota takes its turn with the others, and so do the team's jobs after it: the
+// quota is guaranteed against other teams, not among the jobs of one.
 func (c *Scheduler) placeWithinQuota(now time.Duration, waiting []*jobstate.Job) {
-	beyond := map[string]bool{} // teams
+	beyondQuota := map[string]bool{} // teams
 	for _, j := range waiting {
-		if beyond[j.Spec.Team] {
+		if beyondQuota[j.Spec.Team] {
 			continue
 		}
-		least := 1
+		fewest := 1
 		if j.Spec.Shape == protocol.Gang {
-			least = j.Spec.TaskCount
+			fewest = j.Spec.TaskCount
 		}
 		guaranteed := c.quotas.TasksWithinGuarantee(j.Spec.Team, j.TaskResources, j.TaskCounts[jobstate.TaskPending])
-		if n := min(c.tasksWithinQuotaLimit(j), guaranteed); n >= least {
+		if n := min(c.tasksWithinQuotaLimit(j), guaranteed); n >= fewest {
 			c.placeJob(now, j, n)
 		}
-		beyond[j.Spec.Team] = j.TaskCounts[jobstate.TaskPending] > 0
+		beyondQuota[j.Spec.Team] = j.TaskCounts[jobstate.TaskPending] > 0
 	}
 }
 
-// zoneRiskPenalty is what a start of a critical replica costs more, in seconds, in a zone that may
+// zoneRiskPenalty is what the start of a replica of the highest priority costs more, in seconds, in a zone that may
 // be lost again at any time.
 func (c *Scheduler) zoneRiskPenalty(j *jobstate.Job, zone string) float64 {
 	if c.zoneFailover == nil || j.EffectivePriority > 0 || j.Spec.Shape != protocol.Service ||
-		c.zoneFailover.monitor.State(zone) == zonefailover.Available {
+		c.zoneFailover.Monitor().State(zone) == zonefailover.Available {
 		return 0
 	}
 	return c.cfg.Workers.LeaseSeconds
 }
+
+// recoveryOrderInEffect reports whether jobs are taken in the recovery order.
+func (c *Scheduler) recoveryOrderInEffect() bool { return c.zoneFailover.IsOrderInEffect() }
+
+// recoversBefore reports whether the recovery order puts the work of a placement before a job.
+func (c *Scheduler) recoversBefore(pl *machineregistry.Placement, j *jobstate.Job) bool {
+	return c.zoneFailover.RecoversBefore(pl, &j.Spec)
+}
+
+// recoveryPosition is a job's position in the recovery order during a failover, and 0 at other times.
+func (c *Scheduler) recoveryPosition(spec *protocol.Job) int {
+	return c.zoneFailover.RecoveryPosition(spec)
+}
--- a/internal/coordination/scheduler/scheduler.go
+++ b/internal/coordination/scheduler/scheduler.go
@@ -90,8 +90,8 @@
 	lastImageHintKey    string // the key of the last page of them that was written
 	prober              prober
 	imageHintsWrittenAt time.Duration
-	termStartedMS       int64              // time of day when the term began
-	zoneFailover        *zoneFailoverState // nil unless it is on
+	termStartedMS       int64                 // time of day when the term began
+	zoneFailover        *zonefailover.Manager // nil unless it is on
 }
 
 // Term is the term that a core leads.
--- a/internal/coordination/scheduler/zonefailover.go
+++ b/internal/coordination/scheduler/zonefailover.go
@@ -1,146 +1,169 @@
 package scheduler
 
 import (
-	"maps"
 	"time"
 
-	"pinebay/internal/config"
 	"pinebay/internal/coordination/jobstate"
 	"pinebay/internal/coordination/machineregistry"
 	"pinebay/internal/coordination/zonefailover"
 	"pinebay/internal/protocol"
+	"pinebay/internal/storage"
 )
 
-// zoneFailoverState is the part of the core that acts when a zone is lost and when it comes back
-// (docs/zone-return.md). It is nil unless an operator has turned it on.
-type zoneFailoverState struct {
-	order              *zonefailover.RecoveryOrder
-	monitor            *zonefailover.Monitor
-	ledger             *zonefailover.Ledger
-	multiZone          bool // there is more than one zone
-	lastLoanNumber     uint64
-	awaitingPreemption map[zonefailover.TaskAttempt]bool // made in this term, and its lender not told to stop yet
-	departedMachines   map[string]string                 // machines that have failed or left the cloud's list, and their zones
-	loansByJob         map[string]int                    // how many loans a job has made in this term
-	searchesInCycle    int                               // for how many jobs room was looked for since searchCycleStart
-	searchCycleStart   time.Duration
-	pendingDecisions   []zonefailover.Decision // not told yet
-	records            failoverRecords
+// startZoneFailover turns zone failover on, with what an earlier leader recorded.
+func (c *Scheduler) startZoneFailover(
+	now time.Duration,
+	order *zonefailover.RecoveryOrder,
+	pages []protocol.KeyValue,
+) {
+	c.zoneFailover = zonefailover.NewManager(now, zonefailover.Options{
+		Settings:      c.cfg,
+		Machines:      c.machines,
+		Jobs:          failoverJobs{c},
+		Log:           c.log,
+		Order:         order,
+		Zones:         c.allowedZones(&protocol.Job{}),
+		Limits:        c.failoverRecordLimits(),
+		CycleInterval: CycleInterval,
+		Term:          c.term,
+		TermStartedAt: c.termStartedAt,
+		TermStartedMS: c.termStartedMS,
+	})
+	if c.zoneFailover.WatchesZones() {
+		c.zoneFailover.Restore(now, pages)
+		c.recoverDisplacedJobs()
+	}
 }
 
-// Intervals of zone return.
-const (
-	// writeOffCancelTimes is after how many times the cancel time a loan is written off.
-	writeOffCancelTimes = 20
-	// retainLostZoneLeases is for how many leases a lost zone's machines are kept that hold work for
-	// which there is no room elsewhere. They have its images when they come back.
-	retainLostZoneLeases = 12
-	// probeLostZoneLeases is after how many leases a machine is rented in a lost zone, if work waits
-	// that can be nowhere else: a zone without machines could not be heard again.
-	probeLostZoneLeases = 2
-)
-
-// startZoneFailover turns zone return on, with what an earlier leader recorded.
-func (c *Scheduler) startZoneFailover(now time.Duration, order *zonefailover.RecoveryOrder, pages []protocol.KeyValue) {
-	names := c.allowedZones(&protocol.Job{})
-	z := &zoneFailoverState{
-		order:              order,
-		multiZone:          len(names) > 1,
-		awaitingPreemption: map[zonefailover.TaskAttempt]bool{},
-		departedMachines:   map[string]string{},
-		loansByJob:         map[string]int{},
-		records:            newFailoverRecords(),
-		monitor:            zonefailover.NewMonitor(now, config.Seconds(c.cfg.Workers.LeaseSeconds), names),
-		ledger:             zonefailover.NewLedger(c.maxOpenLoans()),
-	}
-	c.zoneFailover = z
-	c.addDecision(zonefailover.RecoveryOrderInEffect{Order: order.String(), ZoneCount: len(names)})
-	if z.multiZone {
-		c.recoverZoneFailover(now, pages)
-		c.recoverDisplacedJobs()
+// failoverRecordLimits are the limits in force for the stored records of zone failover.
+func (c *Scheduler) failoverRecordLimits() zonefailover.RecordLimits {
+	return zonefailover.RecordLimits{
+		LoansPerPage:        storage.LoansPerPage(c.stateLimits.ValueKB),
+		PagesPerTransaction: c.pagesPerTransaction(),
 	}
 }
 
-// recoverDisplacedJobs marks the jobs that wait although they had started, when a zone was lost
-// under an earlier leader.
+// recoverDisplacedJobs marks the jobs that wait although they had started, when a zone was lost under an earlier
+// leader.
 func (c *Scheduler) recoverDisplacedJobs() {
-	for _, zone := range c.zoneFailover.monitor.Zones() {
+	for _, zone := range c.zoneFailover.Monitor().Zones() {
 		if zone.State != zonefailover.Lost && zone.State != zonefailover.Returning {
 			continue
 		}
 		for _, j := range c.jobs {
 			if j.TaskCounts[jobstate.TaskPending] > 0 && j.HasStarted() {
-				j.DisplacedFromZone = zone.Name
+				c.zoneFailover.MarkDisplaced(j.Spec.ID, zone.Name)
 			}
 		}
 	}
 }
 
-// addDecision notes a decision, to be told with the next effects.
-func (c *Scheduler) addDecision(d zonefailover.Decision) {
-	c.zoneFailover.pendingDecisions = append(c.zoneFailover.pendingDecisions, d)
-}
+// failoverJobs gives zone failover its view of the scheduler's jobs and quotas.
+type failoverJobs struct{ scheduler *Scheduler }
 
-func (c *Scheduler) emitDecisions() {
-	if c.zoneFailover == nil {
-		return
+// Lender implements zonefailover.Jobs.
+func (f failoverJobs) Lender(task zonefailover.TaskAttempt) zonefailover.LenderState {
+	j := f.scheduler.jobs[task.Job]
+	if j == nil {
+		return zonefailover.LenderState{Ended: true}
 	}
-	for _, d := range c.zoneFailover.pendingDecisions {
-		c.emit(ZoneDecision{d})
+	return zonefailover.LenderState{
+		Ended:     j.Ended || task.Task >= len(j.TaskStates) || j.TaskStates[task.Task] == jobstate.TaskDone,
+		Placement: j.Placements[task.Task],
 	}
-	c.zoneFailover.pendingDecisions = nil
 }
 
-// inZoneFailover says whether a zone is lost or not yet trusted again, so that the order of
-// return is in force.
-func (c *Scheduler) inZoneFailover() bool {
-	return c.zoneFailover != nil && c.zoneFailover.multiZone &&
-		c.zoneFailover.monitor.AnyInState(zonefailover.Lost, zonefailover.Returning)
+// IsActive implements zonefailover.Jobs.
+func (f failoverJobs) IsActive(jobID string) bool {
+	j := f.scheduler.jobs[jobID]
+	return j != nil && !j.Ended
 }
 
-// wallClockMS is the time of day at a moment, in milliseconds.
-func (c *Scheduler) wallClockMS(now time.Duration) int64 {
-	return c.termStartedMS + (now - c.termStartedAt).Milliseconds()
+// FitsGuaranteedQuota implements zonefailover.Jobs.
+func (f failoverJobs) FitsGuaranteedQuota(team string, usage machineregistry.Resources) bool {
+	return f.scheduler.quotas.GuaranteeCovers(team, usage)
 }
 
-// updateZoneStates judges the zones, and draws the conclusions.
+// AllowedZones implements zonefailover.Jobs.
+func (f failoverJobs) AllowedZones(job *protocol.Job) []string { return f.scheduler.allowedZones(job) }
+
+// updateZoneStates derives the states of the zones and acts on them.
 func (c *Scheduler) updateZoneStates(now time.Duration, jobs []*jobstate.Job) {
-	z := c.zoneFailover
-	if z == nil || !z.multiZone {
+	m := c.zoneFailover
+	if m == nil || !m.WatchesZones() {
 		return
 	}
-	for _, change := range z.monitor.Observe(now, c.observeZones(now)) {
-		c.addDecision(zonefailover.ZoneChanged{Change: change})
-		z.records.dirty[z.records.firstPage()] = true
-		switch change.To {
-		case zonefailover.Lost:
-			c.addDecision(
-				zonefailover.RecoveryOrderInEffect{Order: z.order.String(), ZoneCount: len(z.monitor.Zones())},
-			)
-		case zonefailover.Returning:
-			c.probeZone(change.Zone)
-		case zonefailover.Available:
-			maps.DeleteFunc(z.departedMachines, func(_, zone string) bool { return zone == change.Zone })
-		}
+	for _, zone := range m.UpdateZones(now) {
+		c.probeZone(zone)
 	}
-	c.closeFinishedLoans(now)
-	c.setZonePolicies(now)
+	m.CloseFinishedLoans(now)
+	c.autoscaler.SetZonePolicies(m.ZonePolicies(now))
 	c.fenceLostMachines(now, jobs)
-	if !z.monitor.AnyInState(zonefailover.Suspected, zonefailover.Lost, zonefailover.Returning) {
-		clear(z.loansByJob)
-		for _, j := range jobs {
-			j.DisplacedFromZone = ""
+	m.EndFailover(now)
+}
+
+// probeZone asks the machines of a zone that returns for their state, without waiting for their workers to find the
+// leader.
+func (c *Scheduler) probeZone(zone string) {
+	c.machines.Each(func(m *machineregistry.Machine) {
+		if m.Zone == zone && m.Addr != "" && !m.Terminating {
+			c.prober.queue = append(c.prober.queue, Probe{m.Name, m.Addr})
 		}
-	}
+	})
 }
 
-// markDisplaced notes that a job has lost a task, which counts if it went with its zone.
-func (c *Scheduler) markDisplaced(j *jobstate.Job, pl *machineregistry.Placement) {
-	if c.zoneFailover == nil || j.Ended {
+// fenceLostMachines fences machines of lost zones whose tasks would find capacity elsewhere, in the order of the jobs.
+func (c *Scheduler) fenceLostMachines(now time.Duration, jobs []*jobstate.Job) {
+	if !c.zoneFailover.Monitor().AnyInState(zonefailover.Lost) {
 		return
 	}
-	switch c.zoneFailover.monitor.State(pl.Zone) {
-	case zonefailover.Lost, zonefailover.Returning:
-		j.DisplacedFromZone = pl.Zone
+	c.candidates.Refresh(now)
+	round := c.zoneFailover.NewFencingRound(now, c.candidates.All(now))
+	for _, j := range jobs {
+		if round.IsExhausted() {
+			return
+		}
+		if c.startForbidden(j) || !c.zoneFailover.MaySearch(now, j.Spec.ID) {
+			continue
+		}
+		movable := round.Movable(sortedPlacements(j))
+		startable := min(j.TaskCounts[jobstate.TaskPending], c.tasksWithinQuotaLimit(j))
+		if startable+len(movable) == 0 {
+			continue
+		}
+		round.FenceFor(&zonefailover.Displaced{
+			Borrower:   c.borrowerOf(j),
+			Startable:  startable,
+			Unfinished: j.TaskCounts[jobstate.TaskPending] + len(j.Placements),
+			Movable:    movable,
+		})
 	}
 }
+
+// emitDecisions passes the decisions of zone failover on.
+func (c *Scheduler) emitDecisions() {
+	for _, d := range c.zoneFailover.TakeDecisions() {
+		c.emit(ZoneDecision{d})
+	}
+}
+
+// markDisplaced notes that a job has lost a task, which may go elsewhere if it was lost with its zone.
+func (c *Scheduler) markDisplaced(j *jobstate.Job, pl *machineregistry.Placement) {
+	if !j.Ended {
+		c.zoneFailover.MarkDisplaced(j.Spec.ID, pl.Zone)
+	}
+}
+
+// inZoneFailover reports whether a zone is lost or not trusted again yet.
+func (c *Scheduler) inZoneFailover() bool { return c.zoneFailover.InFailover() }
+
+// isZoneLost reports whether a zone is lost.
+func (c *Scheduler) isZoneLost(zone string) bool { return c.zoneFailover.IsZoneLost(zone) }
+
+// noteDepartedMachine notes that a machine has failed or has left the cloud's list by itself.
+func (c *Scheduler) noteDepartedMachine(name string) { c.zoneFailover.NoteDepartedMachine(name) }
+
+// redistributeLoanPages moves loans off record pages that hold more than the limits in force allow.
+func (c *Scheduler) redistributeLoanPages() {
+	c.zoneFailover.RedistributeLoans(c.failoverRecordLimits())
+}
--- a/internal/coordination/scheduler/zonefailover_test.go
+++ b/internal/coordination/scheduler/zonefailover_test.go
@@ -108,13 +108,13 @@
 		b.takeOver(6)
 		b.runSeconds(3)
 		if countDecisions[zonefailover.RecordIgnored](b.decisions) != 1 ||
-			b.scheduler.zoneFailover.monitor.State("a") != zonefailover.Available {
+			b.scheduler.zoneFailover.Monitor().State("a") != zonefailover.Available {
 			t.Errorf("%s: %v", name, b.describeDecisions())
 		}
 		if got := b.records[key]; got.Revision != 9 || string(got.Value) != string(value) {
 			t.Errorf("%s was written over", name)
 		}
-		b.scheduler.zoneFailover.records.dirty[b.scheduler.zoneFailover.records.firstPage()] = true
+		b.scheduler.zoneFailover.MarkZoneStatesChanged()
 		b.runSeconds(3)
 		if got := b.records[key]; got.Revision != 9 || b.records[storage.ZoneFailoverKey(1)].Revision == 0 {
 			t.Errorf("%s: records %v", name, b.records)
@@ -142,7 +142,7 @@
 			}
 		}
 	}
-	if c.zoneFailover.multiZone || c.inZoneFailover() {
+	if c.zoneFailover.WatchesZones() || c.inZoneFailover() {
 		t.Error("a single zone is watched")
 	}
 }
--- a/internal/coordination/scheduler/zoneloans_test.go
+++ b/internal/coordination/scheduler/zoneloans_test.go
@@ -88,9 +88,9 @@
 func TestLeaderCrashBeforePreemptingLender(t *testing.T) {
 	b := newLendingHarness(t, 2)
 	b.runUntilLoan(t)
-	loan := b.scheduler.zoneFailover.ledger.Loans()[0]
+	loan := b.scheduler.zoneFailover.Ledger().Loans()[0]
 	rec := &storage.ZoneFailoverRecord{
-		Format: storage.ZoneFailoverFormat, Loans: []storage.LoanRow{loanToRow(loan)},
+		Format: storage.ZoneFailoverFormat, Loans: []storage.LoanRow{loan.Row()},
 		Zones: []storage.ZoneRow{{Name: "a", State: int(zonefailover.Lost), SinceMS: b.now.Milliseconds()}},
 	}
 	value, err := protocol.Encode(rec)
@@ -142,9 +142,9 @@
 		next.now.Milliseconds(),
 		next.order,
 	)
-	if next.scheduler.zoneFailover.monitor.State("a") != zonefailover.Lost ||
-		next.scheduler.zoneFailover.ledger.Len() != 1 {
-		t.Fatalf("the records are not taken over: %+v", next.scheduler.zoneFailover.monitor.Zones())
+	if next.scheduler.zoneFailover.Monitor().State("a") != zonefailover.Lost ||
+		next.scheduler.zoneFailover.Ledger().Len() != 1 {
+		t.Fatalf("the records are not taken over: %+v", next.scheduler.zoneFailover.Monitor().Zones())
 	}
 	next.tasks[loan.Machine], next.zoneOf[loan.Machine] = map[protocol.TaskID]protocol.TaskStatus{
 		{JobID: low.ID, Index: loan.Lender.Task}: runningTask(
@@ -171,7 +171,7 @@
 	b := newLendingHarness(t, 2)
 	b.runUntilLoan(t)
 	b.runSeconds(3)
-	lender := b.scheduler.zoneFailover.ledger.Loans()[0].Lender.Job
+	lender := b.scheduler.zoneFailover.Ledger().Loans()[0].Lender.Job
 	b.step(JobEnded{ID: lender})
 	b.runSeconds(5)
 	if !slices.Contains(b.loanOutcomes(), zonefailover.LenderEnded) {
@@ -222,7 +222,7 @@
 func TestNoBackfillWhileCapacityIsLent(t *testing.T) {
 	b := newLendingHarness(t, 1)
 	b.runSeconds(20)
-	if b.scheduler.zoneFailover.monitor.State("a") != zonefailover.Lost {
+	if b.scheduler.zoneFailover.Monitor().State("a") != zonefailover.Lost {
 		t.Fatal("zone a is not lost")
 	}
 	b.step(JobEnded{ID: "j-1"}) // its machine comes free with the next second
@@ -232,7 +232,8 @@
 	gang.Zone, small.Zone = "b", "b"
 	b.submit(gang)
 	b.submit(small)
-	b.scheduler.jobs["j-8"].DisplacedFromZone, b.scheduler.jobs["j-8"].UnschedulableCycles = "a", gangHoldCycles
+	b.scheduler.zoneFailover.MarkDisplaced("j-8", "a")
+	b.scheduler.jobs["j-8"].UnschedulableCycles = gangHoldCycles
 	b.runSecond()
 	if countDecisions[zonefailover.LoanMade](b.decisions) == 0 {
 		t.Fatalf("nothing was lent:\n%s", strings.Join(b.describeDecisions(), "\n"))
@@ -254,7 +255,7 @@
 	gang := jobSpec("j-8", protocol.Gang, "urgent", 4, 8)
 	gang.Zone = "b"
 	b.submit(gang)
-	b.scheduler.jobs["j-8"].DisplacedFromZone = "a"
+	b.scheduler.zoneFailover.MarkDisplaced("j-8", "a")
 	before := b.placedAttempts()
 	b.runSeconds(8)
 	if countDecisions[zonefailover.LoanMade](b.decisions) > 0 {
@@ -304,8 +305,8 @@
 		gang := jobSpec("j-8", protocol.Gang, "urgent", 1, 8)
 		gang.Zone, gang.Team = "b", "blue"
 		b.submit(gang)
-		b.scheduler.jobs["j-8"].DisplacedFromZone = "a"
-		b.scheduler.zoneFailover.monitor.Restore(zonefailover.Zone{Name: "a", State: zonefailover.Lost, Since: b.now})
+		b.scheduler.zoneFailover.Monitor().Restore(zonefailover.Zone{Name: "a", State: zonefailover.Lost, Since: b.now})
+		b.scheduler.zoneFailover.MarkDisplaced("j-8", "a")
 		b.runSeconds(5)
 		if got := countDecisions[zonefailover.LoanMade](b.decisions) > 0; got != row.lends {
 			t.Errorf(
--- a/internal/coordination/zonefailover/lenders.go
+++ b/internal/coordination/zonefailover/lenders.go
@@ -35,6 +35,12 @@
 	DisturbanceCost float64
 }
 
+// InZone returns the request limited to one zone.
+func (r CapacityRequest) InZone(zone string) CapacityRequest {
+	r.MaxPerZone = map[string]int{zone: r.MaxPerZone[zone]}
+	return r
+}
+
 // Pick is a machine that is to take one of the tasks.
 type Pick struct{ Machine, Zone string }
 
--- /dev/null
+++ b/internal/coordination/zonefailover/loans.go
@@ -0,0 +1,114 @@
+package zonefailover
+
+import (
+	"time"
+
+	"pinebay/internal/config"
+	"pinebay/internal/coordination/machineregistry"
+)
+
+// writeOffCancelTimes is after how many times the longest time that a cancellation may take a loan is written off.
+const writeOffCancelTimes = 20
+
+// LenderState is the current state of a task whose capacity is or may be lent.
+type LenderState struct {
+	// Ended says that the task is done, or that its job is.
+	Ended bool
+	// Placement is the task's current placement, or nil.
+	Placement *machineregistry.Placement
+}
+
+// Lend opens the loans of a choice to a displaced job. The lenders are preempted only once the loans are recorded:
+// should the leader fail in between, the next one finds who was to lend to whom. All loans are opened or, with an
+// error, none.
+func (m *Manager) Lend(now time.Duration, borrower string, lenders []TaskAttempt, limits RecordLimits) error {
+	writeOff := config.Seconds(writeOffCancelTimes * m.options.Settings.Workers.CancelSeconds)
+	var loans []Loan
+	for _, lender := range lenders {
+		placement := m.options.Jobs.Lender(lender).Placement
+		m.lastLoanNumber++
+		loans = append(loans, Loan{
+			Term:        m.options.Term,
+			Number:      m.lastLoanNumber,
+			Lender:      lender,
+			Borrower:    borrower,
+			Machine:     placement.Machine,
+			Zone:        m.displacedJobs[borrower],
+			LostSeconds: lostWorkSeconds(now, placement),
+			CreatedMS:   m.wallClockMS(now),
+			ExpiresMS:   m.wallClockMS(now + writeOff),
+		})
+	}
+	return m.OpenLoans(limits, loans...)
+}
+
+// OpenLoans opens loans, all or none, and has them recorded.
+func (m *Manager) OpenLoans(limits RecordLimits, loans ...Loan) error {
+	if err := m.ledger.Open(loans...); err != nil {
+		return err
+	}
+	for _, loan := range loans {
+		m.awaitingPreemption[loan.Lender] = true
+		m.loansByJob[loan.Lender.Job]++
+		m.records.addLoan(loan.Lender, limits.LoansPerPage)
+		m.decide(LoanMade{Loan: loan})
+	}
+	return nil
+}
+
+// AwaitsPreemption reports whether the lender of a loan made in this term has not been preempted yet.
+func (m *Manager) AwaitsPreemption(lender TaskAttempt) bool { return m.awaitingPreemption[lender] }
+
+// ClaimPreemption reports whether the lender of a recorded loan is to be preempted now. It is true once for a loan.
+func (m *Manager) ClaimPreemption(lender TaskAttempt) bool {
+	if !m.awaitingPreemption[lender] {
+		return false
+	}
+	delete(m.awaitingPreemption, lender)
+	return true
+}
+
+// CloseFinishedLoans closes the loans that have ended.
+func (m *Manager) CloseFinishedLoans(now time.Duration) {
+	for _, loan := range m.ledger.Loans() {
+		if outcome := m.outcomeOf(now, loan); outcome != "" {
+			m.CloseLoan(loan, outcome)
+		}
+	}
+}
+
+// CloseLoan closes an open loan with an outcome.
+func (m *Manager) CloseLoan(loan Loan, outcome LoanOutcome) {
+	m.ledger.Close(loan.Lender)
+	delete(m.awaitingPreemption, loan.Lender)
+	m.records.removeLoan(loan.Lender)
+	m.decide(LoanEnded{Loan: loan, Outcome: outcome})
+}
+
+// outcomeOf returns how a loan has ended, or "" while it is open.
+func (m *Manager) outcomeOf(now time.Duration, loan Loan) LoanOutcome {
+	lender := m.options.Jobs.Lender(loan.Lender)
+	if lender.Ended {
+		return LenderEnded
+	}
+	placement := lender.Placement
+	lends := placement != nil && placement.Attempt == loan.Lender.Attempt
+	switch {
+	case placement != nil && !lends && placement.StartAllowed:
+		return Repaid
+	case lends && !placement.Stopping && !m.awaitingPreemption[loan.Lender]:
+		return LenderNotPreempted
+	case m.wallClockMS(now) > loan.ExpiresMS:
+		return WrittenOff
+	}
+	return ""
+}
+
+// lostWorkSeconds is the work that a placement loses when it is preempted, in seconds.
+func lostWorkSeconds(now time.Duration, placement *machineregistry.Placement) float64 {
+	ran := (now - placement.StateSince).Seconds()
+	if placement.Job != nil && placement.Job.CheckpointIntervalSeconds > 0 {
+		return min(placement.Job.SaveSeconds, ran)
+	}
+	return ran
+}
--- /dev/null
+++ b/internal/coordination/zonefailover/zonestates.go
@@ -0,0 +1,132 @@
+package zonefailover
+
+import (
+	"maps"
+	"time"
+
+	"pinebay/internal/config"
+	"pinebay/internal/coordination/autoscaler"
+	"pinebay/internal/coordination/machineregistry"
+)
+
+const (
+	// retainLostZoneLeases is for how many leases machines of a lost zone are kept whose work has no room elsewhere:
+	// they still have its images when the zone comes back.
+	retainLostZoneLeases = 12
+	// probeLostZoneLeases is after how many leases machines are rented in a lost zone one at a time, if work waits
+	// that can run nowhere else. Nothing would be heard of a zone without machines again.
+	probeLostZoneLeases = 2
+)
+
+// UpdateZones derives the zones' states from the machines' heartbeats. It returns the zones that have begun to
+// return, whose machines should be probed at once.
+func (m *Manager) UpdateZones(now time.Duration) (returning []string) {
+	for _, change := range m.monitor.Observe(now, m.observeZones(now)) {
+		m.decide(ZoneChanged{Change: change})
+		m.MarkZoneStatesChanged()
+		switch change.To {
+		case Lost:
+			m.decide(RecoveryOrderInEffect{Order: m.order.String(), ZoneCount: len(m.options.Zones)})
+		case Returning:
+			returning = append(returning, change.Zone)
+		case Available:
+			maps.DeleteFunc(m.departedMachines, func(_, zone string) bool { return zone == change.Zone })
+		}
+	}
+	return returning
+}
+
+// observeZones counts the machines of each zone by how long ago they were heard.
+func (m *Manager) observeZones(now time.Duration) []Observation {
+	var observations []Observation
+	index := map[string]int{}
+	for _, zone := range m.monitor.Zones() {
+		index[zone.Name] = len(observations)
+		observations = append(observations, Observation{Zone: zone.Name})
+	}
+	for _, zone := range m.departedMachines {
+		observations[index[zone]].Departed++
+	}
+	silenceTimeout, leaseLifetime := m.options.Machines.SilenceTimeout(), m.MaxLeaseLifetime()
+	m.options.Machines.Each(func(machine *machineregistry.Machine) {
+		i, ok := index[machine.Zone]
+		if !ok || machine.Terminating {
+			return
+		}
+		o := &observations[i]
+		if !machine.Registered && machine.PlacementCount() == 0 {
+			o.Booting++
+			return
+		}
+		o.Machines++
+		switch silence := now - machine.LastHeartbeat; {
+		case machine.Registered && silence <= silenceTimeout:
+			o.Reachable++
+		case silence > leaseLifetime:
+			o.Silent++
+			o.LeaseExpired++
+		case silence > silenceTimeout:
+			o.Silent++
+		}
+	})
+	return observations
+}
+
+// MaxLeaseLifetime is the silence after which no lease on a machine can still be renewed: a controller that renews
+// leases without the leader's knowledge stops within half a lease, and the last lease then takes its time to expire.
+func (m *Manager) MaxLeaseLifetime() time.Duration {
+	workers := m.options.Settings.Workers
+	return config.Seconds(workers.LeaseSeconds*3/2 + workers.HeartbeatSeconds)
+}
+
+// ZonePolicies returns how the autoscaler must treat the zones that are not available.
+func (m *Manager) ZonePolicies(now time.Duration) map[string]autoscaler.ZonePolicy {
+	policies := map[string]autoscaler.ZonePolicy{}
+	lease := config.Seconds(m.options.Settings.Workers.LeaseSeconds)
+	for _, zone := range m.monitor.Zones() {
+		switch zone.State {
+		case Suspected:
+			policies[zone.Name] = autoscaler.ZonePolicy{
+				NoScaleOut:     true,
+				NoFencingUntil: zone.Since + 2*m.MaxLeaseLifetime(),
+			}
+		case Lost:
+			policies[zone.Name] = lostZonePolicy(now, zone, lease)
+		case Returning:
+			// Until a machine there is heard, one at a time shows whether others would be.
+			policies[zone.Name] = autoscaler.ZonePolicy{
+				ProbeOnly:      zone.Evidence.Reachable == 0,
+				NoFencingUntil: zone.Since + lease,
+			}
+		}
+	}
+	return policies
+}
+
+// lostZonePolicy is the policy of a lost zone. Where machines are cut off, new ones would not be heard either, and
+// are tried one at a time. Where all machines have failed, new ones are of use as soon as the cloud has some.
+func lostZonePolicy(now time.Duration, zone Zone, lease time.Duration) autoscaler.ZonePolicy {
+	if zone.Evidence.Machines == 0 && zone.Evidence.Departed > 0 {
+		return autoscaler.ZonePolicy{}
+	}
+	probe := now-zone.Since > probeLostZoneLeases*lease
+	return autoscaler.ZonePolicy{
+		NoScaleOut:     !probe,
+		ProbeOnly:      probe,
+		IgnoreSilent:   true,
+		NoFencingUntil: zone.Since + retainLostZoneLeases*lease,
+	}
+}
+
+// NoteDepartedMachine notes that a machine has failed or has left the cloud's list by itself. It counts as evidence
+// while its zone is not available. It does nothing for a nil Manager.
+func (m *Manager) NoteDepartedMachine(name string) {
+	if m == nil {
+		return
+	}
+	machine := m.options.Machines.Machine(name)
+	if machine == nil || m.monitor.State(machine.Zone) == Available {
+		return
+	}
+	m.departedMachines[name] = machine.Zone
+}
