--- a/internal/simulation/agent.go
+++ b/internal/simulation/agent.go
@@ -12,56 +12,54 @@
 	"pinebay/internal/transport"
 )
 
-// minChangeInterval is the least time between two reports because of a change, and maxRedirectDelay
-// the longest that a worker waits before it follows a redirect, both by the protocol.
 const (
+	// minChangeInterval is the minimum time between two heartbeats if the second is sent because of a change.
 	minChangeInterval = 500 * time.Millisecond
-	maxRedirectDelay  = 500 * time.Millisecond
-	// resumeDelay lets a machine that no longer hangs see first whether its lease is over.
+	// maxRedirectDelay is the maximum time until a worker follows a redirect.
+	maxRedirectDelay = 500 * time.Millisecond
+	// resumeDelay lets a machine that no longer hangs notice first whether its lease has expired.
 	resumeDelay = 60 * time.Millisecond
 )
 
-// Controller names a controller and where workers and users reach it.
+// Controller is the name of a controller and the address at which workers and users reach it.
 type Controller struct{ Name, Addr string }
 
-// Environment is what the workers and users of a simulation share.
+// Environment is what the workers of a simulation share.
 type Environment struct {
 	Lock              sync.Locker // guards the world
 	Now               func() time.Duration
 	Random            *random.Source
 	Controllers       []Controller
-	HeartbeatInterval time.Duration // between two reports
-	// OnError is told of what no worker should ever see.
+	HeartbeatInterval time.Duration
+	// OnError is called for responses that no controller should ever send.
 	OnError func(error)
 }
 
-// Agent is the process of a worker: it reports to the controllers and takes their commands
-// as the protocol says, for a worker that is a model.
+// Agent is the process of a worker: it sends heartbeats and executes commands, for a machine that is a model.
 type Agent struct {
 	*Environment
 	Worker *Worker
 	Addr   string
 	Client *transport.Client
-	// HeartbeatsLost says that no report reaches a controller; it is read with the lock held.
+	// HeartbeatsLost says that no heartbeat reaches a controller. It is guarded by Lock.
 	HeartbeatsLost bool
-	// OnHeartbeat, if set, sees every report that is sent, with the lock held, and OnReply
-	// how long the answer took.
+	// OnHeartbeat, if set, is called with Lock held for each heartbeat that is sent.
 	OnHeartbeat func(*protocol.WorkerHeartbeat)
-	OnReply     func(took time.Duration, status int)
-	// OnTaskStatus, if set, hears everything that the worker is about to say of its tasks, with the
-	// lock held.
+	// OnReply, if set, is called for each reply with the time that it took.
+	OnReply func(took time.Duration, status int)
+	// OnTaskStatus, if set, is called with Lock held before any status of the tasks is sent.
 	OnTaskStatus func(*protocol.WorkerHeartbeat)
 
 	ctx    context.Context
 	cancel context.CancelFunc
-	resume chan struct{}
-	wake   chan struct{}
+	resume chan struct{} // closed when the machine no longer hangs
+	wake   chan struct{} // has an element when something has changed
 }
 
-// NewAgent returns an agent that runs until the context ends or it is stopped.
-func NewAgent(ctx context.Context, s *Environment, w *Worker, addr string, client *transport.Client) *Agent {
+// NewAgent returns an agent, which ends with ctx or Stop.
+func NewAgent(ctx context.Context, env *Environment, w *Worker, addr string, client *transport.Client) *Agent {
 	a := &Agent{
-		Environment: s,
+		Environment: env,
 		Worker:      w,
 		Addr:        addr,
 		Client:      client,
@@ -86,19 +84,18 @@
 	}
 }
 
-// Hang makes the machine execute nothing until Resume; the lock is held.
+// Hang makes the machine execute nothing until Resume. The caller holds Lock.
 func (a *Agent) Hang() { a.Worker.Hung = true }
 
-// Resume ends what Hang began; the lock is held. Commands that were held up arrive within
-// the grace.
+// Resume ends what Hang began. Commands that were delayed by it arrive within the grace period. The caller holds Lock.
 func (a *Agent) Resume(grace time.Duration) {
 	a.Worker.Hung, a.Worker.ExcusedUntil = false, a.Now()+grace
 	close(a.resume)
 	a.resume = make(chan struct{})
 }
 
-// waitUntilAwake waits until the machine does not hang, and returns with the lock held, or false
-// without it. What waits for that, for different purposes, goes on one after the other.
+// waitUntilAwake waits until the machine does not hang. It returns true with Lock held, or false without it if the
+// agent has ended. Activities with different purposes resume one after the other.
 func (a *Agent) waitUntilAwake(purpose string) bool {
 	for {
 		a.Lock.Lock()
@@ -116,7 +113,7 @@
 	}
 }
 
-// pause waits for a time, and says whether the agent still runs.
+// pause waits, and reports whether the agent still runs.
 func (a *Agent) pause(d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -128,7 +125,7 @@
 	}
 }
 
-// ServeHTTP takes direct commands.
+// ServeHTTP executes requests that are sent to the worker's address.
 func (a *Agent) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	raw, err := io.ReadAll(r.Body)
 	if err != nil || !a.waitUntilAwake(r.URL.Path+string(raw)) {
@@ -139,39 +136,39 @@
 	writeResponse(w, status, body)
 }
 
-// handleRequest carries out a request; the lock is held.
+// handleRequest executes a request. The caller holds Lock.
 func (a *Agent) handleRequest(path string, raw []byte) (int, any) {
 	if path == "/inspect" {
 		return http.StatusOK, a.nextHeartbeat()
 	}
-	var orders protocol.CommandBatch
-	if err := protocol.Decode(raw, &orders); err != nil {
-		return http.StatusBadRequest, protocol.ErrorResponse{Error: err.Error()}
+	var batch protocol.CommandBatch
+	if err := protocol.Decode(raw, &batch); err != nil {
+		return badRequest(err)
 	}
-	report, ok := a.Worker.HandleCommands(a.Now(), orders)
-	report.Addr = a.Addr
-	a.notifyTaskStatus(report)
+	heartbeat, ok := a.Worker.HandleCommands(a.Now(), batch)
+	heartbeat.Addr = a.Addr
+	a.notifyTaskStatus(heartbeat)
 	if !ok {
-		return http.StatusConflict, report
+		return http.StatusConflict, heartbeat
 	}
-	return http.StatusOK, report
+	return http.StatusOK, heartbeat
 }
 
-// nextHeartbeat returns the next report; the lock is held.
+// nextHeartbeat returns the next heartbeat. The caller holds Lock.
 func (a *Agent) nextHeartbeat() *protocol.WorkerHeartbeat {
-	r := a.Worker.NextHeartbeat()
-	r.Addr = a.Addr
-	a.notifyTaskStatus(r)
-	return r
+	heartbeat := a.Worker.NextHeartbeat()
+	heartbeat.Addr = a.Addr
+	a.notifyTaskStatus(heartbeat)
+	return heartbeat
 }
 
-func (a *Agent) notifyTaskStatus(r *protocol.WorkerHeartbeat) {
+func (a *Agent) notifyTaskStatus(heartbeat *protocol.WorkerHeartbeat) {
 	if a.OnTaskStatus != nil {
-		a.OnTaskStatus(r)
+		a.OnTaskStatus(heartbeat)
 	}
 }
 
-// Run reports until the agent is stopped, to the controller with that number first.
+// Run sends heartbeats until the agent ends, first to the controller with the given index.
 func (a *Agent) Run(at int) {
 	for a.ctx.Err() == nil {
 		a.waitForHeartbeat()
@@ -184,7 +181,7 @@
 	}
 }
 
-// waitForHeartbeat waits until a report is due: by its time, or because something has changed.
+// waitForHeartbeat waits until a heartbeat is due, because of the time or of a change.
 func (a *Agent) waitForHeartbeat() {
 	due := a.HeartbeatInterval*3/4 + a.Random.UpTo("report "+a.Worker.Name, a.HeartbeatInterval/2)
 	timer := time.NewTimer(due)
@@ -209,30 +206,24 @@
 	}
 }
 
-// sendHeartbeat sends a report to a controller, and returns the one to report to next, and
-// whether that one was named by the answer: then the worker goes there without waiting
-// for its next report.
+// sendHeartbeat sends a heartbeat to a controller. It returns the controller for the next one, and whether the reply
+// named that controller: then the worker does not wait until its next heartbeat is due.
 func (a *Agent) sendHeartbeat(at int) (next int, redirected bool) {
 	if !a.waitUntilAwake("report") {
 		return at, false
 	}
-	report := a.nextHeartbeat()
-	sent, session, mute := a.Now(), a.Worker.Incarnation, a.HeartbeatsLost
+	heartbeat := a.nextHeartbeat()
+	sent, incarnation, lost := a.Now(), a.Worker.Incarnation, a.HeartbeatsLost
 	if a.OnHeartbeat != nil {
-		a.OnHeartbeat(report)
+		a.OnHeartbeat(heartbeat)
 	}
 	a.Lock.Unlock()
-	if mute {
+	if lost {
 		a.pause(protocol.HeartbeatTimeout)
 		return a.nextController(at), false
 	}
-	status, raw, err := a.Client.Do(
-		a.ctx,
-		protocol.HeartbeatTimeout,
-		http.MethodPost,
-		"http://"+a.Controllers[at].Addr+"/v1/report",
-		report,
-	)
+	url := "http://" + a.Controllers[at].Addr + "/v1/report"
+	status, raw, err := a.Client.Do(a.ctx, protocol.HeartbeatTimeout, http.MethodPost, url, heartbeat)
 	if err != nil {
 		return a.nextController(at), false
 	}
@@ -241,7 +232,7 @@
 	}
 	switch status {
 	case http.StatusOK:
-		a.handleReply(raw, sent, session)
+		a.handleReply(raw, sent, incarnation)
 		return at, false
 	case http.StatusMisdirectedRequest:
 		if to, ok := a.redirectTarget(raw); ok && to != at {
@@ -251,16 +242,16 @@
 	return a.nextController(at), false
 }
 
-// nextController is the controller to go on to, after a pause.
+// nextController pauses, and returns the controller after the given one.
 func (a *Agent) nextController(at int) int {
 	a.pause(protocol.HeartbeatRetryDelay)
 	return (at + 1) % len(a.Controllers)
 }
 
-// handleReply takes in a controller's answer.
-func (a *Agent) handleReply(raw []byte, sent time.Duration, session uint64) {
-	var answer protocol.WorkerHeartbeatReply
-	if err := protocol.Decode(raw, &answer); err != nil {
+// handleReply executes the reply to a heartbeat that was sent at the given time by the given incarnation.
+func (a *Agent) handleReply(raw []byte, sent time.Duration, incarnation uint64) {
+	var reply protocol.WorkerHeartbeatReply
+	if err := protocol.Decode(raw, &reply); err != nil {
 		a.OnError(err)
 		return
 	}
@@ -272,19 +263,19 @@
 		return
 	}
 	old := a.Worker.FencingToken
-	a.Worker.HandleReply(a.Now(), sent, session, answer)
+	a.Worker.HandleReply(a.Now(), sent, incarnation, reply)
 	a.Worker.Changed = a.Worker.Changed || a.Worker.FencingToken != old
 }
 
-// redirectTarget returns the controller that an answer names.
+// redirectTarget returns the controller that a reply names.
 func (a *Agent) redirectTarget(raw []byte) (int, bool) {
-	var to protocol.Redirect
-	if err := protocol.Decode(raw, &to); err != nil {
+	var redirect protocol.Redirect
+	if err := protocol.Decode(raw, &redirect); err != nil {
 		a.OnError(err)
 		return 0, false
 	}
 	for i, c := range a.Controllers {
-		if c.Name == to.Leader {
+		if c.Name == redirect.Leader {
 			return i, true
 		}
 	}
--- a/internal/simulation/cloud.go
+++ b/internal/simulation/cloud.go
@@ -12,18 +12,19 @@
 	"pinebay/internal/protocol"
 )
 
-// Cloud rents out machines. All its functions are called with its lock held.
+// Cloud is a model of the cloud. Its methods, ServeHTTP aside, are called with its lock held, and it calls its
+// functions with the lock held.
 type Cloud struct {
 	Types []protocol.MachineType
-	// ListLag is by how much its list is late.
+	// ListLag is the time by which the list of machines is late.
 	ListLag time.Duration
-	// Capacity is how many machines a rental gets.
+	// Capacity returns the number of machines that a rental gets.
 	Capacity func(protocol.Rental) int
-	// BootTime is how long a machine takes to come up.
+	// BootTime returns the time until a machine is up.
 	BootTime func(name string) time.Duration
-	// Address is where the worker of the machine with that number listens.
+	// Address returns the address of the worker on the machine with the given number.
 	Address func(number int) string
-	// StartWorker brings up a machine's worker, and Down ends it.
+	// StartWorker is called when a machine is up, and StopWorker when it is gone.
 	StartWorker func(protocol.ListedMachine)
 	StopWorker  func(name string)
 
@@ -31,11 +32,11 @@
 	now      func() time.Duration
 	machines []*rentedMachine // in the order of their names
 	byName   map[string]*rentedMachine
-	requests map[string][]string // names by request
+	requests map[string][]string // names of the machines, by the id of the request
 	closed   bool
 }
 
-// rentedMachine is a machine that was rented at some time.
+// rentedMachine is a machine that is or was rented.
 type rentedMachine struct {
 	protocol.ListedMachine
 	rentedAt time.Duration
@@ -49,10 +50,10 @@
 	return &Cloud{lock: lock, now: now, byName: map[string]*rentedMachine{}, requests: map[string][]string{}}
 }
 
-// Close brings up no further machine.
+// Close makes sure that no further machine comes up.
 func (c *Cloud) Close() { c.closed = true }
 
-// Count returns the machines that are there, of one zone or of all.
+// Count returns the number of machines in a zone, or in all zones if zone is empty.
 func (c *Cloud) Count(zone string) int {
 	n := 0
 	for _, m := range c.byName {
@@ -63,7 +64,7 @@
 	return n
 }
 
-// ServeHTTP speaks the cloud's protocol.
+// ServeHTTP serves the cloud's interface.
 func (c *Cloud) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	raw, err := io.ReadAll(r.Body)
 	if err != nil {
@@ -82,33 +83,41 @@
 	case r.URL.Path == "/machines" && r.Method == http.MethodGet:
 		return http.StatusOK, c.list(r.URL.Query().Get("from"), r.URL.Query().Get("limit"))
 	case r.URL.Path == "/machines":
-		var q protocol.Rental
-		if err := protocol.Decode(raw, &q); err != nil {
-			return http.StatusBadRequest, protocol.ErrorResponse{Error: err.Error()}
-		}
-		names := c.rent(q)
-		if len(names) == 0 {
-			return http.StatusServiceUnavailable, protocol.ErrorResponse{Error: "no capacity"}
-		}
-		return http.StatusOK, protocol.MachineNames{Machines: names}
+		return c.handleRental(raw)
 	case r.URL.Path == "/machines/release":
-		var q protocol.MachineNames
-		if err := protocol.Decode(raw, &q); err != nil {
-			return http.StatusBadRequest, protocol.ErrorResponse{Error: err.Error()}
-		}
-		for _, name := range q.Machines {
-			c.Remove(name)
-		}
-		return http.StatusOK, protocol.MachineNames{Machines: q.Machines}
+		return c.handleRelease(raw)
 	}
 	return http.StatusNotFound, protocol.ErrorResponse{Error: "no such path"}
 }
 
-// list returns a page of the list as it was Lag ago.
+func (c *Cloud) handleRental(raw []byte) (int, any) {
+	var rental protocol.Rental
+	if err := protocol.Decode(raw, &rental); err != nil {
+		return badRequest(err)
+	}
+	names := c.rent(rental)
+	if len(names) == 0 {
+		return http.StatusServiceUnavailable, protocol.ErrorResponse{Error: "no capacity"}
+	}
+	return http.StatusOK, protocol.MachineNames{Machines: names}
+}
+
+func (c *Cloud) handleRelease(raw []byte) (int, any) {
+	var release protocol.MachineNames
+	if err := protocol.Decode(raw, &release); err != nil {
+		return badRequest(err)
+	}
+	for _, name := range release.Machines {
+		c.Remove(name)
+	}
+	return http.StatusOK, protocol.MachineNames{Machines: release.Machines}
+}
+
+// list returns a page of the list as it was ListLag ago.
 func (c *Cloud) list(from, limit string) (page protocol.MachineList) {
-	most := protocol.MaxMachinesPerPage
+	maxMachines := protocol.MaxMachinesPerPage
 	if n, err := strconv.Atoi(limit); err == nil {
-		most = min(most, n)
+		maxMachines = min(maxMachines, n)
 	}
 	now := c.now()
 	first := sort.Search(len(c.machines), func(i int) bool { return c.machines[i].Name > from })
@@ -116,29 +125,34 @@
 		if now-m.rentedAt < c.ListLag || m.gone && now-m.goneAt > c.ListLag {
 			continue
 		}
-		if len(page.Machines) >= most {
+		if len(page.Machines) >= maxMachines {
 			page.More = true
 			return page
 		}
-		listed := m.ListedMachine
-		listed.State = protocol.MachineStarting
-		if m.up || m.gone {
-			listed.State = protocol.MachineRunning
-		}
-		listed.AgeSeconds = (now - m.rentedAt).Seconds()
-		page.Machines = append(page.Machines, listed)
+		page.Machines = append(page.Machines, m.listed(now))
 	}
 	return page
 }
 
-// rent carries out a rental once, however often it is asked for.
-func (c *Cloud) rent(q protocol.Rental) []string {
-	if names, ok := c.requests[q.RequestID]; ok {
+// listed returns the machine as the list has it.
+func (m *rentedMachine) listed(now time.Duration) protocol.ListedMachine {
+	listed := m.ListedMachine
+	listed.State = protocol.MachineStarting
+	if m.up || m.gone {
+		listed.State = protocol.MachineRunning
+	}
+	listed.AgeSeconds = (now - m.rentedAt).Seconds()
+	return listed
+}
+
+// rent rents machines. A repeated request gets the machines of the first one.
+func (c *Cloud) rent(rental protocol.Rental) []string {
+	if names, ok := c.requests[rental.RequestID]; ok {
 		return names
 	}
 	var names []string
-	for range min(c.Capacity(q), q.Count) {
-		m := c.add(q.MachineType, q.Zone, q.Spot)
+	for range min(c.Capacity(rental), rental.Count) {
+		m := c.add(rental.MachineType, rental.Zone, rental.Spot)
 		names = append(names, m.Name)
 		time.AfterFunc(c.BootTime(m.Name), func() {
 			c.lock.Lock()
@@ -147,23 +161,30 @@
 		})
 	}
 	if len(names) > 0 {
-		c.requests[q.RequestID] = names
+		c.requests[rental.RequestID] = names
 	}
 	return names
 }
 
-// Start brings up a machine that was there before anybody rented one.
-func (c *Cloud) Start(kind, zone string, spot bool) {
-	m := c.add(kind, zone, spot)
-	m.rentedAt -= c.ListLag // it is listed already
+// Start adds a machine that is up and listed, without a rental.
+func (c *Cloud) Start(machineType, zone string, spot bool) {
+	m := c.add(machineType, zone, spot)
+	m.rentedAt -= c.ListLag
 	c.bringUp(m)
 }
 
-func (c *Cloud) add(kind, zone string, spot bool) *rentedMachine {
+func (c *Cloud) add(machineType, zone string, spot bool) *rentedMachine {
 	number := len(c.machines) + 1
-	m := &rentedMachine{rentedAt: c.now(), ListedMachine: protocol.ListedMachine{
-		Name: fmt.Sprintf("host-%06d", number), Addr: c.Address(number), Type: kind, Zone: zone, Spot: spot,
-	}}
+	m := &rentedMachine{
+		rentedAt: c.now(),
+		ListedMachine: protocol.ListedMachine{
+			Name: fmt.Sprintf("host-%06d", number),
+			Addr: c.Address(number),
+			Type: machineType,
+			Zone: zone,
+			Spot: spot,
+		},
+	}
 	c.machines = append(c.machines, m)
 	c.byName[m.Name] = m
 	return m
@@ -177,7 +198,7 @@
 	c.StartWorker(m.ListedMachine)
 }
 
-// Remove takes a machine away.
+// Remove takes a machine away, if it is there.
 func (c *Cloud) Remove(name string) {
 	m := c.byName[name]
 	if m == nil || m.gone {
@@ -188,13 +209,3 @@
 		c.StopWorker(name)
 	}
 }
-
-// writeResponse sends a message as a response.
-func writeResponse(w http.ResponseWriter, status int, body any) {
-	raw, err := protocol.Encode(body)
-	if err != nil {
-		status = http.StatusInternalServerError
-	}
-	w.WriteHeader(status)
-	_, _ = w.Write(raw) // a client that is gone asks again
-}
--- a/internal/simulation/failoveroracle.go
+++ b/internal/simulation/failoveroracle.go
@@ -2,33 +2,34 @@
 
 import (
 	"fmt"
+	"maps"
 
 	"pinebay/internal/coordination/machineregistry"
 	"pinebay/internal/storage"
 )
 
-// FreeMachine is what is free on a machine.
+// FreeMachine is the free capacity of a machine.
 type FreeMachine struct {
 	Zone string
 	Free machineregistry.Resources
 }
 
-// WaitingJob is a job in the order of return.
+// WaitingJob is a job that waits for capacity after the failure of a zone.
 type WaitingJob struct {
 	ID                      string
-	Position, PriorityLevel int
+	Position, PriorityLevel int // in the recovery order
 	Resources               machineregistry.Resources
-	// Tasks must be placed together; 1 for a job whose tasks start one by one.
+	// Tasks is the number of tasks that must be placed together, and 1 if they start one by one.
 	Tasks int
-	// SameZone says that they must be in one zone.
+	// SameZone says that all tasks must be in one zone.
 	SameZone bool
-	// MaxPerZone is how many tasks of it each zone may still take.
+	// MaxPerZone is the number of tasks that may still be placed in each zone.
 	MaxPerZone map[string]int
-	// ExcludedMachines are machines that must not have it, as an earlier attempt of it was there.
+	// ExcludedMachines must not get the job, because of an earlier attempt of it there.
 	ExcludedMachines map[string]bool
 }
 
-// before says whether a job comes before another in the order of return.
+// before reports whether a job comes before another one in the recovery order.
 func (j WaitingJob) before(o WaitingJob) bool {
 	if j.Position != o.Position {
 		return j.Position < o.Position
@@ -40,86 +41,90 @@
 type PlacedTask struct {
 	Job     WaitingJob
 	Machine string
-	// WithinQuota: its team runs it within its guarantee, and so waits for nobody.
+	// WithinQuota says that the task is within the guaranteed quota of its team, and so need not wait for other jobs.
 	WithinQuota bool
 }
 
-// RecoveryOrderOracle checks that work returns in the order that was stated: nothing starts in room
-// that a job before it could take.
+// RecoveryOrderOracle checks that jobs are restarted in the recovery order: no task is placed in capacity that a job
+// before it could use.
 type RecoveryOrderOracle struct{ Violations []string }
 
-// CheckCycle checks one scheduling cycle: what was placed, which jobs still wait, and the room that
-// is free after it.
-func (o *RecoveryOrderOracle) CheckCycle(starts []PlacedTask, waiting []WaitingJob, rooms map[string]FreeMachine) {
-	for _, w := range waiting {
-		free := map[string]FreeMachine{}
-		for name, room := range rooms {
-			free[name] = room
-		}
-		taken := ""
-		for _, s := range starts {
-			if room, ok := free[s.Machine]; ok && w.before(s.Job) && !s.WithinQuota {
-				room.Free = room.Free.Plus(s.Job.Resources)
-				free[s.Machine] = room
-				taken = s.Job.ID
+// CheckCycle checks one scheduling cycle: the tasks that were placed, the jobs that still wait, and the capacity that
+// is free after the cycle.
+func (o *RecoveryOrderOracle) CheckCycle(placed []PlacedTask, waiting []WaitingJob, machines map[string]FreeMachine) {
+	for _, job := range waiting {
+		before := maps.Clone(machines) // without the tasks that should have waited
+		usedBy := ""
+		for _, task := range placed {
+			if machine, ok := before[task.Machine]; ok && job.before(task.Job) && !task.WithinQuota {
+				machine.Free = machine.Free.Plus(task.Job.Resources)
+				before[task.Machine] = machine
+				usedBy = task.Job.ID
 			}
 		}
-		if taken != "" && w.fits(free) && !w.fits(rooms) {
-			o.Violations = append(o.Violations, fmt.Sprintf("%s waits, and %s was placed in its room", w.ID, taken))
+		if usedBy != "" && job.fits(before) && !job.fits(machines) {
+			o.Violations = append(o.Violations, fmt.Sprintf("%s waits, and %s was placed in its room", job.ID, usedBy))
 		}
 	}
 }
 
-// fits says whether the job's tasks fit into the rooms.
-func (j WaitingJob) fits(rooms map[string]FreeMachine) bool {
+// fits reports whether the job's tasks fit on the machines.
+func (j WaitingJob) fits(machines map[string]FreeMachine) bool {
 	perZone := map[string]int{}
-	for name, room := range rooms {
-		free := room.Free
-		for !j.ExcludedMachines[name] && j.Resources.Fits(free) && perZone[room.Zone] < min(j.MaxPerZone[room.Zone], j.Tasks) {
+	for name, machine := range machines {
+		if j.ExcludedMachines[name] {
+			continue
+		}
+		free, limit := machine.Free, min(j.MaxPerZone[machine.Zone], j.Tasks)
+		for j.Resources.Fits(free) && perZone[machine.Zone] < limit {
 			free = free.Minus(j.Resources)
-			perZone[room.Zone]++
+			perZone[machine.Zone]++
 		}
 	}
-	all := 0
+	total := 0
 	for _, n := range perZone {
 		if j.SameZone && n >= j.Tasks {
 			return true
 		}
-		all += n
+		total += n
 	}
-	return !j.SameZone && all >= j.Tasks
+	return !j.SameZone && total >= j.Tasks
 }
 
-// LenderObservation is what the rules on lending ask of a lender, when a loan of it is first seen.
+// LenderObservation is what is known of a lender when a loan of it is first recorded.
 type LenderObservation struct {
-	LenderLevel, BorrowerLevel int
-	// ProtectedByQuota: its team runs the lender's task within its guarantee.
+	LenderLevel, BorrowerLevel int // priority levels
+	// ProtectedByQuota says that the lender's task is within the guaranteed quota of its team.
 	ProtectedByQuota bool
 }
 
-// LoanOracle checks the records of loans: nothing is lent twice, nobody lends who must not,
-// and every loan ends.
+// LoanOracle checks the records of loans: no task attempt is lent twice, no protected lender lends, and every loan
+// ends.
 type LoanOracle struct {
 	Violations    []string
 	LoanCount     int
-	LostSeconds   float64 // work that lenders lost, in seconds
+	LostSeconds   float64 // of work that lenders lost
 	open          map[taskAttempt]storage.LoanRow
-	firstRecorded map[taskAttempt][2]uint64
+	firstRecorded map[taskAttempt]loanNumber
 }
 
+// loanNumber identifies a loan by the term of its leader and its number within the term.
+type loanNumber [2]uint64
+
+// taskAttempt identifies an attempt of a lender's task.
 type taskAttempt struct {
 	job     string
 	task    int
 	attempt uint64
 }
 
-// NewLoanOracle returns an oracle that has seen nothing.
+// NewLoanOracle returns an oracle that has seen no records.
 func NewLoanOracle() *LoanOracle {
-	return &LoanOracle{open: map[taskAttempt]storage.LoanRow{}, firstRecorded: map[taskAttempt][2]uint64{}}
+	return &LoanOracle{open: map[taskAttempt]storage.LoanRow{}, firstRecorded: map[taskAttempt]loanNumber{}}
 }
 
-// CheckRecords takes in all loans that are recorded now. facts tells of the lender of a new one.
-func (o *LoanOracle) CheckRecords(rows []storage.LoanRow, facts func(storage.LoanRow) LenderObservation) {
+// CheckRecords checks all loans that are recorded now. observe returns what is known of the lender of a new loan.
+func (o *LoanOracle) CheckRecords(rows []storage.LoanRow, observe func(storage.LoanRow) LenderObservation) {
 	now := map[taskAttempt]storage.LoanRow{}
 	for _, row := range rows {
 		task := taskAttempt{row.Lender, row.Task, row.Attempt}
@@ -127,7 +132,7 @@
 			o.addViolation("lent twice at a time: %+v", row)
 		}
 		now[task] = row
-		number := [2]uint64{row.Term, row.Number}
+		number := loanNumber{row.Term, row.Number}
 		if known, ok := o.firstRecorded[task]; ok {
 			o.checkRepeatedLoan(row, known, task)
 			if known == number {
@@ -137,19 +142,19 @@
 		o.firstRecorded[task] = number
 		o.LoanCount++
 		o.LostSeconds += row.LostSeconds
-		if f := facts(row); f.LenderLevel <= f.BorrowerLevel || f.LenderLevel == 0 || f.ProtectedByQuota {
-			o.addViolation("a protected lender: %+v, %+v", row, f)
+		lender := observe(row)
+		if lender.LenderLevel <= lender.BorrowerLevel || lender.LenderLevel == 0 || lender.ProtectedByQuota {
+			o.addViolation("a protected lender: %+v, %+v", row, lender)
 		}
 	}
 	o.open = now
 }
 
-// checkRepeatedLoan checks a loan of an attempt that has lent before. Only a leader of a later term may lend
-// it again, when the earlier one ended before it took the loan: what was taken is stopped, and
-// its attempt never runs again.
-func (o *LoanOracle) checkRepeatedLoan(row storage.LoanRow, known [2]uint64, task taskAttempt) {
+// checkRepeatedLoan checks a loan of an attempt that has lent before. Only a leader of a later term may lend it again,
+// if the earlier leader ended before it used the loan: otherwise the attempt was stopped, and never runs again.
+func (o *LoanOracle) checkRepeatedLoan(row storage.LoanRow, known loanNumber, task taskAttempt) {
 	_, open := o.open[task]
-	switch same := known == [2]uint64{row.Term, row.Number}; {
+	switch same := known == (loanNumber{row.Term, row.Number}); {
 	case same && !open:
 		o.addViolation("opened again after its end: %+v", row)
 	case !same && row.Term <= known[0]:
@@ -157,7 +162,7 @@
 	}
 }
 
-// CheckAllClosed demands that all loans have ended.
+// CheckAllClosed checks that all loans have ended.
 func (o *LoanOracle) CheckAllClosed() {
 	for _, row := range o.open {
 		o.addViolation("never closed: %+v", row)
--- a/internal/simulation/mirrored.go
+++ b/internal/simulation/mirrored.go
@@ -6,30 +6,29 @@
 	"pinebay/internal/protocol"
 )
 
-// AddMirrored brings up a machine whose worker runs in a process of its own. It tells what
-// becomes of its tasks before any controller hears of it, so that the rules are checked
-// for them as for all others.
-func (w *World) AddMirrored(now time.Duration, name, zone string, kind *protocol.MachineType) *Worker {
-	m := w.AddMachine(now, name, zone, false, kind, 0)
+// AddMirrored adds a machine whose worker runs in another process. That process passes the status of its tasks to
+// ApplyHeartbeat before any controller gets it, so that the rules are checked for them too.
+func (w *World) AddMirrored(now time.Duration, name, zone string, machineType *protocol.MachineType) *Worker {
+	m := w.AddMachine(now, name, zone, false, machineType, 0)
 	m.mirrored = true
 	w.schedule(m)
 	return m
 }
 
-// ApplyHeartbeat takes in what a worker in a process of its own says of its tasks.
-func (w *World) ApplyHeartbeat(now time.Duration, r *protocol.WorkerHeartbeat) {
-	m := w.Workers[r.Machine]
+// ApplyHeartbeat applies the status of the tasks of a mirrored worker.
+func (w *World) ApplyHeartbeat(now time.Duration, heartbeat *protocol.WorkerHeartbeat) {
+	m := w.Workers[heartbeat.Machine]
 	if m == nil || !m.mirrored {
 		return
 	}
 	listed := map[protocol.TaskID]bool{}
-	for i := range r.Tasks {
-		id, err := protocol.ParseTaskID(r.Tasks[i].TaskName)
+	for i := range heartbeat.Tasks {
+		id, err := protocol.ParseTaskID(heartbeat.Tasks[i].TaskName)
 		if err != nil {
 			continue
 		}
 		listed[id] = true
-		m.applyTaskStatus(now, id, &r.Tasks[i])
+		m.applyTaskStatus(now, id, &heartbeat.Tasks[i])
 	}
 	for _, t := range m.sortedTasks() {
 		if !listed[t.ID] {
@@ -39,27 +38,27 @@
 	}
 }
 
-// applyTaskStatus takes in what has become of a task.
-func (m *Worker) applyTaskStatus(now time.Duration, id protocol.TaskID, said *protocol.TaskStatus) {
+// applyTaskStatus applies the status of a task.
+func (m *Worker) applyTaskStatus(now time.Duration, id protocol.TaskID, status *protocol.TaskStatus) {
 	w := m.World
 	j := w.Jobs[id.JobID]
 	if j == nil {
-		return // it was refused for that
+		return // its start was refused for that reason
 	}
 	t := m.Tasks[id]
-	if t == nil || t.Attempt != said.Attempt {
+	if t == nil || t.Attempt != status.Attempt {
 		if t != nil {
 			m.setTaskState(t, protocol.TaskExited)
 		}
-		t = &Task{ID: id, Attempt: said.Attempt, State: protocol.TaskFetching, Since: now, worker: m}
+		t = &Task{ID: id, Attempt: status.Attempt, State: protocol.TaskFetching, Since: now, worker: m}
 		m.Tasks[id] = t
 	}
-	after := Task{State: said.State}
+	after := Task{State: status.State}
 	if !t.OnMachine() && after.OnMachine() {
 		w.checkStart(now, m, t, j)
 	}
-	m.setTaskState(t, said.State)
-	if said.State == protocol.TaskExited && said.Cause == protocol.CauseDone {
+	m.setTaskState(t, status.State)
+	if status.State == protocol.TaskExited && status.Cause == protocol.CauseDone {
 		w.recordCompletion(now, id)
 	}
 }
--- a/internal/simulation/occupancy.go
+++ b/internal/simulation/occupancy.go
@@ -7,20 +7,21 @@
 	"pinebay/internal/protocol"
 )
 
-// occupancy counts the tasks that are on machines, so that a rule is checked without
-// walking all machines.
+// occupancy counts the tasks that are on machines, so that a rule is checked without iterating over all machines.
 type occupancy struct {
 	tasks map[protocol.TaskID]int       // attempts of a task
 	zones map[string]map[string]int     // tasks of a job, by zone
-	teams map[string]*teamUsage         // what the tasks of a team take
-	gangs map[gangAttempt]map[int]*Task // those that wait for each other or run, by number
+	teams map[string]*teamUsage         // resources of the tasks of a team
+	gangs map[gangAttempt]map[int]*Task // tasks that wait for each other or run, by index
 }
 
+// teamUsage is what the tasks of a team on machines use.
 type teamUsage struct {
 	tasks  int
 	amount [2]float64 // CPUs and GPUs
 }
 
+// gangAttempt identifies the tasks of a gang that run together.
 type gangAttempt struct {
 	job     string
 	attempt uint64
@@ -28,12 +29,14 @@
 
 func newOccupancy() occupancy {
 	return occupancy{
-		tasks: map[protocol.TaskID]int{}, zones: map[string]map[string]int{}, teams: map[string]*teamUsage{},
+		tasks: map[protocol.TaskID]int{},
+		zones: map[string]map[string]int{},
+		teams: map[string]*teamUsage{},
 		gangs: map[gangAttempt]map[int]*Task{},
 	}
 }
 
-// usage returns the CPUs and GPUs that a team's tasks take.
+// usage returns the CPUs and GPUs that a team's tasks use.
 func (o *occupancy) usage(team string) [2]float64 {
 	if u := o.teams[team]; u != nil {
 		return u.amount
@@ -58,7 +61,7 @@
 	u.amount[1] += j.GPUs
 }
 
-// remove takes a task off the counts.
+// remove ends the count of a task.
 func (o *occupancy) remove(id protocol.TaskID, j *protocol.Job, zone string) {
 	if o.tasks[id]--; o.tasks[id] == 0 {
 		delete(o.tasks, id)
@@ -88,7 +91,7 @@
 	o.gangs[key][t.ID.Index] = t
 }
 
-// leaveGang takes a task off its gang.
+// leaveGang ends the count of a task of a gang.
 func (o *occupancy) leaveGang(t *Task) {
 	key := gangAttempt{t.ID.JobID, t.Attempt}
 	if o.gangs[key][t.ID.Index] == t {
@@ -109,7 +112,7 @@
 	return tasks
 }
 
-// gangComplete says whether all tasks of a gang's attempt wait for each other or run.
+// gangComplete reports whether all tasks of a gang's attempt wait for each other or run.
 func (o *occupancy) gangComplete(j *protocol.Job, attempt uint64) bool {
 	return len(o.gangs[gangAttempt{j.ID, attempt}]) == j.TaskCount
 }
--- a/internal/simulation/store_http.go
+++ b/internal/simulation/store_http.go
@@ -11,21 +11,23 @@
 	"pinebay/internal/protocol"
 )
 
-// Limits of a page of keys, by the protocol.
+// Limits of a page of keys.
 const (
 	maxPageItems = 1000
 	maxPageBytes = 512 << 10
 )
 
-// ServeHTTP speaks the state service's protocol.
+const noSuchLease = "no such lease"
+
+// ServeHTTP serves the interface of the key-value store.
 func (s *Store) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	host := HostOf(r.RemoteAddr)
 	if !s.serves(host) {
-		writeResponse(w, http.StatusServiceUnavailable, protocol.ErrorResponse{Error: "down"})
+		writeError(w, http.StatusServiceUnavailable, "down")
 		return
 	}
 	if !s.admitRequest() {
-		writeResponse(w, http.StatusTooManyRequests, protocol.ErrorResponse{Error: "too many requests"})
+		writeError(w, http.StatusTooManyRequests, "too many requests")
 		return
 	}
 	body, err := io.ReadAll(r.Body)
@@ -38,7 +40,7 @@
 	case strings.HasPrefix(path, "/kv/"):
 		s.serveGet(w, strings.TrimPrefix(path, "/kv/"))
 	case path == "/multi":
-		s.serveTransaction(w, r, host, body)
+		s.serveTxn(w, r, host, body)
 	case path == "/grants":
 		s.serveGrant(w, body)
 	case path == "/changes":
@@ -46,144 +48,143 @@
 	case strings.HasPrefix(path, "/grants/"):
 		s.serveLease(w, strings.TrimPrefix(path, "/grants/"))
 	default:
-		writeResponse(w, http.StatusNotFound, protocol.ErrorResponse{Error: "no such path"})
+		writeError(w, http.StatusNotFound, "no such path")
 	}
 }
 
-func (s *Store) serveList(w http.ResponseWriter, q url.Values) {
-	most := maxPageItems
-	if n, err := strconv.Atoi(q.Get("limit")); err == nil {
-		most = min(most, n)
+func (s *Store) serveList(w http.ResponseWriter, query url.Values) {
+	maxItems := maxPageItems
+	if n, err := strconv.Atoi(query.Get("limit")); err == nil {
+		maxItems = min(maxItems, n)
 	}
-	pairs, more, rev := s.page(q.Get("prefix"), q.Get("from"), most, maxPageBytes)
-	writeResponse(w, http.StatusOK, protocol.KeyValuePage{Items: pairs, More: more, Revision: rev})
+	writeResponse(w, http.StatusOK, s.page(query.Get("prefix"), query.Get("from"), maxItems, maxPageBytes))
 }
 
 func (s *Store) serveGet(w http.ResponseWriter, key string) {
-	p := s.Get(key)
-	if p.Revision == 0 {
+	pair := s.Get(key)
+	if pair.Revision == 0 {
 		writeResponse(w, http.StatusNotFound, protocol.KeyValuePage{})
 		return
 	}
-	writeResponse(w, http.StatusOK, p)
+	writeResponse(w, http.StatusOK, pair)
 }
 
-// serveTransaction carries out a transaction, unless its fate is another one.
-func (s *Store) serveTransaction(w http.ResponseWriter, r *http.Request, host string, body []byte) {
-	var t protocol.Txn
-	if err := protocol.Decode(body, &t); err != nil {
-		writeResponse(w, http.StatusBadRequest, protocol.ErrorResponse{Error: err.Error()})
-		return
-	}
-	if !s.wellFormed(&t) {
-		writeResponse(w, http.StatusBadRequest, protocol.ErrorResponse{Error: "over a limit"})
+// serveTxn applies a transaction, unless another outcome was set for it.
+func (s *Store) serveTxn(w http.ResponseWriter, r *http.Request, host string, body []byte) {
+	var txn protocol.Txn
+	if err := protocol.Decode(body, &txn); err != nil {
+		writeError(w, http.StatusBadRequest, err.Error())
 		return
 	}
-	if !s.admitWrites(len(t.Then)) {
-		writeResponse(w, http.StatusTooManyRequests, protocol.ErrorResponse{Error: "too many writes"})
+	if !s.withinSize(&txn) {
+		writeError(w, http.StatusBadRequest, "over a limit")
 		return
 	}
-	fate := Outcome{Reply: true}
-	s.mu.Lock()
-	decide := s.decideOutcome
-	s.mu.Unlock()
-	if decide != nil {
-		fate = decide(host, &t)
-	}
-	if fate.Rejected {
-		writeResponse(w, http.StatusBadRequest, protocol.ErrorResponse{Error: "malformed"})
+	if !s.admitWrites(len(txn.Then)) {
+		writeError(w, http.StatusTooManyRequests, "too many writes")
 		return
 	}
-	if !fate.Reply {
-		if fate.Delay > 0 {
-			time.AfterFunc(fate.Delay, func() { s.Txn(t) })
-		} else {
-			s.Txn(t)
-		}
+	outcome := s.outcomeOf(host, &txn)
+	switch {
+	case outcome.Rejected:
+		writeError(w, http.StatusBadRequest, "malformed")
+	case !outcome.Reply:
+		s.applyWithoutReply(txn, outcome.Delay)
 		<-r.Context().Done()
+	default:
+		s.applyWithReply(w, txn, outcome.Delay)
+	}
+}
+
+// applyWithoutReply applies a transaction after a delay.
+func (s *Store) applyWithoutReply(txn protocol.Txn, delay time.Duration) {
+	if delay > 0 {
+		time.AfterFunc(delay, func() { s.Txn(txn) })
 		return
 	}
-	rev, failed, noLease := s.Txn(t)
-	if fate.Delay > 0 {
-		time.Sleep(fate.Delay)
+	s.Txn(txn)
+}
+
+// applyWithReply applies a transaction at once, and replies after a delay.
+func (s *Store) applyWithReply(w http.ResponseWriter, txn protocol.Txn, delay time.Duration) {
+	revision, failed, noLease := s.Txn(txn)
+	if delay > 0 {
+		time.Sleep(delay)
 	}
 	switch {
 	case noLease:
-		writeResponse(w, http.StatusBadRequest, protocol.ErrorResponse{Error: "no such lease"})
+		writeError(w, http.StatusBadRequest, noSuchLease)
 	case len(failed) > 0:
-		writeResponse(w, http.StatusConflict, protocol.TxnResult{Revision: rev, FailedKeys: failed})
+		writeResponse(w, http.StatusConflict, protocol.TxnResult{Revision: revision, FailedKeys: failed})
 	default:
-		writeResponse(w, http.StatusOK, protocol.TxnResult{Revision: rev})
+		writeResponse(w, http.StatusOK, protocol.TxnResult{Revision: revision})
 	}
 }
 
 func (s *Store) serveGrant(w http.ResponseWriter, body []byte) {
-	var l protocol.LeaseRequest
-	if err := protocol.Decode(body, &l); err != nil {
-		writeResponse(w, http.StatusBadRequest, protocol.ErrorResponse{Error: err.Error()})
+	var request protocol.LeaseRequest
+	if err := protocol.Decode(body, &request); err != nil {
+		writeError(w, http.StatusBadRequest, err.Error())
 		return
 	}
-	writeResponse(
-		w,
-		http.StatusOK,
-		protocol.LeaseResult{LeaseID: s.GrantLease(time.Duration(l.TTLMS) * time.Millisecond)},
-	)
+	id := s.GrantLease(time.Duration(request.TTLMS) * time.Millisecond)
+	writeResponse(w, http.StatusOK, protocol.LeaseResult{LeaseID: id})
 }
 
 func (s *Store) serveLease(w http.ResponseWriter, path string) {
-	num, extend := strings.CutSuffix(path, "/extend")
-	id, err := strconv.ParseUint(num, 10, 64)
+	number, extend := strings.CutSuffix(path, "/extend")
+	id, err := strconv.ParseUint(number, 10, 64)
 	if err != nil || !s.renewLease(id, extend) {
-		writeResponse(w, http.StatusNotFound, protocol.ErrorResponse{Error: "no such lease"})
+		writeError(w, http.StatusNotFound, noSuchLease)
 		return
 	}
 	writeResponse(w, http.StatusOK, protocol.LeaseResult{LeaseID: id})
 }
 
 func (s *Store) serveWatch(w http.ResponseWriter, r *http.Request, host string) {
-	q := r.URL.Query()
-	rev, err := strconv.ParseUint(q.Get("from"), 10, 64)
+	query := r.URL.Query()
+	from, err := strconv.ParseUint(query.Get("from"), 10, 64)
 	if err != nil {
-		writeResponse(w, http.StatusBadRequest, protocol.ErrorResponse{Error: err.Error()})
+		writeError(w, http.StatusBadRequest, err.Error())
 		return
 	}
-	if s.compacted(rev) {
-		writeResponse(w, http.StatusGone, protocol.ErrorResponse{Error: "too old"})
+	if s.compacted(from) {
+		writeError(w, http.StatusGone, "too old")
 		return
 	}
-	block, err := strconv.Atoi(q.Get("block_ms"))
+	blockMS, err := strconv.Atoi(query.Get("block_ms"))
 	if err != nil {
-		block = 0
+		blockMS = 0
 	}
-	events, now := s.waitForChanges(r, host, q.Get("prefix"), rev, time.Duration(block)*time.Millisecond)
-	writeResponse(w, http.StatusOK, protocol.WatchResponse{Revision: now, Events: events})
+	block := time.Duration(blockMS) * time.Millisecond
+	writeResponse(w, http.StatusOK, s.waitForChanges(r, host, query.Get("prefix"), from, block))
 }
 
-// waitForChanges is a watch: it ends when something has changed or the time is up, and stays
-// open while the host is not served.
+// waitForChanges returns the changes after a revision when there are any, or when the time is up. While the host is not
+// served, the watch stays open.
 func (s *Store) waitForChanges(
 	r *http.Request,
 	host, prefix string,
-	rev uint64,
+	from uint64,
 	block time.Duration,
-) ([]protocol.WatchEvent, uint64) {
-	end := time.NewTimer(block)
-	defer end.Stop()
-	over := block == 0
+) protocol.WatchResponse {
+	timer := time.NewTimer(block)
+	defer timer.Stop()
+	timeUp := block == 0
 	for {
 		s.mu.Lock()
-		bell := s.changed
+		changed := s.changed
 		s.mu.Unlock()
-		ev, now := s.ChangesSince(prefix, rev)
-		if (len(ev) > 0 || over) && s.serves(host) {
-			return ev, now
+		events, revision := s.ChangesSince(prefix, from)
+		if (len(events) > 0 || timeUp) && s.serves(host) {
+			return protocol.WatchResponse{Revision: revision, Events: events}
 		}
 		select {
-		case <-bell:
-		case <-end.C:
-			over = true
+		case <-changed:
+		case <-timer.C:
+			timeUp = true
 		case <-r.Context().Done():
-			return nil, now
+			return protocol.WatchResponse{Revision: revision}
 		}
 	}
 }
--- a/internal/simulation/user.go
+++ b/internal/simulation/user.go
@@ -9,37 +9,37 @@
 	"pinebay/internal/transport"
 )
 
-// How long users wait for responses, by the protocol.
+// How long users wait for responses.
 const (
 	queryTimeout  = 2 * time.Second
 	submitTimeout = 5 * time.Second
 )
 
-// UserClient sends users' requests; the ledger hears every answer.
+// UserClient sends users' requests, and has every answer checked.
 type UserClient struct {
 	Client  *transport.Client
 	Checker *AnswerChecker
 	Now     func() time.Duration
-	// OnReply, if set, is told how long every answer took.
+	// OnAnswer, if set, is called for each answer with the time that it took.
 	OnAnswer func(kind string, took time.Duration, status int)
-	// OnError is told of answers that are out of form.
+	// OnError is called for malformed answers.
 	OnError func(error)
 }
 
-// Request sends a request about a job to a controller's address, with the job itself if it
-// is a submission. A status of 0 means that no answer came.
+// Request sends a request about a job to a controller's address. A submission needs the job itself. The status is 0 if
+// there was no answer.
 func (u *UserClient) Request(ctx context.Context, addr, kind, id string, job *protocol.Job) (int, protocol.JobStatus) {
-	method, path, patience := http.MethodGet, "/submissions/"+id, queryTimeout
+	method, path, timeout := http.MethodGet, "/submissions/"+id, queryTimeout
 	var body any
 	switch kind {
 	case RequestSubmit:
-		method, path, patience, body = http.MethodPost, "/submissions", submitTimeout, job
+		method, path, timeout, body = http.MethodPost, "/submissions", submitTimeout, job
 	case RequestCancel:
-		method, path, patience = http.MethodPost, path+"/withdraw", submitTimeout
+		method, path, timeout = http.MethodPost, path+"/withdraw", submitTimeout
 	}
 	u.Checker.RecordRequest(kind, id)
 	sent := u.Now()
-	status, raw, err := u.Client.Do(ctx, patience, method, "http://"+addr+path, body)
+	status, raw, err := u.Client.Do(ctx, timeout, method, "http://"+addr+path, body)
 	if err != nil {
 		return 0, protocol.JobStatus{}
 	}
@@ -47,12 +47,12 @@
 	if u.OnAnswer != nil {
 		u.OnAnswer(kind, now-sent, status)
 	}
-	var st protocol.JobStatus
+	var answer protocol.JobStatus
 	if status < http.StatusMultipleChoices {
-		if err := protocol.Decode(raw, &st); err != nil {
+		if err := protocol.Decode(raw, &answer); err != nil {
 			u.OnError(err)
 		}
 	}
-	u.Checker.RecordAnswer(kind, id, sent, now, status, st)
-	return status, st
+	u.Checker.RecordAnswer(kind, id, sent, now, status, answer)
+	return status, answer
 }
--- a/internal/simulation/world.go
+++ b/internal/simulation/world.go
@@ -1,7 +1,6 @@
 package simulation
 
 import (
-	"fmt"
 	"sort"
 	"time"
 
@@ -10,39 +9,40 @@
 	"pinebay/internal/protocol"
 )
 
-// World is what the workers share: jobs and their gangs, and the watch over
-// the protocol's rules. Its methods and those of its workers are called by one
-// goroutine at a time. What a step costs grows with the tasks of the workers on
-// which something is due, not with the number of workers.
+// World is what workers share: jobs and gangs, and the check of the protocol's rules. Its methods and those of its
+// workers are called by one goroutine at a time. The cost of a step grows with the tasks of the workers on which
+// something is due, not with the number of workers.
 type World struct {
 	Jobs    map[string]*protocol.Job
 	Workers map[string]*Worker
 	Done    map[protocol.TaskID]bool
-	DoneAt  map[string]time.Duration // when a task of a job last completed
-	// Cancelled says when users were told that their jobs are cancelled.
+	DoneAt  map[string]time.Duration // when the last task of a job completed
+	// Cancelled has the times at which users were told that their jobs are cancelled.
 	Cancelled     map[string]time.Duration
 	CancelTimeout time.Duration
-	TeamLimits    map[string][2]float64 // CPUs and GPUs of a team, 0: none
+	TeamLimits    map[string][2]float64 // CPUs and GPUs of a team; 0: no limit
 	FetchTime     time.Duration
 	RunTime       time.Duration
-	RunTimes      map[string]time.Duration // of jobs that take another time
-	// RunTimeOf, if set, says how long a task runs, in place of the two before.
+	RunTimes      map[string]time.Duration // of jobs with another run time
+	// RunTimeOf, if set, returns the run time of a task, instead of RunTime and RunTimes.
 	RunTimeOf func(protocol.TaskID) time.Duration
-	Starts    int
-	// LateStarts counts commands to start that were executed after the cancellation
-	// was confirmed, on machines to which nothing was held up since.
+	// Starts is the number of tasks that got onto a machine.
+	Starts int
+	// LateStarts is the number of commands to start a task that were executed after the cancellation of its job was
+	// confirmed, on machines to which no command was delayed since.
 	LateStarts int
-	// CommandTransitTime is how long the news of a cancellation to a slow controller, and then its
-	// last command to a worker, take together: such a start was still in flight.
+	// CommandTransitTime is how long a command may be under way after the cancellation of its job: the time of the news
+	// to a slow controller, and of its last command to a worker.
 	CommandTransitTime time.Duration
-	// LookupJob, if set, finds a job that is not among Jobs.
+	// LookupJob, if set, returns a job that is not among Jobs, or nil.
 	LookupJob func(id string) *protocol.Job
-	// OnStart, if set, is told of every task that gets past its fetch.
-	OnStart    func(now time.Duration, id protocol.TaskID)
+	// OnStart, if set, is called for each task that gets onto a machine.
+	OnStart func(now time.Duration, id protocol.TaskID)
+	// Violations are the rules that were broken so far.
 	Violations []string
 
 	occupied occupancy
-	agenda   *btree.BTreeG[*Worker] // by when something is due, then by name
+	agenda   *btree.BTreeG[*Worker] // by nextDueAt, then by name
 }
 
 // NewWorld returns a world without machines or jobs.
@@ -63,6 +63,7 @@
 	}
 }
 
+// lessByDueTime orders workers by when something is due on them.
 func lessByDueTime(a, b *Worker) bool {
 	if a.nextDueAt != b.nextDueAt {
 		return a.nextDueAt < b.nextDueAt
@@ -70,21 +71,25 @@
 	return a.Name < b.Name
 }
 
-func (w *World) addViolation(format string, args ...any) {
-	w.Violations = append(w.Violations, fmt.Sprintf(format, args...))
-}
-
-// AddMachine brings up a machine.
+// AddMachine adds a machine that is up.
 func (w *World) AddMachine(
 	now time.Duration,
 	name, zone string,
 	spot bool,
-	kind *protocol.MachineType,
+	machineType *protocol.MachineType,
 	lease time.Duration,
 ) *Worker {
 	m := &Worker{
-		Name: name, Type: kind.Name, Zone: zone, Spot: spot, Capacity: [3]float64{kind.CPUs, kind.GPUs, kind.MemoryGB},
-		Incarnation: 1, Tasks: map[protocol.TaskID]*Task{}, LeaseTimeout: lease, answeredSentAt: now, World: w,
+		Name:           name,
+		Type:           machineType.Name,
+		Zone:           zone,
+		Spot:           spot,
+		Capacity:       [3]float64{machineType.CPUs, machineType.GPUs, machineType.MemoryGB},
+		Incarnation:    1,
+		Tasks:          map[protocol.TaskID]*Task{},
+		LeaseTimeout:   lease,
+		World:          w,
+		answeredSentAt: now,
 	}
 	w.Workers[name] = m
 	w.schedule(m)
@@ -102,7 +107,7 @@
 	return j
 }
 
-// RemoveMachine takes a machine away with everything on it.
+// RemoveMachine removes a machine with everything on it.
 func (w *World) RemoveMachine(name string) {
 	m := w.Workers[name]
 	if m == nil {
@@ -113,10 +118,10 @@
 	delete(w.Workers, name)
 }
 
-// schedule enters a worker by when it must be looked at next.
+// schedule updates when something is due on a worker.
 func (w *World) schedule(m *Worker) {
 	if w.Workers[m.Name] != m {
-		return // it was taken away, whatever still arrives for it
+		return // the machine was removed; requests to it may still arrive
 	}
 	w.agenda.Delete(m)
 	m.nextDueAt = m.nextDue()
@@ -141,7 +146,7 @@
 	w.checkCancelled(now)
 }
 
-// runTime is how long a task runs: those of a job end one after the other.
+// runTime returns the run time of a task. The tasks of a job with a run time of its own end one after the other.
 func (w *World) runTime(id protocol.TaskID) time.Duration {
 	if w.RunTimeOf != nil {
 		return w.RunTimeOf(id)
@@ -152,65 +157,24 @@
 	return w.RunTime
 }
 
+// finishGang ends the tasks of a gang that is done.
 func (w *World) finishGang(now time.Duration, job string, attempt uint64) {
 	for _, t := range w.occupied.gang(job, attempt) {
 		t.worker.exit(now, t, protocol.CauseDone)
 	}
 }
 
+// sortedWorkers returns the workers in the order of their names.
 func (w *World) sortedWorkers() []*Worker {
-	var ms []*Worker
+	var workers []*Worker
 	for _, m := range w.Workers {
-		ms = append(ms, m)
+		workers = append(workers, m)
 	}
-	sort.Slice(ms, func(i, j int) bool { return ms[i].Name < ms[j].Name })
-	return ms
+	sort.Slice(workers, func(i, j int) bool { return workers[i].Name < workers[j].Name })
+	return workers
 }
 
-// checkStart checks the rules for a task that gets onto its machine.
-func (w *World) checkStart(now time.Duration, m *Worker, t *Task, j *protocol.Job) {
-	w.Starts++
-	for _, need := range j.Dependencies {
-		if !w.allTasksDone(need) {
-			w.addViolation("too_early: %s started before %s was done", t.ID, need)
-		}
-	}
-	if w.OnStart != nil {
-		w.OnStart(now, t.ID)
-	}
-	if at, ok := w.Cancelled[j.ID]; ok && now > at+w.CancelTimeout {
-		w.addViolation("ran_cancelled: %s started %v after its cancellation", t.ID, now-at)
-	}
-	if m.Spot && !j.SpotAllowed || j.Zone != "" && j.Zone != m.Zone {
-		w.addViolation("wrong_place: %s on %s", t.ID, m.Name)
-	}
-	if w.occupied.tasks[t.ID] > 0 {
-		w.addViolation("ran_twice: %s on %s and elsewhere", t.ID, m.Name)
-	}
-	others := w.occupied.zones[j.ID]
-	elsewhere := 0
-	for zone, n := range others {
-		if zone != m.Zone {
-			elsewhere += n
-		}
-	}
-	if j.SameZone && elsewhere > 0 {
-		w.addViolation("wrong_place: %s is in several zones", j.ID)
-	}
-	if here := others[m.Zone] + 1; j.Spread && here > (j.TaskCount+1)/2 {
-		w.addViolation("wrong_place: %s has %d tasks in %s", j.ID, here, m.Zone)
-	}
-	used := w.occupied.usage(j.Team)
-	used[0] += j.CPUs
-	used[1] += j.GPUs
-	for i, most := range w.TeamLimits[j.Team] {
-		if most > 0 && used[i] > most+1e-6 {
-			w.addViolation("quota: %s uses %v of %v", j.Team, used[i], most)
-		}
-	}
-}
-
-// recordCompletion notes that a task has completed.
+// recordCompletion records that a task has completed.
 func (w *World) recordCompletion(now time.Duration, id protocol.TaskID) {
 	if !w.Done[id] {
 		w.Done[id] = true
@@ -218,15 +182,15 @@
 	}
 }
 
-// UnblockedAt returns when the last of the jobs that a job awaits was done, or false if it awaits none.
+// UnblockedAt returns when the last dependency of a job was done, or false if the job has none.
 func (w *World) UnblockedAt(j *protocol.Job) (at time.Duration, ok bool) {
-	for _, need := range j.Dependencies {
-		at = max(at, w.DoneAt[need])
+	for _, dependency := range j.Dependencies {
+		at = max(at, w.DoneAt[dependency])
 	}
 	return at, len(j.Dependencies) > 0
 }
 
-// allTasksDone says whether all tasks of a job have completed.
+// allTasksDone reports whether all tasks of a job have completed.
 func (w *World) allTasksDone(id string) bool {
 	j := w.job(id)
 	if j == nil {
@@ -240,22 +204,7 @@
 	return true
 }
 
-func (w *World) checkCancelled(now time.Duration) {
-	for id, at := range w.Cancelled {
-		if now <= at+w.CancelTimeout || len(w.occupied.zones[id]) == 0 {
-			continue
-		}
-		for _, m := range w.Workers {
-			for _, t := range m.Tasks {
-				if t.ID.JobID == id && t.OnMachine() {
-					w.addViolation("ran_cancelled: %s is on %s %v after", t.ID, m.Name, now-at)
-				}
-			}
-		}
-	}
-}
-
-// TasksOnMachines counts the tasks that are on machines.
+// TasksOnMachines returns the number of tasks that are on machines.
 func (w *World) TasksOnMachines() int {
 	n := 0
 	for _, u := range w.occupied.teams {
