--- a/internal/coordination/cancellation/exchange_test.go
+++ b/internal/coordination/cancellation/exchange_test.go
@@ -19,6 +19,8 @@
 	limit int // of intents that a log holds
 	logs  map[string]*IntentLog
 	sent  []protocol.PeerMessage // some that may be delivered again
+	// held is when each running process received the intents that it holds or has let expire.
+	held map[string]map[protocol.CancellationIntent]time.Duration
 }
 
 // otherOf names the other controller of a pair.
@@ -28,6 +30,22 @@
 func (p *lossyPair) start(name string) {
 	peers := []string{otherOf[name]}
 	p.logs[name] = New(random.NewSystemSeeded(), peers, testRetention, p.now+testRecovery, p.limit)
+	p.held[name] = map[protocol.CancellationIntent]time.Duration{}
+}
+
+// noteHeld notes which intents the processes have received by now.
+func (p *lossyPair) noteHeld() {
+	for name, log := range p.logs {
+		for _, e := range log.entries {
+			p.held[name][e.CancellationIntent] = e.receivedAt
+		}
+	}
+}
+
+// letExpire says whether a process received an intent so long ago that it may have dropped it.
+func (p *lossyPair) letExpire(name string, intent protocol.CancellationIntent) bool {
+	at, received := p.held[name][intent]
+	return received && p.now-at >= testRetention
 }
 
 // message returns a message to the other controller, for the given incarnation of that.
@@ -64,7 +82,8 @@
 	own, other := p.logs[name], p.logs[otherOf[name]]
 	if result.Complete {
 		for _, e := range other.entries {
-			if p.now-e.receivedAt <= testRetention && !own.known[e.CancellationIntent] {
+			expired := p.now-e.receivedAt > testRetention || p.letExpire(name, e.CancellationIntent)
+			if !expired && !own.known[e.CancellationIntent] {
 				p.t.Fatalf("%s is complete without %v", name, e.CancellationIntent)
 			}
 		}
@@ -74,7 +93,7 @@
 	}
 	held := own.peers[otherOf[name]].confirmedHeld
 	for i, e := range own.entries {
-		expired := p.now-e.receivedAt >= testRetention
+		expired := p.now-e.receivedAt >= testRetention || p.letExpire(otherOf[name], e.CancellationIntent)
 		if own.expired+uint64(i) < held && !expired && !other.known[e.CancellationIntent] {
 			p.t.Fatalf("%s takes its peer to hold %v: %d", name, e.CancellationIntent, held)
 		}
@@ -100,6 +119,7 @@
 			t:     t,
 			limit: rapid.SampledFrom([]int{4, 400}).Draw(t, "limit"),
 			logs:  map[string]*IntentLog{},
+			held:  map[string]map[protocol.CancellationIntent]time.Duration{},
 		}
 		names := []string{"a", "b"}
 		for _, name := range names {
@@ -133,6 +153,7 @@
 				}
 			}
 			p.checkSizes()
+			p.noteHeld()
 		}
 		for range 2 * (1 + announced/protocol.MaxIntentsPerMessage) {
 			for _, name := range names {
