--- a/internal/coordination/autoscaler/autoscaler.go
+++ b/internal/coordination/autoscaler/autoscaler.go
@@ -68,7 +68,8 @@
 	term           uint64
 	requestSeq     uint64
 
-	list machineList
+	registry *machineregistry.Registry
+	list     machineList
 
 	pendingRentals map[string]pendingRental // by request
 	backoff        map[machinePool]poolBackoff
@@ -86,9 +87,16 @@
 	binBuffer []bin // of the last plan, reused
 }
 
-// New returns the autoscaler of a leader's term.
-func New(term uint64, cloud config.Cloud, workers config.Workers) *Autoscaler {
+// New returns the autoscaler of a leader's term, which adds machines to the registry and reads what
+// else it decides on there.
+func New(
+	term uint64,
+	cloud config.Cloud,
+	workers config.Workers,
+	registry *machineregistry.Registry,
+) *Autoscaler {
 	return &Autoscaler{
+		registry:       registry,
 		cloudSettings:  cloud,
 		workerSettings: workers,
 		term:           term,
@@ -112,21 +120,20 @@
 // requested before the first complete list of the term has arrived.
 func (a *Autoscaler) Plan(
 	now time.Duration,
-	registry *machineregistry.Registry,
 	demands []Demand,
 ) (effects []Effect) {
-	if !a.list.requestInFlight && now-a.list.lastRequest >= a.listInterval(registry.Len()) {
+	if !a.list.requestInFlight && now-a.list.lastRequest >= a.listInterval(a.registry.Len()) {
 		a.list.requestInFlight, a.list.lastRequest = true, now
 		effects = append(effects, ListMachines{})
 	}
-	a.fenceSilent(now, registry)
+	a.fenceSilent(now)
 	var used map[string]bool
 	if a.HasMachineList() {
 		var scaleOuts []Effect
-		scaleOuts, used = a.scaleOut(now, registry, demands)
+		scaleOuts, used = a.scaleOut(now, demands)
 		effects = append(effects, scaleOuts...)
 	}
-	return append(effects, a.scaleIn(now, registry, used)...)
+	return append(effects, a.scaleIn(now, used)...)
 }
 
 // rateSharePerCallKind is the share of the cloud's request rate that each kind of call may take.
--- a/internal/coordination/autoscaler/autoscaler_test.go
+++ b/internal/coordination/autoscaler/autoscaler_test.go
@@ -29,7 +29,7 @@
 func setup() (*Autoscaler, *machineregistry.Registry) {
 	registry := machineregistry.New(3, testWorkerSettings)
 	registry.SetMachineTypes([]protocol.MachineType{testMachineType})
-	scaler := New(3, testCloudSettings, testWorkerSettings)
+	scaler := New(3, testCloudSettings, testWorkerSettings, registry)
 	return scaler, registry
 }
 
@@ -73,31 +73,31 @@
 // TestScaleOutCoversMissingCapacity: nothing is requested before the machine list is known, tasks
 // share machines, requested machines count as capacity, and request identifiers are never reused.
 func TestScaleOutCoversMissingCapacity(t *testing.T) {
-	scaler, registry := setup()
+	scaler, _ := setup()
 	j := &protocol.Job{ID: "j-1", GPUs: 2}
 	want := []Demand{{Job: j, Count: 10}}
-	if got := rentals(scaler.Plan(1*s, registry, want)); got != nil {
+	if got := rentals(scaler.Plan(1*s, want)); got != nil {
 		t.Errorf("before the list: %v", got)
 	}
-	scaler.HandleList(2*s, 1*s, registry, nil)
-	got := rentals(scaler.Plan(2*s, registry, want))
+	scaler.HandleList(2*s, 1*s, nil)
+	got := rentals(scaler.Plan(2*s, want))
 	if n := totalCount(got); n != 3 {
 		t.Errorf("10 tasks of 2 GPUs: %v", got)
 	}
-	if again := rentals(scaler.Plan(3*s, registry, want)); again != nil {
+	if again := rentals(scaler.Plan(3*s, want)); again != nil {
 		t.Errorf("requested twice: %v", again)
 	}
 	for _, r := range got {
-		scaler.HandleScaleOut(3*s, registry, RentalOutcome{RequestID: r.RequestID, RequestedAt: 2 * s, Refused: true})
+		scaler.HandleScaleOut(3*s, RentalOutcome{RequestID: r.RequestID, RequestedAt: 2 * s, Refused: true})
 	}
 	seen := map[string]bool{}
 	for i := range 40 {
-		for _, r := range rentals(scaler.Plan(time.Duration(4+i)*s, registry, want)) {
+		for _, r := range rentals(scaler.Plan(time.Duration(4+i)*s, want)) {
 			if seen[r.RequestID] {
 				t.Errorf("request %s again", r.RequestID)
 			}
 			seen[r.RequestID] = true
-			scaler.HandleScaleOut(time.Duration(4+i)*s, registry, RentalOutcome{RequestID: r.RequestID, Refused: true})
+			scaler.HandleScaleOut(time.Duration(4+i)*s, RentalOutcome{RequestID: r.RequestID, Refused: true})
 		}
 	}
 	if len(seen) < 2 || len(seen) > 30 {
@@ -124,9 +124,9 @@
 		{protocol.Job{GPUs: 8, SpotAllowed: true}, false},
 		{protocol.Job{GPUs: 8, CheckpointIntervalSeconds: 10}, false},
 	} {
-		scaler, registry := setup()
-		scaler.HandleList(1, 0, registry, nil)
-		got := rentals(scaler.Plan(2, registry, []Demand{{Job: &x.job, Count: 1}}))
+		scaler, _ := setup()
+		scaler.HandleList(1, 0, nil)
+		got := rentals(scaler.Plan(2, []Demand{{Job: &x.job, Count: 1}}))
 		if len(got) != 1 || got[0].Spot != x.spot {
 			t.Errorf("%+v: %v", x.job, got)
 		}
@@ -139,15 +139,15 @@
 func TestListProvesOnlyLaterAbsence(t *testing.T) {
 	scaler, registry := setup()
 	m1 := []protocol.ListedMachine{{Name: "m1", Addr: "x", Type: "g8", Zone: "a", State: protocol.MachineRunning}}
-	scaler.HandleList(10*s, 9*s, registry, m1)
-	if gone := scaler.HandleList(19*s, 18*s, registry, nil); gone != nil {
+	scaler.HandleList(10*s, 9*s, m1)
+	if gone := scaler.HandleList(19*s, 18*s, nil); gone != nil {
 		t.Errorf("an old list proved %v", gone)
 	}
 	sendHeartbeat(registry, 25*s, "m1", "a", 1)
-	if gone := scaler.HandleList(30*s, 29*s, registry, nil); gone != nil {
+	if gone := scaler.HandleList(30*s, 29*s, nil); gone != nil {
 		t.Errorf("a machine with heartbeats is gone: %v", gone)
 	}
-	if gone := scaler.HandleList(50*s, 49*s, registry, nil); len(gone) != 1 {
+	if gone := scaler.HandleList(50*s, 49*s, nil); len(gone) != 1 {
 		t.Errorf("missing for good: %v", gone)
 	}
 }
@@ -159,10 +159,9 @@
 	scaler.HandleList(
 		1*s,
 		0,
-		registry,
 		[]protocol.ListedMachine{{Name: "bad", Addr: "x", Type: "g8", Zone: "a", State: protocol.MachineFailed}},
 	)
-	if got := releasedMachines(scaler.Plan(2*s, registry, nil)); len(got) != 1 || got[0] != "bad" {
+	if got := releasedMachines(scaler.Plan(2*s, nil)); len(got) != 1 || got[0] != "bad" {
 		t.Errorf("failed machine: %v", got)
 	}
 	scaler.HandleScaleIn(2*s, []string{"bad"}, true)
@@ -170,17 +169,16 @@
 	scaler.HandleList(
 		3*s,
 		2*s,
-		registry,
 		[]protocol.ListedMachine{{Name: "bad", Type: "g8", Zone: "a", State: protocol.MachineRunning}},
 	)
 	if registry.Machine("bad") != nil {
 		t.Error("an old list brought back a returned machine")
 	}
 	registry.GetOrCreate(3*s, "boot").Type = "g8"
-	if got := releasedMachines(scaler.Plan(100*s, registry, nil)); got != nil {
+	if got := releasedMachines(scaler.Plan(100*s, nil)); got != nil {
 		t.Errorf("still booting: %v", got)
 	}
-	if got := releasedMachines(scaler.Plan(200*s, registry, nil)); len(got) != 1 || got[0] != "boot" {
+	if got := releasedMachines(scaler.Plan(200*s, nil)); len(got) != 1 || got[0] != "boot" {
 		t.Errorf("never came up: %v", got)
 	}
 
@@ -192,7 +190,7 @@
 		{300, 60, 0, 60},
 	} {
 		scaler, registry := setup()
-		scaler.HandleList(1*s, 0, registry, nil)
+		scaler.HandleList(1*s, 0, nil)
 		hear := func(now time.Duration, from int, seq uint64) {
 			for i := from; i < x.machines; i++ {
 				sendHeartbeat(registry, now, fmt.Sprintf("m%03d", i), "a", seq)
@@ -200,11 +198,11 @@
 		}
 		hear(10*s, 0, 1)
 		hear(16*s, x.silent, 2)
-		if got := releasedMachines(scaler.Plan(16*s, registry, nil)); got != nil {
+		if got := releasedMachines(scaler.Plan(16*s, nil)); got != nil {
 			t.Errorf("%d of %d just silent: fenced %v", x.silent, x.machines, got)
 		}
 		hear(18*s, x.silent-x.back, 3)
-		if got := releasedMachines(scaler.Plan(18*s, registry, nil)); len(got) != x.want {
+		if got := releasedMachines(scaler.Plan(18*s, nil)); len(got) != x.want {
 			t.Errorf("%d of %d silent, %d back: fenced %v", x.silent, x.machines, x.back, got)
 		}
 	}
@@ -220,9 +218,10 @@
 		{HeartbeatSeconds: 2.5, LeaseSeconds: 15.25, CancelSeconds: 45},
 		{HeartbeatSeconds: 3, LeaseSeconds: 8, CancelSeconds: 40},
 	} {
-		scaler, registry := New(3, testCloudSettings, w), machineregistry.New(3, w)
+		registry := machineregistry.New(3, w)
+		scaler := New(3, testCloudSettings, w, registry)
 		registry.SetMachineTypes([]protocol.MachineType{testMachineType})
-		scaler.HandleList(1*s, 0, registry, nil)
+		scaler.HandleList(1*s, 0, nil)
 		const n = 200
 		for i := range n {
 			zone, now := "a", 10*s+config.Seconds(1.25*w.HeartbeatSeconds*float64(i)/n)
@@ -235,7 +234,7 @@
 			for i := 0; i < n; i += 2 { // zone b goes on
 				sendHeartbeat(registry, now, fmt.Sprintf("m%03d", i), "b", 2+uint64(now))
 			}
-			for _, name := range releasedMachines(scaler.Plan(now, registry, nil)) {
+			for _, name := range releasedMachines(scaler.Plan(now, nil)) {
 				if registry.Machine(name).Zone == "a" {
 					t.Fatalf(
 						"heartbeat %v s, lease %v s: %s fenced at %v",
@@ -264,7 +263,7 @@
 	t.Helper()
 	scaler, registry := setup()
 	scaler.SetZonePolicies(policies)
-	scaler.HandleList(1*s, 0, registry, nil)
+	scaler.HandleList(1*s, 0, nil)
 	for i := range 9 {
 		sendHeartbeat(registry, 10*s, fmt.Sprintf("m%d", i), "a", 1)
 	}
@@ -279,7 +278,7 @@
 	}
 	pl.FenceAt = 20 * s
 	for now := 11 * s; now < 30*s; now += s {
-		got := releasedMachines(scaler.Plan(now, registry, nil))
+		got := releasedMachines(scaler.Plan(now, nil))
 		if (now < 20*s) != (len(got) == 0) {
 			t.Fatalf("%v returned at %v", got, now)
 		}
@@ -320,7 +319,7 @@
 		{protocol.Gang, 10, true, 1},
 	} {
 		scaler, registry := setup()
-		scaler.HandleList(2*s, 1*s, registry, nil)
+		scaler.HandleList(2*s, 1*s, nil)
 		sendHeartbeat(registry, 2*s, "m1", "a", 1)
 		low := &protocol.Job{
 			ID:                        "j-1",
@@ -342,7 +341,7 @@
 		}
 		high := &protocol.Job{ID: "j-2", Shape: protocol.Service, Priority: "critical", GPUs: 8}
 		if n := totalCount(
-			rentals(scaler.Plan(3*s, registry, []Demand{{Job: high, Count: 1, Headroom: true, MustBeFree: x.quick}})),
+			rentals(scaler.Plan(3*s, []Demand{{Job: high, Count: 1, Headroom: true, MustBeFree: x.quick}})),
 		); n != x.want {
 			t.Errorf("%+v: requested %d", x, n)
 		}
@@ -354,13 +353,13 @@
 // in such a moment.
 func TestSilentHeadroomStays(t *testing.T) {
 	scaler, registry := setup()
-	scaler.HandleList(1*s, 0, registry, nil)
+	scaler.HandleList(1*s, 0, nil)
 	want := []Demand{{Job: &protocol.Job{ID: "j-1", GPUs: 8}, Count: 6, Headroom: true}}
 	for i := range 6 {
 		sendHeartbeat(registry, 100*s, fmt.Sprintf("m%d", i), "a", 1)
 	}
 	for now := 101 * s; now < 110*s; now += s {
-		effects := scaler.Plan(now, registry, want)
+		effects := scaler.Plan(now, want)
 		if got := releasedMachines(effects); got != nil {
 			t.Errorf("at %v: returned %v", now, got)
 		}
@@ -371,11 +370,10 @@
 }
 
 // TestZonePolicies: nothing is requested in a zone without scale out, and one machine at a time in a
-// zone that is probed. Silent machines do not count where they are ignored, and are not fenced until
-// the policy says so.
+// zone that is probed.
 func TestZonePolicies(t *testing.T) {
-	scaler, registry := setup()
-	scaler.HandleList(1*s, 0, registry, nil)
+	scaler, _ := setup()
+	scaler.HandleList(1*s, 0, nil)
 	requestsPerZone := func(policy ZonePolicy, now time.Duration) map[string]int {
 		scaler.SetZonePolicies(map[string]ZonePolicy{"a": policy})
 		counts := map[string]int{}
@@ -383,9 +381,9 @@
 			{Job: &protocol.Job{ID: "j-1", GPUs: 8, Zone: "a"}, Count: 3},
 			{Job: &protocol.Job{ID: "j-2", GPUs: 8, Zone: "b"}, Count: 2},
 		}
-		for _, r := range rentals(scaler.Plan(now, registry, demands)) {
+		for _, r := range rentals(scaler.Plan(now, demands)) {
 			counts[r.Zone] += r.Count
-			scaler.HandleScaleOut(now, registry, RentalOutcome{RequestID: r.RequestID, RequestedAt: now})
+			scaler.HandleScaleOut(now, RentalOutcome{RequestID: r.RequestID, RequestedAt: now})
 		}
 		clear(scaler.backoff)
 		return counts
@@ -398,14 +396,19 @@
 			t.Errorf("%+v: %v, want %d in a and 2 in b", row.policy, got, row.want)
 		}
 	}
-	scaler, registry = setup()
-	scaler.HandleList(1*s, 0, registry, nil)
+}
+
+// TestSilentMachinesUnderAPolicy: silent machines do not count where they are ignored, and are not
+// fenced until the policy says so.
+func TestSilentMachinesUnderAPolicy(t *testing.T) {
+	scaler, registry := setup()
+	scaler.HandleList(1*s, 0, nil)
 	for i := range 4 {
 		sendHeartbeat(registry, 10*s, fmt.Sprintf("m%d", i), "a", 1)
 	}
 	scaler.SetZonePolicies(map[string]ZonePolicy{"a": {IgnoreSilent: true, NoFencingUntil: 60 * s}})
 	for now := 11 * s; now < 60*s; now += s {
-		effects := scaler.Plan(now, registry, []Demand{{Job: &protocol.Job{ID: "j-1", GPUs: 8}, Count: 1}})
+		effects := scaler.Plan(now, []Demand{{Job: &protocol.Job{ID: "j-1", GPUs: 8}, Count: 1}})
 		if got := releasedMachines(effects); len(got) > 0 {
 			t.Fatalf("returned %v at %v", got, now)
 		}
@@ -413,7 +416,7 @@
 			t.Errorf("silent machines counted as capacity: %v", got)
 		}
 	}
-	if got := releasedMachines(scaler.Plan(120*s, registry, nil)); len(got) == 0 {
+	if got := releasedMachines(scaler.Plan(120*s, nil)); len(got) == 0 {
 		t.Error("not fenced once the policy allowed it")
 	}
 }
--- a/internal/coordination/autoscaler/fencing.go
+++ b/internal/coordination/autoscaler/fencing.go
@@ -33,8 +33,8 @@
 // as only that proves that their tasks do not run. In a zone that is unreachable as a whole it
 // waits, and for another lease after that: workers that lost their controller need until about
 // then to find another, and each machine fenced before is a healthy one.
-func (a *Autoscaler) fenceSilent(now time.Duration, registry *machineregistry.Registry) {
-	zones, overdue := a.findSilent(now, registry)
+func (a *Autoscaler) fenceSilent(now time.Duration) {
+	zones, overdue := a.findSilent(now)
 	lease := config.Seconds(a.workerSettings.LeaseSeconds)
 	for name, zone := range zones {
 		if zone.isUnreachable() {
@@ -60,13 +60,12 @@
 // does not run any more.
 func (a *Autoscaler) findSilent(
 	now time.Duration,
-	registry *machineregistry.Registry,
 ) (zones map[string]zoneReach, overdue []*machineregistry.Machine) {
-	timeout, silenceTimeout := a.FencingTimeout(), registry.SilenceTimeout()
+	timeout, silenceTimeout := a.FencingTimeout(), a.registry.SilenceTimeout()
 	// It must show that a zone is unreachable before the first of its machines is overdue.
 	silentAfter := min(silenceTimeout, timeout-config.Seconds(a.workerSettings.HeartbeatSeconds))
 	zones = map[string]zoneReach{}
-	registry.Each(func(m *machineregistry.Machine) {
+	a.registry.Each(func(m *machineregistry.Machine) {
 		if !m.Registered && m.PlacementCount() == 0 {
 			return
 		}
--- a/internal/coordination/autoscaler/limits_test.go
+++ b/internal/coordination/autoscaler/limits_test.go
@@ -17,14 +17,14 @@
 // size that the cloud accepts, and the next plans request the rest.
 func TestManyRentals(t *testing.T) {
 	for _, rps := range []float64{1, 2, 4, 24} {
-		scaler, registry := setup()
+		scaler, _ := setup()
 		scaler.cloudSettings.RPS = rps
-		scaler.HandleList(1*s, 0, registry, nil)
+		scaler.HandleList(1*s, 0, nil)
 		units := []Demand{{Job: &protocol.Job{ID: "j-1", GPUs: 8}, Count: manyMachines}}
 		perPlan := protocol.MaxMachinesPerRental * max(1, int(rps/2))
 		total, plans, names := 0, 0, map[string]bool{}
 		for now := 2 * s; total < manyMachines && plans <= manyMachines; now += s {
-			got := rentals(scaler.Plan(now, registry, units))
+			got := rentals(scaler.Plan(now, units))
 			if n := totalCount(got); n > perPlan || n < min(perPlan, manyMachines-total) {
 				t.Fatalf("%v calls a second: %d machines in one plan, want %d", rps, n, perPlan)
 			}
@@ -48,7 +48,7 @@
 func TestManyReleases(t *testing.T) {
 	scaler, registry := setup()
 	scaler.cloudSettings.RPS = 4
-	scaler.HandleList(1*s, 0, registry, nil)
+	scaler.HandleList(1*s, 0, nil)
 	overdue := map[string]bool{}
 	for i := range manyMachines {
 		name := fmt.Sprintf("m%04d", i)
@@ -71,7 +71,7 @@
 	perPlan := 2 * protocol.MaxMachinesPerRelease
 	returned := map[string]bool{}
 	for now := 12 * s; len(returned) < manyMachines && now < time.Hour; now += s {
-		for _, e := range scaler.Plan(now, registry, nil) {
+		for _, e := range scaler.Plan(now, nil) {
 			if r, ok := e.(ScaleIn); ok && len(r.Machines) > protocol.MaxMachinesPerRelease {
 				t.Fatalf("%d names in a call", len(r.Machines))
 			}
@@ -109,7 +109,7 @@
 		{4, 10_000, 10500 * time.Millisecond},
 		{24, 10_000, 2500 * time.Millisecond},
 	} {
-		scaler := New(1, config.Cloud{RPS: x.rps, ListLagSeconds: 5}, testWorkerSettings)
+		scaler := New(1, config.Cloud{RPS: x.rps, ListLagSeconds: 5}, testWorkerSettings, nil)
 		if got := scaler.listInterval(x.machines); got != x.want {
 			t.Errorf("%d machines at %v calls a second: read every %v, want %v", x.machines, x.rps, got, x.want)
 		}
--- a/internal/coordination/autoscaler/machinelist.go
+++ b/internal/coordination/autoscaler/machinelist.go
@@ -5,7 +5,6 @@
 	"time"
 
 	"pinebay/internal/config"
-	"pinebay/internal/coordination/machineregistry"
 	"pinebay/internal/protocol"
 )
 
@@ -42,16 +41,15 @@
 // them from the registry.
 func (a *Autoscaler) HandleList(
 	now, requestedAt time.Duration,
-	registry *machineregistry.Registry,
 	list []protocol.ListedMachine,
 ) (gone []string) {
 	a.list.requestInFlight = false
 	listed := make(map[string]bool, len(list))
 	for i := range list {
 		listed[list[i].Name] = true
-		a.addListed(now, registry, &list[i])
+		a.addListed(now, &list[i])
 	}
-	gone = a.goneMachines(now, requestedAt, registry, listed)
+	gone = a.goneMachines(now, requestedAt, listed)
 	if a.list.firstCompleteAt == 0 {
 		a.list.firstCompleteAt = now
 	}
@@ -62,7 +60,7 @@
 func (a *Autoscaler) HandleListFailure() { a.list.requestInFlight = false }
 
 // addListed brings the registry up to date with one entry of a list.
-func (a *Autoscaler) addListed(now time.Duration, registry *machineregistry.Registry, l *protocol.ListedMachine) {
+func (a *Autoscaler) addListed(now time.Duration, l *protocol.ListedMachine) {
 	if a.RecentlyReleased(l.Name) {
 		return // the list is older than the release
 	}
@@ -72,9 +70,9 @@
 	if a.releasing[l.Name] {
 		return
 	}
-	m := registry.Machine(l.Name)
+	m := a.registry.Machine(l.Name)
 	if m == nil {
-		m = registry.GetOrCreate(now, l.Name)
+		m = a.registry.GetOrCreate(now, l.Name)
 		m.RentedAt = now - config.Seconds(l.AgeSeconds)
 	}
 	if !m.Registered {
@@ -91,14 +89,13 @@
 // sends heartbeats contradicts the list and is kept.
 func (a *Autoscaler) goneMachines(
 	now, requestedAt time.Duration,
-	registry *machineregistry.Registry,
 	listed map[string]bool,
 ) (gone []string) {
 	for name, firstSeen := range a.list.firstSeen {
 		if listed[name] || requestedAt <= firstSeen+a.listStaleness() {
 			continue
 		}
-		if m := registry.Machine(name); m != nil {
+		if m := a.registry.Machine(name); m != nil {
 			if now-m.LastHeartbeat < a.listStaleness() {
 				continue
 			}
--- a/internal/coordination/autoscaler/packing.go
+++ b/internal/coordination/autoscaler/packing.go
@@ -76,11 +76,11 @@
 	unrentable  map[demandKey]bool
 }
 
-func (a *Autoscaler) newPacking(now time.Duration, registry *machineregistry.Registry) *packing {
+func (a *Autoscaler) newPacking(now time.Duration) *packing {
 	return &packing{
 		autoscaler:      a,
 		now:             now,
-		registry:        registry,
+		registry:        a.registry,
 		bins:            a.binBuffer[:0],
 		machinesPerZone: map[string]int{},
 		usedMachines:    map[string]bool{},
@@ -204,7 +204,7 @@
 	if p.unrentable[key] || p.toRentTotal >= p.maxToRent {
 		return nil
 	}
-	pool, ok := p.autoscaler.choosePool(p.now, p.registry, d, p.machinesPerZone)
+	pool, ok := p.autoscaler.choosePool(p.now, d, p.machinesPerZone)
 	if !ok {
 		p.unrentable[key] = true
 		return nil
--- a/internal/coordination/autoscaler/scalein.go
+++ b/internal/coordination/autoscaler/scalein.go
@@ -42,13 +42,12 @@
 // first, and the rest waits for the next plan.
 func (a *Autoscaler) scaleIn(
 	now time.Duration,
-	registry *machineregistry.Registry,
 	used map[string]bool,
 ) (effects []Effect) {
 	var overdue, others []*machineregistry.Machine
-	registry.Each(func(m *machineregistry.Machine) {
+	a.registry.Each(func(m *machineregistry.Machine) {
 		switch {
-		case a.releasing[m.Name] || !a.shouldScaleIn(now, registry, m, used):
+		case a.releasing[m.Name] || !a.shouldScaleIn(now, m, used):
 		case m.FencingDue(now):
 			overdue = append(overdue, m)
 		default:
@@ -72,12 +71,11 @@
 // shouldScaleIn reports whether a machine is to be returned.
 func (a *Autoscaler) shouldScaleIn(
 	now time.Duration,
-	registry *machineregistry.Registry,
 	m *machineregistry.Machine,
 	used map[string]bool,
 ) bool {
 	empty := m.PlacementCount() == 0
-	t := registry.MachineType(m.Type)
+	t := a.registry.MachineType(m.Type)
 	if t == nil {
 		return !empty && m.Terminating
 	}
@@ -89,7 +87,7 @@
 		return a.neverCameUp(now, m, boot)
 	default:
 		return empty && !used[m.Name] && a.HasMachineList() && isIdle(now, m, boot) &&
-			now-m.LastHeartbeat <= registry.SilenceTimeout()
+			now-m.LastHeartbeat <= a.registry.SilenceTimeout()
 	}
 }
 
--- a/internal/coordination/autoscaler/scaleout.go
+++ b/internal/coordination/autoscaler/scaleout.go
@@ -46,14 +46,14 @@
 }
 
 // HandleScaleOut adds the machines of a rental to the registry. A repeated outcome is ignored.
-func (a *Autoscaler) HandleScaleOut(now time.Duration, registry *machineregistry.Registry, outcome RentalOutcome) {
+func (a *Autoscaler) HandleScaleOut(now time.Duration, outcome RentalOutcome) {
 	rental, ok := a.pendingRentals[outcome.RequestID]
 	if !ok {
 		return
 	}
 	delete(a.pendingRentals, outcome.RequestID)
 	for _, name := range outcome.Machines {
-		m := registry.GetOrCreate(now, name)
+		m := a.registry.GetOrCreate(now, name)
 		m.RentedAt = outcome.RequestedAt
 		if !m.Registered {
 			m.Type, m.Zone, m.Spot = rental.pool.machineType, rental.pool.zone, rental.pool.spot
@@ -73,11 +73,10 @@
 // last refusals show.
 func (a *Autoscaler) CanScaleOut(
 	now time.Duration,
-	registry *machineregistry.Registry,
 	j *protocol.Job,
 	zone string,
 ) bool {
-	_, ok := a.choosePool(now, registry, &Demand{Job: j, Zone: zone}, nil)
+	_, ok := a.choosePool(now, &Demand{Job: j, Zone: zone}, nil)
 	return ok
 }
 
@@ -85,13 +84,12 @@
 // for them: these must not be returned.
 func (a *Autoscaler) scaleOut(
 	now time.Duration,
-	registry *machineregistry.Registry,
 	demands []Demand,
 ) (effects []Effect, used map[string]bool) {
 	if len(a.zonePolicies) > 0 {
-		a.countStarting(registry)
+		a.countStarting()
 	}
-	p := a.newPacking(now, registry)
+	p := a.newPacking(now)
 	if len(demands) > 0 {
 		p.addBins()
 	}
@@ -103,9 +101,9 @@
 }
 
 // countStarting counts the machines of each zone that are requested or booting.
-func (a *Autoscaler) countStarting(registry *machineregistry.Registry) {
+func (a *Autoscaler) countStarting() {
 	a.startingByZone = map[string]int{}
-	registry.Each(func(m *machineregistry.Machine) {
+	a.registry.Each(func(m *machineregistry.Machine) {
 		if !m.Registered && m.PlacementCount() == 0 && !m.Terminating {
 			a.startingByZone[m.Zone]++
 		}
@@ -123,14 +121,13 @@
 // is none. Of pools with the same price the one in the zone with fewer machines is chosen.
 func (a *Autoscaler) choosePool(
 	now time.Duration,
-	registry *machineregistry.Registry,
 	d *Demand,
 	machinesPerZone map[string]int,
 ) (machinePool, bool) {
 	var best machinePool
 	bestCost := math.Inf(1)
-	for _, name := range slices.Sorted(maps.Keys(registry.MachineTypes())) {
-		t := registry.MachineType(name)
+	for _, name := range slices.Sorted(maps.Keys(a.registry.MachineTypes())) {
+		t := a.registry.MachineType(name)
 		tasks := t.TaskCapacity(d.Job)
 		if tasks == 0 || !t.AllowedBy(d.Job) {
 			continue
--- a/internal/coordination/scheduler/demand.go
+++ b/internal/coordination/scheduler/demand.go
@@ -94,7 +94,7 @@
 	best, bestRoom := "", -1
 	for _, z := range c.zonesByAvailability(&j.Spec) {
 		n := room[z]
-		if n < j.Spec.TaskCount && c.autoscaler.CanScaleOut(now, c.machines, &j.Spec, z) {
+		if n < j.Spec.TaskCount && c.autoscaler.CanScaleOut(now, &j.Spec, z) {
 			n += j.Spec.TaskCount
 		}
 		if n > bestRoom {
--- a/internal/coordination/scheduler/scheduler.go
+++ b/internal/coordination/scheduler/scheduler.go
@@ -118,19 +118,17 @@
 	wallMS int64,
 	order *zonefailover.RecoveryOrder,
 ) *Scheduler {
+	machines := machineregistry.New(term.Number, cfg.Workers)
 	c := &Scheduler{
-		cfg:           cfg,
-		log:           log,
-		term:          term.Number,
-		termRevision:  term.Revision,
-		controller:    term.Controller,
-		termStartedMS: wallMS,
-		dependencies:  dependency.New(),
-		machines: machineregistry.New(
-			term.Number,
-			cfg.Workers,
-		),
-		autoscaler:          autoscaler.New(term.Number, cfg.Cloud, cfg.Workers),
+		cfg:                 cfg,
+		log:                 log,
+		term:                term.Number,
+		termRevision:        term.Revision,
+		controller:          term.Controller,
+		termStartedMS:       wallMS,
+		dependencies:        dependency.New(),
+		machines:            machines,
+		autoscaler:          autoscaler.New(term.Number, cfg.Cloud, cfg.Workers, machines),
 		jobs:                map[string]*jobstate.Job{},
 		cancellationIntents: map[string]time.Duration{},
 		writesInFlight:      map[uint64]func(time.Duration, TransactionOutcome){},
@@ -240,14 +238,14 @@
 				c.noteDepartedMachine(e.Machines[i].Name)
 			}
 		}
-		for _, name := range c.autoscaler.HandleList(now, e.RequestedAt, c.machines, e.Machines) {
+		for _, name := range c.autoscaler.HandleList(now, e.RequestedAt, e.Machines) {
 			c.log.Info("machine has left the list", "machine", name)
 			c.noteDepartedMachine(name)
 			c.applyObservations(now, c.machines.Remove(now, name))
 		}
 	case ScaleOutResult:
 		c.log.Info("rented", "request", e.Request, "machines", len(e.Machines), "refused", e.Refused)
-		c.autoscaler.HandleScaleOut(now, c.machines, autoscaler.RentalOutcome{
+		c.autoscaler.HandleScaleOut(now, autoscaler.RentalOutcome{
 			RequestID:   e.Request,
 			RequestedAt: e.RequestedAt,
 			Machines:    e.Machines,
@@ -350,7 +348,7 @@
 	c.lastPlanAt = now
 	c.candidates.Verify(now)
 	units := c.capacityDemand(now)
-	for _, e := range c.autoscaler.Plan(now, c.machines, units) {
+	for _, e := range c.autoscaler.Plan(now, units) {
 		c.emit(CloudRequest{e})
 	}
 	c.logUtilization(now, units)
