--- a/cmd/pinebay/main_test.go
+++ b/cmd/pinebay/main_test.go
@@ -66,7 +66,7 @@
 		{zoneReturnFlags{enabled: true, order: "serve > nobody"}, false, "nobody"},
 		{zoneReturnFlags{enabled: true, order: "serve > serve"}, false, "serve"},
 		{zoneReturnFlags{enabled: true, order: "serve > sweep; sweep > serve"}, false, "contradicts"},
-		{zoneReturnFlags{enabled: true, order: "serve >"}, false, "out of form"},
+		{zoneReturnFlags{enabled: true, order: "serve >"}, false, "malformed"},
 	} {
 		features, err := row.flags.features(cfg)
 		switch {
--- a/internal/coordination/leader/effects.go
+++ b/internal/coordination/leader/effects.go
@@ -39,7 +39,7 @@
 		case scheduler.FeatureLevelFinal:
 			l.deps.Observer.FeatureLevelFinal(e.Level)
 		case scheduler.ZoneDecision:
-			l.log.Info("zone return", "decision", e.Decision.Describe())
+			l.log.Info("zone failover", "decision", e.Decision.Describe())
 		case scheduler.CloudRequest:
 			l.applyCloudEffect(ctx, e.Effect)
 		}
--- a/internal/coordination/zonefailover/ledger.go
+++ b/internal/coordination/zonefailover/ledger.go
@@ -7,31 +7,31 @@
 	"slices"
 )
 
-// Errors of the ledger.
+// Errors of Ledger.Open.
 var (
 	// ErrLedgerFull says that no further loan can be kept in the records.
-	ErrLedgerFull = errors.New("ledger of loans is full")
-	// ErrAlreadyLent says that a task's room is lent already.
-	ErrAlreadyLent = errors.New("room is lent already")
+	ErrLedgerFull = errors.New("loan ledger is full")
+	// ErrAlreadyLent says that a task has lent its capacity already.
+	ErrAlreadyLent = errors.New("capacity is already lent")
 )
 
-// TaskAttempt names what lends its room: one attempt of a task.
+// TaskAttempt is one attempt of a task, which may lend its capacity.
 type TaskAttempt struct {
 	Job     string
 	Task    int
 	Attempt uint64
 }
 
-// Loan is room that lower work gives up for work that a lost zone had.
+// Loan is capacity that a task of lower priority gives up for a job that has lost tasks with a zone.
 type Loan struct {
-	Term, Number uint64 // of the leader that made it, and within its term
+	Term, Number uint64 // of the leader that opened it, and within its term
 	Lender       TaskAttempt
 	Borrower     string // job
 	Machine      string
-	Zone         string  // whose loss is the reason
+	Zone         string  // with which the borrower lost tasks
 	LostSeconds  float64 // work that the lender loses, in seconds
-	CreatedMS    int64   // time of day
-	ExpiresMS    int64   // when it is written off at the latest
+	CreatedMS    int64   // time of day, in milliseconds since the epoch
+	ExpiresMS    int64   // time of day after which it is written off
 }
 
 // String returns the loan in a form for logs.
@@ -40,29 +40,33 @@
 		l.Term, l.Number, l.Lender.Job, l.Lender.Task, l.Lender.Attempt, l.Machine, l.Borrower, l.Zone, l.LostSeconds)
 }
 
-// LoanOutcome is how a loan ended.
+// LoanOutcome is how a loan has ended.
 type LoanOutcome string
 
-// Ends of loans.
+// Outcomes of loans.
 const (
-	Repaid             LoanOutcome = "repaid"       // the lender's task has room again
-	LenderEnded        LoanOutcome = "lender ended" // its job or task is over
-	LenderNotPreempted LoanOutcome = "not taken"    // a leader ended between recording and taking it
-	WrittenOff         LoanOutcome = "written off"  // its time is over
+	// Repaid: the lender's task has been placed again.
+	Repaid LoanOutcome = "repaid"
+	// LenderEnded: the lender's task or job has ended.
+	LenderEnded LoanOutcome = "lender ended"
+	// LenderNotPreempted: the loan was recorded, but its leader failed before it preempted the lender.
+	LenderNotPreempted LoanOutcome = "lender not preempted"
+	// WrittenOff: the loan has expired.
+	WrittenOff LoanOutcome = "written off"
 )
 
-// Ledger holds the open loans. It is the image of what the records say, or shall say.
+// Ledger holds the open loans, as they are recorded or about to be.
 type Ledger struct {
 	maxOpen int
 	loans   map[TaskAttempt]Loan
 }
 
-// NewLedger returns an empty ledger for at most so many open loans.
-func NewLedger(most int) *Ledger {
-	return &Ledger{maxOpen: most, loans: map[TaskAttempt]Loan{}}
+// NewLedger returns an empty Ledger for at most maxOpen open loans.
+func NewLedger(maxOpen int) *Ledger {
+	return &Ledger{maxOpen: maxOpen, loans: map[TaskAttempt]Loan{}}
 }
 
-// Open enters loans, all or none.
+// Open adds loans: all, or with an error none.
 func (l *Ledger) Open(loans ...Loan) error {
 	if len(l.loans)+len(loans) > l.maxOpen {
 		return fmt.Errorf("%w: %d open, %d more", ErrLedgerFull, len(l.loans), len(loans))
@@ -79,13 +83,13 @@
 	return nil
 }
 
-// IsLent says whether a task's room is lent.
+// IsLent reports whether a task has lent its capacity.
 func (l *Ledger) IsLent(t TaskAttempt) bool {
 	_, ok := l.loans[t]
 	return ok
 }
 
-// Close ends a loan, and returns it.
+// Close removes the loan of a lender and returns it.
 func (l *Ledger) Close(t TaskAttempt) (Loan, bool) {
 	loan, ok := l.loans[t]
 	delete(l.loans, t)
@@ -95,7 +99,7 @@
 // Len returns the number of open loans.
 func (l *Ledger) Len() int { return len(l.loans) }
 
-// Loans returns the open loans, the oldest first.
+// Loans returns the open loans, oldest first.
 func (l *Ledger) Loans() []Loan {
 	out := make([]Loan, 0, len(l.loans))
 	for _, loan := range l.loans {
@@ -111,7 +115,7 @@
 	return out
 }
 
-// Debts returns what each lender has lost by its open loans.
+// Debts returns what each job is owed for its open loans: the work that it lost, in seconds, and one for each loan.
 func (l *Ledger) Debts() map[string]float64 {
 	debts := map[string]float64{}
 	for _, loan := range l.Loans() {
--- a/internal/coordination/zonefailover/recoveryorder.go
+++ b/internal/coordination/zonefailover/recoveryorder.go
@@ -12,18 +12,18 @@
 	"pinebay/internal/config"
 )
 
-// Errors of an order that an operator states.
+// Errors of ParseRecoveryOrder.
 var (
-	ErrOrderSyntax        = errors.New("order of return out of form")
-	ErrUnknownOrderItem   = errors.New("order of return names what the settings don't have")
-	ErrDuplicateOrderItem = errors.New("order of return names an item twice in a row of items")
-	ErrOrderCycle         = errors.New("order of return contradicts itself")
+	ErrOrderSyntax        = errors.New("malformed recovery order")
+	ErrUnknownOrderItem   = errors.New("recovery order names what the settings don't have")
+	ErrDuplicateOrderItem = errors.New("recovery order names an item twice in a chain")
+	ErrOrderCycle         = errors.New("recovery order contradicts itself")
 )
 
-// OrderItem is a class of jobs or a team in an order of return.
+// OrderItem is a class of jobs or a team in a recovery order.
 type OrderItem struct{ Class, Team string }
 
-// String returns the item as it is written.
+// String returns the item as operators write it.
 func (i OrderItem) String() string {
 	if i.Team != "" {
 		return "team " + i.Team
@@ -31,16 +31,15 @@
 	return "class " + i.Class
 }
 
-// RecoveryOrder is the order in which work returns when a zone is lost. Items that are named come
-// first; all that is not named follows, and within an item, by priority, the class's aim
-// on waiting, and age.
+// RecoveryOrder is the order in which work recovers when a zone is lost: the named items first, then all other work.
+// Within an item, jobs go by priority, their class's start latency objective, and age.
 type RecoveryOrder struct {
 	items         []OrderItem
 	classPosition map[string]int
 	teamPosition  map[string]int
 }
 
-// DefaultRecoveryOrder names nothing: work returns by priority, aims and age alone.
+// DefaultRecoveryOrder returns the order that names no item.
 func DefaultRecoveryOrder() *RecoveryOrder { return newRecoveryOrder(nil) }
 
 func newRecoveryOrder(items []OrderItem) *RecoveryOrder {
@@ -55,7 +54,7 @@
 	return o
 }
 
-// Position is the place of a job's item in the order; a class goes before a team.
+// Position returns the position of a job's item in the order. Where both are named, its class decides, not its team.
 func (o *RecoveryOrder) Position(class, team string) int {
 	if position, ok := o.classPosition[class]; ok {
 		return position
@@ -66,19 +65,22 @@
 	return len(o.items)
 }
 
-// String returns the order as it is in force.
+// String returns the order in a form for logs.
 func (o *RecoveryOrder) String() string {
 	var b strings.Builder
 	for _, item := range o.items {
 		b.WriteString(item.String())
 		b.WriteString(" > ")
 	}
-	b.WriteString("the rest by priority, aim and age")
+	b.WriteString(theRest)
 	return b.String()
 }
 
-// orderText is the grammar of a stated order: chains of items, the earlier first. Several
-// chains, parted by semicolons, hold together.
+// theRest stands for all work that an order does not name.
+const theRest = "the rest by priority, start latency objective and age"
+
+// orderText is the grammar of an order as operators write it: chains of items, the first to recover first. All of
+// several chains, separated by semicolons, must hold.
 //
 //	cluesmith > team guests ; class vanquery > gridsweep
 type orderText struct {
@@ -96,42 +98,42 @@
 
 func (i itemText) item() OrderItem { return OrderItem{Class: i.Class, Team: i.Team} }
 
-// ParseRecoveryOrder reads and checks an order that an operator states, against the classes and
-// teams of the settings.
+// ParseRecoveryOrder parses an order that an operator has stated and checks it against the classes and teams of the
+// settings.
 func ParseRecoveryOrder(text string, d *config.Deployment) (*RecoveryOrder, error) {
 	parsed, err := parseOrderText(text)
 	if err != nil {
 		return nil, err
 	}
-	before := map[OrderItem][]OrderItem{} // those that come right before an item
+	predecessors := map[OrderItem][]OrderItem{} // direct ones
 	var items []OrderItem
 	for _, chain := range parsed.Chains {
-		var row []OrderItem
-		for _, written := range chain.Items {
-			item := written.item()
+		var previous []OrderItem // in the chain
+		for _, itemText := range chain.Items {
+			item := itemText.item()
 			if !itemExists(item, d) {
 				return nil, fmt.Errorf("%w: %s", ErrUnknownOrderItem, item)
 			}
-			if slices.Contains(row, item) {
+			if slices.Contains(previous, item) {
 				return nil, fmt.Errorf("%w: %s", ErrDuplicateOrderItem, item)
 			}
-			if len(row) > 0 {
-				before[item] = append(before[item], row[len(row)-1])
+			if n := len(previous); n > 0 {
+				predecessors[item] = append(predecessors[item], previous[n-1])
 			}
-			row = append(row, item)
+			previous = append(previous, item)
 			if !slices.Contains(items, item) {
 				items = append(items, item)
 			}
 		}
 	}
-	sorted, err := linearize(items, before)
+	sorted, err := linearize(items, predecessors)
 	if err != nil {
 		return nil, err
 	}
 	return newRecoveryOrder(sorted), nil
 }
 
-// parseOrderText reads the text of an order.
+// parseOrderText parses the text of an order.
 func parseOrderText(text string) (*orderText, error) {
 	words, err := lexer.NewSimple([]lexer.SimpleRule{
 		{Name: "Quoted", Pattern: `"[^"]*"`},
@@ -140,7 +142,7 @@
 		{Name: "Space", Pattern: `\s+`},
 	})
 	if err != nil {
-		return nil, fmt.Errorf("lexer of orders: %w", err)
+		return nil, fmt.Errorf("building the lexer of recovery orders: %w", err)
 	}
 	parser, err := participle.Build[orderText](
 		participle.Lexer(words),
@@ -148,7 +150,7 @@
 		participle.Unquote("Quoted"),
 	)
 	if err != nil {
-		return nil, fmt.Errorf("parser of orders: %w", err)
+		return nil, fmt.Errorf("building the parser of recovery orders: %w", err)
 	}
 	parsed, err := parser.ParseString("", text)
 	if err != nil {
@@ -157,7 +159,7 @@
 	return parsed, nil
 }
 
-// itemExists says whether the settings have what an item names. Classes are known by their aims.
+// itemExists reports whether the settings have the team, or an objective for the class, that an item names.
 func itemExists(item OrderItem, d *config.Deployment) bool {
 	if item.Team != "" {
 		return d.Team(item.Team) != nil
@@ -165,26 +167,26 @@
 	return slices.ContainsFunc(d.Objectives, func(o config.Objective) bool { return o.Class == item.Class })
 }
 
-// linearize puts the items into one row in which each comes after those that must be before
-// it; among those that may come next, the one that was written first does.
-func linearize(items []OrderItem, before map[OrderItem][]OrderItem) ([]OrderItem, error) {
-	var row []OrderItem
-	for len(row) < len(items) {
+// linearize sorts the items so that each comes after its predecessors. Among those that may come next, the one that
+// was written first does.
+func linearize(items []OrderItem, predecessors map[OrderItem][]OrderItem) ([]OrderItem, error) {
+	var sorted []OrderItem
+	for len(sorted) < len(items) {
 		next := slices.IndexFunc(items, func(item OrderItem) bool {
-			return !slices.Contains(row, item) && containsAll(row, before[item])
+			return !slices.Contains(sorted, item) && containsAll(sorted, predecessors[item])
 		})
 		if next < 0 {
-			return nil, fmt.Errorf("%w: among %v", ErrOrderCycle, itemsNotIn(items, row))
+			return nil, fmt.Errorf("%w: among %v", ErrOrderCycle, itemsNotIn(items, sorted))
 		}
-		row = append(row, items[next])
+		sorted = append(sorted, items[next])
 	}
-	return row, nil
+	return sorted, nil
 }
 
-func containsAll(row, wanted []OrderItem) bool {
-	return !slices.ContainsFunc(wanted, func(item OrderItem) bool { return !slices.Contains(row, item) })
+func containsAll(items, wanted []OrderItem) bool {
+	return !slices.ContainsFunc(wanted, func(item OrderItem) bool { return !slices.Contains(items, item) })
 }
 
-func itemsNotIn(items, row []OrderItem) []OrderItem {
-	return slices.DeleteFunc(slices.Clone(items), func(item OrderItem) bool { return slices.Contains(row, item) })
+func itemsNotIn(items, excluded []OrderItem) []OrderItem {
+	return slices.DeleteFunc(slices.Clone(items), func(item OrderItem) bool { return slices.Contains(excluded, item) })
 }
--- a/internal/coordination/zonefailover/recoveryorder_test.go
+++ b/internal/coordination/zonefailover/recoveryorder_test.go
@@ -25,17 +25,17 @@
 		text, want string
 		err        error
 	}{
-		{"a", "class a > the rest by priority, aim and age", nil},
-		{"a > b > c", "class a > class b > class c > the rest by priority, aim and age", nil},
-		{"class c>team red ; a > c", "class a > class c > team red > the rest by priority, aim and age", nil},
-		{`"d-1" > team "blue team"`, "class d-1 > team blue team > the rest by priority, aim and age", nil},
-		{"b > c; a > c; c > d-1", "class b > class a > class c > class d-1 > the rest by priority, aim and age", nil},
-		{"class team", "class team > the rest by priority, aim and age", nil},
+		{"a", "class a > the rest by priority, start latency objective and age", nil},
+		{"a > b > c", "class a > class b > class c > the rest by priority, start latency objective and age", nil},
+		{"class c>team red ; a > c", "class a > class c > team red > the rest by priority, start latency objective and age", nil},
+		{`"d-1" > team "blue team"`, "class d-1 > team blue team > the rest by priority, start latency objective and age", nil},
+		{"b > c; a > c; c > d-1", "class b > class a > class c > class d-1 > the rest by priority, start latency objective and age", nil},
+		{"class team", "class team > the rest by priority, start latency objective and age", nil},
 		{"", "", ErrOrderSyntax},
 		{"a >", "", ErrOrderSyntax},
 		{"a b", "", ErrOrderSyntax},
 		{"a & b", "", ErrOrderSyntax},
-		{"team", "class team > the rest by priority, aim and age", nil}, // a class of that name
+		{"team", "class team > the rest by priority, start latency objective and age", nil}, // a class of that name
 		{"team red blue", "", ErrOrderSyntax},
 		{"a > x", "class x", ErrUnknownOrderItem},
 		{"team green", "team green", ErrUnknownOrderItem},
@@ -85,7 +85,7 @@
 			}
 		}
 		again, err := ParseRecoveryOrder(
-			strings.TrimSuffix(o.String(), " > the rest by priority, aim and age"),
+			strings.TrimSuffix(o.String(), " > the rest by priority, start latency objective and age"),
 			settings(),
 		)
 		if err != nil || again.String() != o.String() {
--- a/internal/simulation/zone_test.go
+++ b/internal/simulation/zone_test.go
@@ -276,7 +276,7 @@
 	{
 		"cut off and back", fastTimings,
 		[]step{{0, lowPriorityArrays(12)}, {8 * s, during(60*s, silenceZone(zoneOfGangs, 1))}},
-		[]string{"zone silent", "is lost", "order of return", "loan", "decision=\"loan", ": repaid", "is returning"},
+		[]string{"zone silent", "is lost", "recovery order", "loan", "decision=\"loan", ": repaid", "is returning"},
 	},
 	{
 		"dead and back",
