--- a/internal/coordination/placement/rules.go
+++ b/internal/coordination/placement/rules.go
@@ -7,7 +7,9 @@
 package placement
 
 import (
+	"cmp"
 	"math"
+	"slices"
 	"time"
 
 	"pinebay/internal/config"
@@ -166,3 +168,12 @@
 	}
 	return config.Seconds(j.Spec.ImageGB / t.FetchGBPerSecond).Seconds()
 }
+
+// PlacementsOn returns the placements on a machine in the order of their tasks' names.
+func PlacementsOn(m *machineregistry.Machine) (list []*machineregistry.Placement) {
+	m.EachPlacement(func(pl *machineregistry.Placement) { list = append(list, pl) })
+	slices.SortFunc(list, func(a, b *machineregistry.Placement) int {
+		return cmp.Compare(a.Task.String(), b.Task.String())
+	})
+	return list
+}
--- a/internal/coordination/scheduler/gangorder.go
+++ b/internal/coordination/scheduler/gangorder.go
@@ -1,51 +1,63 @@
 package scheduler
 
 import (
-	"sort"
+	"cmp"
+	"slices"
 	"time"
 
 	"pinebay/internal/coordination/jobstate"
 	"pinebay/internal/protocol"
 )
 
-// orderGangsByDeadline reorders the gangs of each class among themselves, in a list sorted by
-// priority and age: first, by age, those that can still meet an aim. When more is
-// asked than can be done, age alone would spend all room on gangs that are late
-// whatever is done, until every gang is late.
+// gangGroup identifies gangs that are ordered among themselves.
+type gangGroup struct {
+	class, team string
+	priority    int
+}
+
+// orderGangsByDeadline reorders the gangs of each class, team and priority among themselves, in a list in
+// scheduling order: those that can still meet an objective go first. Under overload, age alone would spend
+// the capacity on gangs that are late in any case, until every gang is late.
 func (c *Scheduler) orderGangsByDeadline(now time.Duration, waiting []*jobstate.Job) {
-	type queue struct {
-		class, team string
-		level       int
-	}
-	slots := map[queue][]int{}
+	positions := map[gangGroup][]int{}
 	for i, j := range waiting {
 		if j.Spec.Shape == protocol.Gang {
-			q := queue{j.Spec.Class, j.Spec.Team, j.EffectivePriority}
-			slots[q] = append(slots[q], i)
+			group := gangGroup{class: j.Spec.Class, team: j.Spec.Team, priority: j.EffectivePriority}
+			positions[group] = append(positions[group], i)
 		}
 	}
-	for _, at := range slots {
-		jobs := make([]*jobstate.Job, len(at))
+	for _, at := range positions {
+		gangs := make([]*jobstate.Job, len(at))
 		for k, i := range at {
-			jobs[k] = waiting[i]
+			gangs[k] = waiting[i]
 		}
-		sort.SliceStable(
-			jobs,
-			func(a, b int) bool { return c.deadlineTier(now, jobs[a]) < c.deadlineTier(now, jobs[b]) },
-		)
+		slices.SortStableFunc(gangs, func(a, b *jobstate.Job) int {
+			return cmp.Compare(c.deadlineTier(now, a), c.deadlineTier(now, b))
+		})
 		for k, i := range at {
-			waiting[i] = jobs[k]
+			waiting[i] = gangs[k]
 		}
 	}
 }
 
-// deadlineTier orders a class's gangs: 0 for one that can still start in the time that an
-// aim asks for, 1 for one that can at least still be done in time, 2 for others.
-// A gang that has waited twice as long as its longest aim comes first again:
+// deadlineTier is a rank of gangs by what they can still achieve; lower goes first.
+type deadlineTier int
+
+const (
+	canStartInTime deadlineTier = iota
+	canFinishInTime
+	lateInAnyCase
+)
+
+// starvationFactor is the multiple of its longest objective after which a gang goes first again, so that
 // none waits for ever.
-func (c *Scheduler) deadlineTier(now time.Duration, j *jobstate.Job) int {
+const starvationFactor = 2
+
+// deadlineTier returns the tier of a gang. One without an objective, and one that has waited for too long,
+// is in the first.
+func (c *Scheduler) deadlineTier(now time.Duration, j *jobstate.Job) deadlineTier {
 	waited := (now - j.WaitingSince).Seconds()
-	class, longest := 2, 0.0
+	tier, longest := lateInAnyCase, 0.0
 	for _, o := range c.cfg.Objectives {
 		if o.Class != j.Spec.Class {
 			continue
@@ -53,13 +65,13 @@
 		longest = max(longest, o.WithinSeconds)
 		switch {
 		case o.Kind == "wait" && !j.StartCounted && waited <= o.WithinSeconds:
-			class = 0
+			tier = canStartInTime
 		case o.Kind == "finished" && waited+j.Spec.EstimateSeconds <= o.WithinSeconds:
-			class = min(class, 1)
+			tier = min(tier, canFinishInTime)
 		}
 	}
-	if longest == 0 || waited > 2*longest {
-		return 0
+	if longest == 0 || waited > starvationFactor*longest {
+		return canStartInTime
 	}
-	return class
+	return tier
 }
--- a/internal/coordination/scheduler/lifecycle.go
+++ b/internal/coordination/scheduler/lifecycle.go
@@ -8,6 +8,7 @@
 	"pinebay/internal/config"
 	"pinebay/internal/coordination/jobstate"
 	"pinebay/internal/coordination/machineregistry"
+	"pinebay/internal/coordination/placement"
 	"pinebay/internal/protocol"
 	"pinebay/internal/storage"
 )
@@ -117,7 +118,7 @@
 		}
 		return
 	}
-	j.StartCounted = j.StartCounted || j.LastTaskStart > 0 && now-j.LastTaskStart >= startCountsAfter
+	j.StartCounted = j.StartCounted || j.LastTaskStart > 0 && now-j.LastTaskStart >= placement.StartCountsAfter
 	j.LastTaskStart = 0
 	j.SetTask(task, jobstate.TaskPending)
 	j.MarkDirty(task, now) // or its exited entry could never be forgotten
@@ -225,7 +226,7 @@
 // if that can be done in time.
 func (c *Scheduler) evictOnTerminationNotice(now time.Duration) {
 	c.machines.EachWithInterruptionNotice(func(m *machineregistry.Machine) {
-		for _, pl := range c.placementsOn(m) {
+		for _, pl := range placement.PlacementsOn(m) {
 			if !pl.Stopping {
 				c.evict(now, pl, math.MaxInt64)
 			}
--- a/internal/coordination/scheduler/preempt.go
+++ b/internal/coordination/scheduler/preempt.go
@@ -11,128 +11,158 @@
 	"pinebay/internal/coordination/placement"
 )
 
-// waitForMachineWithImage says whether a task should rather wait a moment for room on a
-// machine that has its image, because the fetch on the machine at hand would
-// last longer than the class's aim on waiting. It clears such room of work
-// that is at least two steps lower in priority. Free room is no reason to make
-// a critical replica wait for a fetch of most of a minute.
+const (
+	// cyclesBeforePreemption is the number of cycles in a row in which a job must find no capacity before
+	// work is preempted for it.
+	cyclesBeforePreemption = 2
+	// latencyVictimGap is by how many priorities the work must be lower that is preempted just to start a
+	// task sooner, although there is free capacity.
+	latencyVictimGap = 2
+	// anyFetchTime admits machines however long the image takes to fetch.
+	anyFetchTime = time.Duration(math.MaxInt64)
+)
+
+// waitForMachineWithImage reports whether a task should wait for capacity on a machine that has its image,
+// instead of starting on the candidate, where the fetch would outlast the start latency objective of its
+// class. Such capacity is preempted from work of much lower priority.
 func (c *Scheduler) waitForMachineWithImage(
 	now time.Duration,
 	j *jobstate.Job,
 	task int,
 	x *candidates.Candidate,
-	l *placement.ZoneLimits,
+	limits *placement.ZoneLimits,
 ) bool {
-	within := c.rules.StartLatency.Seconds(j.Spec.Class)
-	if math.IsInf(within, 1) || c.mayBorrow(j) {
+	if !c.rules.StartLatency.Has(j.Spec.Class) || c.mayBorrow(j) {
 		return false
 	}
-	left := config.Seconds(within) - (now - j.WaitingSince)
+	objective := config.Seconds(c.rules.StartLatency.Seconds(j.Spec.Class))
+	left := objective - (now - j.WaitingSince)
 	if left <= 0 && j.HasRun[task] {
-		left = config.Seconds(within) // a replica that was lost should be back as soon
+		left = objective // a replica that was lost should be back as soon
 	}
 	if left <= 0 || c.machines.FetchTimeWithout(now, x.Machine, &j.Spec, c.rules.YieldingFetches(j)) <= left {
 		return false
 	}
 	for _, y := range c.rules.Nominated(now, j) {
-		// Room that is free by now is no longer waited for: had it been the
-		// better one, the task would have got it.
-		if !y.NominationClaimed && l.Allows(y.Machine.Zone) && !j.TaskResources.Fits(y.Free) {
-			c.candidates.ClaimNomination(y) // being cleared for one task of the job already
-			l.TasksPerZone[y.Machine.Zone]++
+		// A nominated machine that has the capacity by now was considered, and is not the better one.
+		if !y.NominationClaimed && limits.Allows(y.Machine.Zone) && !j.TaskResources.Fits(y.Free) {
+			c.candidates.ClaimNomination(y)
+			limits.TasksPerZone[y.Machine.Zone]++
 			return true
 		}
 	}
-	return c.preemptForTask(now, j, l, left, j.EffectivePriority+2)
+	return c.preemptForTask(now, j, limits, left, j.EffectivePriority+latencyVictimGap)
 }
 
-// preempt stops work of lower priority to make room for up to n tasks, on the
-// machines where least is lost, and reserves the room.
-func (c *Scheduler) preempt(now time.Duration, j *jobstate.Job, l *placement.ZoneLimits, n int) {
-	if c.mayBorrow(j) && c.borrowCapacity(now, j, l, n) {
-		return // its room comes by the ledger, or not at all
+// preempt preempts work of lower priority for up to n tasks of a job that found no capacity, on the machines
+// where that costs least. Capacity that the job may borrow during a zone failover comes by way of the
+// ledger of loans instead.
+func (c *Scheduler) preempt(now time.Duration, j *jobstate.Job, limits *placement.ZoneLimits, n int) {
+	if c.mayBorrow(j) && c.borrowCapacity(now, j, limits, n) {
+		return
 	}
-	if j.UnschedulableCycles < 2 {
+	if j.UnschedulableCycles < cyclesBeforePreemption {
 		return
 	}
-	n -= len(c.rules.Nominated(now, j)) // cleared already, and not yet free
-	for ; n > 0 && c.preemptForTask(now, j, l, math.MaxInt64, j.EffectivePriority+1); n-- {
+	n -= len(c.rules.Nominated(now, j)) // preempted before, and not yet free
+	for n > 0 && c.preemptForTask(now, j, limits, anyFetchTime, j.EffectivePriority+1) {
+		n--
 	}
 }
 
-// preemptForTask makes room for one task on the machine where that costs least, among
-// those where the task could run within the given time, and reserves it. Only
-// work of at least the given level leaves.
+// preemptForTask preempts work of at least the victim priority for one task, on the machine where that costs
+// least among those that can have the image in the given time, and nominates the machine. It reports whether
+// it did.
 func (c *Scheduler) preemptForTask(
 	now time.Duration,
 	j *jobstate.Job,
-	l *placement.ZoneLimits,
-	within time.Duration,
-	level int,
+	limits *placement.ZoneLimits,
+	maxFetchTime time.Duration,
+	victimPriority int,
 ) bool {
-	k := placement.SearchKeyOf(j)
-	k.VictimPriority = level
-	if !c.preemption.Admit(j, k, c.cycleCount) {
+	key := placement.SearchKeyOf(j)
+	key.VictimPriority = victimPriority
+	if !c.preemption.Admit(j, key, c.cycleCount) {
 		return false
 	}
-	best, victims := c.finder.CheapestPreemption(now, j, l, within, level)
+	best, victims := c.finder.CheapestPreemption(now, j, limits, maxFetchTime, victimPriority)
 	if best == nil {
-		if within == math.MaxInt64 && len(j.AvoidedMachines()) == 0 && len(j.NominatedMachines) == 0 &&
-			!c.inZoneFailover() {
-			c.preemption.NoVictims(k)
+		if maxFetchTime == anyFetchTime && c.searchedAsItsLike(j) {
+			c.preemption.NoVictims(key)
 		}
 		return false
 	}
-	wait := 0.0
-	patience := c.checkpointAllowance(now, j, c.machines.FetchTime(now, best.Machine, &j.Spec))
-	for _, v := range victims {
-		if !v.Stopping {
-			c.preemptPlacement(now, v, j.Spec.ID, patience)
+	allowance := c.checkpointAllowance(now, j, c.machines.FetchTime(now, best.Machine, &j.Spec))
+	longestGrace := 0.0
+	for _, victim := range victims {
+		if !victim.Stopping {
+			c.preemptPlacement(now, victim, j.Spec.ID, allowance)
 		}
-		wait = max(wait, v.GraceSeconds)
+		longestGrace = max(longestGrace, victim.GraceSeconds)
 	}
 	c.candidates.ClaimNomination(best)
-	l.TasksPerZone[best.Machine.Zone]++
-	c.rules.Nominate(best.Machine, j, now+config.Seconds(wait+3*c.cfg.Workers.HeartbeatSeconds)+CycleInterval)
+	limits.TasksPerZone[best.Machine.Zone]++
+	stopped := config.Seconds(longestGrace + 3*c.cfg.Workers.HeartbeatSeconds)
+	c.rules.Nominate(best.Machine, j, now+stopped+CycleInterval)
 	return true
 }
 
-// preemptPlacement stops a placement for another job that wants its room, and can wait for work to be
-// saved for as long as the patience.
+// searchedAsItsLike reports whether a search for a job covers all machines that other jobs with its search
+// key could use.
+func (c *Scheduler) searchedAsItsLike(j *jobstate.Job) bool {
+	return len(j.AvoidedMachines()) == 0 && len(j.NominatedMachines) == 0 && !c.inZoneFailover()
+}
+
+// preemptPlacement stops a placement for a job that can wait for a checkpoint for as long as allowed.
 func (c *Scheduler) preemptPlacement(
 	now time.Duration,
-	pl *machineregistry.Placement,
-	id string,
-	patience time.Duration,
+	victim *machineregistry.Placement,
+	preemptor string,
+	checkpointAllowance time.Duration,
 ) {
-	c.log.Info("preempted", "task", pl.Task, "for", id, "machine", pl.Machine)
-	if pl.Job != nil && pl.Job.SaveSeconds >= pl.Job.CheckpointIntervalSeconds/2 {
-		patience = 0 // to save takes as long as what is lost without, and the room is wanted
+	c.log.Info(
+		"task preempted",
+		"task", victim.Task,
+		"attempt", victim.Attempt,
+		"machine", victim.Machine,
+		"preemptor", preemptor,
+	)
+	if victim.Job != nil && victim.Job.SaveSeconds >= victim.Job.CheckpointIntervalSeconds/2 {
+		checkpointAllowance = 0 // a checkpoint takes about as long as the work that is lost without it
 	}
-	c.evict(now, pl, patience)
+	c.evict(now, victim, checkpointAllowance)
 }
 
-// checkpointAllowance is how long a job can wait for work to be saved and still start in
-// the time that its class's aim asks for. One that will be late anyhow, or has
-// no such aim, waits as long as it takes.
-func (c *Scheduler) checkpointAllowance(now time.Duration, j *jobstate.Job, warm time.Duration) time.Duration {
-	within := c.rules.StartLatency.Seconds(j.Spec.Class)
-	if left := config.Seconds(within) - (now - j.WaitingSince) - warm; !math.IsInf(within, 1) && left > 0 {
+// checkpointAllowance returns how long a job can wait for victims to save a checkpoint and still start
+// within its objective, if its image is there after the fetch time. A job that is late in any case, or has
+// no objective, waits for as long as it takes.
+func (c *Scheduler) checkpointAllowance(now time.Duration, j *jobstate.Job, fetchTime time.Duration) time.Duration {
+	if !c.rules.StartLatency.Has(j.Spec.Class) {
+		return math.MaxInt64
+	}
+	objective := config.Seconds(c.rules.StartLatency.Seconds(j.Spec.Class))
+	if left := objective - (now - j.WaitingSince) - fetchTime; left > 0 {
 		return left
 	}
 	return math.MaxInt64
 }
 
-// stopCompetingFetches stops the fetches that yield to a task's.
+// stopCompetingFetches stops the fetches on a candidate that yield to the fetch of a job's task.
 func (c *Scheduler) stopCompetingFetches(now time.Duration, j *jobstate.Job, x *candidates.Candidate) {
 	yields := c.rules.YieldingFetches(j)
 	if yields == nil ||
 		c.machines.FetchTime(now, x.Machine, &j.Spec) == c.machines.FetchTimeWithout(now, x.Machine, &j.Spec, yields) {
 		return
 	}
-	for _, pl := range c.placementsOn(x.Machine) {
+	for _, pl := range placement.PlacementsOn(x.Machine) {
 		if o := c.jobs[pl.Task.JobID]; o != nil && !pl.Stopping && yields(pl) {
-			c.log.Info("stopped fetching", "task", pl.Task, "for", j.Spec.ID, "machine", pl.Machine)
+			c.log.Info(
+				"fetching task preempted",
+				"task", pl.Task,
+				"attempt", pl.Attempt,
+				"machine", pl.Machine,
+				"preemptor", j.Spec.ID,
+			)
 			c.stopPlacement(now, o, pl, 0)
 		}
 	}
--- a/internal/coordination/scheduler/scheduler.go
+++ b/internal/coordination/scheduler/scheduler.go
@@ -66,7 +66,7 @@
 	// pagesInFlight counts the pages that are being written, by purpose.
 	pagesInFlight [PriorityMaintenance + 1]int
 	preemption    *placement.PreemptionBudget
-	consolidation consolidation
+	consolidator  *placement.Consolidator
 	// cancellationIntents holds the jobs that users may have been told are cancelled, until the
 	// state service tells, by when one must have been told.
 	cancellationIntents map[string]time.Duration
@@ -157,6 +157,7 @@
 	}
 	c.preemption = placement.NewPreemptionBudget()
 	c.finder = placement.NewFinder(c.rules, c.preemption)
+	c.consolidator = placement.NewConsolidator(c.rules, consolidationPause)
 	c.machines.SetMachineTypes(rec.MachineTypes)
 	c.recoverImageHints(rec.Images)
 	started := jobsWithPlacementPages(rec.Pages)
