--- a/internal/coordination/scheduler/demand.go
+++ b/internal/coordination/scheduler/demand.go
@@ -1,13 +1,10 @@
 package scheduler
 
 import (
-	"maps"
-	"math"
-	"slices"
 	"time"
 
-	"pinebay/internal/config"
 	"pinebay/internal/coordination/autoscaler"
+	"pinebay/internal/coordination/demand"
 	"pinebay/internal/coordination/jobstate"
 	"pinebay/internal/coordination/machineregistry"
 	"pinebay/internal/coordination/placement"
@@ -45,13 +42,13 @@
 			)
 			continue
 		}
-		for _, u := range c.unitsByZone(&j.Spec, l, n) {
+		for _, u := range demand.SpreadOverZones(&j.Spec, c.allowedZones(&j.Spec), l.TasksPerZone, l.MaxTasksPerZone, n) {
 			u.ExcludedMachines = j.AvoidedMachines()
 			units = append(units, u)
 		}
 	}
-	c.forecastUnits = c.forecastCapacity(now)
-	return append(append(units, c.forecastBlockedJobs(now)...), c.forecastUnits...)
+	c.headroom = c.forecast.Headroom(now, c.machines.MachineTypes(), c.objectives())
+	return append(append(units, c.forecastBlockedJobs(now)...), c.headroom...)
 }
 
 // zoneChoiceKey is what the choice of a zone depends on.
@@ -106,133 +103,10 @@
 
 // allowedZones lists the zones that a job allows, in order.
 func (c *Scheduler) allowedZones(spec *protocol.Job) []string {
-	zones := map[string]bool{}
-	for _, t := range c.machines.MachineTypes() {
-		if t.AllowedBy(spec) {
-			for _, z := range t.Zones {
-				if spec.Zone == "" || spec.Zone == z {
-					zones[z] = true
-				}
-			}
-		}
-	}
-	return slices.Sorted(maps.Keys(zones))
-}
-
-// unitsByZone deals tasks to zones as the job's spread demands.
-func (c *Scheduler) unitsByZone(spec *protocol.Job, l *placement.ZoneLimits, n int) []autoscaler.Demand {
-	names := c.allowedZones(spec)
-	counts := map[string]int{}
-	for ; n > 0; n-- {
-		best := ""
-		for _, z := range names {
-			if l.TasksPerZone[z]+counts[z] < l.MaxTasksPerZone &&
-				(best == "" || l.TasksPerZone[z]+counts[z] < l.TasksPerZone[best]+counts[best]) {
-				best = z
-			}
-		}
-		if best == "" {
-			break
-		}
-		counts[best]++
-	}
-	var units []autoscaler.Demand
-	for _, z := range names {
-		if counts[z] > 0 {
-			units = append(units, autoscaler.Demand{Job: spec, Zone: z, Count: counts[z]})
-		}
-	}
-	return units
-}
-
-// forecastCapacity is the room kept for classes whose aim on waiting is shorter than a
-// machine takes to come up with their image.
-func (c *Scheduler) forecastCapacity(now time.Duration) []autoscaler.Demand {
-	var units []autoscaler.Demand
-	for _, class := range slices.Sorted(maps.Keys(c.newestJobs)) {
-		spec := c.newestJobs[class]
-		within := c.rules.StartLatency.Seconds(class)
-		boot, ready := 0.0, math.Inf(1)
-		for _, t := range c.machines.MachineTypes() {
-			if t.AllowedBy(spec) && t.TaskCapacity(spec) > 0 && t.FetchGBPerSecond > 0 {
-				if r := t.BootSeconds + spec.ImageGB/t.FetchGBPerSecond; r < ready {
-					boot, ready = t.BootSeconds, r
-				}
-			}
-		}
-		if within >= ready || math.IsInf(ready, 1) {
-			continue
-		}
-		mean := c.expectedArrivals(now, class, config.Seconds(boot))
-		if mean < 0.1 {
-			continue
-		}
-		// Where a fetch that takes a third longer outlasts the aim, no time is
-		// left to clear room first.
-		quick := within < (ready-boot)*machineregistry.SlowFetchFactor
-		jobs := mean + c.safetyMargin(class)*math.Sqrt(mean)
-		tasks := int(math.Round(jobs * c.meanTasks[class]))
-		if tasks == 0 {
-			continue
-		}
-		if spec.Spread {
-			l := &placement.ZoneLimits{TasksPerZone: map[string]int{}, MaxTasksPerZone: (tasks + 1) / 2}
-			for _, u := range c.unitsByZone(spec, l, tasks) {
-				u.Headroom, u.MustBeFree = true, quick
-				units = append(units, u)
-			}
-			continue
-		}
-		units = append(units, autoscaler.Demand{Job: spec, Count: tasks, Headroom: true, MustBeFree: quick})
-	}
-	return units
+	return demand.AllowedZones(c.machines.MachineTypes(), spec)
 }
 
-// safetyMargin is how many deviations above the expected arrivals are met by the
-// share of starts in time that a class's aims ask for.
-func (c *Scheduler) safetyMargin(class string) float64 {
-	share := 0.5
-	for _, o := range c.cfg.Objectives {
-		if o.Kind == "wait" && o.Class == class {
-			share = max(share, min(o.Fraction, 0.999))
-		}
-	}
-	return math.Sqrt2 * math.Erfinv(2*share-1)
+// objectives returns the service-level objectives that headroom is kept for.
+func (c *Scheduler) objectives() demand.Objectives {
+	return demand.Objectives{StartLatencySeconds: c.rules.StartLatency, All: c.cfg.Objectives}
 }
-
-// expectedArrivals is how many jobs of a class are likely to come in one boot time,
-// with something added for a swing. Arrivals count for less as they age.
-func (c *Scheduler) expectedArrivals(now time.Duration, class string, boot time.Duration) float64 {
-	memory := arrivalMemoryBoots * boot
-	as := c.arrivals[class]
-	for len(as) > 0 && as[0] < now-4*memory {
-		as = as[1:]
-	}
-	c.arrivals[class] = as
-	prior := c.inheritedArrivals[class] * math.Exp(-(now-c.termStartedAt).Seconds()/memory.Seconds())
-	if len(as) == 0 && prior == 0 {
-		return 0
-	}
-	// A crowd that comes at once, as when a fleet is opened, tells little of
-	// the rate: no short while counts for more than two.
-	sum, crowd, first := 0.0, 0, time.Duration(math.MinInt64/2)
-	for _, a := range as {
-		if a-first > boot/8 {
-			first, crowd = a, 0
-		}
-		if crowd++; crowd <= 2 {
-			sum += math.Exp(-(now - a).Seconds() / memory.Seconds())
-		}
-	}
-	// What came in so short a time that it could not yet have aged counts as if
-	// it had come in a boot time or two.
-	c.decayedArrivals[class] = sum + prior
-	if prior > 0 {
-		return 1.2 * (sum + prior) * boot.Seconds() / memory.Seconds()
-	}
-	seen := 1 - math.Exp(-max(now-as[0], 2*boot).Seconds()/memory.Seconds())
-	return 1.2 * sum * boot.Seconds() / memory.Seconds() / seen
-}
-
-// arrivalMemoryBoots is the memory of the arrival rate, in boot times.
-const arrivalMemoryBoots = 3
--- a/internal/coordination/scheduler/dependencies.go
+++ b/internal/coordination/scheduler/dependencies.go
@@ -108,7 +108,7 @@
 	c.log.Debug("freed", "job", j.Spec.ID, "class", j.Spec.Class, "after", now-j.WaitingSince)
 	j.Blocked, j.WaitingSince = false, now
 	c.queues.Update(j)
-	c.recordArrival(j, now)
+	c.forecast.Arrived(&j.Spec, now)
 	c.cycleDue = true
 }
 
--- a/internal/coordination/scheduler/imagehints.go
+++ b/internal/coordination/scheduler/imagehints.go
@@ -4,9 +4,9 @@
 	"maps"
 	"math"
 	"slices"
-	"sort"
 	"time"
 
+	"pinebay/internal/coordination/demand"
 	"pinebay/internal/coordination/machineregistry"
 	"pinebay/internal/protocol"
 	"pinebay/internal/storage"
@@ -30,7 +30,7 @@
 			c.machines.SetImageHint(m.Name, copies)
 		}
 		for _, a := range rec.Arrivals {
-			c.inheritedArrivals[a.Class], c.meanTasks[a.Class] = a.Jobs, a.MeanTasks
+			c.forecast.Inherit(demand.ClassRate{Class: a.Class, Arrivals: a.Jobs, MeanTasks: a.MeanTasks})
 		}
 		c.imageHintPages[p.Key] = "" // to be written anew, or else dropped
 	}
@@ -65,14 +65,14 @@
 			rec.Machines = append(rec.Machines, m)
 		}
 		if page == 0 {
-			for class, jobs := range c.decayedArrivals {
-				// Two digits are enough, and a quiet fleet writes nothing.
-				rec.Arrivals = append(
-					rec.Arrivals,
-					storage.ClassArrivals{Class: class, Jobs: math.Round(jobs*4) / 4, MeanTasks: c.meanTasks[class]},
-				)
+			for _, rate := range c.forecast.Rates() {
+				rec.Arrivals = append(rec.Arrivals, storage.ClassArrivals{
+					Class: rate.Class,
+					// Two digits are enough, and a quiet fleet writes nothing.
+					Jobs:      math.Round(rate.Arrivals*4) / 4,
+					MeanTasks: rate.MeanTasks,
+				})
 			}
-			sort.Slice(rec.Arrivals, func(a, b int) bool { return rec.Arrivals[a].Class < rec.Arrivals[b].Class })
 		}
 		raw, err := protocol.Encode(rec)
 		if err != nil || !storage.FitsValueLimit(raw, c.stateLimits.ValueKB) {
--- a/internal/coordination/scheduler/lifecycle.go
+++ b/internal/coordination/scheduler/lifecycle.go
@@ -28,22 +28,10 @@
 	if j.Blocked {
 		return // it arrives when it is freed
 	}
-	c.recordArrival(j, since)
+	c.forecast.Arrived(&j.Spec, since)
 	c.cycleDue = true
 }
 
-// recordArrival remembers when a job came that may begin, for the forecast of arrivals.
-func (c *Scheduler) recordArrival(j *jobstate.Job, since time.Duration) {
-	class := j.Spec.Class
-	c.arrivals[class] = append(c.arrivals[class], since)
-	c.newestJobs[class] = &j.Spec
-	if old := c.meanTasks[class]; old > 0 {
-		c.meanTasks[class] = old + (float64(j.Spec.TaskCount)-old)/8
-	} else {
-		c.meanTasks[class] = float64(j.Spec.TaskCount)
-	}
-}
-
 // applyObservations takes in what became of placements.
 func (c *Scheduler) applyObservations(now time.Duration, facts []machineregistry.Observation) {
 	for _, f := range facts {
--- a/internal/coordination/scheduler/recovery_test.go
+++ b/internal/coordination/scheduler/recovery_test.go
@@ -173,7 +173,7 @@
 		}
 	}
 	boot := 30 * time.Second
-	want := b.scheduler.expectedArrivals(b.now, "quick", boot)
+	want := b.scheduler.forecast.ExpectedArrivals(b.now, "quick", boot)
 	next := New(
 		0,
 		b.scheduler.cfg,
@@ -187,7 +187,7 @@
 		b.now.Milliseconds(),
 		nil,
 	)
-	got := next.expectedArrivals(0, "quick", boot)
+	got := next.forecast.ExpectedArrivals(0, "quick", boot)
 	if want == 0 || got < want/3 || got > want*1.2 {
 		t.Errorf("expects %v jobs after the take-over, %v before", got, want)
 	}
--- a/internal/coordination/scheduler/scheduler.go
+++ b/internal/coordination/scheduler/scheduler.go
@@ -12,6 +12,7 @@
 	"pinebay/internal/config"
 	"pinebay/internal/coordination/autoscaler"
 	"pinebay/internal/coordination/candidates"
+	"pinebay/internal/coordination/demand"
 	"pinebay/internal/coordination/dependency"
 	"pinebay/internal/coordination/fairshare"
 	"pinebay/internal/coordination/featurelevel"
@@ -79,13 +80,9 @@
 	lastCycleAt         time.Duration
 	lastPlanAt          time.Duration // when the fleet was last planned
 	termStartedAt       time.Duration
-	arrivals            map[string][]time.Duration // by class, newest last
-	newestJobs          map[string]*protocol.Job   // the newest job of each class
-	meanTasks           map[string]float64         // mean tasks of a job
-	forecastUnits       []autoscaler.Demand        // room wanted for jobs to come
-	decayedArrivals     map[string]float64         // jobs in the memory of arrivals, by class
-	inheritedArrivals   map[string]float64         // what the last leader counted
-	imageHintPages      map[string]string          // images records as written
+	forecast            *demand.Forecast
+	headroom            []autoscaler.Demand // for jobs to come, by the last plan
+	imageHintPages      map[string]string   // images records as written
 	imageHintsInFlight  bool
 	lastImageHintKey    string // the key of the last page of them that was written
 	prober              prober
@@ -136,11 +133,7 @@
 		termStartedAt:       now,
 		lastCycleAt:         now - CycleInterval,
 		lastPlanAt:          now - CycleInterval,
-		arrivals:            map[string][]time.Duration{},
-		newestJobs:          map[string]*protocol.Job{},
-		meanTasks:           map[string]float64{},
-		decayedArrivals:     map[string]float64{},
-		inheritedArrivals:   map[string]float64{},
+		forecast:            demand.NewForecast(now),
 		imageHintPages:      map[string]string{},
 		imageHintsWrittenAt: now,
 	}
@@ -173,10 +166,7 @@
 		age := time.Duration(max(0, wallMS-rec.AcceptedAtMS)) * time.Millisecond
 		c.acceptJob(now, now-age, rec, p.Revision)
 	}
-	for class := range c.inheritedArrivals {
-		// The last leader has counted those jobs that live.
-		delete(c.arrivals, class)
-	}
+	c.forecast.DropInheritedArrivals()
 	c.recoverPages(now, rec.Pages)
 	for _, j := range c.sortedJobs() {
 		// A gang that the last leader did not finish writing starts anew.
