--- a/internal/coordination/scheduler/allocate.go
+++ b/internal/coordination/scheduler/allocate.go
@@ -188,7 +188,7 @@
 	placements := newPlacements(j, allocated)
 	if !c.machines.Reserve(now, placements) {
 		// The registry knows better. The next cycle asks again with what the registry says.
-		c.cycleDue = true
+		c.cycle.due = true
 		c.candidates.MarkStale()
 		return
 	}
--- a/internal/coordination/scheduler/cancellation.go
+++ b/internal/coordination/scheduler/cancellation.go
@@ -50,7 +50,7 @@
 	for id, until := range c.cancellationIntents {
 		if at > until {
 			delete(c.cancellationIntents, id)
-			c.cycleDue = true
+			c.cycle.due = true
 		}
 	}
 }
--- a/internal/coordination/scheduler/candidateindex_test.go
+++ b/internal/coordination/scheduler/candidateindex_test.go
@@ -190,8 +190,8 @@
 		b.heartbeatAll()
 		b.advance(CycleInterval)
 		allocations := testing.AllocsPerRun(20, func() {
-			b.scheduler.cycleDue = true
-			b.scheduler.lastCycleAt = b.now - CycleInterval
+			b.scheduler.cycle.due = true
+			b.scheduler.cycle.lastAt = b.now - CycleInterval
 			b.scheduler.Step(b.now, Tick{})
 		})
 		t.Logf("%d machines: %.0f allocations", machines, allocations)
--- a/internal/coordination/scheduler/costs_test.go
+++ b/internal/coordination/scheduler/costs_test.go
@@ -53,14 +53,14 @@
 // TestCyclesForManyTriggers: however many relevant events arrive, cycles keep their pace.
 func TestCyclesForManyTriggers(t *testing.T) {
 	b := largeHarness(50)
-	before, from := b.scheduler.cycleCount, b.now
+	before, from := b.scheduler.cycle.count, b.now
 	const triggers = 2000
 	for i := range triggers {
 		b.now = from + time.Duration(i)*time.Second/triggers
 		b.addJob(jobSpec(fmt.Sprintf("j-trigger%d", i), protocol.Array, "normal", 1, 1))
 		b.apply(Tick{})
 	}
-	if got, most := b.scheduler.cycleCount-before, uint64(time.Second/MinCycleInterval)+1; got > most {
+	if got, most := b.scheduler.cycle.count-before, uint64(time.Second/MinCycleInterval)+1; got > most {
 		t.Errorf("%d cycles for %d triggers in a second, want %d at most", got, triggers, most)
 	}
 }
--- a/internal/coordination/scheduler/cycle.go
+++ b/internal/coordination/scheduler/cycle.go
@@ -15,8 +15,8 @@
 // runCycle runs a scheduling cycle: it places the tasks of waiting jobs, and then moves tasks to better
 // machines. Jobs are in the order of priority and age; the teams' shares decide whose job is next.
 func (c *Scheduler) runCycle(now time.Duration) {
-	c.cycleCount++
-	c.rules.Cycle = c.cycleCount
+	c.cycle.count++
+	c.rules.Cycle = c.cycle.count
 	c.candidates.Refresh(now)
 	waiting := c.schedulableJobs(now)
 	c.orderGangsByDeadline(now, waiting)
@@ -36,7 +36,7 @@
 func (c *Scheduler) schedulableJobs(now time.Duration) (waiting []*jobstate.Job) {
 	c.queues.Pending.Scan(func(j *jobstate.Job) bool {
 		if c.placeableNow(now, j) {
-			j.LastWaitingCycle = c.cycleCount
+			j.LastWaitingCycle = c.cycle.count
 			waiting = append(waiting, j)
 		}
 		return true
@@ -50,7 +50,7 @@
 	failures := map[placement.SearchKey]int{}
 	queue := c.newFairShareQueue(waiting)
 	for j, ok := queue.Next(); ok; j, ok = queue.Next() {
-		j.LastTriedCycle = c.cycleCount
+		j.LastTriedCycle = c.cycle.count
 		if len(j.NominatedMachines) > 0 {
 			c.preemption.CapacityMayBeFree() // later jobs may take what the job is nominated for
 		}
--- a/internal/coordination/scheduler/cycle_bench_test.go
+++ b/internal/coordination/scheduler/cycle_bench_test.go
@@ -78,7 +78,7 @@
 			b.ReportMetric(float64(waiting), "waiting")
 			for range b.N {
 				l.now += MinCycleInterval
-				l.scheduler.cycleDue = true
+				l.scheduler.cycle.due = true
 				l.scheduler.Step(l.now, Tick{})
 			}
 		})
--- a/internal/coordination/scheduler/dependencies.go
+++ b/internal/coordination/scheduler/dependencies.go
@@ -109,7 +109,7 @@
 	j.Blocked, j.WaitingSince = false, now
 	c.queues.Update(j)
 	c.forecast.Arrived(&j.Spec, now)
-	c.cycleDue = true
+	c.cycle.due = true
 }
 
 // reprioritise gives a job the priority and the latest start that it has by itself and by those that await it.
@@ -130,7 +130,7 @@
 	for _, pl := range j.Placements {
 		c.machines.SetPriorityLevel(pl, level)
 	}
-	c.cycleDue = true
+	c.cycle.due = true
 }
 
 // writeCancelledDependents writes the ends of jobs that are cancelled with one that they await. They count as
--- a/internal/coordination/scheduler/featurelevel.go
+++ b/internal/coordination/scheduler/featurelevel.go
@@ -115,7 +115,7 @@
 	}
 	c.redistributeLoanPages()
 	c.emit(FeatureLevelFinal{Level: c.level})
-	c.cycleDue = true
+	c.cycle.due = true
 }
 
 // replaceSupersededPages has some superseded pages replaced, when there is little else to write: each that stays takes
--- a/internal/coordination/scheduler/fleet_bench_test.go
+++ b/internal/coordination/scheduler/fleet_bench_test.go
@@ -106,12 +106,12 @@
 
 // apply hands an event to the core and carries out its effects.
 func (b *fleetHarness) apply(e Event) {
-	cycles := b.scheduler.cycleCount
+	cycles := b.scheduler.cycle.count
 	began := time.Now()
 	effects := b.scheduler.Step(b.now, e)
 	took := time.Since(began)
 	b.stepTime += took
-	if b.scheduler.cycleCount > cycles {
+	if b.scheduler.cycle.count > cycles {
 		b.longestCycle = max(b.longestCycle, took)
 	}
 	for _, out := range effects {
--- a/internal/coordination/scheduler/heartbeats.go
+++ b/internal/coordination/scheduler/heartbeats.go
@@ -82,7 +82,7 @@
 	}
 	up := c.machines.Registered(r.Machine)
 	result := c.machines.HandleHeartbeat(now, r)
-	c.cycleDue = c.cycleDue || !up
+	c.cycle.due = c.cycle.due || !up
 	c.applyObservations(now, result.Observations)
 	c.quarantineIfFailing(result.Machine)
 	return result.Machine, result.Newer
--- a/internal/coordination/scheduler/jobcompletion.go
+++ b/internal/coordination/scheduler/jobcompletion.go
@@ -161,7 +161,7 @@
 		}
 	}
 	j.Unstarted = rest
-	c.cycleDue = c.cycleDue || j.TaskCounts[jobstate.TaskPending] > 0
+	c.cycle.due = c.cycle.due || j.TaskCounts[jobstate.TaskPending] > 0
 }
 
 func (c *Scheduler) cancelUnstarted(now time.Duration, j *jobstate.Job) {
--- a/internal/coordination/scheduler/lifecycle.go
+++ b/internal/coordination/scheduler/lifecycle.go
@@ -29,7 +29,7 @@
 		return // it arrives when it is freed
 	}
 	c.forecast.Arrived(&j.Spec, since)
-	c.cycleDue = true
+	c.cycle.due = true
 }
 
 // applyObservations takes in what became of placements.
@@ -73,7 +73,7 @@
 
 // placementGone takes in that a placement is proven gone.
 func (c *Scheduler) placementGone(now time.Duration, j *jobstate.Job, pl *machineregistry.Placement, lost bool) {
-	c.cycleDue = true
+	c.cycle.due = true
 	task := pl.Task.Index
 	delete(j.Placements, task)
 	page := j.Pages.PageOf(task)
@@ -203,7 +203,7 @@
 	j.Ended, j.LiveRevision = true, 0
 	c.liveRecordDeleted(now, j.Spec.ID)
 	c.queues.Update(j)
-	c.cycleDue = true
+	c.cycle.due = true
 	if j.TaskCounts[jobstate.TaskDone] < len(j.TaskStates) {
 		c.setFencingDeadline(j, c.fencingDeadline(now))
 	}
--- a/internal/coordination/scheduler/preempt.go
+++ b/internal/coordination/scheduler/preempt.go
@@ -82,7 +82,7 @@
 ) bool {
 	key := placement.SearchKeyOf(j)
 	key.VictimPriority = victimPriority
-	if !c.preemption.Admit(j, key, c.cycleCount) {
+	if !c.preemption.Admit(j, key, c.cycle.count) {
 		return false
 	}
 	best, victims := c.finder.CheapestPreemption(now, j, limits, maxFetchTime, victimPriority)
--- a/internal/coordination/scheduler/prober.go
+++ b/internal/coordination/scheduler/prober.go
@@ -6,50 +6,72 @@
 	"pinebay/internal/protocol"
 )
 
-// probesPerCore is how many machines a whole core inspects a second, next to its other
-// work. Each inspection opens a connection and decodes a report.
-const probesPerCore = 1000
-
-// prober asks the machines that were there before the term how they stand. Their
-// workers may still be waiting for the last leader's answer, for most of a lease if it
-// fell silent, and until they are heard nothing can be placed there. A small controller
-// asks a few at a time: it fell behind for seconds when it asked hundreds at once, while
-// most of them reported by themselves.
+const (
+	// probesPerCore is how many machines a controller with a whole core probes a second, beside its other work.
+	// Each probe opens a connection and decodes a heartbeat.
+	probesPerCore = 1000
+	// probeInterval is the time between two rounds of probes.
+	probeInterval = time.Second
+)
+
+// prober asks machines for a heartbeat that were there before the term. Their workers may still be waiting for the
+// last leader's answer, for most of a lease if it fell silent, and nothing can be placed on them before a heartbeat.
+// A small controller probes a few at a time: hundreds at once made it fall behind for seconds, while most machines
+// sent a heartbeat by themselves.
 type prober struct {
-	machinesListed bool    // the first list has come
-	queue          []Probe // still to be asked
-	nextProbesAt   time.Duration
+	machinesListed bool    // the cloud's first list of the term has come
+	queue          []Probe // still to be sent
+	nextRoundAt    time.Duration
 }
 
-// probeListed takes in the cloud's first list of the term, which tells the addresses.
-func (c *Scheduler) probeListed(now time.Duration, list []protocol.ListedMachine) {
-	if c.prober.machinesListed {
-		return
+// enqueue queues the probe of a machine.
+func (p *prober) enqueue(machine, addr string) {
+	p.queue = append(p.queue, Probe{Machine: machine, Addr: addr})
+}
+
+// enqueueListed queues the running machines of the cloud's first list of the term, which has their addresses. It
+// returns false for later lists.
+func (p *prober) enqueueListed(list []protocol.ListedMachine) bool {
+	if p.machinesListed {
+		return false
 	}
-	c.prober.machinesListed = true
+	p.machinesListed = true
 	for i := range list {
-		l := &list[i]
-		if l.State == protocol.MachineRunning && l.Addr != "" {
-			c.prober.queue = append(c.prober.queue, Probe{l.Name, l.Addr})
+		if m := &list[i]; m.State == protocol.MachineRunning && m.Addr != "" {
+			p.enqueue(m.Name, m.Addr)
 		}
 	}
-	c.sendProbes(now)
+	return true
 }
 
-// sendProbes asks as many machines as a second has room for, of those that have not
-// been heard meanwhile.
+// roundDue reports whether probes may be sent now.
+func (p *prober) roundDue(now time.Duration) bool { return len(p.queue) > 0 && now >= p.nextRoundAt }
+
+// next removes the next probe from the queue.
+func (p *prober) next() (probe Probe, ok bool) {
+	if len(p.queue) == 0 {
+		return Probe{}, false
+	}
+	probe = p.queue[0]
+	p.queue = p.queue[1:]
+	return probe, true
+}
+
+// sendProbes probes as many machines as a round allows, of those that have not sent a heartbeat meanwhile.
 func (c *Scheduler) sendProbes(now time.Duration) {
-	if len(c.prober.queue) == 0 || now < c.prober.nextProbesAt {
+	if !c.prober.roundDue(now) {
 		return
 	}
-	c.prober.nextProbesAt = now + time.Second
-	most := max(1, int(probesPerCore*c.cfg.Quota.CoreShare))
-	for len(c.prober.queue) > 0 && most > 0 {
-		e := c.prober.queue[0]
-		c.prober.queue = c.prober.queue[1:]
-		if !c.machines.Registered(e.Machine) && !c.autoscaler.RecentlyReleased(e.Machine) {
-			c.emit(e)
-			most--
+	c.prober.nextRoundAt = now + probeInterval
+	left := max(1, int(probesPerCore*c.cfg.Quota.CoreShare))
+	for left > 0 {
+		probe, ok := c.prober.next()
+		if !ok {
+			return
+		}
+		if !c.machines.Registered(probe.Machine) && !c.autoscaler.RecentlyReleased(probe.Machine) {
+			c.emit(probe)
+			left--
 		}
 	}
 }
--- a/internal/coordination/scheduler/scheduler.go
+++ b/internal/coordination/scheduler/scheduler.go
@@ -24,21 +24,6 @@
 	"pinebay/internal/storage"
 )
 
-// Cycle is the interval of the scheduling cycle, and Eager the shortest time
-// between two when something relevant has arrived.
-const (
-	CycleInterval    = time.Second
-	MinCycleInterval = CycleInterval / 20
-)
-
-// crowd is how many jobs make the pause between eager cycles longer by once itself, for a
-// cycle's cost grows with them, and maxCyclePause the longest that it becomes: urgent work must not
-// wait for a whole cycle behind any number of others.
-const (
-	jobsPerCyclePause = 500
-	maxCyclePause     = CycleInterval / 4
-)
-
 // Scheduler is the leader's state.
 type Scheduler struct {
 	cfg          *config.Deployment
@@ -75,10 +60,7 @@
 	effects             []Effect
 	writesInFlight      map[uint64]func(now time.Duration, w TransactionOutcome)
 	lastWriteID         uint64
-	cycleDue            bool // something relevant has arrived since the last cycle
-	cycleCount          uint64
-	lastCycleAt         time.Duration
-	lastPlanAt          time.Duration // when the fleet was last planned
+	cycle               cycleClock
 	termStartedAt       time.Duration
 	forecast            *demand.Forecast
 	headroom            []autoscaler.Demand // for jobs to come, by the last plan
@@ -104,17 +86,32 @@
 	LiveJobs, Pages, Images, ZoneReturnPages []protocol.KeyValue
 }
 
-// New returns the core of a term that has read the records, at the given time of day. order
-// turns on zone return; nil leaves it off.
+// New returns the scheduler of a term, recovered from the records that the new leader has read. wallMS is the time of
+// day in milliseconds. Zone failover is on if a recovery order is given.
 func New(
 	now time.Duration,
 	cfg *config.Deployment,
 	log *slog.Logger,
 	term Term,
-	rec RecoveredRecords,
+	records RecoveredRecords,
 	wallMS int64,
 	order *zonefailover.RecoveryOrder,
 ) *Scheduler {
+	c := newScheduler(now, cfg, log, term, wallMS)
+	c.machines.SetMachineTypes(records.MachineTypes)
+	c.recoverImageHints(records.Images)
+	c.recoverLiveJobs(now, records.LiveJobs, jobsWithPlacementPages(records.Pages))
+	c.forecast.DropInheritedArrivals()
+	c.recoverPages(now, records.Pages)
+	c.resumeInterrupted(now)
+	if order != nil {
+		c.startZoneFailover(now, order, records.ZoneReturnPages)
+	}
+	return c
+}
+
+// newScheduler returns the scheduler of a term in which nothing is known yet.
+func newScheduler(now time.Duration, cfg *config.Deployment, log *slog.Logger, term Term, wallMS int64) *Scheduler {
 	machines := machineregistry.New(term.Number, cfg.Workers)
 	c := &Scheduler{
 		cfg:                 cfg,
@@ -122,71 +119,80 @@
 		term:                term.Number,
 		termRevision:        term.Revision,
 		controller:          term.Controller,
+		termStartedAt:       now,
 		termStartedMS:       wallMS,
 		dependencies:        dependency.New(),
 		machines:            machines,
 		autoscaler:          autoscaler.New(term.Number, cfg.Cloud, cfg.Workers, machines),
 		jobs:                map[string]*jobstate.Job{},
+		queues:              jobstate.NewQueues(),
+		quotas:              fairshare.NewQuotas(cfg.Teams, machines),
+		candidates:          candidates.NewIndex(machines),
+		preemption:          placement.NewPreemptionBudget(),
 		cancellationIntents: map[string]time.Duration{},
 		writesInFlight:      map[uint64]func(time.Duration, TransactionOutcome){},
-		cycleDue:            true,
-		termStartedAt:       now,
-		lastCycleAt:         now - CycleInterval,
-		lastPlanAt:          now - CycleInterval,
+		cycle:               newCycleClock(now),
 		forecast:            demand.NewForecast(now),
 		imageHintPages:      map[string]string{},
 		imageHintsWrittenAt: now,
 	}
-	c.setFeatureLevel(term.FeatureLevel)
-	c.queues, c.candidates = jobstate.NewQueues(), candidates.NewIndex(c.machines)
-	c.quotas = fairshare.NewQuotas(cfg.Teams, c.machines)
 	c.rules = &placement.Rules{
-		Machines:     c.machines,
+		Machines:     machines,
 		Candidates:   c.candidates,
 		Quotas:       c.quotas,
 		StartLatency: placement.StartLatencyObjectivesOf(cfg.Objectives),
 		Zones:        zonePolicy{c},
 		Jobs:         c.jobs,
 	}
-	c.preemption = placement.NewPreemptionBudget()
 	c.finder = placement.NewFinder(c.rules, c.preemption)
 	c.consolidator = placement.NewConsolidator(c.rules, consolidationPause)
-	c.machines.SetMachineTypes(rec.MachineTypes)
-	c.recoverImageHints(rec.Images)
-	started := jobsWithPlacementPages(rec.Pages)
-	for _, p := range rec.LiveJobs {
-		var rec storage.LiveJobRecord
-		if err := protocol.Decode(p.Value, &rec); err != nil {
-			log.Error("live record out of form", "key", p.Key, "err", err)
+	c.setFeatureLevel(term.FeatureLevel)
+	return c
+}
+
+// recoverLiveJobs accepts the jobs that were accepted in earlier terms. started names those of which placements are
+// recorded.
+func (c *Scheduler) recoverLiveJobs(now time.Duration, records []protocol.KeyValue, started map[string]bool) {
+	for _, kv := range records {
+		var record storage.LiveJobRecord
+		if err := protocol.Decode(kv.Value, &record); err != nil {
+			c.log.Error("live record out of form", "key", kv.Key, "err", err)
 			continue
 		}
-		if started[rec.Job.ID] {
-			rec.Job.Dependencies = nil // its record proves that all of them are done
+		if started[record.Job.ID] {
+			record.Job.Dependencies = nil // a job is placed only when all of them are done
 		}
-		age := time.Duration(max(0, wallMS-rec.AcceptedAtMS)) * time.Millisecond
-		c.acceptJob(now, now-age, rec, p.Revision)
+		age := time.Duration(max(0, c.termStartedMS-record.AcceptedAtMS)) * time.Millisecond
+		c.acceptJob(now, now-age, record, kv.Revision)
 	}
-	c.forecast.DropInheritedArrivals()
-	c.recoverPages(now, rec.Pages)
+}
+
+// resumeInterrupted goes on with what the last leader did not finish.
+func (c *Scheduler) resumeInterrupted(now time.Duration) {
 	for _, j := range c.sortedJobs() {
-		// A gang that the last leader did not finish writing starts anew.
+		// A gang of which only some placements were recorded is restarted.
 		if j.Spec.Shape == protocol.Gang && len(j.Placements) > 0 && j.TaskCounts[jobstate.TaskPending] > 0 {
 			c.stopGang(now, j)
 		}
 		if j.Ended {
-			// It ended under another leader, who knows when.
+			// When it ended under the last leader is not known.
 			c.setFencingDeadline(j, now+c.autoscaler.FencingTimeout())
 			c.stopJobTasks(now, j)
 		}
 	}
-	if order != nil {
-		c.startZoneFailover(now, order, rec.ZoneReturnPages)
-	}
-	return c
 }
 
-// Step takes an event and returns what is to be done.
+// Step handles an event at a time and returns the effects to be carried out, in their order.
 func (c *Scheduler) Step(now time.Duration, event Event) []Effect {
+	c.handle(now, event)
+	c.emitDecisions()
+	effects := c.effects // of the recovery too, after the first event of a term
+	c.effects = nil
+	return effects
+}
+
+// handle passes an event to its handler.
+func (c *Scheduler) handle(now time.Duration, event Event) {
 	switch e := event.(type) {
 	case Tick:
 		c.tick(now)
@@ -203,11 +209,7 @@
 	case WatchProgress:
 		c.expireCancellationIntents(e.At)
 	case TransactionOutcome:
-		if f := c.writesInFlight[e.WriteID]; f != nil {
-			delete(c.writesInFlight, e.WriteID)
-			f(now, e)
-		}
-		c.writeLevelWhenIdle()
+		c.handleTransactionOutcome(now, e)
 	case FinalStateRead:
 		c.handleFinalState(now, e)
 	case FinaliseFeatureLevel:
@@ -219,41 +221,21 @@
 	case MachineTypesUpdated:
 		c.machines.SetMachineTypes(e.Types)
 	case MachinesListed:
-		if e.Failed {
-			c.autoscaler.HandleListFailure()
-			break
-		}
-		c.probeListed(now, e.Machines)
-		for i := range e.Machines {
-			if e.Machines[i].State == protocol.MachineFailed {
-				c.noteDepartedMachine(e.Machines[i].Name)
-			}
-		}
-		for _, name := range c.autoscaler.HandleList(now, e.RequestedAt, e.Machines) {
-			c.log.Info("machine has left the list", "machine", name)
-			c.noteDepartedMachine(name)
-			c.applyObservations(now, c.machines.Remove(now, name))
-		}
+		c.handleMachinesListed(now, e)
 	case ScaleOutResult:
-		c.log.Info("rented", "request", e.Request, "machines", len(e.Machines), "refused", e.Refused)
-		c.autoscaler.HandleScaleOut(now, autoscaler.RentalOutcome{
-			RequestID:   e.Request,
-			RequestedAt: e.RequestedAt,
-			Machines:    e.Machines,
-			Refused:     e.Refused,
-		})
+		c.handleScaleOut(now, e)
 	case ScaleInResult:
-		c.autoscaler.HandleScaleIn(now, e.Machines, e.Succeeded)
-		if e.Succeeded {
-			for _, n := range e.Machines {
-				c.applyObservations(now, c.machines.Remove(now, n))
-			}
-		}
+		c.handleScaleIn(now, e)
 	}
-	c.emitDecisions()
-	out := c.effects // with what was asked for at the beginning of the term
-	c.effects = nil
-	return out
+}
+
+// handleTransactionOutcome passes an outcome to the write that waits for it.
+func (c *Scheduler) handleTransactionOutcome(now time.Duration, e TransactionOutcome) {
+	if f := c.writesInFlight[e.WriteID]; f != nil {
+		delete(c.writesInFlight, e.WriteID)
+		f(now, e)
+	}
+	c.writeLevelWhenIdle()
 }
 
 func (c *Scheduler) emit(effects ...Effect) { c.effects = append(c.effects, effects...) }
@@ -280,7 +262,7 @@
 }
 
 // CycleCount returns how many scheduling cycles have run.
-func (c *Scheduler) CycleCount() uint64 { return c.cycleCount }
+func (c *Scheduler) CycleCount() uint64 { return c.cycle.count }
 
 // sortedJobs returns the jobs in an order that does not depend on chance.
 func (c *Scheduler) sortedJobs() []*jobstate.Job {
@@ -306,51 +288,3 @@
 	})
 	return list
 }
-
-// tick runs a cycle when it is time for one, and what goes with it. The fleet has
-// a clock of its own: in a large one something relevant comes in every eager
-// cycle, and had planning waited for a cycle without, nothing would have been
-// rented, returned or fenced for minutes.
-func (c *Scheduler) tick(now time.Duration) {
-	c.runDelayedCalls(now)
-	c.sendProbes(now)
-	full := now-c.lastPlanAt >= CycleInterval
-	if full ||
-		c.cycleDue &&
-			now-c.lastCycleAt >= min(maxCyclePause, MinCycleInterval*time.Duration(1+len(c.jobs)/jobsPerCyclePause)) {
-		c.lastCycleAt, c.cycleDue = now, false
-		if full && c.zoneFailover != nil {
-			c.updateZoneStates(now, c.sortedJobs())
-		}
-		c.evictOnTerminationNotice(now)
-		c.runCycle(now)
-		c.writeRecords(now)
-		if full {
-			c.planCapacity(now)
-		}
-		c.writeFailoverRecords(now)
-	}
-	c.recordStarts(now) // what was put back may be due
-	c.sendUrgentCommands(now)
-}
-
-// planCapacity has the fleet rent and return machines, and does what else is due once a second.
-func (c *Scheduler) planCapacity(now time.Duration) {
-	c.lastPlanAt = now
-	c.candidates.Verify(now)
-	units := c.capacityDemand(now)
-	for _, e := range c.autoscaler.Plan(now, units) {
-		c.emit(CloudRequest{e})
-	}
-	c.logUtilization(now, units)
-	c.checkReachability(now)
-	c.replaceSupersededPages(now)
-	c.writeImageHints(now)
-}
-
-// writeRecords writes the records that starts wait for, and what has ended as far as there is room.
-func (c *Scheduler) writeRecords(now time.Duration) {
-	c.recordStarts(now)
-	c.writeCancelledDependents()
-	c.recordCompletions(now)
-}
--- a/internal/coordination/scheduler/zonefailover.go
+++ b/internal/coordination/scheduler/zonefailover.go
@@ -107,7 +107,7 @@
 func (c *Scheduler) probeZone(zone string) {
 	c.machines.Each(func(m *machineregistry.Machine) {
 		if m.Zone == zone && m.Addr != "" && !m.Terminating {
-			c.prober.queue = append(c.prober.queue, Probe{m.Name, m.Addr})
+			c.prober.enqueue(m.Name, m.Addr)
 		}
 	})
 }
