--- a/internal/coordination/dependency/graph.go
+++ b/internal/coordination/dependency/graph.go
@@ -1,6 +1,7 @@
-// Package dependency keeps which jobs await which others: how many needs of each are open, what is freed
-// or cancelled when a job ends, and the priority and latest start that flow back from the jobs that need
-// it. It does no I/O and reads no clock. Each change costs the edges that it concerns, and nothing recurses.
+// Package dependency is the graph of the dependencies between jobs. It knows how many dependencies of each job are
+// open, which jobs are unblocked or cancelled when another ends, and which priority and latest start a job has by the
+// jobs that depend on it, directly or not. It does no I/O and reads no clock. The cost of a change is that of the
+// edges concerned, and no function recurses, so that long chains are safe.
 package dependency
 
 import (
@@ -12,39 +13,42 @@
 // State is what is known of a job.
 type State uint8
 
-// States.
 const (
-	// UnknownOutcome is a job that others name and that is not known to live: how it ended has to be read.
+	// UnknownOutcome is a job that others depend on and that is not known to live: its final state has to be read.
 	UnknownOutcome State = iota
+	// Live is a job that was accepted and has not ended.
 	Live
+	// Done is a job that has ended successfully.
 	Done
+	// Cancelled is a job that was cancelled itself or because a dependency was.
 	Cancelled
 )
 
 // Priorities is the number of priorities; 0 is the highest.
 const Priorities = 4
 
-// NoDeadline is the time of what no deadline concerns.
+// NoDeadline is the deadline and latest start of jobs without one.
 const NoDeadline = time.Duration(math.MaxInt64)
 
 // Job is a job as it was accepted.
 type Job struct {
 	ID           string
-	Dependencies []string // jobs that it awaits; each counts once
-	Priority     int      // of its own priority
-	// Deadline is its own deadline, or Never. Estimate is how long it is likely to run.
-	Deadline, EstimatedDuration time.Duration
+	Dependencies []string // duplicates count once
+	Priority     int      // its own
+	// Deadline is its own deadline, or NoDeadline.
+	Deadline          time.Duration
+	EstimatedDuration time.Duration
 }
 
-// Change is what follows from an addition or an end.
+// Change is what follows for other jobs from an addition or an end. Each list is sorted.
 type Change struct {
-	Unblocked       []string // jobs with no open needs any more
-	Cancelled       []string // jobs that are cancelled with one that they need
+	Unblocked       []string // jobs without open dependencies now
+	Cancelled       []string // jobs that are cancelled because a dependency is
 	Reprioritised   []string // jobs whose priority or latest start has changed
-	UnknownOutcomes []string // jobs that are named and of which it must be read how they ended
+	UnknownOutcomes []string // dependencies whose final state has to be read
 }
 
-// sort puts what follows from a change into an order that does not depend on chance.
+// sort makes the lists independent of the iteration order of maps.
 func (c *Change) sort() {
 	for _, list := range [][]string{c.Unblocked, c.Cancelled, c.Reprioritised, c.UnknownOutcomes} {
 		slices.Sort(list)
@@ -55,18 +59,18 @@
 type node struct {
 	id                     string
 	state                  State
-	dependencies           map[*node]bool // those that are open
-	dependents             map[*node]bool // those that live
+	dependencies           map[*node]bool // open ones
+	dependents             map[*node]bool // live ones
 	job                    Job
-	inPipeline             bool
-	priority               int             // the highest of its own and those of the jobs that need it
-	dependentsByPriority   [Priorities]int // how many jobs that need it have each level
-	earliestDependentStart time.Duration   // the earliest latest start of the jobs that need it
-	latestStart            time.Duration   // the latest start by which all deadlines can be met
-	cancelledBy            string          // the cancelled job because of which it is cancelled
+	inPipeline             bool            // it has or had dependencies or dependents
+	priority               int             // the highest of its own and its dependents'
+	dependentsByPriority   [Priorities]int // the number of its dependents
+	earliestDependentStart time.Duration   // the earliest of its dependents' latest starts
+	latestStart            time.Duration   // by which all deadlines that depend on it can be met
+	cancelledBy            string          // the cancelled job that caused its cancellation
 }
 
-// Graph is the jobs that live, and those that are named by some of these.
+// Graph holds the live jobs and their dependencies. It is not safe for concurrent use.
 type Graph struct {
 	nodes           map[string]*node
 	unknownOutcomes int
@@ -78,7 +82,7 @@
 // Len returns how many jobs the graph holds.
 func (g *Graph) Len() int { return len(g.nodes) }
 
-// State returns what is known of a job; one that the graph does not hold is Unknown.
+// State returns what is known of a job. One that the graph does not hold has an unknown outcome.
 func (g *Graph) State(id string) State {
 	if n := g.nodes[id]; n != nil {
 		return n.state
@@ -86,7 +90,7 @@
 	return UnknownOutcome
 }
 
-// CancelledBy returns the cancelled job because of which a job is cancelled, or "".
+// CancelledBy returns the cancelled job that caused the cancellation of a job, or "".
 func (g *Graph) CancelledBy(id string) string {
 	if n := g.nodes[id]; n != nil {
 		return n.cancelledBy
@@ -94,7 +98,7 @@
 	return ""
 }
 
-// OpenDependencies returns how many needs of a job are not done.
+// OpenDependencies returns how many dependencies of a job are not done.
 func (g *Graph) OpenDependencies(id string) int {
 	if n := g.nodes[id]; n != nil {
 		return len(n.dependencies)
@@ -102,21 +106,21 @@
 	return 0
 }
 
-// HasDependents says whether jobs that live await the job.
+// HasDependents reports whether live jobs depend on the job.
 func (g *Graph) HasDependents(id string) bool {
 	n := g.nodes[id]
 	return n != nil && len(n.dependents) > 0
 }
 
-// InPipeline says whether a job awaits others or is or was awaited.
+// InPipeline reports whether a job has, or has had, dependencies or dependents.
 func (g *Graph) InPipeline(id string) bool {
 	n := g.nodes[id]
 	return n != nil && n.inPipeline
 }
 
-// Priority returns the priority that a job has by itself and by those that need it; ok is false for a job
-// that does not live.
-func (g *Graph) Priority(id string) (level int, ok bool) {
+// Priority returns the highest priority of a job and all that depend on it. It returns false for a job that does not
+// live.
+func (g *Graph) Priority(id string) (priority int, ok bool) {
 	n := g.nodes[id]
 	if n == nil || n.state != Live {
 		return 0, false
@@ -124,7 +128,7 @@
 	return n.priority, true
 }
 
-// LatestStart returns by when a job must start so that all deadlines can be met that depend on it, or Never.
+// LatestStart returns by when a job must start for all deadlines that depend on it to be met, or NoDeadline.
 func (g *Graph) LatestStart(id string) time.Duration {
 	if n := g.nodes[id]; n != nil && n.state == Live {
 		return n.latestStart
@@ -132,31 +136,31 @@
 	return NoDeadline
 }
 
-// UnknownOutcomesBefore lists up to so many jobs before a job, direct or not, of which it has to be read how they
-// ended.
-func (g *Graph) UnknownOutcomesBefore(id string, most int) (ids []string) {
+// UnknownOutcomesBefore returns up to limit direct and indirect dependencies of a job whose final state has to be
+// read.
+func (g *Graph) UnknownOutcomesBefore(id string, limit int) (ids []string) {
 	n := g.nodes[id]
 	if n == nil || g.unknownOutcomes == 0 {
 		return nil
 	}
 	seen := map[*node]bool{n: true}
-	for stack := []*node{n}; len(stack) > 0 && len(ids) < most; {
+	for stack := []*node{n}; len(stack) > 0 && len(ids) < limit; {
 		at := stack[len(stack)-1]
 		stack = stack[:len(stack)-1]
 		if at != n && at.state == UnknownOutcome {
 			ids = append(ids, at.id)
 		}
-		for need := range at.dependencies {
-			if !seen[need] {
-				seen[need] = true
-				stack = append(stack, need)
+		for dep := range at.dependencies {
+			if !seen[dep] {
+				seen[dep] = true
+				stack = append(stack, dep)
 			}
 		}
 	}
 	return ids
 }
 
-// Add enters a job that lives. One that is known already is left as it is.
+// Add adds a live job with its dependencies. A job that is known to live or to have ended is left as it is.
 func (g *Graph) Add(j Job) (c Change) {
 	n := g.getOrCreate(j.ID)
 	if n.state != UnknownOutcome {
@@ -173,14 +177,14 @@
 		}
 	}
 	changed := []*node{n}
-	for need := range n.dependencies {
-		changed = append(changed, need)
+	for dep := range n.dependencies {
+		changed = append(changed, dep)
 	}
 	g.propagateUrgency(changed, &c)
 	return c
 }
 
-// End takes in how a job has ended, and forgets it.
+// End removes a job that has ended, with a state of Done or Cancelled, and unblocks or cancels its dependents.
 func (g *Graph) End(id string, state State) (c Change) {
 	n := g.nodes[id]
 	if n == nil {
@@ -202,7 +206,8 @@
 	return c
 }
 
-// EndWithUnknownOutcome takes in that a job has ended, and not how: jobs that need it wait until that is known.
+// EndWithUnknownOutcome records that a job has ended in a state that is not known yet. Its dependents stay blocked
+// until End is called for it.
 func (g *Graph) EndWithUnknownOutcome(id string) (c Change) {
 	n := g.nodes[id]
 	if n == nil || n.state == UnknownOutcome {
@@ -219,7 +224,7 @@
 	return c
 }
 
-// Unblock takes in that all needs of a job are done, as somebody says who knows.
+// Unblock drops the dependencies of a job of which another source says that they are all done.
 func (g *Graph) Unblock(id string) (c Change) {
 	n := g.nodes[id]
 	if n == nil || len(n.dependencies) == 0 || n.state != Live {
@@ -231,7 +236,7 @@
 	return c
 }
 
-// getOrCreate returns the node of a job, making one that is unknown if need be.
+// getOrCreate returns the node of a job. A new one has an unknown outcome.
 func (g *Graph) getOrCreate(id string) *node {
 	n := g.nodes[id]
 	if n == nil {
@@ -250,7 +255,7 @@
 	return n
 }
 
-// setState changes what is known of a job.
+// setState changes the state of a node and keeps the count of unknown outcomes.
 func (g *Graph) setState(n *node, state State) {
 	if n.state == UnknownOutcome {
 		g.unknownOutcomes--
@@ -261,42 +266,42 @@
 	n.state = state
 }
 
-// link enters that a job awaits another, unless that is cancelled: then it returns because of which job.
+// link adds a dependency of a job, unless that dependency is cancelled: then it returns the cause of that.
 func (g *Graph) link(n *node, id string, c *Change) (cause string, cancelled bool) {
 	known := g.nodes[id] != nil
-	need := g.getOrCreate(id)
-	need.inPipeline = true
+	dep := g.getOrCreate(id)
+	dep.inPipeline = true
 	switch {
-	case need.state == Cancelled:
-		return need.cancelledBy, true
-	case n.dependencies[need]:
+	case dep.state == Cancelled:
+		return dep.cancelledBy, true
+	case n.dependencies[dep]:
 		return "", false
 	case !known:
 		c.UnknownOutcomes = append(c.UnknownOutcomes, id)
 	}
-	n.dependencies[need] = true
-	need.dependents[n] = true
-	need.dependentsByPriority[n.priority]++
-	need.earliestDependentStart = min(need.earliestDependentStart, n.latestStart)
+	n.dependencies[dep] = true
+	dep.dependents[n] = true
+	dep.dependentsByPriority[n.priority]++
+	dep.earliestDependentStart = min(dep.earliestDependentStart, n.latestStart)
 	return "", false
 }
 
-// unlink takes a job off those that it awaits.
+// unlink removes all dependencies of a job.
 func (g *Graph) unlink(n *node, c *Change) {
-	var loosened []*node
-	for need := range n.dependencies {
-		delete(need.dependents, n)
-		need.dependentsByPriority[n.priority]--
-		loosened = append(loosened, need)
-		if need.state == UnknownOutcome && len(need.dependents) == 0 {
-			g.remove(need, c) // nobody asks any more
+	var formerDependencies []*node
+	for dep := range n.dependencies {
+		delete(dep.dependents, n)
+		dep.dependentsByPriority[n.priority]--
+		formerDependencies = append(formerDependencies, dep)
+		if dep.state == UnknownOutcome && len(dep.dependents) == 0 {
+			g.remove(dep, c) // nobody needs its final state any more
 		}
 	}
 	clear(n.dependencies)
-	g.propagateUrgency(loosened, c)
+	g.propagateUrgency(formerDependencies, c)
 }
 
-// remove takes a job out of the graph.
+// remove removes a job from the graph.
 func (g *Graph) remove(n *node, c *Change) {
 	if g.nodes[n.id] != n {
 		return
@@ -308,8 +313,8 @@
 	g.unlink(n, c)
 }
 
-// cancel takes in that a job is cancelled, because of the one that is named, and with it all jobs that need
-// it. Those stay in the graph until their own end is told.
+// cancel cancels a job because of another, or itself, and with it all that depend on it, directly or not. The
+// dependents stay in the graph until their own ends are reported.
 func (g *Graph) cancel(n *node, cause string, c *Change) {
 	if n.id != cause {
 		c.Cancelled = append(c.Cancelled, n.id)
@@ -333,41 +338,41 @@
 	}
 }
 
-// propagateUrgency brings the priority and latest start of jobs to what they and the jobs that need them ask for,
-// and so on back to the first.
+// propagateUrgency updates the priority and latest start of jobs by their own and their dependents', and so on of all
+// their dependencies that this changes.
 func (g *Graph) propagateUrgency(from []*node, c *Change) {
 	for queue := from; len(queue) > 0; {
 		n := queue[0]
 		queue = queue[1:]
-		level, start := n.derivedUrgency()
-		if n.state == Cancelled || level == n.priority && start == n.latestStart {
+		priority, start := n.derivedUrgency()
+		if n.state == Cancelled || priority == n.priority && start == n.latestStart {
 			continue
 		}
-		for need := range n.dependencies {
-			need.dependentsByPriority[n.priority]--
-			need.dependentsByPriority[level]++
-			need.earliestDependentStart = min(need.earliestDependentStart, start)
-			queue = append(queue, need)
+		for dep := range n.dependencies {
+			dep.dependentsByPriority[n.priority]--
+			dep.dependentsByPriority[priority]++
+			dep.earliestDependentStart = min(dep.earliestDependentStart, start)
+			queue = append(queue, dep)
 		}
-		n.priority, n.latestStart = level, start
+		n.priority, n.latestStart = priority, start
 		if n.state == Live {
 			c.Reprioritised = append(c.Reprioritised, n.id)
 		}
 	}
 }
 
-// derivedUrgency returns the priority and latest start that a job should have. A latest start stays when the job
-// that asked for it is gone: to be early harms nobody.
-func (n *node) derivedUrgency() (level int, start time.Duration) {
-	level = n.job.Priority
-	for l, count := range n.dependentsByPriority {
+// derivedUrgency returns the priority and latest start that a job should have. A latest start is kept when the
+// dependent that caused it is gone: starting early does no harm.
+func (n *node) derivedUrgency() (priority int, start time.Duration) {
+	priority = n.job.Priority
+	for dependentPriority, count := range n.dependentsByPriority {
 		if count > 0 {
-			level = min(level, l)
+			priority = min(priority, dependentPriority)
 		}
 	}
 	due := min(n.job.Deadline, n.earliestDependentStart)
 	if due == NoDeadline {
-		return level, NoDeadline
+		return priority, NoDeadline
 	}
-	return level, due - n.job.EstimatedDuration
+	return priority, due - n.job.EstimatedDuration
 }
