--- a/internal/coordination/jobstate/pages.go
+++ b/internal/coordination/jobstate/pages.go
@@ -11,7 +11,7 @@
 // MarkDirty causes the page of a task to be written again.
 func (j *Job) MarkDirty(task int, now time.Duration) {
 	j.Pages.PageOf(task).Dirty = true
-	j.Queues.AddCompletion(now, j)
+	j.QueueCompletion(now)
 }
 
 // PageRecord returns a page as it should be stored, by a transaction of the given name.
@@ -26,7 +26,7 @@
 	}
 	first, end := j.Pages.Tasks(number)
 	for task := first; task < end; task++ {
-		if j.TaskStates[task] == TaskDone {
+		if j.taskStates[task] == TaskDone {
 			record.AddDoneTask(task)
 		}
 		if pl := j.Placements[task]; pl != nil {
@@ -63,7 +63,7 @@
 	previousDone := false
 	first, end := j.Pages.Tasks(number)
 	for task := first; task < end; task++ {
-		done := j.TaskStates[task] == TaskDone
+		done := j.taskStates[task] == TaskDone
 		if done && !previousDone {
 			size += doneRangeBytes
 		}
--- a/internal/coordination/jobstate/queues.go
+++ b/internal/coordination/jobstate/queues.go
@@ -7,25 +7,27 @@
 	"github.com/tidwall/btree"
 )
 
-// Queues are the jobs of which something is to be done, so that a cycle need not walk all
-// jobs. The trees are in the order of the jobs' turns.
+// Queues hold the jobs of which something is to be done, so that a cycle need not look at all jobs. The trees are in
+// scheduling order. A nil *Queues holds nothing.
 type Queues struct {
 	Pending     *btree.BTreeG[*Job] // with tasks to place
-	Blocked     *btree.BTreeG[*Job] // that await others
+	Blocked     *btree.BTreeG[*Job] // with tasks to place, waiting for dependencies
+	Fetching    *btree.BTreeG[*Job] // placed lately, with tasks that may still be fetching their image
 	Starts      *StartQueue         // with placements that wait for their record
-	Fetching    *btree.BTreeG[*Job] // placed lately, with tasks that may still fetch their image
-	completions []*Job              // with pages to write, the longest waiting first
+	completions []*Job              // with pages to write; the one that has waited for longest is first
 }
 
+// NewQueues returns empty queues.
 func NewQueues() *Queues {
-	tree := func() *btree.BTreeG[*Job] {
-		return btree.NewBTreeGOptions(ScheduledBefore, btree.Options{NoLocks: true})
-	}
-	return &Queues{Pending: tree(), Blocked: tree(), Starts: NewStartQueue(), Fetching: tree()}
+	return &Queues{Pending: newTree(), Blocked: newTree(), Fetching: newTree(), Starts: NewStartQueue()}
+}
+
+func newTree() *btree.BTreeG[*Job] {
+	return btree.NewBTreeGOptions(ScheduledBefore, btree.Options{NoLocks: true})
 }
 
-// ScheduledBefore orders jobs by priority; among equals those come first of which a pipeline's deadline depends,
-// by when they must start, and the others by age.
+// ScheduledBefore is the scheduling order: by priority, then by latest start, so that jobs go first on which the
+// deadline of a pipeline depends, then by age.
 func ScheduledBefore(a, b *Job) bool {
 	return cmp.Or(
 		cmp.Compare(a.EffectivePriority, b.EffectivePriority),
@@ -35,47 +37,56 @@
 	) < 0
 }
 
-// Update enters a job that has tasks to place, or takes it out. Queues that are nil hold nothing.
-func (q *Queues) Update(j *Job) {
+// Add adds a job, which updates its place in the queues itself from then on.
+func (q *Queues) Add(j *Job) {
+	j.queues = q
+	q.update(j)
+}
+
+// update moves a job to the tree of its state.
+func (q *Queues) update(j *Job) {
 	if q == nil {
 		return
 	}
-	enter := func(tree *btree.BTreeG[*Job], in bool) {
-		if in {
-			tree.Set(j)
-		} else {
-			tree.Delete(j)
-		}
+	waits := j.PendingTasks() > 0 && !j.Ended
+	setMember(q.Pending, j, waits && !j.Blocked)
+	setMember(q.Blocked, j, waits && j.Blocked)
+}
+
+// setMember adds a job to a tree or removes it.
+func setMember(tree *btree.BTreeG[*Job], j *Job, member bool) {
+	if member {
+		tree.Set(j)
+	} else {
+		tree.Delete(j)
 	}
-	waits := j.TaskCounts[TaskPending] > 0 && !j.Ended
-	enter(q.Pending, waits && !j.Blocked)
-	enter(q.Blocked, waits && j.Blocked)
 }
 
-// Reorder changes by what a job is ordered.
-func (q *Queues) Reorder(j *Job, change func()) {
-	fetching := false
-	if q != nil {
-		_, fetching = q.Fetching.Get(j)
-		q.Pending.Delete(j)
-		q.Blocked.Delete(j)
-		q.Fetching.Delete(j)
+// reorder makes a change of what a job is ordered by.
+func (q *Queues) reorder(j *Job, change func()) {
+	if q == nil {
+		change()
+		return
 	}
-	queued := j.inStartQueue
-	if queued {
+	_, fetching := q.Fetching.Get(j)
+	q.Pending.Delete(j)
+	q.Blocked.Delete(j)
+	q.Fetching.Delete(j)
+	startQueued := j.inStartQueue
+	if startQueued {
 		q.Starts.remove(j)
 	}
 	change()
-	if queued {
+	if startQueued {
 		q.Starts.Add(j)
 	}
 	if fetching {
 		q.Fetching.Set(j)
 	}
-	j.Queues.Update(j)
+	q.update(j)
 }
 
-// AddPlaced enters a job of which tasks were placed.
+// AddPlaced adds a job of which tasks were placed.
 func (q *Queues) AddPlaced(j *Job) {
 	if q == nil {
 		return
@@ -86,8 +97,8 @@
 	}
 }
 
-// AddCompletion enters a job that has pages to write, unless it is queued for that.
-func (q *Queues) AddCompletion(now time.Duration, j *Job) {
+// addCompletion adds a job with pages to write, unless it is queued for that.
+func (q *Queues) addCompletion(now time.Duration, j *Job) {
 	if q == nil || j.completionQueued {
 		return
 	}
@@ -95,9 +106,9 @@
 	q.completions = append(q.completions, j)
 }
 
-// NextCompletion takes the job off the queue that has waited for longest to have its pages written,
-// if it was queued before the given time; nil if there is none. Jobs that need no such write any
-// more are dropped, and those with another write under way come back with its outcome.
+// NextCompletion removes and returns the job that has waited for longest to have its pages written, if it was queued
+// no later than the given time; nil if there is none. Jobs that don't need such a write any more are dropped. Those
+// with another write in flight are queued again by its outcome.
 func (q *Queues) NextCompletion(before time.Duration) *Job {
 	for len(q.completions) > 0 && q.completions[0].completionQueuedAt <= before {
 		j := q.completions[0]
@@ -111,7 +122,7 @@
 	return nil
 }
 
-// Remove takes a job out of the trees; the queue drops it in its turn.
+// Remove removes a job from the trees and the queue of starts. The queue of completions drops it in its turn.
 func (q *Queues) Remove(j *Job) {
 	q.Pending.Delete(j)
 	q.Blocked.Delete(j)
--- a/internal/coordination/placement/nomination.go
+++ b/internal/coordination/placement/nomination.go
@@ -44,7 +44,7 @@
 		return false
 	}
 	o := r.Jobs[m.NominatedJob]
-	if o == nil || o.Ended || o.TaskCounts[jobstate.TaskPending] == 0 && !o.HasStoppingTasks() {
+	if o == nil || o.Ended || o.PendingTasks() == 0 && !o.HasStoppingTasks() {
 		return false
 	}
 	return o.LastWaitingCycle != r.Cycle || o.LastTriedCycle == r.Cycle
--- a/internal/coordination/scheduler/allocate.go
+++ b/internal/coordination/scheduler/allocate.go
@@ -29,7 +29,7 @@
 	if gang && allowed < j.Spec.TaskCount {
 		return
 	}
-	wanted := min(allowed, j.TaskCounts[jobstate.TaskPending])
+	wanted := min(allowed, j.PendingTasks())
 	limits := placement.ZoneLimitsOf(j)
 	var allocated allocation
 	if gang && j.Spec.SameZone && limits.OnlyZone == "" {
@@ -193,12 +193,7 @@
 		return
 	}
 	for _, pl := range placements {
-		task := pl.Task.Index
-		j.SetTask(task, jobstate.TaskPlaced)
-		j.Placements[task] = pl
-		j.MarkDirty(task, now)
-		j.Unstarted = append(j.Unstarted, pl)
-		j.Queues.AddPlaced(j)
+		j.Bind(now, pl)
 		if m := c.machines.Machine(pl.Machine); m.NominatedJob == j.Spec.ID {
 			m.ClearNomination()
 		}
--- a/internal/coordination/scheduler/cancellation.go
+++ b/internal/coordination/scheduler/cancellation.go
@@ -23,7 +23,7 @@
 		c.stopGang(now, j)
 		return
 	}
-	for _, pl := range sortedPlacements(j) {
+	for _, pl := range j.SortedPlacements() {
 		c.stopPlacement(now, j, pl, 0)
 	}
 }
--- a/internal/coordination/scheduler/costs_test.go
+++ b/internal/coordination/scheduler/costs_test.go
@@ -80,7 +80,7 @@
 	got := held() - before
 	machines, jobs, tasks := 200, len(b.scheduler.jobs), 0
 	for _, j := range b.scheduler.jobs {
-		tasks += len(j.TaskStates)
+		tasks += j.TaskCount()
 	}
 	t.Logf("%d bytes for %d machines, %d jobs and %d tasks", got, machines, jobs, tasks)
 	if most := int64(machines*perMachine + jobs*perJob + tasks*perTask); got > most {
--- a/internal/coordination/scheduler/cycle.go
+++ b/internal/coordination/scheduler/cycle.go
@@ -54,7 +54,7 @@
 		if len(j.NominatedMachines) > 0 {
 			c.preemption.CapacityMayBeFree() // later jobs may take what the job is nominated for
 		}
-		pending := j.TaskCounts[jobstate.TaskPending]
+		pending := j.PendingTasks()
 		if pending == 0 {
 			continue // placed by placeWithinQuota
 		}
@@ -64,7 +64,7 @@
 			continue
 		}
 		c.placeJob(now, j, c.tasksWithinQuotaLimit(j))
-		if j.Spec.Shape != protocol.Gang && j.TaskCounts[jobstate.TaskPending] == pending {
+		if j.Spec.Shape != protocol.Gang && j.PendingTasks() == pending {
 			failures[key]++
 		}
 	}
@@ -72,7 +72,7 @@
 
 // placeableNow reports whether a job has tasks that may be placed in this cycle.
 func (c *Scheduler) placeableNow(now time.Duration, j *jobstate.Job) bool {
-	if j.TaskCounts[jobstate.TaskPending] == 0 || c.startForbidden(j) || j.WriteInFlight || now < j.BackoffUntil {
+	if j.PendingTasks() == 0 || c.startForbidden(j) || j.WriteInFlight || now < j.BackoffUntil {
 		return false
 	}
 	// Arrays and services go on while their record waits to be written: their starts are batched in it.
--- a/internal/coordination/scheduler/cycle_bench_test.go
+++ b/internal/coordination/scheduler/cycle_bench_test.go
@@ -5,7 +5,6 @@
 	"testing"
 
 	"pinebay/internal/config"
-	"pinebay/internal/coordination/jobstate"
 	"pinebay/internal/protocol"
 )
 
@@ -72,7 +71,7 @@
 			l := largeHarness(n)
 			waiting := 0
 			for _, j := range l.scheduler.jobs {
-				waiting += j.TaskCounts[jobstate.TaskPending]
+				waiting += j.PendingTasks()
 			}
 			b.ResetTimer()
 			b.ReportMetric(float64(waiting), "waiting")
--- a/internal/coordination/scheduler/demand.go
+++ b/internal/coordination/scheduler/demand.go
@@ -17,7 +17,7 @@
 	var units []autoscaler.Demand
 	zones := map[zoneChoiceKey]string{}
 	for _, j := range c.inSchedulingOrder(c.queues.Pending) {
-		n := min(j.TaskCounts[jobstate.TaskPending], c.tasksWithinQuotaLimit(j))
+		n := min(j.PendingTasks(), c.tasksWithinQuotaLimit(j))
 		if n == 0 || c.startForbidden(j) {
 			continue
 		}
--- a/internal/coordination/scheduler/dependencies.go
+++ b/internal/coordination/scheduler/dependencies.go
@@ -38,8 +38,8 @@
 			EstimatedDuration: config.Seconds(j.Spec.EstimateSeconds * estimateSlack),
 		},
 	)
-	j.Blocked = c.dependencies.OpenDependencies(j.Spec.ID) > 0 ||
-		c.dependencies.State(j.Spec.ID) == dependency.Cancelled
+	j.SetBlocked(c.dependencies.OpenDependencies(j.Spec.ID) > 0 ||
+		c.dependencies.State(j.Spec.ID) == dependency.Cancelled)
 	c.applyDependencyChange(now, change)
 }
 
@@ -92,8 +92,7 @@
 	}
 	for _, id := range change.Cancelled {
 		if j := c.jobs[id]; j != nil && !j.Ended {
-			j.Blocked = true
-			c.queues.Update(j)
+			j.SetBlocked(true)
 			c.cancelledDependents = append(c.cancelledDependents, j)
 		}
 	}
@@ -106,8 +105,7 @@
 		return
 	}
 	c.log.Debug("freed", "job", j.Spec.ID, "class", j.Spec.Class, "after", now-j.WaitingSince)
-	j.Blocked, j.WaitingSince = false, now
-	c.queues.Update(j)
+	j.Unblock(now)
 	c.forecast.Arrived(&j.Spec, now)
 	c.cycle.due = true
 }
@@ -126,7 +124,7 @@
 	if !ok || level == j.EffectivePriority && start == j.LatestStart {
 		return
 	}
-	c.queues.Reorder(j, func() { j.EffectivePriority, j.LatestStart = level, start })
+	j.Reprioritise(level, start)
 	for _, pl := range j.Placements {
 		c.machines.SetPriorityLevel(pl, level)
 	}
@@ -258,7 +256,7 @@
 		if need == nil || need.Ended {
 			continue
 		}
-		if need.LastTaskStart == 0 || need.TaskCounts[jobstate.TaskPending] > 0 ||
+		if need.LastTaskStart == 0 || need.PendingTasks() > 0 ||
 			(need.LastTaskStart+config.Seconds(need.Spec.EstimateSeconds)-now).Seconds() > boot {
 			return false
 		}
--- a/internal/coordination/scheduler/featurelevel.go
+++ b/internal/coordination/scheduler/featurelevel.go
@@ -104,12 +104,12 @@
 		}
 		j.RecordNotBefore = 0
 		if len(j.Pages.Dirty()) > 0 {
-			j.Queues.AddCompletion(now, j)
+			j.QueueCompletion(now)
 		}
 		switch {
 		case j.Ended:
 			c.cleanUpEndedJob(now, j)
-		case j.TaskCounts[jobstate.TaskDone] == len(j.TaskStates):
+		case j.AllTasksDone():
 			c.completeJob(now, j)
 		}
 	}
@@ -130,7 +130,7 @@
 	}
 	for _, j := range c.sortedJobsWhere(canReplace) {
 		j.Pages.MarkReplacementsDirty()
-		j.Queues.AddCompletion(now, j)
+		j.QueueCompletion(now)
 		if left--; left <= 0 {
 			return
 		}
--- a/internal/coordination/scheduler/featurelevel_test.go
+++ b/internal/coordination/scheduler/featurelevel_test.go
@@ -80,7 +80,8 @@
 // knownTasks is what a core knows of a job's tasks that a new leader must know too.
 func knownTasks(j *jobstate.Job) map[int]string {
 	known := map[int]string{}
-	for task, state := range j.TaskStates {
+	for task := range j.TaskCount() {
+		state := j.TaskState(task)
 		pl := j.Placements[task]
 		if state == jobstate.TaskDone || pl != nil {
 			known[task] = describeTask(state == jobstate.TaskDone, pl)
--- a/internal/coordination/scheduler/jobcompletion.go
+++ b/internal/coordination/scheduler/jobcompletion.go
@@ -23,7 +23,7 @@
 	j.Ending = true
 	id, name := c.nextWriteID()
 	value, err := protocol.Encode(
-		storage.EndedJobRecord{State: protocol.JobDone, DoneTasks: len(j.TaskStates), WriteName: name},
+		storage.EndedJobRecord{State: protocol.JobDone, DoneTasks: j.TaskCount(), WriteName: name},
 	)
 	if err != nil {
 		c.log.Error("ended record", "err", err)
@@ -64,7 +64,7 @@
 			"class",
 			j.Spec.Class,
 			"tasks",
-			len(j.TaskStates),
+			j.TaskCount(),
 			"took",
 			now-j.WaitingSince,
 		)
@@ -161,7 +161,7 @@
 		}
 	}
 	j.Unstarted = rest
-	c.cycle.due = c.cycle.due || j.TaskCounts[jobstate.TaskPending] > 0
+	c.cycle.due = c.cycle.due || j.PendingTasks() > 0
 }
 
 func (c *Scheduler) cancelUnstarted(now time.Duration, j *jobstate.Job) {
--- a/internal/coordination/scheduler/jobqueues.go
+++ b/internal/coordination/scheduler/jobqueues.go
@@ -12,9 +12,3 @@
 	c.sortForRecovery(jobs)
 	return jobs
 }
-
-// enqueue enters a job by its state, from when on its queues follow that.
-func (c *Scheduler) enqueue(j *jobstate.Job) {
-	j.Queues = c.queues
-	j.Queues.Update(j)
-}
--- a/internal/coordination/scheduler/lifecycle.go
+++ b/internal/coordination/scheduler/lifecycle.go
@@ -2,7 +2,6 @@
 
 import (
 	"math"
-	"sort"
 	"time"
 
 	"pinebay/internal/config"
@@ -24,7 +23,7 @@
 	j := jobstate.New(rec.Job, stamp, rec.AcceptedAtMS, since, c.newJobLayout())
 	c.jobs[id] = j
 	c.addDependencies(now, j)
-	c.enqueue(j)
+	c.queues.Add(j)
 	if j.Blocked {
 		return // it arrives when it is freed
 	}
@@ -87,21 +86,21 @@
 		j.SetTask(task, jobstate.TaskDone)
 		c.cleanUpEndedJob(now, j)
 		return
-	case j.TaskStates[task] == jobstate.TaskDone:
+	case j.TaskState(task) == jobstate.TaskDone:
 		return
 	case !lost && pl.Cause == protocol.CauseDone:
 		j.SetTask(task, jobstate.TaskDone)
 		j.MarkDirty(task, now)
 		if j.Spec.Shape == protocol.Gang {
 			// A gang completes together.
-			for t := range j.TaskStates {
-				if j.TaskStates[t] != jobstate.TaskDone {
+			for t := range j.TaskCount() {
+				if j.TaskState(t) != jobstate.TaskDone {
 					j.SetTask(t, jobstate.TaskDone)
 					j.MarkDirty(t, now)
 				}
 			}
 		}
-		if j.TaskCounts[jobstate.TaskDone] == len(j.TaskStates) {
+		if j.AllTasksDone() {
 			c.completeJob(now, j)
 		}
 		return
@@ -160,7 +159,7 @@
 // stopGang stops all of a gang that has lost a task: below minAvailable it is
 // requeued as a whole, from its checkpoint.
 func (c *Scheduler) stopGang(now time.Duration, j *jobstate.Job) {
-	for _, pl := range sortedPlacements(j) {
+	for _, pl := range j.SortedPlacements() {
 		if !pl.Stopping || pl.GraceSeconds > 0 {
 			c.stopPlacement(now, j, pl, 0)
 		}
@@ -168,15 +167,6 @@
 	j.GangStopping = len(j.Placements) > 0
 }
 
-func sortedPlacements(j *jobstate.Job) []*machineregistry.Placement {
-	list := make([]*machineregistry.Placement, 0, len(j.Placements))
-	for _, pl := range j.Placements {
-		list = append(list, pl)
-	}
-	sort.Slice(list, func(a, b int) bool { return list[a].Task.Index < list[b].Task.Index })
-	return list
-}
-
 // stopPlacement asks a placement to end, and takes in when that needs no proof.
 func (c *Scheduler) stopPlacement(now time.Duration, j *jobstate.Job, pl *machineregistry.Placement, graceS float64) {
 	c.preemption.CapacityMayBeFree()
@@ -192,7 +182,7 @@
 
 // stopJobTasks stops everything of a job that is over.
 func (c *Scheduler) stopJobTasks(now time.Duration, j *jobstate.Job) {
-	for _, pl := range sortedPlacements(j) {
+	for _, pl := range j.SortedPlacements() {
 		c.stopPlacement(now, j, pl, 0)
 	}
 	c.cleanUpEndedJob(now, j)
@@ -200,11 +190,10 @@
 
 // endJob takes in that a job is over.
 func (c *Scheduler) endJob(now time.Duration, j *jobstate.Job) {
-	j.Ended, j.LiveRevision = true, 0
+	j.MarkEnded()
 	c.liveRecordDeleted(now, j.Spec.ID)
-	c.queues.Update(j)
 	c.cycle.due = true
-	if j.TaskCounts[jobstate.TaskDone] < len(j.TaskStates) {
+	if !j.AllTasksDone() {
 		c.setFencingDeadline(j, c.fencingDeadline(now))
 	}
 	c.stopJobTasks(now, j)
@@ -239,7 +228,7 @@
 		return
 	}
 	j.GangStopping = true
-	for _, o := range sortedPlacements(j) {
+	for _, o := range j.SortedPlacements() {
 		if !o.Stopping {
 			c.stopPlacement(now, j, o, grace)
 		}
--- a/internal/coordination/scheduler/placementwriter.go
+++ b/internal/coordination/scheduler/placementwriter.go
@@ -112,7 +112,7 @@
 			return
 		}
 		if now < j.RecordNotBefore {
-			c.callAt(j.RecordNotBefore, func(now time.Duration) { j.Queues.AddCompletion(now, j) })
+			c.callAt(j.RecordNotBefore, func(now time.Duration) { j.QueueCompletion(now) })
 			continue
 		}
 		c.writeBatch(PriorityCompletion, []*jobWrite{c.newJobWrite(j, c.pagesPerTransaction())})
@@ -293,7 +293,7 @@
 		return
 	}
 	c.queues.Starts.Requeue(j)
-	j.Queues.AddCompletion(now, j)
+	j.QueueCompletion(now)
 }
 
 // jobWriteSucceeded takes in that a part is written.
@@ -321,11 +321,11 @@
 	}
 	c.startRecorded(j)
 	switch {
-	case j.TaskCounts[jobstate.TaskDone] == len(j.TaskStates):
+	case j.AllTasksDone():
 		c.completeJob(now, j)
 	case len(j.Unstarted) > 0:
 		c.queues.Starts.Add(j)
 	default:
-		c.queues.AddCompletion(now, j)
+		j.QueueCompletion(now)
 	}
 }
--- a/internal/coordination/scheduler/recovery.go
+++ b/internal/coordination/scheduler/recovery.go
@@ -48,7 +48,7 @@
 	if j == nil {
 		j = c.newEndedJob(now, id, pages)
 	}
-	j.Pages.Restore(len(j.TaskStates), c.layoutAtMost(pages[0].id.Layout.TasksPerPage))
+	j.Pages.Restore(j.TaskCount(), c.layoutAtMost(pages[0].id.Layout.TasksPerPage))
 	var covered []storage.PageID
 	for _, p := range pages {
 		counts := func(task int) bool {
@@ -61,7 +61,7 @@
 		c.recoverPageTasks(now, j, p.record, counts)
 		covered = append(covered, p.id)
 	}
-	j.Queues.AddPlaced(j)
+	c.queues.AddPlaced(j)
 }
 
 // compareLayouts orders layouts by which counts for a task that pages of several cover: the narrower one, and of two
@@ -84,14 +84,11 @@
 		MemoryGB: rec.MemoryGB, Priority: "best_effort",
 	}, 0, 0, now, c.newJobLayout())
 	for _, p := range pages {
-		if more := p.id.EndTask() - len(j.TaskStates); more > 0 {
-			j.TaskStates = append(j.TaskStates, make([]jobstate.TaskState, more)...)
-			j.TaskCounts[jobstate.TaskPending] += more
-		}
+		j.ExtendTasks(p.id.EndTask())
 	}
-	j.Ended = true
+	j.MarkEnded()
 	c.jobs[id] = j
-	c.enqueue(j)
+	c.queues.Add(j)
 	return j
 }
 
@@ -110,7 +107,7 @@
 		}
 	}
 	for _, pl := range rec.Placements {
-		if pl.Task >= len(j.TaskStates) || j.Placements[pl.Task] != nil || !counts(pl.Task) {
+		if pl.Task >= j.TaskCount() || j.Placements[pl.Task] != nil || !counts(pl.Task) {
 			continue
 		}
 		np := &machineregistry.Placement{
@@ -127,10 +124,7 @@
 			PriorityLevel: j.EffectivePriority,
 			Job:           &j.Spec,
 		}
-		j.Placements[pl.Task] = np
-		if j.TaskStates[pl.Task] != jobstate.TaskDone {
-			j.SetTask(pl.Task, jobstate.TaskPlaced)
-		}
+		j.RestorePlacement(np)
 		c.machines.Adopt(now, np)
 	}
 }
--- a/internal/coordination/scheduler/recoveryorder.go
+++ b/internal/coordination/scheduler/recoveryorder.go
@@ -43,11 +43,11 @@
 		if j.Spec.Shape == protocol.Gang {
 			fewest = j.Spec.TaskCount
 		}
-		guaranteed := c.quotas.TasksWithinGuarantee(j.Spec.Team, j.TaskResources, j.TaskCounts[jobstate.TaskPending])
+		guaranteed := c.quotas.TasksWithinGuarantee(j.Spec.Team, j.TaskResources, j.PendingTasks())
 		if n := min(c.tasksWithinQuotaLimit(j), guaranteed); n >= fewest {
 			c.placeJob(now, j, n)
 		}
-		beyondQuota[j.Spec.Team] = j.TaskCounts[jobstate.TaskPending] > 0
+		beyondQuota[j.Spec.Team] = j.PendingTasks() > 0
 	}
 }
 
--- a/internal/coordination/scheduler/relocate.go
+++ b/internal/coordination/scheduler/relocate.go
@@ -49,10 +49,10 @@
 // relocateFetchingTask moves the first task of a job that is fetching its image for a while yet, and for
 // which a machine has the image. The machine is nominated for the job until the task can start there.
 func (c *Scheduler) relocateFetchingTask(now time.Duration, j *jobstate.Job) {
-	if c.startForbidden(j) || j.WriteInFlight || j.TaskCounts[jobstate.TaskPending] > 0 {
+	if c.startForbidden(j) || j.WriteInFlight || j.PendingTasks() > 0 {
 		return
 	}
-	for _, pl := range sortedPlacements(j) {
+	for _, pl := range j.SortedPlacements() {
 		if !c.fetchesForLong(now, j, pl) {
 			continue
 		}
--- a/internal/coordination/scheduler/scheduler.go
+++ b/internal/coordination/scheduler/scheduler.go
@@ -171,7 +171,7 @@
 func (c *Scheduler) resumeInterrupted(now time.Duration) {
 	for _, j := range c.sortedJobs() {
 		// A gang of which only some placements were recorded is restarted.
-		if j.Spec.Shape == protocol.Gang && len(j.Placements) > 0 && j.TaskCounts[jobstate.TaskPending] > 0 {
+		if j.Spec.Shape == protocol.Gang && len(j.Placements) > 0 && j.PendingTasks() > 0 {
 			c.stopGang(now, j)
 		}
 		if j.Ended {
--- a/internal/coordination/scheduler/zonefailover.go
+++ b/internal/coordination/scheduler/zonefailover.go
@@ -51,7 +51,7 @@
 			continue
 		}
 		for _, j := range c.jobs {
-			if j.TaskCounts[jobstate.TaskPending] > 0 && j.HasStarted() {
+			if j.PendingTasks() > 0 && j.HasStarted() {
 				c.zoneFailover.MarkDisplaced(j.Spec.ID, zone.Name)
 			}
 		}
@@ -68,7 +68,7 @@
 		return zonefailover.LenderState{Ended: true}
 	}
 	return zonefailover.LenderState{
-		Ended:     j.Ended || task.Task >= len(j.TaskStates) || j.TaskStates[task.Task] == jobstate.TaskDone,
+		Ended:     j.Ended || task.Task >= j.TaskCount() || j.TaskState(task.Task) == jobstate.TaskDone,
 		Placement: j.Placements[task.Task],
 	}
 }
@@ -126,15 +126,15 @@
 		if c.startForbidden(j) || !c.zoneFailover.MaySearch(now, j.Spec.ID) {
 			continue
 		}
-		movable := round.Movable(sortedPlacements(j))
-		startable := min(j.TaskCounts[jobstate.TaskPending], c.tasksWithinQuotaLimit(j))
+		movable := round.Movable(j.SortedPlacements())
+		startable := min(j.PendingTasks(), c.tasksWithinQuotaLimit(j))
 		if startable+len(movable) == 0 {
 			continue
 		}
 		round.FenceFor(&zonefailover.Displaced{
 			Borrower:   c.borrowerOf(j),
 			Startable:  startable,
-			Unfinished: j.TaskCounts[jobstate.TaskPending] + len(j.Placements),
+			Unfinished: j.PendingTasks() + len(j.Placements),
 			Movable:    movable,
 		})
 	}
--- a/internal/coordination/scheduler/zoneharness_test.go
+++ b/internal/coordination/scheduler/zoneharness_test.go
@@ -240,7 +240,7 @@
 ) (starts []simulation.PlacedTask) {
 	for _, j := range b.scheduler.jobs {
 		team := used[j.Spec.Team]
-		for _, pl := range sortedPlacements(j) {
+		for _, pl := range j.SortedPlacements() {
 			if !before[placedAttempt{pl.Task, pl.Attempt}] {
 				team = team.Plus(pl.Resources)
 				guaranteed := fairshare.GuaranteeCovers(b.scheduler.cfg.Team(pl.Team), team)
--- a/internal/coordination/scheduler/zoneloans_test.go
+++ b/internal/coordination/scheduler/zoneloans_test.go
@@ -7,7 +7,6 @@
 	"testing"
 
 	"pinebay/internal/config"
-	"pinebay/internal/coordination/jobstate"
 	"pinebay/internal/coordination/zonefailover"
 	"pinebay/internal/protocol"
 	"pinebay/internal/storage"
@@ -48,7 +47,7 @@
 	b := newLendingHarness(t, 2)
 	b.runUntilLoan(t)
 	b.runSeconds(5)
-	if b.scheduler.jobs["j-0"].TaskCounts[jobstate.TaskPlaced] != 1 {
+	if b.scheduler.jobs["j-0"].PlacedTasks() != 1 {
 		t.Fatal("the gang is not back")
 	}
 	for _, id := range []string{"j-1", "j-3", "j-5"} {
@@ -78,7 +77,7 @@
 	}
 	b.unanswered = nil
 	b.runSeconds(10)
-	if b.scheduler.jobs["j-0"].TaskCounts[jobstate.TaskPlaced] != 1 {
+	if b.scheduler.jobs["j-0"].PlacedTasks() != 1 {
 		t.Error("the gang is not back after the record was written")
 	}
 }
@@ -212,7 +211,7 @@
 	}
 	b.restoreZone(func(int) bool { return true })
 	b.runSeconds(5)
-	if got := b.scheduler.jobs["j-0"].TaskCounts[jobstate.TaskPlaced]; got != 2 {
+	if got := b.scheduler.jobs["j-0"].PlacedTasks(); got != 2 {
 		t.Errorf("%d of 2 tasks are placed when the zone is back", got)
 	}
 }
@@ -238,11 +237,11 @@
 	if countDecisions[zonefailover.LoanMade](b.decisions) == 0 {
 		t.Fatalf("nothing was lent:\n%s", strings.Join(b.describeDecisions(), "\n"))
 	}
-	if b.scheduler.jobs["j-9"].TaskCounts[jobstate.TaskPlaced] > 0 {
+	if b.scheduler.jobs["j-9"].PlacedTasks() > 0 {
 		t.Error("a smaller job has the room")
 	}
 	b.runSeconds(5)
-	if got := b.scheduler.jobs["j-8"].TaskCounts[jobstate.TaskPlaced]; got != 2 {
+	if got := b.scheduler.jobs["j-8"].PlacedTasks(); got != 2 {
 		t.Errorf("%d of 2 tasks of the gang are placed", got)
 	}
 }
