--- a/internal/coordination/machineregistry/heartbeat_test.go
+++ b/internal/coordination/machineregistry/heartbeat_test.go
@@ -82,3 +82,32 @@
 		}
 	}
 }
+
+// TestSteadyHeartbeatAllocations bounds what a heartbeat allocates that lists the same tasks as the
+// one before: the set of listed tasks and the sorted placements.
+func TestSteadyHeartbeatAllocations(t *testing.T) {
+	const tasks, maxAllocations = 8, 4
+	registry := newTestRegistry(1)
+	m := registry.HandleHeartbeat(0, testHeartbeat(1, 1, 0)).Machine
+	var listed []protocol.TaskStatus
+	for i := range tasks {
+		pl := newTestPlacement(i, 1)
+		mustReserve(t, registry, 0, pl)
+		registry.AllowStart(pl)
+		listed = append(listed, testStatus(i, protocol.TaskRunning))
+	}
+	registry.TakeDueCommands(0, m)
+	heartbeat := testHeartbeat(1, 2, 0, listed...)
+	allocations := testing.AllocsPerRun(100, func() {
+		heartbeat.Sequence++
+		now := time.Duration(heartbeat.Sequence)
+		registry.HandleHeartbeat(now, heartbeat)
+		if commands := registry.TakeDueCommands(now, m); len(commands) > 0 {
+			t.Fatalf("commands in a steady state: %v", commands)
+		}
+		registry.MachinesToCommand(now)
+	})
+	if allocations > maxAllocations {
+		t.Errorf("%v allocations, at most %d are expected", allocations, maxAllocations)
+	}
+}
--- a/internal/loadtest/load.go
+++ b/internal/loadtest/load.go
@@ -131,18 +131,8 @@
 	if perSecond <= 0 {
 		return
 	}
-	r.wg.Go(func() {
-		ticker := time.NewTicker(time.Duration(float64(time.Second) / perSecond))
-		defer ticker.Stop()
-		for {
-			select {
-			case <-r.ctx.Done():
-				return
-			case <-ticker.C:
-				r.wg.Go(f)
-			}
-		}
-	})
+	interval := time.Duration(float64(time.Second) / perSecond)
+	r.wg.Go(func() { every(r.ctx, interval, func() { r.wg.Go(f) }) })
 }
 
 func (r *run) newArray(team string) protocol.Job {
--- a/internal/loadtest/models.go
+++ b/internal/loadtest/models.go
@@ -1,6 +1,7 @@
 package loadtest
 
 import (
+	"context"
 	"errors"
 	"fmt"
 	"hash/fnv"
@@ -105,14 +106,7 @@
 
 // advanceModels advances the models and checks the invariants until the run ends.
 func (r *run) advanceModels() {
-	ticker := time.NewTicker(modelInterval)
-	defer ticker.Stop()
-	for {
-		select {
-		case <-r.ctx.Done():
-			return
-		case <-ticker.C:
-		}
+	every(r.ctx, modelInterval, func() {
 		now := r.now()
 		r.store.Advance(now)
 		r.mu.Lock()
@@ -120,7 +114,20 @@
 		r.mu.Unlock()
 		if err := r.checkInvariants(); err != nil {
 			r.fail(err)
+		}
+	})
+}
+
+// every calls f at an interval until the context ends.
+func every(ctx context.Context, interval time.Duration, f func()) {
+	ticker := time.NewTicker(interval)
+	defer ticker.Stop()
+	for {
+		select {
+		case <-ctx.Done():
 			return
+		case <-ticker.C:
+			f()
 		}
 	}
 }
--- a/internal/loadtest/workerprocess.go
+++ b/internal/loadtest/workerprocess.go
@@ -115,22 +115,15 @@
 
 // advanceModel advances the tasks until the process ends. It reports starts at once.
 func (w *workerProcess) advanceModel() {
-	ticker := time.NewTicker(modelInterval)
-	defer ticker.Stop()
-	for {
-		select {
-		case <-w.ctx.Done():
-			return
-		case <-ticker.C:
-		}
+	every(w.ctx, modelInterval, func() {
 		w.mu.Lock()
+		defer w.mu.Unlock()
 		starts := w.world.Starts
 		w.world.Advance(w.now())
 		if w.world.Starts > starts {
 			w.reportToObserver(w.worker.PeekHeartbeat())
 		}
-		w.mu.Unlock()
-	}
+	})
 }
 
 // lookUpJob asks the observer for a job. It returns nil if there is none.
