--- a/internal/simulation/owners_test.go
+++ b/internal/simulation/owners_test.go
@@ -5,7 +5,6 @@
 	"testing"
 	"time"
 
-	"pinebay/internal/config"
 	"pinebay/internal/daemon"
 	"pinebay/internal/protocol"
 	"pinebay/internal/storage"
@@ -56,201 +55,236 @@
 }
 
 // ownerScenarios are failures of controllers that own machines.
-var ownerScenarios = []struct {
-	name        string
-	controllers int
-	w           config.Workers
-	steps       []step
-	happened    []string
-	told        []string
-}{
-	{"quiet", 3, fastTimings, []step{{0, submissionStorm(30 * s)}}, nil, nil},
+var ownerScenarios = []scenario{
 	{
-		"an owner ends",
-		3,
-		fastTimings,
-		[]step{{0, crashFollower(25 * s)}, {1 * s, cancelJobs(2, 0)}},
-		[]string{"crash", "cancelled"},
-		[]string{logVerdict},
+		name:        "quiet",
+		controllers: 3,
+		timings:     fastTimings,
+		steps: []step{
+			{0, submissionStorm(30 * s)},
+		},
 	},
 	{
-		"an owner ends and is back within a moment",
-		3,
-		fastTimings,
-		[]step{{0, crashFollower(300 * ms)}, {5 * s, crashFollower(300 * ms)}},
-		[]string{"crash"},
-		nil,
+		name:        "an owner ends",
+		controllers: 3,
+		timings:     fastTimings,
+		steps: []step{
+			{0, crashFollower(25 * s)},
+			{1 * s, cancelJobs(2, 0)},
+		},
+		occurred: []string{"crash", "cancelled"},
+		logged:   []string{logVerdict},
 	},
 	{
-		"the leader ends",
-		3,
-		fastTimings,
-		[]step{{0, crashLeader(25 * s)}, {2 * s, cancelJobs(2, 0)}},
-		[]string{"crash", "cancelled"},
-		[]string{logVerdict},
+		name:        "an owner ends and is back within a moment",
+		controllers: 3,
+		timings:     fastTimings,
+		steps: []step{
+			{0, crashFollower(300 * ms)},
+			{5 * s, crashFollower(300 * ms)},
+		},
+		occurred: []string{"crash"},
 	},
 	{
-		"two of five at once",
-		5,
-		fastTimings,
-		[]step{{0, atOnce(crashLeader(25*s), crashFollower(25*s))}, {3 * s, cancelJobs(3, 0)}},
-		[]string{"crash", "cancelled"},
-		[]string{logVerdict},
+		name:        "the leader ends",
+		controllers: 3,
+		timings:     fastTimings,
+		steps: []step{
+			{0, crashLeader(25 * s)},
+			{2 * s, cancelJobs(2, 0)},
+		},
+		occurred: []string{"crash", "cancelled"},
+		logged:   []string{logVerdict},
 	},
 	{
-		"an owner stands still for longer than the suspicion window",
-		3,
-		fastTimings,
-		[]step{
+		name:        "two of five at once",
+		controllers: 5,
+		timings:     fastTimings,
+		steps: []step{
+			{0, atOnce(crashLeader(25*s), crashFollower(25*s))},
+			{3 * s, cancelJobs(3, 0)},
+		},
+		occurred: []string{"crash", "cancelled"},
+		logged:   []string{logVerdict},
+	},
+	{
+		name:        "an owner stands still for longer than the suspicion window",
+		controllers: 3,
+		timings:     fastTimings,
+		steps: []step{
 			{0, during(20*s, standstill(firstFollower))},
 			{200 * ms, cancelJobs(3, 0)},
 			{4 * s, cancelJobs(3, 0)},
 			{19900 * ms, cancelJobs(2, 0)},
 		},
-		[]string{"standstill", "cancelled"},
-		[]string{logVerdict, logEpochEnded},
+		occurred: []string{"standstill", "cancelled"},
+		logged:   []string{logVerdict, logEpochEnded},
 	},
 	{
-		"the same, slowly",
-		5,
-		slowTimings,
-		[]step{{0, during(60*s, standstill(firstFollower))}, {200 * ms, cancelJobs(3, 0)}, {30 * s, cancelJobs(3, 0)}},
-		[]string{"standstill", "cancelled"},
-		[]string{logVerdict, logEpochEnded},
+		name:        "the same, slowly",
+		controllers: 5,
+		timings:     slowTimings,
+		steps: []step{
+			{0, during(60*s, standstill(firstFollower))},
+			{200 * ms, cancelJobs(3, 0)},
+			{30 * s, cancelJobs(3, 0)},
+		},
+		occurred: []string{"standstill", "cancelled"},
+		logged:   []string{logVerdict, logEpochEnded},
 	},
 	{
-		"the leader stands still",
-		3,
-		fastTimings,
-		[]step{{0, during(25*s, standstill(currentLeader))}, {1 * s, cancelJobs(3, 0)}, {10 * s, cancelJobs(3, 0)}},
-		[]string{"standstill", "cancelled"},
-		[]string{logVerdict},
+		name:        "the leader stands still",
+		controllers: 3,
+		timings:     fastTimings,
+		steps: []step{
+			{0, during(25*s, standstill(currentLeader))},
+			{1 * s, cancelJobs(3, 0)},
+			{10 * s, cancelJobs(3, 0)},
+		},
+		occurred: []string{"standstill", "cancelled"},
+		logged:   []string{logVerdict},
 	},
 	{
-		"an owner stands still again and again",
-		3,
-		fastTimings,
-		[]step{
+		name:        "an owner stands still again and again",
+		controllers: 3,
+		timings:     fastTimings,
+		steps: []step{
 			{0, during(12*s, standstill(firstFollower))},
 			{25 * s, during(12*s, standstill(firstFollower))},
 			{50 * s, during(12*s, standstill(firstFollower))},
 			{52 * s, cancelJobs(3, 0)},
 		},
-		[]string{"standstill", "cancelled"},
-		[]string{logVerdict},
+		occurred: []string{"standstill", "cancelled"},
+		logged:   []string{logVerdict},
 	},
 	{
-		"one link is cut",
-		3,
-		fastTimings,
-		[]step{{0, during(40*s, blockLeaderLink)}, {5 * s, cancelJobs(3, 0)}},
-		[]string{"link", "cancelled"},
-		nil,
+		name:        "one link is cut",
+		controllers: 3,
+		timings:     fastTimings,
+		steps: []step{
+			{0, during(40*s, blockLeaderLink)},
+			{5 * s, cancelJobs(3, 0)},
+		},
+		occurred: []string{"link", "cancelled"},
 	},
 	{
-		"slow owners",
-		3,
-		fastTimings,
-		[]step{{0, during(40*s, slowController(200*ms, firstFollower))}, {5 * s, cancelJobs(3, 0)}},
-		[]string{"slow", "cancelled"},
-		nil,
+		name:        "slow owners",
+		controllers: 3,
+		timings:     fastTimings,
+		steps: []step{
+			{0, during(40*s, slowController(200*ms, firstFollower))},
+			{5 * s, cancelJobs(3, 0)},
+		},
+		occurred: []string{"slow", "cancelled"},
 	},
 	{
-		"all end during a verdict",
-		3,
-		fastTimings,
-		[]step{{0, crashFollower(25 * s)}, {4500 * ms, crashAllControllers(2 * s)}, {6 * s, cancelJobs(2, 0)}},
-		[]string{"crash", "cancelled"},
-		nil,
+		name:        "all end during a verdict",
+		controllers: 3,
+		timings:     fastTimings,
+		steps: []step{
+			{0, crashFollower(25 * s)},
+			{4500 * ms, crashAllControllers(2 * s)},
+			{6 * s, cancelJobs(2, 0)},
+		},
+		occurred: []string{"crash", "cancelled"},
 	},
 	{
-		"the verdict's transaction is carried out and its answer lost",
-		3,
-		fastTimings,
-		[]step{{0, during(30*s, ownershipWrites(Outcome{}))}, {0, crashFollower(25 * s)}, {5 * s, cancelJobs(2, 0)}},
-		[]string{"crash", "ownership write"},
-		[]string{logVerdict},
+		name:        "the verdict's transaction is carried out and its answer lost",
+		controllers: 3,
+		timings:     fastTimings,
+		steps: []step{
+			{0, during(30*s, ownershipWrites(Outcome{}))},
+			{0, crashFollower(25 * s)},
+			{5 * s, cancelJobs(2, 0)},
+		},
+		occurred: []string{"crash", "ownership write"},
+		logged:   []string{logVerdict},
 	},
 	{
-		"the verdict's transaction comes late, from a deposed leader",
-		3,
-		fastTimings,
-		[]step{
+		name:        "the verdict's transaction comes late, from a deposed leader",
+		controllers: 3,
+		timings:     fastTimings,
+		steps: []step{
 			{0, during(12*s, ownershipWrites(Outcome{Delay: 9 * s}))},
 			{0, crashFollower(25 * s)},
 			{6 * s, crashLeader(5 * s)},
 			{7 * s, cancelJobs(2, 0)},
 		},
-		[]string{"crash", "ownership write"},
-		nil,
+		occurred: []string{"crash", "ownership write"},
 	},
 	{
-		"the new owner ends within its handover",
-		5,
-		fastTimings,
-		[]step{{0, crashFollower(40 * s)}, {5 * s, crashFollower(20 * s)}, {8 * s, cancelJobs(3, 0)}},
-		[]string{"crash", "cancelled"},
-		[]string{logVerdict},
+		name:        "the new owner ends within its handover",
+		controllers: 5,
+		timings:     fastTimings,
+		steps: []step{
+			{0, crashFollower(40 * s)},
+			{5 * s, crashFollower(20 * s)},
+			{8 * s, cancelJobs(3, 0)},
+		},
+		occurred: []string{"crash", "cancelled"},
+		logged:   []string{logVerdict},
 	},
 	{
-		"the leader is refused, then the service is out",
-		3,
-		fastTimings,
-		[]step{
+		name:        "the leader is refused, then the service is out",
+		controllers: 3,
+		timings:     fastTimings,
+		steps: []step{
 			{0, during(60*s, refuseLeader)},
 			{500 * ms, cancelJobs(4, 0)},
 			{1500 * ms, during(50*s, storeOutage)},
 			{4 * s, cancelJobs(2, 0)},
 		},
-		[]string{"refused", "outage"},
-		nil,
+		occurred: []string{"refused", "outage"},
 	},
 	{
-		"an owner stands still in an outage",
-		5,
-		fastTimings,
-		[]step{
+		name:        "an owner stands still in an outage",
+		controllers: 5,
+		timings:     fastTimings,
+		steps: []step{
 			{0, during(50*s, storeOutage)},
 			{2 * s, during(20*s, standstill(firstFollower))},
 			{3 * s, cancelJobs(3, 0)},
 		},
-		[]string{"outage", "standstill"},
-		nil,
+		occurred: []string{"outage", "standstill"},
 	},
 	{
-		"workers reach only an owner that is cut from the others",
-		3,
-		fastTimings,
-		[]step{{0, during(30*s, isolateZone)}, {3 * s, cancelJobs(4, 0)}},
-		[]string{"zone", "cancelled"},
-		nil,
+		name:        "workers reach only an owner that is cut from the others",
+		controllers: 3,
+		timings:     fastTimings,
+		steps: []step{
+			{0, during(30*s, isolateZone)},
+			{3 * s, cancelJobs(4, 0)},
+		},
+		occurred: []string{"zone", "cancelled"},
 	},
 	{
-		"machines are deaf and mute",
-		3,
-		fastTimings,
-		[]step{
+		name:        "machines are deaf and mute",
+		controllers: 3,
+		timings:     fastTimings,
+		steps: []step{
 			{0, during(20*s, holdReplies(3))},
 			{0, during(20*s, loseHeartbeats(3))},
 			{2 * s, cancelJobs(4, 0)},
 			{8 * s, crashFollower(5 * s)},
 		},
-		[]string{"deaf", "cancelled"},
-		nil,
+		occurred: []string{"deaf", "cancelled"},
 	},
 	{
-		"cancelled and hung as an owner ends",
-		3,
-		fastTimings,
-		[]step{{0, cancelJobs(4, 60*s)}, {100 * ms, crashFollower(20 * s)}, {1 * s, cancelJobs(3, 0)}},
-		[]string{"hang", "cancelled", "crash"},
-		nil,
+		name:        "cancelled and hung as an owner ends",
+		controllers: 3,
+		timings:     fastTimings,
+		steps: []step{
+			{0, cancelJobs(4, 60*s)},
+			{100 * ms, crashFollower(20 * s)},
+			{1 * s, cancelJobs(3, 0)},
+		},
+		occurred: []string{"hang", "cancelled", "crash"},
 	},
 	{
-		"old reports and late transactions",
-		3,
-		fastTimings,
-		[]step{
+		name:        "old reports and late transactions",
+		controllers: 3,
+		timings:     fastTimings,
+		steps: []step{
 			{0, during(60*s, duplicateHeartbeats(0.3))},
 			{0, during(40*s, delayedWrites(0.2))},
 			{0, pipelines(8)},
@@ -258,28 +292,26 @@
 			{12 * s, crashLeader(5 * s)},
 			{20 * s, cancelJobs(3, 0)},
 		},
-		[]string{"late report", "crash"},
-		nil,
+		occurred: []string{"late report", "crash"},
 	},
 	{
-		"pipelines, and owners that end in turn",
-		5,
-		fastTimings,
-		[]step{
+		name:        "pipelines, and owners that end in turn",
+		controllers: 5,
+		timings:     fastTimings,
+		steps: []step{
 			{0, pipelines(12)},
 			{3 * s, crashFollower(5 * s)},
 			{12 * s, crashLeader(5 * s)},
 			{20 * s, during(15*s, standstill(secondFollower))},
 			{24 * s, cancelJobs(3, 0)},
 		},
-		[]string{"pipeline", "crash"},
-		nil,
+		occurred: []string{"pipeline", "crash"},
 	},
 	{
-		"ten leaders",
-		3,
-		fastTimings,
-		[]step{
+		name:        "ten leaders",
+		controllers: 3,
+		timings:     fastTimings,
+		steps: []step{
 			{0, staggeredCompletions(6)},
 			{0, crashLeader(5 * s)},
 			{8 * s, crashLeader(5 * s)},
@@ -289,29 +321,22 @@
 			{32 * s, crashLeader(300 * ms)},
 			{40 * s, crashLeader(5 * s)},
 		},
-		[]string{"crash"},
-		nil,
+		occurred: []string{"crash"},
 	},
 }
 
 // TestOwners plays failures of owners under all oracles: every rule holds, no confirmed cancellation misses its time,
 // no final answer changes, and all work is served in the end. Verdicts come into force by the record.
 func TestOwners(t *testing.T) {
-	for i, x := range ownerScenarios {
-		t.Run(x.name, func(t *testing.T) {
-			t.Parallel()
-			runScenario(t, uint64(900+i), x.controllers, x.w, func(l *cluster) {
-				time.Sleep(60 * s) // until all count for majorities, and own machines
-				l.runToCompletion(x.steps, x.happened)
-				l.checkOwnership()
-				for _, line := range append(x.told, logEpochInEffect) {
-					if l.logCount(line) == 0 {
-						t.Errorf("the log does not say %q", line)
-					}
-				}
-			}, withOwnership(everywhere))
-		})
-	}
+	runScenarios(t, 900, ownerScenarios, func(l *cluster, x *scenario) {
+		time.Sleep(60 * s) // until all count for majorities, and own machines
+		l.runToCompletion(x.steps, x.occurred)
+		l.checkOwnership()
+		l.checkLog(x)
+		if l.logCount(logEpochInEffect) == 0 {
+			l.t.Errorf("the log does not say %q", logEpochInEffect)
+		}
+	}, withOwnership(everywhere))
 }
 
 // TestOwnersInMixedSets: with the feature on at some controllers only, or an upgrade in the midst, those without own
@@ -319,32 +344,44 @@
 func TestOwnersInMixedSets(t *testing.T) {
 	one := func(node int) bool { return node == 1 }
 	two := func(node int) bool { return node > 0 }
-	for i, x := range []struct {
-		name    string
-		steps   []step
-		options []func(*cluster)
-	}{
-		{"on at one", []step{{0, crashLeader(5 * s)}, {20 * s, cancelJobs(3, 0)}, {25 * s, crashLeader(5 * s)}}, []func(*cluster){withOwnership(one)}},
-		{"on at two", []step{{0, crashLeader(5 * s)}, {20 * s, cancelJobs(3, 0)}, {25 * s, crashFollower(20 * s)}, {50 * s, crashLeader(5 * s)}}, []func(*cluster){withOwnership(two)}},
+	scenarios := []scenario{
+		{
+			name:    "on at one",
+			timings: fastTimings,
+			steps: []step{
+				{0, crashLeader(5 * s)},
+				{20 * s, cancelJobs(3, 0)},
+				{25 * s, crashLeader(5 * s)},
+			},
+			options: []func(*cluster){withOwnership(one)},
+		},
+		{
+			name:    "on at two",
+			timings: fastTimings,
+			steps: []step{
+				{0, crashLeader(5 * s)},
+				{20 * s, cancelJobs(3, 0)},
+				{25 * s, crashFollower(20 * s)},
+				{50 * s, crashLeader(5 * s)},
+			},
+			options: []func(*cluster){withOwnership(two)},
+		},
 		{
-			"with an upgrade from production in the midst",
-			[]step{{0, lowerLimitsOnceUpgraded}, {0, upgrade([]int{2, 0, 1}, 8*s, 5*s)}, {4 * s, cancelJobs(3, 0)}, {24 * s, pipelines(6)}, {40 * s, crashFollower(20 * s)}},
-			[]func(*cluster){announceLowerLimits, func(l *cluster) {
+			name:    "with an upgrade from production in the midst",
+			timings: fastTimings,
+			steps: []step{
+				{0, lowerLimitsOnceUpgraded},
+				{0, upgrade([]int{2, 0, 1}, 8*s, 5*s)},
+				{4 * s, cancelJobs(3, 0)},
+				{24 * s, pipelines(6)},
+				{40 * s, crashFollower(20 * s)},
+			},
+			options: []func(*cluster){announceLowerLimits, func(l *cluster) {
 				l.features = func(int) daemon.Features { return daemon.Features{PinProductionLevel: true, Ownership: true} }
 			}},
 		},
-	} {
-		t.Run(x.name, func(t *testing.T) {
-			t.Parallel()
-			runScenario(
-				t,
-				uint64(940+i),
-				3,
-				fastTimings,
-				func(l *cluster) { l.runToCompletion(x.steps, nil) },
-				x.options...)
-		})
 	}
+	runScenarios(t, 940, scenarios, func(l *cluster, x *scenario) { l.runToCompletion(x.steps, nil) })
 }
 
 // TestOwnersTakeTheLoad: with owners, the leader is reported to by its own machines alone, and the others' reports
--- a/internal/simulation/pipeline_test.go
+++ b/internal/simulation/pipeline_test.go
@@ -140,87 +140,100 @@
 }
 
 // pipelineScenarios are meetings of troubles that touch cancellations, ends or take-overs, with pipelines.
-var pipelineScenarios = []struct {
-	name        string
-	controllers int
-	w           config.Workers
-	steps       []step
-	happened    []string
-	options     []func(*cluster)
-}{
-	{"quiet", 3, fastTimings, []step{{0, pipelines(8)}}, []string{"pipeline", "cancelled"}, nil},
+var pipelineScenarios = []scenario{
 	{
-		"close looks",
-		3,
-		fastTimings,
-		[]step{{0, during(60*s, queryAfterAnswers)}, {0, pipelines(10)}},
-		[]string{"looks", "cancelled"},
-		nil,
+		name:        "quiet",
+		controllers: 3,
+		timings:     fastTimings,
+		steps: []step{
+			{0, pipelines(8)},
+		},
+		occurred: []string{"pipeline", "cancelled"},
 	},
 	{
-		"leaders end",
-		3,
-		fastTimings,
-		[]step{
+		name:        "close looks",
+		controllers: 3,
+		timings:     fastTimings,
+		steps: []step{
+			{0, during(60*s, queryAfterAnswers)},
+			{0, pipelines(10)},
+		},
+		occurred: []string{"looks", "cancelled"},
+	},
+	{
+		name:        "leaders end",
+		controllers: 3,
+		timings:     fastTimings,
+		steps: []step{
 			{0, pipelines(12)},
 			{6 * s, crashLeader(5 * s)},
 			{14 * s, crashLeader(300 * ms)},
 			{22 * s, crashLeader(5 * s)},
 		},
-		[]string{"crash", "cancelled"},
-		nil,
+		occurred: []string{"crash", "cancelled"},
 	},
 	{
-		"all controllers end",
-		5,
-		fastTimings,
-		[]step{{0, pipelines(10)}, {7 * s, crashAllControllers(14 * s)}, {40 * s, crashAllControllers(300 * ms)}},
-		[]string{"crash", "cancelled"},
-		nil,
+		name:        "all controllers end",
+		controllers: 5,
+		timings:     fastTimings,
+		steps: []step{
+			{0, pipelines(10)},
+			{7 * s, crashAllControllers(14 * s)},
+			{40 * s, crashAllControllers(300 * ms)},
+		},
+		occurred: []string{"crash", "cancelled"},
 	},
 	{
-		"an outage longer than a cancellation takes, after the leader alone is refused",
-		3,
-		fastTimings,
-		[]step{
+		name:        "an outage longer than a cancellation takes, after the leader alone is refused",
+		controllers: 3,
+		timings:     fastTimings,
+		steps: []step{
 			{0, pipelines(12)},
 			{8 * s, during(50*s, refuseLeader)},
 			{8 * s, cancelJobs(3, 0)},
 			{9 * s, during(48*s, storeOutage)},
 			{60 * s, pipelines(4)},
 		},
-		[]string{"refused", "outage", "cancelled"},
-		nil,
+		occurred: []string{"refused", "outage", "cancelled"},
 	},
 	{
-		"the leader is cut from the service and the others",
-		3,
-		fastTimings,
-		[]step{{0, pipelines(12)}, {5 * s, during(45*s, isolateLeader)}, {8 * s, cancelJobs(4, 0)}},
-		[]string{"apart", "cancelled"},
-		nil,
+		name:        "the leader is cut from the service and the others",
+		controllers: 3,
+		timings:     fastTimings,
+		steps: []step{
+			{0, pipelines(12)},
+			{5 * s, during(45*s, isolateLeader)},
+			{8 * s, cancelJobs(4, 0)},
+		},
+		occurred: []string{"apart", "cancelled"},
 	},
 	{
-		"transactions come late",
-		3,
-		fastTimings,
-		[]step{{0, during(60*s, delayedWrites(0.25))}, {0, pipelines(12)}, {15 * s, crashLeader(5 * s)}},
-		[]string{"write", "cancelled"},
-		nil,
+		name:        "transactions come late",
+		controllers: 3,
+		timings:     fastTimings,
+		steps: []step{
+			{0, during(60*s, delayedWrites(0.25))},
+			{0, pipelines(12)},
+			{15 * s, crashLeader(5 * s)},
+		},
+		occurred: []string{"write", "cancelled"},
 	},
 	{
-		"only answers are lost",
-		3,
-		fastTimings,
-		[]step{{0, during(60*s, lostReplies(0.3))}, {0, pipelines(12)}, {18 * s, crashLeader(300 * ms)}},
-		[]string{"write", "cancelled"},
-		nil,
+		name:        "only answers are lost",
+		controllers: 3,
+		timings:     fastTimings,
+		steps: []step{
+			{0, during(60*s, lostReplies(0.3))},
+			{0, pipelines(12)},
+			{18 * s, crashLeader(300 * ms)},
+		},
+		occurred: []string{"write", "cancelled"},
 	},
 	{
-		"old reports, and machines are lost",
-		3,
-		fastTimings,
-		[]step{
+		name:        "old reports, and machines are lost",
+		controllers: 3,
+		timings:     fastTimings,
+		steps: []step{
 			{0, during(60*s, duplicateHeartbeats(0.3))},
 			{0, during(60*s, replayToNextLeader(0.3, 0))},
 			{0, pipelines(12)},
@@ -228,61 +241,63 @@
 			{9 * s, crashLeader(5 * s)},
 			{15 * s, loseMachines(2)},
 		},
-		[]string{"late report", "lost", "crash"},
-		nil,
+		occurred: []string{"late report", "lost", "crash"},
 	},
 	{
-		"machines hang and are deaf",
-		3,
-		slowTimings,
-		[]step{
+		name:        "machines hang and are deaf",
+		controllers: 3,
+		timings:     slowTimings,
+		steps: []step{
 			{0, pipelines(12)},
 			{5 * s, during(20*s, holdReplies(3))},
 			{8 * s, hangWorkers(3, 30*s)},
 			{9 * s, cancelJobs(4, 0)},
 			{12 * s, crashLeader(5 * s)},
 		},
-		[]string{"deaf", "hang", "cancelled"},
-		nil,
+		occurred: []string{"deaf", "hang", "cancelled"},
 	},
 	{
-		"ends and cancellations at one moment",
-		3,
-		fastTimings,
-		[]step{{0, pipelines(10)}, {0, cancelAtCompletion(10)}, {10 * s, cancelAtCompletion(6)}},
-		[]string{"at end", "cancelled"},
-		nil,
+		name:        "ends and cancellations at one moment",
+		controllers: 3,
+		timings:     fastTimings,
+		steps: []step{
+			{0, pipelines(10)},
+			{0, cancelAtCompletion(10)},
+			{10 * s, cancelAtCompletion(6)},
+		},
+		occurred: []string{"at end", "cancelled"},
 	},
 	{
-		"more work than room",
-		3,
-		fastTimings,
-		[]step{{0, overload(16)}, {5 * s, pipelines(12)}, {20 * s, cancelJobs(4, 0)}},
-		[]string{"pipeline", "cancelled"},
-		nil,
+		name:        "more work than room",
+		controllers: 3,
+		timings:     fastTimings,
+		steps: []step{
+			{0, overload(16)},
+			{5 * s, pipelines(12)},
+			{20 * s, cancelJobs(4, 0)},
+		},
+		occurred: []string{"pipeline", "cancelled"},
 	},
 	{
-		"a zone is cut off",
-		3,
-		fastTimings,
-		[]step{{0, pipelines(12)}, {6 * s, during(30*s, isolateZone)}, {20 * s, cancelJobs(2, 0)}},
-		[]string{"zone"},
-		nil,
+		name:        "a zone is cut off",
+		controllers: 3,
+		timings:     fastTimings,
+		steps: []step{
+			{0, pipelines(12)},
+			{6 * s, during(30*s, isolateZone)},
+			{20 * s, cancelJobs(2, 0)},
+		},
+		occurred: []string{"zone"},
 	},
 }
 
 // TestPipelineScenarios plays pipelines among troubles: no task starts before all that its job awaits is done,
 // no job is orphaned, every other rule holds, and all are over in the end.
 func TestPipelineScenarios(t *testing.T) {
-	for i, x := range pipelineScenarios {
-		t.Run(x.name, func(t *testing.T) {
-			t.Parallel()
-			runScenario(t, uint64(800+i), x.controllers, x.w, func(l *cluster) {
-				l.runToCompletion(x.steps, x.happened)
-				l.checkRecords()
-			}, x.options...)
-		})
-	}
+	runScenarios(t, 800, pipelineScenarios, func(l *cluster, x *scenario) {
+		l.runToCompletion(x.steps, x.occurred)
+		l.checkRecords()
+	})
 }
 
 // TestLimitsBelowTheSettings: the state service's limits fall lower than the settings say. Transactions and values
@@ -346,35 +361,164 @@
 // final, and served then; all rules hold.
 func TestUpgradeScenarios(t *testing.T) {
 	upgraded := []string{"upgraded", "limits", "pipeline"}
-	options := []func(*cluster){productionLevel, announceLowerLimits}
 	up, down := []int{0, 1, 2}, []int{2, 1, 0}
-	for i, x := range []struct {
-		name        string
-		controllers int
-		w           config.Workers
-		steps       []step
-	}{
-		{"one after the other", 3, fastTimings, []step{{0, lowerLimitsOnceUpgraded}, {0, submitBatches(6)}, {0, upgrade(up, 10*s, 5*s)}, {34 * s, pipelines(8)}}},
-		{"the other way, at once back", 3, fastTimings, []step{{0, lowerLimitsOnceUpgraded}, {0, submitBatches(6)}, {0, upgrade(down, 3*s, 200*ms)}, {9 * s, pipelines(8)}}},
-		{"all at once", 3, fastTimings, []step{{0, lowerLimitsOnceUpgraded}, {0, submitBatches(4)}, {1 * s, upgrade(up, 10*ms, 5*s)}, {5 * s, pipelines(8)}}},
-		{"five, two of them twice", 5, fastTimings, []step{{0, lowerLimitsOnceUpgraded}, {0, submitBatches(8)}, {0, upgrade([]int{3, 0, 4, 1, 2, 0, 3}, 4*s, 3*s)}, {20 * s, pipelines(8)}, {25 * s, cancelJobs(3, 0)}}},
-		{"one stays away for long", 3, fastTimings, []step{{0, lowerLimitsOnceUpgraded}, {0, upgrade([]int{0, 1}, 6*s, 5*s)}, {10 * s, pipelines(4)}, {40 * s, upgrade([]int{2}, s, 30*s)}, {80 * s, pipelines(6)}}},
-		{"leaders end in the midst", 3, fastTimings, []step{{0, lowerLimitsOnceUpgraded}, {0, submitBatches(10)}, {0, upgrade(up, 8*s, 5*s)}, {5 * s, crashLeader(300 * ms)}, {12 * s, crashLeader(5 * s)}, {18 * s, crashLeader(300 * ms)}, {22 * s, crashLeader(5 * s)}, {24 * s, pipelines(8)}}},
-		{"an outage as the last is back", 3, fastTimings, []step{{0, lowerLimitsOnceUpgraded}, {0, submitBatches(8)}, {0, upgrade(up, 8*s, 5*s)}, {20900 * ms, during(20*s, storeOutage)}, {22 * s, pipelines(8)}, {24 * s, cancelJobs(3, 0)}}},
-		{"an outage throughout", 3, fastTimings, []step{{0, lowerLimitsOnceUpgraded}, {0, submitBatches(4)}, {2 * s, during(30*s, storeOutage)}, {3 * s, upgrade(up, 8*s, 5*s)}, {30 * s, pipelines(8)}}},
-		{"transactions come late", 3, fastTimings, []step{{0, lowerLimitsOnceUpgraded}, {0, during(60*s, delayedWrites(0.2))}, {0, submitBatches(8)}, {1 * s, upgrade(down, 8*s, 5*s)}, {24 * s, pipelines(8)}}},
-		{"answers are lost", 3, fastTimings, []step{{0, lowerLimitsOnceUpgraded}, {0, during(60*s, lostReplies(0.3))}, {0, submitBatches(8)}, {1 * s, upgrade(up, 8*s, 5*s)}, {24 * s, pipelines(8)}, {26 * s, crashLeader(5 * s)}}},
-		{"old reports, lost machines, cancellations", 3, slowTimings, []step{{0, lowerLimitsOnceUpgraded}, {0, during(60*s, duplicateHeartbeats(0.3))}, {0, submitBatches(8)}, {1 * s, upgrade(up, 8*s, 5*s)}, {6 * s, loseMachines(2)}, {10 * s, cancelJobs(4, 20*s)}, {24 * s, pipelines(8)}, {30 * s, crashLeader(5 * s)}}},
-		{"the leader is refused, then cut off", 3, fastTimings, []step{{0, lowerLimitsOnceUpgraded}, {0, submitBatches(8)}, {0, upgrade(up, 8*s, 5*s)}, {6 * s, during(15*s, refuseLeader)}, {22 * s, during(25*s, isolateLeader)}, {24 * s, pipelines(8)}, {26 * s, cancelJobs(3, 0)}}},
-	} {
-		t.Run(x.name, func(t *testing.T) {
-			t.Parallel()
-			runScenario(t, uint64(850+i), x.controllers, x.w, func(l *cluster) {
-				l.runToCompletion(x.steps, upgraded)
-				l.checkUpgraded()
-			}, options...)
-		})
+	scenarios := []scenario{
+		{
+			name:        "one after the other",
+			controllers: 3,
+			timings:     fastTimings,
+			steps: []step{
+				{0, lowerLimitsOnceUpgraded},
+				{0, submitBatches(6)},
+				{0, upgrade(up, 10*s, 5*s)},
+				{34 * s, pipelines(8)},
+			},
+		},
+		{
+			name:        "the other way, at once back",
+			controllers: 3,
+			timings:     fastTimings,
+			steps: []step{
+				{0, lowerLimitsOnceUpgraded},
+				{0, submitBatches(6)},
+				{0, upgrade(down, 3*s, 200*ms)},
+				{9 * s, pipelines(8)},
+			},
+		},
+		{
+			name:        "all at once",
+			controllers: 3,
+			timings:     fastTimings,
+			steps: []step{
+				{0, lowerLimitsOnceUpgraded},
+				{0, submitBatches(4)},
+				{1 * s, upgrade(up, 10*ms, 5*s)},
+				{5 * s, pipelines(8)},
+			},
+		},
+		{
+			name:        "five, two of them twice",
+			controllers: 5,
+			timings:     fastTimings,
+			steps: []step{
+				{0, lowerLimitsOnceUpgraded},
+				{0, submitBatches(8)},
+				{0, upgrade([]int{3, 0, 4, 1, 2, 0, 3}, 4*s, 3*s)},
+				{20 * s, pipelines(8)},
+				{25 * s, cancelJobs(3, 0)},
+			},
+		},
+		{
+			name:        "one stays away for long",
+			controllers: 3,
+			timings:     fastTimings,
+			steps: []step{
+				{0, lowerLimitsOnceUpgraded},
+				{0, upgrade([]int{0, 1}, 6*s, 5*s)},
+				{10 * s, pipelines(4)},
+				{40 * s, upgrade([]int{2}, s, 30*s)},
+				{80 * s, pipelines(6)},
+			},
+		},
+		{
+			name:        "leaders end in the midst",
+			controllers: 3,
+			timings:     fastTimings,
+			steps: []step{
+				{0, lowerLimitsOnceUpgraded},
+				{0, submitBatches(10)},
+				{0, upgrade(up, 8*s, 5*s)},
+				{5 * s, crashLeader(300 * ms)},
+				{12 * s, crashLeader(5 * s)},
+				{18 * s, crashLeader(300 * ms)},
+				{22 * s, crashLeader(5 * s)},
+				{24 * s, pipelines(8)},
+			},
+		},
+		{
+			name:        "an outage as the last is back",
+			controllers: 3,
+			timings:     fastTimings,
+			steps: []step{
+				{0, lowerLimitsOnceUpgraded},
+				{0, submitBatches(8)},
+				{0, upgrade(up, 8*s, 5*s)},
+				{20900 * ms, during(20*s, storeOutage)},
+				{22 * s, pipelines(8)},
+				{24 * s, cancelJobs(3, 0)},
+			},
+		},
+		{
+			name:        "an outage throughout",
+			controllers: 3,
+			timings:     fastTimings,
+			steps: []step{
+				{0, lowerLimitsOnceUpgraded},
+				{0, submitBatches(4)},
+				{2 * s, during(30*s, storeOutage)},
+				{3 * s, upgrade(up, 8*s, 5*s)},
+				{30 * s, pipelines(8)},
+			},
+		},
+		{
+			name:        "transactions come late",
+			controllers: 3,
+			timings:     fastTimings,
+			steps: []step{
+				{0, lowerLimitsOnceUpgraded},
+				{0, during(60*s, delayedWrites(0.2))},
+				{0, submitBatches(8)},
+				{1 * s, upgrade(down, 8*s, 5*s)},
+				{24 * s, pipelines(8)},
+			},
+		},
+		{
+			name:        "answers are lost",
+			controllers: 3,
+			timings:     fastTimings,
+			steps: []step{
+				{0, lowerLimitsOnceUpgraded},
+				{0, during(60*s, lostReplies(0.3))},
+				{0, submitBatches(8)},
+				{1 * s, upgrade(up, 8*s, 5*s)},
+				{24 * s, pipelines(8)},
+				{26 * s, crashLeader(5 * s)},
+			},
+		},
+		{
+			name:        "old reports, lost machines, cancellations",
+			controllers: 3,
+			timings:     slowTimings,
+			steps: []step{
+				{0, lowerLimitsOnceUpgraded},
+				{0, during(60*s, duplicateHeartbeats(0.3))},
+				{0, submitBatches(8)},
+				{1 * s, upgrade(up, 8*s, 5*s)},
+				{6 * s, loseMachines(2)},
+				{10 * s, cancelJobs(4, 20*s)},
+				{24 * s, pipelines(8)},
+				{30 * s, crashLeader(5 * s)},
+			},
+		},
+		{
+			name:        "the leader is refused, then cut off",
+			controllers: 3,
+			timings:     fastTimings,
+			steps: []step{
+				{0, lowerLimitsOnceUpgraded},
+				{0, submitBatches(8)},
+				{0, upgrade(up, 8*s, 5*s)},
+				{6 * s, during(15*s, refuseLeader)},
+				{22 * s, during(25*s, isolateLeader)},
+				{24 * s, pipelines(8)},
+				{26 * s, cancelJobs(3, 0)},
+			},
+		},
 	}
+	runScenarios(t, 850, scenarios, func(l *cluster, x *scenario) {
+		l.runToCompletion(x.steps, upgraded)
+		l.checkUpgraded()
+	}, productionLevel, announceLowerLimits)
 }
 
 // TestDrawnUpgrades plays upgrades in drawn orders with drawn troubles, and pipelines throughout.
--- a/internal/simulation/records_test.go
+++ b/internal/simulation/records_test.go
@@ -76,57 +76,95 @@
 // TestSharedRecords plays what may become of a transaction that records the placements of several
 // jobs: every rule holds, and every job is served in the end.
 func TestSharedRecords(t *testing.T) {
-	for i, x := range []struct {
-		name     string
-		w        config.Workers
-		steps    []step
-		happened []string
-		options  []func(*cluster)
-	}{
-		{"its answer is lost", fastTimings, []step{{0, during(40*s, faultySharedWrites(0.5, loseReply))}, {1 * s, submissionStorm(20 * s)}, {2 * s, submitBatches(8)}}, []string{"shared"}, nil},
+	scenarios := []scenario{
 		{
-			"it is carried out late, after newer ones", fastTimings,
-			[]step{{0, during(40*s, faultySharedWrites(0.5, delayWrite))}, {1 * s, submissionStorm(20 * s)}, {2 * s, submitBatches(8)}, {20 * s, cancelJobs(3, 0)}},
-			[]string{"shared"},
-			nil,
+			name:    "its answer is lost",
+			timings: fastTimings,
+			steps: []step{
+				{0, during(40*s, faultySharedWrites(0.5, loseReply))},
+				{1 * s, submissionStorm(20 * s)},
+				{2 * s, submitBatches(8)},
+			},
+			occurred: []string{"shared"},
 		},
 		{
-			"by a deposed leader", fastTimings,
-			[]step{{0, during(20*s, faultySharedWrites(1, delayWrite))}, {1 * s, submitBatches(2)}, {5500 * ms, crashLeader(5 * s)}, {6 * s, submitBatches(4)}, {14 * s, crashLeader(300 * ms)}, {15 * s, submitBatches(3)}},
-			[]string{"shared", "crash"},
-			nil,
+			name:    "it is carried out late, after newer ones",
+			timings: fastTimings,
+			steps: []step{
+				{0, during(40*s, faultySharedWrites(0.5, delayWrite))},
+				{1 * s, submissionStorm(20 * s)},
+				{2 * s, submitBatches(8)},
+				{20 * s, cancelJobs(3, 0)},
+			},
+			occurred: []string{"shared"},
 		},
 		{
-			"a job of it is cancelled", fastTimings,
-			[]step{{0, during(40*s, faultySharedWrites(0.7, delayReply))}, {1 * s, submissionStorm(30 * s)}, {2 * s, submitBatches(4)}, {10 * s, cancelJobs(4, 0)}, {11 * s, submitBatches(3)}, {17 * s, cancelJobs(4, 0)}},
-			[]string{"shared", "cancelled"},
-			nil,
+			name:    "by a deposed leader",
+			timings: fastTimings,
+			steps: []step{
+				{0, during(20*s, faultySharedWrites(1, delayWrite))},
+				{1 * s, submitBatches(2)},
+				{5500 * ms, crashLeader(5 * s)},
+				{6 * s, submitBatches(4)},
+				{14 * s, crashLeader(300 * ms)},
+				{15 * s, submitBatches(3)},
+			},
+			occurred: []string{"shared", "crash"},
 		},
-		{"a job ends in it", fastTimings, []step{{0, during(40*s, faultySharedWrites(0.5, delayReply))}, {0, staggeredCompletions(8)}, {1 * s, submissionStorm(20 * s)}, {2 * s, submitBatches(4)}, {12 * s, staggeredCompletions(4)}}, []string{"shared"}, nil},
 		{
-			"the state service is at its limits, slow, out and back", fastTimings,
-			[]step{{0, during(30*s, faultySharedWrites(0.5, delayReply))}, {0, submissionStorm(30 * s)}, {1 * s, submitBatches(5)}, {32 * s, during(15*s, storeOutage)}, {40 * s, submissionStorm(15 * s)}},
-			[]string{"shared", "outage"},
-			[]func(*cluster){smallStoreLimits},
+			name:    "a job of it is cancelled",
+			timings: fastTimings,
+			steps: []step{
+				{0, during(40*s, faultySharedWrites(0.7, delayReply))},
+				{1 * s, submissionStorm(30 * s)},
+				{2 * s, submitBatches(4)},
+				{10 * s, cancelJobs(4, 0)},
+				{11 * s, submitBatches(3)},
+				{17 * s, cancelJobs(4, 0)},
+			},
+			occurred: []string{"shared", "cancelled"},
 		},
 		{
-			"the same, slowly", slowTimings,
-			[]step{{0, during(60*s, faultySharedWrites(0.5, delayWrite))}, {0, submissionStorm(30 * s)}, {1 * s, submitBatches(5)}, {15 * s, cancelJobs(3, 0)}, {20 * s, crashLeader(5 * s)}, {32 * s, during(40*s, storeOutage)}},
-			[]string{"shared", "outage", "crash"},
-			[]func(*cluster){smallStoreLimits},
+			name:    "a job ends in it",
+			timings: fastTimings,
+			steps: []step{
+				{0, during(40*s, faultySharedWrites(0.5, delayReply))},
+				{0, staggeredCompletions(8)},
+				{1 * s, submissionStorm(20 * s)},
+				{2 * s, submitBatches(4)},
+				{12 * s, staggeredCompletions(4)},
+			},
+			occurred: []string{"shared"},
+		},
+		{
+			name:    "the state service is at its limits, slow, out and back",
+			timings: fastTimings,
+			steps: []step{
+				{0, during(30*s, faultySharedWrites(0.5, delayReply))},
+				{0, submissionStorm(30 * s)},
+				{1 * s, submitBatches(5)},
+				{32 * s, during(15*s, storeOutage)},
+				{40 * s, submissionStorm(15 * s)},
+			},
+			occurred: []string{"shared", "outage"},
+			options:  []func(*cluster){smallStoreLimits},
+		},
+		{
+			name:    "the same, slowly",
+			timings: slowTimings,
+			steps: []step{
+				{0, during(60*s, faultySharedWrites(0.5, delayWrite))},
+				{0, submissionStorm(30 * s)},
+				{1 * s, submitBatches(5)},
+				{15 * s, cancelJobs(3, 0)},
+				{20 * s, crashLeader(5 * s)},
+				{32 * s, during(40*s, storeOutage)},
+			},
+			occurred: []string{"shared", "outage", "crash"},
+			options:  []func(*cluster){smallStoreLimits},
 		},
-	} {
-		t.Run(x.name, func(t *testing.T) {
-			t.Parallel()
-			runScenario(
-				t,
-				uint64(600+i),
-				3,
-				x.w,
-				func(l *cluster) { l.runToCompletion(x.steps, x.happened) },
-				x.options...)
-		})
 	}
+	runScenarios(t, 600, scenarios, func(l *cluster, x *scenario) { l.runToCompletion(x.steps, x.occurred) })
 }
 
 // TestRecordThatIsNeverPossible: the state service refuses every transaction that records one
--- a/internal/simulation/repeat_test.go
+++ b/internal/simulation/repeat_test.go
@@ -68,21 +68,39 @@
 func TestSameSeedSameRun(t *testing.T) {
 	rng := rand.New(rand.NewPCG(testutil.Seed(), 9))
 	drawn, _ := randomScenario(rng)
-	for _, x := range []struct {
-		name        string
-		controllers int
-		w           config.Workers
-		steps       []step
-		options     []func(*cluster)
-	}{
-		{"zone lost and back", 3, fastTimings, []step{{0, lowPriorityArrays(8)}, {8 * s, during(40*s, silenceZone("b", 1))}}, []func(*cluster){withZoneFailover(everywhere)}},
-		{"cancellations, hung machines and an outage", 5, fastTimings, []step{{0, overload(12)}, {10 * s, cancelJobs(4, 20*s)}, {10100 * ms, during(20*s, storeOutage)}, {12 * s, cancelJobs(2, 0)}}, nil},
-		{"drawn", 3, slowTimings, drawn, nil},
+	for _, x := range []scenario{
+		{
+			name:        "zone lost and back",
+			controllers: 3,
+			timings:     fastTimings,
+			steps: []step{
+				{0, lowPriorityArrays(8)},
+				{8 * s, during(40*s, silenceZone("b", 1))},
+			},
+			options: []func(*cluster){withZoneFailover(everywhere)},
+		},
+		{
+			name:        "cancellations, hung machines and an outage",
+			controllers: 5,
+			timings:     fastTimings,
+			steps: []step{
+				{0, overload(12)},
+				{10 * s, cancelJobs(4, 20*s)},
+				{10100 * ms, during(20*s, storeOutage)},
+				{12 * s, cancelJobs(2, 0)},
+			},
+		},
+		{
+			name:        "drawn",
+			controllers: 3,
+			timings:     slowTimings,
+			steps:       drawn,
+		},
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			t.Parallel()
-			first := recordArrivals(t, 77, x.controllers, x.w, x.steps, x.options...)
-			again := recordArrivals(t, 77, x.controllers, x.w, x.steps, x.options...)
+			first := recordArrivals(t, 77, x.controllers, x.timings, x.steps, x.options...)
+			again := recordArrivals(t, 77, x.controllers, x.timings, x.steps, x.options...)
 			for i := range min(len(first), len(again)) {
 				if first[i] != again[i] {
 					t.Fatalf("packet %d of %d: %+v, and in another run %+v", i, len(first), first[i], again[i])
--- /dev/null
+++ b/internal/simulation/scenario_test.go
@@ -0,0 +1,67 @@
+package simulation
+
+import (
+	"slices"
+	"testing"
+
+	"pinebay/internal/config"
+)
+
+// defaultControllers is the number of controllers of scenarios that name none.
+const defaultControllers = 3
+
+// scenario is a sequence of faults and users' requests on a cluster.
+type scenario struct {
+	name        string
+	controllers int // 0: defaultControllers
+	timings     config.Workers
+	steps       []step
+	// occurred names occurrences that must be recorded, since without them the scenario shows nothing.
+	occurred []string
+	// logged are texts that the log must contain, and notLogged such that it must not.
+	logged, notLogged []string
+	options           []func(*cluster)
+}
+
+// run runs f on a cluster as the scenario describes it, in simulated time.
+func (x *scenario) run(t *testing.T, seed uint64, f func(l *cluster), options ...func(*cluster)) {
+	t.Helper()
+	controllers := x.controllers
+	if controllers == 0 {
+		controllers = defaultControllers
+	}
+	runScenario(t, seed, controllers, x.timings, f, slices.Concat(x.options, options)...)
+}
+
+// runScenarios runs f for each scenario as a parallel subtest. The seeds count up from the first one.
+func runScenarios(
+	t *testing.T,
+	firstSeed uint64,
+	scenarios []scenario,
+	f func(l *cluster, x *scenario),
+	options ...func(*cluster),
+) {
+	t.Helper()
+	for i := range scenarios {
+		x := &scenarios[i]
+		t.Run(x.name, func(t *testing.T) {
+			t.Parallel()
+			x.run(t, firstSeed+uint64(i), func(l *cluster) { f(l, x) }, options...)
+		})
+	}
+}
+
+// checkLog checks that the log has the texts that the scenario demands, and none that it excludes.
+func (l *cluster) checkLog(x *scenario) {
+	l.t.Helper()
+	for _, text := range x.logged {
+		if l.logCount(text) == 0 {
+			l.t.Errorf("the log does not say %q", text)
+		}
+	}
+	for _, text := range x.notLogged {
+		if l.logCount(text) > 0 {
+			l.t.Errorf("the log says %q", text)
+		}
+	}
+}
--- a/internal/simulation/scenarios_test.go
+++ b/internal/simulation/scenarios_test.go
@@ -238,110 +238,182 @@
 
 // scenarios are what the operators have seen break rules, each brought about on real
 // controllers. happened names what must have come to pass, or the scenario shows nothing.
-var scenarios = []struct {
-	name     string
-	w        config.Workers
-	steps    []step
-	happened []string
-}{
-	{"close looks", fastTimings, []step{
-		{0, during(60*s, queryAfterAnswers)},
-		{1 * s, submissionStorm(40 * s)},
-		{2 * s, cancelAtCompletion(6)},
-		{5 * s, cancelJobs(4, 0)},
-		{20 * s, cancelJobs(2, 0)},
-	}, []string{"looks", "cancelled"}},
-	{"only the answer is lost", fastTimings, []step{
-		{0, during(50*s, queryAfterAnswers)},
-		{0, during(50*s, lostReplies(0.3))},
-		{1 * s, submissionStorm(40 * s)},
-		{3 * s, cancelJobs(4, 0)},
-		{30 * s, crashLeader(5 * s)},
-	}, []string{"write", "looks", "cancelled"}},
-	{"teams at their limits, cut and hung machines, a new leader", fastTimings, []step{
-		{0, overload(16)},
-		{20 * s, cancelJobs(6, 60*s)},
-		{20500 * ms, during(50*s, holdReplies(3))},
-		{21 * s, crashLeader(6 * s)},
-		{40 * s, cancelJobs(4, 0)},
-	}, []string{"hang", "deaf", "crash", "cancelled"}},
-	{"the same, slowly", slowTimings, []step{
-		{0, overload(16)},
-		{20 * s, cancelJobs(6, 100*s)},
-		{21 * s, during(80*s, holdReplies(3))},
-		{22 * s, crashLeader(6 * s)},
-		{50 * s, cancelJobs(4, 0)},
-	}, []string{"hang", "deaf", "crash", "cancelled"}},
-	{"cancelled while work changes hands", fastTimings, []step{
-		{0, cancelJobs(2, 0)},
-		{50 * ms, crashLeader(300 * ms)},
-		{300 * ms, cancelJobs(3, 0)},
-		{10 * s, during(8*s, isolateLeader)},
-		{10500 * ms, cancelJobs(3, 0)},
-		{13 * s, cancelJobs(3, 0)},
-	}, []string{"crash", "apart", "cancelled"}},
-	{"quick machines, late writes, the leader ends", fastTimings, []step{
-		{0, during(60*s, fastBoots)},
-		{0, during(40*s, delayedWrites(0.25))},
-		{1 * s, overload(9)},
-		{4 * s, crashLeader(5 * s)},
-		{16 * s, crashLeader(300 * ms)},
-	}, []string{"write", "crash"}},
-	{"old reports for the next leader", fastTimings, []step{
-		{0, during(90*s, replayToNextLeader(0.3, 0))},
-		{0, staggeredCompletions(6)},
-		{10 * s, crashLeader(5 * s)},
-		{14 * s, cancelJobs(3, 0)},
-		{30 * s, crashLeader(5 * s)},
-		{45 * s, crashAllControllers(2 * s)},
-	}, []string{"late report", "crash", "cancelled"}},
-	{"a report held back until the next leader has acted", fastTimings, []step{
-		{0, during(90*s, replayToNextLeader(0.3, 4*s))},
-		{0, staggeredCompletions(6)},
-		{10 * s, crashLeader(5 * s)},
-		{30 * s, crashLeader(300 * ms)},
-	}, []string{"late report taken", "crash"}},
-	{"one-task jobs come fast", fastTimings, []step{{0, submissionStorm(150 * s)}}, []string{"cancelled"}},
-	{"old reports after newer ones", slowTimings, []step{
-		{0, during(90*s, duplicateHeartbeats(0.2))},
-		{0, staggeredCompletions(6)},
-		{5 * s, during(40*s, holdReplies(2))},
-		{20 * s, loseMachines(1)},
-		{30 * s, cancelJobs(3, 0)},
-	}, []string{"late report taken", "cancelled"}},
-	{"the leader ends while machines are out of reach", fastTimings, []step{
-		{0, during(30*s, loseHeartbeats(2))},
-		{0, during(30*s, holdReplies(2))},
-		{1 * s, crashLeader(6 * s)},
-		{4 * s, cancelJobs(4, 0)},
-	}, []string{"mute", "deaf", "crash", "cancelled"}},
+var scenarios = []scenario{
 	{
-		"all controllers are away for longer than a lease", fastTimings,
-		[]step{{0, cancelJobs(2, 0)}, {200 * ms, crashAllControllers(14 * s)}, {60 * s, crashAllControllers(300 * ms)}},
-		[]string{"crash", "cancelled"},
+		name:    "close looks",
+		timings: fastTimings,
+		steps: []step{
+			{0, during(60*s, queryAfterAnswers)},
+			{1 * s, submissionStorm(40 * s)},
+			{2 * s, cancelAtCompletion(6)},
+			{5 * s, cancelJobs(4, 0)},
+			{20 * s, cancelJobs(2, 0)},
+		},
+		occurred: []string{"looks", "cancelled"},
+	},
+	{
+		name:    "only the answer is lost",
+		timings: fastTimings,
+		steps: []step{
+			{0, during(50*s, queryAfterAnswers)},
+			{0, during(50*s, lostReplies(0.3))},
+			{1 * s, submissionStorm(40 * s)},
+			{3 * s, cancelJobs(4, 0)},
+			{30 * s, crashLeader(5 * s)},
+		},
+		occurred: []string{"write", "looks", "cancelled"},
+	},
+	{
+		name:    "teams at their limits, cut and hung machines, a new leader",
+		timings: fastTimings,
+		steps: []step{
+			{0, overload(16)},
+			{20 * s, cancelJobs(6, 60*s)},
+			{20500 * ms, during(50*s, holdReplies(3))},
+			{21 * s, crashLeader(6 * s)},
+			{40 * s, cancelJobs(4, 0)},
+		},
+		occurred: []string{"hang", "deaf", "crash", "cancelled"},
+	},
+	{
+		name:    "the same, slowly",
+		timings: slowTimings,
+		steps: []step{
+			{0, overload(16)},
+			{20 * s, cancelJobs(6, 100*s)},
+			{21 * s, during(80*s, holdReplies(3))},
+			{22 * s, crashLeader(6 * s)},
+			{50 * s, cancelJobs(4, 0)},
+		},
+		occurred: []string{"hang", "deaf", "crash", "cancelled"},
+	},
+	{
+		name:    "cancelled while work changes hands",
+		timings: fastTimings,
+		steps: []step{
+			{0, cancelJobs(2, 0)},
+			{50 * ms, crashLeader(300 * ms)},
+			{300 * ms, cancelJobs(3, 0)},
+			{10 * s, during(8*s, isolateLeader)},
+			{10500 * ms, cancelJobs(3, 0)},
+			{13 * s, cancelJobs(3, 0)},
+		},
+		occurred: []string{"crash", "apart", "cancelled"},
+	},
+	{
+		name:    "quick machines, late writes, the leader ends",
+		timings: fastTimings,
+		steps: []step{
+			{0, during(60*s, fastBoots)},
+			{0, during(40*s, delayedWrites(0.25))},
+			{1 * s, overload(9)},
+			{4 * s, crashLeader(5 * s)},
+			{16 * s, crashLeader(300 * ms)},
+		},
+		occurred: []string{"write", "crash"},
+	},
+	{
+		name:    "old reports for the next leader",
+		timings: fastTimings,
+		steps: []step{
+			{0, during(90*s, replayToNextLeader(0.3, 0))},
+			{0, staggeredCompletions(6)},
+			{10 * s, crashLeader(5 * s)},
+			{14 * s, cancelJobs(3, 0)},
+			{30 * s, crashLeader(5 * s)},
+			{45 * s, crashAllControllers(2 * s)},
+		},
+		occurred: []string{"late report", "crash", "cancelled"},
 	},
-	{"transactions come late", fastTimings, []step{
-		{0, during(60*s, delayedWrites(0.25))},
-		{0, submissionStorm(30 * s)},
-		{0, staggeredCompletions(4)},
-		{5 * s, cancelJobs(4, 0)},
-		{20 * s, crashLeader(5 * s)},
-		{25 * s, cancelJobs(3, 0)},
-	}, []string{"write", "cancelled"}},
 	{
-		"a zone is cut off",
-		fastTimings,
-		[]step{{0, during(30*s, isolateZone)}, {3 * s, cancelJobs(4, 0)}, {40 * s, cancelJobs(2, 0)}},
-		[]string{"zone", "cancelled"},
+		name:    "a report held back until the next leader has acted",
+		timings: fastTimings,
+		steps: []step{
+			{0, during(90*s, replayToNextLeader(0.3, 4*s))},
+			{0, staggeredCompletions(6)},
+			{10 * s, crashLeader(5 * s)},
+			{30 * s, crashLeader(300 * ms)},
+		},
+		occurred: []string{"late report taken", "crash"},
 	},
 	{
-		"a leader without service and peers", fastTimings,
-		[]step{{0, during(40*s, isolateLeader)}, {1 * s, cancelJobs(3, 0)}, {6 * s, cancelJobs(3, 0)}},
-		[]string{"apart", "cancelled"},
+		name:    "one-task jobs come fast",
+		timings: fastTimings,
+		steps: []step{
+			{0, submissionStorm(150 * s)},
+		},
+		occurred: []string{"cancelled"},
+	},
+	{
+		name:    "old reports after newer ones",
+		timings: slowTimings,
+		steps: []step{
+			{0, during(90*s, duplicateHeartbeats(0.2))},
+			{0, staggeredCompletions(6)},
+			{5 * s, during(40*s, holdReplies(2))},
+			{20 * s, loseMachines(1)},
+			{30 * s, cancelJobs(3, 0)},
+		},
+		occurred: []string{"late report taken", "cancelled"},
+	},
+	{
+		name:    "the leader ends while machines are out of reach",
+		timings: fastTimings,
+		steps: []step{
+			{0, during(30*s, loseHeartbeats(2))},
+			{0, during(30*s, holdReplies(2))},
+			{1 * s, crashLeader(6 * s)},
+			{4 * s, cancelJobs(4, 0)},
+		},
+		occurred: []string{"mute", "deaf", "crash", "cancelled"},
 	},
 	{
-		"a slow service, then refused, then out", fastTimings,
-		[]step{
+		name:    "all controllers are away for longer than a lease",
+		timings: fastTimings,
+		steps: []step{
+			{0, cancelJobs(2, 0)},
+			{200 * ms, crashAllControllers(14 * s)},
+			{60 * s, crashAllControllers(300 * ms)},
+		},
+		occurred: []string{"crash", "cancelled"},
+	},
+	{
+		name:    "transactions come late",
+		timings: fastTimings,
+		steps: []step{
+			{0, during(60*s, delayedWrites(0.25))},
+			{0, submissionStorm(30 * s)},
+			{0, staggeredCompletions(4)},
+			{5 * s, cancelJobs(4, 0)},
+			{20 * s, crashLeader(5 * s)},
+			{25 * s, cancelJobs(3, 0)},
+		},
+		occurred: []string{"write", "cancelled"},
+	},
+	{
+		name:    "a zone is cut off",
+		timings: fastTimings,
+		steps: []step{
+			{0, during(30*s, isolateZone)},
+			{3 * s, cancelJobs(4, 0)},
+			{40 * s, cancelJobs(2, 0)},
+		},
+		occurred: []string{"zone", "cancelled"},
+	},
+	{
+		name:    "a leader without service and peers",
+		timings: fastTimings,
+		steps: []step{
+			{0, during(40*s, isolateLeader)},
+			{1 * s, cancelJobs(3, 0)},
+			{6 * s, cancelJobs(3, 0)},
+		},
+		occurred: []string{"apart", "cancelled"},
+	},
+	{
+		name:    "a slow service, then refused, then out",
+		timings: fastTimings,
+		steps: []step{
 			{0, during(30*s, slowWrites(0.5, 800*ms))},
 			{0, during(100*s, queryAfterAnswers)},
 			{2 * s, cancelJobs(3, 0)},
@@ -350,35 +422,45 @@
 			{22 * s, during(50*s, storeOutage)},
 			{30 * s, cancelJobs(2, 0)},
 		},
-		[]string{"refused", "outage", "looks", "cancelled"},
+		occurred: []string{"refused", "outage", "looks", "cancelled"},
 	},
 	{
-		"jobs of one zone lose machines",
-		fastTimings,
-		[]step{
+		name:    "jobs of one zone lose machines",
+		timings: fastTimings,
+		steps: []step{
 			{0, overload(12)},
 			{12 * s, loseMachines(2)},
 			{20 * s, during(20*s, isolateZone)},
 			{50 * s, loseMachines(2)},
 		},
-		[]string{"lost", "zone"},
+		occurred: []string{"lost", "zone"},
 	},
-	{"ends far apart, and new leaders", fastTimings, []step{
-		{0, staggeredCompletions(8)},
-		{10 * s, crashLeader(5 * s)},
-		{22 * s, crashLeader(5 * s)},
-		{34 * s, cancelJobs(2, 0)},
-		{35 * s, crashLeader(5 * s)},
-	}, []string{"crash", "cancelled"}},
 	{
-		"everything at the end of a job",
-		fastTimings,
-		[]step{{0, during(60*s, queryAfterAnswers)}, {0, cancelAtCompletion(12)}, {20 * s, cancelAtCompletion(12)}},
-		[]string{"at end", "looks"},
+		name:    "ends far apart, and new leaders",
+		timings: fastTimings,
+		steps: []step{
+			{0, staggeredCompletions(8)},
+			{10 * s, crashLeader(5 * s)},
+			{22 * s, crashLeader(5 * s)},
+			{34 * s, cancelJobs(2, 0)},
+			{35 * s, crashLeader(5 * s)},
+		},
+		occurred: []string{"crash", "cancelled"},
 	},
 	{
-		"ten leaders in two minutes", fastTimings,
-		[]step{
+		name:    "everything at the end of a job",
+		timings: fastTimings,
+		steps: []step{
+			{0, during(60*s, queryAfterAnswers)},
+			{0, cancelAtCompletion(12)},
+			{20 * s, cancelAtCompletion(12)},
+		},
+		occurred: []string{"at end", "looks"},
+	},
+	{
+		name:    "ten leaders in two minutes",
+		timings: fastTimings,
+		steps: []step{
 			{0, staggeredCompletions(6)},
 			{0, crashLeader(5 * s)},
 			{12 * s, crashLeader(5 * s)},
@@ -393,40 +475,56 @@
 			{96 * s, crashLeader(5 * s)},
 			{108 * s, crashLeader(5 * s)},
 		},
-		[]string{"crash", "outage", "cancelled"},
+		occurred: []string{"crash", "outage", "cancelled"},
+	},
+	{
+		name:    "commands are held up",
+		timings: fastTimings,
+		steps: []step{
+			{0, during(9*s, holdReplies(3))},
+			{0, cancelJobs(4, 0)},
+			{20 * s, hangWorkers(3, 7*s)},
+			{21 * s, cancelJobs(3, 0)},
+			{26 * s, crashLeader(5 * s)},
+		},
+		occurred: []string{"deaf", "hang", "cancelled"},
+	},
+	{
+		name:    "most machines hang, some with cancelled tasks",
+		timings: slowTimings,
+		steps: []step{
+			{0, cancelJobs(6, 100*s)},
+			{100 * ms, hangWorkers(9, 100*s)},
+		},
+		occurred: []string{"hang", "cancelled"},
 	},
-	{"commands are held up", fastTimings, []step{
-		{0, during(9*s, holdReplies(3))},
-		{0, cancelJobs(4, 0)},
-		{20 * s, hangWorkers(3, 7*s)},
-		{21 * s, cancelJobs(3, 0)},
-		{26 * s, crashLeader(5 * s)},
-	}, []string{"deaf", "hang", "cancelled"}},
 	{
-		"most machines hang, some with cancelled tasks",
-		slowTimings,
-		[]step{{0, cancelJobs(6, 100*s)}, {100 * ms, hangWorkers(9, 100*s)}},
-		[]string{"hang", "cancelled"},
+		name:    "more work than room",
+		timings: fastTimings,
+		steps: []step{
+			{0, overload(24)},
+			{30 * s, cancelJobs(3, 0)},
+		},
+		occurred: []string{"cancelled"},
+	},
+	{
+		name:    "handed over and back",
+		timings: fastTimings,
+		steps: []step{
+			{0, crashLeader(300 * ms)},
+			{3 * s, crashLeader(300 * ms)},
+			{6 * s, crashLeader(300 * ms)},
+			{12 * s, crashAllControllers(500 * ms)},
+			{20 * s, crashAllControllers(5 * s)},
+			{21 * s, cancelJobs(3, 0)},
+		},
+		occurred: []string{"crash", "cancelled"},
 	},
-	{"more work than room", fastTimings, []step{{0, overload(24)}, {30 * s, cancelJobs(3, 0)}}, []string{"cancelled"}},
-	{"handed over and back", fastTimings, []step{
-		{0, crashLeader(300 * ms)},
-		{3 * s, crashLeader(300 * ms)},
-		{6 * s, crashLeader(300 * ms)},
-		{12 * s, crashAllControllers(500 * ms)},
-		{20 * s, crashAllControllers(5 * s)},
-		{21 * s, cancelJobs(3, 0)},
-	}, []string{"crash", "cancelled"}},
 }
 
 // TestScenarios plays every scenario on three controllers.
 func TestScenarios(t *testing.T) {
-	for i, m := range scenarios {
-		t.Run(m.name, func(t *testing.T) {
-			t.Parallel()
-			runScenario(t, uint64(100+i), 3, m.w, func(l *cluster) { l.runToCompletion(m.steps, m.happened) })
-		})
-	}
+	runScenarios(t, 100, scenarios, func(l *cluster, x *scenario) { l.runToCompletion(x.steps, x.occurred) })
 }
 
 // TestLeasesOutliveRestartsInAnOutage: in an outage of the state service the leader and
--- a/internal/simulation/starvation_test.go
+++ b/internal/simulation/starvation_test.go
@@ -13,48 +13,58 @@
 
 // starvationScenarios are scenarios with controllers that are short of processor time. A late timer or
 // answer is not a lapsed proof: leases, terms and freshness are checked when acted upon.
-var starvationScenarios = []struct {
-	name     string
-	w        config.Workers
-	steps    []step
-	happened []string
-}{
-	{"a slow leader, cancellations, then a crash", fastTimings, []step{
-		{0, during(60*s, slowController(400*ms, (*cluster).leader))},
-		{2 * s, cancelJobs(4, 0)},
-		{20 * s, crashLeader(5 * s)},
-		{21 * s, cancelJobs(3, 0)},
-	}, []string{"slow", "cancelled", "crash"}},
-	{"a slow follower takes over in an outage", fastTimings, []step{
-		{0, during(90*s, slowController(500*ms, firstFollower))},
-		{s, cancelJobs(3, 0)},
-		{3 * s, during(20*s, storeOutage)},
-		{4 * s, crashLeader(5 * s)},
-		{30 * s, cancelJobs(3, 0)},
-	}, []string{"slow", "outage", "cancelled", "crash"}},
-	{"so slow that others lead, and back", slowTimings, []step{
-		{0, during(30*s, slowController(4*s, (*cluster).leader))},
-		{2 * s, cancelJobs(3, 0)},
-		{10 * s, cancelJobs(3, 0)},
-		{32 * s, cancelJobs(2, 0)},
-	}, []string{"slow", "cancelled"}},
-	{"slow, with late writes and reports", fastTimings, []step{
-		{0, during(60*s, slowController(300*ms, (*cluster).leader))},
-		{0, during(50*s, delayedWrites(0.2))},
-		{0, during(60*s, duplicateHeartbeats(0.2))},
-		{s, submissionStorm(30 * s)},
-		{5 * s, cancelJobs(4, 0)},
-	}, []string{"slow", "write", "late report", "cancelled"}},
+var starvationScenarios = []scenario{
+	{
+		name:    "a slow leader, cancellations, then a crash",
+		timings: fastTimings,
+		steps: []step{
+			{0, during(60*s, slowController(400*ms, (*cluster).leader))},
+			{2 * s, cancelJobs(4, 0)},
+			{20 * s, crashLeader(5 * s)},
+			{21 * s, cancelJobs(3, 0)},
+		},
+		occurred: []string{"slow", "cancelled", "crash"},
+	},
+	{
+		name:    "a slow follower takes over in an outage",
+		timings: fastTimings,
+		steps: []step{
+			{0, during(90*s, slowController(500*ms, firstFollower))},
+			{s, cancelJobs(3, 0)},
+			{3 * s, during(20*s, storeOutage)},
+			{4 * s, crashLeader(5 * s)},
+			{30 * s, cancelJobs(3, 0)},
+		},
+		occurred: []string{"slow", "outage", "cancelled", "crash"},
+	},
+	{
+		name:    "so slow that others lead, and back",
+		timings: slowTimings,
+		steps: []step{
+			{0, during(30*s, slowController(4*s, (*cluster).leader))},
+			{2 * s, cancelJobs(3, 0)},
+			{10 * s, cancelJobs(3, 0)},
+			{32 * s, cancelJobs(2, 0)},
+		},
+		occurred: []string{"slow", "cancelled"},
+	},
+	{
+		name:    "slow, with late writes and reports",
+		timings: fastTimings,
+		steps: []step{
+			{0, during(60*s, slowController(300*ms, (*cluster).leader))},
+			{0, during(50*s, delayedWrites(0.2))},
+			{0, during(60*s, duplicateHeartbeats(0.2))},
+			{s, submissionStorm(30 * s)},
+			{5 * s, cancelJobs(4, 0)},
+		},
+		occurred: []string{"slow", "write", "late report", "cancelled"},
+	},
 }
 
 // TestStarvation plays every scenario of starvation on three controllers.
 func TestStarvation(t *testing.T) {
-	for i, m := range starvationScenarios {
-		t.Run(m.name, func(t *testing.T) {
-			t.Parallel()
-			runScenario(t, uint64(300+i), 3, m.w, func(l *cluster) { l.runToCompletion(m.steps, m.happened) })
-		})
-	}
+	runScenarios(t, 300, starvationScenarios, func(l *cluster, x *scenario) { l.runToCompletion(x.steps, x.occurred) })
 }
 
 // TestDrawnStarvation mixes slow controllers with drawn failures.
--- a/internal/simulation/zone_test.go
+++ b/internal/simulation/zone_test.go
@@ -267,127 +267,157 @@
 }
 
 // zoneScenarios are losses of a zone, and what may go with them.
-var zoneScenarios = []struct {
-	name     string
-	w        config.Workers
-	steps    []step
-	happened []string
-}{
+var zoneScenarios = []scenario{
 	{
-		"cut off and back", fastTimings,
-		[]step{{0, lowPriorityArrays(12)}, {8 * s, during(60*s, silenceZone(zoneOfGangs, 1))}},
-		[]string{"zone silent", "is lost", "recovery order", "loan", "decision=\"loan", ": repaid", "is returning"},
+		name:    "cut off and back",
+		timings: fastTimings,
+		steps: []step{
+			{0, lowPriorityArrays(12)},
+			{8 * s, during(60*s, silenceZone(zoneOfGangs, 1))},
+		},
+		occurred: []string{
+			"zone silent",
+			"is lost",
+			"recovery order",
+			"loan",
+			"decision=\"loan",
+			": repaid",
+			"is returning",
+		},
 	},
 	{
-		"dead and back",
-		fastTimings,
-		[]step{{0, during(70*s, killZone("b"))}, {10 * s, lowPriorityArrays(6)}},
-		[]string{"zone dead"},
+		name:    "dead and back",
+		timings: fastTimings,
+		steps: []step{
+			{0, during(70*s, killZone("b"))},
+			{10 * s, lowPriorityArrays(6)},
+		},
+		occurred: []string{"zone dead"},
 	},
 	// How many machines the second cut finds depends on how many the first has cost; that a flap
 	// is told as one is TestZoneStates' to show.
 	{
-		"flaps twice in a minute",
-		fastTimings,
-		[]step{
+		name:    "flaps twice in a minute",
+		timings: fastTimings,
+		steps: []step{
 			{0, during(25*s, silenceZone("b", 1))},
 			{5 * s, lowPriorityArrays(4)},
 			{35 * s, during(20*s, silenceZone("b", 1))},
 		},
-		[]string{"is lost", "is returning"},
+		occurred: []string{"is lost", "is returning"},
 	},
 	{
-		"back with half of its machines",
-		fastTimings,
-		[]step{{0, during(50*s, silenceZone("b", 0.5))}, {10 * s, lowPriorityArrays(6)}},
-		[]string{"is lost", "is returning", "returning and is available"},
+		name:    "back with half of its machines",
+		timings: fastTimings,
+		steps: []step{
+			{0, during(50*s, silenceZone("b", 0.5))},
+			{10 * s, lowPriorityArrays(6)},
+		},
+		occurred: []string{"is lost", "is returning", "returning and is available"},
 	},
 	{
-		"back while the leader changes",
-		fastTimings,
-		[]step{
+		name:    "back while the leader changes",
+		timings: fastTimings,
+		steps: []step{
 			{0, during(50*s, silenceZone("b", 1))},
 			{10 * s, lowPriorityArrays(4)},
 			{49 * s, crashLeader(5 * s)},
 			{52 * s, crashLeader(300 * ms)},
 		},
-		[]string{"is lost", "crash", "is returning"},
+		occurred: []string{"is lost", "crash", "is returning"},
 	},
 	{
-		"the leader ends before its loan is written",
-		fastTimings,
-		[]step{
+		name:    "the leader ends before its loan is written",
+		timings: fastTimings,
+		steps: []step{
 			{0, crashLeaderOnLoan(false)},
 			{0, lowPriorityArrays(12)},
 			{8 * s, during(80*s, silenceZone(zoneOfGangs, 1))},
 		},
-		[]string{"is lost", "crash on loan"},
+		occurred: []string{"is lost", "crash on loan"},
 	},
 	{
-		"the leader ends when its loan is written",
-		fastTimings,
-		[]step{
+		name:    "the leader ends when its loan is written",
+		timings: fastTimings,
+		steps: []step{
 			{0, crashLeaderOnLoan(true)},
 			{0, lowPriorityArrays(12)},
 			{8 * s, during(80*s, silenceZone(zoneOfGangs, 1))},
 		},
-		[]string{"is lost", "crash on loan"},
+		occurred: []string{"is lost", "crash on loan"},
 	},
 	{
-		"the state service is out during the loss",
-		fastTimings,
-		[]step{
+		name:    "the state service is out during the loss",
+		timings: fastTimings,
+		steps: []step{
 			{0, during(60*s, silenceZone("b", 1))},
 			{10 * s, during(25*s, storeOutage)},
 			{40 * s, lowPriorityArrays(4)},
 		},
-		[]string{"is lost", "outage"},
+		occurred: []string{"is lost", "outage"},
 	},
 	{
-		"both zones in turn",
-		fastTimings,
-		[]step{
+		name:    "both zones in turn",
+		timings: fastTimings,
+		steps: []step{
 			{0, during(22*s, silenceZone("b", 1))},
 			{5 * s, lowPriorityArrays(4)},
 			{60 * s, lowPriorityArrays(4)},
 			{70 * s, during(40*s, silenceZone("a", 1))},
 		},
-		[]string{"zone b was suspected and is lost", "zone a was suspected and is lost"},
+		occurred: []string{"zone b was suspected and is lost", "zone a was suspected and is lost"},
 	},
 	{
-		"cancelled lenders and borrowers",
-		fastTimings,
-		[]step{
+		name:    "cancelled lenders and borrowers",
+		timings: fastTimings,
+		steps: []step{
 			{0, during(60*s, silenceZone(zoneOfGangs, 1))},
 			{5 * s, lowPriorityArrays(4)},
 			{18 * s, cancelJobs(3, 0)},
 			{22 * s, cancelJobs(3, 0)},
 			{30 * s, cancelJobs(2, 0)},
 		},
-		[]string{"is lost", "cancelled"},
+		occurred: []string{"is lost", "cancelled"},
 	},
 	{
-		"hung machines with cancelled tasks in the lost zone", slowTimings,
-		[]step{{0, cancelJobs(4, 100*s)}, {100 * ms, hangZone("b", 100*s)}, {100 * ms, lowPriorityArrays(4)}},
-		[]string{"hang", "cancelled"},
+		name:    "hung machines with cancelled tasks in the lost zone",
+		timings: slowTimings,
+		steps: []step{
+			{0, cancelJobs(4, 100*s)},
+			{100 * ms, hangZone("b", 100*s)},
+			{100 * ms, lowPriorityArrays(4)},
+		},
+		occurred: []string{"hang", "cancelled"},
 	},
 	{
-		"a crowd of every level",
-		fastTimings,
-		[]step{{0, overload(14)}, {10 * s, during(50*s, silenceZone("b", 1))}, {20 * s, cancelJobs(2, 0)}},
-		[]string{"is lost"},
+		name:    "a crowd of every level",
+		timings: fastTimings,
+		steps: []step{
+			{0, overload(14)},
+			{10 * s, during(50*s, silenceZone("b", 1))},
+			{20 * s, cancelJobs(2, 0)},
+		},
+		occurred: []string{"is lost"},
 	},
 	{
-		"slowly",
-		slowTimings,
-		[]step{{0, during(130*s, silenceZone("b", 1))}, {5 * s, lowPriorityArrays(6)}, {140 * s, cancelJobs(3, 0)}},
-		[]string{"is lost", "is returning", "returning and is available"},
+		name:    "slowly",
+		timings: slowTimings,
+		steps: []step{
+			{0, during(130*s, silenceZone("b", 1))},
+			{5 * s, lowPriorityArrays(6)},
+			{140 * s, cancelJobs(3, 0)},
+		},
+		occurred: []string{"is lost", "is returning", "returning and is available"},
 	},
 	{
-		"a controller is cut off with it",
-		fastTimings,
-		[]step{{0, during(50*s, isolateZone)}, {5 * s, lowPriorityArrays(4)}, {20 * s, cancelJobs(2, 0)}},
-		[]string{"zone", "cancelled"},
+		name:    "a controller is cut off with it",
+		timings: fastTimings,
+		steps: []step{
+			{0, during(50*s, isolateZone)},
+			{5 * s, lowPriorityArrays(4)},
+			{20 * s, cancelJobs(2, 0)},
+		},
+		occurred: []string{"zone", "cancelled"},
 	},
 }
 
@@ -410,7 +440,7 @@
 	for i, m := range zoneScenarios {
 		t.Run(m.name, func(t *testing.T) {
 			t.Parallel()
-			runZoneScenario(t, uint64(400+i), m.w, m.steps, m.happened, withZoneFailover(everywhere))
+			runZoneScenario(t, uint64(400+i), m.timings, m.steps, m.occurred, withZoneFailover(everywhere))
 		})
 	}
 }
