--- a/internal/coordination/scheduler/allocate_test.go
+++ b/internal/coordination/scheduler/allocate_test.go
@@ -91,8 +91,8 @@
 	})
 }
 
-// TestGangHoldAndBackfill: a short gang's room stays closed to smaller jobs
-// for three cycles, and then they may backfill it.
+// TestGangHoldAndBackfill: capacity for a part of a gang is held against smaller jobs for three cycles, and
+// then they may backfill it.
 func TestGangHoldAndBackfill(t *testing.T) {
 	b := newHarness([]config.Team{{Name: "red"}}, "a")
 	b.heartbeat("m1", "a", false)
@@ -115,9 +115,8 @@
 	}
 }
 
-// TestCapacityIsPlannedUnderLoad: however often something relevant arrives, the fleet
-// is planned once a second. With hundreds of machines every eager cycle had a
-// reason, and dead machines were not fenced for minutes.
+// TestCapacityIsPlannedUnderLoad: however often events make a cycle due, capacity is planned once a second.
+// With hundreds of machines a cycle is always due, and dead machines would not be fenced for minutes.
 func TestCapacityIsPlannedUnderLoad(t *testing.T) {
 	b := newHarness([]config.Team{{Name: "red"}}, "a")
 	lists, until := 0, 30*time.Second
@@ -131,16 +130,14 @@
 			}
 		}
 	}
-	every := config.Seconds(
-		b.scheduler.cfg.Cloud.ListLagSeconds/2,
-	) + CycleInterval // a list is asked for when the fleet is planned next
+	// A list is requested when the capacity is planned next.
+	every := config.Seconds(b.scheduler.cfg.Cloud.ListLagSeconds/2) + CycleInterval
 	if want := int(until / every); lists < want {
 		t.Errorf("the machines were listed %d times, want %d", lists, want)
 	}
 }
 
-// TestTeamsShareFairly: when more is asked than can be done, the queue of
-// one team does not shut out another's.
+// TestTeamsShareFairly: under overload, the queue of one team does not shut out another's.
 func TestTeamsShareFairly(t *testing.T) {
 	b := newHarness([]config.Team{{Name: "red"}, {Name: "blue"}}, "a")
 	for i := range 20 {
@@ -154,18 +151,14 @@
 	}
 	b.heartbeat("m1", "a", false)
 	b.runCycle()
-	if red, blue := b.scheduler.machines.TeamUsage(
-		"red",
-	).GPUs, b.scheduler.machines.TeamUsage(
-		"blue",
-	).GPUs; red != 4 ||
-		blue != 4 {
+	red, blue := b.scheduler.machines.TeamUsage("red").GPUs, b.scheduler.machines.TeamUsage("blue").GPUs
+	if red != 4 || blue != 4 {
 		t.Errorf("red has %v, blue %v of 8", red, blue)
 	}
 }
 
-// TestLargestJob: a job of 100,000 tasks is taken, paged and placed without
-// its size showing in what each cycle costs.
+// TestLargestJob: a job of 100,000 tasks is accepted, recorded and placed, and its size does not show in the
+// cost of a cycle.
 func TestLargestJob(t *testing.T) {
 	b := newHarness([]config.Team{{Name: "red"}}, "a")
 	for i := range 10 {
@@ -177,15 +170,7 @@
 		b.runCycle()
 		by := map[string][]protocol.TaskStatus{}
 		for id, c := range b.runs {
-			by[b.machineOf[id]] = append(
-				by[b.machineOf[id]],
-				protocol.TaskStatus{
-					TaskName: id.String(),
-					Attempt:  c.Attempt,
-					State:    protocol.TaskExited,
-					Cause:    protocol.CauseDone,
-				},
-			)
+			by[b.machineOf[id]] = append(by[b.machineOf[id]], exitedTask(id, c.Attempt, protocol.CauseDone))
 			done++
 		}
 		clear(b.runs)
--- a/internal/coordination/scheduler/backlog_bench_test.go
+++ b/internal/coordination/scheduler/backlog_bench_test.go
@@ -8,8 +8,7 @@
 	"pinebay/internal/protocol"
 )
 
-// BenchmarkBacklog shows what a cycle costs with thousands of jobs waiting for
-// full machines.
+// BenchmarkBacklog measures a cycle with thousands of jobs that wait for full machines.
 func BenchmarkBacklog(b *testing.B) {
 	f := newHarness([]config.Team{{Name: "red"}}, "a", "b")
 	for i := range 130 {
--- a/internal/coordination/scheduler/candidateindex_test.go
+++ b/internal/coordination/scheduler/candidateindex_test.go
@@ -13,7 +13,7 @@
 	"pinebay/internal/protocol"
 )
 
-// indexErrors counts the machines of which the roster says something else than the books.
+// indexErrors counts the machines for which the candidate index differs from the registry.
 func (b *harness) indexErrors() (wrong int) {
 	b.scheduler.machines.Each(func(m *machineregistry.Machine) {
 		x, ok := m.SchedulerData.(*candidates.Candidate)
@@ -28,9 +28,9 @@
 	return wrong
 }
 
-// TestBrokenIndex breaks the index on purpose: machines have room in it that they don't have, are
-// missing, or stand in a wrong zone. No machine gets more than it holds, no job leaves its zone, and
-// the index is right again soon, by refused grants or by the audit.
+// TestBrokenIndex corrupts the index: machines have free capacity in it that they don't have, are missing, or
+// are in a wrong zone. No machine gets more than it holds, no job leaves its zone, and the index is right
+// again soon, through refused reservations or verification.
 func TestBrokenIndex(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const machines = 12
@@ -47,16 +47,17 @@
 				4,
 				2,
 			)
-			j.Team, j.Zone = rapid.SampledFrom([]string{"red", "blue"}).
-				Draw(t, "team"),
-				rapid.SampledFrom([]string{"", "a", "b"}).
-					Draw(t, "zone")
+			j.Team = rapid.SampledFrom([]string{"red", "blue"}).Draw(t, "team")
+			j.Zone = rapid.SampledFrom([]string{"", "a", "b"}).Draw(t, "zone")
 			b.addJob(j)
 		}
 		b.runCycle()
 		b.runFetchingTasks()
 		b.scheduler.machines.Each(func(m *machineregistry.Machine) {
-			x := m.SchedulerData.(*candidates.Candidate)
+			x, ok := m.SchedulerData.(*candidates.Candidate)
+			if !ok {
+				t.Fatalf("%s has no candidate", m.Name)
+			}
 			switch rapid.IntRange(0, 3).Draw(t, "break") {
 			case 0:
 				b.scheduler.candidates.Machines.Remove(x.Entry)
@@ -85,7 +86,7 @@
 			b.runFetchingTasks()
 		}
 		b.checkCapacity(t)
-		b.scheduler.candidates.Refresh(b.now) // with what has been reported since the last
+		b.scheduler.candidates.Refresh(b.now) // takes over what heartbeats have changed since
 		if n := b.indexErrors(); n > 0 {
 			t.Errorf("the index is wrong about %d machines", n)
 		}
@@ -112,8 +113,8 @@
 	}
 }
 
-// TestIndexMatchesTheRegistry: after machines came, fell silent, returned in another session or were
-// lost, after types changed, and after a take-over, the index agrees with the books.
+// TestIndexMatchesTheRegistry: after machines came, fell silent, returned as another incarnation or were
+// lost, and after types changed, the index agrees with the registry.
 func TestIndexMatchesTheRegistry(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newSchedulerPair(
@@ -130,20 +131,20 @@
 			w.drawStep()
 		}
 		if rapid.Bool().Draw(t, "types change") {
-			for _, b := range w.benches {
+			for _, b := range w.harnesses {
 				changed := *b.scheduler.machines.MachineType("g8")
 				changed.CPUs *= 2
 				b.apply(MachineTypesUpdated{Types: []protocol.MachineType{changed}})
 			}
 		}
-		if rapid.Bool().Draw(t, "old report") {
-			w.applyToBoth("a copy of an old report", func(b *harness) {
+		if rapid.Bool().Draw(t, "old heartbeat") {
+			w.applyToBoth("a copy of an old heartbeat", func(b *harness) {
 				r := b.nextHeartbeat(w.machines[0])
 				r.Sequence = 1
 				b.apply(HeartbeatReceived{ReplyTo: w.machines[0], Heartbeat: r})
 			})
 		}
-		b := w.benches[0]
+		b := w.harnesses[0]
 		b.scheduler.candidates.Refresh(b.now)
 		if n := b.indexErrors(); n > 0 {
 			t.Errorf("the index is wrong about %d of %d machines", n, b.scheduler.machines.Len())
@@ -151,8 +152,8 @@
 	})
 }
 
-// TestMachinesExaminedPerStart: how many machines are looked at for a start does not grow with the fleet, and a
-// cycle in which nothing can be placed examines none again and again.
+// TestMachinesExaminedPerStart: the number of machines examined for a start does not grow with the fleet, and
+// a cycle in which nothing can be placed does not examine the same ones for every job.
 func TestMachinesExaminedPerStart(t *testing.T) {
 	const mostPerStart, mostPerWaiting = 80, 4
 	for _, machines := range []int{200, 2000, 6000} {
@@ -180,8 +181,8 @@
 	}
 }
 
-// TestAllocationsOfAnUnchangedCycle: a cycle without news allocates as much for many machines as for
-// few, and a quiet second no more than what the fleet's list of rooms takes.
+// TestAllocationsOfAnUnchangedCycle: a cycle in which nothing has changed allocates as much for many machines
+// as for few.
 func TestAllocationsOfAnUnchangedCycle(t *testing.T) {
 	const most = 150
 	for _, machines := range []int{200, 4000} {
@@ -197,7 +198,7 @@
 		t.Logf("%d machines: %.0f allocations", machines, allocations)
 		if allocations > most {
 			t.Errorf(
-				"%d machines: %.0f allocations in a cycle without news, want %d at most",
+				"%d machines: %.0f allocations in an unchanged cycle, want %d at most",
 				machines,
 				allocations,
 				most,
--- a/internal/coordination/scheduler/fairshare_test.go
+++ b/internal/coordination/scheduler/fairshare_test.go
@@ -11,8 +11,8 @@
 	"pinebay/internal/protocol"
 )
 
-// TestEachTeamIsServed: while room for one task after the other comes up, teams that wait are
-// served in turn, however many jobs each of them has waiting and whoever came first.
+// TestEachTeamIsServed: while capacity for one task after the other becomes free, waiting teams are served in
+// turn, however many jobs each of them has and whoever came first.
 func TestEachTeamIsServed(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(2, 8).Draw(t, "teams")
@@ -42,7 +42,7 @@
 	})
 }
 
-// exitStoppedTasks ends the tasks that were told to stop.
+// exitStoppedTasks ends the tasks that were commanded to stop.
 func (b *harness) exitStoppedTasks() {
 	for _, tasks := range b.tasks {
 		for id, t := range tasks {
@@ -54,8 +54,8 @@
 	}
 }
 
-// TestPreemptionBudgetStarvesNoJob: when the budget of searches for victims is used up in each cycle, every job
-// that waits for some has its turn all the same, also behind older ones that never find any.
+// TestPreemptionBudgetStarvesNoJob: when the budget of searches for victims is used up in each cycle, every
+// job that waits for some is served, also behind older ones that never find any.
 func TestPreemptionBudgetStarvesNoJob(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(2, 10).Draw(t, "jobs")
@@ -88,8 +88,8 @@
 	})
 }
 
-// TestSearchesWiden: a job finds the one machine with room for it, although more machines than a
-// search may examine have capacity that is held from it, however few those are.
+// TestSearchesWiden: a job finds the one machine with capacity for it, although more machines than a search
+// may examine have capacity that is not for it.
 func TestSearchesWiden(t *testing.T) {
 	const machines = 30
 	for _, limit := range []int{1, 4} {
@@ -100,7 +100,6 @@
 		}
 		b.runCycle()
 		for i := range machines - 1 {
-			// Cleared for a job that waits and goes first.
 			m := b.scheduler.machines.Machine(fmt.Sprintf("m%02d", i))
 			m.NominateFor("j-first", b.now+time.Hour)
 		}
--- a/internal/coordination/scheduler/fullscan_test.go
+++ b/internal/coordination/scheduler/fullscan_test.go
@@ -20,7 +20,7 @@
 	"pinebay/internal/protocol"
 )
 
-// fullScan is the reference of the index: it looks at every machine for every task.
+// fullScan is the reference of placement.Finder: it examines every machine for every task.
 type fullScan struct{ scheduler *Scheduler }
 
 func (f fullScan) BestMachine(
@@ -89,38 +89,36 @@
 			!j.TaskResources.Fits(x.Capacity()) {
 			continue
 		}
-		if best == nil ||
-			x.Free.DominantShare(
-				x.Capacity(),
-			) > best.Free.DominantShare(
-				best.Capacity(),
-			) {
+		if best == nil || freeShare(x) > freeShare(best) {
 			best = x
 		}
 	}
 	return best
 }
 
+func freeShare(x *candidates.Candidate) float64 { return x.Free.DominantShare(x.Capacity()) }
+
 // indexFinderOf returns the finder of a scheduler that uses the index.
-func indexFinderOf(t testing.TB, c *Scheduler) *placement.Finder {
-	t.Helper()
+func indexFinderOf(tb testing.TB, c *Scheduler) *placement.Finder {
+	tb.Helper()
 	f, ok := c.finder.(*placement.Finder)
 	if !ok {
-		t.Fatalf("the finder is a %T", c.finder)
+		tb.Fatalf("the finder is a %T", c.finder)
 	}
 	return f
 }
 
-// schedulerPair are two cores that get the same events, one with the index and one that scans all.
+// schedulerPair is two schedulers that get the same events, one with the index and one that scans all
+// machines.
 type schedulerPair struct {
-	t        *rapid.T
-	rng      *rand.Rand
-	benches  [2]*harness
-	effects  [2][]string
-	jobs     []string
-	machines []string
-	silent   map[string]bool // machines that do not report
-	round    int
+	t         *rapid.T
+	rng       *rand.Rand
+	harnesses [2]*harness
+	effects   [2][]string
+	jobs      []string
+	machines  []string
+	silent    map[string]bool // machines that send no heartbeats
+	round     int
 }
 
 func newSchedulerPair(
@@ -128,25 +126,25 @@
 	seed uint64,
 	teams []config.Team,
 	objectives []config.Objective,
-	zoneReturn bool,
+	zoneFailover bool,
 ) *schedulerPair {
 	w := &schedulerPair{t: t, rng: rand.New(rand.NewPCG(seed, 5)), silent: map[string]bool{}}
-	for i := range w.benches {
+	for i := range w.harnesses {
 		b := newHarness(teams, "a", "b", "c")
 		b.setObjectives(objectives)
 		if i == 1 {
 			b.scheduler.finder = fullScan{b.scheduler}
 		}
-		if zoneReturn {
+		if zoneFailover {
 			b.scheduler.startZoneFailover(0, zonefailover.DefaultRecoveryOrder(), nil)
 		}
 		b.onEffect = func(e Effect) { w.effects[i] = append(w.effects[i], describe(e)) }
-		w.benches[i] = b
+		w.harnesses[i] = b
 	}
 	return w
 }
 
-// describe tells all of an effect that is a decision. Lists that come in no order are sorted.
+// describe returns all of an effect that is a decision. Lists in no particular order are sorted.
 func describe(e Effect) string {
 	commands := func(list []protocol.Command) string {
 		var parts []string
@@ -162,9 +160,9 @@
 	}
 	switch e := e.(type) {
 	case HeartbeatReply:
-		return fmt.Sprint("answer ", e.ReplyTo, e.Body.FencingToken, commands(e.Body.Commands))
+		return fmt.Sprint("heartbeat reply ", e.ReplyTo, e.Body.FencingToken, commands(e.Body.Commands))
 	case SendCommandBatch:
-		return fmt.Sprint("order ", e.Machine, e.Batch.FencingToken, commands(e.Batch.Commands))
+		return fmt.Sprint("command batch ", e.Machine, e.Batch.FencingToken, commands(e.Batch.Commands))
 	case Write:
 		var parts []string
 		for _, op := range e.Txn.Then {
@@ -177,10 +175,10 @@
 	}
 }
 
-// applyToBoth does the same to both, and demands that they ask for the same.
+// applyToBoth does the same to both schedulers, and demands that they return the same effects.
 func (w *schedulerPair) applyToBoth(what string, f func(b *harness)) {
 	w.round++
-	for i, b := range w.benches {
+	for i, b := range w.harnesses {
 		w.effects[i] = nil
 		f(b)
 	}
@@ -236,21 +234,23 @@
 	w.applyToBoth("submission", func(b *harness) { b.addJob(j) })
 }
 
-// report has a machine report; what its tasks have come to is drawn by their names.
-func (w *schedulerPair) report(name string) {
+// heartbeat sends a machine's heartbeat. What has become of its tasks is drawn by their names, so that it is
+// the same for both.
+func (w *schedulerPair) heartbeat(name string) {
 	notice := w.chance(0.01)
 	draw := w.rng.Uint64()
-	w.applyToBoth("report of "+name, func(b *harness) {
+	w.applyToBoth("heartbeat of "+name, func(b *harness) {
 		for _, id := range sortedIDs(b.tasks[name]) {
 			t := b.tasks[name][id]
-			fate := rand.New(rand.NewPCG(draw, uint64(len(id.JobID))<<32|uint64(id.Index)<<8|uint64(id.JobID[len(id.JobID)-1]))).
-				Float64()
+			task := uint64(len(id.JobID))<<32 | uint64(id.Index)<<8 | uint64(id.JobID[len(id.JobID)-1])
+			fate := rand.New(rand.NewPCG(draw, task)).Float64()
+			j := b.scheduler.jobs[id.JobID]
 			switch {
 			case t.State == protocol.TaskFetching && fate < 0.7, t.State == protocol.TaskWaiting:
 				t.State = protocol.TaskRunning
 			case t.State == protocol.TaskRunning && b.wasStopped(id):
 				t.State, t.Cause = protocol.TaskExited, protocol.CauseStopped
-			case t.State == protocol.TaskRunning && fate < 0.1 && b.scheduler.jobs[id.JobID] != nil && b.scheduler.jobs[id.JobID].Spec.Shape != protocol.Service:
+			case t.State == protocol.TaskRunning && fate < 0.1 && j != nil && j.Spec.Shape != protocol.Service:
 				t.State, t.Cause = protocol.TaskExited, protocol.CauseDone
 			case t.State == protocol.TaskRunning && fate > 0.98:
 				t.State, t.Cause = protocol.TaskExited, protocol.CauseError
@@ -265,7 +265,7 @@
 	})
 }
 
-// wasStopped says whether a task was told to stop.
+// wasStopped reports whether a task was commanded to stop.
 func (b *harness) wasStopped(id protocol.TaskID) bool {
 	_, ok := b.stops[id]
 	return ok
@@ -295,14 +295,13 @@
 	case w.chance(0.05) && len(w.machines) > 4:
 		name := w.machines[w.rng.IntN(len(w.machines))]
 		w.silent[name] = true
-		w.applyToBoth(
-			"loss of "+name,
-			func(b *harness) { b.apply(ScaleInResult{Machines: []string{name}, Succeeded: true}) },
-		)
+		w.applyToBoth("loss of "+name, func(b *harness) {
+			b.apply(ScaleInResult{Machines: []string{name}, Succeeded: true})
+		})
 	}
 	for _, name := range w.machines {
 		if !w.silent[name] && w.chance(0.7) {
-			w.report(name)
+			w.heartbeat(name)
 		}
 	}
 	pause := []time.Duration{MinCycleInterval, MinCycleInterval, 3 * MinCycleInterval, CycleInterval}[w.rng.IntN(4)]
@@ -312,10 +311,10 @@
 	})
 }
 
-// TestIndexDecidesAsAFullScan: on drawn days, whoever is placed, where, and what is stopped for
-// whom is just what looking at every machine decides. Teams have limits and guarantees, machines
-// come, fall silent, return and are lost, images are cached, fetched and missing, and room is held,
-// kept and cleared.
+// TestIndexDecidesAsAFullScan: in drawn sequences of events, what is placed and where, and what is
+// preempted for whom, is exactly what examining every machine decides. Teams have quotas, machines come, fall
+// silent, return and are lost, images are cached, being fetched and missing, capacity is held for gangs and
+// as headroom, and machines are nominated.
 func TestIndexDecidesAsAFullScan(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		teams := []config.Team{{Name: "red"}, {Name: "blue"}, {Name: "green"}}
@@ -326,26 +325,28 @@
 			teams[1].GuaranteedGPUs, teams[2].GuaranteedGPUs, teams[2].GuaranteedCPUs = 16, 8, 60
 		}
 		var objectives []config.Objective
-		if rapid.Bool().Draw(t, "aims") {
+		if rapid.Bool().Draw(t, "objectives") {
 			objectives = []config.Objective{
 				{Kind: "wait", Class: "class-0", WithinSeconds: 2, Fraction: 0.9},
 				{Kind: "wait", Class: "class-1", WithinSeconds: 20, Fraction: 0.9},
 				{Kind: "finished", Class: "class-2", WithinSeconds: 60, Fraction: 0.9},
 			}
 		}
-		w := newSchedulerPair(t, rapid.Uint64().Draw(t, "seed"), teams, objectives, rapid.Bool().Draw(t, "zone return"))
+		w := newSchedulerPair(
+			t,
+			rapid.Uint64().Draw(t, "seed"),
+			teams,
+			objectives,
+			rapid.Bool().Draw(t, "zone failover"),
+		)
 		for range rapid.IntRange(3, 20).Draw(t, "machines") {
 			w.addMachine()
 		}
 		for range rapid.IntRange(20, 80).Draw(t, "steps") {
 			w.drawStep()
 		}
-		started := 0
-		for range w.benches[0].runs {
-			started++
-		}
-		if started != len(w.benches[1].runs) {
-			t.Fatalf("%d starts with the index, %d without", started, len(w.benches[1].runs))
+		if with, without := len(w.harnesses[0].runs), len(w.harnesses[1].runs); with != without {
+			t.Fatalf("%d starts with the index, %d without", with, without)
 		}
 	})
 }
--- a/internal/coordination/scheduler/largefleet_test.go
+++ b/internal/coordination/scheduler/largefleet_test.go
@@ -18,8 +18,9 @@
 
 func machineName(i int) string { return fmt.Sprintf("m%05d", i) }
 
-// largeFleetRecords is what an earlier leader left of one job a machine, each with a task there.
+// largeFleetRecords returns what an earlier leader recorded of one job for each machine, with a task there.
 func largeFleetRecords(t *testing.T, machines int) (r RecoveredRecords) {
+	t.Helper()
 	for i := range machines {
 		id := fmt.Sprintf("j-%06d", i)
 		live, err := protocol.Encode(storage.LiveJobRecord{Job: jobSpec(id, protocol.Array, "normal", 1, 4)})
--- a/internal/coordination/scheduler/preempt_test.go
+++ b/internal/coordination/scheduler/preempt_test.go
@@ -9,18 +9,18 @@
 	"pinebay/internal/protocol"
 )
 
-// TestPreemption: work of lower priority gives way, and saves if it can; work
-// of the same priority never does.
+// TestPreemption: work of lower priority is preempted, and saves a checkpoint if there is time; work of the
+// same priority never is.
 func TestPreemption(t *testing.T) {
 	for _, x := range []struct {
 		prio       protocol.Priority
 		checkpoint float64
-		aim        float64 // on waiting
+		objective  float64 // for the start latency, in seconds
 		grace      float64
 		stops      int
 	}{{"critical", 10, 60, 6, 1}, {"critical", 4, 60, 0, 1}, {"critical", 10, 4, 0, 1}, {"normal", 10, 60, 0, 0}} {
 		b := newHarness([]config.Team{{Name: "red"}}, "a")
-		b.setObjectives([]config.Objective{{Kind: "wait", Class: "quick", WithinSeconds: x.aim, Fraction: 0.9}})
+		b.setObjectives([]config.Objective{{Kind: "wait", Class: "quick", WithinSeconds: x.objective, Fraction: 0.9}})
 		b.heartbeat("m1", "a", false)
 		low := jobSpec("j-1", protocol.Array, "normal", 1, 8)
 		low.CheckpointIntervalSeconds, low.SaveSeconds = x.checkpoint, 2
@@ -40,8 +40,8 @@
 	}
 }
 
-// TestPreemptionAcrossTeams: lower work of another team makes room as well, but for what
-// that team runs within its guarantee; and equal work does so for a guarantee alone.
+// TestPreemptionAcrossTeams: lower work of another team is preempted too, except what that team runs within
+// its guaranteed quota. Equal work is preempted only for a guaranteed quota.
 func TestPreemptionAcrossTeams(t *testing.T) {
 	for _, x := range []struct {
 		name       string
@@ -74,10 +74,9 @@
 	}
 }
 
-// TestPreemptedCapacityIsUsed: room that was cleared for a task for want of any is
-// taken when it is free, although its fetch now lasts longer than what is left
-// of the aim on waiting. Waiting on for room with the image, which nobody was
-// clearing, had used up the whole aim.
+// TestPreemptedCapacityIsUsed: capacity that was preempted for a task is used when it is free, although the
+// fetch now outlasts what is left of the start latency objective. To wait for a machine with the image, on
+// which nothing is preempted, would use up the whole objective.
 func TestPreemptedCapacityIsUsed(t *testing.T) {
 	b := newHarness([]config.Team{{Name: "red"}}, "a")
 	b.setObjectives([]config.Objective{{Kind: "wait", Class: "quick", WithinSeconds: 12, Fraction: 0.9}})
@@ -96,30 +95,20 @@
 		b.heartbeat("m1", "a", false, runningTask(id, 1))
 	}
 	if _, stopped := b.stops[id]; !stopped {
-		t.Fatal("no room was cleared")
+		t.Fatal("nothing was preempted")
 	}
 	b.runCycle()
-	b.heartbeat(
-		"m1",
-		"a",
-		false,
-		protocol.TaskStatus{
-			TaskName:        id.String(),
-			Attempt:         1,
-			State:           protocol.TaskExited,
-			Cause:           protocol.CauseStopped,
-			CheckpointSaved: true,
-		},
-	)
+	saved := exitedTask(id, 1, protocol.CauseStopped)
+	saved.CheckpointSaved = true
+	b.heartbeat("m1", "a", false, saved)
 	b.runCycle()
 	if b.startedTasks("j-2") != 1 {
-		t.Error("the cleared room was not taken")
+		t.Error("the preempted capacity was not used")
 	}
 }
 
-// TestLateGangsYield: when more is asked than can be done, a gang that can
-// still start in time goes before an older one of its class that is late
-// whatever is done; and that one comes first again in the end.
+// TestLateGangsYield: under overload, a gang that can still start in time goes before an older one of its
+// class that is late in any case; and that one goes first again in the end.
 func TestLateGangsYield(t *testing.T) {
 	for _, x := range []struct {
 		waited int // seconds, by the older gang
@@ -127,12 +116,7 @@
 	}{{5, "j-2"}, {25, "j-3"}, {70, "j-2"}} {
 		b := newHarness([]config.Team{{Name: "red"}}, "a")
 		b.setObjectives([]config.Objective{
-			{
-				Kind:          "wait",
-				Class:         "big",
-				WithinSeconds: 20,
-				Fraction:      0.9,
-			},
+			{Kind: "wait", Class: "big", WithinSeconds: 20, Fraction: 0.9},
 			{Kind: "finished", Class: "big", WithinSeconds: 30, Fraction: 0.9},
 		})
 		gang := jobSpec("j-1", protocol.Gang, "urgent", 1, 8)
@@ -150,38 +134,21 @@
 		}
 		gang.ID = "j-3"
 		b.addJob(gang)
-		b.heartbeat(
-			"m1",
-			"a",
-			false,
-			protocol.TaskStatus{
-				TaskName: id.String(),
-				Attempt:  1,
-				State:    protocol.TaskExited,
-				Cause:    protocol.CauseDone,
-			},
-		)
+		b.heartbeat("m1", "a", false, exitedTask(id, 1, protocol.CauseDone))
 		b.runCycle()
-		if b.startedTasks(x.want) != 1 || b.startedTasks("j-2")+b.startedTasks("j-3") != 1 {
-			t.Errorf(
-				"after %d s j-2 started %d, j-3 %d, want %s",
-				x.waited,
-				b.startedTasks("j-2"),
-				b.startedTasks("j-3"),
-				x.want,
-			)
+		second, third := b.startedTasks("j-2"), b.startedTasks("j-3")
+		if b.startedTasks(x.want) != 1 || second+third != 1 {
+			t.Errorf("after %d s j-2 started %d, j-3 %d, want %s", x.waited, second, third, x.want)
 		}
 	}
 }
 
-// TestNominationYieldsToEarlierJobs: room that is being cleared for one gang is
-// closed to later jobs, not to those that come first, and is open again once its
-// gang has found room elsewhere. Else gangs each sit on a part of what one needs.
+// TestNominationYieldsToEarlierJobs: a machine that is nominated for one gang is closed to later jobs, not to
+// those that go first, and is open again once its gang has found capacity elsewhere. Otherwise each gang
+// would hold a part of what one of them needs.
 func TestNominationYieldsToEarlierJobs(t *testing.T) {
-	for _, x := range []struct {
-		owner string // for whom the first machine is being cleared
-		want  map[string]int
-	}{{"j-2", map[string]int{"j-1": 2, "j-3": 0}}, {"j-0", map[string]int{"j-1": 2, "j-3": 0}}, {"j-1", map[string]int{"j-1": 2, "j-3": 0}}} {
+	want := map[string]int{"j-1": 2, "j-3": 0}
+	for _, nominated := range []string{"j-2", "j-0", "j-1"} {
 		b := newHarness([]config.Team{{Name: "red"}}, "a")
 		b.heartbeat("m0", "a", false)
 		b.addJob(jobSpec("j-0", protocol.Gang, "urgent", 1, 8))
@@ -194,11 +161,11 @@
 		b.addJob(jobSpec("j-2", protocol.Gang, "urgent", 2, 8))
 		b.addJob(jobSpec("j-3", protocol.Array, "normal", 1, 1))
 		m := b.scheduler.machines.Machine("m1")
-		m.NominateFor(x.owner, b.now+time.Minute)
+		m.NominateFor(nominated, b.now+time.Minute)
 		b.runCycle()
-		for id, n := range x.want {
+		for id, n := range want {
 			if got := b.startedTasks(id); got != n {
-				t.Errorf("cleared for %s: %s started %d tasks, want %d", x.owner, id, got, n)
+				t.Errorf("nominated for %s: %s started %d tasks, want %d", nominated, id, got, n)
 			}
 		}
 	}
@@ -210,14 +177,13 @@
 	m.NominateFor("j-1", b.now+time.Minute)
 	b.runCycle()
 	if b.startedTasks("j-2") != 0 {
-		t.Error("a later job took room that is being cleared")
+		t.Error("a later job took capacity of a nominated machine")
 	}
 }
 
-// TestReplicaWithoutImageLeavesCapacityForTheNext: a replica that must fetch, for longer than
-// its class's aim, goes beside others where most room is left, so that the next
-// of its kind starts there without a fetch; not to an empty machine, which jobs
-// that want a whole one need.
+// TestReplicaWithoutImageLeavesCapacityForTheNext: a replica whose fetch outlasts the start latency objective
+// goes to the used machine with the most free capacity, so that the next of its kind starts there without a
+// fetch; not to an empty machine, which jobs that need a whole one want.
 func TestReplicaWithoutImageLeavesCapacityForTheNext(t *testing.T) {
 	b := newHarness([]config.Team{{Name: "red"}}, "a")
 	b.setObjectives([]config.Objective{{Kind: "wait", Class: "quick", WithinSeconds: 1, Fraction: 0.9}})
@@ -242,16 +208,20 @@
 	}
 }
 
-// TestFetchingArraysYield: in a crowd, arrays that came first fetch on every
-// machine. A replica takes a machine as if they had left, and they leave: they
-// lose nothing but a fetch, while it would take twice as long beside them. Arrays
-// that run stay.
+// TestFetchingArraysYield: when many jobs come at once, arrays that came first fetch on every machine. A
+// replica takes a machine as if they had left, and they are stopped: they lose nothing but a fetch, while the
+// replica's would take twice as long beside them. Arrays that run stay.
 func TestFetchingArraysYield(t *testing.T) {
 	for _, x := range []struct {
 		state protocol.TaskState
 		prio  protocol.Priority
 		stops int
-	}{{protocol.TaskFetching, "critical", 1}, {"", "critical", 0}, {protocol.TaskRunning, "critical", 0}, {protocol.TaskFetching, "urgent", 0}} {
+	}{
+		{protocol.TaskFetching, "critical", 1},
+		{"", "critical", 0},
+		{protocol.TaskRunning, "critical", 0},
+		{protocol.TaskFetching, "urgent", 0},
+	} {
 		b := newHarness([]config.Team{{Name: "red"}}, "a")
 		b.setObjectives([]config.Objective{{Kind: "wait", Class: "quick", WithinSeconds: 40, Fraction: 0.9}})
 		b.heartbeat("m1", "a", false)
@@ -276,9 +246,9 @@
 	}
 }
 
-// TestMachineWithImageIsPreempted guards the aim on short waits: a critical task with
-// cold free room and a warm machine full of lower work waits for the latter
-// to be cleared, and is not sent to fetch for longer than its aim.
+// TestMachineWithImageIsPreempted: a critical task that could start on a free machine without its image, or on
+// a machine with the image that is full of lower work, waits for the latter to be preempted if the fetch
+// would outlast its objective.
 func TestMachineWithImageIsPreempted(t *testing.T) {
 	for _, x := range []struct {
 		prio protocol.Priority
@@ -306,17 +276,7 @@
 		b.addJob(next)
 		b.runCycle()
 		if _, stopped := b.stops[two]; stopped {
-			b.heartbeat(
-				"m1",
-				"a",
-				false,
-				protocol.TaskStatus{
-					TaskName: two.String(),
-					Attempt:  1,
-					State:    protocol.TaskExited,
-					Cause:    protocol.CauseStopped,
-				},
-			)
+			b.heartbeat("m1", "a", false, exitedTask(two, 1, protocol.CauseStopped))
 		}
 		b.runCycle()
 		if got := b.machineOf[protocol.TaskID{JobID: "j-3"}]; got != x.want {
@@ -325,10 +285,9 @@
 	}
 }
 
-// TestSlowFetchesAreNotSwapped: two machines fetch the same image and
-// take longer than the type's rate says. Neither task may be moved to the
-// other's machine, where the fetch would begin anew once its own task has left;
-// only when one is seen past its fetch does the other join it.
+// TestSlowFetchesAreNotSwapped: two machines fetch the same image, and take longer than the rate of the machine
+// type. Neither task may be moved to the other's machine, where the fetch would begin anew once its own task
+// has left; only when one is seen past its fetch does the other join it.
 func TestSlowFetchesAreNotSwapped(t *testing.T) {
 	b := newHarness([]config.Team{{Name: "red"}}, "a")
 	b.setObjectives([]config.Objective{{Kind: "wait", Class: "quick", WithinSeconds: 40, Fraction: 0.9}})
@@ -362,19 +321,22 @@
 	}
 }
 
-// TestHeadroomForStartLatencyObjectives: arrays of the same level, which could not be
-// preempted for it, leave the room that a class with a wait aim is likely to
-// want, also if they have a looser one; the class itself may use it.
+// TestHeadroomForStartLatencyObjectives: arrays of the same priority, which could not be preempted for it,
+// leave the capacity that a class with a start latency objective is likely to need, also if they have a
+// longer one; the class itself may use it.
 func TestHeadroomForStartLatencyObjectives(t *testing.T) {
-	t.Run("no aim", func(t *testing.T) { checkHeadroomIsHeld(t) })
-	t.Run("looser aim", func(t *testing.T) {
+	t.Run("no objective", func(t *testing.T) { checkHeadroomIsHeld(t) })
+	t.Run("longer objective", func(t *testing.T) {
 		checkHeadroomIsHeld(t, config.Objective{Kind: "wait", Class: "c", WithinSeconds: 100, Fraction: 0.9})
 	})
 }
 
-func checkHeadroomIsHeld(t *testing.T, aims ...config.Objective) {
+func checkHeadroomIsHeld(t *testing.T, objectives ...config.Objective) {
+	t.Helper()
 	b := newHarness([]config.Team{{Name: "red"}}, "a")
-	b.setObjectives(append(aims, config.Objective{Kind: "wait", Class: "quick", WithinSeconds: 12, Fraction: 0.9}))
+	b.setObjectives(
+		append(objectives, config.Objective{Kind: "wait", Class: "quick", WithinSeconds: 12, Fraction: 0.9}),
+	)
 	b.heartbeat("m1", "a", false)
 	quick := jobSpec("j-1", protocol.Service, "normal", 1, 4)
 	quick.Class = "quick"
@@ -386,20 +348,19 @@
 	b.addJob(jobSpec("j-2", protocol.Array, "normal", 8, 1))
 	b.runCycle()
 	if n := b.startedTasks("j-2"); n != 0 {
-		t.Errorf("%d array tasks took the room kept for others", n)
+		t.Errorf("%d array tasks took the headroom of others", n)
 	}
 	quick.ID = "j-3"
 	b.heartbeat("m1", "a", false)
 	b.addJob(quick)
 	b.runCycle()
 	if b.startedTasks("j-3") != 1 {
-		t.Error("the room was kept from those it was kept for")
+		t.Error("the headroom was held against those it was for")
 	}
 }
 
-// TestHeadroomIsHeldAgainstLowerPriorities: a class whose fetch leaves no time to clear
-// room of arrays has its room kept free of them, and rented for if need be. At
-// many machines, arrays had else left no whole one free anywhere.
+// TestHeadroomIsHeldAgainstLowerPriorities: the headroom of a class whose fetch leaves no time to preempt
+// arrays is held against them too. Otherwise arrays leave no whole machine free, however many there are.
 func TestHeadroomIsHeldAgainstLowerPriorities(t *testing.T) {
 	for _, x := range []struct {
 		within float64
@@ -420,14 +381,18 @@
 		b.addJob(low)
 		b.runCycle()
 		if n := b.startedTasks("j-2"); n != x.tasks {
-			t.Errorf("aim of %v s: %d array tasks on the last whole machine, want %d", x.within, n, x.tasks)
+			t.Errorf("objective of %v s: %d array tasks on the last whole machine, want %d", x.within, n, x.tasks)
 		}
 		gang.ID = "j-3"
 		b.heartbeat("m2", "a", false)
 		b.addJob(gang)
 		b.runCycle()
 		if x.tasks == 0 && b.startedTasks("j-3") != 1 {
-			t.Error("the room was kept from those it was kept for")
+			t.Error("the headroom was held against those it was for")
 		}
 	}
 }
+
+func exitedTask(id protocol.TaskID, attempt uint64, cause protocol.ExitCause) protocol.TaskStatus {
+	return protocol.TaskStatus{TaskName: id.String(), Attempt: attempt, State: protocol.TaskExited, Cause: cause}
+}
