--- a/internal/coordination/scheduler/demand.go
+++ b/internal/coordination/scheduler/demand.go
@@ -11,47 +11,64 @@
 	"pinebay/internal/protocol"
 )
 
-// capacityDemand lists the room that is wanted: for tasks that wait, and then for the
-// jobs that are likely to come before a machine rented now would be up.
+// capacityDemand returns the capacity that is needed: for pending tasks, for blocked jobs that are likely to be unblocked
+// before a machine requested now has booted, and for jobs that are likely to be submitted before that.
 func (c *Scheduler) capacityDemand(now time.Duration) []autoscaler.Demand {
-	var units []autoscaler.Demand
+	var demands []autoscaler.Demand
 	zones := map[zoneChoiceKey]string{}
 	for _, j := range c.inSchedulingOrder(c.queues.Pending) {
-		n := min(j.PendingTasks(), c.tasksWithinQuotaLimit(j))
-		if n == 0 || c.startForbidden(j) {
-			continue
-		}
-		if j.LikelyFaulty() {
-			// Its tasks fail everywhere. It still gets room, or it could never
-			// show that the machines were at fault, but just for one attempt.
-			if now < j.BackoffUntil {
-				continue
-			}
-			if j.Spec.Shape != protocol.Gang {
-				n = 1
-			}
-		}
-		l := placement.ZoneLimitsOf(j)
-		if j.Spec.SameZone && l.OnlyZone == "" && n > 1 {
-			l.OnlyZone = c.chooseZone(now, j, zones)
-		}
-		if !j.Spec.Spread || l.OnlyZone != "" {
-			units = append(
-				units,
-				autoscaler.Demand{Job: &j.Spec, Zone: l.OnlyZone, Count: n, ExcludedMachines: j.AvoidedMachines()},
-			)
-			continue
-		}
-		for _, u := range demand.SpreadOverZones(&j.Spec, c.allowedZones(&j.Spec), l.TasksPerZone, l.MaxTasksPerZone, n) {
-			u.ExcludedMachines = j.AvoidedMachines()
-			units = append(units, u)
+		if tasks := c.tasksInDemand(now, j); tasks > 0 {
+			demands = c.appendDemand(demands, now, j, tasks, zones)
 		}
 	}
 	c.headroom = c.forecast.Headroom(now, c.machines.MachineTypes(), c.objectives())
-	return append(append(units, c.forecastBlockedJobs(now)...), c.headroom...)
+	return append(append(demands, c.forecastBlockedJobs(now)...), c.headroom...)
+}
+
+// tasksInDemand returns for how many tasks of a job capacity is needed. A job whose tasks fail everywhere gets
+// capacity for one attempt at a time: without any it could never show that the machines were at fault.
+func (c *Scheduler) tasksInDemand(now time.Duration, j *jobstate.Job) int {
+	tasks := min(j.PendingTasks(), c.tasksWithinQuotaLimit(j))
+	switch {
+	case tasks == 0 || c.startForbidden(j):
+		return 0
+	case !j.LikelyFaulty():
+		return tasks
+	case now < j.BackoffUntil:
+		return 0
+	case j.Spec.Shape != protocol.Gang:
+		return 1
+	}
+	return tasks
 }
 
-// zoneChoiceKey is what the choice of a zone depends on.
+// appendDemand appends the demand for tasks of a job, in the zones that the job allows. zones holds the choices made
+// so far.
+func (c *Scheduler) appendDemand(
+	demands []autoscaler.Demand, now time.Duration, j *jobstate.Job, tasks int, zones map[zoneChoiceKey]string,
+) []autoscaler.Demand {
+	limits := placement.ZoneLimitsOf(j)
+	zone := limits.OnlyZone
+	if j.Spec.SameZone && zone == "" && tasks > 1 {
+		zone = c.chooseZone(now, j, zones)
+	}
+	if !j.Spec.Spread || zone != "" {
+		return append(demands, autoscaler.Demand{
+			Job:              &j.Spec,
+			Zone:             zone,
+			Count:            tasks,
+			ExcludedMachines: j.AvoidedMachines(),
+		})
+	}
+	allowed := c.allowedZones(&j.Spec)
+	for _, d := range demand.SpreadOverZones(&j.Spec, allowed, limits.TasksPerZone, limits.MaxTasksPerZone, tasks) {
+		d.ExcludedMachines = j.AvoidedMachines()
+		demands = append(demands, d)
+	}
+	return demands
+}
+
+// zoneChoiceKey is what the choice of a zone depends on. Jobs with the same key get the same zone.
 type zoneChoiceKey struct {
 	need        machineregistry.Resources
 	types, zone string
@@ -59,49 +76,68 @@
 	spot        bool
 }
 
-// chooseZone picks the zone in which room for a job that must be in one is gathered, and
-// remembers it for its like. Without it, machines in several zones could look like enough room
-// while no zone has it, and the job would wait for ever.
-func (c *Scheduler) chooseZone(now time.Duration, j *jobstate.Job, known map[zoneChoiceKey]string) string {
-	q := zoneChoiceKey{j.TaskResources, j.AllowedTypes, j.Spec.Zone, j.Spec.TaskCount, j.Spec.SpotAllowed}
-	zone, ok := known[q]
+// chooseZone returns the zone in which capacity is provided for a job that must be in one, and keeps the choice for
+// others of its kind. Otherwise machines in several zones could seem to be enough while no zone has enough, and the job
+// would wait forever.
+func (c *Scheduler) chooseZone(now time.Duration, j *jobstate.Job, chosen map[zoneChoiceKey]string) string {
+	key := zoneChoiceKey{
+		need:  j.TaskResources,
+		types: j.AllowedTypes,
+		zone:  j.Spec.Zone,
+		tasks: j.Spec.TaskCount,
+		spot:  j.Spec.SpotAllowed,
+	}
+	zone, ok := chosen[key]
 	if !ok {
 		zone = c.zoneWithMostCapacity(now, j)
-		known[q] = zone
+		chosen[key] = zone
 	}
 	return zone
 }
 
-// zoneWithMostCapacity returns the zone with room for most of a job's tasks, there or to be rented.
+// zoneWithMostCapacity returns the zone with capacity for most of a job's tasks, on its machines or on new ones.
 func (c *Scheduler) zoneWithMostCapacity(now time.Duration, j *jobstate.Job) string {
-	room := map[string]int{}
+	free := c.freeTasksByZone(j)
+	best, bestTasks := "", -1
+	for _, zone := range c.zonesByAvailability(&j.Spec) {
+		tasks := free[zone]
+		if tasks < j.Spec.TaskCount && c.autoscaler.CanScaleOut(now, &j.Spec, zone) {
+			tasks += j.Spec.TaskCount
+		}
+		if tasks > bestTasks {
+			best, bestTasks = zone, tasks
+		}
+	}
+	return best
+}
+
+// freeTasksByZone returns for how many tasks of a job the machines of each zone have free capacity. No machine counts
+// for more tasks than the job has.
+func (c *Scheduler) freeTasksByZone(j *jobstate.Job) map[string]int {
+	tasks := map[string]int{}
 	c.machines.Each(func(m *machineregistry.Machine) {
-		t := c.machines.MachineType(m.Type)
-		if t == nil || !t.AllowedBy(&j.Spec) || m.Terminating || m.InterruptionNotice || m.Quarantined ||
-			m.Spot && !j.Spec.SpotAllowed ||
-			c.isZoneLost(m.Zone) {
+		if !c.mayHost(m, j) {
 			return
 		}
 		free := c.machines.FreeCapacity(m)
 		for n := 0; n < j.Spec.TaskCount && j.TaskResources.Fits(free); n++ {
 			free = free.Minus(j.TaskResources)
-			room[m.Zone]++
+			tasks[m.Zone]++
 		}
 	})
-	best, bestRoom := "", -1
-	for _, z := range c.zonesByAvailability(&j.Spec) {
-		n := room[z]
-		if n < j.Spec.TaskCount && c.autoscaler.CanScaleOut(now, &j.Spec, z) {
-			n += j.Spec.TaskCount
-		}
-		if n > bestRoom {
-			best, bestRoom = z, n
-		}
-	}
-	return best
+	return tasks
+}
+
+// mayHost reports whether a machine can be expected to run tasks of a job, now or soon.
+func (c *Scheduler) mayHost(m *machineregistry.Machine, j *jobstate.Job) bool {
+	machineType := c.machines.MachineType(m.Type)
+	return machineType != nil && machineType.AllowedBy(&j.Spec) &&
+		(!m.Spot || j.Spec.SpotAllowed) &&
+		!m.Terminating && !m.InterruptionNotice && !m.Quarantined &&
+		!c.isZoneLost(m.Zone)
 }
 
-// allowedZones lists the zones that a job allows, in order.
+// allowedZones returns the zones that a job allows, in order.
 func (c *Scheduler) allowedZones(spec *protocol.Job) []string {
 	return demand.AllowedZones(c.machines.MachineTypes(), spec)
 }
--- a/internal/coordination/scheduler/dependencies.go
+++ b/internal/coordination/scheduler/dependencies.go
@@ -12,7 +12,7 @@
 	"pinebay/internal/storage"
 )
 
-// jobsWithPlacementPages names the jobs of which placements were recorded.
+// jobsWithPlacementPages returns the jobs of which placements are recorded.
 func jobsWithPlacementPages(pairs []protocol.KeyValue) map[string]bool {
 	ids := map[string]bool{}
 	for _, pair := range pairs {
@@ -23,7 +23,7 @@
 	return ids
 }
 
-// addDependencies enters a job that was accepted, and what it awaits.
+// addDependencies adds an accepted job to the graph of dependencies, which says whether it is blocked.
 func (c *Scheduler) addDependencies(now time.Duration, j *jobstate.Job) {
 	due := dependency.NoDeadline
 	if j.Spec.DeadlineSeconds > 0 {
@@ -43,23 +43,22 @@
 	c.applyDependencyChange(now, change)
 }
 
-// estimateSlack is how many times its estimate a job is expected to take when others wait for it: estimates
-// are wrong by half.
+// estimateSlack is how many times its estimate a job with dependents is expected to take: estimates are wrong by half.
 const estimateSlack = 1.5
 
-// dependencyEnded takes in how a job has ended that others may await. It must be recorded, and so final.
+// dependencyEnded applies the final state of a job, which must be recorded, to its dependents.
 func (c *Scheduler) dependencyEnded(now time.Duration, id string, state dependency.State) {
 	c.applyDependencyChange(now, c.dependencies.End(id, state))
 }
 
-// liveRecordDeleted takes in that a job's live record is gone. How it has ended is read if others await it.
+// liveRecordDeleted records that a job has ended in a state that has to be read if others depend on it.
 func (c *Scheduler) liveRecordDeleted(now time.Duration, id string) {
 	if c.dependencies.State(id) != dependency.UnknownOutcome {
 		c.applyDependencyChange(now, c.dependencies.EndWithUnknownOutcome(id))
 	}
 }
 
-// handleFinalState takes in what the state service says of how a job ended.
+// handleFinalState applies the final state of a dependency. It is read again later if there is none.
 func (c *Scheduler) handleFinalState(now time.Duration, e FinalStateRead) {
 	switch e.State {
 	case protocol.JobDone:
@@ -67,19 +66,19 @@
 	case protocol.JobCancelled:
 		c.dependencyEnded(now, e.ID, dependency.Cancelled)
 	default:
-		// It lives, and we are about to hear so, or the service has not answered.
+		// The job lives, which the watch has not delivered yet, or the state service has not answered.
 		c.callAt(now+CycleInterval/4, func(now time.Duration) { c.requestFinalState(e.ID) })
 	}
 }
 
-// requestFinalState asks how a job has ended, if anybody still awaits it.
+// requestFinalState reads how a job has ended, if others still depend on it.
 func (c *Scheduler) requestFinalState(id string) {
 	if c.dependencies.HasDependents(id) && c.dependencies.State(id) == dependency.UnknownOutcome {
 		c.emit(ReadFinalState{ID: id})
 	}
 }
 
-// applyDependencyChange takes in what follows for other jobs.
+// applyDependencyChange applies what follows from a change of the graph to the jobs concerned.
 func (c *Scheduler) applyDependencyChange(now time.Duration, change dependency.Change) {
 	for _, id := range change.UnknownOutcomes {
 		c.requestFinalState(id)
@@ -99,19 +98,19 @@
 	c.writeCancelledDependents()
 }
 
-// unblock lets a job begin of which all needs are durably done. Its waiting times count from now on.
+// unblock lets a job start whose dependencies are all durably done.
 func (c *Scheduler) unblock(now time.Duration, j *jobstate.Job) {
 	if j == nil || j.Ended || !j.Blocked {
 		return
 	}
-	c.log.Debug("freed", "job", j.Spec.ID, "class", j.Spec.Class, "after", now-j.WaitingSince)
+	c.log.Debug("unblocked", "job", j.Spec.ID, "class", j.Spec.Class, "after", now-j.WaitingSince)
 	j.Unblock(now)
 	c.forecast.Arrived(&j.Spec, now)
 	c.cycle.due = true
 }
 
-// reprioritise gives a job the priority and the latest start that it has by itself and by those that await it.
-// Its running tasks go on, and count by the new priority.
+// reprioritise gives a job the priority and the latest start that it has by itself and by its dependents. Its tasks go
+// on running, and count with the new priority.
 func (c *Scheduler) reprioritise(j *jobstate.Job) {
 	if j == nil || j.Ended {
 		return
@@ -119,7 +118,7 @@
 	level, ok := c.dependencies.Priority(j.Spec.ID)
 	start := c.dependencies.LatestStart(j.Spec.ID)
 	if !c.dependencies.InPipeline(j.Spec.ID) {
-		start = dependency.NoDeadline // an ordinary job goes by age
+		start = dependency.NoDeadline // outside of pipelines age decides
 	}
 	if !ok || level == j.EffectivePriority && start == j.LatestStart {
 		return
@@ -131,8 +130,8 @@
 	c.cycle.due = true
 }
 
-// writeCancelledDependents writes the ends of jobs that are cancelled with one that they await. They count as
-// cancelled without that, for every controller derives it; the record spares it the work.
+// writeCancelledDependents records the ends of jobs that are cancelled because a dependency is. They count as cancelled
+// without a record, since every controller derives that from the dependency; the record saves that work.
 func (c *Scheduler) writeCancelledDependents() {
 	for len(c.cancelledDependents) > 0 && !c.writesPaused && c.pagesInFlight[PriorityCompletion] < c.maxCompletionPages() {
 		id, name := c.nextWriteID()
@@ -143,7 +142,7 @@
 			c.cancelledDependents[0] = nil
 			c.cancelledDependents = c.cancelledDependents[1:]
 			if j.Ended || j.WriteInFlight || j.Ending {
-				continue // it has ended by itself
+				continue // it has ended otherwise, or is about to
 			}
 			value, err := protocol.Encode(
 				storage.EndedJobRecord{
@@ -153,7 +152,7 @@
 				},
 			)
 			if err != nil {
-				c.log.Error("ended record", "err", err)
+				c.log.Error("final record not encoded", "job", j.Spec.ID, "error", err)
 				continue
 			}
 			live, ended := storage.LiveJobKey(j.Spec.ID), storage.EndedJobKey(j.Spec.ID)
@@ -168,7 +167,7 @@
 	}
 }
 
-// writeCancellations writes the ends of jobs in one transaction.
+// writeCancellations records the ends of jobs in one transaction.
 func (c *Scheduler) writeCancellations(id uint64, name string, t protocol.Txn, jobs []*jobstate.Job) {
 	c.pagesInFlight[PriorityCompletion] += len(t.Then)
 	for _, j := range jobs {
@@ -182,7 +181,7 @@
 		switch {
 		case w.Succeeded:
 			for _, j := range jobs {
-				c.log.Debug("cancelled with a job that it awaits", "job", j.Spec.ID)
+				c.log.Debug("cancelled with a dependency", "job", j.Spec.ID)
 				c.dependencies.EndWithUnknownOutcome(j.Spec.ID)
 				c.endJob(now, j)
 			}
@@ -196,7 +195,7 @@
 		case !c.handleEndedElsewhere(now, jobs, w):
 			return
 		default:
-			// Some ended by themselves meanwhile; the others are written again.
+			// Some have ended meanwhile. The others are written again.
 			c.cancelledDependents = append(c.cancelledDependents, jobs...)
 		}
 		c.writeCancelledDependents()
@@ -204,8 +203,8 @@
 	c.emit(Write{ID: id, Txn: t, Priority: PriorityCompletion, VerifyKey: t.Then[1].PutKey, Name: name})
 }
 
-// handleEndedElsewhere says whether a transaction about several jobs failed because some of them are over, and takes
-// that in.
+// handleEndedElsewhere ends the jobs whose records another transaction has changed, and so made the leader's fail. It
+// returns false if that was not the reason, and the leader has stepped down.
 func (c *Scheduler) handleEndedElsewhere(now time.Duration, jobs []*jobstate.Job, w TransactionOutcome) bool {
 	over := false
 	for _, j := range jobs {
@@ -218,8 +217,8 @@
 	return over || c.endedMeanwhile(now, jobs[0], w)
 }
 
-// forecastBlockedJobs lists the room that blocked jobs will want before a machine rented now would be up: the jobs that
-// they await all run, and are likely to be done by then.
+// forecastBlockedJobs returns the capacity that blocked jobs are likely to need before a machine requested now has
+// booted.
 func (c *Scheduler) forecastBlockedJobs(now time.Duration) (units []autoscaler.Demand) {
 	left := maxForecastJobs
 	c.queues.Blocked.Scan(func(j *jobstate.Job) bool {
@@ -241,11 +240,10 @@
 	return units
 }
 
-// maxForecastJobs bounds the jobs that a plan looks at for what they will want: the first by priority and latest
-// start, however many wait.
+// maxForecastJobs is how many blocked jobs a plan considers, in scheduling order.
 const maxForecastJobs = 256
 
-// dependenciesEndSoon says whether all that a job awaits is likely to be done within a boot time.
+// dependenciesEndSoon reports whether all dependencies of a job run and are likely to be done within a boot time.
 func (c *Scheduler) dependenciesEndSoon(now time.Duration, j *jobstate.Job) bool {
 	boot := 0.0
 	for _, t := range c.machines.MachineTypes() {
--- a/internal/coordination/scheduler/events.go
+++ b/internal/coordination/scheduler/events.go
@@ -3,154 +3,110 @@
 import (
 	"time"
 
-	"pinebay/internal/coordination/autoscaler"
 	"pinebay/internal/coordination/featurelevel"
-	"pinebay/internal/coordination/zonefailover"
 	"pinebay/internal/protocol"
 	"pinebay/internal/storage"
 )
 
-// Event is what a step takes.
+// Event is an input of a step: something that has happened, or the outcome of an effect.
 type Event interface{ event() }
 
-// Events.
-type (
-	// Tick lets time pass.
-	Tick struct{}
-	// HeartbeatReceived is a worker's report; Tag comes back with the answer. Relayed
-	// says that another controller passed it on.
-	HeartbeatReceived struct {
-		ReplyTo   any
-		Heartbeat *protocol.WorkerHeartbeat
-		Relayed   bool
-	}
-	// UnchangedHeartbeats tells of machines whose reports an owner has answered, as they told nothing new; Reply takes
-	// those of which the next report is to be passed on. It must not wait.
-	UnchangedHeartbeats struct {
-		Heartbeats  []UnchangedHeartbeat
-		ForwardNext func(passOn []string)
-	}
-	// JobAccepted is an accepted job.
-	JobAccepted struct {
-		Record   storage.LiveJobRecord
-		Revision uint64
-	}
-	// JobEnded says that a job's live record is gone: it is over.
-	JobEnded struct{ ID string }
-	// CancellationIntent says that a user may be about to be told that a job is cancelled, by
-	// the given time or else not before another Withdrawn.
-	CancellationIntent struct {
-		ID         string
-		ValidUntil time.Duration
-	}
-	// WatchProgress says that all changes of the accepted jobs up to At have been told.
-	WatchProgress struct{ At time.Duration }
-	// TransactionOutcome is the outcome of a Write. Failed names the conditions that did
-	// not hold. Refused says that it was refused for its form, and not carried out.
-	TransactionOutcome struct {
-		WriteID    uint64
-		Succeeded  bool
-		Revision   uint64
-		FailedKeys []string
-		Malformed  bool
-	}
-	// FinalStateRead is what the state service says of how a job ended: "" if there is no record of that.
-	FinalStateRead struct {
-		ID    string
-		State protocol.JobState
-	}
-	// FinaliseFeatureLevel asks that a feature level be made final.
-	FinaliseFeatureLevel struct{ Level featurelevel.Level }
-	// CommandBatchResult is the outcome of an Order. Report is nil without an answer.
-	CommandBatchResult struct {
-		Machine      string
-		Acknowledged bool
-		Heartbeat    *protocol.WorkerHeartbeat
-	}
-	// ProbeReply is a machine's answer to an Inspect.
-	ProbeReply struct{ Heartbeat *protocol.WorkerHeartbeat }
-	// MachineTypesUpdated is the cloud's price list.
-	MachineTypesUpdated struct{ Types []protocol.MachineType }
-	// MachinesListed is the cloud's list; Failed says that it did not come.
-	MachinesListed struct {
-		RequestedAt time.Duration
-		Machines    []protocol.ListedMachine
-		Failed      bool
-	}
-	// ScaleOutResult is the outcome of a rental.
-	ScaleOutResult struct {
-		Request     string
-		RequestedAt time.Duration
-		Machines    []string
-		Refused     bool
-	}
-	// ScaleInResult is the outcome of a release.
-	ScaleInResult struct {
-		Machines  []string
-		Succeeded bool
-	}
-)
+// Tick lets time pass.
+type Tick struct{}
+
+// HeartbeatReceived is a worker's heartbeat. It is answered by a HeartbeatReply with the same ReplyTo.
+type HeartbeatReceived struct {
+	ReplyTo   any
+	Heartbeat *protocol.WorkerHeartbeat
+	// Relayed is set if another controller received it.
+	Relayed bool
+}
 
-// UnchangedHeartbeat is the last report of a machine that told nothing new.
+// UnchangedHeartbeats are the heartbeats without news that the owner of a shard has answered for the leader.
+type UnchangedHeartbeats struct {
+	Heartbeats []UnchangedHeartbeat
+	// ForwardNext receives the machines whose next heartbeat has to be forwarded to the leader. It must not block.
+	ForwardNext func(machines []string)
+}
+
+// UnchangedHeartbeat identifies the last heartbeat of a machine.
 type UnchangedHeartbeat struct {
 	Machine          string
 	Incarnation, Seq uint64
 }
 
-// WritePriority says what a write is for, and so which of them goes first.
-type WritePriority uint8
+// JobAccepted is a job's live record, new or changed.
+type JobAccepted struct {
+	Record   storage.LiveJobRecord
+	Revision uint64
+}
 
-// Purposes.
-const (
-	PriorityStart       WritePriority = iota // placements that wait for their record
-	PriorityUnblock                          // ends of jobs that others await
-	PriorityCompletion                       // what has ended: tasks, and jobs
-	PriorityMaintenance                      // cleaning, and hints for the next leader
-)
+// JobEnded says that a job's live record has been deleted.
+type JobEnded struct{ ID string }
 
-// Effect is what a step asks for.
-type Effect interface{ effect() }
-
-// Effects.
-type (
-	// CloudRequest is what the fleet asks of the cloud.
-	CloudRequest struct{ Effect autoscaler.Effect }
-	// HeartbeatReply goes back to a worker.
-	HeartbeatReply struct {
-		ReplyTo any
-		Body    protocol.WorkerHeartbeatReply
-	}
-	// Write is a conditional transaction; it is tried until its outcome is
-	// known. Verify is a key whose record names the write.
-	Write struct {
-		ID         uint64
-		Txn        protocol.Txn
-		VerifyKey  string
-		Name       string
-		Priority   WritePriority
-		Splittable bool // it has records of several jobs, and may be taken apart
-	}
-	// SendCommandBatch is a command that goes straight to a machine.
-	SendCommandBatch struct {
-		Machine, Addr string
-		Batch         protocol.CommandBatch
-	}
-	// Probe asks a machine how it stands; no answer means nothing.
-	Probe struct{ Machine, Addr string }
-	// ReadFinalState asks how a job ended; FinalStateRead answers.
-	ReadFinalState struct{ ID string }
-	// FeatureLevelFinal says that a feature level is final.
-	FeatureLevelFinal struct{ Level featurelevel.Level }
-	// ZoneDecision tells of a decision because of a zone.
-	ZoneDecision struct{ Decision zonefailover.Decision }
-	// StepDown says that this leader's time is over; Term is a later one, if one
-	// was seen.
-	StepDown struct {
-		LaterTerm          uint64
-		Reason             string
-		TransferLeadership bool // another controller should lead
-	}
-)
+// CancellationIntent says that a user may be told that a job is cancelled, until the given time.
+type CancellationIntent struct {
+	ID         string
+	ValidUntil time.Duration
+}
+
+// WatchProgress says that all changes of live records up to a time have been delivered.
+type WatchProgress struct{ At time.Duration }
+
+// TransactionOutcome is the outcome of a Write.
+type TransactionOutcome struct {
+	WriteID   uint64
+	Succeeded bool
+	Revision  uint64 // of the keys written
+	// FailedKeys are the keys whose comparison failed.
+	FailedKeys []string
+	// Malformed is set if the transaction was rejected for its form, and so not carried out.
+	Malformed bool
+}
+
+// FinalStateRead answers ReadFinalState. State is "" if no final record exists or it could not be read.
+type FinalStateRead struct {
+	ID    string
+	State protocol.JobState
+}
+
+// FinaliseFeatureLevel requests that a feature level be made final. FeatureLevelFinal follows.
+type FinaliseFeatureLevel struct{ Level featurelevel.Level }
+
+// CommandBatchResult is the outcome of SendCommandBatch. Heartbeat is nil if the machine did not answer with one.
+type CommandBatchResult struct {
+	Machine      string
+	Acknowledged bool
+	Heartbeat    *protocol.WorkerHeartbeat
+}
+
+// ProbeReply is a machine's answer to a Probe.
+type ProbeReply struct{ Heartbeat *protocol.WorkerHeartbeat }
+
+// MachineTypesUpdated is the cloud's price list.
+type MachineTypesUpdated struct{ Types []protocol.MachineType }
+
+// MachinesListed is the cloud's list of machines. Failed is set if it could not be read.
+type MachinesListed struct {
+	RequestedAt time.Duration
+	Machines    []protocol.ListedMachine
+	Failed      bool
+}
+
+// ScaleOutResult is the outcome of a request for machines.
+type ScaleOutResult struct {
+	Request     string
+	RequestedAt time.Duration
+	Machines    []string
+	// Refused is set if the cloud has none to give.
+	Refused bool
+}
+
+// ScaleInResult is the outcome of returning machines.
+type ScaleInResult struct {
+	Machines  []string
+	Succeeded bool
+}
 
 func (Tick) event()                 {}
 func (HeartbeatReceived) event()    {}
@@ -168,13 +124,3 @@
 func (MachinesListed) event()       {}
 func (ScaleOutResult) event()       {}
 func (ScaleInResult) event()        {}
-
-func (HeartbeatReply) effect()    {}
-func (Write) effect()             {}
-func (SendCommandBatch) effect()  {}
-func (Probe) effect()             {}
-func (StepDown) effect()          {}
-func (CloudRequest) effect()      {}
-func (ZoneDecision) effect()      {}
-func (ReadFinalState) effect()    {}
-func (FeatureLevelFinal) effect() {}
--- a/internal/coordination/scheduler/heartbeats.go
+++ b/internal/coordination/scheduler/heartbeats.go
@@ -9,47 +9,52 @@
 	"pinebay/internal/protocol"
 )
 
+// handleHeartbeat applies a worker's heartbeat and answers it with the commands that are due. A heartbeat that is
+// older than the last one applied gets none.
 func (c *Scheduler) handleHeartbeat(now time.Duration, e HeartbeatReceived) {
-	r := e.Heartbeat
-	if c.hasSeenLaterTerm(r) {
+	heartbeat := e.Heartbeat
+	if c.stepDownForLaterTerm(heartbeat) {
 		return
 	}
-	answer := protocol.WorkerHeartbeatReply{
+	reply := protocol.WorkerHeartbeatReply{
 		FencingToken: protocol.FencingToken(c.term, 0),
 		Commands:     []protocol.Command{},
 	}
-	if c.autoscaler.RecentlyReleased(r.Machine) {
-		c.emit(HeartbeatReply{e.ReplyTo, answer})
+	if c.autoscaler.RecentlyReleased(heartbeat.Machine) {
+		c.emit(HeartbeatReply{ReplyTo: e.ReplyTo, Body: reply})
 		return
 	}
-	m, newer := c.applyHeartbeat(now, r)
+	m, newer := c.applyHeartbeat(now, heartbeat)
 	if newer {
 		m.Relayed = e.Relayed
-		if cmds := c.machines.TakeDueCommands(now, m); cmds != nil {
-			answer.Commands = cmds
+		if commands := c.machines.TakeDueCommands(now, m); commands != nil {
+			reply.Commands = commands
 		}
 	}
-	answer.FencingToken = c.machines.FencingToken(m)
-	c.emit(HeartbeatReply{e.ReplyTo, answer})
+	reply.FencingToken = c.machines.FencingToken(m)
+	c.emit(HeartbeatReply{ReplyTo: e.ReplyTo, Body: reply})
 }
 
-// handleUnchangedHeartbeats takes in that owners have answered reports that told nothing new.
+// handleUnchangedHeartbeats renews machines whose heartbeats a shard's owner has answered, and has the next heartbeat
+// forwarded of those for which that is not enough.
 func (c *Scheduler) handleUnchangedHeartbeats(now time.Duration, e UnchangedHeartbeats) {
-	var passOn []string
-	for _, m := range e.Heartbeats {
-		if !c.machines.HandleUnchangedHeartbeat(now, m.Machine, m.Incarnation, m.Seq) {
-			passOn = append(passOn, m.Machine)
+	var forward []string
+	for _, h := range e.Heartbeats {
+		if !c.machines.HandleUnchangedHeartbeat(now, h.Machine, h.Incarnation, h.Seq) {
+			forward = append(forward, h.Machine)
 		}
 	}
-	e.ForwardNext(passOn)
+	e.ForwardNext(forward)
 }
 
+// handleCommandBatchResult applies the heartbeat with which a machine has answered commands. One that did not answer
+// gets no new tasks until it has had time for a heartbeat: heartbeats may arrive although commands don't.
 func (c *Scheduler) handleCommandBatchResult(now time.Duration, e CommandBatchResult) {
 	m := c.machines.Machine(e.Machine)
 	if m == nil {
 		return
 	}
-	if e.Heartbeat != nil && c.hasSeenLaterTerm(e.Heartbeat) {
+	if e.Heartbeat != nil && c.stepDownForLaterTerm(e.Heartbeat) {
 		return
 	}
 	if e.Heartbeat != nil && e.Heartbeat.Machine == e.Machine {
@@ -57,74 +62,76 @@
 	}
 	c.machines.CommandAnswered(now, m, e.Acknowledged || e.Heartbeat != nil)
 	if e.Heartbeat == nil {
-		// Its reports may arrive though commands don't: nothing new goes there
-		// until it has had time for another report.
 		m.MarkUnresponsive(now + config.Seconds(2*c.cfg.Workers.HeartbeatSeconds))
 	}
 }
 
-// hasSeenLaterTerm says whether a worker has seen a later term, and if so ends ours.
-func (c *Scheduler) hasSeenLaterTerm(r *protocol.WorkerHeartbeat) bool {
-	t := protocol.TermOfToken(r.FencingToken)
-	if t > c.term {
-		c.emit(StepDown{LaterTerm: t, Reason: "a worker has seen a later term"})
+// stepDownForLaterTerm ends the term if a worker has seen a later one, and reports whether it has.
+func (c *Scheduler) stepDownForLaterTerm(heartbeat *protocol.WorkerHeartbeat) bool {
+	term := protocol.TermOfToken(heartbeat.FencingToken)
+	if term <= c.term {
+		return false
 	}
-	return t > c.term
+	c.emit(StepDown{LaterTerm: term, Reason: "a worker has seen a later term"})
+	return true
 }
 
-// applyHeartbeat takes in what a machine says, in whichever way it came.
+// applyHeartbeat applies a heartbeat, however it was received. It returns no machine if the machine was returned to
+// the cloud, and newer if the heartbeat is newer than the last one applied.
 func (c *Scheduler) applyHeartbeat(
-	now time.Duration,
-	r *protocol.WorkerHeartbeat,
+	now time.Duration, heartbeat *protocol.WorkerHeartbeat,
 ) (m *machineregistry.Machine, newer bool) {
-	if c.hasSeenLaterTerm(r) || c.autoscaler.RecentlyReleased(r.Machine) {
+	if c.stepDownForLaterTerm(heartbeat) || c.autoscaler.RecentlyReleased(heartbeat.Machine) {
 		return nil, false
 	}
-	up := c.machines.Registered(r.Machine)
-	result := c.machines.HandleHeartbeat(now, r)
-	c.cycle.due = c.cycle.due || !up
+	registered := c.machines.Registered(heartbeat.Machine)
+	result := c.machines.HandleHeartbeat(now, heartbeat)
+	c.cycle.due = c.cycle.due || !registered
 	c.applyObservations(now, result.Observations)
 	c.quarantineIfFailing(result.Machine)
 	return result.Machine, result.Newer
 }
 
-// quarantineIfFailing sets a machine aside that fails the tasks of several jobs.
+// quarantineIfFailing quarantines a machine that fails the tasks of several jobs.
 func (c *Scheduler) quarantineIfFailing(m *machineregistry.Machine) {
-	if len(m.FailedJobs) >= 2 && !m.Quarantined {
+	if len(m.FailedJobs) >= quarantineJobs && !m.Quarantined {
 		m.Quarantine()
-		c.log.Info("machine set aside: it fails tasks of several jobs", "machine", m.Name)
+		c.log.Info("machine quarantined, as it fails tasks of several jobs", "machine", m.Name)
 	}
 }
 
-// sendUrgentCommands sends what is urgent straight to the machines.
+// sendUrgentCommands sends commands to machines that should not wait for the machines' next heartbeats.
 func (c *Scheduler) sendUrgentCommands(now time.Duration) {
 	for _, m := range c.machines.MachinesToCommand(now) {
-		cmds := c.machines.TakeDueCommands(now, m)
-		if len(cmds) == 0 {
+		commands := c.machines.TakeDueCommands(now, m)
+		if len(commands) == 0 {
 			continue
 		}
 		c.machines.CommandSent(m)
-		c.emit(
-			SendCommandBatch{
-				Machine: m.Name,
-				Addr:    m.Addr,
-				Batch: protocol.CommandBatch{
-					FencingToken: c.machines.FencingToken(m),
-					Incarnation:  m.Incarnation,
-					Commands:     cmds,
-				},
+		c.emit(SendCommandBatch{
+			Machine: m.Name,
+			Addr:    m.Addr,
+			Batch: protocol.CommandBatch{
+				FencingToken: c.machines.FencingToken(m),
+				Incarnation:  m.Incarnation,
+				Commands:     commands,
 			},
-		)
+		})
 	}
 }
 
-// checkReachability gives the leadership away when most machines can reach other
-// controllers only. Their reports are passed on here, but whoever they reach
-// would serve them better, and can command them directly.
+// Leadership is transferred when more than minRelayedMachines, and more than relayedRatio times as many as send their
+// heartbeats here, reach other controllers only.
+const (
+	minRelayedMachines = 2
+	relayedRatio       = 2
+)
+
+// checkReachability transfers the leadership when most machines reach other controllers only. Their heartbeats are
+// relayed, but a controller that they reach would serve them better, and can command them directly.
 func (c *Scheduler) checkReachability(now time.Duration) {
-	half := config.Seconds(c.cfg.Workers.LeaseSeconds / 2)
-	if now-c.termStartedAt < half {
-		return
+	if now-c.termStartedAt < config.Seconds(c.cfg.Workers.LeaseSeconds/2) {
+		return // machines have not had the time to find this controller
 	}
 	direct, relayed := 0, 0
 	c.machines.Each(func(m *machineregistry.Machine) {
@@ -136,12 +143,10 @@
 			direct++
 		}
 	})
-	if relayed > 2*direct && relayed > 2 {
-		c.emit(
-			StepDown{
-				Reason:             fmt.Sprintf("%d machines reach other controllers only", relayed),
-				TransferLeadership: true,
-			},
-		)
+	if relayed > relayedRatio*direct && relayed > minRelayedMachines {
+		c.emit(StepDown{
+			Reason:             fmt.Sprintf("%d machines reach other controllers only", relayed),
+			TransferLeadership: true,
+		})
 	}
 }
--- a/internal/coordination/scheduler/scheduler.go
+++ b/internal/coordination/scheduler/scheduler.go
@@ -1,7 +1,9 @@
-// Package scheduler is the leader's state machine: jobs and their tasks, the
-// cycle that places them, and what follows from reports, records and failures.
-// It does no I/O and reads no clock: a step takes an event and the time, and
-// returns effects.
+// Package scheduler is the leader's state machine. It accepts jobs, places their tasks on machines, has the placements
+// recorded before they start, and reacts to heartbeats, failures, cancellations and lost zones.
+//
+// A Scheduler does no I/O and reads no clock: Step takes an event and the time, and returns the effects to be carried
+// out. It is not safe for concurrent use. One scheduler serves one term: a new leader recovers another from the records
+// of the state service.
 package scheduler
 
 import (
@@ -24,7 +26,9 @@
 	"pinebay/internal/storage"
 )
 
-// Scheduler is the leader's state.
+// Scheduler is the state of a leader in its term. It connects the parts that decide, each of which owns its own state:
+// the registry of machines, the jobs and their queues, placement, preemption, the autoscaler, the forecast of demand
+// and zone failover.
 type Scheduler struct {
 	cfg          *config.Deployment
 	log          *slog.Logger
@@ -73,17 +77,21 @@
 	zoneFailover        *zonefailover.Manager // nil unless it is on
 }
 
-// Term is the term that a core leads.
+// Term identifies the term of a leader.
 type Term struct {
-	Number, Revision uint64 // its number, and the version of its record
-	Controller       string // this controller
-	FeatureLevel     featurelevel.Level
+	Number       uint64
+	Revision     uint64 // of the term's record
+	Controller   string // the leader
+	FeatureLevel featurelevel.Level
 }
 
-// RecoveredRecords is what a new leader reads.
+// RecoveredRecords are the cloud's price list and the records of the state service that a new leader has read.
 type RecoveredRecords struct {
-	MachineTypes                             []protocol.MachineType
-	LiveJobs, Pages, Images, ZoneReturnPages []protocol.KeyValue
+	MachineTypes    []protocol.MachineType
+	LiveJobs        []protocol.KeyValue
+	Pages           []protocol.KeyValue // of placements
+	Images          []protocol.KeyValue // hints of the images on machines
+	ZoneReturnPages []protocol.KeyValue
 }
 
 // New returns the scheduler of a term, recovered from the records that the new leader has read. wallMS is the time of
@@ -156,7 +164,7 @@
 	for _, kv := range records {
 		var record storage.LiveJobRecord
 		if err := protocol.Decode(kv.Value, &record); err != nil {
-			c.log.Error("live record out of form", "key", kv.Key, "err", err)
+			c.log.Error("malformed live record", "key", kv.Key, "error", err)
 			continue
 		}
 		if started[record.Job.ID] {
@@ -240,7 +248,7 @@
 
 func (c *Scheduler) emit(effects ...Effect) { c.effects = append(c.effects, effects...) }
 
-// Statuses tells what the leader knows of jobs; those that it does not know are missing.
+// Statuses returns the statuses of those of the jobs that Status knows.
 func (c *Scheduler) Statuses(ids []string) (known []protocol.JobStatus) {
 	for _, id := range ids {
 		if s, ok := c.Status(id); ok {
@@ -250,7 +258,7 @@
 	return known
 }
 
-// Status tells what the leader knows of a job.
+// Status returns the status of a live job. It returns false for others, and while the end of a job is being recorded.
 func (c *Scheduler) Status(id string) (protocol.JobStatus, bool) {
 	j := c.jobs[id]
 	if j == nil || j.Ended || j.Ending || c.dependencies.State(id) == dependency.Cancelled {
@@ -264,12 +272,12 @@
 // CycleCount returns how many scheduling cycles have run.
 func (c *Scheduler) CycleCount() uint64 { return c.cycle.count }
 
-// sortedJobs returns the jobs in an order that does not depend on chance.
+// sortedJobs returns all jobs by priority and age.
 func (c *Scheduler) sortedJobs() []*jobstate.Job {
 	return c.sortedJobsWhere(func(*jobstate.Job) bool { return true })
 }
 
-// sortedJobsWhere is sorted for the jobs that the function names.
+// sortedJobsWhere returns the jobs that a condition holds for, by priority and age.
 func (c *Scheduler) sortedJobsWhere(which func(*jobstate.Job) bool) []*jobstate.Job {
 	var list []*jobstate.Job
 	for _, j := range c.jobs {
