--- a/internal/coordination/scheduler/candidateindex_test.go
+++ b/internal/coordination/scheduler/candidateindex_test.go
@@ -157,13 +157,13 @@
 func TestMachinesExaminedPerStart(t *testing.T) {
 	const mostPerStart, mostPerWaiting = 80, 4
 	for _, machines := range []int{200, 2000, 6000} {
-		b := newFleetHarness(machines, 50, 0)
+		b := newFleetHarness(machines, 50)
 		b.fill(50, serviceSlots)
 		b.heartbeatAll()
 		finder := indexFinderOf(t, b.scheduler)
 		finder.Examined, b.started = 0, 0
 		for range 10 {
-			b.submit(protocol.Array, b.rng.IntN(50), 64, "normal")
+			b.submit(protocol.Array, b.rng.IntN(50), 64)
 			b.advance(MinCycleInterval)
 		}
 		b.advance(CycleInterval)
@@ -186,7 +186,7 @@
 func TestAllocationsOfAnUnchangedCycle(t *testing.T) {
 	const most = 150
 	for _, machines := range []int{200, 4000} {
-		b := newFleetHarness(machines, 50, 0)
+		b := newFleetHarness(machines, 50)
 		b.fill(50, serviceSlots)
 		b.heartbeatAll()
 		b.advance(CycleInterval)
--- a/internal/coordination/scheduler/dependencies_test.go
+++ b/internal/coordination/scheduler/dependencies_test.go
@@ -36,7 +36,7 @@
 				},
 			)
 		case HeartbeatReply:
-			s.executeCommands(effect.ReplyTo.(string), effect.Body.FencingToken, effect.Body.Commands)
+			s.executeReply(effect)
 		}
 	}
 }
--- a/internal/coordination/scheduler/failure_test.go
+++ b/internal/coordination/scheduler/failure_test.go
@@ -33,8 +33,8 @@
 		}
 		lost := protocol.TaskID{JobID: "j-1", Index: rapid.IntRange(0, n-1).Draw(t, "lost")}
 		clear(b.runs)
-		cause := rapid.SampledFrom([]protocol.ExitCause{protocol.CauseError, protocol.CausePeerLost, protocol.CauseIncomplete}).
-			Draw(t, "cause")
+		causes := []protocol.ExitCause{protocol.CauseError, protocol.CausePeerLost, protocol.CauseIncomplete}
+		cause := rapid.SampledFrom(causes).Draw(t, "cause")
 		b.heartbeat(
 			first[lost],
 			"a",
@@ -106,7 +106,7 @@
 	b.runCycle()
 	end := b.transactions[len(b.transactions)-1]
 	if end.Then[0].DeleteKey != storage.LiveJobKey("j-1") || end.Then[1].PutKey != storage.EndedJobKey("j-1") ||
-		end.Then[2].DeleteKey != productionPage("j-1", 0) {
+		end.Then[2].DeleteKey != productionPage("j-1") {
 		t.Errorf("end %+v", end)
 	}
 	if end.If[0].Key != storage.TermKey || end.If[1].Key != storage.LiveJobKey("j-1") {
--- a/internal/coordination/scheduler/fleet_bench_test.go
+++ b/internal/coordination/scheduler/fleet_bench_test.go
@@ -27,14 +27,14 @@
 	longestCycle time.Duration // step in which a cycle ran
 }
 
-// slots is the room of a machine in tasks, of which the standing work takes standing.
+// machineSlots is how many tasks fit on a machine, serviceSlots how many of them services take that run all the time.
 const (
 	machineSlots = 16
 	serviceSlots = 10
 	imageCount   = 30
 )
 
-func newFleetHarness(machines, teams int, limit float64) *fleetHarness {
+func newFleetHarness(machines, teams int) *fleetHarness {
 	cfg := &config.Deployment{
 		Controllers: 3,
 		Workers: config.Workers{
@@ -54,7 +54,7 @@
 		Quota: config.Quota{CoreShare: 1},
 	}
 	for i := range teams {
-		cfg.Teams = append(cfg.Teams, config.Team{Name: fmt.Sprintf("team-%03d", i), MaxCPUs: limit})
+		cfg.Teams = append(cfg.Teams, config.Team{Name: fmt.Sprintf("team-%03d", i)})
 	}
 	types := []protocol.MachineType{
 		{
@@ -176,8 +176,8 @@
 	}
 }
 
-// submit submits a job of a team; it returns its name.
-func (b *fleetHarness) submit(shape protocol.Shape, team, tasks int, priority protocol.Priority) string {
+// submit submits a job of a team, of normal priority, and returns its name.
+func (b *fleetHarness) submit(shape protocol.Shape, team, tasks int) string {
 	b.jobs++
 	id := fmt.Sprintf("j-%07d", b.jobs)
 	b.revision++
@@ -189,7 +189,7 @@
 				Class:           string(shape),
 				Team:            fmt.Sprintf("team-%03d", team),
 				Shape:           shape,
-				Priority:        priority,
+				Priority:        "normal",
 				TaskCount:       tasks,
 				CPUs:            2,
 				MemoryGB:        4,
@@ -202,12 +202,12 @@
 	return id
 }
 
-// fill starts standing work on all machines, for so many tasks each.
+// fill starts services on all machines, with so many tasks on each.
 func (b *fleetHarness) fill(teams, perMachine int) {
 	left := perMachine * len(b.heartbeats)
 	for i := 0; left > 0; i++ {
 		n := min(left, 960)
-		b.submit(protocol.Service, i%teams, n, "normal")
+		b.submit(protocol.Service, i%teams, n)
 		left -= n
 		if i%8 == 0 {
 			b.advance(CycleInterval)
@@ -218,13 +218,13 @@
 	}
 }
 
-// advance lets time pass; the machines' reports keep coming.
+// advance lets time pass.
 func (b *fleetHarness) advance(d time.Duration) {
 	b.now += d
 	b.apply(Tick{})
 }
 
-// finish ends tasks on a machine, but those of services.
+// finishArrays ends all running tasks of arrays.
 func (b *fleetHarness) finishArrays() {
 	for name, r := range b.heartbeats {
 		changed := false
@@ -250,7 +250,7 @@
 func BenchmarkStarts(b *testing.B) {
 	for _, machines := range []int{250, 1000, 4000, 18_000} {
 		b.Run(fmt.Sprint(machines), func(b *testing.B) {
-			f := newFleetHarness(machines, 200, 0)
+			f := newFleetHarness(machines, 200)
 			f.fill(200, serviceSlots)
 			f.heartbeatAll()
 			const tasks, jobs = 64, 8
@@ -258,7 +258,7 @@
 				f.stepTime, f.started, f.longestCycle = 0, 0, 0
 				for range 4 {
 					for range jobs {
-						f.submit(protocol.Array, f.rng.IntN(200), tasks, "normal")
+						f.submit(protocol.Array, f.rng.IntN(200), tasks)
 					}
 					for range 3 {
 						f.advance(MinCycleInterval)
@@ -277,7 +277,7 @@
 func BenchmarkQuietCycle(b *testing.B) {
 	for _, machines := range []int{250, 1000, 4000, 18_000} {
 		b.Run(fmt.Sprint(machines), func(b *testing.B) {
-			f := newFleetHarness(machines, 200, 0)
+			f := newFleetHarness(machines, 200)
 			f.fill(200, serviceSlots+3)
 			f.heartbeatAll()
 			f.advance(CycleInterval)
@@ -296,11 +296,11 @@
 // newOverloadedHarness is a fleet that is full while jobs of many teams wait that can't run yet: each
 // team is at its limit or there is no room.
 func newOverloadedHarness(machines, teams, waiting int) *fleetHarness {
-	f := newFleetHarness(machines, teams, 0)
+	f := newFleetHarness(machines, teams)
 	f.fill(teams, machineSlots)
 	f.heartbeatAll()
 	for i := range waiting {
-		f.submit(protocol.Array, i%teams, 64, "normal")
+		f.submit(protocol.Array, i%teams, 64)
 	}
 	for range 4 {
 		f.advance(CycleInterval)
@@ -311,7 +311,15 @@
 
 // BenchmarkOverload shows what a cycle costs while jobs wait that find no room.
 func BenchmarkOverload(b *testing.B) {
-	for _, x := range []struct{ machines, teams, waiting int }{{100, 1, 200}, {100, 20, 200}, {100, 200, 200}, {250, 200, 1400}, {2000, 200, 2000}, {6000, 200, 6000}, {18_000, 200, 18_000}} {
+	for _, x := range []struct{ machines, teams, waiting int }{
+		{100, 1, 200},
+		{100, 20, 200},
+		{100, 200, 200},
+		{250, 200, 1400},
+		{2000, 200, 2000},
+		{6000, 200, 6000},
+		{18_000, 200, 18_000},
+	} {
 		b.Run(fmt.Sprintf("%d-machines-%d-teams-%d-jobs", x.machines, x.teams, x.waiting), func(b *testing.B) {
 			f := newOverloadedHarness(x.machines, x.teams, x.waiting)
 			b.ResetTimer()
--- a/internal/coordination/scheduler/harness_test.go
+++ b/internal/coordination/scheduler/harness_test.go
@@ -1,6 +1,7 @@
 package scheduler
 
 import (
+	"fmt"
 	"io"
 	"log/slog"
 	"testing"
@@ -91,21 +92,21 @@
 	}
 }
 
-// productionPage is the key of a page of the first layout.
-func productionPage(id string, number int) string {
+// productionPage returns the key of a job's first page in the original layout.
+func productionPage(id string) string {
 	return storage.PageID{
 		Job:    id,
 		Layout: storage.PageLayout{TasksPerPage: storage.OriginalPageTasks(8)},
-		Number: number,
 	}.Key()
 }
 
-// setObjectives replaces the aims.
+// setObjectives replaces the service-level objectives.
 func (b *harness) setObjectives(objectives []config.Objective) {
 	b.scheduler.cfg.Objectives = objectives
 	b.scheduler.rules.StartLatency = placement.StartLatencyObjectivesOf(objectives)
 }
 
+// apply hands an event to the scheduler and carries out the effects.
 func (b *harness) apply(e Event) {
 	for _, out := range b.scheduler.Step(b.now, e) {
 		if b.onEffect != nil {
@@ -120,17 +121,27 @@
 			b.executeCommands(o.Machine, o.Batch.FencingToken, o.Batch.Commands)
 			b.apply(CommandBatchResult{Machine: o.Machine, Acknowledged: true, Heartbeat: b.nextHeartbeat(o.Machine)})
 		case HeartbeatReply:
-			b.executeCommands(o.ReplyTo.(string), o.Body.FencingToken, o.Body.Commands)
+			b.executeReply(o)
 		}
 	}
 }
 
+// executeReply has a machine carry out the commands in the reply to its heartbeat.
+func (b *harness) executeReply(reply HeartbeatReply) {
+	machine, ok := reply.ReplyTo.(string)
+	if !ok {
+		panic(fmt.Sprintf("a reply to %v, which is no machine", reply.ReplyTo))
+	}
+	b.executeCommands(machine, reply.Body.FencingToken, reply.Body.Commands)
+}
+
+// executeCommands has a machine carry out commands.
 func (b *harness) executeCommands(machine string, token uint64, cmds []protocol.Command) {
 	b.tokens[machine] = max(b.tokens[machine], token)
 	for _, c := range cmds {
 		id, err := protocol.ParseTaskID(c.TaskName)
 		if err != nil {
-			panic(err) // the core made it
+			panic(err) // the scheduler made it
 		}
 		switch c.Verb {
 		case protocol.VerbRun:
@@ -148,6 +159,7 @@
 	}
 }
 
+// nextHeartbeat returns the next heartbeat of a machine.
 func (b *harness) nextHeartbeat(name string) *protocol.WorkerHeartbeat {
 	b.sequences[name]++
 	r := &protocol.WorkerHeartbeat{
@@ -160,7 +172,7 @@
 	return r
 }
 
-// heartbeat reports for a machine, whose tasks are now as given.
+// heartbeat sends a heartbeat of a machine, whose tasks are changed to those given.
 func (b *harness) heartbeat(name, zone string, spot bool, tasks ...protocol.TaskStatus) {
 	if b.tasks[name] == nil {
 		b.tasks[name] = map[protocol.TaskID]protocol.TaskStatus{}
@@ -176,6 +188,7 @@
 	b.apply(HeartbeatReceived{ReplyTo: name, Heartbeat: b.nextHeartbeat(name)})
 }
 
+// addJob accepts a job.
 func (b *harness) addJob(j protocol.Job) {
 	b.revision++
 	b.apply(
@@ -183,11 +196,13 @@
 	)
 }
 
+// runCycle lets time pass until the next cycle, and runs it.
 func (b *harness) runCycle() {
 	b.now += CycleInterval
 	b.apply(Tick{})
 }
 
+// jobSpec returns the specification of a job of team red.
 func jobSpec(id string, shape protocol.Shape, prio protocol.Priority, tasks int, gpus float64) protocol.Job {
 	return protocol.Job{
 		ID:        id,
@@ -204,6 +219,7 @@
 	}
 }
 
+// startedTasks returns how many tasks of a job were started.
 func (b *harness) startedTasks(id string) int {
 	n := 0
 	for t := range b.runs {
@@ -214,6 +230,7 @@
 	return n
 }
 
+// runningTask returns the status of a task that runs.
 func runningTask(id protocol.TaskID, attempt uint64) protocol.TaskStatus {
 	return protocol.TaskStatus{TaskName: id.String(), Attempt: attempt, State: protocol.TaskRunning}
 }
--- a/internal/coordination/scheduler/largefleet_test.go
+++ b/internal/coordination/scheduler/largefleet_test.go
@@ -38,7 +38,7 @@
 			r.LiveJobs,
 			protocol.KeyValue{Key: storage.LiveJobKey(id), Value: live, Revision: uint64(i + 10)},
 		)
-		r.Pages = append(r.Pages, protocol.KeyValue{Key: productionPage(id, 0), Value: page, Revision: uint64(i + 10)})
+		r.Pages = append(r.Pages, protocol.KeyValue{Key: productionPage(id), Value: page, Revision: uint64(i + 10)})
 	}
 	return r
 }
--- a/internal/coordination/scheduler/placementwriter_test.go
+++ b/internal/coordination/scheduler/placementwriter_test.go
@@ -174,7 +174,7 @@
 	})
 	t.Run("stale", func(t *testing.T) {
 		s, w := begin()
-		stale := productionPage("j-001", 0)
+		stale := productionPage("j-001")
 		s.answer(failedWrite(w, stale))
 		again := s.startWrites()
 		if len(again) != 1 || !slices.Equal(jobsOfWrite(again[0]), []string{"j-000", "j-002", "j-003"}) {
--- a/internal/coordination/scheduler/zoneloans_test.go
+++ b/internal/coordination/scheduler/zoneloans_test.go
@@ -134,7 +134,7 @@
 			},
 			LiveJobs: []protocol.KeyValue{{Key: storage.LiveJobKey(low.ID), Value: live, Revision: 1}},
 			Pages: []protocol.KeyValue{
-				{Key: productionPage(low.ID, 0), Value: raw, Revision: 2},
+				{Key: productionPage(low.ID), Value: raw, Revision: 2},
 			},
 			ZoneReturnPages: []protocol.KeyValue{next.records[storage.ZoneFailoverKey(0)]},
 		},
