--- a/internal/coordination/demand/demand_test.go
+++ b/internal/coordination/demand/demand_test.go
@@ -108,7 +108,8 @@
 			job := testJob(2)
 			job.Spread = test.spread
 			f, now := steadyForecast(job)
-			demands := f.Headroom(now, testTypes(), test.objectives)
+			f.PlanHeadroom(now, testTypes(), test.objectives)
+			demands := f.Headroom()
 			if len(demands) != test.zones {
 				t.Fatalf("%d demands, want %d", len(demands), test.zones)
 			}
--- a/internal/coordination/demand/forecast.go
+++ b/internal/coordination/demand/forecast.go
@@ -36,6 +36,7 @@
 type Forecast struct {
 	termStartedAt time.Duration
 	classes       map[string]*class
+	headroom      []autoscaler.Demand // of the last plan
 }
 
 // class is what is known of the arrivals of one class.
@@ -178,12 +179,13 @@
 	return objective < fetch*machineregistry.SlowFetchFactor
 }
 
-// Headroom returns the capacity to be kept for classes whose start latency objective is shorter than a new machine
+// Headroom returns the headroom of the last plan.
+func (f *Forecast) Headroom() []autoscaler.Demand { return f.headroom }
+
+// PlanHeadroom plans the capacity to be kept for classes whose start latency objective is shorter than a new machine
 // takes to boot and to fetch their image.
-func (f *Forecast) Headroom(
-	now time.Duration, types map[string]*protocol.MachineType, objectives Objectives,
-) []autoscaler.Demand {
-	var demands []autoscaler.Demand
+func (f *Forecast) PlanHeadroom(now time.Duration, types map[string]*protocol.MachineType, objectives Objectives) {
+	f.headroom = nil
 	for _, name := range slices.Sorted(maps.Keys(f.classes)) {
 		k := f.classes[name]
 		if k.newestJob == nil {
@@ -200,9 +202,8 @@
 		}
 		jobs := expected + objectives.deviations(name)*math.Sqrt(expected)
 		tasks := int(math.Round(jobs * k.meanTasks))
-		demands = append(demands, headroomFor(k.newestJob, types, tasks, mustBeFree(objective, start-boot))...)
+		f.headroom = append(f.headroom, headroomFor(k.newestJob, types, tasks, mustBeFree(objective, start-boot))...)
 	}
-	return demands
 }
 
 // headroomFor returns the headroom for a number of tasks like those of a job.
--- a/internal/coordination/scheduler/demand.go
+++ b/internal/coordination/scheduler/demand.go
@@ -21,8 +21,8 @@
 			demands = c.appendDemand(demands, now, j, tasks, zones)
 		}
 	}
-	c.headroom = c.forecast.Headroom(now, c.machines.MachineTypes(), c.objectives())
-	return append(append(demands, c.forecastBlockedJobs(now)...), c.headroom...)
+	c.forecast.PlanHeadroom(now, c.machines.MachineTypes(), c.objectives())
+	return append(append(demands, c.forecastBlockedJobs(now)...), c.forecast.Headroom()...)
 }
 
 // tasksInDemand returns for how many tasks of a job capacity is needed. A job whose tasks fail everywhere gets
--- a/internal/coordination/scheduler/headroom.go
+++ b/internal/coordination/scheduler/headroom.go
@@ -27,7 +27,7 @@
 // earlier in the recovery order must not go to a later one.
 func (c *Scheduler) holdHeadroom(now time.Duration) {
 	recovering := c.inZoneFailover()
-	for _, u := range c.headroom {
+	for _, u := range c.forecast.Headroom() {
 		j := &jobstate.Job{
 			Spec:              *u.Job,
 			TaskResources:     machineregistry.TaskResources(u.Job),
--- a/internal/coordination/scheduler/scheduler.go
+++ b/internal/coordination/scheduler/scheduler.go
@@ -67,8 +67,7 @@
 	cycle               cycleClock
 	termStartedAt       time.Duration
 	forecast            *demand.Forecast
-	headroom            []autoscaler.Demand // for jobs to come, by the last plan
-	imageHintPages      map[string]string   // images records as written
+	imageHintPages      map[string]string // images records as written
 	imageHintsInFlight  bool
 	lastImageHintKey    string // the key of the last page of them that was written
 	prober              prober
