--- a/internal/coordination/api/jobindex.go
+++ b/internal/coordination/api/jobindex.go
@@ -99,7 +99,7 @@
 		id := event.PutKey[len(storage.EndedJobPrefix):]
 		final, err := decodeFinalState(id, event.Value)
 		if err != nil {
-			x.log.Error("ended job record malformed", "key", event.PutKey, "error", err)
+			x.log.Error("malformed ended job record", "key", event.PutKey, "error", err)
 			continue
 		}
 		x.finals.put(final.status, final.announced)
@@ -126,7 +126,7 @@
 		} `msgpack:"job"`
 	}
 	if err := protocol.Decode(value, &record); err != nil {
-		x.log.Error("live job record malformed", "key", key, "error", err)
+		x.log.Error("malformed live job record", "key", key, "error", err)
 	}
 	x.shapes[id] = record.Job.Shape
 	x.graph.Add(dependency.Job{
--- a/internal/coordination/api/submission.go
+++ b/internal/coordination/api/submission.go
@@ -66,7 +66,7 @@
 	created, status, err := s.recordJob(ctx, job, state)
 	if err != nil {
 		err = unavailable(storeUnavailable, err)
-		s.log.Debug("submission not recorded", "job", job.ID, "duration", time.Since(began), "error", err)
+		s.log.Debug("failed to record submission", "job", job.ID, "duration", time.Since(began), "error", err)
 		return false, protocol.JobStatus{}, err
 	}
 	s.log.Debug("submission recorded", "job", job.ID, "created", created, "duration", time.Since(began))
--- a/internal/coordination/leader/effects.go
+++ b/internal/coordination/leader/effects.go
@@ -23,7 +23,7 @@
 				ch <- e.Body
 			}
 		case scheduler.StepDown:
-			l.log.Info("leadership lost", "reason", e.Reason, "later_term", e.LaterTerm)
+			l.log.Info("step down requested", "reason", e.Reason, "later_term", e.LaterTerm)
 			l.deps.Leadership.StepDown(e)
 		case scheduler.Write:
 			// Writes are admitted in the order of the effects.
@@ -39,7 +39,7 @@
 		case scheduler.FeatureLevelFinal:
 			l.deps.Observer.FeatureLevelFinal(e.Level)
 		case scheduler.ZoneDecision:
-			l.log.Info("zone failover", "decision", e.Decision.Describe())
+			l.log.Info("zone failover decision", "decision", e.Decision.Describe())
 		case scheduler.CloudRequest:
 			l.applyCloudEffect(ctx, e.Effect)
 		}
@@ -100,7 +100,7 @@
 			uncertain = true
 		case !errors.Is(err, storage.ErrUnavailable):
 			// Malformed: as it is it will never succeed, unless an earlier try has.
-			l.log.Error("write refused", "key", w.VerifyKey, "error", err)
+			l.log.Error("write rejected", "key", w.VerifyKey, "error", err)
 			if !uncertain {
 				l.mailbox.Send(scheduler.TransactionOutcome{WriteID: w.ID, Malformed: true})
 				return
@@ -148,7 +148,7 @@
 	var rec storage.EndedJobRecord
 	switch {
 	case err != nil:
-		l.log.Debug("final state not read", "job", e.ID, "error", err)
+		l.log.Debug("failed to read final state", "job", e.ID, "error", err)
 	case p.Revision != 0 && protocol.Decode(p.Value, &rec) == nil:
 		read.State = rec.State
 	}
@@ -206,7 +206,7 @@
 	asked := l.deps.Now()
 	ms, err := l.deps.Cloud.List(ctx, slot)
 	if err != nil {
-		l.log.Info("machine list not read", "error", err)
+		l.log.Info("failed to list machines", "error", err)
 	}
 	l.mailbox.Send(scheduler.MachinesListed{RequestedAt: asked, Machines: ms, Failed: err != nil})
 }
@@ -228,7 +228,7 @@
 			return
 		}
 		// The same name rents nothing twice, so trying again is safe.
-		l.log.Info("rental failed", "request", e.Rental.RequestID, "error", err)
+		l.log.Info("scale-out failed", "request_id", e.Rental.RequestID, "error", err)
 		l.deps.Random.Pause(ctx, e.Rental.RequestID, scheduler.CycleInterval)
 	}
 }
@@ -240,7 +240,7 @@
 			l.mailbox.Send(scheduler.ScaleInResult{Machines: e.Machines, Succeeded: true})
 			return
 		}
-		l.log.Info("machine release failed", "machines", len(e.Machines), "error", err)
+		l.log.Info("failed to release machines", "machine_count", len(e.Machines), "error", err)
 		l.deps.Random.Pause(ctx, "release "+e.Machines[0], scheduler.CycleInterval)
 	}
 }
--- a/internal/coordination/leader/recovery.go
+++ b/internal/coordination/leader/recovery.go
@@ -93,7 +93,7 @@
 			}
 			var rec storage.LiveJobRecord
 			if err := protocol.Decode(e.Value, &rec); err != nil {
-				l.log.Error("malformed job record", "key", e.PutKey, "error", err)
+				l.log.Error("malformed live job record", "key", e.PutKey, "error", err)
 				continue
 			}
 			l.mailbox.Send(scheduler.JobAccepted{Record: rec, Revision: e.Revision})
@@ -108,7 +108,7 @@
 		l.deps.Random.Pause(ctx, "machine types", config.Seconds(8*l.options.Deployment.Cloud.ListLagSeconds))
 		types, err := l.deps.Cloud.fetchMachineTypes(ctx)
 		if err != nil {
-			l.log.Info("machine types not read", "error", err)
+			l.log.Info("failed to read machine types", "error", err)
 			continue
 		}
 		l.deps.Observer.MachineTypesRead(types)
--- a/internal/coordination/leader/term.go
+++ b/internal/coordination/leader/term.go
@@ -28,12 +28,12 @@
 func (l *Leader) run(ctx context.Context) {
 	defer l.tasks.Wait()
 	defer l.cancel()
-	l.log.Info("leading")
+	l.log.Info("leadership acquired")
 	t := &termLoop{Leader: l, startedAt: l.deps.Now()}
 	l.tasks.Go(func() { l.loadRecords(ctx) })
 	step := func(message any) { t.handle(ctx, message) }
 	l.mailbox.Run(ctx, scheduler.CycleInterval/8, step, func() { t.tick(ctx) })
-	l.log.Info("term over")
+	l.log.Info("leadership ended")
 }
 
 // handle processes one message of the mailbox.
@@ -112,7 +112,11 @@
 		time.Now().UnixMilli(),
 		t.options.ZoneReturn,
 	)
-	t.log.Info("records read", "jobs", len(loaded.liveJobs), "pages", len(loaded.pages), "duration", now-t.startedAt)
+	t.log.Info("records read",
+		"job_count", len(loaded.liveJobs),
+		"page_count", len(loaded.pages),
+		"duration", now-t.startedAt,
+	)
 	intents := t.deps.Intents.NewestByJob(now)
 	for _, job := range slices.Sorted(maps.Keys(intents)) {
 		validUntil := intents[job] + t.options.ConfirmWithin
--- a/internal/daemon/claim.go
+++ b/internal/daemon/claim.go
@@ -25,7 +25,7 @@
 func (a *electionActor) claim(ctx context.Context, e election.Claim) election.ClaimResult {
 	result, err := a.tryClaim(ctx, e)
 	if err != nil {
-		a.log.Debug("claim failed", "error", err)
+		a.log.Debug("leadership claim failed", "error", err)
 		return election.ClaimResult{}
 	}
 	return result
@@ -88,8 +88,7 @@
 		return false
 	}
 	a.newerLevelLogged.Do(func() {
-		a.log.Error("a newer feature level is final: this version can't lead any more",
-			"level", term.FeatureLevel, "own", own)
+		a.log.Error("feature level not supported", "level", term.FeatureLevel, "supported_level", own)
 	})
 	return true
 }
--- a/internal/daemon/claim_test.go
+++ b/internal/daemon/claim_test.go
@@ -87,7 +87,7 @@
 			t.Errorf("won: %+v", got)
 		}
 	}
-	if lines := strings.Count(out.String(), "newer feature level"); lines != 1 {
+	if lines := strings.Count(out.String(), "feature level not supported"); lines != 1 {
 		t.Errorf("logged %d times:\n%s", lines, out.String())
 	}
 	if store.Get(storage.LeaderKey).Revision != 0 {
--- a/internal/daemon/failuredetection.go
+++ b/internal/daemon/failuredetection.go
@@ -104,7 +104,7 @@
 func (a *failureDetectorActor) apply(ctx context.Context, effect failuredetector.Effect) {
 	switch e := effect.(type) {
 	case failuredetector.DecisionMade:
-		a.log.Info("suspicion", "decision", e.Decision.Describe())
+		a.log.Info("failure detector decision", "decision", e.Decision.Describe())
 		if v, ok := e.Decision.(failuredetector.Verdict); ok {
 			a.verdicts.Send(ownership.Verdict{
 				Member: ownership.Member{Controller: v.Controller, Incarnation: v.Incarnation},
@@ -173,7 +173,7 @@
 		Voting:      m.Recovered,
 	}
 	if err := protocol.CheckOpinions(m.Opinions); err != nil {
-		a.malformedLogLimit.Do(func() { a.log.Info("malformed opinions ignored", "from", m.From, "error", err) })
+		a.malformedLogLimit.Do(func() { a.log.Info("malformed peer opinions", "peer", m.From, "error", err) })
 	} else {
 		heard.Opinions = decodeOpinions(m.Opinions)
 	}
--- a/internal/daemon/featurelevels.go
+++ b/internal/daemon/featurelevels.go
@@ -64,7 +64,7 @@
 func (a *featureLevelActor) logMissing() {
 	missing := a.gate.Missing()
 	if !slices.Equal(missing, a.missing) && a.gate.Final() < a.features.featureLevel() {
-		a.log.Info("feature level waits for controllers", "level", a.features.featureLevel(), "missing", missing)
+		a.log.Info("feature level pending", "level", a.features.featureLevel(), "missing", missing)
 	}
 	a.missing = missing
 }
@@ -84,7 +84,7 @@
 			l.FinaliseLevel(e.Level)
 		}
 	case featurelevel.Activate:
-		a.log.Info("feature level in force", "level", e.Level)
+		a.log.Info("feature level active", "level", e.Level)
 		a.store.SetLimits(a.cfg.Deployment.Store.Lowest())
 		a.api.SetFeatureLevel(e.Level)
 	}
@@ -93,7 +93,7 @@
 // listLevels reads what levels the controllers have recorded, and which one is final.
 func (a *featureLevelActor) listLevels(ctx context.Context) featurelevel.RecordsListed {
 	fail := func(err error) featurelevel.RecordsListed {
-		a.log.Debug("feature levels not read", "error", err)
+		a.log.Debug("failed to read feature levels", "error", err)
 		return featurelevel.RecordsListed{Failed: true}
 	}
 	pairs, _, err := a.store.ListWithBudget(ctx, storage.BudgetUrgent, storage.FeatureLevelPrefix)
@@ -128,12 +128,12 @@
 func (a *featureLevelActor) recordLevel(ctx context.Context, e featurelevel.Announce) {
 	value, err := protocol.Encode(storage.FeatureLevelRecord{Level: int(e.Level)})
 	if err != nil {
-		a.log.Error("feature level not recorded", "error", err)
+		a.log.Error("failed to encode feature level record", "error", err)
 		return
 	}
 	key := storage.FeatureLevelKey(a.cfg.Name)
 	_, ok, err := a.store.Txn(ctx, storage.BudgetUrgent, protocol.Txn{
 		If: []protocol.Compare{{Key: key, Revision: e.Revision}}, Then: []protocol.Op{{PutKey: key, Value: value}},
 	})
-	a.log.Info("feature level recorded", "level", e.Level, "ok", ok, "error", err)
+	a.log.Info("feature level announcement completed", "level", e.Level, "succeeded", ok, "error", err)
 }
--- a/internal/daemon/fencing.go
+++ b/internal/daemon/fencing.go
@@ -56,7 +56,7 @@
 		a.tasks.Go(func() {
 			list, err := a.cloud.List(ctx, a.cloud.Reserve())
 			if err != nil {
-				a.log.Info("machine list not read", "error", err)
+				a.log.Info("failed to list machines", "error", err)
 				return // the next assessment asks again
 			}
 			a.mailbox.Send(fencing.MachinesListed{Machines: list})
@@ -65,7 +65,7 @@
 		a.tasks.Go(func() {
 			silent, certain := fencing.StillSilent(e.Machines, a.askPeers(ctx, e.Machines))
 			if !certain {
-				a.log.Info("machines not fenced yet: a peer did not answer", "machines", len(e.Machines))
+				a.log.Info("fencing postponed", "machine_count", len(e.Machines), "reason", "no answer from a peer")
 				return // the next assessment asks again
 			}
 			a.mailbox.Send(fencing.SilenceConfirmed{Machines: silent})
@@ -103,9 +103,9 @@
 // assessment.
 func (a *fencingActor) releaseSilentMachines(ctx context.Context, machines []string) {
 	for names := range slices.Chunk(machines, protocol.MaxMachinesPerRelease) {
-		a.log.Info("fencing silent machines without a leader", "machines", names)
+		a.log.Info("fencing machines without a leader", "machines", names)
 		if err := a.cloud.Release(ctx, a.cloud.Reserve(), names); err != nil {
-			a.log.Info("machine release failed", "machines", len(names), "error", err)
+			a.log.Info("failed to release machines", "machine_count", len(names), "error", err)
 			return
 		}
 		a.mailbox.Send(fencing.MachinesReleased{Machines: names})
--- a/internal/daemon/heartbeats.go
+++ b/internal/daemon/heartbeats.go
@@ -103,7 +103,7 @@
 	}
 	heartbeat, err := protocol.DecodeWorkerHeartbeat(raw)
 	if err != nil {
-		h.log.Info("heartbeat refused", "remote", r.RemoteAddr, "error", err)
+		h.log.Info("heartbeat rejected", "address", r.RemoteAddr, "error", err)
 		return nil, nil, err
 	}
 	return heartbeat, raw, nil
@@ -225,7 +225,7 @@
 	}
 	heartbeat, err := protocol.DecodeWorkerHeartbeat(m.Body)
 	if err != nil {
-		h.log.Info("heartbeat refused", "from", m.From, "error", err)
+		h.log.Info("heartbeat rejected", "peer", m.From, "error", err)
 		return nil
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), heartbeatTimeout)
@@ -238,7 +238,7 @@
 	}
 	raw, err := protocol.Encode(reply)
 	if err != nil {
-		h.log.Error("heartbeat reply not encoded", "error", err)
+		h.log.Error("failed to encode heartbeat reply", "error", err)
 		return nil
 	}
 	return raw
--- a/internal/daemon/leadership.go
+++ b/internal/daemon/leadership.go
@@ -101,7 +101,7 @@
 	// The leader's key ends with the lease, and others need not wait for that.
 	a.tasks.Go(func() {
 		if err := a.store.RevokeLease(ctx, e.LeaseID); err != nil {
-			a.log.Debug("lease not revoked", "error", err)
+			a.log.Debug("failed to revoke lease", "error", err)
 		}
 	})
 	if l := a.leading.Load(); l != nil && l.Term() == e.Term {
--- a/internal/daemon/ownerheartbeats.go
+++ b/internal/daemon/ownerheartbeats.go
@@ -186,7 +186,7 @@
 		}
 		r, err := o.mesh.Call(ctx, leader, m)
 		if err != nil || r.OwnershipEpoch != table.Epoch {
-			o.log.Debug("digest not acknowledged", "leader", leader, "epoch", table.Epoch, "error", err)
+			o.log.Debug("heartbeat digest not acknowledged", "peer", leader, "epoch", table.Epoch, "error", err)
 			return
 		}
 		o.digestAcknowledgedAt.Store(int64(sent))
--- a/internal/daemon/ownership.go
+++ b/internal/daemon/ownership.go
@@ -70,7 +70,7 @@
 	case ownership.WriteRecord:
 		a.tasks.Go(func() {
 			if err := a.writeRecord(ctx, e.Record); err != nil {
-				a.log.Info("ownership record not written", "epoch", e.Record.Epoch, "error", err)
+				a.log.Info("failed to write ownership record", "epoch", e.Record.Epoch, "error", err)
 			}
 			a.mailbox.Send(ownership.WriteDone{})
 		})
@@ -141,10 +141,10 @@
 	for _, m := range table.Members() {
 		owners = append(owners, m.Controller)
 	}
-	a.log.Info("ownership epoch in force", "epoch", r.Epoch, "owners", owners, "reason", r.Reason)
+	a.log.Info("ownership epoch active", "epoch", r.Epoch, "owners", owners, "reason", r.Reason)
 	if _, now := table.Member(a.cfg.Name); old != nil && !now {
 		if _, before := old.Member(a.cfg.Name); before {
-			a.log.Info("this controller's ownership epoch is over", "epoch", old.Epoch, "now", r.Epoch)
+			a.log.Info("ownership lost", "epoch", old.Epoch, "new_epoch", r.Epoch)
 		}
 	}
 }
@@ -188,7 +188,7 @@
 func (a *ownershipActor) recordRead(value []byte, revision uint64) {
 	rec, err := storage.DecodeOwnership(value)
 	if err != nil {
-		a.log.Error("malformed ownership record ignored", "error", err)
+		a.log.Error("malformed ownership record", "error", err)
 		return
 	}
 	r := ownership.Record{Epoch: rec.Epoch, Reason: rec.Reason, Revision: revision}
@@ -220,11 +220,11 @@
 			break
 		}
 		if actor.Sleep(ctx, a.times.HeartbeatInterval) != nil {
-			a.log.Info("not drained: nobody has taken the machines")
+			a.log.Info("drain timed out")
 			return
 		}
 	}
-	a.log.Info("drained: the others own the machines")
+	a.log.Info("drain completed")
 	// A worker that sends one more heartbeat is redirected to its new owner.
 	_ = actor.Sleep(
 		context.WithoutCancel(ctx),
--- a/internal/daemon/readiness.go
+++ b/internal/daemon/readiness.go
@@ -32,7 +32,7 @@
 	for ctx.Err() == nil {
 		if r.store.SinceLastAnswer() > r.times.LeaderTimeout/4 {
 			if _, err := r.store.Get(ctx, storage.BudgetUrgent, storage.LeaderKey); err != nil {
-				r.log.Debug("key-value store does not answer", "error", err)
+				r.log.Debug("failed to probe key-value store", "error", err)
 			}
 		}
 		r.random.Pause(ctx, "probe", r.times.LeaderTimeout/8)
@@ -48,7 +48,7 @@
 			r.api.SetMachineTypes(types)
 			return
 		}
-		r.log.Info("machine types not read", "error", err)
+		r.log.Info("failed to read machine types", "error", err)
 		r.random.Pause(ctx, "machine types", r.times.HeartbeatInterval*2)
 	}
 }
--- a/internal/loadtest/loadtest_test.go
+++ b/internal/loadtest/loadtest_test.go
@@ -204,7 +204,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		epochs := strings.Count(string(text), "ownership epoch in force")
+		epochs := strings.Count(string(text), "ownership epoch active")
 		if epochs == 0 {
 			t.Errorf("no epoch is in force on %s", filepath.Base(path))
 		}
--- a/internal/simulation/failuredetection_test.go
+++ b/internal/simulation/failuredetection_test.go
@@ -16,9 +16,10 @@
 
 // Lines of the log.
 const (
-	logSuspected = "is suspected"
-	logVerdict   = "decision=\"verdict"
-	logReturned  = "is back as"
+	logDetectorDecision = `msg="failure detector decision"`
+	logSuspected        = "is suspected"
+	logVerdict          = "decision=\"verdict"
+	logReturned         = "is back as"
 )
 
 // blockLeaderLink cuts the leader and one other controller from each other.
@@ -47,7 +48,7 @@
 				{2 * s, cancelJobs(2, 0)},
 			},
 			options: []func(*cluster){withOwnership(everywhere)},
-			logged:  []string{logSuspected, logVerdict, logReturned},
+			logged:  []string{logDetectorDecision, logSuspected, logVerdict, logReturned},
 		},
 		{
 			name:        "two of five end",
@@ -133,7 +134,7 @@
 				{0, crashLeader(25 * s)},
 			},
 			options:   []func(*cluster){withOwnership(func(int) bool { return false })},
-			notLogged: []string{"msg=suspicion"},
+			notLogged: []string{logDetectorDecision},
 		},
 	}
 	runScenarios(t, 700, scenarios, func(l *cluster, x *scenario) {
--- a/internal/simulation/owners_test.go
+++ b/internal/simulation/owners_test.go
@@ -12,8 +12,8 @@
 
 // Lines of the log.
 const (
-	logEpochInEffect = "ownership epoch in force"
-	logEpochEnded    = "ownership epoch is over"
+	logEpochInEffect = "ownership epoch active"
+	logEpochEnded    = "ownership lost"
 )
 
 // standstill makes a controller look as if it stood still for a while: nothing that it sends arrives, and nothing
@@ -453,7 +453,7 @@
 			}
 		}
 		l.mu.Unlock()
-		if n := l.logCount("drained: the others own"); n != 4 {
+		if n := l.logCount("drain completed"); n != 4 {
 			t.Errorf("%d of 4 controllers were drained", n)
 		}
 		l.checkOwnership()
--- a/internal/transport/mesh.go
+++ b/internal/transport/mesh.go
@@ -104,7 +104,7 @@
 		}
 		request, err := protocol.DecodePeerMessage(raw)
 		if err != nil || m.peers[request.From] == nil {
-			m.config.Log.Info("peer message rejected", "remote", conn.RemoteAddr(), "error", err)
+			m.config.Log.Info("peer message rejected", "address", conn.RemoteAddr(), "error", err)
 			return
 		}
 		from = request.From
@@ -123,7 +123,7 @@
 	reply.ID, reply.From = request.ID, m.config.Self
 	raw, err := protocol.EncodePeerMessage(reply)
 	if err != nil {
-		m.config.Log.Error("peer reply not encoded", "error", err)
+		m.config.Log.Error("failed to encode peer reply", "error", err)
 		return
 	}
 	replies.write(raw)
