--- a/internal/simulation/answerchecker_test.go
+++ b/internal/simulation/answerchecker_test.go
@@ -8,54 +8,150 @@
 	"pinebay/internal/protocol"
 )
 
-// TestAnswerCheckerFindsEveryViolation plays short histories of answers, each of which breaks
-// one rule or none.
+// TestAnswerCheckerFindsEveryViolation checks short histories of answers, each of which breaks one rule or none.
 func TestAnswerCheckerFindsEveryViolation(t *testing.T) {
 	type step struct {
 		kind      string
 		sent, now int
 		status    int
-		standing  protocol.JobState
+		state     protocol.JobState
 	}
 	const q, d, c, r = protocol.JobQueued, protocol.JobDone, protocol.JobCancelled, protocol.JobRunning
 	for name, h := range map[string]struct {
-		steps  []step
-		done   bool
-		broken string
+		steps     []step
+		done      bool
+		violation string
 	}{
-		"a job's life":             {[]step{{RequestSubmit, 0, 1, 201, q}, {RequestQuery, 2, 3, 200, r}, {RequestSubmit, 3, 4, 200, r}, {RequestQuery, 5, 6, 200, d}, {RequestQuery, 7, 8, 200, d}}, true, ""},
-		"cancelled":                {[]step{{RequestSubmit, 0, 1, 201, q}, {RequestCancel, 2, 3, 200, c}, {RequestQuery, 4, 5, 200, c}}, false, ""},
-		"cancelled when done":      {[]step{{RequestSubmit, 0, 1, 201, q}, {RequestCancel, 2, 3, 200, d}, {RequestQuery, 4, 5, 200, d}}, true, ""},
-		"asked before it was told": {[]step{{RequestSubmit, 0, 1, 201, q}, {RequestCancel, 2, 3, 200, c}, {RequestQuery, 2, 5, 200, r}}, false, ""},
-		"unknown before":           {[]step{{RequestQuery, 0, 1, 404, ""}, {RequestSubmit, 0, 1, 201, q}}, false, ""},
-		"refused, then accepted":   {[]step{{RequestSubmit, 0, 1, 503, ""}, {RequestSubmit, 2, 3, 201, q}, {RequestQuery, 4, 5, 503, ""}}, false, ""},
-		"404":                      {[]step{{RequestSubmit, 0, 1, 201, q}, {RequestQuery, 2, 3, 404, ""}}, false, "forgotten"},
-		"404 to a cancel":          {[]step{{RequestSubmit, 0, 1, 201, q}, {RequestCancel, 2, 3, 404, ""}}, false, "forgotten"},
-		"422 to a repeat":          {[]step{{RequestSubmit, 0, 1, 201, q}, {RequestSubmit, 2, 3, 422, ""}}, false, "forgotten"},
-		"nobody's job":             {[]step{{RequestQuery, 0, 1, 200, q}}, false, "invented"},
-		"done too early":           {[]step{{RequestSubmit, 0, 1, 201, q}, {RequestQuery, 2, 3, 200, d}}, false, "not_done"},
-		"back from done":           {[]step{{RequestSubmit, 0, 1, 201, q}, {RequestQuery, 2, 3, 200, d}, {RequestQuery, 4, 5, 200, r}}, true, "went_back"},
-		"back from cancelled":      {[]step{{RequestSubmit, 0, 1, 201, q}, {RequestCancel, 2, 3, 200, c}, {RequestSubmit, 4, 5, 200, q}}, false, "went_back"},
-		"both at once":             {[]step{{RequestSubmit, 0, 1, 201, q}, {RequestCancel, 2, 4, 200, c}, {RequestQuery, 2, 5, 200, d}}, true, "went_back"},
-		"cancelled by nobody":      {[]step{{RequestSubmit, 0, 1, 201, q}, {RequestQuery, 2, 3, 200, c}}, false, "went_back"},
+		"a job's life": {
+			steps: []step{
+				{RequestSubmit, 0, 1, 201, q},
+				{RequestQuery, 2, 3, 200, r},
+				{RequestSubmit, 3, 4, 200, r},
+				{RequestQuery, 5, 6, 200, d},
+				{RequestQuery, 7, 8, 200, d},
+			},
+			done: true,
+		},
+		"cancelled": {
+			steps: []step{
+				{RequestSubmit, 0, 1, 201, q},
+				{RequestCancel, 2, 3, 200, c},
+				{RequestQuery, 4, 5, 200, c},
+			},
+		},
+		"cancelled when done": {
+			steps: []step{
+				{RequestSubmit, 0, 1, 201, q},
+				{RequestCancel, 2, 3, 200, d},
+				{RequestQuery, 4, 5, 200, d},
+			},
+			done: true,
+		},
+		"asked before it was told": {
+			steps: []step{
+				{RequestSubmit, 0, 1, 201, q},
+				{RequestCancel, 2, 3, 200, c},
+				{RequestQuery, 2, 5, 200, r},
+			},
+		},
+		"unknown before": {
+			steps: []step{
+				{RequestQuery, 0, 1, 404, ""},
+				{RequestSubmit, 0, 1, 201, q},
+			},
+		},
+		"refused, then accepted": {
+			steps: []step{
+				{RequestSubmit, 0, 1, 503, ""},
+				{RequestSubmit, 2, 3, 201, q},
+				{RequestQuery, 4, 5, 503, ""},
+			},
+		},
+		"404": {
+			steps: []step{
+				{RequestSubmit, 0, 1, 201, q},
+				{RequestQuery, 2, 3, 404, ""},
+			},
+			violation: "forgotten",
+		},
+		"404 to a cancel": {
+			steps: []step{
+				{RequestSubmit, 0, 1, 201, q},
+				{RequestCancel, 2, 3, 404, ""},
+			},
+			violation: "forgotten",
+		},
+		"422 to a repeat": {
+			steps: []step{
+				{RequestSubmit, 0, 1, 201, q},
+				{RequestSubmit, 2, 3, 422, ""},
+			},
+			violation: "forgotten",
+		},
+		"nobody's job": {
+			steps: []step{
+				{RequestQuery, 0, 1, 200, q},
+			},
+			violation: "invented",
+		},
+		"done too early": {
+			steps: []step{
+				{RequestSubmit, 0, 1, 201, q},
+				{RequestQuery, 2, 3, 200, d},
+			},
+			violation: "not_done",
+		},
+		"back from done": {
+			steps: []step{
+				{RequestSubmit, 0, 1, 201, q},
+				{RequestQuery, 2, 3, 200, d},
+				{RequestQuery, 4, 5, 200, r},
+			},
+			done:      true,
+			violation: "went_back",
+		},
+		"back from cancelled": {
+			steps: []step{
+				{RequestSubmit, 0, 1, 201, q},
+				{RequestCancel, 2, 3, 200, c},
+				{RequestSubmit, 4, 5, 200, q},
+			},
+			violation: "went_back",
+		},
+		"both at once": {
+			steps: []step{
+				{RequestSubmit, 0, 1, 201, q},
+				{RequestCancel, 2, 4, 200, c},
+				{RequestQuery, 2, 5, 200, d},
+			},
+			done:      true,
+			violation: "went_back",
+		},
+		"cancelled by nobody": {
+			steps: []step{
+				{RequestSubmit, 0, 1, 201, q},
+				{RequestQuery, 2, 3, 200, c},
+			},
+			violation: "went_back",
+		},
 	} {
-		var told []string
+		var cancelled []string
 		l := NewAnswerChecker(
 			func(string) bool { return h.done },
-			func(id string, _ time.Duration) { told = append(told, id) },
+			func(id string, _ time.Duration) { cancelled = append(cancelled, id) },
 		)
 		for _, s := range h.steps {
 			l.RecordRequest(s.kind, "j-1")
 			l.RecordAnswer(s.kind, "j-1", time.Duration(s.sent)*time.Second, time.Duration(s.now)*time.Second, s.status,
-				protocol.JobStatus{ID: "j-1", State: s.standing})
+				protocol.JobStatus{ID: "j-1", State: s.state})
 		}
 		switch {
-		case h.broken == "" && len(l.violations) > 0, h.broken != "" && len(l.violations) != 1,
-			h.broken != "" && !strings.HasPrefix(l.violations[0], h.broken):
-			t.Errorf("%s: %v, want %q", name, l.violations, h.broken)
+		case h.violation == "" && len(l.violations) > 0, h.violation != "" && len(l.violations) != 1,
+			h.violation != "" && !strings.HasPrefix(l.violations[0], h.violation):
+			t.Errorf("%s: %v, want %q", name, l.violations, h.violation)
 		}
-		if f, _ := l.FinalState("j-1"); (f == c) != (len(told) == 1) {
-			t.Errorf("%s: final %q, told %v", name, f, told)
+		if f, _ := l.FinalState("j-1"); (f == c) != (len(cancelled) == 1) {
+			t.Errorf("%s: final %q, told that cancelled: %v", name, f, cancelled)
 		}
 	}
 }
@@ -63,26 +159,66 @@
 // TestAnswerCheckerFindsOrphans plays histories of a chain of three jobs, of which the first is cancelled or done.
 func TestAnswerCheckerFindsOrphans(t *testing.T) {
 	const q, d, c = protocol.JobQueued, protocol.JobDone, protocol.JobCancelled
-	awaits := map[string][]string{"j-2": {"j-1"}, "j-3": {"j-2"}}
+	dependencies := map[string][]string{"j-2": {"j-1"}, "j-3": {"j-2"}}
 	type answer struct {
 		kind, id string
 		at       int
-		standing protocol.JobState
+		state    protocol.JobState
 	}
 	for name, h := range map[string]struct {
-		steps  []answer
-		broken string
+		steps     []answer
+		violation string
 	}{
-		"cancelled in time":        {[]answer{{RequestCancel, "j-1", 10, c}, {RequestQuery, "j-3", 45, q}, {RequestQuery, "j-3", 51, c}}, ""},
-		"queued for too long":      {[]answer{{RequestCancel, "j-1", 10, c}, {RequestQuery, "j-3", 51, q}}, "orphaned"},
-		"done after all":           {[]answer{{RequestCancel, "j-1", 10, c}, {RequestQuery, "j-2", 51, d}}, "orphaned"},
-		"accepted when it is late": {[]answer{{RequestCancel, "j-2", 10, c}, {RequestSubmit, "j-3", 90, c}}, ""},
-		"the first is done":        {[]answer{{RequestCancel, "j-1", 10, d}, {RequestQuery, "j-3", 90, q}}, ""},
-		"cancelled by nobody":      {[]answer{{RequestQuery, "j-1", 10, d}, {RequestQuery, "j-3", 90, c}}, "went_back"},
-		"the one after is no need": {[]answer{{RequestCancel, "j-3", 10, c}, {RequestQuery, "j-1", 90, c}}, "went_back"},
+		"cancelled in time": {
+			steps: []answer{
+				{RequestCancel, "j-1", 10, c},
+				{RequestQuery, "j-3", 45, q},
+				{RequestQuery, "j-3", 51, c},
+			},
+		},
+		"queued for too long": {
+			steps: []answer{
+				{RequestCancel, "j-1", 10, c},
+				{RequestQuery, "j-3", 51, q},
+			},
+			violation: "orphaned",
+		},
+		"done after all": {
+			steps: []answer{
+				{RequestCancel, "j-1", 10, c},
+				{RequestQuery, "j-2", 51, d},
+			},
+			violation: "orphaned",
+		},
+		"accepted when it is late": {
+			steps: []answer{
+				{RequestCancel, "j-2", 10, c},
+				{RequestSubmit, "j-3", 90, c},
+			},
+		},
+		"the first is done": {
+			steps: []answer{
+				{RequestCancel, "j-1", 10, d},
+				{RequestQuery, "j-3", 90, q},
+			},
+		},
+		"cancelled by nobody": {
+			steps: []answer{
+				{RequestQuery, "j-1", 10, d},
+				{RequestQuery, "j-3", 90, c},
+			},
+			violation: "went_back",
+		},
+		"a dependent job is no dependency": {
+			steps: []answer{
+				{RequestCancel, "j-3", 10, c},
+				{RequestQuery, "j-1", 90, c},
+			},
+			violation: "went_back",
+		},
 	} {
 		l := NewAnswerChecker(func(string) bool { return true }, func(string, time.Duration) {})
-		l.Dependencies, l.CancelTimeout = func(id string) []string { return awaits[id] }, 40*time.Second
+		l.Dependencies, l.CancelTimeout = func(id string) []string { return dependencies[id] }, 40*time.Second
 		for _, id := range []string{"j-1", "j-2", "j-3"} {
 			l.RecordRequest(RequestSubmit, id)
 			l.RecordAnswer(RequestSubmit, id, 0, 0, 201, protocol.JobStatus{ID: id, State: q})
@@ -90,17 +226,25 @@
 		for _, a := range h.steps {
 			l.RecordRequest(a.kind, a.id)
 			at := time.Duration(a.at) * time.Second
-			l.RecordAnswer(a.kind, a.id, at, at, 200, protocol.JobStatus{ID: a.id, State: a.standing})
+			l.RecordAnswer(a.kind, a.id, at, at, 200, protocol.JobStatus{ID: a.id, State: a.state})
 		}
-		if h.broken == "" && len(l.violations) > 0 ||
-			h.broken != "" && (len(l.violations) != 1 || !strings.HasPrefix(l.violations[0], h.broken)) {
-			t.Errorf("%s: %v, want %q", name, l.violations, h.broken)
+		if h.violation == "" && len(l.violations) > 0 ||
+			h.violation != "" && (len(l.violations) != 1 || !strings.HasPrefix(l.violations[0], h.violation)) {
+			t.Errorf("%s: %v, want %q", name, l.violations, h.violation)
 		}
 	}
 }
 
-// TestWorldFindsTasksStartedTooEarly: a task starts when another one of a job that its job awaits has still to
-// complete, and once all have.
+// runCommand returns a batch with one command that starts a task.
+func runCommand(taskName string, attempt uint64) protocol.CommandBatch {
+	return protocol.CommandBatch{
+		Incarnation: 1,
+		Commands:    []protocol.Command{{Verb: protocol.VerbRun, TaskName: taskName, Attempt: attempt}},
+	}
+}
+
+// TestWorldFindsTasksStartedTooEarly: a task starts while a dependency of its job has tasks that are not done, and once
+// all are.
 func TestWorldFindsTasksStartedTooEarly(t *testing.T) {
 	kind := &protocol.MachineType{Name: "g8", CPUs: 8, GPUs: 8, MemoryGB: 64}
 	for done := range 3 {
@@ -116,8 +260,8 @@
 		for task := range done {
 			w.Done[protocol.TaskID{JobID: "j-1", Index: task}] = true
 		}
-		w.AddMachine(0, "a1", "a", false, kind, time.Minute).
-			HandleCommands(0, protocol.CommandBatch{Incarnation: 1, Commands: []protocol.Command{{Verb: protocol.VerbRun, TaskName: "j-2/0", Attempt: 1}}})
+		machine := w.AddMachine(0, "a1", "a", false, kind, time.Minute)
+		machine.HandleCommands(0, runCommand("j-2/0", 1))
 		for now := time.Duration(0); now < 3*time.Second; now += 100 * time.Millisecond {
 			w.Advance(now)
 		}
@@ -132,21 +276,59 @@
 func TestWorldFindsEveryViolation(t *testing.T) {
 	kind := &protocol.MachineType{Name: "g8", CPUs: 8, GPUs: 8, MemoryGB: 64}
 	for name, h := range map[string]struct {
-		job    protocol.Job
-		runs   []string // machine and task
-		cancel bool
-		hang   bool
-		broken string
+		job       protocol.Job
+		runs      []string // machine and task
+		cancel    bool
+		hang      bool
+		violation string
 	}{
-		"well":          {protocol.Job{TaskCount: 2}, []string{"a1 0", "b1 1"}, false, false, ""},
-		"twice":         {protocol.Job{TaskCount: 1}, []string{"a1 0", "b1 0"}, false, false, "ran_twice"},
-		"limit":         {protocol.Job{TaskCount: 5}, []string{"a1 0", "a1 1", "b1 2", "b1 3", "b2 4"}, false, false, "quota"},
-		"zone":          {protocol.Job{TaskCount: 1, Zone: "a"}, []string{"b1 0"}, false, false, "wrong_place"},
-		"spot":          {protocol.Job{TaskCount: 1}, []string{"spot 0"}, false, false, "wrong_place"},
-		"one zone":      {protocol.Job{TaskCount: 2, SameZone: true}, []string{"a1 0", "b1 1"}, false, false, "wrong_place"},
-		"spread":        {protocol.Job{TaskCount: 2, Spread: true}, []string{"b1 0", "b2 1"}, false, false, "wrong_place"},
-		"cancelled":     {protocol.Job{TaskCount: 1}, []string{"a1 0"}, true, false, "ran_cancelled"},
-		"hung meantime": {protocol.Job{TaskCount: 1}, []string{"a1 0"}, true, true, "ran_cancelled"},
+		"well": {
+			job:  protocol.Job{TaskCount: 2},
+			runs: []string{"a1 0", "b1 1"},
+		},
+		"twice": {
+			job:       protocol.Job{TaskCount: 1},
+			runs:      []string{"a1 0", "b1 0"},
+			violation: "ran_twice",
+		},
+		"limit": {
+			job:       protocol.Job{TaskCount: 5},
+			runs:      []string{"a1 0", "a1 1", "b1 2", "b1 3", "b2 4"},
+			violation: "quota",
+		},
+		"zone": {
+			job:       protocol.Job{TaskCount: 1, Zone: "a"},
+			runs:      []string{"b1 0"},
+			violation: "wrong_place",
+		},
+		"spot": {
+			job:       protocol.Job{TaskCount: 1},
+			runs:      []string{"spot 0"},
+			violation: "wrong_place",
+		},
+		"one zone": {
+			job:       protocol.Job{TaskCount: 2, SameZone: true},
+			runs:      []string{"a1 0", "b1 1"},
+			violation: "wrong_place",
+		},
+		"spread": {
+			job:       protocol.Job{TaskCount: 2, Spread: true},
+			runs:      []string{"b1 0", "b2 1"},
+			violation: "wrong_place",
+		},
+		"cancelled": {
+			job:       protocol.Job{TaskCount: 1},
+			runs:      []string{"a1 0"},
+			cancel:    true,
+			violation: "ran_cancelled",
+		},
+		"hung meantime": {
+			job:       protocol.Job{TaskCount: 1},
+			runs:      []string{"a1 0"},
+			cancel:    true,
+			hang:      true,
+			violation: "ran_cancelled",
+		},
 	} {
 		w := NewWorld(10*time.Second, time.Second, time.Hour)
 		w.TeamLimits["red"] = [2]float64{0, 4}
@@ -158,15 +340,7 @@
 		}
 		for i, r := range h.runs {
 			m, task, _ := strings.Cut(r, " ")
-			w.Workers[m].HandleCommands(
-				0,
-				protocol.CommandBatch{
-					Incarnation: 1,
-					Commands: []protocol.Command{
-						{Verb: protocol.VerbRun, TaskName: "j-1/" + task, Attempt: uint64(i + 1)},
-					},
-				},
-			)
+			w.Workers[m].HandleCommands(0, runCommand("j-1/"+task, uint64(i+1)))
 			w.Advance(time.Duration(i+2) * time.Second)
 		}
 		if h.cancel {
@@ -174,14 +348,14 @@
 		}
 		w.Workers["a1"].Hung = h.hang
 		w.Advance(13 * time.Second)
-		if len(w.Violations) > 0 && h.broken == "" {
+		if len(w.Violations) > 0 && h.violation == "" {
 			t.Errorf("%s: %v", name, w.Violations)
 		}
 		w.Workers["a1"].Hung = false
 		w.Advance(14 * time.Second)
-		if (h.broken == "") != (len(w.Violations) == 0) ||
-			h.broken != "" && !strings.HasPrefix(w.Violations[0], h.broken) {
-			t.Errorf("%s: %v, want %q", name, w.Violations, h.broken)
+		if (h.violation == "") != (len(w.Violations) == 0) ||
+			h.violation != "" && !strings.HasPrefix(w.Violations[0], h.violation) {
+			t.Errorf("%s: %v, want %q", name, w.Violations, h.violation)
 		}
 	}
 }
--- a/internal/simulation/cluster_check_test.go
+++ b/internal/simulation/cluster_check_test.go
@@ -11,7 +11,7 @@
 	"pinebay/internal/protocol"
 )
 
-// runningJobs returns the jobs of which a task runs, but those that were called off.
+// runningJobs returns the jobs with a running task, except those that users were told are over.
 func (l *cluster) runningJobs() []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -33,20 +33,20 @@
 	return ids
 }
 
-// workersWithJob returns the machines that a job's tasks are on; l.mu is held.
-func (l *cluster) workersWithJob(id string) (rigs []*workerProcess) {
+// workersWithJob returns the workers on which a job has tasks. The caller holds l.mu.
+func (l *cluster) workersWithJob(id string) (workers []*workerProcess) {
 	for _, m := range l.world.sortedWorkers() {
 		for _, t := range m.Tasks {
 			if t.ID.JobID == id && t.OnMachine() && l.workers[m.Name] != nil {
-				rigs = append(rigs, l.workers[m.Name])
+				workers = append(workers, l.workers[m.Name])
 				break
 			}
 		}
 	}
-	return rigs
+	return workers
 }
 
-// checkViolations fails the test for every rule that was broken, with the logs' end.
+// checkViolations fails the test for each violation, and shows the end of the log if the test is verbose.
 func (l *cluster) checkViolations() {
 	l.t.Helper()
 	l.mu.Lock()
@@ -67,8 +67,8 @@
 	}
 }
 
-// checkAllServed demands that no job is forgotten or left waiting once it is calm: every
-// accepted job is answered for, and is over unless it is a service, which runs.
+// checkAllServed checks, some time after the last fault, that no job is forgotten or left waiting: queries about each
+// accepted job are answered, and each is over, or a service that runs.
 func (l *cluster) checkAllServed() {
 	l.t.Helper()
 	if ids := l.answers.Unanswered(l.now() - 75*time.Second); len(ids) > 0 {
@@ -83,7 +83,7 @@
 	}
 }
 
-// runScenario runs a scenario in simulated time.
+// runScenario runs f on a new cluster in simulated time, and checks for violations after it.
 func runScenario(
 	t *testing.T,
 	seed uint64,
@@ -92,6 +92,7 @@
 	f func(l *cluster),
 	options ...func(*cluster),
 ) {
+	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		l := newCluster(t, seed, controllers, w, options...)
 		defer l.checkViolations()
@@ -100,7 +101,7 @@
 	})
 }
 
-// TestQuietCluster: with no trouble at all, real controllers serve everything.
+// TestQuietCluster: without any faults, real controllers serve everything.
 func TestQuietCluster(t *testing.T) {
 	runScenario(t, 1, 3, fastTimings, func(l *cluster) {
 		time.Sleep(5 * time.Second)
--- a/internal/simulation/cluster_cloud_test.go
+++ b/internal/simulation/cluster_cloud_test.go
@@ -8,8 +8,7 @@
 	"pinebay/internal/protocol"
 )
 
-// The cloud.
-
+// newCloud returns the cloud of the cluster.
 func (l *cluster) newCloud() *Cloud {
 	c := NewCloud(&l.mu, l.now)
 	c.Types, c.ListLag = l.types, config.Seconds(l.cfg.Cloud.ListLagSeconds)
@@ -20,7 +19,7 @@
 	return c
 }
 
-// rentalCapacity is how many machines a rental gets; l.mu is held.
+// rentalCapacity returns the number of machines that a rental gets. The caller holds l.mu.
 func (l *cluster) rentalCapacity(q protocol.Rental) int {
 	if l.deadZones[q.Zone] {
 		return 0
--- a/internal/simulation/cluster_user_test.go
+++ b/internal/simulation/cluster_user_test.go
@@ -7,8 +7,7 @@
 	"pinebay/internal/protocol"
 )
 
-// Users.
-
+// allTasksDone reports whether all tasks of a job are done.
 func (l *cluster) allTasksDone(id string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -20,6 +19,7 @@
 	return true
 }
 
+// dependencies returns the dependencies of a job.
 func (l *cluster) dependencies(id string) []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -29,6 +29,7 @@
 	return nil
 }
 
+// recordCancelled records that a user was told that a job is cancelled.
 func (l *cluster) recordCancelled(id string, at time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -36,7 +37,7 @@
 	l.occurred["cancelled"]++
 }
 
-// request sends a user's request to a controller, and the ledger hears the answer.
+// request sends a user's request to a controller, and has the answer checked.
 func (l *cluster) request(n *controller, kind, id string) (int, protocol.JobStatus) {
 	l.mu.Lock()
 	job := l.world.Jobs[id]
@@ -44,9 +45,8 @@
 	return l.users.Request(l.ctx, n.ip+":8080", kind, id, job)
 }
 
-// requestAndVerify is a user's request; with looks, all controllers are asked about the job at
-// once and again within milliseconds after it was accepted, ended or cancelled, and
-// the submission is repeated there.
+// requestAndVerify is like request. With queryAfterAnswers, once a job was accepted, done or cancelled, all controllers
+// are queried about it several times within milliseconds, and get its submission again.
 func (l *cluster) requestAndVerify(n *controller, kind, id string) (int, protocol.JobStatus) {
 	status, st := l.request(n, kind, id)
 	l.mu.Lock()
@@ -70,16 +70,16 @@
 	return status, st
 }
 
-// anyController returns a controller that a load balancer would choose for a request about a job.
+// anyController returns the controller that a load balancer chooses for a request about a job.
 func (l *cluster) anyController(id string) *controller {
 	return l.controllers[l.randomInt("any "+id, len(l.controllers))]
 }
 
-// submit submits a job, asks for it until it is over, and repeats what is refused.
+// submit has a user submit a job and query it until it is over. The user repeats requests that fail.
 func (l *cluster) submit(j protocol.Job) { l.submitAfter(j, nil, nil) }
 
-// submitAfter is user for a job that is submitted only once others are accepted; accepted is closed when this
-// one is.
+// submitAfter is like submit for a job that is submitted once others are accepted. accepted, if not nil, is closed when
+// the job is accepted.
 func (l *cluster) submitAfter(j protocol.Job, others []chan struct{}, accepted chan struct{}) {
 	l.mu.Lock()
 	l.world.Jobs[j.ID] = &j
@@ -111,9 +111,10 @@
 	})
 }
 
-// pollInBackground asks for an accepted job until it is over.
+// pollInBackground has a user query an accepted job until it is over.
 func (l *cluster) pollInBackground(id string) { l.spawn(func() { l.pollUntilFinal(id) }) }
 
+// pollUntilFinal has a user query a job until it is over.
 func (l *cluster) pollUntilFinal(id string) {
 	for l.ctx.Err() == nil {
 		if status, st := l.requestAndVerify(l.anyController(id), RequestQuery, id); status == 200 && st.State.Final() {
@@ -123,8 +124,8 @@
 	}
 }
 
-// cancelUntilFinal has a user call a job off at one of the controllers until told, or until
-// the time is up.
+// cancelUntilFinal has a user cancel a job at the given controllers until one says that the job is over, or until the
+// time is up. It returns whether the user was told that the job is cancelled.
 func (l *cluster) cancelUntilFinal(id string, at []*controller, within time.Duration) bool {
 	end := l.now() + within
 	for l.ctx.Err() == nil && l.now() < end {
@@ -141,7 +142,7 @@
 	return false
 }
 
-// newJob makes up a job of a shape.
+// newJob returns a job of a shape with a new id.
 func (l *cluster) newJob(shape protocol.Shape, tasks int, gpus float64) protocol.Job {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -170,7 +171,7 @@
 	return j
 }
 
-// submitMixture submits a mixture of jobs.
+// submitMixture submits n jobs of all shapes.
 func (l *cluster) submitMixture(n int) {
 	for i := range n {
 		switch i % 3 {
--- a/internal/simulation/cluster_worker_test.go
+++ b/internal/simulation/cluster_worker_test.go
@@ -11,9 +11,7 @@
 	"pinebay/internal/transport"
 )
 
-// Workers.
-
-// workerProcess is a machine with its worker's process.
+// workerProcess is a machine of the cluster with the process of its worker.
 type workerProcess struct {
 	*Agent
 	cluster *cluster
@@ -23,7 +21,7 @@
 	host    *Host
 }
 
-// startWorker starts a machine's worker; l.mu is held.
+// startWorker starts the worker of a machine. The caller holds l.mu.
 func (l *cluster) startWorker(m protocol.ListedMachine) {
 	r := &workerProcess{cluster: l, machine: m, ip: HostOf(m.Addr)}
 	r.model = l.world.AddMachine(
@@ -52,12 +50,15 @@
 	}
 	srv := &http.Server{Handler: r.Agent, ErrorLog: slog.NewLogLogger(slog.DiscardHandler, slog.LevelError)}
 	l.spawn(func() { _ = srv.Serve(ln) })
-	context.AfterFunc(r.ctx, func() { srv.Close(); r.host.Kill() })
+	context.AfterFunc(r.ctx, func() {
+		_ = srv.Close()
+		r.host.Kill()
+	})
 	at := l.randomInt("first "+m.Name, len(l.controllers))
 	l.spawn(func() { r.Run(at) })
 }
 
-// stopWorker ends a machine's worker; l.mu is held.
+// stopWorker ends the worker of a machine. The caller holds l.mu.
 func (l *cluster) stopWorker(name string) {
 	if r := l.workers[name]; r != nil {
 		r.Stop()
@@ -66,7 +67,7 @@
 	l.world.RemoveMachine(name)
 }
 
-// environment is what the workers share.
+// environment returns what the workers share.
 func (l *cluster) environment() *Environment {
 	s := &Environment{
 		Lock:              &l.mu,
@@ -81,7 +82,7 @@
 	return s
 }
 
-// hang makes the machine execute nothing for a while; l.mu is held.
+// hang makes the machine execute nothing for a while. The caller holds the cluster's lock.
 func (r *workerProcess) hang(d time.Duration) {
 	r.Hang()
 	r.cluster.occurred["hang"]++
@@ -92,7 +93,7 @@
 	})
 }
 
-// deliverCopy sends a copy of a report to a controller; nobody hears the answer.
+// deliverCopy sends a copy of a heartbeat to a controller, and drops the reply.
 func (l *cluster) deliverCopy(rep *protocol.WorkerHeartbeat, to *controller) {
 	c := transport.NewClient(l.net.Host("10.1.9.9"), 4, 4, time.Second)
 	if status, _, err := c.Do(
--- a/internal/simulation/failuredetection_test.go
+++ b/internal/simulation/failuredetection_test.go
@@ -7,7 +7,7 @@
 	"pinebay/internal/daemon"
 )
 
-// withOwnership turns suspicions on for the controllers that the function names.
+// withOwnership enables failure detection and ownership at the controllers that a function selects.
 func withOwnership(on func(node int) bool) func(*cluster) {
 	return func(l *cluster) {
 		l.features = func(node int) daemon.Features { return daemon.Features{Ownership: on(node)} }
@@ -22,14 +22,14 @@
 	logReturned         = "is back as"
 )
 
-// blockLeaderLink cuts the leader and one other controller from each other.
+// blockLeaderLink blocks the link between the leader and one other controller.
 func blockLeaderLink(l *cluster) func() {
 	l.recordOccurrence("link")
 	return l.isolateFrom(l.leader(), firstFollower(l))
 }
 
-// TestSuspicions plays failures, and what only looks like one, on real controllers under all oracles:
-// the log tells suspicions and verdicts, and nothing else follows from them.
+// TestSuspicions runs failures, and what only looks like one, under all oracles: the log has the suspicions and
+// verdicts, and nothing else follows from them.
 func TestSuspicions(t *testing.T) {
 	scenarios := []scenario{
 		{
--- a/internal/simulation/faults_test.go
+++ b/internal/simulation/faults_test.go
@@ -8,11 +8,10 @@
 	"pinebay/internal/protocol"
 )
 
-// fault is a step of a scenario: it breaks something at once, and what it returns
-// mends it again.
+// fault injects a fault into a cluster. The returned function, if not nil, repairs it.
 type fault func(l *cluster) (mend func())
 
-// during breaks something for a while; what it breaks is mended by itself.
+// during is a step that injects a fault for a while.
 func during(d time.Duration, what fault) func(l *cluster) {
 	return func(l *cluster) {
 		mend := what(l)
@@ -24,7 +23,7 @@
 	}
 }
 
-// refuseLeader: the state service refuses the leader alone.
+// refuseLeader makes the key-value store refuse the leader alone.
 func refuseLeader(l *cluster) func() {
 	n := l.leader()
 	l.recordOccurrence("refused")
@@ -32,15 +31,14 @@
 	return func() { l.store.SetRefused(n.ip, false) }
 }
 
-// storeOutage: the state service serves nobody.
+// storeOutage makes the key-value store serve nobody.
 func storeOutage(l *cluster) func() {
 	l.recordOccurrence("outage")
 	l.store.SetOutage(true)
 	return func() { l.store.SetOutage(false) }
 }
 
-// isolateLeader: the leader loses the state service and the other controllers, but
-// neither its workers nor its users.
+// isolateLeader cuts the leader off from the key-value store and the other controllers, but not from workers and users.
 func isolateLeader(l *cluster) func() {
 	n := l.leader()
 	l.recordOccurrence("apart")
@@ -56,12 +54,12 @@
 	return func() { heal(); a(); b() }
 }
 
-// crashLeader ends the leader, which is back after a while.
+// crashLeader is a step that crashes the leader.
 func crashLeader(back time.Duration) func(l *cluster) {
 	return func(l *cluster) { l.crash(l.leader(), back) }
 }
 
-// crashAllControllers ends all controllers.
+// crashAllControllers is a step that crashes all controllers. They come back one after the other.
 func crashAllControllers(back time.Duration) func(l *cluster) {
 	return func(l *cluster) {
 		for i, n := range l.controllers {
@@ -70,7 +68,7 @@
 	}
 }
 
-// isolateZone cuts a zone's workers and one controller off from everything else.
+// isolateZone cuts the workers of a zone and one controller off from everything else.
 func isolateZone(l *cluster) func() {
 	l.recordOccurrence("zone")
 	n := l.controllers[0]
@@ -94,8 +92,8 @@
 	}
 }
 
-// slowController makes a controller short of processor time: whatever it sends and
-// receives, heartbeats and the answers to its renewals too, comes later than it should.
+// slowController makes a controller short of processor time: everything that it sends and receives is delayed, such as
+// heartbeats and the renewals of its lease.
 func slowController(by time.Duration, which func(l *cluster) *controller) fault {
 	return func(l *cluster) func() {
 		n := which(l)
@@ -109,12 +107,11 @@
 	}
 }
 
-// hopsInFlight counts the messages by a slow controller between a cancellation and the last
-// start that it cannot prevent: a heartbeat that is already under way and its answer, the
-// one with the news, and the command.
+// hopsInFlight is the number of messages of a slow controller between a cancellation and the last start that it cannot
+// prevent: a heartbeat that is already under way and its reply, the one with the news, and the command.
 const hopsInFlight = 4
 
-// setCommandTransitTime sets how long a start may still be in flight after its job's cancellation.
+// setCommandTransitTime sets how long a start may be under way after the cancellation of its job.
 func (l *cluster) setCommandTransitTime(d time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -124,7 +121,7 @@
 // firstFollower returns a controller that does not lead.
 func firstFollower(l *cluster) *controller { return l.others(l.leader())[0] }
 
-// selectWorkers returns up to n machines that the function names, or any.
+// selectWorkers returns up to n workers that a function selects, or any if it is nil, in the order of their names.
 func (l *cluster) selectWorkers(n int, which func(*workerProcess) bool) (out []*workerProcess) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -141,16 +138,17 @@
 	return out
 }
 
+// hasTasks reports whether a worker has tasks.
 func hasTasks(r *workerProcess) bool { return len(r.model.Tasks) > 0 }
 
-// loseHeartbeats: these machines reach no controller, while direct commands reach them.
+// loseHeartbeats drops the heartbeats of n workers. Commands that are sent to their addresses arrive.
 func loseHeartbeats(n int) fault {
 	return func(l *cluster) func() {
-		rigs := l.selectWorkers(n, hasTasks)
+		workers := l.selectWorkers(n, hasTasks)
 		set := func(on bool) {
 			l.mu.Lock()
 			defer l.mu.Unlock()
-			for _, r := range rigs {
+			for _, r := range workers {
 				r.HeartbeatsLost = on
 			}
 		}
@@ -159,8 +157,7 @@
 	}
 }
 
-// holdReplies: the reports of these machines arrive, answers and commands to them are held
-// back, and commands executed late.
+// holdReplies holds back everything that is sent to n workers. Their heartbeats arrive, and commands are executed late.
 func holdReplies(n int) fault {
 	return func(l *cluster) func() {
 		var ends []func()
@@ -176,13 +173,13 @@
 	}
 }
 
-// hangWorkers makes machines execute nothing for a while.
+// hangWorkers is a step that makes n workers execute nothing for a while.
 func hangWorkers(n int, d time.Duration) func(l *cluster) {
 	return func(l *cluster) {
-		rigs := l.selectWorkers(n, hasTasks)
+		workers := l.selectWorkers(n, hasTasks)
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		for _, r := range rigs {
+		for _, r := range workers {
 			if !r.model.Hung {
 				r.hang(d)
 			}
@@ -190,7 +187,7 @@
 	}
 }
 
-// faultyWrites lets a share of the transactions meet a fate.
+// faultyWrites gives a share of the transactions another outcome.
 func faultyWrites(share float64, fate func(l *cluster, transaction string) Outcome) fault {
 	return func(l *cluster) func() {
 		l.store.SetOutcomes(func(host string, txn *protocol.Txn) Outcome {
@@ -208,26 +205,26 @@
 	}
 }
 
-// delayedWrites are carried out late, after newer ones, and never answered.
+// delayedWrites applies a share of the transactions late, after newer ones, and never answers them.
 func delayedWrites(share float64) fault {
 	return faultyWrites(share, func(l *cluster, name string) Outcome {
 		return Outcome{Delay: 2*time.Second + l.randomDuration("late "+name, 10*time.Second)}
 	})
 }
 
-// lostReplies: the transaction is carried out at once, and only its answer is lost.
-func lostReplies(share float64) fault {
+// lostReplies loses the answers to a share of the transactions, which are applied at once.
+func lostReplies(share float64) fault { //nolint:unparam // a share, as the other faults have
 	return faultyWrites(share, func(*cluster, string) Outcome { return Outcome{} })
 }
 
-// slowWrites are answered late.
+// slowWrites delays the answers to a share of the transactions.
 func slowWrites(share float64, most time.Duration) fault {
 	return faultyWrites(share, func(l *cluster, name string) Outcome {
 		return Outcome{Reply: true, Delay: l.randomDuration("late "+name, most)}
 	})
 }
 
-// duplicateHeartbeats: of a share of the reports a copy arrives again, up to long after.
+// duplicateHeartbeats delivers copies of a share of the heartbeats, up to long after them.
 func duplicateHeartbeats(share float64) fault {
 	return func(l *cluster) func() {
 		return l.watchHeartbeats(func(r *protocol.WorkerHeartbeat) {
@@ -244,9 +241,9 @@
 	}
 }
 
-// replayToNextLeader: a copy of a share of the reports is kept for the next leader, and reaches
-// every controller as it begins, or so much later.
-func replayToNextLeader(share float64, after time.Duration) fault {
+// replayToNextLeader keeps copies of a share of the heartbeats, and delivers them to every controller some time after a
+// new term begins.
+func replayToNextLeader(share float64, after time.Duration) fault { //nolint:unparam // as the other faults
 	return func(l *cluster) func() {
 		var kept []*protocol.WorkerHeartbeat
 		term := l.term()
@@ -276,7 +273,7 @@
 	}
 }
 
-// watchHeartbeats lets f see all reports; l.mu is held when it is called.
+// watchHeartbeats calls f with l.mu held for each heartbeat. The returned function ends that.
 func (l *cluster) watchHeartbeats(f func(*protocol.WorkerHeartbeat)) func() {
 	set := func(f func(*protocol.WorkerHeartbeat)) {
 		l.mu.Lock()
@@ -287,7 +284,7 @@
 	return func() { set(nil) }
 }
 
-// queryAfterAnswers: see call.
+// queryAfterAnswers makes users verify answers at all controllers, see requestAndVerify.
 func queryAfterAnswers(l *cluster) func() {
 	set := func(on bool) {
 		l.mu.Lock()
@@ -298,19 +295,18 @@
 	return func() { set(false) }
 }
 
-// cancelJobs has users call off running jobs, at any controllers; with hang, machines of
-// theirs hang right after.
+// cancelJobs is a step that has users cancel n running jobs. With hang, a worker of each hangs right after.
 func cancelJobs(n int, hang time.Duration) func(l *cluster) {
 	return func(l *cluster) {
 		for _, id := range l.runningJobs()[:min(n, len(l.runningJobs()))] {
 			l.mu.Lock()
-			rigs := l.workersWithJob(id)
-			if hang > 0 && len(rigs) > 0 && !rigs[0].model.Hung {
+			workers := l.workersWithJob(id)
+			if hang > 0 && len(workers) > 0 && !workers[0].model.Hung {
 				time.AfterFunc(l.randomDuration("hang "+id, 200*ms), func() {
 					l.mu.Lock()
 					defer l.mu.Unlock()
-					if !rigs[0].model.Hung {
-						rigs[0].hang(hang)
+					if !workers[0].model.Hung {
+						workers[0].hang(hang)
 					}
 				})
 			}
@@ -320,7 +316,7 @@
 	}
 }
 
-// submissionStorm: one-task jobs come four a second, of which a quarter is called off.
+// submissionStorm is a step that submits four jobs of one task a second, and cancels a quarter of them.
 func submissionStorm(d time.Duration) func(l *cluster) {
 	return func(l *cluster) {
 		l.spawn(func() {
@@ -340,7 +336,7 @@
 	}
 }
 
-// staggeredCompletions: jobs of two or three tasks that end far apart.
+// staggeredCompletions is a step that submits n jobs whose tasks complete far apart.
 func staggeredCompletions(n int) func(l *cluster) {
 	return func(l *cluster) {
 		for i := range n {
@@ -353,7 +349,8 @@
 	}
 }
 
-// cancelAtCompletion: users call jobs off, ask and repeat submissions as their last task ends.
+// cancelAtCompletion is a step that submits n jobs, each of which is cancelled, queried and submitted again as its last
+// task completes.
 func cancelAtCompletion(n int) func(l *cluster) {
 	return func(l *cluster) {
 		for range n {
@@ -376,7 +373,7 @@
 	}
 }
 
-// overload asks for more than there is room for, of every level and for single zones.
+// overload is a step that submits n jobs of all priorities, more than there is capacity for, some of them for one zone.
 func overload(n int) func(l *cluster) {
 	return func(l *cluster) {
 		for i := range n {
@@ -395,7 +392,7 @@
 	}
 }
 
-// loseMachines takes machines away without notice.
+// loseMachines is a step that takes n machines away without notice.
 func loseMachines(n int) func(l *cluster) {
 	return func(l *cluster) {
 		for _, r := range l.selectWorkers(n, hasTasks) {
@@ -407,7 +404,7 @@
 	}
 }
 
-// fastBoots lets new machines be up at once.
+// fastBoots makes new machines come up within a second or two.
 func fastBoots(l *cluster) func() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/simulation/figures_test.go
+++ b/internal/simulation/figures_test.go
@@ -24,8 +24,8 @@
 	}},
 }
 
-// lossCost is what a loss cost: for each shape of jobs the seconds of its tasks that did not run though
-// they did before, and until when it was whole again.
+// lossCost is the cost of a loss by the shape of jobs: the task-seconds that were lost, and when the shape had
+// recovered.
 type lossCost struct {
 	down        map[protocol.Shape]float64
 	recoveredAt map[protocol.Shape]time.Duration
@@ -34,8 +34,8 @@
 	starts      int
 }
 
-// TestZoneReturnFigures measures what losses of a zone cost with zone return and without. It is
-// no check, and plays only when asked for: PINEBAY_FIGURES=1.
+// TestZoneReturnFigures measures the cost of losing a zone with and without zone failover. It checks nothing, and runs
+// only with PINEBAY_FIGURES set.
 func TestZoneReturnFigures(t *testing.T) {
 	if os.Getenv("PINEBAY_FIGURES") == "" {
 		t.Skip("a measurement: set PINEBAY_FIGURES")
@@ -78,7 +78,7 @@
 	}
 }
 
-// measureLoss plays a loss and adds up what it cost.
+// measureLoss runs a loss and adds up its cost.
 func (l *cluster) measureLoss(loss func(*cluster), sum *lossCost) {
 	loans := l.watchLoans()
 	time.Sleep(5 * s)
@@ -111,7 +111,7 @@
 	sum.starts += l.world.Starts - starts
 }
 
-// runningByShape counts the tasks that run, or are done, by their jobs' shapes.
+// runningByShape returns the number of tasks that run or are done, by the shape of their jobs.
 func (l *cluster) runningByShape() map[protocol.Shape]int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/simulation/intents_test.go
+++ b/internal/simulation/intents_test.go
@@ -8,8 +8,8 @@
 	"pinebay/internal/protocol"
 )
 
-// TestCancellationThatIsNotSafeIsRefusedAtOnce: a controller that reaches the service but
-// none of the others tells users of cancellations when to come back, without holding them.
+// TestCancellationThatIsNotSafeIsRefusedAtOnce: a controller that reaches the key-value store but none of the other
+// controllers tells users of cancellations at once to retry.
 func TestCancellationThatIsNotSafeIsRefusedAtOnce(t *testing.T) {
 	runScenario(t, 10, 3, fastTimings, func(l *cluster) {
 		l.startJobs(6)
@@ -34,7 +34,7 @@
 	})
 }
 
-// endOutage ends an outage, and demands that all is well some minutes later.
+// endOutage ends an outage, and checks some minutes later that all jobs are served.
 func (l *cluster) endOutage() {
 	l.t.Helper()
 	l.store.SetOutage(false)
@@ -42,10 +42,9 @@
 	l.checkAllServed()
 }
 
-// TestForgottenIntents: the leader, out of reach of the service, cannot be told of a
-// cancellation; whoever confirmed it ends, and the only other holder of its intent
-// begins anew and is in contact with the leader again. By its word the leader must not
-// go on.
+// TestForgottenIntents: the leader cannot reach the key-value store, and does not learn of a cancellation; the
+// controller that confirmed it crashes, and the only other one with its intent is restarted and then reaches the leader
+// again. The leader must not continue on the word of the latter.
 func TestForgottenIntents(t *testing.T) {
 	runScenario(t, 8, 3, fastTimings, func(l *cluster) {
 		l.startJobs(12)
@@ -66,9 +65,9 @@
 	})
 }
 
-// TestLeaderWithoutRecords: a leader ends, jobs are cancelled at once, and the service
-// is out for all just as the next leader has won its term and read nothing yet. It keeps
-// tasks alive by the others' word, and must not those of which it has intents.
+// TestLeaderWithoutRecords: the leader crashes, jobs are cancelled, and the key-value store fails just as the next
+// leader has won its term and read nothing yet. It keeps tasks alive with the other controllers' agreement, but not
+// those for which it has intents.
 func TestLeaderWithoutRecords(t *testing.T) {
 	runScenario(t, 9, 3, fastTimings, func(l *cluster) {
 		l.startJobs(12)
@@ -91,10 +90,9 @@
 	})
 }
 
-// TestLateCancellationIsToldWithANewIntent: the transaction of a cancellation is carried
-// out long after its intent, when the leader has taken it that the job lives; the
-// service refuses the leader by then, and is out for all right after somebody has read
-// of the cancellation and told the user. Who tells announces it anew.
+// TestLateCancellationIsToldWithANewIntent: the transaction of a cancellation is applied long after its intent, when
+// the leader runs the job again; the key-value store refuses the leader by then, and fails for all right after another
+// controller has read of the cancellation and told the user. That controller announces a new intent first.
 func TestLateCancellationIsToldWithANewIntent(t *testing.T) {
 	runScenario(t, 7, 3, fastTimings, func(l *cluster) {
 		l.startJobs(12)
@@ -132,10 +130,9 @@
 	})
 }
 
-// TestNobodyLeftToFence: the leader ends right after a cancellation was confirmed (and
-// the others in the outage that follows), the service is out for all, and a machine with
-// one of the job's tasks hangs. Nobody can lead, so nobody knows of the placement; the
-// machine is returned since nobody hears it.
+// TestNobodyLeftToFence: the leader crashes right after a cancellation was confirmed, and the others in the outage that
+// follows, while a machine with one of the job's tasks hangs. Nobody can lead, so nobody knows of the placement; the
+// machine is released because nobody hears from it.
 func TestNobodyLeftToFence(t *testing.T) {
 	g := storeGap{before: 1700 * ms, outage: 1.5, crash: true, after: "killed", worker: "hung"}
 	runScenario(t, 5054, 3, slowTimings, g.run)
--- a/internal/simulation/owners_test.go
+++ b/internal/simulation/owners_test.go
@@ -16,8 +16,8 @@
 	logEpochEnded    = "ownership lost"
 )
 
-// standstill makes a controller look as if it stood still for a while: nothing that it sends arrives, and nothing
-// reaches it, until all of it comes at once.
+// standstill makes a controller look as if it were paused: nothing that it sends arrives, and nothing reaches it, until
+// all of it arrives at once.
 func standstill(which func(*cluster) *controller) fault {
 	return func(l *cluster) func() {
 		n := which(l)
@@ -27,17 +27,18 @@
 	}
 }
 
+// currentLeader returns the leader.
 func currentLeader(l *cluster) *controller { return l.leader() }
 
-// secondFollower returns another controller than firstFollower.
+// secondFollower returns a controller that does not lead, and another one than firstFollower.
 func secondFollower(l *cluster) *controller { return l.others(l.leader())[1] }
 
-// crashFollower ends a controller that does not lead.
+// crashFollower is a step that crashes a controller that does not lead.
 func crashFollower(back time.Duration) func(*cluster) {
 	return func(l *cluster) { l.crash(firstFollower(l), back) }
 }
 
-// atOnce has several steps happen at one moment.
+// atOnce combines several steps into one.
 func atOnce(steps ...func(*cluster)) func(*cluster) {
 	return func(l *cluster) {
 		for _, do := range steps {
@@ -46,7 +47,7 @@
 	}
 }
 
-// ownershipWrites lets the transactions that change the owners meet a fate.
+// ownershipWrites gives the transactions that change the ownership of machines another outcome.
 func ownershipWrites(fate Outcome) fault {
 	return func(l *cluster) func() {
 		l.store.SetOutcomes(outcomeForKey(l, storage.OwnershipKey, fate))
@@ -325,8 +326,8 @@
 	},
 }
 
-// TestOwners plays failures of owners under all oracles: every rule holds, no confirmed cancellation misses its time,
-// no final answer changes, and all work is served in the end. Verdicts come into force by the record.
+// TestOwners runs failures of owners under all oracles: no rule is broken, no confirmed cancellation misses its time,
+// no final answer changes, and all jobs are served in the end. Verdicts take effect by the record.
 func TestOwners(t *testing.T) {
 	runScenarios(t, 900, ownerScenarios, func(l *cluster, x *scenario) {
 		time.Sleep(60 * s) // until all count for majorities, and own machines
@@ -339,8 +340,8 @@
 	}, withOwnership(everywhere))
 }
 
-// TestOwnersInMixedSets: with the feature on at some controllers only, or an upgrade in the midst, those without own
-// nothing and go on as ever.
+// TestOwnersInMixedSets: if the feature is enabled at some controllers only, or during an upgrade, those without it own
+// nothing and serve as before.
 func TestOwnersInMixedSets(t *testing.T) {
 	one := func(node int) bool { return node == 1 }
 	two := func(node int) bool { return node > 0 }
@@ -377,15 +378,17 @@
 				{40 * s, crashFollower(20 * s)},
 			},
 			options: []func(*cluster){announceLowerLimits, func(l *cluster) {
-				l.features = func(int) daemon.Features { return daemon.Features{PinProductionLevel: true, Ownership: true} }
+				l.features = func(int) daemon.Features {
+					return daemon.Features{PinProductionLevel: true, Ownership: true}
+				}
 			}},
 		},
 	}
 	runScenarios(t, 940, scenarios, func(l *cluster, x *scenario) { l.runToCompletion(x.steps, nil) })
 }
 
-// TestOwnersTakeTheLoad: with owners, the leader is reported to by its own machines alone, and the others' reports
-// reach it only when they tell something; without, all are. No rule rests on that: it is what ownership is for.
+// TestOwnersTakeTheLoad: with owners, the leader gets heartbeats of its own machines, and those of others only if
+// something has changed; without, it gets all. No rule depends on that: it is the purpose of ownership.
 func TestOwnersTakeTheLoad(t *testing.T) {
 	const machines = 12
 	connections := func(options ...func(*cluster)) (leader, most int) {
@@ -412,8 +415,8 @@
 	}
 	without, _ := connections()
 	with, most := connections(withOwnership(everywhere))
-	t.Logf(
-		"reports to the leader in a minute, of %d machines at the most: %d without owners, %d with; most to one controller %d",
+	t.Logf("heartbeats to the leader in a minute, of at most %d machines: %d without owners, %d with; "+
+		"most to one controller %d",
 		machines,
 		without,
 		with,
@@ -429,8 +432,8 @@
 	}
 }
 
-// TestOwnersThatLeave: all controllers but the leader are asked to end, one after the other, and come back. Their
-// workers have moved when they end: nobody reports to them any more, no lease ends, and nothing is started anew.
+// TestOwnersThatLeave: all controllers but the leader are stopped one after the other, and come back. Their workers
+// have moved before they end: nobody sends them heartbeats any more, no lease expires, and no task is started again.
 func TestOwnersThatLeave(t *testing.T) {
 	runScenario(t, 970, 5, fastTimings, func(l *cluster) {
 		time.Sleep(60 * s)
@@ -462,8 +465,8 @@
 	}, withOwnership(everywhere))
 }
 
-// TestVerdictIsInForceOnce: two survivors reach the verdict at once, and the record of one of them alone is in force:
-// epochs follow one another, each with one set of owners, on every controller.
+// TestVerdictIsInForceOnce: two controllers reach the verdict at the same time, and the record of one of them alone
+// takes effect: epochs follow one another, and each has one set of owners on every controller.
 func TestVerdictIsInForceOnce(t *testing.T) {
 	runScenario(t, 960, 5, fastTimings, func(l *cluster) {
 		l.startJobs(9)
@@ -504,8 +507,7 @@
 	}, withOwnership(everywhere))
 }
 
-// checkOwnership demands of every record of owners that was ever in force that its writer led when it came into force,
-// that epochs follow one another, and that each names an owner once.
+// checkOwnership checks each ownership record: its writer led when it was written, and epochs follow one another.
 func (l *cluster) checkOwnership() {
 	l.t.Helper()
 	terms, _ := l.store.ChangesSince(storage.TermKey, 0)
@@ -541,7 +543,7 @@
 	}
 }
 
-// outcomeForKey lets the transactions that write a key meet a fate.
+// outcomeForKey returns a function that gives the transactions that write a key another outcome.
 func outcomeForKey(l *cluster, key string, fate Outcome) func(string, *protocol.Txn) Outcome {
 	return func(_ string, txn *protocol.Txn) Outcome {
 		for _, op := range txn.Then {
@@ -554,7 +556,7 @@
 	}
 }
 
-// workerPacketsTo returns how many packets of workers a controller has got so far.
+// workerPacketsTo returns the number of packets that workers have sent to a controller.
 func (l *cluster) workerPacketsTo(n *controller) (packets int) {
 	for _, r := range l.selectWorkers(99, nil) {
 		packets += l.net.Packets(r.ip, n.ip)
--- a/internal/simulation/pipeline_test.go
+++ b/internal/simulation/pipeline_test.go
@@ -15,9 +15,9 @@
 	"pinebay/internal/testutil"
 )
 
-// pipeline submits the jobs of a pipeline one after another, each as soon as those that it awaits are accepted:
-// an array, two arrays after it, a gang after one of these, and an urgent array with a deadline at the end. A
-// part of them has its last job submitted only when the others are over, another names a job that runs.
+// pipeline submits the jobs of a pipeline, each once its dependencies are accepted: an array, two arrays after it, a
+// gang after one of these, and at the end an urgent array with a deadline. With earlier, the first job depends on that
+// one.
 func (l *cluster) pipeline(earlier string) (ids []string) {
 	type stage struct {
 		shape  protocol.Shape
@@ -56,7 +56,8 @@
 	return ids
 }
 
-// pipelines submits so many pipelines, one a second; every fourth job of theirs is called off, at any time.
+// pipelines is a step that submits n pipelines, one a second, some after a job that runs. Some of their jobs are
+// cancelled.
 func pipelines(n int) func(*cluster) {
 	return func(l *cluster) {
 		l.spawn(func() {
@@ -80,7 +81,7 @@
 	}
 }
 
-// runningArray returns an array that was accepted and is not over, or "".
+// runningArray returns an array with a running task, or "".
 func (l *cluster) runningArray() string {
 	for _, id := range l.runningJobs() {
 		l.mu.Lock()
@@ -93,13 +94,12 @@
 	return ""
 }
 
-// productionLevel begins with all controllers held at the level of the version in production.
+// productionLevel starts all controllers with the feature level of the version in production.
 func productionLevel(l *cluster) {
 	l.features = func(int) daemon.Features { return daemon.Features{PinProductionLevel: true} }
 }
 
-// upgrade ends controllers one after the other, in the given order by their numbers; each is back with the new
-// level after a while.
+// upgrade is a step that restarts controllers with the new feature level, in the given order.
 func upgrade(order []int, every, back time.Duration) func(*cluster) {
 	return func(l *cluster) {
 		for i, node := range order {
@@ -113,16 +113,16 @@
 	}
 }
 
-// nextLimits are limits of the state service that come into force after an upgrade.
+// nextLimits are limits of the key-value store that apply after an upgrade.
 var nextLimits = config.FutureStoreLimits{WriteRPS: 20, ValueKB: 1, TxnOps: 5}
 
-// announceLowerLimits has the state service keep to its limits, and names lower ones.
+// announceLowerLimits makes the key-value store enforce its limits, and announces lower ones in the settings.
 func announceLowerLimits(l *cluster) {
 	l.cfg.Store = config.StoreLimits{RPS: 150, WriteRPS: 40, ValueKB: 8, TxnOps: 16, Next: nextLimits}
 	l.store.SetLimits(l.cfg.Store)
 }
 
-// lowerLimitsOnceUpgraded lowers the limits as soon as all controllers have shown the new level.
+// lowerLimitsOnceUpgraded lowers the limits once all controllers have recorded the new feature level.
 func lowerLimitsOnceUpgraded(l *cluster) {
 	l.spawn(func() {
 		for l.ctx.Err() == nil && l.levelsRecorded() < len(l.controllers) {
@@ -133,13 +133,13 @@
 	})
 }
 
-// levelsRecorded returns how many controllers have recorded a feature level.
+// levelsRecorded returns the number of controllers that have recorded a feature level.
 func (l *cluster) levelsRecorded() int {
 	pairs, _ := l.store.List("feature/node/")
 	return len(pairs)
 }
 
-// pipelineScenarios are meetings of troubles that touch cancellations, ends or take-overs, with pipelines.
+// pipelineScenarios combine pipelines with faults around cancellations, completions and failovers.
 var pipelineScenarios = []scenario{
 	{
 		name:        "quiet",
@@ -291,8 +291,8 @@
 	},
 }
 
-// TestPipelineScenarios plays pipelines among troubles: no task starts before all that its job awaits is done,
-// no job is orphaned, every other rule holds, and all are over in the end.
+// TestPipelineScenarios runs pipelines with faults: no task starts before all dependencies of its job are done, no job
+// is orphaned, no other rule is broken, and all are over in the end.
 func TestPipelineScenarios(t *testing.T) {
 	runScenarios(t, 800, pipelineScenarios, func(l *cluster, x *scenario) {
 		l.runToCompletion(x.steps, x.occurred)
@@ -300,8 +300,8 @@
 	})
 }
 
-// TestLimitsBelowTheSettings: the state service's limits fall lower than the settings say. Transactions and values
-// are refused all the same, and made smaller: everything is recorded in the end.
+// TestLimitsBelowTheSettings: the limits of the key-value store are lower than the settings say. Transactions and
+// values that are rejected are made smaller, and everything is recorded in the end.
 func TestLimitsBelowTheSettings(t *testing.T) {
 	runScenario(t, 880, 3, fastTimings, func(l *cluster) {
 		l.startJobs(9)
@@ -319,8 +319,7 @@
 	}, announceLowerLimits)
 }
 
-// checkRecords demands that what is over has its record: no job lives that users were told is cancelled, be it
-// with another one.
+// checkRecords checks that no job has a live record that users were told is over.
 func (l *cluster) checkRecords() {
 	l.t.Helper()
 	pairs, _ := l.store.List(storage.LiveJobPrefix)
@@ -332,12 +331,12 @@
 	}
 }
 
-// maxTooLarge is how many transactions may be refused for their size in the moments between the fall of the limits,
-// when the last controller has recorded its level, and the level's being final.
+// maxTooLarge is the number of transactions that may be rejected for their size between the fall of the limits, when
+// the last controller has recorded its level, and the moment at which the level is final.
 const maxTooLarge = 12
 
-// checkUpgraded demands that the level is final everywhere, that no page of the layout of production is left, and
-// that hardly anything was refused for its size.
+// checkUpgraded checks that the feature level is final, that no placement page of the old layout is left, and that
+// hardly any transaction was rejected for its size.
 func (l *cluster) checkUpgraded() {
 	l.t.Helper()
 	l.checkRecords()
@@ -356,9 +355,9 @@
 	}
 }
 
-// TestUpgradeScenarios plays upgrades: controllers come back with the new level in every order, among troubles,
-// and the state service's limits fall as soon as the last has shown it. Pipelines are refused until the level is
-// final, and served then; all rules hold.
+// TestUpgradeScenarios runs upgrades: controllers come back with the new feature level in every order, with faults, and
+// the limits of the key-value store fall once the last has recorded it. Pipelines are rejected until the level is
+// final, and served then; no rule is broken.
 func TestUpgradeScenarios(t *testing.T) {
 	upgraded := []string{"upgraded", "limits", "pipeline"}
 	up, down := []int{0, 1, 2}, []int{2, 1, 0}
@@ -521,7 +520,7 @@
 	}, productionLevel, announceLowerLimits)
 }
 
-// TestDrawnUpgrades plays upgrades in drawn orders with drawn troubles, and pipelines throughout.
+// TestDrawnUpgrades runs upgrades in random orders with random faults, and pipelines throughout.
 func TestDrawnUpgrades(t *testing.T) {
 	for seed := testutil.Seed(); seed < testutil.Seed()+6; seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
--- a/internal/simulation/random_scenarios_test.go
+++ b/internal/simulation/random_scenarios_test.go
@@ -10,14 +10,14 @@
 	"pinebay/internal/testutil"
 )
 
-// step is what happens at a time after the jobs have settled.
+// step is what happens at a time after the jobs of a scenario have started.
 type step struct {
 	at time.Duration
 	do func(l *cluster)
 }
 
-// runToCompletion carries out the steps of a scenario, and demands that all is well once it is
-// calm.
+// runToCompletion runs the steps of a scenario, and checks some time after the last one that all jobs are served.
+// occurred are occurrences that must be recorded.
 func (l *cluster) runToCompletion(steps []step, happened []string) {
 	l.startJobs(12)
 	l.runSteps(steps)
@@ -30,8 +30,8 @@
 	}
 }
 
-// runSteps has every step happen at its time from a moment from now at which no timer of the
-// controllers or the world is due: what happens first of two things at one moment is chance.
+// runSteps runs steps at their times, from a moment at which no timer of the controllers or the world is due: the order
+// of two events at one moment is random.
 func (l *cluster) runSteps(steps []step) {
 	from := l.now() + l.randomDuration("begin", ms)
 	for _, st := range steps {
@@ -40,7 +40,7 @@
 	}
 }
 
-// randomScenario makes up a scenario of three to six troubles within a minute.
+// randomScenario returns a scenario of four to seven faults within a minute or so, and their names.
 func randomScenario(rng *rand.Rand) (steps []step, names []string) {
 	lasts := func(least, most int) time.Duration {
 		return time.Duration(least*1000+rng.IntN((most-least)*1000)) * ms
@@ -93,7 +93,7 @@
 	return steps, names
 }
 
-// TestDrawnScenarios plays scenarios that nobody named.
+// TestDrawnScenarios runs random scenarios.
 func TestDrawnScenarios(t *testing.T) {
 	for seed := testutil.Seed(); seed < testutil.Seed()+10; seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
--- a/internal/simulation/records_test.go
+++ b/internal/simulation/records_test.go
@@ -25,7 +25,7 @@
 	return jobs
 }
 
-// faultySharedWrites lets a share of the transactions that record placements of several jobs meet a fate.
+// faultySharedWrites gives a share of the transactions that record placements of several jobs another outcome.
 func faultySharedWrites(share float64, fate func(l *cluster, transaction string) Outcome) fault {
 	return func(l *cluster) func() {
 		l.store.SetOutcomes(func(host string, txn *protocol.Txn) Outcome {
@@ -41,23 +41,26 @@
 	}
 }
 
+// loseReply applies a transaction and never answers it.
 func loseReply(*cluster, string) Outcome { return Outcome{} }
 
+// delayWrite applies a transaction late, and never answers it.
 func delayWrite(l *cluster, name string) Outcome {
 	return Outcome{Delay: 2*s + l.randomDuration("late "+name, 10*s)}
 }
 
+// delayReply applies a transaction and answers it late.
 func delayReply(l *cluster, name string) Outcome {
 	return Outcome{Reply: true, Delay: l.randomDuration("late "+name, 800*ms)}
 }
 
-// smallStoreLimits has the state service keep to its limits, which are small.
+// smallStoreLimits makes the key-value store enforce small limits.
 func smallStoreLimits(l *cluster) {
 	l.cfg.Store = config.StoreLimits{RPS: 60, WriteRPS: 15, ValueKB: 8, TxnOps: 16}
 	l.store.SetLimits(l.cfg.Store)
 }
 
-// submitBatches submits several arrays at a moment, so that their placements are recorded together.
+// submitBatches is a step that submits several arrays at a time, so that their placements are recorded together.
 func submitBatches(n int) func(*cluster) {
 	return func(l *cluster) {
 		for range n {
@@ -73,8 +76,8 @@
 	}
 }
 
-// TestSharedRecords plays what may become of a transaction that records the placements of several
-// jobs: every rule holds, and every job is served in the end.
+// TestSharedRecords runs each outcome of a transaction that records the placements of several jobs: no rule is broken,
+// and every job is served in the end.
 func TestSharedRecords(t *testing.T) {
 	scenarios := []scenario{
 		{
@@ -167,8 +170,8 @@
 	runScenarios(t, 600, scenarios, func(l *cluster, x *scenario) { l.runToCompletion(x.steps, x.occurred) })
 }
 
-// TestRecordThatIsNeverPossible: the state service refuses every transaction that records one
-// particular job. That job waits; those that shared its transactions don't.
+// TestRecordThatIsNeverPossible: the key-value store rejects every transaction that records one particular job. That
+// job waits; those that shared its transactions do not.
 func TestRecordThatIsNeverPossible(t *testing.T) {
 	runScenario(t, 620, 3, fastTimings, func(l *cluster) {
 		l.startJobs(9)
--- a/internal/simulation/repeat_test.go
+++ b/internal/simulation/repeat_test.go
@@ -12,7 +12,7 @@
 	"pinebay/internal/testutil"
 )
 
-// packetArrival is a packet that has arrived: its content by its hash.
+// packetArrival is a packet that was delivered, with a hash of its content.
 type packetArrival struct {
 	at       time.Duration
 	from, to string
@@ -26,7 +26,7 @@
 	return packetArrival{at, from, to, h.Sum64()}
 }
 
-// recordArrivals plays steps for a while, and returns everything that arrived anywhere.
+// recordArrivals runs steps for a while, and returns all packets that were delivered.
 func recordArrivals(
 	t *testing.T,
 	seed uint64,
@@ -35,6 +35,7 @@
 	steps []step,
 	options ...func(*cluster),
 ) (all []packetArrival) {
+	t.Helper()
 	runScenario(t, seed, controllers, w, func(l *cluster) {
 		l.net.Tap(func(from, to string, data []byte) {
 			all = append(all, newArrival(l.now(), from, to, data))
@@ -57,14 +58,13 @@
 	return all
 }
 
-// TestSameSeedSameRun: two runs of a seed are the same, packet by packet and to the nanosecond.
-// Scenarios that could not be repeated failed in one run of twelve, and nobody could look at why:
-// random numbers went by the order in which goroutines ran, and so did who got an idle connection,
-// what a full budget let through first, and what was taken in first of what arrived together.
+// TestSameSeedSameRun: two runs with the same seed are the same, packet by packet and to the nanosecond. Failures that
+// cannot be repeated cannot be examined; before, random numbers depended on the order of goroutines, and so did which
+// request got an idle connection, which one passed a limit first, and which of two messages at one moment was handled
+// first.
 //
-// Two causes are left, and the scenarios here are without them: the HTTP library repeats a question by
-// itself, or does not, when the controller that it is on its way to ends; and an answer that a leader
-// gives in the very step that ends its term may go out or not.
+// Two causes of difference are left, and these scenarios avoid them: net/http may repeat a query whose controller ends,
+// and a reply that a leader gives in the step that ends its term may be sent or not.
 func TestSameSeedSameRun(t *testing.T) {
 	rng := rand.New(rand.NewPCG(testutil.Seed(), 9))
 	drawn, _ := randomScenario(rng)
--- a/internal/simulation/scenarios_test.go
+++ b/internal/simulation/scenarios_test.go
@@ -10,7 +10,7 @@
 	"pinebay/internal/testutil"
 )
 
-// startJobs starts a crew of jobs and waits until they run.
+// startJobs submits jobs and waits until they run.
 func (l *cluster) startJobs(jobs int) {
 	time.Sleep(5 * time.Second)
 	l.submitMixture(jobs)
@@ -20,8 +20,8 @@
 	}
 }
 
-// cancelRunning has users call off up to n running jobs at the given controllers,
-// and returns how many were told that it is done.
+// cancelRunning has users cancel up to n running jobs at the given controllers, and returns how many were told that
+// their job is cancelled.
 func (l *cluster) cancelRunning(n int, at []*controller, within time.Duration) int {
 	ids := l.runningJobs()
 	told := make(chan bool, len(ids))
@@ -38,9 +38,8 @@
 	return count
 }
 
-// storeGap is the scenario that broke most schedulers: the state service refuses the
-// leader alone, another controller confirms cancellations, and then nobody has the
-// service for longer than a cancellation may take.
+// storeGap is a scenario in which the key-value store refuses the leader alone, another controller confirms
+// cancellations, and then the store serves nobody for longer than a cancellation may take.
 type storeGap struct {
 	before                time.Duration // from the refusal to the outage
 	outage                float64       // in times that a cancellation may take
@@ -83,11 +82,11 @@
 	var deaf []*workerProcess
 	l.mu.Lock()
 	for id := range l.world.Cancelled {
-		rigs := l.workersWithJob(id)
-		if len(rigs) == 0 {
+		workers := l.workersWithJob(id)
+		if len(workers) == 0 {
 			continue
 		}
-		switch r := rigs[0]; g.worker {
+		switch r := workers[0]; g.worker {
 		case "hung":
 			if !r.model.Hung {
 				r.hang(cancel * 3 / 2)
@@ -134,9 +133,8 @@
 	l.checkAllServed()
 }
 
-// TestCancelledWhileTheLeaderIsBlind plays the gap and what may go with it. The
-// intents held by a majority are what ends the tasks; without them the first rows
-// fail on ran_cancelled.
+// TestCancelledWhileTheLeaderIsBlind runs store gaps with other faults. The intents that a quorum holds are what ends
+// the tasks: without them the first rows fail with ran_cancelled.
 func TestCancelledWhileTheLeaderIsBlind(t *testing.T) {
 	rows := []struct {
 		controllers int
@@ -200,12 +198,12 @@
 		t.Run(fmt.Sprint(i), func(t *testing.T) {
 			t.Parallel()
 			t.Log(r.storeGap)
-			runScenario(t, uint64(i+1), r.controllers, r.w, r.storeGap.run)
+			runScenario(t, uint64(i+1), r.controllers, r.w, r.run)
 		})
 	}
 }
 
-// randomStoreGap makes up a gap.
+// randomStoreGap returns a random store gap.
 func randomStoreGap(rng *rand.Rand) storeGap {
 	pick := func(words ...string) string { return words[rng.IntN(len(words))] }
 	return storeGap{
@@ -215,7 +213,7 @@
 	}
 }
 
-// TestDrawnGaps plays gaps with drawn details.
+// TestDrawnGaps runs random store gaps.
 func TestDrawnGaps(t *testing.T) {
 	for seed := testutil.Seed(); seed < testutil.Seed()+6; seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -234,10 +232,10 @@
 	}
 }
 
+// s is a second in the tables of scenarios.
 const s = time.Second
 
-// scenarios are what the operators have seen break rules, each brought about on real
-// controllers. happened names what must have come to pass, or the scenario shows nothing.
+// scenarios are combinations of faults that have led to violations before.
 var scenarios = []scenario{
 	{
 		name:    "close looks",
@@ -522,16 +520,15 @@
 	},
 }
 
-// TestScenarios plays every scenario on three controllers.
+// TestScenarios runs every scenario.
 func TestScenarios(t *testing.T) {
 	runScenarios(t, 100, scenarios, func(l *cluster, x *scenario) { l.runToCompletion(x.steps, x.occurred) })
 }
 
-// TestLeasesOutliveRestartsInAnOutage: in an outage of the state service the leader and
-// another controller end and come back. The third one renews the leases, and workers
-// find it in time, wherever they go first. Leases ended when the others, just begun,
-// claimed for a moment to reach the service, when connections to them hung for as long as
-// a heartbeat may take, and when workers went round from one to the next.
+// TestLeasesOutliveRestartsInAnOutage: in an outage of the key-value store, the leader and another controller crash and
+// come back. The third one renews the leases, and workers find it in time, wherever they go first. Leases expired when
+// the others, just started, claimed for a moment to reach the store, when connections to them hung for as long as a
+// heartbeat may take, and when workers went from one to the next.
 func TestLeasesOutliveRestartsInAnOutage(t *testing.T) {
 	for seed := uint64(1); seed <= 4; seed++ {
 		runScenario(t, seed, 3, fastTimings, func(l *cluster) {
--- a/internal/simulation/starvation_test.go
+++ b/internal/simulation/starvation_test.go
@@ -11,8 +11,8 @@
 	"pinebay/internal/testutil"
 )
 
-// starvationScenarios are scenarios with controllers that are short of processor time. A late timer or
-// answer is not a lapsed proof: leases, terms and freshness are checked when acted upon.
+// starvationScenarios have controllers that are short of processor time. Leases, terms and freshness must be checked
+// when they are relied upon, since timers and replies may be late.
 var starvationScenarios = []scenario{
 	{
 		name:    "a slow leader, cancellations, then a crash",
@@ -62,12 +62,12 @@
 	},
 }
 
-// TestStarvation plays every scenario of starvation on three controllers.
+// TestStarvation runs every scenario of starvation.
 func TestStarvation(t *testing.T) {
 	runScenarios(t, 300, starvationScenarios, func(l *cluster, x *scenario) { l.runToCompletion(x.steps, x.occurred) })
 }
 
-// TestDrawnStarvation mixes slow controllers with drawn failures.
+// TestDrawnStarvation combines slow controllers with random faults.
 func TestDrawnStarvation(t *testing.T) {
 	for seed := testutil.Seed(); seed < testutil.Seed()+6; seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -89,8 +89,8 @@
 	}
 }
 
-// TestMessagesOfAHeartbeat: in quiet, controllers send each other heartbeats at their pace,
-// each in one packet with one for its answer, and nothing else.
+// TestMessagesOfAHeartbeat: without faults, controllers send each other heartbeats at their interval, each in one
+// packet with one for its reply, and nothing else.
 func TestMessagesOfAHeartbeat(t *testing.T) {
 	runScenario(t, 21, 3, fastTimings, func(l *cluster) {
 		time.Sleep(20 * s)
@@ -109,7 +109,7 @@
 	})
 }
 
-// peerPackets returns how many packets controllers have sent each other.
+// peerPackets returns the number of packets that controllers have sent each other.
 func (l *cluster) peerPackets() (n int) {
 	for _, a := range l.controllers {
 		for _, b := range l.others(a) {
@@ -119,8 +119,8 @@
 	return n
 }
 
-// TestUsersWhileANewLeaderHears: while a new leader reads the records and hears its
-// machines, users' submissions to the controllers that live are accepted all the same.
+// TestUsersWhileANewLeaderHears: while a new leader reads the records and waits for its machines, submissions to the
+// other controllers are accepted all the same.
 func TestUsersWhileANewLeaderHears(t *testing.T) {
 	runScenario(t, 22, 3, fastTimings, func(l *cluster) {
 		l.startJobs(12)
--- a/internal/simulation/system_outside_test.go
+++ b/internal/simulation/system_outside_test.go
@@ -11,6 +11,7 @@
 	"pinebay/internal/storage"
 )
 
+// encode returns v as MessagePack.
 func (s *simulatedSystem) encode(v any) []byte {
 	raw, err := protocol.Encode(v)
 	if err != nil {
@@ -19,6 +20,7 @@
 	return raw
 }
 
+// encodeTerm returns the record of a term.
 func (s *simulatedSystem) encodeTerm(rec storage.TermRecord) []byte {
 	raw, err := storage.EncodeTerm(rec)
 	if err != nil {
@@ -27,7 +29,7 @@
 	return raw
 }
 
-// callCloud carries out what the fleet asks of the cloud.
+// callCloud executes a request to the cloud.
 func (s *simulatedSystem) callCloud(l *leaderInstance, e autoscaler.Effect) {
 	switch e := e.(type) {
 	case autoscaler.ListMachines:
@@ -66,8 +68,8 @@
 	}
 }
 
-// write carries out a transaction as the leader's executor does, over a
-// network that may swallow the request or the answer, or repeat the request.
+// write executes a transaction as the leader does, over a network that may lose the request or the answer, or repeat
+// the request.
 func (s *simulatedSystem) write(l *leaderInstance, w scheduler.Write, uncertain bool) {
 	d := 5*ms + s.randomDuration(20*ms)
 	if s.chance(0.05) {
@@ -107,8 +109,10 @@
 	})
 }
 
+// unreachable reports whether a machine is cut off.
 func (s *simulatedSystem) unreachable(name string) bool { return s.now < s.unreachableUntil[name] }
 
+// sendCommands sends commands to a machine, over a network that may lose, delay or repeat them.
 func (s *simulatedSystem) sendCommands(l *leaderInstance, o scheduler.SendCommandBatch) {
 	deliver := func(answer bool) {
 		m := s.world.Workers[o.Machine]
@@ -143,6 +147,7 @@
 	}
 }
 
+// listMachines returns the list of the cloud, in which machines that are gone stay for a while.
 func (s *simulatedSystem) listMachines() []protocol.ListedMachine {
 	var out []protocol.ListedMachine
 	for _, m := range s.world.sortedWorkers() {
@@ -160,6 +165,7 @@
 	return out
 }
 
+// rentMachines rents up to three machines, of which some never come up.
 func (s *simulatedSystem) rentMachines(r protocol.Rental) []string {
 	if names, ok := s.rentals[r.RequestID]; ok {
 		return names
@@ -191,7 +197,7 @@
 	return names
 }
 
-// scheduleHeartbeats lets a worker report regularly, to a leader of any term.
+// scheduleHeartbeats has a worker send heartbeats regularly, to a leader of any term.
 func (s *simulatedSystem) scheduleHeartbeats(name string) {
 	m := s.world.Workers[name]
 	if m == nil {
--- a/internal/simulation/system_test.go
+++ b/internal/simulation/system_test.go
@@ -1,11 +1,12 @@
 package simulation
 
 import (
-	"container/heap"
+	"cmp"
 	"fmt"
 	"io"
 	"log/slog"
 	"math/rand/v2"
+	"slices"
 	"testing"
 	"time"
 
@@ -15,14 +16,13 @@
 	"pinebay/internal/storage"
 )
 
-// simulatedSystem is a whole service in simulated time: leaders, of which deposed ones
-// may go on for a while without knowing, against the stand-ins, over a network
-// that loses, delays and copies.
+// simulatedSystem is a whole service in simulated time, on one goroutine: schedulers of several terms, of which deposed
+// ones may go on for a while, with the models, on a network that loses, delays and copies messages.
 type simulatedSystem struct {
 	t                *testing.T
 	rng              *rand.Rand
 	now              time.Duration
-	queue            callQueue
+	queue            []timedCall
 	lastSequence     int
 	cfg              *config.Deployment
 	types            []protocol.MachineType
@@ -39,51 +39,47 @@
 	unreachableUntil map[string]time.Duration // machines behind a cut, and until when
 }
 
+// leaderInstance is the scheduler of one term.
 type leaderInstance struct {
 	core     *scheduler.Scheduler
 	revision uint64
 	stopped  bool
 }
 
+// timedCall is a function to call at a time. Calls at the same time are made in the order of their sequence.
 type timedCall struct {
-	at  time.Duration
-	seq int
-	f   func()
+	at       time.Duration
+	sequence int
+	f        func()
 }
 
-type callQueue []timedCall
-
-func (e callQueue) Len() int { return len(e) }
-
-func (e callQueue) Less(i, j int) bool {
-	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].seq < e[j].seq
-}
-
-func (e callQueue) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
-
-func (e *callQueue) Push(x any) { *e = append(*e, x.(timedCall)) }
-
-func (e *callQueue) Pop() any {
-	old := *e
-	x := old[len(old)-1]
-	*e = old[:len(old)-1]
-	return x
+// compareCalls orders calls by their times, and those at the same time by their sequence.
+func compareCalls(a, b timedCall) int {
+	return cmp.Or(cmp.Compare(a.at, b.at), cmp.Compare(a.sequence, b.sequence))
 }
 
+// callAfter calls f after a duration.
 func (s *simulatedSystem) callAfter(d time.Duration, f func()) {
 	s.lastSequence++
-	heap.Push(&s.queue, timedCall{s.now + d, s.lastSequence, f})
+	call := timedCall{at: s.now + d, sequence: s.lastSequence, f: f}
+	i, _ := slices.BinarySearchFunc(s.queue, call, compareCalls)
+	s.queue = slices.Insert(s.queue, i, call)
 }
 
+// chance returns true with the given probability, and false once the faults have ended.
 func (s *simulatedSystem) chance(p float64) bool { return !s.faultsEnded && s.rng.Float64() < p }
 
+// randomDuration returns a random duration up to d.
 func (s *simulatedSystem) randomDuration(d time.Duration) time.Duration {
 	return time.Duration(s.rng.Float64() * float64(d))
 }
 
+// ms is a millisecond in the tables of scenarios.
 const ms = time.Millisecond
 
+// newSimulatedSystem returns a system without a leader.
 func newSimulatedSystem(t *testing.T, seed uint64) *simulatedSystem {
+	t.Helper()
 	cfg := &config.Deployment{
 		Controllers: 3,
 		Zones:       []string{"a", "b"},
@@ -121,7 +117,7 @@
 	return s
 }
 
-// takeOver begins a new term, as the election's claim does.
+// takeOver begins a new term, as an election does.
 func (s *simulatedSystem) takeOver() {
 	rev, failed, _ := s.store.Txn(protocol.Txn{
 		If:   []protocol.Compare{{Key: storage.TermKey, Revision: s.store.Get(storage.TermKey).Revision}},
@@ -161,6 +157,7 @@
 	s.tickLeader(l)
 }
 
+// tickLeader has a leader read the changes of live jobs, and tick, from now on.
 func (s *simulatedSystem) tickLeader(l *leaderInstance) {
 	if l.stopped {
 		return
@@ -182,6 +179,7 @@
 	s.callAfter(100*ms, func() { s.tickLeader(l) })
 }
 
+// step has a leader handle an event, unless its instance has stopped.
 func (s *simulatedSystem) step(l *leaderInstance, e scheduler.Event) {
 	if l.stopped {
 		return
@@ -191,6 +189,7 @@
 	}
 }
 
+// applyEffect carries out what a leader has decided.
 func (s *simulatedSystem) applyEffect(l *leaderInstance, e scheduler.Effect) {
 	switch e := e.(type) {
 	case scheduler.HeartbeatReply:
@@ -218,25 +217,28 @@
 	}
 }
 
+// run makes the calls of the next time.
 func (s *simulatedSystem) run(d time.Duration) {
 	end := s.now + d
 	for len(s.queue) > 0 && s.queue[0].at <= end {
-		it := heap.Pop(&s.queue).(timedCall)
-		s.now = it.at
-		it.f()
+		call := s.queue[0]
+		s.queue = s.queue[1:]
+		s.now = call.at
+		call.f()
 	}
 	s.now = end
 }
 
+// advanceModels lets time pass for the models.
 func (s *simulatedSystem) advanceModels() {
 	s.store.Advance(s.now)
 	s.world.Advance(s.now)
 	s.callAfter(50*ms, s.advanceModels)
 }
 
-// TestWholeSystem plays days of trouble and checks the protocol's rules: no
-// task on two machines, nothing on a machine long after a cancel, no limit
-// passed, no wrong place, no way back, and nothing forgotten once it is calm.
+// TestWholeSystem runs the system with random faults and checks the protocol's rules: no task on two machines or in a
+// wrong place, nothing on a machine long after its cancellation, no limit exceeded, no final state changed, and nothing
+// forgotten in the end.
 func TestWholeSystem(t *testing.T) {
 	for seed := uint64(1); seed <= 30; seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
--- a/internal/simulation/system_users_test.go
+++ b/internal/simulation/system_users_test.go
@@ -8,7 +8,7 @@
 	"pinebay/internal/storage"
 )
 
-// submitJob submits a job, asks for it, and may cancel it.
+// submitJob submits a job, queries it, and may cancel it.
 func (s *simulatedSystem) submitJob(n int) {
 	id := fmt.Sprintf("j-%06d", n)
 	shape := []protocol.Shape{protocol.Array, protocol.Gang, protocol.Service}[s.rng.IntN(3)]
@@ -51,6 +51,7 @@
 	}
 }
 
+// cancelJob cancels a job, if it is live.
 func (s *simulatedSystem) cancelJob(id string) {
 	p := s.store.Get(storage.LiveJobKey(id))
 	if p.Revision == 0 {
@@ -68,7 +69,7 @@
 	}
 }
 
-// queryRecords looks at the records as a user's question does.
+// queryRecords reads the records of a job as a user's query does.
 func (s *simulatedSystem) queryRecords(id string) {
 	standing := protocol.JobQueued
 	if s.store.Get(storage.LiveJobKey(id)).Revision == 0 {
@@ -99,7 +100,7 @@
 	}
 }
 
-// injectFault breaks something now and then.
+// injectFault injects faults at random times.
 func (s *simulatedSystem) injectFault() {
 	s.callAfter(s.randomDuration(6*time.Second), s.injectFault)
 	if s.faultsEnded {
--- a/internal/simulation/zone_test.go
+++ b/internal/simulation/zone_test.go
@@ -16,7 +16,7 @@
 	"pinebay/internal/testutil"
 )
 
-// withZoneFailover turns zone return on for the controllers that the function names.
+// withZoneFailover enables zone failover at the controllers that a function selects.
 func withZoneFailover(on func(node int) bool) func(*cluster) {
 	return func(l *cluster) {
 		l.features = func(node int) daemon.Features {
@@ -25,12 +25,15 @@
 			}
 			return daemon.Features{ZoneReturn: zonefailover.DefaultRecoveryOrder()}
 		}
-		l.bootTime = func(name string) time.Duration { return 3*time.Second + l.randomDuration("boot "+name, 3*time.Second) }
+		l.bootTime = func(name string) time.Duration {
+			return 3*time.Second + l.randomDuration("boot "+name, 3*time.Second)
+		}
 		l.zoneCapacity = 6
 		l.cfg.Teams = []config.Team{{Name: "red"}, {Name: "blue", GuaranteedGPUs: 8}}
 	}
 }
 
+// everywhere selects all controllers.
 func everywhere(int) bool { return true }
 
 // withSingleZone leaves one zone in the settings and the cloud.
@@ -41,12 +44,12 @@
 
 // Troubles of a zone.
 
-// inZone says whether a machine is in the zone.
+// inZone returns a function that selects the workers of a zone.
 func inZone(zone string) func(*workerProcess) bool {
 	return func(r *workerProcess) bool { return r.machine.Zone == zone }
 }
 
-// zoneOfGangs is the zone in which most tasks of gangs run.
+// zoneOfGangs stands for the zone in which most tasks of gangs run.
 const zoneOfGangs = "of gangs"
 
 // resolveZone returns the zone that a scenario names.
@@ -70,22 +73,21 @@
 	return "b"
 }
 
-// silenceZone cuts the machines of a zone off from everybody, both ways; only a share of them
-// is there when that ends.
+// silenceZone blocks all links of the machines of a zone. Only a share of the machines is still there when that ends.
 func silenceZone(zone string, share float64) fault {
 	return func(l *cluster) func() {
 		l.recordOccurrence("zone silent")
 		zone := l.resolveZone(zone)
-		rigs := l.selectWorkers(99, inZone(zone))
+		workers := l.selectWorkers(99, inZone(zone))
 		l.setZoneDead(zone, true)
 		var ends []func()
-		for _, r := range rigs {
+		for _, r := range workers {
 			ends = append(ends, l.blockLink("*", r.ip), l.blockLink(r.ip, "*"))
 		}
 		return func() {
 			l.mu.Lock()
-			for i, r := range rigs {
-				if float64(i) >= share*float64(len(rigs)) {
+			for i, r := range workers {
+				if float64(i) >= share*float64(len(workers)) {
 					l.cloud.Remove(r.machine.Name)
 				}
 			}
@@ -98,7 +100,7 @@
 	}
 }
 
-// killZone takes all machines of a zone away, and gives no others there until it ends.
+// killZone takes all machines of a zone away, and rents out none there until that ends.
 func killZone(zone string) fault {
 	return func(l *cluster) func() {
 		l.recordOccurrence("zone dead")
@@ -113,17 +115,18 @@
 	}
 }
 
+// setZoneDead sets whether machines can be rented in a zone.
 func (l *cluster) setZoneDead(zone string, dead bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.deadZones[zone] = dead
 }
 
-// crashLeaderOnLoan ends the leader when it writes a loan, before or after the write is carried out.
+// crashLeaderOnLoan is a step that makes the leader crash when it writes a loan, before or after the write is applied.
 func crashLeaderOnLoan(carriedOut bool) func(l *cluster) {
 	return func(l *cluster) {
 		done := false
-		l.store.SetOutcomes(func(host string, t *protocol.Txn) Outcome {
+		l.store.SetOutcomes(func(_ string, t *protocol.Txn) Outcome {
 			loan := slices.ContainsFunc(t.Then, func(op protocol.Op) bool { return writesLoan(op) })
 			l.mu.Lock()
 			defer l.mu.Unlock()
@@ -141,6 +144,7 @@
 	}
 }
 
+// crashLeaderAtOnce returns a function that crashes the leader.
 func crashLeaderAtOnce(l *cluster) func() { return func() { l.crash(l.leader(), 5*s) } }
 
 // writesLoan says whether an operation records a loan.
@@ -247,6 +251,7 @@
 	happened []string,
 	options ...func(*cluster),
 ) {
+	t.Helper()
 	runScenario(t, seed, 3, w, func(l *cluster) {
 		loans := l.watchLoans()
 		time.Sleep(5 * s)
@@ -266,7 +271,7 @@
 	}, options...)
 }
 
-// zoneScenarios are losses of a zone, and what may go with them.
+// zoneScenarios are losses of a zone, with other faults.
 var zoneScenarios = []scenario{
 	{
 		name:    "cut off and back",
@@ -421,13 +426,13 @@
 	},
 }
 
-// hangZone makes all machines of a zone execute nothing for a while.
+// hangZone is a step that makes all machines of a zone execute nothing for a while.
 func hangZone(zone string, d time.Duration) func(l *cluster) {
 	return func(l *cluster) {
-		rigs := l.selectWorkers(99, inZone(zone))
+		workers := l.selectWorkers(99, inZone(zone))
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		for _, r := range rigs {
+		for _, r := range workers {
 			if !r.model.Hung {
 				r.hang(d)
 			}
@@ -435,7 +440,7 @@
 	}
 }
 
-// TestZoneReturn plays every loss of a zone on three controllers.
+// TestZoneReturn runs every loss of a zone.
 func TestZoneReturn(t *testing.T) {
 	for i, m := range zoneScenarios {
 		t.Run(m.name, func(t *testing.T) {
@@ -445,8 +450,8 @@
 	}
 }
 
-// TestZoneReturnMixed: controllers without the flag among others keep every rule, and so does
-// a leader that has it after one that has not.
+// TestZoneReturnMixed: controllers with and without the flag in one set break no rule, and neither does a leader with
+// it after one without it.
 func TestZoneReturnMixed(t *testing.T) {
 	for _, on := range []int{0, 1, 2} {
 		t.Run(fmt.Sprint(on), func(t *testing.T) {
@@ -469,8 +474,8 @@
 	}
 }
 
-// TestZoneReturnTeamLimits: while a lost zone's tasks are not proven gone they count for their
-// team's limit, so that no task elsewhere goes beyond it.
+// TestZoneReturnTeamLimits: as long as the tasks of a lost zone are not known to have ended, they count toward the
+// limit of their team, which no task elsewhere may exceed.
 func TestZoneReturnTeamLimits(t *testing.T) {
 	limits := func(l *cluster) {
 		l.cfg.Teams = []config.Team{{Name: "red", MaxGPUs: 32}, {Name: "blue", GuaranteedGPUs: 8, MaxGPUs: 24}}
@@ -479,7 +484,7 @@
 	runZoneScenario(t, 455, fastTimings, steps, []string{"is lost"}, withZoneFailover(everywhere), limits)
 }
 
-// TestZoneReturnSingleZone: settings with a single zone change nothing, and the log says so.
+// TestZoneReturnSingleZone: with a single zone in the settings nothing changes, and the log says so.
 func TestZoneReturnSingleZone(t *testing.T) {
 	runScenario(t, 450, 3, fastTimings, func(l *cluster) {
 		l.startJobs(9)
@@ -494,11 +499,15 @@
 	}, withZoneFailover(everywhere), withSingleZone)
 }
 
-// randomZoneLoss makes up a loss of a zone and two to four other troubles within it.
+// randomZoneLoss returns a loss of a zone with two to four other faults.
 func randomZoneLoss(rng *rand.Rand) []step {
 	zone := []string{"a", "b"}[rng.IntN(2)]
 	away := time.Duration(10+rng.IntN(70)) * s
-	loss := []func(*cluster){during(away, silenceZone(zone, 1)), during(away, silenceZone(zone, 0.5)), during(away, killZone(zone))}[rng.IntN(3)]
+	loss := []func(*cluster){
+		during(away, silenceZone(zone, 1)),
+		during(away, silenceZone(zone, 0.5)),
+		during(away, killZone(zone)),
+	}[rng.IntN(3)]
 	steps := []step{{0, loss}, {3 * s, lowPriorityArrays(3 + rng.IntN(4))}}
 	if rng.IntN(2) == 0 {
 		steps = append(steps, step{away + time.Duration(5+rng.IntN(20))*s, during(25*s, silenceZone(zone, 1))})
@@ -507,7 +516,7 @@
 	return append(steps, drawn[:min(len(drawn), 2+rng.IntN(3))]...)
 }
 
-// TestDrawnZoneLosses mixes losses of a zone with other troubles.
+// TestDrawnZoneLosses combines losses of a zone with other random faults.
 func TestDrawnZoneLosses(t *testing.T) {
 	for seed := testutil.Seed(); seed < testutil.Seed()+6; seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
