--- a/internal/coordination/scheduler/cloudevents.go
+++ b/internal/coordination/scheduler/cloudevents.go
@@ -18,12 +18,12 @@
 	}
 	for i := range e.Machines {
 		if e.Machines[i].State == protocol.MachineFailed {
-			c.noteDepartedMachine(e.Machines[i].Name)
+			c.zoneFailover.NoteDepartedMachine(e.Machines[i].Name)
 		}
 	}
 	for _, name := range c.autoscaler.HandleList(now, e.RequestedAt, e.Machines) {
 		c.log.Info("machine left the list of the cloud", "machine", name)
-		c.noteDepartedMachine(name)
+		c.zoneFailover.NoteDepartedMachine(name)
 		c.removeMachine(now, name)
 	}
 }
--- a/internal/coordination/scheduler/cycle.go
+++ b/internal/coordination/scheduler/cycle.go
@@ -22,7 +22,7 @@
 	c.orderGangsByDeadline(now, waiting)
 	c.holdHeadroom(now)
 	c.preemption.BeginCycle()
-	if c.inZoneFailover() {
+	if c.zoneFailover.InFailover() {
 		c.placeWithinQuota(now, waiting)
 	}
 	c.placeJobs(now, waiting)
--- a/internal/coordination/scheduler/demand.go
+++ b/internal/coordination/scheduler/demand.go
@@ -134,7 +134,7 @@
 	return machineType != nil && machineType.AllowedBy(&j.Spec) &&
 		(!m.Spot || j.Spec.SpotAllowed) &&
 		!m.Terminating && !m.InterruptionNotice && !m.Quarantined &&
-		!c.isZoneLost(m.Zone)
+		!c.zoneFailover.IsZoneLost(m.Zone)
 }
 
 // allowedZones returns the zones that a job allows, in order.
--- a/internal/coordination/scheduler/featurelevel.go
+++ b/internal/coordination/scheduler/featurelevel.go
@@ -113,7 +113,7 @@
 			c.completeJob(now, j)
 		}
 	}
-	c.redistributeLoanPages()
+	c.zoneFailover.RedistributeLoans(c.failoverRecordLimits())
 	c.emit(FeatureLevelFinal{Level: c.level})
 	c.cycle.due = true
 }
--- a/internal/coordination/scheduler/headroom.go
+++ b/internal/coordination/scheduler/headroom.go
@@ -18,7 +18,7 @@
 		return x.Free
 	}
 	objective := c.rules.StartLatency.Seconds(j.Spec.Class)
-	return x.FreeBeyondHeadroom(j.EffectivePriority, objective, c.recoveryPosition(&j.Spec))
+	return x.FreeBeyondHeadroom(j.EffectivePriority, objective, c.zoneFailover.RecoveryPosition(&j.Spec))
 }
 
 // holdHeadroom holds back the capacity that classes with a start latency objective are likely to need
@@ -26,7 +26,7 @@
 // time. In a zone failover it is held against all lower priorities too: what is meant for a job that is
 // earlier in the recovery order must not go to a later one.
 func (c *Scheduler) holdHeadroom(now time.Duration) {
-	recovering := c.inZoneFailover()
+	recovering := c.zoneFailover.InFailover()
 	for _, u := range c.forecast.Headroom() {
 		j := &jobstate.Job{
 			Spec:              *u.Job,
@@ -47,7 +47,7 @@
 	anyZone := &placement.ZoneLimits{}
 	headroom := candidates.Headroom{
 		StartLatencySeconds: c.rules.StartLatency.Seconds(j.Spec.Class),
-		RecoveryPosition:    c.recoveryPosition(&j.Spec),
+		RecoveryPosition:    c.zoneFailover.RecoveryPosition(&j.Spec),
 		Resources:           j.TaskResources,
 	}
 	allowed := func(x *candidates.Candidate) bool {
--- a/internal/coordination/scheduler/placementrules.go
+++ b/internal/coordination/scheduler/placementrules.go
@@ -49,10 +49,10 @@
 
 // RiskPenalty implements placement.ZonePolicy.
 func (p zonePolicy) RiskPenalty(j *jobstate.Job, zone string) float64 {
-	return p.scheduler.zoneRiskPenalty(j, zone)
+	return p.scheduler.zoneFailover.RiskPenalty(&j.Spec, j.EffectivePriority, zone)
 }
 
 // RecoversBefore implements placement.ZonePolicy.
 func (p zonePolicy) RecoversBefore(pl *machineregistry.Placement, j *jobstate.Job) bool {
-	return p.scheduler.recoversBefore(pl, j)
+	return p.scheduler.zoneFailover.RecoversBefore(pl, &j.Spec)
 }
--- a/internal/coordination/scheduler/placementwriter.go
+++ b/internal/coordination/scheduler/placementwriter.go
@@ -95,7 +95,7 @@
 // failoverOrder lists the jobs whose records wait in the order of return while that is in force; nil
 // stands for the usual order.
 func (c *Scheduler) failoverOrder() []*jobstate.Job {
-	if !c.recoveryOrderInEffect() {
+	if !c.zoneFailover.IsOrderInEffect() {
 		return nil
 	}
 	jobs := c.queues.Starts.ByTurn.Items()
--- a/internal/coordination/scheduler/preempt.go
+++ b/internal/coordination/scheduler/preempt.go
@@ -110,7 +110,7 @@
 // searchedAsItsLike reports whether a search for a job covers all machines that other jobs with its search
 // key could use.
 func (c *Scheduler) searchedAsItsLike(j *jobstate.Job) bool {
-	return len(j.AvoidedMachines()) == 0 && len(j.NominatedMachines) == 0 && !c.inZoneFailover()
+	return len(j.AvoidedMachines()) == 0 && len(j.NominatedMachines) == 0 && !c.zoneFailover.InFailover()
 }
 
 // preemptPlacement stops a placement for a job that can wait for a checkpoint for as long as allowed.
--- a/internal/coordination/scheduler/quota.go
+++ b/internal/coordination/scheduler/quota.go
@@ -13,7 +13,7 @@
 // newFairShareQueue returns the queue of a cycle's jobs, which are in scheduling order. While the
 // recovery order of a zone failover is in effect, it goes before the teams' shares.
 func (c *Scheduler) newFairShareQueue(waiting []*jobstate.Job) *fairshare.Queue[*jobstate.Job] {
-	if c.inZoneFailover() {
+	if c.zoneFailover.InFailover() {
 		return fairshare.NewOrderedQueue(waiting)
 	}
 	return fairshare.NewQueue(c.quotas, waiting, fairShareRequest)
--- a/internal/coordination/scheduler/recoveryorder.go
+++ b/internal/coordination/scheduler/recoveryorder.go
@@ -4,7 +4,6 @@
 	"time"
 
 	"pinebay/internal/coordination/jobstate"
-	"pinebay/internal/coordination/machineregistry"
 	"pinebay/internal/coordination/zonefailover"
 	"pinebay/internal/protocol"
 )
@@ -50,26 +49,3 @@
 		beyondQuota[j.Spec.Team] = j.PendingTasks() > 0
 	}
 }
-
-// zoneRiskPenalty is what the start of a replica of the highest priority costs more, in seconds, in a zone that may
-// be lost again at any time.
-func (c *Scheduler) zoneRiskPenalty(j *jobstate.Job, zone string) float64 {
-	if c.zoneFailover == nil || j.EffectivePriority > 0 || j.Spec.Shape != protocol.Service ||
-		c.zoneFailover.Monitor().State(zone) == zonefailover.Available {
-		return 0
-	}
-	return c.cfg.Workers.LeaseSeconds
-}
-
-// recoveryOrderInEffect reports whether jobs are taken in the recovery order.
-func (c *Scheduler) recoveryOrderInEffect() bool { return c.zoneFailover.IsOrderInEffect() }
-
-// recoversBefore reports whether the recovery order puts the work of a placement before a job.
-func (c *Scheduler) recoversBefore(pl *machineregistry.Placement, j *jobstate.Job) bool {
-	return c.zoneFailover.RecoversBefore(pl, &j.Spec)
-}
-
-// recoveryPosition is a job's position in the recovery order during a failover, and 0 at other times.
-func (c *Scheduler) recoveryPosition(spec *protocol.Job) int {
-	return c.zoneFailover.RecoveryPosition(spec)
-}
--- a/internal/coordination/scheduler/zonefailover.go
+++ b/internal/coordination/scheduler/zonefailover.go
@@ -153,17 +153,3 @@
 		c.zoneFailover.MarkDisplaced(j.Spec.ID, pl.Zone)
 	}
 }
-
-// inZoneFailover reports whether a zone is lost or not trusted again yet.
-func (c *Scheduler) inZoneFailover() bool { return c.zoneFailover.InFailover() }
-
-// isZoneLost reports whether a zone is lost.
-func (c *Scheduler) isZoneLost(zone string) bool { return c.zoneFailover.IsZoneLost(zone) }
-
-// noteDepartedMachine notes that a machine has failed or has left the cloud's list by itself.
-func (c *Scheduler) noteDepartedMachine(name string) { c.zoneFailover.NoteDepartedMachine(name) }
-
-// redistributeLoanPages moves loans off record pages that hold more than the limits in force allow.
-func (c *Scheduler) redistributeLoanPages() {
-	c.zoneFailover.RedistributeLoans(c.failoverRecordLimits())
-}
--- a/internal/coordination/scheduler/zonefailover_test.go
+++ b/internal/coordination/scheduler/zonefailover_test.go
@@ -1,7 +1,6 @@
 package scheduler
 
 import (
-	"fmt"
 	"strings"
 	"testing"
 
@@ -38,10 +37,7 @@
 			config.Team{Name: "blue", GuaranteedGPUs: float64(rapid.SampledFrom([]int{0, 8, 16}).Draw(t, "guarantee"))},
 		)
 		perZone := rapid.SampledFrom([]int{2, 3, 4, 5}).Draw(t, "machines")
-		for i := range 2 * perZone {
-			name := fmt.Sprintf("m%02d", i)
-			b.tasks[name], b.zoneOf[name] = map[protocol.TaskID]protocol.TaskStatus{}, []string{"a", "b"}[i%2]
-		}
+		b.addMachines(2 * perZone)
 		b.runSeconds(2)
 		b.submitRandomJobs(t, 2*perZone*rapid.SampledFrom([]int{5, 7, 8, 9, 12}).Draw(t, "load"))
 		b.runSeconds(15)
@@ -147,7 +143,7 @@
 			}
 		}
 	}
-	if c.zoneFailover.WatchesZones() || c.inZoneFailover() {
+	if c.zoneFailover.WatchesZones() || c.zoneFailover.InFailover() {
 		t.Error("a single zone is watched")
 	}
 }
--- a/internal/coordination/scheduler/zoneharness_test.go
+++ b/internal/coordination/scheduler/zoneharness_test.go
@@ -51,6 +51,15 @@
 	return b
 }
 
+// addMachines adds empty machines, in both zones by turns.
+func (b *zoneHarness) addMachines(n int) {
+	for i := range n {
+		name := fmt.Sprintf("m%02d", i)
+		b.tasks[name] = map[protocol.TaskID]protocol.TaskStatus{}
+		b.zoneOf[name] = []string{"a", "b"}[i%2]
+	}
+}
+
 // takeOver begins a term of a new leader with what the last one recorded.
 func (b *zoneHarness) takeOver(term uint64) {
 	var pages []protocol.KeyValue
@@ -197,7 +206,7 @@
 	}
 	b.excluded = b.excludedMachines() // some are free for another attempt once the cycle is over
 	b.step(Tick{})
-	if b.scheduler.inZoneFailover() {
+	if b.scheduler.zoneFailover.InFailover() {
 		b.orderOracle.CheckCycle(b.startsSince(before, used), b.waitingJobs(), b.freeCapacities())
 	}
 }
--- a/internal/coordination/scheduler/zoneloans_test.go
+++ b/internal/coordination/scheduler/zoneloans_test.go
@@ -1,7 +1,6 @@
 package scheduler
 
 import (
-	"fmt"
 	"slices"
 	"strings"
 	"testing"
@@ -18,10 +17,7 @@
 func newLendingHarness(t *testing.T, tasks int) *zoneHarness {
 	t.Helper()
 	b := newZoneHarness(zonefailover.DefaultRecoveryOrder(), config.Team{Name: "red"})
-	for i := range 6 {
-		name := fmt.Sprintf("m%02d", i)
-		b.tasks[name], b.zoneOf[name] = map[protocol.TaskID]protocol.TaskStatus{}, []string{"a", "b"}[i%2]
-	}
+	b.addMachines(6)
 	b.runSeconds(2)
 	gang := jobSpec("j-0", protocol.Gang, "urgent", 1, 8)
 	gang.Zone = "a"
@@ -82,8 +78,8 @@
 	}
 }
 
-// TestLeaderCrashBeforePreemptingLender: a recorded loan whose leader failed before it preempted the lender is closed by
-// the next leader, and the lender goes on.
+// TestLeaderCrashBeforePreemptingLender: a recorded loan whose leader failed before it preempted the lender is closed
+// by the next leader, and the lender goes on.
 func TestLeaderCrashBeforePreemptingLender(t *testing.T) {
 	b := newLendingHarness(t, 2)
 	b.runUntilLoan(t)
@@ -189,10 +185,7 @@
 // machine is fenced for it, and the gang starts whole when the zone is back.
 func TestGangShortByOne(t *testing.T) {
 	b := newZoneHarness(zonefailover.DefaultRecoveryOrder(), config.Team{Name: "red"})
-	for i := range 6 {
-		name := fmt.Sprintf("m%02d", i)
-		b.tasks[name], b.zoneOf[name] = map[protocol.TaskID]protocol.TaskStatus{}, []string{"a", "b"}[i%2]
-	}
+	b.addMachines(6)
 	b.runSeconds(2)
 	for i, j := range []protocol.Job{
 		jobSpec("j-0", protocol.Gang, "urgent", 2, 8),
@@ -283,10 +276,7 @@
 			config.Team{Name: "red", GuaranteedGPUs: row.guarantee},
 			config.Team{Name: "blue"},
 		)
-		for i := range 6 {
-			name := fmt.Sprintf("m%02d", i)
-			b.tasks[name], b.zoneOf[name] = map[protocol.TaskID]protocol.TaskStatus{}, []string{"a", "b"}[i%2]
-		}
+		b.addMachines(6)
 		b.runSeconds(2)
 		for _, j := range []protocol.Job{
 			jobSpec("j-2", protocol.Array, "critical", 2, 6),
--- a/internal/coordination/zonefailover/manager_test.go
+++ b/internal/coordination/zonefailover/manager_test.go
@@ -70,12 +70,13 @@
 	if !slices.Equal(zones, []string{"b", "a"}) || !slices.Equal(jobs, []int{2, 1}) {
 		t.Errorf("sorted: %v %v", zones, jobs)
 	}
-	job := &protocol.Job{}
+	job := &protocol.Job{Shape: protocol.Service}
 	if m.InFailover() || m.IsZoneLost("a") || m.MayBorrow("j-1") || m.IsOrderInEffect() || m.IsWriteDue(time.Hour) ||
 		m.RecoversBefore(
 			&machineregistry.Placement{},
 			job,
-		) || m.RecoveryPosition(job) != 0 || m.TakeDecisions() != nil {
+		) || m.RecoveryPosition(job) != 0 || m.RiskPenalty(job, 0, "a") != 0 ||
+		m.TakeDecisions() != nil {
 		t.Error("the feature is on")
 	}
 }
--- a/internal/coordination/zonefailover/recoverysort.go
+++ b/internal/coordination/zonefailover/recoverysort.go
@@ -86,6 +86,15 @@
 	return m.order.Position(class, placement.Team) < m.order.Position(job.Class, job.Team)
 }
 
+// RiskPenalty is what the start of a replica of the highest priority costs more, in seconds, in a zone that may be lost
+// again at any time. Other work starts anywhere alike. It is 0 for a nil Manager.
+func (m *Manager) RiskPenalty(job *protocol.Job, priority int, zone string) float64 {
+	if m == nil || priority > 0 || job.Shape != protocol.Service || m.monitor.State(zone) == Available {
+		return 0
+	}
+	return m.options.Settings.Workers.LeaseSeconds
+}
+
 // SortZonesByState sorts zones so that available ones come first: where several have as little capacity, a job must
 // not wait for some in a lost one. It does nothing for a nil Manager.
 func (m *Manager) SortZonesByState(zones []string) {
