--- a/internal/coordination/scheduler/quota.go
+++ b/internal/coordination/scheduler/queues.go
@@ -1,13 +1,18 @@
 package scheduler
 
 import (
+	"github.com/tidwall/btree"
+
 	"pinebay/internal/coordination/fairshare"
 	"pinebay/internal/coordination/jobstate"
 )
 
-// tasksWithinQuotaLimit returns how many more tasks of a job its team's quota limit admits.
-func (c *Scheduler) tasksWithinQuotaLimit(j *jobstate.Job) int {
-	return c.quotas.TasksWithinLimit(j.Spec.Team, j.TaskResources)
+// inSchedulingOrder returns the jobs of a queue in scheduling order, or in the recovery order while that is
+// in effect.
+func (c *Scheduler) inSchedulingOrder(queue *btree.BTreeG[*jobstate.Job]) []*jobstate.Job {
+	jobs := queue.Items()
+	c.sortForRecovery(jobs)
+	return jobs
 }
 
 // newFairShareQueue returns the queue of a cycle's jobs, which are in scheduling order. While the
@@ -22,3 +27,8 @@
 func fairShareRequest(j *jobstate.Job) fairshare.Request {
 	return fairshare.Request{Team: j.Spec.Team, Task: j.TaskResources, Priority: j.EffectivePriority}
 }
+
+// tasksWithinQuotaLimit returns how many more tasks of a job its team's quota limit admits.
+func (c *Scheduler) tasksWithinQuotaLimit(j *jobstate.Job) int {
+	return c.quotas.TasksWithinLimit(j.Spec.Team, j.TaskResources)
+}
