--- a/internal/coordination/api/cancellation.go
+++ b/internal/coordination/api/cancellation.go
@@ -68,7 +68,7 @@
 // moveToEnded replaces the live record of a job by its ended record in one transaction, and reports whether the live
 // record still had the revision.
 func (s *Server) moveToEnded(ctx context.Context, id string, revision uint64, ended []byte) (bool, error) {
-	_, moved, err := s.store.Txn(ctx, storage.BudgetAcceptance, protocol.Txn{
+	outcome, err := s.store.Txn(ctx, storage.BudgetAcceptance, protocol.Txn{
 		If: []protocol.Compare{
 			{Key: storage.LiveJobKey(id), Revision: revision},
 			{Key: storage.EndedJobKey(id)},
@@ -78,7 +78,7 @@
 			{PutKey: storage.EndedJobKey(id), Value: ended},
 		},
 	})
-	return moved && err == nil, err
+	return outcome.Succeeded && err == nil, err
 }
 
 // confirmCancellation returns the status of a job whose cancellation was recorded, after an intent that was created at
--- a/internal/coordination/leader/cloud.go
+++ b/internal/coordination/leader/cloud.go
@@ -115,7 +115,7 @@
 	}
 	if value, err := protocol.Encode(protocol.MachineTypes{Types: types}); err == nil {
 		// Only a short cut for others: without it they ask the cloud.
-		_, _, _ = store.Txn(ctx, storage.BudgetPlacement, protocol.Txn{
+		_, _ = store.Txn(ctx, storage.BudgetPlacement, protocol.Txn{
 			If:   []protocol.Compare{{Key: storage.MachineTypesKey, Revision: p.Revision}},
 			Then: []protocol.Op{{PutKey: storage.MachineTypesKey, Value: value}},
 		})
--- a/internal/coordination/leader/effects.go
+++ b/internal/coordination/leader/effects.go
@@ -78,13 +78,13 @@
 	budget := writeBudget(w.Priority)
 	uncertain := false // an earlier try had no answer
 	for ; ctx.Err() == nil; admission = l.deps.Store.Admit(budget, &w.Txn) {
-		revision, ok, failed, err := l.deps.Store.TxnAdmitted(ctx, admission, w.Txn)
+		outcome, err := l.deps.Store.TxnAdmitted(ctx, admission, w.Txn)
 		switch {
-		case err == nil && ok:
-			l.mailbox.Send(scheduler.TransactionOutcome{WriteID: w.ID, Succeeded: true, Revision: revision})
+		case err == nil && outcome.Succeeded:
+			l.mailbox.Send(scheduler.TransactionOutcome{WriteID: w.ID, Succeeded: true, Revision: outcome.Revision})
 			return
 		case err == nil && !uncertain:
-			l.mailbox.Send(scheduler.TransactionOutcome{WriteID: w.ID, FailedKeys: failed})
+			l.mailbox.Send(scheduler.TransactionOutcome{WriteID: w.ID, FailedKeys: outcome.FailedKeys})
 			return
 		case err == nil:
 			if earlier, err := l.findEarlierTry(ctx, budget, w); err == nil {
@@ -92,7 +92,7 @@
 					WriteID:    w.ID,
 					Succeeded:  earlier.succeeded,
 					Revision:   earlier.revision,
-					FailedKeys: failed,
+					FailedKeys: outcome.FailedKeys,
 				})
 				return
 			}
--- a/internal/coordination/scheduler/featurelevel_test.go
+++ b/internal/coordination/scheduler/featurelevel_test.go
@@ -110,7 +110,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	rec, err := storage.DecodePage(pair.Value, name.Layout)
+	rec, err := storage.DecodePage(pair, name.Layout)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/coordination/scheduler/recovery.go
+++ b/internal/coordination/scheduler/recovery.go
@@ -28,7 +28,7 @@
 			c.log.Error("page out of form", "key", pair.Key, "err", err)
 			continue
 		}
-		rec, err := storage.DecodePage(pair.Value, name.Layout)
+		rec, err := storage.DecodePage(pair, name.Layout)
 		if err != nil {
 			c.log.Error("page out of form", "key", pair.Key, "err", err)
 			continue
--- a/internal/daemon/claim.go
+++ b/internal/daemon/claim.go
@@ -113,7 +113,7 @@
 	if err != nil {
 		return 0, err
 	}
-	revision, ok, err := a.store.Txn(ctx, storage.BudgetUrgent, protocol.Txn{
+	outcome, err := a.store.Txn(ctx, storage.BudgetUrgent, protocol.Txn{
 		If: []protocol.Compare{
 			{Key: storage.TermKey, Revision: current.termRevision},
 			{Key: storage.LeaderKey, Revision: current.keyRevision},
@@ -126,8 +126,8 @@
 	if err != nil {
 		return 0, fmt.Errorf("write term %d: %w", term, err)
 	}
-	if !ok {
+	if !outcome.Succeeded {
 		return 0, errClaimLost
 	}
-	return revision, nil
+	return outcome.Revision, nil
 }
--- a/internal/daemon/featurelevels.go
+++ b/internal/daemon/featurelevels.go
@@ -132,8 +132,8 @@
 		return
 	}
 	key := storage.FeatureLevelKey(a.cfg.Name)
-	_, ok, err := a.store.Txn(ctx, storage.BudgetUrgent, protocol.Txn{
+	outcome, err := a.store.Txn(ctx, storage.BudgetUrgent, protocol.Txn{
 		If: []protocol.Compare{{Key: key, Revision: e.Revision}}, Then: []protocol.Op{{PutKey: key, Value: value}},
 	})
-	a.log.Info("feature level announcement completed", "level", e.Level, "succeeded", ok, "error", err)
+	a.log.Info("feature level announcement completed", "level", e.Level, "succeeded", outcome.Succeeded, "error", err)
 }
--- a/internal/daemon/ownership.go
+++ b/internal/daemon/ownership.go
@@ -115,14 +115,14 @@
 	}
 	// Two controllers with the same verdict write on the same revisions: one of them fails, and so does a
 	// transaction that comes late.
-	_, ok, err := a.store.Txn(ctx, storage.BudgetPlacement, protocol.Txn{
+	outcome, err := a.store.Txn(ctx, storage.BudgetPlacement, protocol.Txn{
 		If: []protocol.Compare{
 			{Key: storage.TermKey, Revision: term.Revision},
 			{Key: storage.OwnershipKey, Revision: r.Revision},
 		},
 		Then: []protocol.Op{{PutKey: storage.OwnershipKey, Value: value}},
 	})
-	if err == nil && !ok {
+	if err == nil && !outcome.Succeeded {
 		err = errSuperseded
 	}
 	return err
--- a/internal/storage/budgets.go
+++ b/internal/storage/budgets.go
@@ -10,92 +10,118 @@
 	"pinebay/internal/config"
 )
 
-// readRates divides the service's requests a second between the uses of a controller.
+// Budget says what a request is for, and so which share of the store's rate limits it is paid from.
+type Budget int
+
+// The budgets of a controller.
+const (
+	BudgetUrgent      Budget = iota // leadership: never waits
+	BudgetPlacement                 // the leader's placements
+	BudgetAcceptance                // submissions and cancellations of jobs
+	BudgetPoll                      // users' queries
+	BudgetMaintenance               // cleaning up, and hints
+	BudgetCompletion                // ends of tasks and jobs: what BudgetPlacement leaves of its share
+)
+
+// Fractions of the store's rate limits.
+const (
+	// PlacementShare is the fraction of the writes for the leader's placements, and for completions as far as they
+	// leave room.
+	PlacementShare = 0.6
+	// completionFloor is the fraction of the placements' writes that completions have in any case.
+	completionFloor       = 0.25
+	maintenanceWriteShare = 0.2
+	placementReadShare    = 0.5
+	pollReadShare         = 0.6
+	maintenanceReadShare  = 0.1
+)
+
+// readRates returns the requests per second of each budget. Those of the leader are of the whole store, the others
+// of this controller's share.
 func (c *Client) readRates(limits config.StoreLimits) map[Budget]float64 {
-	n := float64(c.controllers)
+	controllers := float64(c.controllers)
 	return map[Budget]float64{
-		BudgetPlacement:   limits.RPS * 0.5,
-		BudgetAcceptance:  limits.RPS / n,
-		BudgetPoll:        limits.RPS * 0.6 / n,
-		BudgetMaintenance: limits.RPS * 0.1,
+		BudgetPlacement:   limits.RPS * placementReadShare,
+		BudgetAcceptance:  limits.RPS / controllers,
+		BudgetPoll:        limits.RPS * pollReadShare / controllers,
+		BudgetMaintenance: limits.RPS * maintenanceReadShare,
 	}
 }
 
-// writeRates divides the service's writes a second between the uses of a controller.
+// writeRates returns the writes per second of each budget.
 func (c *Client) writeRates(limits config.StoreLimits) map[Budget]float64 {
 	return map[Budget]float64{
-		BudgetPlacement: limits.WriteRPS * PlacementShare, BudgetAcceptance: limits.WriteRPS / float64(c.controllers),
-		BudgetMaintenance: limits.WriteRPS * 0.2, BudgetCompletion: limits.WriteRPS * PlacementShare * completionFloor,
+		BudgetPlacement:   limits.WriteRPS * PlacementShare,
+		BudgetAcceptance:  limits.WriteRPS / float64(c.controllers),
+		BudgetMaintenance: limits.WriteRPS * maintenanceWriteShare,
+		BudgetCompletion:  limits.WriteRPS * PlacementShare * completionFloor,
 	}
 }
 
-// burstFor is how much of a budget may be used at a moment: a second's share. What is beyond that waits; the
-// service's own 429 corrects where several controllers are busy at once.
+// burstFor returns how much of a budget may be used at one moment: a second's share. What is beyond that waits; the
+// store's own rate limit corrects the controllers where several are busy at once.
 func burstFor(limit float64) int { return max(1, int(limit)) }
 
-// SetLimits has the budgets follow other limits of the service from now on.
+// SetLimits applies other limits of the store to the budgets.
 func (c *Client) SetLimits(limits config.StoreLimits) {
-	set := func(budgets map[Budget]*rate.Limiter, shares map[Budget]float64) {
-		for use, limit := range shares {
-			budgets[use].SetLimit(rate.Limit(limit))
-			budgets[use].SetBurst(burstFor(limit))
-		}
+	setRates(c.readLimiters, c.readRates(limits))
+	setRates(c.writeLimiters, c.writeRates(limits))
+}
+
+func setRates(limiters map[Budget]*rate.Limiter, rates map[Budget]float64) {
+	for budget, limit := range rates {
+		limiters[budget].SetLimit(rate.Limit(limit))
+		limiters[budget].SetBurst(burstFor(limit))
 	}
-	set(c.readLimiters, c.readRates(limits))
-	set(c.writeLimiters, c.writeRates(limits))
 }
 
-// MaxQueueTime is how long a user's request may wait for its turn: no longer than the
-// pause after which a user who was refused asks again.
+// MaxQueueTime is how long a user's request may wait for its budget: no longer than the pause after which a user who
+// was rejected asks again.
 const MaxQueueTime = time.Second
 
-// admit waits until the budgets allow a request, which its text tells from others. Users' requests that would wait
-// for too long are refused at once, so that a crowd is told to come back instead
-// of being held.
-func (c *Client) admit(ctx context.Context, use Budget, request string, writes int) error {
-	if use == BudgetCompletion {
+// admit waits until the budget allows a request. Users' requests that would wait for too long fail at once, so that
+// they are repeated later instead of being held. The request's text tells it from others that wait.
+func (c *Client) admit(ctx context.Context, budget Budget, request string, writes int) error {
+	if budget == BudgetCompletion {
 		return c.admitCompletion(ctx, request, writes)
 	}
-	if use == BudgetAcceptance || use == BudgetPoll {
+	if budget == BudgetAcceptance || budget == BudgetPoll {
 		var cancel context.CancelFunc
 		ctx, cancel = context.WithTimeout(ctx, MaxQueueTime)
 		defer cancel()
 	}
-	if l := c.readLimiters[use]; l != nil {
-		if err := l.Wait(ctx); err != nil {
+	if limiter := c.readLimiters[budget]; limiter != nil {
+		if err := limiter.Wait(ctx); err != nil {
 			return fmt.Errorf("%w: %w", ErrThrottled, err)
 		}
 	}
-	if l := c.writeLimiters[use]; l != nil && writes > 0 {
-		if err := l.WaitN(ctx, min(writes, l.Burst())); err != nil {
+	if limiter := c.writeLimiters[budget]; limiter != nil && writes > 0 {
+		if err := limiter.WaitN(ctx, min(writes, limiter.Burst())); err != nil {
 			return fmt.Errorf("%w: %w", ErrThrottled, err)
 		}
 	}
 	return nil
 }
 
-// How what has ended gives way to the placements.
 const (
-	// completionPatience is how long it waits for writes that they leave. Then it takes its turn
-	// beside them, while no more than completionBacklog of a second's writes are promised already: a
-	// job's end waits for the record of its last ends, and its user for the job's end.
+	// completionPatience is how long a completion waits for writes that the placements leave. After that it competes
+	// with them, while no more than completionBacklog of a second's writes are promised already: a job's end
+	// waits for the record of its last tasks, and its user for the job's end.
 	completionPatience = time.Second
 	completionBacklog  = 0.1
-	// completionFloor is the part of the placements' budget that it has whatever they want.
-	completionFloor = 0.25
 )
 
-// admitCompletion waits until the budget of the placements has something left. It reserves nothing
-// meanwhile, so that placements don't wait behind hundreds of these when many jobs end at once.
+// admitCompletion waits until the budget of the placements has something left. It reserves nothing meanwhile, so that
+// placements don't queue behind hundreds of completions when many jobs end at once.
 func (c *Client) admitCompletion(ctx context.Context, request string, writes int) error {
-	l := c.writeLimiters[BudgetPlacement]
-	n := min(writes, l.Burst())
+	limiter := c.writeLimiters[BudgetPlacement]
+	needed := min(writes, limiter.Burst())
 	began := time.Now()
-	for !l.AllowN(time.Now(), n) {
-		if time.Since(began) > completionPatience && c.reserveCompletion(n) {
+	for !limiter.AllowN(time.Now(), needed) {
+		if time.Since(began) > completionPatience && c.reserveCompletion(needed) {
 			break
 		}
-		c.random.Pause(ctx, request, time.Duration(float64(time.Second)/float64(l.Limit())))
+		c.random.Pause(ctx, request, time.Duration(float64(time.Second)/float64(limiter.Limit())))
 		if err := ctx.Err(); err != nil {
 			return fmt.Errorf("%w: %w", ErrThrottled, err)
 		}
@@ -103,27 +129,26 @@
 	return c.admit(ctx, BudgetPlacement, request, 0)
 }
 
-// reserveCompletion takes writes out of the placements' budget although they are promised to those,
-// within bounds, and says whether it did.
-func (c *Client) reserveCompletion(n int) bool {
+// reserveCompletion takes writes from the placements' budget although they are promised to those, within bounds. It
+// reports whether it did.
+func (c *Client) reserveCompletion(writes int) bool {
 	c.completionMu.Lock()
 	defer c.completionMu.Unlock()
-	l := c.writeLimiters[BudgetPlacement]
+	placements, floor := c.writeLimiters[BudgetPlacement], c.writeLimiters[BudgetCompletion]
 	now := time.Now()
-	if l.Tokens() <= -completionBacklog*float64(l.Limit()) &&
-		!c.writeLimiters[BudgetCompletion].AllowN(now, min(n, c.writeLimiters[BudgetCompletion].Burst())) {
+	backlogged := placements.Tokens() <= -completionBacklog*float64(placements.Limit())
+	if backlogged && !floor.AllowN(now, min(writes, floor.Burst())) {
 		return false
 	}
-	l.ReserveN(now, n)
+	placements.ReserveN(now, writes)
 	return true
 }
 
-// tryAdmit says whether the budgets allow a request that is not needed, and takes it
-// from them.
-func (c *Client) tryAdmit(use Budget, writes int) bool {
-	if l := c.readLimiters[use]; l != nil && !l.Allow() {
+// tryAdmit reports whether the budget has room for a request that could be done without, and takes it if so.
+func (c *Client) tryAdmit(budget Budget, writes int) bool {
+	if limiter := c.readLimiters[budget]; limiter != nil && !limiter.Allow() {
 		return false
 	}
-	l := c.writeLimiters[use]
-	return l == nil || l.AllowN(time.Now(), writes)
+	limiter := c.writeLimiters[budget]
+	return limiter == nil || limiter.AllowN(time.Now(), writes)
 }
--- a/internal/storage/compatibility_test.go
+++ b/internal/storage/compatibility_test.go
@@ -40,13 +40,40 @@
 		"ended-cancelled": &storage.EndedJobRecord{State: protocol.JobCancelled},
 		"leader":          &storage.LeaderRecord{Controller: "bothy-1", Term: 7},
 		"images": &storage.ImageHintRecord{
-			Images: []string{"img-07", "img-09"}, SizesGB: []float64{6.2, 118}, Machines: []storage.MachineImages{{Name: "host-000231", Images: []int{0, 1}}},
+			Images:   []string{"img-07", "img-09"},
+			SizesGB:  []float64{6.2, 118},
+			Machines: []storage.MachineImages{{Name: "host-000231", Images: []int{0, 1}}},
 			Arrivals: []storage.ClassArrivals{{Class: "train", Jobs: 2.25, MeanTasks: 11.5}},
 		},
-		"types": &protocol.MachineTypes{Types: []protocol.MachineType{{Name: "g8", CPUs: 96, GPUs: 8, MemoryGB: 768, CacheGB: 200, FetchGBPerSecond: 1, HourlyPrice: 12, HourlySpotPrice: 4.5, BootSeconds: 45, Zones: []string{"a", "b"}}}},
+		"types": &protocol.MachineTypes{Types: []protocol.MachineType{{
+			Name:             "g8",
+			CPUs:             96,
+			GPUs:             8,
+			MemoryGB:         768,
+			CacheGB:          200,
+			FetchGBPerSecond: 1,
+			HourlyPrice:      12,
+			HourlySpotPrice:  4.5,
+			BootSeconds:      45,
+			Zones:            []string{"a", "b"},
+		}}},
 		"zone-return": &storage.ZoneFailoverRecord{
-			Format: 1, WriteName: "7.43", Zones: []storage.ZoneRow{{Name: "a", State: 1, SinceMS: 1764682355123, Flaps: 2}},
-			Loans: []storage.LoanRow{{Term: 7, Number: 3, Lender: "j-1", Task: 4, Attempt: 2, Borrower: "j-2", Machine: "host-000231", Zone: "b", LostSeconds: 12.5, CreatedMS: 5, ExpiresMS: 6}},
+			Format:    1,
+			WriteName: "7.43",
+			Zones:     []storage.ZoneRow{{Name: "a", State: 1, SinceMS: 1764682355123, Flaps: 2}},
+			Loans: []storage.LoanRow{{
+				Term:        7,
+				Number:      3,
+				Lender:      "j-1",
+				Task:        4,
+				Attempt:     2,
+				Borrower:    "j-2",
+				Machine:     "host-000231",
+				Zone:        "b",
+				LostSeconds: 12.5,
+				CreatedMS:   5,
+				ExpiresMS:   6,
+			}},
 		},
 	} {
 		raw := testutil.Production(t, name)
@@ -78,7 +105,7 @@
 	}
 	layout := storage.PageLayout{TasksPerPage: storage.OriginalPageTasks(8)}
 	raw := testutil.Production(t, "page")
-	got, err := storage.DecodePage(raw, layout)
+	got, err := storage.DecodePage(protocol.KeyValue{Value: raw}, layout)
 	if err != nil || !reflect.DeepEqual(*got, want) {
 		t.Errorf("it is read as %+v: %v", got, err)
 	}
--- a/internal/storage/featurelevels.go
+++ b/internal/storage/featurelevels.go
@@ -1,27 +1,26 @@
 package storage
 
 import (
-	"fmt"
 	"strings"
 
 	"pinebay/internal/protocol"
 )
 
-// FeatureLevelPrefix is where each controller records the feature level that it speaks.
+// FeatureLevelPrefix begins the keys of the controllers' feature levels.
 const FeatureLevelPrefix = "feature/node/"
 
-// FeatureLevelKey is where a controller's feature level lies.
-func FeatureLevelKey(node string) string { return FeatureLevelPrefix + node }
+// FeatureLevelKey is the key of a controller's feature level.
+func FeatureLevelKey(controller string) string { return FeatureLevelPrefix + controller }
 
-// FeatureLevelRecord is the highest feature level that a process of a controller has spoken.
+// FeatureLevelRecord is the highest feature level that a process of a controller has supported.
 type FeatureLevelRecord struct {
 	Level int `msgpack:"level"`
 }
 
-// DecodeFeatureLevel reads a controller's feature level, and its name in the key.
-func DecodeFeatureLevel(p protocol.KeyValue) (node string, rec FeatureLevelRecord, err error) {
-	if err := protocol.Decode(p.Value, &rec); err != nil {
-		return "", rec, fmt.Errorf("key %q: %w", p.Key, err)
+// DecodeFeatureLevel decodes a record, and returns the controller that its key names.
+func DecodeFeatureLevel(p protocol.KeyValue) (controller string, record FeatureLevelRecord, err error) {
+	if err := protocol.Decode(p.Value, &record); err != nil {
+		return "", record, undecodable(p.Key, err)
 	}
-	return strings.TrimPrefix(p.Key, FeatureLevelPrefix), rec, nil
+	return strings.TrimPrefix(p.Key, FeatureLevelPrefix), record, nil
 }
--- a/internal/storage/leases.go
+++ b/internal/storage/leases.go
@@ -10,36 +10,27 @@
 	"pinebay/internal/protocol"
 )
 
-// GrantLease asks for a lease.
+const leasesPath = "/grants"
+
+func leasePath(lease uint64) string { return leasesPath + "/" + strconv.FormatUint(lease, 10) }
+
+// GrantLease asks for a lease, and returns its ID.
 func (c *Client) GrantLease(ctx context.Context, ttl time.Duration) (uint64, error) {
-	_, raw, err := c.call(
-		ctx,
-		BudgetUrgent,
-		0,
-		http.MethodPost,
-		"/grants",
-		protocol.LeaseRequest{TTLMS: ttl.Milliseconds()},
-	)
+	request := protocol.LeaseRequest{TTLMS: ttl.Milliseconds()}
+	_, raw, err := c.call(ctx, BudgetUrgent, http.MethodPost, leasesPath, request)
 	if err != nil {
 		return 0, err
 	}
-	var r protocol.LeaseResult
-	if err := protocol.Decode(raw, &r); err != nil {
-		return 0, fmt.Errorf("lease: %w", err)
+	var result protocol.LeaseResult
+	if err := protocol.Decode(raw, &result); err != nil {
+		return 0, fmt.Errorf("grant lease: %w", err)
 	}
-	return r.LeaseID, nil
+	return result.LeaseID, nil
 }
 
-// RenewLease renews a lease.
+// RenewLease renews a lease. The error is ErrLeaseNotFound if it has ended.
 func (c *Client) RenewLease(ctx context.Context, lease uint64) error {
-	status, _, err := c.call(
-		ctx,
-		BudgetUrgent,
-		0,
-		http.MethodPost,
-		"/grants/"+strconv.FormatUint(lease, 10)+"/extend",
-		struct{}{},
-	)
+	status, _, err := c.call(ctx, BudgetUrgent, http.MethodPost, leasePath(lease)+"/extend", struct{}{})
 	if err == nil && status == http.StatusNotFound {
 		return ErrLeaseNotFound
 	}
@@ -48,6 +39,6 @@
 
 // RevokeLease ends a lease at once, and removes the keys attached to it.
 func (c *Client) RevokeLease(ctx context.Context, lease uint64) error {
-	_, _, err := c.call(ctx, BudgetUrgent, 0, http.MethodDelete, "/grants/"+strconv.FormatUint(lease, 10), nil)
+	_, _, err := c.call(ctx, BudgetUrgent, http.MethodDelete, leasePath(lease), nil)
 	return err
 }
--- a/internal/storage/ownership.go
+++ b/internal/storage/ownership.go
@@ -1,29 +1,24 @@
 package storage
 
-import (
-	"errors"
-	"fmt"
+import "pinebay/internal/protocol"
 
-	"pinebay/internal/protocol"
-)
-
-// OwnershipKey is where the record of the machines' owners lies.
+// OwnershipKey is the key of the record of the machines' owners.
 const OwnershipKey = "ownership"
 
 // OwnershipFormat is the format of the record that this version reads and writes.
 const OwnershipFormat = 1
 
-// OwnershipRecord says which controllers own machines in an epoch.
+// OwnershipRecord says which controllers own shards of the machines during an epoch.
 type OwnershipRecord struct {
 	Format  int               `msgpack:"v"`
 	Epoch   uint64            `msgpack:"epoch"`
 	Term    uint64            `msgpack:"term"` // of the leader that wrote it
 	Members []OwnershipMember `msgpack:"members"`
-	// Reason is the verdict because of which the epoch began, with its evidence, or what else changed.
+	// Reason is why the epoch began: the verdict of the failure detector with its evidence, or what else changed.
 	Reason string `msgpack:"reason"`
 }
 
-// OwnershipMember is a controller that owns machines, by its incarnation.
+// OwnershipMember is a controller that owns a shard, by its incarnation. It is stored as a list.
 type OwnershipMember struct {
 	//lint:ignore U1000 the codec reads its tag
 	_msgpack                 struct{} `msgpack:",as_array"`
@@ -31,38 +26,24 @@
 	Incarnation, Refutations uint64
 }
 
-var errMalformedOwnership = errors.New("ownership record out of form")
-
-// DecodeOwnership reads and checks the record.
+// DecodeOwnership decodes and validates the record.
 func DecodeOwnership(raw []byte) (*OwnershipRecord, error) {
-	var head struct {
-		Format int `msgpack:"v"`
-	}
-	if err := protocol.Decode(raw, &head); err != nil {
-		return nil, fmt.Errorf("ownership record: %w", err)
-	}
-	if head.Format > OwnershipFormat {
-		return nil, fmt.Errorf("%w: %d", ErrNewerFormat, head.Format)
+	if err := checkFormat(OwnershipKey, raw, OwnershipFormat); err != nil {
+		return nil, err
 	}
-	var rec OwnershipRecord
-	if err := protocol.Decode(raw, &rec); err != nil {
-		return nil, fmt.Errorf("ownership record: %w", err)
+	var record OwnershipRecord
+	if err := protocol.Decode(raw, &record); err != nil {
+		return nil, undecodable(OwnershipKey, err)
 	}
-	if rec.Format != OwnershipFormat || rec.Epoch == 0 || rec.Term == 0 {
-		return nil, fmt.Errorf(
-			"%w: format %d, epoch %d, term %d",
-			errMalformedOwnership,
-			rec.Format,
-			rec.Epoch,
-			rec.Term,
-		)
+	if record.Epoch == 0 || record.Term == 0 {
+		return nil, malformed(OwnershipKey, "epoch %d, term %d", record.Epoch, record.Term)
 	}
 	seen := map[string]bool{}
-	for _, e := range rec.Members {
-		if e.Controller == "" || e.Incarnation == 0 || seen[e.Controller] {
-			return nil, fmt.Errorf("%w: member %q", errMalformedOwnership, e.Controller)
+	for _, member := range record.Members {
+		if member.Controller == "" || member.Incarnation == 0 || seen[member.Controller] {
+			return nil, malformed(OwnershipKey, "member %q", member.Controller)
 		}
-		seen[e.Controller] = true
+		seen[member.Controller] = true
 	}
-	return &rec, nil
+	return &record, nil
 }
--- a/internal/storage/placementpages.go
+++ b/internal/storage/placementpages.go
@@ -1,7 +1,6 @@
 package storage
 
 import (
-	"errors"
 	"fmt"
 	"strconv"
 	"strings"
@@ -9,69 +8,75 @@
 	"pinebay/internal/protocol"
 )
 
-// PageLayout says how the pages of a job's placements are cut and written.
+// PageLayout says how the tasks of a job are divided into pages, and how pages are encoded.
 type PageLayout struct {
 	// TasksPerPage is how many tasks a page covers.
 	TasksPerPage int
-	// Compact pages list their placements by machine, and have their width in their key. Others are of the
-	// first layout, whose width follows from the state service's limits.
+	// Compact pages list their placements by machine, and have their width in their key. Others have the original
+	// layout, whose width follows from the limits of the store.
 	Compact bool
 }
 
-// PageID tells one page of a job's placements from others.
+// PageID identifies a page of a job's placements.
 type PageID struct {
 	Job    string
 	Layout PageLayout
 	Number int
 }
 
-// Key is where the page lies.
-func (n PageID) Key() string {
-	if n.Layout.Compact {
-		return fmt.Sprintf("%s%s/%s%d.%04d", PlacementPrefix, n.Job, compactPageMark, n.Layout.TasksPerPage, n.Number)
-	}
-	return fmt.Sprintf("%s%s/%04d", PlacementPrefix, n.Job, n.Number)
-}
-
 // compactPageMark begins the last part of a compact page's key.
 const compactPageMark = "w"
 
-// FirstTask returns the first task that the page covers, and End the one after its last.
-func (n PageID) FirstTask() int { return n.Number * n.Layout.TasksPerPage }
+// Key returns the key of the page's record.
+func (id PageID) Key() string {
+	if id.Layout.Compact {
+		return fmt.Sprintf(
+			"%s%s/%s%d.%04d",
+			PlacementPrefix,
+			id.Job,
+			compactPageMark,
+			id.Layout.TasksPerPage,
+			id.Number,
+		)
+	}
+	return fmt.Sprintf("%s%s/%04d", PlacementPrefix, id.Job, id.Number)
+}
+
+// FirstTask returns the first task that the page covers.
+func (id PageID) FirstTask() int { return id.Number * id.Layout.TasksPerPage }
 
 // EndTask returns the task after the last one that the page covers.
-func (n PageID) EndTask() int { return (n.Number + 1) * n.Layout.TasksPerPage }
+func (id PageID) EndTask() int { return (id.Number + 1) * id.Layout.TasksPerPage }
 
-// ParsePageKey reads the name in a key; pages of the first layout have the given width.
-func ParsePageKey(key string, productionWidth int) (PageID, error) {
-	id, last, ok := strings.Cut(strings.TrimPrefix(key, PlacementPrefix), "/")
+// ParsePageKey returns the page whose key is given. Pages of the original layout cover the given number of tasks.
+func ParsePageKey(key string, originalTasks int) (PageID, error) {
+	job, last, ok := strings.Cut(strings.TrimPrefix(key, PlacementPrefix), "/")
 	if !ok {
-		return PageID{}, fmt.Errorf("%w: key %q", errMalformedPage, key)
+		return PageID{}, malformed(key, "no page in the key")
 	}
-	name := PageID{Job: id, Layout: PageLayout{TasksPerPage: productionWidth}}
+	id := PageID{Job: job, Layout: PageLayout{TasksPerPage: originalTasks}}
 	if rest, compact := strings.CutPrefix(last, compactPageMark); compact {
 		width, number, ok := strings.Cut(rest, ".")
-		w, err := strconv.Atoi(width)
-		if !ok || err != nil || w < 1 || w > protocol.MaxTasks {
-			return PageID{}, fmt.Errorf("%w: key %q", errMalformedPage, key)
+		tasks, err := strconv.Atoi(width)
+		if !ok || err != nil || tasks < 1 || tasks > protocol.MaxTasks {
+			return PageID{}, malformed(key, "page of %q tasks", width)
 		}
-		name.Layout, last = PageLayout{TasksPerPage: w, Compact: true}, number
+		id.Layout, last = PageLayout{TasksPerPage: tasks, Compact: true}, number
 	}
 	number, err := strconv.Atoi(last)
 	if err != nil || number < 0 || number > protocol.MaxTasks {
-		return PageID{}, fmt.Errorf("%w: key %q", errMalformedPage, key)
+		return PageID{}, malformed(key, "page number %q", last)
 	}
-	name.Number = number
-	return name, nil
+	id.Number = number
+	return id, nil
 }
 
-// PlacementPage holds the placements and done tasks of a run of a job's tasks.
-// It repeats what the tasks take, so that a job that is over still counts for
-// its team until its tasks are gone.
+// PlacementPage holds the placements and the done tasks of a run of a job's tasks. It repeats the resources of a task,
+// so that an ended job still counts for its team until its tasks are gone.
 type PlacementPage struct {
 	WriteName      string      `msgpack:"w"`
-	HighestAttempt uint64      `msgpack:"n"` // highest attempt ever written
-	DoneRanges     [][2]int    `msgpack:"d,omitempty"`
+	HighestAttempt uint64      `msgpack:"n"`           // ever given to a task of the page
+	DoneRanges     [][2]int    `msgpack:"d,omitempty"` // first and last task of each
 	Zones          []string    `msgpack:"z,omitempty"`
 	Placements     []Placement `msgpack:"p,omitempty"`
 	Team           string      `msgpack:"t"`
@@ -80,7 +85,7 @@
 	MemoryGB       float64     `msgpack:"m"`
 }
 
-// Placement is one placement. It is stored as a list, for values are small.
+// Placement is a placement of a task. It is stored as a list, to save space.
 type Placement struct {
 	//lint:ignore U1000 the codec reads its tag
 	_msgpack    struct{} `msgpack:",as_array"`
@@ -91,28 +96,29 @@
 	Zone        int // index in Zones
 }
 
-// PlacementBytes bounds a stored placement, in the JSON form that limits count.
-const PlacementBytes = 64
+// Sizes of placements, in the JSON form that the limits count.
+const (
+	// PlacementBytes is an upper bound of a stored placement.
+	PlacementBytes = 64
+	// compactPlacementBytes is the size of a placement in a compact page if it is the only one on its machine and names
+	// have their usual length.
+	compactPlacementBytes = 32
+	// pageFillShare is the part of a value that the placements of a page, or the loans of one, may take. The rest is
+	// for the other fields.
+	pageFillShare = 0.75
+)
 
-// OriginalPageTasks returns how many tasks a page of the first layout covers, so that a full page with
-// its head stays well inside a value.
+// OriginalPageTasks returns how many tasks a page of the original layout covers. A full page is well within the limit.
 func OriginalPageTasks(valueKB float64) int {
-	return max(1, int(valueKB*1024*placementShareOfValue/PlacementBytes))
+	return max(1, int(valueKB*bytesPerKB*pageFillShare/PlacementBytes))
 }
 
-// CompactPageTasks returns how many tasks a page of the compact layout covers at first: as many as
-// fit with names of usual length. A page that turns out too large is split (see Fits).
+// CompactPageTasks returns how many tasks a page of the compact layout covers at first: as many as fit with names of
+// usual length. A page that turns out too large is divided (see FitsValueLimit).
 func CompactPageTasks(valueKB float64) int {
-	return max(1, int(valueKB*1024*placementShareOfValue/compactPlacementBytes))
+	return max(1, int(valueKB*bytesPerKB*pageFillShare/compactPlacementBytes))
 }
 
-// placementShareOfValue is the part of a value that a page's placements may take; the rest is for its head.
-const placementShareOfValue = 0.75
-
-// compactPlacementBytes is what a placement takes in a compact page, in the JSON form that limits count,
-// if it is alone on its machine and names are of usual length.
-const compactPlacementBytes = 32
-
 // ZoneIndex returns the index of a zone in the record, adding it if need be.
 func (r *PlacementPage) ZoneIndex(zone string) int {
 	for i, z := range r.Zones {
@@ -124,7 +130,7 @@
 	return len(r.Zones) - 1
 }
 
-// AddDoneTask appends a task to the ranges; tasks must come in rising order.
+// AddDoneTask adds a task to the ranges. Tasks must be added in rising order.
 func (r *PlacementPage) AddDoneTask(task int) {
 	if n := len(r.DoneRanges); n > 0 && r.DoneRanges[n-1][1] == task-1 {
 		r.DoneRanges[n-1][1] = task
@@ -146,7 +152,7 @@
 	MemoryGB       float64          `msgpack:"m"`
 }
 
-// compactMachine is a session of a machine with the tasks that were placed there, each with its attempt.
+// compactMachine is an incarnation of a machine with the tasks that were placed there.
 type compactMachine struct {
 	//lint:ignore U1000 the codec reads its tag
 	_msgpack    struct{} `msgpack:",as_array"`
@@ -156,7 +162,7 @@
 	Tasks       []compactTask
 }
 
-// compactTask is a task with its attempt.
+// compactTask is a task and its attempt.
 type compactTask [2]uint64
 
 // EncodePage returns a page as its layout stores it.
@@ -174,14 +180,14 @@
 		GPUs:           r.GPUs,
 		MemoryGB:       r.MemoryGB,
 	}
-	type session struct {
-		machine string
-		number  uint64
-		zone    int
+	type machineKey struct {
+		name        string
+		incarnation uint64
+		zone        int
 	}
-	index := map[session]int{}
+	index := map[machineKey]int{}
 	for _, pl := range r.Placements {
-		key := session{pl.Machine, pl.Incarnation, pl.Zone}
+		key := machineKey{pl.Machine, pl.Incarnation, pl.Zone}
 		i, ok := index[key]
 		if !ok {
 			i = len(page.Machines)
@@ -196,65 +202,64 @@
 	return protocol.Encode(page)
 }
 
-var errMalformedPage = errors.New("page record out of form")
-
-// DecodePage reads and checks a page of the given layout.
-func DecodePage(raw []byte, layout PageLayout) (*PlacementPage, error) {
-	rec := &PlacementPage{}
-	var err error
-	if layout.Compact {
-		err = decodeCompactPage(raw, rec)
-	} else {
-		err = protocol.Decode(raw, rec)
-	}
+// DecodePage decodes and validates a page of the given layout.
+func DecodePage(stored protocol.KeyValue, layout PageLayout) (*PlacementPage, error) {
+	page, err := decodePage(stored, layout)
 	if err != nil {
 		return nil, err
 	}
-	for _, pl := range rec.Placements {
-		if pl.Zone < 0 || pl.Zone >= len(rec.Zones) || pl.Task < 0 || pl.Task >= protocol.MaxTasks {
-			return nil, fmt.Errorf("%w: placement of task %d", errMalformedPage, pl.Task)
+	for _, pl := range page.Placements {
+		if pl.Zone < 0 || pl.Zone >= len(page.Zones) || pl.Task < 0 || pl.Task >= protocol.MaxTasks {
+			return nil, malformed(stored.Key, "placement of task %d in zone %d", pl.Task, pl.Zone)
 		}
 	}
-	for _, d := range rec.DoneRanges {
-		if d[0] < 0 || d[1] < d[0] || d[1] >= protocol.MaxTasks {
-			return nil, fmt.Errorf("%w: done range %v", errMalformedPage, d)
+	for _, done := range page.DoneRanges {
+		if done[0] < 0 || done[1] < done[0] || done[1] >= protocol.MaxTasks {
+			return nil, malformed(stored.Key, "done tasks %v", done)
 		}
 	}
-	return rec, nil
+	return page, nil
 }
 
-// decodeCompactPage reads a compact page.
-func decodeCompactPage(raw []byte, rec *PlacementPage) error {
-	var page compactPage
-	if err := protocol.Decode(raw, &page); err != nil {
-		return err
+func decodePage(stored protocol.KeyValue, layout PageLayout) (*PlacementPage, error) {
+	if layout.Compact {
+		return decodeCompactPage(stored)
 	}
-	*rec = PlacementPage{
-		WriteName:      page.WriteName,
-		HighestAttempt: page.HighestAttempt,
-		DoneRanges:     page.DoneRanges,
-		Zones:          page.Zones,
-		Team:           page.Team,
-		CPUs:           page.CPUs,
-		GPUs:           page.GPUs,
-		MemoryGB:       page.MemoryGB,
+	page := &PlacementPage{}
+	if err := protocol.Decode(stored.Value, page); err != nil {
+		return nil, undecodable(stored.Key, err)
 	}
-	for _, m := range page.Machines {
-		for _, task := range m.Tasks {
-			if task[0] >= protocol.MaxTasks {
-				return fmt.Errorf("%w: placement of task %d", errMalformedPage, task[0])
+	return page, nil
+}
+
+func decodeCompactPage(stored protocol.KeyValue) (*PlacementPage, error) {
+	var compact compactPage
+	if err := protocol.Decode(stored.Value, &compact); err != nil {
+		return nil, undecodable(stored.Key, err)
+	}
+	page := &PlacementPage{
+		WriteName:      compact.WriteName,
+		HighestAttempt: compact.HighestAttempt,
+		DoneRanges:     compact.DoneRanges,
+		Zones:          compact.Zones,
+		Team:           compact.Team,
+		CPUs:           compact.CPUs,
+		GPUs:           compact.GPUs,
+		MemoryGB:       compact.MemoryGB,
+	}
+	for _, machine := range compact.Machines {
+		for _, task := range machine.Tasks {
+			if task[0] >= protocol.MaxTasks { // before it is narrowed to an int
+				return nil, malformed(stored.Key, "placement of task %d", task[0])
 			}
-			rec.Placements = append(
-				rec.Placements,
-				Placement{
-					Task:        int(task[0]),
-					Machine:     m.Name,
-					Incarnation: m.Incarnation,
-					Attempt:     task[1],
-					Zone:        m.Zone,
-				},
-			)
+			page.Placements = append(page.Placements, Placement{
+				Task:        int(task[0]),
+				Machine:     machine.Name,
+				Incarnation: machine.Incarnation,
+				Attempt:     task[1],
+				Zone:        machine.Zone,
+			})
 		}
 	}
-	return nil
+	return page, nil
 }
--- a/internal/storage/records.go
+++ b/internal/storage/records.go
@@ -6,7 +6,7 @@
 	"pinebay/internal/protocol"
 )
 
-// Keys of the state service.
+// Keys, and prefixes of keys, of the records. Those of features have them with their records.
 const (
 	LeaderKey       = "leader"
 	TermKey         = "term"
@@ -17,10 +17,10 @@
 	ImageHintPrefix = "warm/"
 )
 
-// LiveJobKey is where an accepted job lives until it ends.
+// LiveJobKey is the key of an accepted job until it ends.
 func LiveJobKey(id string) string { return LiveJobPrefix + id }
 
-// EndedJobKey is where the final state of a job stays.
+// EndedJobKey is the key of the final state of a job.
 func EndedJobKey(id string) string { return EndedJobPrefix + id }
 
 // LeaderRecord names the leader. It is attached to the leader's lease.
@@ -35,38 +35,37 @@
 	AcceptedAtMS int64        `msgpack:"at"`
 }
 
-// EndedJobRecord is a job that is over.
+// EndedJobRecord is the final state of a job.
 type EndedJobRecord struct {
 	State     protocol.JobState `msgpack:"end"`
 	DoneTasks int               `msgpack:"done"`
-	// WriteName names the transaction, so that its author knows it again.
+	// WriteName names the transaction, so that its author recognises it.
 	WriteName string `msgpack:"w,omitempty"`
-	// CancelledDependency is the cancelled job because of which this one, which awaited it, is cancelled. Such a
+	// CancelledDependency is the cancelled job on which this one depended, and with which it is cancelled. Such a
 	// job has never had a task.
 	CancelledDependency string `msgpack:"need,omitempty"`
 }
 
-// ImageHintRecord tells which images machines have, so that a new leader does not
-// send tasks to fetch what lies ready elsewhere. It is a hint, not a fact.
+// ImageHintRecord says which images machines have cached, so that a new leader doesn't send tasks to fetch an image
+// that another machine has. Nothing depends on it for correctness.
 type ImageHintRecord struct {
 	Images   []string        `msgpack:"i"`
 	SizesGB  []float64       `msgpack:"s"`
 	Machines []MachineImages `msgpack:"m"`
-	// Arrivals holds, by class, how many jobs the fading memory counts. Only
-	// the first page has them.
+	// Arrivals are, by class, the decayed counts of arrived jobs. Only the first record has them.
 	Arrivals []ClassArrivals `msgpack:"a,omitempty"`
 }
 
-// ClassArrivals is what a leader remembers of a class's arrivals.
+// ClassArrivals is the decayed count of the arrivals of a class. It is stored as a list.
 type ClassArrivals struct {
 	//lint:ignore U1000 the codec reads its tag
 	_msgpack  struct{} `msgpack:",as_array"`
 	Class     string
 	Jobs      float64
-	MeanTasks float64 // of a job, in the mean
+	MeanTasks float64 // of a job
 }
 
-// MachineImages is a machine with its images, as indices.
+// MachineImages is a machine with the indices of its images. It is stored as a list.
 type MachineImages struct {
 	//lint:ignore U1000 the codec reads its tag
 	_msgpack struct{} `msgpack:",as_array"`
@@ -74,9 +73,9 @@
 	Images   []int
 }
 
-// MachinesPerImageHint is how many machines one such record covers; a machine takes
-// little more room in it than a placement in a page.
+// MachinesPerImageHint returns how many machines one record covers: a machine takes up to twice the space of a
+// placement.
 func MachinesPerImageHint(valueKB float64) int { return max(1, OriginalPageTasks(valueKB)/2) }
 
-// ImageHintKey is where a page of the images lies.
+// ImageHintKey is the key of a record of images.
 func ImageHintKey(page int) string { return fmt.Sprintf("%s%04d", ImageHintPrefix, page) }
--- a/internal/storage/storage_test.go
+++ b/internal/storage/storage_test.go
@@ -30,6 +30,7 @@
 func TestMain(m *testing.M) { testutil.Main(m) }
 
 func newTestClient(t *testing.T, h http.Handler) *storage.Client {
+	t.Helper()
 	srv := httptest.NewServer(h)
 	t.Cleanup(srv.Close)
 	d := &config.Deployment{
@@ -40,6 +41,7 @@
 }
 
 func mustEncode(t *testing.T, v any) []byte {
+	t.Helper()
 	raw, err := protocol.Encode(v)
 	if err != nil {
 		t.Fatal(err)
@@ -54,13 +56,14 @@
 			If:   []protocol.Compare{{Key: fmt.Sprintf("live/j-%04d", i)}},
 			Then: []protocol.Op{{PutKey: fmt.Sprintf("live/j-%04d", i), Value: mustEncode(t, map[string]int{"n": i})}},
 		}
-		if _, ok, err := c.Txn(ctx, storage.BudgetAcceptance, txn); err != nil || !ok {
-			t.Fatal(ok, err)
+		outcome, err := c.Txn(ctx, storage.BudgetAcceptance, txn)
+		if err != nil || !outcome.Succeeded || outcome.Revision != uint64(i+1) {
+			t.Fatalf("%+v %v", outcome, err)
 		}
 		if i == 0 {
-			_, ok, failed, err := c.TxnFailed(ctx, storage.BudgetAcceptance, txn)
-			if err != nil || ok || !reflect.DeepEqual(failed, []string{"live/j-0000"}) {
-				t.Fatalf("again: %v %v %v", ok, failed, err)
+			outcome, err := c.Txn(ctx, storage.BudgetAcceptance, txn)
+			if err != nil || outcome.Succeeded || !reflect.DeepEqual(outcome.FailedKeys, []string{"live/j-0000"}) {
+				t.Fatalf("again: %+v %v", outcome, err)
 			}
 		}
 	}
@@ -88,7 +91,9 @@
 		status int
 		want   error
 	}{
-		{http.StatusServiceUnavailable, storage.ErrUnavailable}, {http.StatusTooManyRequests, storage.ErrRateLimited}, {0, storage.ErrOutcomeUnknown},
+		{http.StatusServiceUnavailable, storage.ErrUnavailable},
+		{http.StatusTooManyRequests, storage.ErrRateLimited},
+		{0, storage.ErrOutcomeUnknown},
 	} {
 		c := newTestClient(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 			if x.status == 0 {
@@ -96,7 +101,7 @@
 			}
 			w.WriteHeader(x.status)
 		}))
-		if _, _, err := c.Txn(context.Background(), storage.BudgetAcceptance, protocol.Txn{}); !errors.Is(err, x.want) {
+		if _, err := c.Txn(context.Background(), storage.BudgetAcceptance, protocol.Txn{}); !errors.Is(err, x.want) {
 			t.Errorf("status %d: %v", x.status, err)
 		}
 	}
@@ -161,7 +166,7 @@
 			parsed != name {
 			t.Fatalf("%s is read as %+v: %v", name.Key(), parsed, err)
 		}
-		got, err := storage.DecodePage(raw, layout)
+		got, err := storage.DecodePage(protocol.KeyValue{Value: raw}, layout)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -196,14 +201,17 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, err := storage.DecodePage(raw, storage.PageLayout{TasksPerPage: 16}); err == nil {
+		if _, err := storage.DecodePage(
+			protocol.KeyValue{Value: raw},
+			storage.PageLayout{TasksPerPage: 16},
+		); err == nil {
 			t.Fatalf("%+v was taken", rec)
 		}
 		compact := storage.PageLayout{TasksPerPage: 16, Compact: true}
 		if raw, err = storage.EncodePage(&rec, compact); err != nil {
 			t.Fatal(err)
 		}
-		if _, err := storage.DecodePage(raw, compact); err == nil {
+		if _, err := storage.DecodePage(protocol.KeyValue{Value: raw}, compact); err == nil {
 			t.Fatalf("%+v was taken in the compact layout", rec)
 		}
 	})
@@ -347,9 +355,9 @@
 			t.Fatal(err)
 		}
 		srv := &http.Server{Handler: state}
-		go srv.Serve(l)
+		go func() { _ = srv.Serve(l) }() // until it is closed
 		defer func() {
-			srv.Close()
+			_ = srv.Close()
 			service.Kill()
 			controller.Kill()
 			n.Close()
@@ -359,12 +367,12 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		var ends atomic.Int64
 		write := func(use storage.Budget, key string) error {
-			_, ok, err := c.Txn(
+			outcome, err := c.Txn(
 				ctx,
 				use,
 				protocol.Txn{Then: []protocol.Op{{PutKey: key, Value: mustEncode(t, map[string]int{})}}},
 			)
-			if err == nil && !ok {
+			if err == nil && !outcome.Succeeded {
 				return errors.New("refused")
 			}
 			return err
--- a/internal/storage/terms.go
+++ b/internal/storage/terms.go
@@ -1,35 +1,33 @@
 package storage
 
 import (
-	"fmt"
-
 	"github.com/vmihailenco/msgpack/v5"
 
 	"pinebay/internal/protocol"
 )
 
-// TermRecord counts terms. Its version fences every write of a leader.
+// TermRecord counts terms. Its revision fences every write of a leader.
 type TermRecord struct {
 	Term       uint64
 	Controller string
-	// ClaimID tells one attempt to lead from another with the same outcome.
+	// ClaimID tells this attempt to lead from others of the same controller for the same term.
 	ClaimID string
-	// FeatureLevel is the feature level that is final: what is written from then on need not be readable for
-	// processes of a lower one.
+	// FeatureLevel is the feature level that is final: records written from then on need not be readable for
+	// processes of a lower level.
 	FeatureLevel int
-	// WriteName names the transaction that raised the level, so that its author knows it again.
+	// WriteName names the transaction that raised the level, so that its author recognises it.
 	WriteName string
 }
 
-// termWithoutLevel is a term record below the first feature level, as every version reads it.
+// termWithoutLevel is a term record below the first feature level. Every version reads it.
 type termWithoutLevel struct {
 	Term       uint64 `msgpack:"term"`
 	Controller string `msgpack:"node"`
 	ClaimID    string `msgpack:"claim"`
 }
 
-// termWithLevel is a term record from the first feature level on. A process from before the levels expects
-// a number for the term and fails to read this, and who can't read the term can't claim the next one.
+// termWithLevel is a term record from the first feature level on. A process from before the levels expects a number
+// for the term and fails to read this: so it can't claim the next term.
 type termWithLevel struct {
 	Term       termNumberWithLevel `msgpack:"term"`
 	Controller string              `msgpack:"node"`
@@ -57,24 +55,24 @@
 	)
 }
 
-// DecodeTerm reads a stored record of either form.
+// DecodeTerm decodes a stored record of either form.
 func DecodeTerm(raw []byte) (TermRecord, error) {
 	var form struct {
 		Term msgpack.RawMessage `msgpack:"term"`
 	}
 	if err := protocol.Decode(raw, &form); err != nil {
-		return TermRecord{}, fmt.Errorf("term record: %w", err)
+		return TermRecord{}, undecodable(TermKey, err)
 	}
 	if !protocol.IsMap(form.Term) {
 		var plain termWithoutLevel
 		if err := protocol.Decode(raw, &plain); err != nil {
-			return TermRecord{}, fmt.Errorf("term record: %w", err)
+			return TermRecord{}, undecodable(TermKey, err)
 		}
 		return TermRecord{Term: plain.Term, Controller: plain.Controller, ClaimID: plain.ClaimID}, nil
 	}
 	var leveled termWithLevel
 	if err := protocol.Decode(raw, &leveled); err != nil {
-		return TermRecord{}, fmt.Errorf("term record: %w", err)
+		return TermRecord{}, undecodable(TermKey, err)
 	}
 	return TermRecord{
 		Term:         leveled.Term.Number,
--- a/internal/storage/transactions.go
+++ b/internal/storage/transactions.go
@@ -10,86 +10,89 @@
 	"pinebay/internal/protocol"
 )
 
-// Txn tries a transaction once. ok is false when a condition failed.
-func (c *Client) Txn(ctx context.Context, use Budget, t protocol.Txn) (rev uint64, ok bool, err error) {
-	rev, ok, _, err = c.TxnFailed(ctx, use, t)
-	return rev, ok, err
+const transactionsPath = "/multi"
+
+// TxnOutcome is the answer to a transaction.
+type TxnOutcome struct {
+	// Succeeded says that all conditions held, and the operations were carried out.
+	Succeeded bool
+	// Revision is that of the keys written.
+	Revision uint64
+	// FailedKeys are those whose conditions failed.
+	FailedKeys []string
 }
 
-// TxnFailed is Txn, and also returns the keys whose conditions failed.
-func (c *Client) TxnFailed(
-	ctx context.Context,
-	use Budget,
-	t protocol.Txn,
-) (rev uint64, ok bool, failed []string, err error) {
-	if err := c.admit(ctx, use, firstKeyOf(&t), len(t.Then)); err != nil {
-		return 0, false, nil, err
+// Txn tries a transaction once.
+func (c *Client) Txn(ctx context.Context, budget Budget, t protocol.Txn) (TxnOutcome, error) {
+	if err := c.admit(ctx, budget, firstKeyOf(&t), len(t.Then)); err != nil {
+		return TxnOutcome{}, err
 	}
-	return c.try(ctx, use, t)
+	return c.tryTxn(ctx, budget, t)
 }
 
-// Admission is a transaction's place within the budgets.
+// Admission is a transaction's turn within the budgets.
 type Admission struct {
-	budget   Budget
-	at       time.Time // when it is its turn
-	leftover bool      // it still has to wait for what placements leave
+	budget Budget
+	at     time.Time
+	// leftover says that it still has to wait for what placements leave of their budget.
+	leftover bool
 }
 
-// admissionSpacing parts the turns of transactions that are admitted at one moment, so that they are sent
-// in order.
+// admissionSpacing is the time between the turns of transactions that are admitted at the same moment, so that they
+// are sent in order.
 const admissionSpacing = time.Microsecond
 
-// Admit takes the next place for a transaction, and does not wait. Whoever asks for several in a
-// certain order has them sent in that order, as far as the budgets are of one use.
-func (c *Client) Admit(use Budget, t *protocol.Txn) Admission {
+// Admit reserves the next turn for a transaction, without waiting. Transactions of one budget are sent in the order
+// in which they were admitted.
+func (c *Client) Admit(budget Budget, t *protocol.Txn) Admission {
 	now := time.Now()
 	c.admissionMu.Lock()
 	defer c.admissionMu.Unlock()
-	a := Admission{budget: use, at: now}
+	admission := Admission{budget: budget, at: now}
 	if earliest := c.lastAdmission.Add(admissionSpacing); earliest.After(now) {
-		a.at = earliest
+		admission.at = earliest
 	}
-	c.lastAdmission = a.at
-	budget, writes := c.writeLimiters[use], len(t.Then)
-	if use == BudgetCompletion {
-		budget = nil
-		if l := c.writeLimiters[BudgetPlacement]; !l.AllowN(now, min(writes, l.Burst())) {
-			a.leftover = true
-			return a
+	c.lastAdmission = admission.at
+	writes := len(t.Then)
+	reader, writer := c.readLimiters[budget], c.writeLimiters[budget]
+	if budget == BudgetCompletion {
+		placements := c.writeLimiters[BudgetPlacement]
+		if !placements.AllowN(now, min(writes, placements.Burst())) {
+			admission.leftover = true
+			return admission
 		}
-		use = BudgetPlacement
+		reader, writer = c.readLimiters[BudgetPlacement], nil // its writes are taken already
 	}
-	if l := c.readLimiters[use]; l != nil {
-		if at := now.Add(l.ReserveN(now, 1).DelayFrom(now)); at.After(a.at) {
-			a.at = at
-		}
+	if reader != nil {
+		admission.delayUntil(now.Add(reader.ReserveN(now, 1).DelayFrom(now)))
 	}
-	if budget != nil && writes > 0 {
-		if at := now.Add(budget.ReserveN(now, min(writes, budget.Burst())).DelayFrom(now)); at.After(a.at) {
-			a.at = at
-		}
+	if writer != nil && writes > 0 {
+		admission.delayUntil(now.Add(writer.ReserveN(now, min(writes, writer.Burst())).DelayFrom(now)))
+	}
+	return admission
+}
+
+func (a *Admission) delayUntil(at time.Time) {
+	if at.After(a.at) {
+		a.at = at
 	}
-	return a
 }
 
-// TxnAdmitted is TxnFailed for a transaction that has its place.
-func (c *Client) TxnAdmitted(
-	ctx context.Context,
-	a Admission,
-	t protocol.Txn,
-) (rev uint64, ok bool, failed []string, err error) {
-	if a.leftover {
+// TxnAdmitted tries a transaction once, when it is its turn.
+func (c *Client) TxnAdmitted(ctx context.Context, admission Admission, t protocol.Txn) (TxnOutcome, error) {
+	var err error
+	if admission.leftover {
 		err = c.admitCompletion(ctx, firstKeyOf(&t), len(t.Then))
 	} else {
-		err = actor.Sleep(ctx, time.Until(a.at))
+		err = actor.Sleep(ctx, time.Until(admission.at))
 	}
 	if err != nil {
-		return 0, false, nil, fmt.Errorf("%w: %w", ErrThrottled, err)
+		return TxnOutcome{}, fmt.Errorf("%w: %w", ErrThrottled, err)
 	}
-	return c.try(ctx, a.budget, t)
+	return c.tryTxn(ctx, admission.budget, t)
 }
 
-// firstKeyOf is what tells a transaction from others that are under way.
+// firstKeyOf returns the first key that a transaction changes, which tells it from others in flight.
 func firstKeyOf(t *protocol.Txn) string {
 	if len(t.Then) == 0 {
 		return ""
@@ -97,56 +100,55 @@
 	return t.Then[0].PutKey + t.Then[0].DeleteKey
 }
 
-func (c *Client) try(
-	ctx context.Context,
-	use Budget,
-	t protocol.Txn,
-) (rev uint64, ok bool, failed []string, err error) {
-	status, raw, err := c.send(ctx, use, http.MethodPost, "/multi", t)
+func (c *Client) tryTxn(ctx context.Context, budget Budget, t protocol.Txn) (TxnOutcome, error) {
+	status, raw, err := c.send(ctx, budget, http.MethodPost, transactionsPath, firstKeyOf(&t), t)
 	if err != nil {
-		return 0, false, nil, err
+		return TxnOutcome{}, err
 	}
-	var r protocol.TxnResult
-	if err := protocol.Decode(raw, &r); err != nil {
-		return 0, false, nil, fmt.Errorf("transaction: %w", err)
+	var result protocol.TxnResult
+	if err := protocol.Decode(raw, &result); err != nil {
+		return TxnOutcome{}, fmt.Errorf("transaction: %w", err)
 	}
-	return r.Revision, status == http.StatusOK, r.FailedKeys, nil
+	return TxnOutcome{
+		Succeeded:  status == http.StatusOK,
+		Revision:   result.Revision,
+		FailedKeys: result.FailedKeys,
+	}, nil
 }
 
-// HedgeDelay is when an answer is later than usual: five times the 10 ms that the
-// protocol calls usual. Now and then one takes a few hundred.
+// HedgeDelay is when an answer counts as slow: after five times the 10 ms that are usual. A few take hundreds.
 const HedgeDelay = 50 * time.Millisecond
 
-// TxnHedged tries a transaction, and a second time when the answer is slow and the
-// budget has room, and returns the first outcome that is certain. It must be harmless
-// to repeat: a failed condition may be the work of the other try.
-func (c *Client) TxnHedged(ctx context.Context, use Budget, t protocol.Txn) (ok bool, err error) {
-	if err := c.admit(ctx, use, firstKeyOf(&t), len(t.Then)); err != nil {
+// TxnHedged tries a transaction, and a second time if the answer is slow and the budget has room, and returns the
+// first outcome that is certain. The transaction must be harmless to repeat: that it failed may be due to the
+// other try.
+func (c *Client) TxnHedged(ctx context.Context, budget Budget, t protocol.Txn) (succeeded bool, err error) {
+	if err := c.admit(ctx, budget, firstKeyOf(&t), len(t.Then)); err != nil {
 		return false, err
 	}
-	type outcome struct {
-		ok  bool
-		err error
+	type result struct {
+		outcome TxnOutcome
+		err     error
 	}
-	done := make(chan outcome, 2)
+	results := make(chan result, 2)
 	try := func() {
-		_, ok, _, err := c.try(ctx, use, t)
-		done <- outcome{ok, err}
+		outcome, err := c.tryTxn(ctx, budget, t)
+		results <- result{outcome, err}
 	}
 	go try()
 	timer := time.NewTimer(HedgeDelay)
 	defer timer.Stop()
-	under := 1
+	inFlight := 1
 	for {
 		select {
-		case o := <-done:
-			if under--; o.err == nil || under == 0 {
-				return o.ok, o.err
+		case r := <-results:
+			inFlight--
+			if r.err == nil || inFlight == 0 {
+				return r.outcome.Succeeded, r.err
 			}
-			err = o.err
 		case <-timer.C:
-			if c.tryAdmit(use, len(t.Then)) {
-				under++
+			if c.tryAdmit(budget, len(t.Then)) {
+				inFlight++
 				go try()
 			}
 		}
--- a/internal/storage/valuelimit.go
+++ b/internal/storage/valuelimit.go
@@ -7,8 +7,10 @@
 	"pinebay/internal/protocol"
 )
 
-// JSONSize bounds the size of a stored value in JSON, the form in which the state service counts its
-// limits. As nothing says how that separates its items, a blank is counted after each comma and colon.
+const bytesPerKB = 1024
+
+// JSONSize returns an upper bound of the size of a stored value in JSON, the form in which the store counts its limits.
+// As it isn't specified how items are separated, a blank is counted after each comma and colon.
 func JSONSize(raw []byte) (int, error) {
 	var value any
 	if err := protocol.DecodeAny(raw, &value); err != nil {
@@ -21,8 +23,8 @@
 	return len(text) + bytes.Count(text, []byte(",")) + bytes.Count(text, []byte(":")), nil
 }
 
-// FitsValueLimit says whether a value keeps within a limit in KiB.
+// FitsValueLimit reports whether a value is within a limit in KiB.
 func FitsValueLimit(raw []byte, valueKB float64) bool {
 	size, err := JSONSize(raw)
-	return err == nil && float64(size) <= valueKB*1024
+	return err == nil && float64(size) <= valueKB*bytesPerKB
 }
--- a/internal/storage/zonefailover.go
+++ b/internal/storage/zonefailover.go
@@ -1,28 +1,22 @@
 package storage
 
 import (
-	"errors"
 	"fmt"
 	"math"
 
 	"pinebay/internal/protocol"
 )
 
-// ZoneFailoverPrefix is where the pages of zone return lie.
+// ZoneFailoverPrefix begins the keys of the pages of zone failover.
 const ZoneFailoverPrefix = "zone-return/"
 
-// ZoneFailoverKey is where a page of zone return lies.
+// ZoneFailoverKey returns the key of a page.
 func ZoneFailoverKey(page int) string { return fmt.Sprintf("%s%04d", ZoneFailoverPrefix, page) }
 
 // ZoneFailoverFormat is the format of the pages that this version reads and writes.
 const ZoneFailoverFormat = 1
 
-// ErrNewerFormat says that a record was written by a later version.
-var ErrNewerFormat = errors.New("record of a newer format")
-
-var errMalformedZoneFailover = errors.New("zone return record out of form")
-
-// ZoneFailoverRecord is a page of zone return: how zones stand, on the first page, and the open loans of room.
+// ZoneFailoverRecord is a page with the states of the zones, on the first page, and the open loans of capacity.
 type ZoneFailoverRecord struct {
 	Format    int       `msgpack:"v"`
 	WriteName string    `msgpack:"w"`
@@ -30,17 +24,17 @@
 	Loans     []LoanRow `msgpack:"l,omitempty"`
 }
 
-// ZoneRow is how a zone stands.
+// ZoneRow is the state of a zone. It is stored as a list.
 type ZoneRow struct {
 	//lint:ignore U1000 the codec reads its tag
 	_msgpack struct{} `msgpack:",as_array"`
 	Name     string
 	State    int
-	SinceMS  int64 // time of day
+	SinceMS  int64 // Unix time
 	Flaps    int
 }
 
-// LoanRow is an open loan of a task's room to a job.
+// LoanRow is an open loan of a task's capacity to a job. It is stored as a list.
 type LoanRow struct {
 	//lint:ignore U1000 the codec reads its tag
 	_msgpack     struct{} `msgpack:",as_array"`
@@ -51,50 +45,43 @@
 	Borrower     string
 	Machine      string
 	Zone         string
-	LostSeconds  float64
-	CreatedMS    int64
+	LostSeconds  float64 // work that the lender loses
+	CreatedMS    int64   // Unix time
 	ExpiresMS    int64
 }
 
-// loanBytes bounds a stored loan with names of usual length, in the JSON form that limits
-// count.
+// loanBytes is an upper bound of a stored loan with names of usual length, in the JSON form that the limits count.
 const loanBytes = 256
 
-// LoansPerPage returns how many loans one page holds, well inside a value.
+// LoansPerPage returns how many loans fit a page, well within the limit of a value.
 func LoansPerPage(valueKB float64) int {
-	return max(1, int(valueKB*1024*0.75/loanBytes))
+	return max(1, int(valueKB*bytesPerKB*pageFillShare/loanBytes))
 }
 
-// DecodeZoneFailover reads and checks a page.
-func DecodeZoneFailover(p protocol.KeyValue) (*ZoneFailoverRecord, error) {
-	var head struct {
-		Format int `msgpack:"v"`
-	}
-	if err := protocol.Decode(p.Value, &head); err != nil {
-		return nil, fmt.Errorf("key %q: %w", p.Key, err)
-	}
-	if head.Format > ZoneFailoverFormat {
-		return nil, fmt.Errorf("key %q: %w: %d", p.Key, ErrNewerFormat, head.Format)
+// DecodeZoneFailover decodes and validates a page.
+func DecodeZoneFailover(stored protocol.KeyValue) (*ZoneFailoverRecord, error) {
+	if err := checkFormat(stored.Key, stored.Value, ZoneFailoverFormat); err != nil {
+		return nil, err
 	}
-	var rec ZoneFailoverRecord
-	if err := protocol.Decode(p.Value, &rec); err != nil {
-		return nil, fmt.Errorf("key %q: %w", p.Key, err)
+	var record ZoneFailoverRecord
+	if err := protocol.Decode(stored.Value, &record); err != nil {
+		return nil, undecodable(stored.Key, err)
 	}
-	if rec.Format != ZoneFailoverFormat {
-		return nil, fmt.Errorf("key %q: %w: format %d", p.Key, errMalformedZoneFailover, rec.Format)
-	}
-	for _, z := range rec.Zones {
-		if z.Name == "" || z.State < 0 || z.Flaps < 0 {
-			return nil, fmt.Errorf("key %q: %w: zone %q", p.Key, errMalformedZoneFailover, z.Name)
+	for _, zone := range record.Zones {
+		if zone.Name == "" || zone.State < 0 || zone.Flaps < 0 {
+			return nil, malformed(stored.Key, "zone %q", zone.Name)
 		}
 	}
-	for _, l := range rec.Loans {
-		if !protocol.ValidJobID(l.Lender) || !protocol.ValidJobID(l.Borrower) || l.Task < 0 ||
-			l.Task >= protocol.MaxTasks ||
-			!(l.LostSeconds >= 0) ||
-			math.IsInf(l.LostSeconds, 0) {
-			return nil, fmt.Errorf("key %q: %w: loan of %q", p.Key, errMalformedZoneFailover, l.Lender)
+	for i := range record.Loans {
+		if loan := &record.Loans[i]; !loan.valid() {
+			return nil, malformed(stored.Key, "loan of %q", loan.Lender)
 		}
 	}
-	return &rec, nil
+	return &record, nil
+}
+
+func (l *LoanRow) valid() bool {
+	validTask := l.Task >= 0 && l.Task < protocol.MaxTasks
+	validLoss := l.LostSeconds >= 0 && !math.IsInf(l.LostSeconds, 0) // not true of NaN
+	return protocol.ValidJobID(l.Lender) && protocol.ValidJobID(l.Borrower) && validTask && validLoss
 }
