--- a/internal/coordination/jobstate/startqueue.go
+++ b/internal/coordination/jobstate/startqueue.go
@@ -7,33 +7,34 @@
 	"github.com/tidwall/btree"
 )
 
-// StartQueue holds the jobs with placements that wait for their record. Their order is by priority;
-// among equals the teams are served in turn, and of a team the job that has waited for longest. Every
-// fourth goes to the job that has waited for longest of all, so that none waits for ever: with n jobs
-// in the queue it is served after no more than 4n others, whatever their priority.
+// StartQueue holds the jobs with placements that wait for their record. They are served by priority; within a priority
+// the teams take turns, and of a team the job that has waited longest is served first. Every fourth time the job that
+// has waited longest of all is served, so that none starves: with n jobs in the queue a job is served after at most
+// 4n others, whatever their priority.
 type StartQueue struct {
-	ByTurn    *btree.BTreeG[*Job]
-	byAge     *btree.BTreeG[*Job]
-	teamTurns map[int]*priorityTurns
-	enqueued  uint64 // jobs that were entered so far
-	dequeued  uint64 // and taken
+	byTurn          *btree.BTreeG[*Job]
+	byAge           *btree.BTreeG[*Job]
+	turnsByPriority map[int]*teamTurns
+	enqueued        uint64 // how many jobs were added so far
+	dequeued        uint64 // how many jobs were served so far
 }
 
-// oldestEvery is of how many jobs that are taken one is the one that has waited for longest.
+// oldestEvery is the interval, in jobs, at which the job is served that has waited longest of all.
 const oldestEvery = 4
 
-// priorityTurns deals out the turns of the teams within a priority: a team's next job comes one turn after
-// its last one, or after the one that is being served now.
-type priorityTurns struct {
+// teamTurns assigns turns to the teams within a priority: a team's next job has the turn after that of its last one, or
+// the turn after the one that is being served.
+type teamTurns struct {
 	current    uint64
 	lastByTeam map[string]uint64
 }
 
+// NewStartQueue returns an empty queue.
 func NewStartQueue() *StartQueue {
 	return &StartQueue{
-		ByTurn:    btree.NewBTreeGOptions(lessByTurn, btree.Options{NoLocks: true}),
-		byAge:     btree.NewBTreeGOptions(lessByAge, btree.Options{NoLocks: true}),
-		teamTurns: map[int]*priorityTurns{},
+		byTurn:          btree.NewBTreeGOptions(lessByTurn, btree.Options{NoLocks: true}),
+		byAge:           btree.NewBTreeGOptions(lessByAge, btree.Options{NoLocks: true}),
+		turnsByPriority: map[int]*teamTurns{},
 	}
 }
 
@@ -49,15 +50,18 @@
 	return a.startNumber < b.startNumber
 }
 
-// Add enters a job that has just got placements to be recorded, unless it waits already.
+// Jobs returns the jobs in the order of their turns.
+func (q *StartQueue) Jobs() []*Job { return q.byTurn.Items() }
+
+// Add adds a job with new placements to be recorded, unless it is in the queue already.
 func (q *StartQueue) Add(j *Job) {
 	if q == nil || j.inStartQueue {
 		return
 	}
-	turns := q.teamTurns[j.EffectivePriority]
+	turns := q.turnsByPriority[j.EffectivePriority]
 	if turns == nil {
-		turns = &priorityTurns{lastByTeam: map[string]uint64{}}
-		q.teamTurns[j.EffectivePriority] = turns
+		turns = &teamTurns{lastByTeam: map[string]uint64{}}
+		q.turnsByPriority[j.EffectivePriority] = turns
 	}
 	q.enqueued++
 	j.startNumber = q.enqueued
@@ -66,66 +70,65 @@
 	q.Requeue(j)
 }
 
-// Requeue enters a job where it was, if it still has placements to be recorded.
+// Requeue adds a job again with its former turn, if it still has placements to be recorded.
 func (q *StartQueue) Requeue(j *Job) {
 	if j.inStartQueue || len(j.Unstarted) == 0 {
 		return
 	}
 	j.inStartQueue = true
-	q.ByTurn.Set(j)
+	q.byTurn.Set(j)
 	q.byAge.Set(j)
 }
 
-// remove takes a job out of the queue.
+// remove removes a job.
 func (q *StartQueue) remove(j *Job) {
 	if !j.inStartQueue {
 		return
 	}
 	j.inStartQueue = false
-	q.ByTurn.Delete(j)
+	q.byTurn.Delete(j)
 	q.byAge.Delete(j)
 }
 
-// Dequeue takes the job out whose turn it is.
+// Dequeue removes the job that is being served.
 func (q *StartQueue) Dequeue(j *Job) {
 	q.remove(j)
-	if turns := q.teamTurns[j.EffectivePriority]; turns != nil && !q.oldestIsNext() {
+	if turns := q.turnsByPriority[j.EffectivePriority]; turns != nil && !q.oldestIsNext() {
 		turns.current = max(turns.current, j.startTurn)
 	}
 	q.dequeued++
 }
 
-// oldestIsNext says whether the next turn is that of the job that has waited for longest of all.
+// oldestIsNext reports whether the job that has waited longest of all is served next.
 func (q *StartQueue) oldestIsNext() bool { return q.dequeued%oldestEvery == oldestEvery-1 }
 
-// Next returns the job whose turn it is, or nil if there is none that may be written now. Jobs that
-// wait for nothing any more are dropped. If jobs are listed in another order, that goes before the
-// queue's own.
-func (q *StartQueue) Next(now time.Duration, listed []*Job) *Job {
-	jobs := q.ByTurn
+// Next returns the job to be served next, or nil if none may be written now. Jobs that no longer wait for a record are
+// removed. If an order is given, it takes precedence over that of the queue.
+func (q *StartQueue) Next(now time.Duration, order []*Job) *Job {
+	jobs := q.byTurn
 	if q.oldestIsNext() {
 		jobs = q.byAge
 	}
 	var next *Job
-	var idle []*Job
-	look := func(j *Job) bool {
+	var done []*Job
+	examine := func(j *Job) (more bool) {
 		switch {
 		case j.Ended || j.Ending || len(j.Unstarted) == 0:
-			idle = append(idle, j)
+			done = append(done, j)
 		case !j.WriteInFlight && now >= j.RecordNotBefore:
 			next = j
 		}
 		return next == nil
 	}
-	if listed == nil {
-		jobs.Scan(look)
+	if order == nil {
+		jobs.Scan(examine)
 	}
-	for _, j := range listed {
-		if j.inStartQueue && !look(j) {
+	for _, j := range order {
+		if j.inStartQueue && !examine(j) {
 			break
 		}
 	}
-	for _, j := range idle {
+	for _, j := range done {
 		q.remove(j)
 	}
 	return next
--- a/internal/coordination/jobstate/startqueue_test.go
+++ b/internal/coordination/jobstate/startqueue_test.go
@@ -62,8 +62,8 @@
 				}
 			}
 		}
-		if q.ByTurn.Len() != len(waiting) {
-			t.Fatalf("%d in the queue, %d wait", q.ByTurn.Len(), len(waiting))
+		if q.byTurn.Len() != len(waiting) {
+			t.Fatalf("%d in the queue, %d wait", q.byTurn.Len(), len(waiting))
 		}
 	})
 }
--- a/internal/coordination/placementpages/placementpages.go
+++ b/internal/coordination/placementpages/placementpages.go
@@ -1,6 +1,6 @@
 // Package placementpages keeps track of the pages in which the placements of a job are stored.
 //
-// A job's tasks are divided into pages of equal width, and each page is one record of the state service. A Set
+// A job's tasks are divided into pages of equal width, and each page is one record of the key-value store. A Set
 // knows, for one job, the layout of its pages, what of them is stored, what has to be written again, and which
 // stored pages of an earlier, wider layout still count for some tasks. It does no I/O: the scheduler builds
 // transactions from it and reports their outcome back.
--- /dev/null
+++ b/internal/coordination/placementrecords/jobwrite.go
@@ -0,0 +1,153 @@
+package placementrecords
+
+import (
+	"slices"
+
+	"pinebay/internal/coordination/jobstate"
+	"pinebay/internal/coordination/machineregistry"
+	"pinebay/internal/coordination/placementpages"
+	"pinebay/internal/protocol"
+	"pinebay/internal/storage"
+)
+
+// JobWrite is what one job writes in a transaction, which several jobs may share.
+type JobWrite struct {
+	Job *jobstate.Job
+
+	pages []int
+	size  int // upper bound of the pages' records
+	// starting are the placements whose start waits for this write.
+	starting []*machineregistry.Placement
+	// replaced are superseded pages that count for no task once this is written. They are deleted with it.
+	replaced []placementpages.Superseded
+	// exitsWritten counts, for each page, the exits that its new record no longer lists.
+	exitsWritten map[int]int
+	compares     []protocol.Compare
+}
+
+// NewJobWrite returns the next write of a job, with a limited number of operations and as many pages as fit a
+// transaction: those that starts wait for go first. The pages must fit a value (see Limits.NarrowToFit).
+func NewJobWrite(j *jobstate.Job, maxOperations int) *JobWrite {
+	w := &JobWrite{Job: j}
+	for _, number := range j.PagesToWrite(maxOperations) {
+		size := j.EstimatedPageBytes(number)
+		if len(w.pages) > 0 && w.size+size > MaxTransactionBytes {
+			break
+		}
+		w.pages = append(w.pages, number)
+		w.size += size
+	}
+	for _, pl := range j.Unstarted {
+		if slices.Contains(w.pages, j.Pages.NumberOf(pl.Task.Index)) {
+			w.starting = append(w.starting, pl)
+		}
+	}
+	for _, old := range j.Pages.Superseded() {
+		if w.Operations() < maxOperations && j.Pages.FullyReplaced(old, w.pages) {
+			w.replaced = append(w.replaced, old)
+		}
+	}
+	return w
+}
+
+// Operations returns how many operations the write takes.
+func (w *JobWrite) Operations() int { return len(w.pages) + len(w.replaced) }
+
+// Pages returns how many pages it writes.
+func (w *JobWrite) Pages() int { return len(w.pages) }
+
+// Size returns an upper bound of the size of its records.
+func (w *JobWrite) Size() int { return w.size }
+
+// CoversAllStarts reports whether no start of the job waits for a further write.
+func (w *JobWrite) CoversAllStarts() bool { return len(w.starting) == len(w.Job.Unstarted) }
+
+// AppendTo adds the conditions and operations of the write to a transaction of the given name.
+func (w *JobWrite) AppendTo(t *protocol.Txn, name string) error {
+	j := w.Job
+	w.exitsWritten = map[int]int{}
+	w.compares = []protocol.Compare{{Key: storage.LiveJobKey(j.Spec.ID), Revision: j.LiveRevision}}
+	for _, number := range w.pages {
+		value, err := j.EncodePage(number, name)
+		if err != nil {
+			return err
+		}
+		page, key := j.Pages.Page(number), j.Pages.ID(number).Key()
+		w.exitsWritten[number] = len(page.UnrecordedExits)
+		w.compares = append(w.compares, protocol.Compare{Key: key, Revision: page.Revision})
+		t.Then = append(t.Then, protocol.Op{PutKey: key, Value: value})
+	}
+	for _, old := range w.replaced {
+		w.compares = append(w.compares, protocol.Compare{Key: old.ID.Key(), Revision: old.Revision})
+		t.Then = append(t.Then, protocol.Op{DeleteKey: old.ID.Key()})
+	}
+	t.If = append(t.If, w.compares...)
+	return nil
+}
+
+// Begin marks the job's write as in flight, and its pages as clean.
+func (w *JobWrite) Begin() {
+	w.Job.WriteInFlight = true
+	w.setDirty(false)
+}
+
+// End marks the job's write as no longer in flight, whatever the outcome.
+func (w *JobWrite) End() { w.Job.WriteInFlight = false }
+
+// Revert marks the pages as dirty again, after a write that was not carried out.
+func (w *JobWrite) Revert() { w.setDirty(true) }
+
+func (w *JobWrite) setDirty(dirty bool) {
+	for _, number := range w.pages {
+		w.Job.Pages.Page(number).Dirty = dirty
+	}
+}
+
+// Failed reports whether a condition of this write is among those that failed.
+func (w *JobWrite) Failed(failedKeys []string) bool {
+	return slices.ContainsFunc(w.compares, func(compare protocol.Compare) bool {
+		return slices.Contains(failedKeys, compare.Key)
+	})
+}
+
+// Commit applies a write that was carried out to the job's pages. It calls recorded for each placement that is gone
+// and no longer listed in the records.
+func (w *JobWrite) Commit(revision uint64, recorded func(*machineregistry.Placement)) {
+	pages := &w.Job.Pages
+	for _, number := range w.pages {
+		page, written := pages.Page(number), w.exitsWritten[number]
+		page.Revision = revision
+		for _, exit := range page.UnrecordedExits[:written] {
+			recorded(exit)
+		}
+		page.UnrecordedExits = page.UnrecordedExits[written:]
+	}
+	for _, old := range w.replaced {
+		pages.RemoveSuperseded(old)
+	}
+}
+
+// MarkStartsRecorded marks the placements as recorded whose start waited for this write.
+func (w *JobWrite) MarkStartsRecorded() {
+	for _, pl := range w.starting {
+		pl.Recorded = true
+	}
+}
+
+// NarrowToFit narrows a job's pages until each of those to be written fits a value. Pages of the original layout
+// always do. nextName returns the name of a write, for the size of the record.
+func (l *Limits) NarrowToFit(j *jobstate.Job, nextName func() string) {
+	tooLarge := func(number int) bool { return !l.pageFits(j, number, nextName) }
+	for j.Pages.CanNarrow() && slices.ContainsFunc(j.Pages.Dirty(), tooLarge) {
+		j.Pages.Narrow()
+	}
+}
+
+// pageFits reports whether a page fits a value. For most pages the estimate decides, without encoding them.
+func (l *Limits) pageFits(j *jobstate.Job, number int, nextName func() string) bool {
+	if l.fitsValue(j.EstimatedPageBytes(number)) {
+		return true
+	}
+	raw, err := j.EncodePage(number, nextName())
+	return err == nil && storage.FitsValueLimit(raw, l.current.ValueKB)
+}
--- a/internal/coordination/scheduler/completion_test.go
+++ b/internal/coordination/scheduler/completion_test.go
@@ -12,12 +12,13 @@
 	"pinebay/internal/storage"
 )
 
-// manualStore is a core whose writes are answered only when the test says so.
+// manualStore is a harness whose writes have an outcome only when the test gives them one.
 type manualStore struct {
 	*harness
 	inFlight []Write
 }
 
+// newManualStore returns one in which a number of jobs run, each of two tasks on a machine of its own.
 func newManualStore(t *testing.T, jobs int) *manualStore {
 	t.Helper()
 	s := &manualStore{harness: newHarness([]config.Team{{Name: "red"}}, "a")}
@@ -35,7 +36,7 @@
 	return s
 }
 
-// step hands in an event and keeps what is written.
+// step applies an event and keeps the writes that it causes.
 func (s *manualStore) step(e Event) {
 	for _, effect := range s.scheduler.Step(s.now, e) {
 		if w, ok := effect.(Write); ok {
@@ -44,7 +45,7 @@
 	}
 }
 
-// endFirstTasks ends the first task of each job.
+// endFirstTasks reports the first task of each job as done.
 func (s *manualStore) endFirstTasks() {
 	for _, name := range sortedNames(s.tasks) {
 		for id, t := range s.tasks[name] {
@@ -57,7 +58,7 @@
 	}
 }
 
-// heartbeatAll has all machines report.
+// heartbeatAll delivers a heartbeat of each machine.
 func (s *manualStore) heartbeatAll() {
 	for _, name := range sortedNames(s.tasks) {
 		s.step(HeartbeatReceived{ReplyTo: name, Heartbeat: s.nextHeartbeat(name)})
@@ -72,7 +73,7 @@
 	return names
 }
 
-// pagesInFlight returns the pages that are being written for a purpose.
+// pagesInFlight returns how many pages are being written with a priority.
 func (s *manualStore) pagesInFlight(p WritePriority) (pages int) {
 	for _, w := range s.inFlight {
 		if w.Priority == p {
@@ -82,10 +83,9 @@
 	return pages
 }
 
-// TestStartsDoNotWaitForCompletions: however many jobs have ends to record and however slow the state
-// service is, only a few of those writes are under way, and a start's record is asked for at once.
-// With a thousand workers the ends alone had filled the leader's share of the writes, and an urgent
-// task waited for them.
+// However many completions are to be recorded and however slow the store is, only a few of those writes are in flight,
+// and a start is written at once. With a thousand workers completions alone had filled the leader's share of the
+// writes, and an urgent task waited for them.
 func TestStartsDoNotWaitForCompletions(t *testing.T) {
 	s := newManualStore(t, 60)
 	s.endFirstTasks()
@@ -94,28 +94,19 @@
 		s.heartbeatAll()
 		s.step(Tick{})
 	}
-	if n, most := s.pagesInFlight(PriorityCompletion), s.scheduler.maxCompletionPages(); n == 0 || n > most {
-		t.Fatalf("%d pages of ends under way, want 1 to %d", n, most)
+	limit := s.scheduler.recordLimits.MaxCompletionPages()
+	if n := s.pagesInFlight(PriorityCompletion); n == 0 || n > limit {
+		t.Fatalf("%d pages of completions in flight, want 1 to %d", n, limit)
 	}
-	s.revision++
-	s.step(
-		JobAccepted{
-			Record: storage.LiveJobRecord{
-				Job:          jobSpec("j-urgent", protocol.Array, "urgent", 1, 4),
-				AcceptedAtMS: s.now.Milliseconds(),
-			},
-			Revision: s.revision,
-		},
-	)
+	s.submit("j-urgent", "urgent", 1)
 	s.now += MinCycleInterval
 	s.step(Tick{})
 	if s.pagesInFlight(PriorityStart) != 1 {
-		t.Errorf("%d records of starts are asked for, want 1", s.pagesInFlight(PriorityStart))
+		t.Errorf("%d pages of starts in flight, want 1", s.pagesInFlight(PriorityStart))
 	}
 }
 
-// TestCompletionsAreRecordedOldestFirst: all ends are recorded in the end, those first that have waited for
-// longest, as the state service answers one write after the other.
+// All completions are recorded in the end, longest waiting first, while the store answers one write after the other.
 func TestCompletionsAreRecordedOldestFirst(t *testing.T) {
 	const jobs = 40
 	s := newManualStore(t, jobs)
@@ -131,15 +122,14 @@
 		s.step(TransactionOutcome{WriteID: w.ID, Succeeded: true, Revision: s.revision})
 	}
 	if len(order) != jobs || !slices.IsSorted(order) {
-		t.Errorf("%d of %d jobs' ends recorded, in the order %v", len(order), jobs, order)
+		t.Errorf("%d of %d jobs' completions recorded, in the order %v", len(order), jobs, order)
 	}
-	if s.scheduler.pagesInFlight[PriorityCompletion] != 0 {
-		t.Errorf("%d pages count as under way", s.scheduler.pagesInFlight[PriorityCompletion])
+	if s.scheduler.writes.pagesInFlight[PriorityCompletion] != 0 {
+		t.Errorf("%d pages count as in flight", s.scheduler.writes.pagesInFlight[PriorityCompletion])
 	}
 }
 
-// TestPagesOfStartsAreWrittenFirst: of a job with many pages to write, those go first for which starts
-// wait.
+// Of a job with many pages to write, those that starts wait for go first.
 func TestPagesOfStartsAreWrittenFirst(t *testing.T) {
 	j := jobstate.New(jobSpec("j-1", protocol.Array, "normal", 100, 1), 1, 0, 0, storage.PageLayout{TasksPerPage: 10})
 	for task := range 100 {
--- a/internal/coordination/scheduler/costs_test.go
+++ b/internal/coordination/scheduler/costs_test.go
@@ -102,7 +102,7 @@
 		b.scheduler.writeFailoverRecords(b.now)
 	})
 	t.Logf("%.0f allocations", allocations)
-	if allocations > most || len(b.scheduler.writesInFlight) > 0 {
-		t.Errorf("%.0f allocations and %d writes, want %d and none", allocations, len(b.scheduler.writesInFlight), most)
+	if allocations > most || len(b.scheduler.writes.inFlight) > 0 {
+		t.Errorf("%.0f allocations and %d writes, want %d and none", allocations, len(b.scheduler.writes.inFlight), most)
 	}
 }
--- a/internal/coordination/scheduler/cycleclock.go
+++ b/internal/coordination/scheduler/cycleclock.go
@@ -44,7 +44,7 @@
 
 // tick runs a cycle when one is due, and what goes with it.
 func (c *Scheduler) tick(now time.Duration) {
-	c.runDelayedCalls(now)
+	c.delayedCalls.run(now)
 	c.sendProbes(now)
 	planDue := c.cycle.planDue(now)
 	if planDue || c.cycle.cycleDue(now, len(c.jobs)) {
--- a/internal/coordination/scheduler/dependencies.go
+++ b/internal/coordination/scheduler/dependencies.go
@@ -8,6 +8,7 @@
 	"pinebay/internal/coordination/autoscaler"
 	"pinebay/internal/coordination/dependency"
 	"pinebay/internal/coordination/jobstate"
+	"pinebay/internal/coordination/placementrecords"
 	"pinebay/internal/protocol"
 	"pinebay/internal/storage"
 )
@@ -67,7 +68,7 @@
 		c.dependencyEnded(now, e.ID, dependency.Cancelled)
 	default:
 		// The job lives, which the watch has not delivered yet, or the state service has not answered.
-		c.callAt(now+CycleInterval/4, func(now time.Duration) { c.requestFinalState(e.ID) })
+		c.delayedCalls.add(now+CycleInterval/4, func(now time.Duration) { c.requestFinalState(e.ID) })
 	}
 }
 
@@ -133,11 +134,11 @@
 // writeCancelledDependents records the ends of jobs that are cancelled because a dependency is. They count as cancelled
 // without a record, since every controller derives that from the dependency; the record saves that work.
 func (c *Scheduler) writeCancelledDependents() {
-	for len(c.cancelledDependents) > 0 && !c.writesPaused && c.pagesInFlight[PriorityCompletion] < c.maxCompletionPages() {
-		id, name := c.nextWriteID()
-		t := protocol.Txn{If: []protocol.Compare{{Key: storage.TermKey, Revision: c.termRevision}}}
+	for len(c.cancelledDependents) > 0 && !c.writes.paused && c.writes.pagesInFlight[PriorityCompletion] < c.recordLimits.MaxCompletionPages() {
+		id, name := c.writes.nextID()
+		t := protocol.Txn{If: []protocol.Compare{c.writes.termUnchanged()}}
 		var jobs []*jobstate.Job
-		for len(c.cancelledDependents) > 0 && len(t.Then)+minTransactionOperations <= max(minTransactionOperations, c.stateLimits.TxnOps) {
+		for len(c.cancelledDependents) > 0 && len(t.Then)+placementrecords.MinOperations <= max(placementrecords.MinOperations, c.recordLimits.MaxOperations()) {
 			j := c.cancelledDependents[0]
 			c.cancelledDependents[0] = nil
 			c.cancelledDependents = c.cancelledDependents[1:]
@@ -169,12 +170,10 @@
 
 // writeCancellations records the ends of jobs in one transaction.
 func (c *Scheduler) writeCancellations(id uint64, name string, t protocol.Txn, jobs []*jobstate.Job) {
-	c.pagesInFlight[PriorityCompletion] += len(t.Then)
 	for _, j := range jobs {
 		j.Ending = true
 	}
-	c.writesInFlight[id] = func(now time.Duration, w TransactionOutcome) {
-		c.pagesInFlight[PriorityCompletion] -= len(t.Then)
+	onOutcome := func(now time.Duration, w TransactionOutcome) {
 		for _, j := range jobs {
 			j.Ending = false
 		}
@@ -187,7 +186,7 @@
 			}
 		case w.Malformed:
 			c.shrinkTransactions(&t)
-			c.callAt(
+			c.delayedCalls.add(
 				now+rejectedRetryDelay,
 				func(time.Duration) { c.cancelledDependents = append(c.cancelledDependents, jobs...) },
 			)
@@ -200,7 +199,8 @@
 		}
 		c.writeCancelledDependents()
 	}
-	c.emit(Write{ID: id, Txn: t, Priority: PriorityCompletion, VerifyKey: t.Then[1].PutKey, Name: name})
+	write := Write{ID: id, Txn: t, Priority: PriorityCompletion, VerifyKey: t.Then[1].PutKey, Name: name}
+	c.submitPages(write, onOutcome)
 }
 
 // handleEndedElsewhere ends the jobs whose records another transaction has changed, and so made the leader's fail. It
@@ -214,7 +214,7 @@
 			over = true
 		}
 	}
-	return over || c.endedMeanwhile(now, jobs[0], w)
+	return over || c.endedMeanwhile(jobs[0], w)
 }
 
 // forecastBlockedJobs returns the capacity that blocked jobs are likely to need before a machine requested now has
--- a/internal/coordination/scheduler/dependencies_test.go
+++ b/internal/coordination/scheduler/dependencies_test.go
@@ -154,7 +154,7 @@
 	ended := map[string]string{}
 	for len(s.inFlight) > 0 {
 		w := s.inFlight[0]
-		if len(w.Txn.Then) > s.scheduler.stateLimits.TxnOps || len(w.Txn.If) > 4*s.scheduler.stateLimits.TxnOps {
+		if len(w.Txn.Then) > s.scheduler.recordLimits.MaxOperations() || len(w.Txn.If) > 4*s.scheduler.recordLimits.MaxOperations() {
 			t.Fatalf("%d operations and %d conditions", len(w.Txn.Then), len(w.Txn.If))
 		}
 		for _, op := range w.Txn.Then {
--- a/internal/coordination/scheduler/imagehints.go
+++ b/internal/coordination/scheduler/imagehints.go
@@ -1,134 +1,68 @@
 package scheduler
 
 import (
-	"maps"
 	"math"
-	"slices"
 	"time"
 
 	"pinebay/internal/coordination/demand"
-	"pinebay/internal/coordination/machineregistry"
+	"pinebay/internal/coordination/imagehints"
 	"pinebay/internal/protocol"
 	"pinebay/internal/storage"
 )
 
-// recoverImageHints takes over what earlier leaders knew of the machines' images.
-func (c *Scheduler) recoverImageHints(pairs []protocol.KeyValue) {
-	for _, p := range pairs {
-		var rec storage.ImageHintRecord
-		if err := protocol.Decode(p.Value, &rec); err != nil || len(rec.Images) != len(rec.SizesGB) {
-			c.log.Error("images record out of form", "key", p.Key, "err", err)
+// recoverImageHints applies what earlier leaders recorded of the machines' images and of the arrivals of jobs.
+func (c *Scheduler) recoverImageHints(records []protocol.KeyValue) {
+	for _, record := range records {
+		hints, err := c.imageHints.Recover(record)
+		if err != nil {
+			c.log.Error("malformed image hint record", "key", record.Key, "error", err)
 			continue
 		}
-		for _, m := range rec.Machines {
-			var copies []machineregistry.CachedImage
-			for _, i := range m.Images {
-				if i >= 0 && i < len(rec.Images) {
-					copies = append(copies, machineregistry.CachedImage{Image: rec.Images[i], SizeGB: rec.SizesGB[i]})
-				}
-			}
-			c.machines.SetImageHint(m.Name, copies)
+		for machine, images := range hints.Images {
+			c.machines.SetImageHint(machine, images)
 		}
-		for _, a := range rec.Arrivals {
-			c.forecast.Inherit(demand.ClassRate{Class: a.Class, Arrivals: a.Jobs, MeanTasks: a.MeanTasks})
+		for _, class := range hints.Arrivals {
+			rate := demand.ClassRate{Class: class.Class, Arrivals: class.Jobs, MeanTasks: class.MeanTasks}
+			c.forecast.Inherit(rate)
 		}
-		c.imageHintPages[p.Key] = "" // to be written anew, or else dropped
 	}
 }
 
-// writeImageHints writes down the machines' images, a page at a time and not often:
-// it is a help for the next leader, and must not stand in anybody's way.
+// writeImageHints records the machines' images for the next leader, a few records at a time.
 func (c *Scheduler) writeImageHints(now time.Duration) {
-	if c.imageHintsInFlight || c.writesPaused || now-c.imageHintsWrittenAt < imageHintInterval {
+	if c.writes.paused || !c.imageHints.Due(now) {
 		return
 	}
-	c.imageHintsWrittenAt = now
-	copies := c.machines.CachedImages()
-	names := slices.Sorted(maps.Keys(copies))
-	per := storage.MachinesPerImageHint(c.stateLimits.ValueKB)
-	pages := map[string][]byte{}
-	for page := 0; page*per < len(names); page++ {
-		var rec storage.ImageHintRecord
-		index := map[string]int{}
-		for _, n := range names[page*per : min((page+1)*per, len(names))] {
-			m := storage.MachineImages{Name: n}
-			for _, cp := range copies[n] {
-				i, ok := index[cp.Image]
-				if !ok {
-					i = len(rec.Images)
-					index[cp.Image] = i
-					rec.Images = append(rec.Images, cp.Image)
-					rec.SizesGB = append(rec.SizesGB, cp.SizeGB)
-				}
-				m.Images = append(m.Images, i)
-			}
-			rec.Machines = append(rec.Machines, m)
-		}
-		if page == 0 {
-			for _, rate := range c.forecast.Rates() {
-				rec.Arrivals = append(rec.Arrivals, storage.ClassArrivals{
-					Class: rate.Class,
-					// Two digits are enough, and a quiet fleet writes nothing.
-					Jobs:      math.Round(rate.Arrivals*4) / 4,
-					MeanTasks: rate.MeanTasks,
-				})
-			}
-		}
-		raw, err := protocol.Encode(rec)
-		if err != nil || !storage.FitsValueLimit(raw, c.stateLimits.ValueKB) {
-			continue // too many names for a hint
-		}
-		pages[storage.ImageHintKey(page)] = raw
-	}
-	t := protocol.Txn{If: []protocol.Compare{{Key: storage.TermKey, Revision: c.termRevision}}}
-	var changed []string
-	for _, key := range slices.Sorted(maps.Keys(c.imageHintPages)) {
-		if pages[key] == nil && len(t.Then) < c.stateLimits.TxnOps/2 {
-			t.Then = append(t.Then, protocol.Op{DeleteKey: key})
-			changed = append(changed, key)
-		}
-	}
-	for _, key := range rotateAfter(c.lastImageHintKey, slices.Sorted(maps.Keys(pages))) {
-		raw := pages[key]
-		if c.imageHintPages[key] != string(raw) && len(t.Then) < c.stateLimits.TxnOps/2 {
-			t.Then = append(t.Then, protocol.Op{PutKey: key, Value: raw})
-			changed = append(changed, key)
-			c.lastImageHintKey = key
-		}
-	}
-	if len(changed) == 0 {
+	hints := imagehints.Hints{Images: c.machines.CachedImages(), Arrivals: c.classArrivals()}
+	limits := imagehints.Limits{ValueKB: c.recordLimits.ValueKB(), MaxOperations: c.recordLimits.MaxOperations()}
+	change, ok := c.imageHints.Next(now, hints, limits)
+	if !ok {
 		return
 	}
-	c.imageHintsInFlight = true
-	id, _ := c.nextWriteID()
-	c.writesInFlight[id] = func(_ time.Duration, w TransactionOutcome) {
-		c.imageHintsInFlight = false
-		if w.Malformed {
+	t := protocol.Txn{If: []protocol.Compare{c.writes.termUnchanged()}, Then: change.Ops}
+	onOutcome := func(_ time.Duration, outcome TransactionOutcome) {
+		if outcome.Malformed {
 			c.shrinkTransactions(&t)
 		}
-		if !w.Succeeded {
-			return // a hint; it is written anew the next time
-		}
-		for _, key := range changed {
-			if pages[key] == nil {
-				delete(c.imageHintPages, key)
-			} else {
-				c.imageHintPages[key] = string(pages[key])
-			}
-		}
+		c.imageHints.Written(change, outcome.Succeeded)
 	}
-	c.emit(Write{ID: id, Txn: t, Priority: PriorityMaintenance, VerifyKey: storage.TermKey, Name: "-"})
+	id, _ := c.writes.nextID()
+	write := Write{ID: id, Txn: t, Priority: PriorityMaintenance, VerifyKey: storage.TermKey, Name: "-"}
+	c.submit(write, onOutcome)
 }
 
-// rotateAfter lists keys that are in order from the one after the given key on, and then those before: a
-// transaction takes a few, and all must have their turn.
-func rotateAfter(last string, keys []string) []string {
-	i, found := slices.BinarySearch(keys, last)
-	if found {
-		i++
+// arrivalPrecision is the fraction of a job to which arrivals are rounded, so that a quiet fleet writes nothing.
+const arrivalPrecision = 4
+
+// classArrivals returns what is remembered of the arrivals of jobs, in the order of their classes.
+func (c *Scheduler) classArrivals() []storage.ClassArrivals {
+	var arrivals []storage.ClassArrivals
+	for _, rate := range c.forecast.Rates() {
+		arrivals = append(arrivals, storage.ClassArrivals{
+			Class:     rate.Class,
+			Jobs:      math.Round(rate.Arrivals*arrivalPrecision) / arrivalPrecision,
+			MeanTasks: rate.MeanTasks,
+		})
 	}
-	return slices.Concat(keys[i:], keys[:i])
+	return arrivals
 }
-
-// imageHintInterval is the time between two writes of the images.
-const imageHintInterval = 10 * CycleInterval
--- a/internal/coordination/scheduler/jobcompletion.go
+++ b/internal/coordination/scheduler/jobcompletion.go
@@ -1,124 +1,112 @@
 package scheduler
 
 import (
-	"fmt"
+	"slices"
 	"time"
 
 	"pinebay/internal/coordination/dependency"
 	"pinebay/internal/coordination/jobstate"
 	"pinebay/internal/coordination/machineregistry"
+	"pinebay/internal/coordination/placementrecords"
 	"pinebay/internal/protocol"
 	"pinebay/internal/storage"
 )
 
-// completeJob records that all tasks are done. The job's end moves it from its
-// live key to its final one; pages without placements go with it.
-func (c *Scheduler) completeJob(now time.Duration, j *jobstate.Job) {
+// rejectedRetryDelay is the pause after which a write is repeated that was rejected as malformed.
+const rejectedRetryDelay = 10 * CycleInterval
+
+// completeJob records that all tasks are done: the job's live record is replaced by its final one. If nothing is
+// placed any more, its pages are deleted in the same transaction.
+func (c *Scheduler) completeJob(j *jobstate.Job) {
 	if j.Ending || j.Ended {
 		return
 	}
-	if j.WriteInFlight || c.writesPaused {
-		return // the outcome of that write, or the end of the pause, comes back here
+	if j.WriteInFlight || c.writes.paused {
+		return // it is tried again with the outcome of that write, or after the pause
 	}
 	j.Ending = true
-	id, name := c.nextWriteID()
-	value, err := protocol.Encode(
-		storage.EndedJobRecord{State: protocol.JobDone, DoneTasks: j.TaskCount(), WriteName: name},
-	)
+	id, name := c.writes.nextID()
+	value, err := protocol.Encode(storage.EndedJobRecord{
+		State:     protocol.JobDone,
+		DoneTasks: j.TaskCount(),
+		WriteName: name,
+	})
 	if err != nil {
-		c.log.Error("ended record", "err", err)
+		c.log.Error("failed to encode ended job record", "job", j.Spec.ID, "error", err)
 		return
 	}
+	live, ended := storage.LiveJobKey(j.Spec.ID), storage.EndedJobKey(j.Spec.ID)
 	t := protocol.Txn{
-		If: []protocol.Compare{
-			{Key: storage.TermKey, Revision: c.termRevision},
-			{Key: storage.LiveJobKey(j.Spec.ID), Revision: j.LiveRevision},
-		},
-		Then: []protocol.Op{
-			{DeleteKey: storage.LiveJobKey(j.Spec.ID)},
-			{PutKey: storage.EndedJobKey(j.Spec.ID), Value: value},
-		},
-	}
-	var dropped pageDeletions
+		If:   []protocol.Compare{c.writes.termUnchanged(), {Key: live, Revision: j.LiveRevision}},
+		Then: []protocol.Op{{DeleteKey: live}, {PutKey: ended, Value: value}},
+	}
+	var deletion placementrecords.Deletion
 	if len(j.Placements) == 0 {
-		dropped = c.addPageDeletions(j, &t)
+		deletion = placementrecords.AppendDeletion(&t, j, c.recordLimits.MaxOperations())
 	}
-	c.writesInFlight[id] = func(now time.Duration, w TransactionOutcome) {
+	onOutcome := func(now time.Duration, outcome TransactionOutcome) {
 		j.Ending = false
-		if w.Malformed {
+		if outcome.Malformed {
 			c.shrinkTransactions(&t)
-			c.callAt(now+rejectedRetryDelay, func(now time.Duration) { c.completeJob(now, j) })
-			return
-		}
-		if !w.Succeeded && !c.endedMeanwhile(now, j, w) {
+			c.delayedCalls.add(now+rejectedRetryDelay, func(time.Duration) { c.completeJob(j) })
 			return
 		}
-		if w.Succeeded {
-			c.pagesDeleted(j, dropped)
-			c.dependencyEnded(now, j.Spec.ID, dependency.Done)
-		}
-		c.log.Debug(
-			"job done",
-			"job",
-			j.Spec.ID,
-			"class",
-			j.Spec.Class,
-			"tasks",
-			j.TaskCount(),
-			"took",
-			now-j.WaitingSince,
-		)
-		c.endJob(now, j)
-	}
-	purpose := PriorityCompletion
+		c.applyCompletion(now, j, deletion, outcome)
+	}
+	priority := PriorityCompletion
 	if c.dependencies.HasDependents(j.Spec.ID) {
-		purpose = PriorityUnblock
+		priority = PriorityUnblock
 	}
-	c.emit(Write{ID: id, Txn: t, Priority: purpose, VerifyKey: storage.EndedJobKey(j.Spec.ID), Name: name})
-}
-
-// rejectedRetryDelay is the time after which a write is tried again that was refused for its form.
-const rejectedRetryDelay = 10 * CycleInterval
-
-func (c *Scheduler) nextWriteID() (uint64, string) {
-	c.lastWriteID++
-	return c.lastWriteID, fmt.Sprintf("%d.%d", c.term, c.lastWriteID)
+	c.submit(Write{ID: id, Txn: t, Priority: priority, VerifyKey: ended, Name: name}, onOutcome)
 }
 
-// endedMeanwhile says whether a write failed because the job is over. Any other
-// reason means that somebody else leads or that the books are wrong; either
-// way a new term, which reads everything afresh, is the safe answer.
-func (c *Scheduler) endedMeanwhile(now time.Duration, j *jobstate.Job, w TransactionOutcome) bool {
-	for _, k := range w.FailedKeys {
-		if k == storage.TermKey {
-			c.emit(StepDown{Reason: "the term has changed"})
-			return false
-		}
+// applyCompletion applies the outcome of the transaction that records a job's end.
+func (c *Scheduler) applyCompletion(
+	now time.Duration,
+	j *jobstate.Job,
+	deletion placementrecords.Deletion,
+	outcome TransactionOutcome,
+) {
+	if !outcome.Succeeded && !c.endedMeanwhile(j, outcome) {
+		return
 	}
-	for _, k := range w.FailedKeys {
-		if k == storage.LiveJobKey(j.Spec.ID) {
-			return true
-		}
+	if outcome.Succeeded {
+		deletion.Commit(c.machines.MarkOutcomeRecorded)
+		c.dependencyEnded(now, j.Spec.ID, dependency.Done)
 	}
-	c.emit(StepDown{Reason: fmt.Sprintf("conditions failed: %v", w.FailedKeys)})
+	c.log.Debug(
+		"job done",
+		"job", j.Spec.ID,
+		"class", j.Spec.Class,
+		"task_count", j.TaskCount(),
+		"duration", now-j.WaitingSince,
+	)
+	c.endJob(now, j)
+}
+
+// endedMeanwhile reports whether a write failed because the job has ended otherwise. Any other reason means that
+// another controller leads or that this leader's state is wrong: it steps down, and a new term reads everything
+// again.
+func (c *Scheduler) endedMeanwhile(j *jobstate.Job, outcome TransactionOutcome) bool {
+	if slices.Contains(outcome.FailedKeys, storage.TermKey) {
+		c.emit(StepDown{Reason: "the term has changed"})
+		return false
+	}
+	if slices.Contains(outcome.FailedKeys, storage.LiveJobKey(j.Spec.ID)) {
+		return true
+	}
+	c.stepDownAfter(outcome)
 	return false
 }
 
-// cleanUpEndedJob removes the pages of a job that is over, once nothing of it is left.
-func (c *Scheduler) cleanUpEndedJob(now time.Duration, j *jobstate.Job) {
-	if !j.Ended || j.WriteInFlight || len(j.Placements) > 0 || c.writesPaused {
+// cleanUpEndedJob deletes the pages of an ended job once nothing of it is placed, and then forgets the job.
+func (c *Scheduler) cleanUpEndedJob(j *jobstate.Job) {
+	if !j.Ended || j.WriteInFlight || len(j.Placements) > 0 || c.writes.paused {
 		return
 	}
-	if len(j.Pages.Superseded()) == 0 {
-		for number, page := range j.Pages.All() {
-			if page.Revision == 0 {
-				c.recordExits(page)
-				j.Pages.Remove(number)
-			}
-		}
-	}
-	t := protocol.Txn{If: []protocol.Compare{{Key: storage.TermKey, Revision: c.termRevision}}}
-	dropped := c.addPageDeletions(j, &t)
+	placementrecords.ForgetUnstored(j, c.machines.MarkOutcomeRecorded)
+	t := protocol.Txn{If: []protocol.Compare{c.writes.termUnchanged()}}
+	deletion := placementrecords.AppendDeletion(&t, j, c.recordLimits.MaxOperations())
 	if len(t.Then) == 0 {
 		delete(c.jobs, j.Spec.ID)
 		c.zoneFailover.ForgetJob(j.Spec.ID)
@@ -126,33 +114,33 @@
 		return
 	}
 	j.WriteInFlight = true
-	id, _ := c.nextWriteID()
-	c.writesInFlight[id] = func(now time.Duration, w TransactionOutcome) {
+	id, _ := c.writes.nextID()
+	onOutcome := func(now time.Duration, outcome TransactionOutcome) {
 		j.WriteInFlight = false
-		if w.Malformed {
+		if outcome.Malformed {
 			c.shrinkTransactions(&t)
-			c.callAt(now+rejectedRetryDelay, func(now time.Duration) { c.cleanUpEndedJob(now, j) })
+			c.delayedCalls.add(now+rejectedRetryDelay, func(time.Duration) { c.cleanUpEndedJob(j) })
 			return
 		}
-		if !w.Succeeded {
-			c.emit(StepDown{Reason: fmt.Sprintf("conditions failed: %v", w.FailedKeys)})
+		if !outcome.Succeeded {
+			c.stepDownAfter(outcome)
 			return
 		}
-		c.pagesDeleted(j, dropped)
-		c.cleanUpEndedJob(now, j)
+		deletion.Commit(c.machines.MarkOutcomeRecorded)
+		c.cleanUpEndedJob(j)
 	}
-	c.emit(Write{ID: id, Txn: t, Priority: PriorityMaintenance, VerifyKey: t.Then[0].DeleteKey})
+	c.submit(Write{ID: id, Txn: t, Priority: PriorityMaintenance, VerifyKey: t.Then[0].DeleteKey}, onOutcome)
 }
 
-// startRecorded lets recorded placements go; a gang's only when all are recorded.
+// startRecorded allows placements to start that are recorded; those of a gang only once all of them are.
 func (c *Scheduler) startRecorded(j *jobstate.Job) {
-	var rest []*machineregistry.Placement
+	var unrecorded []*machineregistry.Placement
 	for _, pl := range j.Unstarted {
 		if !pl.Recorded {
-			rest = append(rest, pl)
+			unrecorded = append(unrecorded, pl)
 		}
 	}
-	if j.Spec.Shape == protocol.Gang && len(rest) > 0 {
+	if j.Spec.Shape == protocol.Gang && len(unrecorded) > 0 {
 		return
 	}
 	for _, pl := range j.Unstarted {
@@ -160,14 +148,15 @@
 			c.machines.AllowStart(pl)
 		}
 	}
-	j.Unstarted = rest
+	j.Unstarted = unrecorded
 	c.cycle.due = c.cycle.due || j.PendingTasks() > 0
 }
 
+// cancelUnstarted withdraws the placements of a job that have not been allowed to start.
 func (c *Scheduler) cancelUnstarted(now time.Duration, j *jobstate.Job) {
-	granted := j.Unstarted
+	unstarted := j.Unstarted
 	j.Unstarted = nil
-	for _, pl := range granted {
+	for _, pl := range unstarted {
 		if !pl.StartAllowed {
 			c.stopPlacement(now, j, pl, 0)
 		}
--- a/internal/coordination/scheduler/largefleet_test.go
+++ b/internal/coordination/scheduler/largefleet_test.go
@@ -145,20 +145,6 @@
 	}
 }
 
-// TestInTurnFrom: whatever was written last, the next turn begins after it and leaves nobody out.
-func TestInTurnFrom(t *testing.T) {
-	keys := []string{"a", "b", "c"}
-	for last, want := range map[string]string{"": "abc", "a": "bca", "bb": "cab", "c": "abc", "z": "abc"} {
-		got := ""
-		for _, k := range rotateAfter(last, keys) {
-			got += k
-		}
-		if got != want {
-			t.Errorf("after %q: %s, want %s", last, got, want)
-		}
-	}
-}
-
 // TestLedgerOfManyLoans: far more loans than fit one transaction are recorded a transaction at a time,
 // each of a size that the state service takes; what lends to one job is taken together, and only when
 // all of it is recorded; the next leader finds every one; and when all have ended, all pages but the
@@ -196,7 +182,7 @@
 			if !ok {
 				continue
 			}
-			if len(w.Txn.Then) > b.scheduler.pagesPerTransaction() {
+			if len(w.Txn.Then) > b.scheduler.recordLimits.PagesPerTransaction() {
 				t.Fatalf("%d pages in a transaction", len(w.Txn.Then))
 			}
 			rev++
--- a/internal/coordination/scheduler/lifecycle.go
+++ b/internal/coordination/scheduler/lifecycle.go
@@ -32,7 +32,7 @@
 		}
 		return
 	}
-	j := jobstate.New(record.Job, revision, record.AcceptedAtMS, since, c.newJobLayout())
+	j := jobstate.New(record.Job, revision, record.AcceptedAtMS, since, c.recordLimits.NewJobLayout())
 	c.jobs[id] = j
 	c.addDependencies(now, j)
 	c.queues.Add(j)
@@ -89,7 +89,7 @@
 	switch {
 	case j.Ended:
 		j.SetTask(task, jobstate.TaskDone)
-		c.cleanUpEndedJob(now, j)
+		c.cleanUpEndedJob(j)
 	case j.TaskState(task) == jobstate.TaskDone:
 	case !lost && pl.Cause == protocol.CauseDone:
 		c.taskDone(now, j, task)
@@ -111,7 +111,7 @@
 		}
 	}
 	if j.AllTasksDone() {
-		c.completeJob(now, j)
+		c.completeJob(j)
 	}
 }
 
@@ -203,7 +203,7 @@
 	for _, pl := range j.SortedPlacements() {
 		c.stopPlacement(now, j, pl, 0)
 	}
-	c.cleanUpEndedJob(now, j)
+	c.cleanUpEndedJob(j)
 }
 
 // endJob ends a job that was cancelled or whose end is recorded.
--- a/internal/coordination/scheduler/placementwriter_test.go
+++ b/internal/coordination/scheduler/placementwriter_test.go
@@ -12,7 +12,7 @@
 	"pinebay/internal/storage"
 )
 
-// jobsOfWrite returns the jobs whose placements a write records.
+// jobsOfWrite returns the jobs whose pages are written.
 func jobsOfWrite(w Write) (jobs []string) {
 	for _, op := range w.Txn.Then {
 		id, _, _ := strings.Cut(strings.TrimPrefix(op.PutKey, storage.PlacementPrefix), "/")
@@ -21,21 +21,19 @@
 	return slices.Compact(jobs)
 }
 
-// submit accepts a job of single tasks of half a machine.
-func (s *manualStore) submit(id string, prio protocol.Priority, tasks int) {
+// submit accepts an array whose tasks take half a machine each.
+func (s *manualStore) submit(id string, priority protocol.Priority, tasks int) {
 	s.revision++
-	s.step(
-		JobAccepted{
-			Record: storage.LiveJobRecord{
-				Job:          jobSpec(id, protocol.Array, prio, tasks, 4),
-				AcceptedAtMS: s.now.Milliseconds(),
-			},
-			Revision: s.revision,
+	s.step(JobAccepted{
+		Record: storage.LiveJobRecord{
+			Job:          jobSpec(id, protocol.Array, priority, tasks, 4),
+			AcceptedAtMS: s.now.Milliseconds(),
 		},
-	)
+		Revision: s.revision,
+	})
 }
 
-// cycleOnce lets a cycle pass and keeps what is written.
+// cycleOnce runs a cycle and keeps the writes that it causes.
 func (s *manualStore) cycleOnce() {
 	s.now += CycleInterval
 	s.heartbeatAll()
@@ -50,7 +48,7 @@
 	s.step(w)
 }
 
-// startWrites returns the records of starts that are under way.
+// startWrites returns the writes in flight that starts wait for.
 func (s *manualStore) startWrites() (open []Write) {
 	for _, w := range s.inFlight {
 		if w.Priority == PriorityStart {
@@ -60,7 +58,7 @@
 	return open
 }
 
-// newEmptyManualStore is a manualStore with empty machines.
+// newEmptyManualStore returns one with idle machines.
 func newEmptyManualStore(machines int) *manualStore {
 	s := &manualStore{harness: newHarness([]config.Team{{Name: "red"}}, "a")}
 	for i := range machines {
@@ -69,8 +67,8 @@
 	return s
 }
 
-// TestUrgentStartIsWrittenFirst: however many records of lower work wait, few are under way, and that of an
-// urgent start is the next. They had all stood in one line: an urgent start waited for thousands.
+// However many starts of lower priority wait for their record, few of these are in flight, and an urgent one is
+// written next. They had all been in one queue, and an urgent start waited for thousands.
 func TestUrgentStartIsWrittenFirst(t *testing.T) {
 	const jobs = 200
 	s := newEmptyManualStore(jobs)
@@ -79,26 +77,23 @@
 	}
 	s.cycleOnce()
 	under := s.pagesInFlight(PriorityStart)
-	if under == 0 || under > s.scheduler.maxStartPages() {
-		t.Fatalf("%d pages under way, want 1 to %d", under, s.scheduler.maxStartPages())
+	if under == 0 || under > s.scheduler.recordLimits.MaxStartPages() {
+		t.Fatalf("%d pages in flight, want 1 to %d", under, s.scheduler.recordLimits.MaxStartPages())
 	}
 	s.heartbeat("m999", "a", false)
 	s.submit("j-urgent", "urgent", 1)
 	s.cycleOnce()
 	if got := s.pagesInFlight(PriorityStart); got != under {
-		t.Fatalf("%d pages under way with an urgent job, %d without", got, under)
+		t.Fatalf("%d pages in flight with an urgent job, %d without", got, under)
 	}
 	s.answer(TransactionOutcome{WriteID: s.startWrites()[0].ID, Succeeded: true})
-	if !slices.ContainsFunc(
-		s.startWrites(),
-		func(w Write) bool { return slices.Contains(jobsOfWrite(w), "j-urgent") },
-	) {
-		t.Errorf("the urgent start's record is not the next: %d others are under way", len(s.startWrites()))
+	isUrgent := func(w Write) bool { return slices.Contains(jobsOfWrite(w), "j-urgent") }
+	if !slices.ContainsFunc(s.startWrites(), isUrgent) {
+		t.Errorf("the urgent start is not written next: %d others are in flight", len(s.startWrites()))
 	}
 }
 
-// TestSharedTransactions: a transaction holds records of several jobs, within the limits, and nothing
-// starts before it is carried out.
+// A transaction holds pages of several jobs, within the limits, and no task starts before it is carried out.
 func TestSharedTransactions(t *testing.T) {
 	s := newEmptyManualStore(40)
 	for i := range 40 {
@@ -138,109 +133,116 @@
 	}
 }
 
-// failedWrite returns the outcome of a write that a job's condition makes fail.
+// failedWrite returns the outcome of a write that failed with the condition on a key.
 func failedWrite(w Write, key string) TransactionOutcome {
 	return TransactionOutcome{WriteID: w.ID, FailedKeys: []string{key}}
 }
 
-// TestFailedJobIsSplitOffSharedTransaction: a job that was cancelled, or whose page is not what the books
-// say, is split off. The others are written again at once; it is tried alone, after a pause that
-// doubles, and when that doesn't help the term ends, as the books are wrong.
-func TestFailedJobIsSplitOffSharedTransaction(t *testing.T) {
-	begin := func() (*manualStore, Write) {
-		s := newEmptyManualStore(8)
-		for i := range 4 {
-			s.submit(fmt.Sprintf("j-%03d", i), "normal", 2)
-		}
-		s.cycleOnce()
-		w := s.startWrites()[0]
-		if len(jobsOfWrite(w)) != 4 {
-			t.Fatalf("the transaction has %v", jobsOfWrite(w))
-		}
-		return s, w
+// newSharedWrite returns a write in flight of four jobs' placements.
+func newSharedWrite(t *testing.T) (*manualStore, Write) {
+	t.Helper()
+	s := newEmptyManualStore(8)
+	for i := range 4 {
+		s.submit(fmt.Sprintf("j-%03d", i), "normal", 2)
 	}
-	t.Run("cancelled", func(t *testing.T) {
-		s, w := begin()
-		s.answer(failedWrite(w, storage.LiveJobKey("j-001")))
-		again := s.startWrites()
-		if len(again) != 1 || !slices.Equal(jobsOfWrite(again[0]), []string{"j-000", "j-002", "j-003"}) {
-			t.Fatalf("written again: %v", again)
-		}
-		s.answer(TransactionOutcome{WriteID: again[0].ID, Succeeded: true})
-		s.cycleOnce()
-		if j := s.scheduler.jobs["j-001"]; j != nil && len(j.Placements) > 0 {
-			t.Errorf("the cancelled job holds %d placements", len(j.Placements))
-		}
+	s.cycleOnce()
+	w := s.startWrites()[0]
+	if len(jobsOfWrite(w)) != 4 {
+		t.Fatalf("the transaction has %v", jobsOfWrite(w))
+	}
+	return s, w
+}
+
+// requireOthersWritten checks that the other three jobs are written again at once, and lets that succeed.
+func (s *manualStore) requireOthersWritten(t *testing.T) {
+	t.Helper()
+	again := s.startWrites()
+	if len(again) != 1 || !slices.Equal(jobsOfWrite(again[0]), []string{"j-000", "j-002", "j-003"}) {
+		t.Fatalf("written again: %v", again)
+	}
+	s.answer(TransactionOutcome{WriteID: again[0].ID, Succeeded: true})
+}
+
+// stepsDown applies an event, and reports whether the leader steps down.
+func (s *manualStore) stepsDown(e Event) bool {
+	return slices.ContainsFunc(s.scheduler.Step(s.now, e), func(effect Effect) bool {
+		_, ok := effect.(StepDown)
+		return ok
 	})
-	t.Run("stale", func(t *testing.T) {
-		s, w := begin()
-		stale := productionPage("j-001")
-		s.answer(failedWrite(w, stale))
-		again := s.startWrites()
-		if len(again) != 1 || !slices.Equal(jobsOfWrite(again[0]), []string{"j-000", "j-002", "j-003"}) {
-			t.Fatalf("written again: %v", again)
+}
+
+// A job that was cancelled is split off a shared transaction, and the others are written again at once.
+func TestCancelledJobIsSplitOffSharedTransaction(t *testing.T) {
+	s, w := newSharedWrite(t)
+	s.answer(failedWrite(w, storage.LiveJobKey("j-001")))
+	s.requireOthersWritten(t)
+	s.cycleOnce()
+	if j := s.scheduler.jobs["j-001"]; j != nil && len(j.Placements) > 0 {
+		t.Errorf("the cancelled job holds %d placements", len(j.Placements))
+	}
+}
+
+// A job whose stored page isn't the expected one is split off, and tried alone after a pause that doubles. When that
+// doesn't help, the state of the leader is wrong and it steps down.
+func TestFailedJobIsSplitOffSharedTransaction(t *testing.T) {
+	s, w := newSharedWrite(t)
+	stale := productionPage("j-001")
+	s.answer(failedWrite(w, stale))
+	s.requireOthersWritten(t)
+	last, pause := s.now, time.Duration(0)
+	for attempt, steppedDown := 1, false; !steppedDown; attempt++ {
+		if attempt > maxRecordAttempts {
+			t.Fatal("tried without end")
 		}
-		s.answer(TransactionOutcome{WriteID: again[0].ID, Succeeded: true})
-		var deposed []Effect
-		last, pause := s.now, time.Duration(0)
-		for tries := 1; len(deposed) == 0; tries++ {
-			if tries > maxRecordAttempts {
-				t.Fatal("tried for ever")
-			}
-			for len(s.startWrites()) == 0 && s.now < last+time.Minute {
-				s.now += recordBackoff / 4
-				s.step(Tick{})
-			}
-			if got := s.now - last; got < 2*pause-recordBackoff/2 {
-				t.Errorf("try %d after %v, the one before after %v", tries, got, pause)
-			} else {
-				last, pause = s.now, got
-			}
-			alone := s.startWrites()[0]
-			if !slices.Equal(jobsOfWrite(alone), []string{"j-001"}) {
-				t.Fatalf("try %d is of %v", tries, jobsOfWrite(alone))
-			}
-			s.inFlight = nil
-			for _, e := range s.scheduler.Step(s.now, failedWrite(alone, stale)) {
-				if _, ok := e.(StepDown); ok {
-					deposed = append(deposed, e)
-				}
-			}
+		for len(s.startWrites()) == 0 && s.now < last+time.Minute {
+			s.now += recordBackoff / 4
+			s.step(Tick{})
 		}
-	})
-	t.Run("the term is over", func(t *testing.T) {
-		s, w := begin()
-		for _, e := range s.scheduler.Step(s.now, failedWrite(w, storage.TermKey)) {
-			if _, ok := e.(StepDown); ok {
-				return
-			}
+		if got := s.now - last; got < 2*pause-recordBackoff/2 {
+			t.Errorf("attempt %d after %v, the one before after %v", attempt, got, pause)
+		} else {
+			last, pause = s.now, got
 		}
+		alone := s.startWrites()[0]
+		if !slices.Equal(jobsOfWrite(alone), []string{"j-001"}) {
+			t.Fatalf("attempt %d is of %v", attempt, jobsOfWrite(alone))
+		}
+		s.inFlight = nil
+		steppedDown = s.stepsDown(failedWrite(alone, stale))
+	}
+}
+
+func TestLeaderStepsDownWhenTermHasChanged(t *testing.T) {
+	s, w := newSharedWrite(t)
+	if !s.stepsDown(failedWrite(w, storage.TermKey)) {
 		t.Error("the leader goes on")
-	})
-	t.Run("out of form", func(t *testing.T) {
-		s, w := begin()
-		s.answer(TransactionOutcome{WriteID: w.ID, Malformed: true})
-		tried := map[string]bool{}
-		for range 4 {
-			for _, a := range s.startWrites() {
-				if len(jobsOfWrite(a)) != 1 {
-					t.Fatalf("together again: %v", jobsOfWrite(a))
-				}
-				if id := jobsOfWrite(a)[0]; id != "j-002" {
-					tried[id] = true
-					s.answer(TransactionOutcome{WriteID: a.ID, Succeeded: true})
-				}
+	}
+}
+
+// After a shared transaction was rejected as malformed, each job is tried alone, and only the malformed one waits.
+func TestMalformedSharedTransactionIsSplit(t *testing.T) {
+	s, w := newSharedWrite(t)
+	s.answer(TransactionOutcome{WriteID: w.ID, Malformed: true})
+	succeeded := map[string]bool{}
+	for range 4 {
+		for _, alone := range s.startWrites() {
+			if len(jobsOfWrite(alone)) != 1 {
+				t.Fatalf("together again: %v", jobsOfWrite(alone))
+			}
+			if id := jobsOfWrite(alone)[0]; id != "j-002" {
+				succeeded[id] = true
+				s.answer(TransactionOutcome{WriteID: alone.ID, Succeeded: true})
 			}
-			s.cycleOnce()
-		}
-		if len(tried) != 3 {
-			t.Errorf("%v were recorded, want all but j-002", tried)
 		}
-	})
+		s.cycleOnce()
+	}
+	if len(succeeded) != 3 {
+		t.Errorf("%v were recorded, want all but j-002", succeeded)
+	}
 }
 
-// TestStartsAreBatched: while an array's record waits, the starts that its ends make room for go into
-// it: far fewer records than starts.
+// While an array's record waits, the starts that its completions make room for go into it: there are far fewer records
+// than starts.
 func TestStartsAreBatched(t *testing.T) {
 	s := newEmptyManualStore(10)
 	for i := range 20 {
@@ -249,40 +251,12 @@
 	records, starts := 0, 0
 	for range 40 {
 		s.now += CycleInterval / 4
-		for name, tasks := range s.tasks {
-			for id, task := range tasks {
-				task.State, task.Cause = protocol.TaskExited, protocol.CauseDone
-				tasks[id] = task
-			}
-			for _, e := range s.scheduler.Step(s.now, HeartbeatReceived{ReplyTo: name, Heartbeat: s.nextHeartbeat(name)}) {
-				switch e := e.(type) {
-				case Write:
-					s.inFlight = append(s.inFlight, e)
-				case HeartbeatReply:
-					s.executeCommands(name, e.Body.FencingToken, e.Body.Commands)
-				}
-			}
-		}
+		s.completeRunningTasks()
 		s.step(Tick{})
 		if open := s.startWrites(); len(open) > 0 { // one transaction every quarter of a second
 			records += len(open[0].Txn.Then)
 			before := len(s.runs)
-			for _, e := range s.scheduler.Step(s.now, TransactionOutcome{WriteID: open[0].ID, Succeeded: true, Revision: uint64(1000 + records)}) {
-				switch e := e.(type) {
-				case Write:
-					s.inFlight = append(s.inFlight, e)
-				case SendCommandBatch:
-					s.executeCommands(e.Machine, e.Batch.FencingToken, e.Batch.Commands)
-					s.step(
-						CommandBatchResult{
-							Machine:      e.Machine,
-							Acknowledged: true,
-							Heartbeat:    s.nextHeartbeat(e.Machine),
-						},
-					)
-				}
-			}
-			s.inFlight = slices.DeleteFunc(s.inFlight, func(o Write) bool { return o.ID == open[0].ID })
+			s.succeed(open[0], uint64(1000+records))
 			starts += len(s.runs) - before
 		}
 	}
@@ -290,3 +264,42 @@
 		t.Errorf("%d records for %d starts", records, starts)
 	}
 }
+
+// completeRunningTasks reports all tasks on machines as done, and lets the machines execute the commands in the
+// replies.
+func (s *manualStore) completeRunningTasks() {
+	for name, tasks := range s.tasks {
+		for id, task := range tasks {
+			task.State, task.Cause = protocol.TaskExited, protocol.CauseDone
+			tasks[id] = task
+		}
+		heartbeat := HeartbeatReceived{ReplyTo: name, Heartbeat: s.nextHeartbeat(name)}
+		for _, e := range s.scheduler.Step(s.now, heartbeat) {
+			switch e := e.(type) {
+			case Write:
+				s.inFlight = append(s.inFlight, e)
+			case HeartbeatReply:
+				s.executeCommands(name, e.Body.FencingToken, e.Body.Commands)
+			}
+		}
+	}
+}
+
+// succeed lets a write succeed, and machines execute the commands that follow.
+func (s *manualStore) succeed(w Write, revision uint64) {
+	outcome := TransactionOutcome{WriteID: w.ID, Succeeded: true, Revision: revision}
+	for _, e := range s.scheduler.Step(s.now, outcome) {
+		switch e := e.(type) {
+		case Write:
+			s.inFlight = append(s.inFlight, e)
+		case SendCommandBatch:
+			s.executeCommands(e.Machine, e.Batch.FencingToken, e.Batch.Commands)
+			s.step(CommandBatchResult{
+				Machine:      e.Machine,
+				Acknowledged: true,
+				Heartbeat:    s.nextHeartbeat(e.Machine),
+			})
+		}
+	}
+	s.inFlight = slices.DeleteFunc(s.inFlight, func(o Write) bool { return o.ID == w.ID })
+}
--- a/internal/coordination/scheduler/recovery.go
+++ b/internal/coordination/scheduler/recovery.go
@@ -1,90 +1,57 @@
 package scheduler
 
 import (
-	"cmp"
 	"maps"
 	"slices"
 	"time"
 
 	"pinebay/internal/coordination/jobstate"
 	"pinebay/internal/coordination/machineregistry"
+	"pinebay/internal/coordination/placementrecords"
 	"pinebay/internal/protocol"
 	"pinebay/internal/storage"
 )
 
-// storedPage is a page that recovery has read.
-type storedPage struct {
-	id       storage.PageID
-	revision uint64
-	record   *storage.PlacementPage
-}
-
-// recoverPages takes over what the pages record.
-func (c *Scheduler) recoverPages(now time.Duration, pairs []protocol.KeyValue) {
-	byJob := map[string][]storedPage{}
-	for _, pair := range pairs {
-		name, err := storage.ParsePageKey(pair.Key, storage.OriginalPageTasks(c.cfg.Store.ValueKB))
-		if err != nil {
-			c.log.Error("page out of form", "key", pair.Key, "err", err)
-			continue
-		}
-		rec, err := storage.DecodePage(pair, name.Layout)
-		if err != nil {
-			c.log.Error("page out of form", "key", pair.Key, "err", err)
-			continue
-		}
-		byJob[name.Job] = append(byJob[name.Job], storedPage{name, pair.Revision, rec})
+// recoverPages restores the placements that earlier leaders recorded.
+func (c *Scheduler) recoverPages(now time.Duration, records []protocol.KeyValue) {
+	onError := func(record protocol.KeyValue, err error) {
+		c.log.Error("malformed placement page", "key", record.Key, "error", err)
 	}
+	byJob := placementrecords.Decode(records, storage.OriginalPageTasks(c.cfg.Store.ValueKB), onError)
 	for _, id := range slices.Sorted(maps.Keys(byJob)) {
 		c.recoverJobPages(now, id, byJob[id])
 	}
 }
 
-// recoverJobPages takes over what the pages of a job record, the narrowest first: of a task that several
-// cover, that one counts.
-func (c *Scheduler) recoverJobPages(now time.Duration, id string, pages []storedPage) {
-	slices.SortStableFunc(pages, func(a, b storedPage) int { return compareLayouts(a.id.Layout, b.id.Layout) })
+// recoverJobPages restores the pages of a job, the narrowest first.
+func (c *Scheduler) recoverJobPages(now time.Duration, id string, pages []placementrecords.StoredPage) {
 	j := c.jobs[id]
 	if j == nil {
 		j = c.newEndedJob(now, id, pages)
 	}
-	j.Pages.Restore(j.TaskCount(), c.layoutAtMost(pages[0].id.Layout.TasksPerPage))
-	var covered []storage.PageID
-	for _, p := range pages {
-		counts := func(task int) bool {
-			return !slices.ContainsFunc(
-				covered,
-				func(n storage.PageID) bool { return task >= n.FirstTask() && task < n.EndTask() },
-			)
-		}
-		j.Pages.RestorePage(p.id, p.revision, p.record.HighestAttempt)
-		c.recoverPageTasks(now, j, p.record, counts)
-		covered = append(covered, p.id)
+	j.Pages.Restore(j.TaskCount(), c.recordLimits.LayoutAtMost(pages[0].ID.Layout.TasksPerPage))
+	for i := range pages {
+		page := &pages[i]
+		j.Pages.RestorePage(page.ID, page.Revision, page.Record.HighestAttempt)
+		c.recoverTasks(now, j, page)
 	}
 	c.queues.AddPlaced(j)
 }
 
-// compareLayouts orders layouts by which counts for a task that pages of several cover: the narrower one, and of two
-// that are as wide the compact one.
-func compareLayouts(a, b storage.PageLayout) int {
-	if a.TasksPerPage == b.TasksPerPage && a.Compact != b.Compact {
-		if a.Compact {
-			return -1
-		}
-		return 1
+// newEndedJob returns a job without a live record. It has ended, but its tasks count until they are proven gone.
+func (c *Scheduler) newEndedJob(now time.Duration, id string, pages []placementrecords.StoredPage) *jobstate.Job {
+	record := pages[0].Record
+	spec := protocol.Job{
+		ID:       id,
+		Team:     record.Team,
+		CPUs:     record.CPUs,
+		GPUs:     record.GPUs,
+		MemoryGB: record.MemoryGB,
+		Priority: "best_effort",
 	}
-	return cmp.Compare(a.TasksPerPage, b.TasksPerPage)
-}
-
-// newEndedJob makes up a job that is over, and whose tasks may not be gone: they still count.
-func (c *Scheduler) newEndedJob(now time.Duration, id string, pages []storedPage) *jobstate.Job {
-	rec := pages[0].record
-	j := jobstate.New(protocol.Job{
-		ID: id, Team: rec.Team, CPUs: rec.CPUs, GPUs: rec.GPUs,
-		MemoryGB: rec.MemoryGB, Priority: "best_effort",
-	}, 0, 0, now, c.newJobLayout())
-	for _, p := range pages {
-		j.ExtendTasks(p.id.EndTask())
+	j := jobstate.New(spec, 0, 0, now, c.recordLimits.NewJobLayout())
+	for _, page := range pages {
+		j.ExtendTasks(page.ID.EndTask())
 	}
 	j.MarkEnded()
 	c.jobs[id] = j
@@ -92,39 +59,35 @@
 	return j
 }
 
-// recoverPageTasks takes over what a page records of the tasks for which it counts.
-func (c *Scheduler) recoverPageTasks(
-	now time.Duration,
-	j *jobstate.Job,
-	rec *storage.PlacementPage,
-	counts func(task int) bool,
-) {
-	for _, d := range rec.DoneRanges {
-		for t := d[0]; t <= d[1]; t++ {
-			if counts(t) {
-				j.SetTask(t, jobstate.TaskDone)
+// recoverTasks restores the tasks for which a page counts.
+func (c *Scheduler) recoverTasks(now time.Duration, j *jobstate.Job, page *placementrecords.StoredPage) {
+	for _, done := range page.Record.DoneRanges {
+		for task := done[0]; task <= done[1]; task++ {
+			if page.Counts(task) {
+				j.SetTask(task, jobstate.TaskDone)
 			}
 		}
 	}
-	for _, pl := range rec.Placements {
-		if pl.Task >= j.TaskCount() || j.Placements[pl.Task] != nil || !counts(pl.Task) {
-			continue
-		}
-		np := &machineregistry.Placement{
-			Task: protocol.TaskID{
-				JobID: j.Spec.ID,
-				Index: pl.Task,
-			},
-			Attempt:       pl.Attempt,
-			Machine:       pl.Machine,
-			Incarnation:   pl.Incarnation,
-			Zone:          rec.Zones[pl.Zone],
-			Resources:     j.TaskResources,
-			Team:          j.Spec.Team,
-			PriorityLevel: j.EffectivePriority,
-			Job:           &j.Spec,
+	for _, stored := range page.Record.Placements {
+		if stored.Task < j.TaskCount() && j.Placements[stored.Task] == nil && page.Counts(stored.Task) {
+			c.recoverPlacement(now, j, stored, page.Record.Zones[stored.Zone])
 		}
-		j.RestorePlacement(np)
-		c.machines.Adopt(now, np)
 	}
 }
+
+// recoverPlacement restores a placement, whose machine will report what has become of it.
+func (c *Scheduler) recoverPlacement(now time.Duration, j *jobstate.Job, stored storage.Placement, zone string) {
+	pl := &machineregistry.Placement{
+		Task:          protocol.TaskID{JobID: j.Spec.ID, Index: stored.Task},
+		Attempt:       stored.Attempt,
+		Machine:       stored.Machine,
+		Incarnation:   stored.Incarnation,
+		Zone:          zone,
+		Resources:     j.TaskResources,
+		Team:          j.Spec.Team,
+		PriorityLevel: j.EffectivePriority,
+		Job:           &j.Spec,
+	}
+	j.RestorePlacement(pl)
+	c.machines.Adopt(now, pl)
+}
--- a/internal/coordination/scheduler/scheduler.go
+++ b/internal/coordination/scheduler/scheduler.go
@@ -18,9 +18,11 @@
 	"pinebay/internal/coordination/dependency"
 	"pinebay/internal/coordination/fairshare"
 	"pinebay/internal/coordination/featurelevel"
+	"pinebay/internal/coordination/imagehints"
 	"pinebay/internal/coordination/jobstate"
 	"pinebay/internal/coordination/machineregistry"
 	"pinebay/internal/coordination/placement"
+	"pinebay/internal/coordination/placementrecords"
 	"pinebay/internal/coordination/zonefailover"
 	"pinebay/internal/protocol"
 	"pinebay/internal/storage"
@@ -30,50 +32,39 @@
 // the registry of machines, the jobs and their queues, placement, preemption, the autoscaler, the forecast of demand
 // and zone failover.
 type Scheduler struct {
-	cfg          *config.Deployment
-	log          *slog.Logger
-	term         uint64
-	termRevision uint64
-	controller   string
-	// level is the feature level that is final, and stateLimits are what records keep to.
-	level       featurelevel.Level
-	stateLimits config.StoreLimits
-	// writesPaused says that no writes begin until those under way have ended and the level is final.
-	writesPaused        bool
-	targetLevel         featurelevel.Level // while paused: the level to be made final
+	cfg                 *config.Deployment
+	log                 *slog.Logger
+	term                uint64
+	controller          string
+	writes              pendingWrites
+	recordLimits        placementrecords.Limits
+	targetLevel         featurelevel.Level // the feature level that is being made final, while writes are paused
 	dependencies        *dependency.Graph
 	cancelledDependents []*jobstate.Job // cancelled with a job that they await, and not recorded yet
-	delayedCalls        []delayedCall
+	delayedCalls        delayedCalls
 
-	machines   *machineregistry.Registry
-	autoscaler *autoscaler.Autoscaler
-	jobs       map[string]*jobstate.Job
-	queues     *jobstate.Queues
-	quotas     *fairshare.Quotas
-	rules      *placement.Rules
-	candidates *candidates.Index
-	finder     machineFinder
-	// pagesInFlight counts the pages that are being written, by purpose.
-	pagesInFlight [PriorityMaintenance + 1]int
-	preemption    *placement.PreemptionBudget
-	consolidator  *placement.Consolidator
+	machines     *machineregistry.Registry
+	autoscaler   *autoscaler.Autoscaler
+	jobs         map[string]*jobstate.Job
+	queues       *jobstate.Queues
+	quotas       *fairshare.Quotas
+	rules        *placement.Rules
+	candidates   *candidates.Index
+	finder       machineFinder
+	preemption   *placement.PreemptionBudget
+	consolidator *placement.Consolidator
 	// cancellationIntents holds the jobs that users may have been told are cancelled, until the
 	// state service tells, by when one must have been told.
 	cancellationIntents map[string]time.Duration
 
-	effects             []Effect
-	writesInFlight      map[uint64]func(now time.Duration, w TransactionOutcome)
-	lastWriteID         uint64
-	cycle               cycleClock
-	termStartedAt       time.Duration
-	forecast            *demand.Forecast
-	imageHintPages      map[string]string // images records as written
-	imageHintsInFlight  bool
-	lastImageHintKey    string // the key of the last page of them that was written
-	prober              prober
-	imageHintsWrittenAt time.Duration
-	termStartedMS       int64                 // time of day when the term began
-	zoneFailover        *zonefailover.Manager // nil unless it is on
+	effects       []Effect
+	cycle         cycleClock
+	termStartedAt time.Duration
+	forecast      *demand.Forecast
+	imageHints    *imagehints.Writer
+	prober        prober
+	termStartedMS int64                 // time of day when the term began
+	zoneFailover  *zonefailover.Manager // nil unless it is on
 }
 
 // Term identifies the term of a leader.
@@ -124,7 +115,8 @@
 		cfg:                 cfg,
 		log:                 log,
 		term:                term.Number,
-		termRevision:        term.Revision,
+		writes:              newPendingWrites(term),
+		recordLimits:        placementrecords.NewLimits(&cfg.Store, term.FeatureLevel),
 		controller:          term.Controller,
 		termStartedAt:       now,
 		termStartedMS:       wallMS,
@@ -137,11 +129,9 @@
 		candidates:          candidates.NewIndex(machines),
 		preemption:          placement.NewPreemptionBudget(),
 		cancellationIntents: map[string]time.Duration{},
-		writesInFlight:      map[uint64]func(time.Duration, TransactionOutcome){},
 		cycle:               newCycleClock(now),
 		forecast:            demand.NewForecast(now),
-		imageHintPages:      map[string]string{},
-		imageHintsWrittenAt: now,
+		imageHints:          imagehints.NewWriter(now),
 	}
 	c.rules = &placement.Rules{
 		Machines:     machines,
@@ -153,7 +143,6 @@
 	}
 	c.finder = placement.NewFinder(c.rules, c.preemption)
 	c.consolidator = placement.NewConsolidator(c.rules, consolidationPause)
-	c.setFeatureLevel(term.FeatureLevel)
 	return c
 }
 
@@ -238,10 +227,7 @@
 
 // handleTransactionOutcome passes an outcome to the write that waits for it.
 func (c *Scheduler) handleTransactionOutcome(now time.Duration, e TransactionOutcome) {
-	if f := c.writesInFlight[e.WriteID]; f != nil {
-		delete(c.writesInFlight, e.WriteID)
-		f(now, e)
-	}
+	c.writes.handleOutcome(now, e)
 	c.writeLevelWhenIdle()
 }
 
@@ -264,7 +250,7 @@
 		return protocol.JobStatus{}, false
 	}
 	status := j.Status()
-	status.Unblocked = !j.Blocked && c.level >= featurelevel.Pipelines
+	status.Unblocked = !j.Blocked && c.recordLimits.Level() >= featurelevel.Pipelines
 	return status, true
 }
 
--- a/internal/coordination/scheduler/zonefailover.go
+++ b/internal/coordination/scheduler/zonefailover.go
@@ -38,8 +38,8 @@
 // failoverRecordLimits are the limits in force for the stored records of zone failover.
 func (c *Scheduler) failoverRecordLimits() zonefailover.RecordLimits {
 	return zonefailover.RecordLimits{
-		LoansPerPage:        storage.LoansPerPage(c.stateLimits.ValueKB),
-		PagesPerTransaction: c.pagesPerTransaction(),
+		LoansPerPage:        storage.LoansPerPage(c.recordLimits.ValueKB()),
+		PagesPerTransaction: c.recordLimits.PagesPerTransaction(),
 	}
 }
 
--- a/internal/coordination/scheduler/zonefailoverwriter.go
+++ b/internal/coordination/scheduler/zonefailoverwriter.go
@@ -1,35 +1,33 @@
 package scheduler
 
 import (
-	"fmt"
 	"time"
 
 	"pinebay/internal/coordination/zonefailover"
 	"pinebay/internal/protocol"
-	"pinebay/internal/storage"
 )
 
 // writeFailoverRecords writes the records of zone failover that have changed, and preempts the lenders of loans that
 // are recorded.
 func (c *Scheduler) writeFailoverRecords(now time.Duration) {
 	m := c.zoneFailover
-	if c.writesPaused || !m.IsWriteDue(now) {
+	if c.writes.paused || !m.IsWriteDue(now) {
 		return
 	}
-	id, name := c.nextWriteID()
+	id, name := c.writes.nextID()
 	w := m.PrepareWrite(now, name, c.failoverRecordLimits())
 	if len(w.Then) == 0 {
 		c.preemptLenders(now, w.DurableLoans())
 		return
 	}
-	c.writesInFlight[id] = func(now time.Duration, outcome TransactionOutcome) {
+	onOutcome := func(now time.Duration, outcome TransactionOutcome) {
 		c.failoverRecordsWritten(now, w, outcome)
 	}
 	txn := protocol.Txn{
-		If:   append([]protocol.Compare{{Key: storage.TermKey, Revision: c.termRevision}}, w.If...),
+		If:   append([]protocol.Compare{c.writes.termUnchanged()}, w.If...),
 		Then: w.Then,
 	}
-	c.emit(Write{ID: id, Txn: txn, VerifyKey: w.VerifyKey, Name: w.VerifyName})
+	c.submit(Write{ID: id, Txn: txn, VerifyKey: w.VerifyKey, Name: w.VerifyName}, onOutcome)
 }
 
 // failoverRecordsWritten handles the outcome of a write of zone failover.
@@ -43,7 +41,7 @@
 		c.log.Error("zone failover record rejected", "pages", w.Pages())
 		c.zoneFailover.WriteRejected(w, now+rejectedRetryDelay)
 	case !outcome.Succeeded:
-		c.emit(StepDown{Reason: fmt.Sprintf("conditions failed: %v", outcome.FailedKeys)})
+		c.stepDownAfter(outcome)
 	default:
 		c.zoneFailover.WriteSucceeded(w, outcome.Revision)
 		c.preemptLenders(now, w.DurableLoans())
