--- a/internal/loadtest/loadtest_test.go
+++ b/internal/loadtest/loadtest_test.go
@@ -258,7 +258,7 @@
 		t.Fatal(err)
 	}
 	for _, team := range r.teams {
-		r.world.TeamLimits[team.Name] = [2]float64{1, 0}
+		r.world.TeamLimits[team.Name] = simulation.Resources{CPUs: 1}
 	}
 	var result SizeResult
 	err = r.execute(&result)
--- a/internal/loadtest/models.go
+++ b/internal/loadtest/models.go
@@ -75,7 +75,7 @@
 	world.RunTimeOf = r.runTime
 	world.OnStart = r.recordTaskStart
 	for _, t := range r.teams {
-		world.TeamLimits[t.Name] = [2]float64{t.MaxCPUs, t.MaxGPUs}
+		world.TeamLimits[t.Name] = simulation.Resources{CPUs: t.MaxCPUs, GPUs: t.MaxGPUs}
 	}
 	return world
 }
--- a/internal/simulation/answerchecker_test.go
+++ b/internal/simulation/answerchecker_test.go
@@ -331,7 +331,7 @@
 		},
 	} {
 		w := NewWorld(10*time.Second, time.Second, time.Hour)
-		w.TeamLimits["red"] = [2]float64{0, 4}
+		w.TeamLimits["red"] = Resources{GPUs: 4}
 		j := h.job
 		j.ID, j.Team, j.Shape, j.GPUs = "j-1", "red", protocol.Array, 1
 		w.Jobs[j.ID] = &j
--- a/internal/simulation/cluster_test.go
+++ b/internal/simulation/cluster_test.go
@@ -191,7 +191,7 @@
 	l.t.Helper()
 	l.world = NewWorld(cancelTimeout, time.Second, 80*time.Second)
 	for _, team := range l.cfg.Teams {
-		l.world.TeamLimits[team.Name] = [2]float64{team.MaxCPUs, team.MaxGPUs}
+		l.world.TeamLimits[team.Name] = Resources{CPUs: team.MaxCPUs, GPUs: team.MaxGPUs}
 	}
 	l.answers = NewAnswerChecker(l.allTasksDone, l.recordCancelled)
 	l.answers.Dependencies, l.answers.CancelTimeout = l.dependencies, cancelTimeout
--- a/internal/simulation/occupancy.go
+++ b/internal/simulation/occupancy.go
@@ -17,8 +17,8 @@
 
 // teamUsage is what the tasks of a team on machines use.
 type teamUsage struct {
-	tasks  int
-	amount [2]float64 // CPUs and GPUs
+	tasks     int
+	resources Resources
 }
 
 // gangAttempt identifies the tasks of a gang that run together.
@@ -36,12 +36,12 @@
 	}
 }
 
-// usage returns the CPUs and GPUs that a team's tasks use.
-func (o *occupancy) usage(team string) [2]float64 {
+// usage returns the resources that a team's tasks use.
+func (o *occupancy) usage(team string) Resources {
 	if u := o.teams[team]; u != nil {
-		return u.amount
+		return u.resources
 	}
-	return [2]float64{}
+	return Resources{}
 }
 
 // add counts a task that gets onto its machine.
@@ -57,8 +57,7 @@
 		o.teams[j.Team] = u
 	}
 	u.tasks++
-	u.amount[0] += j.CPUs
-	u.amount[1] += j.GPUs
+	u.resources = u.resources.plus(resourcesOf(j))
 }
 
 // remove ends the count of a task.
@@ -75,10 +74,9 @@
 	}
 	u := o.teams[j.Team]
 	u.tasks--
-	u.amount[0] -= j.CPUs
-	u.amount[1] -= j.GPUs
+	u.resources = u.resources.minus(resourcesOf(j))
 	if u.tasks == 0 {
-		u.amount = [2]float64{} // no rounding error outlives the tasks
+		u.resources = Resources{} // no rounding error outlives the tasks
 	}
 }
 
--- a/internal/simulation/rules.go
+++ b/internal/simulation/rules.go
@@ -55,12 +55,10 @@
 
 // checkQuota checks that a team stays within its limits with one more task of a job.
 func (w *World) checkQuota(job *protocol.Job) {
-	used := w.occupied.usage(job.Team)
-	used[0] += job.CPUs
-	used[1] += job.GPUs
-	for i, limit := range w.TeamLimits[job.Team] {
-		if limit > 0 && used[i] > limit+resourceTolerance {
-			w.addViolation("quota: %s uses %v of %v", job.Team, used[i], limit)
+	used, limits := w.occupied.usage(job.Team).plus(resourcesOf(job)), w.TeamLimits[job.Team]
+	for _, resource := range []struct{ used, limit float64 }{{used.CPUs, limits.CPUs}, {used.GPUs, limits.GPUs}} {
+		if resource.limit > 0 && resource.used > resource.limit+resourceTolerance {
+			w.addViolation("quota: %s uses %v of %v", job.Team, resource.used, resource.limit)
 		}
 	}
 }
--- a/internal/simulation/system_test.go
+++ b/internal/simulation/system_test.go
@@ -113,7 +113,7 @@
 		unreachableUntil: map[string]time.Duration{},
 	}
 	s.store.MaxValue = 1024
-	s.world.TeamLimits["red"] = [2]float64{0, 40}
+	s.world.TeamLimits["red"] = Resources{GPUs: 40}
 	return s
 }
 
--- a/internal/simulation/worker.go
+++ b/internal/simulation/worker.go
@@ -9,9 +9,6 @@
 	"pinebay/internal/protocol"
 )
 
-// resourceTolerance makes up for rounding when tasks reach a limit exactly.
-const resourceTolerance = 1e-6
-
 // Task is an attempt of a task on a worker.
 type Task struct {
 	ID      protocol.TaskID
@@ -38,7 +35,7 @@
 type Worker struct {
 	Name, Type, Zone      string
 	Spot                  bool
-	Capacity              [3]float64 // CPUs, GPUs, memory
+	Capacity              Resources
 	Incarnation, Sequence uint64
 	FencingToken          uint64
 	Tasks                 map[protocol.TaskID]*Task
@@ -249,22 +246,14 @@
 
 // fits reports whether a task fits on the machine beside the others.
 func (m *Worker) fits(t *Task, job *protocol.Job) bool {
-	used := [3]float64{job.CPUs, job.GPUs, job.MemoryGB}
+	used := resourcesOf(job)
 	for _, other := range m.Tasks {
 		if other == t || other.State == protocol.TaskExited {
 			continue
 		}
-		otherJob := m.World.Jobs[other.ID.JobID]
-		used[0] += otherJob.CPUs
-		used[1] += otherJob.GPUs
-		used[2] += otherJob.MemoryGB
-	}
-	for i := range used {
-		if used[i] > m.Capacity[i]+resourceTolerance {
-			return false
-		}
+		used = used.plus(resourcesOf(m.World.Jobs[other.ID.JobID]))
 	}
-	return true
+	return used.fitsIn(m.Capacity)
 }
 
 // advance lets time pass on the machine.
--- a/internal/simulation/world.go
+++ b/internal/simulation/world.go
@@ -20,7 +20,7 @@
 	// Cancelled has the times at which users were told that their jobs are cancelled.
 	Cancelled     map[string]time.Duration
 	CancelTimeout time.Duration
-	TeamLimits    map[string][2]float64 // CPUs and GPUs of a team; 0: no limit
+	TeamLimits    map[string]Resources // CPUs and GPUs of a team; 0: no limit
 	FetchTime     time.Duration
 	RunTime       time.Duration
 	RunTimes      map[string]time.Duration // of jobs with another run time
@@ -54,7 +54,7 @@
 		DoneAt:        map[string]time.Duration{},
 		Cancelled:     map[string]time.Duration{},
 		CancelTimeout: cancel,
-		TeamLimits:    map[string][2]float64{},
+		TeamLimits:    map[string]Resources{},
 		FetchTime:     fetch,
 		RunTime:       run,
 		RunTimes:      map[string]time.Duration{},
@@ -84,7 +84,7 @@
 		Type:           machineType.Name,
 		Zone:           zone,
 		Spot:           spot,
-		Capacity:       [3]float64{machineType.CPUs, machineType.GPUs, machineType.MemoryGB},
+		Capacity:       Resources{CPUs: machineType.CPUs, GPUs: machineType.GPUs, MemoryGB: machineType.MemoryGB},
 		Incarnation:    1,
 		Tasks:          map[protocol.TaskID]*Task{},
 		LeaseTimeout:   lease,
