--- a/internal/loadtest/loadtest_test.go
+++ b/internal/loadtest/loadtest_test.go
@@ -16,6 +16,7 @@
 	"github.com/prometheus/procfs"
 
 	"pinebay/internal/config"
+	"pinebay/internal/simulation"
 	"pinebay/internal/testutil"
 )
 
--- a/internal/simulation/cluster_check_test.go
+++ b/internal/simulation/cluster_check_test.go
@@ -12,11 +12,11 @@
 )
 
 // runningJobs returns the jobs with a running task, except those that users were told are over.
-func (l *cluster) runningJobs() []string {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+func (c *cluster) runningJobs() []string {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	on := map[string]bool{}
-	for _, m := range l.world.Workers {
+	for _, m := range c.world.Workers {
 		for _, t := range m.Tasks {
 			if t.State == protocol.TaskRunning {
 				on[t.ID.JobID] = true
@@ -25,7 +25,7 @@
 	}
 	var ids []string
 	for id := range on {
-		if _, over := l.answers.FinalState(id); !over {
+		if _, over := c.answers.FinalState(id); !over {
 			ids = append(ids, id)
 		}
 	}
@@ -33,12 +33,12 @@
 	return ids
 }
 
-// workersWithJob returns the workers on which a job has tasks. The caller holds l.mu.
-func (l *cluster) workersWithJob(id string) (workers []*workerProcess) {
-	for _, m := range l.world.sortedWorkers() {
+// workersWithJob returns the workers on which a job has tasks. The caller holds c.mu.
+func (c *cluster) workersWithJob(id string) (workers []*workerProcess) {
+	for _, m := range c.world.sortedWorkers() {
 		for _, t := range m.Tasks {
-			if t.ID.JobID == id && t.OnMachine() && l.workers[m.Name] != nil {
-				workers = append(workers, l.workers[m.Name])
+			if t.ID.JobID == id && t.OnMachine() && c.workers[m.Name] != nil {
+				workers = append(workers, c.workers[m.Name])
 				break
 			}
 		}
@@ -47,38 +47,38 @@
 }
 
 // checkViolations fails the test for each violation, and shows the end of the log if the test is verbose.
-func (l *cluster) checkViolations() {
-	l.t.Helper()
-	l.mu.Lock()
-	broken := append(append([]string{}, l.world.Violations...), l.answers.violations...)
-	late := l.world.LateStarts
-	l.mu.Unlock()
+func (c *cluster) checkViolations() {
+	c.t.Helper()
+	c.mu.Lock()
+	broken := append(append([]string{}, c.world.Violations...), c.answers.violations...)
+	late := c.world.LateStarts
+	c.mu.Unlock()
 	for i, b := range broken {
 		if i < 4 {
-			l.t.Error(b)
+			c.t.Error(b)
 		}
 	}
 	if late > 0 {
-		l.t.Errorf("%d starts after a confirmed cancellation", late)
+		c.t.Errorf("%d starts after a confirmed cancellation", late)
 	}
-	if l.t.Failed() && testing.Verbose() {
-		all := strings.Split(l.logs.String(), "\n")
-		l.t.Log(strings.Join(all[max(0, len(all)-400):], "\n"))
+	if c.t.Failed() && testing.Verbose() {
+		all := strings.Split(c.logs.String(), "\n")
+		c.t.Log(strings.Join(all[max(0, len(all)-400):], "\n"))
 	}
 }
 
 // checkAllServed checks, some time after the last fault, that no job is forgotten or left waiting: queries about each
 // accepted job are answered, and each is over, or a service that runs.
-func (l *cluster) checkAllServed() {
-	l.t.Helper()
-	if ids := l.answers.Unanswered(l.now() - 75*time.Second); len(ids) > 0 {
-		l.t.Errorf("no answer for 75 s about %v", ids)
+func (c *cluster) checkAllServed() {
+	c.t.Helper()
+	if ids := c.answers.Unanswered(c.now() - 75*time.Second); len(ids) > 0 {
+		c.t.Errorf("no answer for 75 s about %v", ids)
 	}
-	running := l.runningJobs()
-	for _, id := range l.jobIDs {
-		_, over := l.answers.FinalState(id)
-		if !over && (l.world.Jobs[id].Shape != protocol.Service || !slices.Contains(running, id)) {
-			l.t.Errorf("%s %s is left waiting", l.world.Jobs[id].Shape, id)
+	running := c.runningJobs()
+	for _, id := range c.jobIDs {
+		_, over := c.answers.FinalState(id)
+		if !over && (c.world.Jobs[id].Shape != protocol.Service || !slices.Contains(running, id)) {
+			c.t.Errorf("%s %s is left waiting", c.world.Jobs[id].Shape, id)
 		}
 	}
 }
@@ -89,30 +89,30 @@
 	seed uint64,
 	controllers int,
 	w config.Workers,
-	f func(l *cluster),
+	f func(c *cluster),
 	options ...func(*cluster),
 ) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		l := newCluster(t, seed, controllers, w, options...)
-		defer l.checkViolations()
-		defer l.shutDown()
-		f(l)
+		c := newCluster(t, seed, controllers, w, options...)
+		defer c.checkViolations()
+		defer c.shutDown()
+		f(c)
 	})
 }
 
 // TestQuietCluster: without any faults, real controllers serve everything.
 func TestQuietCluster(t *testing.T) {
-	runScenario(t, 1, 3, fastTimings, func(l *cluster) {
+	runScenario(t, 1, 3, fastTimings, func(c *cluster) {
 		time.Sleep(5 * time.Second)
-		l.submitMixture(9)
+		c.submitMixture(9)
 		time.Sleep(240 * time.Second)
-		l.checkAllServed()
-		if l.world.Starts < 15 {
-			t.Errorf("only %d starts", l.world.Starts)
+		c.checkAllServed()
+		if c.world.Starts < 15 {
+			t.Errorf("only %d starts", c.world.Starts)
 		}
-		if l.term() != 1 {
-			t.Errorf("term %d without any trouble", l.term())
+		if c.term() != 1 {
+			t.Errorf("term %d without any trouble", c.term())
 		}
 	})
 }
--- a/internal/simulation/cluster_test.go
+++ b/internal/simulation/cluster_test.go
@@ -104,7 +104,7 @@
 	options ...func(*cluster),
 ) *cluster {
 	t.Helper()
-	l := &cluster{
+	c := &cluster{
 		t:             t,
 		start:         time.Now(),
 		net:           NewNetwork(seed),
@@ -121,30 +121,30 @@
 		cloudCapacity: 12,
 	}
 	for _, option := range options {
-		option(l)
+		option(c)
 	}
-	l.ctx, l.stop = context.WithCancel(t.Context())
-	l.bootTime = func(name string) time.Duration {
-		return 4*time.Second + l.randomDuration("boot "+name, 6*time.Second)
+	c.ctx, c.stop = context.WithCancel(t.Context())
+	c.bootTime = func(name string) time.Duration {
+		return 4*time.Second + c.randomDuration("boot "+name, 6*time.Second)
 	}
-	l.logWriter = &lockedWriter{w: l.logs}
-	l.log = slog.New(slog.NewTextHandler(l.logWriter, &slog.HandlerOptions{Level: logLevel()}))
-	l.startModels(config.Seconds(timings.CancelSeconds))
+	c.logWriter = &lockedWriter{w: c.logs}
+	c.log = slog.New(slog.NewTextHandler(c.logWriter, &slog.HandlerOptions{Level: logLevel()}))
+	c.startModels(config.Seconds(timings.CancelSeconds))
 	for i := range controllers {
-		settings := l.controllerSettings(i)
-		l.controllers = append(l.controllers, &controller{
+		settings := c.controllerSettings(i)
+		c.controllers = append(c.controllers, &controller{
 			name:     settings.Name,
 			ip:       controllerIP(i),
 			settings: settings,
-			features: l.features(i),
+			features: c.features(i),
 		})
 	}
-	for _, n := range l.controllers {
-		l.startController(n)
+	for _, n := range c.controllers {
+		c.startController(n)
 		time.Sleep(ms) // whom it reaches must not depend on which of them listens first
 	}
-	l.spawn(l.advanceModels)
-	return l
+	c.spawn(c.advanceModels)
+	return c
 }
 
 // clusterSettings returns the settings that all controllers of a cluster share.
@@ -187,38 +187,38 @@
 }
 
 // startModels starts everything that controllers talk to.
-func (l *cluster) startModels(cancelTimeout time.Duration) {
-	l.t.Helper()
-	l.world = NewWorld(cancelTimeout, time.Second, 80*time.Second)
-	for _, team := range l.cfg.Teams {
-		l.world.TeamLimits[team.Name] = Resources{CPUs: team.MaxCPUs, GPUs: team.MaxGPUs}
+func (c *cluster) startModels(cancelTimeout time.Duration) {
+	c.t.Helper()
+	c.world = NewWorld(cancelTimeout, time.Second, 80*time.Second)
+	for _, team := range c.cfg.Teams {
+		c.world.TeamLimits[team.Name] = Resources{CPUs: team.MaxCPUs, GPUs: team.MaxGPUs}
 	}
-	l.answers = NewAnswerChecker(l.allTasksDone, l.recordCancelled)
-	l.answers.Dependencies, l.answers.CancelTimeout = l.dependencies, cancelTimeout
-	l.users = &UserClient{
-		Client:  transport.NewClient(l.net.Host(usersHost), 64, 256, time.Minute),
-		Checker: l.answers,
-		Now:     l.now,
-		OnError: func(err error) { l.t.Error(err) },
+	c.answers = NewAnswerChecker(c.allTasksDone, c.recordCancelled)
+	c.answers.Dependencies, c.answers.CancelTimeout = c.dependencies, cancelTimeout
+	c.users = &UserClient{
+		Client:  transport.NewClient(c.net.Host(usersHost), 64, 256, time.Minute),
+		Checker: c.answers,
+		Now:     c.now,
+		OnError: func(err error) { c.t.Error(err) },
 	}
-	l.cloud = l.newCloud()
-	l.net.SetBlocked(func(from, to string) bool {
-		l.mu.Lock()
-		defer l.mu.Unlock()
-		return l.blockedLinks[from+">"+to] > 0 || l.blockedLinks[from+">*"] > 0 || l.blockedLinks["*>"+to] > 0
+	c.cloud = c.newCloud()
+	c.net.SetBlocked(func(from, to string) bool {
+		c.mu.Lock()
+		defer c.mu.Unlock()
+		return c.blockedLinks[from+">"+to] > 0 || c.blockedLinks[from+">*"] > 0 || c.blockedLinks["*>"+to] > 0
 	})
-	l.serve(stateAddr, l.store)
-	l.serve(cloudAddr, l.cloud)
+	c.serve(stateAddr, c.store)
+	c.serve(cloudAddr, c.cloud)
 }
 
 // advanceModels lets time pass for the models until the cluster ends.
-func (l *cluster) advanceModels() {
-	for l.ctx.Err() == nil {
+func (c *cluster) advanceModels() {
+	for c.ctx.Err() == nil {
 		time.Sleep(50 * ms)
-		l.store.Advance(l.now())
-		l.mu.Lock()
-		l.world.Advance(l.now())
-		l.mu.Unlock()
+		c.store.Advance(c.now())
+		c.mu.Lock()
+		c.world.Advance(c.now())
+		c.mu.Unlock()
 	}
 }
 
@@ -229,16 +229,16 @@
 func controllerIP(i int) string { return fmt.Sprintf("10.0.0.%d", i+1) }
 
 // controllerSettings returns the settings of a controller by its index.
-func (l *cluster) controllerSettings(i int) config.Settings {
+func (c *cluster) controllerSettings(i int) config.Settings {
 	settings := config.Settings{
 		Name:       controllerName(i),
 		Location:   "a",
 		ListenAddr: controllerIP(i) + ":8080",
 		MeshAddr:   controllerIP(i) + ":8081",
 		Endpoints:  config.Endpoints{Cloud: cloudAddr, Store: stateAddr},
-		Deployment: l.cfg,
+		Deployment: c.cfg,
 	}
-	for other := range l.cfg.Controllers {
+	for other := range c.cfg.Controllers {
 		if other == i {
 			continue
 		}
@@ -265,150 +265,150 @@
 }
 
 // logCount returns how often a text occurs in the log so far.
-func (l *cluster) logCount(text string) int {
-	l.logWriter.mu.Lock()
-	defer l.logWriter.mu.Unlock()
-	return strings.Count(l.logs.String(), text)
+func (c *cluster) logCount(text string) int {
+	c.logWriter.mu.Lock()
+	defer c.logWriter.mu.Unlock()
+	return strings.Count(c.logs.String(), text)
 }
 
 // spawn runs f in a goroutine that shutDown waits for.
-func (l *cluster) spawn(f func()) {
-	l.wg.Add(1)
+func (c *cluster) spawn(f func()) {
+	c.wg.Add(1)
 	go func() {
-		defer l.wg.Done()
+		defer c.wg.Done()
 		f()
 	}()
 }
 
 // now returns the simulated time since the start.
-func (l *cluster) now() time.Duration { return time.Since(l.start) }
+func (c *cluster) now() time.Duration { return time.Since(c.start) }
 
 // randomDuration returns a random duration up to d. Like all random numbers of the cluster it depends on the purpose
 // and not on the order of calls.
-func (l *cluster) randomDuration(purpose string, d time.Duration) time.Duration {
-	return l.random.UpTo(purpose, d)
+func (c *cluster) randomDuration(purpose string, d time.Duration) time.Duration {
+	return c.random.UpTo(purpose, d)
 }
 
 // randomInt returns a random number below n.
-func (l *cluster) randomInt(purpose string, n int) int { return l.random.For(purpose).IntN(n) }
+func (c *cluster) randomInt(purpose string, n int) int { return c.random.For(purpose).IntN(n) }
 
 // chance returns true with the given probability.
-func (l *cluster) chance(purpose string, share float64) bool {
-	return l.random.For(purpose).Float64() < share
+func (c *cluster) chance(purpose string, share float64) bool {
+	return c.random.For(purpose).Float64() < share
 }
 
 // recordOccurrence records that something has occurred that a scenario may demand.
-func (l *cluster) recordOccurrence(what string) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.occurred[what]++
+func (c *cluster) recordOccurrence(what string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.occurred[what]++
 }
 
 // occurrences returns how often something has occurred.
-func (l *cluster) occurrences(what string) int {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.occurred[what]
+func (c *cluster) occurrences(what string) int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.occurred[what]
 }
 
 // serve runs an HTTP server of a model.
-func (l *cluster) serve(addr string, h http.Handler) {
-	l.t.Helper()
-	host := l.net.Host(HostOf(addr))
-	ln, err := host.Listen(l.ctx, addr)
+func (c *cluster) serve(addr string, h http.Handler) {
+	c.t.Helper()
+	host := c.net.Host(HostOf(addr))
+	ln, err := host.Listen(c.ctx, addr)
 	if err != nil {
-		l.t.Fatal(err)
+		c.t.Fatal(err)
 	}
 	srv := &http.Server{Handler: h, ErrorLog: slog.NewLogLogger(slog.DiscardHandler, slog.LevelError)}
-	l.spawn(func() { _ = srv.Serve(ln) })
-	context.AfterFunc(l.ctx, func() {
+	c.spawn(func() { _ = srv.Serve(ln) })
+	context.AfterFunc(c.ctx, func() {
 		_ = srv.Close()
 		host.Kill()
 	})
 }
 
 // startController starts the process of a controller.
-func (l *cluster) startController(n *controller) {
-	n.host = l.net.Host(n.ip)
-	ctx, stop := context.WithCancel(l.ctx)
+func (c *cluster) startController(n *controller) {
+	n.host = c.net.Host(n.ip)
+	ctx, stop := context.WithCancel(c.ctx)
 	n.stop, n.up = stop, true
-	process := daemon.New(n.host, l.random.Named(fmt.Sprint(n.name, l.now())), &n.settings, n.features, l.log)
+	process := daemon.New(n.host, c.random.Named(fmt.Sprint(n.name, c.now())), &n.settings, n.features, c.log)
 	n.process = process
-	l.spawn(func() {
+	c.spawn(func() {
 		if err := process.Run(ctx); err != nil && ctx.Err() == nil {
-			l.t.Errorf("%s ended: %v", n.name, err)
+			c.t.Errorf("%s ended: %v", n.name, err)
 		}
 	})
 }
 
 // crash ends the process of a controller, and starts it again after a while.
-func (l *cluster) crash(n *controller, back time.Duration) {
+func (c *cluster) crash(n *controller, back time.Duration) {
 	if !n.up {
 		return
 	}
-	l.recordOccurrence("crash")
+	c.recordOccurrence("crash")
 	n.up = false
 	n.stop() // before its listeners are gone, or it would say that it ended by itself
 	n.host.Kill()
-	time.AfterFunc(back+l.randomDuration("back "+n.name, ms), func() {
-		if l.ctx.Err() == nil {
-			l.startController(n)
+	time.AfterFunc(back+c.randomDuration("back "+n.name, ms), func() {
+		if c.ctx.Err() == nil {
+			c.startController(n)
 		}
 	})
 }
 
 // shutDown ends everything, and waits for what is still under way.
-func (l *cluster) shutDown() {
-	l.stop()
-	for _, n := range l.controllers {
+func (c *cluster) shutDown() {
+	c.stop()
+	for _, n := range c.controllers {
 		n.host.Kill()
 	}
-	l.mu.Lock()
-	l.cloud.Close()
-	for _, r := range l.workers {
+	c.mu.Lock()
+	c.cloud.Close()
+	for _, r := range c.workers {
 		r.Stop()
 	}
-	l.mu.Unlock()
-	l.net.Close()
-	l.wg.Wait()
+	c.mu.Unlock()
+	c.net.Close()
+	c.wg.Wait()
 	time.Sleep(time.Minute) // what still waits for its time
 }
 
 // leader returns the controller that holds the leader's key, or held it last.
-func (l *cluster) leader() *controller {
-	p := l.store.Get(storage.LeaderKey)
+func (c *cluster) leader() *controller {
+	p := c.store.Get(storage.LeaderKey)
 	if p.Revision == 0 {
-		p = l.store.Get(storage.TermKey)
+		p = c.store.Get(storage.TermKey)
 	}
 	var rec struct {
 		Node string `msgpack:"node"`
 	}
 	if p.Revision != 0 && protocol.Decode(p.Value, &rec) == nil {
-		for _, n := range l.controllers {
+		for _, n := range c.controllers {
 			if n.name == rec.Node {
 				return n
 			}
 		}
 	}
-	return l.controllers[0]
+	return c.controllers[0]
 }
 
 // term returns the current term.
-func (l *cluster) term() uint64 {
-	p := l.store.Get(storage.TermKey)
+func (c *cluster) term() uint64 {
+	p := c.store.Get(storage.TermKey)
 	if p.Revision == 0 {
 		return 0
 	}
 	rec, err := storage.DecodeTerm(p.Value)
 	if err != nil {
-		l.t.Errorf("term record: %v", err)
+		c.t.Errorf("term record: %v", err)
 	}
 	return rec.Term
 }
 
 // others returns all controllers but one.
-func (l *cluster) others(n *controller) (out []*controller) {
-	for _, o := range l.controllers {
+func (c *cluster) others(n *controller) (out []*controller) {
+	for _, o := range c.controllers {
 		if o != n {
 			out = append(out, o)
 		}
@@ -417,31 +417,31 @@
 }
 
 // blockLink holds back what one host sends to another. "*" stands for every host. The returned function ends that.
-func (l *cluster) blockLink(from, to string) func() {
+func (c *cluster) blockLink(from, to string) func() {
 	change := func(by int) {
-		l.mu.Lock()
-		l.blockedLinks[from+">"+to] += by
-		l.mu.Unlock()
-		l.net.RecheckBlocked()
+		c.mu.Lock()
+		c.blockedLinks[from+">"+to] += by
+		c.mu.Unlock()
+		c.net.RecheckBlocked()
 	}
 	change(1)
 	return func() {
 		change(-1)
-		l.mu.Lock()
-		defer l.mu.Unlock()
-		for _, r := range l.workers {
+		c.mu.Lock()
+		defer c.mu.Unlock()
+		for _, r := range c.workers {
 			if r.ip == from || r.ip == to {
-				r.model.ExcusedUntil = l.now() + s // what was held back arrives now
+				r.model.ExcusedUntil = c.now() + s // what was held back arrives now
 			}
 		}
 	}
 }
 
 // isolateFrom blocks the links between a controller and others in both directions. The returned function ends that.
-func (l *cluster) isolateFrom(n *controller, others ...*controller) func() {
+func (c *cluster) isolateFrom(n *controller, others ...*controller) func() {
 	var ends []func()
 	for _, o := range others {
-		ends = append(ends, l.blockLink(n.ip, o.ip), l.blockLink(o.ip, n.ip))
+		ends = append(ends, c.blockLink(n.ip, o.ip), c.blockLink(o.ip, n.ip))
 	}
 	return func() {
 		for _, f := range ends {
--- a/internal/simulation/cluster_worker_test.go
+++ b/internal/simulation/cluster_worker_test.go
@@ -21,62 +21,62 @@
 	host    *Host
 }
 
-// startWorker starts the worker of a machine. The caller holds l.mu.
-func (l *cluster) startWorker(m protocol.ListedMachine) {
-	r := &workerProcess{cluster: l, machine: m, ip: HostOf(m.Addr)}
-	r.model = l.world.AddMachine(
-		l.now(),
+// startWorker starts the worker of a machine. The caller holds c.mu.
+func (c *cluster) startWorker(m protocol.ListedMachine) {
+	r := &workerProcess{cluster: c, machine: m, ip: HostOf(m.Addr)}
+	r.model = c.world.AddMachine(
+		c.now(),
 		m.Name,
 		m.Zone,
 		m.Spot,
-		&l.types[0],
-		config.Seconds(l.cfg.Workers.LeaseSeconds),
+		&c.types[0],
+		config.Seconds(c.cfg.Workers.LeaseSeconds),
 	)
-	l.workers[m.Name] = r
-	r.host = l.net.Host(r.ip)
-	r.Agent = NewAgent(l.ctx, l.environment(), r.model, m.Addr, transport.NewClient(r.host, 2, 4, time.Minute))
+	c.workers[m.Name] = r
+	r.host = c.net.Host(r.ip)
+	r.Agent = NewAgent(c.ctx, c.environment(), r.model, m.Addr, transport.NewClient(r.host, 2, 4, time.Minute))
 	r.OnHeartbeat = func(rep *protocol.WorkerHeartbeat) {
-		if l.onHeartbeat != nil {
-			l.onHeartbeat(rep)
+		if c.onHeartbeat != nil {
+			c.onHeartbeat(rep)
 		}
 		if r.HeartbeatsLost {
-			l.occurred["mute"]++
+			c.occurred["mute"]++
 		}
 	}
-	ln, err := r.host.Listen(l.ctx, m.Addr)
+	ln, err := r.host.Listen(c.ctx, m.Addr)
 	if err != nil {
-		l.t.Error(err)
+		c.t.Error(err)
 		return
 	}
 	srv := &http.Server{Handler: r.Agent, ErrorLog: slog.NewLogLogger(slog.DiscardHandler, slog.LevelError)}
-	l.spawn(func() { _ = srv.Serve(ln) })
+	c.spawn(func() { _ = srv.Serve(ln) })
 	context.AfterFunc(r.ctx, func() {
 		_ = srv.Close()
 		r.host.Kill()
 	})
-	at := l.randomInt("first "+m.Name, len(l.controllers))
-	l.spawn(func() { r.Run(at) })
+	at := c.randomInt("first "+m.Name, len(c.controllers))
+	c.spawn(func() { r.Run(at) })
 }
 
-// stopWorker ends the worker of a machine. The caller holds l.mu.
-func (l *cluster) stopWorker(name string) {
-	if r := l.workers[name]; r != nil {
+// stopWorker ends the worker of a machine. The caller holds c.mu.
+func (c *cluster) stopWorker(name string) {
+	if r := c.workers[name]; r != nil {
 		r.Stop()
-		delete(l.workers, name)
+		delete(c.workers, name)
 	}
-	l.world.RemoveMachine(name)
+	c.world.RemoveMachine(name)
 }
 
 // environment returns what the workers share.
-func (l *cluster) environment() *Environment {
+func (c *cluster) environment() *Environment {
 	s := &Environment{
-		Lock:              &l.mu,
-		Now:               l.now,
-		Random:            l.random.Named("workers"),
-		HeartbeatInterval: config.Seconds(l.cfg.Workers.HeartbeatSeconds),
-		OnError:           func(err error) { l.t.Error(err) },
+		Lock:              &c.mu,
+		Now:               c.now,
+		Random:            c.random.Named("workers"),
+		HeartbeatInterval: config.Seconds(c.cfg.Workers.HeartbeatSeconds),
+		OnError:           func(err error) { c.t.Error(err) },
 	}
-	for _, n := range l.controllers {
+	for _, n := range c.controllers {
 		s.Controllers = append(s.Controllers, Controller{Name: n.name, Addr: n.ip + ":8080"})
 	}
 	return s
@@ -94,17 +94,17 @@
 }
 
 // deliverCopy sends a copy of a heartbeat to a controller, and drops the reply.
-func (l *cluster) deliverCopy(rep *protocol.WorkerHeartbeat, to *controller) {
-	c := transport.NewClient(l.net.Host("10.1.9.9"), 4, 4, time.Second)
-	if status, _, err := c.Do(
-		l.ctx,
+func (c *cluster) deliverCopy(rep *protocol.WorkerHeartbeat, to *controller) {
+	client := transport.NewClient(c.net.Host("10.1.9.9"), 4, 4, time.Second)
+	if status, _, err := client.Do(
+		c.ctx,
 		protocol.HeartbeatTimeout,
 		http.MethodPost,
 		"http://"+to.ip+":8080/v1/report",
 		rep,
 	); err == nil &&
 		status == http.StatusOK {
-		l.recordOccurrence("late report taken")
+		c.recordOccurrence("late report taken")
 	}
-	l.recordOccurrence("late report")
+	c.recordOccurrence("late report")
 }
--- a/internal/simulation/failuredetection_test.go
+++ b/internal/simulation/failuredetection_test.go
@@ -9,8 +9,8 @@
 
 // withOwnership enables failure detection and ownership at the controllers that a function selects.
 func withOwnership(on func(node int) bool) func(*cluster) {
-	return func(l *cluster) {
-		l.features = func(node int) daemon.Features { return daemon.Features{Ownership: on(node)} }
+	return func(c *cluster) {
+		c.features = func(node int) daemon.Features { return daemon.Features{Ownership: on(node)} }
 	}
 }
 
@@ -23,9 +23,9 @@
 )
 
 // blockLeaderLink blocks the link between the leader and one other controller.
-func blockLeaderLink(l *cluster) func() {
-	l.recordOccurrence("link")
-	return l.isolateFrom(l.leader(), firstFollower(l))
+func blockLeaderLink(c *cluster) func() {
+	c.recordOccurrence("link")
+	return c.isolateFrom(c.leader(), firstFollower(c))
 }
 
 // TestSuspicions runs failures, and what only looks like one, under all oracles: the log has the suspicions and
@@ -137,12 +137,12 @@
 			notLogged: []string{logDetectorDecision},
 		},
 	}
-	runScenarios(t, 700, scenarios, func(l *cluster, x *scenario) {
-		l.startJobs(9)
+	runScenarios(t, 700, scenarios, func(c *cluster, x *scenario) {
+		c.startJobs(9)
 		time.Sleep(60 * s) // until all count for majorities
-		l.runSteps(x.steps)
+		c.runSteps(x.steps)
 		time.Sleep(4 * time.Minute)
-		l.checkAllServed()
-		l.checkLog(x)
+		c.checkAllServed()
+		c.checkLog(x)
 	})
 }
--- a/internal/simulation/figures_test.go
+++ b/internal/simulation/figures_test.go
@@ -12,15 +12,15 @@
 // zoneLosses are the kinds of losses that are measured.
 var zoneLosses = []struct {
 	name string
-	do   func(l *cluster)
+	do   func(c *cluster)
 }{
 	{"cut 60 s", during(60*s, silenceZone(zoneOfGangs, 1))},
 	{"cut 100 s", during(100*s, silenceZone(zoneOfGangs, 1))},
 	{"dead", during(100*s, killZone(zoneOfGangs))},
 	{"halved", during(60*s, silenceZone(zoneOfGangs, 0.5))},
-	{"flapping", func(l *cluster) {
-		during(20*s, silenceZone("b", 1))(l)
-		time.AfterFunc(26*s, func() { during(20*s, silenceZone("b", 1))(l) })
+	{"flapping", func(c *cluster) {
+		during(20*s, silenceZone("b", 1))(c)
+		time.AfterFunc(26*s, func() { during(20*s, silenceZone("b", 1))(c) })
 	}},
 }
 
@@ -51,7 +51,7 @@
 						700+seed,
 						3,
 						fastTimings,
-						func(l *cluster) { l.measureLoss(loss.do, &sum) },
+						func(c *cluster) { c.measureLoss(loss.do, &sum) },
 						withZoneFailover(func(int) bool { return on }),
 					)
 				}
@@ -79,52 +79,52 @@
 }
 
 // measureLoss runs a loss and adds up its cost.
-func (l *cluster) measureLoss(loss func(*cluster), sum *lossCost) {
-	loans := l.watchLoans()
+func (c *cluster) measureLoss(loss func(*cluster), sum *lossCost) {
+	loans := c.watchLoans()
 	time.Sleep(5 * s)
-	submitZoneJobs(l)
-	l.submitArrays(12)
+	submitZoneJobs(c)
+	c.submitArrays(12)
 	time.Sleep(30 * s)
-	before := l.runningByShape()
-	l.mu.Lock()
-	starts := l.world.Starts
-	l.mu.Unlock()
-	loss(l)
+	before := c.runningByShape()
+	c.mu.Lock()
+	starts := c.world.Starts
+	c.mu.Unlock()
+	loss(c)
 	last := map[protocol.Shape]time.Duration{}
-	from := l.now()
-	for l.now()-from < 200*s {
+	from := c.now()
+	for c.now()-from < 200*s {
 		time.Sleep(time.Second)
 		for shape, n := range before {
-			if missing := n - l.runningByShape()[shape]; missing > 0 {
+			if missing := n - c.runningByShape()[shape]; missing > 0 {
 				sum.down[shape] += float64(missing)
-				last[shape] = l.now() - from
+				last[shape] = c.now() - from
 			}
 		}
 	}
 	for shape, at := range last {
 		sum.recoveredAt[shape] += at
 	}
-	l.mu.Lock()
-	defer l.mu.Unlock()
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	sum.lent += loans.LoanCount
 	sum.lostS += loans.LostSeconds
-	sum.starts += l.world.Starts - starts
+	sum.starts += c.world.Starts - starts
 }
 
 // runningByShape returns the number of tasks that run or are done, by the shape of their jobs.
-func (l *cluster) runningByShape() map[protocol.Shape]int {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+func (c *cluster) runningByShape() map[protocol.Shape]int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	n := map[protocol.Shape]int{}
-	for _, m := range l.world.Workers {
+	for _, m := range c.world.Workers {
 		for id, task := range m.Tasks {
-			if task.State == protocol.TaskRunning && !l.world.Done[id] {
-				n[l.world.Jobs[id.JobID].Shape]++
+			if task.State == protocol.TaskRunning && !c.world.Done[id] {
+				n[c.world.Jobs[id.JobID].Shape]++
 			}
 		}
 	}
-	for id := range l.world.Done {
-		n[l.world.Jobs[id.JobID].Shape]++
+	for id := range c.world.Done {
+		n[c.world.Jobs[id.JobID].Shape]++
 	}
 	return n
 }
--- a/internal/simulation/intents_test.go
+++ b/internal/simulation/intents_test.go
@@ -11,57 +11,57 @@
 // TestCancellationThatIsNotSafeIsRefusedAtOnce: a controller that reaches the key-value store but none of the other
 // controllers tells users of cancellations at once to retry.
 func TestCancellationThatIsNotSafeIsRefusedAtOnce(t *testing.T) {
-	runScenario(t, 10, 3, fastTimings, func(l *cluster) {
-		l.startJobs(6)
-		n := l.others(l.leader())[0]
-		heal := l.isolateFrom(n, l.others(n)...)
+	runScenario(t, 10, 3, fastTimings, func(c *cluster) {
+		c.startJobs(6)
+		n := c.others(c.leader())[0]
+		heal := c.isolateFrom(n, c.others(n)...)
 		time.Sleep(4 * s)
-		id, sent := l.runningJobs()[0], l.now()
-		if status, _ := l.request(n, RequestCancel, id); status != 503 || l.now()-sent > 100*ms {
-			t.Errorf("%d after %v", status, l.now()-sent)
+		id, sent := c.runningJobs()[0], c.now()
+		if status, _ := c.request(n, RequestCancel, id); status != 503 || c.now()-sent > 100*ms {
+			t.Errorf("%d after %v", status, c.now()-sent)
 		}
-		if !l.cancelUntilFinal(id, l.others(n), 2*s) {
+		if !c.cancelUntilFinal(id, c.others(n), 2*s) {
 			t.Error("the others could not cancel it")
 		}
-		if status, _ := l.request(n, RequestQuery, id); status != 503 {
+		if status, _ := c.request(n, RequestQuery, id); status != 503 {
 			t.Errorf("news of it, alone: %d", status)
 		}
 		heal()
 		time.Sleep(4 * s)
-		if status, st := l.request(n, RequestCancel, id); status != 200 || st.State != protocol.JobCancelled {
+		if status, st := c.request(n, RequestCancel, id); status != 200 || st.State != protocol.JobCancelled {
 			t.Errorf("together again: %d %v", status, st)
 		}
 	})
 }
 
 // endOutage ends an outage, and checks some minutes later that all jobs are served.
-func (l *cluster) endOutage() {
-	l.t.Helper()
-	l.store.SetOutage(false)
+func (c *cluster) endOutage() {
+	c.t.Helper()
+	c.store.SetOutage(false)
 	time.Sleep(4 * time.Minute)
-	l.checkAllServed()
+	c.checkAllServed()
 }
 
 // TestForgottenIntents: the leader cannot reach the key-value store, and does not learn of a cancellation; the
 // controller that confirmed it crashes, and the only other one with its intent is restarted and then reaches the leader
 // again. The leader must not continue on the word of the latter.
 func TestForgottenIntents(t *testing.T) {
-	runScenario(t, 8, 3, fastTimings, func(l *cluster) {
-		l.startJobs(12)
-		old := l.leader()
-		n, p := l.others(old)[0], l.others(old)[1]
-		heal := isolateLeader(l)
+	runScenario(t, 8, 3, fastTimings, func(c *cluster) {
+		c.startJobs(12)
+		old := c.leader()
+		n, p := c.others(old)[0], c.others(old)[1]
+		heal := isolateLeader(c)
 		time.Sleep(200 * ms)
-		if l.cancelRunning(6, []*controller{n}, 400*ms) == 0 {
+		if c.cancelRunning(6, []*controller{n}, 400*ms) == 0 {
 			t.Error("nothing was cancelled: the scenario shows nothing")
 		}
-		l.store.SetOutage(true)
-		l.crash(n, 90*s)
-		l.crash(p, 200*ms)
+		c.store.SetOutage(true)
+		c.crash(n, 90*s)
+		c.crash(p, 200*ms)
 		time.Sleep(500 * ms)
 		heal()
 		time.Sleep(60 * s)
-		l.endOutage()
+		c.endOutage()
 	})
 }
 
@@ -69,24 +69,24 @@
 // leader has won its term and read nothing yet. It keeps tasks alive with the other controllers' agreement, but not
 // those for which it has intents.
 func TestLeaderWithoutRecords(t *testing.T) {
-	runScenario(t, 9, 3, fastTimings, func(l *cluster) {
-		l.startJobs(12)
-		old, term := l.leader(), l.term()
-		l.crash(old, 90*s)
+	runScenario(t, 9, 3, fastTimings, func(c *cluster) {
+		c.startJobs(12)
+		old, term := c.leader(), c.term()
+		c.crash(old, 90*s)
 		told := make(chan int, 1)
-		time.AfterFunc(100*ms, func() { told <- l.cancelRunning(6, l.others(old), 400*ms) })
-		for l.term() == term && l.ctx.Err() == nil {
+		time.AfterFunc(100*ms, func() { told <- c.cancelRunning(6, c.others(old), 400*ms) })
+		for c.term() == term && c.ctx.Err() == nil {
 			time.Sleep(ms)
 		}
-		l.store.SetOutage(true)
+		c.store.SetOutage(true)
 		if <-told == 0 {
 			t.Error("nothing was cancelled: the scenario shows nothing")
 		}
 		time.Sleep(60 * s)
-		if n := len(l.runningJobs()); n == 0 {
+		if n := len(c.runningJobs()); n == 0 {
 			t.Error("nothing was kept alive: the scenario shows nothing")
 		}
-		l.endOutage()
+		c.endOutage()
 	})
 }
 
@@ -94,20 +94,20 @@
 // the leader runs the job again; the key-value store refuses the leader by then, and fails for all right after another
 // controller has read of the cancellation and told the user. That controller announces a new intent first.
 func TestLateCancellationIsToldWithANewIntent(t *testing.T) {
-	runScenario(t, 7, 3, fastTimings, func(l *cluster) {
-		l.startJobs(12)
-		old := l.leader()
+	runScenario(t, 7, 3, fastTimings, func(c *cluster) {
+		c.startJobs(12)
+		old := c.leader()
 		late := 8 * s
-		mend := faultyWrites(1, func(*cluster, string) Outcome { return Outcome{Delay: late} })(l)
-		ids := l.runningJobs()[:4]
+		mend := faultyWrites(1, func(*cluster, string) Outcome { return Outcome{Delay: late} })(c)
+		ids := c.runningJobs()[:4]
 		for _, id := range ids {
-			l.spawn(func() { l.request(l.others(old)[0], RequestCancel, id) })
+			c.spawn(func() { c.request(c.others(old)[0], RequestCancel, id) })
 		}
 		time.Sleep(s)
 		mend()
 		time.Sleep(late - 2*s) // the intents are over for the leader; the jobs run again
 		again := 0
-		for _, id := range l.runningJobs() {
+		for _, id := range c.runningJobs() {
 			if slices.Contains(ids, id) {
 				again++
 			}
@@ -115,18 +115,18 @@
 		if again == 0 {
 			t.Error("no job ran again: the scenario shows nothing")
 		}
-		l.store.SetRefused(old.ip, true)
+		c.store.SetRefused(old.ip, true)
 		time.Sleep(1500 * ms)
 		for _, id := range ids {
-			l.request(l.others(old)[0], RequestQuery, id)
+			c.request(c.others(old)[0], RequestQuery, id)
 		}
-		if l.occurrences("cancelled") == 0 {
+		if c.occurrences("cancelled") == 0 {
 			t.Error("no cancellation was told: the scenario shows nothing")
 		}
-		l.store.SetOutage(true)
+		c.store.SetOutage(true)
 		time.Sleep(60 * s)
-		l.store.SetRefused(old.ip, false)
-		l.endOutage()
+		c.store.SetRefused(old.ip, false)
+		c.endOutage()
 	})
 }
 
--- a/internal/simulation/owners_test.go
+++ b/internal/simulation/owners_test.go
@@ -19,39 +19,39 @@
 // standstill makes a controller look as if it were paused: nothing that it sends arrives, and nothing reaches it, until
 // all of it arrives at once.
 func standstill(which func(*cluster) *controller) fault {
-	return func(l *cluster) func() {
-		n := which(l)
-		l.recordOccurrence("standstill")
-		out, in := l.blockLink(n.ip, "*"), l.blockLink("*", n.ip)
+	return func(c *cluster) func() {
+		n := which(c)
+		c.recordOccurrence("standstill")
+		out, in := c.blockLink(n.ip, "*"), c.blockLink("*", n.ip)
 		return func() { out(); in() }
 	}
 }
 
 // currentLeader returns the leader.
-func currentLeader(l *cluster) *controller { return l.leader() }
+func currentLeader(c *cluster) *controller { return c.leader() }
 
 // secondFollower returns a controller that does not lead, and another one than firstFollower.
-func secondFollower(l *cluster) *controller { return l.others(l.leader())[1] }
+func secondFollower(c *cluster) *controller { return c.others(c.leader())[1] }
 
 // crashFollower is a step that crashes a controller that does not lead.
 func crashFollower(back time.Duration) func(*cluster) {
-	return func(l *cluster) { l.crash(firstFollower(l), back) }
+	return func(c *cluster) { c.crash(firstFollower(c), back) }
 }
 
 // atOnce combines several steps into one.
 func atOnce(steps ...func(*cluster)) func(*cluster) {
-	return func(l *cluster) {
+	return func(c *cluster) {
 		for _, do := range steps {
-			do(l)
+			do(c)
 		}
 	}
 }
 
 // ownershipWrites gives the transactions that change the ownership of machines another outcome.
 func ownershipWrites(fate Outcome) fault {
-	return func(l *cluster) func() {
-		l.store.SetOutcomes(outcomeForKey(l, storage.OwnershipKey, fate))
-		return func() { l.store.SetOutcomes(nil) }
+	return func(c *cluster) func() {
+		c.store.SetOutcomes(outcomeForKey(c, storage.OwnershipKey, fate))
+		return func() { c.store.SetOutcomes(nil) }
 	}
 }
 
@@ -329,13 +329,13 @@
 // TestOwners runs failures of owners under all oracles: no rule is broken, no confirmed cancellation misses its time,
 // no final answer changes, and all jobs are served in the end. Verdicts take effect by the record.
 func TestOwners(t *testing.T) {
-	runScenarios(t, 900, ownerScenarios, func(l *cluster, x *scenario) {
+	runScenarios(t, 900, ownerScenarios, func(c *cluster, x *scenario) {
 		time.Sleep(60 * s) // until all count for majorities, and own machines
-		l.runToCompletion(x.steps, x.occurred)
-		l.checkOwnership()
-		l.checkLog(x)
-		if l.logCount(logEpochInEffect) == 0 {
-			l.t.Errorf("the log does not say %q", logEpochInEffect)
+		c.runToCompletion(x.steps, x.occurred)
+		c.checkOwnership()
+		c.checkLog(x)
+		if c.logCount(logEpochInEffect) == 0 {
+			c.t.Errorf("the log does not say %q", logEpochInEffect)
 		}
 	}, withOwnership(everywhere))
 }
@@ -377,14 +377,14 @@
 				{24 * s, pipelines(6)},
 				{40 * s, crashFollower(20 * s)},
 			},
-			options: []func(*cluster){announceLowerLimits, func(l *cluster) {
-				l.features = func(int) daemon.Features {
+			options: []func(*cluster){announceLowerLimits, func(c *cluster) {
+				c.features = func(int) daemon.Features {
 					return daemon.Features{PinProductionLevel: true, Ownership: true}
 				}
 			}},
 		},
 	}
-	runScenarios(t, 940, scenarios, func(l *cluster, x *scenario) { l.runToCompletion(x.steps, nil) })
+	runScenarios(t, 940, scenarios, func(c *cluster, x *scenario) { c.runToCompletion(x.steps, nil) })
 }
 
 // TestOwnersTakeTheLoad: with owners, the leader gets heartbeats of its own machines, and those of others only if
@@ -392,20 +392,20 @@
 func TestOwnersTakeTheLoad(t *testing.T) {
 	const machines = 12
 	connections := func(options ...func(*cluster)) (leader, most int) {
-		runScenario(t, 950, 3, fastTimings, func(l *cluster) {
-			l.startJobs(9)
+		runScenario(t, 950, 3, fastTimings, func(c *cluster) {
+			c.startJobs(9)
 			for range 6 {
-				l.submit(l.newJob("daemon", 2, 2))
+				c.submit(c.newJob("daemon", 2, 2))
 			}
 			time.Sleep(2 * time.Minute)
 			before := map[string]int{}
-			for _, n := range l.controllers {
-				before[n.name] = l.workerPacketsTo(n)
+			for _, n := range c.controllers {
+				before[n.name] = c.workerPacketsTo(n)
 			}
 			time.Sleep(time.Minute)
-			for _, n := range l.controllers {
-				got := l.workerPacketsTo(n) - before[n.name]
-				if n == l.leader() {
+			for _, n := range c.controllers {
+				got := c.workerPacketsTo(n) - before[n.name]
+				if n == c.leader() {
 					leader = got
 				}
 				most = max(most, got)
@@ -435,48 +435,48 @@
 // TestOwnersThatLeave: all controllers but the leader are stopped one after the other, and come back. Their workers
 // have moved before they end: nobody sends them heartbeats any more, no lease expires, and no task is started again.
 func TestOwnersThatLeave(t *testing.T) {
-	runScenario(t, 970, 5, fastTimings, func(l *cluster) {
+	runScenario(t, 970, 5, fastTimings, func(c *cluster) {
 		time.Sleep(60 * s)
-		l.startJobs(9)
+		c.startJobs(9)
 		time.Sleep(30 * s)
-		for _, n := range l.others(l.leader()) {
-			n.process.Drain(l.ctx)
-			before := l.workerPacketsTo(n)
+		for _, n := range c.others(c.leader()) {
+			n.process.Drain(c.ctx)
+			before := c.workerPacketsTo(n)
 			time.Sleep(2 * s)
-			if got := l.workerPacketsTo(n) - before; got > 0 {
+			if got := c.workerPacketsTo(n) - before; got > 0 {
 				t.Errorf("%s gets %d packets of workers after it has left", n.name, got)
 			}
-			l.crash(n, 5*s)
+			c.crash(n, 5*s)
 			time.Sleep(60 * s)
 		}
-		l.mu.Lock()
-		for name, r := range l.workers {
+		c.mu.Lock()
+		for name, r := range c.workers {
 			if r.model.Incarnation > 1 {
 				t.Errorf("the lease of %s has ended", name)
 			}
 		}
-		l.mu.Unlock()
-		if n := l.logCount("drain completed"); n != 4 {
+		c.mu.Unlock()
+		if n := c.logCount("drain completed"); n != 4 {
 			t.Errorf("%d of 4 controllers were drained", n)
 		}
-		l.checkOwnership()
+		c.checkOwnership()
 		time.Sleep(4 * time.Minute)
-		l.checkAllServed()
+		c.checkAllServed()
 	}, withOwnership(everywhere))
 }
 
 // TestVerdictIsInForceOnce: two controllers reach the verdict at the same time, and the record of one of them alone
 // takes effect: epochs follow one another, and each has one set of owners on every controller.
 func TestVerdictIsInForceOnce(t *testing.T) {
-	runScenario(t, 960, 5, fastTimings, func(l *cluster) {
-		l.startJobs(9)
+	runScenario(t, 960, 5, fastTimings, func(c *cluster) {
+		c.startJobs(9)
 		time.Sleep(60 * s)
-		n := firstFollower(l)
-		l.crash(n, 60*s)
+		n := firstFollower(c)
+		c.crash(n, 60*s)
 		time.Sleep(30 * s)
-		l.logWriter.mu.Lock()
-		lines := strings.Split(l.logs.String(), "\n")
-		l.logWriter.mu.Unlock()
+		c.logWriter.mu.Lock()
+		lines := strings.Split(c.logs.String(), "\n")
+		c.logWriter.mu.Unlock()
 		owners := map[string]string{}
 		verdicts := 0
 		for _, line := range lines {
@@ -503,20 +503,20 @@
 			}
 		}
 		time.Sleep(4 * time.Minute)
-		l.checkAllServed()
+		c.checkAllServed()
 	}, withOwnership(everywhere))
 }
 
 // checkOwnership checks each ownership record: its writer led when it was written, and epochs follow one another.
-func (l *cluster) checkOwnership() {
-	l.t.Helper()
-	terms, _ := l.store.ChangesSince(storage.TermKey, 0)
-	records, _ := l.store.ChangesSince(storage.OwnershipKey, 0)
+func (c *cluster) checkOwnership() {
+	c.t.Helper()
+	terms, _ := c.store.ChangesSince(storage.TermKey, 0)
+	records, _ := c.store.ChangesSince(storage.OwnershipKey, 0)
 	epoch := uint64(0)
 	for _, e := range records {
 		rec, err := storage.DecodeOwnership(e.Value)
 		if err != nil {
-			l.t.Errorf("ownership record: %v", err)
+			c.t.Errorf("ownership record: %v", err)
 			continue
 		}
 		term := uint64(0)
@@ -526,12 +526,12 @@
 			}
 			r, err := storage.DecodeTerm(at.Value)
 			if err != nil {
-				l.t.Errorf("term record: %v", err)
+				c.t.Errorf("term record: %v", err)
 			}
 			term = r.Term
 		}
 		if rec.Term != term || rec.Epoch != epoch+1 {
-			l.t.Errorf(
+			c.t.Errorf(
 				"epoch %d of term %d came into force in term %d after epoch %d",
 				rec.Epoch,
 				rec.Term,
@@ -544,11 +544,11 @@
 }
 
 // outcomeForKey returns a function that gives the transactions that write a key another outcome.
-func outcomeForKey(l *cluster, key string, fate Outcome) func(string, *protocol.Txn) Outcome {
+func outcomeForKey(c *cluster, key string, fate Outcome) func(string, *protocol.Txn) Outcome {
 	return func(_ string, txn *protocol.Txn) Outcome {
 		for _, op := range txn.Then {
 			if op.PutKey == key {
-				l.recordOccurrence("ownership write")
+				c.recordOccurrence("ownership write")
 				return fate
 			}
 		}
@@ -557,9 +557,9 @@
 }
 
 // workerPacketsTo returns the number of packets that workers have sent to a controller.
-func (l *cluster) workerPacketsTo(n *controller) (packets int) {
-	for _, r := range l.selectWorkers(99, nil) {
-		packets += l.net.Packets(r.ip, n.ip)
+func (c *cluster) workerPacketsTo(n *controller) (packets int) {
+	for _, r := range c.selectWorkers(99, nil) {
+		packets += c.net.Packets(r.ip, n.ip)
 	}
 	return packets
 }
--- a/internal/simulation/pipeline_test.go
+++ b/internal/simulation/pipeline_test.go
@@ -18,7 +18,7 @@
 // pipeline submits the jobs of a pipeline, each once its dependencies are accepted: an array, two arrays after it, a
 // gang after one of these, and at the end an urgent array with a deadline. With earlier, the first job depends on that
 // one.
-func (l *cluster) pipeline(earlier string) (ids []string) {
+func (c *cluster) pipeline(earlier string) (ids []string) {
 	type stage struct {
 		shape  protocol.Shape
 		tasks  int
@@ -34,7 +34,7 @@
 	}
 	var accepted []chan struct{}
 	for i, st := range stages {
-		j := l.newJob(st.shape, st.tasks, 0)
+		j := c.newJob(st.shape, st.tasks, 0)
 		j.Priority, j.EstimateSeconds, j.DeadlineSeconds = st.prio, 5, 0
 		if i == len(stages)-1 {
 			j.DeadlineSeconds = 120
@@ -47,11 +47,11 @@
 		if i == 0 && earlier != "" {
 			j.Dependencies = []string{earlier}
 		}
-		l.mu.Lock()
-		l.world.RunTimes[j.ID] = 2*s + l.randomDuration("run time "+j.ID, 3*s)
-		l.mu.Unlock()
+		c.mu.Lock()
+		c.world.RunTimes[j.ID] = 2*s + c.randomDuration("run time "+j.ID, 3*s)
+		c.mu.Unlock()
 		ids, accepted = append(ids, j.ID), append(accepted, make(chan struct{}))
-		l.submitAfter(j, before, accepted[i])
+		c.submitAfter(j, before, accepted[i])
 	}
 	return ids
 }
@@ -59,34 +59,34 @@
 // pipelines is a step that submits n pipelines, one a second, some after a job that runs. Some of their jobs are
 // cancelled.
 func pipelines(n int) func(*cluster) {
-	return func(l *cluster) {
-		l.spawn(func() {
+	return func(c *cluster) {
+		c.spawn(func() {
 			for i := range n {
-				time.Sleep(s + l.randomDuration(fmt.Sprint("pipeline ", i), 50*ms))
+				time.Sleep(s + c.randomDuration(fmt.Sprint("pipeline ", i), 50*ms))
 				earlier := ""
-				if l.chance(fmt.Sprint("earlier ", i), 0.3) {
-					earlier = l.runningArray()
+				if c.chance(fmt.Sprint("earlier ", i), 0.3) {
+					earlier = c.runningArray()
 				}
-				for k, id := range l.pipeline(earlier) {
-					if l.chance("call off "+id, 0.06) {
+				for k, id := range c.pipeline(earlier) {
+					if c.chance("call off "+id, 0.06) {
 						time.AfterFunc(
-							l.randomDuration("call off after "+id, time.Duration(5+5*k)*s),
-							func() { l.cancelUntilFinal(id, l.controllers, 3*time.Minute) },
+							c.randomDuration("call off after "+id, time.Duration(5+5*k)*s),
+							func() { c.cancelUntilFinal(id, c.controllers, 3*time.Minute) },
 						)
 					}
 				}
-				l.recordOccurrence("pipeline")
+				c.recordOccurrence("pipeline")
 			}
 		})
 	}
 }
 
 // runningArray returns an array with a running task, or "".
-func (l *cluster) runningArray() string {
-	for _, id := range l.runningJobs() {
-		l.mu.Lock()
-		shape := l.world.Jobs[id].Shape
-		l.mu.Unlock()
+func (c *cluster) runningArray() string {
+	for _, id := range c.runningJobs() {
+		c.mu.Lock()
+		shape := c.world.Jobs[id].Shape
+		c.mu.Unlock()
 		if shape == protocol.Array {
 			return id
 		}
@@ -95,19 +95,19 @@
 }
 
 // productionLevel starts all controllers with the feature level of the version in production.
-func productionLevel(l *cluster) {
-	l.features = func(int) daemon.Features { return daemon.Features{PinProductionLevel: true} }
+func productionLevel(c *cluster) {
+	c.features = func(int) daemon.Features { return daemon.Features{PinProductionLevel: true} }
 }
 
 // upgrade is a step that restarts controllers with the new feature level, in the given order.
 func upgrade(order []int, every, back time.Duration) func(*cluster) {
-	return func(l *cluster) {
+	return func(c *cluster) {
 		for i, node := range order {
-			n := l.controllers[node%len(l.controllers)]
+			n := c.controllers[node%len(c.controllers)]
 			time.AfterFunc(time.Duration(i)*every, func() {
 				n.features.PinProductionLevel = false
-				l.recordOccurrence("upgraded")
-				l.crash(n, back)
+				c.recordOccurrence("upgraded")
+				c.crash(n, back)
 			})
 		}
 	}
@@ -117,25 +117,25 @@
 var nextLimits = config.FutureStoreLimits{WriteRPS: 20, ValueKB: 1, TxnOps: 5}
 
 // announceLowerLimits makes the key-value store enforce its limits, and announces lower ones in the settings.
-func announceLowerLimits(l *cluster) {
-	l.cfg.Store = config.StoreLimits{RPS: 150, WriteRPS: 40, ValueKB: 8, TxnOps: 16, Next: nextLimits}
-	l.store.SetLimits(l.cfg.Store)
+func announceLowerLimits(c *cluster) {
+	c.cfg.Store = config.StoreLimits{RPS: 150, WriteRPS: 40, ValueKB: 8, TxnOps: 16, Next: nextLimits}
+	c.store.SetLimits(c.cfg.Store)
 }
 
 // lowerLimitsOnceUpgraded lowers the limits once all controllers have recorded the new feature level.
-func lowerLimitsOnceUpgraded(l *cluster) {
-	l.spawn(func() {
-		for l.ctx.Err() == nil && l.levelsRecorded() < len(l.controllers) {
+func lowerLimitsOnceUpgraded(c *cluster) {
+	c.spawn(func() {
+		for c.ctx.Err() == nil && c.levelsRecorded() < len(c.controllers) {
 			time.Sleep(10 * ms)
 		}
-		l.store.SetLimits(l.cfg.Store.Lowest())
-		l.recordOccurrence("limits")
+		c.store.SetLimits(c.cfg.Store.Lowest())
+		c.recordOccurrence("limits")
 	})
 }
 
 // levelsRecorded returns the number of controllers that have recorded a feature level.
-func (l *cluster) levelsRecorded() int {
-	pairs, _ := l.store.List("feature/node/")
+func (c *cluster) levelsRecorded() int {
+	pairs, _ := c.store.List("feature/node/")
 	return len(pairs)
 }
 
@@ -294,39 +294,39 @@
 // TestPipelineScenarios runs pipelines with faults: no task starts before all dependencies of its job are done, no job
 // is orphaned, no other rule is broken, and all are over in the end.
 func TestPipelineScenarios(t *testing.T) {
-	runScenarios(t, 800, pipelineScenarios, func(l *cluster, x *scenario) {
-		l.runToCompletion(x.steps, x.occurred)
-		l.checkRecords()
+	runScenarios(t, 800, pipelineScenarios, func(c *cluster, x *scenario) {
+		c.runToCompletion(x.steps, x.occurred)
+		c.checkRecords()
 	})
 }
 
 // TestLimitsBelowTheSettings: the limits of the key-value store are lower than the settings say. Transactions and
 // values that are rejected are made smaller, and everything is recorded in the end.
 func TestLimitsBelowTheSettings(t *testing.T) {
-	runScenario(t, 880, 3, fastTimings, func(l *cluster) {
-		l.startJobs(9)
-		lower := l.cfg.Store
+	runScenario(t, 880, 3, fastTimings, func(c *cluster) {
+		c.startJobs(9)
+		lower := c.cfg.Store
 		lower.ValueKB, lower.TxnOps = 0.4, 2
-		l.store.SetLimits(lower)
-		l.runToCompletion(
+		c.store.SetLimits(lower)
+		c.runToCompletion(
 			[]step{{0, pipelines(8)}, {0, overload(8)}, {10 * s, crashLeader(5 * s)}, {15 * s, cancelJobs(3, 0)}},
 			[]string{"pipeline", "cancelled"},
 		)
-		l.checkRecords()
-		if l.store.Usage().TooLarge == 0 {
+		c.checkRecords()
+		if c.store.Usage().TooLarge == 0 {
 			t.Error("nothing was refused for its size: the scenario shows nothing")
 		}
 	}, announceLowerLimits)
 }
 
 // checkRecords checks that no job has a live record that users were told is over.
-func (l *cluster) checkRecords() {
-	l.t.Helper()
-	pairs, _ := l.store.List(storage.LiveJobPrefix)
+func (c *cluster) checkRecords() {
+	c.t.Helper()
+	pairs, _ := c.store.List(storage.LiveJobPrefix)
 	for _, p := range pairs {
 		id := strings.TrimPrefix(p.Key, storage.LiveJobPrefix)
-		if standing, over := l.answers.FinalState(id); over {
-			l.t.Errorf("%s is %s and its live record is left", id, standing)
+		if standing, over := c.answers.FinalState(id); over {
+			c.t.Errorf("%s is %s and its live record is left", id, standing)
 		}
 	}
 }
@@ -337,21 +337,21 @@
 
 // checkUpgraded checks that the feature level is final, that no placement page of the old layout is left, and that
 // hardly any transaction was rejected for its size.
-func (l *cluster) checkUpgraded() {
-	l.t.Helper()
-	l.checkRecords()
-	term := l.store.Get(storage.TermKey)
+func (c *cluster) checkUpgraded() {
+	c.t.Helper()
+	c.checkRecords()
+	term := c.store.Get(storage.TermKey)
 	if rec, err := storage.DecodeTerm(term.Value); err != nil || rec.FeatureLevel != int(featurelevel.Current) {
-		l.t.Errorf("the term's record: %+v, %v", rec, err)
+		c.t.Errorf("the term's record: %+v, %v", rec, err)
 	}
-	pairs, _ := l.store.List(storage.PlacementPrefix)
+	pairs, _ := c.store.List(storage.PlacementPrefix)
 	for _, p := range pairs {
 		if name, err := storage.ParsePageKey(p.Key, 1); err != nil || !name.Layout.Compact {
-			l.t.Errorf("%s is left: %v", p.Key, err)
+			c.t.Errorf("%s is left: %v", p.Key, err)
 		}
 	}
-	if use := l.store.Usage(); use.TooLarge > maxTooLarge {
-		l.t.Errorf("%d transactions were refused for their size", use.TooLarge)
+	if use := c.store.Usage(); use.TooLarge > maxTooLarge {
+		c.t.Errorf("%d transactions were refused for their size", use.TooLarge)
 	}
 }
 
@@ -514,9 +514,9 @@
 			},
 		},
 	}
-	runScenarios(t, 850, scenarios, func(l *cluster, x *scenario) {
-		l.runToCompletion(x.steps, upgraded)
-		l.checkUpgraded()
+	runScenarios(t, 850, scenarios, func(c *cluster, x *scenario) {
+		c.runToCompletion(x.steps, upgraded)
+		c.checkUpgraded()
 	}, productionLevel, announceLowerLimits)
 }
 
@@ -548,7 +548,7 @@
 				seed,
 				controllers,
 				[]config.Workers{fastTimings, fastTimings, slowTimings}[rng.IntN(3)],
-				func(l *cluster) { l.runToCompletion(steps, nil) },
+				func(c *cluster) { c.runToCompletion(steps, nil) },
 				productionLevel,
 				announceLowerLimits,
 			)
--- a/internal/simulation/random_scenarios_test.go
+++ b/internal/simulation/random_scenarios_test.go
@@ -13,30 +13,30 @@
 // step is what happens at a time after the jobs of a scenario have started.
 type step struct {
 	at time.Duration
-	do func(l *cluster)
+	do func(c *cluster)
 }
 
 // runToCompletion runs the steps of a scenario, and checks some time after the last one that all jobs are served.
 // occurred are occurrences that must be recorded.
-func (l *cluster) runToCompletion(steps []step, happened []string) {
-	l.startJobs(12)
-	l.runSteps(steps)
-	time.Sleep(2*config.Seconds(l.cfg.Workers.CancelSeconds) + 6*time.Minute)
-	l.checkAllServed()
+func (c *cluster) runToCompletion(steps []step, happened []string) {
+	c.startJobs(12)
+	c.runSteps(steps)
+	time.Sleep(2*config.Seconds(c.cfg.Workers.CancelSeconds) + 6*time.Minute)
+	c.checkAllServed()
 	for _, h := range happened {
-		if l.occurrences(h) == 0 {
-			l.t.Errorf("%s did not happen", h)
+		if c.occurrences(h) == 0 {
+			c.t.Errorf("%s did not happen", h)
 		}
 	}
 }
 
 // runSteps runs steps at their times, from a moment at which no timer of the controllers or the world is due: the order
 // of two events at one moment is random.
-func (l *cluster) runSteps(steps []step) {
-	from := l.now() + l.randomDuration("begin", ms)
+func (c *cluster) runSteps(steps []step) {
+	from := c.now() + c.randomDuration("begin", ms)
 	for _, st := range steps {
-		time.Sleep(from + st.at - l.now())
-		st.do(l)
+		time.Sleep(from + st.at - c.now())
+		st.do(c)
 	}
 }
 
@@ -48,7 +48,7 @@
 	back := []time.Duration{200 * ms, 5 * s, 14 * s}[rng.IntN(3)]
 	vocabulary := []struct {
 		name string
-		do   func(l *cluster)
+		do   func(c *cluster)
 	}{
 		{"refuse the leader", during(lasts(2, 40), refuseLeader)},
 		{"outage", during(lasts(2, 60), storeOutage)},
@@ -106,7 +106,7 @@
 				seed,
 				[]int{3, 3, 3, 5}[rng.IntN(4)],
 				[]config.Workers{fastTimings, fastTimings, slowTimings}[rng.IntN(3)],
-				func(l *cluster) { l.runToCompletion(steps, nil) },
+				func(c *cluster) { c.runToCompletion(steps, nil) },
 			)
 		})
 	}
--- a/internal/simulation/records_test.go
+++ b/internal/simulation/records_test.go
@@ -26,18 +26,18 @@
 }
 
 // faultySharedWrites gives a share of the transactions that record placements of several jobs another outcome.
-func faultySharedWrites(share float64, fate func(l *cluster, transaction string) Outcome) fault {
-	return func(l *cluster) func() {
-		l.store.SetOutcomes(func(host string, txn *protocol.Txn) Outcome {
+func faultySharedWrites(share float64, fate func(c *cluster, transaction string) Outcome) fault {
+	return func(c *cluster) func() {
+		c.store.SetOutcomes(func(host string, txn *protocol.Txn) Outcome {
 			jobs := jobsInWrite(txn)
 			name := host + " " + strings.Join(jobs, " ")
-			if len(jobs) < 2 || !l.chance("shared "+name, share) {
+			if len(jobs) < 2 || !c.chance("shared "+name, share) {
 				return Outcome{Reply: true}
 			}
-			l.recordOccurrence("shared")
-			return fate(l, name)
+			c.recordOccurrence("shared")
+			return fate(c, name)
 		})
-		return func() { l.store.SetOutcomes(nil) }
+		return func() { c.store.SetOutcomes(nil) }
 	}
 }
 
@@ -45,31 +45,31 @@
 func loseReply(*cluster, string) Outcome { return Outcome{} }
 
 // delayWrite applies a transaction late, and never answers it.
-func delayWrite(l *cluster, name string) Outcome {
-	return Outcome{Delay: 2*s + l.randomDuration("late "+name, 10*s)}
+func delayWrite(c *cluster, name string) Outcome {
+	return Outcome{Delay: 2*s + c.randomDuration("late "+name, 10*s)}
 }
 
 // delayReply applies a transaction and answers it late.
-func delayReply(l *cluster, name string) Outcome {
-	return Outcome{Reply: true, Delay: l.randomDuration("late "+name, 800*ms)}
+func delayReply(c *cluster, name string) Outcome {
+	return Outcome{Reply: true, Delay: c.randomDuration("late "+name, 800*ms)}
 }
 
 // smallStoreLimits makes the key-value store enforce small limits.
-func smallStoreLimits(l *cluster) {
-	l.cfg.Store = config.StoreLimits{RPS: 60, WriteRPS: 15, ValueKB: 8, TxnOps: 16}
-	l.store.SetLimits(l.cfg.Store)
+func smallStoreLimits(c *cluster) {
+	c.cfg.Store = config.StoreLimits{RPS: 60, WriteRPS: 15, ValueKB: 8, TxnOps: 16}
+	c.store.SetLimits(c.cfg.Store)
 }
 
 // submitBatches is a step that submits several arrays at a time, so that their placements are recorded together.
 func submitBatches(n int) func(*cluster) {
-	return func(l *cluster) {
+	return func(c *cluster) {
 		for range n {
 			for range 4 {
-				j := l.newJob(protocol.Array, 2, 1)
-				l.mu.Lock()
-				l.world.RunTimes[j.ID] = 3*s + l.randomDuration("run time "+j.ID, 4*s)
-				l.mu.Unlock()
-				l.submit(j)
+				j := c.newJob(protocol.Array, 2, 1)
+				c.mu.Lock()
+				c.world.RunTimes[j.ID] = 3*s + c.randomDuration("run time "+j.ID, 4*s)
+				c.mu.Unlock()
+				c.submit(j)
 			}
 			time.Sleep(2 * s)
 		}
@@ -167,42 +167,42 @@
 			options:  []func(*cluster){smallStoreLimits},
 		},
 	}
-	runScenarios(t, 600, scenarios, func(l *cluster, x *scenario) { l.runToCompletion(x.steps, x.occurred) })
+	runScenarios(t, 600, scenarios, func(c *cluster, x *scenario) { c.runToCompletion(x.steps, x.occurred) })
 }
 
 // TestRecordThatIsNeverPossible: the key-value store rejects every transaction that records one particular job. That
 // job waits; those that shared its transactions do not.
 func TestRecordThatIsNeverPossible(t *testing.T) {
-	runScenario(t, 620, 3, fastTimings, func(l *cluster) {
-		l.startJobs(9)
-		bad := l.newJob(protocol.Array, 2, 1)
-		l.store.SetOutcomes(func(_ string, txn *protocol.Txn) Outcome {
+	runScenario(t, 620, 3, fastTimings, func(c *cluster) {
+		c.startJobs(9)
+		bad := c.newJob(protocol.Array, 2, 1)
+		c.store.SetOutcomes(func(_ string, txn *protocol.Txn) Outcome {
 			jobs := jobsInWrite(txn)
 			if !slices.Contains(jobs, bad.ID) {
 				return Outcome{Reply: true}
 			}
 			if len(jobs) > 1 {
-				l.recordOccurrence("shared")
+				c.recordOccurrence("shared")
 			}
 			return Outcome{Rejected: true}
 		})
-		l.submit(bad)
-		submitBatches(6)(l)
+		c.submit(bad)
+		submitBatches(6)(c)
 		time.Sleep(3 * time.Minute)
-		if l.occurrences("shared") == 0 {
+		if c.occurrences("shared") == 0 {
 			t.Error("the job was in no transaction with others: the scenario shows nothing")
 		}
-		if l.term() != 1 {
-			t.Errorf("term %d: the job has cost the leader its term", l.term())
+		if c.term() != 1 {
+			t.Errorf("term %d: the job has cost the leader its term", c.term())
 		}
-		l.jobIDs = slices.DeleteFunc(l.jobIDs, func(id string) bool { return id == bad.ID })
-		l.checkAllServed()
-		if _, over := l.answers.FinalState(bad.ID); over {
+		c.jobIDs = slices.DeleteFunc(c.jobIDs, func(id string) bool { return id == bad.ID })
+		c.checkAllServed()
+		if _, over := c.answers.FinalState(bad.ID); over {
 			t.Error("a job is over that could not be recorded")
 		}
-		l.store.SetOutcomes(nil)
+		c.store.SetOutcomes(nil)
 		time.Sleep(3 * time.Minute)
-		if _, over := l.answers.FinalState(bad.ID); !over {
+		if _, over := c.answers.FinalState(bad.ID); !over {
 			t.Error("the job is not served although it can be recorded now")
 		}
 	})
--- a/internal/simulation/repeat_test.go
+++ b/internal/simulation/repeat_test.go
@@ -36,14 +36,14 @@
 	options ...func(*cluster),
 ) (all []packetArrival) {
 	t.Helper()
-	runScenario(t, seed, controllers, w, func(l *cluster) {
-		l.net.Tap(func(from, to string, data []byte) {
-			all = append(all, newArrival(l.now(), from, to, data))
+	runScenario(t, seed, controllers, w, func(c *cluster) {
+		c.net.Tap(func(from, to string, data []byte) {
+			all = append(all, newArrival(c.now(), from, to, data))
 		})
-		l.startJobs(9)
-		l.runSteps(steps)
+		c.startJobs(9)
+		c.runSteps(steps)
 		time.Sleep(90 * s)
-		l.net.Tap(nil)
+		c.net.Tap(nil)
 	}, options...)
 	// What arrives at the very same moment arrives in no order.
 	slices.SortStableFunc(all, func(a, b packetArrival) int {
--- a/internal/simulation/scenario_test.go
+++ b/internal/simulation/scenario_test.go
@@ -24,7 +24,7 @@
 }
 
 // run runs f on a cluster as the scenario describes it, in simulated time.
-func (x *scenario) run(t *testing.T, seed uint64, f func(l *cluster), options ...func(*cluster)) {
+func (x *scenario) run(t *testing.T, seed uint64, f func(c *cluster), options ...func(*cluster)) {
 	t.Helper()
 	controllers := x.controllers
 	if controllers == 0 {
@@ -38,7 +38,7 @@
 	t *testing.T,
 	firstSeed uint64,
 	scenarios []scenario,
-	f func(l *cluster, x *scenario),
+	f func(c *cluster, x *scenario),
 	options ...func(*cluster),
 ) {
 	t.Helper()
@@ -46,22 +46,22 @@
 		x := &scenarios[i]
 		t.Run(x.name, func(t *testing.T) {
 			t.Parallel()
-			x.run(t, firstSeed+uint64(i), func(l *cluster) { f(l, x) }, options...)
+			x.run(t, firstSeed+uint64(i), func(c *cluster) { f(c, x) }, options...)
 		})
 	}
 }
 
 // checkLog checks that the log has the texts that the scenario demands, and none that it excludes.
-func (l *cluster) checkLog(x *scenario) {
-	l.t.Helper()
+func (c *cluster) checkLog(x *scenario) {
+	c.t.Helper()
 	for _, text := range x.logged {
-		if l.logCount(text) == 0 {
-			l.t.Errorf("the log does not say %q", text)
+		if c.logCount(text) == 0 {
+			c.t.Errorf("the log does not say %q", text)
 		}
 	}
 	for _, text := range x.notLogged {
-		if l.logCount(text) > 0 {
-			l.t.Errorf("the log says %q", text)
+		if c.logCount(text) > 0 {
+			c.t.Errorf("the log says %q", text)
 		}
 	}
 }
--- a/internal/simulation/scenarios_test.go
+++ b/internal/simulation/scenarios_test.go
@@ -11,23 +11,23 @@
 )
 
 // startJobs submits jobs and waits until they run.
-func (l *cluster) startJobs(jobs int) {
+func (c *cluster) startJobs(jobs int) {
 	time.Sleep(5 * time.Second)
-	l.submitMixture(jobs)
+	c.submitMixture(jobs)
 	time.Sleep(35 * time.Second)
-	if n := len(l.runningJobs()); n < jobs/2 {
-		l.t.Fatalf("only %d of %d jobs run", n, jobs)
+	if n := len(c.runningJobs()); n < jobs/2 {
+		c.t.Fatalf("only %d of %d jobs run", n, jobs)
 	}
 }
 
 // cancelRunning has users cancel up to n running jobs at the given controllers, and returns how many were told that
 // their job is cancelled.
-func (l *cluster) cancelRunning(n int, at []*controller, within time.Duration) int {
-	ids := l.runningJobs()
+func (c *cluster) cancelRunning(n int, at []*controller, within time.Duration) int {
+	ids := c.runningJobs()
 	told := make(chan bool, len(ids))
 	ids = ids[:min(n, len(ids))]
 	for _, id := range ids {
-		l.spawn(func() { told <- l.cancelUntilFinal(id, at, within) })
+		c.spawn(func() { told <- c.cancelUntilFinal(id, at, within) })
 	}
 	count := 0
 	for range ids {
@@ -62,27 +62,27 @@
 	)
 }
 
-func (g storeGap) run(l *cluster) {
-	l.startJobs(12)
-	cancel := config.Seconds(l.cfg.Workers.CancelSeconds)
-	old := l.leader()
-	term := l.term()
-	others := l.others(old)
+func (g storeGap) run(c *cluster) {
+	c.startJobs(12)
+	cancel := config.Seconds(c.cfg.Workers.CancelSeconds)
+	old := c.leader()
+	term := c.term()
+	others := c.others(old)
 	heal := func() {}
 	switch {
 	case g.crash:
-		l.crash(old, 6*time.Second)
+		c.crash(old, 6*time.Second)
 	case g.leader == "apart":
-		heal = isolateLeader(l)
+		heal = isolateLeader(c)
 	default:
-		l.store.SetRefused(old.ip, true)
+		c.store.SetRefused(old.ip, true)
 	}
 	time.Sleep(g.before / 2)
-	told := l.cancelRunning(6, others, g.before/2)
+	told := c.cancelRunning(6, others, g.before/2)
 	var deaf []*workerProcess
-	l.mu.Lock()
-	for id := range l.world.Cancelled {
-		workers := l.workersWithJob(id)
+	c.mu.Lock()
+	for id := range c.world.Cancelled {
+		workers := c.workersWithJob(id)
 		if len(workers) == 0 {
 			continue
 		}
@@ -93,44 +93,44 @@
 			}
 		case "mute":
 			r.HeartbeatsLost = true
-			time.AfterFunc(cancel*3/2, func() { l.mu.Lock(); r.HeartbeatsLost = false; l.mu.Unlock() })
+			time.AfterFunc(cancel*3/2, func() { c.mu.Lock(); r.HeartbeatsLost = false; c.mu.Unlock() })
 		case "deaf":
 			deaf = append(deaf, r)
 		}
 	}
-	l.mu.Unlock()
+	c.mu.Unlock()
 	for _, r := range deaf {
-		time.AfterFunc(cancel*3/2, l.blockLink("*", r.ip))
+		time.AfterFunc(cancel*3/2, c.blockLink("*", r.ip))
 	}
-	l.store.SetOutage(true)
+	c.store.SetOutage(true)
 	switch g.after {
 	case "killed":
 		for _, n := range others {
-			l.crash(n, 6*time.Second)
+			c.crash(n, 6*time.Second)
 		}
 	case "one killed":
-		l.crash(others[0], 6*time.Second)
+		c.crash(others[0], 6*time.Second)
 	case "back at once":
-		l.crash(others[0], 200*ms)
+		c.crash(others[0], 200*ms)
 	case "cut":
-		h, also := heal, l.isolateFrom(others[0], l.others(others[0])...)
+		h, also := heal, c.isolateFrom(others[0], c.others(others[0])...)
 		heal = func() { h(); also() }
 	}
 	if g.leader == "cut" {
-		h, also := heal, l.isolateFrom(old, others...)
+		h, also := heal, c.isolateFrom(old, others...)
 		heal = func() { h(); also() }
 	}
 	time.Sleep(time.Duration(float64(cancel) * g.outage))
-	l.store.SetOutage(false)
+	c.store.SetOutage(false)
 	time.Sleep(3 * time.Second)
-	l.store.SetRefused(old.ip, false)
+	c.store.SetRefused(old.ip, false)
 	heal()
 	time.Sleep(2 * cancel)
 	if told == 0 && g.cancellationsExpected {
-		l.t.Errorf("no cancellation was confirmed: the scenario did not take place (term %d to %d)", term, l.term())
+		c.t.Errorf("no cancellation was confirmed: the scenario did not take place (term %d to %d)", term, c.term())
 	}
 	time.Sleep(4 * cancel)
-	l.checkAllServed()
+	c.checkAllServed()
 }
 
 // TestCancelledWhileTheLeaderIsBlind runs store gaps with other faults. The intents that a quorum holds are what ends
@@ -522,7 +522,7 @@
 
 // TestScenarios runs every scenario.
 func TestScenarios(t *testing.T) {
-	runScenarios(t, 100, scenarios, func(l *cluster, x *scenario) { l.runToCompletion(x.steps, x.occurred) })
+	runScenarios(t, 100, scenarios, func(c *cluster, x *scenario) { c.runToCompletion(x.steps, x.occurred) })
 }
 
 // TestLeasesOutliveRestartsInAnOutage: in an outage of the key-value store, the leader and another controller crash and
@@ -531,27 +531,27 @@
 // heartbeat may take, and when workers went from one to the next.
 func TestLeasesOutliveRestartsInAnOutage(t *testing.T) {
 	for seed := uint64(1); seed <= 4; seed++ {
-		runScenario(t, seed, 3, fastTimings, func(l *cluster) {
-			l.startJobs(12)
-			old := l.leader()
-			l.store.SetOutage(true)
+		runScenario(t, seed, 3, fastTimings, func(c *cluster) {
+			c.startJobs(12)
+			old := c.leader()
+			c.store.SetOutage(true)
 			time.Sleep(4 * s)
-			l.crash(old, 6*s)
-			l.crash(l.others(old)[0], 6*s)
+			c.crash(old, 6*s)
+			c.crash(c.others(old)[0], 6*s)
 			time.Sleep(20 * s)
-			l.mu.Lock()
+			c.mu.Lock()
 			ended := 0
-			for _, r := range l.workers {
+			for _, r := range c.workers {
 				if r.model.Incarnation > 1 {
 					ended++
 				}
 			}
-			l.mu.Unlock()
+			c.mu.Unlock()
 			if ended > 0 {
-				t.Errorf("seed %d: leases of %d of %d machines ended", seed, ended, len(l.workers))
+				t.Errorf("seed %d: leases of %d of %d machines ended", seed, ended, len(c.workers))
 			}
-			l.store.SetOutage(false)
-			l.endOutage()
+			c.store.SetOutage(false)
+			c.endOutage()
 		})
 	}
 }
--- a/internal/simulation/starvation_test.go
+++ b/internal/simulation/starvation_test.go
@@ -64,7 +64,7 @@
 
 // TestStarvation runs every scenario of starvation.
 func TestStarvation(t *testing.T) {
-	runScenarios(t, 300, starvationScenarios, func(l *cluster, x *scenario) { l.runToCompletion(x.steps, x.occurred) })
+	runScenarios(t, 300, starvationScenarios, func(c *cluster, x *scenario) { c.runToCompletion(x.steps, x.occurred) })
 }
 
 // TestDrawnStarvation combines slow controllers with random faults.
@@ -83,7 +83,7 @@
 				seed,
 				[]int{3, 5}[rng.IntN(2)],
 				[]config.Workers{fastTimings, slowTimings}[rng.IntN(2)],
-				func(l *cluster) { l.runToCompletion(steps, []string{"slow"}) },
+				func(c *cluster) { c.runToCompletion(steps, []string{"slow"}) },
 			)
 		})
 	}
@@ -92,13 +92,13 @@
 // TestMessagesOfAHeartbeat: without faults, controllers send each other heartbeats at their interval, each in one
 // packet with one for its reply, and nothing else.
 func TestMessagesOfAHeartbeat(t *testing.T) {
-	runScenario(t, 21, 3, fastTimings, func(l *cluster) {
+	runScenario(t, 21, 3, fastTimings, func(c *cluster) {
 		time.Sleep(20 * s)
-		before := l.peerPackets()
+		before := c.peerPackets()
 		const span = 60 * s
 		time.Sleep(span)
-		got := l.peerPackets() - before
-		beat := daemon.Times(&l.cfg).HeartbeatInterval
+		got := c.peerPackets() - before
+		beat := daemon.Times(&c.cfg).HeartbeatInterval
 		// The leader sends to both followers with every beat, the followers to both others
 		// with every other one.
 		heartbeats := int(span/beat)*2 + int(span/(2*beat))*4
@@ -110,10 +110,10 @@
 }
 
 // peerPackets returns the number of packets that controllers have sent each other.
-func (l *cluster) peerPackets() (n int) {
-	for _, a := range l.controllers {
-		for _, b := range l.others(a) {
-			n += l.net.Packets(a.ip, b.ip)
+func (c *cluster) peerPackets() (n int) {
+	for _, a := range c.controllers {
+		for _, b := range c.others(a) {
+			n += c.net.Packets(a.ip, b.ip)
 		}
 	}
 	return n
@@ -122,34 +122,34 @@
 // TestUsersWhileANewLeaderHears: while a new leader reads the records and waits for its machines, submissions to the
 // other controllers are accepted all the same.
 func TestUsersWhileANewLeaderHears(t *testing.T) {
-	runScenario(t, 22, 3, fastTimings, func(l *cluster) {
-		l.startJobs(12)
-		old, term := l.leader(), l.term()
-		l.crash(old, 60*s)
-		rest := l.others(old)
+	runScenario(t, 22, 3, fastTimings, func(c *cluster) {
+		c.startJobs(12)
+		old, term := c.leader(), c.term()
+		c.crash(old, 60*s)
+		rest := c.others(old)
 		sent, shed := 0, 0
-		for end := l.now() + 20*s; l.now() < end; time.Sleep(100 * ms) {
-			j := l.newJob("array", 1, 1)
-			l.mu.Lock()
-			l.world.Jobs[j.ID], l.world.RunTimes[j.ID] = &j, 3*s
-			l.jobIDs = append(l.jobIDs, j.ID)
-			l.mu.Unlock()
+		for end := c.now() + 20*s; c.now() < end; time.Sleep(100 * ms) {
+			j := c.newJob("array", 1, 1)
+			c.mu.Lock()
+			c.world.Jobs[j.ID], c.world.RunTimes[j.ID] = &j, 3*s
+			c.jobIDs = append(c.jobIDs, j.ID)
+			c.mu.Unlock()
 			sent++
-			if status, _ := l.request(rest[sent%2], RequestSubmit, j.ID); status != 200 && status != 201 {
+			if status, _ := c.request(rest[sent%2], RequestSubmit, j.ID); status != 200 && status != 201 {
 				shed++
-				l.submit(j)
+				c.submit(j)
 				continue
 			}
-			l.pollInBackground(j.ID)
+			c.pollInBackground(j.ID)
 		}
 		t.Logf("%d of %d submissions shed", shed, sent)
-		if l.term() == term {
+		if c.term() == term {
 			t.Error("nobody took over: the test shows nothing")
 		}
 		if most := sent / 50; shed > most {
 			t.Errorf("%d of %d submissions shed, want %d at most", shed, sent, most)
 		}
 		time.Sleep(4 * time.Minute)
-		l.checkAllServed()
+		c.checkAllServed()
 	})
 }
--- a/internal/simulation/zone_test.go
+++ b/internal/simulation/zone_test.go
@@ -18,18 +18,18 @@
 
 // withZoneFailover enables zone failover at the controllers that a function selects.
 func withZoneFailover(on func(node int) bool) func(*cluster) {
-	return func(l *cluster) {
-		l.features = func(node int) daemon.Features {
+	return func(c *cluster) {
+		c.features = func(node int) daemon.Features {
 			if !on(node) {
 				return daemon.Features{}
 			}
 			return daemon.Features{ZoneReturn: zonefailover.DefaultRecoveryOrder()}
 		}
-		l.bootTime = func(name string) time.Duration {
-			return 3*time.Second + l.randomDuration("boot "+name, 3*time.Second)
+		c.bootTime = func(name string) time.Duration {
+			return 3*time.Second + c.randomDuration("boot "+name, 3*time.Second)
 		}
-		l.zoneCapacity = 6
-		l.cfg.Teams = []config.Team{{Name: "red"}, {Name: "blue", GuaranteedGPUs: 8}}
+		c.zoneCapacity = 6
+		c.cfg.Teams = []config.Team{{Name: "red"}, {Name: "blue", GuaranteedGPUs: 8}}
 	}
 }
 
@@ -37,9 +37,9 @@
 func everywhere(int) bool { return true }
 
 // withSingleZone leaves one zone in the settings and the cloud.
-func withSingleZone(l *cluster) {
-	l.cfg.Zones = []string{"a"}
-	l.types[0].Zones = []string{"a"}
+func withSingleZone(c *cluster) {
+	c.cfg.Zones = []string{"a"}
+	c.types[0].Zones = []string{"a"}
 }
 
 // Troubles of a zone.
@@ -53,16 +53,16 @@
 const zoneOfGangs = "of gangs"
 
 // resolveZone returns the zone that a scenario names.
-func (l *cluster) resolveZone(zone string) string {
+func (c *cluster) resolveZone(zone string) string {
 	if zone != zoneOfGangs {
 		return zone
 	}
-	l.mu.Lock()
-	defer l.mu.Unlock()
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	tasks := map[string]int{}
-	for _, m := range l.world.Workers {
+	for _, m := range c.world.Workers {
 		for id := range m.Tasks {
-			if l.world.Jobs[id.JobID].Shape == protocol.Gang {
+			if c.world.Jobs[id.JobID].Shape == protocol.Gang {
 				tasks[m.Zone]++
 			}
 		}
@@ -75,24 +75,24 @@
 
 // silenceZone blocks all links of the machines of a zone. Only a share of the machines is still there when that ends.
 func silenceZone(zone string, share float64) fault {
-	return func(l *cluster) func() {
-		l.recordOccurrence("zone silent")
-		zone := l.resolveZone(zone)
-		workers := l.selectWorkers(99, inZone(zone))
-		l.setZoneDead(zone, true)
+	return func(c *cluster) func() {
+		c.recordOccurrence("zone silent")
+		zone := c.resolveZone(zone)
+		workers := c.selectWorkers(99, inZone(zone))
+		c.setZoneDead(zone, true)
 		var ends []func()
 		for _, r := range workers {
-			ends = append(ends, l.blockLink("*", r.ip), l.blockLink(r.ip, "*"))
+			ends = append(ends, c.blockLink("*", r.ip), c.blockLink(r.ip, "*"))
 		}
 		return func() {
-			l.mu.Lock()
+			c.mu.Lock()
 			for i, r := range workers {
 				if float64(i) >= share*float64(len(workers)) {
-					l.cloud.Remove(r.machine.Name)
+					c.cloud.Remove(r.machine.Name)
 				}
 			}
-			l.mu.Unlock()
-			l.setZoneDead(zone, false)
+			c.mu.Unlock()
+			c.setZoneDead(zone, false)
 			for _, f := range ends {
 				f()
 			}
@@ -102,40 +102,40 @@
 
 // killZone takes all machines of a zone away, and rents out none there until that ends.
 func killZone(zone string) fault {
-	return func(l *cluster) func() {
-		l.recordOccurrence("zone dead")
-		zone := l.resolveZone(zone)
-		l.setZoneDead(zone, true)
-		for _, r := range l.selectWorkers(99, inZone(zone)) {
-			l.mu.Lock()
-			l.cloud.Remove(r.machine.Name)
-			l.mu.Unlock()
+	return func(c *cluster) func() {
+		c.recordOccurrence("zone dead")
+		zone := c.resolveZone(zone)
+		c.setZoneDead(zone, true)
+		for _, r := range c.selectWorkers(99, inZone(zone)) {
+			c.mu.Lock()
+			c.cloud.Remove(r.machine.Name)
+			c.mu.Unlock()
 		}
-		return func() { l.setZoneDead(zone, false) }
+		return func() { c.setZoneDead(zone, false) }
 	}
 }
 
 // setZoneDead sets whether machines can be rented in a zone.
-func (l *cluster) setZoneDead(zone string, dead bool) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.deadZones[zone] = dead
+func (c *cluster) setZoneDead(zone string, dead bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.deadZones[zone] = dead
 }
 
 // crashLeaderOnLoan is a step that makes the leader crash when it writes a loan, before or after the write is applied.
-func crashLeaderOnLoan(carriedOut bool) func(l *cluster) {
-	return func(l *cluster) {
+func crashLeaderOnLoan(carriedOut bool) func(c *cluster) {
+	return func(c *cluster) {
 		done := false
-		l.store.SetOutcomes(func(_ string, t *protocol.Txn) Outcome {
+		c.store.SetOutcomes(func(_ string, t *protocol.Txn) Outcome {
 			loan := slices.ContainsFunc(t.Then, func(op protocol.Op) bool { return writesLoan(op) })
-			l.mu.Lock()
-			defer l.mu.Unlock()
+			c.mu.Lock()
+			defer c.mu.Unlock()
 			if !loan || done {
 				return Outcome{Reply: true}
 			}
 			done = true
-			l.occurred["crash on loan"]++
-			time.AfterFunc(0, crashLeaderAtOnce(l))
+			c.occurred["crash on loan"]++
+			time.AfterFunc(0, crashLeaderAtOnce(c))
 			if carriedOut {
 				return Outcome{}
 			}
@@ -145,7 +145,7 @@
 }
 
 // crashLeaderAtOnce returns a function that crashes the leader.
-func crashLeaderAtOnce(l *cluster) func() { return func() { l.crash(l.leader(), 5*s) } }
+func crashLeaderAtOnce(c *cluster) func() { return func() { c.crash(c.leader(), 5*s) } }
 
 // writesLoan says whether an operation records a loan.
 func writesLoan(op protocol.Op) bool {
@@ -160,86 +160,86 @@
 
 // submitZoneJobs fills the fleet: critical replicas over both zones, urgent gangs in one, and lower
 // arrays of both teams that save or not.
-func submitZoneJobs(l *cluster) {
+func submitZoneJobs(c *cluster) {
 	for i := range 3 {
-		j := l.newJob(protocol.Service, 1+i, 2)
+		j := c.newJob(protocol.Service, 1+i, 2)
 		j.Spread = i > 0
-		l.submit(j)
+		c.submit(j)
 	}
 	for i := range 3 {
-		j := l.newJob(protocol.Gang, 1+i%2, 8)
+		j := c.newJob(protocol.Gang, 1+i%2, 8)
 		j.Priority, j.SameZone, j.CheckpointIntervalSeconds, j.SaveSeconds, j.Team = "urgent", true, 5, 1, "red"
-		l.submit(j)
+		c.submit(j)
 	}
-	l.submitArrays(6)
+	c.submitArrays(6)
 }
 
 // submitArrays submits arrays of the lowest priority.
-func (l *cluster) submitArrays(n int) {
+func (c *cluster) submitArrays(n int) {
 	for i := range n {
-		j := l.newJob(protocol.Array, 4, 2)
+		j := c.newJob(protocol.Array, 4, 2)
 		j.Priority = "best_effort"
 		if i%2 == 0 {
 			j.CheckpointIntervalSeconds, j.SaveSeconds = 5, 1
 		}
-		l.mu.Lock()
-		l.world.RunTimes[j.ID] = 15 * s
-		l.mu.Unlock()
-		l.submit(j)
+		c.mu.Lock()
+		c.world.RunTimes[j.ID] = 15 * s
+		c.mu.Unlock()
+		c.submit(j)
 	}
 }
 
 // lowPriorityArrays submits arrays as a step of a scenario.
-func lowPriorityArrays(n int) func(*cluster) { return func(l *cluster) { l.submitArrays(n) } }
+func lowPriorityArrays(n int) func(*cluster) { return func(c *cluster) { c.submitArrays(n) } }
 
 // watchLoans has the oracle of loans look at the records.
-func (l *cluster) watchLoans() *LoanOracle {
+func (c *cluster) watchLoans() *LoanOracle {
 	o := NewLoanOracle()
-	l.spawn(func() {
-		for l.ctx.Err() == nil {
+	c.spawn(func() {
+		for c.ctx.Err() == nil {
 			time.Sleep(20 * ms)
-			l.observeLoans(o)
+			c.observeLoans(o)
 		}
 	})
 	return o
 }
 
-func (l *cluster) observeLoans(o *LoanOracle) {
+func (c *cluster) observeLoans(o *LoanOracle) {
 	var rows []storage.LoanRow
-	pairs, _ := l.store.List(storage.ZoneFailoverPrefix)
+	pairs, _ := c.store.List(storage.ZoneFailoverPrefix)
 	for _, p := range pairs {
 		rec, err := storage.DecodeZoneFailover(p)
 		if err != nil {
-			l.t.Errorf("zone return record: %v", err)
+			c.t.Errorf("zone return record: %v", err)
 			continue
 		}
 		rows = append(rows, rec.Loans...)
 	}
-	l.mu.Lock()
-	defer l.mu.Unlock()
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	o.CheckRecords(rows, func(row storage.LoanRow) LenderObservation {
 		return LenderObservation{
-			LenderLevel:   l.world.Jobs[row.Lender].Priority.Rank(),
-			BorrowerLevel: l.world.Jobs[row.Borrower].Priority.Rank(),
+			LenderLevel:   c.world.Jobs[row.Lender].Priority.Rank(),
+			BorrowerLevel: c.world.Jobs[row.Borrower].Priority.Rank(),
 		}
 	})
-	l.occurred["loan"] = o.LoanCount
+	c.occurred["loan"] = o.LoanCount
 }
 
 // checkLoans demands that all loans have ended, and that no rule on lending was broken.
-func (l *cluster) checkLoans(loans *LoanOracle) {
-	l.t.Helper()
-	on := l.leader().features.ZoneReturn != nil
-	fenced := l.logCount("is returned for")
-	l.mu.Lock()
-	defer l.mu.Unlock()
+func (c *cluster) checkLoans(loans *LoanOracle) {
+	c.t.Helper()
+	on := c.leader().features.ZoneReturn != nil
+	fenced := c.logCount("is returned for")
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	if on {
 		loans.CheckAllClosed() // a leader without it leaves the records alone
 	}
 	for _, broken := range loans.Violations {
-		l.t.Error(broken)
+		c.t.Error(broken)
 	}
-	l.t.Logf("%d loans, %d machines fenced for a return", loans.LoanCount, fenced)
+	c.t.Logf("%d loans, %d machines fenced for a return", loans.LoanCount, fenced)
 }
 
 // runZoneScenario plays a scenario of a zone's loss under all oracles.
@@ -252,19 +252,19 @@
 	options ...func(*cluster),
 ) {
 	t.Helper()
-	runScenario(t, seed, 3, w, func(l *cluster) {
-		loans := l.watchLoans()
+	runScenario(t, seed, 3, w, func(c *cluster) {
+		loans := c.watchLoans()
 		time.Sleep(5 * s)
-		submitZoneJobs(l)
+		submitZoneJobs(c)
 		time.Sleep(25 * s)
-		l.runSteps(steps)
+		c.runSteps(steps)
 		time.Sleep(
-			20*config.Seconds(l.cfg.Workers.CancelSeconds) + 2*time.Minute,
+			20*config.Seconds(c.cfg.Workers.CancelSeconds) + 2*time.Minute,
 		) // until what is never repaid is written off
-		l.checkAllServed()
-		l.checkLoans(loans)
+		c.checkAllServed()
+		c.checkLoans(loans)
 		for _, what := range happened {
-			if l.occurrences(what) == 0 && l.logCount(what) == 0 {
+			if c.occurrences(what) == 0 && c.logCount(what) == 0 {
 				t.Errorf("%s did not happen", what)
 			}
 		}
@@ -427,11 +427,11 @@
 }
 
 // hangZone is a step that makes all machines of a zone execute nothing for a while.
-func hangZone(zone string, d time.Duration) func(l *cluster) {
-	return func(l *cluster) {
-		workers := l.selectWorkers(99, inZone(zone))
-		l.mu.Lock()
-		defer l.mu.Unlock()
+func hangZone(zone string, d time.Duration) func(c *cluster) {
+	return func(c *cluster) {
+		workers := c.selectWorkers(99, inZone(zone))
+		c.mu.Lock()
+		defer c.mu.Unlock()
 		for _, r := range workers {
 			if !r.model.Hung {
 				r.hang(d)
@@ -477,8 +477,8 @@
 // TestZoneReturnTeamLimits: as long as the tasks of a lost zone are not known to have ended, they count toward the
 // limit of their team, which no task elsewhere may exceed.
 func TestZoneReturnTeamLimits(t *testing.T) {
-	limits := func(l *cluster) {
-		l.cfg.Teams = []config.Team{{Name: "red", MaxGPUs: 32}, {Name: "blue", GuaranteedGPUs: 8, MaxGPUs: 24}}
+	limits := func(c *cluster) {
+		c.cfg.Teams = []config.Team{{Name: "red", MaxGPUs: 32}, {Name: "blue", GuaranteedGPUs: 8, MaxGPUs: 24}}
 	}
 	steps := []step{{0, overload(14)}, {10 * s, during(50*s, silenceZone("b", 1))}, {20 * s, cancelJobs(2, 0)}}
 	runZoneScenario(t, 455, fastTimings, steps, []string{"is lost"}, withZoneFailover(everywhere), limits)
@@ -486,14 +486,14 @@
 
 // TestZoneReturnSingleZone: with a single zone in the settings nothing changes, and the log says so.
 func TestZoneReturnSingleZone(t *testing.T) {
-	runScenario(t, 450, 3, fastTimings, func(l *cluster) {
-		l.startJobs(9)
-		heal := silenceZone("a", 1)(l)
+	runScenario(t, 450, 3, fastTimings, func(c *cluster) {
+		c.startJobs(9)
+		heal := silenceZone("a", 1)(c)
 		time.Sleep(20 * s)
 		heal()
 		time.Sleep(4 * time.Minute)
-		l.checkAllServed()
-		if l.logCount("a single zone, nothing to do") == 0 || l.logCount("is lost") > 0 {
+		c.checkAllServed()
+		if c.logCount("a single zone, nothing to do") == 0 || c.logCount("is lost") > 0 {
 			t.Error("the log does not say that there is nothing to do")
 		}
 	}, withZoneFailover(everywhere), withSingleZone)
