--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -57,13 +57,26 @@
 	MaxGPUs        float64 `toml:"gpus_max"`
 }
 
-// Objective is a service-level objective on starting ("wait"), finishing ("finished") or meeting a job's own deadline
-// ("deadline"): the fraction of the jobs of a class that is to do so within a time.
+// ObjectiveKind is what a service-level objective is about.
+type ObjectiveKind string
+
+// Kinds of objectives, as the settings file names them.
+const (
+	// ObjectiveStartLatency is on the time from the submission of a job to its start.
+	ObjectiveStartLatency ObjectiveKind = "wait"
+	// ObjectiveCompletion is on the time from the submission of a job to its end.
+	ObjectiveCompletion ObjectiveKind = "finished"
+	// ObjectiveDeadline is on meeting the deadline that a job states.
+	ObjectiveDeadline ObjectiveKind = "deadline"
+)
+
+// Objective is a service-level objective: the fraction of the jobs of a class that is to start, or to finish,
+// within a time, or to meet its own deadline.
 type Objective struct {
-	Kind          string  `toml:"kind"`
-	Class         string  `toml:"class"`
-	WithinSeconds float64 `toml:"within_s"`
-	Fraction      float64 `toml:"share"`
+	Kind          ObjectiveKind `toml:"kind"`
+	Class         string        `toml:"class"`
+	WithinSeconds float64       `toml:"within_s"`
+	Fraction      float64       `toml:"share"`
 	// DeadlineFactor is how many times its deadline a job may take, for objectives on deadlines.
 	DeadlineFactor float64 `toml:"times"`
 }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"errors"
+	"slices"
 	"strings"
 	"testing"
 
@@ -154,3 +155,35 @@
 		t.Errorf("%v, want %q", err, line)
 	}
 }
+
+// TestObjectives: the kinds of objectives have the names that the settings file uses.
+func TestObjectives(t *testing.T) {
+	s, err := Parse([]byte(validSettings + `
+[[deployment.objectives]]
+kind = "wait"
+class = "quick"
+within_s = 12.0
+share = 0.9
+[[deployment.objectives]]
+kind = "finished"
+class = "batch"
+within_s = 600.0
+share = 0.5
+[[deployment.objectives]]
+kind = "deadline"
+class = "batch"
+share = 0.5
+times = 2.0
+`))
+	if err != nil {
+		t.Fatal(err)
+	}
+	want := []Objective{
+		{Kind: ObjectiveStartLatency, Class: "quick", WithinSeconds: 12, Fraction: 0.9},
+		{Kind: ObjectiveCompletion, Class: "batch", WithinSeconds: 600, Fraction: 0.5},
+		{Kind: ObjectiveDeadline, Class: "batch", Fraction: 0.5, DeadlineFactor: 2},
+	}
+	if !slices.Equal(s.Deployment.Objectives, want) {
+		t.Errorf("objectives %+v, want %+v", s.Deployment.Objectives, want)
+	}
+}
--- a/internal/coordination/demand/objectives.go
+++ b/internal/coordination/demand/objectives.go
@@ -32,7 +32,7 @@
 func (o Objectives) deviations(class string) float64 {
 	fraction := defaultFraction
 	for _, objective := range o.All {
-		if objective.Kind == "wait" && objective.Class == class {
+		if objective.Kind == config.ObjectiveStartLatency && objective.Class == class {
 			fraction = max(fraction, min(objective.Fraction, maxFraction))
 		}
 	}
--- a/internal/coordination/placement/objectives.go
+++ b/internal/coordination/placement/objectives.go
@@ -14,7 +14,7 @@
 func StartLatencyObjectivesOf(objectives []config.Objective) StartLatencyObjectives {
 	latencies := StartLatencyObjectives{}
 	for _, o := range objectives {
-		if o.Kind == "wait" && o.WithinSeconds < latencies.Seconds(o.Class) {
+		if o.Kind == config.ObjectiveStartLatency && o.WithinSeconds < latencies.Seconds(o.Class) {
 			latencies[o.Class] = o.WithinSeconds
 		}
 	}
--- a/internal/coordination/scheduler/gangorder.go
+++ b/internal/coordination/scheduler/gangorder.go
@@ -5,6 +5,7 @@
 	"slices"
 	"time"
 
+	"pinebay/internal/config"
 	"pinebay/internal/coordination/jobstate"
 	"pinebay/internal/protocol"
 )
@@ -64,9 +65,9 @@
 		}
 		longest = max(longest, o.WithinSeconds)
 		switch {
-		case o.Kind == "wait" && !j.StartCounted && waited <= o.WithinSeconds:
+		case o.Kind == config.ObjectiveStartLatency && !j.StartCounted && waited <= o.WithinSeconds:
 			tier = canStartInTime
-		case o.Kind == "finished" && waited+j.Spec.EstimateSeconds <= o.WithinSeconds:
+		case o.Kind == config.ObjectiveCompletion && waited+j.Spec.EstimateSeconds <= o.WithinSeconds:
 			tier = min(tier, canFinishInTime)
 		}
 	}
