--- a/internal/coordination/scheduler/dependencies.go
+++ b/internal/coordination/scheduler/dependencies.go
@@ -134,11 +134,12 @@
 // writeCancelledDependents records the ends of jobs that are cancelled because a dependency is. They count as cancelled
 // without a record, since every controller derives that from the dependency; the record saves that work.
 func (c *Scheduler) writeCancelledDependents() {
-	for len(c.cancelledDependents) > 0 && !c.writes.paused && c.writes.pagesInFlight[PriorityCompletion] < c.recordLimits.MaxCompletionPages() {
+	limit := max(placementrecords.MinOperations, c.recordLimits.MaxOperations())
+	for len(c.cancelledDependents) > 0 && c.mayWriteCompletions() {
 		id, name := c.writes.nextID()
 		t := protocol.Txn{If: []protocol.Compare{c.writes.termUnchanged()}}
 		var jobs []*jobstate.Job
-		for len(c.cancelledDependents) > 0 && len(t.Then)+placementrecords.MinOperations <= max(placementrecords.MinOperations, c.recordLimits.MaxOperations()) {
+		for len(c.cancelledDependents) > 0 && len(t.Then)+placementrecords.MinOperations <= limit {
 			j := c.cancelledDependents[0]
 			c.cancelledDependents[0] = nil
 			c.cancelledDependents = c.cancelledDependents[1:]
--- a/internal/coordination/scheduler/placementwriter.go
+++ b/internal/coordination/scheduler/placementwriter.go
@@ -85,7 +85,7 @@
 // recordCompletions writes what has ended of jobs, longest waiting first, as far as the key-value store can write it
 // soon.
 func (c *Scheduler) recordCompletions(now time.Duration) {
-	for !c.writes.paused && c.writes.pagesInFlight[PriorityCompletion] < c.recordLimits.MaxCompletionPages() {
+	for c.mayWriteCompletions() {
 		j := c.queues.NextCompletion(now - placementrecords.CompletionDelay)
 		if j == nil {
 			return
@@ -99,6 +99,12 @@
 	}
 }
 
+// mayWriteCompletions reports whether another write of completions may begin now.
+func (c *Scheduler) mayWriteCompletions() bool {
+	inFlight := c.writes.pagesInFlight[PriorityCompletion]
+	return !c.writes.paused && inFlight < c.recordLimits.MaxCompletionPages()
+}
+
 // writeBatch submits the writes of several jobs in one transaction.
 func (c *Scheduler) writeBatch(priority WritePriority, batch []*placementrecords.JobWrite) {
 	id, name := c.writes.nextID()
--- a/internal/coordination/scheduler/recovery_test.go
+++ b/internal/coordination/scheduler/recovery_test.go
@@ -10,8 +10,7 @@
 	"pinebay/internal/storage"
 )
 
-// TestNewLeaderRecoversImageHints: what one leader wrote down of the machines'
-// images leads the next one's tasks to the machine that has theirs.
+// What one leader recorded of the machines' images leads the next one's tasks to the machine that has theirs.
 func TestNewLeaderRecoversImageHints(t *testing.T) {
 	b := newHarness([]config.Team{{Name: "red"}}, "a")
 	b.heartbeat("m2", "a", false)
@@ -33,7 +32,7 @@
 		}
 	}
 	if warm == nil {
-		t.Fatal("nothing was written down")
+		t.Fatal("no image hint was written")
 	}
 	next := newHarness([]config.Team{{Name: "red"}}, "a")
 	next.scheduler = New(
@@ -56,8 +55,8 @@
 	}
 }
 
-// TestNewLeaderRecoversWaitingTimes: how long a job has waited counts from its submission,
-// also for a leader that has just come: here, which gang can still start in time.
+// How long a job has waited counts from its submission, also for a new leader: here, which gang can still start in
+// time.
 func TestNewLeaderRecoversWaitingTimes(t *testing.T) {
 	b := newHarness([]config.Team{{Name: "red"}}, "a")
 	b.setObjectives([]config.Objective{
@@ -96,9 +95,8 @@
 	}
 }
 
-// TestUnreachableLeaderStepsDown: a leader that most machines cannot reach lets
-// another lead; and a machine that only others reach gets its commands with
-// the answers that are passed on, not directly.
+// A leader that most machines can't reach steps down for another controller. A machine that reaches only others gets
+// its commands with relayed replies, not directly.
 func TestUnreachableLeaderStepsDown(t *testing.T) {
 	for _, x := range []struct {
 		relayed int
@@ -112,7 +110,8 @@
 				name := fmt.Sprintf("m%d", i)
 				b.heartbeat(name, "a", false)
 				r := b.nextHeartbeat(name)
-				for _, e := range b.scheduler.Step(b.now, HeartbeatReceived{ReplyTo: name, Heartbeat: r, Relayed: i < x.relayed}) {
+				received := HeartbeatReceived{ReplyTo: name, Heartbeat: r, Relayed: i < x.relayed}
+				for _, e := range b.scheduler.Step(b.now, received) {
 					if a, ok := e.(HeartbeatReply); ok {
 						b.executeCommands(name, a.Body.FencingToken, a.Body.Commands)
 					}
@@ -142,8 +141,7 @@
 	}
 }
 
-// TestNewLeaderRecoversArrivals: spare room does not vanish with a take-over,
-// and jobs that live are not counted twice.
+// The forecast of arrivals survives a failover, and live jobs are not counted twice.
 func TestNewLeaderRecoversArrivals(t *testing.T) {
 	cfg := []config.Objective{{Kind: "wait", Class: "quick", WithinSeconds: 12, Fraction: 0.9}}
 	b := newHarness([]config.Team{{Name: "red"}}, "a")
@@ -193,9 +191,8 @@
 	}
 }
 
-// TestNewLeaderProbesMachines: a new leader asks the machines that are there how they
-// stand, once, and places work where one answers, before its worker has found out
-// who leads. Copies of what they say do no harm.
+// A new leader probes the running machines that it has not heard of, once each, and places work where one answers,
+// before its worker has found out who leads. Duplicated replies do no harm.
 func TestNewLeaderProbesMachines(t *testing.T) {
 	b := newHarness([]config.Team{{Name: "red"}}, "a")
 	var list []protocol.ListedMachine
@@ -233,8 +230,7 @@
 	}
 }
 
-// TestSmallLeaderLimitsProbes: a leader with a small share of a core asks a few
-// machines a second, and none that has reported meanwhile.
+// A leader with a small share of a core probes a few machines a second, and none that has reported meanwhile.
 func TestSmallLeaderLimitsProbes(t *testing.T) {
 	b := newHarness([]config.Team{{Name: "red"}}, "a")
 	b.scheduler.cfg.Quota.CoreShare = 0.02
