--- a/cmd/pinebay/main.go
+++ b/cmd/pinebay/main.go
@@ -49,7 +49,7 @@
 	settingsPath string
 	stepTimes    bool
 	ownership    bool
-	zoneReturn   zoneReturnFlags
+	zoneFailover zoneFailoverFlags
 }
 
 func newCommand() *cobra.Command {
@@ -81,7 +81,7 @@
 	set.BoolVar(&f.ownership, "ownership", false,
 		"watch the other controllers for failures, and part the machines among those that live")
 	set.BoolVar(&f.stepTimes, "step-times", false, "log how long the leader's steps and heartbeats take")
-	f.zoneReturn.add(cmd)
+	f.zoneFailover.add(cmd)
 }
 
 // newController checks flags, settings and environment, limits the runtime by the settings, and returns a controller
@@ -94,7 +94,7 @@
 	if err != nil {
 		return nil, err
 	}
-	features, err := f.zoneReturn.features(settings)
+	features, err := f.zoneFailover.features(settings)
 	if err != nil {
 		return nil, err
 	}
@@ -128,33 +128,33 @@
 	return err
 }
 
-// zoneReturnFlags are the flags of zone return.
-type zoneReturnFlags struct {
+// zoneFailoverFlags are the flags of zone failover.
+type zoneFailoverFlags struct {
 	enabled bool
 	order   string
 }
 
-func (f *zoneReturnFlags) add(cmd *cobra.Command) {
+func (f *zoneFailoverFlags) add(cmd *cobra.Command) {
 	cmd.Flags().BoolVar(&f.enabled, "zone-return", false, "bring work back in a stated order when a zone is lost")
 	cmd.Flags().StringVar(&f.order, "zone-return-order", "",
 		`with --zone-return, which classes and teams come first, as in "cluesmith > team guests"`)
 }
 
 // features checks the flags against the settings.
-func (f *zoneReturnFlags) features(cfg *config.Settings) (daemon.Features, error) {
+func (f *zoneFailoverFlags) features(cfg *config.Settings) (daemon.Features, error) {
 	switch {
 	case !f.enabled && f.order != "":
 		return daemon.Features{}, errors.New("--zone-return-order: needs --zone-return")
 	case !f.enabled:
 		return daemon.Features{}, nil
 	case f.order == "":
-		return daemon.Features{ZoneReturn: zonefailover.DefaultRecoveryOrder()}, nil
+		return daemon.Features{ZoneFailover: zonefailover.DefaultRecoveryOrder()}, nil
 	}
 	order, err := zonefailover.ParseRecoveryOrder(f.order, &cfg.Deployment)
 	if err != nil {
 		return daemon.Features{}, fmt.Errorf("--zone-return-order: %w", err)
 	}
-	return daemon.Features{ZoneReturn: order}, nil
+	return daemon.Features{ZoneFailover: order}, nil
 }
 
 func noArgs(args []string) error {
--- a/cmd/pinebay/main_test.go
+++ b/cmd/pinebay/main_test.go
@@ -55,22 +55,22 @@
 		Objectives: []config.Objective{{Kind: "wait", Class: "serve"}, {Kind: "finished", Class: "sweep"}},
 	}}
 	for _, row := range []struct {
-		flags zoneReturnFlags
+		flags zoneFailoverFlags
 		on    bool
 		want  string // in the error
 	}{
-		{zoneReturnFlags{}, false, ""},
-		{zoneReturnFlags{enabled: true}, true, ""},
-		{zoneReturnFlags{enabled: true, order: "serve > team red"}, true, ""},
-		{zoneReturnFlags{order: "serve"}, false, "--zone-return"},
-		{zoneReturnFlags{enabled: true, order: "serve > nobody"}, false, "nobody"},
-		{zoneReturnFlags{enabled: true, order: "serve > serve"}, false, "serve"},
-		{zoneReturnFlags{enabled: true, order: "serve > sweep; sweep > serve"}, false, "contradicts"},
-		{zoneReturnFlags{enabled: true, order: "serve >"}, false, "malformed"},
+		{zoneFailoverFlags{}, false, ""},
+		{zoneFailoverFlags{enabled: true}, true, ""},
+		{zoneFailoverFlags{enabled: true, order: "serve > team red"}, true, ""},
+		{zoneFailoverFlags{order: "serve"}, false, "--zone-return"},
+		{zoneFailoverFlags{enabled: true, order: "serve > nobody"}, false, "nobody"},
+		{zoneFailoverFlags{enabled: true, order: "serve > serve"}, false, "serve"},
+		{zoneFailoverFlags{enabled: true, order: "serve > sweep; sweep > serve"}, false, "contradicts"},
+		{zoneFailoverFlags{enabled: true, order: "serve >"}, false, "malformed"},
 	} {
 		features, err := row.flags.features(cfg)
 		switch {
-		case (features.ZoneReturn != nil) != row.on, (err != nil) != (row.want != ""):
+		case (features.ZoneFailover != nil) != row.on, (err != nil) != (row.want != ""):
 			t.Errorf("%+v: %v %v", row.flags, features, err)
 		case err != nil && (!strings.Contains(err.Error(), row.want) || strings.Contains(err.Error(), "\n")):
 			t.Errorf("%+v: %v, want %q", row.flags, err, row.want)
--- a/internal/coordination/leader/leader.go
+++ b/internal/coordination/leader/leader.go
@@ -67,8 +67,8 @@
 	WatchTimeout time.Duration
 	// ConfirmWithin is how long after its intent a cancellation is confirmed, or never without another intent.
 	ConfirmWithin time.Duration
-	// ZoneReturn is the order in which work returns when a zone is lost; nil: off.
-	ZoneReturn *zonefailover.RecoveryOrder
+	// ZoneFailover is the order in which work recovers when a zone is lost; nil turns zone failover off.
+	ZoneFailover *zonefailover.RecoveryOrder
 	// Timing measures the steps; nil: off.
 	Timing *timing.Recorder
 }
--- a/internal/coordination/leader/recovery.go
+++ b/internal/coordination/leader/recovery.go
@@ -55,7 +55,7 @@
 	if got.images, _, err = l.deps.Store.List(ctx, storage.ImageHintPrefix); err != nil {
 		return err
 	}
-	if l.options.ZoneReturn != nil {
+	if l.options.ZoneFailover != nil {
 		if got.zones, _, err = l.deps.Store.List(ctx, storage.ZoneFailoverPrefix); err != nil {
 			return err
 		}
--- a/internal/coordination/leader/term.go
+++ b/internal/coordination/leader/term.go
@@ -97,11 +97,11 @@
 // intents of cancellation first, then the changes of jobs, then the heartbeats, by which it may act.
 func (t *termLoop) startScheduler(ctx context.Context, now time.Duration, loaded loadedRecords) {
 	records := scheduler.RecoveredRecords{
-		MachineTypes:    loaded.types,
-		LiveJobs:        loaded.liveJobs,
-		Pages:           loaded.pages,
-		Images:          loaded.images,
-		ZoneReturnPages: loaded.zones,
+		MachineTypes:      loaded.types,
+		LiveJobs:          loaded.liveJobs,
+		Pages:             loaded.pages,
+		Images:            loaded.images,
+		ZoneFailoverPages: loaded.zones,
 	}
 	t.scheduler = scheduler.New(
 		now,
@@ -110,7 +110,7 @@
 		t.term,
 		records,
 		time.Now().UnixMilli(),
-		t.options.ZoneReturn,
+		t.options.ZoneFailover,
 	)
 	t.log.Info("records read",
 		"job_count", len(loaded.liveJobs),
--- a/internal/coordination/scheduler/scheduler.go
+++ b/internal/coordination/scheduler/scheduler.go
@@ -77,11 +77,11 @@
 
 // RecoveredRecords are the cloud's price list and the records of the state service that a new leader has read.
 type RecoveredRecords struct {
-	MachineTypes    []protocol.MachineType
-	LiveJobs        []protocol.KeyValue
-	Pages           []protocol.KeyValue // of placements
-	Images          []protocol.KeyValue // hints of the images on machines
-	ZoneReturnPages []protocol.KeyValue
+	MachineTypes      []protocol.MachineType
+	LiveJobs          []protocol.KeyValue
+	Pages             []protocol.KeyValue // of placements
+	Images            []protocol.KeyValue // hints of the images on machines
+	ZoneFailoverPages []protocol.KeyValue
 }
 
 // New returns the scheduler of a term, recovered from the records that the new leader has read. wallMS is the time of
@@ -103,7 +103,7 @@
 	c.recoverPages(now, records.Pages)
 	c.resumeInterrupted(now)
 	if order != nil {
-		c.startZoneFailover(now, order, records.ZoneReturnPages)
+		c.startZoneFailover(now, order, records.ZoneFailoverPages)
 	}
 	return c
 }
--- a/internal/coordination/scheduler/zoneharness_test.go
+++ b/internal/coordination/scheduler/zoneharness_test.go
@@ -67,8 +67,8 @@
 		pages = append(pages, p)
 	}
 	records := RecoveredRecords{
-		MachineTypes:    []protocol.MachineType{*b.scheduler.machines.MachineType("g8")},
-		ZoneReturnPages: pages,
+		MachineTypes:      []protocol.MachineType{*b.scheduler.machines.MachineType("g8")},
+		ZoneFailoverPages: pages,
 	}
 	b.scheduler = New(
 		b.now,
--- a/internal/coordination/scheduler/zoneloans_test.go
+++ b/internal/coordination/scheduler/zoneloans_test.go
@@ -132,7 +132,7 @@
 			Pages: []protocol.KeyValue{
 				{Key: productionPage(low.ID), Value: raw, Revision: 2},
 			},
-			ZoneReturnPages: []protocol.KeyValue{next.records[storage.ZoneFailoverKey(0)]},
+			ZoneFailoverPages: []protocol.KeyValue{next.records[storage.ZoneFailoverKey(0)]},
 		},
 		next.now.Milliseconds(),
 		next.order,
--- a/internal/daemon/features.go
+++ b/internal/daemon/features.go
@@ -8,8 +8,8 @@
 
 // Features are what an operator has turned on. Without any, a controller sends and stores nothing of them.
 type Features struct {
-	// ZoneReturn is the order in which work returns when a zone is lost; nil: off.
-	ZoneReturn *zonefailover.RecoveryOrder
+	// ZoneFailover is the order in which work recovers when a zone is lost; nil turns zone failover off.
+	ZoneFailover *zonefailover.RecoveryOrder
 	// Ownership watches the other controllers for failures, and divides the machines among those that live.
 	Ownership bool
 	// Timing measures the leader's steps and heartbeats and logs them; nil: off.
--- a/internal/daemon/leadership.go
+++ b/internal/daemon/leadership.go
@@ -126,7 +126,7 @@
 		Deployment:    &a.cfg.Deployment,
 		WatchTimeout:  a.times.LeaderTimeout / 2,
 		ConfirmWithin: a.times.CancellationTimeout,
-		ZoneReturn:    a.features.ZoneReturn,
+		ZoneFailover:  a.features.ZoneFailover,
 		Timing:        a.features.Timing,
 	}, scheduler.Term{
 		Number:       won.Term,
--- a/internal/simulation/zone_test.go
+++ b/internal/simulation/zone_test.go
@@ -23,7 +23,7 @@
 			if !on(node) {
 				return daemon.Features{}
 			}
-			return daemon.Features{ZoneReturn: zonefailover.DefaultRecoveryOrder()}
+			return daemon.Features{ZoneFailover: zonefailover.DefaultRecoveryOrder()}
 		}
 		c.bootTime = func(name string) time.Duration {
 			return 3*time.Second + c.randomDuration("boot "+name, 3*time.Second)
@@ -229,7 +229,7 @@
 // checkLoans demands that all loans have ended, and that no rule on lending was broken.
 func (c *cluster) checkLoans(loans *LoanOracle) {
 	c.t.Helper()
-	on := c.leader().features.ZoneReturn != nil
+	on := c.leader().features.ZoneFailover != nil
 	fenced := c.logCount("is returned for")
 	c.mu.Lock()
 	defer c.mu.Unlock()
