--- a/internal/simulation/failuredetection_test.go
+++ b/internal/simulation/failuredetection_test.go
@@ -28,9 +28,9 @@
 	return c.isolateFrom(c.leader(), firstFollower(c))
 }
 
-// TestSuspicions runs failures, and what only looks like one, under all oracles: the log has the suspicions and
+// TestFailureDetection runs failures, and what only looks like one, under all oracles: the log has the suspicions and
 // verdicts, and nothing else follows from them.
-func TestSuspicions(t *testing.T) {
+func TestFailureDetection(t *testing.T) {
 	scenarios := []scenario{
 		{
 			name:        "quiet",
--- a/internal/simulation/figures_test.go
+++ b/internal/simulation/figures_test.go
@@ -34,9 +34,9 @@
 	starts      int
 }
 
-// TestZoneReturnFigures measures the cost of losing a zone with and without zone failover. It checks nothing, and runs
-// only with PINEBAY_FIGURES set.
-func TestZoneReturnFigures(t *testing.T) {
+// TestZoneFailoverFigures measures the cost of losing a zone with and without zone failover. It checks nothing, and
+// runs only with PINEBAY_FIGURES set.
+func TestZoneFailoverFigures(t *testing.T) {
 	if os.Getenv("PINEBAY_FIGURES") == "" {
 		t.Skip("a measurement: set PINEBAY_FIGURES")
 	}
--- a/internal/simulation/intents_test.go
+++ b/internal/simulation/intents_test.go
@@ -8,9 +8,9 @@
 	"pinebay/internal/protocol"
 )
 
-// TestCancellationThatIsNotSafeIsRefusedAtOnce: a controller that reaches the key-value store but none of the other
+// TestCancellationWithoutQuorumIsRefusedAtOnce: a controller that reaches the key-value store but none of the other
 // controllers tells users of cancellations at once to retry.
-func TestCancellationThatIsNotSafeIsRefusedAtOnce(t *testing.T) {
+func TestCancellationWithoutQuorumIsRefusedAtOnce(t *testing.T) {
 	runScenario(t, 10, 3, fastTimings, func(c *cluster) {
 		c.startJobs(6)
 		n := c.others(c.leader())[0]
@@ -90,10 +90,10 @@
 	})
 }
 
-// TestLateCancellationIsToldWithANewIntent: the transaction of a cancellation is applied long after its intent, when
+// TestLateCancellationNeedsNewIntent: the transaction of a cancellation is applied long after its intent, when
 // the leader runs the job again; the key-value store refuses the leader by then, and fails for all right after another
 // controller has read of the cancellation and told the user. That controller announces a new intent first.
-func TestLateCancellationIsToldWithANewIntent(t *testing.T) {
+func TestLateCancellationNeedsNewIntent(t *testing.T) {
 	runScenario(t, 7, 3, fastTimings, func(c *cluster) {
 		c.startJobs(12)
 		old := c.leader()
@@ -130,10 +130,10 @@
 	})
 }
 
-// TestNobodyLeftToFence: the leader crashes right after a cancellation was confirmed, and the others in the outage that
-// follows, while a machine with one of the job's tasks hangs. Nobody can lead, so nobody knows of the placement; the
-// machine is released because nobody hears from it.
-func TestNobodyLeftToFence(t *testing.T) {
+// TestFencingWithoutLeader: the leader crashes right after a cancellation was confirmed, and the others in the outage
+// that follows, while a machine with one of the job's tasks hangs. Nobody can lead, so nobody knows of the placement;
+// the machine is released because nobody hears from it.
+func TestFencingWithoutLeader(t *testing.T) {
 	g := storeGap{before: 1700 * ms, outage: 1.5, crash: true, after: "killed", worker: "hung"}
 	runScenario(t, 5054, 3, slowTimings, g.run)
 }
--- a/internal/simulation/owners_test.go
+++ b/internal/simulation/owners_test.go
@@ -340,9 +340,9 @@
 	}, withOwnership(everywhere))
 }
 
-// TestOwnersInMixedSets: if the feature is enabled at some controllers only, or during an upgrade, those without it own
-// nothing and serve as before.
-func TestOwnersInMixedSets(t *testing.T) {
+// TestOwnersWithMixedSettings: if the feature is enabled at some controllers only, or during an upgrade, those without
+// it own nothing and serve as before.
+func TestOwnersWithMixedSettings(t *testing.T) {
 	one := func(node int) bool { return node == 1 }
 	two := func(node int) bool { return node > 0 }
 	scenarios := []scenario{
@@ -432,9 +432,9 @@
 	}
 }
 
-// TestOwnersThatLeave: all controllers but the leader are stopped one after the other, and come back. Their workers
+// TestOwnersThatShutDown: all controllers but the leader are stopped one after the other, and come back. Their workers
 // have moved before they end: nobody sends them heartbeats any more, no lease expires, and no task is started again.
-func TestOwnersThatLeave(t *testing.T) {
+func TestOwnersThatShutDown(t *testing.T) {
 	runScenario(t, 970, 5, fastTimings, func(c *cluster) {
 		time.Sleep(60 * s)
 		c.startJobs(9)
@@ -465,9 +465,9 @@
 	}, withOwnership(everywhere))
 }
 
-// TestVerdictIsInForceOnce: two controllers reach the verdict at the same time, and the record of one of them alone
+// TestVerdictTakesEffectOnce: two controllers reach the verdict at the same time, and the record of one of them alone
 // takes effect: epochs follow one another, and each has one set of owners on every controller.
-func TestVerdictIsInForceOnce(t *testing.T) {
+func TestVerdictTakesEffectOnce(t *testing.T) {
 	runScenario(t, 960, 5, fastTimings, func(c *cluster) {
 		c.startJobs(9)
 		time.Sleep(60 * s)
--- a/internal/simulation/pipeline_test.go
+++ b/internal/simulation/pipeline_test.go
@@ -520,8 +520,8 @@
 	}, productionLevel, announceLowerLimits)
 }
 
-// TestDrawnUpgrades runs upgrades in random orders with random faults, and pipelines throughout.
-func TestDrawnUpgrades(t *testing.T) {
+// TestRandomUpgrades runs upgrades in random orders with random faults, and pipelines throughout.
+func TestRandomUpgrades(t *testing.T) {
 	for seed := testutil.Seed(); seed < testutil.Seed()+6; seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
--- a/internal/simulation/random_scenarios_test.go
+++ b/internal/simulation/random_scenarios_test.go
@@ -93,8 +93,8 @@
 	return steps, names
 }
 
-// TestDrawnScenarios runs random scenarios.
-func TestDrawnScenarios(t *testing.T) {
+// TestRandomScenarios runs random scenarios.
+func TestRandomScenarios(t *testing.T) {
 	for seed := testutil.Seed(); seed < testutil.Seed()+10; seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
--- a/internal/simulation/records_test.go
+++ b/internal/simulation/records_test.go
@@ -170,9 +170,9 @@
 	runScenarios(t, 600, scenarios, func(c *cluster, x *scenario) { c.runToCompletion(x.steps, x.occurred) })
 }
 
-// TestRecordThatIsNeverPossible: the key-value store rejects every transaction that records one particular job. That
+// TestRecordThatIsAlwaysRejected: the key-value store rejects every transaction that records one particular job. That
 // job waits; those that shared its transactions do not.
-func TestRecordThatIsNeverPossible(t *testing.T) {
+func TestRecordThatIsAlwaysRejected(t *testing.T) {
 	runScenario(t, 620, 3, fastTimings, func(c *cluster) {
 		c.startJobs(9)
 		bad := c.newJob(protocol.Array, 2, 1)
--- a/internal/simulation/scenarios_test.go
+++ b/internal/simulation/scenarios_test.go
@@ -133,9 +133,9 @@
 	c.checkAllServed()
 }
 
-// TestCancelledWhileTheLeaderIsBlind runs store gaps with other faults. The intents that a quorum holds are what ends
-// the tasks: without them the first rows fail with ran_cancelled.
-func TestCancelledWhileTheLeaderIsBlind(t *testing.T) {
+// TestCancelledWhileLeaderCannotReachStore runs store gaps with other faults. The intents that a quorum holds are what
+// ends the tasks: without them the first rows fail with ran_cancelled.
+func TestCancelledWhileLeaderCannotReachStore(t *testing.T) {
 	rows := []struct {
 		controllers int
 		w           config.Workers
@@ -213,8 +213,8 @@
 	}
 }
 
-// TestDrawnGaps runs random store gaps.
-func TestDrawnGaps(t *testing.T) {
+// TestRandomStoreGaps runs random store gaps.
+func TestRandomStoreGaps(t *testing.T) {
 	for seed := testutil.Seed(); seed < testutil.Seed()+6; seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
--- a/internal/simulation/starvation_test.go
+++ b/internal/simulation/starvation_test.go
@@ -67,8 +67,8 @@
 	runScenarios(t, 300, starvationScenarios, func(c *cluster, x *scenario) { c.runToCompletion(x.steps, x.occurred) })
 }
 
-// TestDrawnStarvation combines slow controllers with random faults.
-func TestDrawnStarvation(t *testing.T) {
+// TestRandomStarvation combines slow controllers with random faults.
+func TestRandomStarvation(t *testing.T) {
 	for seed := testutil.Seed(); seed < testutil.Seed()+6; seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
@@ -119,9 +119,9 @@
 	return n
 }
 
-// TestUsersWhileANewLeaderHears: while a new leader reads the records and waits for its machines, submissions to the
+// TestSubmissionsDuringFailover: while a new leader reads the records and waits for its machines, submissions to the
 // other controllers are accepted all the same.
-func TestUsersWhileANewLeaderHears(t *testing.T) {
+func TestSubmissionsDuringFailover(t *testing.T) {
 	runScenario(t, 22, 3, fastTimings, func(c *cluster) {
 		c.startJobs(12)
 		old, term := c.leader(), c.term()
--- a/internal/simulation/zone_test.go
+++ b/internal/simulation/zonefailover_test.go
@@ -440,8 +440,8 @@
 	}
 }
 
-// TestZoneReturn runs every loss of a zone.
-func TestZoneReturn(t *testing.T) {
+// TestZoneFailover runs every loss of a zone.
+func TestZoneFailover(t *testing.T) {
 	for i, m := range zoneScenarios {
 		t.Run(m.name, func(t *testing.T) {
 			t.Parallel()
@@ -450,9 +450,9 @@
 	}
 }
 
-// TestZoneReturnMixed: controllers with and without the flag in one set break no rule, and neither does a leader with
+// TestZoneFailoverMixed: controllers with and without the flag in one set break no rule, and neither does a leader with
 // it after one without it.
-func TestZoneReturnMixed(t *testing.T) {
+func TestZoneFailoverMixed(t *testing.T) {
 	for _, on := range []int{0, 1, 2} {
 		t.Run(fmt.Sprint(on), func(t *testing.T) {
 			t.Parallel()
@@ -474,9 +474,9 @@
 	}
 }
 
-// TestZoneReturnTeamLimits: as long as the tasks of a lost zone are not known to have ended, they count toward the
+// TestZoneFailoverTeamLimits: as long as the tasks of a lost zone are not known to have ended, they count toward the
 // limit of their team, which no task elsewhere may exceed.
-func TestZoneReturnTeamLimits(t *testing.T) {
+func TestZoneFailoverTeamLimits(t *testing.T) {
 	limits := func(c *cluster) {
 		c.cfg.Teams = []config.Team{{Name: "red", MaxGPUs: 32}, {Name: "blue", GuaranteedGPUs: 8, MaxGPUs: 24}}
 	}
@@ -484,8 +484,8 @@
 	runZoneScenario(t, 455, fastTimings, steps, []string{"is lost"}, withZoneFailover(everywhere), limits)
 }
 
-// TestZoneReturnSingleZone: with a single zone in the settings nothing changes, and the log says so.
-func TestZoneReturnSingleZone(t *testing.T) {
+// TestZoneFailoverSingleZone: with a single zone in the settings nothing changes, and the log says so.
+func TestZoneFailoverSingleZone(t *testing.T) {
 	runScenario(t, 450, 3, fastTimings, func(c *cluster) {
 		c.startJobs(9)
 		heal := silenceZone("a", 1)(c)
@@ -516,8 +516,8 @@
 	return append(steps, drawn[:min(len(drawn), 2+rng.IntN(3))]...)
 }
 
-// TestDrawnZoneLosses combines losses of a zone with other random faults.
-func TestDrawnZoneLosses(t *testing.T) {
+// TestRandomZoneLosses combines losses of a zone with other random faults.
+func TestRandomZoneLosses(t *testing.T) {
 	for seed := testutil.Seed(); seed < testutil.Seed()+6; seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
