--- a/internal/coordination/scheduler/borrowing.go
+++ b/internal/coordination/scheduler/borrowing.go
@@ -63,7 +63,7 @@
 		return true
 	}
 	if err := m.Lend(now, j.Spec.ID, choice.Lenders, c.failoverRecordLimits()); err != nil {
-		c.log.Info("loan not opened", "job", j.Spec.ID, "error", err)
+		c.log.Info("failed to open loans", "job", j.Spec.ID, "error", err)
 		return false
 	}
 	c.nominateChosen(now, j, all, l, choice)
--- a/internal/coordination/scheduler/cancellation.go
+++ b/internal/coordination/scheduler/cancellation.go
@@ -17,7 +17,7 @@
 	if j == nil || j.Ended {
 		return
 	}
-	c.log.Debug("cancellation intent", "job", e.ID)
+	c.log.Debug("cancellation requested", "job", e.ID)
 	c.setFencingDeadline(j, c.fencingDeadline(now))
 	if j.Spec.Shape == protocol.Gang {
 		c.stopGang(now, j)
--- a/internal/coordination/scheduler/cloudevents.go
+++ b/internal/coordination/scheduler/cloudevents.go
@@ -22,7 +22,7 @@
 		}
 	}
 	for _, name := range c.autoscaler.HandleList(now, e.RequestedAt, e.Machines) {
-		c.log.Info("machine left the list of the cloud", "machine", name)
+		c.log.Info("machine no longer listed", "machine", name)
 		c.zoneFailover.NoteDepartedMachine(name)
 		c.removeMachine(now, name)
 	}
@@ -30,7 +30,7 @@
 
 // handleScaleOut passes the outcome of a rental to the autoscaler.
 func (c *Scheduler) handleScaleOut(now time.Duration, e ScaleOutResult) {
-	c.log.Info("scale out answered", "request", e.Request, "machines", len(e.Machines), "refused", e.Refused)
+	c.log.Info("scale-out answered", "request_id", e.Request, "machine_count", len(e.Machines), "refused", e.Refused)
 	c.autoscaler.HandleScaleOut(now, autoscaler.RentalOutcome{
 		RequestID:   e.Request,
 		RequestedAt: e.RequestedAt,
--- a/internal/coordination/scheduler/consolidate.go
+++ b/internal/coordination/scheduler/consolidate.go
@@ -18,7 +18,7 @@
 		return
 	}
 	for _, pl := range placement.PlacementsOn(m) {
-		c.log.Info("task stopped to consolidate machines", "task", pl.Task, "attempt", pl.Attempt, "machine", m.Name)
+		c.log.Info("task evicted for consolidation", "task", pl.Task, "attempt", pl.Attempt, "machine", m.Name)
 		c.stopPlacement(now, c.jobs[pl.Task.JobID], pl, 0)
 	}
 }
--- a/internal/coordination/scheduler/dependencies.go
+++ b/internal/coordination/scheduler/dependencies.go
@@ -104,7 +104,7 @@
 	if j == nil || j.Ended || !j.Blocked {
 		return
 	}
-	c.log.Debug("unblocked", "job", j.Spec.ID, "class", j.Spec.Class, "after", now-j.WaitingSince)
+	c.log.Debug("job unblocked", "job", j.Spec.ID, "class", j.Spec.Class, "waited", now-j.WaitingSince)
 	j.Unblock(now)
 	c.forecast.Arrived(&j.Spec, now)
 	c.cycle.due = true
@@ -154,7 +154,7 @@
 				},
 			)
 			if err != nil {
-				c.log.Error("final record not encoded", "job", j.Spec.ID, "error", err)
+				c.log.Error("failed to encode ended job record", "job", j.Spec.ID, "error", err)
 				continue
 			}
 			live, ended := storage.LiveJobKey(j.Spec.ID), storage.EndedJobKey(j.Spec.ID)
@@ -181,7 +181,7 @@
 		switch {
 		case w.Succeeded:
 			for _, j := range jobs {
-				c.log.Debug("cancelled with a dependency", "job", j.Spec.ID)
+				c.log.Debug("job cancelled with dependency", "job", j.Spec.ID)
 				c.dependencies.EndWithUnknownOutcome(j.Spec.ID)
 				c.endJob(now, j)
 			}
--- a/internal/coordination/scheduler/heartbeats.go
+++ b/internal/coordination/scheduler/heartbeats.go
@@ -96,7 +96,7 @@
 func (c *Scheduler) quarantineIfFailing(m *machineregistry.Machine) {
 	if len(m.FailedJobs) >= quarantineJobs && !m.Quarantined {
 		m.Quarantine()
-		c.log.Info("machine quarantined, as it fails tasks of several jobs", "machine", m.Name)
+		c.log.Info("machine quarantined", "machine", m.Name, "reason", "tasks of several jobs failed")
 	}
 }
 
--- a/internal/coordination/scheduler/lifecycle.go
+++ b/internal/coordination/scheduler/lifecycle.go
@@ -71,7 +71,7 @@
 		"attempt", pl.Attempt,
 		"machine", pl.Machine,
 		"waited", now-j.WaitingSince,
-		"placed", now-pl.ReservedAt,
+		"since_placed", now-pl.ReservedAt,
 		"image", j.Spec.Image)
 }
 
@@ -84,7 +84,7 @@
 	page.UnrecordedExits = append(page.UnrecordedExits, pl)
 	if lost {
 		c.markDisplaced(j, pl)
-		c.log.Info("task lost with its machine", "task", pl.Task, "attempt", pl.Attempt, "machine", pl.Machine)
+		c.log.Info("task lost", "task", pl.Task, "attempt", pl.Attempt, "machine", pl.Machine)
 	}
 	switch {
 	case j.Ended:
@@ -139,7 +139,7 @@
 	case protocol.CauseStopped, protocol.CausePeerLost, protocol.CauseDone:
 		return
 	}
-	c.log.Info("task failed", "task", pl.Task, "attempt", pl.Attempt, "machine", pl.Machine, "cause", pl.Cause)
+	c.log.Info("task failed", "task", pl.Task, "attempt", pl.Attempt, "machine", pl.Machine, "reason", pl.Cause)
 	switch pl.Cause {
 	case protocol.CauseError:
 		c.taskReturnedError(now, j, pl)
@@ -191,7 +191,7 @@
 	if c.machines.Stop(now, pl, graceS) && !pl.StartAllowed && j.WriteInFlight {
 		// Its record may be written at this moment. It names a placement that was never started, and a later write
 		// replaces it.
-		c.log.Debug("placement stopped before its record", "task", pl.Task)
+		c.log.Debug("placement stopped before recording", "task", pl.Task)
 	}
 	if pl.Terminated && j.Placements[pl.Task.Index] == pl {
 		c.placementGone(now, j, pl, true)
--- a/internal/coordination/scheduler/relocate.go
+++ b/internal/coordination/scheduler/relocate.go
@@ -61,11 +61,11 @@
 			continue
 		}
 		c.log.Info(
-			"task stopped to move to a machine with its image",
+			"task evicted for image locality",
 			"task", pl.Task,
 			"attempt", pl.Attempt,
 			"machine", pl.Machine,
-			"target", target.Machine.Name,
+			"target_machine", target.Machine.Name,
 		)
 		c.candidates.SetFree(target, target.Free.Minus(j.TaskResources))
 		c.rules.Nominate(target.Machine, j, now+config.Seconds(2*c.cfg.Workers.HeartbeatSeconds))
--- a/internal/coordination/scheduler/scheduler.go
+++ b/internal/coordination/scheduler/scheduler.go
@@ -152,7 +152,7 @@
 	for _, kv := range records {
 		var record storage.LiveJobRecord
 		if err := protocol.Decode(kv.Value, &record); err != nil {
-			c.log.Error("malformed live record", "key", kv.Key, "error", err)
+			c.log.Error("malformed live job record", "key", kv.Key, "error", err)
 			continue
 		}
 		if started[record.Job.ID] {
--- a/internal/coordination/scheduler/utilization.go
+++ b/internal/coordination/scheduler/utilization.go
@@ -27,7 +27,7 @@
 	}
 	u := utilization{onDemandByClass: map[string]float64{}}
 	c.machines.Each(func(m *machineregistry.Machine) { c.addUtilization(&u, now, m) })
-	c.log.Debug("fleet",
+	c.log.Debug("machine utilization",
 		"up", u.registered,
 		"empty", u.empty,
 		"booting", u.booting,
--- a/internal/coordination/scheduler/zonefailoverwriter.go
+++ b/internal/coordination/scheduler/zonefailoverwriter.go
@@ -38,7 +38,7 @@
 ) {
 	switch {
 	case outcome.Malformed:
-		c.log.Error("zone failover record rejected", "pages", w.Pages())
+		c.log.Error("zone failover record rejected", "page_count", w.Pages())
 		c.zoneFailover.WriteRejected(w, now+rejectedRetryDelay)
 	case !outcome.Succeeded:
 		c.stepDownAfter(outcome)
--- a/internal/coordination/zonefailover/records.go
+++ b/internal/coordination/zonefailover/records.go
@@ -260,7 +260,7 @@
 	for _, page := range pages {
 		delete(m.records.dirty, page)
 		if err := m.addPage(w, page, records[page], name); err != nil {
-			m.options.Log.Error("zone failover record not encoded", "key", storage.ZoneFailoverKey(page), "error", err)
+			m.options.Log.Error("failed to encode zone failover record", "key", storage.ZoneFailoverKey(page), "error", err)
 		}
 	}
 	w.setVerification(name)
--- a/internal/loadtest/loadtest.go
+++ b/internal/loadtest/loadtest.go
@@ -22,7 +22,7 @@
 	}
 	defer func() { result.Slopes = fitSlopes(result.Sizes) }()
 	for _, size := range cfg.Sizes {
-		log.Info("load test of a size", "vary", cfg.Vary, "size", size)
+		log.Info("size started", "vary", cfg.Vary, "size", size)
 		one, err := runSize(ctx, cfg, size, log)
 		result.Sizes = append(result.Sizes, one)
 		if err != nil {
@@ -138,7 +138,7 @@
 	if err != nil {
 		return false, err
 	}
-	r.log.Info("services submitted", "tasks", r.tasksOnMachines(), "duration", r.now().Round(time.Second))
+	r.log.Info("services submitted", "task_count", r.tasksOnMachines(), "duration", r.now().Round(time.Second))
 	return running, nil
 }
 
--- a/internal/loadtest/run.go
+++ b/internal/loadtest/run.go
@@ -229,7 +229,7 @@
 			return false, err
 		}
 	}
-	r.log.Info("condition not met in time", "condition", condition, "timeout", timeout)
+	r.log.Info("condition timed out", "condition", condition, "timeout", timeout)
 	return false, nil
 }
 
