--- a/internal/simulation/traffic_test.go
+++ b/internal/simulation/traffic_test.go
@@ -10,8 +10,6 @@
 	"strings"
 	"testing"
 	"time"
-
-	"pinebay/internal/config"
 )
 
 // trafficDirVariable names the folder in which TestRecordTraffic leaves one file a scenario. Two folders, recorded
@@ -19,122 +17,240 @@
 // differs names the interface and the second. docs/architecture.md says how to use it.
 const trafficDirVariable = "PINEBAY_TRAFFIC_DIR"
 
-// trafficScenario is a scenario whose traffic is recorded.
-type trafficScenario struct {
-	name        string
-	controllers int
-	workers     config.Workers
-	steps       []step
-	options     []func(*cluster)
-}
-
-// trafficScenarios cover failover, outages of the state service, a refused leader, cancellations, pipelines, mixed
-// feature levels, zone return and ownership. They keep to what repeats to the byte; see TestSameSeedSameRun for the
-// two known causes of difference.
-func trafficScenarios() []trafficScenario {
-	everyoneOwns, zoneReturn := []func(*cluster){
-		withOwnership(everywhere),
-	}, []func(*cluster){
-		withZoneFailover(everywhere),
-	}
+// trafficScenarios returns scenarios with failover, outages of the key-value store, a refused leader, cancellations,
+// pipelines, mixed feature levels, zone failover and ownership. Most repeat to the byte; see TestSameSeedSameRun for
+// the two known causes of difference.
+func trafficScenarios() []scenario {
+	everyoneOwns := []func(*cluster){withOwnership(everywhere)}
+	zoneFailover := []func(*cluster){withZoneFailover(everywhere)}
 	upgrading := []func(*cluster){productionLevel, announceLowerLimits}
 	oneOwns := []func(*cluster){withOwnership(func(node int) bool { return node == 1 })}
-	return []trafficScenario{
-		{"quiet", 3, fastTimings, nil, nil},
-		{"storm", 3, fastTimings, []step{{0, submissionStorm(40 * s)}}, nil},
-		{"crowd", 3, fastTimings, []step{{0, overload(24)}, {30 * s, cancelJobs(3, 0)}}, nil},
-		{"crowd-slow", 3, slowTimings, []step{{0, overload(16)}, {20 * s, cancelJobs(6, 60*s)}}, nil},
+	return []scenario{
+		{
+			name:        "quiet",
+			controllers: 3,
+			timings:     fastTimings,
+		},
+		{
+			name:        "storm",
+			controllers: 3,
+			timings:     fastTimings,
+			steps: []step{
+				{0, submissionStorm(40 * s)},
+			},
+		},
+		{
+			name:        "crowd",
+			controllers: 3,
+			timings:     fastTimings,
+			steps: []step{
+				{0, overload(24)},
+				{30 * s, cancelJobs(3, 0)},
+			},
+		},
+		{
+			name:        "crowd-slow",
+			controllers: 3,
+			timings:     slowTimings,
+			steps: []step{
+				{0, overload(16)},
+				{20 * s, cancelJobs(6, 60*s)},
+			},
+		},
+		{
+			name:        "leader-crash",
+			controllers: 3,
+			timings:     fastTimings,
+			steps: []step{
+				{0, staggeredCompletions(6)},
+				{10 * s, crashLeader(5 * s)},
+				{20 * s, cancelJobs(3, 0)},
+			},
+		},
+		{
+			name:        "leader-crashes",
+			controllers: 3,
+			timings:     fastTimings,
+			steps: []step{
+				{0, staggeredCompletions(6)},
+				{1 * s, crashLeader(300 * ms)},
+				{12 * s, crashLeader(5 * s)},
+				{20 * s, cancelJobs(3, 40*s)},
+				{30 * s, crashLeader(5 * s)},
+			},
+		},
+		{
+			name:        "all-crash",
+			controllers: 3,
+			timings:     fastTimings,
+			steps: []step{
+				{0, cancelJobs(2, 0)},
+				{200 * ms, crashAllControllers(14 * s)},
+			},
+		},
+		{
+			name:        "outage",
+			controllers: 5,
+			timings:     fastTimings,
+			steps: []step{
+				{0, overload(12)},
+				{10 * s, cancelJobs(4, 20*s)},
+				{10100 * ms, during(20*s, storeOutage)},
+				{12 * s, cancelJobs(2, 0)},
+			},
+		},
+		{
+			name:        "refused-then-outage",
+			controllers: 3,
+			timings:     fastTimings,
+			steps: []step{
+				{0, during(60*s, refuseLeader)},
+				{500 * ms, cancelJobs(4, 0)},
+				{1500 * ms, during(50*s, storeOutage)},
+			},
+		},
+		{
+			name:        "leader-apart",
+			controllers: 3,
+			timings:     fastTimings,
+			steps: []step{
+				{0, during(40*s, isolateLeader)},
+				{1 * s, cancelJobs(3, 0)},
+				{6 * s, cancelJobs(3, 0)},
+			},
+		},
+		{
+			name:        "zone-cut",
+			controllers: 3,
+			timings:     fastTimings,
+			steps: []step{
+				{0, during(30*s, isolateZone)},
+				{3 * s, cancelJobs(4, 0)},
+				{40 * s, cancelJobs(2, 0)},
+			},
+		},
+		{
+			name:        "late-writes",
+			controllers: 3,
+			timings:     fastTimings,
+			steps: []step{
+				{0, during(60*s, delayedWrites(0.25))},
+				{0, submissionStorm(30 * s)},
+				{5 * s, cancelJobs(4, 0)},
+			},
+		},
+		{
+			name:        "late-reports",
+			controllers: 3,
+			timings:     slowTimings,
+			steps: []step{
+				{0, during(90*s, duplicateHeartbeats(0.2))},
+				{0, staggeredCompletions(6)},
+				{5 * s, during(40*s, holdReplies(2))},
+				{20 * s, loseMachines(1)},
+				{30 * s, cancelJobs(3, 0)},
+			},
+		},
+		{
+			name:        "hung-machines",
+			controllers: 3,
+			timings:     slowTimings,
+			steps: []step{
+				{0, cancelJobs(6, 100*s)},
+				{100 * ms, hangWorkers(9, 100*s)},
+			},
+		},
+		{
+			name:        "pipelines",
+			controllers: 3,
+			timings:     fastTimings,
+			steps: []step{
+				{0, pipelines(10)},
+				{20 * s, overload(8)},
+			},
+		},
+		{
+			name:        "pipelines-leader-crash",
+			controllers: 3,
+			timings:     fastTimings,
+			steps: []step{
+				{0, pipelines(10)},
+				{6 * s, crashLeader(5 * s)},
+			},
+		},
 		{
-			"leader-crash",
-			3,
-			fastTimings,
-			[]step{{0, staggeredCompletions(6)}, {10 * s, crashLeader(5 * s)}, {20 * s, cancelJobs(3, 0)}},
-			nil,
+			name:        "upgrade",
+			controllers: 3,
+			timings:     fastTimings,
+			steps: []step{
+				{0, lowerLimitsOnceUpgraded},
+				{0, submitBatches(6)},
+				{0, upgrade([]int{0, 1, 2}, 10*s, 5*s)},
+				{34 * s, pipelines(8)},
+			},
+			options: upgrading,
 		},
-		{"leader-crashes", 3, fastTimings, []step{
-			{0, staggeredCompletions(6)},
-			{1 * s, crashLeader(300 * ms)},
-			{12 * s, crashLeader(5 * s)},
-			{20 * s, cancelJobs(3, 40*s)},
-			{30 * s, crashLeader(5 * s)},
-		}, nil},
-		{"all-crash", 3, fastTimings, []step{{0, cancelJobs(2, 0)}, {200 * ms, crashAllControllers(14 * s)}}, nil},
-		{"outage", 5, fastTimings, []step{
-			{0, overload(12)},
-			{10 * s, cancelJobs(4, 20*s)},
-			{10100 * ms, during(20*s, storeOutage)},
-			{12 * s, cancelJobs(2, 0)},
-		}, nil},
-		{"refused-then-outage", 3, fastTimings, []step{
-			{0, during(60*s, refuseLeader)},
-			{500 * ms, cancelJobs(4, 0)},
-			{1500 * ms, during(50*s, storeOutage)},
-		}, nil},
 		{
-			"leader-apart",
-			3,
-			fastTimings,
-			[]step{{0, during(40*s, isolateLeader)}, {1 * s, cancelJobs(3, 0)}, {6 * s, cancelJobs(3, 0)}},
-			nil,
+			name:        "zone-return",
+			controllers: 3,
+			timings:     fastTimings,
+			steps: []step{
+				{0, lowPriorityArrays(8)},
+				{8 * s, during(40*s, silenceZone("b", 1))},
+			},
+			options: zoneFailover,
 		},
 		{
-			"zone-cut",
-			3,
-			fastTimings,
-			[]step{{0, during(30*s, isolateZone)}, {3 * s, cancelJobs(4, 0)}, {40 * s, cancelJobs(2, 0)}},
-			nil,
+			name:        "zone-return-crash",
+			controllers: 3,
+			timings:     fastTimings,
+			steps: []step{
+				{0, lowPriorityArrays(8)},
+				{8 * s, during(40*s, silenceZone("b", 1))},
+				{20 * s, crashLeader(5 * s)},
+			},
+			options: zoneFailover,
 		},
 		{
-			"late-writes",
-			3,
-			fastTimings,
-			[]step{{0, during(60*s, delayedWrites(0.25))}, {0, submissionStorm(30 * s)}, {5 * s, cancelJobs(4, 0)}},
-			nil,
+			name:        "owners",
+			controllers: 3,
+			timings:     fastTimings,
+			steps: []step{
+				{30 * s, submissionStorm(20 * s)},
+				{40 * s, cancelJobs(3, 0)},
+			},
+			options: everyoneOwns,
 		},
-		{"late-reports", 3, slowTimings, []step{
-			{0, during(90*s, duplicateHeartbeats(0.2))},
-			{0, staggeredCompletions(6)},
-			{5 * s, during(40*s, holdReplies(2))},
-			{20 * s, loseMachines(1)},
-			{30 * s, cancelJobs(3, 0)},
-		}, nil},
-		{"hung-machines", 3, slowTimings, []step{{0, cancelJobs(6, 100*s)}, {100 * ms, hangWorkers(9, 100*s)}}, nil},
-		{"pipelines", 3, fastTimings, []step{{0, pipelines(10)}, {20 * s, overload(8)}}, nil},
-		{"pipelines-leader-crash", 3, fastTimings, []step{{0, pipelines(10)}, {6 * s, crashLeader(5 * s)}}, nil},
-		{"upgrade", 3, fastTimings, []step{
-			{0, lowerLimitsOnceUpgraded},
-			{0, submitBatches(6)},
-			{0, upgrade([]int{0, 1, 2}, 10*s, 5*s)},
-			{34 * s, pipelines(8)},
-		}, upgrading},
 		{
-			"zone-return",
-			3,
-			fastTimings,
-			[]step{{0, lowPriorityArrays(8)}, {8 * s, during(40*s, silenceZone("b", 1))}},
-			zoneReturn,
+			name:        "owners-follower-crash",
+			controllers: 3,
+			timings:     fastTimings,
+			steps: []step{
+				{20 * s, crashFollower(25 * s)},
+				{21 * s, cancelJobs(2, 0)},
+			},
+			options: everyoneOwns,
 		},
-		{"zone-return-crash", 3, fastTimings, []step{
-			{0, lowPriorityArrays(8)},
-			{8 * s, during(40*s, silenceZone("b", 1))},
-			{20 * s, crashLeader(5 * s)},
-		}, zoneReturn},
-		{"owners", 3, fastTimings, []step{{30 * s, submissionStorm(20 * s)}, {40 * s, cancelJobs(3, 0)}}, everyoneOwns},
 		{
-			"owners-follower-crash",
-			3,
-			fastTimings,
-			[]step{{20 * s, crashFollower(25 * s)}, {21 * s, cancelJobs(2, 0)}},
-			everyoneOwns,
+			name:        "owners-link-cut",
+			controllers: 5,
+			timings:     fastTimings,
+			steps: []step{
+				{20 * s, during(20*s, blockLeaderLink)},
+				{21 * s, cancelJobs(3, 0)},
+			},
+			options: everyoneOwns,
 		},
 		{
-			"owners-link-cut",
-			5,
-			fastTimings,
-			[]step{{20 * s, during(20*s, blockLeaderLink)}, {21 * s, cancelJobs(3, 0)}},
-			everyoneOwns,
+			name:        "owners-mixed",
+			controllers: 3,
+			timings:     fastTimings,
+			steps: []step{
+				{20 * s, cancelJobs(3, 0)},
+				{25 * s, crashLeader(20 * s)},
+			},
+			options: oneOwns,
 		},
-		{"owners-mixed", 3, fastTimings, []step{{20 * s, cancelJobs(3, 0)}, {25 * s, crashLeader(20 * s)}}, oneOwns},
 	}
 }
 
@@ -156,8 +272,8 @@
 	return "workers"
 }
 
-// digestTraffic returns a line a second and interface: how many packets arrived, and a digest over when each arrived,
-// between which hosts, and what was in it.
+// digestTraffic returns a line for each second and interface: the number of packets that were delivered, and a digest
+// of the time, the hosts and the content of each.
 func digestTraffic(all []packetArrival) string {
 	type slot struct {
 		second time.Duration
@@ -216,7 +332,7 @@
 	for i, x := range trafficScenarios() {
 		t.Run(x.name, func(t *testing.T) {
 			t.Parallel()
-			all := recordArrivals(t, uint64(1000+i), x.controllers, x.workers, x.steps, x.options...)
+			all := recordArrivals(t, uint64(1000+i), x.controllers, x.timings, x.steps, x.options...)
 			if err := os.WriteFile(filepath.Join(dir, x.name+".txt"), []byte(digestTraffic(all)), 0o644); err != nil {
 				t.Fatal(err)
 			}
