--- a/internal/coordination/dependency/graph_test.go
+++ b/internal/coordination/dependency/graph_test.go
@@ -13,13 +13,13 @@
 
 func TestMain(m *testing.M) { testutil.Main(m) }
 
-// reference says by walking all jobs what the graph keeps up to date.
+// reference derives by a walk over all jobs what the graph keeps up to date.
 type reference struct {
 	jobs  map[string]Job
 	ended map[string]State
 }
 
-// state returns whether a job is free, cancelled because of another, or waits.
+// state returns how many dependencies of a job are open, and whether it is cancelled because of one.
 func (r *reference) state(id string) (open int, cancelled bool) {
 	for _, need := range r.jobs[id].Dependencies {
 		switch r.ended[need] {
@@ -36,13 +36,13 @@
 	return open, false
 }
 
-// lives says whether a job has not ended and is not cancelled with another.
+// lives reports whether a job has neither ended nor been cancelled with another.
 func (r *reference) lives(id string) bool {
 	_, cancelled := r.state(id)
 	return r.ended[id] == UnknownOutcome && !cancelled
 }
 
-// priority is the highest priority of a job and those that live and need it.
+// priority returns the highest priority of a job and of the live jobs that depend on it.
 func (r *reference) priority(id string) int {
 	level := r.jobs[id].Priority
 	for other, j := range r.jobs {
@@ -53,8 +53,8 @@
 	return level
 }
 
-// TestGraphAgainstReference draws graphs, orders of submission, ends and cancellations, also of jobs that were
-// named before anybody knew how they had ended, and compares every answer with the reference's.
+// TestGraphAgainstReference draws graphs, orders of submission, ends and cancellations, also of dependencies whose
+// final state was not known when they were named, and compares every answer with the reference's.
 func TestGraphAgainstReference(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g, r := New(), &reference{jobs: map[string]Job{}, ended: map[string]State{}}
@@ -62,7 +62,7 @@
 		take := func(c Change) {
 			for _, id := range c.Unblocked {
 				if freed[id] {
-					t.Fatalf("%s is freed twice", id)
+					t.Fatalf("%s is unblocked twice", id)
 				}
 				freed[id] = true
 			}
@@ -82,7 +82,7 @@
 						cancelled[id] = true
 					}
 				} else {
-					t.Fatalf("%s lives and is asked for", id)
+					t.Fatalf("%s lives, and its final state is to be read", id)
 				}
 			}
 		}
@@ -123,26 +123,26 @@
 				t.Fatalf("%s is in state %d, cancelled %v", id, got, cancelledWithNeed)
 			}
 			if cancelled[id] != cancelledWithNeed {
-				t.Fatalf("%s was told to be cancelled: %v, want %v", id, cancelled[id], cancelledWithNeed)
+				t.Fatalf("%s was reported as cancelled: %v, want %v", id, cancelled[id], cancelledWithNeed)
 			}
 			if cancelledWithNeed {
 				continue
 			}
 			if got := g.OpenDependencies(id); got != open {
-				t.Fatalf("%s has %d open needs, want %d", id, got, open)
+				t.Fatalf("%s has %d open dependencies, want %d", id, got, open)
 			}
 			if freed[id] && open > 0 {
-				t.Fatalf("%s was freed with %d open needs", id, open)
+				t.Fatalf("%s was unblocked with %d open dependencies", id, open)
 			}
 			if got, ok := g.Priority(id); !ok || got != r.priority(id) {
-				t.Fatalf("%s has level %d, want %d", id, got, r.priority(id))
+				t.Fatalf("%s has priority %d, want %d", id, got, r.priority(id))
 			}
 		}
 	})
 }
 
-// TestLatestStartReachesDependencies: the deadline of the last job bounds when all before it must start, whichever
-// was submitted first, and the longest path counts.
+// TestLatestStartReachesDependencies: the deadline of the last job bounds the latest starts of all its dependencies, by
+// the longest path and whatever the order of submission.
 func TestLatestStartReachesDependencies(t *testing.T) {
 	jobs := []Job{
 		{ID: "first", Priority: 3, Deadline: NoDeadline, EstimatedDuration: 10},
@@ -161,32 +161,32 @@
 				t.Errorf("order %v: %s must start by %d, want %d", order, id, got, start)
 			}
 			if level, _ := g.Priority(id); level != 1 {
-				t.Errorf("order %v: %s has level %d, want that of the last job", order, id, level)
+				t.Errorf("order %v: %s has priority %d, want that of the last job", order, id, level)
 			}
 		}
 	}
 }
 
-// TestUnknownOutcomeHoldsDependents: a job that has ended, nobody knows how, holds up those that need it until that is
-// read, and they are found however far they are.
+// TestUnknownOutcomeHoldsDependents: a job whose final state is not known blocks its direct and indirect dependents
+// until that is read.
 func TestUnknownOutcomeHoldsDependents(t *testing.T) {
 	g := New()
 	g.Add(Job{ID: "a", Deadline: NoDeadline})
 	g.Add(Job{ID: "b", Dependencies: []string{"a"}, Deadline: NoDeadline})
 	g.Add(Job{ID: "c", Dependencies: []string{"b"}, Deadline: NoDeadline})
 	if c := g.EndWithUnknownOutcome("a"); !slices.Equal(c.UnknownOutcomes, []string{"a"}) {
-		t.Fatalf("losing it asks for %v", c.UnknownOutcomes)
+		t.Fatalf("final states to be read: %v", c.UnknownOutcomes)
 	}
 	if got := g.UnknownOutcomesBefore("c", 9); !slices.Equal(got, []string{"a"}) {
-		t.Fatalf("before the last job is unknown: %v", got)
+		t.Fatalf("dependencies of the last job with unknown outcomes: %v", got)
 	}
 	if c := g.End("a", Cancelled); !slices.Equal(c.Cancelled, []string{"b", "c"}) || g.CancelledBy("c") != "a" {
-		t.Errorf("cancelled with it: %v, because of %q", c.Cancelled, g.CancelledBy("c"))
+		t.Errorf("cancelled with it: %v, by %q", c.Cancelled, g.CancelledBy("c"))
 	}
 }
 
-// TestCostGrowsWithEdgesOnly: what an end and a submission cost does not grow with the jobs that wait, in a chain of
-// ten thousand, with one job that ten thousand await, and in layers.
+// TestCostGrowsWithEdgesOnly: the cost of an end and of a submission is that of the edges concerned, in a chain of ten
+// thousand jobs, with ten thousand dependents of one job, and in layers.
 func TestCostGrowsWithEdgesOnly(t *testing.T) {
 	const n = 10_000
 	chain, star := New(), New()
@@ -207,13 +207,13 @@
 	); len(
 		c.Reprioritised,
 	) != n+1 {
-		t.Errorf("the chain's end raises %d jobs, want %d", len(c.Reprioritised), n+1)
+		t.Errorf("the chain's end reprioritises %d jobs, want %d", len(c.Reprioritised), n+1)
 	}
 	if c := chain.End("j-00000", Done); len(c.Unblocked) != 1 || len(c.Reprioritised) != 0 {
-		t.Errorf("the chain's first end frees %d and raises %d jobs", len(c.Unblocked), len(c.Reprioritised))
+		t.Errorf("the chain's first end unblocks %d and reprioritises %d jobs", len(c.Unblocked), len(c.Reprioritised))
 	}
 	if c := star.End("hub", Done); len(c.Unblocked) != n {
-		t.Errorf("the end that all await frees %d jobs", len(c.Unblocked))
+		t.Errorf("the end of the common dependency unblocks %d jobs", len(c.Unblocked))
 	}
 	layers := New()
 	for layer := range 100 {
--- a/internal/coordination/scheduler/cancellation_test.go
+++ b/internal/coordination/scheduler/cancellation_test.go
@@ -7,10 +7,9 @@
 	"pinebay/internal/protocol"
 )
 
-// TestCancellationIntentStopsJob: an intent stops a job of any shape at once and keeps it from
-// starting, also one that is accepted after the intent came. The job runs again only
-// once the state service has shown that it lives when nobody can confirm the
-// cancellation any more; if it is cancelled, that is the end.
+// TestCancellationIntentStopsJob: an intent stops a job of any shape at once and keeps it from starting, also one that
+// is accepted after the intent. The job runs again only once the watch has shown that it lives at a time at which the
+// cancellation can't be confirmed any more. If it is cancelled, it does not run again.
 func TestCancellationIntentStopsJob(t *testing.T) {
 	for _, shape := range []protocol.Shape{protocol.Array, protocol.Gang, protocol.Service} {
 		b := newHarness(nil, "a")
@@ -62,14 +61,13 @@
 			t.Errorf("%s: %v run when one lives and the other does not", shape, b.runs)
 		}
 		if len(b.scheduler.cancellationIntents) > 0 {
-			t.Errorf("%s: %v are remembered", shape, b.scheduler.cancellationIntents)
+			t.Errorf("%s: intents %v are kept", shape, b.scheduler.cancellationIntents)
 		}
 	}
 }
 
-// TestCancelledTasksHaveFencingDeadline: the machines of cancelled jobs are to be fenced, if they
-// are silent, well before the tasks must be gone; those of jobs that are done, or that
-// are stopped for other reasons, are not.
+// TestCancelledTasksHaveFencingDeadline: silent machines of cancelled jobs are fenced well before the tasks must be
+// gone. Those of jobs that are done, or stopped for other reasons, have no deadline.
 func TestCancelledTasksHaveFencingDeadline(t *testing.T) {
 	b := newHarness(nil, "a")
 	b.heartbeat("m1", "a", false)
@@ -87,9 +85,9 @@
 		}
 	})
 	if !deadlines["j-1"] || !deadlines["j-2"] || deadlines["j-3"] {
-		t.Errorf("to be gone by %v: %v", by, deadlines)
+		t.Errorf("with the fencing deadline %v: %v", by, deadlines)
 	}
 	if m := b.scheduler.machines.Machine("m1"); m.FencingDue(by-1) || !m.FencingDue(by) {
-		t.Error("its day is not the one")
+		t.Error("the machine is not due for fencing at the deadline of its tasks")
 	}
 }
--- a/internal/coordination/scheduler/costs_test.go
+++ b/internal/coordination/scheduler/costs_test.go
@@ -10,12 +10,12 @@
 	"pinebay/internal/protocol"
 )
 
-// The tests in this file bound what the leader's work costs in counts, which are the same
-// on every machine: allocations, cycles and bytes. Their bounds are about a half above what was
-// measured when they were written (docs/experiments.md, "Costs by message").
+// The tests in this file bound the costs of the leader's work in counts that are the same on every machine:
+// allocations, cycles and bytes. The bounds are about a half above what was measured when they were written
+// (docs/experiments.md, "Costs by message").
 
-// TestAllocationsOfHeartbeat: a report without a change costs a fixed number of allocations
-// and a few for each of its tasks, however large the fleet.
+// TestAllocationsOfHeartbeat: a heartbeat without a change costs a fixed number of allocations and a few for each of
+// its tasks, however large the fleet.
 func TestAllocationsOfHeartbeat(t *testing.T) {
 	const fixed, perTask = 8, 1
 	for _, machines := range []int{50, 200} {
@@ -39,8 +39,7 @@
 	}
 }
 
-// TestAllocationsOfQuietTick: between two cycles, time that passes without an event costs nothing
-// that grows with the fleet.
+// TestAllocationsOfQuietTick: a tick between two cycles costs nothing that grows with the fleet.
 func TestAllocationsOfQuietTick(t *testing.T) {
 	const most = 4
 	b := largeHarness(200)
@@ -50,7 +49,7 @@
 	}
 }
 
-// TestCyclesForManyTriggers: however many relevant events arrive, cycles keep their pace.
+// TestCyclesForManyTriggers: cycles keep their shortest interval, however many relevant events arrive.
 func TestCyclesForManyTriggers(t *testing.T) {
 	b := largeHarness(50)
 	before, from := b.scheduler.cycle.count, b.now
@@ -65,7 +64,7 @@
 	}
 }
 
-// TestMemoryHeld: what a leader holds for a fleet and its jobs is bounded by their number.
+// TestMemoryHeld: the memory that a leader holds is bounded by the number of machines, jobs and tasks.
 func TestMemoryHeld(t *testing.T) {
 	const perMachine, perJob, perTask = 2 << 10, 1 << 10, 512
 	held := func() int64 {
--- a/internal/coordination/scheduler/cycle_bench_test.go
+++ b/internal/coordination/scheduler/cycle_bench_test.go
@@ -8,7 +8,7 @@
 	"pinebay/internal/protocol"
 )
 
-// largeHarness is a fleet of n machines that are nearly full, with jobs that wait.
+// largeHarness returns a harness with n machines that are nearly full, and jobs that wait.
 func largeHarness(n int) *harness {
 	b := newHarness([]config.Team{{Name: "red"}}, "a", "b")
 	b.setObjectives([]config.Objective{
@@ -52,7 +52,7 @@
 	return b
 }
 
-// runFetchingTasks lets everything that fetches run.
+// runFetchingTasks has all tasks run that are fetching their image.
 func (b *harness) runFetchingTasks() {
 	for name, ts := range b.tasks {
 		for id, t := range ts {
--- a/internal/coordination/scheduler/demand.go
+++ b/internal/coordination/scheduler/demand.go
@@ -11,8 +11,8 @@
 	"pinebay/internal/protocol"
 )
 
-// capacityDemand returns the capacity that is needed: for pending tasks, for blocked jobs that are likely to be unblocked
-// before a machine requested now has booted, and for jobs that are likely to be submitted before that.
+// capacityDemand returns the capacity that is needed: for pending tasks, for blocked jobs that are likely to be
+// unblocked before a machine requested now has booted, and for jobs that are likely to be submitted before that.
 func (c *Scheduler) capacityDemand(now time.Duration) []autoscaler.Demand {
 	var demands []autoscaler.Demand
 	zones := map[zoneChoiceKey]string{}
--- a/internal/coordination/scheduler/dependencies_test.go
+++ b/internal/coordination/scheduler/dependencies_test.go
@@ -13,7 +13,7 @@
 	"pinebay/internal/storage"
 )
 
-// dependentJob returns a job that awaits others.
+// dependentJob returns a job that depends on others.
 func dependentJob(id string, prio protocol.Priority, tasks int, awaits ...string) protocol.Job {
 	j := jobSpec(id, protocol.Array, prio, tasks, 4)
 	j.Dependencies = awaits
@@ -41,7 +41,7 @@
 	}
 }
 
-// cycleWithHeartbeats lets a cycle pass, in which the machines report and carry out commands.
+// cycleWithHeartbeats runs a cycle in which the machines send heartbeats and carry out commands.
 func (s *manualStore) cycleWithHeartbeats() {
 	s.now += CycleInterval
 	for _, name := range sortedNames(s.tasks) {
@@ -50,7 +50,7 @@
 	s.stepWithCommands(Tick{})
 }
 
-// accept hands in an accepted job.
+// accept applies an accepted job.
 func (s *manualStore) accept(j protocol.Job) {
 	s.revision++
 	s.step(JobAccepted{Record: storage.LiveJobRecord{Job: j, AcceptedAtMS: s.now.Milliseconds()}, Revision: s.revision})
@@ -69,15 +69,15 @@
 	}
 }
 
-// answerAllWrites answers the writes that are under way, in order.
+// answerAllWrites answers the writes in flight, in order.
 func (s *manualStore) answerAllWrites() {
 	for len(s.inFlight) > 0 {
 		s.answer(TransactionOutcome{WriteID: s.inFlight[0].ID, Succeeded: true})
 	}
 }
 
-// TestUnblockedByFinalRecordOnly: that all tasks of a job have exited frees nothing: only the record of its end does,
-// and that goes before other ends.
+// TestUnblockedByFinalRecordOnly: a job whose tasks have all exited unblocks its dependents only once its end is
+// recorded, and that record goes before the ends of other jobs.
 func TestUnblockedByFinalRecordOnly(t *testing.T) {
 	s := newEmptyManualStore(3)
 	s.accept(jobSpec("j-1", protocol.Array, "normal", 2, 4))
@@ -89,23 +89,23 @@
 	s.exitAllTasks("j-1")
 	i := slices.IndexFunc(s.inFlight, func(w Write) bool { return w.VerifyKey == storage.EndedJobKey("j-1") })
 	if i < 0 || s.inFlight[i].Priority != PriorityUnblock {
-		t.Fatalf("its end is not written as one that others await: %+v", s.inFlight)
+		t.Fatalf("its end is not written with the priority of one that unblocks others: %+v", s.inFlight)
 	}
 	for range 5 {
 		s.cycleOnce()
 		if j := s.scheduler.jobs["j-2"]; len(j.Placements) > 0 || !j.Blocked {
-			t.Fatal("the job after it has a placement before its end is recorded")
+			t.Fatal("its dependent has a placement before its end is recorded")
 		}
 	}
 	s.answer(TransactionOutcome{WriteID: s.inFlight[i].ID, Succeeded: true})
 	s.cycleOnce()
 	if len(s.scheduler.jobs["j-2"].Placements) != 1 {
-		t.Error("the job after it has no placement although its end is recorded")
+		t.Error("its dependent has no placement although its end is recorded")
 	}
 }
 
-// TestBlockedJobUsesNoQuota: a job that awaits another holds no part of its team's limit, its waiting times count
-// from when it is freed, and a cycle without news does nothing for it.
+// TestBlockedJobUsesNoQuota: a blocked job uses nothing of its team's quota, and its waiting counts from when it is
+// unblocked.
 func TestBlockedJobUsesNoQuota(t *testing.T) {
 	b := newHarness([]config.Team{{Name: "red", MaxGPUs: 8}}, "a")
 	b.heartbeat("m1", "a", false)
@@ -129,12 +129,12 @@
 		}
 	}
 	if j := b.scheduler.jobs["j-2"]; j.Blocked || j.WaitingSince != b.now {
-		t.Errorf("freed: blocked %v, its waiting counts from %v at %v", j.Blocked, j.WaitingSince, b.now)
+		t.Errorf("unblocked: blocked %v, its waiting counts from %v at %v", j.Blocked, j.WaitingSince, b.now)
 	}
 }
 
-// TestCancelledDependentsAreRecorded: jobs that are cancelled with one that they await, at any depth, end by the
-// leader's records, several in a transaction within the limits; what was submitted later too.
+// TestCancelledDependentsAreRecorded: the leader records the ends of all jobs that are cancelled with a dependency, at
+// any depth and also if submitted later, several in a transaction within the limits.
 func TestCancelledDependentsAreRecorded(t *testing.T) {
 	s := newEmptyManualStore(2)
 	s.accept(jobSpec("j-0", protocol.Array, "normal", 1, 4))
@@ -148,7 +148,7 @@
 	s.step(JobEnded{ID: "j-0"})
 	s.step(FinalStateRead{ID: "j-0", State: protocol.JobCancelled})
 	if _, ok := s.scheduler.Status("j-40"); ok {
-		t.Error("the leader still tells how the last one stands")
+		t.Error("the leader still has a status of the last one")
 	}
 	s.accept(dependentJob("j-41", "normal", 1, "j-7"))
 	ended := map[string]string{}
@@ -180,8 +180,8 @@
 	}
 }
 
-// TestPriorityReachesDependencies: the last job's priority and deadline reach what it awaits, waiting or running, when
-// it is submitted: nothing is restarted, and what is lower may then not make room.
+// TestPriorityReachesDependencies: the priority and deadline of a job apply to its dependencies, waiting or running,
+// once it is submitted. Nothing is restarted for that, and lower priorities don't preempt them any more.
 func TestPriorityReachesDependencies(t *testing.T) {
 	b := newHarness([]config.Team{{Name: "red"}}, "a")
 	b.heartbeat("m1", "a", false)
@@ -196,29 +196,29 @@
 	b.addJob(last)
 	for _, id := range []string{"j-1", "j-2"} {
 		if j := b.scheduler.jobs[id]; j.EffectivePriority != 1 || j.LatestStart == dependency.NoDeadline {
-			t.Errorf("%s has level %d, latest start %v", id, j.EffectivePriority, j.LatestStart)
+			t.Errorf("%s has priority %d, latest start %v", id, j.EffectivePriority, j.LatestStart)
 		}
 	}
 	if m := b.scheduler.machines.Machine(
 		"m1",
 	); m.PreemptibleResources(2).GPUs != 0 ||
 		m.PreemptibleResources(1).GPUs != 8 {
-		t.Error("the running tasks still count by the old priority")
+		t.Error("the running tasks still count with the old priority")
 	}
 	if b.startedTasks("j-1") != 2 || len(b.stops) > 0 {
-		t.Error("something was stopped or started anew")
+		t.Error("something was stopped or started again")
 	}
 	b.addJob(jobSpec("j-4", protocol.Array, "normal", 1, 8))
 	for range 5 {
 		b.runCycle()
 	}
 	if len(b.stops) > 0 {
-		t.Error("normal work has made what urgent work awaits leave")
+		t.Error("normal work has preempted a dependency of urgent work")
 	}
 }
 
-// TestRecoveryOfPipelines: a new leader asks how those needs ended that don't live any more, but not of jobs of
-// which placements are recorded, for they could not have been before; nothing starts before the answer.
+// TestRecoveryOfPipelines: a new leader reads the final states of dependencies that don't live any more, and starts
+// nothing before the answer. Of jobs with recorded placements it needs none: all their dependencies were done.
 func TestRecoveryOfPipelines(t *testing.T) {
 	old := newHarness([]config.Team{{Name: "red"}}, "a")
 	record := func(j protocol.Job) protocol.KeyValue {
@@ -266,7 +266,7 @@
 		b.runCycle()
 	}
 	if !slices.Equal(asked, []string{"j-1"}) {
-		t.Errorf("it asks for the ends of %v", asked)
+		t.Errorf("it reads the final states of %v", asked)
 	}
 	if status, ok := b.scheduler.Status(
 		"j-2",
@@ -283,7 +283,7 @@
 	b.now += CycleInterval
 	b.apply(Tick{})
 	if len(asked) != 2 {
-		t.Errorf("it has asked %d times although there was no answer", len(asked))
+		t.Errorf("%d reads although there was no answer, want 2", len(asked))
 	}
 	b.apply(FinalStateRead{ID: "j-1", State: protocol.JobDone})
 	b.heartbeat("m1", "a", false)
@@ -294,8 +294,8 @@
 	}
 }
 
-// TestCycleCostIgnoresBlockedJobs: with fifty thousand jobs that await others, a cycle without news allocates no
-// more than without them, and an end costs those that it frees.
+// TestCycleCostIgnoresBlockedJobs: with fifty thousand blocked jobs a cycle without events allocates no more than
+// without them, and the end of a job costs no more than its own dependents.
 func TestCycleCostIgnoresBlockedJobs(t *testing.T) {
 	costs := func(waiting int) (cycle, end float64) {
 		s := newEmptyManualStore(50)
@@ -332,8 +332,8 @@
 	}
 }
 
-// TestForecastOfBlockedJobs: room is wanted for a job that awaits others once all of them run and are likely to end
-// before a machine rented now would be up, and not before.
+// TestForecastOfBlockedJobs: capacity is demanded for a blocked job once all its dependencies run and are likely to end
+// before a machine requested now has booted, and not before.
 func TestForecastOfBlockedJobs(t *testing.T) {
 	b := newHarness([]config.Team{{Name: "red"}}, "a")
 	b.heartbeat("m1", "a", false)
@@ -350,14 +350,14 @@
 	}
 	b.runCycle()
 	if got := wanted(); len(got) > 0 {
-		t.Fatalf("before what it awaits runs: %v", got)
+		t.Fatalf("before its dependency runs: %v", got)
 	}
 	b.heartbeat("m1", "a", false, runningTask(protocol.TaskID{JobID: "j-1"}, 1))
 	if got := wanted(); len(got) > 0 {
-		t.Fatalf("long before what it awaits ends: %v", got)
+		t.Fatalf("long before its dependency ends: %v", got)
 	}
 	b.now += 25 * time.Second
 	if got := wanted(); !slices.Equal(got, []string{"j-2"}) {
-		t.Errorf("shortly before what it awaits ends: %v", got)
+		t.Errorf("shortly before its dependency ends: %v", got)
 	}
 }
--- a/internal/coordination/scheduler/failure_test.go
+++ b/internal/coordination/scheduler/failure_test.go
@@ -11,9 +11,8 @@
 	"pinebay/internal/storage"
 )
 
-// TestGangRestartsWhole: when one of its tasks is gone, the others are stopped
-// and the gang starts again with one new attempt number, but only once all of
-// the old attempt is proven gone.
+// TestGangRestartsWhole: when one of its tasks is gone, the others are stopped, and the gang starts again with one new
+// attempt number, but only once all tasks of the old attempt are proven gone.
 func TestGangRestartsWhole(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(2, 5).Draw(t, "tasks")
@@ -63,7 +62,7 @@
 				)
 			}
 		}
-		// The entries are forgotten once the workers have seen a new epoch.
+		// Workers forget the old attempts once they have seen a newer fencing token.
 		for range 40 {
 			for i := range n + 1 {
 				b.heartbeat(fmt.Sprintf("m%d", i), "a", false)
@@ -81,8 +80,8 @@
 	})
 }
 
-// TestCompletionIsRecordedOnce: the last task's exit ends the job in the same
-// transaction that drops its page, and nothing is written for it after.
+// TestCompletionIsRecordedOnce: the last task's exit ends the job in the transaction that deletes its page, and nothing
+// is written for the job after that.
 func TestCompletionIsRecordedOnce(t *testing.T) {
 	b := newHarness([]config.Team{{Name: "red"}}, "a")
 	b.heartbeat("m1", "a", false)
@@ -119,8 +118,7 @@
 	}
 }
 
-// TestFaultyJobIsBackedOff: a job that fails everywhere must not get machines
-// set aside, nor take all the starts.
+// TestFaultyJobIsBackedOff: a job that fails everywhere backs off, and no machine is quarantined for it.
 func TestFaultyJobIsBackedOff(t *testing.T) {
 	b := newHarness([]config.Team{{Name: "red"}}, "a")
 	for i := range 6 {
@@ -157,14 +155,13 @@
 	}
 	for i := range 6 {
 		if m := b.scheduler.machines.Machine(fmt.Sprintf("m%d", i)); m == nil || m.Quarantined {
-			t.Errorf("machine %d was set aside for a faulty job", i)
+			t.Errorf("machine %d was quarantined for a faulty job", i)
 		}
 	}
 }
 
-// TestFailingMachineDoesNotAttractTasks: a machine that fails every task at once has room
-// again at once. The tasks of one large array must not go down it one after the
-// other; a machine is rented in its place, and the job is not taken for faulty.
+// TestFailingMachineDoesNotAttractTasks: a machine that fails every task at once has free capacity again at once. Only
+// a few tasks of a large array may fail on it one after the other, and the job is not considered faulty.
 func TestFailingMachineDoesNotAttractTasks(t *testing.T) {
 	b := newHarness([]config.Team{{Name: "red"}}, "a")
 	b.apply(MachinesListed{})
--- a/internal/coordination/scheduler/fleet_bench_test.go
+++ b/internal/coordination/scheduler/fleet_bench_test.go
@@ -13,8 +13,8 @@
 	"pinebay/internal/storage"
 )
 
-// fleetHarness drives a core with a large fleet whose writes succeed at once and whose machines
-// do as they are told. Only the core's own steps are timed.
+// fleetHarness drives a scheduler with a large fleet, whose writes succeed at once and whose machines carry out all
+// commands. Only the steps of the scheduler are timed.
 type fleetHarness struct {
 	scheduler    *Scheduler
 	now          time.Duration
@@ -104,7 +104,7 @@
 	return b
 }
 
-// apply hands an event to the core and carries out its effects.
+// apply hands an event to the scheduler and carries out the effects.
 func (b *fleetHarness) apply(e Event) {
 	cycles := b.scheduler.cycle.count
 	began := time.Now()
@@ -130,7 +130,7 @@
 	}
 }
 
-// executeCommands has a machine do as it is told; tasks run at once.
+// executeCommands has a machine carry out commands. Tasks run at once.
 func (b *fleetHarness) executeCommands(name string, token uint64, commands []protocol.Command) {
 	r := b.heartbeats[name]
 	r.FencingToken = max(r.FencingToken, token)
@@ -156,7 +156,7 @@
 	}
 }
 
-// nextHeartbeat returns a machine's next report.
+// nextHeartbeat returns a machine's next heartbeat.
 func (b *fleetHarness) nextHeartbeat(name string) *protocol.WorkerHeartbeat {
 	r := *b.heartbeats[name]
 	b.heartbeats[name].Sequence++
@@ -169,15 +169,15 @@
 	b.apply(HeartbeatReceived{ReplyTo: name, Heartbeat: b.nextHeartbeat(name)})
 }
 
-// heartbeatAll has all machines report.
+// heartbeatAll sends a heartbeat of each machine.
 func (b *fleetHarness) heartbeatAll() {
 	for name := range b.heartbeats {
 		b.heartbeat(name)
 	}
 }
 
-// submit submits a job of a team, of normal priority, and returns its name.
-func (b *fleetHarness) submit(shape protocol.Shape, team, tasks int) string {
+// submit submits a job of a team, of normal priority.
+func (b *fleetHarness) submit(shape protocol.Shape, team, tasks int) {
 	b.jobs++
 	id := fmt.Sprintf("j-%07d", b.jobs)
 	b.revision++
@@ -199,7 +199,6 @@
 			}},
 		},
 	)
-	return id
 }
 
 // fill starts services on all machines, with so many tasks on each.
@@ -245,8 +244,8 @@
 	}
 }
 
-// BenchmarkStarts shows how many starts a core does a second, with all that goes with them:
-// submissions, cycles, records, commands, reports, ends.
+// BenchmarkStarts measures how many starts a scheduler makes a second, with all that goes with them: submissions,
+// cycles, records, commands, heartbeats, ends.
 func BenchmarkStarts(b *testing.B) {
 	for _, machines := range []int{250, 1000, 4000, 18_000} {
 		b.Run(fmt.Sprint(machines), func(b *testing.B) {
@@ -273,7 +272,7 @@
 	}
 }
 
-// BenchmarkQuietCycle shows what a full cycle costs when nothing has happened.
+// BenchmarkQuietCycle measures a cycle with a plan of capacity when nothing has happened.
 func BenchmarkQuietCycle(b *testing.B) {
 	for _, machines := range []int{250, 1000, 4000, 18_000} {
 		b.Run(fmt.Sprint(machines), func(b *testing.B) {
@@ -293,8 +292,7 @@
 	}
 }
 
-// newOverloadedHarness is a fleet that is full while jobs of many teams wait that can't run yet: each
-// team is at its limit or there is no room.
+// newOverloadedHarness returns a harness with a full fleet, and jobs of many teams that wait for capacity.
 func newOverloadedHarness(machines, teams, waiting int) *fleetHarness {
 	f := newFleetHarness(machines, teams)
 	f.fill(teams, machineSlots)
@@ -309,7 +307,7 @@
 	return f
 }
 
-// BenchmarkOverload shows what a cycle costs while jobs wait that find no room.
+// BenchmarkOverload measures a cycle while many jobs wait that find no capacity.
 func BenchmarkOverload(b *testing.B) {
 	for _, x := range []struct{ machines, teams, waiting int }{
 		{100, 1, 200},
--- a/internal/coordination/scheduler/harness_test.go
+++ b/internal/coordination/scheduler/harness_test.go
@@ -16,8 +16,7 @@
 
 func TestMain(m *testing.M) { testutil.Main(m) }
 
-// harness drives a core whose writes succeed at once and whose machines are
-// just reports.
+// harness drives a scheduler whose writes succeed at once and whose machines exist by their heartbeats only.
 type harness struct {
 	scheduler    *Scheduler
 	now          time.Duration
