--- a/internal/coordination/leader/term.go
+++ b/internal/coordination/leader/term.go
@@ -103,15 +103,14 @@
 		Images:            loaded.images,
 		ZoneFailoverPages: loaded.zones,
 	}
-	t.scheduler = scheduler.New(
-		now,
-		t.options.Deployment,
-		t.log,
-		t.term,
-		records,
-		time.Now().UnixMilli(),
-		t.options.ZoneFailover,
-	)
+	t.scheduler = scheduler.New(now, scheduler.Options{
+		Config:        t.options.Deployment,
+		Log:           t.log,
+		Term:          t.term,
+		Records:       records,
+		WallClockMS:   time.Now().UnixMilli(),
+		RecoveryOrder: t.options.ZoneFailover,
+	})
 	t.log.Info("records read",
 		"job_count", len(loaded.liveJobs),
 		"page_count", len(loaded.pages),
--- a/internal/coordination/scheduler/costs_test.go
+++ b/internal/coordination/scheduler/costs_test.go
@@ -102,6 +102,11 @@
 	})
 	t.Logf("%.0f allocations", allocations)
 	if allocations > most || len(b.scheduler.writes.inFlight) > 0 {
-		t.Errorf("%.0f allocations and %d writes, want %d and none", allocations, len(b.scheduler.writes.inFlight), most)
+		t.Errorf(
+			"%.0f allocations and %d writes, want %d and none",
+			allocations,
+			len(b.scheduler.writes.inFlight),
+			most,
+		)
 	}
 }
--- a/internal/coordination/scheduler/demand.go
+++ b/internal/coordination/scheduler/demand.go
@@ -3,8 +3,10 @@
 import (
 	"time"
 
+	"pinebay/internal/config"
 	"pinebay/internal/coordination/autoscaler"
 	"pinebay/internal/coordination/demand"
+	"pinebay/internal/coordination/dependency"
 	"pinebay/internal/coordination/jobstate"
 	"pinebay/internal/coordination/machineregistry"
 	"pinebay/internal/coordination/placement"
@@ -146,3 +148,51 @@
 func (c *Scheduler) objectives() demand.Objectives {
 	return demand.Objectives{StartLatencySeconds: c.rules.StartLatency, All: c.cfg.Objectives}
 }
+
+// maxForecastJobs is how many blocked jobs a plan considers, in scheduling order.
+const maxForecastJobs = 256
+
+// forecastBlockedJobs returns the capacity that blocked jobs are likely to need before a machine requested now has
+// booted.
+func (c *Scheduler) forecastBlockedJobs(now time.Duration) (demands []autoscaler.Demand) {
+	left := maxForecastJobs
+	c.queues.Blocked.Scan(func(j *jobstate.Job) bool {
+		if left--; left < 0 {
+			return false
+		}
+		if c.dependencies.State(j.Spec.ID) == dependency.Live && c.dependenciesEndSoon(now, j) {
+			demands = append(demands, autoscaler.Demand{
+				Job:      &j.Spec,
+				Count:    min(j.Spec.TaskCount, c.tasksWithinQuotaLimit(j)),
+				Headroom: true,
+			})
+		}
+		return true
+	})
+	return demands
+}
+
+// dependenciesEndSoon reports whether all dependencies of a job run and are likely to be done within a boot time.
+func (c *Scheduler) dependenciesEndSoon(now time.Duration, j *jobstate.Job) bool {
+	boot := c.longestBootSeconds()
+	for _, id := range j.Spec.Dependencies {
+		d := c.jobs[id]
+		if d == nil || d.Ended {
+			continue
+		}
+		likelyEnd := d.LastTaskStart + config.Seconds(d.Spec.EstimateSeconds)
+		if d.LastTaskStart == 0 || d.PendingTasks() > 0 || (likelyEnd-now).Seconds() > boot {
+			return false
+		}
+	}
+	return true
+}
+
+// longestBootSeconds returns the longest boot time of all machine types.
+func (c *Scheduler) longestBootSeconds() float64 {
+	boot := 0.0
+	for _, t := range c.machines.MachineTypes() {
+		boot = max(boot, t.BootSeconds)
+	}
+	return boot
+}
--- a/internal/coordination/scheduler/dependencies.go
+++ b/internal/coordination/scheduler/dependencies.go
@@ -1,14 +1,11 @@
 package scheduler
 
 import (
-	"slices"
 	"time"
 
 	"pinebay/internal/config"
-	"pinebay/internal/coordination/autoscaler"
 	"pinebay/internal/coordination/dependency"
 	"pinebay/internal/coordination/jobstate"
-	"pinebay/internal/coordination/placementrecords"
 	"pinebay/internal/protocol"
 	"pinebay/internal/storage"
 )
@@ -68,7 +65,7 @@
 		c.dependencyEnded(now, e.ID, dependency.Cancelled)
 	default:
 		// The job lives, which the watch has not delivered yet, or the state service has not answered.
-		c.delayedCalls.add(now+CycleInterval/4, func(now time.Duration) { c.requestFinalState(e.ID) })
+		c.delayedCalls.add(now+CycleInterval/4, func(time.Duration) { c.requestFinalState(e.ID) })
 	}
 }
 
@@ -93,7 +90,7 @@
 	for _, id := range change.Cancelled {
 		if j := c.jobs[id]; j != nil && !j.Ended {
 			j.SetBlocked(true)
-			c.cancelledDependents = append(c.cancelledDependents, j)
+			c.cancelledDependents.add(j)
 		}
 	}
 	c.writeCancelledDependents()
@@ -130,135 +127,3 @@
 	}
 	c.cycle.due = true
 }
-
-// writeCancelledDependents records the ends of jobs that are cancelled because a dependency is. They count as cancelled
-// without a record, since every controller derives that from the dependency; the record saves that work.
-func (c *Scheduler) writeCancelledDependents() {
-	limit := max(placementrecords.MinOperations, c.recordLimits.MaxOperations())
-	for len(c.cancelledDependents) > 0 && c.mayWriteCompletions() {
-		id, name := c.writes.nextID()
-		t := protocol.Txn{If: []protocol.Compare{c.writes.termUnchanged()}}
-		var jobs []*jobstate.Job
-		for len(c.cancelledDependents) > 0 && len(t.Then)+placementrecords.MinOperations <= limit {
-			j := c.cancelledDependents[0]
-			c.cancelledDependents[0] = nil
-			c.cancelledDependents = c.cancelledDependents[1:]
-			if j.Ended || j.WriteInFlight || j.Ending {
-				continue // it has ended otherwise, or is about to
-			}
-			value, err := protocol.Encode(
-				storage.EndedJobRecord{
-					State:               protocol.JobCancelled,
-					WriteName:           name,
-					CancelledDependency: c.dependencies.CancelledBy(j.Spec.ID),
-				},
-			)
-			if err != nil {
-				c.log.Error("failed to encode ended job record", "job", j.Spec.ID, "error", err)
-				continue
-			}
-			live, ended := storage.LiveJobKey(j.Spec.ID), storage.EndedJobKey(j.Spec.ID)
-			t.If = append(t.If, protocol.Compare{Key: live, Revision: j.LiveRevision}, protocol.Compare{Key: ended})
-			t.Then = append(t.Then, protocol.Op{DeleteKey: live}, protocol.Op{PutKey: ended, Value: value})
-			jobs = append(jobs, j)
-		}
-		if len(jobs) == 0 {
-			return
-		}
-		c.writeCancellations(id, name, t, jobs)
-	}
-}
-
-// writeCancellations records the ends of jobs in one transaction.
-func (c *Scheduler) writeCancellations(id uint64, name string, t protocol.Txn, jobs []*jobstate.Job) {
-	for _, j := range jobs {
-		j.Ending = true
-	}
-	onOutcome := func(now time.Duration, w TransactionOutcome) {
-		for _, j := range jobs {
-			j.Ending = false
-		}
-		switch {
-		case w.Succeeded:
-			for _, j := range jobs {
-				c.log.Debug("job cancelled with dependency", "job", j.Spec.ID)
-				c.dependencies.EndWithUnknownOutcome(j.Spec.ID)
-				c.endJob(now, j)
-			}
-		case w.Malformed:
-			c.shrinkTransactions(&t)
-			c.delayedCalls.add(
-				now+rejectedRetryDelay,
-				func(time.Duration) { c.cancelledDependents = append(c.cancelledDependents, jobs...) },
-			)
-			return
-		case !c.handleEndedElsewhere(now, jobs, w):
-			return
-		default:
-			// Some have ended meanwhile. The others are written again.
-			c.cancelledDependents = append(c.cancelledDependents, jobs...)
-		}
-		c.writeCancelledDependents()
-	}
-	write := Write{ID: id, Txn: t, Priority: PriorityCompletion, VerifyKey: t.Then[1].PutKey, Name: name}
-	c.submitPages(write, onOutcome)
-}
-
-// handleEndedElsewhere ends the jobs whose records another transaction has changed, and so made the leader's fail. It
-// returns false if that was not the reason, and the leader has stepped down.
-func (c *Scheduler) handleEndedElsewhere(now time.Duration, jobs []*jobstate.Job, w TransactionOutcome) bool {
-	over := false
-	for _, j := range jobs {
-		if slices.Contains(w.FailedKeys, storage.LiveJobKey(j.Spec.ID)) ||
-			slices.Contains(w.FailedKeys, storage.EndedJobKey(j.Spec.ID)) {
-			c.endJob(now, j)
-			over = true
-		}
-	}
-	return over || c.endedMeanwhile(jobs[0], w)
-}
-
-// forecastBlockedJobs returns the capacity that blocked jobs are likely to need before a machine requested now has
-// booted.
-func (c *Scheduler) forecastBlockedJobs(now time.Duration) (units []autoscaler.Demand) {
-	left := maxForecastJobs
-	c.queues.Blocked.Scan(func(j *jobstate.Job) bool {
-		if left--; left < 0 {
-			return false
-		}
-		if c.dependencies.State(j.Spec.ID) == dependency.Live && c.dependenciesEndSoon(now, j) {
-			units = append(
-				units,
-				autoscaler.Demand{
-					Job:      &j.Spec,
-					Count:    min(j.Spec.TaskCount, c.tasksWithinQuotaLimit(j)),
-					Headroom: true,
-				},
-			)
-		}
-		return true
-	})
-	return units
-}
-
-// maxForecastJobs is how many blocked jobs a plan considers, in scheduling order.
-const maxForecastJobs = 256
-
-// dependenciesEndSoon reports whether all dependencies of a job run and are likely to be done within a boot time.
-func (c *Scheduler) dependenciesEndSoon(now time.Duration, j *jobstate.Job) bool {
-	boot := 0.0
-	for _, t := range c.machines.MachineTypes() {
-		boot = max(boot, t.BootSeconds)
-	}
-	for _, id := range j.Spec.Dependencies {
-		need := c.jobs[id]
-		if need == nil || need.Ended {
-			continue
-		}
-		if need.LastTaskStart == 0 || need.PendingTasks() > 0 ||
-			(need.LastTaskStart+config.Seconds(need.Spec.EstimateSeconds)-now).Seconds() > boot {
-			return false
-		}
-	}
-	return true
-}
--- a/internal/coordination/scheduler/dependencies_test.go
+++ b/internal/coordination/scheduler/dependencies_test.go
@@ -154,7 +154,8 @@
 	ended := map[string]string{}
 	for len(s.inFlight) > 0 {
 		w := s.inFlight[0]
-		if len(w.Txn.Then) > s.scheduler.recordLimits.MaxOperations() || len(w.Txn.If) > 4*s.scheduler.recordLimits.MaxOperations() {
+		if len(w.Txn.Then) > s.scheduler.recordLimits.MaxOperations() ||
+			len(w.Txn.If) > 4*s.scheduler.recordLimits.MaxOperations() {
 			t.Fatalf("%d operations and %d conditions", len(w.Txn.Then), len(w.Txn.If))
 		}
 		for _, op := range w.Txn.Then {
@@ -237,12 +238,11 @@
 	}
 	started := storage.PageID{Job: "j-2", Layout: storage.PageLayout{TasksPerPage: 48, Compact: true}}
 	b := newHarness([]config.Team{{Name: "red"}}, "a")
-	b.scheduler = New(
-		0,
-		old.scheduler.cfg,
-		old.scheduler.log,
-		Term{Number: 6, Revision: 2, FeatureLevel: featurelevel.Pipelines},
-		RecoveredRecords{
+	b.scheduler = New(0, Options{
+		Config: old.scheduler.cfg,
+		Log:    old.scheduler.log,
+		Term:   Term{Number: 6, Revision: 2, FeatureLevel: featurelevel.Pipelines},
+		Records: RecoveredRecords{
 			MachineTypes: []protocol.MachineType{*old.scheduler.machines.MachineType("g8")},
 			LiveJobs: []protocol.KeyValue{
 				record(dependentJob("j-2", "normal", 1, "j-1")),
@@ -251,9 +251,7 @@
 			},
 			Pages: []protocol.KeyValue{{Key: started.Key(), Value: page, Revision: 4}},
 		},
-		0,
-		nil,
-	)
+	})
 	var asked []string
 	b.onEffect = func(e Effect) {
 		if r, ok := e.(ReadFinalState); ok {
--- a/internal/coordination/scheduler/featurelevel.go
+++ b/internal/coordination/scheduler/featurelevel.go
@@ -29,8 +29,8 @@
 	}
 	id, name := c.writes.nextID()
 	value, err := storage.EncodeTerm(storage.TermRecord{
-		Term:         c.term,
-		Controller:   c.controller,
+		Term:         c.term.number,
+		Controller:   c.term.controller,
 		FeatureLevel: int(c.targetLevel),
 		WriteName:    name,
 	})
--- a/internal/coordination/scheduler/featurelevel_test.go
+++ b/internal/coordination/scheduler/featurelevel_test.go
@@ -250,19 +250,16 @@
 	if err != nil {
 		s.t.Fatal(err)
 	}
-	next := New(
-		s.now,
-		s.scheduler.cfg,
-		s.scheduler.log,
-		Term{Number: 6, Revision: 2, FeatureLevel: s.scheduler.recordLimits.Level()},
-		RecoveredRecords{
+	next := New(s.now, Options{
+		Config: s.scheduler.cfg,
+		Log:    s.scheduler.log,
+		Term:   Term{Number: 6, Revision: 2, FeatureLevel: s.scheduler.recordLimits.Level()},
+		Records: RecoveredRecords{
 			MachineTypes: []protocol.MachineType{*s.scheduler.machines.MachineType("g8")},
 			LiveJobs:     []protocol.KeyValue{{Key: storage.LiveJobKey("j-1"), Value: raw, Revision: 5}},
 			Pages:        pages,
 		},
-		0,
-		nil,
-	)
+	})
 	return next.jobs["j-1"]
 }
 
--- a/internal/coordination/scheduler/fleet_bench_test.go
+++ b/internal/coordination/scheduler/fleet_bench_test.go
@@ -72,7 +72,12 @@
 	}
 	log := slog.New(slog.NewTextHandler(io.Discard, &slog.HandlerOptions{Level: slog.LevelError}))
 	b := &fleetHarness{
-		scheduler:  New(0, cfg, log, Term{Number: 5, Revision: 1}, RecoveredRecords{MachineTypes: types}, 0, nil),
+		scheduler: New(0, Options{
+			Config:  cfg,
+			Log:     log,
+			Term:    Term{Number: 5, Revision: 1},
+			Records: RecoveredRecords{MachineTypes: types},
+		}),
 		revision:   10,
 		heartbeats: map[string]*protocol.WorkerHeartbeat{},
 		rng:        rand.New(rand.NewPCG(1, 2)),
--- a/internal/coordination/scheduler/harness_test.go
+++ b/internal/coordination/scheduler/harness_test.go
@@ -70,15 +70,12 @@
 	}
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	return &harness{
-		scheduler: New(
-			0,
-			cfg,
-			log,
-			Term{Number: 5, Revision: 1},
-			RecoveredRecords{MachineTypes: types},
-			0,
-			nil,
-		),
+		scheduler: New(0, Options{
+			Config:  cfg,
+			Log:     log,
+			Term:    Term{Number: 5, Revision: 1},
+			Records: RecoveredRecords{MachineTypes: types},
+		}),
 		revision:     10,
 		sequences:    map[string]uint64{},
 		runs:         map[protocol.TaskID]protocol.Command{},
--- a/internal/coordination/scheduler/heartbeats.go
+++ b/internal/coordination/scheduler/heartbeats.go
@@ -17,7 +17,7 @@
 		return
 	}
 	reply := protocol.WorkerHeartbeatReply{
-		FencingToken: protocol.FencingToken(c.term, 0),
+		FencingToken: protocol.FencingToken(c.term.number, 0),
 		Commands:     []protocol.Command{},
 	}
 	if c.autoscaler.RecentlyReleased(heartbeat.Machine) {
@@ -69,7 +69,7 @@
 // stepDownForLaterTerm ends the term if a worker has seen a later one, and reports whether it has.
 func (c *Scheduler) stepDownForLaterTerm(heartbeat *protocol.WorkerHeartbeat) bool {
 	term := protocol.TermOfToken(heartbeat.FencingToken)
-	if term <= c.term {
+	if term <= c.term.number {
 		return false
 	}
 	c.emit(StepDown{LaterTerm: term, Reason: "a worker has seen a later term"})
@@ -130,7 +130,7 @@
 // checkReachability transfers the leadership when most machines reach other controllers only. Their heartbeats are
 // relayed, but a controller that they reach would serve them better, and can command them directly.
 func (c *Scheduler) checkReachability(now time.Duration) {
-	if now-c.termStartedAt < config.Seconds(c.cfg.Workers.LeaseSeconds/2) {
+	if now-c.term.startedAt < config.Seconds(c.cfg.Workers.LeaseSeconds/2) {
 		return // machines have not had the time to find this controller
 	}
 	direct, relayed := 0, 0
--- a/internal/coordination/scheduler/largefleet_test.go
+++ b/internal/coordination/scheduler/largefleet_test.go
@@ -65,15 +65,12 @@
 			Zones:            []string{"a"},
 		},
 	}
-	b.scheduler = New(
-		0,
-		&cfg,
-		slog.New(slog.NewTextHandler(io.Discard, nil)),
-		Term{Number: 5, Revision: 1},
-		records,
-		0,
-		nil,
-	)
+	b.scheduler = New(0, Options{
+		Config:  &cfg,
+		Log:     slog.New(slog.NewTextHandler(io.Discard, nil)),
+		Term:    Term{Number: 5, Revision: 1},
+		Records: records,
+	})
 	var list []protocol.ListedMachine
 	for i := range manyMachines {
 		list = append(
--- a/internal/coordination/scheduler/recovery_test.go
+++ b/internal/coordination/scheduler/recovery_test.go
@@ -35,15 +35,15 @@
 		t.Fatal("no image hint was written")
 	}
 	next := newHarness([]config.Team{{Name: "red"}}, "a")
-	next.scheduler = New(
-		0,
-		next.scheduler.cfg,
-		next.scheduler.log,
-		Term{Number: 6, Revision: 2},
-		RecoveredRecords{MachineTypes: []protocol.MachineType{*b.scheduler.machines.MachineType("g8")}, Images: warm},
-		0,
-		nil,
-	)
+	next.scheduler = New(0, Options{
+		Config: next.scheduler.cfg,
+		Log:    next.scheduler.log,
+		Term:   Term{Number: 6, Revision: 2},
+		Records: RecoveredRecords{
+			MachineTypes: []protocol.MachineType{*b.scheduler.machines.MachineType("g8")},
+			Images:       warm,
+		},
+	})
 	for _, m := range []string{"m1", "m2", "m3"} {
 		next.heartbeat(m, "a", false)
 	}
@@ -79,15 +79,16 @@
 		}
 		live = append(live, protocol.KeyValue{Key: storage.LiveJobKey(id), Value: value, Revision: 3})
 	}
-	b.scheduler = New(
-		0,
-		b.scheduler.cfg,
-		b.scheduler.log,
-		Term{Number: 6, Revision: 2},
-		RecoveredRecords{MachineTypes: []protocol.MachineType{*b.scheduler.machines.MachineType("g8")}, LiveJobs: live},
-		wallMS,
-		nil,
-	)
+	b.scheduler = New(0, Options{
+		Config: b.scheduler.cfg,
+		Log:    b.scheduler.log,
+		Term:   Term{Number: 6, Revision: 2},
+		Records: RecoveredRecords{
+			MachineTypes: []protocol.MachineType{*b.scheduler.machines.MachineType("g8")},
+			LiveJobs:     live,
+		},
+		WallClockMS: wallMS,
+	})
 	b.heartbeat("m1", "a", false)
 	b.runCycle()
 	if b.startedTasks("j-1") != 0 || b.startedTasks("j-2") != 1 {
@@ -172,19 +173,17 @@
 	}
 	boot := 30 * time.Second
 	want := b.scheduler.forecast.ExpectedArrivals(b.now, "quick", boot)
-	next := New(
-		0,
-		b.scheduler.cfg,
-		b.scheduler.log,
-		Term{Number: 6, Revision: 2},
-		RecoveredRecords{
+	next := New(0, Options{
+		Config: b.scheduler.cfg,
+		Log:    b.scheduler.log,
+		Term:   Term{Number: 6, Revision: 2},
+		Records: RecoveredRecords{
 			MachineTypes: []protocol.MachineType{*b.scheduler.machines.MachineType("g8")},
 			LiveJobs:     live,
 			Images:       warm,
 		},
-		b.now.Milliseconds(),
-		nil,
-	)
+		WallClockMS: b.now.Milliseconds(),
+	})
 	got := next.forecast.ExpectedArrivals(0, "quick", boot)
 	if want == 0 || got < want/3 || got > want*1.2 {
 		t.Errorf("expects %v jobs after the take-over, %v before", got, want)
--- a/internal/coordination/scheduler/scheduler.go
+++ b/internal/coordination/scheduler/scheduler.go
@@ -34,13 +34,12 @@
 type Scheduler struct {
 	cfg                 *config.Deployment
 	log                 *slog.Logger
-	term                uint64
-	controller          string
+	term                currentTerm
 	writes              pendingWrites
 	recordLimits        placementrecords.Limits
 	targetLevel         featurelevel.Level // the feature level that is being made final, while writes are paused
 	dependencies        *dependency.Graph
-	cancelledDependents []*jobstate.Job // cancelled with a job that they await, and not recorded yet
+	cancelledDependents cancelledDependents
 	delayedCalls        delayedCalls
 
 	machines     *machineregistry.Registry
@@ -53,18 +52,16 @@
 	finder       machineFinder
 	preemption   *placement.PreemptionBudget
 	consolidator *placement.Consolidator
-	// cancellationIntents holds the jobs that users may have been told are cancelled, until the
-	// state service tells, by when one must have been told.
+	// cancellationIntents holds the jobs that users may have been told are cancelled, with the time at which their
+	// intents stop being valid.
 	cancellationIntents map[string]time.Duration
 
-	effects       []Effect
-	cycle         cycleClock
-	termStartedAt time.Duration
-	forecast      *demand.Forecast
-	imageHints    *imagehints.Writer
-	prober        prober
-	termStartedMS int64                 // time of day when the term began
-	zoneFailover  *zonefailover.Manager // nil unless it is on
+	effects      []Effect
+	cycle        cycleClock
+	forecast     *demand.Forecast
+	imageHints   *imagehints.Writer
+	prober       prober
+	zoneFailover *zonefailover.Manager // nil unless it is on
 }
 
 // Term identifies the term of a leader.
@@ -84,42 +81,57 @@
 	ZoneFailoverPages []protocol.KeyValue
 }
 
-// New returns the scheduler of a term, recovered from the records that the new leader has read. wallMS is the time of
-// day in milliseconds. Zone failover is on if a recovery order is given.
-func New(
-	now time.Duration,
-	cfg *config.Deployment,
-	log *slog.Logger,
-	term Term,
-	records RecoveredRecords,
-	wallMS int64,
-	order *zonefailover.RecoveryOrder,
-) *Scheduler {
-	c := newScheduler(now, cfg, log, term, wallMS)
+// currentTerm identifies the term and when it began, by the leader's time and by the time of day in milliseconds.
+type currentTerm struct {
+	number     uint64
+	controller string
+	startedAt  time.Duration
+	startedMS  int64
+}
+
+// Options are what a Scheduler is made from.
+type Options struct {
+	Config  *config.Deployment
+	Log     *slog.Logger
+	Term    Term
+	Records RecoveredRecords
+	// WallClockMS is the time of day in milliseconds at which the term begins.
+	WallClockMS int64
+	// RecoveryOrder turns on zone failover. It is off if this is nil.
+	RecoveryOrder *zonefailover.RecoveryOrder
+}
+
+// New returns the scheduler of a term that begins now, recovered from the records that the new leader has read.
+func New(now time.Duration, options Options) *Scheduler {
+	c := newScheduler(now, options)
+	records := options.Records
 	c.machines.SetMachineTypes(records.MachineTypes)
 	c.recoverImageHints(records.Images)
 	c.recoverLiveJobs(now, records.LiveJobs, jobsWithPlacementPages(records.Pages))
 	c.forecast.DropInheritedArrivals()
 	c.recoverPages(now, records.Pages)
 	c.resumeInterrupted(now)
-	if order != nil {
-		c.startZoneFailover(now, order, records.ZoneFailoverPages)
+	if options.RecoveryOrder != nil {
+		c.startZoneFailover(now, options.RecoveryOrder, records.ZoneFailoverPages)
 	}
 	return c
 }
 
 // newScheduler returns the scheduler of a term in which nothing is known yet.
-func newScheduler(now time.Duration, cfg *config.Deployment, log *slog.Logger, term Term, wallMS int64) *Scheduler {
+func newScheduler(now time.Duration, options Options) *Scheduler {
+	cfg, term := options.Config, options.Term
 	machines := machineregistry.New(term.Number, cfg.Workers)
 	c := &Scheduler{
-		cfg:                 cfg,
-		log:                 log,
-		term:                term.Number,
+		cfg: cfg,
+		log: options.Log,
+		term: currentTerm{
+			number:     term.Number,
+			controller: term.Controller,
+			startedAt:  now,
+			startedMS:  options.WallClockMS,
+		},
 		writes:              newPendingWrites(term),
 		recordLimits:        placementrecords.NewLimits(&cfg.Store, term.FeatureLevel),
-		controller:          term.Controller,
-		termStartedAt:       now,
-		termStartedMS:       wallMS,
 		dependencies:        dependency.New(),
 		machines:            machines,
 		autoscaler:          autoscaler.New(term.Number, cfg.Cloud, cfg.Workers, machines),
@@ -158,7 +170,7 @@
 		if started[record.Job.ID] {
 			record.Job.Dependencies = nil // a job is placed only when all of them are done
 		}
-		age := time.Duration(max(0, c.termStartedMS-record.AcceptedAtMS)) * time.Millisecond
+		age := time.Duration(max(0, c.term.startedMS-record.AcceptedAtMS)) * time.Millisecond
 		c.acceptJob(now, now-age, record, kv.Revision)
 	}
 }
--- a/internal/coordination/scheduler/zonefailover.go
+++ b/internal/coordination/scheduler/zonefailover.go
@@ -25,9 +25,9 @@
 		Zones:         c.allowedZones(&protocol.Job{}),
 		Limits:        c.failoverRecordLimits(),
 		CycleInterval: CycleInterval,
-		Term:          c.term,
-		TermStartedAt: c.termStartedAt,
-		TermStartedMS: c.termStartedMS,
+		Term:          c.term.number,
+		TermStartedAt: c.term.startedAt,
+		TermStartedMS: c.term.startedMS,
 	})
 	if c.zoneFailover.WatchesZones() {
 		c.zoneFailover.Restore(now, pages)
--- a/internal/coordination/scheduler/zonefailover_test.go
+++ b/internal/coordination/scheduler/zonefailover_test.go
@@ -126,15 +126,13 @@
 // TestSingleZone: with a single zone there is nothing to do, and the log says so.
 func TestSingleZone(t *testing.T) {
 	b := newHarness([]config.Team{{Name: "red"}}, "a")
-	c := New(
-		0,
-		b.scheduler.cfg,
-		b.scheduler.log,
-		Term{Number: 6, Revision: 2},
-		RecoveredRecords{MachineTypes: []protocol.MachineType{*b.scheduler.machines.MachineType("g8")}},
-		0,
-		zonefailover.DefaultRecoveryOrder(),
-	)
+	c := New(0, Options{
+		Config:        b.scheduler.cfg,
+		Log:           b.scheduler.log,
+		Term:          Term{Number: 6, Revision: 2},
+		Records:       RecoveredRecords{MachineTypes: []protocol.MachineType{*b.scheduler.machines.MachineType("g8")}},
+		RecoveryOrder: zonefailover.DefaultRecoveryOrder(),
+	})
 	for _, e := range c.Step(0, Tick{}) {
 		if d, ok := e.(ZoneDecision); ok {
 			if o, ok := d.Decision.(zonefailover.RecoveryOrderInEffect); !ok ||
--- a/internal/coordination/scheduler/zoneharness_test.go
+++ b/internal/coordination/scheduler/zoneharness_test.go
@@ -70,15 +70,14 @@
 		MachineTypes:      []protocol.MachineType{*b.scheduler.machines.MachineType("g8")},
 		ZoneFailoverPages: pages,
 	}
-	b.scheduler = New(
-		b.now,
-		b.scheduler.cfg,
-		b.scheduler.log,
-		Term{Number: term, Revision: term},
-		records,
-		b.now.Milliseconds(),
-		b.order,
-	)
+	b.scheduler = New(b.now, Options{
+		Config:        b.scheduler.cfg,
+		Log:           b.scheduler.log,
+		Term:          Term{Number: term, Revision: term},
+		Records:       records,
+		WallClockMS:   b.now.Milliseconds(),
+		RecoveryOrder: b.order,
+	})
 }
 
 // step gives an event to the scheduler and carries out its effects.
--- a/internal/coordination/scheduler/zoneloans_test.go
+++ b/internal/coordination/scheduler/zoneloans_test.go
@@ -119,12 +119,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	next.scheduler = New(
-		next.now,
-		next.scheduler.cfg,
-		next.scheduler.log,
-		Term{Number: 6, Revision: 6},
-		RecoveredRecords{
+	next.scheduler = New(next.now, Options{
+		Config: next.scheduler.cfg,
+		Log:    next.scheduler.log,
+		Term:   Term{Number: 6, Revision: 6},
+		Records: RecoveredRecords{
 			MachineTypes: []protocol.MachineType{
 				*b.scheduler.machines.MachineType("g8"),
 			},
@@ -134,9 +133,9 @@
 			},
 			ZoneFailoverPages: []protocol.KeyValue{next.records[storage.ZoneFailoverKey(0)]},
 		},
-		next.now.Milliseconds(),
-		next.order,
-	)
+		WallClockMS:   next.now.Milliseconds(),
+		RecoveryOrder: next.order,
+	})
 	if next.scheduler.zoneFailover.Monitor().State("a") != zonefailover.Lost ||
 		next.scheduler.zoneFailover.Ledger().Len() != 1 {
 		t.Fatalf("the records are not taken over: %+v", next.scheduler.zoneFailover.Monitor().Zones())
--- a/internal/simulation/system_test.go
+++ b/internal/simulation/system_test.go
@@ -139,20 +139,18 @@
 	warm, _ := s.store.List(storage.ImageHintPrefix)
 	l := &leaderInstance{revision: liveRev}
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
-	l.core = scheduler.New(
-		s.now,
-		s.cfg,
-		log,
-		scheduler.Term{Number: s.term, Revision: rev},
-		scheduler.RecoveredRecords{
+	l.core = scheduler.New(s.now, scheduler.Options{
+		Config: s.cfg,
+		Log:    log,
+		Term:   scheduler.Term{Number: s.term, Revision: rev},
+		Records: scheduler.RecoveredRecords{
 			MachineTypes: s.types,
 			LiveJobs:     live,
 			Pages:        pages,
 			Images:       warm,
 		},
-		s.now.Milliseconds(),
-		nil,
-	)
+		WallClockMS: s.now.Milliseconds(),
+	})
 	s.leaders = append(s.leaders, l)
 	s.tickLeader(l)
 }
