--- a/internal/storage/compatibility_test.go
+++ b/internal/storage/compatibility_test.go
@@ -10,8 +10,8 @@
 	"pinebay/internal/testutil"
 )
 
-// TestProductionRecords: every record of the version in production is read, and below the first feature level
-// written the same, byte by byte: both versions work on each other's data.
+// Every record of the version in production is decoded, and below the first feature level encoded to the same bytes:
+// both versions work on each other's records.
 func TestProductionRecords(t *testing.T) {
 	job := protocol.Job{
 		ID:                        "j-000412",
@@ -87,7 +87,7 @@
 	}
 }
 
-// TestProductionPage does the same for a page of placements.
+// The same holds for a page of placements.
 func TestProductionPage(t *testing.T) {
 	want := storage.PlacementPage{
 		WriteName:      "7.41",
@@ -118,8 +118,8 @@
 	}
 }
 
-// TestProductionTerm: the term's record is read and written as in production below the first feature level. From
-// then on a process of production, which expects a number, can't read it: so it can't claim a term.
+// The same holds for the term's record below the first feature level. From then on the version in production, which
+// expects a number, can't decode it: so it can't claim a term.
 func TestProductionTerm(t *testing.T) {
 	raw, plain := testutil.Production(t, "term"), storage.TermRecord{Term: 7, Controller: "bothy-1", ClaimID: "912"}
 	if got, err := storage.DecodeTerm(raw); err != nil || got != plain {
--- a/internal/storage/ownership_test.go
+++ b/internal/storage/ownership_test.go
@@ -11,8 +11,8 @@
 	"pinebay/internal/storage"
 )
 
-// TestOwnershipRecords: a record in form survives, and one that is out of form, or of a newer format, is never taken
-// for consent.
+// A valid record is decoded as it was encoded. One that is malformed, or has a newer format, is an error and can't pass
+// for ownership.
 func TestOwnershipRecords(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rec := storage.OwnershipRecord{
--- a/internal/storage/storage_test.go
+++ b/internal/storage/storage_test.go
@@ -84,26 +84,29 @@
 	}
 }
 
-// TestErrorsDistinguishUnsentFromUnanswered: only a request without an answer may have
-// been executed; the leader's writes depend on the difference.
+// Only a request without an answer may have been executed. The leader's writes depend on the difference.
 func TestErrorsDistinguishUnsentFromUnanswered(t *testing.T) {
-	for _, x := range []struct {
+	const noAnswer = 0
+	for _, test := range []struct {
+		name   string
 		status int
 		want   error
 	}{
-		{http.StatusServiceUnavailable, storage.ErrUnavailable},
-		{http.StatusTooManyRequests, storage.ErrRateLimited},
-		{0, storage.ErrOutcomeUnknown},
+		{"unavailable", http.StatusServiceUnavailable, storage.ErrUnavailable},
+		{"rate limited", http.StatusTooManyRequests, storage.ErrRateLimited},
+		{"no answer", noAnswer, storage.ErrOutcomeUnknown},
 	} {
-		c := newTestClient(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-			if x.status == 0 {
-				panic(http.ErrAbortHandler) // executed or not, no answer comes
+		t.Run(test.name, func(t *testing.T) {
+			c := newTestClient(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+				if test.status == noAnswer {
+					panic(http.ErrAbortHandler) // the request may have been executed
+				}
+				w.WriteHeader(test.status)
+			}))
+			if _, err := c.Txn(t.Context(), storage.BudgetAcceptance, protocol.Txn{}); !errors.Is(err, test.want) {
+				t.Errorf("%v, want %v", err, test.want)
 			}
-			w.WriteHeader(x.status)
-		}))
-		if _, err := c.Txn(context.Background(), storage.BudgetAcceptance, protocol.Txn{}); !errors.Is(err, x.want) {
-			t.Errorf("status %d: %v", x.status, err)
-		}
+		})
 	}
 	c := newTestClient(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		_, _ = w.Write([]byte("\xc1 nonsense"))
@@ -113,8 +116,7 @@
 	}
 }
 
-// TestFullPagesFitAValue guards the paging: whatever a page's tasks are, its
-// record stays within the limit, as counted in JSON.
+// Whatever the tasks of a page are, its record is within the limit of a value, as counted in JSON.
 func TestFullPagesFitAValue(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		kb := rapid.SampledFrom([]float64{1, 2, 8, 64}).Draw(t, "kb")
@@ -151,29 +153,24 @@
 			t.Fatal(err)
 		}
 		out, err := json.Marshal(v)
-		// What of the compact layout is too large is cut narrower when it is written (scheduler).
+		// A compact page that is too large is divided before it is written (placementrecords).
 		if err != nil || !layout.Compact && len(out) > int(kb*1024) {
 			t.Fatalf("%d tasks take %d bytes of %v KiB: %v", n, len(out), kb, err)
 		}
 		if size, err := storage.JSONSize(raw); err != nil || size < len(out) || size > len(out)*3/2 {
-			t.Fatalf("%d bytes are taken for %d: %v", len(out), size, err)
+			t.Fatalf("%d bytes are estimated for %d: %v", len(out), size, err)
 		}
-		name := storage.PageID{Job: "j-000001", Layout: layout, Number: 17}
-		if parsed, err := storage.ParsePageKey(
-			name.Key(),
-			storage.OriginalPageTasks(kb),
-		); err != nil ||
-			parsed != name {
-			t.Fatalf("%s is read as %+v: %v", name.Key(), parsed, err)
+		id := storage.PageID{Job: "j-000001", Layout: layout, Number: 17}
+		parsed, err := storage.ParsePageKey(id.Key(), storage.OriginalPageTasks(kb))
+		if err != nil || parsed != id {
+			t.Fatalf("%s is parsed as %+v: %v", id.Key(), parsed, err)
 		}
 		got, err := storage.DecodePage(protocol.KeyValue{Value: raw}, layout)
 		if err != nil {
 			t.Fatal(err)
 		}
-		slices.SortFunc(
-			got.Placements,
-			func(a, b storage.Placement) int { return a.Task - b.Task },
-		) // compact pages list them by machine
+		byTask := func(a, b storage.Placement) int { return a.Task - b.Task }
+		slices.SortFunc(got.Placements, byTask) // compact pages list them by machine
 		if !reflect.DeepEqual(*got, rec) {
 			t.Fatalf("%+v\n%+v", *got, rec)
 		}
@@ -201,24 +198,21 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, err := storage.DecodePage(
-			protocol.KeyValue{Value: raw},
-			storage.PageLayout{TasksPerPage: 16},
-		); err == nil {
-			t.Fatalf("%+v was taken", rec)
+		original := storage.PageLayout{TasksPerPage: 16}
+		if _, err := storage.DecodePage(protocol.KeyValue{Value: raw}, original); err == nil {
+			t.Fatalf("%+v was accepted", rec)
 		}
 		compact := storage.PageLayout{TasksPerPage: 16, Compact: true}
 		if raw, err = storage.EncodePage(&rec, compact); err != nil {
 			t.Fatal(err)
 		}
 		if _, err := storage.DecodePage(protocol.KeyValue{Value: raw}, compact); err == nil {
-			t.Fatalf("%+v was taken in the compact layout", rec)
+			t.Fatalf("%+v was accepted in the compact layout", rec)
 		}
 	})
 }
 
-// TestHedgedTransactionReturnsFirstOutcome: when an answer is slow, a second try brings
-// the outcome, and what the first did meanwhile is not done twice.
+// When an answer is slow, a second try brings the outcome, and what the first one did meanwhile is not done twice.
 func TestHedgedTransactionReturnsFirstOutcome(t *testing.T) {
 	state := simulation.NewStore()
 	release := make(chan struct{})
@@ -254,8 +248,7 @@
 	}
 }
 
-// TestAnsweredOnlyAfterAnAnswer: a client that no answer has ever reached does not pass for one whose
-// service has just answered.
+// A client that has never had an answer doesn't claim that the store has just answered.
 func TestAnsweredOnlyAfterAnAnswer(t *testing.T) {
 	status := http.StatusServiceUnavailable
 	c := newTestClient(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(status) }))
@@ -268,7 +261,7 @@
 		"k",
 	); !errors.Is(err, storage.ErrUnavailable) ||
 		c.Answered() {
-		t.Errorf("a refusal is taken for an answer: %v", err)
+		t.Errorf("a rejection counts as an answer: %v", err)
 	}
 	status = http.StatusNotFound
 	if _, err := c.Get(context.Background(), storage.BudgetUrgent, "k"); err != nil || !c.Answered() {
@@ -276,8 +269,8 @@
 	}
 }
 
-// TestZoneFailoverPages: what is written is read again, a full page stays inside a value, and
-// what is cut, of another format or out of form is refused.
+// A page is decoded as it was encoded, and a full one fits a value. One that is truncated, malformed or of another
+// format is an error.
 func TestZoneFailoverPages(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		valueKB := float64(rapid.SampledFrom([]int{1, 8, 64}).Draw(t, "value"))
@@ -320,7 +313,7 @@
 			if _, err := storage.DecodeZoneFailover(
 				protocol.KeyValue{Key: storage.ZoneFailoverKey(0), Value: raw[:cut]},
 			); err == nil {
-				t.Fatalf("%d of %d bytes were taken", cut, len(raw))
+				t.Fatalf("%d of %d bytes were accepted", cut, len(raw))
 			}
 		}
 		rec.Format = rapid.SampledFrom([]int{-1, 0, storage.ZoneFailoverFormat + 1}).Draw(t, "format")
@@ -336,8 +329,8 @@
 	})
 }
 
-// TestPlacementsHaveBudgetBesideCompletions: however many records of ends wait, there is room at once for those
-// of a burst of starts, and the ends take what is left.
+// However many completions wait, a burst of placements is written at once, and the completions use what is left of the
+// budget.
 func TestPlacementsHaveBudgetBesideCompletions(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const perSecond = 20
@@ -373,7 +366,7 @@
 				protocol.Txn{Then: []protocol.Op{{PutKey: key, Value: mustEncode(t, map[string]int{})}}},
 			)
 			if err == nil && !outcome.Succeeded {
-				return errors.New("refused")
+				return errors.New("not carried out")
 			}
 			return err
 		}
@@ -409,9 +402,8 @@
 	})
 }
 
-// TestOversizedChangesCountAsCompacted: whoever has fallen so far behind that the changes are more than a process
-// takes in is told to read the keys again. Asked for once more, the same answer would have come for
-// ever, and a leader would never have heard of another job.
+// A reader that is so far behind that the changes are larger than the largest response must list the keys again. If it
+// repeated the request, it would get the same answer for ever, and a leader would never learn of another job.
 func TestOversizedChangesCountAsCompacted(t *testing.T) {
 	value := mustEncode(t, map[string]string{"x": strings.Repeat("x", 8000)})
 	var events []protocol.WatchEvent
