--- a/internal/coordination/placementrecords/limits.go
+++ b/internal/coordination/placementrecords/limits.go
@@ -58,11 +58,13 @@
 func (l *Limits) MaxOperations() int { return l.current.TxnOps }
 
 // fitsValue reports whether a value of an estimated size is within the limit.
-func (l *Limits) fitsValue(size int) bool { return float64(size) <= l.current.ValueKB*1024 }
+func (l *Limits) fitsValue(size int) bool {
+	return float64(size) <= l.current.ValueKB*storage.BytesPerKB
+}
 
 // PagesPerTransaction returns how many full pages fit a transaction.
 func (l *Limits) PagesPerTransaction() int {
-	return max(1, min(l.current.TxnOps, int(MaxTransactionBytes/(l.current.ValueKB*1024))))
+	return max(1, min(l.current.TxnOps, int(MaxTransactionBytes/(l.current.ValueKB*storage.BytesPerKB))))
 }
 
 // MaxStartPages returns how many pages that starts wait for may be in flight: as many as the key-value store writes
--- a/internal/storage/placementpages.go
+++ b/internal/storage/placementpages.go
@@ -110,13 +110,13 @@
 
 // OriginalPageTasks returns how many tasks a page of the original layout covers. A full page is well within the limit.
 func OriginalPageTasks(valueKB float64) int {
-	return max(1, int(valueKB*bytesPerKB*pageFillShare/PlacementBytes))
+	return max(1, int(valueKB*BytesPerKB*pageFillShare/PlacementBytes))
 }
 
 // CompactPageTasks returns how many tasks a page of the compact layout covers at first: as many as fit with names of
 // usual length. A page that turns out too large is divided (see FitsValueLimit).
 func CompactPageTasks(valueKB float64) int {
-	return max(1, int(valueKB*bytesPerKB*pageFillShare/compactPlacementBytes))
+	return max(1, int(valueKB*BytesPerKB*pageFillShare/compactPlacementBytes))
 }
 
 // ZoneIndex returns the index of a zone in the record, adding it if need be.
--- a/internal/storage/valuelimit.go
+++ b/internal/storage/valuelimit.go
@@ -7,7 +7,8 @@
 	"pinebay/internal/protocol"
 )
 
-const bytesPerKB = 1024
+// BytesPerKB converts limits of values, which are given in KiB.
+const BytesPerKB = 1024
 
 // JSONSize returns an upper bound of the size of a stored value in JSON, the form in which the store counts its limits.
 // As it isn't specified how items are separated, a blank is counted after each comma and colon.
@@ -26,5 +27,5 @@
 // FitsValueLimit reports whether a value is within a limit in KiB.
 func FitsValueLimit(raw []byte, valueKB float64) bool {
 	size, err := JSONSize(raw)
-	return err == nil && float64(size) <= valueKB*bytesPerKB
+	return err == nil && float64(size) <= valueKB*BytesPerKB
 }
--- a/internal/storage/zonefailover.go
+++ b/internal/storage/zonefailover.go
@@ -55,7 +55,7 @@
 
 // LoansPerPage returns how many loans fit a page, well within the limit of a value.
 func LoansPerPage(valueKB float64) int {
-	return max(1, int(valueKB*bytesPerKB*pageFillShare/loanBytes))
+	return max(1, int(valueKB*BytesPerKB*pageFillShare/loanBytes))
 }
 
 // DecodeZoneFailover decodes and validates a page.
