--- a/internal/coordination/api/feasibility_test.go
+++ b/internal/coordination/api/feasibility_test.go
@@ -19,12 +19,15 @@
 		change func(*protocol.Job)
 		want   string
 	}{
-		"feasible":                {func(*protocol.Job) {}, ""},
-		"unknown team":            {func(j *protocol.Job) { j.Team = `b"e` }, `unknown team "b\"e"`},
-		"too many GPUs for any":   {func(j *protocol.Job) { j.GPUs = 9 }, noMachineType},
-		"unknown type":            {func(j *protocol.Job) { j.MachineTypes = []string{"g9"} }, noMachineType},
-		"unknown zone":            {func(j *protocol.Job) { j.Zone = "c" }, noMachineType},
-		"a gang over the limit":   {func(j *protocol.Job) { j.Shape, j.TaskCount, j.GPUs = protocol.Gang, 3, 8 }, overLimit},
+		"feasible":              {func(*protocol.Job) {}, ""},
+		"unknown team":          {func(j *protocol.Job) { j.Team = `b"e` }, `unknown team "b\"e"`},
+		"too many GPUs for any": {func(j *protocol.Job) { j.GPUs = 9 }, noMachineType},
+		"unknown type":          {func(j *protocol.Job) { j.MachineTypes = []string{"g9"} }, noMachineType},
+		"unknown zone":          {func(j *protocol.Job) { j.Zone = "c" }, noMachineType},
+		"a gang over the limit": {
+			func(j *protocol.Job) { j.Shape, j.TaskCount, j.GPUs = protocol.Gang, 3, 8 },
+			overLimit,
+		},
 		"an array over the limit": {func(j *protocol.Job) { j.TaskCount, j.GPUs = 3, 8 }, ""},
 		"CPUs over the limit":     {func(j *protocol.Job) { j.CPUs = 33 }, overLimit},
 		"spread in one zone":      {func(j *protocol.Job) { j.Spread, j.Zone = true, "a" }, cannotSpread},
--- a/internal/testutil/testutil.go
+++ b/internal/testutil/testutil.go
@@ -39,15 +39,15 @@
 
 // Production returns bytes as the version in production wrote them: those of a file in testdata/production of the
 // package under test, in hexadecimal.
-func Production(t testing.TB, name string) []byte {
-	t.Helper()
+func Production(tb testing.TB, name string) []byte {
+	tb.Helper()
 	text, err := os.ReadFile(filepath.Join("testdata", "production", name+".hex"))
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	raw, err := hex.DecodeString(strings.TrimSpace(string(text)))
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	return raw
 }
