--- a/internal/coordination/scheduler/gangorder.go
+++ b/internal/coordination/placement/gangorder.go
@@ -1,4 +1,4 @@
-package scheduler
+package placement
 
 import (
 	"cmp"
@@ -16,10 +16,10 @@
 	priority    int
 }
 
-// orderGangsByDeadline reorders the gangs of each class, team and priority among themselves, in a list in
+// OrderGangsByDeadline reorders the gangs of each class, team and priority among themselves, in a list in
 // scheduling order: those that can still meet an objective go first. Under overload, age alone would spend
 // the capacity on gangs that are late in any case, until every gang is late.
-func (c *Scheduler) orderGangsByDeadline(now time.Duration, waiting []*jobstate.Job) {
+func OrderGangsByDeadline(now time.Duration, waiting []*jobstate.Job, objectives []config.Objective) {
 	positions := map[gangGroup][]int{}
 	for i, j := range waiting {
 		if j.Spec.Shape == protocol.Gang {
@@ -33,7 +33,7 @@
 			gangs[k] = waiting[i]
 		}
 		slices.SortStableFunc(gangs, func(a, b *jobstate.Job) int {
-			return cmp.Compare(c.deadlineTier(now, a), c.deadlineTier(now, b))
+			return cmp.Compare(deadlineTierOf(now, a, objectives), deadlineTierOf(now, b, objectives))
 		})
 		for k, i := range at {
 			waiting[i] = gangs[k]
@@ -54,12 +54,12 @@
 // none waits for ever.
 const starvationFactor = 2
 
-// deadlineTier returns the tier of a gang. One without an objective, and one that has waited for too long,
+// deadlineTierOf returns the tier of a gang. One without an objective, and one that has waited for too long,
 // is in the first.
-func (c *Scheduler) deadlineTier(now time.Duration, j *jobstate.Job) deadlineTier {
+func deadlineTierOf(now time.Duration, j *jobstate.Job, objectives []config.Objective) deadlineTier {
 	waited := (now - j.WaitingSince).Seconds()
 	tier, longest := lateInAnyCase, 0.0
-	for _, o := range c.cfg.Objectives {
+	for _, o := range objectives {
 		if o.Class != j.Spec.Class {
 			continue
 		}
--- a/internal/coordination/scheduler/cycle.go
+++ b/internal/coordination/scheduler/cycle.go
@@ -19,7 +19,7 @@
 	c.rules.Cycle = c.cycle.count
 	c.candidates.Refresh(now)
 	waiting := c.schedulableJobs(now)
-	c.orderGangsByDeadline(now, waiting)
+	placement.OrderGangsByDeadline(now, waiting, c.cfg.Objectives)
 	c.holdHeadroom(now)
 	c.preemption.BeginCycle()
 	if c.zoneFailover.InFailover() {
