--- a/internal/coordination/zonefailover/records.go
+++ b/internal/coordination/zonefailover/records.go
@@ -260,7 +260,8 @@
 	for _, page := range pages {
 		delete(m.records.dirty, page)
 		if err := m.addPage(w, page, records[page], name); err != nil {
-			m.options.Log.Error("failed to encode zone failover record", "key", storage.ZoneFailoverKey(page), "error", err)
+			key := storage.ZoneFailoverKey(page)
+			m.options.Log.Error("failed to encode zone failover record", "key", key, "error", err)
 		}
 	}
 	w.setVerification(name)
