--- a/internal/coordination/api/dependencies_test.go
+++ b/internal/coordination/api/dependencies_test.go
@@ -227,8 +227,8 @@
 	})
 }
 
-// TestCascadeNeedsNoMajority: a job that is cancelled with one that it awaits has no tasks, so that a controller
-// without the others tells of it.
+// TestCascadeNeedsNoMajority: a job that is cancelled together with a dependency has no tasks, so a controller that
+// reaches no other one tells users of it.
 func TestCascadeNeedsNoMajority(t *testing.T) {
 	s := newPipelineCluster(t)
 	for _, j := range []protocol.Job{arrayJob("j-1"), dependentJob("j-2", "j-1"), dependentJob("j-3", "j-2")} {
--- a/internal/coordination/api/server_test.go
+++ b/internal/coordination/api/server_test.go
@@ -328,9 +328,9 @@
 	}
 }
 
-// TestManyQueriesAreAnswered: hundreds of users ask at once about as many jobs, of
-// which some end meanwhile, and each asks again. What the state service allows for
-// questions would do for a tenth of them; all are answered, with nothing older.
+// TestManyQueriesAreAnswered: hundreds of users query about as many jobs at once, of which some end meanwhile, and each
+// queries again. The rate of the key-value store would allow a tenth of them to read by themselves; all are answered,
+// and no answer is older than another that a user had before.
 func TestManyQueriesAreAnswered(t *testing.T) {
 	const users = 500
 	s := newTestClusterWith(t, config.StoreLimits{RPS: 100, WriteRPS: 1e6, TxnOps: 16})
