--- a/internal/coordination/api/api.go
+++ b/internal/coordination/api/api.go
@@ -28,123 +28,123 @@
 	store  *storage.Client
 	random *random.Source
 	log    *slog.Logger
-	reader *reader
-	// announce has a majority of the controllers hold an intent that a job is cancelled.
-	announce Announce
-	types    atomic.Pointer[[]protocol.MachineType]
-	level    atomic.Int64
+	reader *jobReader
+	// announceIntent has a majority of the controllers hold an intent that a job is cancelled.
+	announceIntent AnnounceIntent
+	machineTypes   atomic.Pointer[[]protocol.MachineType]
+	featureLevel   atomic.Int64
 }
 
-// Announce has a majority of the controllers hold an intent that a job is about to be
+// AnnounceIntent has a majority of the controllers hold an intent that a job is about to be
 // called cancelled, and returns when the intent was made; an error says that too few
 // of them can be reached.
-type Announce func(ctx context.Context, job string) (time.Time, error)
+type AnnounceIntent func(ctx context.Context, job string) (time.Time, error)
 
-// Confirm is within what time of its intent a user may be told that a job is
+// MaxIntentAge is within what time of its intent a user may be told that a job is
 // cancelled: controllers that the state service does not answer keep the job stopped
 // for so long, and may then take it that it lives, if they see so.
-const Confirm = submitPatience
+const MaxIntentAge = submitTimeout
 
 // New returns a server that does not know the machine types yet.
-func New(cfg *config.Deployment, store *storage.Client, source *random.Source, log *slog.Logger, status Statuses, announce Announce) *Server {
+func New(cfg *config.Deployment, store *storage.Client, source *random.Source, log *slog.Logger, status LeaderStatuses, announce AnnounceIntent) *Server {
 	// Final states never change, so they may be kept: some hundred a MB.
-	return &Server{cfg: cfg, store: store, random: source, log: log, announce: announce,
-		reader: newReader(store, log, status, int(cfg.Quota.RAMMB*100))}
+	return &Server{cfg: cfg, store: store, random: source, log: log, announceIntent: announce,
+		reader: newJobReader(store, log, status, int(cfg.Quota.RAMMB*100))}
 }
 
-// SetTypes tells which machine types there are.
-func (s *Server) SetTypes(types []protocol.MachineType) { s.types.Store(&types) }
+// SetMachineTypes tells which machine types there are.
+func (s *Server) SetMachineTypes(types []protocol.MachineType) { s.machineTypes.Store(&types) }
 
-// SetLevel tells which feature level is final.
-func (s *Server) SetLevel(level featurelevel.Level) { s.level.Store(int64(level)) }
+// SetFeatureLevel tells which feature level is final.
+func (s *Server) SetFeatureLevel(level featurelevel.Level) { s.featureLevel.Store(int64(level)) }
 
-// Level returns the feature level that is final, as far as known.
-func (s *Server) Level() featurelevel.Level { return featurelevel.Level(s.level.Load()) }
+// FeatureLevel returns the feature level that is final, as far as known.
+func (s *Server) FeatureLevel() featurelevel.Level { return featurelevel.Level(s.featureLevel.Load()) }
 
 // Ready says whether the machine types are known.
-func (s *Server) Ready() bool { return s.types.Load() != nil }
+func (s *Server) Ready() bool { return s.machineTypes.Load() != nil }
 
 // Routes adds the users' paths to the router.
 func (s *Server) Routes(r chi.Router) {
-	r.Post("/submissions", s.submit)
-	r.Get("/submissions/{id}", s.query)
-	r.Post("/submissions/{id}/withdraw", s.withdraw)
+	r.Post("/submissions", s.handleSubmission)
+	r.Get("/submissions/{id}", s.handleQuery)
+	r.Post("/submissions/{id}/withdraw", s.handleCancellation)
 }
 
 // patience bounds how long a user is kept waiting, well inside the 2 s and 5 s
 // that users wait.
 const (
-	pollPatience   = 1500 * time.Millisecond
-	submitPatience = 3 * time.Second
+	queryTimeout  = 1500 * time.Millisecond
+	submitTimeout = 3 * time.Second
 )
 
-func refuse(w http.ResponseWriter, status int, why string) {
+func writeError(w http.ResponseWriter, status int, why string) {
 	if status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests {
 		w.Header().Set("Retry-After", "1")
 	}
-	transport.Answer(w, status, protocol.Problem{Error: why})
+	transport.WriteResponse(w, status, protocol.ErrorResponse{Error: why})
 }
 
-func (s *Server) submit(w http.ResponseWriter, r *http.Request) {
+func (s *Server) handleSubmission(w http.ResponseWriter, r *http.Request) {
 	raw, err := transport.ReadBody(w, r)
 	if err != nil {
-		refuse(w, http.StatusBadRequest, err.Error())
+		writeError(w, http.StatusBadRequest, err.Error())
 		return
 	}
 	job, err := protocol.DecodeJob(raw)
 	if err != nil {
-		refuse(w, http.StatusBadRequest, err.Error())
+		writeError(w, http.StatusBadRequest, err.Error())
 		return
 	}
-	types := s.types.Load()
+	types := s.machineTypes.Load()
 	if types == nil {
-		refuse(w, http.StatusServiceUnavailable, "machine types are not known yet")
+		writeError(w, http.StatusServiceUnavailable, "machine types are not known yet")
 		return
 	}
-	if why := Impossible(s.cfg, *types, job); why != "" {
-		refuse(w, http.StatusUnprocessableEntity, why)
+	if why := InfeasibleReason(s.cfg, *types, job); why != "" {
+		writeError(w, http.StatusUnprocessableEntity, why)
 		return
 	}
-	job.Types = knownTypes(*types, job.Types)
-	ctx, cancel := context.WithTimeout(r.Context(), submitPatience)
+	job.MachineTypes = knownTypes(*types, job.MachineTypes)
+	ctx, cancel := context.WithTimeout(r.Context(), submitTimeout)
 	defer cancel()
 	began := time.Now()
-	standing, no := s.checkAwaits(ctx, job)
+	standing, no := s.checkDependencies(ctx, job)
 	if no != nil {
-		s.log.Debug("submission refused", "job", job.ID, "status", no.status, "why", no.why)
-		refuse(w, no.status, no.why)
+		s.log.Debug("submission refused", "job", job.ID, "status", no.status, "why", no.message)
+		writeError(w, no.status, no.message)
 		return
 	}
-	status, st := s.accept(ctx, job, standing)
+	status, st := s.recordJob(ctx, job, standing)
 	s.log.Debug("submission", "job", job.ID, "status", status, "took", time.Since(began))
 	if status >= 400 {
-		refuse(w, status, "the state service did not answer")
+		writeError(w, status, "the state service did not answer")
 		return
 	}
-	transport.Answer(w, status, st)
+	transport.WriteResponse(w, status, st)
 }
 
-// accept records a job, unless it is known.
-func (s *Server) accept(ctx context.Context, job *protocol.Job, standing protocol.Standing) (int, protocol.JobStatus) {
+// recordJob records a job, unless it is known.
+func (s *Server) recordJob(ctx context.Context, job *protocol.Job, standing protocol.JobState) (int, protocol.JobStatus) {
 	value, err := protocol.Encode(storage.LiveRecord{Job: *job, AtMS: time.Now().UnixMilli()})
 	if err != nil {
 		return http.StatusServiceUnavailable, protocol.JobStatus{}
 	}
 	live, ended := storage.LiveKey(job.ID), storage.EndedKey(job.ID)
 	t := protocol.Txn{
-		If:   []protocol.Cond{{Key: live}, {Key: ended}},
-		Then: []protocol.Op{{Put: live, Value: value}},
+		If:   []protocol.Compare{{Key: live}, {Key: ended}},
+		Then: []protocol.Op{{PutKey: live, Value: value}},
 	}
 	began := time.Now()
 	for {
 		ok, err := s.store.TxnTwice(ctx, storage.Accept, t)
 		switch {
 		case err == nil && ok && time.Since(began) < storage.Slow:
-			return http.StatusCreated, protocol.JobStatus{ID: job.ID, Standing: standing}
+			return http.StatusCreated, protocol.JobStatus{ID: job.ID, State: standing}
 		case err == nil:
 			// The job was known, or the answer took so long that others may have read
 			// of the job meanwhile, and even cancelled it: look what has become of it.
-			st, found, err := s.lookup(ctx, job.ID)
+			st, found, err := s.jobStatus(ctx, job.ID)
 			if err != nil || !found {
 				return http.StatusServiceUnavailable, protocol.JobStatus{}
 			}
@@ -152,109 +152,109 @@
 				return http.StatusCreated, st
 			}
 			return http.StatusOK, st
-		case ctx.Err() != nil || !again(err, began):
+		case ctx.Err() != nil || !shouldRetry(err, began):
 			// An outage, a crowd, or no answer: the user is told at once when to come
 			// back. Should the job have been recorded, the retry will see it.
 			s.log.Debug("submission put off", "job", job.ID, "err", err)
 			return http.StatusServiceUnavailable, protocol.JobStatus{}
 		}
-		s.random.Pause(ctx, job.ID, retryPause) // over the rate for the moment
+		s.random.Pause(ctx, job.ID, retryDelay) // over the rate for the moment
 	}
 }
 
-const retryPause = 50 * time.Millisecond
+const retryDelay = 50 * time.Millisecond
 
-// again says whether a request of a user should be tried once more: if the state
+// shouldRetry says whether a request of a user should be tried once more: if the state
 // service refused it for its rate, which corrects where several controllers are busy
 // at once. When too many wait here already, the user is told to come back.
-func again(err error, began time.Time) bool {
+func shouldRetry(err error, began time.Time) bool {
 	return errors.Is(err, storage.ErrBusy) && !errors.Is(err, storage.ErrCrowded) && time.Since(began) < storage.Queue
 }
 
-// lookup tells a job's state, as it is at some moment after the call.
-func (s *Server) lookup(ctx context.Context, id string) (protocol.JobStatus, bool, error) {
-	a, err := s.reader.ask(ctx, id)
-	st := a.st
-	if err != nil || !a.found || st.Standing != protocol.Cancelled || a.shape != "" {
+// jobStatus tells a job's state, as it is at some moment after the call.
+func (s *Server) jobStatus(ctx context.Context, id string) (protocol.JobStatus, bool, error) {
+	a, err := s.reader.lookup(ctx, id)
+	st := a.status
+	if err != nil || !a.found || st.State != protocol.JobCancelled || a.shape != "" {
 		// One that lives is cancelled with a job that it awaits: it has no tasks of which somebody would have
 		// to know that they must end.
 		return st, a.found, err
 	}
-	if f, ok := s.reader.final(id); !ok || !f.told {
+	if f, ok := s.reader.finalState(id); !ok || !f.announced {
 		// Its transaction may have come late, when its intent was no longer taken
 		// seriously; whoever tells of it makes sure that it is known.
-		if err := s.confirm(ctx, id, time.Time{}); err != nil {
+		if err := s.ensureFreshIntent(ctx, id, time.Time{}); err != nil {
 			return protocol.JobStatus{}, false, err
 		}
-		s.reader.keep(st, true)
+		s.reader.rememberFinal(st, true)
 	}
 	return st, true, nil
 }
 
-// confirm makes sure that an intent is held by a majority and is fresh, at the moment
+// ensureFreshIntent makes sure that an intent is held by a majority and is fresh, at the moment
 // at which a user is told that the job is cancelled. announced is when the last one
 // was made.
-func (s *Server) confirm(ctx context.Context, id string, announced time.Time) error {
-	for time.Since(announced) > Confirm {
+func (s *Server) ensureFreshIntent(ctx context.Context, id string, announced time.Time) error {
+	for time.Since(announced) > MaxIntentAge {
 		var err error
-		if announced, err = s.announce(ctx, id); err != nil {
+		if announced, err = s.announceIntent(ctx, id); err != nil {
 			return fmt.Errorf("intent of %s: %w", id, err)
 		}
 	}
 	return nil
 }
 
-func (s *Server) query(w http.ResponseWriter, r *http.Request) {
+func (s *Server) handleQuery(w http.ResponseWriter, r *http.Request) {
 	id := chi.URLParam(r, "id")
 	if !protocol.ValidJobID(id) {
-		refuse(w, http.StatusNotFound, "no such job")
+		writeError(w, http.StatusNotFound, "no such job")
 		return
 	}
-	ctx, cancel := context.WithTimeout(r.Context(), pollPatience)
+	ctx, cancel := context.WithTimeout(r.Context(), queryTimeout)
 	defer cancel()
-	st, found, err := s.lookup(ctx, id)
+	st, found, err := s.jobStatus(ctx, id)
 	switch {
 	case err != nil:
-		refuse(w, http.StatusServiceUnavailable, "the state service did not answer")
+		writeError(w, http.StatusServiceUnavailable, "the state service did not answer")
 	case !found:
-		refuse(w, http.StatusNotFound, "no such job")
+		writeError(w, http.StatusNotFound, "no such job")
 	default:
-		transport.Answer(w, http.StatusOK, st)
+		transport.WriteResponse(w, http.StatusOK, st)
 	}
 }
 
-func (s *Server) withdraw(w http.ResponseWriter, r *http.Request) {
+func (s *Server) handleCancellation(w http.ResponseWriter, r *http.Request) {
 	id := chi.URLParam(r, "id")
 	if !protocol.ValidJobID(id) {
-		refuse(w, http.StatusNotFound, "no such job")
+		writeError(w, http.StatusNotFound, "no such job")
 		return
 	}
-	ctx, cancel := context.WithTimeout(r.Context(), submitPatience)
+	ctx, cancel := context.WithTimeout(r.Context(), submitTimeout)
 	defer cancel()
-	status, st := s.cancel(ctx, id)
+	status, st := s.recordCancellation(ctx, id)
 	switch status {
 	case http.StatusOK:
-		transport.Answer(w, status, st)
+		transport.WriteResponse(w, status, st)
 	case http.StatusNotFound:
-		refuse(w, status, "no such job")
+		writeError(w, status, "no such job")
 	default:
-		refuse(w, status, "the cancellation cannot be recorded for the moment")
+		writeError(w, status, "the cancellation cannot be recorded for the moment")
 	}
 }
 
-// cancel moves a live job to its final place, in one transaction.
-func (s *Server) cancel(ctx context.Context, id string) (int, protocol.JobStatus) {
-	value, err := protocol.Encode(storage.EndedRecord{Standing: protocol.Cancelled})
+// recordCancellation moves a live job to its final place, in one transaction.
+func (s *Server) recordCancellation(ctx context.Context, id string) (int, protocol.JobStatus) {
+	value, err := protocol.Encode(storage.EndedRecord{Standing: protocol.JobCancelled})
 	if err != nil {
 		return http.StatusServiceUnavailable, protocol.JobStatus{}
 	}
 	began := time.Now()
 	for ctx.Err() == nil {
 		p, err := s.store.Get(ctx, storage.Accept, storage.LiveKey(id))
-		if err == nil && p.Version == 0 {
-			st, found, err := s.lookup(ctx, id)
+		if err == nil && p.Revision == 0 {
+			st, found, err := s.jobStatus(ctx, id)
 			switch {
-			case err != nil || found && !st.Standing.Final():
+			case err != nil || found && !st.State.Final():
 				return http.StatusServiceUnavailable, st
 			case !found:
 				return http.StatusNotFound, st
@@ -263,27 +263,27 @@
 		}
 		var announced time.Time
 		if err == nil {
-			announced, err = s.announce(ctx, id)
+			announced, err = s.announceIntent(ctx, id)
 		}
 		if err == nil {
 			_, ok, terr := s.store.Txn(ctx, storage.Accept, protocol.Txn{
-				If:   []protocol.Cond{{Key: storage.LiveKey(id), Version: p.Version}, {Key: storage.EndedKey(id)}},
-				Then: []protocol.Op{{Delete: storage.LiveKey(id)}, {Put: storage.EndedKey(id), Value: value}},
+				If:   []protocol.Compare{{Key: storage.LiveKey(id), Revision: p.Revision}, {Key: storage.EndedKey(id)}},
+				Then: []protocol.Op{{DeleteKey: storage.LiveKey(id)}, {PutKey: storage.EndedKey(id), Value: value}},
 			})
 			if terr == nil && ok {
-				if err := s.confirm(ctx, id, announced); err != nil {
+				if err := s.ensureFreshIntent(ctx, id, announced); err != nil {
 					break
 				}
-				st := protocol.JobStatus{ID: id, Standing: protocol.Cancelled}
-				s.reader.keep(st, true)
+				st := protocol.JobStatus{ID: id, State: protocol.JobCancelled}
+				s.reader.rememberFinal(st, true)
 				return http.StatusOK, st
 			}
 			err = terr
 		}
-		if err != nil && !again(err, began) {
+		if err != nil && !shouldRetry(err, began) {
 			break // the user is told at once when to come back
 		}
-		s.random.Pause(ctx, id, retryPause)
+		s.random.Pause(ctx, id, retryDelay)
 	}
 	return http.StatusServiceUnavailable, protocol.JobStatus{}
 }
@@ -303,15 +303,15 @@
 	return out
 }
 
-// Impossible says why a job can never run, or "".
-func Impossible(cfg *config.Deployment, types []protocol.MachineType, j *protocol.Job) string {
+// InfeasibleReason says why a job can never run, or "".
+func InfeasibleReason(cfg *config.Deployment, types []protocol.MachineType, j *protocol.Job) string {
 	team := cfg.Team(j.Team)
 	if team == nil {
 		return "unknown team " + strconv.Quote(j.Team)
 	}
 	zones := map[string]bool{}
 	for i := range types {
-		if t := &types[i]; t.Allows(j) && t.Fits(j) > 0 {
+		if t := &types[i]; t.AllowedBy(j) && t.TaskCapacity(j) > 0 {
 			for _, z := range t.Zones {
 				if j.Zone == "" || j.Zone == z {
 					zones[z] = true
@@ -322,7 +322,7 @@
 	if len(zones) == 0 {
 		return "a task fits no allowed machine type"
 	}
-	n := float64(j.Tasks)
+	n := float64(j.TaskCount)
 	if j.Shape == protocol.Array {
 		n = 1
 	}
@@ -330,7 +330,7 @@
 	if team.CPUsMax > 0 && n*j.CPUs > team.CPUsMax+slack || team.GPUsMax > 0 && n*j.GPUs > team.GPUsMax+slack {
 		return "needs more than the team's limit"
 	}
-	if j.Spread && j.Tasks > 1 && (j.SameZone || len(zones) < 2) {
+	if j.Spread && j.TaskCount > 1 && (j.SameZone || len(zones) < 2) {
 		return "its tasks must be spread over zones and may not be"
 	}
 	return ""
--- a/internal/coordination/api/api_test.go
+++ b/internal/coordination/api/api_test.go
@@ -28,25 +28,25 @@
 
 func TestMain(m *testing.M) { testkit.Main(m) }
 
-type site struct {
-	t     testing.TB
-	state *simulation.State
-	nodes []http.Handler
+type testCluster struct {
+	t        testing.TB
+	store    *simulation.Store
+	handlers []http.Handler
 	// servers are what serves them.
 	servers []*Server
-	// unsafe is what an announcement comes to.
-	unsafe error
+	// announceErr is what an announcement comes to.
+	announceErr error
 }
 
-var kinds = []protocol.MachineType{{Name: "g8", CPUs: 64, GPUs: 8, MemoryGB: 256, Zones: []string{"a", "b"}}}
+var testMachineTypes = []protocol.MachineType{{Name: "g8", CPUs: 64, GPUs: 8, MemoryGB: 256, Zones: []string{"a", "b"}}}
 
-func newSite(t testing.TB) *site {
-	return newSiteWith(t, config.State{RPS: 1e6, WriteRPS: 1e6, TxnOps: 16})
+func newTestCluster(t testing.TB) *testCluster {
+	return newTestClusterWith(t, config.State{RPS: 1e6, WriteRPS: 1e6, TxnOps: 16})
 }
 
-func newSiteWith(t testing.TB, rates config.State) *site {
-	s := &site{t: t, state: simulation.NewState()}
-	srv := httptest.NewServer(s.state)
+func newTestClusterWith(t testing.TB, rates config.State) *testCluster {
+	s := &testCluster{t: t, store: simulation.NewStore()}
+	srv := httptest.NewServer(s.store)
 	t.Cleanup(srv.Close)
 	cfg := &config.Deployment{Nodes: 2, Teams: []config.Team{{Name: "red", GPUsMax: 16}},
 		State: rates, Workers: config.Workers{LeaseS: 10}, Quota: config.Quota{RAMMB: 16, MaxSockets: 500}}
@@ -54,24 +54,24 @@
 		store := storage.NewClient(transport.TCP{}, random.New(1), cfg, strings.TrimPrefix(srv.URL, "http://"), time.Minute)
 		in := New(cfg, store, random.New(1), slog.New(slog.NewTextHandler(io.Discard, nil)),
 			func(context.Context, []string) (map[string]protocol.JobStatus, bool) { return nil, false },
-			func(context.Context, string) (time.Time, error) { return time.Now(), s.unsafe })
-		in.SetTypes(kinds)
+			func(context.Context, string) (time.Time, error) { return time.Now(), s.announceErr })
+		in.SetMachineTypes(testMachineTypes)
 		r := chi.NewRouter()
 		in.Routes(r)
-		s.nodes, s.servers = append(s.nodes, r), append(s.servers, in)
+		s.handlers, s.servers = append(s.handlers, r), append(s.servers, in)
 	}
 	return s
 }
 
-func (s *site) call(node int, method, path string, body []byte) (int, protocol.JobStatus, http.Header) {
-	w := s.ask(node, method, path, body)
+func (s *testCluster) call(node int, method, path string, body []byte) (int, protocol.JobStatus, http.Header) {
+	w := s.send(node, method, path, body)
 	return w.Code, s.status(w), w.Header()
 }
 
-// callWhy is call, and returns why the request was refused.
-func (s *site) callWhy(node int, method, path string, body []byte) (int, protocol.JobStatus, string) {
-	w := s.ask(node, method, path, body)
-	var p protocol.Problem
+// callWithReason is call, and returns why the request was refused.
+func (s *testCluster) callWithReason(node int, method, path string, body []byte) (int, protocol.JobStatus, string) {
+	w := s.send(node, method, path, body)
+	var p protocol.ErrorResponse
 	if w.Code >= 300 {
 		if err := protocol.Decode(w.Body.Bytes(), &p); err != nil {
 			s.t.Fatal(err)
@@ -80,14 +80,14 @@
 	return w.Code, s.status(w), p.Error
 }
 
-func (s *site) ask(node int, method, path string, body []byte) *httptest.ResponseRecorder {
+func (s *testCluster) send(node int, method, path string, body []byte) *httptest.ResponseRecorder {
 	req := httptest.NewRequest(method, path, bytes.NewReader(body))
 	w := httptest.NewRecorder()
-	s.nodes[node].ServeHTTP(w, req)
+	s.handlers[node].ServeHTTP(w, req)
 	return w
 }
 
-func (s *site) status(w *httptest.ResponseRecorder) (st protocol.JobStatus) {
+func (s *testCluster) status(w *httptest.ResponseRecorder) (st protocol.JobStatus) {
 	if w.Code < 300 {
 		if err := protocol.Decode(w.Body.Bytes(), &st); err != nil {
 			s.t.Fatal(err)
@@ -96,7 +96,7 @@
 	return st
 }
 
-func body(t testing.TB, j protocol.Job) []byte {
+func encodeJob(t testing.TB, j protocol.Job) []byte {
 	raw, err := protocol.Encode(j)
 	if err != nil {
 		t.Fatal(err)
@@ -104,19 +104,19 @@
 	return raw
 }
 
-func array(id string) protocol.Job {
-	return protocol.Job{ID: id, Class: "c", Team: "red", Shape: protocol.Array, Priority: "normal", Tasks: 2, CPUs: 1, GPUs: 1, MemoryGB: 1, Image: "i"}
+func arrayJob(id string) protocol.Job {
+	return protocol.Job{ID: id, Class: "c", Team: "red", Shape: protocol.Array, Priority: "normal", TaskCount: 2, CPUs: 1, GPUs: 1, MemoryGB: 1, Image: "i"}
 }
 
-// TestNoOlderAnswer plays users of one job at both controllers, and a leader
+// TestAnswersNeverGoBack plays users of one job at both controllers, and a leader
 // that ends it: once a job was called accepted, cancelled or done, nothing
 // older is told by either.
-func TestNoOlderAnswer(t *testing.T) {
+func TestAnswersNeverGoBack(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		s := newSite(t)
-		j := array("j-000001")
-		raw := body(t, j)
-		accepted, final := false, protocol.Standing("")
+		s := newTestCluster(t)
+		j := arrayJob("j-000001")
+		raw := encodeJob(t, j)
+		accepted, final := false, protocol.JobState("")
 		see := func(code int, st protocol.JobStatus) {
 			if accepted && code == http.StatusNotFound {
 				rt.Fatal("an accepted job was forgotten")
@@ -125,11 +125,11 @@
 				return
 			}
 			accepted = true
-			if final != "" && st.Standing != final {
-				rt.Fatalf("told %s after %s", st.Standing, final)
+			if final != "" && st.State != final {
+				rt.Fatalf("told %s after %s", st.State, final)
 			}
-			if st.Standing.Final() {
-				final = st.Standing
+			if st.State.Final() {
+				final = st.State
 			}
 		}
 		for range rapid.IntRange(1, 15).Draw(rt, "steps") {
@@ -149,32 +149,32 @@
 				see(code, st)
 			case 2:
 				code, st, _ := s.call(node, "POST", "/submissions/j-000001/withdraw", nil)
-				if !accepted && code != http.StatusNotFound || accepted && (code != 200 || !st.Standing.Final()) {
+				if !accepted && code != http.StatusNotFound || accepted && (code != 200 || !st.State.Final()) {
 					rt.Fatalf("cancel: %d %+v", code, st)
 				}
 				see(code, st)
 			case 3:
-				live := s.state.Get(storage.LiveKey(j.ID))
-				if live.Version == 0 {
+				live := s.store.Get(storage.LiveKey(j.ID))
+				if live.Revision == 0 {
 					break
 				}
-				done, err := protocol.Encode(storage.EndedRecord{Standing: protocol.Done, Done: 2})
+				done, err := protocol.Encode(storage.EndedRecord{Standing: protocol.JobDone, Done: 2})
 				if err != nil {
 					rt.Fatal(err)
 				}
-				s.state.Txn(protocol.Txn{If: []protocol.Cond{{Key: live.Key, Version: live.Version}},
-					Then: []protocol.Op{{Delete: live.Key}, {Put: storage.EndedKey(j.ID), Value: done}}})
+				s.store.Txn(protocol.Txn{If: []protocol.Compare{{Key: live.Key, Revision: live.Revision}},
+					Then: []protocol.Op{{DeleteKey: live.Key}, {PutKey: storage.EndedKey(j.ID), Value: done}}})
 			}
 		}
 	})
 }
 
 func TestEveryStatus(t *testing.T) {
-	s := newSite(t)
+	s := newTestCluster(t)
 	with := func(change func(*protocol.Job)) []byte {
-		j := array("j-000002")
+		j := arrayJob("j-000002")
 		change(&j)
-		return body(t, j)
+		return encodeJob(t, j)
 	}
 	for name, x := range map[string]struct {
 		raw  []byte
@@ -184,15 +184,15 @@
 		"not a map":      {[]byte{0x93, 1, 2, 3}, 400},
 		"no id":          {with(func(j *protocol.Job) { j.ID = "" }), 400},
 		"other id":       {with(func(j *protocol.Job) { j.ID = "x/../1" }), 400},
-		"no tasks":       {with(func(j *protocol.Job) { j.Tasks = 0 }), 400},
-		"too many tasks": {with(func(j *protocol.Job) { j.Tasks = protocol.MaxTasks + 1 }), 400},
-		"oversized":      {with(func(j *protocol.Job) { j.Image = strings.Repeat("x", protocol.MaxBody) }), 400},
+		"no tasks":       {with(func(j *protocol.Job) { j.TaskCount = 0 }), 400},
+		"too many tasks": {with(func(j *protocol.Job) { j.TaskCount = protocol.MaxTasks + 1 }), 400},
+		"oversized":      {with(func(j *protocol.Job) { j.Image = strings.Repeat("x", protocol.MaxBodyBytes) }), 400},
 		"team":           {with(func(j *protocol.Job) { j.Team = "blue" }), 422},
 		"too large":      {with(func(j *protocol.Job) { j.GPUs = 9 }), 422},
-		"type":           {with(func(j *protocol.Job) { j.Types = []string{"g9"} }), 422},
+		"type":           {with(func(j *protocol.Job) { j.MachineTypes = []string{"g9"} }), 422},
 		"zone":           {with(func(j *protocol.Job) { j.Zone = "c" }), 422},
-		"gang limit":     {with(func(j *protocol.Job) { j.Shape, j.Tasks, j.GPUs = protocol.Gang, 3, 8 }), 422},
-		"array limit":    {with(func(j *protocol.Job) { j.ID, j.Tasks, j.GPUs = "j-000003", 3, 8 }), 201},
+		"gang limit":     {with(func(j *protocol.Job) { j.Shape, j.TaskCount, j.GPUs = protocol.Gang, 3, 8 }), 422},
+		"array limit":    {with(func(j *protocol.Job) { j.ID, j.TaskCount, j.GPUs = "j-000003", 3, 8 }), 201},
 	} {
 		if code, _, _ := s.call(0, "POST", "/submissions", x.raw); code != x.want {
 			t.Errorf("%s: %d, want %d", name, code, x.want)
@@ -209,26 +209,26 @@
 // cancelled it or by another controller that reads of it, before a majority of the
 // controllers holds an intent of it; and nothing is recorded before.
 func TestCancellationNeedsAMajority(t *testing.T) {
-	s := newSite(t)
-	j := array("j-000001")
-	s.call(0, "POST", "/submissions", body(t, j))
-	s.unsafe = errors.New("cut off")
+	s := newTestCluster(t)
+	j := arrayJob("j-000001")
+	s.call(0, "POST", "/submissions", encodeJob(t, j))
+	s.announceErr = errors.New("cut off")
 	code, _, h := s.call(0, "POST", "/submissions/j-000001/withdraw", nil)
 	if code != http.StatusServiceUnavailable || h.Get("Retry-After") == "" {
 		t.Errorf("a cancellation that no majority knows of: %d %v", code, h)
 	}
-	if s.state.Get(storage.LiveKey(j.ID)).Version == 0 {
+	if s.store.Get(storage.LiveKey(j.ID)).Revision == 0 {
 		t.Error("it was recorded all the same")
 	}
-	s.unsafe = nil
-	if code, st, _ := s.call(0, "POST", "/submissions/j-000001/withdraw", nil); code != 200 || st.Standing != protocol.Cancelled {
+	s.announceErr = nil
+	if code, st, _ := s.call(0, "POST", "/submissions/j-000001/withdraw", nil); code != 200 || st.State != protocol.JobCancelled {
 		t.Errorf("with a majority: %d %+v", code, st)
 	}
-	s.unsafe = errors.New("cut off")
+	s.announceErr = errors.New("cut off")
 	if code, _, _ := s.call(1, "GET", "/submissions/j-000001", nil); code != http.StatusServiceUnavailable {
 		t.Errorf("the news of a cancellation that no majority knows of: %d", code)
 	}
-	if code, st, _ := s.call(0, "GET", "/submissions/j-000001", nil); code != 200 || st.Standing != protocol.Cancelled {
+	if code, st, _ := s.call(0, "GET", "/submissions/j-000001", nil); code != 200 || st.State != protocol.JobCancelled {
 		t.Errorf("what was told once: %d %+v", code, st)
 	}
 	if code, _, _ := s.call(0, "POST", "/submissions/j-000002/withdraw", nil); code != http.StatusNotFound {
@@ -236,25 +236,25 @@
 	}
 }
 
-// TestOutageIsToldAtOnce: what cannot be taken is answered at once, with when
+// TestOutageIsAnsweredAtOnce: what cannot be taken is answered at once, with when
 // to come back; it is not held until the user gives up.
-func TestOutageIsToldAtOnce(t *testing.T) {
-	s := newSite(t)
-	s.state.Down = true
+func TestOutageIsAnsweredAtOnce(t *testing.T) {
+	s := newTestCluster(t)
+	s.store.Unavailable = true
 	for _, x := range [][2]string{{"POST", "/submissions"}, {"GET", "/submissions/j-000001"}, {"POST", "/submissions/j-000001/withdraw"}} {
-		code, _, h := s.call(0, x[0], x[1], body(t, array("j-000001")))
+		code, _, h := s.call(0, x[0], x[1], encodeJob(t, arrayJob("j-000001")))
 		if code != http.StatusServiceUnavailable || h.Get("Retry-After") == "" {
 			t.Errorf("%v: %d %v", x, code, h)
 		}
 	}
 }
 
-// TestCrowdIsToldToComeBack: when more is submitted at once than the state service's
+// TestOverloadIsAnsweredWithRetryAfter: when more is submitted at once than the state service's
 // budget takes in the time after which users ask again, the others are not held but
 // told when to come back, and what was called accepted is there.
-func TestCrowdIsToldToComeBack(t *testing.T) {
+func TestOverloadIsAnsweredWithRetryAfter(t *testing.T) {
 	const crowd = 100
-	s := newSiteWith(t, config.State{RPS: 1e6, WriteRPS: 1e-3, TxnOps: 16}) // room for one, and none for long
+	s := newTestClusterWith(t, config.State{RPS: 1e6, WriteRPS: 1e-3, TxnOps: 16}) // room for one, and none for long
 	type answer struct {
 		id     string
 		code   int
@@ -264,7 +264,7 @@
 	for i := range crowd {
 		go func() {
 			id := fmt.Sprintf("j-%03d", i)
-			code, _, h := s.call(0, http.MethodPost, "/submissions", body(t, array(id)))
+			code, _, h := s.call(0, http.MethodPost, "/submissions", encodeJob(t, arrayJob(id)))
 			answers <- answer{id, code, h}
 		}()
 	}
@@ -273,7 +273,7 @@
 		switch a := <-answers; a.code {
 		case http.StatusCreated:
 			accepted++
-			if s.state.Get(storage.LiveKey(a.id)).Version == 0 {
+			if s.store.Get(storage.LiveKey(a.id)).Revision == 0 {
 				t.Errorf("%s was called accepted", a.id)
 			}
 		case http.StatusServiceUnavailable:
@@ -289,52 +289,52 @@
 	}
 }
 
-// TestCrowdOfQuestionsIsAnswered: hundreds of users ask at once about as many jobs, of
+// TestManyQueriesAreAnswered: hundreds of users ask at once about as many jobs, of
 // which some end meanwhile, and each asks again. What the state service allows for
 // questions would do for a tenth of them; all are answered, with nothing older.
-func TestCrowdOfQuestionsIsAnswered(t *testing.T) {
+func TestManyQueriesAreAnswered(t *testing.T) {
 	const crowd = 500
-	s := newSiteWith(t, config.State{RPS: 100, WriteRPS: 1e6, TxnOps: 16})
+	s := newTestClusterWith(t, config.State{RPS: 100, WriteRPS: 1e6, TxnOps: 16})
 	put := func(key string, v any) {
 		value, err := protocol.Encode(v)
 		if err != nil {
 			t.Fatal(err)
 		}
-		s.state.Txn(protocol.Txn{Then: []protocol.Op{{Put: key, Value: value}}})
+		s.store.Txn(protocol.Txn{Then: []protocol.Op{{PutKey: key, Value: value}}})
 	}
 	id := func(i int) string { return fmt.Sprintf("j-%04d", i) }
-	ask := func(want func(i int) protocol.Standing) {
+	ask := func(want func(i int) protocol.JobState) {
 		var wg sync.WaitGroup
 		for i := range crowd {
 			wg.Go(func() {
 				code, st, _ := s.call(0, http.MethodGet, "/submissions/"+id(i), nil)
-				if code != http.StatusOK || st.Standing != want(i) {
-					t.Errorf("%s: %d %s, want %s", id(i), code, st.Standing, want(i))
+				if code != http.StatusOK || st.State != want(i) {
+					t.Errorf("%s: %d %s, want %s", id(i), code, st.State, want(i))
 				}
 			})
 		}
 		wg.Wait()
 	}
 	for i := range crowd {
-		put(storage.LiveKey(id(i)), storage.LiveRecord{Job: array(id(i))})
+		put(storage.LiveKey(id(i)), storage.LiveRecord{Job: arrayJob(id(i))})
 	}
-	ask(func(int) protocol.Standing { return protocol.Queued })
-	end := map[int]protocol.Standing{0: protocol.Done, 1: protocol.Cancelled}
+	ask(func(int) protocol.JobState { return protocol.JobQueued })
+	end := map[int]protocol.JobState{0: protocol.JobDone, 1: protocol.JobCancelled}
 	for i := range crowd {
 		if e, ok := end[i%3]; ok {
 			value, err := protocol.Encode(storage.EndedRecord{Standing: e})
 			if err != nil {
 				t.Fatal(err)
 			}
-			s.state.Txn(protocol.Txn{Then: []protocol.Op{{Delete: storage.LiveKey(id(i))}, {Put: storage.EndedKey(id(i)), Value: value}}})
+			s.store.Txn(protocol.Txn{Then: []protocol.Op{{DeleteKey: storage.LiveKey(id(i))}, {PutKey: storage.EndedKey(id(i)), Value: value}}})
 		}
 	}
 	for range 2 {
-		ask(func(i int) protocol.Standing {
+		ask(func(i int) protocol.JobState {
 			if e, ok := end[i%3]; ok {
 				return e
 			}
-			return protocol.Queued
+			return protocol.JobQueued
 		})
 	}
 	if code, _, _ := s.call(0, http.MethodGet, "/submissions/j-9999", nil); code != http.StatusNotFound {
--- /dev/null
+++ b/internal/coordination/api/dependencies_test.go
@@ -0,0 +1,220 @@
+package api
+
+import (
+	"errors"
+	"fmt"
+	"net/http"
+	"strings"
+	"testing"
+
+	"pgregory.net/rapid"
+
+	"pinebay/internal/config"
+	"pinebay/internal/coordination/featurelevel"
+	"pinebay/internal/protocol"
+	"pinebay/internal/storage"
+)
+
+// dependentJob returns an array that awaits others.
+func dependentJob(id string, awaits ...string) protocol.Job {
+	j := arrayJob(id)
+	j.Dependencies = awaits
+	return j
+}
+
+// newPipelineCluster returns a site on which jobs may await others.
+func newPipelineCluster(t testing.TB) *testCluster {
+	s := newTestClusterWith(t, config.State{RPS: 1e6, WriteRPS: 1e6, TxnOps: 16, ValueKB: 8, Next: config.StateLimits{ValueKB: 2}})
+	for _, server := range s.servers {
+		server.SetFeatureLevel(featurelevel.Pipelines)
+	}
+	return s
+}
+
+// endJob records how a job ended, as a leader does.
+func (s *testCluster) endJob(id string, rec storage.EndedRecord) {
+	live := s.store.Get(storage.LiveKey(id))
+	if live.Revision == 0 {
+		return
+	}
+	value, err := protocol.Encode(rec)
+	if err != nil {
+		s.t.Fatal(err)
+	}
+	s.store.Txn(protocol.Txn{If: []protocol.Compare{{Key: live.Key, Revision: live.Revision}}, Then: []protocol.Op{{DeleteKey: live.Key}, {PutKey: storage.EndedKey(id), Value: value}}})
+}
+
+// TestSubmissionsWithDependencies: each answer that a submission with awaited jobs may get.
+func TestSubmissionsWithDependencies(t *testing.T) {
+	s := newPipelineCluster(t)
+	service := arrayJob("j-3")
+	service.Shape = protocol.Service
+	for _, j := range []protocol.Job{arrayJob("j-1"), arrayJob("j-2"), service, arrayJob("j-4")} {
+		if code, _, _ := s.call(0, "POST", "/submissions", encodeJob(t, j)); code != http.StatusCreated {
+			t.Fatalf("%s: %d", j.ID, code)
+		}
+	}
+	s.endJob("j-2", storage.EndedRecord{Standing: protocol.JobDone, Done: 2})
+	s.call(1, "POST", "/submissions/j-4/withdraw", nil)
+	many := dependentJob("j-17")
+	for i := range 200 {
+		many.Dependencies = append(many.Dependencies, fmt.Sprintf("j-%04d", i))
+	}
+	for _, x := range []struct {
+		job      protocol.Job
+		code     int
+		standing protocol.JobState
+		names    string
+	}{
+		{dependentJob("j-10", "j-1"), 201, protocol.JobQueued, ""},
+		{dependentJob("j-10", "j-1"), 200, protocol.JobQueued, ""},
+		{dependentJob("j-11", "j-1", "j-2"), 201, protocol.JobQueued, ""},
+		{dependentJob("j-12", "j-10", "j-11"), 201, protocol.JobQueued, ""},
+		{dependentJob("j-13", "j-9"), 422, "", "j-9"},
+		{dependentJob("j-14", "j-1", "j-14"), 422, "", "j-14"},
+		{dependentJob("j-15", "j-3"), 422, "", "j-3"},
+		{dependentJob("j-16", "j-1", "j-4"), 201, protocol.JobCancelled, ""},
+		{dependentJob("j-18", "j-16"), 201, protocol.JobCancelled, ""},
+		{many, 422, "", "200 jobs"},
+	} {
+		for node := range s.handlers {
+			code, st, why := s.submit(node, x.job)
+			want := x.code
+			if node > 0 && want == 201 {
+				want = 200
+			}
+			if code != want || st.State != x.standing || !strings.Contains(why, x.names) {
+				t.Errorf("%s after %v at controller %d: %d %s %q, want %d %s naming %q", x.job.ID, x.job.Dependencies, node, code, st.State, why, want, x.standing, x.names)
+			}
+		}
+	}
+	for id, want := range map[string]protocol.JobState{"j-10": protocol.JobQueued, "j-16": protocol.JobCancelled, "j-18": protocol.JobCancelled} {
+		if code, st, _ := s.call(1, "GET", "/submissions/"+id, nil); code != 200 || st.State != want {
+			t.Errorf("%s: %d %s, want %s", id, code, st.State, want)
+		}
+	}
+	if s.store.Get(storage.LiveKey("j-13")).Revision+s.store.Get(storage.LiveKey("j-15")).Revision > 0 {
+		t.Error("a refused submission was recorded")
+	}
+}
+
+// submit submits a job at a controller, and returns the reason if it is refused.
+func (s *testCluster) submit(node int, j protocol.Job) (int, protocol.JobStatus, string) {
+	return s.callWithReason(node, "POST", "/submissions", encodeJob(s.t, j))
+}
+
+// TestDependenciesNeedTheFeatureLevel: until all controllers can read awaited jobs, a submission that names some is
+// told when to come back, and is never accepted without them. Others are accepted.
+func TestDependenciesNeedTheFeatureLevel(t *testing.T) {
+	s := newTestClusterWith(t, config.State{RPS: 1e6, WriteRPS: 1e6, TxnOps: 16, ValueKB: 8})
+	s.call(0, "POST", "/submissions", encodeJob(t, arrayJob("j-1")))
+	code, _, h := s.call(0, "POST", "/submissions", encodeJob(t, dependentJob("j-2", "j-1")))
+	if code != http.StatusServiceUnavailable || h.Get("Retry-After") == "" || s.store.Get(storage.LiveKey("j-2")).Revision != 0 {
+		t.Errorf("before the level: %d %v", code, h)
+	}
+	s.servers[0].SetFeatureLevel(featurelevel.Pipelines)
+	s.store.Unavailable = true
+	if code, _, h := s.call(0, "POST", "/submissions", encodeJob(t, dependentJob("j-2", "j-1"))); code != http.StatusServiceUnavailable || h.Get("Retry-After") == "" {
+		t.Errorf("in an outage: %d %v", code, h)
+	}
+}
+
+// TestCancelledWithItsDependency plays users of a graph of jobs at both controllers, and a leader that ends some and
+// records cascades late or never: what a job that awaits a cancelled one was called never goes back, and within
+// the very next question every controller calls it cancelled, without a majority, which nobody needs for it.
+func TestCancelledWithItsDependency(t *testing.T) {
+	rapid.Check(t, func(rt *rapid.T) {
+		s := newPipelineCluster(t)
+		awaits, ended := map[string][]string{}, map[string]protocol.JobState{}
+		var ids []string
+		var cancelledWithNeed func(id string) bool
+		cancelledWithNeed = func(id string) bool {
+			for _, need := range awaits[id] {
+				if ended[need] == protocol.JobCancelled || ended[need] == "" && cancelledWithNeed(need) {
+					return true
+				}
+			}
+			return false
+		}
+		free := func(id string) bool {
+			for _, need := range awaits[id] {
+				if ended[need] != protocol.JobDone {
+					return false
+				}
+			}
+			return true
+		}
+		for i := range rapid.IntRange(2, 20).Draw(rt, "steps") {
+			node := rapid.IntRange(0, 1).Draw(rt, "node")
+			if len(ids) == 0 || rapid.IntRange(0, 1).Draw(rt, "what") == 0 {
+				id := fmt.Sprintf("j-%02d", i)
+				for _, other := range ids {
+					if rapid.IntRange(0, 2).Draw(rt, "awaits "+other) == 0 {
+						awaits[id] = append(awaits[id], other)
+					}
+				}
+				want := protocol.JobQueued
+				if cancelledWithNeed(id) {
+					want = protocol.JobCancelled
+				}
+				if code, st, why := s.submit(node, dependentJob(id, awaits[id]...)); code != 201 || st.State != want {
+					rt.Fatalf("%s after %v: %d %s %s, want %s", id, awaits[id], code, st.State, why, want)
+				}
+				ids = append(ids, id)
+				continue
+			}
+			id := rapid.SampledFrom(ids).Draw(rt, "job")
+			switch {
+			case rapid.IntRange(0, 2).Draw(rt, "ask") == 0:
+			case cancelledWithNeed(id) && rapid.Bool().Draw(rt, "record"):
+				if ended[id] == "" {
+					ended[id] = protocol.JobCancelled
+					s.endJob(id, storage.EndedRecord{Standing: protocol.JobCancelled, Need: "j-00"})
+				}
+			case free(id) && rapid.Bool().Draw(rt, "done"):
+				if ended[id] == "" {
+					ended[id] = protocol.JobDone
+					s.endJob(id, storage.EndedRecord{Standing: protocol.JobDone, Done: 2})
+				}
+			default:
+				want := protocol.JobCancelled
+				if ended[id] == protocol.JobDone {
+					want = protocol.JobDone
+				}
+				if code, st, _ := s.call(node, "POST", "/submissions/"+id+"/withdraw", nil); code != 200 || st.State != want {
+					rt.Fatalf("cancelling %s: %d %s, want %s", id, code, st.State, want)
+				}
+				ended[id] = want
+			}
+			for _, id := range ids {
+				want := ended[id]
+				switch {
+				case want == "" && cancelledWithNeed(id):
+					want = protocol.JobCancelled
+				case want == "":
+					want = protocol.JobQueued
+				}
+				if code, st, _ := s.call(1-node, "GET", "/submissions/"+id, nil); code != 200 || st.State != want {
+					rt.Fatalf("%s after %v: %d %s, want %s", id, awaits[id], code, st.State, want)
+				}
+			}
+		}
+	})
+}
+
+// TestCascadeNeedsNoMajority: a job that is cancelled with one that it awaits has no tasks, so that a controller
+// without the others tells of it.
+func TestCascadeNeedsNoMajority(t *testing.T) {
+	s := newPipelineCluster(t)
+	for _, j := range []protocol.Job{arrayJob("j-1"), dependentJob("j-2", "j-1"), dependentJob("j-3", "j-2")} {
+		s.submit(0, j)
+	}
+	s.call(0, "POST", "/submissions/j-1/withdraw", nil)
+	s.endJob("j-2", storage.EndedRecord{Standing: protocol.JobCancelled, Need: "j-1"})
+	s.announceErr = errors.New("cut off")
+	for _, id := range []string{"j-2", "j-3"} {
+		if code, st, _ := s.call(1, "GET", "/submissions/"+id, nil); code != 200 || st.State != protocol.JobCancelled {
+			t.Errorf("%s: %d %s", id, code, st.State)
+		}
+	}
+}
--- a/internal/coordination/cancellation/cancellation.go
+++ b/internal/coordination/cancellation/cancellation.go
@@ -31,7 +31,7 @@
 
 	base  uint64  // how many have expired before list
 	list  []entry // the oldest first
-	known map[protocol.Intent]bool
+	known map[protocol.CancellationIntent]bool
 	jobs  map[string]time.Duration // when the newest intent of a job came
 	mine  map[string]Own           // the newest of this controller's own, by job
 	peers map[string]*peer
@@ -39,7 +39,7 @@
 }
 
 type entry struct {
-	protocol.Intent
+	protocol.CancellationIntent
 	at time.Duration
 }
 
@@ -68,7 +68,7 @@
 // any more that an earlier process of the same name may have held.
 func New(source *random.Source, peers []string, keep, whole time.Duration, max int) *Log {
 	l := &Log{
-		random: source, life: source.For("life").Uint64() | 1, keep: keep, max: max, whole: whole, known: map[protocol.Intent]bool{},
+		random: source, life: source.For("life").Uint64() | 1, keep: keep, max: max, whole: whole, known: map[protocol.CancellationIntent]bool{},
 		jobs: map[string]time.Duration{}, mine: map[string]Own{}, peers: map[string]*peer{}, news: make(chan struct{}),
 	}
 	for _, p := range peers {
@@ -89,16 +89,16 @@
 	if len(l.list) >= l.max {
 		return Own{}, ErrFull
 	}
-	l.add(now, protocol.Intent{Job: job, Mark: l.random.For(fmt.Sprint("intent ", l.base+uint64(len(l.list)), " ", job)).Uint64()})
+	l.add(now, protocol.CancellationIntent{JobID: job, AnnouncementID: l.random.For(fmt.Sprint("intent ", l.base+uint64(len(l.list)), " ", job)).Uint64()})
 	o := Own{Seq: l.base + uint64(len(l.list)), At: now}
 	l.mine[job] = o
 	return o, nil
 }
 
-func (l *Log) add(now time.Duration, n protocol.Intent) {
+func (l *Log) add(now time.Duration, n protocol.CancellationIntent) {
 	l.list = append(l.list, entry{n, now})
 	l.known[n] = true
-	l.jobs[n.Job] = now
+	l.jobs[n.JobID] = now
 }
 
 // expire forgets what has been kept for long enough.
@@ -106,12 +106,12 @@
 	n := 0
 	for n < len(l.list) && now-l.list[n].at > l.keep {
 		e := l.list[n]
-		delete(l.known, e.Intent)
-		if l.jobs[e.Job] == e.at {
-			delete(l.jobs, e.Job)
+		delete(l.known, e.CancellationIntent)
+		if l.jobs[e.JobID] == e.at {
+			delete(l.jobs, e.JobID)
 		}
-		if o := l.mine[e.Job]; o.Seq == l.base+uint64(n)+1 {
-			delete(l.mine, e.Job)
+		if o := l.mine[e.JobID]; o.Seq == l.base+uint64(n)+1 {
+			delete(l.mine, e.JobID)
 		}
 		n++
 	}
@@ -138,7 +138,7 @@
 // Fill puts into a message to a peer what it does not hold yet, and what we hold
 // of its intents: of the life that it speaks in, or if that is 0, of the one that
 // last answered us.
-func (l *Log) Fill(now time.Duration, to string, life uint64, m *protocol.MeshMessage) {
+func (l *Log) Fill(now time.Duration, to string, life uint64, m *protocol.PeerMessage) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	p := l.peers[to]
@@ -149,13 +149,13 @@
 	if life == 0 {
 		life = p.life
 	}
-	m.Life, m.Whole = l.life, now >= l.whole
-	m.HeldLife, m.Held = life, p.ours[life]
-	m.Expired, m.Base = l.base, max(l.base, p.told)
-	rest := l.list[min(m.Base-l.base, uint64(len(l.list))):]
-	m.More = len(rest) > protocol.MaxIntents
-	for _, e := range rest[:min(len(rest), protocol.MaxIntents)] {
-		m.Intents = append(m.Intents, e.Intent)
+	m.Incarnation, m.Recovered = l.life, now >= l.whole
+	m.AckedIncarnation, m.AckedIntents = life, p.ours[life]
+	m.ExpiredIntents, m.IntentOffset = l.base, max(l.base, p.told)
+	rest := l.list[min(m.IntentOffset-l.base, uint64(len(l.list))):]
+	m.MoreIntents = len(rest) > protocol.MaxIntentsPerMessage
+	for _, e := range rest[:min(len(rest), protocol.MaxIntentsPerMessage)] {
+		m.Intents = append(m.Intents, e.CancellationIntent)
 	}
 }
 
@@ -168,32 +168,32 @@
 	Whole  bool
 	LifeAt time.Duration
 	// News are the intents that we did not hold.
-	News []protocol.Intent
+	News []protocol.CancellationIntent
 }
 
 // Take takes in what a peer's message brings. reply says that it answers a message
 // of ours, so that it is not older than that one: only answers tell which process
 // of the peer goes on, and what it holds.
-func (l *Log) Take(now time.Duration, m *protocol.MeshMessage, reply bool) Taken {
+func (l *Log) Take(now time.Duration, m *protocol.PeerMessage, reply bool) Taken {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	p := l.peers[m.From]
-	if p == nil || m.Life == 0 {
+	if p == nil || m.Incarnation == 0 {
 		return Taken{}
 	}
 	l.expire(now)
-	if reply && p.life != m.Life {
-		p.life, p.lifeAt, p.told, p.held = m.Life, now, 0, 0
+	if reply && p.life != m.Incarnation {
+		p.life, p.lifeAt, p.told, p.held = m.Incarnation, now, 0, 0
 	}
-	if _, known := p.ours[m.Life]; !known {
+	if _, known := p.ours[m.Incarnation]; !known {
 		for life := range p.ours {
 			if len(p.ours) >= lives && life != p.life {
 				delete(p.ours, life) // should it speak again, it begins anew
 			}
 		}
 	}
-	t := Taken{Whole: m.Whole, LifeAt: p.lifeAt}
-	end := m.Base
+	t := Taken{Whole: m.Recovered, LifeAt: p.lifeAt}
+	end := m.IntentOffset
 	for _, n := range m.Intents {
 		if !l.known[n] {
 			if len(l.list) >= l.max {
@@ -206,15 +206,15 @@
 	}
 	// Without those before Base, unless they are over, we must not say that we hold
 	// what comes after: the peer takes us for an earlier process of ours.
-	gap := m.Base > m.Expired && p.ours[m.Life] < m.Base
+	gap := m.IntentOffset > m.ExpiredIntents && p.ours[m.Incarnation] < m.IntentOffset
 	if !gap {
-		p.ours[m.Life] = max(p.ours[m.Life], end)
+		p.ours[m.Incarnation] = max(p.ours[m.Incarnation], end)
 	}
-	t.Complete = reply && !gap && !m.More && end == m.Base+uint64(len(m.Intents))
-	if m.HeldLife != l.life {
+	t.Complete = reply && !gap && !m.MoreIntents && end == m.IntentOffset+uint64(len(m.Intents))
+	if m.AckedIncarnation != l.life {
 		p.told = 0
 	} else {
-		p.told = m.Held
+		p.told = m.AckedIntents
 	}
 	if reply && p.held != p.told {
 		p.held = p.told
--- a/internal/coordination/cancellation/cancellation_test.go
+++ b/internal/coordination/cancellation/cancellation_test.go
@@ -32,10 +32,10 @@
 		begin := func(i int) { logs[names[i]] = New(random.Seeded(), []string{names[1-i]}, keep, now+amnesia, most) }
 		begin(0)
 		begin(1)
-		var old []protocol.MeshMessage
+		var old []protocol.PeerMessage
 		n := 0
-		send := func(from, to string, life uint64) protocol.MeshMessage {
-			m := protocol.MeshMessage{Kind: protocol.MeshBeat, From: from}
+		send := func(from, to string, life uint64) protocol.PeerMessage {
+			m := protocol.PeerMessage{Kind: protocol.PeerHeartbeat, From: from}
 			logs[from].Fill(now, to, life, &m)
 			if len(old) < 50 {
 				old = append(old, m)
@@ -69,15 +69,15 @@
 					break
 				}
 				logs[peer].Take(now, &q, false)
-				r := send(peer, me, q.Life)
+				r := send(peer, me, q.Incarnation)
 				if rapid.IntRange(0, 4).Draw(t, "unanswered") == 0 {
 					break
 				}
 				got := logs[me].Take(now, &r, true)
 				if got.Complete {
 					for _, e := range logs[peer].list {
-						if now-e.at <= keep && !logs[me].known[e.Intent] {
-							t.Fatalf("%s is complete without %v of %s", me, e.Intent, peer)
+						if now-e.at <= keep && !logs[me].known[e.CancellationIntent] {
+							t.Fatalf("%s is complete without %v of %s", me, e.CancellationIntent, peer)
 						}
 					}
 				}
@@ -86,8 +86,8 @@
 				}
 				held := logs[me].peers[peer].held
 				for k, e := range logs[me].list {
-					if logs[me].base+uint64(k) < held && !logs[peer].known[e.Intent] && now-e.at < keep {
-						t.Fatalf("%s takes %s to hold %v: %d", me, peer, e.Intent, held)
+					if logs[me].base+uint64(k) < held && !logs[peer].known[e.CancellationIntent] && now-e.at < keep {
+						t.Fatalf("%s takes %s to hold %v: %d", me, peer, e.CancellationIntent, held)
 					}
 				}
 			}
@@ -98,11 +98,11 @@
 			}
 		}
 		// With no more trouble both hold all that fits.
-		for range 2 * (1 + n/protocol.MaxIntents) {
+		for range 2 * (1 + n/protocol.MaxIntentsPerMessage) {
 			for i, me := range names {
 				q := send(me, names[1-i], 0)
 				logs[names[1-i]].Take(now, &q, false)
-				r := send(names[1-i], me, q.Life)
+				r := send(names[1-i], me, q.Incarnation)
 				logs[me].Take(now, &r, true)
 			}
 		}
@@ -132,7 +132,7 @@
 			t.Errorf("intent %d of at most 3: %v", i+3, err)
 		}
 	}
-	if got := l.Take(3*time.Second, &protocol.MeshMessage{From: "b"}, true); got.Complete || got.Whole {
+	if got := l.Take(3*time.Second, &protocol.PeerMessage{From: "b"}, true); got.Complete || got.Whole {
 		t.Errorf("a peer without intents: %+v", got)
 	}
 	if held, _ := l.Holders(first.Seq); held != 1 {
@@ -146,7 +146,7 @@
 // TestMoreIntentsThanAMessageHolds: a peer that has nothing yet holds all intents after as many
 // messages as they fill, is complete only then, and only then counts as holding the last.
 func TestMoreIntentsThanAMessageHolds(t *testing.T) {
-	const intents = 5*protocol.MaxIntents + 1
+	const intents = 5*protocol.MaxIntentsPerMessage + 1
 	a, b := New(random.New(1), []string{"b"}, keep, 0, 2*intents), New(random.New(2), []string{"a"}, keep, 0, 2*intents)
 	var last Own
 	for i := range intents {
@@ -158,10 +158,10 @@
 	}
 	messages, complete := 0, false
 	for ; !complete && messages < 20; messages++ {
-		question, answer := protocol.MeshMessage{From: "b"}, protocol.MeshMessage{From: "a"}
+		question, answer := protocol.PeerMessage{From: "b"}, protocol.PeerMessage{From: "a"}
 		b.Fill(0, "a", 0, &question)
 		a.Take(0, &question, false)
-		a.Fill(0, "b", question.Life, &answer)
+		a.Fill(0, "b", question.Incarnation, &answer)
 		complete = b.Take(0, &answer, true).Complete
 		if held, _ := a.Holders(last.Seq); held > 1 {
 			t.Fatalf("the last of %d intents counts as held after %d messages", intents, messages)
@@ -170,10 +170,10 @@
 	if messages != 6 || len(b.Jobs(0)) != intents {
 		t.Errorf("%d of %d intents after %d messages", len(b.Jobs(0)), intents, messages)
 	}
-	question, answer := protocol.MeshMessage{From: "a"}, protocol.MeshMessage{From: "b"}
+	question, answer := protocol.PeerMessage{From: "a"}, protocol.PeerMessage{From: "b"}
 	a.Fill(0, "b", 0, &question)
 	b.Take(0, &question, false)
-	b.Fill(0, "a", question.Life, &answer)
+	b.Fill(0, "a", question.Incarnation, &answer)
 	a.Take(0, &answer, true)
 	if held, _ := a.Holders(last.Seq); held != 2 {
 		t.Errorf("%d hold the last intent", held)
--- a/internal/coordination/fencing/fencing.go
+++ b/internal/coordination/fencing/fencing.go
@@ -48,7 +48,7 @@
 		Oldest time.Duration
 	}
 	// Heard is a worker's report that reached this controller.
-	Heard struct{ Report *protocol.Report }
+	Heard struct{ Report *protocol.WorkerHeartbeat }
 	// Listed is the cloud's machine list.
 	Listed struct{ Machines []protocol.ListedMachine }
 	// Confirmed names machines that none of the peers hears either.
@@ -159,10 +159,10 @@
 }
 
 // hear notes a report. A copy of an older one proves nothing of how its machine is.
-func (m *Monitor) hear(now time.Duration, r *protocol.Report) {
+func (m *Monitor) hear(now time.Duration, r *protocol.WorkerHeartbeat) {
 	last := m.contacts[r.Machine]
-	if r.Session > last.session || r.Session == last.session && r.Seq > last.sequence {
-		m.contacts[r.Machine] = contact{session: r.Session, sequence: r.Seq, at: now}
+	if r.Incarnation > last.session || r.Incarnation == last.session && r.Sequence > last.sequence {
+		m.contacts[r.Machine] = contact{session: r.Incarnation, sequence: r.Sequence, at: now}
 	}
 }
 
--- a/internal/coordination/fencing/fencing_test.go
+++ b/internal/coordination/fencing/fencing_test.go
@@ -97,9 +97,9 @@
 func TestOldCopiesAreNoSignOfLife(t *testing.T) {
 	m := newMonitor()
 	m.Step(0, Assessed{Leaderless: true, Forgetful: true})
-	m.Step(time.Second, Heard{&protocol.Report{Machine: "m1", Session: 2, Seq: 7}})
-	m.Step(2*grace, Heard{&protocol.Report{Machine: "m1", Session: 2, Seq: 7}})
-	m.Step(2*grace, Heard{&protocol.Report{Machine: "m1", Session: 1, Seq: 9}})
+	m.Step(time.Second, Heard{&protocol.WorkerHeartbeat{Machine: "m1", Incarnation: 2, Sequence: 7}})
+	m.Step(2*grace, Heard{&protocol.WorkerHeartbeat{Machine: "m1", Incarnation: 2, Sequence: 7}})
+	m.Step(2*grace, Heard{&protocol.WorkerHeartbeat{Machine: "m1", Incarnation: 1, Sequence: 9}})
 	m.Step(2*grace, Assessed{Leaderless: true, Forgetful: true})
 	out := m.Step(2*grace, listed("m1"))
 	if len(out) != 1 || !slices.Equal(out[0].(AskPeers).Machines, []string{"m1"}) {
@@ -157,7 +157,7 @@
 				name := rapid.SampledFrom(names).Draw(t, "machine")
 				sequence++
 				last[name] = now
-				handle(m.Step(now, Heard{&protocol.Report{Machine: name, Session: 1, Seq: sequence}}))
+				handle(m.Step(now, Heard{&protocol.WorkerHeartbeat{Machine: name, Incarnation: 1, Sequence: sequence}}))
 			case 2:
 				for _, effect := range m.Step(now, listed(names...)) {
 					silent := effect.(AskPeers).Machines
@@ -165,7 +165,7 @@
 					if rapid.Bool().Draw(t, "a report meanwhile") {
 						sequence++
 						last[silent[0]] = now
-						m.Step(now, Heard{&protocol.Report{Machine: silent[0], Session: 1, Seq: sequence}})
+						m.Step(now, Heard{&protocol.WorkerHeartbeat{Machine: silent[0], Incarnation: 1, Sequence: sequence}})
 					}
 					handle(m.Step(now, Confirmed{Silent: silent}))
 				}
@@ -220,7 +220,7 @@
 	m.Step(0, assessed)
 	now := m.times.Grace + m.times.Age
 	for i := 0; i < machines; i += 2 {
-		m.Step(now, Heard{Report: &protocol.Report{Machine: names[i], Session: 1, Seq: 1}})
+		m.Step(now, Heard{Report: &protocol.WorkerHeartbeat{Machine: names[i], Incarnation: 1, Sequence: 1}})
 	}
 	if effects := m.Step(now, assessed); len(effects) != 1 {
 		t.Fatalf("%v", effects)
--- a/internal/coordination/fleet/choose.go
+++ b/internal/coordination/fleet/choose.go
@@ -43,8 +43,8 @@
 	bestCost := math.Inf(1)
 	for _, n := range slices.Sorted(maps.Keys(p.Types())) {
 		t := p.Type(n)
-		k := t.Fits(u.Job)
-		if k == 0 || !t.Allows(u.Job) {
+		k := t.TaskCapacity(u.Job)
+		if k == 0 || !t.AllowedBy(u.Job) {
 			continue
 		}
 		for _, z := range t.Zones {
@@ -52,16 +52,16 @@
 				continue
 			}
 			for _, spot := range []bool{true, false} {
-				if spot && (!u.Job.Spot || u.Job.CheckpointS == 0) {
+				if spot && (!u.Job.SpotAllowed || u.Job.CheckpointIntervalSeconds == 0) {
 					continue // work that cannot save does not bear a taking
 				}
 				pl := pool{n, z, spot}
 				if now < f.blocked[pl] {
 					continue
 				}
-				price := t.Price
+				price := t.HourlyPrice
 				if spot {
-					price = t.SpotPrice
+					price = t.HourlySpotPrice
 				}
 				cost := price / float64(k) * (1 + 1e-3*float64(perZone[z]))
 				if cost < bestCost {
--- a/internal/coordination/fleet/fence.go
+++ b/internal/coordination/fleet/fence.go
@@ -59,5 +59,5 @@
 // on to the next controller, and no longer than most of a lease.
 func (f *Fleet) Patience() time.Duration {
 	report := config.Seconds(f.workers.ReportS)
-	return min(config.Seconds(f.workers.LeaseS)*3/4, report*3/2+protocol.ReportPatience+protocol.ReportPause)
+	return min(config.Seconds(f.workers.LeaseS)*3/4, report*3/2+protocol.HeartbeatTimeout+protocol.HeartbeatRetryDelay)
 }
--- a/internal/coordination/fleet/fleet.go
+++ b/internal/coordination/fleet/fleet.go
@@ -125,7 +125,7 @@
 		m := p.Machine(l.Name)
 		if m == nil {
 			m = p.Ensure(now, l.Name)
-			m.Rented = now - config.Seconds(l.AgeS)
+			m.Rented = now - config.Seconds(l.AgeSeconds)
 		}
 		if !m.Up {
 			m.Addr, m.Type, m.Zone, m.Spot = l.Addr, l.Type, l.Zone, l.Spot
@@ -215,7 +215,7 @@
 // listPause is the time between two readings of the list: half its lag, or as long as its pages take
 // within their part of the rate.
 func (f *Fleet) listPause(machines int) time.Duration {
-	pages := 1 + machines/protocol.MaxListed
+	pages := 1 + machines/protocol.MaxMachinesPerPage
 	return config.Seconds(max(f.cloud.ListLagS/2, float64(pages)/(f.cloud.RPS*callShare)))
 }
 
--- a/internal/coordination/fleet/fleet_test.go
+++ b/internal/coordination/fleet/fleet_test.go
@@ -11,7 +11,7 @@
 )
 
 var (
-	kind    = protocol.MachineType{Name: "g8", CPUs: 64, GPUs: 8, MemoryGB: 256, Price: 4, SpotPrice: 1, BootS: 30, Zones: []string{"a", "b"}}
+	kind    = protocol.MachineType{Name: "g8", CPUs: 64, GPUs: 8, MemoryGB: 256, HourlyPrice: 4, HourlySpotPrice: 1, BootSeconds: 30, Zones: []string{"a", "b"}}
 	workers = config.Workers{ReportS: 1, LeaseS: 10, CancelS: 40}
 	cloud   = config.Cloud{RPS: 2, ListLagS: 5}
 )
@@ -61,16 +61,16 @@
 		t.Errorf("rented twice: %v", again)
 	}
 	for _, r := range got {
-		f.Rented(3*s, 2*s, p, r.Request, nil, true)
+		f.Rented(3*s, 2*s, p, r.RequestID, nil, true)
 	}
 	seen := map[string]bool{}
 	for i := range 40 {
 		for _, r := range rentals(f.Plan(time.Duration(4+i)*s, p, want)) {
-			if seen[r.Request] {
-				t.Errorf("name %s again", r.Request)
+			if seen[r.RequestID] {
+				t.Errorf("name %s again", r.RequestID)
 			}
-			seen[r.Request] = true
-			f.Rented(time.Duration(4+i)*s, 0, p, r.Request, nil, true)
+			seen[r.RequestID] = true
+			f.Rented(time.Duration(4+i)*s, 0, p, r.RequestID, nil, true)
 		}
 	}
 	if len(seen) < 2 || len(seen) > 30 {
@@ -93,9 +93,9 @@
 		job  protocol.Job
 		spot bool
 	}{
-		{protocol.Job{GPUs: 8, Spot: true, CheckpointS: 10}, true},
-		{protocol.Job{GPUs: 8, Spot: true}, false},
-		{protocol.Job{GPUs: 8, CheckpointS: 10}, false},
+		{protocol.Job{GPUs: 8, SpotAllowed: true, CheckpointIntervalSeconds: 10}, true},
+		{protocol.Job{GPUs: 8, SpotAllowed: true}, false},
+		{protocol.Job{GPUs: 8, CheckpointIntervalSeconds: 10}, false},
 	} {
 		f, p := setup()
 		f.Listed(1, 0, p, nil)
@@ -116,7 +116,7 @@
 	if gone := f.Listed(19*s, 18*s, p, nil); gone != nil {
 		t.Errorf("an old list proved %v", gone)
 	}
-	p.Report(25*s, &protocol.Report{Machine: "m1", Addr: "x", Type: "g8", Zone: "a", Session: 1, Seq: 1})
+	p.Report(25*s, &protocol.WorkerHeartbeat{Machine: "m1", Addr: "x", Type: "g8", Zone: "a", Incarnation: 1, Sequence: 1})
 	if gone := f.Listed(30*s, 29*s, p, nil); gone != nil {
 		t.Errorf("a machine that speaks is gone: %v", gone)
 	}
@@ -156,7 +156,7 @@
 		f.Listed(1*s, 0, p, nil)
 		hear := func(now time.Duration, from int, seq uint64) {
 			for i := from; i < x.machines; i++ {
-				p.Report(now, &protocol.Report{Machine: fmt.Sprintf("m%03d", i), Addr: "x", Type: "g8", Zone: "a", Session: 1, Seq: seq})
+				p.Report(now, &protocol.WorkerHeartbeat{Machine: fmt.Sprintf("m%03d", i), Addr: "x", Type: "g8", Zone: "a", Incarnation: 1, Sequence: seq})
 			}
 		}
 		hear(10*s, 0, 1)
@@ -188,11 +188,11 @@
 			if i%2 == 0 {
 				zone = "b"
 			}
-			p.Report(now, &protocol.Report{Machine: fmt.Sprintf("m%03d", i), Addr: "x", Type: "g8", Zone: zone, Session: 1, Seq: 1})
+			p.Report(now, &protocol.WorkerHeartbeat{Machine: fmt.Sprintf("m%03d", i), Addr: "x", Type: "g8", Zone: zone, Incarnation: 1, Sequence: 1})
 		}
 		for now := 11 * s; now < 10*s+config.Seconds(2*w.LeaseS); now += s {
 			for i := 0; i < n; i += 2 { // zone b goes on
-				p.Report(now, &protocol.Report{Machine: fmt.Sprintf("m%03d", i), Addr: "x", Type: "g8", Zone: "b", Session: 1, Seq: 2 + uint64(now)})
+				p.Report(now, &protocol.WorkerHeartbeat{Machine: fmt.Sprintf("m%03d", i), Addr: "x", Type: "g8", Zone: "b", Incarnation: 1, Sequence: 2 + uint64(now)})
 			}
 			for _, name := range released(f.Plan(now, p, nil)) {
 				if p.Machine(name).Zone == "a" {
@@ -216,9 +216,9 @@
 	f.SetZones(policies)
 	f.Listed(1*s, 0, p, nil)
 	for i := range 9 {
-		p.Report(10*s, &protocol.Report{Machine: fmt.Sprintf("m%d", i), Addr: "x", Type: "g8", Zone: "a", Session: 1, Seq: 1})
+		p.Report(10*s, &protocol.WorkerHeartbeat{Machine: fmt.Sprintf("m%d", i), Addr: "x", Type: "g8", Zone: "a", Incarnation: 1, Sequence: 1})
 	}
-	pl := &partition.Placement{Task: protocol.TaskID{Job: "j-1"}, Attempt: 1, Machine: "m3", Job: &protocol.Job{ID: "j-1"}}
+	pl := &partition.Placement{Task: protocol.TaskID{JobID: "j-1"}, Attempt: 1, Machine: "m3", Job: &protocol.Job{ID: "j-1"}}
 	if !p.Grant(10*s, []*partition.Placement{pl}) {
 		t.Fatal("no room")
 	}
@@ -262,9 +262,9 @@
 	} {
 		f, p := setup()
 		f.Listed(2*s, 1*s, p, nil)
-		p.Report(2*s, &protocol.Report{Machine: "m1", Addr: "a", Type: "g8", Zone: "a", Session: 1, Seq: 1})
-		low := &protocol.Job{ID: "j-1", Shape: x.shape, Priority: "normal", GPUs: 8, CheckpointS: x.checkpoint}
-		pl := &partition.Placement{Task: protocol.TaskID{Job: "j-1"}, Attempt: 1, Machine: "m1", Need: partition.NeedOf(low), Level: low.Priority.Level(), Job: low}
+		p.Report(2*s, &protocol.WorkerHeartbeat{Machine: "m1", Addr: "a", Type: "g8", Zone: "a", Incarnation: 1, Sequence: 1})
+		low := &protocol.Job{ID: "j-1", Shape: x.shape, Priority: "normal", GPUs: 8, CheckpointIntervalSeconds: x.checkpoint}
+		pl := &partition.Placement{Task: protocol.TaskID{JobID: "j-1"}, Attempt: 1, Machine: "m1", Need: partition.NeedOf(low), Level: low.Priority.Rank(), Job: low}
 		if !p.Grant(2*s, []*partition.Placement{pl}) {
 			t.Fatal("no room")
 		}
@@ -283,7 +283,7 @@
 	f.Listed(1*s, 0, p, nil)
 	want := []Unit{{Job: &protocol.Job{ID: "j-1", GPUs: 8}, Count: 6, Spare: true}}
 	for i := range 6 {
-		p.Report(100*s, &protocol.Report{Machine: fmt.Sprintf("m%d", i), Addr: "x", Type: "g8", Zone: "a", Session: 1, Seq: 1})
+		p.Report(100*s, &protocol.WorkerHeartbeat{Machine: fmt.Sprintf("m%d", i), Addr: "x", Type: "g8", Zone: "a", Incarnation: 1, Sequence: 1})
 	}
 	for now := 101 * s; now < 110*s; now += s {
 		effects := f.Plan(now, p, want)
@@ -307,7 +307,7 @@
 		counts := map[string]int{}
 		for _, r := range rentals(f.Plan(now, p, []Unit{{Job: &protocol.Job{ID: "j-1", GPUs: 8, Zone: "a"}, Count: 3}, {Job: &protocol.Job{ID: "j-2", GPUs: 8, Zone: "b"}, Count: 2}})) {
 			counts[r.Zone] += r.Count
-			f.Rented(now, now, p, r.Request, nil, false)
+			f.Rented(now, now, p, r.RequestID, nil, false)
 		}
 		clear(f.blocked)
 		return counts
@@ -323,7 +323,7 @@
 	f, p = setup()
 	f.Listed(1*s, 0, p, nil)
 	for i := range 4 {
-		p.Report(10*s, &protocol.Report{Machine: fmt.Sprintf("m%d", i), Addr: "x", Type: "g8", Zone: "a", Session: 1, Seq: 1})
+		p.Report(10*s, &protocol.WorkerHeartbeat{Machine: fmt.Sprintf("m%d", i), Addr: "x", Type: "g8", Zone: "a", Incarnation: 1, Sequence: 1})
 	}
 	f.SetZones(map[string]ZonePolicy{"a": {Uncounted: true, KeepUntil: 60 * s}})
 	for now := 11 * s; now < 60*s; now += s {
--- a/internal/coordination/fleet/limits_test.go
+++ b/internal/coordination/fleet/limits_test.go
@@ -21,7 +21,7 @@
 		f.cloud.RPS = rps
 		f.Listed(1*s, 0, p, nil)
 		units := []Unit{{Job: &protocol.Job{ID: "j-1", GPUs: 8}, Count: manyMachines}}
-		perPlan := protocol.MaxRental * max(1, int(rps/2))
+		perPlan := protocol.MaxMachinesPerRental * max(1, int(rps/2))
 		total, plans, names := 0, 0, map[string]bool{}
 		for now := 2 * s; total < manyMachines && plans <= manyMachines; now += s {
 			got := rentals(f.Plan(now, p, units))
@@ -29,10 +29,10 @@
 				t.Fatalf("%v calls a second: %d machines in one plan, want %d", rps, n, perPlan)
 			}
 			for _, r := range got {
-				if r.Count > protocol.MaxRental || names[r.Request] {
+				if r.Count > protocol.MaxMachinesPerRental || names[r.RequestID] {
 					t.Fatalf("%+v", r)
 				}
-				names[r.Request] = true
+				names[r.RequestID] = true
 				total += r.Count
 			}
 			plans++
@@ -52,10 +52,10 @@
 	overdue := map[string]bool{}
 	for i := range manyMachines {
 		name := fmt.Sprintf("m%04d", i)
-		m, _, _ := p.Report(10*s, &protocol.Report{Machine: name, Addr: "x", Type: "g8", Zone: "a", Session: 1, Seq: 1})
+		m, _, _ := p.Report(10*s, &protocol.WorkerHeartbeat{Machine: name, Addr: "x", Type: "g8", Zone: "a", Incarnation: 1, Sequence: 1})
 		if i >= manyMachines/2 {
 			overdue[name] = true
-			pl := &partition.Placement{Task: protocol.TaskID{Job: "j-1", Task: i}, Attempt: 1, Machine: name, Job: &protocol.Job{ID: "j-1"}}
+			pl := &partition.Placement{Task: protocol.TaskID{JobID: "j-1", Index: i}, Attempt: 1, Machine: name, Job: &protocol.Job{ID: "j-1"}}
 			if !p.Grant(10*s, []*partition.Placement{pl}) {
 				t.Fatal("no room")
 			}
@@ -63,11 +63,11 @@
 		}
 		m.Condemned = true
 	}
-	perPlan := 2 * protocol.MaxRelease
+	perPlan := 2 * protocol.MaxMachinesPerRelease
 	returned := map[string]bool{}
 	for now := 12 * s; len(returned) < manyMachines && now < time.Hour; now += s {
 		for _, e := range f.Plan(now, p, nil) {
-			if r, ok := e.(Release); ok && len(r.Names) > protocol.MaxRelease {
+			if r, ok := e.(Release); ok && len(r.Names) > protocol.MaxMachinesPerRelease {
 				t.Fatalf("%d names in a call", len(r.Names))
 			}
 		}
--- a/internal/coordination/fleet/reference_test.go
+++ b/internal/coordination/fleet/reference_test.go
@@ -46,15 +46,15 @@
 		for i := range rapid.IntRange(0, 25).Draw(t, "machines") {
 			m := p.Ensure(0, fmt.Sprintf("m%02d", i))
 			m.Type, m.Zone, m.Spot = "g8", rapid.SampledFrom([]string{"a", "b"}).Draw(t, "zone"), rapid.Bool().Draw(t, "spot")
-			job := &protocol.Job{ID: fmt.Sprintf("j-%d", i), Shape: protocol.Array, CheckpointS: float64(rapid.IntRange(0, 1).Draw(t, "saves"))}
-			p.Adopt(0, &partition.Placement{Task: protocol.TaskID{Job: job.ID}, Attempt: 1, Machine: m.Name, Job: job, Level: rapid.IntRange(0, 3).Draw(t, "level"),
+			job := &protocol.Job{ID: fmt.Sprintf("j-%d", i), Shape: protocol.Array, CheckpointIntervalSeconds: float64(rapid.IntRange(0, 1).Draw(t, "saves"))}
+			p.Adopt(0, &partition.Placement{Task: protocol.TaskID{JobID: job.ID}, Attempt: 1, Machine: m.Name, Job: job, Level: rapid.IntRange(0, 3).Draw(t, "level"),
 				Need: partition.Need{GPUs: float64(rapid.IntRange(0, 8).Draw(t, "used")), CPUs: float64(rapid.IntRange(0, 64).Draw(t, "cpus"))}})
 		}
 		var units []Unit
 		for i := range rapid.IntRange(0, 12).Draw(t, "units") {
 			j := &protocol.Job{ID: fmt.Sprintf("j-w%d", i), GPUs: float64(rapid.IntRange(0, 4).Draw(t, "gpus")), CPUs: float64(rapid.IntRange(0, 16).Draw(t, "wanted cpus")),
-				Priority: rapid.SampledFrom([]protocol.Priority{"critical", "normal", "best_effort"}).Draw(t, "priority"), Spot: rapid.Bool().Draw(t, "may be spot"),
-				CheckpointS: float64(rapid.IntRange(0, 1).Draw(t, "may save"))}
+				Priority: rapid.SampledFrom([]protocol.Priority{"critical", "normal", "best_effort"}).Draw(t, "priority"), SpotAllowed: rapid.Bool().Draw(t, "may be spot"),
+				CheckpointIntervalSeconds: float64(rapid.IntRange(0, 1).Draw(t, "may save"))}
 			u := Unit{Job: j, Count: rapid.IntRange(1, 30).Draw(t, "count"), Zone: rapid.SampledFrom([]string{"", "a"}).Draw(t, "only zone"),
 				Spare: rapid.Bool().Draw(t, "spare"), Quick: rapid.Bool().Draw(t, "quick")}
 			if rapid.Bool().Draw(t, "avoids") {
--- a/internal/coordination/fleet/release.go
+++ b/internal/coordination/fleet/release.go
@@ -24,8 +24,8 @@
 		}
 	})
 	leaving := append(overdue, others...)
-	leaving = leaving[:min(len(leaving), protocol.MaxRelease*f.callsPerPlan())]
-	for call := range slices.Chunk(leaving, protocol.MaxRelease) {
+	leaving = leaving[:min(len(leaving), protocol.MaxMachinesPerRelease*f.callsPerPlan())]
+	for call := range slices.Chunk(leaving, protocol.MaxMachinesPerRelease) {
 		names := make([]string, len(call))
 		for i, m := range call {
 			m.Condemned = true
@@ -43,7 +43,7 @@
 	if t == nil {
 		return m.Count() > 0 && m.Condemned
 	}
-	boot := config.Seconds(t.BootS)
+	boot := config.Seconds(t.BootSeconds)
 	switch {
 	case m.Sick && m.Count() == 0, m.Notice && m.Count() == 0, m.Condemned:
 		return true
--- a/internal/coordination/fleet/rent.go
+++ b/internal/coordination/fleet/rent.go
@@ -32,7 +32,7 @@
 	if !u.Spare || u.Quick || r.machine == nil {
 		return r.free
 	}
-	return r.free.Plus(r.machine.Savable(max(0, u.Job.Priority.Level()) + 1))
+	return r.free.Plus(r.machine.Savable(max(0, u.Job.Priority.Rank()) + 1))
 }
 
 // unitKind is what it depends on whether a room will do for a unit that avoids no machine.
@@ -47,8 +47,8 @@
 
 func kindOf(u *Unit) unitKind {
 	return unitKind{
-		need: partition.NeedOf(u.Job), types: strings.Join(u.Job.Types, " "), zone: u.Zone, jobZone: u.Job.Zone, level: u.Job.Priority.Level(),
-		spot: u.Job.Spot, saves: u.Job.CheckpointS > 0, spare: u.Spare, quick: u.Quick,
+		need: partition.NeedOf(u.Job), types: strings.Join(u.Job.MachineTypes, " "), zone: u.Zone, jobZone: u.Job.Zone, level: u.Job.Priority.Rank(),
+		spot: u.Job.SpotAllowed, saves: u.Job.CheckpointIntervalSeconds > 0, spare: u.Spare, quick: u.Quick,
 	}
 }
 
@@ -88,7 +88,7 @@
 func (f *Fleet) newPacking(now time.Duration, p *partition.Partition) *packing {
 	return &packing{
 		fleet: f, now: now, machines: p, rooms: f.rooms[:0], perZone: map[string]int{}, used: map[string]bool{}, wanted: map[pool]int{},
-		most: protocol.MaxRental * f.callsPerPlan(), full: map[unitKind]int{}, denied: map[unitKind]bool{},
+		most: protocol.MaxMachinesPerRental * f.callsPerPlan(), full: map[unitKind]int{}, denied: map[unitKind]bool{},
 	}
 }
 
@@ -205,8 +205,8 @@
 }
 
 func (k *packing) fits(u *Unit, need partition.Need, r *room) bool {
-	return need.Fits(r.open(u)) && r.kind.Allows(u.Job) && (u.Zone == "" || u.Zone == r.pool.zone) &&
-		(u.Job.Zone == "" || u.Job.Zone == r.pool.zone) && (!r.pool.spot || u.Job.Spot) && !u.Avoid[r.name]
+	return need.Fits(r.open(u)) && r.kind.AllowedBy(u.Job) && (u.Zone == "" || u.Zone == r.pool.zone) &&
+		(u.Job.Zone == "" || u.Job.Zone == r.pool.zone) && (!r.pool.spot || u.Job.SpotAllowed) && !u.Avoid[r.name]
 }
 
 // order adds a room to be rented for a unit, or returns nil if there can be none.
@@ -241,8 +241,8 @@
 	}
 	sort.Slice(pools, func(i, j int) bool { return fmt.Sprint(pools[i]) < fmt.Sprint(pools[j]) })
 	for _, pl := range pools {
-		for left := wanted[pl]; left > 0; left -= protocol.MaxRental {
-			effects = append(effects, f.rental(pl, min(left, protocol.MaxRental)))
+		for left := wanted[pl]; left > 0; left -= protocol.MaxMachinesPerRental {
+			effects = append(effects, f.rental(pl, min(left, protocol.MaxMachinesPerRental)))
 		}
 	}
 	return effects
@@ -253,7 +253,7 @@
 	// The term makes the name unique across leaders and restarts.
 	req := fmt.Sprintf("r-%d-%d", f.term, f.seq)
 	f.pending[req], f.counts[req] = pl, count
-	return Rent{protocol.Rental{Request: req, Type: pl.kind, Zone: pl.zone, Spot: pl.spot, Count: count}}
+	return Rent{protocol.Rental{RequestID: req, MachineType: pl.kind, Zone: pl.zone, Spot: pl.spot, Count: count}}
 }
 
 func tighter(a, b partition.Need) bool {
--- a/internal/coordination/leader/cloud.go
+++ b/internal/coordination/leader/cloud.go
@@ -59,7 +59,7 @@
 		return status, protocol.Decode(raw, out)
 	}
 	if status != http.StatusOK {
-		var p protocol.Problem
+		var p protocol.ErrorResponse
 		_ = protocol.Decode(raw, &p) // the status says enough without it
 		if status == http.StatusServiceUnavailable && p.Error == errCapacity.Error() {
 			return status, errCapacity
@@ -86,7 +86,7 @@
 func (c *Cloud) Types(ctx context.Context, store *storage.Client) ([]protocol.MachineType, error) {
 	var t protocol.MachineTypes
 	p, err := store.Get(ctx, storage.Decide, storage.TypesKey)
-	if err == nil && p.Version != 0 && protocol.Decode(p.Value, &t) == nil && len(t.Types) > 0 {
+	if err == nil && p.Revision != 0 && protocol.Decode(p.Value, &t) == nil && len(t.Types) > 0 {
 		return t.Types, nil
 	}
 	types, err := c.fetchTypes(ctx)
@@ -96,7 +96,7 @@
 	if value, err := protocol.Encode(protocol.MachineTypes{Types: types}); err == nil {
 		// Only a short cut for others: without it they ask the cloud.
 		_, _, _ = store.Txn(ctx, storage.Decide, protocol.Txn{
-			If: []protocol.Cond{{Key: storage.TypesKey, Version: p.Version}}, Then: []protocol.Op{{Put: storage.TypesKey, Value: value}}})
+			If: []protocol.Compare{{Key: storage.TypesKey, Revision: p.Revision}}, Then: []protocol.Op{{PutKey: storage.TypesKey, Value: value}}})
 	}
 	return types, nil
 }
@@ -106,7 +106,7 @@
 	var all []protocol.ListedMachine
 	from := ""
 	for ; ; turn = c.Turn() {
-		path := fmt.Sprintf("/machines?limit=%d", protocol.MaxListed)
+		path := fmt.Sprintf("/machines?limit=%d", protocol.MaxMachinesPerPage)
 		if from != "" {
 			path += "&from=" + from
 		}
--- a/internal/coordination/leader/cloud_test.go
+++ b/internal/coordination/leader/cloud_test.go
@@ -25,7 +25,7 @@
 	start := time.Now()
 	model := simulation.NewCloud(&mu, func() time.Duration { return time.Since(start) })
 	model.Address = func(number int) string { return fmt.Sprintf("10.1.%d.%d:9000", number/250, number%250) }
-	model.Up, model.Down = func(protocol.ListedMachine) {}, func(string) {}
+	model.StartWorker, model.StopWorker = func(protocol.ListedMachine) {}, func(string) {}
 	for range machines {
 		model.Start("g8", "a", false)
 	}
@@ -44,7 +44,7 @@
 			t.Fatalf("%s before %s", list[i].Name, list[i+1].Name)
 		}
 	}
-	if n := calls.Load(); n > machines/protocol.MaxListed+1 {
+	if n := calls.Load(); n > machines/protocol.MaxMachinesPerPage+1 {
 		t.Errorf("%d calls", n)
 	}
 }
--- a/internal/coordination/leader/effects.go
+++ b/internal/coordination/leader/effects.go
@@ -18,7 +18,7 @@
 	for _, e := range effects {
 		switch e := e.(type) {
 		case scheduler.Answer:
-			if ch, ok := e.Tag.(chan protocol.ReportAnswer); ok {
+			if ch, ok := e.Tag.(chan protocol.WorkerHeartbeatReply); ok {
 				ch <- e.Body
 			}
 		case scheduler.Depose:
@@ -114,11 +114,11 @@
 	var rec struct {
 		Write string `msgpack:"w"`
 	}
-	mine = w.Name == "" && p.Version == 0
-	if p.Version != 0 && protocol.Decode(p.Value, &rec) == nil && rec.Write == w.Name {
+	mine = w.Name == "" && p.Revision == 0
+	if p.Revision != 0 && protocol.Decode(p.Value, &rec) == nil && rec.Write == w.Name {
 		mine = true
 	}
-	return mine, p.Version, true
+	return mine, p.Revision, true
 }
 
 // readEnd reads how a job has ended.
@@ -129,7 +129,7 @@
 	switch {
 	case err != nil:
 		l.Log.Debug("end not read", "job", e.ID, "err", err)
-	case p.Version != 0 && protocol.Decode(p.Value, &rec) == nil:
+	case p.Revision != 0 && protocol.Decode(p.Value, &rec) == nil:
 		read.Standing = rec.Standing
 	}
 	l.box.Send(read)
@@ -139,7 +139,7 @@
 	status, raw, err := l.Workers.Do(l.ctx, orderPatience(l.Cfg), http.MethodPost, "http://"+o.Addr+"/commands", o.Orders)
 	done := scheduler.OrdersDone{Machine: o.Machine}
 	if err == nil && (status == http.StatusOK || status == http.StatusConflict) {
-		if r, err := protocol.DecodeReport(raw); err == nil {
+		if r, err := protocol.DecodeWorkerHeartbeat(raw); err == nil {
 			done.OK, done.Report = status == http.StatusOK, r
 		}
 	}
@@ -160,7 +160,7 @@
 		l.Log.Debug("not inspected", "machine", e.Machine, "status", status, "err", err)
 		return
 	}
-	if r, err := protocol.DecodeReport(raw); err == nil && r.Machine == e.Machine {
+	if r, err := protocol.DecodeWorkerHeartbeat(raw); err == nil && r.Machine == e.Machine {
 		l.box.Send(scheduler.Inspected{Report: r})
 	}
 }
@@ -185,12 +185,12 @@
 	for ; l.ctx.Err() == nil; turn = l.Cloud.Turn() {
 		names, refused, err := l.Cloud.Rent(l.ctx, turn, e.Rental)
 		if err == nil {
-			l.box.Send(scheduler.Rented{Request: e.Rental.Request, Asked: asked, Names: names, Refused: refused})
+			l.box.Send(scheduler.Rented{Request: e.Rental.RequestID, Asked: asked, Names: names, Refused: refused})
 			return
 		}
 		// The same name rents nothing twice, so trying again is safe.
-		l.Log.Info("rental unanswered", "request", e.Rental.Request, "err", err)
-		l.Random.Pause(l.ctx, e.Rental.Request, scheduler.Cycle)
+		l.Log.Info("rental unanswered", "request", e.Rental.RequestID, "err", err)
+		l.Random.Pause(l.ctx, e.Rental.RequestID, scheduler.Cycle)
 	}
 }
 
--- a/internal/coordination/leader/leader.go
+++ b/internal/coordination/leader/leader.go
@@ -117,8 +117,8 @@
 
 // Report hands a worker's report to the leader and returns the answer, or
 // false if none came in time. relayed says that another controller passed it on.
-func (l *Leader) Report(ctx context.Context, r *protocol.Report, relayed bool) (protocol.ReportAnswer, bool) {
-	reply := make(chan protocol.ReportAnswer, 1)
+func (l *Leader) Report(ctx context.Context, r *protocol.WorkerHeartbeat, relayed bool) (protocol.WorkerHeartbeatReply, bool) {
+	reply := make(chan protocol.WorkerHeartbeatReply, 1)
 	l.box.Send(scheduler.Reported{Tag: reply, Report: r, Relayed: relayed})
 	select {
 	case a := <-reply:
@@ -126,7 +126,7 @@
 	case <-l.ctx.Done():
 	case <-ctx.Done():
 	}
-	return protocol.ReportAnswer{}, false
+	return protocol.WorkerHeartbeatReply{}, false
 }
 
 // Alive hands in which machines an owner has heard that told nothing new, and returns those of which the next report
@@ -203,12 +203,12 @@
 		case scheduler.Alive:
 			e.Reply(namesOf(e.Machines)) // nothing is known of them yet
 		case scheduler.Reported:
-			if t := protocol.TermOf(e.Report.Token); t > l.term {
+			if t := protocol.TermOfToken(e.Report.FencingToken); t > l.term {
 				l.Deposed(l.term, scheduler.Depose{Term: t, Reason: "a worker has seen a later term"})
 				return
 			}
 			// What users may have been told is cancelled ends all the same.
-			e.Tag.(chan protocol.ReportAnswer) <- protocol.ReportAnswer{Token: protocol.Token(l.term, 0), Commands: e.Report.StopsOf(l.IsWithdrawn)}
+			e.Tag.(chan protocol.WorkerHeartbeatReply) <- protocol.WorkerHeartbeatReply{FencingToken: protocol.FencingToken(l.term, 0), Commands: e.Report.StopCommands(l.IsWithdrawn)}
 			e.Tag = nil // it has its answer
 			early.add(e)
 		case loaded:
--- a/internal/coordination/leader/leader_test.go
+++ b/internal/coordination/leader/leader_test.go
@@ -26,7 +26,7 @@
 // answers no worker any more, renews no lease and gives the term up, for others may
 // lead by then. Until that is so, it answers.
 func TestStaleLeaderDoesNotAct(t *testing.T) {
-	srv := httptest.NewServer(simulation.NewState())
+	srv := httptest.NewServer(simulation.NewStore())
 	t.Cleanup(srv.Close)
 	cfg := &config.Deployment{
 		Nodes: 3, Teams: []config.Team{{Name: "red"}},
@@ -50,12 +50,12 @@
 		Withdrawals: func(time.Duration) map[string]time.Duration { return nil },
 		IsWithdrawn: func(string) bool { return false },
 	}, scheduler.Term{Number: 3, Stamp: 1})
-	r := &protocol.Report{Machine: "m1", Addr: "127.0.0.1:1", Type: "g8", Zone: "a", Session: 1, Seq: 1}
-	if a, ok := l.Report(ctx, r, false); !ok || protocol.TermOf(a.Token) != 3 {
+	r := &protocol.WorkerHeartbeat{Machine: "m1", Addr: "127.0.0.1:1", Type: "g8", Zone: "a", Incarnation: 1, Sequence: 1}
+	if a, ok := l.Report(ctx, r, false); !ok || protocol.TermOfToken(a.FencingToken) != 3 {
 		t.Fatalf("while it is confirmed: %+v %v", a, ok)
 	}
 	stale.Store(true)
-	r.Seq = 2
+	r.Sequence = 2
 	if a, ok := l.Report(ctx, r, false); ok {
 		t.Errorf("unconfirmed: %+v", a)
 	}
--- a/internal/coordination/leader/recovery.go
+++ b/internal/coordination/leader/recovery.go
@@ -13,8 +13,8 @@
 // loaded is what recovery read.
 type loaded struct {
 	types         []protocol.MachineType
-	live, pages   []protocol.Pair
-	images, zones []protocol.Pair
+	live, pages   []protocol.KeyValue
+	images, zones []protocol.KeyValue
 }
 
 // recover reads the records, trying until it can. The jobs come first and are watched from
@@ -86,16 +86,16 @@
 		}
 		rev = max(rev, ev.Revision)
 		for _, e := range ev.Events {
-			if e.Delete != "" {
-				l.box.Send(scheduler.JobDropped{ID: e.Delete[len(storage.LivePrefix):]})
+			if e.DeleteKey != "" {
+				l.box.Send(scheduler.JobDropped{ID: e.DeleteKey[len(storage.LivePrefix):]})
 				continue
 			}
 			var rec storage.LiveRecord
 			if err := protocol.Decode(e.Value, &rec); err != nil {
-				l.Log.Error("live record out of form", "key", e.Put, "err", err)
+				l.Log.Error("live record out of form", "key", e.PutKey, "err", err)
 				continue
 			}
-			l.box.Send(scheduler.JobSet{Record: rec, Stamp: e.Version})
+			l.box.Send(scheduler.JobSet{Record: rec, Stamp: e.Revision})
 		}
 		l.fresh(asked)
 	}
--- a/internal/coordination/ownership/ownership_test.go
+++ b/internal/coordination/ownership/ownership_test.go
@@ -191,29 +191,29 @@
 // the leader's term and not long ago; exits and what the leader asks for are always passed on.
 func TestReportsThatTellNothingNew(t *testing.T) {
 	const term, refresh = 7, 5 * time.Second
-	report := func(change func(*protocol.Report)) *protocol.Report {
-		r := &protocol.Report{Machine: "m1", Session: 2, Seq: 10, Token: protocol.Token(term, 1), Tasks: []protocol.TaskReport{{Name: "j-1/0", Attempt: 1, State: protocol.TaskRunning}}}
+	report := func(change func(*protocol.WorkerHeartbeat)) *protocol.WorkerHeartbeat {
+		r := &protocol.WorkerHeartbeat{Machine: "m1", Incarnation: 2, Sequence: 10, FencingToken: protocol.FencingToken(term, 1), Tasks: []protocol.TaskStatus{{TaskName: "j-1/0", Attempt: 1, State: protocol.TaskRunning}}}
 		change(r)
 		return r
 	}
-	same := func(*protocol.Report) {}
+	same := func(*protocol.WorkerHeartbeat) {}
 	notice := 3.0
 	for name, x := range map[string]struct {
-		change func(*protocol.Report)
+		change func(*protocol.WorkerHeartbeat)
 		after  time.Duration
 		term   uint64
 		asked  bool
 		news   bool
 	}{
 		"the same":               {same, time.Second, term, false, false},
-		"a later number":         {func(r *protocol.Report) { r.Seq = 99 }, time.Second, term, false, false},
-		"another session":        {func(r *protocol.Report) { r.Session = 3 }, time.Second, term, false, true},
-		"a higher token":         {func(r *protocol.Report) { r.Token++ }, time.Second, term, false, true},
-		"a notice":               {func(r *protocol.Report) { r.NoticeS = &notice }, time.Second, term, false, true},
-		"a task more":            {func(r *protocol.Report) { r.Tasks = append(r.Tasks, r.Tasks[0]) }, time.Second, term, false, true},
-		"none any more":          {func(r *protocol.Report) { r.Tasks = nil }, time.Second, term, false, true},
-		"another state":          {func(r *protocol.Report) { r.Tasks[0].State = protocol.Saving }, time.Second, term, false, true},
-		"another attempt":        {func(r *protocol.Report) { r.Tasks[0].Attempt = 2 }, time.Second, term, false, true},
+		"a later number":         {func(r *protocol.WorkerHeartbeat) { r.Sequence = 99 }, time.Second, term, false, false},
+		"another session":        {func(r *protocol.WorkerHeartbeat) { r.Incarnation = 3 }, time.Second, term, false, true},
+		"a higher token":         {func(r *protocol.WorkerHeartbeat) { r.FencingToken++ }, time.Second, term, false, true},
+		"a notice":               {func(r *protocol.WorkerHeartbeat) { r.InterruptionNoticeSeconds = &notice }, time.Second, term, false, true},
+		"a task more":            {func(r *protocol.WorkerHeartbeat) { r.Tasks = append(r.Tasks, r.Tasks[0]) }, time.Second, term, false, true},
+		"none any more":          {func(r *protocol.WorkerHeartbeat) { r.Tasks = nil }, time.Second, term, false, true},
+		"another state":          {func(r *protocol.WorkerHeartbeat) { r.Tasks[0].State = protocol.TaskSaving }, time.Second, term, false, true},
+		"another attempt":        {func(r *protocol.WorkerHeartbeat) { r.Tasks[0].Attempt = 2 }, time.Second, term, false, true},
 		"long ago":               {same, refresh, term, false, true},
 		"another leader":         {same, time.Second, term + 1, false, true},
 		"the leader asks for it": {same, time.Second, term, true, true},
@@ -231,14 +231,14 @@
 		}
 	}
 	r := NewReports(refresh)
-	exited := report(func(r *protocol.Report) { r.Tasks[0].State = protocol.Exited })
+	exited := report(func(r *protocol.WorkerHeartbeat) { r.Tasks[0].State = protocol.TaskExited })
 	r.News(0, exited, term)
 	r.Passed(0, exited)
 	if !r.News(time.Second, exited, term) {
 		t.Error("a task that has exited is kept from the leader")
 	}
 	r.Passed(0, report(same))
-	r.Answered(report(func(r *protocol.Report) { r.Seq = 11 }))
+	r.Answered(report(func(r *protocol.WorkerHeartbeat) { r.Sequence = 11 }))
 	if got := r.TakeAlive(); !slices.Equal(got, []Alive{{Machine: "m1", Session: 2, Seq: 11}}) || len(r.TakeAlive()) > 0 {
 		t.Errorf("answered: %v", got)
 	}
@@ -272,10 +272,10 @@
 
 // TestOwnersAnswer: an owner commands nothing but that what is cancelled ends, under the worker's own token.
 func TestOwnersAnswer(t *testing.T) {
-	rep := &protocol.Report{Machine: "m1", Session: 2, Token: 77, Tasks: []protocol.TaskReport{
-		{Name: "j-1/0", Attempt: 3, State: protocol.TaskRunning}, {Name: "j-2/1", Attempt: 1, State: protocol.Fetching}, {Name: "j-1/1", Attempt: 1, State: protocol.Exited}}}
+	rep := &protocol.WorkerHeartbeat{Machine: "m1", Incarnation: 2, FencingToken: 77, Tasks: []protocol.TaskStatus{
+		{TaskName: "j-1/0", Attempt: 3, State: protocol.TaskRunning}, {TaskName: "j-2/1", Attempt: 1, State: protocol.TaskFetching}, {TaskName: "j-1/1", Attempt: 1, State: protocol.TaskExited}}}
 	a := Answer(rep, func(job string) bool { return job == "j-1" })
-	if a.Token != 77 || len(a.Commands) != 1 || a.Commands[0].Verb != protocol.Stop || a.Commands[0].Name != "j-1/0" || *a.Commands[0].GraceS != 0 {
+	if a.FencingToken != 77 || len(a.Commands) != 1 || a.Commands[0].Verb != protocol.VerbStop || a.Commands[0].TaskName != "j-1/0" || *a.Commands[0].GraceSeconds != 0 {
 		t.Errorf("%+v", a)
 	}
 	if a := Answer(rep, func(string) bool { return false }); len(a.Commands) != 0 {
--- a/internal/coordination/ownership/reports.go
+++ b/internal/coordination/ownership/reports.go
@@ -41,20 +41,20 @@
 
 // News says whether a report is to be passed on to the leader of a term: it tells something new, or a task that has
 // exited, which only the leader may have forgotten, or the leader has asked for it.
-func (r *Reports) News(now time.Duration, rep *protocol.Report, term uint64) bool {
+func (r *Reports) News(now time.Duration, rep *protocol.WorkerHeartbeat, term uint64) bool {
 	if term != r.term {
 		r.term = term
 		clear(r.seen) // another leader knows nothing of them
 		clear(r.alive)
 	}
 	s := r.seen[rep.Machine]
-	return s == nil || s.passOn || now-s.at >= r.refresh || s.session != rep.Session || s.token != rep.Token ||
-		s.notice != (rep.NoticeS != nil) || s.tasks != r.hash(rep) || protocol.TermOf(rep.Token) != term ||
-		slices.ContainsFunc(rep.Tasks, func(t protocol.TaskReport) bool { return t.State == protocol.Exited })
+	return s == nil || s.passOn || now-s.at >= r.refresh || s.session != rep.Incarnation || s.token != rep.FencingToken ||
+		s.notice != (rep.InterruptionNoticeSeconds != nil) || s.tasks != r.hash(rep) || protocol.TermOfToken(rep.FencingToken) != term ||
+		slices.ContainsFunc(rep.Tasks, func(t protocol.TaskStatus) bool { return t.State == protocol.TaskExited })
 }
 
 // hash tells one list of tasks from another.
-func (r *Reports) hash(rep *protocol.Report) uint64 {
+func (r *Reports) hash(rep *protocol.WorkerHeartbeat) uint64 {
 	var h maphash.Hash
 	h.SetSeed(r.seed)
 	for _, t := range rep.Tasks {
@@ -64,14 +64,14 @@
 }
 
 // Passed notes that the leader has answered a report.
-func (r *Reports) Passed(now time.Duration, rep *protocol.Report) {
-	r.seen[rep.Machine] = &seen{at: now, session: rep.Session, token: rep.Token, notice: rep.NoticeS != nil, tasks: r.hash(rep)}
+func (r *Reports) Passed(now time.Duration, rep *protocol.WorkerHeartbeat) {
+	r.seen[rep.Machine] = &seen{at: now, session: rep.Incarnation, token: rep.FencingToken, notice: rep.InterruptionNoticeSeconds != nil, tasks: r.hash(rep)}
 	delete(r.alive, rep.Machine)
 }
 
 // Answered notes that the owner has answered a report that told nothing new.
-func (r *Reports) Answered(rep *protocol.Report) {
-	r.alive[rep.Machine] = Alive{Machine: rep.Machine, Session: rep.Session, Seq: rep.Seq}
+func (r *Reports) Answered(rep *protocol.WorkerHeartbeat) {
+	r.alive[rep.Machine] = Alive{Machine: rep.Machine, Session: rep.Incarnation, Seq: rep.Sequence}
 }
 
 // TakeAlive returns the machines that were answered since it was last called, in name order.
--- a/internal/coordination/ownership/standing.go
+++ b/internal/coordination/ownership/standing.go
@@ -33,6 +33,6 @@
 
 // Answer is an owner's answer to a report that tells nothing new. The token is the worker's own, so that nothing is
 // commanded but that what users may have been told is cancelled ends.
-func Answer(rep *protocol.Report, withdrawn func(job string) bool) protocol.ReportAnswer {
-	return protocol.ReportAnswer{Token: rep.Token, Commands: rep.StopsOf(withdrawn)}
+func Answer(rep *protocol.WorkerHeartbeat, withdrawn func(job string) bool) protocol.WorkerHeartbeatReply {
+	return protocol.WorkerHeartbeatReply{FencingToken: rep.FencingToken, Commands: rep.StopCommands(withdrawn)}
 }
--- a/internal/coordination/partition/commands.go
+++ b/internal/coordination/partition/commands.go
@@ -29,10 +29,10 @@
 	run := func(pl *Placement) {
 		pl.sent = true
 		pl.runToken = p.Token(m)
-		out = append(out, protocol.Command{Verb: protocol.Run, Name: pl.Task.String(), Attempt: pl.Attempt})
+		out = append(out, protocol.Command{Verb: protocol.VerbRun, TaskName: pl.Task.String(), Attempt: pl.Attempt})
 	}
 	stop := func(id protocol.TaskID, attempt uint64, graceS float64) {
-		out = append(out, protocol.Command{Verb: protocol.Stop, Name: id.String(), Attempt: attempt, GraceS: &graceS})
+		out = append(out, protocol.Command{Verb: protocol.VerbStop, TaskName: id.String(), Attempt: attempt, GraceSeconds: &graceS})
 	}
 	if len(m.placements) > 0 {
 		for _, pl := range sorted(m.placements) {
@@ -43,7 +43,7 @@
 			case !pl.Stopping && !pl.Seen:
 				run(pl)
 			case pl.Stopping && pl.Seen:
-				if pl.State != protocol.Saving || pl.GraceS == 0 {
+				if pl.State != protocol.TaskSaving || pl.GraceS == 0 {
 					stop(pl.Task, pl.Attempt, pl.GraceS)
 				}
 			case pl.Stopping:
@@ -61,7 +61,7 @@
 	}
 	for _, id := range inOrder(m.exits) {
 		if e := m.exits[id]; len(out) < maxOrders && p.forgettable(m, e) {
-			out = append(out, protocol.Command{Verb: protocol.Forget, Name: id.String(), Attempt: e.attempt})
+			out = append(out, protocol.Command{Verb: protocol.VerbForget, TaskName: id.String(), Attempt: e.attempt})
 			delete(m.exits, id)
 		}
 	}
@@ -75,7 +75,7 @@
 	}
 	list := slices.AppendSeq(make([]protocol.TaskID, 0, len(tasks)), maps.Keys(tasks))
 	slices.SortFunc(list, func(a, b protocol.TaskID) int {
-		return cmp.Or(cmp.Compare(a.Job, b.Job), cmp.Compare(a.Task, b.Task))
+		return cmp.Or(cmp.Compare(a.JobID, b.JobID), cmp.Compare(a.Index, b.Index))
 	})
 	return list
 }
@@ -88,7 +88,7 @@
 }
 
 // Token is what commands to the machine carry now.
-func (p *Partition) Token(m *Machine) uint64 { return protocol.Token(p.term, m.epoch) }
+func (p *Partition) Token(m *Machine) uint64 { return protocol.FencingToken(p.term, m.epoch) }
 
 // raiseEpoch raises the machine's epoch when exited entries wait for it, so that
 // late copies of their runs are refused and the entries can be forgotten, or
@@ -96,7 +96,7 @@
 // starts under way, which the change would only delay.
 func (p *Partition) raiseEpoch(now time.Duration, m *Machine) {
 	pause := config.Seconds(p.workers.LeaseS / 2)
-	if m.Busy || m.epoch >= protocol.MaxEpoch {
+	if m.Busy || m.epoch >= protocol.MaxTokenEpoch {
 		return
 	}
 	starting, withdraw := false, false
@@ -126,7 +126,7 @@
 
 // due says whether a placement needs a command.
 func (pl *Placement) due() bool {
-	return pl.Written && (!pl.Seen || pl.Stopping && (pl.State != protocol.Saving || pl.GraceS == 0))
+	return pl.Written && (!pl.Seen || pl.Stopping && (pl.State != protocol.TaskSaving || pl.GraceS == 0))
 }
 
 // Urgent returns the machines that should be sent commands directly, since
--- a/internal/coordination/partition/images.go
+++ b/internal/coordination/partition/images.go
@@ -72,7 +72,7 @@
 		return im.left(now)
 	}
 	t := p.types[m.Type]
-	if t == nil || t.FetchGBPerS <= 0 {
+	if t == nil || t.FetchGBPerSecond <= 0 {
 		return 0
 	}
 	fetches := 1
@@ -81,7 +81,7 @@
 			fetches++
 		}
 	}
-	return config.Seconds(j.ImageGB / t.FetchGBPerS * float64(fetches))
+	return config.Seconds(j.ImageGB / t.FetchGBPerSecond * float64(fetches))
 }
 
 // fetchedFor says whether an image is fetched for nothing but tasks that the
@@ -103,10 +103,10 @@
 // that the function names.
 func (p *Partition) SlowsWithout(now time.Duration, m *Machine, j *protocol.Job, leave func(*Placement) bool) time.Duration {
 	t := p.types[m.Type]
-	if m.images[j.Image] != nil || t == nil || t.FetchGBPerS <= 0 {
+	if m.images[j.Image] != nil || t == nil || t.FetchGBPerSecond <= 0 {
 		return 0
 	}
-	whole := config.Seconds(j.ImageGB / t.FetchGBPerS)
+	whole := config.Seconds(j.ImageGB / t.FetchGBPerSecond)
 	sum := time.Duration(0)
 	for name, im := range m.images {
 		if !im.sure && !m.fetchedFor(name, leave) {
--- a/internal/coordination/partition/limits_test.go
+++ b/internal/coordination/partition/limits_test.go
@@ -25,18 +25,18 @@
 		p.Start(pl)
 	}
 	told := map[string]bool{}
-	var states []protocol.TaskReport
+	var states []protocol.TaskStatus
 	for round := uint64(2); len(told) < tasks && round < 20; round++ {
 		orders := p.Orders(time.Duration(round)*time.Second, m)
-		if raw, err := protocol.Encode(protocol.ReportAnswer{Token: 1, Commands: orders}); err != nil || len(raw) > protocol.MaxBody {
+		if raw, err := protocol.Encode(protocol.WorkerHeartbeatReply{FencingToken: 1, Commands: orders}); err != nil || len(raw) > protocol.MaxBodyBytes {
 			t.Fatalf("%d commands in %d bytes: %v", len(orders), len(raw), err)
 		}
 		for _, o := range orders {
-			if o.Verb != protocol.Run || told[o.Name] {
+			if o.Verb != protocol.VerbRun || told[o.TaskName] {
 				t.Fatalf("%+v", o)
 			}
-			told[o.Name] = true
-			states = append(states, protocol.TaskReport{Name: o.Name, Attempt: o.Attempt, State: protocol.Fetching})
+			told[o.TaskName] = true
+			states = append(states, protocol.TaskStatus{TaskName: o.TaskName, Attempt: o.Attempt, State: protocol.TaskFetching})
 		}
 		p.Report(time.Duration(round)*time.Second, report(1, round, 0, states...))
 	}
--- a/internal/coordination/partition/partition.go
+++ b/internal/coordination/partition/partition.go
@@ -32,7 +32,7 @@
 	Seen     bool // its machine has reported it
 	State    protocol.TaskState
 	Since    time.Duration // when State was first seen
-	Cause    protocol.Cause
+	Cause    protocol.ExitCause
 	Saved    bool
 	Gone     bool // proven gone
 
@@ -180,7 +180,7 @@
 		m.Zone = pl.Zone
 	}
 	pl.Written, pl.sent, pl.Granted = true, true, now
-	pl.runToken = protocol.Token(p.term, 0) - 1 // whatever an earlier leader sent
+	pl.runToken = protocol.FencingToken(p.term, 0) - 1 // whatever an earlier leader sent
 	p.commandsDue[m.Name] = m
 	p.add(m, pl)
 }
--- a/internal/coordination/partition/partition_test.go
+++ b/internal/coordination/partition/partition_test.go
@@ -13,7 +13,7 @@
 
 func TestMain(m *testing.M) { testkit.Main(m) }
 
-var kind = protocol.MachineType{Name: "g8", CPUs: 64, GPUs: 8, MemoryGB: 256, CacheGB: 10, FetchGBPerS: 1, BootS: 30, Zones: []string{"a"}}
+var kind = protocol.MachineType{Name: "g8", CPUs: 64, GPUs: 8, MemoryGB: 256, CacheGB: 10, FetchGBPerSecond: 1, BootSeconds: 30, Zones: []string{"a"}}
 
 func newPart(term uint64) *Partition {
 	p := New(term, config.Workers{ReportS: 1, LeaseS: 10, GangWaitS: 40, GangPeerS: 4, CancelS: 40})
@@ -21,11 +21,11 @@
 	return p
 }
 
-func report(session, seq, token uint64, tasks ...protocol.TaskReport) *protocol.Report {
-	return &protocol.Report{Machine: "m1", Addr: "a", Type: "g8", Zone: "a", Session: session, Seq: seq, Token: token, Tasks: tasks}
+func report(session, seq, token uint64, tasks ...protocol.TaskStatus) *protocol.WorkerHeartbeat {
+	return &protocol.WorkerHeartbeat{Machine: "m1", Addr: "a", Type: "g8", Zone: "a", Incarnation: session, Sequence: seq, FencingToken: token, Tasks: tasks}
 }
 
-func task(n int) protocol.TaskID { return protocol.TaskID{Job: "j-1", Task: n} }
+func task(n int) protocol.TaskID { return protocol.TaskID{JobID: "j-1", Index: n} }
 
 func placement(n int, gpus float64) *Placement {
 	return &Placement{Task: task(n), Attempt: 1, Machine: "m1", Need: Need{GPUs: gpus}, Team: "red",
@@ -40,7 +40,7 @@
 	if p.Alive(now, "m1", 1, 1) {
 		t.Error("a machine that was never heard needs no report")
 	}
-	p.Report(now, &protocol.Report{Machine: "m1", Type: "g8", Zone: "a", Session: 2, Seq: 5, Token: 7})
+	p.Report(now, &protocol.WorkerHeartbeat{Machine: "m1", Type: "g8", Zone: "a", Incarnation: 2, Sequence: 5, FencingToken: 7})
 	now += 5 * time.Second
 	for _, x := range []struct {
 		session, seq uint64
@@ -51,7 +51,7 @@
 			t.Errorf("session %d, number %d: %v, heard at %v", x.session, x.seq, ok, p.Machine("m1").Heard)
 		}
 	}
-	pl := &Placement{Task: protocol.TaskID{Job: "j-1"}, Attempt: 1, Machine: "m1", Session: 2, Written: true}
+	pl := &Placement{Task: protocol.TaskID{JobID: "j-1"}, Attempt: 1, Machine: "m1", Session: 2, Written: true}
 	p.Adopt(now, pl)
 	if p.Alive(now, "m1", 2, 7) || pl.Gone {
 		t.Errorf("a machine with a start to take: no report is asked for, or the task is gone: %v", pl.Gone)
@@ -85,16 +85,16 @@
 					t.Fatalf("grant of %v beside %v: %v", sum, used, ok)
 				} else if ok {
 					for _, pl := range ps {
-						held[pl.Task.Task] = pl
+						held[pl.Task.Index] = pl
 						p.Start(pl)
 					}
 				}
 				p.Orders(now, p.Machine("m1"))
 			} else {
 				seq++
-				var tasks []protocol.TaskReport
+				var tasks []protocol.TaskStatus
 				for n, pl := range held {
-					tasks = append(tasks, protocol.TaskReport{Name: pl.Task.String(), Attempt: 1, State: protocol.Exited, Cause: protocol.CauseDone})
+					tasks = append(tasks, protocol.TaskStatus{TaskName: pl.Task.String(), Attempt: 1, State: protocol.TaskExited, Cause: protocol.CauseDone})
 					delete(held, n)
 				}
 				p.Report(now, report(1, seq, 0, tasks...))
@@ -121,16 +121,16 @@
 		{"newer report without it", func(p *Partition) []Fact { _, f, _ := p.Report(5, report(3, 50, 0)); return f }, false},
 		{"older session", func(p *Partition) []Fact { _, f, _ := p.Report(5, report(2, 99, 0)); return f }, false},
 		{"another attempt exited", func(p *Partition) []Fact {
-			_, f, _ := p.Report(5, report(3, 50, 0, protocol.TaskReport{Name: task(1).String(), Attempt: 7, State: protocol.Exited}))
+			_, f, _ := p.Report(5, report(3, 50, 0, protocol.TaskStatus{TaskName: task(1).String(), Attempt: 7, State: protocol.TaskExited}))
 			return f
 		}, false},
 		{"its attempt exited in another session", func(p *Partition) []Fact {
-			_, f, _ := p.Report(5, report(2, 50, 0, protocol.TaskReport{Name: task(1).String(), Attempt: 1, State: protocol.Exited}))
+			_, f, _ := p.Report(5, report(2, 50, 0, protocol.TaskStatus{TaskName: task(1).String(), Attempt: 1, State: protocol.TaskExited}))
 			return f
 		}, false},
 		{"its attempt exited, told late", func(p *Partition) []Fact {
 			p.Report(4, report(3, 60, 0))
-			_, f, _ := p.Report(5, report(3, 50, 0, protocol.TaskReport{Name: task(1).String(), Attempt: 1, State: protocol.Exited}))
+			_, f, _ := p.Report(5, report(3, 50, 0, protocol.TaskStatus{TaskName: task(1).String(), Attempt: 1, State: protocol.TaskExited}))
 			return f
 		}, true},
 		{"larger session", func(p *Partition) []Fact { _, f, _ := p.Report(5, report(4, 1, 0)); return f }, true},
@@ -175,7 +175,7 @@
 	if got := verbs(p.Orders(0, m)); got != "run " {
 		t.Errorf("after its record: %q", got)
 	}
-	exited := protocol.TaskReport{Name: task(1).String(), Attempt: 1, State: protocol.Exited, Cause: protocol.CauseStopped}
+	exited := protocol.TaskStatus{TaskName: task(1).String(), Attempt: 1, State: protocol.TaskExited, Cause: protocol.CauseStopped}
 	first := p.Token(m)
 	p.Report(time.Second, report(1, 2, first, exited))
 	late := time.Hour
@@ -230,7 +230,7 @@
 	adopted.Session = 1
 	p.Adopt(5, adopted)
 	p.Stop(5, adopted, 0)
-	if _, f, _ := p.Report(6, report(1, 4, protocol.Token(1, 9))); len(f) != 0 {
+	if _, f, _ := p.Report(6, report(1, 4, protocol.FencingToken(1, 9))); len(f) != 0 {
 		t.Error("absence with an earlier leader's token proved something")
 	}
 	if _, f, _ := p.Report(7, report(1, 5, p.Token(m))); len(f) != 1 {
@@ -251,7 +251,7 @@
 func TestImagesInUseStay(t *testing.T) {
 	p := newPart(1)
 	seq := uint64(0)
-	say := func(now time.Duration, tasks ...protocol.TaskReport) {
+	say := func(now time.Duration, tasks ...protocol.TaskStatus) {
 		seq++
 		p.Report(now, report(1, seq, 0, tasks...))
 	}
@@ -263,10 +263,10 @@
 			t.Fatalf("no room for %s", image)
 		}
 		p.Start(pl)
-		say(now+time.Second, protocol.TaskReport{Name: task(n).String(), Attempt: 1, State: protocol.TaskRunning})
+		say(now+time.Second, protocol.TaskStatus{TaskName: task(n).String(), Attempt: 1, State: protocol.TaskRunning})
 	}
 	end := func(now time.Duration, n int) {
-		say(now, protocol.TaskReport{Name: task(n).String(), Attempt: 1, State: protocol.Exited, Cause: protocol.CauseDone})
+		say(now, protocol.TaskStatus{TaskName: task(n).String(), Attempt: 1, State: protocol.TaskExited, Cause: protocol.CauseDone})
 	}
 	warm := func(now time.Duration, image string) bool {
 		return p.FetchTime(now, p.Machine("m1"), &protocol.Job{Image: image, ImageGB: 1}) == 0
--- a/internal/coordination/partition/reports.go
+++ b/internal/coordination/partition/reports.go
@@ -16,16 +16,16 @@
 
 // Report takes in a worker's message. It returns what changed; newer is false
 // for copies and latecomers, whose task lists prove nothing but exits.
-func (p *Partition) Report(now time.Duration, r *protocol.Report) (m *Machine, facts []Fact, newer bool) {
+func (p *Partition) Report(now time.Duration, r *protocol.WorkerHeartbeat) (m *Machine, facts []Fact, newer bool) {
 	m = p.Ensure(now, r.Machine)
 	if !p.Open(now, m) {
 		defer p.touch(m) // it may be open now
 	}
-	newer = r.Session > m.Session || r.Session == m.Session && r.Seq > m.Seq
-	if r.Session > m.Session {
+	newer = r.Incarnation > m.Session || r.Incarnation == m.Session && r.Sequence > m.Seq
+	if r.Incarnation > m.Session {
 		// The worker has killed everything of its earlier sessions.
 		for _, pl := range sorted(m.placements) {
-			if pl.Session < r.Session {
+			if pl.Session < r.Incarnation {
 				p.remove(now, m, pl)
 				facts = append(facts, Fact{pl, true})
 			}
@@ -36,20 +36,20 @@
 			m.MutedUntil = now + config.Seconds(p.workers.ReportS)
 		}
 		m.exits, m.stray = map[protocol.TaskID]*exit{}, map[protocol.TaskID]uint64{}
-		m.Session, m.Seq = r.Session, 0
+		m.Session, m.Seq = r.Incarnation, 0
 	}
-	if r.Session < m.Session {
+	if r.Incarnation < m.Session {
 		return m, facts, false
 	}
 	if newer {
-		m.Seq = r.Seq
+		m.Seq = r.Sequence
 		m.Heard, m.Up = now, true
 		if m.Type != r.Type || m.Zone != r.Zone || m.Spot != r.Spot {
 			p.touch(m)
 		}
 		m.Addr, m.Type, m.Zone, m.Spot = r.Addr, r.Type, r.Zone, r.Spot
-		m.Token = max(m.Token, r.Token)
-		if r.NoticeS != nil && !m.Notice {
+		m.Token = max(m.Token, r.FencingToken)
+		if r.InterruptionNoticeSeconds != nil && !m.Notice {
 			m.Notice = true
 			p.views.noticed.Set(m)
 		}
@@ -58,7 +58,7 @@
 	listed := make(map[protocol.TaskID]uint64, len(r.Tasks))
 	for i := range r.Tasks {
 		t := &r.Tasks[i]
-		id, err := protocol.ParseTaskID(t.Name)
+		id, err := protocol.ParseTaskID(t.TaskName)
 		if err != nil {
 			continue // a stranger's task is nothing that we can command
 		}
@@ -68,7 +68,7 @@
 		}
 	}
 	if newer {
-		facts = append(facts, p.absent(now, m, r.Token, listed)...)
+		facts = append(facts, p.absent(now, m, r.FencingToken, listed)...)
 	}
 	return m, facts, newer
 }
@@ -107,17 +107,17 @@
 }
 
 // task takes in one task of a report.
-func (p *Partition) task(now time.Duration, m *Machine, id protocol.TaskID, t *protocol.TaskReport, newer bool) (Fact, bool) {
+func (p *Partition) task(now time.Duration, m *Machine, id protocol.TaskID, t *protocol.TaskStatus, newer bool) (Fact, bool) {
 	pl := m.placements[id]
 	if pl == nil || pl.Attempt != t.Attempt || pl.Session != m.Session {
 		e := m.exits[id]
 		known := e != nil && e.attempt == t.Attempt
 		switch {
-		case t.State == protocol.Exited && !known && (pl == nil || pl.Attempt > t.Attempt) && (e == nil || e.attempt < t.Attempt):
+		case t.State == protocol.TaskExited && !known && (pl == nil || pl.Attempt > t.Attempt) && (e == nil || e.attempt < t.Attempt):
 			// Nothing of this term: an earlier leader's, whose outcome is
 			// recorded, or else the record would still name it.
-			m.exits[id] = &exit{attempt: t.Attempt, settled: true, runToken: protocol.Token(p.term, 0) - 1, at: now}
-		case t.State != protocol.Exited && newer && !known:
+			m.exits[id] = &exit{attempt: t.Attempt, settled: true, runToken: protocol.FencingToken(p.term, 0) - 1, at: now}
+		case t.State != protocol.TaskExited && newer && !known:
 			m.stray[id] = t.Attempt
 		}
 		return Fact{}, false
@@ -125,15 +125,15 @@
 	pl.sent = true
 	changed := !pl.Seen
 	pl.Seen = true
-	if t.State == protocol.Exited {
-		pl.State, pl.Cause, pl.Saved, pl.Since = t.State, t.Cause, t.Saved, now
+	if t.State == protocol.TaskExited {
+		pl.State, pl.Cause, pl.Saved, pl.Since = t.State, t.Cause, t.CheckpointSaved, now
 		p.remove(now, m, pl)
 		m.exits[id] = &exit{attempt: pl.Attempt, runToken: pl.runToken, at: now}
 		switch t.Cause {
 		case protocol.CauseDone:
 			clear(m.Errors)
 		case protocol.CauseError:
-			m.Errors[id.Job] = true
+			m.Errors[id.JobID] = true
 		}
 		if t.Cause != protocol.CauseDone {
 			p.dropFetch(m, pl)
@@ -143,7 +143,7 @@
 	if newer && pl.State != t.State {
 		pl.State, pl.Since = t.State, now
 		changed = true
-		if t.State != protocol.Fetching && pl.Job != nil {
+		if t.State != protocol.TaskFetching && pl.Job != nil {
 			if im := m.images[pl.Job.Image]; im != nil {
 				if !im.sure {
 					im.sure = true
--- a/internal/coordination/partition/views.go
+++ b/internal/coordination/partition/views.go
@@ -142,7 +142,7 @@
 
 // savable says whether a placement's work can be saved when it is stopped.
 func savable(pl *Placement) bool {
-	return pl.Job != nil && pl.Job.Shape != protocol.Service && pl.Job.CheckpointS > 0
+	return pl.Job != nil && pl.Job.Shape != protocol.Service && pl.Job.CheckpointIntervalSeconds > 0
 }
 
 // enter counts a placement that is new on a machine.
--- a/internal/coordination/scheduler/allocate.go
+++ b/internal/coordination/scheduler/allocate.go
@@ -66,7 +66,7 @@
 // allowed: up to minAvailable or nothing for a gang, task by task for the others.
 func (c *Core) place(now time.Duration, j *job, allowed int) {
 	gang := j.spec.Shape == protocol.Gang
-	if gang && allowed < j.spec.Tasks {
+	if gang && allowed < j.spec.TaskCount {
 		return
 	}
 	l := c.limits(j)
@@ -76,7 +76,7 @@
 	} else {
 		got = c.allocate(now, j, l, min(allowed, j.counts[pending]))
 	}
-	if gang && len(got) < j.spec.Tasks {
+	if gang && len(got) < j.spec.TaskCount {
 		c.hold(now, j, got, l)
 		return
 	}
@@ -137,7 +137,7 @@
 	best, bestN, bestScore := "", -1, 0.0
 	try := func(z string) (allocation, *limits, float64) {
 		zl := &limits{zone: z, perZone: map[string]int{}, most: l.most}
-		got := c.allocate(now, j, zl, j.spec.Tasks)
+		got := c.allocate(now, j, zl, j.spec.TaskCount)
 		s := 0.0
 		for _, g := range got {
 			s = max(s, c.machines.FetchTime(now, g.x.m, &j.spec).Seconds())
@@ -163,7 +163,7 @@
 // nearest to having it. Every fourth short cycle smaller jobs may backfill.
 func (c *Core) hold(now time.Duration, j *job, got allocation, l *limits) {
 	j.short++
-	missing := j.spec.Tasks - len(got)
+	missing := j.spec.TaskCount - len(got)
 	c.preempt(now, j, l, missing)
 	if j.short%(shortCycles+1) == 0 && !c.awaitsLoan(now, j) {
 		c.release(j, got)
@@ -197,7 +197,7 @@
 			a = j.attempt(t)
 		}
 		ps = append(ps, &partition.Placement{
-			Task: protocol.TaskID{Job: j.spec.ID, Task: t}, Attempt: a, Machine: x.m.Name,
+			Task: protocol.TaskID{JobID: j.spec.ID, Index: t}, Attempt: a, Machine: x.m.Name,
 			Need: j.need, Team: j.spec.Team, Level: j.level, Job: &j.spec,
 		})
 		p := j.pageOf(t)
@@ -208,7 +208,7 @@
 		return
 	}
 	for _, pl := range ps {
-		t := pl.Task.Task
+		t := pl.Task.Index
 		j.set(t, placed)
 		j.places[t] = pl
 		j.touch(t, now)
--- a/internal/coordination/scheduler/allocate_test.go
+++ b/internal/coordination/scheduler/allocate_test.go
@@ -33,7 +33,7 @@
 			j.Team = rapid.SampledFrom([]string{"red", "blue"}).Draw(t, "team")
 			j.SameZone = rapid.Bool().Draw(t, "same")
 			j.Spread = !j.SameZone && rapid.Bool().Draw(t, "spread")
-			j.Spot = rapid.Bool().Draw(t, "spot")
+			j.SpotAllowed = rapid.Bool().Draw(t, "spot")
 			if rapid.Bool().Draw(t, "fixed") {
 				j.Zone = "a"
 			}
@@ -49,16 +49,16 @@
 		used, red := map[string]float64{}, 0.0
 		zones := map[string]map[string]int{}
 		for id, m := range b.on {
-			j := jobs[id.Job]
+			j := jobs[id.JobID]
 			used[m] += j.GPUs
 			if j.Team == "red" {
 				red += j.GPUs
 			}
-			if zones[id.Job] == nil {
-				zones[id.Job] = map[string]int{}
+			if zones[id.JobID] == nil {
+				zones[id.JobID] = map[string]int{}
 			}
-			zones[id.Job][zone[m]]++
-			if spot[m] && !j.Spot || j.Zone != "" && j.Zone != zone[m] {
+			zones[id.JobID][zone[m]]++
+			if spot[m] && !j.SpotAllowed || j.Zone != "" && j.Zone != zone[m] {
 				t.Fatalf("%v on %s: zone %s spot %v", id, m, zone[m], spot[m])
 			}
 		}
@@ -72,15 +72,15 @@
 		}
 		for id, j := range jobs {
 			n := b.started(id)
-			if j.Shape == protocol.Gang && n != 0 && n != j.Tasks {
-				t.Fatalf("gang %s: %d of %d started", id, n, j.Tasks)
+			if j.Shape == protocol.Gang && n != 0 && n != j.TaskCount {
+				t.Fatalf("gang %s: %d of %d started", id, n, j.TaskCount)
 			}
 			if j.SameZone && len(zones[id]) > 1 {
 				t.Fatalf("%s is in zones %v", id, zones[id])
 			}
 			for z, n := range zones[id] {
-				if j.Spread && n > (j.Tasks+1)/2 {
-					t.Fatalf("%s has %d of %d in %s", id, n, j.Tasks, z)
+				if j.Spread && n > (j.TaskCount+1)/2 {
+					t.Fatalf("%s has %d of %d in %s", id, n, j.TaskCount, z)
 				}
 			}
 		}
@@ -164,9 +164,9 @@
 	done := 0
 	for range 30 {
 		b.cycle()
-		by := map[string][]protocol.TaskReport{}
+		by := map[string][]protocol.TaskStatus{}
 		for id, c := range b.runs {
-			by[b.on[id]] = append(by[b.on[id]], protocol.TaskReport{Name: id.String(), Attempt: c.Attempt, State: protocol.Exited, Cause: protocol.CauseDone})
+			by[b.on[id]] = append(by[b.on[id]], protocol.TaskStatus{TaskName: id.String(), Attempt: c.Attempt, State: protocol.TaskExited, Cause: protocol.CauseDone})
 			done++
 		}
 		clear(b.runs)
@@ -175,7 +175,7 @@
 			b.machine(m, "a", false, by[m]...)
 		}
 	}
-	if s, ok := b.c.Status("j-1"); !ok || s.Done != done || done < 30*80/2 {
+	if s, ok := b.c.Status("j-1"); !ok || s.DoneTasks != done || done < 30*80/2 {
 		t.Errorf("%+v, %d done", s, done)
 	}
 }
--- a/internal/coordination/scheduler/bench_test.go
+++ b/internal/coordination/scheduler/bench_test.go
@@ -25,7 +25,7 @@
 	on    map[protocol.TaskID]string // machine of each run
 	stops map[protocol.TaskID]float64
 	last  []protocol.Txn
-	tasks map[string]map[protocol.TaskID]protocol.TaskReport // by machine
+	tasks map[string]map[protocol.TaskID]protocol.TaskStatus // by machine
 	token map[string]uint64
 	zone  map[string]string
 	spot  map[string]bool
@@ -38,11 +38,11 @@
 		Nodes: 3, Teams: teams, Workers: config.Workers{ReportS: 1, LeaseS: 10, GangWaitS: 40, GangPeerS: 4, CancelS: 40},
 		State: config.State{RPS: 100, WriteRPS: 30, ValueKB: 8, TxnOps: 16}, Cloud: config.Cloud{RPS: 2, ListLagS: 5}, Quota: config.Quota{CoreShare: 0.1},
 	}
-	types := []protocol.MachineType{{Name: "g8", CPUs: 64, GPUs: 8, MemoryGB: 256, CacheGB: 100, FetchGBPerS: 1, Price: 4, SpotPrice: 1, BootS: 30, Zones: zones}}
+	types := []protocol.MachineType{{Name: "g8", CPUs: 64, GPUs: 8, MemoryGB: 256, CacheGB: 100, FetchGBPerSecond: 1, HourlyPrice: 4, HourlySpotPrice: 1, BootSeconds: 30, Zones: zones}}
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	return &bench{c: New(0, cfg, log, Term{Number: 5, Stamp: 1}, Records{Types: types}, 0, nil), rev: 10, seq: map[string]uint64{},
 		runs: map[protocol.TaskID]protocol.Command{}, on: map[protocol.TaskID]string{}, stops: map[protocol.TaskID]float64{},
-		tasks: map[string]map[protocol.TaskID]protocol.TaskReport{}, token: map[string]uint64{}, zone: map[string]string{}, spot: map[string]bool{}}
+		tasks: map[string]map[protocol.TaskID]protocol.TaskStatus{}, token: map[string]uint64{}, zone: map[string]string{}, spot: map[string]bool{}}
 }
 
 // productionPage is the key of a page of the first layout.
@@ -67,10 +67,10 @@
 			b.last = append(b.last, o.Txn)
 			b.do(Written{Write: o.ID, OK: true, Rev: b.rev})
 		case Order:
-			b.take(o.Machine, o.Orders.Token, o.Orders.Commands)
+			b.take(o.Machine, o.Orders.FencingToken, o.Orders.Commands)
 			b.do(OrdersDone{Machine: o.Machine, OK: true, Report: b.report(o.Machine)})
 		case Answer:
-			b.take(o.Tag.(string), o.Body.Token, o.Body.Commands)
+			b.take(o.Tag.(string), o.Body.FencingToken, o.Body.Commands)
 		}
 	}
 }
@@ -78,26 +78,26 @@
 func (b *bench) take(machine string, token uint64, cmds []protocol.Command) {
 	b.token[machine] = max(b.token[machine], token)
 	for _, c := range cmds {
-		id, err := protocol.ParseTaskID(c.Name)
+		id, err := protocol.ParseTaskID(c.TaskName)
 		if err != nil {
 			panic(err) // the core made it
 		}
 		switch c.Verb {
-		case protocol.Run:
+		case protocol.VerbRun:
 			b.runs[id], b.on[id] = c, machine
-			b.tasks[machine][id] = protocol.TaskReport{Name: c.Name, Attempt: c.Attempt, State: protocol.Fetching}
-		case protocol.Stop:
-			b.stops[id] = *c.GraceS
-		case protocol.Forget:
+			b.tasks[machine][id] = protocol.TaskStatus{TaskName: c.TaskName, Attempt: c.Attempt, State: protocol.TaskFetching}
+		case protocol.VerbStop:
+			b.stops[id] = *c.GraceSeconds
+		case protocol.VerbForget:
 			delete(b.tasks[machine], id)
 		}
 	}
 }
 
-func (b *bench) report(name string) *protocol.Report {
+func (b *bench) report(name string) *protocol.WorkerHeartbeat {
 	b.seq[name]++
-	r := &protocol.Report{Machine: name, Addr: "x", Type: "g8", Zone: b.zone[name], Spot: b.spot[name], Session: 1,
-		Seq: b.seq[name], Token: b.token[name]}
+	r := &protocol.WorkerHeartbeat{Machine: name, Addr: "x", Type: "g8", Zone: b.zone[name], Spot: b.spot[name], Incarnation: 1,
+		Sequence: b.seq[name], FencingToken: b.token[name]}
 	for _, id := range sortedIDs(b.tasks[name]) {
 		r.Tasks = append(r.Tasks, b.tasks[name][id])
 	}
@@ -105,13 +105,13 @@
 }
 
 // machine reports for a machine, whose tasks are now as given.
-func (b *bench) machine(name, zone string, spot bool, tasks ...protocol.TaskReport) {
+func (b *bench) machine(name, zone string, spot bool, tasks ...protocol.TaskStatus) {
 	if b.tasks[name] == nil {
-		b.tasks[name] = map[protocol.TaskID]protocol.TaskReport{}
+		b.tasks[name] = map[protocol.TaskID]protocol.TaskStatus{}
 	}
 	b.zone[name], b.spot[name] = zone, spot
 	for _, t := range tasks {
-		id, err := protocol.ParseTaskID(t.Name)
+		id, err := protocol.ParseTaskID(t.TaskName)
 		if err != nil {
 			panic(err) // the test made it
 		}
@@ -131,19 +131,19 @@
 }
 
 func spec(id string, shape protocol.Shape, prio protocol.Priority, tasks int, gpus float64) protocol.Job {
-	return protocol.Job{ID: id, Class: "c", Team: "red", Shape: shape, Priority: prio, Tasks: tasks, CPUs: 1, GPUs: gpus, MemoryGB: 1, Image: "i", ImageGB: 1}
+	return protocol.Job{ID: id, Class: "c", Team: "red", Shape: shape, Priority: prio, TaskCount: tasks, CPUs: 1, GPUs: gpus, MemoryGB: 1, Image: "i", ImageGB: 1}
 }
 
 func (b *bench) started(id string) int {
 	n := 0
 	for t := range b.runs {
-		if t.Job == id {
+		if t.JobID == id {
 			n++
 		}
 	}
 	return n
 }
 
-func running(id protocol.TaskID, attempt uint64) protocol.TaskReport {
-	return protocol.TaskReport{Name: id.String(), Attempt: attempt, State: protocol.TaskRunning}
+func running(id protocol.TaskID, attempt uint64) protocol.TaskStatus {
+	return protocol.TaskStatus{TaskName: id.String(), Attempt: attempt, State: protocol.TaskRunning}
 }
--- a/internal/coordination/scheduler/borrow.go
+++ b/internal/coordination/scheduler/borrow.go
@@ -80,7 +80,7 @@
 func (c *Core) reserveChoice(now time.Duration, j *job, cands []*candidate, l *limits, choice zones.Choice) {
 	save := 0.0
 	for _, task := range choice.Lenders {
-		save = max(save, c.jobs[task.Job].spec.SaveS+c.cfg.Workers.GangPeerS)
+		save = max(save, c.jobs[task.Job].spec.SaveSeconds+c.cfg.Workers.GangPeerS)
 	}
 	for _, x := range cands {
 		if !slices.ContainsFunc(choice.Picks, func(p zones.Pick) bool { return p.Machine == x.m.Name }) {
--- a/internal/coordination/scheduler/cancel_test.go
+++ b/internal/coordination/scheduler/cancel_test.go
@@ -20,7 +20,7 @@
 		if n := b.started("j-1"); n != 2 {
 			t.Fatalf("%s: %d started", shape, n)
 		}
-		ids := []protocol.TaskID{{Job: "j-1"}, {Job: "j-1", Task: 1}}
+		ids := []protocol.TaskID{{JobID: "j-1"}, {JobID: "j-1", Index: 1}}
 		attempts := []uint64{b.runs[ids[0]].Attempt, b.runs[ids[1]].Attempt}
 		b.machine("m1", "a", false, running(ids[0], attempts[0]), running(ids[1], attempts[1]))
 		until := b.now + 3*Cycle
@@ -32,7 +32,7 @@
 			if grace, ok := b.stops[id]; !ok || grace != 0 {
 				t.Errorf("%s: %v was not stopped", shape, id)
 			}
-			b.machine("m1", "a", false, protocol.TaskReport{Name: id.String(), Attempt: attempts[i], State: protocol.Exited, Cause: protocol.CauseStopped})
+			b.machine("m1", "a", false, protocol.TaskStatus{TaskName: id.String(), Attempt: attempts[i], State: protocol.TaskExited, Cause: protocol.CauseStopped})
 		}
 		clear(b.runs)
 		for range 6 {
@@ -73,7 +73,7 @@
 	by := b.c.fencingDeadline(b.now)
 	b.c.machines.Machine("m1").Placements(func(pl *partition.Placement) {
 		if pl.FenceAt == by {
-			deadlines[pl.Task.Job] = true
+			deadlines[pl.Task.JobID] = true
 		}
 	})
 	if !deadlines["j-1"] || !deadlines["j-2"] || deadlines["j-3"] {
--- a/internal/coordination/scheduler/candidates.go
+++ b/internal/coordination/scheduler/candidates.go
@@ -227,11 +227,11 @@
 	none := &limits{}
 	recovering := c.recovering()
 	for _, u := range c.spareNow {
-		j := &job{spec: *u.Job, need: partition.NeedOf(u.Job), level: u.Job.Priority.Level()}
+		j := &job{spec: *u.Job, need: partition.NeedOf(u.Job), level: u.Job.Priority.Rank()}
 		aim, position := c.waitAim(u.Job.Class), c.returnPosition(u.Job)
 		allowed := func(x *candidate) bool {
 			return (u.Zone == "" || u.Zone == x.m.Zone) && j.need.Fits(x.less(j.level, math.Inf(1), math.MaxInt)) &&
-				(!x.m.Spot || j.spec.Spot) && x.kind.Allows(&j.spec)
+				(!x.m.Spot || j.spec.SpotAllowed) && x.kind.AllowedBy(&j.spec)
 		}
 		for range u.Count {
 			best := c.find.best(now, j, none, allowed)
--- a/internal/coordination/scheduler/core.go
+++ b/internal/coordination/scheduler/core.go
@@ -108,7 +108,7 @@
 // Records is what a new leader reads.
 type Records struct {
 	Types                          []protocol.MachineType
-	Live, Pages, Images, ZonePages []protocol.Pair
+	Live, Pages, Images, ZonePages []protocol.KeyValue
 }
 
 // New returns the core of a term that has read the records, at the given time of day. order
@@ -139,10 +139,10 @@
 			continue
 		}
 		if started[rec.Job.ID] {
-			rec.Job.Awaits = nil // its record proves that all of them are done
+			rec.Job.Dependencies = nil // its record proves that all of them are done
 		}
 		age := time.Duration(max(0, wallMS-rec.AtMS)) * time.Millisecond
-		c.accept(now, now-age, rec, p.Version)
+		c.accept(now, now-age, rec, p.Revision)
 	}
 	for class := range c.prior {
 		// The last leader has counted those jobs that live.
@@ -251,7 +251,7 @@
 		return protocol.JobStatus{}, false
 	}
 	status := j.standing()
-	status.Free = !j.blocked && c.level >= featurelevel.Pipelines
+	status.Unblocked = !j.blocked && c.level >= featurelevel.Pipelines
 	return status, true
 }
 
--- a/internal/coordination/scheduler/cost_test.go
+++ b/internal/coordination/scheduler/cost_test.go
@@ -23,7 +23,7 @@
 		name := "m0001"
 		report := b.report(name)
 		allocations := testing.AllocsPerRun(200, func() {
-			report.Seq++
+			report.Sequence++
 			b.c.Step(b.now, Reported{Tag: name, Report: report})
 		})
 		t.Logf("%d machines: %.0f allocations for %d tasks", machines, allocations, len(report.Tasks))
--- a/internal/coordination/scheduler/demand.go
+++ b/internal/coordination/scheduler/demand.go
@@ -61,7 +61,7 @@
 // remembers it for its like. Without it, machines in several zones could look like enough room
 // while no zone has it, and the job would wait for ever.
 func (c *Core) likelyZone(now time.Duration, j *job, known map[zoneQuestion]string) string {
-	q := zoneQuestion{j.need, j.types, j.spec.Zone, j.spec.Tasks, j.spec.Spot}
+	q := zoneQuestion{j.need, j.types, j.spec.Zone, j.spec.TaskCount, j.spec.SpotAllowed}
 	zone, ok := known[q]
 	if !ok {
 		zone = c.roomiestZone(now, j)
@@ -75,11 +75,11 @@
 	room := map[string]int{}
 	c.machines.Each(func(m *partition.Machine) {
 		t := c.machines.Type(m.Type)
-		if t == nil || !t.Allows(&j.spec) || m.Condemned || m.Notice || m.Sick || m.Spot && !j.spec.Spot || c.lostZone(m.Zone) {
+		if t == nil || !t.AllowedBy(&j.spec) || m.Condemned || m.Notice || m.Sick || m.Spot && !j.spec.SpotAllowed || c.lostZone(m.Zone) {
 			return
 		}
 		free := c.machines.Free(m)
-		for n := 0; n < j.spec.Tasks && j.need.Fits(free); n++ {
+		for n := 0; n < j.spec.TaskCount && j.need.Fits(free); n++ {
 			free = free.Minus(j.need)
 			room[m.Zone]++
 		}
@@ -87,8 +87,8 @@
 	best, bestRoom := "", -1
 	for _, z := range c.zonesToTry(&j.spec) {
 		n := room[z]
-		if n < j.spec.Tasks && c.fleet.CanRent(now, c.machines, &j.spec, z) {
-			n += j.spec.Tasks
+		if n < j.spec.TaskCount && c.fleet.CanRent(now, c.machines, &j.spec, z) {
+			n += j.spec.TaskCount
 		}
 		if n > bestRoom {
 			best, bestRoom = z, n
@@ -101,7 +101,7 @@
 func (c *Core) zones(spec *protocol.Job) []string {
 	zones := map[string]bool{}
 	for _, t := range c.machines.Types() {
-		if t.Allows(spec) {
+		if t.AllowedBy(spec) {
 			for _, z := range t.Zones {
 				if spec.Zone == "" || spec.Zone == z {
 					zones[z] = true
@@ -146,9 +146,9 @@
 		within := c.waitAim(class)
 		boot, ready := 0.0, math.Inf(1)
 		for _, t := range c.machines.Types() {
-			if t.Allows(spec) && t.Fits(spec) > 0 && t.FetchGBPerS > 0 {
-				if r := t.BootS + spec.ImageGB/t.FetchGBPerS; r < ready {
-					boot, ready = t.BootS, r
+			if t.AllowedBy(spec) && t.TaskCapacity(spec) > 0 && t.FetchGBPerSecond > 0 {
+				if r := t.BootSeconds + spec.ImageGB/t.FetchGBPerSecond; r < ready {
+					boot, ready = t.BootSeconds, r
 				}
 			}
 		}
--- a/internal/coordination/scheduler/events.go
+++ b/internal/coordination/scheduler/events.go
@@ -21,7 +21,7 @@
 	// says that another controller passed it on.
 	Reported struct {
 		Tag     any
-		Report  *protocol.Report
+		Report  *protocol.WorkerHeartbeat
 		Relayed bool
 	}
 	// Alive tells of machines whose reports an owner has answered, as they told nothing new; Reply takes those of which
@@ -57,7 +57,7 @@
 	// EndRead is what the state service says of how a job ended: "" if there is no record of that.
 	EndRead struct {
 		ID       string
-		Standing protocol.Standing
+		Standing protocol.JobState
 	}
 	// Finalise asks that a feature level be made final.
 	Finalise struct{ Level featurelevel.Level }
@@ -65,10 +65,10 @@
 	OrdersDone struct {
 		Machine string
 		OK      bool
-		Report  *protocol.Report
+		Report  *protocol.WorkerHeartbeat
 	}
 	// Inspected is a machine's answer to an Inspect.
-	Inspected struct{ Report *protocol.Report }
+	Inspected struct{ Report *protocol.WorkerHeartbeat }
 	// Types is the cloud's price list.
 	Types struct{ Types []protocol.MachineType }
 	// Listed is the cloud's list; Failed says that it did not come.
@@ -118,7 +118,7 @@
 	// Answer goes back to a worker.
 	Answer struct {
 		Tag  any
-		Body protocol.ReportAnswer
+		Body protocol.WorkerHeartbeatReply
 	}
 	// Write is a conditional transaction; it is tried until its outcome is
 	// known. Verify is a key whose record names the write.
@@ -133,7 +133,7 @@
 	// Order is a command that goes straight to a machine.
 	Order struct {
 		Machine, Addr string
-		Orders        protocol.Orders
+		Orders        protocol.CommandBatch
 	}
 	// Inspect asks a machine how it stands; no answer means nothing.
 	Inspect struct{ Machine, Addr string }
--- a/internal/coordination/scheduler/failure_test.go
+++ b/internal/coordination/scheduler/failure_test.go
@@ -31,10 +31,10 @@
 		if len(first) != n {
 			t.Fatalf("%d of %d started", len(first), n)
 		}
-		lost := protocol.TaskID{Job: "j-1", Task: rapid.IntRange(0, n-1).Draw(t, "lost")}
+		lost := protocol.TaskID{JobID: "j-1", Index: rapid.IntRange(0, n-1).Draw(t, "lost")}
 		clear(b.runs)
-		cause := rapid.SampledFrom([]protocol.Cause{protocol.CauseError, protocol.CausePeers, protocol.CauseIncomplete}).Draw(t, "cause")
-		b.machine(first[lost], "a", false, protocol.TaskReport{Name: lost.String(), Attempt: 1, State: protocol.Exited, Cause: cause})
+		cause := rapid.SampledFrom([]protocol.ExitCause{protocol.CauseError, protocol.CausePeerLost, protocol.CauseIncomplete}).Draw(t, "cause")
+		b.machine(first[lost], "a", false, protocol.TaskStatus{TaskName: lost.String(), Attempt: 1, State: protocol.TaskExited, Cause: cause})
 		b.cycle()
 		if len(b.stops) != n-1 || len(b.runs) != 0 {
 			t.Fatalf("stopped %v, started %v", b.stops, b.runs)
@@ -44,7 +44,7 @@
 				if len(b.runs) != 0 {
 					t.Fatalf("restarted while %v is not gone", id)
 				}
-				b.machine(m, "a", false, protocol.TaskReport{Name: id.String(), Attempt: 1, State: protocol.Exited, Cause: protocol.CauseStopped})
+				b.machine(m, "a", false, protocol.TaskStatus{TaskName: id.String(), Attempt: 1, State: protocol.TaskExited, Cause: protocol.CauseStopped})
 			}
 		}
 		// The entries are forgotten once the workers have seen a new epoch.
@@ -72,16 +72,16 @@
 	b.machine("m1", "a", false)
 	b.job(spec("j-1", protocol.Array, "normal", 3, 1))
 	b.cycle()
-	var tasks []protocol.TaskReport
+	var tasks []protocol.TaskStatus
 	for id, c := range b.runs {
-		tasks = append(tasks, protocol.TaskReport{Name: id.String(), Attempt: c.Attempt, State: protocol.Exited, Cause: protocol.CauseDone})
+		tasks = append(tasks, protocol.TaskStatus{TaskName: id.String(), Attempt: c.Attempt, State: protocol.TaskExited, Cause: protocol.CauseDone})
 	}
 	b.machine("m1", "a", false, tasks[:2]...)
 	b.cycle()
 	b.machine("m1", "a", false, tasks...)
 	b.cycle()
 	end := b.last[len(b.last)-1]
-	if end.Then[0].Delete != storage.LiveKey("j-1") || end.Then[1].Put != storage.EndedKey("j-1") || end.Then[2].Delete != productionPage("j-1", 0) {
+	if end.Then[0].DeleteKey != storage.LiveKey("j-1") || end.Then[1].PutKey != storage.EndedKey("j-1") || end.Then[2].DeleteKey != productionPage("j-1", 0) {
 		t.Errorf("end %+v", end)
 	}
 	if end.If[0].Key != storage.TermKey || end.If[1].Key != storage.LiveKey("j-1") {
@@ -102,7 +102,7 @@
 		b.machine(fmt.Sprintf("m%d", i), "a", false)
 	}
 	b.job(spec("j-1", protocol.Array, "normal", 1, 1))
-	id := protocol.TaskID{Job: "j-1"}
+	id := protocol.TaskID{JobID: "j-1"}
 	starts := 0
 	for range 120 {
 		b.cycle()
@@ -111,7 +111,7 @@
 			if c, ok := b.runs[id]; ok && b.on[id] == m {
 				starts++
 				delete(b.runs, id)
-				b.machine(m, "a", false, protocol.TaskReport{Name: id.String(), Attempt: c.Attempt, State: protocol.Exited, Cause: protocol.CauseError})
+				b.machine(m, "a", false, protocol.TaskStatus{TaskName: id.String(), Attempt: c.Attempt, State: protocol.TaskExited, Cause: protocol.CauseError})
 				continue
 			}
 			b.machine(m, "a", false)
@@ -141,7 +141,7 @@
 		b.cycle()
 		for id, c := range b.runs {
 			delete(b.runs, id)
-			r := protocol.TaskReport{Name: id.String(), Attempt: c.Attempt, State: protocol.Exited, Cause: protocol.CauseDone}
+			r := protocol.TaskStatus{TaskName: id.String(), Attempt: c.Attempt, State: protocol.TaskExited, Cause: protocol.CauseDone}
 			if b.on[id] == "m1" {
 				failed[id], r.Cause = true, protocol.CauseError
 			} else {
--- a/internal/coordination/scheduler/images.go
+++ b/internal/coordination/scheduler/images.go
@@ -13,7 +13,7 @@
 )
 
 // recoverImages takes over what earlier leaders knew of the machines' images.
-func (c *Core) recoverImages(pairs []protocol.Pair) {
+func (c *Core) recoverImages(pairs []protocol.KeyValue) {
 	for _, p := range pairs {
 		var rec storage.ImagesRecord
 		if err := protocol.Decode(p.Value, &rec); err != nil || len(rec.Images) != len(rec.SizesGB) {
@@ -77,18 +77,18 @@
 		}
 		pages[storage.ImagesKey(page)] = raw
 	}
-	t := protocol.Txn{If: []protocol.Cond{{Key: storage.TermKey, Version: c.termStamp}}}
+	t := protocol.Txn{If: []protocol.Compare{{Key: storage.TermKey, Revision: c.termStamp}}}
 	var changed []string
 	for _, key := range slices.Sorted(maps.Keys(c.imagePages)) {
 		if pages[key] == nil && len(t.Then) < c.stateLimits.TxnOps/2 {
-			t.Then = append(t.Then, protocol.Op{Delete: key})
+			t.Then = append(t.Then, protocol.Op{DeleteKey: key})
 			changed = append(changed, key)
 		}
 	}
 	for _, key := range inTurnFrom(c.imagesFrom, slices.Sorted(maps.Keys(pages))) {
 		raw := pages[key]
 		if c.imagePages[key] != string(raw) && len(t.Then) < c.stateLimits.TxnOps/2 {
-			t.Then = append(t.Then, protocol.Op{Put: key, Value: raw})
+			t.Then = append(t.Then, protocol.Op{PutKey: key, Value: raw})
 			changed = append(changed, key)
 			c.imagesFrom = key
 		}
--- a/internal/coordination/scheduler/index_rules_test.go
+++ b/internal/coordination/scheduler/index_rules_test.go
@@ -82,10 +82,10 @@
 	for name, tasks := range b.tasks {
 		gpus := 0.0
 		for id, task := range tasks {
-			if task.State == protocol.Exited {
+			if task.State == protocol.TaskExited {
 				continue
 			}
-			j := b.c.jobs[id.Job]
+			j := b.c.jobs[id.JobID]
 			gpus += j.spec.GPUs
 			if j.spec.Zone != "" && j.spec.Zone != b.zone[name] {
 				t.Fatalf("%s runs in zone %s", id, b.zone[name])
@@ -118,7 +118,7 @@
 		if rapid.Bool().Draw(t, "old report") {
 			w.both("a copy of an old report", func(b *bench) {
 				r := b.report(w.names[0])
-				r.Seq = 1
+				r.Sequence = 1
 				b.do(Reported{Tag: w.names[0], Report: r})
 			})
 		}
--- a/internal/coordination/scheduler/job.go
+++ b/internal/coordination/scheduler/job.go
@@ -88,9 +88,9 @@
 
 func newJob(spec protocol.Job, stamp uint64, atMS int64, now time.Duration, layout storage.Layout) *job {
 	return &job{
-		spec: spec, need: partition.NeedOf(&spec), level: spec.Priority.Level(), types: strings.Join(spec.Types, " "), stamp: stamp, atMS: atMS, known: now,
+		spec: spec, need: partition.NeedOf(&spec), level: spec.Priority.Rank(), types: strings.Join(spec.MachineTypes, " "), stamp: stamp, atMS: atMS, known: now,
 		latestStart: dependency.Never,
-		tasks:       make([]taskState, spec.Tasks), counts: [3]int{spec.Tasks, 0, 0},
+		tasks:       make([]taskState, spec.TaskCount), counts: [3]int{spec.TaskCount, 0, 0},
 		places: map[int]*partition.Placement{}, ran: map[int]bool{}, pages: map[int]*page{}, layout: layout, failedOn: map[string]bool{},
 	}
 }
@@ -161,14 +161,14 @@
 
 // standing is the job's state as its user should see it.
 func (j *job) standing() protocol.JobStatus {
-	s := protocol.JobStatus{ID: j.spec.ID, Standing: protocol.Queued, Done: j.counts[done]}
+	s := protocol.JobStatus{ID: j.spec.ID, State: protocol.JobQueued, DoneTasks: j.counts[done]}
 	for _, pl := range j.places {
 		if pl.State == protocol.TaskRunning {
-			s.Running++
+			s.RunningTasks++
 		}
 	}
-	if s.Running > 0 {
-		s.Standing = protocol.Running
+	if s.RunningTasks > 0 {
+		s.State = protocol.JobRunning
 	}
 	return s
 }
--- a/internal/coordination/scheduler/large_test.go
+++ b/internal/coordination/scheduler/large_test.go
@@ -22,9 +22,9 @@
 	job := func(i int, class string, shape protocol.Shape, prio protocol.Priority, tasks int, gpus float64) {
 		j := spec(fmt.Sprintf("j-%s%d", class, i), shape, prio, tasks, gpus)
 		j.Class, j.Image, j.ImageGB, j.Spread = class, fmt.Sprintf("%s-%d", class, i%6), 10, shape == protocol.Service && tasks > 1
-		j.Spot = shape == protocol.Array
+		j.SpotAllowed = shape == protocol.Array
 		if shape != protocol.Service {
-			j.CheckpointS, j.SaveS = 10, 2
+			j.CheckpointIntervalSeconds, j.SaveSeconds = 10, 2
 		}
 		b.job(j)
 	}
@@ -50,7 +50,7 @@
 func (b *bench) settle() {
 	for name, ts := range b.tasks {
 		for id, t := range ts {
-			if t.State == protocol.Fetching {
+			if t.State == protocol.TaskFetching {
 				t.State = protocol.TaskRunning
 				ts[id] = t
 			}
--- a/internal/coordination/scheduler/level.go
+++ b/internal/coordination/scheduler/level.go
@@ -72,8 +72,8 @@
 	}
 	c.writes[id] = c.finalised
 	c.emit(Write{ID: id, For: Starts, Verify: storage.TermKey, Name: name, Txn: protocol.Txn{
-		If:   []protocol.Cond{{Key: storage.TermKey, Version: c.termStamp}},
-		Then: []protocol.Op{{Put: storage.TermKey, Value: value}},
+		If:   []protocol.Compare{{Key: storage.TermKey, Revision: c.termStamp}},
+		Then: []protocol.Op{{PutKey: storage.TermKey, Value: value}},
 	}})
 }
 
--- a/internal/coordination/scheduler/level_test.go
+++ b/internal/coordination/scheduler/level_test.go
@@ -40,7 +40,7 @@
 		t.Fatalf("%d writes under way while one is awaited", len(s.open))
 	}
 	s.answer(Written{Write: first.ID, OK: true})
-	if len(s.open) != 1 || s.open[0].Verify != storage.TermKey || s.open[0].Txn.If[0].Version != 1 {
+	if len(s.open) != 1 || s.open[0].Verify != storage.TermKey || s.open[0].Txn.If[0].Revision != 1 {
 		t.Fatalf("the term's record is not what is written now: %+v", s.open)
 	}
 	rec, err := storage.DecodeTerm(s.open[0].Txn.Then[0].Value)
@@ -58,15 +58,15 @@
 		t.Fatal("nothing is written any more")
 	}
 	for _, w := range s.open {
-		if w.Txn.If[0] != (protocol.Cond{Key: storage.TermKey, Version: stamp}) {
+		if w.Txn.If[0] != (protocol.Compare{Key: storage.TermKey, Revision: stamp}) {
 			t.Errorf("a write depends on %+v, want version %d of the term", w.Txn.If[0], stamp)
 		}
 		if len(w.Txn.Then) > 5 {
 			t.Errorf("%d operations", len(w.Txn.Then))
 		}
 		for _, op := range w.Txn.Then {
-			if op.Put != "" && !strings.Contains(op.Put, "/w") {
-				t.Errorf("%s is written in the layout of production", op.Put)
+			if op.PutKey != "" && !strings.Contains(op.PutKey, "/w") {
+				t.Errorf("%s is written in the layout of production", op.PutKey)
 			}
 		}
 	}
@@ -95,7 +95,7 @@
 }
 
 // recordBooks takes into the books what a page says of its tasks: of several pages the last one that was written.
-func recordBooks(t *rapid.T, known map[int]string, pair protocol.Pair) {
+func recordBooks(t *rapid.T, known map[int]string, pair protocol.KeyValue) {
 	name, err := storage.ParsePageName(pair.Key, storage.ProductionPageTasks(4))
 	if err != nil {
 		t.Fatal(err)
@@ -132,25 +132,25 @@
 		s.c.setLevel(featurelevel.Production)
 		tasks := rapid.IntRange(1, 120).Draw(t, "tasks")
 		s.accept(spec("j-1", protocol.Array, "normal", tasks, 1))
-		stored, recorded := map[string]protocol.Pair{}, map[int]string{}
+		stored, recorded := map[string]protocol.KeyValue{}, map[int]string{}
 		carryOut := func(w Write) {
 			s.rev++
 			for _, cond := range w.Txn.If {
-				if strings.HasPrefix(cond.Key, storage.PlacePrefix) && stored[cond.Key].Version != cond.Version {
-					t.Fatalf("%s has version %d, wanted %d", cond.Key, stored[cond.Key].Version, cond.Version)
+				if strings.HasPrefix(cond.Key, storage.PlacePrefix) && stored[cond.Key].Revision != cond.Revision {
+					t.Fatalf("%s has version %d, wanted %d", cond.Key, stored[cond.Key].Revision, cond.Revision)
 				}
 			}
 			for _, op := range w.Txn.Then {
-				if op.Put != "" {
-					stored[op.Put] = protocol.Pair{Key: op.Put, Value: op.Value, Version: s.rev}
-					if strings.HasPrefix(op.Put, storage.PlacePrefix) {
-						recordBooks(t, recorded, stored[op.Put])
+				if op.PutKey != "" {
+					stored[op.PutKey] = protocol.KeyValue{Key: op.PutKey, Value: op.Value, Revision: s.rev}
+					if strings.HasPrefix(op.PutKey, storage.PlacePrefix) {
+						recordBooks(t, recorded, stored[op.PutKey])
 					}
-					if s.c.level >= featurelevel.Pipelines && op.Put != storage.TermKey && !storage.Fits(op.Value, s.c.stateLimits.ValueKB) && !strings.Contains(op.Put, "/w1.") {
-						t.Fatalf("%s does not fit", op.Put)
+					if s.c.level >= featurelevel.Pipelines && op.PutKey != storage.TermKey && !storage.Fits(op.Value, s.c.stateLimits.ValueKB) && !strings.Contains(op.PutKey, "/w1.") {
+						t.Fatalf("%s does not fit", op.PutKey)
 					}
 				}
-				delete(stored, op.Delete)
+				delete(stored, op.DeleteKey)
 			}
 			if len(w.Txn.Then) > s.c.stateLimits.TxnOps {
 				t.Fatalf("%d operations", len(w.Txn.Then))
@@ -184,16 +184,16 @@
 		}
 		nextLeader := func() *job {
 			pages := slices.Collect(maps.Values(stored))
-			pages = slices.DeleteFunc(pages, func(p protocol.Pair) bool { return !strings.HasPrefix(p.Key, storage.PlacePrefix) })
+			pages = slices.DeleteFunc(pages, func(p protocol.KeyValue) bool { return !strings.HasPrefix(p.Key, storage.PlacePrefix) })
 			raw, err := protocol.Encode(storage.LiveRecord{Job: spec("j-1", protocol.Array, "normal", tasks, 1)})
 			if err != nil {
 				t.Fatal(err)
 			}
 			next := New(s.now, s.c.cfg, s.c.log, Term{Number: 6, Stamp: 2, Level: s.c.level}, Records{Types: []protocol.MachineType{*s.c.machines.Type("g8")},
-				Live: []protocol.Pair{{Key: storage.LiveKey("j-1"), Value: raw, Version: 5}}, Pages: pages}, 0, nil)
+				Live: []protocol.KeyValue{{Key: storage.LiveKey("j-1"), Value: raw, Revision: 5}}, Pages: pages}, 0, nil)
 			return next.jobs["j-1"]
 		}
-		if stored[storage.EndedKey("j-1")].Version > 0 {
+		if stored[storage.EndedKey("j-1")].Revision > 0 {
 			return // all of it is done, and its pages go
 		}
 		if got := books(nextLeader()); !maps.Equal(got, recorded) {
@@ -232,8 +232,8 @@
 func (s *slowStore) endSome(which int) {
 	for _, name := range sortedNames(s.tasks) {
 		for id, t := range s.tasks[name] {
-			if id.Task%6 == which && t.State != protocol.Exited {
-				t.State, t.Cause = protocol.Exited, []protocol.Cause{protocol.CauseDone, protocol.CauseStopped}[which%2]
+			if id.Index%6 == which && t.State != protocol.TaskExited {
+				t.State, t.Cause = protocol.TaskExited, []protocol.ExitCause{protocol.CauseDone, protocol.CauseStopped}[which%2]
 				s.tasks[name][id] = t
 			}
 		}
--- a/internal/coordination/scheduler/lifecycle.go
+++ b/internal/coordination/scheduler/lifecycle.go
@@ -36,9 +36,9 @@
 	c.arrivals[class] = append(c.arrivals[class], since)
 	c.sample[class] = &j.spec
 	if old := c.sizes[class]; old > 0 {
-		c.sizes[class] = old + (float64(j.spec.Tasks)-old)/8
+		c.sizes[class] = old + (float64(j.spec.TaskCount)-old)/8
 	} else {
-		c.sizes[class] = float64(j.spec.Tasks)
+		c.sizes[class] = float64(j.spec.TaskCount)
 	}
 }
 
@@ -46,15 +46,15 @@
 func (c *Core) facts(now time.Duration, facts []partition.Fact) {
 	for _, f := range facts {
 		pl := f.Placement
-		j := c.jobs[pl.Task.Job]
-		if j == nil || j.places[pl.Task.Task] != pl {
+		j := c.jobs[pl.Task.JobID]
+		if j == nil || j.places[pl.Task.Index] != pl {
 			continue
 		}
 		if !pl.Gone {
 			if pl.State == protocol.TaskRunning && pl.Since == now {
 				j.runAt = now
 				if j.spec.Shape == protocol.Service {
-					j.ran[pl.Task.Task] = true
+					j.ran[pl.Task.Index] = true
 				}
 				j.failures = max(0, j.failures-1)
 				c.log.Debug("running", "task", pl.Task, "class", j.spec.Class, "attempt", pl.Attempt, "machine", pl.Machine,
@@ -69,7 +69,7 @@
 // gone takes in that a placement is proven gone.
 func (c *Core) gone(now time.Duration, j *job, pl *partition.Placement, lost bool) {
 	c.due = true
-	task := pl.Task.Task
+	task := pl.Task.Index
 	delete(j.places, task)
 	pg := j.pageOf(task)
 	pg.exits = append(pg.exits, pl)
@@ -119,7 +119,7 @@
 // failed draws the conclusions from an exit that was not asked for.
 func (c *Core) failed(now time.Duration, j *job, pl *partition.Placement) {
 	switch pl.Cause {
-	case protocol.CauseStopped, protocol.CausePeers, protocol.CauseDone:
+	case protocol.CauseStopped, protocol.CausePeerLost, protocol.CauseDone:
 		return
 	}
 	c.log.Info("task failed", "task", pl.Task, "attempt", pl.Attempt, "machine", pl.Machine, "cause", pl.Cause)
@@ -138,13 +138,13 @@
 				}
 			}
 		}
-	case protocol.CauseNoRoom, protocol.CauseBusy:
+	case protocol.CauseNoCapacity, protocol.CauseOtherAttempt:
 		// The machine holds something that we don't know of.
 		if m != nil {
 			m.MutedUntil = max(m.MutedUntil, now+config.Seconds(2*c.cfg.Workers.ReportS))
 		}
 		j.notBefore = now + Cycle/4
-	case protocol.CauseUnknown:
+	case protocol.CauseUnknownTask:
 		j.failures++
 		j.notBefore = now + Cycle<<min(j.failures, 5)
 	default:
@@ -168,7 +168,7 @@
 	for _, pl := range j.places {
 		list = append(list, pl)
 	}
-	sort.Slice(list, func(a, b int) bool { return list[a].Task.Task < list[b].Task.Task })
+	sort.Slice(list, func(a, b int) bool { return list[a].Task.Index < list[b].Task.Index })
 	return list
 }
 
@@ -180,7 +180,7 @@
 		// was never started, which a later write replaces.
 		c.log.Debug("placement withdrawn before its record", "task", pl.Task)
 	}
-	if pl.Gone && j.places[pl.Task.Task] == pl {
+	if pl.Gone && j.places[pl.Task.Index] == pl {
 		c.gone(now, j, pl, true)
 	}
 }
@@ -220,13 +220,13 @@
 // stopOrderly stops a placement, with all of its gang if it has one, so that
 // its progress is saved if there is time for that.
 func (c *Core) stopOrderly(now time.Duration, pl *partition.Placement, within time.Duration) {
-	j := c.jobs[pl.Task.Job]
+	j := c.jobs[pl.Task.JobID]
 	if j == nil {
 		return
 	}
 	grace := 0.0
-	if j.spec.CheckpointS > 0 && config.Seconds(j.spec.SaveS+c.cfg.Workers.ReportS) < within {
-		grace = j.spec.SaveS + c.cfg.Workers.GangPeerS
+	if j.spec.CheckpointIntervalSeconds > 0 && config.Seconds(j.spec.SaveSeconds+c.cfg.Workers.ReportS) < within {
+		grace = j.spec.SaveSeconds + c.cfg.Workers.GangPeerS
 	}
 	if j.spec.Shape != protocol.Gang {
 		c.stop(now, j, pl, grace)
--- a/internal/coordination/scheduler/limits_test.go
+++ b/internal/coordination/scheduler/limits_test.go
@@ -31,8 +31,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		r.Live = append(r.Live, protocol.Pair{Key: storage.LiveKey(id), Value: live, Version: uint64(i + 10)})
-		r.Pages = append(r.Pages, protocol.Pair{Key: productionPage(id, 0), Value: page, Version: uint64(i + 10)})
+		r.Live = append(r.Live, protocol.KeyValue{Key: storage.LiveKey(id), Value: live, Revision: uint64(i + 10)})
+		r.Pages = append(r.Pages, protocol.KeyValue{Key: productionPage(id, 0), Value: page, Revision: uint64(i + 10)})
 	}
 	return r
 }
@@ -46,12 +46,12 @@
 	cfg := *b.c.cfg
 	cfg.Quota.CoreShare, cfg.Cloud.RPS = 0.336, 4
 	records := recorded(t, manyMachines)
-	records.Types = []protocol.MachineType{{Name: "g8", CPUs: 64, GPUs: 8, MemoryGB: 256, CacheGB: 100, FetchGBPerS: 1, Price: 4, BootS: 30, Zones: []string{"a"}}}
+	records.Types = []protocol.MachineType{{Name: "g8", CPUs: 64, GPUs: 8, MemoryGB: 256, CacheGB: 100, FetchGBPerSecond: 1, HourlyPrice: 4, BootSeconds: 30, Zones: []string{"a"}}}
 	b.c = New(0, &cfg, slog.New(slog.NewTextHandler(io.Discard, nil)), Term{Number: 5, Stamp: 1}, records, 0, nil)
 	var list []protocol.ListedMachine
 	for i := range manyMachines {
 		list = append(list, protocol.ListedMachine{Name: machineName(i), Addr: "x", Type: "g8", Zone: "a", State: protocol.MachineRunning})
-		b.zone[machineName(i)], b.tasks[machineName(i)] = "a", map[protocol.TaskID]protocol.TaskReport{}
+		b.zone[machineName(i)], b.tasks[machineName(i)] = "a", map[protocol.TaskID]protocol.TaskStatus{}
 	}
 	asked, second := map[string]int{}, 0
 	b.onEffect = func(e Effect) {
@@ -69,8 +69,8 @@
 			}
 		}
 	}
-	running := func(i int) protocol.TaskReport {
-		return protocol.TaskReport{Name: fmt.Sprintf("j-%06d/0", i), Attempt: 1, State: protocol.TaskRunning}
+	running := func(i int) protocol.TaskStatus {
+		return protocol.TaskStatus{TaskName: fmt.Sprintf("j-%06d/0", i), Attempt: 1, State: protocol.TaskRunning}
 	}
 	perSecond := int(inspectsPerCore * cfg.Quota.CoreShare)
 	b.do(Listed{Asked: b.now, Machines: list})
@@ -97,11 +97,11 @@
 		t.Errorf("%d machines were asked after they had reported", -early)
 	}
 	for i := 1; i < manyMachines; i += 2 {
-		b.tasks[machineName(i)][protocol.TaskID{Job: fmt.Sprintf("j-%06d", i)}] = running(i)
+		b.tasks[machineName(i)][protocol.TaskID{JobID: fmt.Sprintf("j-%06d", i)}] = running(i)
 		b.do(Inspected{Report: b.report(machineName(i))})
 	}
 	for i := range manyMachines {
-		if st, ok := b.c.Status(fmt.Sprintf("j-%06d", i)); !ok || st.Running != 1 {
+		if st, ok := b.c.Status(fmt.Sprintf("j-%06d", i)); !ok || st.RunningTasks != 1 {
 			t.Fatalf("job %d: %+v %v", i, st, ok)
 		}
 	}
@@ -147,7 +147,7 @@
 		z.untaken[loan.Lender] = true
 		z.records.add(loan.Lender, b.c.loansPerPage())
 	}
-	recorded := map[string]protocol.Pair{}
+	recorded := map[string]protocol.KeyValue{}
 	rev := uint64(1000)
 	write := func() bool {
 		b.c.out = nil
@@ -162,9 +162,9 @@
 			}
 			rev++
 			for _, op := range w.Txn.Then {
-				delete(recorded, op.Delete)
-				if op.Put != "" {
-					recorded[op.Put] = protocol.Pair{Key: op.Put, Value: op.Value, Version: rev}
+				delete(recorded, op.DeleteKey)
+				if op.PutKey != "" {
+					recorded[op.PutKey] = protocol.KeyValue{Key: op.PutKey, Value: op.Value, Revision: rev}
 				}
 			}
 			b.c.Step(b.now, Written{Write: w.ID, OK: true, Rev: rev})
--- a/internal/coordination/scheduler/loans_test.go
+++ b/internal/coordination/scheduler/loans_test.go
@@ -20,7 +20,7 @@
 	b := newZoneBench(zones.DefaultOrder(), config.Team{Name: "red"})
 	for i := range 6 {
 		name := fmt.Sprintf("m%02d", i)
-		b.tasks[name], b.zone[name] = map[protocol.TaskID]protocol.TaskReport{}, []string{"a", "b"}[i%2]
+		b.tasks[name], b.zone[name] = map[protocol.TaskID]protocol.TaskStatus{}, []string{"a", "b"}[i%2]
 	}
 	b.seconds(2)
 	gang := spec("j-0", protocol.Gang, "urgent", 1, 8)
@@ -71,7 +71,7 @@
 		t.Fatal("no loan was made")
 	}
 	for on := range before {
-		if lender := on.id.Job; (lender == "j-1" || lender == "j-3" || lender == "j-5") && !b.placed()[on] {
+		if lender := on.id.JobID; (lender == "j-1" || lender == "j-3" || lender == "j-5") && !b.placed()[on] {
 			t.Errorf("%v is stopped by a loan that is not recorded", on.id)
 		}
 	}
@@ -96,7 +96,7 @@
 	}
 	next := newZoneBench(zones.DefaultOrder(), config.Team{Name: "red"})
 	next.now = b.now
-	next.records[storage.ZoneReturnKey(0)] = protocol.Pair{Key: storage.ZoneReturnKey(0), Value: value, Version: 3}
+	next.records[storage.ZoneReturnKey(0)] = protocol.KeyValue{Key: storage.ZoneReturnKey(0), Value: value, Revision: 3}
 	page := storage.PageRecord{Attempts: loan.Lender.Attempt, Team: "red", GPUs: 4, CPUs: 1, MemoryGB: 1, Zones: []string{"b"},
 		Places: []storage.Place{{Task: loan.Lender.Task, Machine: loan.Machine, Session: 1, Attempt: loan.Lender.Attempt}}}
 	raw, err := protocol.Encode(page)
@@ -109,15 +109,15 @@
 		t.Fatal(err)
 	}
 	next.c = New(next.now, next.c.cfg, next.c.log, Term{Number: 6, Stamp: 6}, Records{
-		Types: []protocol.MachineType{*b.c.machines.Type("g8")}, Live: []protocol.Pair{{Key: storage.LiveKey(low.ID), Value: live, Version: 1}},
-		Pages: []protocol.Pair{{Key: productionPage(low.ID, 0), Value: raw, Version: 2}}, ZonePages: []protocol.Pair{next.records[storage.ZoneReturnKey(0)]},
+		Types: []protocol.MachineType{*b.c.machines.Type("g8")}, Live: []protocol.KeyValue{{Key: storage.LiveKey(low.ID), Value: live, Revision: 1}},
+		Pages: []protocol.KeyValue{{Key: productionPage(low.ID, 0), Value: raw, Revision: 2}}, ZonePages: []protocol.KeyValue{next.records[storage.ZoneReturnKey(0)]},
 	}, next.now.Milliseconds(), next.order)
 	if next.c.returning.monitor.State("a") != zones.Lost || next.c.returning.ledger.Len() != 1 {
 		t.Fatalf("the records are not taken over: %+v", next.c.returning.monitor.Zones())
 	}
-	next.tasks[loan.Machine], next.zone[loan.Machine] = map[protocol.TaskID]protocol.TaskReport{
-		{Job: low.ID, Task: loan.Lender.Task}: running(protocol.TaskID{Job: low.ID, Task: loan.Lender.Task}, loan.Lender.Attempt)}, "b"
-	next.seq[loan.Machine], next.token[loan.Machine] = 100, protocol.Token(5, 0)
+	next.tasks[loan.Machine], next.zone[loan.Machine] = map[protocol.TaskID]protocol.TaskStatus{
+		{JobID: low.ID, Index: loan.Lender.Task}: running(protocol.TaskID{JobID: low.ID, Index: loan.Lender.Task}, loan.Lender.Attempt)}, "b"
+	next.seq[loan.Machine], next.token[loan.Machine] = 100, protocol.FencingToken(5, 0)
 	next.seconds(3)
 	if ends := next.ends(); len(ends) != 1 || ends[0] != zones.NotTaken {
 		t.Errorf("ended as %v", ends)
@@ -157,7 +157,7 @@
 	b := newZoneBench(zones.DefaultOrder(), config.Team{Name: "red"})
 	for i := range 6 {
 		name := fmt.Sprintf("m%02d", i)
-		b.tasks[name], b.zone[name] = map[protocol.TaskID]protocol.TaskReport{}, []string{"a", "b"}[i%2]
+		b.tasks[name], b.zone[name] = map[protocol.TaskID]protocol.TaskStatus{}, []string{"a", "b"}[i%2]
 	}
 	b.seconds(2)
 	for i, j := range []protocol.Job{spec("j-0", protocol.Gang, "urgent", 2, 8), spec("j-1", protocol.Service, "critical", 2, 8), spec("j-2", protocol.Service, "critical", 1, 8)} {
@@ -241,7 +241,7 @@
 		b := newZoneBench(zones.DefaultOrder(), config.Team{Name: "red", GPUs: row.guarantee}, config.Team{Name: "blue"})
 		for i := range 6 {
 			name := fmt.Sprintf("m%02d", i)
-			b.tasks[name], b.zone[name] = map[protocol.TaskID]protocol.TaskReport{}, []string{"a", "b"}[i%2]
+			b.tasks[name], b.zone[name] = map[protocol.TaskID]protocol.TaskStatus{}, []string{"a", "b"}[i%2]
 		}
 		b.seconds(2)
 		for _, j := range []protocol.Job{
--- a/internal/coordination/scheduler/market.go
+++ b/internal/coordination/scheduler/market.go
@@ -50,7 +50,7 @@
 			}
 		})
 		slices.SortFunc(room.lenders, func(a, b *partition.Placement) int {
-			return cmp.Or(cmp.Compare(a.Task.Job, b.Task.Job), cmp.Compare(a.Task.Task, b.Task.Task))
+			return cmp.Or(cmp.Compare(a.Task.JobID, b.Task.JobID), cmp.Compare(a.Task.Index, b.Task.Index))
 		})
 		k.rooms = append(k.rooms, room)
 	}
@@ -60,12 +60,12 @@
 // lendable says whether a placement's room may be lent at all: never that of critical work,
 // nor what has been lent already.
 func (c *Core) lendable(pl *partition.Placement) bool {
-	j := c.jobs[pl.Task.Job]
+	j := c.jobs[pl.Task.JobID]
 	return pl.Level > 0 && j != nil && !j.over && !c.returning.ledger.Lent(lentTask(pl))
 }
 
 func lentTask(pl *partition.Placement) zones.LentTask {
-	return zones.LentTask{Job: pl.Task.Job, Task: pl.Task.Task, Attempt: pl.Attempt}
+	return zones.LentTask{Job: pl.Task.JobID, Task: pl.Task.Index, Attempt: pl.Attempt}
 }
 
 // choose looks for room for the request, without taking it.
@@ -94,9 +94,9 @@
 		}
 		gang := pl.Job != nil && pl.Job.Shape == protocol.Gang
 		// Who has lent before is the more likely to be late for it.
-		cost := k.core.lostBy(k.now, pl)*pl.Need.Share(capacity) + float64(k.core.returning.lentBy[pl.Task.Job])
+		cost := k.core.lostBy(k.now, pl)*pl.Need.Share(capacity) + float64(k.core.returning.lentBy[pl.Task.JobID])
 		if gang {
-			cost += room.x.kind.BootS // all of it has to find room, and often its image, again
+			cost += room.x.kind.BootSeconds // all of it has to find room, and often its image, again
 		}
 		lenders = append(lenders, zones.Lender{Task: lentTask(pl), Need: pl.Need, Cost: cost, Gang: gang})
 	}
@@ -119,8 +119,8 @@
 
 // lostBy is the work that a placement loses when it is stopped, in seconds.
 func (c *Core) lostBy(now time.Duration, pl *partition.Placement) float64 {
-	if pl.Job != nil && pl.Job.CheckpointS > 0 {
-		return min(pl.Job.SaveS, (now - pl.Since).Seconds())
+	if pl.Job != nil && pl.Job.CheckpointIntervalSeconds > 0 {
+		return min(pl.Job.SaveSeconds, (now - pl.Since).Seconds())
 	}
 	return (now - pl.Since).Seconds()
 }
--- a/internal/coordination/scheduler/move.go
+++ b/internal/coordination/scheduler/move.go
@@ -37,7 +37,7 @@
 			c.log.Info("moving", "task", pl.Task, "from", pl.Machine)
 		})
 		for _, pl := range c.placementsOn(x.m) {
-			c.stop(now, c.jobs[pl.Task.Job], pl, 0)
+			c.stop(now, c.jobs[pl.Task.JobID], pl, 0)
 		}
 		return
 	}
@@ -81,7 +81,7 @@
 	}
 	ok := true
 	x.m.Placements(func(pl *partition.Placement) {
-		j := c.jobs[pl.Task.Job]
+		j := c.jobs[pl.Task.JobID]
 		if j == nil || j.over || j.writing || j.spec.Shape != protocol.Service || pl.Stopping ||
 			pl.State != protocol.TaskRunning || now-pl.Since < settled {
 			ok = false
@@ -116,7 +116,7 @@
 			return false
 		}
 		y := c.candidateOf(now, m)
-		if y == nil || y == x || m.Zone != x.m.Zone || m.Spot || !y.kind.Allows(pl.Job) || c.usedShare(y) < c.usedShare(x) || m.Count() == 0 ||
+		if y == nil || y == x || m.Zone != x.m.Zone || m.Spot || !y.kind.AllowedBy(pl.Job) || c.usedShare(y) < c.usedShare(x) || m.Count() == 0 ||
 			m.HasAttempt(pl.Task) || len(m.Errors) > 0 || c.machines.FetchTime(now, m, pl.Job) > 0 ||
 			c.reserved(now, m, "") || !pl.Need.Fits(y.free.Minus(taken[y])) {
 			return true
@@ -143,13 +143,13 @@
 // mayRewarm says whether tasks of a job are ever moved to a machine with its image. Those of a
 // gang wait for the slowest, and would have to move together.
 func (c *Core) mayRewarm(j *job) bool {
-	return !j.over && !math.IsInf(c.waitAim(j.spec.Class), 1) && (j.spec.Shape != protocol.Gang || j.spec.Tasks == 1)
+	return !j.over && !math.IsInf(c.waitAim(j.spec.Class), 1) && (j.spec.Shape != protocol.Gang || j.spec.TaskCount == 1)
 }
 
 // fetches says whether a task of the job may still fetch its image.
 func fetches(j *job) bool {
 	for _, pl := range j.places {
-		if !pl.Seen || pl.State == protocol.Fetching {
+		if !pl.Seen || pl.State == protocol.TaskFetching {
 			return true
 		}
 	}
@@ -166,7 +166,7 @@
 	}
 	for _, pl := range placements(j) {
 		m := c.machines.Machine(pl.Machine)
-		if m == nil || !pl.Seen || pl.Stopping || pl.State != protocol.Fetching ||
+		if m == nil || !pl.Seen || pl.Stopping || pl.State != protocol.TaskFetching ||
 			c.machines.FetchTime(now, m, &j.spec) < config.Seconds(3*c.cfg.Workers.ReportS) {
 			continue
 		}
--- a/internal/coordination/scheduler/pages.go
+++ b/internal/coordination/scheduler/pages.go
@@ -123,7 +123,7 @@
 		}
 	}
 	for _, pl := range j.granted {
-		add(pl.Task.Task / j.layout.Width)
+		add(pl.Task.Index / j.layout.Width)
 	}
 	for _, n := range j.dirtyPages() {
 		add(n)
@@ -142,8 +142,8 @@
 // others supersede, or they would count again.
 func (c *Core) dropPages(j *job, t *protocol.Txn) (d pageDrops) {
 	drop := func(name storage.PageName, stamp uint64) {
-		t.If = append(t.If, protocol.Cond{Key: name.Key(), Version: stamp})
-		t.Then = append(t.Then, protocol.Op{Delete: name.Key()})
+		t.If = append(t.If, protocol.Compare{Key: name.Key(), Revision: stamp})
+		t.Then = append(t.Then, protocol.Op{DeleteKey: name.Key()})
 	}
 	for _, s := range j.superseded {
 		if len(t.Then) < c.stateLimits.TxnOps {
--- a/internal/coordination/scheduler/pipelines.go
+++ b/internal/coordination/scheduler/pipelines.go
@@ -12,7 +12,7 @@
 )
 
 // jobsWithPages names the jobs of which placements were recorded.
-func jobsWithPages(pairs []protocol.Pair) map[string]bool {
+func jobsWithPages(pairs []protocol.KeyValue) map[string]bool {
 	ids := map[string]bool{}
 	for _, pair := range pairs {
 		if name, err := storage.ParsePageName(pair.Key, 1); err == nil {
@@ -25,10 +25,10 @@
 // addDependencies enters a job that was accepted, and what it awaits.
 func (c *Core) addDependencies(now time.Duration, j *job) {
 	due := dependency.Never
-	if j.spec.DeadlineS > 0 {
-		due = j.known + config.Seconds(j.spec.DeadlineS)
+	if j.spec.DeadlineSeconds > 0 {
+		due = j.known + config.Seconds(j.spec.DeadlineSeconds)
 	}
-	change := c.graph.Add(dependency.Job{ID: j.spec.ID, Needs: j.spec.Awaits, Level: j.level, Due: due, Estimate: config.Seconds(j.spec.EstimateS * estimateSlack)})
+	change := c.graph.Add(dependency.Job{ID: j.spec.ID, Needs: j.spec.Dependencies, Level: j.level, Due: due, Estimate: config.Seconds(j.spec.EstimateSeconds * estimateSlack)})
 	j.blocked = c.graph.Open(j.spec.ID) > 0 || c.graph.State(j.spec.ID) == dependency.Cancelled
 	c.dependenciesChanged(now, change)
 }
@@ -52,9 +52,9 @@
 // endRead takes in what the state service says of how a job ended.
 func (c *Core) endRead(now time.Duration, e EndRead) {
 	switch e.Standing {
-	case protocol.Done:
+	case protocol.JobDone:
 		c.needEnded(now, e.ID, dependency.Done)
-	case protocol.Cancelled:
+	case protocol.JobCancelled:
 		c.needEnded(now, e.ID, dependency.Cancelled)
 	default:
 		// It lives, and we are about to hear so, or the service has not answered.
@@ -128,7 +128,7 @@
 func (c *Core) recordCancelled() {
 	for len(c.cascade) > 0 && !c.paused && c.underWay[Ends] < c.settlePages() {
 		id, name := c.name()
-		t := protocol.Txn{If: []protocol.Cond{{Key: storage.TermKey, Version: c.termStamp}}}
+		t := protocol.Txn{If: []protocol.Compare{{Key: storage.TermKey, Revision: c.termStamp}}}
 		var jobs []*job
 		for len(c.cascade) > 0 && len(t.Then)+fewestOperations <= max(fewestOperations, c.stateLimits.TxnOps) {
 			j := c.cascade[0]
@@ -137,14 +137,14 @@
 			if j.over || j.writing || j.finishing {
 				continue // it has ended by itself
 			}
-			value, err := protocol.Encode(storage.EndedRecord{Standing: protocol.Cancelled, Write: name, Need: c.graph.Cause(j.spec.ID)})
+			value, err := protocol.Encode(storage.EndedRecord{Standing: protocol.JobCancelled, Write: name, Need: c.graph.Cause(j.spec.ID)})
 			if err != nil {
 				c.log.Error("ended record", "err", err)
 				continue
 			}
 			live, ended := storage.LiveKey(j.spec.ID), storage.EndedKey(j.spec.ID)
-			t.If = append(t.If, protocol.Cond{Key: live, Version: j.stamp}, protocol.Cond{Key: ended})
-			t.Then = append(t.Then, protocol.Op{Delete: live}, protocol.Op{Put: ended, Value: value})
+			t.If = append(t.If, protocol.Compare{Key: live, Revision: j.stamp}, protocol.Compare{Key: ended})
+			t.Then = append(t.Then, protocol.Op{DeleteKey: live}, protocol.Op{PutKey: ended, Value: value})
 			jobs = append(jobs, j)
 		}
 		if len(jobs) == 0 {
@@ -184,7 +184,7 @@
 		}
 		c.recordCancelled()
 	}
-	c.emit(Write{ID: id, Txn: t, For: Ends, Verify: t.Then[1].Put, Name: name})
+	c.emit(Write{ID: id, Txn: t, For: Ends, Verify: t.Then[1].PutKey, Name: name})
 }
 
 // overtakenAny says whether a transaction about several jobs failed because some of them are over, and takes
@@ -209,7 +209,7 @@
 			return false
 		}
 		if c.graph.State(j.spec.ID) == dependency.Live && c.isNear(now, j) {
-			units = append(units, fleet.Unit{Job: &j.spec, Count: min(j.spec.Tasks, c.allowance(j)), Spare: true})
+			units = append(units, fleet.Unit{Job: &j.spec, Count: min(j.spec.TaskCount, c.allowance(j)), Spare: true})
 		}
 		return true
 	})
@@ -224,14 +224,14 @@
 func (c *Core) isNear(now time.Duration, j *job) bool {
 	boot := 0.0
 	for _, t := range c.machines.Types() {
-		boot = max(boot, t.BootS)
+		boot = max(boot, t.BootSeconds)
 	}
-	for _, id := range j.spec.Awaits {
+	for _, id := range j.spec.Dependencies {
 		need := c.jobs[id]
 		if need == nil || need.over {
 			continue
 		}
-		if need.runAt == 0 || need.counts[pending] > 0 || (need.runAt+config.Seconds(need.spec.EstimateS)-now).Seconds() > boot {
+		if need.runAt == 0 || need.counts[pending] > 0 || (need.runAt+config.Seconds(need.spec.EstimateSeconds)-now).Seconds() > boot {
 			return false
 		}
 	}
--- a/internal/coordination/scheduler/pipelines_test.go
+++ b/internal/coordination/scheduler/pipelines_test.go
@@ -16,7 +16,7 @@
 // after returns a job that awaits others.
 func after(id string, prio protocol.Priority, tasks int, awaits ...string) protocol.Job {
 	j := spec(id, protocol.Array, prio, tasks, 4)
-	j.Awaits = awaits
+	j.Dependencies = awaits
 	return j
 }
 
@@ -27,10 +27,10 @@
 		case Write:
 			s.open = append(s.open, effect)
 		case Order:
-			s.take(effect.Machine, effect.Orders.Token, effect.Orders.Commands)
+			s.take(effect.Machine, effect.Orders.FencingToken, effect.Orders.Commands)
 			s.stepAll(OrdersDone{Machine: effect.Machine, OK: true, Report: s.report(effect.Machine)})
 		case Answer:
-			s.take(effect.Tag.(string), effect.Body.Token, effect.Body.Commands)
+			s.take(effect.Tag.(string), effect.Body.FencingToken, effect.Body.Commands)
 		}
 	}
 }
@@ -54,8 +54,8 @@
 func (s *slowStore) endAll(id string) {
 	for _, name := range sortedNames(s.tasks) {
 		for task, t := range s.tasks[name] {
-			if task.Job == id {
-				t.State, t.Cause = protocol.Exited, protocol.CauseDone
+			if task.JobID == id {
+				t.State, t.Cause = protocol.TaskExited, protocol.CauseDone
 				s.tasks[name][task] = t
 			}
 		}
@@ -116,8 +116,8 @@
 	b.machine("m2", "a", false)
 	for name, tasks := range b.tasks {
 		for id, task := range tasks {
-			if id.Job == "j-1" {
-				task.State, task.Cause = protocol.Exited, protocol.CauseDone
+			if id.JobID == "j-1" {
+				task.State, task.Cause = protocol.TaskExited, protocol.CauseDone
 				b.machine(name, "a", false, task)
 			}
 		}
@@ -140,7 +140,7 @@
 	s.answerAll()
 	s.rev++
 	s.step(JobDropped{ID: "j-0"})
-	s.step(EndRead{ID: "j-0", Standing: protocol.Cancelled})
+	s.step(EndRead{ID: "j-0", Standing: protocol.JobCancelled})
 	if _, ok := s.c.Status("j-40"); ok {
 		t.Error("the leader still tells how the last one stands")
 	}
@@ -153,8 +153,8 @@
 		}
 		for _, op := range w.Txn.Then {
 			var rec storage.EndedRecord
-			if op.Put != "" && protocol.Decode(op.Value, &rec) == nil && rec.Standing == protocol.Cancelled {
-				ended[op.Put] = rec.Need
+			if op.PutKey != "" && protocol.Decode(op.Value, &rec) == nil && rec.Standing == protocol.JobCancelled {
+				ended[op.PutKey] = rec.Need
 			}
 		}
 		s.answer(Written{Write: w.ID, OK: true})
@@ -181,7 +181,7 @@
 		t.Fatalf("%d starts", b.started("j-1"))
 	}
 	last := after("j-3", "urgent", 1, "j-2")
-	last.DeadlineS, last.EstimateS = 100, 10
+	last.DeadlineSeconds, last.EstimateSeconds = 100, 10
 	b.job(last)
 	for _, id := range []string{"j-1", "j-2"} {
 		if j := b.c.jobs[id]; j.level != 1 || j.latestStart == dependency.Never {
@@ -207,12 +207,12 @@
 // which placements are recorded, for they could not have been before; nothing starts before the answer.
 func TestRecoveryOfPipelines(t *testing.T) {
 	old := newBench([]config.Team{{Name: "red"}}, "a")
-	record := func(j protocol.Job) protocol.Pair {
+	record := func(j protocol.Job) protocol.KeyValue {
 		raw, err := protocol.Encode(storage.LiveRecord{Job: j})
 		if err != nil {
 			t.Fatal(err)
 		}
-		return protocol.Pair{Key: storage.LiveKey(j.ID), Value: raw, Version: 3}
+		return protocol.KeyValue{Key: storage.LiveKey(j.ID), Value: raw, Revision: 3}
 	}
 	page, err := storage.EncodePage(&storage.PageRecord{Attempts: 1, Team: "red", GPUs: 4, CPUs: 1, MemoryGB: 1, Zones: []string{"a"},
 		Places: []storage.Place{{Task: 0, Machine: "m1", Session: 1, Attempt: 1}}}, storage.Layout{Width: 48, Compact: true})
@@ -223,8 +223,8 @@
 	b := newBench([]config.Team{{Name: "red"}}, "a")
 	b.c = New(0, old.c.cfg, old.c.log, Term{Number: 6, Stamp: 2, Level: featurelevel.Pipelines}, Records{
 		Types: []protocol.MachineType{*old.c.machines.Type("g8")},
-		Live:  []protocol.Pair{record(after("j-2", "normal", 1, "j-1")), record(after("j-3", "normal", 1, "j-1")), record(after("j-4", "normal", 1, "j-3"))},
-		Pages: []protocol.Pair{{Key: started.Key(), Value: page, Version: 4}},
+		Live:  []protocol.KeyValue{record(after("j-2", "normal", 1, "j-1")), record(after("j-3", "normal", 1, "j-1")), record(after("j-4", "normal", 1, "j-3"))},
+		Pages: []protocol.KeyValue{{Key: started.Key(), Value: page, Revision: 4}},
 	}, 0, nil)
 	var asked []string
 	b.onEffect = func(e Effect) {
@@ -232,7 +232,7 @@
 			asked = append(asked, r.ID)
 		}
 	}
-	b.machine("m1", "a", false, running(protocol.TaskID{Job: "j-2"}, 1))
+	b.machine("m1", "a", false, running(protocol.TaskID{JobID: "j-2"}, 1))
 	b.machine("m2", "a", false)
 	for range 3 {
 		b.cycle()
@@ -240,7 +240,7 @@
 	if !slices.Equal(asked, []string{"j-1"}) {
 		t.Errorf("it asks for the ends of %v", asked)
 	}
-	if status, ok := b.c.Status("j-2"); !ok || !status.Free || b.c.jobs["j-2"].blocked || b.started("j-3")+b.started("j-4") > 0 {
+	if status, ok := b.c.Status("j-2"); !ok || !status.Unblocked || b.c.jobs["j-2"].blocked || b.started("j-3")+b.started("j-4") > 0 {
 		t.Errorf("the started one: %+v %v; the others have %d starts", status, ok, b.started("j-3")+b.started("j-4"))
 	}
 	b.do(EndRead{ID: "j-1"}) // not to be read yet
@@ -249,7 +249,7 @@
 	if len(asked) != 2 {
 		t.Errorf("it has asked %d times although there was no answer", len(asked))
 	}
-	b.do(EndRead{ID: "j-1", Standing: protocol.Done})
+	b.do(EndRead{ID: "j-1", Standing: protocol.JobDone})
 	b.machine("m1", "a", false)
 	b.machine("m2", "a", false)
 	b.cycle()
@@ -296,7 +296,7 @@
 	b := newBench([]config.Team{{Name: "red"}}, "a")
 	b.machine("m1", "a", false)
 	need := spec("j-1", protocol.Array, "normal", 1, 4)
-	need.EstimateS = 50 // longer than a boot time of 30 s
+	need.EstimateSeconds = 50 // longer than a boot time of 30 s
 	b.job(need)
 	b.job(after("j-2", "normal", 3, "j-1"))
 	b.job(after("j-3", "normal", 3, "j-2"))
@@ -310,7 +310,7 @@
 	if got := wanted(); len(got) > 0 {
 		t.Fatalf("before what it awaits runs: %v", got)
 	}
-	b.machine("m1", "a", false, running(protocol.TaskID{Job: "j-1"}, 1))
+	b.machine("m1", "a", false, running(protocol.TaskID{JobID: "j-1"}, 1))
 	if got := wanted(); len(got) > 0 {
 		t.Fatalf("long before what it awaits ends: %v", got)
 	}
--- a/internal/coordination/scheduler/poolscore.go
+++ b/internal/coordination/scheduler/poolscore.go
@@ -18,7 +18,7 @@
 		return true
 	}
 	for name, t := range c.machines.Types() {
-		if fetch := c.fetchS(j, name); fetch > max(aim, t.BootS) || fetch*partition.SlowFetch > aim {
+		if fetch := c.fetchS(j, name); fetch > max(aim, t.BootSeconds) || fetch*partition.SlowFetch > aim {
 			return true
 		}
 	}
@@ -28,21 +28,21 @@
 // poolAllows says whether machines of a pool may do for a job.
 func (c *Core) poolAllows(j *job, l *limits, p machineindex.Pool) bool {
 	t := c.machines.Type(p.Type)
-	return t != nil && (!p.Spot || j.spec.Spot) && t.Allows(&j.spec) && (l.perZone == nil || l.allow(p.Zone))
+	return t != nil && (!p.Spot || j.spec.SpotAllowed) && t.AllowedBy(&j.spec) && (l.perZone == nil || l.allow(p.Zone))
 }
 
 // poolScore is what every machine of a pool adds to a score.
 func (c *Core) poolScore(j *job, l *limits, p machineindex.Pool) float64 {
 	s := c.distrust(j, p.Zone)
 	if j.spec.Spread && l.perZone != nil {
-		s += float64(l.perZone[p.Zone]) / float64(j.spec.Tasks)
+		s += float64(l.perZone[p.Zone]) / float64(j.spec.TaskCount)
 	}
 	switch {
 	case !p.Spot:
-	case j.spec.CheckpointS > 0:
+	case j.spec.CheckpointIntervalSeconds > 0:
 		s--
 	default:
-		s += c.machines.Type(p.Type).BootS
+		s += c.machines.Type(p.Type).BootSeconds
 	}
 	return s
 }
@@ -50,8 +50,8 @@
 // fetchS is how long a type of machines takes for the job's image, in seconds.
 func (c *Core) fetchS(j *job, kind string) float64 {
 	t := c.machines.Type(kind)
-	if t == nil || t.FetchGBPerS <= 0 {
+	if t == nil || t.FetchGBPerSecond <= 0 {
 		return 0
 	}
-	return config.Seconds(j.spec.ImageGB / t.FetchGBPerS).Seconds()
+	return config.Seconds(j.spec.ImageGB / t.FetchGBPerSecond).Seconds()
 }
--- a/internal/coordination/scheduler/preempt.go
+++ b/internal/coordination/scheduler/preempt.go
@@ -116,7 +116,7 @@
 // saved for as long as the patience.
 func (c *Core) stopFor(now time.Duration, pl *partition.Placement, id string, patience time.Duration) {
 	c.log.Info("preempted", "task", pl.Task, "for", id, "machine", pl.Machine)
-	if pl.Job != nil && pl.Job.SaveS >= pl.Job.CheckpointS/2 {
+	if pl.Job != nil && pl.Job.SaveSeconds >= pl.Job.CheckpointIntervalSeconds/2 {
 		patience = 0 // to save takes as long as what is lost without, and the room is wanted
 	}
 	c.stopOrderly(now, pl, patience)
@@ -166,15 +166,15 @@
 		room = room.Plus(pl.Need)
 		out = append(out, pl)
 		lost := (now - pl.Since).Seconds()
-		if pl.Job != nil && pl.Job.CheckpointS > 0 {
-			lost = pl.Job.SaveS
+		if pl.Job != nil && pl.Job.CheckpointIntervalSeconds > 0 {
+			lost = pl.Job.SaveSeconds
 		}
 		// An old job has been passed over or stopped before, and is the more
 		// likely to be late for it.
 		cost += 1 + lost*pl.Need.Share(partition.CapacityOf(x.kind)) + c.age(now, pl).Seconds()/10
 		if pl.Job != nil && pl.Job.Shape == protocol.Gang {
 			// All of it has to find room, and often its image, again.
-			cost += float64(pl.Job.Tasks) * x.kind.BootS
+			cost += float64(pl.Job.TaskCount) * x.kind.BootSeconds
 		}
 	}
 	return out, cost, len(out) > 0 && j.need.Fits(room)
@@ -197,7 +197,7 @@
 
 // age is how long the job of a placement has been known.
 func (c *Core) age(now time.Duration, pl *partition.Placement) time.Duration {
-	if j := c.jobs[pl.Task.Job]; j != nil {
+	if j := c.jobs[pl.Task.JobID]; j != nil {
 		return now - j.known
 	}
 	return 0
--- a/internal/coordination/scheduler/preempt_test.go
+++ b/internal/coordination/scheduler/preempt_test.go
@@ -23,10 +23,10 @@
 		b.setObjectives([]config.Objective{{Kind: "wait", Class: "quick", WithinS: x.aim, Share: 0.9}})
 		b.machine("m1", "a", false)
 		low := spec("j-1", protocol.Array, "normal", 1, 8)
-		low.CheckpointS, low.SaveS = x.checkpoint, 2
+		low.CheckpointIntervalSeconds, low.SaveSeconds = x.checkpoint, 2
 		b.job(low)
 		b.cycle()
-		id := protocol.TaskID{Job: "j-1"}
+		id := protocol.TaskID{JobID: "j-1"}
 		high := spec("j-2", protocol.Service, x.prio, 1, 4)
 		high.Class = "quick"
 		b.job(high)
@@ -62,7 +62,7 @@
 		low.Team = "guest"
 		b.job(low)
 		b.cycle()
-		id := protocol.TaskID{Job: "j-1"}
+		id := protocol.TaskID{JobID: "j-1"}
 		b.job(spec("j-2", protocol.Gang, x.prio, 1, 8))
 		for range 4 {
 			b.machine("m1", "a", false, running(id, 1))
@@ -83,10 +83,10 @@
 	b.setObjectives([]config.Objective{{Kind: "wait", Class: "quick", WithinS: 12, Share: 0.9}})
 	b.machine("m1", "a", false)
 	low := spec("j-1", protocol.Gang, "urgent", 1, 8)
-	low.CheckpointS, low.SaveS = 30, 3
+	low.CheckpointIntervalSeconds, low.SaveSeconds = 30, 3
 	b.job(low)
 	b.cycle()
-	id := protocol.TaskID{Job: "j-1"}
+	id := protocol.TaskID{JobID: "j-1"}
 	b.machine("m1", "a", false, running(id, 1))
 	quick := spec("j-2", protocol.Service, "critical", 1, 8)
 	quick.Class, quick.Image, quick.ImageGB = "quick", "big", 9
@@ -99,7 +99,7 @@
 		t.Fatal("no room was cleared")
 	}
 	b.cycle()
-	b.machine("m1", "a", false, protocol.TaskReport{Name: id.String(), Attempt: 1, State: protocol.Exited, Cause: protocol.CauseStopped, Saved: true})
+	b.machine("m1", "a", false, protocol.TaskStatus{TaskName: id.String(), Attempt: 1, State: protocol.TaskExited, Cause: protocol.CauseStopped, CheckpointSaved: true})
 	b.cycle()
 	if b.started("j-2") != 1 {
 		t.Error("the cleared room was not taken")
@@ -119,11 +119,11 @@
 			{Kind: "wait", Class: "big", WithinS: 20, Share: 0.9}, {Kind: "finished", Class: "big", WithinS: 30, Share: 0.9},
 		})
 		gang := spec("j-1", protocol.Gang, "urgent", 1, 8)
-		gang.Class, gang.EstimateS = "big", 20
+		gang.Class, gang.EstimateSeconds = "big", 20
 		b.machine("m1", "a", false)
 		b.job(gang)
 		b.cycle()
-		id := protocol.TaskID{Job: "j-1"}
+		id := protocol.TaskID{JobID: "j-1"}
 		b.machine("m1", "a", false, running(id, 1))
 		gang.ID = "j-2"
 		b.job(gang)
@@ -133,7 +133,7 @@
 		}
 		gang.ID = "j-3"
 		b.job(gang)
-		b.machine("m1", "a", false, protocol.TaskReport{Name: id.String(), Attempt: 1, State: protocol.Exited, Cause: protocol.CauseDone})
+		b.machine("m1", "a", false, protocol.TaskStatus{TaskName: id.String(), Attempt: 1, State: protocol.TaskExited, Cause: protocol.CauseDone})
 		b.cycle()
 		if b.started(x.want) != 1 || b.started("j-2")+b.started("j-3") != 1 {
 			t.Errorf("after %d s j-2 started %d, j-3 %d, want %s", x.waited, b.started("j-2"), b.started("j-3"), x.want)
@@ -153,7 +153,7 @@
 		b.machine("m0", "a", false)
 		b.job(spec("j-0", protocol.Gang, "urgent", 1, 8))
 		b.cycle()
-		b.machine("m0", "a", false, running(protocol.TaskID{Job: "j-0"}, 1))
+		b.machine("m0", "a", false, running(protocol.TaskID{JobID: "j-0"}, 1))
 		for _, m := range []string{"m1", "m2"} {
 			b.machine(m, "a", false)
 		}
@@ -195,7 +195,7 @@
 		j.CPUs, j.MemoryGB = 8*gpus, 32*gpus
 		b.job(j)
 		b.cycle()
-		b.machine(name, "a", false, running(protocol.TaskID{Job: j.ID}, 1))
+		b.machine(name, "a", false, running(protocol.TaskID{JobID: j.ID}, 1))
 		b.c.machines.Machine("m1").Sick = i == 0 // so that each has its own
 	}
 	b.c.machines.Machine("m1").Sick = false
@@ -204,7 +204,7 @@
 	quick.Class, quick.Image, quick.ImageGB = "quick", "small", 1
 	b.job(quick)
 	b.cycle()
-	if got := b.on[protocol.TaskID{Job: "j-3"}]; got != "m2" {
+	if got := b.on[protocol.TaskID{JobID: "j-3"}]; got != "m2" {
 		t.Errorf("the replica went to %q, want m2", got)
 	}
 }
@@ -218,7 +218,7 @@
 		state protocol.TaskState
 		prio  protocol.Priority
 		stops int
-	}{{protocol.Fetching, "critical", 1}, {"", "critical", 0}, {protocol.TaskRunning, "critical", 0}, {protocol.Fetching, "urgent", 0}} {
+	}{{protocol.TaskFetching, "critical", 1}, {"", "critical", 0}, {protocol.TaskRunning, "critical", 0}, {protocol.TaskFetching, "urgent", 0}} {
 		b := newBench([]config.Team{{Name: "red"}}, "a")
 		b.setObjectives([]config.Objective{{Kind: "wait", Class: "quick", WithinS: 40, Share: 0.9}})
 		b.machine("m1", "a", false)
@@ -226,9 +226,9 @@
 		low.Image, low.ImageGB = "low", 20
 		b.job(low)
 		b.cycle()
-		id := protocol.TaskID{Job: "j-1"}
+		id := protocol.TaskID{JobID: "j-1"}
 		if x.state != "" { // else started, perhaps by an earlier leader, and not reported yet
-			b.machine("m1", "a", false, protocol.TaskReport{Name: id.String(), Attempt: 1, State: x.state})
+			b.machine("m1", "a", false, protocol.TaskStatus{TaskName: id.String(), Attempt: 1, State: x.state})
 		} else {
 			b.c.jobs["j-1"].places[0].State = ""
 		}
@@ -255,16 +255,16 @@
 		b.setObjectives([]config.Objective{{Kind: "wait", Class: "quick", WithinS: 12, Share: 0.9}})
 		b.machine("m1", "a", false)
 		low := spec("j-2", protocol.Array, "normal", 1, 4)
-		low.CheckpointS, low.SaveS = 10, 2
+		low.CheckpointIntervalSeconds, low.SaveSeconds = 10, 2
 		b.job(low)
 		b.cycle()
-		two := protocol.TaskID{Job: "j-2"}
+		two := protocol.TaskID{JobID: "j-2"}
 		b.machine("m1", "a", false, running(two, 1))
 		first := spec("j-1", protocol.Service, "critical", 1, 4)
 		first.Class, first.Image, first.ImageGB = "quick", "big", 60
 		b.job(first)
 		b.cycle()
-		one := protocol.TaskID{Job: "j-1"}
+		one := protocol.TaskID{JobID: "j-1"}
 		b.machine("m1", "a", false, running(one, 1))
 		b.machine("m2", "a", false) // empty, without the image
 
@@ -273,10 +273,10 @@
 		b.job(next)
 		b.cycle()
 		if _, stopped := b.stops[two]; stopped {
-			b.machine("m1", "a", false, protocol.TaskReport{Name: two.String(), Attempt: 1, State: protocol.Exited, Cause: protocol.CauseStopped})
+			b.machine("m1", "a", false, protocol.TaskStatus{TaskName: two.String(), Attempt: 1, State: protocol.TaskExited, Cause: protocol.CauseStopped})
 		}
 		b.cycle()
-		if got := b.on[protocol.TaskID{Job: "j-3"}]; got != x.want {
+		if got := b.on[protocol.TaskID{JobID: "j-3"}]; got != x.want {
 			t.Errorf("%s went to %q, want %s", x.prio, got, x.want)
 		}
 	}
@@ -289,17 +289,17 @@
 func TestFetchesThatTakeLongerAreNotSwapped(t *testing.T) {
 	b := newBench([]config.Team{{Name: "red"}}, "a")
 	b.setObjectives([]config.Objective{{Kind: "wait", Class: "quick", WithinS: 40, Share: 0.9}})
-	one, two := protocol.TaskID{Job: "j-1"}, protocol.TaskID{Job: "j-2"}
-	fetching := func(id protocol.TaskID) protocol.TaskReport {
-		return protocol.TaskReport{Name: id.String(), Attempt: 1, State: protocol.Fetching}
+	one, two := protocol.TaskID{JobID: "j-1"}, protocol.TaskID{JobID: "j-2"}
+	fetching := func(id protocol.TaskID) protocol.TaskStatus {
+		return protocol.TaskStatus{TaskName: id.String(), Attempt: 1, State: protocol.TaskFetching}
 	}
 	for _, id := range []protocol.TaskID{one, two} {
-		b.machine("m-"+id.Job, "a", false)
-		j := spec(id.Job, protocol.Service, "critical", 1, 4)
+		b.machine("m-"+id.JobID, "a", false)
+		j := spec(id.JobID, protocol.Service, "critical", 1, 4)
 		j.Class, j.Image, j.ImageGB = "quick", "big", 40
 		b.job(j)
 		b.cycle()
-		b.machine("m-"+id.Job, "a", false, fetching(id))
+		b.machine("m-"+id.JobID, "a", false, fetching(id))
 		b.c.machines.Machine("m-j-1").Sick = id == one // so that each has its own
 	}
 	b.c.machines.Machine("m-j-1").Sick = false
@@ -337,7 +337,7 @@
 	quick.Class = "quick"
 	b.job(quick)
 	b.cycle()
-	b.machine("m1", "a", false, running(protocol.TaskID{Job: "j-1"}, 1))
+	b.machine("m1", "a", false, running(protocol.TaskID{JobID: "j-1"}, 1))
 	b.cycle()
 	b.machine("m1", "a", false)
 	b.job(spec("j-2", protocol.Array, "normal", 8, 1))
@@ -369,11 +369,11 @@
 		gang.Class, gang.Image, gang.ImageGB = "big", "big", 40
 		b.job(gang)
 		b.cycle()
-		b.machine("m1", "a", false, running(protocol.TaskID{Job: "j-1"}, 1))
+		b.machine("m1", "a", false, running(protocol.TaskID{JobID: "j-1"}, 1))
 		b.cycle()
 		b.machine("m2", "a", false)
 		low := spec("j-2", protocol.Array, "normal", 8, 1)
-		low.CheckpointS, low.SaveS = 10, 2
+		low.CheckpointIntervalSeconds, low.SaveSeconds = 10, 2
 		b.job(low)
 		b.cycle()
 		if n := b.started("j-2"); n != x.tasks {
--- a/internal/coordination/scheduler/queue.go
+++ b/internal/coordination/scheduler/queue.go
@@ -25,7 +25,7 @@
 func (j *job) kind() kind {
 	return kind{
 		team: j.spec.Team, image: j.spec.Image, zone: j.spec.Zone, types: j.types, need: j.need,
-		level: j.level, placed: len(j.places), same: j.spec.SameZone, spread: j.spec.Spread, spot: j.spec.Spot,
+		level: j.level, placed: len(j.places), same: j.spec.SameZone, spread: j.spec.Spread, spot: j.spec.SpotAllowed,
 	}
 }
 
@@ -72,7 +72,7 @@
 		switch {
 		case o.Kind == "wait" && !j.begun && waited <= o.WithinS:
 			class = 0
-		case o.Kind == "finished" && waited+j.spec.EstimateS <= o.WithinS:
+		case o.Kind == "finished" && waited+j.spec.EstimateSeconds <= o.WithinS:
 			class = min(class, 1)
 		}
 	}
--- a/internal/coordination/scheduler/recording.go
+++ b/internal/coordination/scheduler/recording.go
@@ -32,7 +32,7 @@
 	exits    map[int]int            // of a page, how many of its exits the record no longer counts on
 	included []*partition.Placement // whose start waits for this record
 	replaces []superseded           // stored pages that count for no task once this is written
-	conds    []protocol.Cond
+	conds    []protocol.Compare
 	ops      []protocol.Op
 }
 
@@ -42,7 +42,7 @@
 }
 
 // transactionBytes is how much one transaction may hold, with room left for what goes around it.
-const transactionBytes = protocol.MaxBody * 3 / 4
+const transactionBytes = protocol.MaxBodyBytes * 3 / 4
 
 // startPages is how many pages that starts wait for may be on their way at a time, and settlePages how
 // many with nothing but ends: as many as the state service takes in half the time for which ends are
@@ -131,7 +131,7 @@
 		p.bytes += bytes
 	}
 	for _, pl := range j.granted {
-		if slices.Contains(p.pages, pl.Task.Task/j.layout.Width) {
+		if slices.Contains(p.pages, pl.Task.Index/j.layout.Width) {
 			p.included = append(p.included, pl)
 		}
 	}
@@ -154,7 +154,7 @@
 	j := p.job
 	p.exits = map[int]int{}
 	p.ops = nil
-	p.conds = []protocol.Cond{{Key: storage.LiveKey(j.spec.ID), Version: j.stamp}}
+	p.conds = []protocol.Compare{{Key: storage.LiveKey(j.spec.ID), Revision: j.stamp}}
 	for _, n := range p.pages {
 		value, err := j.encodePage(n, name)
 		if err != nil {
@@ -162,12 +162,12 @@
 		}
 		page, key := j.page(n), j.pageName(n).Key()
 		p.exits[n] = len(page.exits)
-		p.conds = append(p.conds, protocol.Cond{Key: key, Version: page.stamp})
-		p.ops = append(p.ops, protocol.Op{Put: key, Value: value})
+		p.conds = append(p.conds, protocol.Compare{Key: key, Revision: page.stamp})
+		p.ops = append(p.ops, protocol.Op{PutKey: key, Value: value})
 	}
 	for _, old := range p.replaces {
-		p.conds = append(p.conds, protocol.Cond{Key: old.name.Key(), Version: old.stamp})
-		p.ops = append(p.ops, protocol.Op{Delete: old.name.Key()})
+		p.conds = append(p.conds, protocol.Compare{Key: old.name.Key(), Revision: old.stamp})
+		p.ops = append(p.ops, protocol.Op{DeleteKey: old.name.Key()})
 	}
 	return nil
 }
@@ -175,7 +175,7 @@
 // writeParts writes parts in one transaction.
 func (c *Core) writeParts(purpose Purpose, parts []*part) {
 	id, name := c.name()
-	t := protocol.Txn{If: []protocol.Cond{{Key: storage.TermKey, Version: c.termStamp}}}
+	t := protocol.Txn{If: []protocol.Compare{{Key: storage.TermKey, Revision: c.termStamp}}}
 	for _, p := range parts {
 		if err := p.encode(name); err != nil {
 			c.emit(Depose{Reason: err.Error()}) // the books hold what no record can
@@ -200,7 +200,7 @@
 			c.recordStarts(now)
 		}
 	}
-	c.emit(Write{ID: id, Txn: t, For: purpose, Verify: t.Then[0].Put, Name: name, Shared: len(parts) > 1})
+	c.emit(Write{ID: id, Txn: t, For: purpose, Verify: t.Then[0].PutKey, Name: name, Shared: len(parts) > 1})
 }
 
 // partsWritten takes in the outcome of a transaction. A failed condition of one job concerns that job
@@ -233,7 +233,7 @@
 // partFailed takes in that a transaction failed of which this was a part.
 func (c *Core) partFailed(now time.Duration, p *part, failed []string) {
 	j := p.job
-	stale := slices.ContainsFunc(p.conds, func(cond protocol.Cond) bool { return slices.Contains(failed, cond.Key) })
+	stale := slices.ContainsFunc(p.conds, func(cond protocol.Compare) bool { return slices.Contains(failed, cond.Key) })
 	switch {
 	case slices.Contains(failed, storage.LiveKey(j.spec.ID)):
 		c.refuseGranted(now, j)
--- a/internal/coordination/scheduler/recording_test.go
+++ b/internal/coordination/scheduler/recording_test.go
@@ -18,7 +18,7 @@
 // jobsOf returns the jobs whose placements a write records.
 func jobsOf(w Write) (jobs []string) {
 	for _, op := range w.Txn.Then {
-		id, _, _ := strings.Cut(strings.TrimPrefix(op.Put, storage.PlacePrefix), "/")
+		id, _, _ := strings.Cut(strings.TrimPrefix(op.PutKey, storage.PlacePrefix), "/")
 		jobs = append(jobs, id)
 	}
 	return slices.Compact(jobs)
@@ -241,7 +241,7 @@
 		s.now += Cycle / 4
 		for name, tasks := range s.tasks {
 			for id, task := range tasks {
-				task.State, task.Cause = protocol.Exited, protocol.CauseDone
+				task.State, task.Cause = protocol.TaskExited, protocol.CauseDone
 				tasks[id] = task
 			}
 			for _, e := range s.c.Step(s.now, Reported{Tag: name, Report: s.report(name)}) {
@@ -249,7 +249,7 @@
 				case Write:
 					s.open = append(s.open, e)
 				case Answer:
-					s.take(name, e.Body.Token, e.Body.Commands)
+					s.take(name, e.Body.FencingToken, e.Body.Commands)
 				}
 			}
 		}
@@ -262,7 +262,7 @@
 				case Write:
 					s.open = append(s.open, e)
 				case Order:
-					s.take(e.Machine, e.Orders.Token, e.Orders.Commands)
+					s.take(e.Machine, e.Orders.FencingToken, e.Orders.Commands)
 					s.step(OrdersDone{Machine: e.Machine, OK: true, Report: s.report(e.Machine)})
 				}
 			}
--- a/internal/coordination/scheduler/records.go
+++ b/internal/coordination/scheduler/records.go
@@ -21,14 +21,14 @@
 	}
 	j.finishing = true
 	id, name := c.name()
-	value, err := protocol.Encode(storage.EndedRecord{Standing: protocol.Done, Done: len(j.tasks), Write: name})
+	value, err := protocol.Encode(storage.EndedRecord{Standing: protocol.JobDone, Done: len(j.tasks), Write: name})
 	if err != nil {
 		c.log.Error("ended record", "err", err)
 		return
 	}
 	t := protocol.Txn{
-		If:   []protocol.Cond{{Key: storage.TermKey, Version: c.termStamp}, {Key: storage.LiveKey(j.spec.ID), Version: j.stamp}},
-		Then: []protocol.Op{{Delete: storage.LiveKey(j.spec.ID)}, {Put: storage.EndedKey(j.spec.ID), Value: value}},
+		If:   []protocol.Compare{{Key: storage.TermKey, Revision: c.termStamp}, {Key: storage.LiveKey(j.spec.ID), Revision: j.stamp}},
+		Then: []protocol.Op{{DeleteKey: storage.LiveKey(j.spec.ID)}, {PutKey: storage.EndedKey(j.spec.ID), Value: value}},
 	}
 	var dropped pageDrops
 	if len(j.places) == 0 {
@@ -105,7 +105,7 @@
 			}
 		}
 	}
-	t := protocol.Txn{If: []protocol.Cond{{Key: storage.TermKey, Version: c.termStamp}}}
+	t := protocol.Txn{If: []protocol.Compare{{Key: storage.TermKey, Revision: c.termStamp}}}
 	dropped := c.dropPages(j, &t)
 	if len(t.Then) == 0 {
 		delete(c.jobs, j.spec.ID)
@@ -128,7 +128,7 @@
 		c.pagesDropped(j, dropped)
 		c.sweep(now, j)
 	}
-	c.emit(Write{ID: id, Txn: t, For: Upkeep, Verify: t.Then[0].Delete})
+	c.emit(Write{ID: id, Txn: t, For: Upkeep, Verify: t.Then[0].DeleteKey})
 }
 
 // start lets recorded placements go; a gang's only when all are recorded.
--- a/internal/coordination/scheduler/recoverpages.go
+++ b/internal/coordination/scheduler/recoverpages.go
@@ -19,7 +19,7 @@
 }
 
 // recoverPages takes over what the pages record.
-func (c *Core) recoverPages(now time.Duration, pairs []protocol.Pair) {
+func (c *Core) recoverPages(now time.Duration, pairs []protocol.KeyValue) {
 	byJob := map[string][]storedPage{}
 	for _, pair := range pairs {
 		name, err := storage.ParsePageName(pair.Key, storage.ProductionPageTasks(c.cfg.State.ValueKB))
@@ -32,7 +32,7 @@
 			c.log.Error("page out of form", "key", pair.Key, "err", err)
 			continue
 		}
-		byJob[name.Job] = append(byJob[name.Job], storedPage{name, pair.Version, rec})
+		byJob[name.Job] = append(byJob[name.Job], storedPage{name, pair.Revision, rec})
 	}
 	for _, id := range slices.Sorted(maps.Keys(byJob)) {
 		c.recoverJobPages(now, id, byJob[id])
@@ -109,7 +109,7 @@
 			continue
 		}
 		np := &partition.Placement{
-			Task: protocol.TaskID{Job: j.spec.ID, Task: pl.Task}, Attempt: pl.Attempt, Machine: pl.Machine, Session: pl.Session,
+			Task: protocol.TaskID{JobID: j.spec.ID, Index: pl.Task}, Attempt: pl.Attempt, Machine: pl.Machine, Session: pl.Session,
 			Zone: rec.Zones[pl.Zone], Need: j.need, Team: j.spec.Team, Level: j.level, Job: &j.spec,
 		}
 		j.places[pl.Task] = np
--- a/internal/coordination/scheduler/reference_test.go
+++ b/internal/coordination/scheduler/reference_test.go
@@ -103,23 +103,23 @@
 		var parts []string
 		for _, c := range list {
 			grace := -1.0
-			if c.GraceS != nil {
-				grace = *c.GraceS
+			if c.GraceSeconds != nil {
+				grace = *c.GraceSeconds
 			}
-			parts = append(parts, fmt.Sprint(c.Verb, c.Name, c.Attempt, grace))
+			parts = append(parts, fmt.Sprint(c.Verb, c.TaskName, c.Attempt, grace))
 		}
 		slices.Sort(parts)
 		return strings.Join(parts, ",")
 	}
 	switch e := e.(type) {
 	case Answer:
-		return fmt.Sprint("answer ", e.Tag, e.Body.Token, commands(e.Body.Commands))
+		return fmt.Sprint("answer ", e.Tag, e.Body.FencingToken, commands(e.Body.Commands))
 	case Order:
-		return fmt.Sprint("order ", e.Machine, e.Orders.Token, commands(e.Orders.Commands))
+		return fmt.Sprint("order ", e.Machine, e.Orders.FencingToken, commands(e.Orders.Commands))
 	case Write:
 		var parts []string
 		for _, op := range e.Txn.Then {
-			parts = append(parts, fmt.Sprintf("%s=%x-%s", op.Put, op.Value, op.Delete))
+			parts = append(parts, fmt.Sprintf("%s=%x-%s", op.PutKey, op.Value, op.DeleteKey))
 		}
 		slices.Sort(parts)
 		return fmt.Sprint("write ", e.ID, e.For, parts)
@@ -168,16 +168,16 @@
 	j.MemoryGB = []float64{1, 10, 60}[w.rng.IntN(3)]
 	image := w.rng.IntN(6)
 	j.Image, j.ImageGB = fmt.Sprintf("image-%d", image), []float64{0, 1, 12, 30, 45, 2}[image]
-	j.Spot = w.chance(0.5)
+	j.SpotAllowed = w.chance(0.5)
 	j.SameZone = j.Shape == protocol.Gang && w.chance(0.5)
 	j.Spread = !j.SameZone && w.chance(0.3)
 	if w.chance(0.2) {
 		j.Zone = "b"
 	}
 	if j.Shape != protocol.Service && w.chance(0.6) {
-		j.CheckpointS, j.SaveS = 10, 2
+		j.CheckpointIntervalSeconds, j.SaveSeconds = 10, 2
 	}
-	j.EstimateS = 30
+	j.EstimateSeconds = 30
 	w.jobs = append(w.jobs, j.ID)
 	w.both("submission", func(b *bench) { b.job(j) })
 }
@@ -189,22 +189,22 @@
 	w.both("report of "+name, func(b *bench) {
 		for _, id := range sortedIDs(b.tasks[name]) {
 			t := b.tasks[name][id]
-			fate := rand.New(rand.NewPCG(draw, uint64(len(id.Job))<<32|uint64(id.Task)<<8|uint64(id.Job[len(id.Job)-1]))).Float64()
+			fate := rand.New(rand.NewPCG(draw, uint64(len(id.JobID))<<32|uint64(id.Index)<<8|uint64(id.JobID[len(id.JobID)-1]))).Float64()
 			switch {
-			case t.State == protocol.Fetching && fate < 0.7, t.State == protocol.Waiting:
+			case t.State == protocol.TaskFetching && fate < 0.7, t.State == protocol.TaskWaiting:
 				t.State = protocol.TaskRunning
 			case t.State == protocol.TaskRunning && b.stopped(id):
-				t.State, t.Cause = protocol.Exited, protocol.CauseStopped
-			case t.State == protocol.TaskRunning && fate < 0.1 && b.c.jobs[id.Job] != nil && b.c.jobs[id.Job].spec.Shape != protocol.Service:
-				t.State, t.Cause = protocol.Exited, protocol.CauseDone
+				t.State, t.Cause = protocol.TaskExited, protocol.CauseStopped
+			case t.State == protocol.TaskRunning && fate < 0.1 && b.c.jobs[id.JobID] != nil && b.c.jobs[id.JobID].spec.Shape != protocol.Service:
+				t.State, t.Cause = protocol.TaskExited, protocol.CauseDone
 			case t.State == protocol.TaskRunning && fate > 0.98:
-				t.State, t.Cause = protocol.Exited, protocol.CauseError
+				t.State, t.Cause = protocol.TaskExited, protocol.CauseError
 			}
 			b.tasks[name][id] = t
 		}
 		r := b.report(name)
 		if notice {
-			r.NoticeS = new(float64)
+			r.InterruptionNoticeSeconds = new(float64)
 		}
 		b.do(Reported{Tag: name, Report: r})
 	})
@@ -216,7 +216,7 @@
 	return ok
 }
 
-func sortedIDs(tasks map[protocol.TaskID]protocol.TaskReport) (ids []protocol.TaskID) {
+func sortedIDs(tasks map[protocol.TaskID]protocol.TaskStatus) (ids []protocol.TaskID) {
 	for id := range tasks {
 		ids = append(ids, id)
 	}
--- a/internal/coordination/scheduler/relayout.go
+++ b/internal/coordination/scheduler/relayout.go
@@ -25,7 +25,7 @@
 			cut.dirty = cut.dirty || p.dirty
 		})
 		for _, pl := range p.exits {
-			cut := j.pageOf(pl.Task.Task)
+			cut := j.pageOf(pl.Task.Index)
 			cut.exits = append(cut.exits, pl)
 		}
 	}
--- a/internal/coordination/scheduler/returnfence.go
+++ b/internal/coordination/scheduler/returnfence.go
@@ -83,7 +83,7 @@
 func (c *Core) returnPatience() time.Duration {
 	patience := c.leaseOver()
 	for _, t := range c.machines.Types() {
-		patience = max(patience, config.Seconds(t.BootS))
+		patience = max(patience, config.Seconds(t.BootSeconds))
 	}
 	return patience
 }
--- a/internal/coordination/scheduler/returnorder.go
+++ b/internal/coordination/scheduler/returnorder.go
@@ -91,7 +91,7 @@
 		}
 		least := 1
 		if j.spec.Shape == protocol.Gang {
-			least = j.spec.Tasks
+			least = j.spec.TaskCount
 		}
 		if n := min(c.allowance(j), c.tasksWithinGuarantee(j)); n >= least {
 			c.place(now, j, n)
--- a/internal/coordination/scheduler/scale_bench_test.go
+++ b/internal/coordination/scheduler/scale_bench_test.go
@@ -19,7 +19,7 @@
 	c       *Core
 	now     time.Duration
 	rev     uint64
-	reports map[string]*protocol.Report
+	reports map[string]*protocol.WorkerHeartbeat
 	started int // runs that were commanded
 	spent   time.Duration
 	jobs    int
@@ -42,15 +42,15 @@
 	for i := range teams {
 		cfg.Teams = append(cfg.Teams, config.Team{Name: fmt.Sprintf("team-%03d", i), CPUsMax: limit})
 	}
-	types := []protocol.MachineType{{Name: "m", CPUs: 2 * slots, GPUs: 2, MemoryGB: 4 * slots, CacheGB: images, FetchGBPerS: 100, Price: 4, SpotPrice: 1, BootS: 3600,
+	types := []protocol.MachineType{{Name: "m", CPUs: 2 * slots, GPUs: 2, MemoryGB: 4 * slots, CacheGB: images, FetchGBPerSecond: 100, HourlyPrice: 4, HourlySpotPrice: 1, BootSeconds: 3600,
 		Zones: []string{"a", "b", "c"}}}
 	log := slog.New(slog.NewTextHandler(io.Discard, &slog.HandlerOptions{Level: slog.LevelError}))
-	b := &fleetBench{c: New(0, cfg, log, Term{Number: 5, Stamp: 1}, Records{Types: types}, 0, nil), rev: 10, reports: map[string]*protocol.Report{}, rng: rand.New(rand.NewPCG(1, 2))}
+	b := &fleetBench{c: New(0, cfg, log, Term{Number: 5, Stamp: 1}, Records{Types: types}, 0, nil), rev: 10, reports: map[string]*protocol.WorkerHeartbeat{}, rng: rand.New(rand.NewPCG(1, 2))}
 	b.now = Cycle
 	var list []protocol.ListedMachine
 	for i := range machines {
 		name := fmt.Sprintf("host-%06d", i)
-		b.reports[name] = &protocol.Report{Machine: name, Addr: "x", Type: "m", Zone: types[0].Zones[i%3], Session: 1}
+		b.reports[name] = &protocol.WorkerHeartbeat{Machine: name, Addr: "x", Type: "m", Zone: types[0].Zones[i%3], Incarnation: 1}
 		list = append(list, protocol.ListedMachine{Name: name, Addr: "x", Type: "m", Zone: types[0].Zones[i%3], State: protocol.MachineRunning})
 		b.report(name)
 	}
@@ -74,11 +74,11 @@
 			b.rev++
 			b.do(Written{Write: o.ID, OK: true, Rev: b.rev})
 		case Order:
-			b.execute(o.Machine, o.Orders.Token, o.Orders.Commands)
+			b.execute(o.Machine, o.Orders.FencingToken, o.Orders.Commands)
 			b.do(OrdersDone{Machine: o.Machine, OK: true, Report: b.next(o.Machine)})
 		case Answer:
 			if name, ok := o.Tag.(string); ok {
-				b.execute(name, o.Body.Token, o.Body.Commands)
+				b.execute(name, o.Body.FencingToken, o.Body.Commands)
 			}
 		}
 	}
@@ -87,32 +87,32 @@
 // execute has a machine do as it is told; tasks run at once.
 func (b *fleetBench) execute(name string, token uint64, commands []protocol.Command) {
 	r := b.reports[name]
-	r.Token = max(r.Token, token)
+	r.FencingToken = max(r.FencingToken, token)
 	for _, c := range commands {
 		at := -1
 		for i := range r.Tasks {
-			if r.Tasks[i].Name == c.Name {
+			if r.Tasks[i].TaskName == c.TaskName {
 				at = i
 			}
 		}
 		switch {
-		case c.Verb == protocol.Run && at < 0:
+		case c.Verb == protocol.VerbRun && at < 0:
 			b.started++
-			r.Tasks = append(r.Tasks, protocol.TaskReport{Name: c.Name, Attempt: c.Attempt, State: protocol.TaskRunning})
-		case c.Verb == protocol.Stop && at >= 0:
-			r.Tasks[at].State, r.Tasks[at].Cause = protocol.Exited, protocol.CauseStopped
-		case c.Verb == protocol.Forget && at >= 0:
+			r.Tasks = append(r.Tasks, protocol.TaskStatus{TaskName: c.TaskName, Attempt: c.Attempt, State: protocol.TaskRunning})
+		case c.Verb == protocol.VerbStop && at >= 0:
+			r.Tasks[at].State, r.Tasks[at].Cause = protocol.TaskExited, protocol.CauseStopped
+		case c.Verb == protocol.VerbForget && at >= 0:
 			r.Tasks = append(r.Tasks[:at], r.Tasks[at+1:]...)
 		}
 	}
 }
 
 // next returns a machine's next report.
-func (b *fleetBench) next(name string) *protocol.Report {
+func (b *fleetBench) next(name string) *protocol.WorkerHeartbeat {
 	r := *b.reports[name]
-	b.reports[name].Seq++
-	r.Seq = b.reports[name].Seq
-	r.Tasks = append([]protocol.TaskReport{}, r.Tasks...)
+	b.reports[name].Sequence++
+	r.Sequence = b.reports[name].Sequence
+	r.Tasks = append([]protocol.TaskStatus{}, r.Tasks...)
 	return &r
 }
 
@@ -131,8 +131,8 @@
 	id := fmt.Sprintf("j-%07d", b.jobs)
 	b.rev++
 	b.do(JobSet{Stamp: b.rev, Record: storage.LiveRecord{AtMS: b.now.Milliseconds(), Job: protocol.Job{
-		ID: id, Class: string(shape), Team: fmt.Sprintf("team-%03d", team), Shape: shape, Priority: priority, Tasks: tasks,
-		CPUs: 2, MemoryGB: 4, Image: fmt.Sprintf("image-%02d", b.rng.IntN(images)), ImageGB: 1, EstimateS: 40,
+		ID: id, Class: string(shape), Team: fmt.Sprintf("team-%03d", team), Shape: shape, Priority: priority, TaskCount: tasks,
+		CPUs: 2, MemoryGB: 4, Image: fmt.Sprintf("image-%02d", b.rng.IntN(images)), ImageGB: 1, EstimateSeconds: 40,
 	}}})
 	return id
 }
@@ -165,9 +165,9 @@
 		changed := false
 		for i := range r.Tasks {
 			t := &r.Tasks[i]
-			if id, err := protocol.ParseTaskID(t.Name); err == nil && t.State == protocol.TaskRunning && b.c.jobs[id.Job] != nil &&
-				b.c.jobs[id.Job].spec.Shape == protocol.Array {
-				t.State, t.Cause = protocol.Exited, protocol.CauseDone
+			if id, err := protocol.ParseTaskID(t.TaskName); err == nil && t.State == protocol.TaskRunning && b.c.jobs[id.JobID] != nil &&
+				b.c.jobs[id.JobID].spec.Shape == protocol.Array {
+				t.State, t.Cause = protocol.TaskExited, protocol.CauseDone
 				changed = true
 			}
 		}
