--- a/internal/coordination/api/api.go
+++ b/internal/coordination/api/api.go
@@ -126,20 +126,20 @@
 
 // recordJob records a job, unless it is known.
 func (s *Server) recordJob(ctx context.Context, job *protocol.Job, standing protocol.JobState) (int, protocol.JobStatus) {
-	value, err := protocol.Encode(storage.LiveRecord{Job: *job, AtMS: time.Now().UnixMilli()})
+	value, err := protocol.Encode(storage.LiveJobRecord{Job: *job, AcceptedAtMS: time.Now().UnixMilli()})
 	if err != nil {
 		return http.StatusServiceUnavailable, protocol.JobStatus{}
 	}
-	live, ended := storage.LiveKey(job.ID), storage.EndedKey(job.ID)
+	live, ended := storage.LiveJobKey(job.ID), storage.EndedJobKey(job.ID)
 	t := protocol.Txn{
 		If:   []protocol.Compare{{Key: live}, {Key: ended}},
 		Then: []protocol.Op{{PutKey: live, Value: value}},
 	}
 	began := time.Now()
 	for {
-		ok, err := s.store.TxnTwice(ctx, storage.Accept, t)
+		ok, err := s.store.TxnHedged(ctx, storage.BudgetAcceptance, t)
 		switch {
-		case err == nil && ok && time.Since(began) < storage.Slow:
+		case err == nil && ok && time.Since(began) < storage.HedgeDelay:
 			return http.StatusCreated, protocol.JobStatus{ID: job.ID, State: standing}
 		case err == nil:
 			// The job was known, or the answer took so long that others may have read
@@ -168,7 +168,7 @@
 // service refused it for its rate, which corrects where several controllers are busy
 // at once. When too many wait here already, the user is told to come back.
 func shouldRetry(err error, began time.Time) bool {
-	return errors.Is(err, storage.ErrBusy) && !errors.Is(err, storage.ErrCrowded) && time.Since(began) < storage.Queue
+	return errors.Is(err, storage.ErrRateLimited) && !errors.Is(err, storage.ErrThrottled) && time.Since(began) < storage.MaxQueueTime
 }
 
 // jobStatus tells a job's state, as it is at some moment after the call.
@@ -244,13 +244,13 @@
 
 // recordCancellation moves a live job to its final place, in one transaction.
 func (s *Server) recordCancellation(ctx context.Context, id string) (int, protocol.JobStatus) {
-	value, err := protocol.Encode(storage.EndedRecord{Standing: protocol.JobCancelled})
+	value, err := protocol.Encode(storage.EndedJobRecord{State: protocol.JobCancelled})
 	if err != nil {
 		return http.StatusServiceUnavailable, protocol.JobStatus{}
 	}
 	began := time.Now()
 	for ctx.Err() == nil {
-		p, err := s.store.Get(ctx, storage.Accept, storage.LiveKey(id))
+		p, err := s.store.Get(ctx, storage.BudgetAcceptance, storage.LiveJobKey(id))
 		if err == nil && p.Revision == 0 {
 			st, found, err := s.jobStatus(ctx, id)
 			switch {
@@ -266,9 +266,9 @@
 			announced, err = s.announceIntent(ctx, id)
 		}
 		if err == nil {
-			_, ok, terr := s.store.Txn(ctx, storage.Accept, protocol.Txn{
-				If:   []protocol.Compare{{Key: storage.LiveKey(id), Revision: p.Revision}, {Key: storage.EndedKey(id)}},
-				Then: []protocol.Op{{DeleteKey: storage.LiveKey(id)}, {PutKey: storage.EndedKey(id), Value: value}},
+			_, ok, terr := s.store.Txn(ctx, storage.BudgetAcceptance, protocol.Txn{
+				If:   []protocol.Compare{{Key: storage.LiveJobKey(id), Revision: p.Revision}, {Key: storage.EndedJobKey(id)}},
+				Then: []protocol.Op{{DeleteKey: storage.LiveJobKey(id)}, {PutKey: storage.EndedJobKey(id), Value: value}},
 			})
 			if terr == nil && ok {
 				if err := s.ensureFreshIntent(ctx, id, announced); err != nil {
--- a/internal/coordination/api/api_test.go
+++ b/internal/coordination/api/api_test.go
@@ -154,16 +154,16 @@
 				}
 				see(code, st)
 			case 3:
-				live := s.store.Get(storage.LiveKey(j.ID))
+				live := s.store.Get(storage.LiveJobKey(j.ID))
 				if live.Revision == 0 {
 					break
 				}
-				done, err := protocol.Encode(storage.EndedRecord{Standing: protocol.JobDone, Done: 2})
+				done, err := protocol.Encode(storage.EndedJobRecord{State: protocol.JobDone, DoneTasks: 2})
 				if err != nil {
 					rt.Fatal(err)
 				}
 				s.store.Txn(protocol.Txn{If: []protocol.Compare{{Key: live.Key, Revision: live.Revision}},
-					Then: []protocol.Op{{DeleteKey: live.Key}, {PutKey: storage.EndedKey(j.ID), Value: done}}})
+					Then: []protocol.Op{{DeleteKey: live.Key}, {PutKey: storage.EndedJobKey(j.ID), Value: done}}})
 			}
 		}
 	})
@@ -217,7 +217,7 @@
 	if code != http.StatusServiceUnavailable || h.Get("Retry-After") == "" {
 		t.Errorf("a cancellation that no majority knows of: %d %v", code, h)
 	}
-	if s.store.Get(storage.LiveKey(j.ID)).Revision == 0 {
+	if s.store.Get(storage.LiveJobKey(j.ID)).Revision == 0 {
 		t.Error("it was recorded all the same")
 	}
 	s.announceErr = nil
@@ -273,7 +273,7 @@
 		switch a := <-answers; a.code {
 		case http.StatusCreated:
 			accepted++
-			if s.store.Get(storage.LiveKey(a.id)).Revision == 0 {
+			if s.store.Get(storage.LiveJobKey(a.id)).Revision == 0 {
 				t.Errorf("%s was called accepted", a.id)
 			}
 		case http.StatusServiceUnavailable:
@@ -316,17 +316,17 @@
 		wg.Wait()
 	}
 	for i := range crowd {
-		put(storage.LiveKey(id(i)), storage.LiveRecord{Job: arrayJob(id(i))})
+		put(storage.LiveJobKey(id(i)), storage.LiveJobRecord{Job: arrayJob(id(i))})
 	}
 	ask(func(int) protocol.JobState { return protocol.JobQueued })
 	end := map[int]protocol.JobState{0: protocol.JobDone, 1: protocol.JobCancelled}
 	for i := range crowd {
 		if e, ok := end[i%3]; ok {
-			value, err := protocol.Encode(storage.EndedRecord{Standing: e})
+			value, err := protocol.Encode(storage.EndedJobRecord{State: e})
 			if err != nil {
 				t.Fatal(err)
 			}
-			s.store.Txn(protocol.Txn{Then: []protocol.Op{{DeleteKey: storage.LiveKey(id(i))}, {PutKey: storage.EndedKey(id(i)), Value: value}}})
+			s.store.Txn(protocol.Txn{Then: []protocol.Op{{DeleteKey: storage.LiveJobKey(id(i))}, {PutKey: storage.EndedJobKey(id(i)), Value: value}}})
 		}
 	}
 	for range 2 {
--- a/internal/coordination/api/dependencies.go
+++ b/internal/coordination/api/dependencies.go
@@ -77,8 +77,8 @@
 	if most := limit * maxDependencyShare; float64(bytes) > most {
 		return &requestError{http.StatusUnprocessableEntity, fmt.Sprintf("it awaits %d jobs, and at most %d with ids as long as these can be recorded", len(job.Dependencies), int(most)/longest)}
 	}
-	value, err := protocol.Encode(storage.LiveRecord{Job: *job, AtMS: time.Now().UnixMilli()})
-	if err != nil || !storage.Fits(value, limit/1024) {
+	value, err := protocol.Encode(storage.LiveJobRecord{Job: *job, AcceptedAtMS: time.Now().UnixMilli()})
+	if err != nil || !storage.FitsValueLimit(value, limit/1024) {
 		return &requestError{http.StatusUnprocessableEntity, fmt.Sprintf("with the %d jobs that it awaits it is too long to be recorded", len(job.Dependencies))}
 	}
 	return nil
--- a/internal/coordination/api/dependencies_test.go
+++ b/internal/coordination/api/dependencies_test.go
@@ -32,8 +32,8 @@
 }
 
 // endJob records how a job ended, as a leader does.
-func (s *testCluster) endJob(id string, rec storage.EndedRecord) {
-	live := s.store.Get(storage.LiveKey(id))
+func (s *testCluster) endJob(id string, rec storage.EndedJobRecord) {
+	live := s.store.Get(storage.LiveJobKey(id))
 	if live.Revision == 0 {
 		return
 	}
@@ -41,7 +41,7 @@
 	if err != nil {
 		s.t.Fatal(err)
 	}
-	s.store.Txn(protocol.Txn{If: []protocol.Compare{{Key: live.Key, Revision: live.Revision}}, Then: []protocol.Op{{DeleteKey: live.Key}, {PutKey: storage.EndedKey(id), Value: value}}})
+	s.store.Txn(protocol.Txn{If: []protocol.Compare{{Key: live.Key, Revision: live.Revision}}, Then: []protocol.Op{{DeleteKey: live.Key}, {PutKey: storage.EndedJobKey(id), Value: value}}})
 }
 
 // TestSubmissionsWithDependencies: each answer that a submission with awaited jobs may get.
@@ -54,7 +54,7 @@
 			t.Fatalf("%s: %d", j.ID, code)
 		}
 	}
-	s.endJob("j-2", storage.EndedRecord{Standing: protocol.JobDone, Done: 2})
+	s.endJob("j-2", storage.EndedJobRecord{State: protocol.JobDone, DoneTasks: 2})
 	s.call(1, "POST", "/submissions/j-4/withdraw", nil)
 	many := dependentJob("j-17")
 	for i := range 200 {
@@ -93,7 +93,7 @@
 			t.Errorf("%s: %d %s, want %s", id, code, st.State, want)
 		}
 	}
-	if s.store.Get(storage.LiveKey("j-13")).Revision+s.store.Get(storage.LiveKey("j-15")).Revision > 0 {
+	if s.store.Get(storage.LiveJobKey("j-13")).Revision+s.store.Get(storage.LiveJobKey("j-15")).Revision > 0 {
 		t.Error("a refused submission was recorded")
 	}
 }
@@ -109,7 +109,7 @@
 	s := newTestClusterWith(t, config.State{RPS: 1e6, WriteRPS: 1e6, TxnOps: 16, ValueKB: 8})
 	s.call(0, "POST", "/submissions", encodeJob(t, arrayJob("j-1")))
 	code, _, h := s.call(0, "POST", "/submissions", encodeJob(t, dependentJob("j-2", "j-1")))
-	if code != http.StatusServiceUnavailable || h.Get("Retry-After") == "" || s.store.Get(storage.LiveKey("j-2")).Revision != 0 {
+	if code != http.StatusServiceUnavailable || h.Get("Retry-After") == "" || s.store.Get(storage.LiveJobKey("j-2")).Revision != 0 {
 		t.Errorf("before the level: %d %v", code, h)
 	}
 	s.servers[0].SetFeatureLevel(featurelevel.Pipelines)
@@ -169,12 +169,12 @@
 			case cancelledWithNeed(id) && rapid.Bool().Draw(rt, "record"):
 				if ended[id] == "" {
 					ended[id] = protocol.JobCancelled
-					s.endJob(id, storage.EndedRecord{Standing: protocol.JobCancelled, Need: "j-00"})
+					s.endJob(id, storage.EndedJobRecord{State: protocol.JobCancelled, CancelledDependency: "j-00"})
 				}
 			case free(id) && rapid.Bool().Draw(rt, "done"):
 				if ended[id] == "" {
 					ended[id] = protocol.JobDone
-					s.endJob(id, storage.EndedRecord{Standing: protocol.JobDone, Done: 2})
+					s.endJob(id, storage.EndedJobRecord{State: protocol.JobDone, DoneTasks: 2})
 				}
 			default:
 				want := protocol.JobCancelled
@@ -210,7 +210,7 @@
 		s.submit(0, j)
 	}
 	s.call(0, "POST", "/submissions/j-1/withdraw", nil)
-	s.endJob("j-2", storage.EndedRecord{Standing: protocol.JobCancelled, Need: "j-1"})
+	s.endJob("j-2", storage.EndedJobRecord{State: protocol.JobCancelled, CancelledDependency: "j-1"})
 	s.announceErr = errors.New("cut off")
 	for _, id := range []string{"j-2", "j-3"} {
 		if code, st, _ := s.call(1, "GET", "/submissions/"+id, nil); code != 200 || st.State != protocol.JobCancelled {
--- a/internal/coordination/api/jobreader.go
+++ b/internal/coordination/api/jobreader.go
@@ -107,7 +107,7 @@
 
 // readFinalState reads how a job has ended, if there is a record of that, and remembers it.
 func (r *jobReader) readFinalState(ctx context.Context, id string) (f finalState, found bool, err error) {
-	p, err := r.store.Get(ctx, storage.Consult, storage.EndedKey(id))
+	p, err := r.store.Get(ctx, storage.BudgetPoll, storage.EndedJobKey(id))
 	if err != nil || p.Revision == 0 {
 		return finalState{}, false, err
 	}
@@ -150,11 +150,11 @@
 // decodeFinalState reads the record of a job that is over. One that was cancelled with a job that it awaited has
 // never had a task, so that nobody has to know of its cancellation before users are told.
 func decodeFinalState(id string, value []byte) (finalState, error) {
-	var rec storage.EndedRecord
+	var rec storage.EndedJobRecord
 	if err := protocol.Decode(value, &rec); err != nil {
 		return finalState{}, err
 	}
-	return finalState{status: protocol.JobStatus{ID: id, State: rec.Standing, DoneTasks: rec.Done}, announced: rec.Need != ""}, nil
+	return finalState{status: protocol.JobStatus{ID: id, State: rec.State, DoneTasks: rec.DoneTasks}, announced: rec.CancelledDependency != ""}, nil
 }
 
 // answerBatches answers batches until nobody waits.
@@ -188,7 +188,7 @@
 		var ok bool
 		if statuses, ok = r.leaderStatuses(ctx, ids); !ok {
 			r.mu.Lock()
-			r.leaderSilentUntil = time.Now().Add(storage.Queue)
+			r.leaderSilentUntil = time.Now().Add(storage.MaxQueueTime)
 			r.mu.Unlock()
 		}
 	}
@@ -259,7 +259,7 @@
 // the move is one way.
 func (r *jobReader) refresh(ctx context.Context) error {
 	if !r.synced {
-		pairs, rev, err := r.store.ListFor(ctx, storage.Consult, storage.LivePrefix)
+		pairs, rev, err := r.store.ListWithBudget(ctx, storage.BudgetPoll, storage.LiveJobPrefix)
 		if err != nil {
 			return err
 		}
@@ -270,7 +270,7 @@
 		// The list came in pages, from its first on: what changed meanwhile follows.
 		r.synced, r.liveRevision, r.endedRevision = true, rev, rev
 	}
-	ev, err := r.store.Changes(ctx, storage.Consult, storage.LivePrefix, r.liveRevision)
+	ev, err := r.store.Changes(ctx, storage.BudgetPoll, storage.LiveJobPrefix, r.liveRevision)
 	if err != nil {
 		r.synced = r.synced && !errors.Is(err, storage.ErrCompacted)
 		return err
@@ -278,7 +278,7 @@
 	dropped := false
 	for _, e := range ev.Events {
 		if e.DeleteKey != "" {
-			id := e.DeleteKey[len(storage.LivePrefix):]
+			id := e.DeleteKey[len(storage.LiveJobPrefix):]
 			delete(r.liveShapes, id)
 			r.graph.EndUnknown(id)
 			dropped = true
@@ -290,7 +290,7 @@
 	if !dropped {
 		return nil
 	}
-	ev, err = r.store.Changes(ctx, storage.Consult, storage.EndedPrefix, r.endedRevision)
+	ev, err = r.store.Changes(ctx, storage.BudgetPoll, storage.EndedJobPrefix, r.endedRevision)
 	if err != nil {
 		// They are read one by one, until the next look.
 		r.synced = r.synced && !errors.Is(err, storage.ErrCompacted)
@@ -300,7 +300,7 @@
 		if e.PutKey == "" {
 			continue
 		}
-		id := e.PutKey[len(storage.EndedPrefix):]
+		id := e.PutKey[len(storage.EndedJobPrefix):]
 		f, err := decodeFinalState(id, e.Value)
 		if err != nil {
 			r.log.Error("ended record out of form", "key", e.PutKey, "err", err)
@@ -315,7 +315,7 @@
 
 // addLiveJob takes in a job that lives, with what it awaits.
 func (r *jobReader) addLiveJob(key string, value []byte) {
-	id := key[len(storage.LivePrefix):]
+	id := key[len(storage.LiveJobPrefix):]
 	var rec struct {
 		Job struct {
 			Shape  protocol.Shape `msgpack:"shape"`
--- a/internal/coordination/leader/cloud.go
+++ b/internal/coordination/leader/cloud.go
@@ -85,7 +85,7 @@
 // else from the cloud.
 func (c *Cloud) Types(ctx context.Context, store *storage.Client) ([]protocol.MachineType, error) {
 	var t protocol.MachineTypes
-	p, err := store.Get(ctx, storage.Decide, storage.TypesKey)
+	p, err := store.Get(ctx, storage.BudgetPlacement, storage.MachineTypesKey)
 	if err == nil && p.Revision != 0 && protocol.Decode(p.Value, &t) == nil && len(t.Types) > 0 {
 		return t.Types, nil
 	}
@@ -95,8 +95,8 @@
 	}
 	if value, err := protocol.Encode(protocol.MachineTypes{Types: types}); err == nil {
 		// Only a short cut for others: without it they ask the cloud.
-		_, _, _ = store.Txn(ctx, storage.Decide, protocol.Txn{
-			If: []protocol.Compare{{Key: storage.TypesKey, Revision: p.Revision}}, Then: []protocol.Op{{PutKey: storage.TypesKey, Value: value}}})
+		_, _, _ = store.Txn(ctx, storage.BudgetPlacement, protocol.Txn{
+			If: []protocol.Compare{{Key: storage.MachineTypesKey, Revision: p.Revision}}, Then: []protocol.Op{{PutKey: storage.MachineTypesKey, Value: value}}})
 	}
 	return types, nil
 }
--- a/internal/coordination/leader/effects.go
+++ b/internal/coordination/leader/effects.go
@@ -56,14 +56,14 @@
 }
 
 // useOf says out of which budget a write is paid.
-func useOf(p scheduler.Purpose) storage.Use {
+func useOf(p scheduler.Purpose) storage.Budget {
 	switch p {
 	case scheduler.Ends:
-		return storage.Settle
+		return storage.BudgetCompletion
 	case scheduler.Upkeep:
-		return storage.Bulk
+		return storage.BudgetMaintenance
 	default:
-		return storage.Decide
+		return storage.BudgetPlacement
 	}
 }
 
@@ -87,7 +87,7 @@
 				l.box.Send(scheduler.Written{Write: w.ID, OK: mine, Rev: rev, Failed: failed})
 				return
 			}
-		case errors.Is(err, storage.ErrUncertain):
+		case errors.Is(err, storage.ErrOutcomeUnknown):
 			uncertain = true
 		case !errors.Is(err, storage.ErrUnavailable):
 			// Refused for its form: as it is it will never be carried out, unless an earlier try was.
@@ -103,7 +103,7 @@
 
 // carriedOut says whether an earlier try of a write, of which no answer came, was carried out: then the record
 // names it. known is false if that can't be told now.
-func (l *Leader) carriedOut(use storage.Use, w scheduler.Write, uncertain bool) (mine bool, rev uint64, known bool) {
+func (l *Leader) carriedOut(use storage.Budget, w scheduler.Write, uncertain bool) (mine bool, rev uint64, known bool) {
 	if !uncertain {
 		return false, 0, true
 	}
@@ -124,13 +124,13 @@
 // readEnd reads how a job has ended.
 func (l *Leader) readEnd(e scheduler.ReadEnd) {
 	read := scheduler.EndRead{ID: e.ID}
-	p, err := l.Store.Get(l.ctx, storage.Decide, storage.EndedKey(e.ID))
-	var rec storage.EndedRecord
+	p, err := l.Store.Get(l.ctx, storage.BudgetPlacement, storage.EndedJobKey(e.ID))
+	var rec storage.EndedJobRecord
 	switch {
 	case err != nil:
 		l.Log.Debug("end not read", "job", e.ID, "err", err)
 	case p.Revision != 0 && protocol.Decode(p.Value, &rec) == nil:
-		read.Standing = rec.Standing
+		read.Standing = rec.State
 	}
 	l.box.Send(read)
 }
--- a/internal/coordination/leader/recovery.go
+++ b/internal/coordination/leader/recovery.go
@@ -27,7 +27,7 @@
 		if !watching {
 			var rev uint64
 			asked := l.Now()
-			if got.live, rev, err = l.Store.List(l.ctx, storage.LivePrefix); err == nil {
+			if got.live, rev, err = l.Store.List(l.ctx, storage.LiveJobPrefix); err == nil {
 				watching = true
 				l.fresh(asked)
 				go l.watch(rev)
@@ -48,14 +48,14 @@
 
 // readRest reads all records but the jobs.
 func (l *Leader) readRest(got *loaded) (err error) {
-	if got.pages, _, err = l.Store.List(l.ctx, storage.PlacePrefix); err != nil {
+	if got.pages, _, err = l.Store.List(l.ctx, storage.PlacementPrefix); err != nil {
 		return err
 	}
-	if got.images, _, err = l.Store.List(l.ctx, storage.ImagesPrefix); err != nil {
+	if got.images, _, err = l.Store.List(l.ctx, storage.ImageHintPrefix); err != nil {
 		return err
 	}
 	if l.ZoneReturn != nil {
-		if got.zones, _, err = l.Store.List(l.ctx, storage.ZoneReturnPrefix); err != nil {
+		if got.zones, _, err = l.Store.List(l.ctx, storage.ZoneFailoverPrefix); err != nil {
 			return err
 		}
 	}
@@ -75,7 +75,7 @@
 func (l *Leader) watch(rev uint64) {
 	for l.ctx.Err() == nil {
 		asked := l.Now()
-		ev, err := l.Store.Watch(l.ctx, storage.LivePrefix, rev, l.Watch)
+		ev, err := l.Store.Watch(l.ctx, storage.LiveJobPrefix, rev, l.Watch)
 		if errors.Is(err, storage.ErrCompacted) {
 			l.Deposed(l.term, scheduler.Depose{Reason: "fell behind the changes"})
 			return
@@ -87,10 +87,10 @@
 		rev = max(rev, ev.Revision)
 		for _, e := range ev.Events {
 			if e.DeleteKey != "" {
-				l.box.Send(scheduler.JobDropped{ID: e.DeleteKey[len(storage.LivePrefix):]})
+				l.box.Send(scheduler.JobDropped{ID: e.DeleteKey[len(storage.LiveJobPrefix):]})
 				continue
 			}
-			var rec storage.LiveRecord
+			var rec storage.LiveJobRecord
 			if err := protocol.Decode(e.Value, &rec); err != nil {
 				l.Log.Error("live record out of form", "key", e.PutKey, "err", err)
 				continue
--- a/internal/coordination/scheduler/allocate.go
+++ b/internal/coordination/scheduler/allocate.go
@@ -200,8 +200,8 @@
 			Task: protocol.TaskID{JobID: j.spec.ID, Index: t}, Attempt: a, Machine: x.m.Name,
 			Resources: j.need, Team: j.spec.Team, PriorityLevel: j.level, Job: &j.spec,
 		})
-		p := j.pageOf(t)
-		p.attempts = max(p.attempts, a)
+		p := j.pageOfTask(t)
+		p.highestAttempt = max(p.highestAttempt, a)
 	}
 	if !c.machines.Reserve(now, ps) {
 		c.due, c.roster.wrong = true, true // the partition knows better; ask again with what it says
@@ -211,8 +211,8 @@
 		t := pl.Task.Index
 		j.set(t, placed)
 		j.places[t] = pl
-		j.touch(t, now)
-		j.granted = append(j.granted, pl)
+		j.markDirty(t, now)
+		j.unstarted = append(j.unstarted, pl)
 		j.queues.addPlaced(j)
 		if m := c.machines.Machine(pl.Machine); m.ReservedJob == j.spec.ID {
 			m.ReservedJob = ""
--- a/internal/coordination/scheduler/bench_test.go
+++ b/internal/coordination/scheduler/bench_test.go
@@ -47,7 +47,7 @@
 
 // productionPage is the key of a page of the first layout.
 func productionPage(id string, number int) string {
-	return storage.PageName{Job: id, Layout: storage.Layout{Width: storage.ProductionPageTasks(8)}, Number: number}.Key()
+	return storage.PageID{Job: id, Layout: storage.PageLayout{TasksPerPage: storage.OriginalPageTasks(8)}, Number: number}.Key()
 }
 
 // setObjectives replaces the aims.
@@ -122,7 +122,7 @@
 
 func (b *bench) job(j protocol.Job) {
 	b.rev++
-	b.do(JobSet{Record: storage.LiveRecord{Job: j, AtMS: b.now.Milliseconds()}, Stamp: b.rev})
+	b.do(JobSet{Record: storage.LiveJobRecord{Job: j, AcceptedAtMS: b.now.Milliseconds()}, Stamp: b.rev})
 }
 
 func (b *bench) cycle() {
--- a/internal/coordination/scheduler/settle_test.go
+++ b/internal/coordination/scheduler/completion_test.go
@@ -11,15 +11,15 @@
 	"pinebay/internal/storage"
 )
 
-// slowStore is a core whose writes are answered only when the test says so.
-type slowStore struct {
+// manualStore is a core whose writes are answered only when the test says so.
+type manualStore struct {
 	*bench
-	open []Write
+	inFlight []Write
 }
 
-func newSlowStore(t *testing.T, jobs int) *slowStore {
+func newManualStore(t *testing.T, jobs int) *manualStore {
 	t.Helper()
-	s := &slowStore{bench: newBench([]config.Team{{Name: "red"}}, "a")}
+	s := &manualStore{bench: newBench([]config.Team{{Name: "red"}}, "a")}
 	for i := range jobs {
 		s.machine(fmt.Sprintf("m%03d", i), "a", false)
 		s.job(spec(fmt.Sprintf("j-%03d", i), protocol.Array, "normal", 2, 4))
@@ -35,16 +35,16 @@
 }
 
 // step hands in an event and keeps what is written.
-func (s *slowStore) step(e Event) {
+func (s *manualStore) step(e Event) {
 	for _, effect := range s.c.Step(s.now, e) {
 		if w, ok := effect.(Write); ok {
-			s.open = append(s.open, w)
+			s.inFlight = append(s.inFlight, w)
 		}
 	}
 }
 
-// endOne ends the first task of each job.
-func (s *slowStore) endOne() {
+// endFirstTasks ends the first task of each job.
+func (s *manualStore) endFirstTasks() {
 	for _, name := range sortedNames(s.tasks) {
 		for id, t := range s.tasks[name] {
 			if id.Index == 0 {
@@ -56,8 +56,8 @@
 	}
 }
 
-// reportAll has all machines report.
-func (s *slowStore) reportAll() {
+// heartbeatAll has all machines report.
+func (s *manualStore) heartbeatAll() {
 	for _, name := range sortedNames(s.tasks) {
 		s.step(Reported{Tag: name, Report: s.report(name)})
 	}
@@ -71,9 +71,9 @@
 	return names
 }
 
-// count returns the pages that are being written for a purpose.
-func (s *slowStore) count(p Purpose) (pages int) {
-	for _, w := range s.open {
+// pagesInFlight returns the pages that are being written for a purpose.
+func (s *manualStore) pagesInFlight(p Purpose) (pages int) {
+	for _, w := range s.inFlight {
 		if w.For == p {
 			pages += len(w.Txn.Then)
 		}
@@ -81,42 +81,42 @@
 	return pages
 }
 
-// TestStartsDoNotWaitForEnds: however many jobs have ends to record and however slow the state
+// TestStartsDoNotWaitForCompletions: however many jobs have ends to record and however slow the state
 // service is, only a few of those writes are under way, and a start's record is asked for at once.
 // With a thousand workers the ends alone had filled the leader's share of the writes, and an urgent
 // task waited for them.
-func TestStartsDoNotWaitForEnds(t *testing.T) {
-	s := newSlowStore(t, 60)
-	s.endOne()
+func TestStartsDoNotWaitForCompletions(t *testing.T) {
+	s := newManualStore(t, 60)
+	s.endFirstTasks()
 	for range 3 {
 		s.now += Cycle
-		s.reportAll()
+		s.heartbeatAll()
 		s.step(Tick{})
 	}
-	if n, most := s.count(Ends), s.c.settlePages(); n == 0 || n > most {
+	if n, most := s.pagesInFlight(Ends), s.c.maxCompletionPages(); n == 0 || n > most {
 		t.Fatalf("%d pages of ends under way, want 1 to %d", n, most)
 	}
 	s.rev++
-	s.step(JobSet{Record: storage.LiveRecord{Job: spec("j-urgent", protocol.Array, "urgent", 1, 4), AtMS: s.now.Milliseconds()}, Stamp: s.rev})
+	s.step(JobSet{Record: storage.LiveJobRecord{Job: spec("j-urgent", protocol.Array, "urgent", 1, 4), AcceptedAtMS: s.now.Milliseconds()}, Stamp: s.rev})
 	s.now += Eager
 	s.step(Tick{})
-	if s.count(Starts) != 1 {
-		t.Errorf("%d records of starts are asked for, want 1", s.count(Starts))
+	if s.pagesInFlight(Starts) != 1 {
+		t.Errorf("%d records of starts are asked for, want 1", s.pagesInFlight(Starts))
 	}
 }
 
-// TestEndsAreRecordedInTurn: all ends are recorded in the end, those first that have waited for
+// TestCompletionsAreRecordedOldestFirst: all ends are recorded in the end, those first that have waited for
 // longest, as the state service answers one write after the other.
-func TestEndsAreRecordedInTurn(t *testing.T) {
+func TestCompletionsAreRecordedOldestFirst(t *testing.T) {
 	const jobs = 40
-	s := newSlowStore(t, jobs)
-	s.endOne()
+	s := newManualStore(t, jobs)
+	s.endFirstTasks()
 	s.now += Cycle
 	s.step(Tick{})
 	var order []string
-	for len(s.open) > 0 {
-		w := s.open[0]
-		s.open = s.open[1:]
+	for len(s.inFlight) > 0 {
+		w := s.inFlight[0]
+		s.inFlight = s.inFlight[1:]
 		order = append(order, w.Txn.Then[0].PutKey)
 		s.rev++
 		s.step(Written{Write: w.ID, OK: true, Rev: s.rev})
@@ -124,19 +124,19 @@
 	if len(order) != jobs || !slices.IsSorted(order) {
 		t.Errorf("%d of %d jobs' ends recorded, in the order %v", len(order), jobs, order)
 	}
-	if s.c.underWay[Ends] != 0 {
-		t.Errorf("%d pages count as under way", s.c.underWay[Ends])
+	if s.c.pagesInFlight[Ends] != 0 {
+		t.Errorf("%d pages count as under way", s.c.pagesInFlight[Ends])
 	}
 }
 
-// TestPagesOfStartsComeFirst: of a job with many pages to write, those go first for which starts
+// TestPagesOfStartsAreWrittenFirst: of a job with many pages to write, those go first for which starts
 // wait.
-func TestPagesOfStartsComeFirst(t *testing.T) {
-	j := newJob(spec("j-1", protocol.Array, "normal", 100, 1), 1, 0, 0, storage.Layout{Width: 10})
+func TestPagesOfStartsAreWrittenFirst(t *testing.T) {
+	j := newJob(spec("j-1", protocol.Array, "normal", 100, 1), 1, 0, 0, storage.PageLayout{TasksPerPage: 10})
 	for task := range 100 {
-		j.touch(task, 0)
+		j.markDirty(task, 0)
 	}
-	j.granted = []*partition.Placement{{Task: protocol.TaskID{JobID: "j-1", Index: 95}}}
+	j.unstarted = []*partition.Placement{{Task: protocol.TaskID{JobID: "j-1", Index: 95}}}
 	if got := j.pagesToWrite(3); !slices.Equal(got, []int{0, 1, 9}) {
 		t.Errorf("pages %v, want the one of the start and two more", got)
 	}
--- a/internal/coordination/scheduler/core.go
+++ b/internal/coordination/scheduler/core.go
@@ -40,12 +40,12 @@
 	// level is the feature level that is final, and stateLimits are what records keep to.
 	level       featurelevel.Level
 	stateLimits config.State
-	// paused says that no writes begin until those under way have ended and the level is final.
-	paused  bool
-	target  featurelevel.Level // while paused: the level to be made final
-	graph   *dependency.Graph
-	cascade []*job // cancelled with a job that they await, and not recorded yet
-	timers  []timer
+	// writesPaused says that no writes begin until those under way have ended and the level is final.
+	writesPaused bool
+	targetLevel  featurelevel.Level // while paused: the level to be made final
+	graph        *dependency.Graph
+	cascade      []*job // cancelled with a job that they await, and not recorded yet
+	delayedCalls []delayedCall
 
 	machines *partition.Registry
 	fleet    *fleet.Autoscaler
@@ -55,8 +55,8 @@
 	waitAims map[string]float64 // by class, in seconds
 	roster   roster
 	find     finder
-	// underWay counts the pages that are being written, by purpose.
-	underWay [Upkeep + 1]int
+	// pagesInFlight counts the pages that are being written, by purpose.
+	pagesInFlight [Upkeep + 1]int
 	// roomEvents counts what may have made room within a cycle.
 	roomEvents uint64
 	// preemptionLeft is what searches for work to stop may still cost in this cycle,
@@ -74,28 +74,28 @@
 	// state service tells, by when one must have been told.
 	withdrawn map[string]time.Duration
 
-	out           []Effect
-	writes        map[uint64]func(now time.Duration, w Written)
-	seq           uint64
-	due           bool // something relevant has arrived since the last cycle
-	cycles        uint64
-	lastCycle     time.Duration
-	lastPlan      time.Duration // when the fleet was last planned
-	lastMove      time.Duration
-	began         time.Duration
-	arrivals      map[string][]time.Duration // by class, newest last
-	sample        map[string]*protocol.Job   // the newest job of each class
-	sizes         map[string]float64         // mean tasks of a job
-	spareNow      []fleet.Demand             // room wanted for jobs to come
-	counted       map[string]float64         // jobs in the memory of arrivals, by class
-	prior         map[string]float64         // what the last leader counted
-	imagePages    map[string]string          // images records as written
-	imagesWriting bool
-	imagesFrom    string // the key of the last page of them that was written
-	inspector     inspector
-	imagesWritten time.Duration
-	wallMS        int64       // time of day when the term began
-	returning     *zoneReturn // nil unless it is on
+	out                 []Effect
+	writesInFlight      map[uint64]func(now time.Duration, w Written)
+	lastWriteID         uint64
+	due                 bool // something relevant has arrived since the last cycle
+	cycles              uint64
+	lastCycle           time.Duration
+	lastPlan            time.Duration // when the fleet was last planned
+	lastMove            time.Duration
+	began               time.Duration
+	arrivals            map[string][]time.Duration // by class, newest last
+	sample              map[string]*protocol.Job   // the newest job of each class
+	sizes               map[string]float64         // mean tasks of a job
+	spareNow            []fleet.Demand             // room wanted for jobs to come
+	counted             map[string]float64         // jobs in the memory of arrivals, by class
+	prior               map[string]float64         // what the last leader counted
+	imageHintPages      map[string]string          // images records as written
+	imageHintsInFlight  bool
+	lastImageHintKey    string // the key of the last page of them that was written
+	inspector           inspector
+	imageHintsWrittenAt time.Duration
+	wallMS              int64       // time of day when the term began
+	returning           *zoneReturn // nil unless it is on
 }
 
 // Term is the term that a core leads.
@@ -117,12 +117,12 @@
 	c := &Core{
 		cfg: cfg, log: log, term: term.Number, termStamp: term.Stamp, node: term.Node, wallMS: wallMS, graph: dependency.New(),
 		machines: partition.New(term.Number, cfg.Workers), fleet: fleet.New(term.Number, cfg.Cloud, cfg.Workers), jobs: map[string]*job{}, withdrawn: map[string]time.Duration{},
-		writes: map[uint64]func(time.Duration, Written){}, due: true, began: now,
+		writesInFlight: map[uint64]func(time.Duration, Written){}, due: true, began: now,
 		lastCycle: now - Cycle, lastPlan: now - Cycle,
 		arrivals: map[string][]time.Duration{}, sample: map[string]*protocol.Job{}, sizes: map[string]float64{},
-		counted: map[string]float64{}, prior: map[string]float64{}, imagePages: map[string]string{}, imagesWritten: now,
+		counted: map[string]float64{}, prior: map[string]float64{}, imageHintPages: map[string]string{}, imageHintsWrittenAt: now,
 	}
-	c.setLevel(term.Level)
+	c.setFeatureLevel(term.Level)
 	c.queues, c.roster, c.find, c.preemptionRound = newJobQueues(), newRoster(), indexFinder{c}, 1
 	c.searchLooks, c.preemptionLooks = maxLooks, preemptionLooks
 	c.teams, c.waitAims = map[string]*config.Team{}, waitAimsOf(cfg.Objectives)
@@ -130,10 +130,10 @@
 		c.teams[cfg.Teams[i].Name] = &cfg.Teams[i]
 	}
 	c.machines.SetMachineTypes(rec.Types)
-	c.recoverImages(rec.Images)
+	c.recoverImageHints(rec.Images)
 	started := jobsWithPages(rec.Pages)
 	for _, p := range rec.Live {
-		var rec storage.LiveRecord
+		var rec storage.LiveJobRecord
 		if err := protocol.Decode(p.Value, &rec); err != nil {
 			log.Error("live record out of form", "key", p.Key, "err", err)
 			continue
@@ -141,7 +141,7 @@
 		if started[rec.Job.ID] {
 			rec.Job.Dependencies = nil // its record proves that all of them are done
 		}
-		age := time.Duration(max(0, wallMS-rec.AtMS)) * time.Millisecond
+		age := time.Duration(max(0, wallMS-rec.AcceptedAtMS)) * time.Millisecond
 		c.accept(now, now-age, rec, p.Revision)
 	}
 	for class := range c.prior {
@@ -184,15 +184,15 @@
 	case Fresh:
 		c.fresh(e.At)
 	case Written:
-		if f := c.writes[e.Write]; f != nil {
-			delete(c.writes, e.Write)
+		if f := c.writesInFlight[e.Write]; f != nil {
+			delete(c.writesInFlight, e.Write)
 			f(now, e)
 		}
-		c.finaliseWhenQuiet()
+		c.writeLevelWhenIdle()
 	case EndRead:
 		c.endRead(now, e)
 	case Finalise:
-		c.finalise(e)
+		c.beginLevelChange(e)
 	case OrdersDone:
 		c.ordersDone(now, e)
 	case Inspected:
@@ -286,7 +286,7 @@
 // cycle, and had planning waited for a cycle without, nothing would have been
 // rented, returned or fenced for minutes.
 func (c *Core) tick(now time.Duration) {
-	c.runTimers(now)
+	c.runDelayedCalls(now)
 	c.inspectSome(now)
 	full := now-c.lastPlan >= Cycle
 	if full || c.due && now-c.lastCycle >= min(maxPause, Eager*time.Duration(1+len(c.jobs)/crowd)) {
@@ -316,13 +316,13 @@
 	}
 	c.logFleet(now, units)
 	c.checkReach(now)
-	c.replacePages(now)
-	c.writeImages(now)
+	c.replaceSupersededPages(now)
+	c.writeImageHints(now)
 }
 
 // writeAll writes the records that starts wait for, and what has ended as far as there is room.
 func (c *Core) writeAll(now time.Duration) {
 	c.recordStarts(now)
 	c.recordCancelled()
-	c.settleEnded(now)
+	c.recordCompletions(now)
 }
--- a/internal/coordination/scheduler/cost_test.go
+++ b/internal/coordination/scheduler/cost_test.go
@@ -96,7 +96,7 @@
 		b.c.writeZoneReturn(b.now)
 	})
 	t.Logf("%.0f allocations", allocations)
-	if allocations > most || len(b.c.writes) > 0 {
-		t.Errorf("%.0f allocations and %d writes, want %d and none", allocations, len(b.c.writes), most)
+	if allocations > most || len(b.c.writesInFlight) > 0 {
+		t.Errorf("%.0f allocations and %d writes, want %d and none", allocations, len(b.c.writesInFlight), most)
 	}
 }
--- a/internal/coordination/scheduler/events.go
+++ b/internal/coordination/scheduler/events.go
@@ -32,7 +32,7 @@
 	}
 	// JobSet is an accepted job.
 	JobSet struct {
-		Record storage.LiveRecord
+		Record storage.LiveJobRecord
 		Stamp  uint64
 	}
 	// JobDropped says that a job's live record is gone: it is over.
--- a/internal/coordination/scheduler/failure_test.go
+++ b/internal/coordination/scheduler/failure_test.go
@@ -81,10 +81,10 @@
 	b.machine("m1", "a", false, tasks...)
 	b.cycle()
 	end := b.last[len(b.last)-1]
-	if end.Then[0].DeleteKey != storage.LiveKey("j-1") || end.Then[1].PutKey != storage.EndedKey("j-1") || end.Then[2].DeleteKey != productionPage("j-1", 0) {
+	if end.Then[0].DeleteKey != storage.LiveJobKey("j-1") || end.Then[1].PutKey != storage.EndedJobKey("j-1") || end.Then[2].DeleteKey != productionPage("j-1", 0) {
 		t.Errorf("end %+v", end)
 	}
-	if end.If[0].Key != storage.TermKey || end.If[1].Key != storage.LiveKey("j-1") {
+	if end.If[0].Key != storage.TermKey || end.If[1].Key != storage.LiveJobKey("j-1") {
 		t.Errorf("the end is not fenced: %+v", end.If)
 	}
 	n := len(b.last)
--- a/internal/coordination/scheduler/level_test.go
+++ b/internal/coordination/scheduler/featurelevel_test.go
@@ -16,48 +16,48 @@
 	"pinebay/internal/storage"
 )
 
-// withNext gives a store's core limits of the state service that are to come.
-func withNext(s *slowStore, next config.StateLimits) *slowStore {
+// withNextLimits gives a store's core limits of the state service that are to come.
+func withNextLimits(s *manualStore, next config.StateLimits) *manualStore {
 	s.c.cfg.State.Next = next
 	return s
 }
 
-// TestLevelIsFinalWithoutOthersUnderWay: the record of the term changes only when no other write depends on it, none
+// TestLevelChangeWaitsForWritesInFlight: the record of the term changes only when no other write depends on it, none
 // begins meanwhile, and all that follow depend on its new version. Starts go on afterwards.
-func TestLevelIsFinalWithoutOthersUnderWay(t *testing.T) {
-	s := withNext(emptyStore(4), config.StateLimits{ValueKB: 2, TxnOps: 5, WriteRPS: 18})
+func TestLevelChangeWaitsForWritesInFlight(t *testing.T) {
+	s := withNextLimits(newEmptyManualStore(4), config.StateLimits{ValueKB: 2, TxnOps: 5, WriteRPS: 18})
 	s.submit("j-1", "normal", 2)
 	s.cycleAll()
-	if len(s.open) != 1 {
-		t.Fatalf("%d writes under way", len(s.open))
+	if len(s.inFlight) != 1 {
+		t.Fatalf("%d writes under way", len(s.inFlight))
 	}
-	first := s.open[0]
+	first := s.inFlight[0]
 	s.step(Finalise{Level: featurelevel.Pipelines})
 	s.step(Finalise{Level: featurelevel.Pipelines})
 	s.submit("j-2", "urgent", 2)
 	s.cycleAll()
-	if len(s.open) != 1 {
-		t.Fatalf("%d writes under way while one is awaited", len(s.open))
+	if len(s.inFlight) != 1 {
+		t.Fatalf("%d writes under way while one is awaited", len(s.inFlight))
 	}
 	s.answer(Written{Write: first.ID, OK: true})
-	if len(s.open) != 1 || s.open[0].Verify != storage.TermKey || s.open[0].Txn.If[0].Revision != 1 {
-		t.Fatalf("the term's record is not what is written now: %+v", s.open)
+	if len(s.inFlight) != 1 || s.inFlight[0].Verify != storage.TermKey || s.inFlight[0].Txn.If[0].Revision != 1 {
+		t.Fatalf("the term's record is not what is written now: %+v", s.inFlight)
 	}
-	rec, err := storage.DecodeTerm(s.open[0].Txn.Then[0].Value)
-	if err != nil || rec.Term != 5 || rec.Level != int(featurelevel.Pipelines) || rec.Write != s.open[0].Name {
+	rec, err := storage.DecodeTerm(s.inFlight[0].Txn.Then[0].Value)
+	if err != nil || rec.Term != 5 || rec.FeatureLevel != int(featurelevel.Pipelines) || rec.WriteName != s.inFlight[0].Name {
 		t.Fatalf("the record: %+v, %v", rec, err)
 	}
 	s.cycleAll()
-	if len(s.open) != 1 {
-		t.Fatalf("%d writes under way while the level is made final", len(s.open))
+	if len(s.inFlight) != 1 {
+		t.Fatalf("%d writes under way while the level is made final", len(s.inFlight))
 	}
-	s.answer(Written{Write: s.open[0].ID, OK: true})
+	s.answer(Written{Write: s.inFlight[0].ID, OK: true})
 	stamp := s.rev
 	s.cycleAll()
-	if len(s.open) == 0 {
+	if len(s.inFlight) == 0 {
 		t.Fatal("nothing is written any more")
 	}
-	for _, w := range s.open {
+	for _, w := range s.inFlight {
 		if w.Txn.If[0] != (protocol.Compare{Key: storage.TermKey, Revision: stamp}) {
 			t.Errorf("a write depends on %+v, want version %d of the term", w.Txn.If[0], stamp)
 		}
@@ -70,33 +70,33 @@
 			}
 		}
 	}
-	if s.c.stateLimits.ValueKB != 2 || s.c.paused {
-		t.Errorf("limits %+v, paused %v", s.c.stateLimits, s.c.paused)
+	if s.c.stateLimits.ValueKB != 2 || s.c.writesPaused {
+		t.Errorf("limits %+v, paused %v", s.c.stateLimits, s.c.writesPaused)
 	}
 }
 
-// books is what a core knows of a job's tasks that a new leader must know too.
-func books(j *job) map[int]string {
+// knownTasks is what a core knows of a job's tasks that a new leader must know too.
+func knownTasks(j *job) map[int]string {
 	known := map[int]string{}
 	for task, state := range j.tasks {
 		pl := j.places[task]
 		if state == done || pl != nil {
-			known[task] = taskText(state == done, pl)
+			known[task] = describeTask(state == done, pl)
 		}
 	}
 	return known
 }
 
-func taskText(isDone bool, pl *partition.Placement) string {
+func describeTask(isDone bool, pl *partition.Placement) string {
 	if pl == nil {
 		return fmt.Sprint("done ", isDone)
 	}
 	return fmt.Sprintf("done %v on %s session %d attempt %d zone %s", isDone, pl.Machine, pl.Incarnation, pl.Attempt, pl.Zone)
 }
 
-// recordBooks takes into the books what a page says of its tasks: of several pages the last one that was written.
-func recordBooks(t *rapid.T, known map[int]string, pair protocol.KeyValue) {
-	name, err := storage.ParsePageName(pair.Key, storage.ProductionPageTasks(4))
+// recordKnownTasks takes into the books what a page says of its tasks: of several pages the last one that was written.
+func recordKnownTasks(t *rapid.T, known map[int]string, pair protocol.KeyValue) {
+	name, err := storage.ParsePageKey(pair.Key, storage.OriginalPageTasks(4))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -105,48 +105,48 @@
 		t.Fatal(err)
 	}
 	isDone := map[int]bool{}
-	for _, d := range rec.Done {
+	for _, d := range rec.DoneRanges {
 		for task := d[0]; task <= d[1]; task++ {
 			isDone[task] = true
 		}
 	}
-	for task := name.First(); task < name.End(); task++ {
+	for task := name.FirstTask(); task < name.EndTask(); task++ {
 		delete(known, task)
 		if isDone[task] {
-			known[task] = taskText(true, nil)
+			known[task] = describeTask(true, nil)
 		}
 	}
-	for _, pl := range rec.Places {
-		known[pl.Task] = taskText(isDone[pl.Task], &partition.Placement{Machine: pl.Machine, Incarnation: pl.Session, Attempt: pl.Attempt, Zone: rec.Zones[pl.Zone]})
+	for _, pl := range rec.Placements {
+		known[pl.Task] = describeTask(isDone[pl.Task], &partition.Placement{Machine: pl.Machine, Incarnation: pl.Incarnation, Attempt: pl.Attempt, Zone: rec.Zones[pl.Zone]})
 	}
 }
 
-// TestPagesOfEveryLayout draws what happens to a job whose pages are cut narrower now and then, while records are
+// TestRecoveryAcrossPageLayouts draws what happens to a job whose pages are cut narrower now and then, while records are
 // carried out in part. However far the replacement has come, a new leader reads the books as they were
 // recorded, and no attempt number comes again.
-func TestPagesOfEveryLayout(t *testing.T) {
+func TestRecoveryAcrossPageLayouts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := emptyStore(6)
+		s := newEmptyManualStore(6)
 		s.c.cfg.State = config.State{RPS: 100, WriteRPS: 30, ValueKB: 4, TxnOps: rapid.IntRange(2, 6).Draw(t, "operations"),
 			Next: config.StateLimits{ValueKB: rapid.SampledFrom([]float64{0.5, 1, 4}).Draw(t, "value"), TxnOps: rapid.IntRange(2, 5).Draw(t, "next operations")}}
-		s.c.setLevel(featurelevel.Production)
+		s.c.setFeatureLevel(featurelevel.Production)
 		tasks := rapid.IntRange(1, 120).Draw(t, "tasks")
 		s.accept(spec("j-1", protocol.Array, "normal", tasks, 1))
 		stored, recorded := map[string]protocol.KeyValue{}, map[int]string{}
 		carryOut := func(w Write) {
 			s.rev++
 			for _, cond := range w.Txn.If {
-				if strings.HasPrefix(cond.Key, storage.PlacePrefix) && stored[cond.Key].Revision != cond.Revision {
+				if strings.HasPrefix(cond.Key, storage.PlacementPrefix) && stored[cond.Key].Revision != cond.Revision {
 					t.Fatalf("%s has version %d, wanted %d", cond.Key, stored[cond.Key].Revision, cond.Revision)
 				}
 			}
 			for _, op := range w.Txn.Then {
 				if op.PutKey != "" {
 					stored[op.PutKey] = protocol.KeyValue{Key: op.PutKey, Value: op.Value, Revision: s.rev}
-					if strings.HasPrefix(op.PutKey, storage.PlacePrefix) {
-						recordBooks(t, recorded, stored[op.PutKey])
+					if strings.HasPrefix(op.PutKey, storage.PlacementPrefix) {
+						recordKnownTasks(t, recorded, stored[op.PutKey])
 					}
-					if s.c.level >= featurelevel.Pipelines && op.PutKey != storage.TermKey && !storage.Fits(op.Value, s.c.stateLimits.ValueKB) && !strings.Contains(op.PutKey, "/w1.") {
+					if s.c.level >= featurelevel.Pipelines && op.PutKey != storage.TermKey && !storage.FitsValueLimit(op.Value, s.c.stateLimits.ValueKB) && !strings.Contains(op.PutKey, "/w1.") {
 						t.Fatalf("%s does not fit", op.PutKey)
 					}
 				}
@@ -155,13 +155,13 @@
 			if len(w.Txn.Then) > s.c.stateLimits.TxnOps {
 				t.Fatalf("%d operations", len(w.Txn.Then))
 			}
-			s.open = slices.DeleteFunc(s.open, func(o Write) bool { return o.ID == w.ID })
+			s.inFlight = slices.DeleteFunc(s.inFlight, func(o Write) bool { return o.ID == w.ID })
 			s.stepAll(Written{Write: w.ID, OK: true, Rev: s.rev})
 		}
 		for range rapid.IntRange(0, 3).Draw(t, "quiet cycles first") {
 			s.cycleAll()
-			for len(s.open) > 0 {
-				carryOut(s.open[0])
+			for len(s.inFlight) > 0 {
+				carryOut(s.inFlight[0])
 			}
 		}
 		for range rapid.IntRange(1, 25).Draw(t, "steps") {
@@ -173,35 +173,35 @@
 			case 2:
 				s.step(Finalise{Level: featurelevel.Pipelines})
 			case 3:
-				if j := s.c.jobs["j-1"]; j != nil && j.layout.Compact && !j.writing && j.layout.Width > 1 {
-					j.relayout(storage.Layout{Width: (j.layout.Width + 1) / 2, Compact: true})
+				if j := s.c.jobs["j-1"]; j != nil && j.layout.Compact && !j.writeInFlight && j.layout.TasksPerPage > 1 {
+					j.changeLayout(storage.PageLayout{TasksPerPage: (j.layout.TasksPerPage + 1) / 2, Compact: true})
 				}
 			default:
-				if len(s.open) > 0 {
-					carryOut(s.open[0])
+				if len(s.inFlight) > 0 {
+					carryOut(s.inFlight[0])
 				}
 			}
 		}
 		nextLeader := func() *job {
 			pages := slices.Collect(maps.Values(stored))
-			pages = slices.DeleteFunc(pages, func(p protocol.KeyValue) bool { return !strings.HasPrefix(p.Key, storage.PlacePrefix) })
-			raw, err := protocol.Encode(storage.LiveRecord{Job: spec("j-1", protocol.Array, "normal", tasks, 1)})
+			pages = slices.DeleteFunc(pages, func(p protocol.KeyValue) bool { return !strings.HasPrefix(p.Key, storage.PlacementPrefix) })
+			raw, err := protocol.Encode(storage.LiveJobRecord{Job: spec("j-1", protocol.Array, "normal", tasks, 1)})
 			if err != nil {
 				t.Fatal(err)
 			}
 			next := New(s.now, s.c.cfg, s.c.log, Term{Number: 6, Stamp: 2, Level: s.c.level}, Records{Types: []protocol.MachineType{*s.c.machines.MachineType("g8")},
-				Live: []protocol.KeyValue{{Key: storage.LiveKey("j-1"), Value: raw, Revision: 5}}, Pages: pages}, 0, nil)
+				Live: []protocol.KeyValue{{Key: storage.LiveJobKey("j-1"), Value: raw, Revision: 5}}, Pages: pages}, 0, nil)
 			return next.jobs["j-1"]
 		}
-		if stored[storage.EndedKey("j-1")].Revision > 0 {
+		if stored[storage.EndedJobKey("j-1")].Revision > 0 {
 			return // all of it is done, and its pages go
 		}
-		if got := books(nextLeader()); !maps.Equal(got, recorded) {
+		if got := knownTasks(nextLeader()); !maps.Equal(got, recorded) {
 			t.Fatalf("in the midst a new leader reads\n%v\nof\n%v", got, recorded)
 		}
 		s.cycleAll()
-		for n := 0; len(s.open) > 0 && n < 500; n++ {
-			carryOut(s.open[0])
+		for n := 0; len(s.inFlight) > 0 && n < 500; n++ {
+			carryOut(s.inFlight[0])
 		}
 		j := s.c.jobs["j-1"]
 		if j == nil || j.over {
@@ -209,27 +209,27 @@
 		}
 		for range 200 {
 			s.cycleAll()
-			for len(s.open) > 0 {
-				carryOut(s.open[0])
+			for len(s.inFlight) > 0 {
+				carryOut(s.inFlight[0])
 			}
 		}
 		got := nextLeader()
-		if !maps.Equal(books(got), books(j)) {
-			t.Fatalf("a new leader reads\n%v\nof\n%v", books(got), books(j))
+		if !maps.Equal(knownTasks(got), knownTasks(j)) {
+			t.Fatalf("a new leader reads\n%v\nof\n%v", knownTasks(got), knownTasks(j))
 		}
 		for task := range tasks {
 			if got.attempt(task) < j.attempt(task) {
 				t.Fatalf("task %d would get attempt %d again", task, got.attempt(task))
 			}
 		}
-		if s.c.level >= featurelevel.Pipelines && len(j.superseded) > 0 {
-			t.Fatalf("%d pages of another layout are left after many quiet cycles", len(j.superseded))
+		if s.c.level >= featurelevel.Pipelines && len(j.supersededPages) > 0 {
+			t.Fatalf("%d pages of another layout are left after many quiet cycles", len(j.supersededPages))
 		}
 	})
 }
 
 // endSome ends tasks of every sixth number, done or not, that are on machines.
-func (s *slowStore) endSome(which int) {
+func (s *manualStore) endSome(which int) {
 	for _, name := range sortedNames(s.tasks) {
 		for id, t := range s.tasks[name] {
 			if id.Index%6 == which && t.State != protocol.TaskExited {
@@ -241,67 +241,67 @@
 	}
 }
 
-// TestRefusedRecordsAreMadeSmaller: a record that the state service refuses for its form is cut narrower and never
+// TestRejectedRecordsAreSplit: a record that the state service refuses for its form is cut narrower and never
 // written again as it was; below the level, where that can't be, it waits and the others go on.
-func TestRefusedRecordsAreMadeSmaller(t *testing.T) {
-	s := emptyStore(6)
+func TestRejectedRecordsAreSplit(t *testing.T) {
+	s := newEmptyManualStore(6)
 	s.submit("j-1", "normal", 10)
 	s.cycleAll()
-	refused := s.open[0]
+	refused := s.inFlight[0]
 	s.answer(Written{Write: refused.ID, Refused: true})
 	s.submit("j-2", "normal", 1)
 	s.cycleAll()
-	if len(s.open) != 1 || !slices.Contains(jobsOf(s.open[0]), "j-2") || slices.Contains(jobsOf(s.open[0]), "j-1") {
-		t.Fatalf("below the level the others do not go on alone: %+v", s.open)
+	if len(s.inFlight) != 1 || !slices.Contains(jobsOfWrite(s.inFlight[0]), "j-2") || slices.Contains(jobsOfWrite(s.inFlight[0]), "j-1") {
+		t.Fatalf("below the level the others do not go on alone: %+v", s.inFlight)
 	}
 	s.answerAll()
 	s.step(Finalise{Level: featurelevel.Pipelines})
 	s.answerAll()
-	for width := s.c.jobs["j-1"].layout.Width; width > 8; width /= 2 {
+	for width := s.c.jobs["j-1"].layout.TasksPerPage; width > 8; width /= 2 {
 		s.cycleAll()
-		i := slices.IndexFunc(s.open, func(w Write) bool { return slices.Contains(jobsOf(w), "j-1") })
+		i := slices.IndexFunc(s.inFlight, func(w Write) bool { return slices.Contains(jobsOfWrite(w), "j-1") })
 		if i < 0 {
 			t.Fatalf("the record is not written with pages of %d tasks", width)
 		}
-		if got := s.c.jobs["j-1"].layout.Width; got != width {
+		if got := s.c.jobs["j-1"].layout.TasksPerPage; got != width {
 			t.Fatalf("pages of %d tasks, want %d", got, width)
 		}
-		s.answer(Written{Write: s.open[i].ID, Refused: true})
-		s.answerOthers(func(w Write) bool { return slices.Contains(jobsOf(w), "j-1") })
+		s.answer(Written{Write: s.inFlight[i].ID, Refused: true})
+		s.answerOthers(func(w Write) bool { return slices.Contains(jobsOfWrite(w), "j-1") })
 	}
 	s.cycleAll()
 	s.answerAll()
-	if j := s.c.jobs["j-1"]; len(j.granted) > 0 {
-		t.Errorf("%d starts still wait for their record", len(j.granted))
+	if j := s.c.jobs["j-1"]; len(j.unstarted) > 0 {
+		t.Errorf("%d starts still wait for their record", len(j.unstarted))
 	}
 }
 
 // answerOthers answers the writes that are under way but for those of the job that is refused.
-func (s *slowStore) answerOthers(refused func(Write) bool) {
-	for _, w := range slices.Clone(s.open) {
+func (s *manualStore) answerOthers(refused func(Write) bool) {
+	for _, w := range slices.Clone(s.inFlight) {
 		if !refused(w) {
 			s.answer(Written{Write: w.ID, OK: true})
 		}
 	}
 }
 
-// TestCostOfSmallerPages counts what the start of an array costs in writes and bytes, in the layout of production
+// TestCostOfCompactPages counts what the start of an array costs in writes and bytes, in the layout of production
 // under 8 KiB and in the compact one under 2 KiB: up to 48 tasks one write in both, and a fraction of the bytes.
-func TestCostOfSmallerPages(t *testing.T) {
+func TestCostOfCompactPages(t *testing.T) {
 	cost := func(level featurelevel.Level, tasks int) (writes, bytes int) {
-		s := withNext(emptyStore(tasks/8+1), config.StateLimits{ValueKB: 2, TxnOps: 5})
-		s.c.setLevel(level)
+		s := withNextLimits(newEmptyManualStore(tasks/8+1), config.StateLimits{ValueKB: 2, TxnOps: 5})
+		s.c.setFeatureLevel(level)
 		s.accept(spec("j-1", protocol.Array, "normal", tasks, 1))
 		s.cycleAll()
-		for len(s.open) > 0 {
-			for _, op := range s.open[0].Txn.Then {
-				size, err := storage.ValueBytes(op.Value)
+		for len(s.inFlight) > 0 {
+			for _, op := range s.inFlight[0].Txn.Then {
+				size, err := storage.JSONSize(op.Value)
 				if err != nil {
 					t.Fatal(err)
 				}
 				writes, bytes = writes+1, bytes+size
 			}
-			s.answer(Written{Write: s.open[0].ID, OK: true})
+			s.answer(Written{Write: s.inFlight[0].ID, OK: true})
 		}
 		return writes, bytes
 	}
--- a/internal/coordination/scheduler/images.go
+++ b/internal/coordination/scheduler/imagehints.go
@@ -12,10 +12,10 @@
 	"pinebay/internal/storage"
 )
 
-// recoverImages takes over what earlier leaders knew of the machines' images.
-func (c *Core) recoverImages(pairs []protocol.KeyValue) {
+// recoverImageHints takes over what earlier leaders knew of the machines' images.
+func (c *Core) recoverImageHints(pairs []protocol.KeyValue) {
 	for _, p := range pairs {
-		var rec storage.ImagesRecord
+		var rec storage.ImageHintRecord
 		if err := protocol.Decode(p.Value, &rec); err != nil || len(rec.Images) != len(rec.SizesGB) {
 			c.log.Error("images record out of form", "key", p.Key, "err", err)
 			continue
@@ -30,25 +30,25 @@
 			c.machines.SetImageHint(m.Name, copies)
 		}
 		for _, a := range rec.Arrivals {
-			c.prior[a.Class], c.sizes[a.Class] = a.Jobs, a.Tasks
+			c.prior[a.Class], c.sizes[a.Class] = a.Jobs, a.MeanTasks
 		}
-		c.imagePages[p.Key] = "" // to be written anew, or else dropped
+		c.imageHintPages[p.Key] = "" // to be written anew, or else dropped
 	}
 }
 
-// writeImages writes down the machines' images, a page at a time and not often:
+// writeImageHints writes down the machines' images, a page at a time and not often:
 // it is a help for the next leader, and must not stand in anybody's way.
-func (c *Core) writeImages(now time.Duration) {
-	if c.imagesWriting || c.paused || now-c.imagesWritten < imagesPause {
+func (c *Core) writeImageHints(now time.Duration) {
+	if c.imageHintsInFlight || c.writesPaused || now-c.imageHintsWrittenAt < imageHintInterval {
 		return
 	}
-	c.imagesWritten = now
+	c.imageHintsWrittenAt = now
 	copies := c.machines.CachedImages()
 	names := slices.Sorted(maps.Keys(copies))
-	per := storage.ImagesPerRecord(c.stateLimits.ValueKB)
+	per := storage.MachinesPerImageHint(c.stateLimits.ValueKB)
 	pages := map[string][]byte{}
 	for page := 0; page*per < len(names); page++ {
-		var rec storage.ImagesRecord
+		var rec storage.ImageHintRecord
 		index := map[string]int{}
 		for _, n := range names[page*per : min((page+1)*per, len(names))] {
 			m := storage.MachineImages{Name: n}
@@ -67,59 +67,59 @@
 		if page == 0 {
 			for class, jobs := range c.counted {
 				// Two digits are enough, and a quiet fleet writes nothing.
-				rec.Arrivals = append(rec.Arrivals, storage.ClassArrivals{Class: class, Jobs: math.Round(jobs*4) / 4, Tasks: c.sizes[class]})
+				rec.Arrivals = append(rec.Arrivals, storage.ClassArrivals{Class: class, Jobs: math.Round(jobs*4) / 4, MeanTasks: c.sizes[class]})
 			}
 			sort.Slice(rec.Arrivals, func(a, b int) bool { return rec.Arrivals[a].Class < rec.Arrivals[b].Class })
 		}
 		raw, err := protocol.Encode(rec)
-		if err != nil || !storage.Fits(raw, c.stateLimits.ValueKB) {
+		if err != nil || !storage.FitsValueLimit(raw, c.stateLimits.ValueKB) {
 			continue // too many names for a hint
 		}
-		pages[storage.ImagesKey(page)] = raw
+		pages[storage.ImageHintKey(page)] = raw
 	}
 	t := protocol.Txn{If: []protocol.Compare{{Key: storage.TermKey, Revision: c.termStamp}}}
 	var changed []string
-	for _, key := range slices.Sorted(maps.Keys(c.imagePages)) {
+	for _, key := range slices.Sorted(maps.Keys(c.imageHintPages)) {
 		if pages[key] == nil && len(t.Then) < c.stateLimits.TxnOps/2 {
 			t.Then = append(t.Then, protocol.Op{DeleteKey: key})
 			changed = append(changed, key)
 		}
 	}
-	for _, key := range inTurnFrom(c.imagesFrom, slices.Sorted(maps.Keys(pages))) {
+	for _, key := range rotateAfter(c.lastImageHintKey, slices.Sorted(maps.Keys(pages))) {
 		raw := pages[key]
-		if c.imagePages[key] != string(raw) && len(t.Then) < c.stateLimits.TxnOps/2 {
+		if c.imageHintPages[key] != string(raw) && len(t.Then) < c.stateLimits.TxnOps/2 {
 			t.Then = append(t.Then, protocol.Op{PutKey: key, Value: raw})
 			changed = append(changed, key)
-			c.imagesFrom = key
+			c.lastImageHintKey = key
 		}
 	}
 	if len(changed) == 0 {
 		return
 	}
-	c.imagesWriting = true
-	id, _ := c.name()
-	c.writes[id] = func(_ time.Duration, w Written) {
-		c.imagesWriting = false
+	c.imageHintsInFlight = true
+	id, _ := c.nextWriteID()
+	c.writesInFlight[id] = func(_ time.Duration, w Written) {
+		c.imageHintsInFlight = false
 		if w.Refused {
-			c.refused(&t)
+			c.shrinkTransactions(&t)
 		}
 		if !w.OK {
 			return // a hint; it is written anew the next time
 		}
 		for _, key := range changed {
 			if pages[key] == nil {
-				delete(c.imagePages, key)
+				delete(c.imageHintPages, key)
 			} else {
-				c.imagePages[key] = string(pages[key])
+				c.imageHintPages[key] = string(pages[key])
 			}
 		}
 	}
 	c.emit(Write{ID: id, Txn: t, For: Upkeep, Verify: storage.TermKey, Name: "-"})
 }
 
-// inTurnFrom lists keys that are in order from the one after the given key on, and then those before: a
+// rotateAfter lists keys that are in order from the one after the given key on, and then those before: a
 // transaction takes a few, and all must have their turn.
-func inTurnFrom(last string, keys []string) []string {
+func rotateAfter(last string, keys []string) []string {
 	i, found := slices.BinarySearch(keys, last)
 	if found {
 		i++
@@ -127,5 +127,5 @@
 	return slices.Concat(keys[i:], keys[:i])
 }
 
-// imagesPause is the time between two writes of the images.
-const imagesPause = 10 * Cycle
+// imageHintInterval is the time between two writes of the images.
+const imageHintInterval = 10 * Cycle
--- a/internal/coordination/scheduler/job.go
+++ b/internal/coordination/scheduler/job.go
@@ -38,37 +38,37 @@
 	low    int // no task below it is pending
 	places map[int]*partition.Placement
 	ran    map[int]bool // replicas that have run, and should be back soon if lost
-	pages  map[int]*page
-	layout storage.Layout
-	// superseded are stored pages of other layouts, wider than the job's own. They count for tasks of
+	pages  map[int]*placementPage
+	layout storage.PageLayout
+	// supersededPages are stored pages of other layouts, wider than the job's own. They count for tasks of
 	// whose own page nothing is stored yet, and are dropped when they count for none.
-	superseded []superseded
+	supersededPages []supersededPage
 
 	// blocked says that a job that it awaits is not durably done, or that it is cancelled with one.
 	blocked bool
 	// latestStart is by when it must start so that all deadlines can be met that depend on it.
 	latestStart time.Duration
 
-	over      bool // cancelled, or its end is recorded
-	finishing bool // the transaction that ends it is under way
-	writing   bool
-	granted   []*partition.Placement // wait for their record
-	// What follows is the place in the queue of starts, while recordQueued, and when the record may be
+	over          bool // cancelled, or its end is recorded
+	finishing     bool // the transaction that ends it is under way
+	writeInFlight bool
+	unstarted     []*partition.Placement // wait for their record
+	// What follows is the place in the queue of starts, while inStartQueue, and when the record may be
 	// tried again after it was found not to be what the books say, and how often it was.
-	recordQueued bool
-	recordTurn   uint64
-	recordNumber uint64
-	recordAfter  time.Duration
-	recordTries  int
-	stopping     bool          // gang: being stopped as a whole
-	runAt        time.Duration // when a task of it was last seen to start running
-	begun        bool          // it has run so long that its start counts
-	short        int           // cycles in a row without enough room
-	queued       uint64        // the last cycle in which it waited
-	served       uint64        // the last cycle in which it had its turn
-	notBefore    time.Duration
-	failures     int
-	failedOn     map[string]bool
+	inStartQueue    bool
+	startTurn       uint64
+	startNumber     uint64
+	recordNotBefore time.Duration
+	recordAttempts  int
+	stopping        bool          // gang: being stopped as a whole
+	runAt           time.Duration // when a task of it was last seen to start running
+	begun           bool          // it has run so long that its start counts
+	short           int           // cycles in a row without enough room
+	queued          uint64        // the last cycle in which it waited
+	served          uint64        // the last cycle in which it had its turn
+	notBefore       time.Duration
+	failures        int
+	failedOn        map[string]bool
 	// displacedFrom is the zone that it lost tasks with, or "".
 	displacedFrom string
 	// searchAgain is when room outside a lost zone is looked for again, after none was found.
@@ -86,12 +86,12 @@
 	queues                           *jobQueues // nil until it is in some
 }
 
-func newJob(spec protocol.Job, stamp uint64, atMS int64, now time.Duration, layout storage.Layout) *job {
+func newJob(spec protocol.Job, stamp uint64, atMS int64, now time.Duration, layout storage.PageLayout) *job {
 	return &job{
 		spec: spec, need: partition.TaskResources(&spec), level: spec.Priority.Rank(), types: strings.Join(spec.MachineTypes, " "), stamp: stamp, atMS: atMS, known: now,
 		latestStart: dependency.Never,
 		tasks:       make([]taskState, spec.TaskCount), counts: [3]int{spec.TaskCount, 0, 0},
-		places: map[int]*partition.Placement{}, ran: map[int]bool{}, pages: map[int]*page{}, layout: layout, failedOn: map[string]bool{},
+		places: map[int]*partition.Placement{}, ran: map[int]bool{}, pages: map[int]*placementPage{}, layout: layout, failedOn: map[string]bool{},
 	}
 }
 
@@ -127,11 +127,11 @@
 // attempt returns the next attempt number of a task; those of a gang agree.
 func (j *job) attempt(task int) uint64 {
 	if j.spec.Shape != protocol.Gang {
-		return j.pageOf(task).attempts + 1
+		return j.pageOfTask(task).highestAttempt + 1
 	}
 	n := uint64(0)
 	for _, p := range j.pages {
-		n = max(n, p.attempts)
+		n = max(n, p.highestAttempt)
 	}
 	return n + 1
 }
--- a/internal/coordination/scheduler/jobqueues.go
+++ b/internal/coordination/scheduler/jobqueues.go
@@ -54,7 +54,7 @@
 		q.blockedJobs.Delete(j)
 		q.fetchingJobs.Delete(j)
 	}
-	queued := j.recordQueued
+	queued := j.inStartQueue
 	if queued {
 		q.starts.remove(j)
 	}
@@ -74,7 +74,7 @@
 		return
 	}
 	q.fetchingJobs.Set(j)
-	if len(j.granted) > 0 {
+	if len(j.unstarted) > 0 {
 		q.starts.add(j)
 	}
 }
@@ -97,7 +97,7 @@
 		q.endedJobs[0] = nil
 		q.endedJobs = q.endedJobs[1:]
 		j.ended = false
-		if !j.over && !j.finishing && !j.writing && len(j.granted) == 0 && len(j.dirtyPages()) > 0 {
+		if !j.over && !j.finishing && !j.writeInFlight && len(j.unstarted) == 0 && len(j.dirtyPages()) > 0 {
 			return j
 		}
 	}
--- a/internal/coordination/scheduler/lifecycle.go
+++ b/internal/coordination/scheduler/lifecycle.go
@@ -11,7 +11,7 @@
 	"pinebay/internal/storage"
 )
 
-func (c *Core) accept(now, since time.Duration, rec storage.LiveRecord, stamp uint64) {
+func (c *Core) accept(now, since time.Duration, rec storage.LiveJobRecord, stamp uint64) {
 	id := rec.Job.ID
 	if j := c.jobs[id]; j != nil {
 		if !j.over {
@@ -19,7 +19,7 @@
 		}
 		return
 	}
-	j := newJob(rec.Job, stamp, rec.AtMS, since, c.layout())
+	j := newJob(rec.Job, stamp, rec.AcceptedAtMS, since, c.newJobLayout())
 	c.jobs[id] = j
 	c.addDependencies(now, j)
 	c.enqueue(j)
@@ -71,8 +71,8 @@
 	c.due = true
 	task := pl.Task.Index
 	delete(j.places, task)
-	pg := j.pageOf(task)
-	pg.exits = append(pg.exits, pl)
+	pg := j.pageOfTask(task)
+	pg.unrecordedExits = append(pg.unrecordedExits, pl)
 	if lost {
 		c.displaced(j, pl)
 		c.log.Info("task lost with its machine", "task", pl.Task, "attempt", pl.Attempt, "machine", pl.Machine)
@@ -80,31 +80,31 @@
 	switch {
 	case j.over:
 		j.set(task, done)
-		c.sweep(now, j)
+		c.cleanUpEndedJob(now, j)
 		return
 	case j.tasks[task] == done:
 		return
 	case !lost && pl.Cause == protocol.CauseDone:
 		j.set(task, done)
-		j.touch(task, now)
+		j.markDirty(task, now)
 		if j.spec.Shape == protocol.Gang {
 			// A gang completes together.
 			for t := range j.tasks {
 				if j.tasks[t] != done {
 					j.set(t, done)
-					j.touch(t, now)
+					j.markDirty(t, now)
 				}
 			}
 		}
 		if j.counts[done] == len(j.tasks) {
-			c.finish(now, j)
+			c.completeJob(now, j)
 		}
 		return
 	}
 	j.begun = j.begun || j.runAt > 0 && now-j.runAt >= settled
 	j.runAt = 0
 	j.set(task, pending)
-	j.touch(task, now) // or its exited entry could never be forgotten
+	j.markDirty(task, now) // or its exited entry could never be forgotten
 	if !lost {
 		c.failed(now, j, pl)
 	}
@@ -175,7 +175,7 @@
 // stop asks a placement to end, and takes in when that needs no proof.
 func (c *Core) stop(now time.Duration, j *job, pl *partition.Placement, graceS float64) {
 	c.roomEvents++
-	if c.machines.Stop(now, pl, graceS) && !pl.StartAllowed && j.writing {
+	if c.machines.Stop(now, pl, graceS) && !pl.StartAllowed && j.writeInFlight {
 		// Its record may be written at this moment; it names a placement that
 		// was never started, which a later write replaces.
 		c.log.Debug("placement withdrawn before its record", "task", pl.Task)
@@ -190,7 +190,7 @@
 	for _, pl := range placements(j) {
 		c.stop(now, j, pl, 0)
 	}
-	c.sweep(now, j)
+	c.cleanUpEndedJob(now, j)
 }
 
 // end takes in that a job is over.
--- a/internal/coordination/scheduler/limits_test.go
+++ b/internal/coordination/scheduler/limits_test.go
@@ -22,16 +22,16 @@
 func recorded(t *testing.T, machines int) (r Records) {
 	for i := range machines {
 		id := fmt.Sprintf("j-%06d", i)
-		live, err := protocol.Encode(storage.LiveRecord{Job: spec(id, protocol.Array, "normal", 1, 4)})
+		live, err := protocol.Encode(storage.LiveJobRecord{Job: spec(id, protocol.Array, "normal", 1, 4)})
 		if err != nil {
 			t.Fatal(err)
 		}
-		page, err := protocol.Encode(storage.PageRecord{Write: "4.1", Attempts: 1, Zones: []string{"a"}, Team: "red", CPUs: 1, GPUs: 4, MemoryGB: 1,
-			Places: []storage.Place{{Machine: machineName(i), Session: 1, Attempt: 1}}})
+		page, err := protocol.Encode(storage.PlacementPage{WriteName: "4.1", HighestAttempt: 1, Zones: []string{"a"}, Team: "red", CPUs: 1, GPUs: 4, MemoryGB: 1,
+			Placements: []storage.Placement{{Machine: machineName(i), Incarnation: 1, Attempt: 1}}})
 		if err != nil {
 			t.Fatal(err)
 		}
-		r.Live = append(r.Live, protocol.KeyValue{Key: storage.LiveKey(id), Value: live, Revision: uint64(i + 10)})
+		r.Live = append(r.Live, protocol.KeyValue{Key: storage.LiveJobKey(id), Value: live, Revision: uint64(i + 10)})
 		r.Pages = append(r.Pages, protocol.KeyValue{Key: productionPage(id, 0), Value: page, Revision: uint64(i + 10)})
 	}
 	return r
@@ -115,7 +115,7 @@
 	keys := []string{"a", "b", "c"}
 	for last, want := range map[string]string{"": "abc", "a": "bca", "bb": "cab", "c": "abc", "z": "abc"} {
 		got := ""
-		for _, k := range inTurnFrom(last, keys) {
+		for _, k := range rotateAfter(last, keys) {
 			got += k
 		}
 		if got != want {
@@ -175,7 +175,7 @@
 	held := func() map[zones.LentTask]bool {
 		tasks := map[zones.LentTask]bool{}
 		for _, p := range recorded {
-			rec, err := storage.DecodeZoneReturn(p)
+			rec, err := storage.DecodeZoneFailover(p)
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/coordination/scheduler/loans_test.go
+++ b/internal/coordination/scheduler/loans_test.go
@@ -65,7 +65,7 @@
 func TestLoanIsRecordedFirst(t *testing.T) {
 	b := lendingBench(t, 2)
 	before := b.placed()
-	b.refuse = func(w Write) bool { return strings.HasPrefix(w.Verify, storage.ZoneReturnPrefix) }
+	b.refuse = func(w Write) bool { return strings.HasPrefix(w.Verify, storage.ZoneFailoverPrefix) }
 	b.seconds(60)
 	if countOf[zones.LoanMade](b.decisions) == 0 {
 		t.Fatal("no loan was made")
@@ -88,7 +88,7 @@
 	b := lendingBench(t, 2)
 	b.untilLoan(t)
 	loan := b.c.returning.ledger.Loans()[0]
-	rec := &storage.ZoneReturnRecord{Format: storage.ZoneReturnFormat, Loans: []storage.LoanRow{rowOf(loan)},
+	rec := &storage.ZoneFailoverRecord{Format: storage.ZoneFailoverFormat, Loans: []storage.LoanRow{rowOf(loan)},
 		Zones: []storage.ZoneRow{{Name: "a", State: int(zones.Lost), SinceMS: b.now.Milliseconds()}}}
 	value, err := protocol.Encode(rec)
 	if err != nil {
@@ -96,21 +96,21 @@
 	}
 	next := newZoneBench(zones.DefaultOrder(), config.Team{Name: "red"})
 	next.now = b.now
-	next.records[storage.ZoneReturnKey(0)] = protocol.KeyValue{Key: storage.ZoneReturnKey(0), Value: value, Revision: 3}
-	page := storage.PageRecord{Attempts: loan.Lender.Attempt, Team: "red", GPUs: 4, CPUs: 1, MemoryGB: 1, Zones: []string{"b"},
-		Places: []storage.Place{{Task: loan.Lender.Task, Machine: loan.Machine, Session: 1, Attempt: loan.Lender.Attempt}}}
+	next.records[storage.ZoneFailoverKey(0)] = protocol.KeyValue{Key: storage.ZoneFailoverKey(0), Value: value, Revision: 3}
+	page := storage.PlacementPage{HighestAttempt: loan.Lender.Attempt, Team: "red", GPUs: 4, CPUs: 1, MemoryGB: 1, Zones: []string{"b"},
+		Placements: []storage.Placement{{Task: loan.Lender.Task, Machine: loan.Machine, Incarnation: 1, Attempt: loan.Lender.Attempt}}}
 	raw, err := protocol.Encode(page)
 	if err != nil {
 		t.Fatal(err)
 	}
 	low := spec(loan.Lender.Job, protocol.Array, "best_effort", 2, 4)
-	live, err := protocol.Encode(storage.LiveRecord{Job: low})
+	live, err := protocol.Encode(storage.LiveJobRecord{Job: low})
 	if err != nil {
 		t.Fatal(err)
 	}
 	next.c = New(next.now, next.c.cfg, next.c.log, Term{Number: 6, Stamp: 6}, Records{
-		Types: []protocol.MachineType{*b.c.machines.MachineType("g8")}, Live: []protocol.KeyValue{{Key: storage.LiveKey(low.ID), Value: live, Revision: 1}},
-		Pages: []protocol.KeyValue{{Key: productionPage(low.ID, 0), Value: raw, Revision: 2}}, ZonePages: []protocol.KeyValue{next.records[storage.ZoneReturnKey(0)]},
+		Types: []protocol.MachineType{*b.c.machines.MachineType("g8")}, Live: []protocol.KeyValue{{Key: storage.LiveJobKey(low.ID), Value: live, Revision: 1}},
+		Pages: []protocol.KeyValue{{Key: productionPage(low.ID, 0), Value: raw, Revision: 2}}, ZonePages: []protocol.KeyValue{next.records[storage.ZoneFailoverKey(0)]},
 	}, next.now.Milliseconds(), next.order)
 	if next.c.returning.monitor.State("a") != zones.Lost || next.c.returning.ledger.Len() != 1 {
 		t.Fatalf("the records are not taken over: %+v", next.c.returning.monitor.Zones())
--- a/internal/coordination/scheduler/move.go
+++ b/internal/coordination/scheduler/move.go
@@ -82,7 +82,7 @@
 	ok := true
 	x.m.EachPlacement(func(pl *partition.Placement) {
 		j := c.jobs[pl.Task.JobID]
-		if j == nil || j.over || j.writing || j.spec.Shape != protocol.Service || pl.Stopping ||
+		if j == nil || j.over || j.writeInFlight || j.spec.Shape != protocol.Service || pl.Stopping ||
 			pl.State != protocol.TaskRunning || now-pl.StateSince < settled {
 			ok = false
 		}
@@ -161,7 +161,7 @@
 // says, and for large images that is longer than some aims on waiting; a task
 // that has not started loses nothing by the move.
 func (c *Core) refetch(now time.Duration, j *job) {
-	if c.held(j) || j.writing || j.counts[pending] > 0 {
+	if c.held(j) || j.writeInFlight || j.counts[pending] > 0 {
 		return
 	}
 	for _, pl := range placements(j) {
--- a/internal/coordination/scheduler/pipelines.go
+++ b/internal/coordination/scheduler/pipelines.go
@@ -15,7 +15,7 @@
 func jobsWithPages(pairs []protocol.KeyValue) map[string]bool {
 	ids := map[string]bool{}
 	for _, pair := range pairs {
-		if name, err := storage.ParsePageName(pair.Key, 1); err == nil {
+		if name, err := storage.ParsePageKey(pair.Key, 1); err == nil {
 			ids[name.Job] = true
 		}
 	}
@@ -58,7 +58,7 @@
 		c.needEnded(now, e.ID, dependency.Cancelled)
 	default:
 		// It lives, and we are about to hear so, or the service has not answered.
-		c.after(now+Cycle/4, func(now time.Duration) { c.readEnd(e.ID) })
+		c.callAt(now+Cycle/4, func(now time.Duration) { c.readEnd(e.ID) })
 	}
 }
 
@@ -126,23 +126,23 @@
 // recordCancelled writes the ends of jobs that are cancelled with one that they await. They count as
 // cancelled without that, for every controller derives it; the record spares it the work.
 func (c *Core) recordCancelled() {
-	for len(c.cascade) > 0 && !c.paused && c.underWay[Ends] < c.settlePages() {
-		id, name := c.name()
+	for len(c.cascade) > 0 && !c.writesPaused && c.pagesInFlight[Ends] < c.maxCompletionPages() {
+		id, name := c.nextWriteID()
 		t := protocol.Txn{If: []protocol.Compare{{Key: storage.TermKey, Revision: c.termStamp}}}
 		var jobs []*job
-		for len(c.cascade) > 0 && len(t.Then)+fewestOperations <= max(fewestOperations, c.stateLimits.TxnOps) {
+		for len(c.cascade) > 0 && len(t.Then)+minTransactionOperations <= max(minTransactionOperations, c.stateLimits.TxnOps) {
 			j := c.cascade[0]
 			c.cascade[0] = nil
 			c.cascade = c.cascade[1:]
-			if j.over || j.writing || j.finishing {
+			if j.over || j.writeInFlight || j.finishing {
 				continue // it has ended by itself
 			}
-			value, err := protocol.Encode(storage.EndedRecord{Standing: protocol.JobCancelled, Write: name, Need: c.graph.Cause(j.spec.ID)})
+			value, err := protocol.Encode(storage.EndedJobRecord{State: protocol.JobCancelled, WriteName: name, CancelledDependency: c.graph.Cause(j.spec.ID)})
 			if err != nil {
 				c.log.Error("ended record", "err", err)
 				continue
 			}
-			live, ended := storage.LiveKey(j.spec.ID), storage.EndedKey(j.spec.ID)
+			live, ended := storage.LiveJobKey(j.spec.ID), storage.EndedJobKey(j.spec.ID)
 			t.If = append(t.If, protocol.Compare{Key: live, Revision: j.stamp}, protocol.Compare{Key: ended})
 			t.Then = append(t.Then, protocol.Op{DeleteKey: live}, protocol.Op{PutKey: ended, Value: value})
 			jobs = append(jobs, j)
@@ -156,12 +156,12 @@
 
 // writeCancelled writes the ends of jobs in one transaction.
 func (c *Core) writeCancelled(id uint64, name string, t protocol.Txn, jobs []*job) {
-	c.underWay[Ends] += len(t.Then)
+	c.pagesInFlight[Ends] += len(t.Then)
 	for _, j := range jobs {
 		j.finishing = true
 	}
-	c.writes[id] = func(now time.Duration, w Written) {
-		c.underWay[Ends] -= len(t.Then)
+	c.writesInFlight[id] = func(now time.Duration, w Written) {
+		c.pagesInFlight[Ends] -= len(t.Then)
 		for _, j := range jobs {
 			j.finishing = false
 		}
@@ -173,8 +173,8 @@
 				c.end(now, j)
 			}
 		case w.Refused:
-			c.refused(&t)
-			c.after(now+refusedPause, func(time.Duration) { c.cascade = append(c.cascade, jobs...) })
+			c.shrinkTransactions(&t)
+			c.callAt(now+rejectedRetryDelay, func(time.Duration) { c.cascade = append(c.cascade, jobs...) })
 			return
 		case !c.overtakenAny(now, jobs, w):
 			return
@@ -192,12 +192,12 @@
 func (c *Core) overtakenAny(now time.Duration, jobs []*job, w Written) bool {
 	over := false
 	for _, j := range jobs {
-		if slices.Contains(w.Failed, storage.LiveKey(j.spec.ID)) || slices.Contains(w.Failed, storage.EndedKey(j.spec.ID)) {
+		if slices.Contains(w.Failed, storage.LiveJobKey(j.spec.ID)) || slices.Contains(w.Failed, storage.EndedJobKey(j.spec.ID)) {
 			c.end(now, j)
 			over = true
 		}
 	}
-	return over || c.overtaken(now, jobs[0], w)
+	return over || c.endedMeanwhile(now, jobs[0], w)
 }
 
 // foreseen lists the room that blocked jobs will want before a machine rented now would be up: the jobs that
--- a/internal/coordination/scheduler/pipelines_test.go
+++ b/internal/coordination/scheduler/pipelines_test.go
@@ -21,11 +21,11 @@
 }
 
 // stepAll is step, and has the machines carry out their commands.
-func (s *slowStore) stepAll(e Event) {
+func (s *manualStore) stepAll(e Event) {
 	for _, effect := range s.c.Step(s.now, e) {
 		switch effect := effect.(type) {
 		case Write:
-			s.open = append(s.open, effect)
+			s.inFlight = append(s.inFlight, effect)
 		case Order:
 			s.take(effect.Machine, effect.Orders.FencingToken, effect.Orders.Commands)
 			s.stepAll(OrdersDone{Machine: effect.Machine, OK: true, Report: s.report(effect.Machine)})
@@ -36,7 +36,7 @@
 }
 
 // cycleAll lets a cycle pass, in which the machines report and carry out commands.
-func (s *slowStore) cycleAll() {
+func (s *manualStore) cycleAll() {
 	s.now += Cycle
 	for _, name := range sortedNames(s.tasks) {
 		s.stepAll(Reported{Tag: name, Report: s.report(name)})
@@ -45,13 +45,13 @@
 }
 
 // accept hands in an accepted job.
-func (s *slowStore) accept(j protocol.Job) {
+func (s *manualStore) accept(j protocol.Job) {
 	s.rev++
-	s.step(JobSet{Record: storage.LiveRecord{Job: j, AtMS: s.now.Milliseconds()}, Stamp: s.rev})
+	s.step(JobSet{Record: storage.LiveJobRecord{Job: j, AcceptedAtMS: s.now.Milliseconds()}, Stamp: s.rev})
 }
 
 // endAll ends all tasks of a job.
-func (s *slowStore) endAll(id string) {
+func (s *manualStore) endAll(id string) {
 	for _, name := range sortedNames(s.tasks) {
 		for task, t := range s.tasks[name] {
 			if task.JobID == id {
@@ -64,16 +64,16 @@
 }
 
 // answerAll answers the writes that are under way, in order.
-func (s *slowStore) answerAll() {
-	for len(s.open) > 0 {
-		s.answer(Written{Write: s.open[0].ID, OK: true})
+func (s *manualStore) answerAll() {
+	for len(s.inFlight) > 0 {
+		s.answer(Written{Write: s.inFlight[0].ID, OK: true})
 	}
 }
 
 // TestFreedByTheRecordAlone: that all tasks of a job have exited frees nothing: only the record of its end does, and
 // that goes before other ends.
 func TestFreedByTheRecordAlone(t *testing.T) {
-	s := emptyStore(3)
+	s := newEmptyManualStore(3)
 	s.accept(spec("j-1", protocol.Array, "normal", 2, 4))
 	s.accept(after("j-2", "normal", 1, "j-1"))
 	s.cycleAll()
@@ -81,9 +81,9 @@
 	s.cycleAll()
 	s.cycleAll()
 	s.endAll("j-1")
-	i := slices.IndexFunc(s.open, func(w Write) bool { return w.Verify == storage.EndedKey("j-1") })
-	if i < 0 || s.open[i].For != Frees {
-		t.Fatalf("its end is not written as one that others await: %+v", s.open)
+	i := slices.IndexFunc(s.inFlight, func(w Write) bool { return w.Verify == storage.EndedJobKey("j-1") })
+	if i < 0 || s.inFlight[i].For != Frees {
+		t.Fatalf("its end is not written as one that others await: %+v", s.inFlight)
 	}
 	for range 5 {
 		s.cycleOnce()
@@ -91,7 +91,7 @@
 			t.Fatal("the job after it has a placement before its end is recorded")
 		}
 	}
-	s.answer(Written{Write: s.open[i].ID, OK: true})
+	s.answer(Written{Write: s.inFlight[i].ID, OK: true})
 	s.cycleOnce()
 	if len(s.c.jobs["j-2"].places) != 1 {
 		t.Error("the job after it has no placement although its end is recorded")
@@ -130,7 +130,7 @@
 // TestCascadeIsRecorded: jobs that are cancelled with one that they await, at any depth, end by the leader's
 // records, several in a transaction within the limits; what was submitted later too.
 func TestCascadeIsRecorded(t *testing.T) {
-	s := emptyStore(2)
+	s := newEmptyManualStore(2)
 	s.accept(spec("j-0", protocol.Array, "normal", 1, 4))
 	const n = 40
 	for i := 1; i <= n; i++ {
@@ -146,22 +146,22 @@
 	}
 	s.accept(after("j-41", "normal", 1, "j-7"))
 	ended := map[string]string{}
-	for len(s.open) > 0 {
-		w := s.open[0]
+	for len(s.inFlight) > 0 {
+		w := s.inFlight[0]
 		if len(w.Txn.Then) > s.c.stateLimits.TxnOps || len(w.Txn.If) > 4*s.c.stateLimits.TxnOps {
 			t.Fatalf("%d operations and %d conditions", len(w.Txn.Then), len(w.Txn.If))
 		}
 		for _, op := range w.Txn.Then {
-			var rec storage.EndedRecord
-			if op.PutKey != "" && protocol.Decode(op.Value, &rec) == nil && rec.Standing == protocol.JobCancelled {
-				ended[op.PutKey] = rec.Need
+			var rec storage.EndedJobRecord
+			if op.PutKey != "" && protocol.Decode(op.Value, &rec) == nil && rec.State == protocol.JobCancelled {
+				ended[op.PutKey] = rec.CancelledDependency
 			}
 		}
 		s.answer(Written{Write: w.ID, OK: true})
 	}
 	for i := 1; i <= n+1; i++ {
-		if id := fmt.Sprintf("j-%d", i); ended[storage.EndedKey(id)] != "j-0" || s.c.jobs[id] != nil {
-			t.Errorf("%s: recorded as cancelled with %q, still known %v", id, ended[storage.EndedKey(id)], s.c.jobs[id] != nil)
+		if id := fmt.Sprintf("j-%d", i); ended[storage.EndedJobKey(id)] != "j-0" || s.c.jobs[id] != nil {
+			t.Errorf("%s: recorded as cancelled with %q, still known %v", id, ended[storage.EndedJobKey(id)], s.c.jobs[id] != nil)
 		}
 	}
 	if s.c.graph.Len() != 0 {
@@ -208,18 +208,18 @@
 func TestRecoveryOfPipelines(t *testing.T) {
 	old := newBench([]config.Team{{Name: "red"}}, "a")
 	record := func(j protocol.Job) protocol.KeyValue {
-		raw, err := protocol.Encode(storage.LiveRecord{Job: j})
+		raw, err := protocol.Encode(storage.LiveJobRecord{Job: j})
 		if err != nil {
 			t.Fatal(err)
 		}
-		return protocol.KeyValue{Key: storage.LiveKey(j.ID), Value: raw, Revision: 3}
+		return protocol.KeyValue{Key: storage.LiveJobKey(j.ID), Value: raw, Revision: 3}
 	}
-	page, err := storage.EncodePage(&storage.PageRecord{Attempts: 1, Team: "red", GPUs: 4, CPUs: 1, MemoryGB: 1, Zones: []string{"a"},
-		Places: []storage.Place{{Task: 0, Machine: "m1", Session: 1, Attempt: 1}}}, storage.Layout{Width: 48, Compact: true})
+	page, err := storage.EncodePage(&storage.PlacementPage{HighestAttempt: 1, Team: "red", GPUs: 4, CPUs: 1, MemoryGB: 1, Zones: []string{"a"},
+		Placements: []storage.Placement{{Task: 0, Machine: "m1", Incarnation: 1, Attempt: 1}}}, storage.PageLayout{TasksPerPage: 48, Compact: true})
 	if err != nil {
 		t.Fatal(err)
 	}
-	started := storage.PageName{Job: "j-2", Layout: storage.Layout{Width: 48, Compact: true}}
+	started := storage.PageID{Job: "j-2", Layout: storage.PageLayout{TasksPerPage: 48, Compact: true}}
 	b := newBench([]config.Team{{Name: "red"}}, "a")
 	b.c = New(0, old.c.cfg, old.c.log, Term{Number: 6, Stamp: 2, Level: featurelevel.Pipelines}, Records{
 		Types: []protocol.MachineType{*old.c.machines.MachineType("g8")},
@@ -262,7 +262,7 @@
 // more than without them, and an end costs those that it frees.
 func TestCyclesDoNothingForWhatWaits(t *testing.T) {
 	costs := func(waiting int) (cycle, end float64) {
-		s := emptyStore(50)
+		s := newEmptyManualStore(50)
 		s.accept(spec("j-hub", protocol.Array, "normal", 1, 4))
 		for i := range waiting {
 			s.accept(after(fmt.Sprintf("j-%05d", i), "normal", 1, "j-hub"))
--- /dev/null
+++ b/internal/coordination/scheduler/placementwriter.go
@@ -0,0 +1,323 @@
+package scheduler
+
+import (
+	"fmt"
+	"slices"
+	"time"
+
+	"pinebay/internal/coordination/partition"
+	"pinebay/internal/protocol"
+	"pinebay/internal/storage"
+)
+
+// Bounds of the records of starts and ends that are on their way to the state service.
+const (
+	// startWriteWindow is for how long the state service's writes may be promised to records of starts
+	// before they are sent: what comes up meanwhile and is more urgent goes first. A job that waits
+	// longer gathers more starts in its record.
+	startWriteWindow = Cycle / 8
+	// completionDelay is for how long ends of a job are gathered before they are written.
+	completionDelay = Cycle / 2
+	// maxRecordAttempts is how often a job's record is tried alone, although its page is not what the books
+	// say, until the books count as wrong, and recordBackoff the pause before the first of them.
+	maxRecordAttempts = 4
+	recordBackoff     = Cycle / 8
+)
+
+// jobWrite is what one job writes in a transaction that several may share.
+type jobWrite struct {
+	job          *job
+	pages        []int
+	size         int                    // of its records, about, as the limits count them
+	coveredExits map[int]int            // of a page, how many of its exits the record no longer counts on
+	starting     []*partition.Placement // whose start waits for this record
+	replaces     []supersededPage       // stored pages that count for no task once this is written
+	compares     []protocol.Compare
+	ops          []protocol.Op
+}
+
+// pagesPerTransaction is how many full pages one transaction takes.
+func (c *Core) pagesPerTransaction() int {
+	return max(1, min(c.stateLimits.TxnOps, int(maxTransactionBytes/(c.stateLimits.ValueKB*1024))))
+}
+
+// maxTransactionBytes is how much one transaction may hold, with room left for what goes around it.
+const maxTransactionBytes = protocol.MaxBodyBytes * 3 / 4
+
+// maxStartPages is how many pages that starts wait for may be on their way at a time, and maxCompletionPages how
+// many with nothing but ends: as many as the state service takes in half the time for which ends are
+// gathered. More would only wait there, and more urgent ones behind them.
+func (c *Core) maxStartPages() int { return c.pagesWithin(startWriteWindow) }
+
+func (c *Core) maxCompletionPages() int { return c.pagesWithin(completionDelay / 2) }
+
+func (c *Core) pagesWithin(d time.Duration) int {
+	return max(c.pagesPerTransaction(), int(c.stateLimits.WriteRPS*storage.PlacementShare*d.Seconds()))
+}
+
+// recordStarts writes the records that starts wait for, in their order, as far as the state service
+// takes them: several jobs' in one transaction.
+func (c *Core) recordStarts(now time.Duration) {
+	for !c.writesPaused && c.pagesInFlight[Starts] < c.maxStartPages() {
+		batch := c.nextStartBatch(now, c.maxStartPages()-c.pagesInFlight[Starts])
+		if len(batch) == 0 {
+			return
+		}
+		c.writeBatch(Starts, batch)
+	}
+}
+
+// nextStartBatch takes jobs off the queue of starts for one transaction of up to so many pages.
+func (c *Core) nextStartBatch(now time.Duration, pages int) (batch []*jobWrite) {
+	pages, bytes := min(pages, c.stateLimits.TxnOps), maxTransactionBytes
+	stated := c.failoverOrder()
+	for pages > 0 {
+		j := c.queues.starts.next(now, stated)
+		if j == nil || len(batch) > 0 && j.recordAttempts > 0 {
+			return batch // what has failed is tried alone
+		}
+		p := c.newJobWrite(j, pages)
+		if len(batch) > 0 && (p.size > bytes || !p.coversAllStarts() || p.operations() > pages) {
+			return batch // it goes with the next
+		}
+		c.queues.starts.dequeue(j)
+		batch = append(batch, p)
+		pages, bytes = pages-p.operations(), bytes-p.size
+		if j.recordAttempts > 0 {
+			return batch
+		}
+	}
+	return batch
+}
+
+// failoverOrder lists the jobs whose records wait in the order of return while that is in force; nil
+// stands for the usual order.
+func (c *Core) failoverOrder() []*job {
+	if !c.orderInForce() {
+		return nil
+	}
+	jobs := c.queues.starts.byTurn.Items()
+	c.sortForReturn(jobs)
+	return jobs
+}
+
+// recordCompletions writes what has ended of jobs, those first that have waited for longest, as far as
+// the state service takes it.
+func (c *Core) recordCompletions(now time.Duration) {
+	for !c.writesPaused && c.pagesInFlight[Ends] < c.maxCompletionPages() {
+		j := c.queues.nextEnded(now - completionDelay)
+		if j == nil {
+			return
+		}
+		if now < j.recordNotBefore {
+			c.callAt(j.recordNotBefore, func(now time.Duration) { j.queues.addEnded(now, j) })
+			continue
+		}
+		c.writeBatch(Ends, []*jobWrite{c.newJobWrite(j, c.pagesPerTransaction())})
+	}
+}
+
+// newJobWrite returns what a job writes, up to so many pages, those first for which starts wait, and no
+// more than one transaction takes.
+func (c *Core) newJobWrite(j *job, most int) *jobWrite {
+	c.narrowToFit(j)
+	p := &jobWrite{job: j}
+	for _, n := range j.pagesToWrite(most) {
+		bytes := j.estimatedPageBytes(n)
+		if len(p.pages) > 0 && p.size+bytes > maxTransactionBytes {
+			break
+		}
+		p.pages = append(p.pages, n)
+		p.size += bytes
+	}
+	for _, pl := range j.unstarted {
+		if slices.Contains(p.pages, pl.Task.Index/j.layout.TasksPerPage) {
+			p.starting = append(p.starting, pl)
+		}
+	}
+	for _, old := range j.supersededPages {
+		if p.operations() < most && j.fullyReplaced(old, p.pages) {
+			p.replaces = append(p.replaces, old)
+		}
+	}
+	return p
+}
+
+// operations is how many operations the part takes.
+func (p *jobWrite) operations() int { return len(p.pages) + len(p.replaces) }
+
+// coversAllStarts says whether the part has all that its job's starts wait for.
+func (p *jobWrite) coversAllStarts() bool { return len(p.starting) == len(p.job.unstarted) }
+
+// encode makes the part's conditions and operations, for a transaction of the given name.
+func (p *jobWrite) encode(name string) error {
+	j := p.job
+	p.coveredExits = map[int]int{}
+	p.ops = nil
+	p.compares = []protocol.Compare{{Key: storage.LiveJobKey(j.spec.ID), Revision: j.stamp}}
+	for _, n := range p.pages {
+		value, err := j.encodePage(n, name)
+		if err != nil {
+			return err
+		}
+		page, key := j.page(n), j.pageID(n).Key()
+		p.coveredExits[n] = len(page.unrecordedExits)
+		p.compares = append(p.compares, protocol.Compare{Key: key, Revision: page.revision})
+		p.ops = append(p.ops, protocol.Op{PutKey: key, Value: value})
+	}
+	for _, old := range p.replaces {
+		p.compares = append(p.compares, protocol.Compare{Key: old.id.Key(), Revision: old.revision})
+		p.ops = append(p.ops, protocol.Op{DeleteKey: old.id.Key()})
+	}
+	return nil
+}
+
+// writeBatch writes parts in one transaction.
+func (c *Core) writeBatch(purpose Purpose, parts []*jobWrite) {
+	id, name := c.nextWriteID()
+	t := protocol.Txn{If: []protocol.Compare{{Key: storage.TermKey, Revision: c.termStamp}}}
+	for _, p := range parts {
+		if err := p.encode(name); err != nil {
+			c.emit(Depose{Reason: err.Error()}) // the books hold what no record can
+			return
+		}
+		t.If = append(t.If, p.compares...)
+		t.Then = append(t.Then, p.ops...)
+	}
+	for _, p := range parts {
+		p.job.writeInFlight = true
+		for _, n := range p.pages {
+			p.job.page(n).dirty = false
+		}
+	}
+	c.pagesInFlight[purpose] += len(t.Then)
+	c.writesInFlight[id] = func(now time.Duration, w Written) {
+		c.pagesInFlight[purpose] -= len(t.Then)
+		c.batchWritten(now, &t, parts, w)
+		if purpose == Ends {
+			c.recordCompletions(now)
+		} else {
+			c.recordStarts(now)
+		}
+	}
+	c.emit(Write{ID: id, Txn: t, For: purpose, Verify: t.Then[0].PutKey, Name: name, Shared: len(parts) > 1})
+}
+
+// batchWritten takes in the outcome of a transaction. A failed condition of one job concerns that job
+// alone: the others are written again at once, in another transaction. The one that failed can't have
+// been carried out and never will be, as its conditions hold no longer.
+func (c *Core) batchWritten(now time.Duration, t *protocol.Txn, parts []*jobWrite, w Written) {
+	for _, p := range parts {
+		p.job.writeInFlight = false
+	}
+	if !w.OK && !w.Refused && (len(w.Failed) == 0 || slices.Contains(w.Failed, storage.TermKey)) {
+		// Somebody else leads, or the books are wrong: a new term reads everything afresh.
+		c.emit(Depose{Reason: fmt.Sprintf("conditions failed: %v", w.Failed)})
+		return
+	}
+	for _, p := range parts {
+		switch {
+		case w.OK:
+			c.jobWriteSucceeded(now, p, w.Rev)
+		case w.Refused && len(parts) > 1:
+			c.retryAlone(now, p) // one of them is out of form, and only alone it shows which
+		case w.Refused:
+			c.jobWriteRejected(now, t, p)
+		default:
+			c.jobWriteFailed(now, p, w.Failed)
+		}
+	}
+	c.send(now) // a machine's starts go out together
+}
+
+// jobWriteFailed takes in that a transaction failed of which this was a part.
+func (c *Core) jobWriteFailed(now time.Duration, p *jobWrite, failed []string) {
+	j := p.job
+	stale := slices.ContainsFunc(p.compares, func(cond protocol.Compare) bool { return slices.Contains(failed, cond.Key) })
+	switch {
+	case slices.Contains(failed, storage.LiveJobKey(j.spec.ID)):
+		c.cancelUnstarted(now, j)
+		c.end(now, j)
+	case !stale:
+		c.requeue(now, p)
+	case j.recordAttempts >= maxRecordAttempts:
+		c.emit(Depose{Reason: fmt.Sprintf("conditions failed: %v", failed)})
+	default:
+		c.log.Info("record is not what the books say", "job", j.spec.ID, "tries", j.recordAttempts)
+		j.recordNotBefore = now + recordBackoff<<j.recordAttempts
+		j.recordAttempts++
+		c.requeue(now, p)
+	}
+}
+
+// jobWriteRejected takes in that a part alone was refused for its form: fewer of its pages are written at a time, and then
+// they are cut narrower, as far as that goes. Else it is tried again after a pause, in which others have their turn.
+func (c *Core) jobWriteRejected(now time.Duration, t *protocol.Txn, p *jobWrite) {
+	j := p.job
+	c.requeue(now, p)
+	j.recordNotBefore = now + rejectedRetryDelay
+	if c.shrinkTransactions(t) {
+		j.recordNotBefore = now // it is written with fewer pages at a time
+		return
+	}
+	if j.layout.Compact && j.layout.TasksPerPage > 1 && !j.over {
+		j.changeLayout(storage.PageLayout{TasksPerPage: (j.layout.TasksPerPage + 1) / 2, Compact: true})
+		j.recordNotBefore = now
+	}
+	c.log.Error("record refused", "job", j.spec.ID, "pages", len(p.pages), "width now", j.layout.TasksPerPage)
+}
+
+// retryAlone has a job's record tried alone from now on, until it succeeds.
+func (c *Core) retryAlone(now time.Duration, p *jobWrite) {
+	p.job.recordAttempts = max(p.job.recordAttempts, 1)
+	c.requeue(now, p)
+}
+
+// requeue has a part written again.
+func (c *Core) requeue(now time.Duration, p *jobWrite) {
+	j := p.job
+	for _, n := range p.pages {
+		j.page(n).dirty = true
+	}
+	if j.over {
+		c.cancelUnstarted(now, j)
+		c.stopJob(now, j)
+		return
+	}
+	c.queues.starts.requeue(j)
+	j.queues.addEnded(now, j)
+}
+
+// jobWriteSucceeded takes in that a part is written.
+func (c *Core) jobWriteSucceeded(now time.Duration, p *jobWrite, rev uint64) {
+	j := p.job
+	j.recordAttempts, j.recordNotBefore = 0, 0
+	for _, n := range p.pages {
+		page := j.page(n)
+		page.revision = rev
+		for _, pl := range page.unrecordedExits[:p.coveredExits[n]] {
+			c.machines.MarkOutcomeRecorded(pl)
+		}
+		page.unrecordedExits = page.unrecordedExits[p.coveredExits[n]:]
+	}
+	for _, old := range p.replaces {
+		j.supersededPages = slices.DeleteFunc(j.supersededPages, func(s supersededPage) bool { return s == old })
+	}
+	if j.over {
+		c.cancelUnstarted(now, j)
+		c.stopJob(now, j)
+		return
+	}
+	for _, pl := range p.starting {
+		pl.Recorded = true
+	}
+	c.startRecorded(j)
+	switch {
+	case j.counts[done] == len(j.tasks):
+		c.completeJob(now, j)
+	case len(j.unstarted) > 0:
+		c.queues.starts.add(j)
+	default:
+		c.queues.addEnded(now, j)
+	}
+}
--- a/internal/coordination/scheduler/recording_test.go
+++ b/internal/coordination/scheduler/placementwriter_test.go
@@ -15,39 +15,39 @@
 	"pinebay/internal/storage"
 )
 
-// jobsOf returns the jobs whose placements a write records.
-func jobsOf(w Write) (jobs []string) {
+// jobsOfWrite returns the jobs whose placements a write records.
+func jobsOfWrite(w Write) (jobs []string) {
 	for _, op := range w.Txn.Then {
-		id, _, _ := strings.Cut(strings.TrimPrefix(op.PutKey, storage.PlacePrefix), "/")
+		id, _, _ := strings.Cut(strings.TrimPrefix(op.PutKey, storage.PlacementPrefix), "/")
 		jobs = append(jobs, id)
 	}
 	return slices.Compact(jobs)
 }
 
 // submit accepts a job of single tasks of half a machine.
-func (s *slowStore) submit(id string, prio protocol.Priority, tasks int) {
+func (s *manualStore) submit(id string, prio protocol.Priority, tasks int) {
 	s.rev++
-	s.step(JobSet{Record: storage.LiveRecord{Job: spec(id, protocol.Array, prio, tasks, 4), AtMS: s.now.Milliseconds()}, Stamp: s.rev})
+	s.step(JobSet{Record: storage.LiveJobRecord{Job: spec(id, protocol.Array, prio, tasks, 4), AcceptedAtMS: s.now.Milliseconds()}, Stamp: s.rev})
 }
 
 // cycleOnce lets a cycle pass and keeps what is written.
-func (s *slowStore) cycleOnce() {
+func (s *manualStore) cycleOnce() {
 	s.now += Cycle
-	s.reportAll()
+	s.heartbeatAll()
 	s.step(Tick{})
 }
 
 // answer gives a write its outcome.
-func (s *slowStore) answer(w Written) {
-	s.open = slices.DeleteFunc(s.open, func(o Write) bool { return o.ID == w.Write })
+func (s *manualStore) answer(w Written) {
+	s.inFlight = slices.DeleteFunc(s.inFlight, func(o Write) bool { return o.ID == w.Write })
 	s.rev++
 	w.Rev = s.rev
 	s.step(w)
 }
 
-// starts returns the records of starts that are under way.
-func (s *slowStore) starts() (open []Write) {
-	for _, w := range s.open {
+// startWrites returns the records of starts that are under way.
+func (s *manualStore) startWrites() (open []Write) {
+	for _, w := range s.inFlight {
 		if w.For == Starts {
 			open = append(open, w)
 		}
@@ -55,61 +55,61 @@
 	return open
 }
 
-// emptyStore is a slowStore with empty machines.
-func emptyStore(machines int) *slowStore {
-	s := &slowStore{bench: newBench([]config.Team{{Name: "red"}}, "a")}
+// newEmptyManualStore is a manualStore with empty machines.
+func newEmptyManualStore(machines int) *manualStore {
+	s := &manualStore{bench: newBench([]config.Team{{Name: "red"}}, "a")}
 	for i := range machines {
 		s.machine(fmt.Sprintf("m%03d", i), "a", false)
 	}
 	return s
 }
 
-// TestUrgentRecordsGoFirst: however many records of lower work wait, few are under way, and that of an
+// TestUrgentStartIsWrittenFirst: however many records of lower work wait, few are under way, and that of an
 // urgent start is the next. They had all stood in one line: an urgent start waited for thousands.
-func TestUrgentRecordsGoFirst(t *testing.T) {
+func TestUrgentStartIsWrittenFirst(t *testing.T) {
 	const jobs = 200
-	s := emptyStore(jobs)
+	s := newEmptyManualStore(jobs)
 	for i := range jobs {
 		s.submit(fmt.Sprintf("j-%03d", i), "normal", 2)
 	}
 	s.cycleOnce()
-	under := s.count(Starts)
-	if under == 0 || under > s.c.startPages() {
-		t.Fatalf("%d pages under way, want 1 to %d", under, s.c.startPages())
+	under := s.pagesInFlight(Starts)
+	if under == 0 || under > s.c.maxStartPages() {
+		t.Fatalf("%d pages under way, want 1 to %d", under, s.c.maxStartPages())
 	}
 	s.machine("m999", "a", false)
 	s.submit("j-urgent", "urgent", 1)
 	s.cycleOnce()
-	if got := s.count(Starts); got != under {
+	if got := s.pagesInFlight(Starts); got != under {
 		t.Fatalf("%d pages under way with an urgent job, %d without", got, under)
 	}
-	s.answer(Written{Write: s.starts()[0].ID, OK: true})
-	if !slices.ContainsFunc(s.starts(), func(w Write) bool { return slices.Contains(jobsOf(w), "j-urgent") }) {
-		t.Errorf("the urgent start's record is not the next: %d others are under way", len(s.starts()))
+	s.answer(Written{Write: s.startWrites()[0].ID, OK: true})
+	if !slices.ContainsFunc(s.startWrites(), func(w Write) bool { return slices.Contains(jobsOfWrite(w), "j-urgent") }) {
+		t.Errorf("the urgent start's record is not the next: %d others are under way", len(s.startWrites()))
 	}
 }
 
 // TestSharedTransactions: a transaction holds records of several jobs, within the limits, and nothing
 // starts before it is carried out.
 func TestSharedTransactions(t *testing.T) {
-	s := emptyStore(40)
+	s := newEmptyManualStore(40)
 	for i := range 40 {
 		s.submit(fmt.Sprintf("j-%03d", i), "normal", 2)
 	}
 	s.cycleOnce()
 	shared := 0
-	for served := 0; len(s.starts()) > 0 && served < 200; served++ {
-		w := s.starts()[0]
+	for served := 0; len(s.startWrites()) > 0 && served < 200; served++ {
+		w := s.startWrites()[0]
 		if len(w.Txn.Then) > s.c.cfg.State.TxnOps || len(w.Txn.If) > 4*s.c.cfg.State.TxnOps {
 			t.Fatalf("%d operations and %d conditions", len(w.Txn.Then), len(w.Txn.If))
 		}
-		if w.Shared != (len(jobsOf(w)) > 1) {
-			t.Fatalf("shared %v with %v", w.Shared, jobsOf(w))
+		if w.Shared != (len(jobsOfWrite(w)) > 1) {
+			t.Fatalf("shared %v with %v", w.Shared, jobsOfWrite(w))
 		}
 		if w.Shared {
 			shared++
 		}
-		for _, id := range jobsOf(w) {
+		for _, id := range jobsOfWrite(w) {
 			for _, pl := range s.c.jobs[id].places {
 				if pl.StartAllowed {
 					t.Fatalf("%s may start before its record", pl.Task)
@@ -117,7 +117,7 @@
 			}
 		}
 		s.answer(Written{Write: w.ID, OK: true})
-		for _, id := range jobsOf(w) {
+		for _, id := range jobsOfWrite(w) {
 			for _, pl := range s.c.jobs[id].places {
 				if !pl.StartAllowed {
 					t.Fatalf("%s may not start after its record", pl.Task)
@@ -130,30 +130,30 @@
 	}
 }
 
-// failing returns the outcome of a write that a job's condition makes fail.
-func failing(w Write, key string) Written { return Written{Write: w.ID, Failed: []string{key}} }
+// failedWrite returns the outcome of a write that a job's condition makes fail.
+func failedWrite(w Write, key string) Written { return Written{Write: w.ID, Failed: []string{key}} }
 
-// TestOneJobFailsASharedTransaction: a job that was cancelled, or whose page is not what the books
+// TestFailedJobIsSplitOffSharedTransaction: a job that was cancelled, or whose page is not what the books
 // say, is split off. The others are written again at once; it is tried alone, after a pause that
 // doubles, and when that doesn't help the term ends, as the books are wrong.
-func TestOneJobFailsASharedTransaction(t *testing.T) {
-	begin := func() (*slowStore, Write) {
-		s := emptyStore(8)
+func TestFailedJobIsSplitOffSharedTransaction(t *testing.T) {
+	begin := func() (*manualStore, Write) {
+		s := newEmptyManualStore(8)
 		for i := range 4 {
 			s.submit(fmt.Sprintf("j-%03d", i), "normal", 2)
 		}
 		s.cycleOnce()
-		w := s.starts()[0]
-		if len(jobsOf(w)) != 4 {
-			t.Fatalf("the transaction has %v", jobsOf(w))
+		w := s.startWrites()[0]
+		if len(jobsOfWrite(w)) != 4 {
+			t.Fatalf("the transaction has %v", jobsOfWrite(w))
 		}
 		return s, w
 	}
 	t.Run("cancelled", func(t *testing.T) {
 		s, w := begin()
-		s.answer(failing(w, storage.LiveKey("j-001")))
-		again := s.starts()
-		if len(again) != 1 || !slices.Equal(jobsOf(again[0]), []string{"j-000", "j-002", "j-003"}) {
+		s.answer(failedWrite(w, storage.LiveJobKey("j-001")))
+		again := s.startWrites()
+		if len(again) != 1 || !slices.Equal(jobsOfWrite(again[0]), []string{"j-000", "j-002", "j-003"}) {
 			t.Fatalf("written again: %v", again)
 		}
 		s.answer(Written{Write: again[0].ID, OK: true})
@@ -165,19 +165,19 @@
 	t.Run("stale", func(t *testing.T) {
 		s, w := begin()
 		stale := productionPage("j-001", 0)
-		s.answer(failing(w, stale))
-		again := s.starts()
-		if len(again) != 1 || !slices.Equal(jobsOf(again[0]), []string{"j-000", "j-002", "j-003"}) {
+		s.answer(failedWrite(w, stale))
+		again := s.startWrites()
+		if len(again) != 1 || !slices.Equal(jobsOfWrite(again[0]), []string{"j-000", "j-002", "j-003"}) {
 			t.Fatalf("written again: %v", again)
 		}
 		s.answer(Written{Write: again[0].ID, OK: true})
 		var deposed []Effect
 		last, pause := s.now, time.Duration(0)
 		for tries := 1; len(deposed) == 0; tries++ {
-			if tries > recordTries {
+			if tries > maxRecordAttempts {
 				t.Fatal("tried for ever")
 			}
-			for len(s.starts()) == 0 && s.now < last+time.Minute {
+			for len(s.startWrites()) == 0 && s.now < last+time.Minute {
 				s.now += recordBackoff / 4
 				s.step(Tick{})
 			}
@@ -186,12 +186,12 @@
 			} else {
 				last, pause = s.now, got
 			}
-			alone := s.starts()[0]
-			if !slices.Equal(jobsOf(alone), []string{"j-001"}) {
-				t.Fatalf("try %d is of %v", tries, jobsOf(alone))
+			alone := s.startWrites()[0]
+			if !slices.Equal(jobsOfWrite(alone), []string{"j-001"}) {
+				t.Fatalf("try %d is of %v", tries, jobsOfWrite(alone))
 			}
-			s.open = nil
-			for _, e := range s.c.Step(s.now, failing(alone, stale)) {
+			s.inFlight = nil
+			for _, e := range s.c.Step(s.now, failedWrite(alone, stale)) {
 				if _, ok := e.(Depose); ok {
 					deposed = append(deposed, e)
 				}
@@ -200,7 +200,7 @@
 	})
 	t.Run("the term is over", func(t *testing.T) {
 		s, w := begin()
-		for _, e := range s.c.Step(s.now, failing(w, storage.TermKey)) {
+		for _, e := range s.c.Step(s.now, failedWrite(w, storage.TermKey)) {
 			if _, ok := e.(Depose); ok {
 				return
 			}
@@ -212,11 +212,11 @@
 		s.answer(Written{Write: w.ID, Refused: true})
 		tried := map[string]bool{}
 		for range 4 {
-			for _, a := range s.starts() {
-				if len(jobsOf(a)) != 1 {
-					t.Fatalf("together again: %v", jobsOf(a))
+			for _, a := range s.startWrites() {
+				if len(jobsOfWrite(a)) != 1 {
+					t.Fatalf("together again: %v", jobsOfWrite(a))
 				}
-				if id := jobsOf(a)[0]; id != "j-002" {
+				if id := jobsOfWrite(a)[0]; id != "j-002" {
 					tried[id] = true
 					s.answer(Written{Write: a.ID, OK: true})
 				}
@@ -229,10 +229,10 @@
 	})
 }
 
-// TestStartsAreGathered: while an array's record waits, the starts that its ends make room for go into
+// TestStartsAreBatched: while an array's record waits, the starts that its ends make room for go into
 // it: far fewer records than starts.
-func TestStartsAreGathered(t *testing.T) {
-	s := emptyStore(10)
+func TestStartsAreBatched(t *testing.T) {
+	s := newEmptyManualStore(10)
 	for i := range 20 {
 		s.submit(fmt.Sprintf("j-%03d", i), "normal", 60)
 	}
@@ -247,26 +247,26 @@
 			for _, e := range s.c.Step(s.now, Reported{Tag: name, Report: s.report(name)}) {
 				switch e := e.(type) {
 				case Write:
-					s.open = append(s.open, e)
+					s.inFlight = append(s.inFlight, e)
 				case Answer:
 					s.take(name, e.Body.FencingToken, e.Body.Commands)
 				}
 			}
 		}
 		s.step(Tick{})
-		if open := s.starts(); len(open) > 0 { // one transaction every quarter of a second
+		if open := s.startWrites(); len(open) > 0 { // one transaction every quarter of a second
 			records += len(open[0].Txn.Then)
 			before := len(s.runs)
 			for _, e := range s.c.Step(s.now, Written{Write: open[0].ID, OK: true, Rev: uint64(1000 + records)}) {
 				switch e := e.(type) {
 				case Write:
-					s.open = append(s.open, e)
+					s.inFlight = append(s.inFlight, e)
 				case Order:
 					s.take(e.Machine, e.Orders.FencingToken, e.Orders.Commands)
 					s.step(OrdersDone{Machine: e.Machine, OK: true, Report: s.report(e.Machine)})
 				}
 			}
-			s.open = slices.DeleteFunc(s.open, func(o Write) bool { return o.ID == open[0].ID })
+			s.inFlight = slices.DeleteFunc(s.inFlight, func(o Write) bool { return o.ID == open[0].ID })
 			starts += len(s.runs) - before
 		}
 	}
@@ -287,13 +287,13 @@
 			now += time.Duration(rapid.IntRange(0, 3).Draw(t, "pause")) * time.Second
 			for range rapid.IntRange(0, 2).Draw(t, "new") {
 				made++
-				j := newJob(spec(fmt.Sprintf("j-%06d", made), protocol.Array, rapid.SampledFrom([]protocol.Priority{"urgent", "urgent", "normal", "best_effort"}).Draw(t, "level"), 1, 1), 1, 0, 0, storage.Layout{Width: 10})
+				j := newJob(spec(fmt.Sprintf("j-%06d", made), protocol.Array, rapid.SampledFrom([]protocol.Priority{"urgent", "urgent", "normal", "best_effort"}).Draw(t, "level"), 1, 1), 1, 0, 0, storage.PageLayout{TasksPerPage: 10})
 				j.spec.Team = rapid.SampledFrom([]string{"red", "blue", "green"}).Draw(t, "team")
-				j.granted = []*partition.Placement{{}}
+				j.unstarted = []*partition.Placement{{}}
 				q.add(j)
-				waiting[j] = longestWaiting * (len(waiting) + 1)
+				waiting[j] = oldestEvery * (len(waiting) + 1)
 			}
-			byWait := q.byWaitNext()
+			byWait := q.oldestIsNext()
 			j := q.next(now, nil)
 			if (j == nil) != (len(waiting) == 0) {
 				t.Fatalf("%v with %d waiting", j, len(waiting))
@@ -301,7 +301,7 @@
 			if j == nil {
 				continue
 			}
-			q.take(j)
+			q.dequeue(j)
 			delete(waiting, j)
 			for o, left := range waiting {
 				if left == 0 {
@@ -319,26 +319,26 @@
 	})
 }
 
-// TestTeamsRecordInTurn: a team with one job to record does not wait for all of one with a hundred.
-func TestTeamsRecordInTurn(t *testing.T) {
+// TestStartQueueServesTeamsInTurn: a team with one job to record does not wait for all of one with a hundred.
+func TestStartQueueServesTeamsInTurn(t *testing.T) {
 	q := newStartQueue()
 	job := func(id, team string) *job {
-		j := newJob(spec(id, protocol.Array, "normal", 1, 1), 1, 0, 0, storage.Layout{Width: 10})
-		j.spec.Team, j.granted = team, []*partition.Placement{{}}
+		j := newJob(spec(id, protocol.Array, "normal", 1, 1), 1, 0, 0, storage.PageLayout{TasksPerPage: 10})
+		j.spec.Team, j.unstarted = team, []*partition.Placement{{}}
 		return j
 	}
 	for i := range 100 {
 		q.add(job(fmt.Sprintf("j-%03d", i), "red"))
 	}
 	for range 10 {
-		q.take(q.next(0, nil))
+		q.dequeue(q.next(0, nil))
 	}
 	q.add(job("j-blue", "blue"))
 	for served := 0; ; served++ {
 		j := q.next(time.Second, nil)
-		q.take(j)
+		q.dequeue(j)
 		if j.spec.Team == "blue" {
-			if served > longestWaiting {
+			if served > oldestEvery {
 				t.Errorf("served after %d of the other team", served)
 			}
 			return
--- a/internal/coordination/scheduler/queue.go
+++ b/internal/coordination/scheduler/queue.go
@@ -84,7 +84,7 @@
 
 // waits says whether a job has tasks that may be placed now.
 func (c *Core) waits(now time.Duration, j *job) bool {
-	if j.counts[pending] == 0 || c.held(j) || j.writing || now < j.notBefore {
+	if j.counts[pending] == 0 || c.held(j) || j.writeInFlight || now < j.notBefore {
 		return false
 	}
 	// Starts of an array or a service are gathered in its record while that waits for its turn.
--- a/internal/coordination/scheduler/recoverpages.go
+++ b/internal/coordination/scheduler/recovery.go
@@ -13,16 +13,16 @@
 
 // storedPage is a page that recovery has read.
 type storedPage struct {
-	name  storage.PageName
-	stamp uint64
-	rec   *storage.PageRecord
+	id       storage.PageID
+	revision uint64
+	record   *storage.PlacementPage
 }
 
 // recoverPages takes over what the pages record.
 func (c *Core) recoverPages(now time.Duration, pairs []protocol.KeyValue) {
 	byJob := map[string][]storedPage{}
 	for _, pair := range pairs {
-		name, err := storage.ParsePageName(pair.Key, storage.ProductionPageTasks(c.cfg.State.ValueKB))
+		name, err := storage.ParsePageKey(pair.Key, storage.OriginalPageTasks(c.cfg.State.ValueKB))
 		if err != nil {
 			c.log.Error("page out of form", "key", pair.Key, "err", err)
 			continue
@@ -42,49 +42,49 @@
 // recoverJobPages takes over what the pages of a job record, the narrowest first: of a task that several
 // cover, that one counts.
 func (c *Core) recoverJobPages(now time.Duration, id string, pages []storedPage) {
-	slices.SortStableFunc(pages, func(a, b storedPage) int { return narrower(a.name.Layout, b.name.Layout) })
+	slices.SortStableFunc(pages, func(a, b storedPage) int { return compareLayouts(a.id.Layout, b.id.Layout) })
 	j := c.jobs[id]
 	if j == nil {
-		j = c.overJob(now, id, pages)
+		j = c.newEndedJob(now, id, pages)
 	}
-	j.layout = c.narrowed(pages[0].name.Layout.Width)
-	var covered []storage.PageName
+	j.layout = c.layoutAtMost(pages[0].id.Layout.TasksPerPage)
+	var covered []storage.PageID
 	for _, p := range pages {
 		counts := func(task int) bool {
-			return !slices.ContainsFunc(covered, func(n storage.PageName) bool { return task >= n.First() && task < n.End() })
+			return !slices.ContainsFunc(covered, func(n storage.PageID) bool { return task >= n.FirstTask() && task < n.EndTask() })
 		}
-		if p.name.Layout == j.layout {
-			own := j.page(p.name.Number)
-			own.stamp, own.attempts = p.stamp, max(own.attempts, p.rec.Attempts)
+		if p.id.Layout == j.layout {
+			own := j.page(p.id.Number)
+			own.revision, own.highestAttempt = p.revision, max(own.highestAttempt, p.record.HighestAttempt)
 		} else {
-			j.superseded = append(j.superseded, superseded{p.name, p.stamp, p.rec.Attempts})
-			j.eachPageOf(p.name, func(n int) { j.page(n).attempts = max(j.page(n).attempts, p.rec.Attempts) })
+			j.supersededPages = append(j.supersededPages, supersededPage{p.id, p.revision, p.record.HighestAttempt})
+			j.eachOverlappingPage(p.id, func(n int) { j.page(n).highestAttempt = max(j.page(n).highestAttempt, p.record.HighestAttempt) })
 		}
-		c.recoverPage(now, j, p.rec, counts)
-		covered = append(covered, p.name)
+		c.recoverPageTasks(now, j, p.record, counts)
+		covered = append(covered, p.id)
 	}
 	j.queues.addPlaced(j)
 }
 
-// narrower orders layouts by which counts for a task that pages of several cover: the narrower one, and of two
+// compareLayouts orders layouts by which counts for a task that pages of several cover: the narrower one, and of two
 // that are as wide the compact one.
-func narrower(a, b storage.Layout) int {
-	if a.Width == b.Width && a.Compact != b.Compact {
+func compareLayouts(a, b storage.PageLayout) int {
+	if a.TasksPerPage == b.TasksPerPage && a.Compact != b.Compact {
 		if a.Compact {
 			return -1
 		}
 		return 1
 	}
-	return cmp.Compare(a.Width, b.Width)
+	return cmp.Compare(a.TasksPerPage, b.TasksPerPage)
 }
 
-// overJob makes up a job that is over, and whose tasks may not be gone: they still count.
-func (c *Core) overJob(now time.Duration, id string, pages []storedPage) *job {
-	rec := pages[0].rec
+// newEndedJob makes up a job that is over, and whose tasks may not be gone: they still count.
+func (c *Core) newEndedJob(now time.Duration, id string, pages []storedPage) *job {
+	rec := pages[0].record
 	j := newJob(protocol.Job{ID: id, Team: rec.Team, CPUs: rec.CPUs, GPUs: rec.GPUs,
-		MemoryGB: rec.MemoryGB, Priority: "best_effort"}, 0, 0, now, c.layout())
+		MemoryGB: rec.MemoryGB, Priority: "best_effort"}, 0, 0, now, c.newJobLayout())
 	for _, p := range pages {
-		if more := p.name.End() - len(j.tasks); more > 0 {
+		if more := p.id.EndTask() - len(j.tasks); more > 0 {
 			j.tasks = append(j.tasks, make([]taskState, more)...)
 			j.counts[pending] += more
 		}
@@ -95,21 +95,21 @@
 	return j
 }
 
-// recoverPage takes over what a page records of the tasks for which it counts.
-func (c *Core) recoverPage(now time.Duration, j *job, rec *storage.PageRecord, counts func(task int) bool) {
-	for _, d := range rec.Done {
+// recoverPageTasks takes over what a page records of the tasks for which it counts.
+func (c *Core) recoverPageTasks(now time.Duration, j *job, rec *storage.PlacementPage, counts func(task int) bool) {
+	for _, d := range rec.DoneRanges {
 		for t := d[0]; t <= d[1]; t++ {
 			if counts(t) {
 				j.set(t, done)
 			}
 		}
 	}
-	for _, pl := range rec.Places {
+	for _, pl := range rec.Placements {
 		if pl.Task >= len(j.tasks) || j.places[pl.Task] != nil || !counts(pl.Task) {
 			continue
 		}
 		np := &partition.Placement{
-			Task: protocol.TaskID{JobID: j.spec.ID, Index: pl.Task}, Attempt: pl.Attempt, Machine: pl.Machine, Incarnation: pl.Session,
+			Task: protocol.TaskID{JobID: j.spec.ID, Index: pl.Task}, Attempt: pl.Attempt, Machine: pl.Machine, Incarnation: pl.Incarnation,
 			Zone: rec.Zones[pl.Zone], Resources: j.need, Team: j.spec.Team, PriorityLevel: j.level, Job: &j.spec,
 		}
 		j.places[pl.Task] = np
--- a/internal/coordination/scheduler/takeover_test.go
+++ b/internal/coordination/scheduler/recovery_test.go
@@ -10,9 +10,9 @@
 	"pinebay/internal/storage"
 )
 
-// TestNewLeaderKnowsTheImages: what one leader wrote down of the machines'
+// TestNewLeaderRecoversImageHints: what one leader wrote down of the machines'
 // images leads the next one's tasks to the machine that has theirs.
-func TestNewLeaderKnowsTheImages(t *testing.T) {
+func TestNewLeaderRecoversImageHints(t *testing.T) {
 	b := newBench([]config.Team{{Name: "red"}}, "a")
 	b.machine("m2", "a", false)
 	j := spec("j-1", protocol.Array, "normal", 1, 1)
@@ -27,7 +27,7 @@
 	var warm []protocol.KeyValue
 	for _, txn := range b.last {
 		for _, op := range txn.Then {
-			if op.PutKey == storage.ImagesKey(0) {
+			if op.PutKey == storage.ImageHintKey(0) {
 				warm = []protocol.KeyValue{{Key: op.PutKey, Value: op.Value, Revision: 1}}
 			}
 		}
@@ -48,9 +48,9 @@
 	}
 }
 
-// TestNewLeaderKnowsTheAges: how long a job has waited counts from its submission,
+// TestNewLeaderRecoversWaitingTimes: how long a job has waited counts from its submission,
 // also for a leader that has just come: here, which gang can still start in time.
-func TestNewLeaderKnowsTheAges(t *testing.T) {
+func TestNewLeaderRecoversWaitingTimes(t *testing.T) {
 	b := newBench([]config.Team{{Name: "red"}}, "a")
 	b.setObjectives([]config.Objective{
 		{Kind: "wait", Class: "big", WithinS: 20, Share: 0.9}, {Kind: "finished", Class: "big", WithinS: 30, Share: 0.9},
@@ -60,11 +60,11 @@
 	for id, waitedMS := range map[string]int64{"j-1": 25_000, "j-2": 5_000} {
 		gang := spec(id, protocol.Gang, "urgent", 1, 8)
 		gang.Class, gang.EstimateSeconds = "big", 20
-		value, err := protocol.Encode(storage.LiveRecord{Job: gang, AtMS: wallMS - waitedMS})
+		value, err := protocol.Encode(storage.LiveJobRecord{Job: gang, AcceptedAtMS: wallMS - waitedMS})
 		if err != nil {
 			t.Fatal(err)
 		}
-		live = append(live, protocol.KeyValue{Key: storage.LiveKey(id), Value: value, Revision: 3})
+		live = append(live, protocol.KeyValue{Key: storage.LiveJobKey(id), Value: value, Revision: 3})
 	}
 	b.c = New(0, b.c.cfg, b.c.log, Term{Number: 6, Stamp: 2}, Records{Types: []protocol.MachineType{*b.c.machines.MachineType("g8")}, Live: live}, wallMS, nil)
 	b.machine("m1", "a", false)
@@ -74,10 +74,10 @@
 	}
 }
 
-// TestLeaderOutOfReachGivesWay: a leader that most machines cannot reach lets
+// TestUnreachableLeaderStepsDown: a leader that most machines cannot reach lets
 // another lead; and a machine that only others reach gets its commands with
 // the answers that are passed on, not directly.
-func TestLeaderOutOfReachGivesWay(t *testing.T) {
+func TestUnreachableLeaderStepsDown(t *testing.T) {
 	for _, x := range []struct {
 		relayed int
 		away    bool
@@ -120,9 +120,9 @@
 	}
 }
 
-// TestNewLeaderKnowsTheArrivals: spare room does not vanish with a take-over,
+// TestNewLeaderRecoversArrivals: spare room does not vanish with a take-over,
 // and jobs that live are not counted twice.
-func TestNewLeaderKnowsTheArrivals(t *testing.T) {
+func TestNewLeaderRecoversArrivals(t *testing.T) {
 	cfg := []config.Objective{{Kind: "wait", Class: "quick", WithinS: 12, Share: 0.9}}
 	b := newBench([]config.Team{{Name: "red"}}, "a")
 	b.setObjectives(cfg)
@@ -133,11 +133,11 @@
 		if i%8 == 0 {
 			j.ID = fmt.Sprintf("j-%d", i)
 			b.job(j)
-			raw, err := protocol.Encode(storage.LiveRecord{Job: j, AtMS: b.now.Milliseconds()})
+			raw, err := protocol.Encode(storage.LiveJobRecord{Job: j, AcceptedAtMS: b.now.Milliseconds()})
 			if err != nil {
 				t.Fatal(err)
 			}
-			live = append(live, protocol.KeyValue{Key: storage.LiveKey(j.ID), Value: raw, Revision: b.rev})
+			live = append(live, protocol.KeyValue{Key: storage.LiveJobKey(j.ID), Value: raw, Revision: b.rev})
 		}
 		b.machine("m1", "a", false)
 		b.cycle()
@@ -145,7 +145,7 @@
 	var warm []protocol.KeyValue
 	for _, txn := range b.last {
 		for _, op := range txn.Then {
-			if op.PutKey == storage.ImagesKey(0) {
+			if op.PutKey == storage.ImageHintKey(0) {
 				warm = []protocol.KeyValue{{Key: op.PutKey, Value: op.Value, Revision: 1}}
 			}
 		}
@@ -159,10 +159,10 @@
 	}
 }
 
-// TestNewLeaderInspects: a new leader asks the machines that are there how they
+// TestNewLeaderProbesMachines: a new leader asks the machines that are there how they
 // stand, once, and places work where one answers, before its worker has found out
 // who leads. Copies of what they say do no harm.
-func TestNewLeaderInspects(t *testing.T) {
+func TestNewLeaderProbesMachines(t *testing.T) {
 	b := newBench([]config.Team{{Name: "red"}}, "a")
 	var list []protocol.ListedMachine
 	for i, state := range []string{protocol.MachineRunning, protocol.MachineRunning, protocol.MachineStarting, protocol.MachineFailed} {
@@ -193,9 +193,9 @@
 	}
 }
 
-// TestSmallLeaderInspectsInTurn: a leader with a small share of a core asks a few
+// TestSmallLeaderLimitsProbes: a leader with a small share of a core asks a few
 // machines a second, and none that has reported meanwhile.
-func TestSmallLeaderInspectsInTurn(t *testing.T) {
+func TestSmallLeaderLimitsProbes(t *testing.T) {
 	b := newBench([]config.Team{{Name: "red"}}, "a")
 	b.c.cfg.Quota.CoreShare = 0.02
 	const machines = 100
--- a/internal/coordination/scheduler/scale_bench_test.go
+++ b/internal/coordination/scheduler/scale_bench_test.go
@@ -118,7 +118,7 @@
 
 func (b *fleetBench) report(name string) { b.do(Reported{Tag: name, Report: b.next(name)}) }
 
-// reportAll has all machines report.
+// heartbeatAll has all machines report.
 func (b *fleetBench) reportAll() {
 	for name := range b.reports {
 		b.report(name)
@@ -130,7 +130,7 @@
 	b.jobs++
 	id := fmt.Sprintf("j-%07d", b.jobs)
 	b.rev++
-	b.do(JobSet{Stamp: b.rev, Record: storage.LiveRecord{AtMS: b.now.Milliseconds(), Job: protocol.Job{
+	b.do(JobSet{Stamp: b.rev, Record: storage.LiveJobRecord{AcceptedAtMS: b.now.Milliseconds(), Job: protocol.Job{
 		ID: id, Class: string(shape), Team: fmt.Sprintf("team-%03d", team), Shape: shape, Priority: priority, TaskCount: tasks,
 		CPUs: 2, MemoryGB: 4, Image: fmt.Sprintf("image-%02d", b.rng.IntN(images)), ImageGB: 1, EstimateSeconds: 40,
 	}}})
--- a/internal/coordination/scheduler/turns_test.go
+++ b/internal/coordination/scheduler/turns_test.go
@@ -29,7 +29,7 @@
 		for i := range rapid.IntRange(0, 30).Draw(t, "jobs") {
 			j := spec(fmt.Sprintf("j-%d", i), protocol.Array, rapid.SampledFrom([]protocol.Priority{"critical", "normal"}).Draw(t, "priority"), 1, float64(rapid.IntRange(1, 3).Draw(t, "gpus")))
 			j.Team = teams[rapid.IntRange(0, len(teams)-1).Draw(t, "team")].Name
-			waiting = append(waiting, newJob(j, 1, int64(i), 0, storage.Layout{Width: 10}))
+			waiting = append(waiting, newJob(j, 1, int64(i), 0, storage.PageLayout{TasksPerPage: 10}))
 		}
 		slices.SortFunc(waiting, func(a, b *job) int {
 			if goesBefore(a, b) {
--- a/internal/coordination/scheduler/zonebench_test.go
+++ b/internal/coordination/scheduler/zonebench_test.go
@@ -106,11 +106,11 @@
 	b.rev++
 	zone := false
 	for _, op := range w.Txn.Then {
-		if strings.HasPrefix(op.PutKey, storage.ZoneReturnPrefix) {
+		if strings.HasPrefix(op.PutKey, storage.ZoneFailoverPrefix) {
 			b.records[op.PutKey] = protocol.KeyValue{Key: op.PutKey, Value: op.Value, Revision: b.rev}
 			zone = true
 		}
-		if strings.HasPrefix(op.DeleteKey, storage.ZoneReturnPrefix) {
+		if strings.HasPrefix(op.DeleteKey, storage.ZoneFailoverPrefix) {
 			delete(b.records, op.DeleteKey)
 			zone = true
 		}
@@ -123,7 +123,7 @@
 
 func (b *zoneBench) recordedLoans() (rows []storage.LoanRow) {
 	for _, p := range b.records {
-		rec, err := storage.DecodeZoneReturn(p)
+		rec, err := storage.DecodeZoneFailover(p)
 		if err != nil {
 			continue // one that it must leave alone
 		}
@@ -336,13 +336,13 @@
 			j.CheckpointIntervalSeconds, j.SaveSeconds = 10, 2
 		}
 		gpus -= j.TaskCount * int(j.GPUs)
-		b.step(JobSet{Record: storage.LiveRecord{Job: j, AtMS: b.now.Milliseconds()}, Stamp: uint64(i + 1)})
+		b.step(JobSet{Record: storage.LiveJobRecord{Job: j, AcceptedAtMS: b.now.Milliseconds()}, Stamp: uint64(i + 1)})
 	}
 }
 
 func (b *zoneBench) submit(j protocol.Job) {
 	b.rev++
-	b.step(JobSet{Record: storage.LiveRecord{Job: j, AtMS: b.now.Milliseconds()}, Stamp: b.rev})
+	b.step(JobSet{Record: storage.LiveJobRecord{Job: j, AcceptedAtMS: b.now.Milliseconds()}, Stamp: b.rev})
 }
 
 // untilLoan lets time pass until a loan is made.
--- a/internal/coordination/scheduler/zonerecords.go
+++ b/internal/coordination/scheduler/zonerecords.go
@@ -81,12 +81,12 @@
 func (c *Core) recoverZoneReturn(now time.Duration, pages []protocol.KeyValue) {
 	z := c.returning
 	for _, p := range pages {
-		number, err := strconv.Atoi(strings.TrimPrefix(p.Key, storage.ZoneReturnPrefix))
+		number, err := strconv.Atoi(strings.TrimPrefix(p.Key, storage.ZoneFailoverPrefix))
 		if err != nil {
 			c.decide(zones.RecordLeftAlone{Key: p.Key, Reason: "not a page"})
 			continue
 		}
-		rec, err := storage.DecodeZoneReturn(p)
+		rec, err := storage.DecodeZoneFailover(p)
 		if err != nil {
 			z.records.foreign[number] = true
 			c.decide(zones.RecordLeftAlone{Key: p.Key, Reason: err.Error()})
@@ -115,24 +115,24 @@
 func loanOf(r storage.LoanRow) zones.Loan {
 	return zones.Loan{
 		Term: r.Term, Number: r.Number, Lender: zones.LentTask{Job: r.Lender, Task: r.Task, Attempt: r.Attempt},
-		Borrower: r.Borrower, Machine: r.Machine, Zone: r.Zone, LostS: r.LostS, AtMS: r.AtMS, UntilMS: r.UntilMS,
+		Borrower: r.Borrower, Machine: r.Machine, Zone: r.Zone, LostS: r.LostSeconds, AtMS: r.CreatedMS, UntilMS: r.ExpiresMS,
 	}
 }
 
 func rowOf(l zones.Loan) storage.LoanRow {
 	return storage.LoanRow{
 		Term: l.Term, Number: l.Number, Lender: l.Lender.Job, Task: l.Lender.Task, Attempt: l.Lender.Attempt,
-		Borrower: l.Borrower, Machine: l.Machine, Zone: l.Zone, LostS: l.LostS, AtMS: l.AtMS, UntilMS: l.UntilMS,
+		Borrower: l.Borrower, Machine: l.Machine, Zone: l.Zone, LostSeconds: l.LostS, CreatedMS: l.AtMS, ExpiresMS: l.UntilMS,
 	}
 }
 
 // zonePages returns some of the pages as they should be; nil for one that nothing is on.
-func (c *Core) zonePages(now time.Duration, numbers []int) map[int]*storage.ZoneReturnRecord {
+func (c *Core) zonePages(now time.Duration, numbers []int) map[int]*storage.ZoneFailoverRecord {
 	z := c.returning
-	pages := map[int]*storage.ZoneReturnRecord{}
+	pages := map[int]*storage.ZoneFailoverRecord{}
 	for _, number := range numbers {
 		if z.records.loans[number] > 0 || number == z.records.first() {
-			pages[number] = &storage.ZoneReturnRecord{Format: storage.ZoneReturnFormat}
+			pages[number] = &storage.ZoneFailoverRecord{Format: storage.ZoneFailoverFormat}
 		}
 	}
 	if first := pages[z.records.first()]; first != nil {
@@ -197,10 +197,10 @@
 // otherwise gathered for a cycle.
 func (c *Core) writeZoneReturn(now time.Duration) {
 	z := c.returning
-	if z == nil || c.paused || len(z.records.dirty) == 0 || z.records.writing || len(z.untaken) == 0 && now-z.records.at < Cycle {
+	if z == nil || c.writesPaused || len(z.records.dirty) == 0 || z.records.writing || len(z.untaken) == 0 && now-z.records.at < Cycle {
 		return
 	}
-	id, name := c.name()
+	id, name := c.nextWriteID()
 	txn, contents := c.zoneTransaction(now, name)
 	loans := c.recordedLoans()
 	if len(txn.Then) == 0 {
@@ -208,11 +208,11 @@
 		return
 	}
 	z.records.writing, z.records.at = true, now
-	c.writes[id] = func(now time.Duration, w Written) {
+	c.writesInFlight[id] = func(now time.Duration, w Written) {
 		z.records.writing = false
 		if w.Refused {
 			c.log.Error("zone return record refused", "pages", len(contents))
-			z.records.at = now + refusedPause
+			z.records.at = now + rejectedRetryDelay
 			for number := range contents {
 				z.records.dirty[number] = true
 			}
@@ -262,7 +262,7 @@
 	txn := protocol.Txn{If: []protocol.Compare{{Key: storage.TermKey, Revision: c.termStamp}}}
 	contents := map[int]string{}
 	add := func(number int, content string, op protocol.Op) {
-		txn.If = append(txn.If, protocol.Compare{Key: storage.ZoneReturnKey(number), Revision: z.records.stamps[number]})
+		txn.If = append(txn.If, protocol.Compare{Key: storage.ZoneFailoverKey(number), Revision: z.records.stamps[number]})
 		txn.Then = append(txn.Then, op)
 		contents[number] = content
 	}
@@ -273,7 +273,7 @@
 		page := pages[number]
 		if page == nil {
 			if z.records.stamps[number] != 0 {
-				add(number, "", protocol.Op{DeleteKey: storage.ZoneReturnKey(number)})
+				add(number, "", protocol.Op{DeleteKey: storage.ZoneFailoverKey(number)})
 			}
 			continue
 		}
@@ -285,13 +285,13 @@
 		if z.records.written[number] == string(plain) {
 			continue
 		}
-		page.Write = name
+		page.WriteName = name
 		value, err := protocol.Encode(page)
 		if err != nil {
 			c.log.Error("zone return record", "err", err)
 			continue
 		}
-		add(number, string(plain), protocol.Op{PutKey: storage.ZoneReturnKey(number), Value: value})
+		add(number, string(plain), protocol.Op{PutKey: storage.ZoneFailoverKey(number), Value: value})
 	}
 	return txn, contents
 }
--- a/internal/coordination/scheduler/zonereturn.go
+++ b/internal/coordination/scheduler/zonereturn.go
@@ -73,7 +73,7 @@
 // hasStarted says whether a task of the job was ever placed.
 func (j *job) hasStarted() bool {
 	for _, p := range j.pages {
-		if p.attempts > 0 {
+		if p.highestAttempt > 0 {
 			return true
 		}
 	}
--- a/internal/coordination/scheduler/zonereturn_test.go
+++ b/internal/coordination/scheduler/zonereturn_test.go
@@ -72,17 +72,17 @@
 // TestUnusableZoneRecords: a record that cannot be read, or is of a newer format, is reported and
 // left alone, and nothing else suffers.
 func TestUnusableZoneRecords(t *testing.T) {
-	newer, err := protocol.Encode(storage.ZoneReturnRecord{Format: storage.ZoneReturnFormat + 1, Zones: []storage.ZoneRow{{Name: "a", State: int(zones.Lost)}}})
+	newer, err := protocol.Encode(storage.ZoneFailoverRecord{Format: storage.ZoneFailoverFormat + 1, Zones: []storage.ZoneRow{{Name: "a", State: int(zones.Lost)}}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	wrong, err := protocol.Encode(storage.ZoneReturnRecord{Format: storage.ZoneReturnFormat, Loans: []storage.LoanRow{{Lender: "x", Borrower: "j-1"}}})
+	wrong, err := protocol.Encode(storage.ZoneFailoverRecord{Format: storage.ZoneFailoverFormat, Loans: []storage.LoanRow{{Lender: "x", Borrower: "j-1"}}})
 	if err != nil {
 		t.Fatal(err)
 	}
 	for name, value := range map[string][]byte{"newer": newer, "not a record": {0xc1}, "a number": {7}, "out of form": wrong} {
 		b := newZoneBench(zones.DefaultOrder(), config.Team{Name: "red"})
-		key := storage.ZoneReturnKey(0)
+		key := storage.ZoneFailoverKey(0)
 		b.records[key] = protocol.KeyValue{Key: key, Value: value, Revision: 9}
 		b.takeOver(6)
 		b.seconds(3)
@@ -94,7 +94,7 @@
 		}
 		b.c.returning.records.dirty[b.c.returning.records.first()] = true
 		b.seconds(3)
-		if got := b.records[key]; got.Revision != 9 || b.records[storage.ZoneReturnKey(1)].Revision == 0 {
+		if got := b.records[key]; got.Revision != 9 || b.records[storage.ZoneFailoverKey(1)].Revision == 0 {
 			t.Errorf("%s: records %v", name, b.records)
 		}
 	}
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -227,7 +227,7 @@
 // be told, not for all: a peer has had an answer from it well after our last,
 // or no peer is in contact at all.
 func (c *Controller) alone() bool {
-	silent := c.store.SilentFor()
+	silent := c.store.SinceLastAnswer()
 	if silent <= c.times.Silent {
 		return false
 	}
@@ -240,8 +240,8 @@
 // while, so that silence means that it does not answer.
 func (c *Controller) probe(ctx context.Context) {
 	for ctx.Err() == nil {
-		if c.store.SilentFor() > c.times.Silent/4 {
-			if _, err := c.store.Get(ctx, storage.Urgent, storage.LeaderKey); err != nil {
+		if c.store.SinceLastAnswer() > c.times.Silent/4 {
+			if _, err := c.store.Get(ctx, storage.BudgetUrgent, storage.LeaderKey); err != nil {
 				c.log.Debug("state service does not answer", "err", err)
 			}
 		}
--- a/internal/daemon/lead.go
+++ b/internal/daemon/lead.go
@@ -36,8 +36,8 @@
 		go func() { c.box.Send(c.claim(ctx, e)) }()
 	case election.Renew:
 		go func() {
-			err := c.store.Renew(ctx, e.Lease)
-			c.box.Send(election.Renewed{NoLease: errors.Is(err, storage.ErrNoLease), Term: e.Term})
+			err := c.store.RenewLease(ctx, e.Lease)
+			c.box.Send(election.Renewed{NoLease: errors.Is(err, storage.ErrLeaseNotFound), Term: e.Term})
 		}()
 	case election.Lead:
 		l := leader.Start(ctx, leader.Deps{
@@ -64,7 +64,7 @@
 		c.log.Info("yielding", "term", e.Term)
 		// Its key ends with the lease, and others need not wait for that.
 		go func() {
-			if err := c.store.EndLease(ctx, e.Lease); err != nil {
+			if err := c.store.RevokeLease(ctx, e.Lease); err != nil {
 				c.log.Debug("lease not ended", "err", err)
 			}
 		}()
@@ -83,7 +83,7 @@
 		c.log.Debug("claim failed", "err", err)
 		return election.Claimed{}
 	}
-	tp, err := c.store.Get(ctx, storage.Urgent, storage.TermKey)
+	tp, err := c.store.Get(ctx, storage.BudgetUrgent, storage.TermKey)
 	if err != nil {
 		return fail(err)
 	}
@@ -93,43 +93,43 @@
 			return fail(err)
 		}
 	}
-	if rec.Level > int(c.features.level()) {
+	if rec.FeatureLevel > int(c.features.level()) {
 		c.refuseNewer.Do(func() {
-			c.log.Error("a newer feature level is final: this version can't lead any more", "level", rec.Level, "own", c.features.level())
+			c.log.Error("a newer feature level is final: this version can't lead any more", "level", rec.FeatureLevel, "own", c.features.level())
 		})
 		return election.Claimed{}
 	}
-	lp, err := c.store.Get(ctx, storage.Urgent, storage.LeaderKey)
+	lp, err := c.store.Get(ctx, storage.BudgetUrgent, storage.LeaderKey)
 	if err != nil {
 		return fail(err)
 	}
-	if rec.Term > e.Over && lp.Revision != 0 && rec.Node != c.cfg.Node {
-		c.box.Send(election.Key{Present: true, Node: rec.Node, Term: rec.Term})
+	if rec.Term > e.Over && lp.Revision != 0 && rec.Controller != c.cfg.Node {
+		c.box.Send(election.Key{Present: true, Node: rec.Controller, Term: rec.Term})
 		return election.Claimed{}
 	}
-	lease, err := c.store.Lease(ctx, c.times.TTL)
+	lease, err := c.store.GrantLease(ctx, c.times.TTL)
 	if err != nil {
 		return fail(err)
 	}
 	// A worker may have seen a token that no record tells of any more only if
 	// the state service lost it; be above what we have seen all the same.
 	term := max(rec.Term, e.Over) + 1
-	value, err := storage.EncodeTerm(storage.TermRecord{Term: term, Node: c.cfg.Node, Claim: fmt.Sprint(lease), Level: rec.Level})
+	value, err := storage.EncodeTerm(storage.TermRecord{Term: term, Controller: c.cfg.Node, ClaimID: fmt.Sprint(lease), FeatureLevel: rec.FeatureLevel})
 	if err != nil {
 		return fail(err)
 	}
-	lvalue, err := protocol.Encode(storage.LeaderRecord{Node: c.cfg.Node, Term: term})
+	lvalue, err := protocol.Encode(storage.LeaderRecord{Controller: c.cfg.Node, Term: term})
 	if err != nil {
 		return fail(err)
 	}
-	rev, ok, err := c.store.Txn(ctx, storage.Urgent, protocol.Txn{
+	rev, ok, err := c.store.Txn(ctx, storage.BudgetUrgent, protocol.Txn{
 		If:   []protocol.Compare{{Key: storage.TermKey, Revision: tp.Revision}, {Key: storage.LeaderKey, Revision: lp.Revision}},
 		Then: []protocol.Op{{PutKey: storage.TermKey, Value: value}, {PutKey: storage.LeaderKey, Value: lvalue, LeaseID: lease}},
 	})
 	if err != nil || !ok {
 		return fail(fmt.Errorf("transaction ok=%v: %w", ok, err))
 	}
-	return election.Claimed{Won: true, Term: term, Stamp: rev, Level: rec.Level, Lease: lease, Sent: sent}
+	return election.Claimed{Won: true, Term: term, Stamp: rev, Level: rec.FeatureLevel, Lease: lease, Sent: sent}
 }
 
 // watchLeader follows the leader's key.
@@ -139,7 +139,7 @@
 	fresh := false
 	for ctx.Err() == nil {
 		if !fresh {
-			p, err := c.store.Get(ctx, storage.Urgent, storage.LeaderKey)
+			p, err := c.store.Get(ctx, storage.BudgetUrgent, storage.LeaderKey)
 			if err != nil {
 				c.random.Pause(ctx, "watch leader", c.times.Beat)
 				continue
@@ -186,5 +186,5 @@
 		c.log.Error("leader record out of form", "err", err)
 		return
 	}
-	c.box.Send(election.Key{Present: true, Node: rec.Node, Term: rec.Term})
+	c.box.Send(election.Key{Present: true, Node: rec.Controller, Term: rec.Term})
 }
--- a/internal/daemon/levels.go
+++ b/internal/daemon/levels.go
@@ -67,20 +67,20 @@
 		c.log.Debug("feature levels not read", "err", err)
 		return featurelevel.Listed{Failed: true}
 	}
-	pairs, _, err := c.store.ListFor(ctx, storage.Urgent, storage.LevelPrefix)
+	pairs, _, err := c.store.ListWithBudget(ctx, storage.BudgetUrgent, storage.FeatureLevelPrefix)
 	if err != nil {
 		return fail(err)
 	}
 	listed := featurelevel.Listed{Nodes: map[string]featurelevel.Recorded{}}
 	for _, p := range pairs {
-		node, rec, err := storage.DecodeLevel(p)
+		node, rec, err := storage.DecodeFeatureLevel(p)
 		if err != nil {
 			c.log.Error("feature level out of form", "err", err)
 			continue
 		}
 		listed.Nodes[node] = featurelevel.Recorded{Level: featurelevel.Level(rec.Level), Version: p.Revision}
 	}
-	term, err := c.store.Get(ctx, storage.Urgent, storage.TermKey)
+	term, err := c.store.Get(ctx, storage.BudgetUrgent, storage.TermKey)
 	if err != nil {
 		return fail(err)
 	}
@@ -89,7 +89,7 @@
 		if err != nil {
 			return fail(err)
 		}
-		listed.Final = featurelevel.Level(rec.Level)
+		listed.Final = featurelevel.Level(rec.FeatureLevel)
 	}
 	return listed
 }
@@ -97,13 +97,13 @@
 // announceLevel records the level that this controller speaks. Should the answer be lost, the next look
 // shows whether it is recorded.
 func (c *Controller) announceLevel(ctx context.Context, e featurelevel.Announce) {
-	value, err := protocol.Encode(storage.LevelRecord{Level: int(e.Level)})
+	value, err := protocol.Encode(storage.FeatureLevelRecord{Level: int(e.Level)})
 	if err != nil {
 		c.log.Error("feature level", "err", err)
 		return
 	}
-	key := storage.LevelKey(c.cfg.Node)
-	_, ok, err := c.store.Txn(ctx, storage.Urgent, protocol.Txn{
+	key := storage.FeatureLevelKey(c.cfg.Node)
+	_, ok, err := c.store.Txn(ctx, storage.BudgetUrgent, protocol.Txn{
 		If: []protocol.Compare{{Key: key, Revision: e.Version}}, Then: []protocol.Op{{PutKey: key, Value: value}}})
 	c.log.Info("feature level recorded", "level", e.Level, "ok", ok, "err", err)
 }
--- a/internal/daemon/owners.go
+++ b/internal/daemon/owners.go
@@ -104,7 +104,7 @@
 	if l == nil {
 		return errNotLeading
 	}
-	term, err := c.store.Get(ctx, storage.Decide, storage.TermKey)
+	term, err := c.store.Get(ctx, storage.BudgetPlacement, storage.TermKey)
 	if err != nil {
 		return err
 	}
@@ -117,7 +117,7 @@
 	}
 	entry := storage.OwnershipRecord{Format: storage.OwnershipFormat, Epoch: r.Epoch, Term: rec.Term, Reason: r.Reason}
 	for _, m := range r.Members {
-		entry.Members = append(entry.Members, storage.OwnershipEntry{Node: m.Node, Life: m.Is.Life, Number: m.Is.Number})
+		entry.Members = append(entry.Members, storage.OwnershipMember{Controller: m.Node, Incarnation: m.Is.Life, Refutations: m.Is.Number})
 	}
 	value, err := protocol.Encode(entry)
 	if err != nil {
@@ -125,7 +125,7 @@
 	}
 	// Two survivors that hold the same verdict write on the same versions: one of them fails, and so does a
 	// transaction that comes late.
-	_, ok, err := c.store.Txn(ctx, storage.Decide, protocol.Txn{
+	_, ok, err := c.store.Txn(ctx, storage.BudgetPlacement, protocol.Txn{
 		If:   []protocol.Compare{{Key: storage.TermKey, Revision: term.Revision}, {Key: storage.OwnershipKey, Revision: r.Version}},
 		Then: []protocol.Op{{PutKey: storage.OwnershipKey, Value: value}},
 	})
@@ -166,7 +166,7 @@
 	wait := config.Seconds(c.cfg.Deploy.Workers.LeaseS)
 	for ctx.Err() == nil {
 		if !fresh {
-			pairs, r, err := c.store.ListFor(ctx, storage.Consult, storage.OwnershipKey)
+			pairs, r, err := c.store.ListWithBudget(ctx, storage.BudgetPoll, storage.OwnershipKey)
 			if err != nil {
 				c.random.Pause(ctx, "watch ownership", c.times.Beat)
 				continue
@@ -204,7 +204,7 @@
 	}
 	r := ownership.Record{Epoch: rec.Epoch, Reason: rec.Reason, Version: version}
 	for _, e := range rec.Members {
-		r.Members = append(r.Members, ownership.Member{Node: e.Node, Is: suspicion.Incarnation{Life: e.Life, Number: e.Number}})
+		r.Members = append(r.Members, ownership.Member{Node: e.Controller, Is: suspicion.Incarnation{Life: e.Incarnation, Number: e.Refutations}})
 	}
 	c.owners.box.Send(ownership.InForce{Record: r})
 }
--- a/internal/daemon/peers.go
+++ b/internal/daemon/peers.go
@@ -168,7 +168,7 @@
 // stateOK says whether the state service has answered just now. A process that has begun
 // in an outage must not claim that: its peers would stop renewing leases for it.
 func (c *Controller) stateOK() bool {
-	return c.store.Answered() && c.store.SilentFor() < c.times.Silent/2
+	return c.store.Answered() && c.store.SinceLastAnswer() < c.times.Silent/2
 }
 
 func (c *Controller) heardPeer(m *protocol.PeerMessage) {
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -269,7 +269,7 @@
 		return nil
 	}
 	for _, p := range r.controllers {
-		if p.name == rec.Node {
+		if p.name == rec.Controller {
 			return p
 		}
 	}
--- a/internal/simulation/failoveroracle.go
+++ b/internal/simulation/failoveroracle.go
@@ -136,7 +136,7 @@
 		}
 		o.firstRecorded[task] = number
 		o.LoanCount++
-		o.LostSeconds += row.LostS
+		o.LostSeconds += row.LostSeconds
 		if f := facts(row); f.LenderLevel <= f.BorrowerLevel || f.LenderLevel == 0 || f.ProtectedByQuota {
 			o.addViolation("a protected lender: %+v, %+v", row, f)
 		}
--- a/internal/simulation/pipeline_test.go
+++ b/internal/simulation/pipeline_test.go
@@ -193,9 +193,9 @@
 // with another one.
 func (l *cluster) checkRecords() {
 	l.t.Helper()
-	pairs, _ := l.store.List(storage.LivePrefix)
+	pairs, _ := l.store.List(storage.LiveJobPrefix)
 	for _, p := range pairs {
-		id := strings.TrimPrefix(p.Key, storage.LivePrefix)
+		id := strings.TrimPrefix(p.Key, storage.LiveJobPrefix)
 		if standing, over := l.answers.FinalState(id); over {
 			l.t.Errorf("%s is %s and its live record is left", id, standing)
 		}
@@ -212,12 +212,12 @@
 	l.t.Helper()
 	l.checkRecords()
 	term := l.store.Get(storage.TermKey)
-	if rec, err := storage.DecodeTerm(term.Value); err != nil || rec.Level != int(featurelevel.Current) {
+	if rec, err := storage.DecodeTerm(term.Value); err != nil || rec.FeatureLevel != int(featurelevel.Current) {
 		l.t.Errorf("the term's record: %+v, %v", rec, err)
 	}
-	pairs, _ := l.store.List(storage.PlacePrefix)
+	pairs, _ := l.store.List(storage.PlacementPrefix)
 	for _, p := range pairs {
-		if name, err := storage.ParsePageName(p.Key, 1); err != nil || !name.Layout.Compact {
+		if name, err := storage.ParsePageKey(p.Key, 1); err != nil || !name.Layout.Compact {
 			l.t.Errorf("%s is left: %v", p.Key, err)
 		}
 	}
--- a/internal/simulation/records_test.go
+++ b/internal/simulation/records_test.go
@@ -14,7 +14,7 @@
 // jobsInWrite returns the jobs whose placements a transaction records.
 func jobsInWrite(t *protocol.Txn) (jobs []string) {
 	for _, op := range t.Then {
-		if id, _, ok := strings.Cut(strings.TrimPrefix(op.PutKey, storage.PlacePrefix), "/"); ok && strings.HasPrefix(op.PutKey, storage.PlacePrefix) && !slices.Contains(jobs, id) {
+		if id, _, ok := strings.Cut(strings.TrimPrefix(op.PutKey, storage.PlacementPrefix), "/"); ok && strings.HasPrefix(op.PutKey, storage.PlacementPrefix) && !slices.Contains(jobs, id) {
 			jobs = append(jobs, id)
 		}
 	}
--- a/internal/simulation/system_test.go
+++ b/internal/simulation/system_test.go
@@ -123,9 +123,9 @@
 			old.stopped = true
 		}
 	}
-	live, liveRev := s.store.List(storage.LivePrefix)
-	pages, _ := s.store.List(storage.PlacePrefix)
-	warm, _ := s.store.List(storage.ImagesPrefix)
+	live, liveRev := s.store.List(storage.LiveJobPrefix)
+	pages, _ := s.store.List(storage.PlacementPrefix)
+	warm, _ := s.store.List(storage.ImageHintPrefix)
 	l := &leaderInstance{revision: liveRev}
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	l.core = scheduler.New(s.now, s.cfg, log, scheduler.Term{Number: s.term, Stamp: rev},
@@ -138,14 +138,14 @@
 	if l.stopped {
 		return
 	}
-	ev, rev := s.store.ChangesSince(storage.LivePrefix, l.revision)
+	ev, rev := s.store.ChangesSince(storage.LiveJobPrefix, l.revision)
 	l.revision = rev
 	for _, e := range ev {
 		if e.DeleteKey != "" {
-			s.step(l, scheduler.JobDropped{ID: e.DeleteKey[len(storage.LivePrefix):]})
+			s.step(l, scheduler.JobDropped{ID: e.DeleteKey[len(storage.LiveJobPrefix):]})
 			continue
 		}
-		var rec storage.LiveRecord
+		var rec storage.LiveJobRecord
 		if err := protocol.Decode(e.Value, &rec); err != nil {
 			s.t.Fatal(err)
 		}
--- a/internal/simulation/system_users_test.go
+++ b/internal/simulation/system_users_test.go
@@ -33,8 +33,8 @@
 	}
 	s.world.Jobs[id] = &j
 	_, failed, _ := s.store.Txn(protocol.Txn{
-		If:   []protocol.Compare{{Key: storage.LiveKey(id)}, {Key: storage.EndedKey(id)}},
-		Then: []protocol.Op{{PutKey: storage.LiveKey(id), Value: s.encode(storage.LiveRecord{Job: j, AtMS: s.now.Milliseconds()})}},
+		If:   []protocol.Compare{{Key: storage.LiveJobKey(id)}, {Key: storage.EndedJobKey(id)}},
+		Then: []protocol.Op{{PutKey: storage.LiveJobKey(id), Value: s.encode(storage.LiveJobRecord{Job: j, AcceptedAtMS: s.now.Milliseconds()})}},
 	})
 	if failed != nil {
 		s.t.Fatalf("submission failed: %v", failed)
@@ -47,14 +47,14 @@
 }
 
 func (s *simulatedSystem) cancelJob(id string) {
-	p := s.store.Get(storage.LiveKey(id))
+	p := s.store.Get(storage.LiveJobKey(id))
 	if p.Revision == 0 {
 		return
 	}
 	_, failed, _ := s.store.Txn(protocol.Txn{
-		If: []protocol.Compare{{Key: storage.LiveKey(id), Revision: p.Revision}, {Key: storage.EndedKey(id)}},
-		Then: []protocol.Op{{DeleteKey: storage.LiveKey(id)},
-			{PutKey: storage.EndedKey(id), Value: s.encode(storage.EndedRecord{Standing: protocol.JobCancelled})}},
+		If: []protocol.Compare{{Key: storage.LiveJobKey(id), Revision: p.Revision}, {Key: storage.EndedJobKey(id)}},
+		Then: []protocol.Op{{DeleteKey: storage.LiveJobKey(id)},
+			{PutKey: storage.EndedJobKey(id), Value: s.encode(storage.EndedJobRecord{State: protocol.JobCancelled})}},
 	})
 	if failed == nil {
 		s.world.Cancelled[id] = s.now
@@ -64,17 +64,17 @@
 // queryRecords looks at the records as a user's question does.
 func (s *simulatedSystem) queryRecords(id string) {
 	standing := protocol.JobQueued
-	if s.store.Get(storage.LiveKey(id)).Revision == 0 {
-		p := s.store.Get(storage.EndedKey(id))
+	if s.store.Get(storage.LiveJobKey(id)).Revision == 0 {
+		p := s.store.Get(storage.EndedJobKey(id))
 		if p.Revision == 0 {
 			s.world.addViolation("forgotten: %s", id)
 			return
 		}
-		var rec storage.EndedRecord
+		var rec storage.EndedJobRecord
 		if err := protocol.Decode(p.Value, &rec); err != nil {
 			s.t.Fatal(err)
 		}
-		standing = rec.Standing
+		standing = rec.State
 	}
 	if old := s.answeredStates[id]; old.Final() && standing != old {
 		s.world.addViolation("went_back: %s from %s to %s", id, old, standing)
--- a/internal/simulation/zone_test.go
+++ b/internal/simulation/zone_test.go
@@ -145,10 +145,10 @@
 
 // writesLoan says whether an operation records a loan.
 func writesLoan(op protocol.Op) bool {
-	if !strings.HasPrefix(op.PutKey, storage.ZoneReturnPrefix) {
+	if !strings.HasPrefix(op.PutKey, storage.ZoneFailoverPrefix) {
 		return false
 	}
-	var rec storage.ZoneReturnRecord
+	var rec storage.ZoneFailoverRecord
 	return protocol.Decode(op.Value, &rec) == nil && len(rec.Loans) > 0
 }
 
@@ -202,9 +202,9 @@
 
 func (l *cluster) observeLoans(o *LoanOracle) {
 	var rows []storage.LoanRow
-	pairs, _ := l.store.List(storage.ZoneReturnPrefix)
+	pairs, _ := l.store.List(storage.ZoneFailoverPrefix)
 	for _, p := range pairs {
-		rec, err := storage.DecodeZoneReturn(p)
+		rec, err := storage.DecodeZoneFailover(p)
 		if err != nil {
 			l.t.Errorf("zone return record: %v", err)
 			continue
--- a/internal/storage/leases.go
+++ b/internal/storage/leases.go
@@ -10,9 +10,9 @@
 	"pinebay/internal/protocol"
 )
 
-// Lease asks for a lease.
-func (c *Client) Lease(ctx context.Context, ttl time.Duration) (uint64, error) {
-	_, raw, err := c.call(ctx, Urgent, 0, http.MethodPost, "/grants", protocol.LeaseRequest{TTLMS: ttl.Milliseconds()})
+// GrantLease asks for a lease.
+func (c *Client) GrantLease(ctx context.Context, ttl time.Duration) (uint64, error) {
+	_, raw, err := c.call(ctx, BudgetUrgent, 0, http.MethodPost, "/grants", protocol.LeaseRequest{TTLMS: ttl.Milliseconds()})
 	if err != nil {
 		return 0, err
 	}
@@ -23,17 +23,17 @@
 	return r.LeaseID, nil
 }
 
-// Renew renews a lease.
-func (c *Client) Renew(ctx context.Context, lease uint64) error {
-	status, _, err := c.call(ctx, Urgent, 0, http.MethodPost, "/grants/"+strconv.FormatUint(lease, 10)+"/extend", struct{}{})
+// RenewLease renews a lease.
+func (c *Client) RenewLease(ctx context.Context, lease uint64) error {
+	status, _, err := c.call(ctx, BudgetUrgent, 0, http.MethodPost, "/grants/"+strconv.FormatUint(lease, 10)+"/extend", struct{}{})
 	if err == nil && status == http.StatusNotFound {
-		return ErrNoLease
+		return ErrLeaseNotFound
 	}
 	return err
 }
 
-// EndLease ends a lease at once, and removes the keys attached to it.
-func (c *Client) EndLease(ctx context.Context, lease uint64) error {
-	_, _, err := c.call(ctx, Urgent, 0, http.MethodDelete, "/grants/"+strconv.FormatUint(lease, 10), nil)
+// RevokeLease ends a lease at once, and removes the keys attached to it.
+func (c *Client) RevokeLease(ctx context.Context, lease uint64) error {
+	_, _, err := c.call(ctx, BudgetUrgent, 0, http.MethodDelete, "/grants/"+strconv.FormatUint(lease, 10), nil)
 	return err
 }
--- a/internal/storage/ownership.go
+++ b/internal/storage/ownership.go
@@ -15,23 +15,23 @@
 
 // OwnershipRecord says which controllers own machines in an epoch.
 type OwnershipRecord struct {
-	Format  int              `msgpack:"v"`
-	Epoch   uint64           `msgpack:"epoch"`
-	Term    uint64           `msgpack:"term"` // of the leader that wrote it
-	Members []OwnershipEntry `msgpack:"members"`
+	Format  int               `msgpack:"v"`
+	Epoch   uint64            `msgpack:"epoch"`
+	Term    uint64            `msgpack:"term"` // of the leader that wrote it
+	Members []OwnershipMember `msgpack:"members"`
 	// Reason is the verdict because of which the epoch began, with its evidence, or what else changed.
 	Reason string `msgpack:"reason"`
 }
 
-// OwnershipEntry is a controller that owns machines, by its incarnation.
-type OwnershipEntry struct {
+// OwnershipMember is a controller that owns machines, by its incarnation.
+type OwnershipMember struct {
 	//lint:ignore U1000 the codec reads its tag
-	_msgpack     struct{} `msgpack:",as_array"`
-	Node         string
-	Life, Number uint64
+	_msgpack                 struct{} `msgpack:",as_array"`
+	Controller               string
+	Incarnation, Refutations uint64
 }
 
-var errOwnership = errors.New("ownership record out of form")
+var errMalformedOwnership = errors.New("ownership record out of form")
 
 // DecodeOwnership reads and checks the record.
 func DecodeOwnership(raw []byte) (*OwnershipRecord, error) {
@@ -49,14 +49,14 @@
 		return nil, fmt.Errorf("ownership record: %w", err)
 	}
 	if rec.Format != OwnershipFormat || rec.Epoch == 0 || rec.Term == 0 {
-		return nil, fmt.Errorf("%w: format %d, epoch %d, term %d", errOwnership, rec.Format, rec.Epoch, rec.Term)
+		return nil, fmt.Errorf("%w: format %d, epoch %d, term %d", errMalformedOwnership, rec.Format, rec.Epoch, rec.Term)
 	}
 	seen := map[string]bool{}
 	for _, e := range rec.Members {
-		if e.Node == "" || e.Life == 0 || seen[e.Node] {
-			return nil, fmt.Errorf("%w: member %q", errOwnership, e.Node)
+		if e.Controller == "" || e.Incarnation == 0 || seen[e.Controller] {
+			return nil, fmt.Errorf("%w: member %q", errMalformedOwnership, e.Controller)
 		}
-		seen[e.Node] = true
+		seen[e.Controller] = true
 	}
 	return &rec, nil
 }
--- a/internal/storage/ownership_test.go
+++ b/internal/storage/ownership_test.go
@@ -16,7 +16,7 @@
 func TestOwnershipRecords(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rec := storage.OwnershipRecord{Format: storage.OwnershipFormat, Epoch: rapid.Uint64Min(1).Draw(t, "epoch"), Term: rapid.Uint64Min(1).Draw(t, "term"),
-			Reason: rapid.String().Draw(t, "reason"), Members: []storage.OwnershipEntry{{Node: "a", Life: 1}, {Node: "b", Life: 2, Number: 3}}}
+			Reason: rapid.String().Draw(t, "reason"), Members: []storage.OwnershipMember{{Controller: "a", Incarnation: 1}, {Controller: "b", Incarnation: 2, Refutations: 3}}}
 		broken := true
 		want := error(nil)
 		switch rapid.IntRange(0, 6).Draw(t, "how") {
@@ -25,11 +25,11 @@
 		case 1:
 			rec.Term = 0
 		case 2:
-			rec.Members[1].Node = ""
+			rec.Members[1].Controller = ""
 		case 3:
-			rec.Members[1].Node = "a"
+			rec.Members[1].Controller = "a"
 		case 4:
-			rec.Members[0].Life = 0
+			rec.Members[0].Incarnation = 0
 		case 5:
 			rec.Format = storage.OwnershipFormat + rapid.IntRange(1, 9).Draw(t, "newer")
 			want = storage.ErrNewerFormat
--- a/internal/storage/reads.go
+++ b/internal/storage/reads.go
@@ -13,7 +13,7 @@
 )
 
 // Get reads a key; a version of 0 means that it does not exist.
-func (c *Client) Get(ctx context.Context, use Use, key string) (protocol.KeyValue, error) {
+func (c *Client) Get(ctx context.Context, use Budget, key string) (protocol.KeyValue, error) {
 	var p protocol.KeyValue
 	status, raw, err := c.call(ctx, use, 0, http.MethodGet, "/kv/"+key, nil)
 	if err != nil {
@@ -31,11 +31,11 @@
 // List reads all keys with a prefix. The revision is that of the first page:
 // a watch from there misses nothing.
 func (c *Client) List(ctx context.Context, prefix string) ([]protocol.KeyValue, uint64, error) {
-	return c.ListFor(ctx, Decide, prefix)
+	return c.ListWithBudget(ctx, BudgetPlacement, prefix)
 }
 
-// ListFor is List at the expense of another budget.
-func (c *Client) ListFor(ctx context.Context, use Use, prefix string) ([]protocol.KeyValue, uint64, error) {
+// ListWithBudget is List at the expense of another budget.
+func (c *Client) ListWithBudget(ctx context.Context, use Budget, prefix string) ([]protocol.KeyValue, uint64, error) {
 	var all []protocol.KeyValue
 	var rev uint64
 	from := ""
@@ -65,7 +65,7 @@
 
 // Changes returns what has changed after rev of keys with the prefix. Changes that are too long to be
 // taken in are as good as no longer kept: the keys have to be read again, which goes page by page.
-func (c *Client) Changes(ctx context.Context, use Use, prefix string, rev uint64) (*protocol.WatchResponse, error) {
+func (c *Client) Changes(ctx context.Context, use Budget, prefix string, rev uint64) (*protocol.WatchResponse, error) {
 	path := fmt.Sprintf("/changes?prefix=%s&from=%d&block_ms=0", url.QueryEscape(prefix), rev)
 	status, raw, err := c.call(ctx, use, 0, http.MethodGet, path, nil)
 	if errors.Is(err, transport.ErrResponseTooLarge) {
@@ -74,10 +74,10 @@
 	if err != nil {
 		return nil, err
 	}
-	return events(prefix, status, raw)
+	return decodeEvents(prefix, status, raw)
 }
 
-func events(prefix string, status int, raw []byte) (*protocol.WatchResponse, error) {
+func decodeEvents(prefix string, status int, raw []byte) (*protocol.WatchResponse, error) {
 	if status == http.StatusGone {
 		return nil, ErrCompacted
 	}
@@ -96,10 +96,10 @@
 		return nil, fmt.Errorf("%w: %w", ErrCompacted, err)
 	}
 	if err != nil {
-		return nil, fmt.Errorf("%w: %w", ErrUncertain, err)
+		return nil, fmt.Errorf("%w: %w", ErrOutcomeUnknown, err)
 	}
-	if err := c.judge(status, raw); err != nil {
+	if err := c.checkStatus(status, raw); err != nil {
 		return nil, err
 	}
-	return events(prefix, status, raw)
+	return decodeEvents(prefix, status, raw)
 }
--- a/internal/storage/records.go
+++ b/internal/storage/records.go
@@ -8,47 +8,47 @@
 
 // Keys of the state service.
 const (
-	LeaderKey    = "leader"
-	TermKey      = "term"
-	TypesKey     = "types"
-	LivePrefix   = "live/"
-	EndedPrefix  = "ended/"
-	PlacePrefix  = "place/"
-	ImagesPrefix = "warm/"
+	LeaderKey       = "leader"
+	TermKey         = "term"
+	MachineTypesKey = "types"
+	LiveJobPrefix   = "live/"
+	EndedJobPrefix  = "ended/"
+	PlacementPrefix = "place/"
+	ImageHintPrefix = "warm/"
 )
 
-// LiveKey is where an accepted job lives until it ends.
-func LiveKey(id string) string { return LivePrefix + id }
+// LiveJobKey is where an accepted job lives until it ends.
+func LiveJobKey(id string) string { return LiveJobPrefix + id }
 
-// EndedKey is where the final state of a job stays.
-func EndedKey(id string) string { return EndedPrefix + id }
+// EndedJobKey is where the final state of a job stays.
+func EndedJobKey(id string) string { return EndedJobPrefix + id }
 
 // LeaderRecord names the leader. It is attached to the leader's lease.
 type LeaderRecord struct {
-	Node string `msgpack:"node"`
-	Term uint64 `msgpack:"term"`
+	Controller string `msgpack:"node"`
+	Term       uint64 `msgpack:"term"`
 }
 
-// LiveRecord is an accepted job.
-type LiveRecord struct {
-	Job  protocol.Job `msgpack:"job"`
-	AtMS int64        `msgpack:"at"`
+// LiveJobRecord is an accepted job.
+type LiveJobRecord struct {
+	Job          protocol.Job `msgpack:"job"`
+	AcceptedAtMS int64        `msgpack:"at"`
 }
 
-// EndedRecord is a job that is over.
-type EndedRecord struct {
-	Standing protocol.JobState `msgpack:"end"`
-	Done     int               `msgpack:"done"`
-	// Write names the transaction, so that its author knows it again.
-	Write string `msgpack:"w,omitempty"`
-	// Need is the cancelled job because of which this one, which awaited it, is cancelled. Such a
+// EndedJobRecord is a job that is over.
+type EndedJobRecord struct {
+	State     protocol.JobState `msgpack:"end"`
+	DoneTasks int               `msgpack:"done"`
+	// WriteName names the transaction, so that its author knows it again.
+	WriteName string `msgpack:"w,omitempty"`
+	// CancelledDependency is the cancelled job because of which this one, which awaited it, is cancelled. Such a
 	// job has never had a task.
-	Need string `msgpack:"need,omitempty"`
+	CancelledDependency string `msgpack:"need,omitempty"`
 }
 
-// ImagesRecord tells which images machines have, so that a new leader does not
+// ImageHintRecord tells which images machines have, so that a new leader does not
 // send tasks to fetch what lies ready elsewhere. It is a hint, not a fact.
-type ImagesRecord struct {
+type ImageHintRecord struct {
 	Images   []string        `msgpack:"i"`
 	SizesGB  []float64       `msgpack:"s"`
 	Machines []MachineImages `msgpack:"m"`
@@ -60,10 +60,10 @@
 // ClassArrivals is what a leader remembers of a class's arrivals.
 type ClassArrivals struct {
 	//lint:ignore U1000 the codec reads its tag
-	_msgpack struct{} `msgpack:",as_array"`
-	Class    string
-	Jobs     float64
-	Tasks    float64 // of a job, in the mean
+	_msgpack  struct{} `msgpack:",as_array"`
+	Class     string
+	Jobs      float64
+	MeanTasks float64 // of a job, in the mean
 }
 
 // MachineImages is a machine with its images, as indices.
@@ -74,9 +74,9 @@
 	Images   []int
 }
 
-// ImagesPerRecord is how many machines one such record covers; a machine takes
+// MachinesPerImageHint is how many machines one such record covers; a machine takes
 // little more room in it than a placement in a page.
-func ImagesPerRecord(valueKB float64) int { return max(1, ProductionPageTasks(valueKB)/2) }
+func MachinesPerImageHint(valueKB float64) int { return max(1, OriginalPageTasks(valueKB)/2) }
 
-// ImagesKey is where a page of the images lies.
-func ImagesKey(page int) string { return fmt.Sprintf("%s%04d", ImagesPrefix, page) }
+// ImageHintKey is where a page of the images lies.
+func ImageHintKey(page int) string { return fmt.Sprintf("%s%04d", ImageHintPrefix, page) }
--- a/internal/storage/storage_test.go
+++ b/internal/storage/storage_test.go
@@ -29,7 +29,7 @@
 
 func TestMain(m *testing.M) { testkit.Main(m) }
 
-func client(t *testing.T, h http.Handler) *storage.Client {
+func newTestClient(t *testing.T, h http.Handler) *storage.Client {
 	srv := httptest.NewServer(h)
 	t.Cleanup(srv.Close)
 	d := &config.Deployment{Nodes: 1, State: config.State{RPS: 1e6, WriteRPS: 1e6, TxnOps: 16},
@@ -37,7 +37,7 @@
 	return storage.NewClient(transport.TCP{}, random.New(1), d, strings.TrimPrefix(srv.URL, "http://"), time.Minute)
 }
 
-func encode(t *testing.T, v any) []byte {
+func mustEncode(t *testing.T, v any) []byte {
 	raw, err := protocol.Encode(v)
 	if err != nil {
 		t.Fatal(err)
@@ -46,17 +46,17 @@
 }
 
 func TestTransactionsAndLists(t *testing.T) {
-	c, ctx := client(t, simulation.NewStore()), context.Background()
+	c, ctx := newTestClient(t, simulation.NewStore()), context.Background()
 	for i := range 1203 {
 		txn := protocol.Txn{
 			If:   []protocol.Compare{{Key: fmt.Sprintf("live/j-%04d", i)}},
-			Then: []protocol.Op{{PutKey: fmt.Sprintf("live/j-%04d", i), Value: encode(t, map[string]int{"n": i})}},
+			Then: []protocol.Op{{PutKey: fmt.Sprintf("live/j-%04d", i), Value: mustEncode(t, map[string]int{"n": i})}},
 		}
-		if _, ok, err := c.Txn(ctx, storage.Accept, txn); err != nil || !ok {
+		if _, ok, err := c.Txn(ctx, storage.BudgetAcceptance, txn); err != nil || !ok {
 			t.Fatal(ok, err)
 		}
 		if i == 0 {
-			_, ok, failed, err := c.TxnFailed(ctx, storage.Accept, txn)
+			_, ok, failed, err := c.TxnFailed(ctx, storage.BudgetAcceptance, txn)
 			if err != nil || ok || !reflect.DeepEqual(failed, []string{"live/j-0000"}) {
 				t.Fatalf("again: %v %v %v", ok, failed, err)
 			}
@@ -66,11 +66,11 @@
 	if err != nil || len(all) != 1203 || rev != 1203 {
 		t.Fatalf("%d keys at %d: %v", len(all), rev, err)
 	}
-	p, err := c.Get(ctx, storage.Consult, "live/j-0007")
+	p, err := c.Get(ctx, storage.BudgetPoll, "live/j-0007")
 	if err != nil || p.Revision != 8 {
 		t.Fatalf("%+v %v", p, err)
 	}
-	if p, err = c.Get(ctx, storage.Consult, "live/none"); err != nil || p.Revision != 0 {
+	if p, err = c.Get(ctx, storage.BudgetPoll, "live/none"); err != nil || p.Revision != 0 {
 		t.Fatalf("%+v %v", p, err)
 	}
 	ev, err := c.Watch(ctx, "live/", 1200, 0)
@@ -79,29 +79,29 @@
 	}
 }
 
-// TestErrorsTellWhatMayHaveHappened: only a request without an answer may have
+// TestErrorsDistinguishUnsentFromUnanswered: only a request without an answer may have
 // been executed; the leader's writes depend on the difference.
-func TestErrorsTellWhatMayHaveHappened(t *testing.T) {
+func TestErrorsDistinguishUnsentFromUnanswered(t *testing.T) {
 	for _, x := range []struct {
 		status int
 		want   error
 	}{
-		{http.StatusServiceUnavailable, storage.ErrUnavailable}, {http.StatusTooManyRequests, storage.ErrBusy}, {0, storage.ErrUncertain},
+		{http.StatusServiceUnavailable, storage.ErrUnavailable}, {http.StatusTooManyRequests, storage.ErrRateLimited}, {0, storage.ErrOutcomeUnknown},
 	} {
-		c := client(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+		c := newTestClient(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 			if x.status == 0 {
 				panic(http.ErrAbortHandler) // executed or not, no answer comes
 			}
 			w.WriteHeader(x.status)
 		}))
-		if _, _, err := c.Txn(context.Background(), storage.Accept, protocol.Txn{}); !errors.Is(err, x.want) {
+		if _, _, err := c.Txn(context.Background(), storage.BudgetAcceptance, protocol.Txn{}); !errors.Is(err, x.want) {
 			t.Errorf("status %d: %v", x.status, err)
 		}
 	}
-	c := client(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+	c := newTestClient(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		_, _ = w.Write([]byte("\xc1 nonsense"))
 	}))
-	if _, err := c.Get(context.Background(), storage.Consult, "x"); !errors.Is(err, protocol.ErrMalformed) {
+	if _, err := c.Get(context.Background(), storage.BudgetPoll, "x"); !errors.Is(err, protocol.ErrMalformed) {
 		t.Errorf("nonsense: %v", err)
 	}
 }
@@ -111,19 +111,19 @@
 func TestFullPagesFitAValue(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		kb := rapid.SampledFrom([]float64{1, 2, 8, 64}).Draw(t, "kb")
-		layout := storage.Layout{Width: storage.ProductionPageTasks(kb)}
+		layout := storage.PageLayout{TasksPerPage: storage.OriginalPageTasks(kb)}
 		if rapid.Bool().Draw(t, "compact") {
-			layout = storage.Layout{Width: storage.CompactPageTasks(kb), Compact: true}
+			layout = storage.PageLayout{TasksPerPage: storage.CompactPageTasks(kb), Compact: true}
 		}
-		n := layout.Width
+		n := layout.TasksPerPage
 		base := protocol.MaxTasks - n
-		rec := storage.PageRecord{Write: "1234567.1234567", Attempts: 1 << 40, Team: strings.Repeat("t", 40), CPUs: 1.0 / 3, GPUs: 1.0 / 3, MemoryGB: 1.0 / 3}
+		rec := storage.PlacementPage{WriteName: "1234567.1234567", HighestAttempt: 1 << 40, Team: strings.Repeat("t", 40), CPUs: 1.0 / 3, GPUs: 1.0 / 3, MemoryGB: 1.0 / 3}
 		for i := range n {
 			if rapid.IntRange(0, 3).Draw(t, "done") == 0 {
-				rec.AddDone(base + i)
+				rec.AddDoneTask(base + i)
 				continue
 			}
-			rec.Places = append(rec.Places, storage.Place{Task: base + i, Machine: "host-12345678", Session: 1 << 20, Attempt: 1 << 20,
+			rec.Placements = append(rec.Placements, storage.Placement{Task: base + i, Machine: "host-12345678", Incarnation: 1 << 20, Attempt: 1 << 20,
 				Zone: rec.ZoneIndex(rapid.SampledFrom([]string{"kaolackinland", "dublinbay"}).Draw(t, "zone"))})
 		}
 		raw, err := storage.EncodePage(&rec, layout)
@@ -139,45 +139,45 @@
 		if err != nil || !layout.Compact && len(out) > int(kb*1024) {
 			t.Fatalf("%d tasks take %d bytes of %v KiB: %v", n, len(out), kb, err)
 		}
-		if size, err := storage.ValueBytes(raw); err != nil || size < len(out) || size > len(out)*3/2 {
+		if size, err := storage.JSONSize(raw); err != nil || size < len(out) || size > len(out)*3/2 {
 			t.Fatalf("%d bytes are taken for %d: %v", len(out), size, err)
 		}
-		name := storage.PageName{Job: "j-000001", Layout: layout, Number: 17}
-		if parsed, err := storage.ParsePageName(name.Key(), storage.ProductionPageTasks(kb)); err != nil || parsed != name {
+		name := storage.PageID{Job: "j-000001", Layout: layout, Number: 17}
+		if parsed, err := storage.ParsePageKey(name.Key(), storage.OriginalPageTasks(kb)); err != nil || parsed != name {
 			t.Fatalf("%s is read as %+v: %v", name.Key(), parsed, err)
 		}
 		got, err := storage.DecodePage(raw, layout)
 		if err != nil {
 			t.Fatal(err)
 		}
-		slices.SortFunc(got.Places, func(a, b storage.Place) int { return a.Task - b.Task }) // compact pages list them by machine
+		slices.SortFunc(got.Placements, func(a, b storage.Placement) int { return a.Task - b.Task }) // compact pages list them by machine
 		if !reflect.DeepEqual(*got, rec) {
 			t.Fatalf("%+v\n%+v", *got, rec)
 		}
 	})
 }
 
-func TestBadPagesAreRefused(t *testing.T) {
+func TestMalformedPagesAreRejected(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		rec := storage.PageRecord{Zones: []string{"a"}, Places: []storage.Place{{Task: 1, Machine: "m", Zone: 0}}, Done: [][2]int{{2, 3}}}
+		rec := storage.PlacementPage{Zones: []string{"a"}, Placements: []storage.Placement{{Task: 1, Machine: "m", Zone: 0}}, DoneRanges: [][2]int{{2, 3}}}
 		switch rapid.IntRange(0, 3).Draw(t, "how") {
 		case 0:
-			rec.Places[0].Zone = rapid.IntRange(1, 9).Draw(t, "zone")
+			rec.Placements[0].Zone = rapid.IntRange(1, 9).Draw(t, "zone")
 		case 1:
-			rec.Places[0].Task = -1
+			rec.Placements[0].Task = -1
 		case 2:
-			rec.Done[0] = [2]int{5, rapid.IntRange(-5, 4).Draw(t, "to")}
+			rec.DoneRanges[0] = [2]int{5, rapid.IntRange(-5, 4).Draw(t, "to")}
 		case 3:
-			rec.Done[0][1] = protocol.MaxTasks + rapid.IntRange(0, 1<<30).Draw(t, "to")
+			rec.DoneRanges[0][1] = protocol.MaxTasks + rapid.IntRange(0, 1<<30).Draw(t, "to")
 		}
 		raw, err := protocol.Encode(rec)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, err := storage.DecodePage(raw, storage.Layout{Width: 16}); err == nil {
+		if _, err := storage.DecodePage(raw, storage.PageLayout{TasksPerPage: 16}); err == nil {
 			t.Fatalf("%+v was taken", rec)
 		}
-		compact := storage.Layout{Width: 16, Compact: true}
+		compact := storage.PageLayout{TasksPerPage: 16, Compact: true}
 		if raw, err = storage.EncodePage(&rec, compact); err != nil {
 			t.Fatal(err)
 		}
@@ -187,14 +187,14 @@
 	})
 }
 
-// TestSlowAnswersAreNotWaitedFor: when an answer is slow, a second try brings
+// TestHedgedTransactionReturnsFirstOutcome: when an answer is slow, a second try brings
 // the outcome, and what the first did meanwhile is not done twice.
-func TestSlowAnswersAreNotWaitedFor(t *testing.T) {
+func TestHedgedTransactionReturnsFirstOutcome(t *testing.T) {
 	state := simulation.NewStore()
 	release := make(chan struct{})
 	first := true
 	var mu sync.Mutex
-	c := client(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	c := newTestClient(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		mu.Lock()
 		hold := first
 		first = false
@@ -209,8 +209,8 @@
 		w.WriteHeader(rec.Code)
 		_, _ = w.Write(rec.Body.Bytes())
 	}))
-	ok, err := c.TxnTwice(context.Background(), storage.Accept, protocol.Txn{
-		If: []protocol.Compare{{Key: "live/j-1"}}, Then: []protocol.Op{{PutKey: "live/j-1", Value: encode(t, map[string]int{"n": 1})}}})
+	ok, err := c.TxnHedged(context.Background(), storage.BudgetAcceptance, protocol.Txn{
+		If: []protocol.Compare{{Key: "live/j-1"}}, Then: []protocol.Op{{PutKey: "live/j-1", Value: mustEncode(t, map[string]int{"n": 1})}}})
 	close(release)
 	if err != nil || ok {
 		t.Errorf("second try: %v %v, want a failed condition", ok, err)
@@ -220,32 +220,32 @@
 	}
 }
 
-// TestNoAnswerYet: a client that no answer has ever reached does not pass for one whose
+// TestAnsweredOnlyAfterAnAnswer: a client that no answer has ever reached does not pass for one whose
 // service has just answered.
-func TestNoAnswerYet(t *testing.T) {
+func TestAnsweredOnlyAfterAnAnswer(t *testing.T) {
 	status := http.StatusServiceUnavailable
-	c := client(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(status) }))
+	c := newTestClient(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(status) }))
 	if c.Answered() {
 		t.Error("an answer is claimed before there was any")
 	}
-	if _, err := c.Get(context.Background(), storage.Urgent, "k"); !errors.Is(err, storage.ErrUnavailable) || c.Answered() {
+	if _, err := c.Get(context.Background(), storage.BudgetUrgent, "k"); !errors.Is(err, storage.ErrUnavailable) || c.Answered() {
 		t.Errorf("a refusal is taken for an answer: %v", err)
 	}
 	status = http.StatusNotFound
-	if _, err := c.Get(context.Background(), storage.Urgent, "k"); err != nil || !c.Answered() {
+	if _, err := c.Get(context.Background(), storage.BudgetUrgent, "k"); err != nil || !c.Answered() {
 		t.Errorf("an answer is not noted: %v", err)
 	}
 }
 
-// TestZoneReturnPages: what is written is read again, a full page stays inside a value, and
+// TestZoneFailoverPages: what is written is read again, a full page stays inside a value, and
 // what is cut, of another format or out of form is refused.
-func TestZoneReturnPages(t *testing.T) {
+func TestZoneFailoverPages(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		valueKB := float64(rapid.SampledFrom([]int{1, 8, 64}).Draw(t, "value"))
-		rec := storage.ZoneReturnRecord{Format: storage.ZoneReturnFormat, Write: "123456.123456", Zones: []storage.ZoneRow{{Name: "shannonside", State: 2, SinceMS: 1 << 41, Flaps: 3}}}
+		rec := storage.ZoneFailoverRecord{Format: storage.ZoneFailoverFormat, WriteName: "123456.123456", Zones: []storage.ZoneRow{{Name: "shannonside", State: 2, SinceMS: 1 << 41, Flaps: 3}}}
 		for i := range rapid.IntRange(0, storage.LoansPerPage(valueKB)).Draw(t, "loans") {
 			rec.Loans = append(rec.Loans, storage.LoanRow{Term: 1 << 20, Number: uint64(i), Lender: "j-123456", Task: 99_999, Attempt: 1 << 20, Borrower: "j-654321",
-				Machine: "host-123456", Zone: "shannonside", LostS: 123.456789012345, AtMS: 1 << 41, UntilMS: 1 << 41})
+				Machine: "host-123456", Zone: "shannonside", LostSeconds: 123.456789012345, CreatedMS: 1 << 41, ExpiresMS: 1 << 41})
 		}
 		raw, err := protocol.Encode(rec)
 		if err != nil {
@@ -258,31 +258,31 @@
 		if text, err := json.Marshal(plain); err != nil || float64(len(text)) > valueKB*1024 {
 			t.Fatalf("%d bytes of %v KiB, %v", len(text), valueKB, err)
 		}
-		got, err := storage.DecodeZoneReturn(protocol.KeyValue{Key: storage.ZoneReturnKey(0), Value: raw})
+		got, err := storage.DecodeZoneFailover(protocol.KeyValue{Key: storage.ZoneFailoverKey(0), Value: raw})
 		if err != nil || !reflect.DeepEqual(*got, rec) {
 			t.Fatalf("%+v %v", got, err)
 		}
 		if cut := rapid.IntRange(0, len(raw)-1).Draw(t, "cut"); cut > 0 {
-			if _, err := storage.DecodeZoneReturn(protocol.KeyValue{Key: storage.ZoneReturnKey(0), Value: raw[:cut]}); err == nil {
+			if _, err := storage.DecodeZoneFailover(protocol.KeyValue{Key: storage.ZoneFailoverKey(0), Value: raw[:cut]}); err == nil {
 				t.Fatalf("%d of %d bytes were taken", cut, len(raw))
 			}
 		}
-		rec.Format = rapid.SampledFrom([]int{-1, 0, storage.ZoneReturnFormat + 1}).Draw(t, "format")
+		rec.Format = rapid.SampledFrom([]int{-1, 0, storage.ZoneFailoverFormat + 1}).Draw(t, "format")
 		if raw, err = protocol.Encode(rec); err != nil {
 			t.Fatal(err)
 		}
-		if _, err := storage.DecodeZoneReturn(protocol.KeyValue{Key: storage.ZoneReturnKey(0), Value: raw}); (err == nil) || errors.Is(err, storage.ErrNewerFormat) != (rec.Format > storage.ZoneReturnFormat) {
+		if _, err := storage.DecodeZoneFailover(protocol.KeyValue{Key: storage.ZoneFailoverKey(0), Value: raw}); (err == nil) || errors.Is(err, storage.ErrNewerFormat) != (rec.Format > storage.ZoneFailoverFormat) {
 			t.Fatalf("format %d: %v", rec.Format, err)
 		}
 	})
 }
 
-// TestStartsFindRoomBesideEnds: however many records of ends wait, there is room at once for those
+// TestPlacementsHaveBudgetBesideCompletions: however many records of ends wait, there is room at once for those
 // of a burst of starts, and the ends take what is left.
-func TestStartsFindRoomBesideEnds(t *testing.T) {
+func TestPlacementsHaveBudgetBesideCompletions(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const perSecond = 20
-		d := &config.Deployment{Nodes: 1, State: config.State{RPS: 1000, WriteRPS: perSecond / storage.DecideShare, TxnOps: 16},
+		d := &config.Deployment{Nodes: 1, State: config.State{RPS: 1000, WriteRPS: perSecond / storage.PlacementShare, TxnOps: 16},
 			Workers: config.Workers{LeaseS: 10}, Quota: config.Quota{MaxSockets: 500}}
 		n := simulation.NewNetwork(1)
 		service, controller := n.Host("10.2.0.1"), n.Host("10.0.0.1")
@@ -303,8 +303,8 @@
 		c := storage.NewClient(controller, random.New(1), d, "10.2.0.1:2379", time.Minute)
 		ctx, cancel := context.WithCancel(t.Context())
 		var ends atomic.Int64
-		write := func(use storage.Use, key string) error {
-			_, ok, err := c.Txn(ctx, use, protocol.Txn{Then: []protocol.Op{{PutKey: key, Value: encode(t, map[string]int{})}}})
+		write := func(use storage.Budget, key string) error {
+			_, ok, err := c.Txn(ctx, use, protocol.Txn{Then: []protocol.Op{{PutKey: key, Value: mustEncode(t, map[string]int{})}}})
 			if err == nil && !ok {
 				return errors.New("refused")
 			}
@@ -313,7 +313,7 @@
 		var wg sync.WaitGroup
 		for i := range 10 * perSecond {
 			wg.Go(func() {
-				for write(storage.Settle, fmt.Sprint("end/", i)) == nil {
+				for write(storage.BudgetCompletion, fmt.Sprint("end/", i)) == nil {
 					ends.Add(1)
 				}
 			})
@@ -328,7 +328,7 @@
 		var starts sync.WaitGroup
 		for i := range perSecond / 3 {
 			starts.Go(func() {
-				if err := write(storage.Decide, fmt.Sprint("start/", i)); err != nil {
+				if err := write(storage.BudgetPlacement, fmt.Sprint("start/", i)); err != nil {
 					t.Error(err)
 				}
 			})
@@ -342,21 +342,21 @@
 	})
 }
 
-// TestChangesThatAreTooLong: whoever has fallen so far behind that the changes are more than a process
+// TestOversizedChangesCountAsCompacted: whoever has fallen so far behind that the changes are more than a process
 // takes in is told to read the keys again. Asked for once more, the same answer would have come for
 // ever, and a leader would never have heard of another job.
-func TestChangesThatAreTooLong(t *testing.T) {
-	value := encode(t, map[string]string{"x": strings.Repeat("x", 8000)})
+func TestOversizedChangesCountAsCompacted(t *testing.T) {
+	value := mustEncode(t, map[string]string{"x": strings.Repeat("x", 8000)})
 	var events []protocol.WatchEvent
 	for i := range 1200 {
 		events = append(events, protocol.WatchEvent{PutKey: fmt.Sprintf("live/j-%06d", i), Value: value, Revision: uint64(i + 1)})
 	}
-	raw := encode(t, protocol.WatchResponse{Revision: uint64(len(events)), Events: events})
-	c := client(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write(raw) }))
-	if _, err := c.Changes(t.Context(), storage.Consult, storage.LivePrefix, 0); !errors.Is(err, storage.ErrCompacted) {
+	raw := mustEncode(t, protocol.WatchResponse{Revision: uint64(len(events)), Events: events})
+	c := newTestClient(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write(raw) }))
+	if _, err := c.Changes(t.Context(), storage.BudgetPoll, storage.LiveJobPrefix, 0); !errors.Is(err, storage.ErrCompacted) {
 		t.Errorf("changes: %v", err)
 	}
-	if _, err := c.Watch(t.Context(), storage.LivePrefix, 0, time.Second); !errors.Is(err, storage.ErrCompacted) {
+	if _, err := c.Watch(t.Context(), storage.LiveJobPrefix, 0, time.Second); !errors.Is(err, storage.ErrCompacted) {
 		t.Errorf("watch: %v", err)
 	}
 }
--- a/internal/storage/terms.go
+++ b/internal/storage/terms.go
@@ -10,44 +10,44 @@
 
 // TermRecord counts terms. Its version fences every write of a leader.
 type TermRecord struct {
-	Term uint64
-	Node string
-	// Claim tells one attempt to lead from another with the same outcome.
-	Claim string
-	// Level is the feature level that is final: what is written from then on need not be readable for
+	Term       uint64
+	Controller string
+	// ClaimID tells one attempt to lead from another with the same outcome.
+	ClaimID string
+	// FeatureLevel is the feature level that is final: what is written from then on need not be readable for
 	// processes of a lower one.
-	Level int
-	// Write names the transaction that raised the level, so that its author knows it again.
-	Write string
+	FeatureLevel int
+	// WriteName names the transaction that raised the level, so that its author knows it again.
+	WriteName string
 }
 
-// plainTerm is a term record below the first feature level, as every version reads it.
-type plainTerm struct {
-	Term  uint64 `msgpack:"term"`
-	Node  string `msgpack:"node"`
-	Claim string `msgpack:"claim"`
+// termWithoutLevel is a term record below the first feature level, as every version reads it.
+type termWithoutLevel struct {
+	Term       uint64 `msgpack:"term"`
+	Controller string `msgpack:"node"`
+	ClaimID    string `msgpack:"claim"`
 }
 
-// leveledTerm is a term record from the first feature level on. A process from before the levels expects
+// termWithLevel is a term record from the first feature level on. A process from before the levels expects
 // a number for the term and fails to read this, and who can't read the term can't claim the next one.
-type leveledTerm struct {
-	Term  leveledNumber `msgpack:"term"`
-	Node  string        `msgpack:"node"`
-	Claim string        `msgpack:"claim"`
-	Write string        `msgpack:"w,omitempty"`
+type termWithLevel struct {
+	Term       termNumberWithLevel `msgpack:"term"`
+	Controller string              `msgpack:"node"`
+	ClaimID    string              `msgpack:"claim"`
+	WriteName  string              `msgpack:"w,omitempty"`
 }
 
-type leveledNumber struct {
+type termNumberWithLevel struct {
 	Number uint64 `msgpack:"n"`
 	Level  int    `msgpack:"level"`
 }
 
 // EncodeTerm returns the record as it is stored.
 func EncodeTerm(r TermRecord) ([]byte, error) {
-	if r.Level == 0 {
-		return protocol.Encode(plainTerm{Term: r.Term, Node: r.Node, Claim: r.Claim})
+	if r.FeatureLevel == 0 {
+		return protocol.Encode(termWithoutLevel{Term: r.Term, Controller: r.Controller, ClaimID: r.ClaimID})
 	}
-	return protocol.Encode(leveledTerm{Term: leveledNumber{Number: r.Term, Level: r.Level}, Node: r.Node, Claim: r.Claim, Write: r.Write})
+	return protocol.Encode(termWithLevel{Term: termNumberWithLevel{Number: r.Term, Level: r.FeatureLevel}, Controller: r.Controller, ClaimID: r.ClaimID, WriteName: r.WriteName})
 }
 
 // DecodeTerm reads a stored record of either form.
@@ -59,15 +59,15 @@
 		return TermRecord{}, fmt.Errorf("term record: %w", err)
 	}
 	if !protocol.IsMap(form.Term) {
-		var plain plainTerm
+		var plain termWithoutLevel
 		if err := protocol.Decode(raw, &plain); err != nil {
 			return TermRecord{}, fmt.Errorf("term record: %w", err)
 		}
-		return TermRecord{Term: plain.Term, Node: plain.Node, Claim: plain.Claim}, nil
+		return TermRecord{Term: plain.Term, Controller: plain.Controller, ClaimID: plain.ClaimID}, nil
 	}
-	var leveled leveledTerm
+	var leveled termWithLevel
 	if err := protocol.Decode(raw, &leveled); err != nil {
 		return TermRecord{}, fmt.Errorf("term record: %w", err)
 	}
-	return TermRecord{Term: leveled.Term.Number, Node: leveled.Node, Claim: leveled.Claim, Level: leveled.Term.Level, Write: leveled.Write}, nil
+	return TermRecord{Term: leveled.Term.Number, Controller: leveled.Controller, ClaimID: leveled.ClaimID, FeatureLevel: leveled.Term.Level, WriteName: leveled.WriteName}, nil
 }
--- a/internal/storage/valuesize.go
+++ b/internal/storage/valuelimit.go
@@ -7,9 +7,9 @@
 	"pinebay/internal/protocol"
 )
 
-// ValueBytes bounds the size of a stored value in JSON, the form in which the state service counts its
+// JSONSize bounds the size of a stored value in JSON, the form in which the state service counts its
 // limits. As nothing says how that separates its items, a blank is counted after each comma and colon.
-func ValueBytes(raw []byte) (int, error) {
+func JSONSize(raw []byte) (int, error) {
 	var value any
 	if err := protocol.DecodeAny(raw, &value); err != nil {
 		return 0, err
@@ -21,8 +21,8 @@
 	return len(text) + bytes.Count(text, []byte(",")) + bytes.Count(text, []byte(":")), nil
 }
 
-// Fits says whether a value keeps within a limit in KiB.
-func Fits(raw []byte, valueKB float64) bool {
-	size, err := ValueBytes(raw)
+// FitsValueLimit says whether a value keeps within a limit in KiB.
+func FitsValueLimit(raw []byte, valueKB float64) bool {
+	size, err := JSONSize(raw)
 	return err == nil && float64(size) <= valueKB*1024
 }
--- a/internal/storage/zonereturn.go
+++ b/internal/storage/zonefailover.go
@@ -8,26 +8,26 @@
 	"pinebay/internal/protocol"
 )
 
-// ZoneReturnPrefix is where the pages of zone return lie.
-const ZoneReturnPrefix = "zone-return/"
+// ZoneFailoverPrefix is where the pages of zone return lie.
+const ZoneFailoverPrefix = "zone-return/"
 
-// ZoneReturnKey is where a page of zone return lies.
-func ZoneReturnKey(page int) string { return fmt.Sprintf("%s%04d", ZoneReturnPrefix, page) }
+// ZoneFailoverKey is where a page of zone return lies.
+func ZoneFailoverKey(page int) string { return fmt.Sprintf("%s%04d", ZoneFailoverPrefix, page) }
 
-// ZoneReturnFormat is the format of the pages that this version reads and writes.
-const ZoneReturnFormat = 1
+// ZoneFailoverFormat is the format of the pages that this version reads and writes.
+const ZoneFailoverFormat = 1
 
 // ErrNewerFormat says that a record was written by a later version.
 var ErrNewerFormat = errors.New("record of a newer format")
 
-var errZoneReturn = errors.New("zone return record out of form")
+var errMalformedZoneFailover = errors.New("zone return record out of form")
 
-// ZoneReturnRecord is a page of zone return: how zones stand, on the first page, and the open loans of room.
-type ZoneReturnRecord struct {
-	Format int       `msgpack:"v"`
-	Write  string    `msgpack:"w"`
-	Zones  []ZoneRow `msgpack:"z,omitempty"`
-	Loans  []LoanRow `msgpack:"l,omitempty"`
+// ZoneFailoverRecord is a page of zone return: how zones stand, on the first page, and the open loans of room.
+type ZoneFailoverRecord struct {
+	Format    int       `msgpack:"v"`
+	WriteName string    `msgpack:"w"`
+	Zones     []ZoneRow `msgpack:"z,omitempty"`
+	Loans     []LoanRow `msgpack:"l,omitempty"`
 }
 
 // ZoneRow is how a zone stands.
@@ -51,9 +51,9 @@
 	Borrower     string
 	Machine      string
 	Zone         string
-	LostS        float64
-	AtMS         int64
-	UntilMS      int64
+	LostSeconds  float64
+	CreatedMS    int64
+	ExpiresMS    int64
 }
 
 // loanBytes bounds a stored loan with names of usual length, in the JSON form that limits
@@ -65,33 +65,33 @@
 	return max(1, int(valueKB*1024*0.75/loanBytes))
 }
 
-// DecodeZoneReturn reads and checks a page.
-func DecodeZoneReturn(p protocol.KeyValue) (*ZoneReturnRecord, error) {
+// DecodeZoneFailover reads and checks a page.
+func DecodeZoneFailover(p protocol.KeyValue) (*ZoneFailoverRecord, error) {
 	var head struct {
 		Format int `msgpack:"v"`
 	}
 	if err := protocol.Decode(p.Value, &head); err != nil {
 		return nil, fmt.Errorf("key %q: %w", p.Key, err)
 	}
-	if head.Format > ZoneReturnFormat {
+	if head.Format > ZoneFailoverFormat {
 		return nil, fmt.Errorf("key %q: %w: %d", p.Key, ErrNewerFormat, head.Format)
 	}
-	var rec ZoneReturnRecord
+	var rec ZoneFailoverRecord
 	if err := protocol.Decode(p.Value, &rec); err != nil {
 		return nil, fmt.Errorf("key %q: %w", p.Key, err)
 	}
-	if rec.Format != ZoneReturnFormat {
-		return nil, fmt.Errorf("key %q: %w: format %d", p.Key, errZoneReturn, rec.Format)
+	if rec.Format != ZoneFailoverFormat {
+		return nil, fmt.Errorf("key %q: %w: format %d", p.Key, errMalformedZoneFailover, rec.Format)
 	}
 	for _, z := range rec.Zones {
 		if z.Name == "" || z.State < 0 || z.Flaps < 0 {
-			return nil, fmt.Errorf("key %q: %w: zone %q", p.Key, errZoneReturn, z.Name)
+			return nil, fmt.Errorf("key %q: %w: zone %q", p.Key, errMalformedZoneFailover, z.Name)
 		}
 	}
 	for _, l := range rec.Loans {
 		if !protocol.ValidJobID(l.Lender) || !protocol.ValidJobID(l.Borrower) || l.Task < 0 || l.Task >= protocol.MaxTasks ||
-			!(l.LostS >= 0) || math.IsInf(l.LostS, 0) {
-			return nil, fmt.Errorf("key %q: %w: loan of %q", p.Key, errZoneReturn, l.Lender)
+			!(l.LostSeconds >= 0) || math.IsInf(l.LostSeconds, 0) {
+			return nil, fmt.Errorf("key %q: %w: loan of %q", p.Key, errMalformedZoneFailover, l.Lender)
 		}
 	}
 	return &rec, nil
