--- a/cmd/pinebay/main.go
+++ b/cmd/pinebay/main.go
@@ -35,7 +35,7 @@
 var errUsage = errors.New("usage")
 
 func main() {
-	if err := command().Execute(); err != nil {
+	if err := newCommand().Execute(); err != nil {
 		fmt.Fprintln(os.Stderr, "pinebay:", strings.ReplaceAll(err.Error(), "\n", " "))
 		if errors.Is(err, errUsage) {
 			os.Exit(2)
@@ -44,7 +44,7 @@
 	}
 }
 
-func command() *cobra.Command {
+func newCommand() *cobra.Command {
 	var path string
 	var stepTimes, ownership bool
 	var zoneReturn zoneReturnFlags
@@ -71,11 +71,11 @@
 			if stepTimes {
 				features.Timing = timing.NewRecorder()
 			}
-			log, err := logger(os.Stderr, os.Getenv("LOG_LEVEL"))
+			log, err := newLogger(os.Stderr, os.Getenv("LOG_LEVEL"))
 			if err != nil {
 				return fmt.Errorf("%w: %w", errUsage, err)
 			}
-			limit(cfg)
+			limitRuntime(cfg)
 			return run(cmd.Context(), daemon.New(transport.TCP{}, random.NewSystemSeeded(), cfg, features, log))
 		},
 	}
@@ -104,26 +104,26 @@
 
 // zoneReturnFlags are the flags of zone return.
 type zoneReturnFlags struct {
-	on    bool
-	order string
+	enabled bool
+	order   string
 }
 
 func (f *zoneReturnFlags) add(cmd *cobra.Command) {
-	cmd.Flags().BoolVar(&f.on, "zone-return", false, "bring work back in a stated order when a zone is lost")
+	cmd.Flags().BoolVar(&f.enabled, "zone-return", false, "bring work back in a stated order when a zone is lost")
 	cmd.Flags().StringVar(&f.order, "zone-return-order", "", `with --zone-return, which classes and teams come first, as in "cluesmith > team guests"`)
 }
 
 // features checks the flags against the settings.
 func (f *zoneReturnFlags) features(cfg *config.Settings) (daemon.Features, error) {
 	switch {
-	case !f.on && f.order != "":
+	case !f.enabled && f.order != "":
 		return daemon.Features{}, errors.New("--zone-return-order: needs --zone-return")
-	case !f.on:
+	case !f.enabled:
 		return daemon.Features{}, nil
 	case f.order == "":
 		return daemon.Features{ZoneReturn: zones.DefaultOrder()}, nil
 	}
-	order, err := zones.ParseOrder(f.order, &cfg.Deploy)
+	order, err := zones.ParseOrder(f.order, &cfg.Deployment)
 	if err != nil {
 		return daemon.Features{}, fmt.Errorf("--zone-return-order: %w", err)
 	}
@@ -137,15 +137,15 @@
 	return nil
 }
 
-// limit fits the runtime to the machine: one core, and a memory limit below
+// limitRuntime fits the runtime to the machine: one core, and a memory limit below
 // which the collector may be lazy, since processor time is scarcer.
-func limit(cfg *config.Settings) {
+func limitRuntime(cfg *config.Settings) {
 	runtime.GOMAXPROCS(1)
 	debug.SetGCPercent(400)
-	debug.SetMemoryLimit(int64(cfg.Deploy.Quota.RAMMB * 0.6 * (1 << 20)))
+	debug.SetMemoryLimit(int64(cfg.Deployment.Quota.RAMMB * 0.6 * (1 << 20)))
 }
 
-func logger(w io.Writer, level string) (*slog.Logger, error) {
+func newLogger(w io.Writer, level string) (*slog.Logger, error) {
 	l := slog.LevelInfo
 	switch level {
 	case "", "info":
--- a/cmd/pinebay/main_test.go
+++ b/cmd/pinebay/main_test.go
@@ -23,7 +23,7 @@
 		{nil, "--config"}, {[]string{"--config", bad}, "node"}, {[]string{"--config", bad + ".none"}, "none"},
 		{[]string{"extra"}, "extra"}, {[]string{"--colour"}, "colour"},
 	} {
-		cmd := command()
+		cmd := newCommand()
 		cmd.SetArgs(x.args)
 		err := cmd.Execute()
 		if !errors.Is(err, errUsage) || !strings.Contains(err.Error(), x.want) {
@@ -31,7 +31,7 @@
 		}
 	}
 	for _, flag := range []string{"--help", "--version"} {
-		cmd := command()
+		cmd := newCommand()
 		var out bytes.Buffer
 		cmd.SetOut(&out)
 		cmd.SetArgs([]string{flag})
@@ -39,7 +39,7 @@
 			t.Errorf("%s: %v %q", flag, err, out.String())
 		}
 	}
-	if _, err := logger(nil, "loud"); err == nil {
+	if _, err := newLogger(nil, "loud"); err == nil {
 		t.Error("an unknown level was taken")
 	}
 }
@@ -47,7 +47,7 @@
 // TestZoneReturnFlags: an order that cannot be kept ends the program in one line that names
 // what is wrong, and without the flag nothing is on.
 func TestZoneReturnFlags(t *testing.T) {
-	cfg := &config.Settings{Deploy: config.Deployment{
+	cfg := &config.Settings{Deployment: config.Deployment{
 		Teams:      []config.Team{{Name: "red"}},
 		Objectives: []config.Objective{{Kind: "wait", Class: "serve"}, {Kind: "finished", Class: "sweep"}},
 	}}
@@ -57,13 +57,13 @@
 		want  string // in the error
 	}{
 		{zoneReturnFlags{}, false, ""},
-		{zoneReturnFlags{on: true}, true, ""},
-		{zoneReturnFlags{on: true, order: "serve > team red"}, true, ""},
+		{zoneReturnFlags{enabled: true}, true, ""},
+		{zoneReturnFlags{enabled: true, order: "serve > team red"}, true, ""},
 		{zoneReturnFlags{order: "serve"}, false, "--zone-return"},
-		{zoneReturnFlags{on: true, order: "serve > nobody"}, false, "nobody"},
-		{zoneReturnFlags{on: true, order: "serve > serve"}, false, "serve"},
-		{zoneReturnFlags{on: true, order: "serve > sweep; sweep > serve"}, false, "contradicts"},
-		{zoneReturnFlags{on: true, order: "serve >"}, false, "out of form"},
+		{zoneReturnFlags{enabled: true, order: "serve > nobody"}, false, "nobody"},
+		{zoneReturnFlags{enabled: true, order: "serve > serve"}, false, "serve"},
+		{zoneReturnFlags{enabled: true, order: "serve > sweep; sweep > serve"}, false, "contradicts"},
+		{zoneReturnFlags{enabled: true, order: "serve >"}, false, "out of form"},
 	} {
 		features, err := row.flags.features(cfg)
 		switch {
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -15,81 +15,81 @@
 
 // Settings is the platform's file. Fields that are not named here are ignored.
 type Settings struct {
-	Node     string     `toml:"node"`
-	Location string     `toml:"location"`
-	Listen   string     `toml:"listen"`
-	MeshAddr string     `toml:"mesh_addr"`
-	Seeds    []Peer     `toml:"seeds"`
-	Outside  Outside    `toml:"outside"`
-	Deploy   Deployment `toml:"deployment"`
+	Name       string     `toml:"node"`
+	Location   string     `toml:"location"`
+	ListenAddr string     `toml:"listen"`
+	MeshAddr   string     `toml:"mesh_addr"`
+	Seeds      []Peer     `toml:"seeds"`
+	Endpoints  Endpoints  `toml:"outside"`
+	Deployment Deployment `toml:"deployment"`
 }
 
 // Peer is another controller.
 type Peer struct {
-	Node     string `toml:"node"`
+	Name     string `toml:"node"`
 	Location string `toml:"location"`
 	Addr     string `toml:"peer_addr"`
 }
 
-// Outside names the services that the daemon depends on.
-type Outside struct {
+// Endpoints names the services that the daemon depends on.
+type Endpoints struct {
 	Cloud string `toml:"cloud"`
-	State string `toml:"state"`
+	Store string `toml:"state"`
 }
 
 // Deployment describes what all controllers share.
 type Deployment struct {
-	Nodes      int         `toml:"nodes"`
-	Zones      []string    `toml:"zones"`
-	ClockOffMS float64     `toml:"clock_off_ms"`
-	Teams      []Team      `toml:"teams"`
-	Objectives []Objective `toml:"objectives"`
-	Workers    Workers     `toml:"workers"`
-	State      State       `toml:"state"`
-	Cloud      Cloud       `toml:"cloud"`
-	Quota      Quota       `toml:"quota"`
+	Controllers      int         `toml:"nodes"`
+	Zones            []string    `toml:"zones"`
+	MaxClockOffsetMS float64     `toml:"clock_off_ms"`
+	Teams            []Team      `toml:"teams"`
+	Objectives       []Objective `toml:"objectives"`
+	Workers          Workers     `toml:"workers"`
+	Store            StoreLimits `toml:"state"`
+	Cloud            Cloud       `toml:"cloud"`
+	Quota            Quota       `toml:"quota"`
 }
 
 // Team has a guarantee and a limit; 0 means none.
 type Team struct {
-	Name    string  `toml:"name"`
-	CPUs    float64 `toml:"cpus"`
-	CPUsMax float64 `toml:"cpus_max"`
-	GPUs    float64 `toml:"gpus"`
-	GPUsMax float64 `toml:"gpus_max"`
+	Name           string  `toml:"name"`
+	GuaranteedCPUs float64 `toml:"cpus"`
+	MaxCPUs        float64 `toml:"cpus_max"`
+	GuaranteedGPUs float64 `toml:"gpus"`
+	MaxGPUs        float64 `toml:"gpus_max"`
 }
 
 // Objective is an aim on starting ("wait"), finishing ("finished") or meeting a job's own deadline ("deadline").
 type Objective struct {
-	Kind    string  `toml:"kind"`
-	Class   string  `toml:"class"`
-	WithinS float64 `toml:"within_s"`
-	Share   float64 `toml:"share"`
-	// Times is how many times its deadline a job may take, for aims on deadlines.
-	Times float64 `toml:"times"`
+	Kind          string  `toml:"kind"`
+	Class         string  `toml:"class"`
+	WithinSeconds float64 `toml:"within_s"`
+	Fraction      float64 `toml:"share"`
+	// DeadlineFactor is how many times its deadline a job may take, for aims on deadlines.
+	DeadlineFactor float64 `toml:"times"`
 }
 
 // Workers holds the times of the workers' protocol, in seconds.
 type Workers struct {
-	ReportS   float64 `toml:"report_s"`
-	LeaseS    float64 `toml:"lease_s"`
-	GangWaitS float64 `toml:"gang_wait_s"`
-	GangPeerS float64 `toml:"gang_peer_s"`
-	CancelS   float64 `toml:"cancel_s"`
+	HeartbeatSeconds float64 `toml:"report_s"`
+	LeaseSeconds     float64 `toml:"lease_s"`
+	GangWaitSeconds  float64 `toml:"gang_wait_s"`
+	GangPeerSeconds  float64 `toml:"gang_peer_s"`
+	CancelSeconds    float64 `toml:"cancel_s"`
 }
 
-// State holds the limits of the state service.
-type State struct {
+// StoreLimits holds the limits of the state service.
+type StoreLimits struct {
 	RPS      float64 `toml:"rps"`
 	WriteRPS float64 `toml:"write_rps"`
 	ValueKB  float64 `toml:"value_kb"`
 	TxnOps   int     `toml:"txn_ops"`
 	// Next holds the limits that the service will have from some moment after an upgrade; a limit of 0 stays.
-	Next StateLimits `toml:"next"`
+	Next FutureStoreLimits `toml:"next"`
 }
 
-// StateLimits are limits of the state service that may come into force later.
-type StateLimits struct {
+// FutureStoreLimits are limits of the state service that may come into force later.
+type FutureStoreLimits struct {
 	RPS      float64 `toml:"rps"`
 	WriteRPS float64 `toml:"write_rps"`
 	ValueKB  float64 `toml:"value_kb"`
@@ -97,14 +97,14 @@
 }
 
 // Lowest returns the limits that hold both now and after the next change.
-func (s State) Lowest() State {
+func (s StoreLimits) Lowest() StoreLimits {
 	lower := func(now, next float64) float64 {
 		if next > 0 {
 			return min(now, next)
 		}
 		return now
 	}
-	return State{
+	return StoreLimits{
 		RPS: lower(s.RPS, s.Next.RPS), WriteRPS: lower(s.WriteRPS, s.Next.WriteRPS), ValueKB: lower(s.ValueKB, s.Next.ValueKB),
 		TxnOps: int(lower(float64(s.TxnOps), float64(s.Next.TxnOps))), Next: s.Next,
 	}
@@ -112,8 +112,8 @@
 
 // Cloud holds the limits of the cloud.
 type Cloud struct {
-	RPS      float64 `toml:"rps"`
-	ListLagS float64 `toml:"list_lag_s"`
+	RPS            float64 `toml:"rps"`
+	ListLagSeconds float64 `toml:"list_lag_s"`
 }
 
 // Quota is what one controller process may use.
@@ -153,37 +153,37 @@
 }
 
 func (s *Settings) check() error {
-	if s.Node == "" {
+	if s.Name == "" {
 		return errors.New("field node: missing")
 	}
 	for _, a := range []struct{ field, addr string }{
-		{"listen", s.Listen}, {"mesh_addr", s.MeshAddr},
-		{"outside.cloud", s.Outside.Cloud}, {"outside.state", s.Outside.State},
+		{"listen", s.ListenAddr}, {"mesh_addr", s.MeshAddr},
+		{"outside.cloud", s.Endpoints.Cloud}, {"outside.state", s.Endpoints.Store},
 	} {
-		if err := address(a.field, a.addr); err != nil {
+		if err := checkAddress(a.field, a.addr); err != nil {
 			return err
 		}
 	}
 	for i, p := range s.Seeds {
-		if p.Node == "" {
+		if p.Name == "" {
 			return fmt.Errorf("field seeds[%d].node: missing", i)
 		}
-		if err := address(fmt.Sprintf("seeds[%d].peer_addr", i), p.Addr); err != nil {
+		if err := checkAddress(fmt.Sprintf("seeds[%d].peer_addr", i), p.Addr); err != nil {
 			return err
 		}
 	}
-	d := &s.Deploy
-	if d.Nodes == 0 {
-		d.Nodes = len(s.Seeds) + 1
+	d := &s.Deployment
+	if d.Controllers == 0 {
+		d.Controllers = len(s.Seeds) + 1
 	}
-	if d.Nodes < 0 {
-		return fmt.Errorf("field deployment.nodes: %d is not a count", d.Nodes)
+	if d.Controllers < 0 {
+		return fmt.Errorf("field deployment.nodes: %d is not a count", d.Controllers)
 	}
 	for i, t := range d.Teams {
 		if t.Name == "" {
 			return fmt.Errorf("field deployment.teams[%d].name: missing", i)
 		}
-		for _, v := range []float64{t.CPUs, t.CPUsMax, t.GPUs, t.GPUsMax} {
+		for _, v := range []float64{t.GuaranteedCPUs, t.MaxCPUs, t.GuaranteedGPUs, t.MaxGPUs} {
 			if !(v >= 0) || math.IsInf(v, 0) {
 				return fmt.Errorf("field deployment.teams[%d]: amounts must not be negative", i)
 			}
@@ -193,12 +193,12 @@
 		field string
 		value float64
 	}{
-		{"workers.report_s", d.Workers.ReportS}, {"workers.lease_s", d.Workers.LeaseS},
-		{"workers.gang_wait_s", d.Workers.GangWaitS}, {"workers.gang_peer_s", d.Workers.GangPeerS},
-		{"workers.cancel_s", d.Workers.CancelS},
-		{"state.rps", d.State.RPS}, {"state.write_rps", d.State.WriteRPS}, {"state.value_kb", d.State.ValueKB},
-		{"state.txn_ops", float64(d.State.TxnOps)},
-		{"cloud.rps", d.Cloud.RPS}, {"cloud.list_lag_s", d.Cloud.ListLagS},
+		{"workers.report_s", d.Workers.HeartbeatSeconds}, {"workers.lease_s", d.Workers.LeaseSeconds},
+		{"workers.gang_wait_s", d.Workers.GangWaitSeconds}, {"workers.gang_peer_s", d.Workers.GangPeerSeconds},
+		{"workers.cancel_s", d.Workers.CancelSeconds},
+		{"state.rps", d.Store.RPS}, {"state.write_rps", d.Store.WriteRPS}, {"state.value_kb", d.Store.ValueKB},
+		{"state.txn_ops", float64(d.Store.TxnOps)},
+		{"cloud.rps", d.Cloud.RPS}, {"cloud.list_lag_s", d.Cloud.ListLagSeconds},
 		{"quota.core_share", d.Quota.CoreShare}, {"quota.ram_mb", d.Quota.RAMMB},
 		{"quota.max_sockets", float64(d.Quota.MaxSockets)},
 	} {
@@ -210,7 +210,7 @@
 		field string
 		value float64
 	}{
-		{"rps", d.State.Next.RPS}, {"write_rps", d.State.Next.WriteRPS}, {"value_kb", d.State.Next.ValueKB}, {"txn_ops", float64(d.State.Next.TxnOps)},
+		{"rps", d.Store.Next.RPS}, {"write_rps", d.Store.Next.WriteRPS}, {"value_kb", d.Store.Next.ValueKB}, {"txn_ops", float64(d.Store.Next.TxnOps)},
 	} {
 		if !(f.value >= 0) || math.IsInf(f.value, 0) {
 			return fmt.Errorf("field deployment.state.next.%s: must not be negative", f.field)
@@ -232,7 +232,7 @@
 // checkQuota refuses a quota that no controller can run in, instead of ending for memory
 // or refusing every connection later.
 func (s *Settings) checkQuota() error {
-	q := s.Deploy.Quota
+	q := s.Deployment.Quota
 	if q.RAMMB < minRAMMB {
 		return fmt.Errorf("field deployment.quota.ram_mb: %g is too little to run in, at least %d is needed", q.RAMMB, minRAMMB)
 	}
@@ -242,7 +242,7 @@
 	return nil
 }
 
-func address(field, addr string) error {
+func checkAddress(field, addr string) error {
 	if addr == "" {
 		return fmt.Errorf("field %s: missing", field)
 	}
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -11,7 +11,7 @@
 
 func TestMain(m *testing.M) { testkit.Main(m) }
 
-const good = `
+const validSettings = `
 node = "n-0"
 location = "a"
 listen = "10.0.0.1:8080"
@@ -47,12 +47,12 @@
 max_sockets = 500
 `
 
-func TestGoodSettings(t *testing.T) {
-	s, err := Parse([]byte(good))
+func TestValidSettings(t *testing.T) {
+	s, err := Parse([]byte(validSettings))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s.Deploy.Nodes != 2 || s.Deploy.Team("red") == nil || s.Deploy.Team("blue") != nil || s.Deploy.Workers.LeaseS != 10 {
+	if s.Deployment.Controllers != 2 || s.Deployment.Team("red") == nil || s.Deployment.Team("blue") != nil || s.Deployment.Workers.LeaseSeconds != 10 {
 		t.Errorf("%+v", s)
 	}
 }
@@ -60,7 +60,7 @@
 // TestErrorsNameTheField breaks one line at a time; the message must be one
 // line that names the field.
 func TestErrorsNameTheField(t *testing.T) {
-	lines := strings.Split(good, "\n")
+	lines := strings.Split(validSettings, "\n")
 	rapid.Check(t, func(t *rapid.T) {
 		i := rapid.IntRange(0, len(lines)-1).Draw(t, "line")
 		key, value, ok := strings.Cut(lines[i], " = ")
@@ -104,7 +104,7 @@
 		{"max_sockets = 500", "max_sockets = 25", "max_sockets"},
 		{"max_sockets = 500", "max_sockets = 26", ""},
 	} {
-		_, err := Parse([]byte(strings.Replace(good, row.from, row.to, 1)))
+		_, err := Parse([]byte(strings.Replace(validSettings, row.from, row.to, 1)))
 		switch {
 		case row.field == "" && err != nil:
 			t.Errorf("%s: %v", row.to, err)
--- a/internal/coordination/api/api.go
+++ b/internal/coordination/api/api.go
@@ -327,7 +327,7 @@
 		n = 1
 	}
 	const slack = 1e-6
-	if team.CPUsMax > 0 && n*j.CPUs > team.CPUsMax+slack || team.GPUsMax > 0 && n*j.GPUs > team.GPUsMax+slack {
+	if team.MaxCPUs > 0 && n*j.CPUs > team.MaxCPUs+slack || team.MaxGPUs > 0 && n*j.GPUs > team.MaxGPUs+slack {
 		return "needs more than the team's limit"
 	}
 	if j.Spread && j.TaskCount > 1 && (j.SameZone || len(zones) < 2) {
--- a/internal/coordination/api/api_test.go
+++ b/internal/coordination/api/api_test.go
@@ -41,15 +41,15 @@
 var testMachineTypes = []protocol.MachineType{{Name: "g8", CPUs: 64, GPUs: 8, MemoryGB: 256, Zones: []string{"a", "b"}}}
 
 func newTestCluster(t testing.TB) *testCluster {
-	return newTestClusterWith(t, config.State{RPS: 1e6, WriteRPS: 1e6, TxnOps: 16})
+	return newTestClusterWith(t, config.StoreLimits{RPS: 1e6, WriteRPS: 1e6, TxnOps: 16})
 }
 
-func newTestClusterWith(t testing.TB, rates config.State) *testCluster {
+func newTestClusterWith(t testing.TB, rates config.StoreLimits) *testCluster {
 	s := &testCluster{t: t, store: simulation.NewStore()}
 	srv := httptest.NewServer(s.store)
 	t.Cleanup(srv.Close)
-	cfg := &config.Deployment{Nodes: 2, Teams: []config.Team{{Name: "red", GPUsMax: 16}},
-		State: rates, Workers: config.Workers{LeaseS: 10}, Quota: config.Quota{RAMMB: 16, MaxSockets: 500}}
+	cfg := &config.Deployment{Controllers: 2, Teams: []config.Team{{Name: "red", MaxGPUs: 16}},
+		Store: rates, Workers: config.Workers{LeaseSeconds: 10}, Quota: config.Quota{RAMMB: 16, MaxSockets: 500}}
 	for range 2 {
 		store := storage.NewClient(transport.TCP{}, random.New(1), cfg, strings.TrimPrefix(srv.URL, "http://"), time.Minute)
 		in := New(cfg, store, random.New(1), slog.New(slog.NewTextHandler(io.Discard, nil)),
@@ -254,7 +254,7 @@
 // told when to come back, and what was called accepted is there.
 func TestOverloadIsAnsweredWithRetryAfter(t *testing.T) {
 	const crowd = 100
-	s := newTestClusterWith(t, config.State{RPS: 1e6, WriteRPS: 1e-3, TxnOps: 16}) // room for one, and none for long
+	s := newTestClusterWith(t, config.StoreLimits{RPS: 1e6, WriteRPS: 1e-3, TxnOps: 16}) // room for one, and none for long
 	type answer struct {
 		id     string
 		code   int
@@ -294,7 +294,7 @@
 // questions would do for a tenth of them; all are answered, with nothing older.
 func TestManyQueriesAreAnswered(t *testing.T) {
 	const crowd = 500
-	s := newTestClusterWith(t, config.State{RPS: 100, WriteRPS: 1e6, TxnOps: 16})
+	s := newTestClusterWith(t, config.StoreLimits{RPS: 100, WriteRPS: 1e6, TxnOps: 16})
 	put := func(key string, v any) {
 		value, err := protocol.Encode(v)
 		if err != nil {
--- a/internal/coordination/api/dependencies.go
+++ b/internal/coordination/api/dependencies.go
@@ -73,7 +73,7 @@
 		bytes += len(id) + idOverheadBytes
 		longest = max(longest, len(id)+idOverheadBytes)
 	}
-	limit := s.cfg.State.Lowest().ValueKB * 1024
+	limit := s.cfg.Store.Lowest().ValueKB * 1024
 	if most := limit * maxDependencyShare; float64(bytes) > most {
 		return &requestError{http.StatusUnprocessableEntity, fmt.Sprintf("it awaits %d jobs, and at most %d with ids as long as these can be recorded", len(job.Dependencies), int(most)/longest)}
 	}
--- a/internal/coordination/api/dependencies_test.go
+++ b/internal/coordination/api/dependencies_test.go
@@ -24,7 +24,7 @@
 
 // newPipelineCluster returns a site on which jobs may await others.
 func newPipelineCluster(t testing.TB) *testCluster {
-	s := newTestClusterWith(t, config.State{RPS: 1e6, WriteRPS: 1e6, TxnOps: 16, ValueKB: 8, Next: config.StateLimits{ValueKB: 2}})
+	s := newTestClusterWith(t, config.StoreLimits{RPS: 1e6, WriteRPS: 1e6, TxnOps: 16, ValueKB: 8, Next: config.FutureStoreLimits{ValueKB: 2}})
 	for _, server := range s.servers {
 		server.SetFeatureLevel(featurelevel.Pipelines)
 	}
@@ -106,7 +106,7 @@
 // TestDependenciesNeedTheFeatureLevel: until all controllers can read awaited jobs, a submission that names some is
 // told when to come back, and is never accepted without them. Others are accepted.
 func TestDependenciesNeedTheFeatureLevel(t *testing.T) {
-	s := newTestClusterWith(t, config.State{RPS: 1e6, WriteRPS: 1e6, TxnOps: 16, ValueKB: 8})
+	s := newTestClusterWith(t, config.StoreLimits{RPS: 1e6, WriteRPS: 1e6, TxnOps: 16, ValueKB: 8})
 	s.call(0, "POST", "/submissions", encodeJob(t, arrayJob("j-1")))
 	code, _, h := s.call(0, "POST", "/submissions", encodeJob(t, dependentJob("j-2", "j-1")))
 	if code != http.StatusServiceUnavailable || h.Get("Retry-After") == "" || s.store.Get(storage.LiveJobKey("j-2")).Revision != 0 {
--- a/internal/coordination/fleet/autoscaler.go
+++ b/internal/coordination/fleet/autoscaler.go
@@ -98,7 +98,7 @@
 }
 
 func (f *Autoscaler) listStaleness() time.Duration {
-	return config.Seconds(2 * f.cloudSettings.ListLagS)
+	return config.Seconds(2 * f.cloudSettings.ListLagSeconds)
 }
 
 // HasMachineList says whether a whole list has come since the term began: before that
@@ -194,7 +194,7 @@
 // are proven gone.
 func (f *Autoscaler) HandleScaleIn(now time.Duration, names []string, ok bool) {
 	for n, at := range f.releasedAt {
-		if now-at > config.Seconds(releasedMemoryFactor*f.workerSettings.CancelS) {
+		if now-at > config.Seconds(releasedMemoryFactor*f.workerSettings.CancelSeconds) {
 			delete(f.releasedAt, n)
 		}
 	}
@@ -218,7 +218,7 @@
 // within their part of the rate.
 func (f *Autoscaler) listInterval(machines int) time.Duration {
 	pages := 1 + machines/protocol.MaxMachinesPerPage
-	return config.Seconds(max(f.cloudSettings.ListLagS/2, float64(pages)/(f.cloudSettings.RPS*rateSharePerCallKind)))
+	return config.Seconds(max(f.cloudSettings.ListLagSeconds/2, float64(pages)/(f.cloudSettings.RPS*rateSharePerCallKind)))
 }
 
 // Plan compares what is wanted with what there is. It is asked for once a second.
--- a/internal/coordination/fleet/autoscaler_test.go
+++ b/internal/coordination/fleet/autoscaler_test.go
@@ -12,8 +12,8 @@
 
 var (
 	testMachineType    = protocol.MachineType{Name: "g8", CPUs: 64, GPUs: 8, MemoryGB: 256, HourlyPrice: 4, HourlySpotPrice: 1, BootSeconds: 30, Zones: []string{"a", "b"}}
-	testWorkerSettings = config.Workers{ReportS: 1, LeaseS: 10, CancelS: 40}
-	testCloudSettings  = config.Cloud{RPS: 2, ListLagS: 5}
+	testWorkerSettings = config.Workers{HeartbeatSeconds: 1, LeaseSeconds: 10, CancelSeconds: 40}
+	testCloudSettings  = config.Cloud{RPS: 2, ListLagSeconds: 5}
 )
 
 func setup() (*Autoscaler, *partition.Registry) {
@@ -176,27 +176,27 @@
 // it is plain that all do, whatever the times of the settings.
 func TestSilentZoneIsNotFenced(t *testing.T) {
 	for _, w := range []config.Workers{
-		{ReportS: 1, LeaseS: 10, CancelS: 40}, {ReportS: 5, LeaseS: 29, CancelS: 59}, {ReportS: 2.5, LeaseS: 15.25, CancelS: 45},
-		{ReportS: 3, LeaseS: 8, CancelS: 40},
+		{HeartbeatSeconds: 1, LeaseSeconds: 10, CancelSeconds: 40}, {HeartbeatSeconds: 5, LeaseSeconds: 29, CancelSeconds: 59}, {HeartbeatSeconds: 2.5, LeaseSeconds: 15.25, CancelSeconds: 45},
+		{HeartbeatSeconds: 3, LeaseSeconds: 8, CancelSeconds: 40},
 	} {
 		f, p := New(3, testCloudSettings, w), partition.New(3, w)
 		p.SetMachineTypes([]protocol.MachineType{testMachineType})
 		f.HandleList(1*s, 0, p, nil)
 		const n = 200
 		for i := range n {
-			zone, now := "a", 10*s+config.Seconds(1.25*w.ReportS*float64(i)/n)
+			zone, now := "a", 10*s+config.Seconds(1.25*w.HeartbeatSeconds*float64(i)/n)
 			if i%2 == 0 {
 				zone = "b"
 			}
 			p.HandleHeartbeat(now, &protocol.WorkerHeartbeat{Machine: fmt.Sprintf("m%03d", i), Addr: "x", Type: "g8", Zone: zone, Incarnation: 1, Sequence: 1})
 		}
-		for now := 11 * s; now < 10*s+config.Seconds(2*w.LeaseS); now += s {
+		for now := 11 * s; now < 10*s+config.Seconds(2*w.LeaseSeconds); now += s {
 			for i := 0; i < n; i += 2 { // zone b goes on
 				p.HandleHeartbeat(now, &protocol.WorkerHeartbeat{Machine: fmt.Sprintf("m%03d", i), Addr: "x", Type: "g8", Zone: "b", Incarnation: 1, Sequence: 2 + uint64(now)})
 			}
 			for _, name := range releasedMachines(f.Plan(now, p, nil)) {
 				if p.Machine(name).Zone == "a" {
-					t.Fatalf("report %v s, lease %v s: %s fenced at %v", w.ReportS, w.LeaseS, name, now)
+					t.Fatalf("report %v s, lease %v s: %s fenced at %v", w.HeartbeatSeconds, w.LeaseSeconds, name, now)
 				}
 			}
 		}
--- a/internal/coordination/fleet/fence.go
+++ b/internal/coordination/fleet/fence.go
@@ -14,10 +14,10 @@
 // back later than the others, since workers that lost their controller need
 // until about then to find a way round, and each that is fenced is a healthy one.
 func (f *Autoscaler) fenceSilent(now time.Duration, p *partition.Registry) {
-	lease, patience := config.Seconds(f.workerSettings.LeaseS), f.FencingTimeout()
+	lease, patience := config.Seconds(f.workerSettings.LeaseSeconds), f.FencingTimeout()
 	// That a zone falls silent must be plain before the first of its machines
 	// would be fenced.
-	late := min(p.SilenceTimeout(), patience-config.Seconds(f.workerSettings.ReportS))
+	late := min(p.SilenceTimeout(), patience-config.Seconds(f.workerSettings.HeartbeatSeconds))
 	up, quiet := map[string]int{}, map[string]int{}
 	var dead []*partition.Machine
 	p.Each(func(m *partition.Machine) {
@@ -58,6 +58,6 @@
 // worker takes that reports at its slowest, waits for an answer in vain and goes
 // on to the next controller, and no longer than most of a lease.
 func (f *Autoscaler) FencingTimeout() time.Duration {
-	report := config.Seconds(f.workerSettings.ReportS)
-	return min(config.Seconds(f.workerSettings.LeaseS)*3/4, report*3/2+protocol.HeartbeatTimeout+protocol.HeartbeatRetryDelay)
+	report := config.Seconds(f.workerSettings.HeartbeatSeconds)
+	return min(config.Seconds(f.workerSettings.LeaseSeconds)*3/4, report*3/2+protocol.HeartbeatTimeout+protocol.HeartbeatRetryDelay)
 }
--- a/internal/coordination/fleet/limits_test.go
+++ b/internal/coordination/fleet/limits_test.go
@@ -100,7 +100,7 @@
 		{2, 0, 2500 * time.Millisecond}, {2, 100, 2500 * time.Millisecond}, {2, manyMachines, 9 * s}, {4, manyMachines, 4500 * time.Millisecond},
 		{4, 10_000, 10500 * time.Millisecond}, {24, 10_000, 2500 * time.Millisecond},
 	} {
-		f := New(1, config.Cloud{RPS: x.rps, ListLagS: 5}, testWorkerSettings)
+		f := New(1, config.Cloud{RPS: x.rps, ListLagSeconds: 5}, testWorkerSettings)
 		if got := f.listInterval(x.machines); got != x.want {
 			t.Errorf("%d machines at %v calls a second: read every %v, want %v", x.machines, x.rps, got, x.want)
 		}
--- a/internal/coordination/leader/cloud.go
+++ b/internal/coordination/leader/cloud.go
@@ -17,41 +17,41 @@
 	"pinebay/internal/transport"
 )
 
-// Cloud is a client of the cloud that keeps to its rate.
-type Cloud struct {
-	base    string
+// CloudClient is a client of the cloud that keeps to its rate.
+type CloudClient struct {
+	baseURL string
 	client  *transport.Client
-	limit   *rate.Limiter
+	limiter *rate.Limiter
 	timeout time.Duration
 }
 
-// NewCloud returns a client. A controller uses most of the whole rate, since
+// NewCloudClient returns a client. A controller uses most of the whole rate, since
 // only the leader calls more than now and then.
-func NewCloud(network transport.Network, addr string, cfg config.Cloud) *Cloud {
-	return &Cloud{base: "http://" + addr, client: transport.NewClient(network, 4, 4, config.Seconds(cfg.ListLagS)),
-		limit: rate.NewLimiter(rate.Limit(cfg.RPS*0.9), max(1, int(cfg.RPS))), timeout: 4 * scheduler.Cycle}
+func NewCloudClient(network transport.Network, addr string, cfg config.Cloud) *CloudClient {
+	return &CloudClient{baseURL: "http://" + addr, client: transport.NewClient(network, 4, 4, config.Seconds(cfg.ListLagSeconds)),
+		limiter: rate.NewLimiter(rate.Limit(cfg.RPS*0.9), max(1, int(cfg.RPS))), timeout: 4 * scheduler.Cycle}
 }
 
 var (
-	errCloud    = errors.New("cloud")
-	errCapacity = errors.New("no capacity")
+	errCloud      = errors.New("cloud")
+	errNoCapacity = errors.New("no capacity")
 )
 
-// Turn is a call's place within the rate.
-type Turn struct{ at time.Time }
+// CallSlot is a call's place within the rate.
+type CallSlot struct{ at time.Time }
 
-// Turn takes the next place. Whoever asks in a certain order calls in that order.
-func (c *Cloud) Turn() Turn {
+// Reserve takes the next place. Whoever asks in a certain order calls in that order.
+func (c *CloudClient) Reserve() CallSlot {
 	now := time.Now()
-	return Turn{now.Add(c.limit.ReserveN(now, 1).DelayFrom(now))}
+	return CallSlot{now.Add(c.limiter.ReserveN(now, 1).DelayFrom(now))}
 }
 
 // call makes a call at its turn.
-func (c *Cloud) call(ctx context.Context, turn Turn, method, path string, body, out any) (int, error) {
+func (c *CloudClient) call(ctx context.Context, turn CallSlot, method, path string, body, out any) (int, error) {
 	if err := actor.Sleep(ctx, time.Until(turn.at)); err != nil {
 		return 0, err
 	}
-	status, raw, err := c.client.Do(ctx, c.timeout, method, c.base+path, body)
+	status, raw, err := c.client.Do(ctx, c.timeout, method, c.baseURL+path, body)
 	if err != nil {
 		return 0, err
 	}
@@ -61,17 +61,17 @@
 	if status != http.StatusOK {
 		var p protocol.ErrorResponse
 		_ = protocol.Decode(raw, &p) // the status says enough without it
-		if status == http.StatusServiceUnavailable && p.Error == errCapacity.Error() {
-			return status, errCapacity
+		if status == http.StatusServiceUnavailable && p.Error == errNoCapacity.Error() {
+			return status, errNoCapacity
 		}
 		return status, fmt.Errorf("%w: %s: status %d %s", errCloud, path, status, p.Error)
 	}
 	return status, nil
 }
 
-func (c *Cloud) fetchTypes(ctx context.Context) ([]protocol.MachineType, error) {
+func (c *CloudClient) fetchMachineTypes(ctx context.Context) ([]protocol.MachineType, error) {
 	var t protocol.MachineTypes
-	if _, err := c.call(ctx, c.Turn(), http.MethodGet, "/machine_types", nil, &t); err != nil {
+	if _, err := c.call(ctx, c.Reserve(), http.MethodGet, "/machine_types", nil, &t); err != nil {
 		return nil, err
 	}
 	if len(t.Types) == 0 {
@@ -80,16 +80,16 @@
 	return t.Types, nil
 }
 
-// Types returns the machine types: from the state service if some controller
+// MachineTypes returns the machine types: from the state service if some controller
 // has left them there, which is quick and works while the cloud does not, or
 // else from the cloud.
-func (c *Cloud) Types(ctx context.Context, store *storage.Client) ([]protocol.MachineType, error) {
+func (c *CloudClient) MachineTypes(ctx context.Context, store *storage.Client) ([]protocol.MachineType, error) {
 	var t protocol.MachineTypes
 	p, err := store.Get(ctx, storage.BudgetPlacement, storage.MachineTypesKey)
 	if err == nil && p.Revision != 0 && protocol.Decode(p.Value, &t) == nil && len(t.Types) > 0 {
 		return t.Types, nil
 	}
-	types, err := c.fetchTypes(ctx)
+	types, err := c.fetchMachineTypes(ctx)
 	if err != nil {
 		return nil, err
 	}
@@ -102,10 +102,10 @@
 }
 
 // List reads the whole machine list, page by page, the first at its turn.
-func (c *Cloud) List(ctx context.Context, turn Turn) ([]protocol.ListedMachine, error) {
+func (c *CloudClient) List(ctx context.Context, turn CallSlot) ([]protocol.ListedMachine, error) {
 	var all []protocol.ListedMachine
 	from := ""
-	for ; ; turn = c.Turn() {
+	for ; ; turn = c.Reserve() {
 		path := fmt.Sprintf("/machines?limit=%d", protocol.MaxMachinesPerPage)
 		if from != "" {
 			path += "&from=" + from
@@ -123,17 +123,17 @@
 }
 
 // Rent rents machines; refused means that there are none.
-func (c *Cloud) Rent(ctx context.Context, turn Turn, r protocol.Rental) (names []string, refused bool, err error) {
+func (c *CloudClient) Rent(ctx context.Context, turn CallSlot, r protocol.Rental) (names []string, refused bool, err error) {
 	var out protocol.MachineNames
 	status, err := c.call(ctx, turn, http.MethodPost, "/machines", r, &out)
-	if errors.Is(err, errCapacity) || status == http.StatusBadRequest {
+	if errors.Is(err, errNoCapacity) || status == http.StatusBadRequest {
 		return nil, true, nil
 	}
 	return out.Machines, false, err
 }
 
 // Release returns machines. Without an error they are gone.
-func (c *Cloud) Release(ctx context.Context, turn Turn, names []string) error {
+func (c *CloudClient) Release(ctx context.Context, turn CallSlot, names []string) error {
 	_, err := c.call(ctx, turn, http.MethodPost, "/machines/release", protocol.MachineNames{Machines: names}, nil)
 	return err
 }
--- a/internal/coordination/leader/effects.go
+++ b/internal/coordination/leader/effects.go
@@ -12,9 +12,9 @@
 	"pinebay/internal/storage"
 )
 
-// do carries out effects. Whatever waits runs on its own goroutine and comes
+// applyEffects carries out effects. Whatever waits runs on its own goroutine and comes
 // back as an event.
-func (l *Leader) do(effects []scheduler.Effect) {
+func (l *Leader) applyEffects(effects []scheduler.Effect) {
 	for _, e := range effects {
 		switch e := e.(type) {
 		case scheduler.Answer:
@@ -25,38 +25,38 @@
 			l.Log.Info("deposed", "reason", e.Reason, "later", e.Term)
 			l.Deposed(l.term, e)
 		case scheduler.Write:
-			go l.write(e, l.Store.Admit(useOf(e.For), &e.Txn))
+			go l.write(e, l.Store.Admit(writeUse(e.For), &e.Txn))
 		case scheduler.Order:
-			go l.order(e)
+			go l.sendCommands(e)
 		case scheduler.Inspect:
-			l.inspections.Add(e)
+			l.probes.Add(e)
 		case scheduler.ReadEnd:
-			go l.readEnd(e)
+			go l.readEndedJob(e)
 		case scheduler.LevelReached:
 			l.LevelReached(e.Level)
 		case scheduler.Decided:
 			l.Log.Info("zone return", "decision", e.Decision.Describe())
 		case scheduler.Fleet:
-			l.callCloud(e.Effect)
+			l.applyCloudEffect(e.Effect)
 		}
 	}
 }
 
-// callCloud carries out what the fleet asks of the cloud.
-func (l *Leader) callCloud(effect fleet.Effect) {
-	turn := l.Cloud.Turn()
+// applyCloudEffect carries out what the fleet asks of the cloud.
+func (l *Leader) applyCloudEffect(effect fleet.Effect) {
+	turn := l.Cloud.Reserve()
 	switch e := effect.(type) {
 	case fleet.ScaleOut:
-		go l.rent(e, turn)
+		go l.rentMachines(e, turn)
 	case fleet.ScaleIn:
-		go l.release(e, turn)
+		go l.releaseMachines(e, turn)
 	case fleet.ListMachines:
-		go l.list(turn)
+		go l.listMachines(turn)
 	}
 }
 
-// useOf says out of which budget a write is paid.
-func useOf(p scheduler.Purpose) storage.Budget {
+// writeUse says out of which budget a write is paid.
+func writeUse(p scheduler.Purpose) storage.Budget {
 	switch p {
 	case scheduler.Ends:
 		return storage.BudgetCompletion
@@ -71,20 +71,20 @@
 // answer, a failed condition may be the work of that very try: the record that
 // names the write tells. It has its place within the budgets.
 func (l *Leader) write(w scheduler.Write, admission storage.Admission) {
-	use := useOf(w.For)
+	use := writeUse(w.For)
 	uncertain := false
 	for ; l.ctx.Err() == nil; admission = l.Store.Admit(use, &w.Txn) {
 		rev, ok, failed, err := l.Store.TxnAdmitted(l.ctx, admission, w.Txn)
 		switch {
 		case err == nil && ok:
-			l.box.Send(scheduler.Written{Write: w.ID, OK: true, Rev: rev})
+			l.mailbox.Send(scheduler.Written{Write: w.ID, OK: true, Rev: rev})
 			return
 		case err == nil && !uncertain:
-			l.box.Send(scheduler.Written{Write: w.ID, Failed: failed})
+			l.mailbox.Send(scheduler.Written{Write: w.ID, Failed: failed})
 			return
 		case err == nil:
-			if mine, rev, known := l.carriedOut(use, w, uncertain); known {
-				l.box.Send(scheduler.Written{Write: w.ID, OK: mine, Rev: rev, Failed: failed})
+			if mine, rev, known := l.verifyWrite(use, w, uncertain); known {
+				l.mailbox.Send(scheduler.Written{Write: w.ID, OK: mine, Rev: rev, Failed: failed})
 				return
 			}
 		case errors.Is(err, storage.ErrOutcomeUnknown):
@@ -92,8 +92,8 @@
 		case !errors.Is(err, storage.ErrUnavailable):
 			// Refused for its form: as it is it will never be carried out, unless an earlier try was.
 			l.Log.Error("write refused", "key", w.Verify, "err", err)
-			if mine, rev, known := l.carriedOut(use, w, uncertain); known {
-				l.box.Send(scheduler.Written{Write: w.ID, OK: mine, Rev: rev, Refused: !mine})
+			if mine, rev, known := l.verifyWrite(use, w, uncertain); known {
+				l.mailbox.Send(scheduler.Written{Write: w.ID, OK: mine, Rev: rev, Refused: !mine})
 				return
 			}
 		}
@@ -101,9 +101,9 @@
 	}
 }
 
-// carriedOut says whether an earlier try of a write, of which no answer came, was carried out: then the record
+// verifyWrite says whether an earlier try of a write, of which no answer came, was carried out: then the record
 // names it. known is false if that can't be told now.
-func (l *Leader) carriedOut(use storage.Budget, w scheduler.Write, uncertain bool) (mine bool, rev uint64, known bool) {
+func (l *Leader) verifyWrite(use storage.Budget, w scheduler.Write, uncertain bool) (mine bool, rev uint64, known bool) {
 	if !uncertain {
 		return false, 0, true
 	}
@@ -121,8 +121,8 @@
 	return mine, p.Revision, true
 }
 
-// readEnd reads how a job has ended.
-func (l *Leader) readEnd(e scheduler.ReadEnd) {
+// readEndedJob reads how a job has ended.
+func (l *Leader) readEndedJob(e scheduler.ReadEnd) {
 	read := scheduler.EndRead{ID: e.ID}
 	p, err := l.Store.Get(l.ctx, storage.BudgetPlacement, storage.EndedJobKey(e.ID))
 	var rec storage.EndedJobRecord
@@ -132,11 +132,11 @@
 	case p.Revision != 0 && protocol.Decode(p.Value, &rec) == nil:
 		read.Standing = rec.State
 	}
-	l.box.Send(read)
+	l.mailbox.Send(read)
 }
 
-func (l *Leader) order(o scheduler.Order) {
-	status, raw, err := l.Workers.Do(l.ctx, orderPatience(l.Cfg), http.MethodPost, "http://"+o.Addr+"/commands", o.Orders)
+func (l *Leader) sendCommands(o scheduler.Order) {
+	status, raw, err := l.Workers.Do(l.ctx, commandTimeout(l.Deployment), http.MethodPost, "http://"+o.Addr+"/commands", o.Orders)
 	done := scheduler.OrdersDone{Machine: o.Machine}
 	if err == nil && (status == http.StatusOK || status == http.StatusConflict) {
 		if r, err := protocol.DecodeWorkerHeartbeat(raw); err == nil {
@@ -146,46 +146,46 @@
 	if done.Report == nil {
 		l.Log.Info("command unanswered", "machine", o.Machine, "status", status, "err", err)
 	}
-	l.box.Send(done)
+	l.mailbox.Send(done)
 }
 
-// inspect asks a machine how it stands. A new leader asks all of them at once;
+// probe asks a machine how it stands. A new leader asks all of them at once;
 // some at a time are asked in fact.
-func (l *Leader) inspect(e scheduler.Inspect) {
+func (l *Leader) probe(e scheduler.Inspect) {
 	if l.ctx.Err() != nil {
 		return
 	}
-	status, raw, err := l.Workers.Do(l.ctx, orderPatience(l.Cfg), http.MethodGet, "http://"+e.Addr+"/inspect", nil)
+	status, raw, err := l.Workers.Do(l.ctx, commandTimeout(l.Deployment), http.MethodGet, "http://"+e.Addr+"/inspect", nil)
 	if err != nil || status != http.StatusOK {
 		l.Log.Debug("not inspected", "machine", e.Machine, "status", status, "err", err)
 		return
 	}
 	if r, err := protocol.DecodeWorkerHeartbeat(raw); err == nil && r.Machine == e.Machine {
-		l.box.Send(scheduler.Inspected{Report: r})
+		l.mailbox.Send(scheduler.Inspected{Report: r})
 	}
 }
 
-// orderPatience is how long a direct command may take: a report's interval,
+// commandTimeout is how long a direct command may take: a report's interval,
 // give or take, after which the machine's next report is the better way.
-func orderPatience(cfg *config.Deployment) time.Duration {
-	return config.Seconds(min(cfg.Workers.ReportS*1.5, cfg.Workers.GangPeerS/2))
+func commandTimeout(cfg *config.Deployment) time.Duration {
+	return config.Seconds(min(cfg.Workers.HeartbeatSeconds*1.5, cfg.Workers.GangPeerSeconds/2))
 }
 
-func (l *Leader) list(turn Turn) {
+func (l *Leader) listMachines(turn CallSlot) {
 	asked := l.Now()
 	ms, err := l.Cloud.List(l.ctx, turn)
 	if err != nil {
 		l.Log.Info("machine list not read", "err", err)
 	}
-	l.box.Send(scheduler.Listed{Asked: asked, Machines: ms, Failed: err != nil})
+	l.mailbox.Send(scheduler.Listed{Asked: asked, Machines: ms, Failed: err != nil})
 }
 
-func (l *Leader) rent(e fleet.ScaleOut, turn Turn) {
+func (l *Leader) rentMachines(e fleet.ScaleOut, turn CallSlot) {
 	asked := l.Now()
-	for ; l.ctx.Err() == nil; turn = l.Cloud.Turn() {
+	for ; l.ctx.Err() == nil; turn = l.Cloud.Reserve() {
 		names, refused, err := l.Cloud.Rent(l.ctx, turn, e.Rental)
 		if err == nil {
-			l.box.Send(scheduler.Rented{Request: e.Rental.RequestID, Asked: asked, Names: names, Refused: refused})
+			l.mailbox.Send(scheduler.Rented{Request: e.Rental.RequestID, Asked: asked, Names: names, Refused: refused})
 			return
 		}
 		// The same name rents nothing twice, so trying again is safe.
@@ -194,11 +194,11 @@
 	}
 }
 
-func (l *Leader) release(e fleet.ScaleIn, turn Turn) {
-	for ; l.ctx.Err() == nil; turn = l.Cloud.Turn() {
+func (l *Leader) releaseMachines(e fleet.ScaleIn, turn CallSlot) {
+	for ; l.ctx.Err() == nil; turn = l.Cloud.Reserve() {
 		err := l.Cloud.Release(l.ctx, turn, e.Machines)
 		if err == nil {
-			l.box.Send(scheduler.Released{Names: e.Machines, OK: true})
+			l.mailbox.Send(scheduler.Released{Names: e.Machines, OK: true})
 			return
 		}
 		l.Log.Info("release unanswered", "machines", len(e.Machines), "err", err)
--- a/internal/coordination/leader/leader.go
+++ b/internal/coordination/leader/leader.go
@@ -24,31 +24,31 @@
 
 // Deps is what a leader needs of its controller.
 type Deps struct {
-	Cfg     *config.Deployment
-	Log     *slog.Logger
-	Store   *storage.Client
-	Random  *random.Source
-	Cloud   *Cloud
-	Workers *transport.Client
-	Now     func() time.Duration
+	Deployment *config.Deployment
+	Log        *slog.Logger
+	Store      *storage.Client
+	Random     *random.Source
+	Cloud      *CloudClient
+	Workers    *transport.Client
+	Now        func() time.Duration
 	// Confirmed says whether the leadership is, at this moment.
 	Confirmed func() bool
-	// Watch is how long a look at the state service's changes may wait for one, and
+	// WatchTimeout is how long a look at the state service's changes may wait for one, and
 	// Fresh is told up to when all of them are known.
-	Watch time.Duration
-	Fresh func(term uint64, at time.Duration)
-	// Withdrawals returns the jobs of which an intent of cancellation is held, and when
-	// the newest came; IsWithdrawn says it of one. Without another, a cancellation is
+	WatchTimeout time.Duration
+	Fresh        func(term uint64, at time.Duration)
+	// CancellationIntents returns the jobs of which an intent of cancellation is held, and when
+	// the newest came; HasCancellationIntent says it of one. Without another, a cancellation is
 	// confirmed within Confirm of its intent or not at all.
-	Withdrawals func(now time.Duration) map[string]time.Duration
-	IsWithdrawn func(job string) bool
-	Confirm     time.Duration
+	CancellationIntents   func(now time.Duration) map[string]time.Duration
+	HasCancellationIntent func(job string) bool
+	ConfirmWithin         time.Duration
 	// Deposed is told that the term is over, and why.
 	Deposed func(term uint64, d scheduler.Depose)
 	// ZoneReturn is the order in which work returns when a zone is lost; nil: off.
 	ZoneReturn *zones.Order
-	// Types is told of machine types that were read.
-	Types func([]protocol.MachineType)
+	// MachineTypesRead is told of machine types that were read.
+	MachineTypesRead func([]protocol.MachineType)
 	// LevelReached is told of a feature level that this leader has made final.
 	LevelReached func(featurelevel.Level)
 	// Timing measures the steps; nil: off.
@@ -58,48 +58,48 @@
 // Leader is one term of leadership.
 type Leader struct {
 	Deps
-	lead        scheduler.Term
-	term        uint64
-	box         *actor.Mailbox[any] // of scheduler.Event, query and loaded
-	ctx         context.Context
-	cancel      context.CancelFunc
-	inspections *actor.Pool[scheduler.Inspect]
-	ready       atomic.Bool // the records are read
+	schedulerTerm scheduler.Term
+	term          uint64
+	mailbox       *actor.Mailbox[any] // of scheduler.Event, query and loaded
+	ctx           context.Context
+	cancel        context.CancelFunc
+	probes        *actor.Pool[scheduler.Inspect]
+	ready         atomic.Bool // the records are read
 }
 
-// earlyReports keeps the newest report of each machine that came before the records were read,
+// earlyHeartbeats keeps the newest report of each machine that came before the records were read,
 // in the order in which the machines were first heard.
-type earlyReports struct {
-	reports []scheduler.Reported
-	index   map[string]int
+type earlyHeartbeats struct {
+	heartbeats []scheduler.Reported
+	index      map[string]int
 }
 
-func (e *earlyReports) add(r scheduler.Reported) {
+func (e *earlyHeartbeats) add(r scheduler.Reported) {
 	if i, ok := e.index[r.Report.Machine]; ok {
-		e.reports[i] = r
+		e.heartbeats[i] = r
 		return
 	}
 	if e.index == nil {
 		e.index = map[string]int{}
 	}
-	e.index[r.Report.Machine] = len(e.reports)
-	e.reports = append(e.reports, r)
+	e.index[r.Report.Machine] = len(e.heartbeats)
+	e.heartbeats = append(e.heartbeats, r)
 }
 
-// query asks for the status of jobs.
-type query struct {
-	ids   []string
+// statusQuery asks for the status of jobs.
+type statusQuery struct {
+	jobs  []string
 	reply chan []protocol.JobStatus
 }
 
-// socketsInspects is the part of a process's sockets that may ask machines how
+// probeSocketDivisor is the part of a process's sockets that may ask machines how
 // they stand at a time: fewer than may command, so that commands have their turn.
-const socketsInspects = 32
+const probeSocketDivisor = 32
 
 // Start begins a term.
 func Start(ctx context.Context, d Deps, term scheduler.Term) *Leader {
-	l := &Leader{Deps: d, lead: term, term: term.Number, box: actor.NewMailbox[any]()}
-	l.inspections = actor.NewPool(max(1, d.Cfg.Quota.MaxSockets/socketsInspects), l.inspect)
+	l := &Leader{Deps: d, schedulerTerm: term, term: term.Number, mailbox: actor.NewMailbox[any]()}
+	l.probes = actor.NewPool(max(1, d.Deployment.Quota.MaxSockets/probeSocketDivisor), l.probe)
 	l.Log = d.Log.With("term", term.Number)
 	l.ctx, l.cancel = context.WithCancel(ctx)
 	go l.run()
@@ -115,11 +115,11 @@
 // Ready says whether the leader has read the records, and so knows where tasks are.
 func (l *Leader) Ready() bool { return l.ready.Load() }
 
-// Report hands a worker's report to the leader and returns the answer, or
+// Heartbeat hands a worker's report to the leader and returns the answer, or
 // false if none came in time. relayed says that another controller passed it on.
-func (l *Leader) Report(ctx context.Context, r *protocol.WorkerHeartbeat, relayed bool) (protocol.WorkerHeartbeatReply, bool) {
+func (l *Leader) Heartbeat(ctx context.Context, r *protocol.WorkerHeartbeat, relayed bool) (protocol.WorkerHeartbeatReply, bool) {
 	reply := make(chan protocol.WorkerHeartbeatReply, 1)
-	l.box.Send(scheduler.Reported{Tag: reply, Report: r, Relayed: relayed})
+	l.mailbox.Send(scheduler.Reported{Tag: reply, Report: r, Relayed: relayed})
 	select {
 	case a := <-reply:
 		return a, true
@@ -129,11 +129,11 @@
 	return protocol.WorkerHeartbeatReply{}, false
 }
 
-// Alive hands in which machines an owner has heard that told nothing new, and returns those of which the next report
+// UnchangedHeartbeats hands in which machines an owner has heard that told nothing new, and returns those of which the next report
 // is to be passed on; false if no answer came in time.
-func (l *Leader) Alive(ctx context.Context, machines []scheduler.AliveMachine) ([]string, bool) {
+func (l *Leader) UnchangedHeartbeats(ctx context.Context, machines []scheduler.AliveMachine) ([]string, bool) {
 	reply := make(chan []string, 1)
-	l.box.Send(scheduler.Alive{Machines: machines, Reply: func(passOn []string) { reply <- passOn }})
+	l.mailbox.Send(scheduler.Alive{Machines: machines, Reply: func(passOn []string) { reply <- passOn }})
 	select {
 	case passOn := <-reply:
 		return passOn, true
@@ -143,26 +143,28 @@
 	return nil, false
 }
 
-// Withdrawn tells that a user may be about to hear that the job is cancelled.
-func (l *Leader) Withdrawn(job string, at time.Duration) {
-	l.box.Send(scheduler.Withdrawn{ID: job, Until: at + l.Confirm})
+// AddCancellationIntent tells that a user may be about to hear that the job is cancelled.
+func (l *Leader) AddCancellationIntent(job string, at time.Duration) {
+	l.mailbox.Send(scheduler.Withdrawn{ID: job, Until: at + l.ConfirmWithin})
 }
 
-func namesOf(machines []scheduler.AliveMachine) (names []string) {
+func machineNames(machines []scheduler.AliveMachine) (names []string) {
 	for _, m := range machines {
 		names = append(names, m.Name)
 	}
 	return names
 }
 
-// Finalise asks that a feature level be made final.
-func (l *Leader) Finalise(level featurelevel.Level) { l.box.Send(scheduler.Finalise{Level: level}) }
+// FinaliseLevel asks that a feature level be made final.
+func (l *Leader) FinaliseLevel(level featurelevel.Level) {
+	l.mailbox.Send(scheduler.Finalise{Level: level})
+}
 
-// Statuses asks what the leader knows of jobs; those that it does not know are missing.
+// JobStatuses asks what the leader knows of jobs; those that it does not know are missing.
 // false means that it did not answer.
-func (l *Leader) Statuses(ctx context.Context, ids []string) ([]protocol.JobStatus, bool) {
-	q := query{ids, make(chan []protocol.JobStatus, 1)}
-	l.box.Send(q)
+func (l *Leader) JobStatuses(ctx context.Context, ids []string) ([]protocol.JobStatus, bool) {
+	q := statusQuery{ids, make(chan []protocol.JobStatus, 1)}
+	l.mailbox.Send(q)
 	select {
 	case s := <-q.reply:
 		return s, true
@@ -176,100 +178,100 @@
 	defer l.cancel()
 	l.Log.Info("leading")
 	began := l.Now()
-	go l.recover()
+	go l.loadRecords()
 	var core *scheduler.Core
-	var early earlyReports
+	var early earlyHeartbeats
 	var changes []scheduler.Event // of the accepted jobs, since they were read
 	step := func(e any) {
-		if !l.stands() {
+		if !l.stillConfirmed() {
 			return
 		}
 		now := l.Now()
 		if core != nil {
 			switch e := e.(type) {
-			case query:
-				e.reply <- core.Statuses(e.ids)
+			case statusQuery:
+				e.reply <- core.Statuses(e.jobs)
 			case scheduler.Event:
-				l.do(core.Step(now, e))
-				l.timed(e, now)
+				l.applyEffects(core.Step(now, e))
+				l.recordStepTime(e, now)
 			}
 			return
 		}
 		// Until the records are read, workers get answers that renew their
 		// leases, and nothing is decided.
 		switch e := e.(type) {
-		case query:
+		case statusQuery:
 			e.reply <- nil
 		case scheduler.Alive:
-			e.Reply(namesOf(e.Machines)) // nothing is known of them yet
+			e.Reply(machineNames(e.Machines)) // nothing is known of them yet
 		case scheduler.Reported:
 			if t := protocol.TermOfToken(e.Report.FencingToken); t > l.term {
 				l.Deposed(l.term, scheduler.Depose{Term: t, Reason: "a worker has seen a later term"})
 				return
 			}
 			// What users may have been told is cancelled ends all the same.
-			e.Tag.(chan protocol.WorkerHeartbeatReply) <- protocol.WorkerHeartbeatReply{FencingToken: protocol.FencingToken(l.term, 0), Commands: e.Report.StopCommands(l.IsWithdrawn)}
+			e.Tag.(chan protocol.WorkerHeartbeatReply) <- protocol.WorkerHeartbeatReply{FencingToken: protocol.FencingToken(l.term, 0), Commands: e.Report.StopCommands(l.HasCancellationIntent)}
 			e.Tag = nil // it has its answer
 			early.add(e)
-		case loaded:
-			records := scheduler.Records{Types: e.types, Live: e.live, Pages: e.pages, Images: e.images, ZonePages: e.zones}
-			core = scheduler.New(now, l.Cfg, l.Log, l.lead, records, time.Now().UnixMilli(), l.ZoneReturn)
-			l.Log.Info("records read", "jobs", len(e.live), "pages", len(e.pages), "took", now-began)
-			withdrawals := l.Withdrawals(now)
+		case loadedRecords:
+			records := scheduler.Records{Types: e.types, Live: e.liveJobs, Pages: e.pages, Images: e.images, ZonePages: e.zones}
+			core = scheduler.New(now, l.Deployment, l.Log, l.schedulerTerm, records, time.Now().UnixMilli(), l.ZoneReturn)
+			l.Log.Info("records read", "jobs", len(e.liveJobs), "pages", len(e.pages), "took", now-began)
+			withdrawals := l.CancellationIntents(now)
 			for _, job := range slices.Sorted(maps.Keys(withdrawals)) {
-				l.do(core.Step(now, scheduler.Withdrawn{ID: job, Until: withdrawals[job] + l.Confirm}))
+				l.applyEffects(core.Step(now, scheduler.Withdrawn{ID: job, Until: withdrawals[job] + l.ConfirmWithin}))
 			}
 			for _, c := range changes {
-				l.do(core.Step(now, c))
+				l.applyEffects(core.Step(now, c))
 			}
 			changes = nil
 			l.ready.Store(true)
-			for _, r := range early.reports {
-				l.do(core.Step(now, r))
+			for _, r := range early.heartbeats {
+				l.applyEffects(core.Step(now, r))
 			}
-			go l.refreshTypes()
+			go l.refreshMachineTypes()
 		case scheduler.JobSet, scheduler.JobDropped, scheduler.Fresh, scheduler.Finalise:
 			changes = append(changes, e.(scheduler.Event))
 		}
 	}
 	rest := time.Duration(0)
-	l.box.Run(l.ctx, scheduler.Cycle/8, step, func() {
+	l.mailbox.Run(l.ctx, scheduler.Cycle/8, step, func() {
 		now := l.Now()
-		if core == nil || now < rest || !l.stands() {
+		if core == nil || now < rest || !l.stillConfirmed() {
 			return
 		}
 		cycles := core.Cycles()
-		l.do(core.Step(now, scheduler.Tick{}))
+		l.applyEffects(core.Step(now, scheduler.Tick{}))
 		if core.Cycles() > cycles {
 			l.Timing.Record(timing.Cycle, l.Now()-now)
 		}
 		// A cycle that takes long is followed by a pause, so that reports and
 		// questions have most of the time, however many jobs wait.
-		rest = l.Now() + cycleShare*(l.Now()-now)
+		rest = l.Now() + cyclePauseFactor*(l.Now()-now)
 	})
 	l.Log.Info("term over")
 }
 
-// timed notes how long a step took that began at the given time.
-func (l *Leader) timed(e scheduler.Event, began time.Duration) {
+// recordStepTime notes how long a step took that began at the given time.
+func (l *Leader) recordStepTime(e scheduler.Event, began time.Duration) {
 	if l.Timing == nil {
 		return
 	}
 	kind := timing.Other
 	if _, ok := e.(scheduler.Reported); ok {
-		kind = timing.Report
+		kind = timing.WorkerHeartbeat
 	}
 	l.Timing.Record(kind, l.Now()-began)
 }
 
-// cycleShare is how many times as long as a cycle the pause after it is.
-const cycleShare = 3
+// cyclePauseFactor is how many times as long as a cycle the pause after it is.
+const cyclePauseFactor = 3
 
-// stands says whether the term still stands, and ends it if not. A process that
+// stillConfirmed says whether the term still stands, and ends it if not. A process that
 // stood still while its clocks ran on finds its books full of machines that seem
 // silent and leases that seem over; by then others may lead, and it must not act on
 // any of that.
-func (l *Leader) stands() bool {
+func (l *Leader) stillConfirmed() bool {
 	if l.Confirmed() {
 		return true
 	}
--- a/internal/coordination/leader/recovery.go
+++ b/internal/coordination/leader/recovery.go
@@ -10,35 +10,35 @@
 	"pinebay/internal/storage"
 )
 
-// loaded is what recovery read.
-type loaded struct {
-	types         []protocol.MachineType
-	live, pages   []protocol.KeyValue
-	images, zones []protocol.KeyValue
+// loadedRecords is what recovery read.
+type loadedRecords struct {
+	types           []protocol.MachineType
+	liveJobs, pages []protocol.KeyValue
+	images, zones   []protocol.KeyValue
 }
 
-// recover reads the records, trying until it can. The jobs come first and are watched from
+// loadRecords reads the records, trying until it can. The jobs come first and are watched from
 // then on, so that no change is missed.
-func (l *Leader) recover() {
-	var got loaded
+func (l *Leader) loadRecords() {
+	var got loadedRecords
 	watching := false
 	for l.ctx.Err() == nil {
 		var err error
 		if !watching {
 			var rev uint64
 			asked := l.Now()
-			if got.live, rev, err = l.Store.List(l.ctx, storage.LiveJobPrefix); err == nil {
+			if got.liveJobs, rev, err = l.Store.List(l.ctx, storage.LiveJobPrefix); err == nil {
 				watching = true
-				l.fresh(asked)
-				go l.watch(rev)
+				l.markFresh(asked)
+				go l.watchJobs(rev)
 			}
 		}
 		if err == nil {
-			err = l.readRest(&got)
+			err = l.loadRemaining(&got)
 		}
 		if err == nil {
-			l.Types(got.types)
-			l.box.Send(got)
+			l.MachineTypesRead(got.types)
+			l.mailbox.Send(got)
 			return
 		}
 		l.Log.Info("recovery delayed", "err", err)
@@ -46,8 +46,8 @@
 	}
 }
 
-// readRest reads all records but the jobs.
-func (l *Leader) readRest(got *loaded) (err error) {
+// loadRemaining reads all records but the jobs.
+func (l *Leader) loadRemaining(got *loadedRecords) (err error) {
 	if got.pages, _, err = l.Store.List(l.ctx, storage.PlacementPrefix); err != nil {
 		return err
 	}
@@ -59,23 +59,23 @@
 			return err
 		}
 	}
-	got.types, err = l.Cloud.Types(l.ctx, l.Store)
+	got.types, err = l.Cloud.MachineTypes(l.ctx, l.Store)
 	return err
 }
 
-// fresh notes that all changes up to the given time have been taken in or wait
+// markFresh notes that all changes up to the given time have been taken in or wait
 // in the mailbox.
-func (l *Leader) fresh(at time.Duration) {
-	l.box.Send(scheduler.Fresh{At: at})
+func (l *Leader) markFresh(at time.Duration) {
+	l.mailbox.Send(scheduler.Fresh{At: at})
 	l.Fresh(l.term, at)
 }
 
-// watch follows the accepted jobs. It looks often, for only an answer shows that
+// watchJobs follows the accepted jobs. It looks often, for only an answer shows that
 // nothing has changed until the question was sent: a watch that hangs shows nothing.
-func (l *Leader) watch(rev uint64) {
+func (l *Leader) watchJobs(rev uint64) {
 	for l.ctx.Err() == nil {
 		asked := l.Now()
-		ev, err := l.Store.Watch(l.ctx, storage.LiveJobPrefix, rev, l.Watch)
+		ev, err := l.Store.Watch(l.ctx, storage.LiveJobPrefix, rev, l.WatchTimeout)
 		if errors.Is(err, storage.ErrCompacted) {
 			l.Deposed(l.term, scheduler.Depose{Reason: "fell behind the changes"})
 			return
@@ -87,7 +87,7 @@
 		rev = max(rev, ev.Revision)
 		for _, e := range ev.Events {
 			if e.DeleteKey != "" {
-				l.box.Send(scheduler.JobDropped{ID: e.DeleteKey[len(storage.LiveJobPrefix):]})
+				l.mailbox.Send(scheduler.JobDropped{ID: e.DeleteKey[len(storage.LiveJobPrefix):]})
 				continue
 			}
 			var rec storage.LiveJobRecord
@@ -95,22 +95,22 @@
 				l.Log.Error("live record out of form", "key", e.PutKey, "err", err)
 				continue
 			}
-			l.box.Send(scheduler.JobSet{Record: rec, Stamp: e.Revision})
+			l.mailbox.Send(scheduler.JobSet{Record: rec, Stamp: e.Revision})
 		}
-		l.fresh(asked)
+		l.markFresh(asked)
 	}
 }
 
-// refreshTypes follows the cloud's prices.
-func (l *Leader) refreshTypes() {
+// refreshMachineTypes follows the cloud's prices.
+func (l *Leader) refreshMachineTypes() {
 	for l.ctx.Err() == nil {
-		l.Random.Pause(l.ctx, "machine types", config.Seconds(8*l.Cfg.Cloud.ListLagS))
-		types, err := l.Cloud.fetchTypes(l.ctx)
+		l.Random.Pause(l.ctx, "machine types", config.Seconds(8*l.Deployment.Cloud.ListLagSeconds))
+		types, err := l.Cloud.fetchMachineTypes(l.ctx)
 		if err != nil {
 			l.Log.Info("prices not read", "err", err)
 			continue
 		}
-		l.Types(types)
-		l.box.Send(scheduler.Types{Types: types})
+		l.MachineTypesRead(types)
+		l.mailbox.Send(scheduler.Types{Types: types})
 	}
 }
--- a/internal/coordination/partition/commands.go
+++ b/internal/coordination/partition/commands.go
@@ -97,7 +97,7 @@
 // when a start without an answer is to be withdrawn. It waits for commands and
 // starts under way, which the change would only delay.
 func (p *Registry) raiseCommandEpochIfNeeded(now time.Duration, m *Machine) {
-	pause := config.Seconds(p.workerSettings.LeaseS / 2)
+	pause := config.Seconds(p.workerSettings.LeaseSeconds / 2)
 	if m.CommandInFlight || m.commandEpoch >= protocol.MaxTokenEpoch {
 		return
 	}
@@ -165,14 +165,14 @@
 		// The next report is the natural time for another try; a machine that is
 		// silent is tried seldom, or hundreds behind a cut would take the turns of
 		// those that answer.
-		pause := p.workerSettings.ReportS
+		pause := p.workerSettings.HeartbeatSeconds
 		if now-m.LastHeartbeat > p.SilenceTimeout() {
-			pause = p.workerSettings.LeaseS / 2
+			pause = p.workerSettings.LeaseSeconds / 2
 		}
 		m.CommandRetryAt = now + config.Seconds(pause)
 		return
 	}
 	if !m.newCommandsDue {
-		m.CommandRetryAt = now + config.Seconds(p.workerSettings.ReportS/4)
+		m.CommandRetryAt = now + config.Seconds(p.workerSettings.HeartbeatSeconds/4)
 	}
 }
--- a/internal/coordination/partition/heartbeat.go
+++ b/internal/coordination/partition/heartbeat.go
@@ -33,7 +33,7 @@
 		if m.Incarnation != 0 {
 			// Its lease ran out while we may have been answering: wait until it
 			// has shown that it takes commands.
-			m.UnresponsiveUntil = now + config.Seconds(p.workerSettings.ReportS)
+			m.UnresponsiveUntil = now + config.Seconds(p.workerSettings.HeartbeatSeconds)
 		}
 		m.exitedTasks, m.unknownTasks = map[protocol.TaskID]*exitedTask{}, map[protocol.TaskID]uint64{}
 		m.Incarnation, m.Seq = r.Incarnation, 0
--- a/internal/coordination/partition/registry.go
+++ b/internal/coordination/partition/registry.go
@@ -153,7 +153,7 @@
 
 // SilenceTimeout is how long a machine may be silent before nothing new goes there.
 func (p *Registry) SilenceTimeout() time.Duration {
-	return config.Seconds(min(p.workerSettings.LeaseS/2, 2.5*p.workerSettings.ReportS))
+	return config.Seconds(min(p.workerSettings.LeaseSeconds/2, 2.5*p.workerSettings.HeartbeatSeconds))
 }
 
 // Reserve promises the named room to placements, all or none.
--- a/internal/coordination/partition/registry_test.go
+++ b/internal/coordination/partition/registry_test.go
@@ -16,7 +16,7 @@
 var testMachineType = protocol.MachineType{Name: "g8", CPUs: 64, GPUs: 8, MemoryGB: 256, CacheGB: 10, FetchGBPerSecond: 1, BootSeconds: 30, Zones: []string{"a"}}
 
 func newTestRegistry(term uint64) *Registry {
-	p := New(term, config.Workers{ReportS: 1, LeaseS: 10, GangWaitS: 40, GangPeerS: 4, CancelS: 40})
+	p := New(term, config.Workers{HeartbeatSeconds: 1, LeaseSeconds: 10, GangWaitSeconds: 40, GangPeerSeconds: 4, CancelSeconds: 40})
 	p.SetMachineTypes([]protocol.MachineType{testMachineType})
 	return p
 }
@@ -35,7 +35,7 @@
 // TestUnchangedHeartbeat: that an owner has answered a report keeps a machine from counting as silent, if nothing newer is known and
 // it is the session that the leader knows; it proves nothing of tasks. What has commands to take is asked for.
 func TestUnchangedHeartbeat(t *testing.T) {
-	p := New(3, config.Workers{ReportS: 1, LeaseS: 10})
+	p := New(3, config.Workers{HeartbeatSeconds: 1, LeaseSeconds: 10})
 	now := time.Second
 	if p.HandleUnchangedHeartbeat(now, "m1", 1, 1) {
 		t.Error("a machine that was never heard needs no report")
--- a/internal/coordination/scheduler/allocate_test.go
+++ b/internal/coordination/scheduler/allocate_test.go
@@ -17,7 +17,7 @@
 func TestAllocationInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limit := float64(rapid.IntRange(0, 30).Draw(t, "limit"))
-		b := newBench([]config.Team{{Name: "red", GPUsMax: limit}, {Name: "blue"}}, "a", "b")
+		b := newBench([]config.Team{{Name: "red", MaxGPUs: limit}, {Name: "blue"}}, "a", "b")
 		zone, spot := map[string]string{}, map[string]bool{}
 		for i := range rapid.IntRange(1, 6).Draw(t, "machines") {
 			name := fmt.Sprintf("m%d", i)
@@ -127,7 +127,7 @@
 			}
 		}
 	}
-	every := config.Seconds(b.c.cfg.Cloud.ListLagS/2) + Cycle // a list is asked for when the fleet is planned next
+	every := config.Seconds(b.c.cfg.Cloud.ListLagSeconds/2) + Cycle // a list is asked for when the fleet is planned next
 	if want := int(until / every); lists < want {
 		t.Errorf("the machines were listed %d times, want %d", lists, want)
 	}
--- a/internal/coordination/scheduler/bench_test.go
+++ b/internal/coordination/scheduler/bench_test.go
@@ -35,8 +35,8 @@
 
 func newBench(teams []config.Team, zones ...string) *bench {
 	cfg := &config.Deployment{
-		Nodes: 3, Teams: teams, Workers: config.Workers{ReportS: 1, LeaseS: 10, GangWaitS: 40, GangPeerS: 4, CancelS: 40},
-		State: config.State{RPS: 100, WriteRPS: 30, ValueKB: 8, TxnOps: 16}, Cloud: config.Cloud{RPS: 2, ListLagS: 5}, Quota: config.Quota{CoreShare: 0.1},
+		Controllers: 3, Teams: teams, Workers: config.Workers{HeartbeatSeconds: 1, LeaseSeconds: 10, GangWaitSeconds: 40, GangPeerSeconds: 4, CancelSeconds: 40},
+		Store: config.StoreLimits{RPS: 100, WriteRPS: 30, ValueKB: 8, TxnOps: 16}, Cloud: config.Cloud{RPS: 2, ListLagSeconds: 5}, Quota: config.Quota{CoreShare: 0.1},
 	}
 	types := []protocol.MachineType{{Name: "g8", CPUs: 64, GPUs: 8, MemoryGB: 256, CacheGB: 100, FetchGBPerSecond: 1, HourlyPrice: 4, HourlySpotPrice: 1, BootSeconds: 30, Zones: zones}}
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
--- a/internal/coordination/scheduler/borrow.go
+++ b/internal/coordination/scheduler/borrow.go
@@ -10,7 +10,7 @@
 )
 
 // jobCost is what it counts for, in seconds of work, that one more job lends room.
-func (c *Core) jobCost() float64 { return 3 * c.cfg.Workers.ReportS }
+func (c *Core) jobCost() float64 { return 3 * c.cfg.Workers.HeartbeatSeconds }
 
 // mayBorrow says whether a job may borrow room: it has lost tasks with a zone that is not
 // trusted again yet.
@@ -80,7 +80,7 @@
 func (c *Core) reserveChoice(now time.Duration, j *job, cands []*candidate, l *limits, choice zones.Choice) {
 	save := 0.0
 	for _, task := range choice.Lenders {
-		save = max(save, c.jobs[task.Job].spec.SaveSeconds+c.cfg.Workers.GangPeerS)
+		save = max(save, c.jobs[task.Job].spec.SaveSeconds+c.cfg.Workers.GangPeerSeconds)
 	}
 	for _, x := range cands {
 		if !slices.ContainsFunc(choice.Picks, func(p zones.Pick) bool { return p.Machine == x.m.Name }) {
@@ -88,6 +88,6 @@
 		}
 		c.setTaken(x)
 		l.perZone[x.m.Zone]++
-		c.reserve(x.m, j, now+config.Seconds(save+3*c.cfg.Workers.ReportS)+2*Cycle)
+		c.reserve(x.m, j, now+config.Seconds(save+3*c.cfg.Workers.HeartbeatSeconds)+2*Cycle)
 	}
 }
--- a/internal/coordination/scheduler/cancel.go
+++ b/internal/coordination/scheduler/cancel.go
@@ -31,7 +31,7 @@
 // cancelled now: with half of the time left, for a release takes some, and so does
 // another leader, should we end.
 func (c *Core) fencingDeadline(now time.Duration) time.Duration {
-	return now + config.Seconds(c.cfg.Workers.CancelS/2)
+	return now + config.Seconds(c.cfg.Workers.CancelSeconds/2)
 }
 
 // setFencingDeadline says by when a job's tasks must be gone.
--- a/internal/coordination/scheduler/core.go
+++ b/internal/coordination/scheduler/core.go
@@ -39,7 +39,7 @@
 	node      string
 	// level is the feature level that is final, and stateLimits are what records keep to.
 	level       featurelevel.Level
-	stateLimits config.State
+	stateLimits config.StoreLimits
 	// writesPaused says that no writes begin until those under way have ended and the level is final.
 	writesPaused bool
 	targetLevel  featurelevel.Level // while paused: the level to be made final
--- a/internal/coordination/scheduler/demand.go
+++ b/internal/coordination/scheduler/demand.go
@@ -186,7 +186,7 @@
 	share := 0.5
 	for _, o := range c.cfg.Objectives {
 		if o.Kind == "wait" && o.Class == class {
-			share = max(share, min(o.Share, 0.999))
+			share = max(share, min(o.Fraction, 0.999))
 		}
 	}
 	return math.Sqrt2 * math.Erfinv(2*share-1)
--- a/internal/coordination/scheduler/featurelevel.go
+++ b/internal/coordination/scheduler/featurelevel.go
@@ -12,7 +12,7 @@
 // newJobLayout is how the pages of new jobs are cut.
 func (c *Core) newJobLayout() storage.PageLayout {
 	if c.level < featurelevel.Pipelines {
-		return storage.PageLayout{TasksPerPage: storage.OriginalPageTasks(c.cfg.State.ValueKB)}
+		return storage.PageLayout{TasksPerPage: storage.OriginalPageTasks(c.cfg.Store.ValueKB)}
 	}
 	return storage.PageLayout{TasksPerPage: storage.CompactPageTasks(c.stateLimits.ValueKB), Compact: true}
 }
@@ -28,9 +28,9 @@
 // setFeatureLevel takes in that a feature level is final: from then on records keep to the state service's next
 // limits as well.
 func (c *Core) setFeatureLevel(level featurelevel.Level) {
-	c.level, c.stateLimits = level, c.cfg.State
+	c.level, c.stateLimits = level, c.cfg.Store
 	if level >= featurelevel.Pipelines {
-		c.stateLimits = c.cfg.State.Lowest()
+		c.stateLimits = c.cfg.Store.Lowest()
 	}
 }
 
--- a/internal/coordination/scheduler/featurelevel_test.go
+++ b/internal/coordination/scheduler/featurelevel_test.go
@@ -17,15 +17,15 @@
 )
 
 // withNextLimits gives a store's core limits of the state service that are to come.
-func withNextLimits(s *manualStore, next config.StateLimits) *manualStore {
-	s.c.cfg.State.Next = next
+func withNextLimits(s *manualStore, next config.FutureStoreLimits) *manualStore {
+	s.c.cfg.Store.Next = next
 	return s
 }
 
 // TestLevelChangeWaitsForWritesInFlight: the record of the term changes only when no other write depends on it, none
 // begins meanwhile, and all that follow depend on its new version. Starts go on afterwards.
 func TestLevelChangeWaitsForWritesInFlight(t *testing.T) {
-	s := withNextLimits(newEmptyManualStore(4), config.StateLimits{ValueKB: 2, TxnOps: 5, WriteRPS: 18})
+	s := withNextLimits(newEmptyManualStore(4), config.FutureStoreLimits{ValueKB: 2, TxnOps: 5, WriteRPS: 18})
 	s.submit("j-1", "normal", 2)
 	s.cycleAll()
 	if len(s.inFlight) != 1 {
@@ -127,8 +127,8 @@
 func TestRecoveryAcrossPageLayouts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newEmptyManualStore(6)
-		s.c.cfg.State = config.State{RPS: 100, WriteRPS: 30, ValueKB: 4, TxnOps: rapid.IntRange(2, 6).Draw(t, "operations"),
-			Next: config.StateLimits{ValueKB: rapid.SampledFrom([]float64{0.5, 1, 4}).Draw(t, "value"), TxnOps: rapid.IntRange(2, 5).Draw(t, "next operations")}}
+		s.c.cfg.Store = config.StoreLimits{RPS: 100, WriteRPS: 30, ValueKB: 4, TxnOps: rapid.IntRange(2, 6).Draw(t, "operations"),
+			Next: config.FutureStoreLimits{ValueKB: rapid.SampledFrom([]float64{0.5, 1, 4}).Draw(t, "value"), TxnOps: rapid.IntRange(2, 5).Draw(t, "next operations")}}
 		s.c.setFeatureLevel(featurelevel.Production)
 		tasks := rapid.IntRange(1, 120).Draw(t, "tasks")
 		s.accept(spec("j-1", protocol.Array, "normal", tasks, 1))
@@ -289,7 +289,7 @@
 // under 8 KiB and in the compact one under 2 KiB: up to 48 tasks one write in both, and a fraction of the bytes.
 func TestCostOfCompactPages(t *testing.T) {
 	cost := func(level featurelevel.Level, tasks int) (writes, bytes int) {
-		s := withNextLimits(newEmptyManualStore(tasks/8+1), config.StateLimits{ValueKB: 2, TxnOps: 5})
+		s := withNextLimits(newEmptyManualStore(tasks/8+1), config.FutureStoreLimits{ValueKB: 2, TxnOps: 5})
 		s.c.setFeatureLevel(level)
 		s.accept(spec("j-1", protocol.Array, "normal", tasks, 1))
 		s.cycleAll()
--- a/internal/coordination/scheduler/large_test.go
+++ b/internal/coordination/scheduler/large_test.go
@@ -12,8 +12,8 @@
 func largeBench(n int) *bench {
 	b := newBench([]config.Team{{Name: "red"}}, "a", "b")
 	b.setObjectives([]config.Objective{
-		{Kind: "wait", Class: "serve", WithinS: 0.5, Share: 0.9}, {Kind: "wait", Class: "big", WithinS: 20, Share: 0.9},
-		{Kind: "finished", Class: "sweep", WithinS: 100, Share: 0.9},
+		{Kind: "wait", Class: "serve", WithinSeconds: 0.5, Fraction: 0.9}, {Kind: "wait", Class: "big", WithinSeconds: 20, Fraction: 0.9},
+		{Kind: "finished", Class: "sweep", WithinSeconds: 100, Fraction: 0.9},
 	})
 	zones := []string{"a", "b"}
 	for i := range n {
--- a/internal/coordination/scheduler/lifecycle.go
+++ b/internal/coordination/scheduler/lifecycle.go
@@ -131,7 +131,7 @@
 		if j.suspect() {
 			// It fails everywhere: the job is at fault, not the machines. Back
 			// off, so that it spoils neither machines nor our verdict on them.
-			j.notBefore = now + min(Cycle<<min(j.failures, 6), config.Seconds(2*c.cfg.Workers.CancelS))
+			j.notBefore = now + min(Cycle<<min(j.failures, 6), config.Seconds(2*c.cfg.Workers.CancelSeconds))
 			for name := range j.failedOn {
 				if o := c.machines.Machine(name); o != nil {
 					delete(o.FailedJobs, j.spec.ID)
@@ -141,7 +141,7 @@
 	case protocol.CauseNoCapacity, protocol.CauseOtherAttempt:
 		// The machine holds something that we don't know of.
 		if m != nil {
-			m.UnresponsiveUntil = max(m.UnresponsiveUntil, now+config.Seconds(2*c.cfg.Workers.ReportS))
+			m.UnresponsiveUntil = max(m.UnresponsiveUntil, now+config.Seconds(2*c.cfg.Workers.HeartbeatSeconds))
 		}
 		j.notBefore = now + Cycle/4
 	case protocol.CauseUnknownTask:
@@ -225,8 +225,8 @@
 		return
 	}
 	grace := 0.0
-	if j.spec.CheckpointIntervalSeconds > 0 && config.Seconds(j.spec.SaveSeconds+c.cfg.Workers.ReportS) < within {
-		grace = j.spec.SaveSeconds + c.cfg.Workers.GangPeerS
+	if j.spec.CheckpointIntervalSeconds > 0 && config.Seconds(j.spec.SaveSeconds+c.cfg.Workers.HeartbeatSeconds) < within {
+		grace = j.spec.SaveSeconds + c.cfg.Workers.GangPeerSeconds
 	}
 	if j.spec.Shape != protocol.Gang {
 		c.stop(now, j, pl, grace)
--- a/internal/coordination/scheduler/loans.go
+++ b/internal/coordination/scheduler/loans.go
@@ -17,7 +17,7 @@
 		loans = append(loans, zones.Loan{
 			Term: c.term, Number: z.number, Lender: task, Borrower: j.spec.ID, Machine: pl.Machine, Zone: j.displacedFrom,
 			LostS: c.lostBy(now, pl), AtMS: c.wallAt(now),
-			UntilMS: c.wallAt(now + config.Seconds(writeOffCancels*c.cfg.Workers.CancelS)),
+			UntilMS: c.wallAt(now + config.Seconds(writeOffCancels*c.cfg.Workers.CancelSeconds)),
 		})
 	}
 	if err := z.ledger.Open(loans...); err != nil {
--- a/internal/coordination/scheduler/loans_test.go
+++ b/internal/coordination/scheduler/loans_test.go
@@ -238,7 +238,7 @@
 		guarantee float64
 		lends     bool
 	}{{8, false}, {4, true}} {
-		b := newZoneBench(zones.DefaultOrder(), config.Team{Name: "red", GPUs: row.guarantee}, config.Team{Name: "blue"})
+		b := newZoneBench(zones.DefaultOrder(), config.Team{Name: "red", GuaranteedGPUs: row.guarantee}, config.Team{Name: "blue"})
 		for i := range 6 {
 			name := fmt.Sprintf("m%02d", i)
 			b.tasks[name], b.zone[name] = map[protocol.TaskID]protocol.TaskStatus{}, []string{"a", "b"}[i%2]
--- a/internal/coordination/scheduler/move.go
+++ b/internal/coordination/scheduler/move.go
@@ -167,7 +167,7 @@
 	for _, pl := range placements(j) {
 		m := c.machines.Machine(pl.Machine)
 		if m == nil || !pl.Reported || pl.Stopping || pl.State != protocol.TaskFetching ||
-			c.machines.FetchTime(now, m, &j.spec) < config.Seconds(3*c.cfg.Workers.ReportS) {
+			c.machines.FetchTime(now, m, &j.spec) < config.Seconds(3*c.cfg.Workers.HeartbeatSeconds) {
 			continue
 		}
 		l := c.limits(j)
@@ -183,7 +183,7 @@
 		}
 		c.log.Info("moving to a machine with the image", "task", pl.Task, "from", pl.Machine, "to", best.m.Name)
 		c.setFree(best, best.free.Minus(j.need))
-		c.reserve(best.m, j, now+config.Seconds(2*c.cfg.Workers.ReportS))
+		c.reserve(best.m, j, now+config.Seconds(2*c.cfg.Workers.HeartbeatSeconds))
 		c.stop(now, j, pl, 0)
 		return
 	}
--- a/internal/coordination/scheduler/pipelines_test.go
+++ b/internal/coordination/scheduler/pipelines_test.go
@@ -101,7 +101,7 @@
 // TestWaitingHoldsNothing: a job that awaits another holds no part of its team's limit, its waiting times count
 // from when it is freed, and a cycle without news does nothing for it.
 func TestWaitingHoldsNothing(t *testing.T) {
-	b := newBench([]config.Team{{Name: "red", GPUsMax: 8}}, "a")
+	b := newBench([]config.Team{{Name: "red", MaxGPUs: 8}}, "a")
 	b.machine("m1", "a", false)
 	b.machine("m2", "a", false)
 	b.job(spec("j-1", protocol.Array, "normal", 1, 4))
--- a/internal/coordination/scheduler/placementwriter_test.go
+++ b/internal/coordination/scheduler/placementwriter_test.go
@@ -100,7 +100,7 @@
 	shared := 0
 	for served := 0; len(s.startWrites()) > 0 && served < 200; served++ {
 		w := s.startWrites()[0]
-		if len(w.Txn.Then) > s.c.cfg.State.TxnOps || len(w.Txn.If) > 4*s.c.cfg.State.TxnOps {
+		if len(w.Txn.Then) > s.c.cfg.Store.TxnOps || len(w.Txn.If) > 4*s.c.cfg.Store.TxnOps {
 			t.Fatalf("%d operations and %d conditions", len(w.Txn.Then), len(w.Txn.If))
 		}
 		if w.Shared != (len(jobsOfWrite(w)) > 1) {
--- a/internal/coordination/scheduler/preempt.go
+++ b/internal/coordination/scheduler/preempt.go
@@ -108,7 +108,7 @@
 	}
 	c.setTaken(best)
 	l.perZone[best.m.Zone]++
-	c.reserve(best.m, j, now+config.Seconds(wait+3*c.cfg.Workers.ReportS)+Cycle)
+	c.reserve(best.m, j, now+config.Seconds(wait+3*c.cfg.Workers.HeartbeatSeconds)+Cycle)
 	return true
 }
 
--- a/internal/coordination/scheduler/preempt_test.go
+++ b/internal/coordination/scheduler/preempt_test.go
@@ -20,7 +20,7 @@
 		stops      int
 	}{{"critical", 10, 60, 6, 1}, {"critical", 4, 60, 0, 1}, {"critical", 10, 4, 0, 1}, {"normal", 10, 60, 0, 0}} {
 		b := newBench([]config.Team{{Name: "red"}}, "a")
-		b.setObjectives([]config.Objective{{Kind: "wait", Class: "quick", WithinS: x.aim, Share: 0.9}})
+		b.setObjectives([]config.Objective{{Kind: "wait", Class: "quick", WithinSeconds: x.aim, Fraction: 0.9}})
 		b.machine("m1", "a", false)
 		low := spec("j-1", protocol.Array, "normal", 1, 8)
 		low.CheckpointIntervalSeconds, low.SaveSeconds = x.checkpoint, 2
@@ -51,9 +51,9 @@
 	}{
 		{"lower work of a guest", config.Team{}, config.Team{}, "urgent", 1},
 		{"equal work of a guest", config.Team{}, config.Team{}, "best_effort", 0},
-		{"equal work of a guest, for a guarantee", config.Team{GPUs: 8}, config.Team{}, "best_effort", 1},
-		{"lower work within its guarantee", config.Team{}, config.Team{GPUs: 8}, "urgent", 0},
-		{"lower work beyond its guarantee", config.Team{}, config.Team{GPUs: 4}, "urgent", 1},
+		{"equal work of a guest, for a guarantee", config.Team{GuaranteedGPUs: 8}, config.Team{}, "best_effort", 1},
+		{"lower work within its guarantee", config.Team{}, config.Team{GuaranteedGPUs: 8}, "urgent", 0},
+		{"lower work beyond its guarantee", config.Team{}, config.Team{GuaranteedGPUs: 4}, "urgent", 1},
 	} {
 		x.red.Name, x.guest.Name = "red", "guest"
 		b := newBench([]config.Team{x.red, x.guest}, "a")
@@ -80,7 +80,7 @@
 // clearing, had used up the whole aim.
 func TestClearedRoomIsTaken(t *testing.T) {
 	b := newBench([]config.Team{{Name: "red"}}, "a")
-	b.setObjectives([]config.Objective{{Kind: "wait", Class: "quick", WithinS: 12, Share: 0.9}})
+	b.setObjectives([]config.Objective{{Kind: "wait", Class: "quick", WithinSeconds: 12, Fraction: 0.9}})
 	b.machine("m1", "a", false)
 	low := spec("j-1", protocol.Gang, "urgent", 1, 8)
 	low.CheckpointIntervalSeconds, low.SaveSeconds = 30, 3
@@ -116,7 +116,7 @@
 	}{{5, "j-2"}, {25, "j-3"}, {70, "j-2"}} {
 		b := newBench([]config.Team{{Name: "red"}}, "a")
 		b.setObjectives([]config.Objective{
-			{Kind: "wait", Class: "big", WithinS: 20, Share: 0.9}, {Kind: "finished", Class: "big", WithinS: 30, Share: 0.9},
+			{Kind: "wait", Class: "big", WithinSeconds: 20, Fraction: 0.9}, {Kind: "finished", Class: "big", WithinSeconds: 30, Fraction: 0.9},
 		})
 		gang := spec("j-1", protocol.Gang, "urgent", 1, 8)
 		gang.Class, gang.EstimateSeconds = "big", 20
@@ -187,7 +187,7 @@
 // that want a whole one need.
 func TestColdReplicaLeavesRoomForTheNext(t *testing.T) {
 	b := newBench([]config.Team{{Name: "red"}}, "a")
-	b.setObjectives([]config.Objective{{Kind: "wait", Class: "quick", WithinS: 1, Share: 0.9}})
+	b.setObjectives([]config.Objective{{Kind: "wait", Class: "quick", WithinSeconds: 1, Fraction: 0.9}})
 	for i, gpus := range []float64{6, 3} {
 		name := fmt.Sprintf("m%d", i+1)
 		b.machine(name, "a", false)
@@ -220,7 +220,7 @@
 		stops int
 	}{{protocol.TaskFetching, "critical", 1}, {"", "critical", 0}, {protocol.TaskRunning, "critical", 0}, {protocol.TaskFetching, "urgent", 0}} {
 		b := newBench([]config.Team{{Name: "red"}}, "a")
-		b.setObjectives([]config.Objective{{Kind: "wait", Class: "quick", WithinS: 40, Share: 0.9}})
+		b.setObjectives([]config.Objective{{Kind: "wait", Class: "quick", WithinSeconds: 40, Fraction: 0.9}})
 		b.machine("m1", "a", false)
 		low := spec("j-1", protocol.Array, "normal", 1, 1)
 		low.Image, low.ImageGB = "low", 20
@@ -252,7 +252,7 @@
 		want string
 	}{{"critical", "m1"}, {"urgent", "m2"}} {
 		b := newBench([]config.Team{{Name: "red"}}, "a")
-		b.setObjectives([]config.Objective{{Kind: "wait", Class: "quick", WithinS: 12, Share: 0.9}})
+		b.setObjectives([]config.Objective{{Kind: "wait", Class: "quick", WithinSeconds: 12, Fraction: 0.9}})
 		b.machine("m1", "a", false)
 		low := spec("j-2", protocol.Array, "normal", 1, 4)
 		low.CheckpointIntervalSeconds, low.SaveSeconds = 10, 2
@@ -288,7 +288,7 @@
 // only when one is seen past its fetch does the other join it.
 func TestFetchesThatTakeLongerAreNotSwapped(t *testing.T) {
 	b := newBench([]config.Team{{Name: "red"}}, "a")
-	b.setObjectives([]config.Objective{{Kind: "wait", Class: "quick", WithinS: 40, Share: 0.9}})
+	b.setObjectives([]config.Objective{{Kind: "wait", Class: "quick", WithinSeconds: 40, Fraction: 0.9}})
 	one, two := protocol.TaskID{JobID: "j-1"}, protocol.TaskID{JobID: "j-2"}
 	fetching := func(id protocol.TaskID) protocol.TaskStatus {
 		return protocol.TaskStatus{TaskName: id.String(), Attempt: 1, State: protocol.TaskFetching}
@@ -325,13 +325,13 @@
 func TestRoomIsKeptForWaitAims(t *testing.T) {
 	t.Run("no aim", func(t *testing.T) { roomIsKept(t) })
 	t.Run("looser aim", func(t *testing.T) {
-		roomIsKept(t, config.Objective{Kind: "wait", Class: "c", WithinS: 100, Share: 0.9})
+		roomIsKept(t, config.Objective{Kind: "wait", Class: "c", WithinSeconds: 100, Fraction: 0.9})
 	})
 }
 
 func roomIsKept(t *testing.T, aims ...config.Objective) {
 	b := newBench([]config.Team{{Name: "red"}}, "a")
-	b.setObjectives(append(aims, config.Objective{Kind: "wait", Class: "quick", WithinS: 12, Share: 0.9}))
+	b.setObjectives(append(aims, config.Objective{Kind: "wait", Class: "quick", WithinSeconds: 12, Fraction: 0.9}))
 	b.machine("m1", "a", false)
 	quick := spec("j-1", protocol.Service, "normal", 1, 4)
 	quick.Class = "quick"
@@ -363,7 +363,7 @@
 		tasks  int // of the array that may start
 	}{{45, 0}, {65, 8}} {
 		b := newBench([]config.Team{{Name: "red"}}, "a")
-		b.setObjectives([]config.Objective{{Kind: "wait", Class: "big", WithinS: x.within, Share: 0.9}})
+		b.setObjectives([]config.Objective{{Kind: "wait", Class: "big", WithinSeconds: x.within, Fraction: 0.9}})
 		b.machine("m1", "a", false)
 		gang := spec("j-1", protocol.Gang, "urgent", 1, 8)
 		gang.Class, gang.Image, gang.ImageGB = "big", "big", 40
--- a/internal/coordination/scheduler/queue.go
+++ b/internal/coordination/scheduler/queue.go
@@ -68,11 +68,11 @@
 		if o.Class != j.spec.Class {
 			continue
 		}
-		longest = max(longest, o.WithinS)
+		longest = max(longest, o.WithinSeconds)
 		switch {
-		case o.Kind == "wait" && !j.begun && waited <= o.WithinS:
+		case o.Kind == "wait" && !j.begun && waited <= o.WithinSeconds:
 			class = 0
-		case o.Kind == "finished" && waited+j.spec.EstimateSeconds <= o.WithinS:
+		case o.Kind == "finished" && waited+j.spec.EstimateSeconds <= o.WithinSeconds:
 			class = min(class, 1)
 		}
 	}
--- a/internal/coordination/scheduler/recovery.go
+++ b/internal/coordination/scheduler/recovery.go
@@ -22,7 +22,7 @@
 func (c *Core) recoverPages(now time.Duration, pairs []protocol.KeyValue) {
 	byJob := map[string][]storedPage{}
 	for _, pair := range pairs {
-		name, err := storage.ParsePageKey(pair.Key, storage.OriginalPageTasks(c.cfg.State.ValueKB))
+		name, err := storage.ParsePageKey(pair.Key, storage.OriginalPageTasks(c.cfg.Store.ValueKB))
 		if err != nil {
 			c.log.Error("page out of form", "key", pair.Key, "err", err)
 			continue
--- a/internal/coordination/scheduler/recovery_test.go
+++ b/internal/coordination/scheduler/recovery_test.go
@@ -53,7 +53,7 @@
 func TestNewLeaderRecoversWaitingTimes(t *testing.T) {
 	b := newBench([]config.Team{{Name: "red"}}, "a")
 	b.setObjectives([]config.Objective{
-		{Kind: "wait", Class: "big", WithinS: 20, Share: 0.9}, {Kind: "finished", Class: "big", WithinS: 30, Share: 0.9},
+		{Kind: "wait", Class: "big", WithinSeconds: 20, Fraction: 0.9}, {Kind: "finished", Class: "big", WithinSeconds: 30, Fraction: 0.9},
 	})
 	const wallMS = 100_000
 	var live []protocol.KeyValue
@@ -123,7 +123,7 @@
 // TestNewLeaderRecoversArrivals: spare room does not vanish with a take-over,
 // and jobs that live are not counted twice.
 func TestNewLeaderRecoversArrivals(t *testing.T) {
-	cfg := []config.Objective{{Kind: "wait", Class: "quick", WithinS: 12, Share: 0.9}}
+	cfg := []config.Objective{{Kind: "wait", Class: "quick", WithinSeconds: 12, Fraction: 0.9}}
 	b := newBench([]config.Team{{Name: "red"}}, "a")
 	b.setObjectives(cfg)
 	j := spec("j-1", protocol.Service, "normal", 2, 4)
--- a/internal/coordination/scheduler/reference_test.go
+++ b/internal/coordination/scheduler/reference_test.go
@@ -262,15 +262,15 @@
 	rapid.Check(t, func(t *rapid.T) {
 		teams := []config.Team{{Name: "red"}, {Name: "blue"}, {Name: "green"}}
 		if rapid.Bool().Draw(t, "limits") {
-			teams[0].GPUsMax, teams[1].CPUsMax = 24, 90
+			teams[0].MaxGPUs, teams[1].MaxCPUs = 24, 90
 		}
 		if rapid.Bool().Draw(t, "guarantees") {
-			teams[1].GPUs, teams[2].GPUs, teams[2].CPUs = 16, 8, 60
+			teams[1].GuaranteedGPUs, teams[2].GuaranteedGPUs, teams[2].GuaranteedCPUs = 16, 8, 60
 		}
 		var objectives []config.Objective
 		if rapid.Bool().Draw(t, "aims") {
-			objectives = []config.Objective{{Kind: "wait", Class: "class-0", WithinS: 2, Share: 0.9}, {Kind: "wait", Class: "class-1", WithinS: 20, Share: 0.9},
-				{Kind: "finished", Class: "class-2", WithinS: 60, Share: 0.9}}
+			objectives = []config.Objective{{Kind: "wait", Class: "class-0", WithinSeconds: 2, Fraction: 0.9}, {Kind: "wait", Class: "class-1", WithinSeconds: 20, Fraction: 0.9},
+				{Kind: "finished", Class: "class-2", WithinSeconds: 60, Fraction: 0.9}}
 		}
 		w := newTwins(t, rapid.Uint64().Draw(t, "seed"), teams, objectives, rapid.Bool().Draw(t, "zone return"))
 		for range rapid.IntRange(3, 20).Draw(t, "machines") {
--- a/internal/coordination/scheduler/returnorder.go
+++ b/internal/coordination/scheduler/returnorder.go
@@ -106,5 +106,5 @@
 	if c.returning == nil || j.level > 0 || j.spec.Shape != protocol.Service || c.returning.monitor.State(zone) == zones.Available {
 		return 0
 	}
-	return c.cfg.Workers.LeaseS
+	return c.cfg.Workers.LeaseSeconds
 }
--- a/internal/coordination/scheduler/scale_bench_test.go
+++ b/internal/coordination/scheduler/scale_bench_test.go
@@ -36,11 +36,11 @@
 
 func newFleetBench(machines, teams int, limit float64) *fleetBench {
 	cfg := &config.Deployment{
-		Nodes: 3, Workers: config.Workers{ReportS: 5, LeaseS: 29, GangWaitS: 60, GangPeerS: 5, CancelS: 59},
-		State: config.State{RPS: 600, WriteRPS: 180, ValueKB: 8, TxnOps: 16}, Cloud: config.Cloud{RPS: 4, ListLagS: 8}, Quota: config.Quota{CoreShare: 1},
+		Controllers: 3, Workers: config.Workers{HeartbeatSeconds: 5, LeaseSeconds: 29, GangWaitSeconds: 60, GangPeerSeconds: 5, CancelSeconds: 59},
+		Store: config.StoreLimits{RPS: 600, WriteRPS: 180, ValueKB: 8, TxnOps: 16}, Cloud: config.Cloud{RPS: 4, ListLagSeconds: 8}, Quota: config.Quota{CoreShare: 1},
 	}
 	for i := range teams {
-		cfg.Teams = append(cfg.Teams, config.Team{Name: fmt.Sprintf("team-%03d", i), CPUsMax: limit})
+		cfg.Teams = append(cfg.Teams, config.Team{Name: fmt.Sprintf("team-%03d", i), MaxCPUs: limit})
 	}
 	types := []protocol.MachineType{{Name: "m", CPUs: 2 * slots, GPUs: 2, MemoryGB: 4 * slots, CacheGB: images, FetchGBPerSecond: 100, HourlyPrice: 4, HourlySpotPrice: 1, BootSeconds: 3600,
 		Zones: []string{"a", "b", "c"}}}
--- a/internal/coordination/scheduler/score.go
+++ b/internal/coordination/scheduler/score.go
@@ -150,8 +150,8 @@
 func waitAimsOf(objectives []config.Objective) map[string]float64 {
 	aims := map[string]float64{}
 	for _, o := range objectives {
-		if within, ok := aims[o.Class]; o.Kind == "wait" && (!ok || o.WithinS < within) {
-			aims[o.Class] = o.WithinS
+		if within, ok := aims[o.Class]; o.Kind == "wait" && (!ok || o.WithinSeconds < within) {
+			aims[o.Class] = o.WithinSeconds
 		}
 	}
 	return aims
--- a/internal/coordination/scheduler/teams.go
+++ b/internal/coordination/scheduler/teams.go
@@ -14,8 +14,8 @@
 func (c *Core) teamShare(team string) float64 {
 	u := c.machines.TeamUsage(team)
 	t := c.team(team)
-	if t != nil && (t.GPUs > 0 || t.CPUs > 0) {
-		return u.DominantShare(partition.Resources{CPUs: t.CPUs, GPUs: t.GPUs})
+	if t != nil && (t.GuaranteedGPUs > 0 || t.GuaranteedCPUs > 0) {
+		return u.DominantShare(partition.Resources{CPUs: t.GuaranteedCPUs, GPUs: t.GuaranteedGPUs})
 	}
 	return u.GPUs + u.CPUs
 }
@@ -28,11 +28,11 @@
 		return n
 	}
 	u := c.machines.TeamUsage(j.spec.Team)
-	if t.CPUsMax > 0 && j.need.CPUs > 0 {
-		n = min(n, int((t.CPUsMax-u.CPUs)/j.need.CPUs+1e-9))
+	if t.MaxCPUs > 0 && j.need.CPUs > 0 {
+		n = min(n, int((t.MaxCPUs-u.CPUs)/j.need.CPUs+1e-9))
 	}
-	if t.GPUsMax > 0 && j.need.GPUs > 0 {
-		n = min(n, int((t.GPUsMax-u.GPUs)/j.need.GPUs+1e-9))
+	if t.MaxGPUs > 0 && j.need.GPUs > 0 {
+		n = min(n, int((t.MaxGPUs-u.GPUs)/j.need.GPUs+1e-9))
 	}
 	return max(0, n)
 }
@@ -55,7 +55,7 @@
 	}
 	t, used := c.team(j.spec.Team), c.machines.TeamUsage(j.spec.Team)
 	n := j.counts[pending]
-	for _, r := range [][3]float64{{t.CPUs, used.CPUs, j.need.CPUs}, {t.GPUs, used.GPUs, j.need.GPUs}} {
+	for _, r := range [][3]float64{{t.GuaranteedCPUs, used.CPUs, j.need.CPUs}, {t.GuaranteedGPUs, used.GPUs, j.need.GPUs}} {
 		if guarantee, taken, each := r[0], r[1], r[2]; guarantee > 0 && each > 0 {
 			n = min(n, int((guarantee-taken)/each+1e-9))
 		}
@@ -66,8 +66,8 @@
 // withinGuarantee says whether a team that uses so much has a guarantee and fits into
 // it. A resource that no guarantee names does not count.
 func withinGuarantee(t *config.Team, used partition.Resources) bool {
-	if t == nil || t.CPUs == 0 && t.GPUs == 0 {
+	if t == nil || t.GuaranteedCPUs == 0 && t.GuaranteedGPUs == 0 {
 		return false
 	}
-	return (t.CPUs == 0 || used.CPUs <= t.CPUs) && (t.GPUs == 0 || used.GPUs <= t.GPUs)
+	return (t.GuaranteedCPUs == 0 || used.CPUs <= t.GuaranteedCPUs) && (t.GuaranteedGPUs == 0 || used.GPUs <= t.GuaranteedGPUs)
 }
--- a/internal/coordination/scheduler/turns_test.go
+++ b/internal/coordination/scheduler/turns_test.go
@@ -22,7 +22,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		var teams []config.Team
 		for i := range rapid.IntRange(2, 6).Draw(t, "teams") {
-			teams = append(teams, config.Team{Name: fmt.Sprintf("team-%d", i), GPUs: float64(rapid.IntRange(0, 1).Draw(t, "guarantee") * 4)})
+			teams = append(teams, config.Team{Name: fmt.Sprintf("team-%d", i), GuaranteedGPUs: float64(rapid.IntRange(0, 1).Draw(t, "guarantee") * 4)})
 		}
 		b := newBench(teams, "a")
 		var waiting []*job
--- a/internal/coordination/scheduler/workers.go
+++ b/internal/coordination/scheduler/workers.go
@@ -56,7 +56,7 @@
 	if e.Report == nil {
 		// Its reports may arrive though commands don't: nothing new goes there
 		// until it has had time for another report.
-		m.UnresponsiveUntil = now + config.Seconds(2*c.cfg.Workers.ReportS)
+		m.UnresponsiveUntil = now + config.Seconds(2*c.cfg.Workers.HeartbeatSeconds)
 	}
 }
 
@@ -106,7 +106,7 @@
 // controllers only. Their reports are passed on here, but whoever they reach
 // would serve them better, and can command them directly.
 func (c *Core) checkReach(now time.Duration) {
-	half := config.Seconds(c.cfg.Workers.LeaseS / 2)
+	half := config.Seconds(c.cfg.Workers.LeaseSeconds / 2)
 	if now-c.began < half {
 		return
 	}
--- a/internal/coordination/scheduler/zonebench_test.go
+++ b/internal/coordination/scheduler/zonebench_test.go
@@ -37,7 +37,7 @@
 	b := &zoneBench{bench: newBench(teams, "a", "b"), order: order, silent: map[string]bool{}, session: map[string]uint64{},
 		records: map[string]protocol.KeyValue{}, loans: simulation.NewLoanOracle()}
 	b.c.cfg.Quota.CoreShare = 1
-	b.c.cfg.Workers.CancelS = 12 // so that a loan that is never repaid is written off soon
+	b.c.cfg.Workers.CancelSeconds = 12 // so that a loan that is never repaid is written off soon
 	b.takeOver(5)
 	return b
 }
--- a/internal/coordination/scheduler/zonereturn.go
+++ b/internal/coordination/scheduler/zonereturn.go
@@ -44,7 +44,7 @@
 	names := c.zones(&protocol.Job{})
 	z := &zoneReturn{
 		order: order, several: len(names) > 1, untaken: map[zones.LentTask]bool{}, left: map[string]string{}, lentBy: map[string]int{}, records: newZoneRecords(),
-		monitor: zones.NewMonitor(now, config.Seconds(c.cfg.Workers.LeaseS), names),
+		monitor: zones.NewMonitor(now, config.Seconds(c.cfg.Workers.LeaseSeconds), names),
 		ledger:  zones.NewLedger(c.mostLoans()),
 	}
 	c.returning = z
--- a/internal/coordination/scheduler/zonereturn_test.go
+++ b/internal/coordination/scheduler/zonereturn_test.go
@@ -29,7 +29,7 @@
 				t.Fatal(err)
 			}
 		}
-		b := newZoneBench(order, config.Team{Name: "red"}, config.Team{Name: "blue", GPUs: float64(rapid.SampledFrom([]int{0, 8, 16}).Draw(t, "guarantee"))})
+		b := newZoneBench(order, config.Team{Name: "red"}, config.Team{Name: "blue", GuaranteedGPUs: float64(rapid.SampledFrom([]int{0, 8, 16}).Draw(t, "guarantee"))})
 		perZone := rapid.SampledFrom([]int{2, 3, 4, 5}).Draw(t, "machines")
 		for i := range 2 * perZone {
 			name := fmt.Sprintf("m%02d", i)
--- a/internal/coordination/scheduler/zonewatch.go
+++ b/internal/coordination/scheduler/zonewatch.go
@@ -48,7 +48,7 @@
 // leaseOver is after what silence no lease can still be renewed: whoever renews without the
 // leader's knowledge gives up within half a lease, and the lease then takes its time.
 func (c *Core) leaseOver() time.Duration {
-	return config.Seconds(c.cfg.Workers.LeaseS*3/2 + c.cfg.Workers.ReportS)
+	return config.Seconds(c.cfg.Workers.LeaseSeconds*3/2 + c.cfg.Workers.HeartbeatSeconds)
 }
 
 // inspectZone asks the machines of a zone that returns how they stand, without waiting for
@@ -64,7 +64,7 @@
 // setZonePolicies tells the fleet how to treat zones that are not as they should be.
 func (c *Core) setZonePolicies(now time.Duration) {
 	policies := map[string]fleet.ZonePolicy{}
-	lease := config.Seconds(c.cfg.Workers.LeaseS)
+	lease := config.Seconds(c.cfg.Workers.LeaseSeconds)
 	for _, zone := range c.returning.monitor.Zones() {
 		switch zone.State {
 		case zones.Suspected:
@@ -83,7 +83,7 @@
 // be heard either, and are tried one at a time. Where all have died, new ones will do as soon
 // as the cloud has some.
 func (c *Core) lostPolicy(now time.Duration, zone zones.Zone) fleet.ZonePolicy {
-	lease := config.Seconds(c.cfg.Workers.LeaseS)
+	lease := config.Seconds(c.cfg.Workers.LeaseSeconds)
 	if zone.Evidence.Machines == 0 && zone.Evidence.Left > 0 {
 		return fleet.ZonePolicy{}
 	}
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/controller.go
@@ -35,8 +35,8 @@
 // Shares of the sockets that a process may have. The rest is for the state
 // service (see storage), the cloud and the other controllers.
 const (
-	socketsServed   = 0.75    // users and workers
-	socketsCommands = 1. / 16 // direct commands under way, and as many idle connections
+	serverSocketShare  = 0.75    // users and workers
+	commandSocketShare = 1. / 16 // direct commands under way, and as many idle connections
 )
 
 // Controller is one process of the service.
@@ -50,35 +50,35 @@
 	times    election.Timing
 
 	store   *storage.Client
-	cloud   *leader.Cloud
+	cloud   *leader.CloudClient
 	workers *transport.Client
 	mesh    *transport.Mesh
 	api     *api.Server
 
-	box         *actor.Mailbox[election.Event]
-	elect       *election.Election
-	view        atomic.Pointer[election.View]
-	leading     atomic.Pointer[leader.Leader]
-	fenceBox    *actor.Mailbox[fencing.Event]
-	fencing     *fencing.Fencer
-	intents     *cancellation.IntentLog
-	suspicions  *suspicions              // nil: off
-	owners      *owners                  // nil: off
-	wakes       map[string]chan struct{} // make the beat to a peer leave at once
-	peersMu     sync.Mutex
-	peers       map[string]election.PeerStatus // what each last answered of itself
-	renewers    map[string]time.Duration       // peers that renew leases without a leader, and when they last said so
-	redirects   *RedirectTracker
-	levelBox    *actor.Mailbox[featurelevel.Event]
-	levels      *featurelevel.Gate
-	refuseNewer sync.Once
-	peersOK     atomic.Int64 // steady time when a peer last had the state service
-	peerHeard   atomic.Int64 // steady time when a peer was last heard
+	electionMailbox    *actor.Mailbox[election.Event]
+	election           *election.Election
+	view               atomic.Pointer[election.View]
+	leading            atomic.Pointer[leader.Leader]
+	fencingMailbox     *actor.Mailbox[fencing.Event]
+	fencingMonitor     *fencing.Fencer
+	intents            *cancellation.IntentLog
+	failureDetector    *failureDetector         // nil: off
+	ownership          *ownershipState          // nil: off
+	heartbeatNow       map[string]chan struct{} // make the beat to a peer leave at once
+	peersMu            sync.Mutex
+	peers              map[string]election.PeerStatus // what each last answered of itself
+	standbyRenewers    map[string]time.Duration       // peers that renew leases without a leader, and when they last said so
+	redirects          *RedirectTracker
+	levelMailbox       *actor.Mailbox[featurelevel.Event]
+	levels             *featurelevel.Gate
+	newerLevelLogged   sync.Once
+	peerReachedStoreAt atomic.Int64 // steady time when a peer last had the state service
+	peerHeardAt        atomic.Int64 // steady time when a peer was last heard
 }
 
 // Times derives the election's times from the settings.
 func Times(d *config.Deployment) election.Timing {
-	lease, cancel := config.Seconds(d.Workers.LeaseS), config.Seconds(d.Workers.CancelS)
+	lease, cancel := config.Seconds(d.Workers.LeaseSeconds), config.Seconds(d.Workers.CancelSeconds)
 	base := min(lease, cancel/4)
 	t := election.Timing{
 		HeartbeatInterval: base / 40, LeaderTimeout: base / 5, LeaseTTL: max(3*base/10, 100*time.Millisecond),
@@ -101,14 +101,14 @@
 	Ownership bool
 	// Timing measures the leader's steps and heartbeats and logs them; nil: off.
 	Timing *timing.Recorder
-	// HoldLevel keeps the controller at the feature level of the version in production, so that tests can
+	// PinProductionLevel keeps the controller at the feature level of the version in production, so that tests can
 	// mix levels; it is no operator's flag.
-	HoldLevel bool
+	PinProductionLevel bool
 }
 
-// level is the feature level that a controller speaks.
-func (f Features) level() featurelevel.Level {
-	if f.HoldLevel {
+// featureLevel is the feature level that a controller speaks.
+func (f Features) featureLevel() featurelevel.Level {
+	if f.PinProductionLevel {
 		return featurelevel.Production
 	}
 	return featurelevel.Current
@@ -116,50 +116,50 @@
 
 // New returns a controller that is not running yet. It draws its random numbers from the source.
 func New(network transport.Network, source *random.Source, cfg *config.Settings, features Features, log *slog.Logger) *Controller {
-	d := &cfg.Deploy
-	c := &Controller{network: network, random: source, cfg: cfg, features: features, log: log.With("node", cfg.Node), start: time.Now(), times: Times(d), box: actor.NewMailbox[election.Event](),
-		fenceBox: actor.NewMailbox[fencing.Event](), fencing: fencing.New(fenceTimes(d)),
-		peers: map[string]election.PeerStatus{}, renewers: map[string]time.Duration{}, wakes: map[string]chan struct{}{}, redirects: NewRedirectTracker(config.Seconds(d.Workers.LeaseS))}
-	c.store = storage.NewClient(network, source, d, cfg.Outside.State, config.Seconds(min(d.Workers.LeaseS/5, d.Workers.GangPeerS/2)))
-	c.cloud = leader.NewCloud(network, cfg.Outside.Cloud, d.Cloud)
-	c.workers = transport.NewClient(network, 1, max(1, int(float64(d.Quota.MaxSockets)*socketsCommands)), config.Seconds(d.Workers.LeaseS))
-	c.api = api.New(d, c.store, source, c.log, c.statuses, c.announce)
+	d := &cfg.Deployment
+	c := &Controller{network: network, random: source, cfg: cfg, features: features, log: log.With("node", cfg.Name), start: time.Now(), times: Times(d), electionMailbox: actor.NewMailbox[election.Event](),
+		fencingMailbox: actor.NewMailbox[fencing.Event](), fencingMonitor: fencing.New(fencingTimes(d)),
+		peers: map[string]election.PeerStatus{}, standbyRenewers: map[string]time.Duration{}, heartbeatNow: map[string]chan struct{}{}, redirects: NewRedirectTracker(config.Seconds(d.Workers.LeaseSeconds))}
+	c.store = storage.NewClient(network, source, d, cfg.Endpoints.Store, config.Seconds(min(d.Workers.LeaseSeconds/5, d.Workers.GangPeerSeconds/2)))
+	c.cloud = leader.NewCloudClient(network, cfg.Endpoints.Cloud, d.Cloud)
+	c.workers = transport.NewClient(network, 1, max(1, int(float64(d.Quota.MaxSockets)*commandSocketShare)), config.Seconds(d.Workers.LeaseSeconds))
+	c.api = api.New(d, c.store, source, c.log, c.jobStatuses, c.announceCancellation)
 	peers := map[string]string{}
 	var names []string
 	for _, p := range cfg.Seeds {
-		if p.Node == cfg.Node {
+		if p.Name == cfg.Name {
 			continue
 		}
-		peers[p.Node] = p.Addr
-		names = append(names, p.Node)
-		c.wakes[p.Node] = make(chan struct{}, 1)
+		peers[p.Name] = p.Addr
+		names = append(names, p.Name)
+		c.heartbeatNow[p.Name] = make(chan struct{}, 1)
 	}
-	keep := keepIntents(d, c.times)
+	keep := intentRetention(d, c.times)
 	// The state service's writes bound how many cancellations there can be.
-	c.intents = cancellation.New(source, names, keep, c.now()+c.times.RecoveryPeriod, int(max(1, d.State.WriteRPS*keep.Seconds())))
-	c.mesh = transport.NewMesh(network, cfg.Node, peers, c.times.LeaderTimeout/2, c.log, c.answerPeer,
-		func(node string) { c.box.Send(election.PeerDisconnected{Peer: node}) })
+	c.intents = cancellation.New(source, names, keep, c.now()+c.times.RecoveryPeriod, int(max(1, d.Store.WriteRPS*keep.Seconds())))
+	c.mesh = transport.NewMesh(network, cfg.Name, peers, c.times.LeaderTimeout/2, c.log, c.handlePeerMessage,
+		func(node string) { c.electionMailbox.Send(election.PeerDisconnected{Peer: node}) })
 	if features.Ownership {
-		c.suspicions = &suspicions{box: actor.NewMailbox[suspicion.Event](), refusals: rate.Sometimes{Interval: c.times.LeaderTimeout}}
-		c.owners = c.newOwners()
+		c.failureDetector = &failureDetector{mailbox: actor.NewMailbox[suspicion.Event](), malformedLogLimit: rate.Sometimes{Interval: c.times.LeaderTimeout}}
+		c.ownership = c.newOwnershipState()
 	}
-	c.levelBox = actor.NewMailbox[featurelevel.Event]()
-	c.levels = featurelevel.New(cfg.Node, names, features.level(), c.times.LeaderTimeout/2)
-	c.elect = election.New(c.now(), cfg.Node, names, c.times)
-	c.publish()
+	c.levelMailbox = actor.NewMailbox[featurelevel.Event]()
+	c.levels = featurelevel.New(cfg.Name, names, features.featureLevel(), c.times.LeaderTimeout/2)
+	c.election = election.New(c.now(), cfg.Name, names, c.times)
+	c.publishView()
 	return c
 }
 
 func (c *Controller) now() time.Duration { return time.Since(c.start) }
 
-func (c *Controller) publish() {
-	v := c.elect.View(c.now())
+func (c *Controller) publishView() {
+	v := c.election.View(c.now())
 	c.view.Store(&v)
 }
 
 // Run serves until the context ends.
 func (c *Controller) Run(ctx context.Context) error {
-	l, err := transport.Listen(c.network, c.cfg.Listen, int(float64(c.cfg.Deploy.Quota.MaxSockets)*socketsServed))
+	l, err := transport.Listen(c.network, c.cfg.ListenAddr, int(float64(c.cfg.Deployment.Quota.MaxSockets)*serverSocketShare))
 	if err != nil {
 		return err
 	}
@@ -168,7 +168,7 @@
 		l.Close()
 		return err
 	}
-	lease := config.Seconds(c.cfg.Deploy.Workers.LeaseS)
+	lease := config.Seconds(c.cfg.Deployment.Workers.LeaseSeconds)
 	srv := &http.Server{
 		Handler: c.routes(), ReadHeaderTimeout: lease, ReadTimeout: lease, IdleTimeout: max(3*lease, 30*time.Second),
 		ConnState: l.ConnState, MaxHeaderBytes: 8 << 10, ErrorLog: slog.NewLogLogger(c.log.Handler(), slog.LevelDebug),
@@ -187,58 +187,58 @@
 	})
 	g.Go(func() error { c.runElection(ctx); return nil })
 	g.Go(func() error { c.runFencing(ctx); return nil })
-	g.Go(func() error { c.runSuspicions(ctx); return nil })
+	g.Go(func() error { c.runFailureDetector(ctx); return nil })
 	g.Go(func() error { c.runOwnership(ctx); return nil })
 	g.Go(func() error { c.watchOwnership(ctx); return nil })
-	g.Go(func() error { c.runDigests(ctx); return nil })
+	g.Go(func() error { c.sendDigests(ctx); return nil })
 	g.Go(func() error { c.runLevels(ctx); return nil })
 	g.Go(func() error { c.watchLeader(ctx); return nil })
-	g.Go(func() error { c.learnTypes(ctx); return nil })
-	g.Go(func() error { c.probe(ctx); return nil })
+	g.Go(func() error { c.loadMachineTypes(ctx); return nil })
+	g.Go(func() error { c.probeStore(ctx); return nil })
 	if c.features.Timing != nil {
 		g.Go(func() error { c.features.Timing.Run(ctx, c.log); return nil })
 	}
 	for _, p := range c.mesh.Peers() {
-		g.Go(func() error { c.beat(ctx, p); return nil })
+		g.Go(func() error { c.sendHeartbeats(ctx, p); return nil })
 	}
 	return g.Wait()
 }
 
 func (c *Controller) routes() http.Handler {
 	r := chi.NewRouter()
-	r.Get("/ready", c.ready)
-	r.Post("/v1/report", c.report)
+	r.Get("/ready", c.serveReady)
+	r.Post("/v1/report", c.handleHeartbeat)
 	c.api.Routes(r)
 	return r
 }
 
-// ready says whether users should come here. During an outage that all
+// serveReady says whether users should come here. During an outage that all
 // controllers share, going away would only add to the trouble; a controller
 // that alone cannot reach the state service should not be asked.
-func (c *Controller) ready(w http.ResponseWriter, _ *http.Request) {
+func (c *Controller) serveReady(w http.ResponseWriter, _ *http.Request) {
 	status := http.StatusOK
-	if !c.api.Ready() || c.alone() {
+	if !c.api.Ready() || c.isolated() {
 		status = http.StatusServiceUnavailable
 	}
 	w.WriteHeader(status)
 }
 
-// alone says whether the state service is out of reach here and, as far as can
+// isolated says whether the state service is out of reach here and, as far as can
 // be told, not for all: a peer has had an answer from it well after our last,
 // or no peer is in contact at all.
-func (c *Controller) alone() bool {
+func (c *Controller) isolated() bool {
 	silent := c.store.SinceLastAnswer()
 	if silent <= c.times.LeaderTimeout {
 		return false
 	}
 	last := c.now() - silent
-	return time.Duration(c.peersOK.Load()) > last+c.times.LeaderTimeout ||
-		c.now()-time.Duration(c.peerHeard.Load()) > c.times.LeaderTimeout
+	return time.Duration(c.peerReachedStoreAt.Load()) > last+c.times.LeaderTimeout ||
+		c.now()-time.Duration(c.peerHeardAt.Load()) > c.times.LeaderTimeout
 }
 
-// probe asks the state service for something small when nothing else has for a
+// probeStore asks the state service for something small when nothing else has for a
 // while, so that silence means that it does not answer.
-func (c *Controller) probe(ctx context.Context) {
+func (c *Controller) probeStore(ctx context.Context) {
 	for ctx.Err() == nil {
 		if c.store.SinceLastAnswer() > c.times.LeaderTimeout/4 {
 			if _, err := c.store.Get(ctx, storage.BudgetUrgent, storage.LeaderKey); err != nil {
@@ -249,11 +249,11 @@
 	}
 }
 
-// learnTypes reads the machine types once, without which nobody can be
+// loadMachineTypes reads the machine types once, without which nobody can be
 // answered; the leader follows the prices.
-func (c *Controller) learnTypes(ctx context.Context) {
+func (c *Controller) loadMachineTypes(ctx context.Context) {
 	for ctx.Err() == nil && !c.api.Ready() {
-		types, err := c.cloud.Types(ctx, c.store)
+		types, err := c.cloud.MachineTypes(ctx, c.store)
 		if err == nil {
 			c.api.SetMachineTypes(types)
 			return
--- a/internal/daemon/suspicion.go
+++ b/internal/daemon/failuredetection.go
@@ -15,53 +15,53 @@
 	"pinebay/internal/protocol"
 )
 
-// suspicions is the actor that judges whether other controllers have failed.
-type suspicions struct {
-	box *actor.Mailbox[suspicion.Event]
-	// said is what the next heartbeats say of it.
-	said atomic.Pointer[said]
-	// refusals bounds how often malformed opinions are logged.
-	refusals rate.Sometimes
+// failureDetector is the actor that judges whether other controllers have failed.
+type failureDetector struct {
+	mailbox *actor.Mailbox[suspicion.Event]
+	// published is what the next heartbeats say of it.
+	published atomic.Pointer[publishedOpinions]
+	// malformedLogLimit bounds how often malformed opinions are logged.
+	malformedLogLimit rate.Sometimes
 }
 
-// said is what a controller tells the others with its heartbeats.
-type said struct {
-	is       suspicion.Incarnation
-	health   int
-	opinions []protocol.PeerOpinion
+// publishedOpinions is what a controller tells the others with its heartbeats.
+type publishedOpinions struct {
+	incarnation suspicion.Incarnation
+	health      int
+	opinions    []protocol.PeerOpinion
 }
 
-// suspicionTimes derives the times of suspicion from those of the election.
-func (c *Controller) suspicionTimes() suspicion.Timing {
-	return suspicion.Timing{TickInterval: followerPace * c.times.HeartbeatInterval, SuspicionTimeout: c.times.LeaderTimeout, OpinionTTL: c.times.LeaderTimeout}
+// failureDetectorTimes derives the times of suspicion from those of the election.
+func (c *Controller) failureDetectorTimes() suspicion.Timing {
+	return suspicion.Timing{TickInterval: followerHeartbeatFactor * c.times.HeartbeatInterval, SuspicionTimeout: c.times.LeaderTimeout, OpinionTTL: c.times.LeaderTimeout}
 }
 
-// runSuspicions is the actor; it ends at once while suspicions are off.
-func (c *Controller) runSuspicions(ctx context.Context) {
-	if c.suspicions == nil {
+// runFailureDetector is the actor; it ends at once while suspicions are off.
+func (c *Controller) runFailureDetector(ctx context.Context) {
+	if c.failureDetector == nil {
 		return
 	}
-	times := c.suspicionTimes()
-	machine := suspicion.New(c.now(), c.cfg.Node, c.intents.Incarnation(), c.mesh.Peers(), times)
+	times := c.failureDetectorTimes()
+	machine := suspicion.New(c.now(), c.cfg.Name, c.intents.Incarnation(), c.mesh.Peers(), times)
 	step := func(e suspicion.Event) {
 		now := c.now()
 		machine.SetVoting(c.intents.Recovered(now))
 		for _, effect := range machine.Step(now, e) {
-			c.carryOutSuspicion(ctx, effect)
+			c.applyDetectorEffect(ctx, effect)
 		}
 	}
 	ticked := c.now()
-	c.suspicions.box.Run(ctx, times.TickInterval, step, func() {
+	c.failureDetector.mailbox.Run(ctx, times.TickInterval, step, func() {
 		if now := c.now(); now-ticked >= times.TickInterval {
 			ticked = now
 			step(suspicion.Tick{})
-			c.suspicions.publish(now, machine)
+			c.failureDetector.publish(now, machine)
 		}
 	})
 }
 
-func (s *suspicions) publish(now time.Duration, m *suspicion.Detector) {
-	out := &said{is: m.Incarnation(), health: m.HealthScore()}
+func (s *failureDetector) publish(now time.Duration, m *suspicion.Detector) {
+	out := &publishedOpinions{incarnation: m.Incarnation(), health: m.HealthScore()}
 	opinions := m.Opinions(now)
 	for _, name := range slices.Sorted(maps.Keys(opinions)) {
 		o := opinions[name]
@@ -74,15 +74,15 @@
 			SuspectedForMS: o.SuspectedFor.Milliseconds(), Phi: o.Phi, Failed: o.Failed, UnreachableThrough: o.UnreachableThrough,
 		})
 	}
-	s.said.Store(out)
+	s.published.Store(out)
 }
 
-func (c *Controller) carryOutSuspicion(ctx context.Context, effect suspicion.Effect) {
+func (c *Controller) applyDetectorEffect(ctx context.Context, effect suspicion.Effect) {
 	switch e := effect.(type) {
 	case suspicion.DecisionMade:
 		c.log.Info("suspicion", "decision", e.Decision.Describe())
 		if v, ok := e.Decision.(suspicion.Verdict); ok {
-			c.owners.box.Send(ownership.Verdict{Member: ownership.Member{Controller: v.Controller, Incarnation: v.Incarnation}, Reason: v.Describe()})
+			c.ownership.mailbox.Send(ownership.Verdict{Member: ownership.Member{Controller: v.Controller, Incarnation: v.Incarnation}, Reason: v.Describe()})
 		}
 	case suspicion.Probe:
 		for _, through := range e.Through {
@@ -97,52 +97,52 @@
 	if err != nil || r.TargetReached == nil {
 		return
 	}
-	c.suspicions.box.Send(suspicion.ProbeResult{Target: target, Through: through, Reached: *r.TargetReached})
+	c.failureDetector.mailbox.Send(suspicion.ProbeResult{Target: target, Through: through, Reached: *r.TargetReached})
 }
 
-// probeShare is the part of a call's time, as its inverse, that a probe on behalf of a peer may take:
+// probeTimeoutDivisor is the part of a call's time, as its inverse, that a probe on behalf of a peer may take:
 // the peer's own call must not end before.
-const probeShare = 2
+const probeTimeoutDivisor = 2
 
-// answerProbe answers whether a controller is reached from here. Any answer of it will do, also of
+// handleProbe answers whether a controller is reached from here. Any answer of it will do, also of
 // one without suspicions.
-func (c *Controller) answerProbe(m *protocol.PeerMessage, reply *protocol.PeerMessage) {
-	if c.suspicions == nil || m.ProbeTarget == "" || m.ProbeTarget == c.cfg.Node {
+func (c *Controller) handleProbe(m *protocol.PeerMessage, reply *protocol.PeerMessage) {
+	if c.failureDetector == nil || m.ProbeTarget == "" || m.ProbeTarget == c.cfg.Name {
 		return
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), c.times.LeaderTimeout/2/probeShare)
+	ctx, cancel := context.WithTimeout(context.Background(), c.times.LeaderTimeout/2/probeTimeoutDivisor)
 	defer cancel()
 	_, err := c.mesh.Call(ctx, m.ProbeTarget, protocol.PeerMessage{Kind: protocol.PeerStatusQuery, ProbeTarget: m.ProbeTarget})
 	reached := err == nil
 	reply.TargetReached = &reached
 }
 
-// addSuspicions puts into a heartbeat, or its answer, what this controller holds of the others.
-func (c *Controller) addSuspicions(m *protocol.PeerMessage) {
-	if c.suspicions == nil {
+// addOpinions puts into a heartbeat, or its answer, what this controller holds of the others.
+func (c *Controller) addOpinions(m *protocol.PeerMessage) {
+	if c.failureDetector == nil {
 		return
 	}
-	if s := c.suspicions.said.Load(); s != nil {
-		m.Refutations, m.HealthScore, m.Opinions = s.is.Refutations, s.health, s.opinions
+	if s := c.failureDetector.published.Load(); s != nil {
+		m.Refutations, m.HealthScore, m.Opinions = s.incarnation.Refutations, s.health, s.opinions
 	}
 }
 
-// hearSuspicions takes in a peer's heartbeat, or its answer to ours. Opinions that are out of form are
+// handleOpinions takes in a peer's heartbeat, or its answer to ours. Opinions that are out of form are
 // dropped, and with them whatever they could consent to.
-func (c *Controller) hearSuspicions(m *protocol.PeerMessage) {
-	if c.suspicions == nil || m.Incarnation == 0 {
+func (c *Controller) handleOpinions(m *protocol.PeerMessage) {
+	if c.failureDetector == nil || m.Incarnation == 0 {
 		return
 	}
 	heard := suspicion.PeerHeartbeat{Peer: m.From, Incarnation: suspicion.Incarnation{Process: m.Incarnation, Refutations: m.Refutations}, HealthScore: max(0, m.HealthScore), Voting: m.Recovered}
 	if err := protocol.CheckOpinions(m.Opinions); err != nil {
-		c.suspicions.refusals.Do(func() { c.log.Info("opinions refused", "from", m.From, "err", err) })
+		c.failureDetector.malformedLogLimit.Do(func() { c.log.Info("opinions refused", "from", m.From, "err", err) })
 	} else {
-		heard.Opinions = opinionsOf(m.Opinions)
+		heard.Opinions = decodeOpinions(m.Opinions)
 	}
-	c.suspicions.box.Send(heard)
+	c.failureDetector.mailbox.Send(heard)
 }
 
-func opinionsOf(list []protocol.PeerOpinion) map[string]suspicion.Opinion {
+func decodeOpinions(list []protocol.PeerOpinion) map[string]suspicion.Opinion {
 	out := make(map[string]suspicion.Opinion, len(list))
 	for _, o := range list {
 		heard := time.Duration(o.HeardAgoMS) * time.Millisecond
--- a/internal/daemon/levels.go
+++ b/internal/daemon/featurelevels.go
@@ -14,51 +14,51 @@
 	var missing []string
 	step := func(e featurelevel.Event) {
 		if _, ok := e.(featurelevel.RecordsListed); ok {
-			defer func() { missing = c.tellMissing(missing) }()
+			defer func() { missing = c.logMissingLevels(missing) }()
 		}
 		for _, effect := range c.levels.Step(c.now(), e) {
-			c.carryOutLevel(ctx, effect)
+			c.applyLevelEffect(ctx, effect)
 		}
 	}
-	c.levelBox.Run(ctx, c.times.HeartbeatInterval, step, func() {
+	c.levelMailbox.Run(ctx, c.times.HeartbeatInterval, step, func() {
 		l := c.leading.Load()
 		step(featurelevel.Leadership{Leading: l != nil && l.Ready()})
 		step(featurelevel.Tick{})
 	})
 }
 
-// tellMissing logs which controllers have not shown this version's level, if these are others than were told of.
-func (c *Controller) tellMissing(told []string) []string {
+// logMissingLevels logs which controllers have not shown this version's level, if these are others than were told of.
+func (c *Controller) logMissingLevels(told []string) []string {
 	missing := c.levels.Missing()
-	if !slices.Equal(missing, told) && c.levels.Final() < c.features.level() {
-		c.log.Info("feature level waits for controllers", "level", c.features.level(), "missing", missing)
+	if !slices.Equal(missing, told) && c.levels.Final() < c.features.featureLevel() {
+		c.log.Info("feature level waits for controllers", "level", c.features.featureLevel(), "missing", missing)
 	}
 	return missing
 }
 
-func (c *Controller) carryOutLevel(ctx context.Context, effect featurelevel.Effect) {
+func (c *Controller) applyLevelEffect(ctx context.Context, effect featurelevel.Effect) {
 	switch e := effect.(type) {
 	case featurelevel.ListRecords:
-		go func() { c.levelBox.Send(c.listLevels(ctx)) }()
+		go func() { c.levelMailbox.Send(c.listLevels(ctx)) }()
 	case featurelevel.Announce:
 		go func() {
-			c.announceLevel(ctx, e)
-			c.levelBox.Send(featurelevel.AnnounceDone{})
+			c.recordLevel(ctx, e)
+			c.levelMailbox.Send(featurelevel.AnnounceDone{})
 		}()
 	case featurelevel.Finalise:
 		if l := c.leading.Load(); l != nil {
-			l.Finalise(e.Level)
+			l.FinaliseLevel(e.Level)
 		}
 	case featurelevel.Activate:
 		c.log.Info("feature level in force", "level", e.Level)
-		c.store.SetLimits(c.cfg.Deploy.State.Lowest())
+		c.store.SetLimits(c.cfg.Deployment.Store.Lowest())
 		c.api.SetFeatureLevel(e.Level)
 	}
 }
 
-// levelReached takes in that the leader here has made a level final.
-func (c *Controller) levelReached(level featurelevel.Level) {
-	c.levelBox.Send(featurelevel.Finalised{Level: level})
+// notifyLevelFinalised takes in that the leader here has made a level final.
+func (c *Controller) notifyLevelFinalised(level featurelevel.Level) {
+	c.levelMailbox.Send(featurelevel.Finalised{Level: level})
 }
 
 // listLevels reads what levels the controllers have recorded, and which one is final.
@@ -94,15 +94,15 @@
 	return listed
 }
 
-// announceLevel records the level that this controller speaks. Should the answer be lost, the next look
+// recordLevel records the level that this controller speaks. Should the answer be lost, the next look
 // shows whether it is recorded.
-func (c *Controller) announceLevel(ctx context.Context, e featurelevel.Announce) {
+func (c *Controller) recordLevel(ctx context.Context, e featurelevel.Announce) {
 	value, err := protocol.Encode(storage.FeatureLevelRecord{Level: int(e.Level)})
 	if err != nil {
 		c.log.Error("feature level", "err", err)
 		return
 	}
-	key := storage.FeatureLevelKey(c.cfg.Node)
+	key := storage.FeatureLevelKey(c.cfg.Name)
 	_, ok, err := c.store.Txn(ctx, storage.BudgetUrgent, protocol.Txn{
 		If: []protocol.Compare{{Key: key, Revision: e.Revision}}, Then: []protocol.Op{{PutKey: key, Value: value}}})
 	c.log.Info("feature level recorded", "level", e.Level, "ok", ok, "err", err)
--- a/internal/daemon/fence.go
+++ b/internal/daemon/fencing.go
@@ -11,34 +11,34 @@
 	"pinebay/internal/protocol"
 )
 
-// fenceTimes derives the intervals of fencing without a leader. Cancel time is spent
+// fencingTimes derives the intervals of fencing without a leader. Cancel time is spent
 // as follows: a half until a leader would have fenced, a quarter for the machine to be
 // heard elsewhere, and the rest for the machine list and the release.
-func fenceTimes(d *config.Deployment) fencing.Timing {
-	cancel := config.Seconds(d.Workers.CancelS)
-	return fencing.Timing{GracePeriod: cancel / 4, MinIntentAge: cancel / 2, Retention: cancel + 4*config.Seconds(d.Cloud.ListLagS)}
+func fencingTimes(d *config.Deployment) fencing.Timing {
+	cancel := config.Seconds(d.Workers.CancelSeconds)
+	return fencing.Timing{GracePeriod: cancel / 4, MinIntentAge: cancel / 2, Retention: cancel + 4*config.Seconds(d.Cloud.ListLagSeconds)}
 }
 
 // runFencing is the actor that returns silent machines while no leader can be elected.
 func (c *Controller) runFencing(ctx context.Context) {
 	step := func(e fencing.Event) {
-		for _, effect := range c.fencing.Step(c.now(), e) {
-			c.fence(ctx, effect)
+		for _, effect := range c.fencingMonitor.Step(c.now(), e) {
+			c.applyFencingEffect(ctx, effect)
 		}
 	}
 	assessed := c.now()
-	c.fenceBox.Run(ctx, c.times.LeaderTimeout, step, func() {
+	c.fencingMailbox.Run(ctx, c.times.LeaderTimeout, step, func() {
 		// Every controller of a majority lists the machines at this pace, and the
 		// cloud's rate is shared.
 		if now := c.now(); now-assessed >= c.times.LeaderTimeout {
 			assessed = now
-			step(c.assess(now))
+			step(c.assessFencing(now))
 		}
 	})
 }
 
-// assess tells the fencing how this controller stands.
-func (c *Controller) assess(now time.Duration) fencing.Assessment {
+// assessFencing tells the fencing how this controller stands.
+func (c *Controller) assessFencing(now time.Duration) fencing.Assessment {
 	a := fencing.Assessment{Leaderless: c.leaderless(now), Recovering: !c.intents.Recovered(now)}
 	a.OldestIntentAt, a.HasIntent = c.intents.OldestIntentAt(now)
 	return a
@@ -54,20 +54,20 @@
 	}
 	c.peersMu.Lock()
 	defer c.peersMu.Unlock()
-	return election.Leaderless(now, c.times, c.cfg.Node, v, c.stateOK(), c.mesh.Peers(), c.peers)
+	return election.Leaderless(now, c.times, c.cfg.Name, v, c.storeReachable(), c.mesh.Peers(), c.peers)
 }
 
-// fence carries out an effect. Whatever waits runs on its own goroutine.
-func (c *Controller) fence(ctx context.Context, effect fencing.Effect) {
+// applyFencingEffect carries out an effect. Whatever waits runs on its own goroutine.
+func (c *Controller) applyFencingEffect(ctx context.Context, effect fencing.Effect) {
 	switch e := effect.(type) {
 	case fencing.ListMachines:
 		go func() {
-			list, err := c.cloud.List(ctx, c.cloud.Turn())
+			list, err := c.cloud.List(ctx, c.cloud.Reserve())
 			if err != nil {
 				c.log.Info("machine list not read", "err", err)
 				return // the next assessment asks again
 			}
-			c.fenceBox.Send(fencing.MachinesListed{Machines: list})
+			c.fencingMailbox.Send(fencing.MachinesListed{Machines: list})
 		}()
 	case fencing.QueryPeers:
 		go func() {
@@ -76,10 +76,10 @@
 				c.log.Info("machines not fenced yet: a peer did not answer", "machines", len(e.Machines))
 				return // the next assessment asks again
 			}
-			c.fenceBox.Send(fencing.SilenceConfirmed{Machines: silent})
+			c.fencingMailbox.Send(fencing.SilenceConfirmed{Machines: silent})
 		}()
 	case fencing.ReleaseMachines:
-		go c.releaseSilent(ctx, e.Machines)
+		go c.releaseSilentMachines(ctx, e.Machines)
 	case fencing.AnswerPeer:
 		e.Reply <- e.Heard
 	}
@@ -95,7 +95,7 @@
 }
 
 func (c *Controller) askPeer(ctx context.Context, peer string, machines []string) fencing.PeerReply {
-	a := fencing.PeerReply{Answered: true, InQuorum: c.heardLately(peer)}
+	a := fencing.PeerReply{Answered: true, InQuorum: c.recentlyHeard(peer)}
 	for _, asked := range protocol.SplitMachineNames(machines) {
 		r, err := c.mesh.Call(ctx, peer, protocol.PeerMessage{Kind: protocol.PeerLiveMachinesQuery, Machines: asked})
 		if err != nil {
@@ -107,31 +107,31 @@
 	return a
 }
 
-// heardLately says whether a peer has answered so lately that it counts for a majority.
-func (c *Controller) heardLately(peer string) bool {
+// recentlyHeard says whether a peer has answered so lately that it counts for a majority.
+func (c *Controller) recentlyHeard(peer string) bool {
 	c.peersMu.Lock()
 	defer c.peersMu.Unlock()
 	p, ok := c.peers[peer]
 	return ok && c.now()-p.SentAt <= c.times.LeaderTimeout/2
 }
 
-// releaseSilent returns machines to the cloud. What fails is tried again after the next
+// releaseSilentMachines returns machines to the cloud. What fails is tried again after the next
 // assessment.
-func (c *Controller) releaseSilent(ctx context.Context, machines []string) {
+func (c *Controller) releaseSilentMachines(ctx context.Context, machines []string) {
 	for names := range slices.Chunk(machines, protocol.MaxMachinesPerRelease) {
 		c.log.Info("fencing silent machines without a leader", "machines", names)
-		if err := c.cloud.Release(ctx, c.cloud.Turn(), names); err != nil {
+		if err := c.cloud.Release(ctx, c.cloud.Reserve(), names); err != nil {
 			c.log.Info("release unanswered", "machines", len(names), "err", err)
 			return
 		}
-		c.fenceBox.Send(fencing.MachinesReleased{Machines: names})
+		c.fencingMailbox.Send(fencing.MachinesReleased{Machines: names})
 	}
 }
 
-// machinesHeard answers a peer that asks which machines report here.
-func (c *Controller) machinesHeard(machines []string) []string {
+// heardMachines answers a peer that asks which machines report here.
+func (c *Controller) heardMachines(machines []string) []string {
 	reply := make(chan []string, 1)
-	c.fenceBox.Send(fencing.PeerQuery{Machines: machines, Reply: reply})
+	c.fencingMailbox.Send(fencing.PeerQuery{Machines: machines, Reply: reply})
 	select {
 	case heard := <-reply:
 		return heard
--- a/internal/daemon/lead.go
+++ b/internal/daemon/leadership.go
@@ -18,45 +18,47 @@
 // runElection is the election's actor.
 func (c *Controller) runElection(ctx context.Context) {
 	step := func(e election.Event) {
-		effects := c.elect.Step(c.now(), e)
-		c.publish()
+		effects := c.election.Step(c.now(), e)
+		c.publishView()
 		for _, e := range effects {
-			c.carryOut(ctx, e)
+			c.applyElectionEffect(ctx, e)
 		}
 	}
-	c.box.Run(ctx, c.times.HeartbeatInterval, step, func() { step(election.Tick{}) })
+	c.electionMailbox.Run(ctx, c.times.HeartbeatInterval, step, func() { step(election.Tick{}) })
 	if l := c.leading.Swap(nil); l != nil {
 		l.Stop()
 	}
 }
 
-func (c *Controller) carryOut(ctx context.Context, effect election.Effect) {
+func (c *Controller) applyElectionEffect(ctx context.Context, effect election.Effect) {
 	switch e := effect.(type) {
 	case election.Claim:
-		go func() { c.box.Send(c.claim(ctx, e)) }()
+		go func() { c.electionMailbox.Send(c.claim(ctx, e)) }()
 	case election.RenewLease:
 		go func() {
 			err := c.store.RenewLease(ctx, e.LeaseID)
-			c.box.Send(election.RenewalResult{LeaseExpired: errors.Is(err, storage.ErrLeaseNotFound), Term: e.Term})
+			c.electionMailbox.Send(election.RenewalResult{LeaseExpired: errors.Is(err, storage.ErrLeaseNotFound), Term: e.Term})
 		}()
 	case election.BecomeLeader:
 		l := leader.Start(ctx, leader.Deps{
-			Cfg: &c.cfg.Deploy, Log: c.log, Store: c.store, Random: c.random, Cloud: c.cloud, Workers: c.workers, Now: c.now,
-			Types: c.api.SetMachineTypes, ZoneReturn: c.features.ZoneReturn, Timing: c.features.Timing,
+			Deployment: &c.cfg.Deployment, Log: c.log, Store: c.store, Random: c.random, Cloud: c.cloud, Workers: c.workers, Now: c.now,
+			MachineTypesRead: c.api.SetMachineTypes, ZoneReturn: c.features.ZoneReturn, Timing: c.features.Timing,
 			Confirmed: func() bool {
 				v := c.view.Load()
 				return v.Leading && v.Term == e.Term && c.now() < v.ConfirmedUntil
 			},
-			Watch: c.times.LeaderTimeout / 2, Confirm: c.times.CancellationTimeout, Withdrawals: c.intents.NewestByJob, IsWithdrawn: c.withdrawn,
-			Fresh: func(term uint64, at time.Duration) { c.box.Send(election.WatchProgress{Term: term, UpTo: at}) },
+			WatchTimeout: c.times.LeaderTimeout / 2, ConfirmWithin: c.times.CancellationTimeout, CancellationIntents: c.intents.NewestByJob, HasCancellationIntent: c.cancellationRequested,
+			Fresh: func(term uint64, at time.Duration) {
+				c.electionMailbox.Send(election.WatchProgress{Term: term, UpTo: at})
+			},
 			Deposed: func(term uint64, d scheduler.Depose) {
 				if d.Term > term {
-					c.box.Send(election.HigherTerm{Term: d.Term})
+					c.electionMailbox.Send(election.HigherTerm{Term: d.Term})
 				}
-				c.box.Send(election.Resign{Term: term, DeferToOthers: d.Away})
+				c.electionMailbox.Send(election.Resign{Term: term, DeferToOthers: d.Away})
 			},
-			LevelReached: c.levelReached,
-		}, scheduler.Term{Number: e.Term, Stamp: e.Revision, Node: c.cfg.Node, Level: featurelevel.Level(e.FeatureLevel)})
+			LevelReached: c.notifyLevelFinalised,
+		}, scheduler.Term{Number: e.Term, Stamp: e.Revision, Node: c.cfg.Name, Level: featurelevel.Level(e.FeatureLevel)})
 		if old := c.leading.Swap(l); old != nil {
 			old.Stop()
 		}
@@ -93,9 +95,9 @@
 			return fail(err)
 		}
 	}
-	if rec.FeatureLevel > int(c.features.level()) {
-		c.refuseNewer.Do(func() {
-			c.log.Error("a newer feature level is final: this version can't lead any more", "level", rec.FeatureLevel, "own", c.features.level())
+	if rec.FeatureLevel > int(c.features.featureLevel()) {
+		c.newerLevelLogged.Do(func() {
+			c.log.Error("a newer feature level is final: this version can't lead any more", "level", rec.FeatureLevel, "own", c.features.featureLevel())
 		})
 		return election.ClaimResult{}
 	}
@@ -103,8 +105,8 @@
 	if err != nil {
 		return fail(err)
 	}
-	if rec.Term > e.AboveTerm && lp.Revision != 0 && rec.Controller != c.cfg.Node {
-		c.box.Send(election.LeaderKey{Present: true, Holder: rec.Controller, Term: rec.Term})
+	if rec.Term > e.AboveTerm && lp.Revision != 0 && rec.Controller != c.cfg.Name {
+		c.electionMailbox.Send(election.LeaderKey{Present: true, Holder: rec.Controller, Term: rec.Term})
 		return election.ClaimResult{}
 	}
 	lease, err := c.store.GrantLease(ctx, c.times.LeaseTTL)
@@ -114,11 +116,11 @@
 	// A worker may have seen a token that no record tells of any more only if
 	// the state service lost it; be above what we have seen all the same.
 	term := max(rec.Term, e.AboveTerm) + 1
-	value, err := storage.EncodeTerm(storage.TermRecord{Term: term, Controller: c.cfg.Node, ClaimID: fmt.Sprint(lease), FeatureLevel: rec.FeatureLevel})
+	value, err := storage.EncodeTerm(storage.TermRecord{Term: term, Controller: c.cfg.Name, ClaimID: fmt.Sprint(lease), FeatureLevel: rec.FeatureLevel})
 	if err != nil {
 		return fail(err)
 	}
-	lvalue, err := protocol.Encode(storage.LeaderRecord{Controller: c.cfg.Node, Term: term})
+	lvalue, err := protocol.Encode(storage.LeaderRecord{Controller: c.cfg.Name, Term: term})
 	if err != nil {
 		return fail(err)
 	}
@@ -135,7 +137,7 @@
 // watchLeader follows the leader's key.
 func (c *Controller) watchLeader(ctx context.Context) {
 	var rev uint64
-	wait := config.Seconds(c.cfg.Deploy.Workers.LeaseS)
+	wait := config.Seconds(c.cfg.Deployment.Workers.LeaseSeconds)
 	fresh := false
 	for ctx.Err() == nil {
 		if !fresh {
@@ -144,7 +146,7 @@
 				c.random.Pause(ctx, "watch leader", c.times.HeartbeatInterval)
 				continue
 			}
-			c.leaderKey(p.Value, p.Revision)
+			c.handleLeaderKey(p.Value, p.Revision)
 			rev, fresh = max(rev, p.Revision), true
 			if p.Revision == 0 {
 				pairs, r, err := c.store.List(ctx, storage.LeaderKey)
@@ -155,7 +157,7 @@
 				}
 				rev = max(rev, r)
 				for _, p := range pairs {
-					c.leaderKey(p.Value, p.Revision)
+					c.handleLeaderKey(p.Value, p.Revision)
 				}
 			}
 		}
@@ -168,17 +170,17 @@
 		rev = max(rev, ev.Revision)
 		for _, e := range ev.Events {
 			if e.DeleteKey != "" {
-				c.leaderKey(nil, 0)
+				c.handleLeaderKey(nil, 0)
 			} else {
-				c.leaderKey(e.Value, e.Revision)
+				c.handleLeaderKey(e.Value, e.Revision)
 			}
 		}
 	}
 }
 
-func (c *Controller) leaderKey(value []byte, version uint64) {
+func (c *Controller) handleLeaderKey(value []byte, version uint64) {
 	if version == 0 {
-		c.box.Send(election.LeaderKey{Term: c.view.Load().Term})
+		c.electionMailbox.Send(election.LeaderKey{Term: c.view.Load().Term})
 		return
 	}
 	var rec storage.LeaderRecord
@@ -186,5 +188,5 @@
 		c.log.Error("leader record out of form", "err", err)
 		return
 	}
-	c.box.Send(election.LeaderKey{Present: true, Holder: rec.Controller, Term: rec.Term})
+	c.electionMailbox.Send(election.LeaderKey{Present: true, Holder: rec.Controller, Term: rec.Term})
 }
--- /dev/null
+++ b/internal/daemon/ownerheartbeats.go
@@ -0,0 +1,201 @@
+package daemon
+
+import (
+	"context"
+	"fmt"
+	"net/http"
+	"time"
+
+	"pinebay/internal/actor"
+	"pinebay/internal/coordination/election"
+	"pinebay/internal/coordination/leader"
+	"pinebay/internal/coordination/ownership"
+	"pinebay/internal/coordination/scheduler"
+	"pinebay/internal/protocol"
+	"pinebay/internal/transport"
+)
+
+// routeByOwner takes a report by who owns its machine, and says whether it has answered it: the owner answers what
+// tells nothing new and passes the rest on to the leader, others send the worker to its owner. What is not answered
+// here goes as without owners.
+func (c *Controller) routeByOwner(w http.ResponseWriter, r *http.Request, l *leader.Leader, v *election.View, rep *protocol.WorkerHeartbeat, raw []byte) bool {
+	if c.ownership == nil {
+		return false
+	}
+	table := c.effectiveTable(l, v)
+	if table == nil {
+		return false
+	}
+	owner := table.Owner(rep.Machine)
+	switch {
+	case owner == c.cfg.Name && l == nil && c.ownerStatus(table, v).MayAnswer():
+		c.answerAsOwner(w, r, table, v, rep, raw)
+		return true
+	case owner == c.cfg.Name || owner == "" || !c.ownerReachable(owner, l != nil) || c.returnedFromOwner(rep.Machine, table):
+		return false
+	}
+	c.redirect(w, owner)
+	return true
+}
+
+// effectiveTable returns the owners if the leader goes by them, or nil.
+func (c *Controller) effectiveTable(l *leader.Leader, v *election.View) *ownership.Table {
+	table := c.ownership.table.Load()
+	if table == nil {
+		return nil
+	}
+	if l != nil {
+		if !l.Ready() {
+			return nil
+		}
+		return table
+	}
+	if at := c.ownership.leaderEpoch.Load(); at == nil || at.node != v.Leader || at.epoch != table.Epoch {
+		return nil
+	}
+	return table
+}
+
+// ownershipEffective says whether the leader goes by a record of owners.
+func (c *Controller) ownershipEffective(v *election.View) bool {
+	return c.ownership != nil && c.effectiveTable(nil, v) != nil
+}
+
+// ownerStatus is what decides whether this controller may answer workers as an owner.
+func (c *Controller) ownerStatus(table *ownership.Table, v *election.View) ownership.OwnerStatus {
+	now := c.now()
+	c.peersMu.Lock()
+	defer c.peersMu.Unlock()
+	s := ownership.OwnerStatus{Table: table, Controller: c.cfg.Name, Process: c.intents.Incarnation(), Leader: v.Leader,
+		DigestAge: now - time.Duration(c.ownership.digestAcknowledgedAt.Load()), MaxDigestAge: c.times.LeaderTimeout,
+		KnowsCancellations: election.KnowsCancellations(now, c.times, c.intents.Recovered(now), c.mesh.Peers(), c.peers)}
+	if at := c.ownership.leaderEpoch.Load(); at != nil && at.node == v.Leader {
+		s.LeaderEpoch = at.epoch
+	}
+	return s
+}
+
+// ownerReachable says whether an owner is likely to take a worker. The leader knows by its digests, others by its answers.
+func (c *Controller) ownerReachable(owner string, leads bool) bool {
+	now := c.now()
+	if leads {
+		c.ownership.mu.Lock()
+		defer c.ownership.mu.Unlock()
+		at, ok := c.ownership.digestReceivedAt[owner]
+		return ok && now-at <= c.times.LeaderTimeout/2
+	}
+	c.peersMu.Lock()
+	defer c.peersMu.Unlock()
+	p, ok := c.peers[owner]
+	return ok && now-p.SentAt <= c.times.LeaderTimeout/2
+}
+
+// returnedFromOwner says whether a machine was sent to its owner and has come back: it can't reach it, and is served here for a
+// while.
+func (c *Controller) returnedFromOwner(machine string, table *ownership.Table) bool {
+	return c.ownership.ownerRedirects.ShouldRelay(machine, fmt.Sprint(table.Epoch), false, c.now())
+}
+
+// answerAsOwner answers a report of a machine that this controller owns.
+func (c *Controller) answerAsOwner(w http.ResponseWriter, r *http.Request, table *ownership.Table, v *election.View, rep *protocol.WorkerHeartbeat, raw []byte) {
+	o := c.ownership
+	o.mu.Lock()
+	news := o.heartbeats.MustForward(c.now(), rep, v.Term)
+	o.mu.Unlock()
+	if !news {
+		transport.WriteResponse(w, http.StatusOK, ownership.UnchangedReply(rep, c.cancellationRequested))
+		o.mu.Lock()
+		o.heartbeats.AnsweredLocally(rep)
+		o.mu.Unlock()
+		return
+	}
+	ctx, cancel := context.WithTimeout(r.Context(), heartbeatTimeout)
+	defer cancel()
+	if c.forwardToLeader(ctx, w, v.Leader, protocol.PeerMessage{Kind: protocol.PeerForwardedHeartbeat, Body: raw, OwnershipEpoch: table.Epoch}) {
+		o.mu.Lock()
+		o.heartbeats.Forwarded(c.now(), rep)
+		o.mu.Unlock()
+	}
+}
+
+// sendDigests tells the leader regularly which machines this controller has answered; it ends at once while ownership is
+// off.
+func (c *Controller) sendDigests(ctx context.Context) {
+	if c.ownership == nil {
+		return
+	}
+	for actor.Sleep(ctx, followerHeartbeatFactor*c.times.HeartbeatInterval) == nil {
+		v := c.view.Load()
+		table := c.ownership.table.Load()
+		if table == nil || v.Leader == "" || v.Leader == c.cfg.Name || c.leading.Load() != nil {
+			continue
+		}
+		if _, ok := table.Member(c.cfg.Name); ok {
+			c.sendDigest(ctx, v.Leader, table)
+		}
+	}
+}
+
+// sendDigest tells the leader which machines were answered since the last digest, and takes in which of their reports
+// it wants.
+func (c *Controller) sendDigest(ctx context.Context, leader string, table *ownership.Table) {
+	c.ownership.mu.Lock()
+	c.ownership.heartbeats.Expire(c.now())
+	alive := c.ownership.heartbeats.TakeUnchanged()
+	c.ownership.mu.Unlock()
+	for {
+		part := alive[:min(len(alive), maxDigestMachines)]
+		alive = alive[len(part):]
+		sent := c.now()
+		m := protocol.PeerMessage{Kind: protocol.PeerUnchangedHeartbeats, OwnershipEpoch: table.Epoch, Incarnation: c.intents.Incarnation()}
+		for _, a := range part {
+			m.Machines = append(m.Machines, a.Machine)
+			m.MachineIncarnations, m.HeartbeatSequences = append(m.MachineIncarnations, a.Incarnation), append(m.HeartbeatSequences, a.Sequence)
+		}
+		r, err := c.mesh.Call(ctx, leader, m)
+		if err != nil || r.OwnershipEpoch != table.Epoch {
+			c.log.Debug("digest not acknowledged", "leader", leader, "epoch", table.Epoch, "err", err)
+			return
+		}
+		c.ownership.digestAcknowledgedAt.Store(int64(sent))
+		c.ownership.mu.Lock()
+		c.ownership.heartbeats.ForwardNext(r.Machines)
+		c.ownership.mu.Unlock()
+		if len(alive) == 0 {
+			return
+		}
+	}
+}
+
+// maxDigestMachines is how many machines one message tells of, so that it fits a frame.
+const maxDigestMachines = protocol.MaxMachinesPerMessage
+
+// handleDigest takes in which machines an owner has answered. A digest of another epoch, or of a controller that owns
+// nothing in this one, is not acknowledged: whoever sent it stops answering as an owner.
+func (c *Controller) handleDigest(m, reply *protocol.PeerMessage) {
+	l := c.leading.Load()
+	if c.ownership == nil || l == nil || !l.Ready() {
+		return
+	}
+	table := c.ownership.table.Load()
+	if table == nil || m.OwnershipEpoch != table.Epoch {
+		return
+	}
+	if owner, ok := table.Member(m.From); !ok || owner.Incarnation.Process != m.Incarnation {
+		return
+	}
+	ctx, cancel := context.WithTimeout(context.Background(), c.times.LeaderTimeout/2)
+	defer cancel()
+	machines := make([]scheduler.AliveMachine, len(m.MachineIncarnations))
+	for i := range machines {
+		machines[i] = scheduler.AliveMachine{Name: m.Machines[i], Session: m.MachineIncarnations[i], Seq: m.HeartbeatSequences[i]}
+	}
+	passOn, ok := l.UnchangedHeartbeats(ctx, machines)
+	if !ok || c.leading.Load() != l {
+		return
+	}
+	reply.OwnershipEpoch, reply.Machines = table.Epoch, passOn
+	c.ownership.mu.Lock()
+	defer c.ownership.mu.Unlock()
+	c.ownership.digestReceivedAt[m.From] = c.now()
+}
--- a/internal/daemon/owners.go
+++ b/internal/daemon/ownership.go
@@ -16,22 +16,22 @@
 	"pinebay/internal/storage"
 )
 
-// owners is a controller's part in ownership.
-type owners struct {
-	box *actor.Mailbox[ownership.Event]
+// ownershipState is a controller's part in ownership.
+type ownershipState struct {
+	mailbox *actor.Mailbox[ownership.Event]
 	// table is what is in force, as far as this controller has read; nil: nothing.
 	table atomic.Pointer[ownership.Table]
-	// leader is what the last heartbeat of a leader said of ownership.
-	leader atomic.Pointer[leaderEpoch]
-	// leaving says that this controller is about to end, and should own nothing any more.
-	leaving atomic.Bool
-	// acknowledged is the steady time of the last digest that the leader has acknowledged.
-	acknowledged atomic.Int64
+	// leaderEpoch is what the last heartbeat of a leader said of ownership.
+	leaderEpoch atomic.Pointer[leaderEpoch]
+	// draining says that this controller is about to end, and should own nothing any more.
+	draining atomic.Bool
+	// digestAcknowledgedAt is the steady time of the last digest that the leader has acknowledged.
+	digestAcknowledgedAt atomic.Int64
 
-	mu      sync.Mutex // guards what follows
-	reports *ownership.HeartbeatFilter
-	digests map[string]time.Duration // at the leader: when each owner's last digest came
-	bounces *RedirectTracker         // machines that were sent to their owner
+	mu               sync.Mutex // guards what follows
+	heartbeats       *ownership.HeartbeatFilter
+	digestReceivedAt map[string]time.Duration // at the leader: when each owner's last digest came
+	ownerRedirects   *RedirectTracker         // machines that were sent to their owner
 }
 
 // leaderEpoch is the epoch by which a leader goes; 0: none.
@@ -40,30 +40,30 @@
 	epoch uint64
 }
 
-func (c *Controller) newOwners() *owners {
-	lease := config.Seconds(c.cfg.Deploy.Workers.LeaseS)
-	return &owners{box: actor.NewMailbox[ownership.Event](), reports: ownership.NewHeartbeatFilter(lease / 2),
-		digests: map[string]time.Duration{}, bounces: NewRedirectTracker(lease)}
+func (c *Controller) newOwnershipState() *ownershipState {
+	lease := config.Seconds(c.cfg.Deployment.Workers.LeaseSeconds)
+	return &ownershipState{mailbox: actor.NewMailbox[ownership.Event](), heartbeats: ownership.NewHeartbeatFilter(lease / 2),
+		digestReceivedAt: map[string]time.Duration{}, ownerRedirects: NewRedirectTracker(lease)}
 }
 
 // ownershipTimes derives the times of ownership from those of the election.
 func (c *Controller) ownershipTimes() ownership.Timing {
-	return ownership.Timing{TickInterval: followerPace * c.times.HeartbeatInterval, PeerTimeout: c.times.LeaderTimeout, RejoinDelay: 2 * c.times.LeaderTimeout}
+	return ownership.Timing{TickInterval: followerHeartbeatFactor * c.times.HeartbeatInterval, PeerTimeout: c.times.LeaderTimeout, RejoinDelay: 2 * c.times.LeaderTimeout}
 }
 
 // runOwnership is the actor that keeps the ownership record; it ends at once while ownership is off.
 func (c *Controller) runOwnership(ctx context.Context) {
-	if c.owners == nil {
+	if c.ownership == nil {
 		return
 	}
 	times := c.ownershipTimes()
-	machine := ownership.New(c.cfg.Node, c.mesh.Peers(), times)
+	machine := ownership.New(c.cfg.Name, c.mesh.Peers(), times)
 	step := func(e ownership.Event) {
 		for _, effect := range machine.Step(c.now(), e) {
-			c.carryOutOwnership(ctx, effect)
+			c.applyOwnershipEffect(ctx, effect)
 		}
 	}
-	c.owners.box.Run(ctx, times.TickInterval, step, func() {
+	c.ownership.mailbox.Run(ctx, times.TickInterval, step, func() {
 		l := c.leading.Load()
 		step(ownership.Leadership{Leading: l != nil && l.Ready() && c.api.FeatureLevel() >= featurelevel.Pipelines})
 		step(ownership.OwnIncarnation{Incarnation: c.incarnation()})
@@ -73,36 +73,36 @@
 
 // incarnation is the one that this process is in.
 func (c *Controller) incarnation() suspicion.Incarnation {
-	if s := c.suspicions.said.Load(); s != nil {
-		return s.is
+	if s := c.failureDetector.published.Load(); s != nil {
+		return s.incarnation
 	}
 	return suspicion.Incarnation{Process: c.intents.Incarnation()}
 }
 
-func (c *Controller) carryOutOwnership(ctx context.Context, effect ownership.Effect) {
+func (c *Controller) applyOwnershipEffect(ctx context.Context, effect ownership.Effect) {
 	switch e := effect.(type) {
 	case ownership.WriteRecord:
 		go func() {
 			if err := c.writeOwnership(ctx, e.Record); err != nil {
 				c.log.Info("ownership record not written", "epoch", e.Record.Epoch, "err", err)
 			}
-			c.owners.box.Send(ownership.WriteDone{})
+			c.ownership.mailbox.Send(ownership.WriteDone{})
 		}()
 	case ownership.AdoptRecord:
-		c.adopt(e.Record)
+		c.adoptOwnership(e.Record)
 	}
 }
 
 var (
-	errNotLeading = errors.New("this controller does not lead any more")
-	errOvertaken  = errors.New("another record is in force")
+	errNotLeader  = errors.New("this controller does not lead any more")
+	errSuperseded = errors.New("another record is in force")
 )
 
 // writeOwnership replaces the record, if this controller still leads and the record is the one that it goes by.
 func (c *Controller) writeOwnership(ctx context.Context, r ownership.Record) error {
 	l := c.leading.Load()
 	if l == nil {
-		return errNotLeading
+		return errNotLeader
 	}
 	term, err := c.store.Get(ctx, storage.BudgetPlacement, storage.TermKey)
 	if err != nil {
@@ -113,7 +113,7 @@
 		return err
 	}
 	if rec.Term != l.Term() {
-		return errNotLeading
+		return errNotLeader
 	}
 	entry := storage.OwnershipRecord{Format: storage.OwnershipFormat, Epoch: r.Epoch, Term: rec.Term, Reason: r.Reason}
 	for _, m := range r.Members {
@@ -130,27 +130,27 @@
 		Then: []protocol.Op{{PutKey: storage.OwnershipKey, Value: value}},
 	})
 	if err == nil && !ok {
-		err = errOvertaken
+		err = errSuperseded
 	}
 	return err
 }
 
-// adopt takes in the record that is in force.
-func (c *Controller) adopt(r ownership.Record) {
-	old := c.owners.table.Load()
+// adoptOwnership takes in the record that is in force.
+func (c *Controller) adoptOwnership(r ownership.Record) {
+	old := c.ownership.table.Load()
 	if r.Epoch == 0 {
-		c.owners.table.Store(nil)
+		c.ownership.table.Store(nil)
 		return
 	}
 	table := ownership.NewTable(r.Epoch, r.Members)
-	c.owners.table.Store(table)
+	c.ownership.table.Store(table)
 	var nodes []string
 	for _, m := range table.Members() {
 		nodes = append(nodes, m.Controller)
 	}
 	c.log.Info("ownership epoch in force", "epoch", r.Epoch, "owners", nodes, "reason", r.Reason)
-	if _, now := table.Member(c.cfg.Node); old != nil && !now {
-		if _, before := old.Member(c.cfg.Node); before {
+	if _, now := table.Member(c.cfg.Name); old != nil && !now {
+		if _, before := old.Member(c.cfg.Name); before {
 			c.log.Info("this controller's ownership epoch is over", "epoch", old.Epoch, "now", r.Epoch)
 		}
 	}
@@ -158,12 +158,12 @@
 
 // watchOwnership follows the ownership record; it ends at once while ownership is off.
 func (c *Controller) watchOwnership(ctx context.Context) {
-	if c.owners == nil {
+	if c.ownership == nil {
 		return
 	}
 	var rev uint64
 	fresh := false
-	wait := config.Seconds(c.cfg.Deploy.Workers.LeaseS)
+	wait := config.Seconds(c.cfg.Deployment.Workers.LeaseSeconds)
 	for ctx.Err() == nil {
 		if !fresh {
 			pairs, r, err := c.store.ListWithBudget(ctx, storage.BudgetPoll, storage.OwnershipKey)
@@ -172,10 +172,10 @@
 				continue
 			}
 			if len(pairs) == 0 {
-				c.owners.box.Send(ownership.RecordRead{})
+				c.ownership.mailbox.Send(ownership.RecordRead{})
 			}
 			for _, p := range pairs {
-				c.ownershipRead(p.Value, p.Revision)
+				c.handleOwnershipRecord(p.Value, p.Revision)
 			}
 			rev, fresh = r, true
 		}
@@ -188,15 +188,15 @@
 		rev = max(rev, ev.Revision)
 		for _, e := range ev.Events {
 			if e.PutKey == storage.OwnershipKey {
-				c.ownershipRead(e.Value, e.Revision)
+				c.handleOwnershipRecord(e.Value, e.Revision)
 			}
 		}
 	}
 }
 
-// ownershipRead takes in the record as the state service has it. One that can't be read is reported and left alone:
+// handleOwnershipRecord takes in the record as the state service has it. One that can't be read is reported and left alone:
 // what was in force before stays, and this controller proposes nothing.
-func (c *Controller) ownershipRead(value []byte, version uint64) {
+func (c *Controller) handleOwnershipRecord(value []byte, version uint64) {
 	rec, err := storage.DecodeOwnership(value)
 	if err != nil {
 		c.log.Error("ownership record left alone", "err", err)
@@ -206,24 +206,24 @@
 	for _, e := range rec.Members {
 		r.Members = append(r.Members, ownership.Member{Controller: e.Controller, Incarnation: suspicion.Incarnation{Process: e.Incarnation, Refutations: e.Refutations}})
 	}
-	c.owners.box.Send(ownership.RecordRead{Record: r})
+	c.ownership.mailbox.Send(ownership.RecordRead{Record: r})
 }
 
 // Drain hands the machines of a controller that is about to end to the others, and returns when its workers have had time to
 // move, or when nobody takes them within the time in which a leader would be replaced. A leader's are its successor's.
 func (c *Controller) Drain(ctx context.Context) {
-	if c.owners == nil || c.leading.Load() != nil {
+	if c.ownership == nil || c.leading.Load() != nil {
 		return
 	}
-	c.owners.leaving.Store(true)
+	c.ownership.draining.Store(true)
 	ctx, cancel := context.WithTimeout(ctx, 2*c.times.LeaderTimeout)
 	defer cancel()
 	for {
-		table := c.owners.table.Load()
+		table := c.ownership.table.Load()
 		if table == nil {
 			return
 		}
-		if _, owns := table.Member(c.cfg.Node); !owns {
+		if _, owns := table.Member(c.cfg.Name); !owns {
 			break
 		}
 		if actor.Sleep(ctx, c.times.HeartbeatInterval) != nil {
@@ -233,33 +233,33 @@
 	}
 	c.log.Info("drained: the others own the machines")
 	// A worker that reports once more is sent to its new owner.
-	_ = actor.Sleep(context.WithoutCancel(ctx), config.Seconds(drainReports*c.cfg.Deploy.Workers.ReportS))
+	_ = actor.Sleep(context.WithoutCancel(ctx), config.Seconds(drainHeartbeats*c.cfg.Deployment.Workers.HeartbeatSeconds))
 }
 
-// drainReports is for how many intervals of reports a drained controller goes on sending workers to their new owners: they
+// drainHeartbeats is for how many intervals of reports a drained controller goes on sending workers to their new owners: they
 // report up to a quarter later, and pause up to half a second.
-const drainReports = 1.5
+const drainHeartbeats = 1.5
 
 // addOwnership puts into a heartbeat, or its answer, that this controller can own machines, and if it leads, by which
 // epoch it goes.
 func (c *Controller) addOwnership(m *protocol.PeerMessage) {
-	if c.owners == nil {
+	if c.ownership == nil {
 		return
 	}
 	// One that has just begun may have forgotten cancellations, and could not answer anybody.
-	m.CanOwn = c.intents.Recovered(c.now()) && !c.owners.leaving.Load()
-	if t := c.owners.table.Load(); t != nil && c.leading.Load() != nil {
+	m.CanOwn = c.intents.Recovered(c.now()) && !c.ownership.draining.Load()
+	if t := c.ownership.table.Load(); t != nil && c.leading.Load() != nil {
 		m.OwnershipEpoch = t.Epoch
 	}
 }
 
-// hearOwnership takes in what a peer's heartbeat says of ownership.
-func (c *Controller) hearOwnership(m *protocol.PeerMessage) {
-	if c.owners == nil || m.Incarnation == 0 {
+// handleOwnershipStatus takes in what a peer's heartbeat says of ownership.
+func (c *Controller) handleOwnershipStatus(m *protocol.PeerMessage) {
+	if c.ownership == nil || m.Incarnation == 0 {
 		return
 	}
-	c.owners.box.Send(ownership.PeerHeartbeat{CanOwn: m.CanOwn, Member: ownership.Member{Controller: m.From, Incarnation: suspicion.Incarnation{Process: m.Incarnation, Refutations: m.Refutations}}})
+	c.ownership.mailbox.Send(ownership.PeerHeartbeat{CanOwn: m.CanOwn, Member: ownership.Member{Controller: m.From, Incarnation: suspicion.Incarnation{Process: m.Incarnation, Refutations: m.Refutations}}})
 	if m.Leader == m.From {
-		c.owners.leader.Store(&leaderEpoch{node: m.From, epoch: m.OwnershipEpoch})
+		c.ownership.leaderEpoch.Store(&leaderEpoch{node: m.From, epoch: m.OwnershipEpoch})
 	}
 }
--- a/internal/daemon/redirects_test.go
+++ b/internal/daemon/redirects_test.go
@@ -29,7 +29,7 @@
 		{"m1", "b", false, 41 * time.Second, false},
 		{"m1", "b", false, 46 * time.Second, true},
 	} {
-		if got := tr.Relay(x.machine, x.leader, x.met, x.at); got != x.relay {
+		if got := tr.ShouldRelay(x.machine, x.leader, x.met, x.at); got != x.relay {
 			t.Errorf("%d: %+v: %v", i, x, got)
 		}
 	}
--- a/internal/daemon/times_test.go
+++ b/internal/daemon/times_test.go
@@ -19,10 +19,10 @@
 func TestTimesFitTheCancelTime(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var d config.Deployment
-		d.Workers.LeaseS = rapid.Float64Range(1, 60).Draw(t, "lease")
-		d.Workers.CancelS = d.Workers.LeaseS * rapid.Float64Range(1.5, 10).Draw(t, "cancel")
+		d.Workers.LeaseSeconds = rapid.Float64Range(1, 60).Draw(t, "lease")
+		d.Workers.CancelSeconds = d.Workers.LeaseSeconds * rapid.Float64Range(1.5, 10).Draw(t, "cancel")
 		x := Times(&d)
-		lease, cancel := config.Seconds(d.Workers.LeaseS), config.Seconds(d.Workers.CancelS)
+		lease, cancel := config.Seconds(d.Workers.LeaseSeconds), config.Seconds(d.Workers.CancelSeconds)
 		switch {
 		case x.RenewalHorizon+lease > cancel-cancel/8+time.Millisecond:
 			t.Errorf("horizon %v and lease %v in %v", x.RenewalHorizon, lease, cancel)
@@ -30,8 +30,8 @@
 			t.Errorf("hold %v, horizon %v, beat %v", x.ConfirmationTimeout, x.RenewalHorizon, x.HeartbeatInterval)
 		case x.RecoveryPeriod < lease+x.RenewalHorizon+x.LeaderTimeout:
 			t.Errorf("recovery time %v", x.RecoveryPeriod)
-		case keepIntents(&d, x) < cancel+x.RecoveryPeriod:
-			t.Errorf("intents are kept for %v", keepIntents(&d, x))
+		case intentRetention(&d, x) < cancel+x.RecoveryPeriod:
+			t.Errorf("intents are kept for %v", intentRetention(&d, x))
 		}
 	})
 }
@@ -47,13 +47,13 @@
 	}{
 		{election.View{Leading: true, Leader: "n-0"}, c.times.HeartbeatInterval},
 		{election.View{}, c.times.HeartbeatInterval},
-		{election.View{Leader: "n-1"}, followerPace * c.times.HeartbeatInterval},
+		{election.View{Leader: "n-1"}, followerHeartbeatFactor * c.times.HeartbeatInterval},
 	} {
-		if got := c.beatInterval(&row.view); got != row.want {
+		if got := c.heartbeatInterval(&row.view); got != row.want {
 			t.Errorf("%+v: a heartbeat every %v, want %v", row.view, got, row.want)
 		}
 	}
-	if 2*followerPace*c.times.HeartbeatInterval > c.times.LeaderTimeout/2 {
+	if 2*followerHeartbeatFactor*c.times.HeartbeatInterval > c.times.LeaderTimeout/2 {
 		t.Error("a lost heartbeat makes a follower look silent")
 	}
 }
--- a/internal/scale/controllers.go
+++ b/internal/scale/controllers.go
@@ -49,33 +49,33 @@
 func controllerSettings(c *Config, l Load, teams []config.Team, node int, stateAddr, cloudAddr string) *config.Settings {
 	zones := zoneNames(l.Zones)
 	s := &config.Settings{
-		Node: controllerName(node), Location: zones[node%len(zones)], Listen: c.controllerAddr(node), MeshAddr: c.meshAddr(node),
-		Outside: config.Outside{Cloud: cloudAddr, State: stateAddr},
-		Deploy: config.Deployment{
-			Nodes: l.Controllers, Zones: zones, ClockOffMS: 250, Teams: teams,
-			Workers: config.Workers{ReportS: c.HeartbeatInterval.Seconds(), LeaseS: c.Lease.Seconds(), GangWaitS: 3 * c.Lease.Seconds(),
-				GangPeerS: 5, CancelS: 4 * c.Lease.Seconds()},
-			State: c.stateLimits(), Cloud: c.cloudLimits(),
+		Name: controllerName(node), Location: zones[node%len(zones)], ListenAddr: c.controllerAddr(node), MeshAddr: c.meshAddr(node),
+		Endpoints: config.Endpoints{Cloud: cloudAddr, Store: stateAddr},
+		Deployment: config.Deployment{
+			Controllers: l.Controllers, Zones: zones, MaxClockOffsetMS: 250, Teams: teams,
+			Workers: config.Workers{HeartbeatSeconds: c.HeartbeatInterval.Seconds(), LeaseSeconds: c.Lease.Seconds(), GangWaitSeconds: 3 * c.Lease.Seconds(),
+				GangPeerSeconds: 5, CancelSeconds: 4 * c.Lease.Seconds()},
+			Store: c.stateLimits(), Cloud: c.cloudLimits(),
 			Quota:      config.Quota{CoreShare: c.CoreShare, RAMMB: c.RAMMB, MaxSockets: c.MaxSockets},
-			Objectives: []config.Objective{{Kind: "wait", Class: classUrgent, WithinS: 1.1, Share: 0.99}},
+			Objectives: []config.Objective{{Kind: "wait", Class: classUrgent, WithinSeconds: 1.1, Fraction: 0.99}},
 		},
 	}
 	for peer := range l.Controllers {
 		if peer != node {
-			s.Seeds = append(s.Seeds, config.Peer{Node: controllerName(peer), Location: zones[peer%len(zones)], Addr: c.meshAddr(peer)})
+			s.Seeds = append(s.Seeds, config.Peer{Name: controllerName(peer), Location: zones[peer%len(zones)], Addr: c.meshAddr(peer)})
 		}
 	}
 	return s
 }
 
-func (c *Config) stateLimits() config.State {
+func (c *Config) stateLimits() config.StoreLimits {
 	const valueKB = 8
-	return config.State{RPS: c.StateRPS, WriteRPS: c.StateWriteRPS, ValueKB: valueKB, TxnOps: c.StateTxnOps}
+	return config.StoreLimits{RPS: c.StateRPS, WriteRPS: c.StateWriteRPS, ValueKB: valueKB, TxnOps: c.StateTxnOps}
 }
 
 func (c *Config) cloudLimits() config.Cloud {
 	const listLagS = 8
-	return config.Cloud{RPS: c.CloudRPS, ListLagS: listLagS}
+	return config.Cloud{RPS: c.CloudRPS, ListLagSeconds: listLagS}
 }
 
 func controllerName(node int) string { return fmt.Sprintf("controller-%d", node) }
@@ -101,16 +101,16 @@
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	path := filepath.Join(dir, s.Node+".toml")
+	path := filepath.Join(dir, s.Name+".toml")
 	if err := os.WriteFile(path, raw, 0o600); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	p := &controllerProcess{name: s.Node, addr: s.Listen, settings: path, program: c.Program, logFile: io.Discard}
+	p := &controllerProcess{name: s.Name, addr: s.ListenAddr, settings: path, program: c.Program, logFile: io.Discard}
 	if c.Ownership {
 		p.featureFlags = []string{"--ownership"}
 	}
 	if c.LogDir != "" {
-		f, err := os.Create(filepath.Join(c.LogDir, s.Node+".log"))
+		f, err := os.Create(filepath.Join(c.LogDir, s.Name+".log"))
 		if err != nil {
 			return nil, fmt.Errorf("log: %w", err)
 		}
--- a/internal/scale/load.go
+++ b/internal/scale/load.go
@@ -39,7 +39,7 @@
 	for i := range l.Teams {
 		t := config.Team{Name: teamName(i)}
 		if l.TeamsAtLimit {
-			t.CPUsMax = math.Ceil(l.tasksPerTeam()) * taskCPUs
+			t.MaxCPUs = math.Ceil(l.tasksPerTeam()) * taskCPUs
 		}
 		teams = append(teams, t)
 	}
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -132,7 +132,7 @@
 	r.world.RunTimeOf = r.runTime
 	r.world.OnStart = r.recordTaskStart
 	for _, t := range r.teams {
-		r.world.TeamLimits[t.Name] = [2]float64{t.CPUsMax, t.GPUsMax}
+		r.world.TeamLimits[t.Name] = [2]float64{t.MaxCPUs, t.MaxGPUs}
 	}
 }
 
@@ -146,7 +146,7 @@
 
 func (r *run) newCloud() {
 	r.cloud = simulation.NewCloud(&r.mu, r.now)
-	r.cloud.Types, r.cloud.ListLag = r.machineTypes, config.Seconds(r.cfg.cloudLimits().ListLagS)
+	r.cloud.Types, r.cloud.ListLag = r.machineTypes, config.Seconds(r.cfg.cloudLimits().ListLagSeconds)
 	r.cloud.Capacity = func(protocol.Rental) int { return 0 }
 	r.cloud.BootTime = func(string) time.Duration { return 0 }
 	r.cloud.Address = func(number int) string {
--- a/internal/simulation/cluster_cloud_test.go
+++ b/internal/simulation/cluster_cloud_test.go
@@ -12,7 +12,7 @@
 
 func (l *cluster) newCloud() *Cloud {
 	c := NewCloud(&l.mu, l.now)
-	c.Types, c.ListLag = l.types, config.Seconds(l.cfg.Cloud.ListLagS)
+	c.Types, c.ListLag = l.types, config.Seconds(l.cfg.Cloud.ListLagSeconds)
 	c.BootTime = func(name string) time.Duration { return l.bootTime(name) }
 	c.Capacity = l.rentalCapacity
 	c.Address = func(number int) string { return fmt.Sprintf("10.1.0.%d:9000", number) }
--- a/internal/simulation/cluster_test.go
+++ b/internal/simulation/cluster_test.go
@@ -77,20 +77,20 @@
 
 // times are the workers' times of a deployment.
 var (
-	fastTimings = config.Workers{ReportS: 1, LeaseS: 10, GangWaitS: 45, GangPeerS: 4, CancelS: 40}
-	slowTimings = config.Workers{ReportS: 3, LeaseS: 29, GangWaitS: 60, GangPeerS: 5, CancelS: 59}
+	fastTimings = config.Workers{HeartbeatSeconds: 1, LeaseSeconds: 10, GangWaitSeconds: 45, GangPeerSeconds: 4, CancelSeconds: 40}
+	slowTimings = config.Workers{HeartbeatSeconds: 3, LeaseSeconds: 29, GangWaitSeconds: 60, GangPeerSeconds: 5, CancelSeconds: 59}
 )
 
 func newCluster(t *testing.T, seed uint64, controllers int, w config.Workers, options ...func(*cluster)) *cluster {
 	l := &cluster{
 		t: t, start: time.Now(), net: NewNetwork(seed), store: NewStore(), random: random.New(seed),
 		cfg: config.Deployment{
-			Nodes: controllers, Zones: []string{"a", "b"}, ClockOffMS: 250,
-			Teams:   []config.Team{{Name: "red", GPUsMax: 40}, {Name: "blue", GPUs: 8, GPUsMax: 24}},
-			Workers: w, State: config.State{RPS: 150, WriteRPS: 40, ValueKB: 8, TxnOps: 16},
-			Cloud:      config.Cloud{RPS: 2, ListLagS: 4},
+			Controllers: controllers, Zones: []string{"a", "b"}, MaxClockOffsetMS: 250,
+			Teams:   []config.Team{{Name: "red", MaxGPUs: 40}, {Name: "blue", GuaranteedGPUs: 8, MaxGPUs: 24}},
+			Workers: w, Store: config.StoreLimits{RPS: 150, WriteRPS: 40, ValueKB: 8, TxnOps: 16},
+			Cloud:      config.Cloud{RPS: 2, ListLagSeconds: 4},
 			Quota:      config.Quota{CoreShare: 0.1, RAMMB: 70, MaxSockets: 500},
-			Objectives: []config.Objective{{Kind: "wait", Class: "daemon", WithinS: 5, Share: 0.9}},
+			Objectives: []config.Objective{{Kind: "wait", Class: "daemon", WithinSeconds: 5, Fraction: 0.9}},
 		},
 		types: []protocol.MachineType{{Name: "g8", CPUs: 64, GPUs: 8, MemoryGB: 256, CacheGB: 100, FetchGBPerSecond: 4, HourlyPrice: 10,
 			HourlySpotPrice: 4, BootSeconds: 8, Zones: []string{"a", "b"}}},
@@ -101,13 +101,13 @@
 		option(l)
 	}
 	l.ctx, l.stop = context.WithCancel(t.Context())
-	l.world = NewWorld(config.Seconds(w.CancelS), time.Second, 80*time.Second)
+	l.world = NewWorld(config.Seconds(w.CancelSeconds), time.Second, 80*time.Second)
 	for _, team := range l.cfg.Teams {
-		l.world.TeamLimits[team.Name] = [2]float64{team.CPUsMax, team.GPUsMax}
+		l.world.TeamLimits[team.Name] = [2]float64{team.MaxCPUs, team.MaxGPUs}
 	}
 	l.bootTime = func(name string) time.Duration { return 4*time.Second + l.randomDuration("boot "+name, 6*time.Second) }
 	l.answers = NewAnswerChecker(l.allTasksDone, l.recordCancelled)
-	l.answers.Dependencies, l.answers.CancelTimeout = l.dependencies, config.Seconds(w.CancelS)
+	l.answers.Dependencies, l.answers.CancelTimeout = l.dependencies, config.Seconds(w.CancelSeconds)
 	level := slog.LevelInfo
 	if os.Getenv("LOG_LEVEL") == "debug" {
 		level = slog.LevelDebug
@@ -126,14 +126,14 @@
 	l.serve(cloudAddr, l.cloud)
 	for i := range controllers {
 		ip := fmt.Sprintf("10.0.0.%d", i+1)
-		s := config.Settings{Node: fmt.Sprintf("n-%d", i), Location: "a", Listen: ip + ":8080", MeshAddr: ip + ":8081",
-			Outside: config.Outside{Cloud: cloudAddr, State: stateAddr}, Deploy: l.cfg}
+		s := config.Settings{Name: fmt.Sprintf("n-%d", i), Location: "a", ListenAddr: ip + ":8080", MeshAddr: ip + ":8081",
+			Endpoints: config.Endpoints{Cloud: cloudAddr, Store: stateAddr}, Deployment: l.cfg}
 		for k := range controllers {
 			if k != i {
-				s.Seeds = append(s.Seeds, config.Peer{Node: fmt.Sprintf("n-%d", k), Location: "a", Addr: fmt.Sprintf("10.0.0.%d:8081", k+1)})
+				s.Seeds = append(s.Seeds, config.Peer{Name: fmt.Sprintf("n-%d", k), Location: "a", Addr: fmt.Sprintf("10.0.0.%d:8081", k+1)})
 			}
 		}
-		l.controllers = append(l.controllers, &controller{name: s.Node, ip: ip, settings: s, features: l.features(i)})
+		l.controllers = append(l.controllers, &controller{name: s.Name, ip: ip, settings: s, features: l.features(i)})
 	}
 	for _, n := range l.controllers {
 		l.startController(n)
--- a/internal/simulation/faults_test.go
+++ b/internal/simulation/faults_test.go
@@ -228,7 +228,7 @@
 				return
 			}
 			to := l.controllers[l.randomInt("copy to "+name, len(l.controllers))]
-			time.AfterFunc(l.randomDuration("late "+name, time.Duration(2.5*l.cfg.Workers.LeaseS*float64(time.Second))), func() { l.deliverCopy(r, to) })
+			time.AfterFunc(l.randomDuration("late "+name, time.Duration(2.5*l.cfg.Workers.LeaseSeconds*float64(time.Second))), func() { l.deliverCopy(r, to) })
 		})
 	}
 }
--- a/internal/simulation/owners_test.go
+++ b/internal/simulation/owners_test.go
@@ -128,7 +128,7 @@
 		{"on at two", []step{{0, crashLeader(5 * s)}, {20 * s, cancelJobs(3, 0)}, {25 * s, crashFollower(20 * s)}, {50 * s, crashLeader(5 * s)}}, []func(*cluster){withOwnership(two)}},
 		{"with an upgrade from production in the midst", []step{{0, lowerLimitsOnceUpgraded}, {0, upgrade([]int{2, 0, 1}, 8*s, 5*s)}, {4 * s, cancelJobs(3, 0)}, {24 * s, pipelines(6)}, {40 * s, crashFollower(20 * s)}},
 			[]func(*cluster){announceLowerLimits, func(l *cluster) {
-				l.features = func(int) daemon.Features { return daemon.Features{HoldLevel: true, Ownership: true} }
+				l.features = func(int) daemon.Features { return daemon.Features{PinProductionLevel: true, Ownership: true} }
 			}}},
 	} {
 		t.Run(x.name, func(t *testing.T) {
--- a/internal/simulation/pipeline_test.go
+++ b/internal/simulation/pipeline_test.go
@@ -89,7 +89,7 @@
 
 // productionLevel begins with all controllers held at the level of the version in production.
 func productionLevel(l *cluster) {
-	l.features = func(int) daemon.Features { return daemon.Features{HoldLevel: true} }
+	l.features = func(int) daemon.Features { return daemon.Features{PinProductionLevel: true} }
 }
 
 // upgrade ends controllers one after the other, in the given order by their numbers; each is back with the new
@@ -99,7 +99,7 @@
 		for i, node := range order {
 			n := l.controllers[node%len(l.controllers)]
 			time.AfterFunc(time.Duration(i)*every, func() {
-				n.features.HoldLevel = false
+				n.features.PinProductionLevel = false
 				l.recordOccurrence("upgraded")
 				l.crash(n, back)
 			})
@@ -108,12 +108,12 @@
 }
 
 // nextLimits are limits of the state service that come into force after an upgrade.
-var nextLimits = config.StateLimits{WriteRPS: 20, ValueKB: 1, TxnOps: 5}
+var nextLimits = config.FutureStoreLimits{WriteRPS: 20, ValueKB: 1, TxnOps: 5}
 
 // announceLowerLimits has the state service keep to its limits, and names lower ones.
 func announceLowerLimits(l *cluster) {
-	l.cfg.State = config.State{RPS: 150, WriteRPS: 40, ValueKB: 8, TxnOps: 16, Next: nextLimits}
-	l.store.SetLimits(l.cfg.State)
+	l.cfg.Store = config.StoreLimits{RPS: 150, WriteRPS: 40, ValueKB: 8, TxnOps: 16, Next: nextLimits}
+	l.store.SetLimits(l.cfg.Store)
 }
 
 // lowerLimitsOnceUpgraded lowers the limits as soon as all controllers have shown the new level.
@@ -122,7 +122,7 @@
 		for l.ctx.Err() == nil && l.levelsRecorded() < len(l.controllers) {
 			time.Sleep(10 * ms)
 		}
-		l.store.SetLimits(l.cfg.State.Lowest())
+		l.store.SetLimits(l.cfg.Store.Lowest())
 		l.recordOccurrence("limits")
 	})
 }
@@ -178,7 +178,7 @@
 func TestLimitsBelowTheSettings(t *testing.T) {
 	runScenario(t, 880, 3, fastTimings, func(l *cluster) {
 		l.startJobs(9)
-		lower := l.cfg.State
+		lower := l.cfg.Store
 		lower.ValueKB, lower.TxnOps = 0.4, 2
 		l.store.SetLimits(lower)
 		l.runToCompletion([]step{{0, pipelines(8)}, {0, overload(8)}, {10 * s, crashLeader(5 * s)}, {15 * s, cancelJobs(3, 0)}}, []string{"pipeline", "cancelled"})
--- a/internal/simulation/random_scenarios_test.go
+++ b/internal/simulation/random_scenarios_test.go
@@ -21,7 +21,7 @@
 func (l *cluster) runToCompletion(steps []step, happened []string) {
 	l.startJobs(12)
 	l.runSteps(steps)
-	time.Sleep(2*config.Seconds(l.cfg.Workers.CancelS) + 6*time.Minute)
+	time.Sleep(2*config.Seconds(l.cfg.Workers.CancelSeconds) + 6*time.Minute)
 	l.checkAllServed()
 	for _, h := range happened {
 		if l.occurrences(h) == 0 {
--- a/internal/simulation/records_test.go
+++ b/internal/simulation/records_test.go
@@ -49,8 +49,8 @@
 
 // smallStoreLimits has the state service keep to its limits, which are small.
 func smallStoreLimits(l *cluster) {
-	l.cfg.State = config.State{RPS: 60, WriteRPS: 15, ValueKB: 8, TxnOps: 16}
-	l.store.SetLimits(l.cfg.State)
+	l.cfg.Store = config.StoreLimits{RPS: 60, WriteRPS: 15, ValueKB: 8, TxnOps: 16}
+	l.store.SetLimits(l.cfg.Store)
 }
 
 // submitBatches submits several arrays at a moment, so that their placements are recorded together.
--- a/internal/simulation/scenarios_test.go
+++ b/internal/simulation/scenarios_test.go
@@ -57,7 +57,7 @@
 
 func (g storeGap) run(l *cluster) {
 	l.startJobs(12)
-	cancel := config.Seconds(l.cfg.Workers.CancelS)
+	cancel := config.Seconds(l.cfg.Workers.CancelSeconds)
 	old := l.leader()
 	term := l.term()
 	others := l.others(old)
--- a/internal/simulation/store.go
+++ b/internal/simulation/store.go
@@ -71,7 +71,7 @@
 }
 
 // SetLimits has the state service keep to the limits of the settings.
-func (s *Store) SetLimits(cfg config.State) {
+func (s *Store) SetLimits(cfg config.StoreLimits) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.limits = &storeLimits{
--- a/internal/simulation/system_outside_test.go
+++ b/internal/simulation/system_outside_test.go
@@ -155,7 +155,7 @@
 			continue // never comes up
 		}
 		s.callAfter(2*time.Second+s.randomDuration(10*time.Second), func() {
-			s.world.AddMachine(s.now, name, r.Zone, r.Spot, &s.types[0], time.Duration(s.cfg.Workers.LeaseS*float64(time.Second)))
+			s.world.AddMachine(s.now, name, r.Zone, r.Spot, &s.types[0], time.Duration(s.cfg.Workers.LeaseSeconds*float64(time.Second)))
 			s.scheduleHeartbeats(name)
 		})
 	}
--- a/internal/simulation/system_test.go
+++ b/internal/simulation/system_test.go
@@ -85,13 +85,13 @@
 
 func newSimulatedSystem(t *testing.T, seed uint64) *simulatedSystem {
 	cfg := &config.Deployment{
-		Nodes: 3, Zones: []string{"a", "b"},
-		Teams:      []config.Team{{Name: "red", GPUsMax: 40}, {Name: "blue", GPUs: 8}},
-		Workers:    config.Workers{ReportS: 1, LeaseS: 8, GangWaitS: 20, GangPeerS: 3, CancelS: 30},
-		State:      config.State{RPS: 100, WriteRPS: 30, ValueKB: 1, TxnOps: 8},
-		Cloud:      config.Cloud{RPS: 2, ListLagS: 4},
+		Controllers: 3, Zones: []string{"a", "b"},
+		Teams:      []config.Team{{Name: "red", MaxGPUs: 40}, {Name: "blue", GuaranteedGPUs: 8}},
+		Workers:    config.Workers{HeartbeatSeconds: 1, LeaseSeconds: 8, GangWaitSeconds: 20, GangPeerSeconds: 3, CancelSeconds: 30},
+		Store:      config.StoreLimits{RPS: 100, WriteRPS: 30, ValueKB: 1, TxnOps: 8},
+		Cloud:      config.Cloud{RPS: 2, ListLagSeconds: 4},
 		Quota:      config.Quota{CoreShare: 0.1, RAMMB: 64, MaxSockets: 400},
-		Objectives: []config.Objective{{Kind: "wait", Class: "service", WithinS: 2, Share: 0.9}},
+		Objectives: []config.Objective{{Kind: "wait", Class: "service", WithinSeconds: 2, Fraction: 0.9}},
 	}
 	s := &simulatedSystem{
 		t: t, rng: rand.New(rand.NewPCG(seed, 7)), cfg: cfg,
--- a/internal/simulation/zone_test.go
+++ b/internal/simulation/zone_test.go
@@ -27,7 +27,7 @@
 		}
 		l.bootTime = func(name string) time.Duration { return 3*time.Second + l.randomDuration("boot "+name, 3*time.Second) }
 		l.zoneCapacity = 6
-		l.cfg.Teams = []config.Team{{Name: "red"}, {Name: "blue", GPUs: 8}}
+		l.cfg.Teams = []config.Team{{Name: "red"}, {Name: "blue", GuaranteedGPUs: 8}}
 	}
 }
 
@@ -243,7 +243,7 @@
 		submitZoneJobs(l)
 		time.Sleep(25 * s)
 		l.runSteps(steps)
-		time.Sleep(20*config.Seconds(l.cfg.Workers.CancelS) + 2*time.Minute) // until what is never repaid is written off
+		time.Sleep(20*config.Seconds(l.cfg.Workers.CancelSeconds) + 2*time.Minute) // until what is never repaid is written off
 		l.checkAllServed()
 		l.checkLoans(loans)
 		for _, what := range happened {
@@ -328,7 +328,7 @@
 // team's limit, so that no task elsewhere goes beyond it.
 func TestZoneReturnTeamLimits(t *testing.T) {
 	limits := func(l *cluster) {
-		l.cfg.Teams = []config.Team{{Name: "red", GPUsMax: 32}, {Name: "blue", GPUs: 8, GPUsMax: 24}}
+		l.cfg.Teams = []config.Team{{Name: "red", MaxGPUs: 32}, {Name: "blue", GuaranteedGPUs: 8, MaxGPUs: 24}}
 	}
 	steps := []step{{0, overload(14)}, {10 * s, during(50*s, silenceZone("b", 1))}, {20 * s, cancelJobs(2, 0)}}
 	runZoneScenario(t, 455, fastTimings, steps, []string{"is lost"}, withZoneFailover(everywhere), limits)
--- a/internal/storage/budgets.go
+++ b/internal/storage/budgets.go
@@ -11,13 +11,13 @@
 )
 
 // readRates divides the service's requests a second between the uses of a controller.
-func (c *Client) readRates(limits config.State) map[Budget]float64 {
+func (c *Client) readRates(limits config.StoreLimits) map[Budget]float64 {
 	n := float64(c.controllers)
 	return map[Budget]float64{BudgetPlacement: limits.RPS * 0.5, BudgetAcceptance: limits.RPS / n, BudgetPoll: limits.RPS * 0.6 / n, BudgetMaintenance: limits.RPS * 0.1}
 }
 
 // writeRates divides the service's writes a second between the uses of a controller.
-func (c *Client) writeRates(limits config.State) map[Budget]float64 {
+func (c *Client) writeRates(limits config.StoreLimits) map[Budget]float64 {
 	return map[Budget]float64{BudgetPlacement: limits.WriteRPS * PlacementShare, BudgetAcceptance: limits.WriteRPS / float64(c.controllers),
 		BudgetMaintenance: limits.WriteRPS * 0.2, BudgetCompletion: limits.WriteRPS * PlacementShare * completionFloor}
 }
@@ -27,7 +27,7 @@
 func burstFor(limit float64) int { return max(1, int(limit)) }
 
 // SetLimits has the budgets follow other limits of the service from now on.
-func (c *Client) SetLimits(limits config.State) {
+func (c *Client) SetLimits(limits config.StoreLimits) {
 	set := func(budgets map[Budget]*rate.Limiter, shares map[Budget]float64) {
 		for use, limit := range shares {
 			budgets[use].SetLimit(rate.Limit(limit))
--- a/internal/storage/client.go
+++ b/internal/storage/client.go
@@ -84,20 +84,20 @@
 	perHost := max(4, d.Quota.MaxSockets/stateSocketsDivisor)
 	c := &Client{
 		base:          "http://" + addr,
-		calls:         transport.NewClient(network, perHost, perHost, config.Seconds(d.Workers.LeaseS)),
-		urgent:        transport.NewClient(network, 4, 4, config.Seconds(d.Workers.LeaseS)),
-		watches:       transport.NewClient(network, 4, 4, config.Seconds(d.Workers.LeaseS)),
+		calls:         transport.NewClient(network, perHost, perHost, config.Seconds(d.Workers.LeaseSeconds)),
+		urgent:        transport.NewClient(network, 4, 4, config.Seconds(d.Workers.LeaseSeconds)),
+		watches:       transport.NewClient(network, 4, 4, config.Seconds(d.Workers.LeaseSeconds)),
 		timeout:       timeout,
 		random:        source,
-		controllers:   d.Nodes,
+		controllers:   d.Controllers,
 		readLimiters:  map[Budget]*rate.Limiter{},
 		writeLimiters: map[Budget]*rate.Limiter{},
 		start:         time.Now(),
 	}
-	for use, limit := range c.readRates(d.State) {
+	for use, limit := range c.readRates(d.Store) {
 		c.readLimiters[use] = rate.NewLimiter(rate.Limit(limit), burstFor(limit))
 	}
-	for use, limit := range c.writeRates(d.State) {
+	for use, limit := range c.writeRates(d.Store) {
 		c.writeLimiters[use] = rate.NewLimiter(rate.Limit(limit), burstFor(limit))
 	}
 	return c
--- a/internal/storage/storage_test.go
+++ b/internal/storage/storage_test.go
@@ -32,8 +32,8 @@
 func newTestClient(t *testing.T, h http.Handler) *storage.Client {
 	srv := httptest.NewServer(h)
 	t.Cleanup(srv.Close)
-	d := &config.Deployment{Nodes: 1, State: config.State{RPS: 1e6, WriteRPS: 1e6, TxnOps: 16},
-		Workers: config.Workers{LeaseS: 10}, Quota: config.Quota{MaxSockets: 500}}
+	d := &config.Deployment{Controllers: 1, Store: config.StoreLimits{RPS: 1e6, WriteRPS: 1e6, TxnOps: 16},
+		Workers: config.Workers{LeaseSeconds: 10}, Quota: config.Quota{MaxSockets: 500}}
 	return storage.NewClient(transport.TCP{}, random.New(1), d, strings.TrimPrefix(srv.URL, "http://"), time.Minute)
 }
 
@@ -282,8 +282,8 @@
 func TestPlacementsHaveBudgetBesideCompletions(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const perSecond = 20
-		d := &config.Deployment{Nodes: 1, State: config.State{RPS: 1000, WriteRPS: perSecond / storage.PlacementShare, TxnOps: 16},
-			Workers: config.Workers{LeaseS: 10}, Quota: config.Quota{MaxSockets: 500}}
+		d := &config.Deployment{Controllers: 1, Store: config.StoreLimits{RPS: 1000, WriteRPS: perSecond / storage.PlacementShare, TxnOps: 16},
+			Workers: config.Workers{LeaseSeconds: 10}, Quota: config.Quota{MaxSockets: 500}}
 		n := simulation.NewNetwork(1)
 		service, controller := n.Host("10.2.0.1"), n.Host("10.0.0.1")
 		state := simulation.NewStore()
--- a/internal/timing/timing.go
+++ b/internal/timing/timing.go
@@ -15,17 +15,17 @@
 
 // Kinds of measurements.
 const (
-	Cycle     Kind = "cycle"     // a step of the leader in which the scheduling cycle ran
-	Report    Kind = "report"    // a step that takes in a worker's report
-	Other     Kind = "other"     // any other step of the leader
-	Heartbeat Kind = "heartbeat" // from a heartbeat until its answer
+	Cycle           Kind = "cycle"     // a step of the leader in which the scheduling cycle ran
+	WorkerHeartbeat Kind = "report"    // a step that takes in a worker's report
+	Other           Kind = "other"     // any other step of the leader
+	PeerHeartbeat   Kind = "heartbeat" // from a heartbeat until its answer
 )
 
-// interval is the time between two log lines, and maxMicros the longest duration told apart.
+// interval is the time between two log lines, and maxMicroseconds the longest duration told apart.
 const (
-	interval  = time.Second
-	maxMicros = int64(time.Hour / time.Microsecond)
-	digits    = 3
+	logInterval       = time.Second
+	maxMicroseconds   = int64(time.Hour / time.Microsecond)
+	significantDigits = 3
 )
 
 // Recorder collects durations. A nil recorder records nothing and costs nothing.
@@ -46,11 +46,11 @@
 	defer r.mu.Unlock()
 	h := r.histograms[kind]
 	if h == nil {
-		h = hdrhistogram.New(1, maxMicros, digits)
+		h = hdrhistogram.New(1, maxMicroseconds, significantDigits)
 		r.histograms[kind] = h
 	}
 	// Beyond the range is as good as at its end.
-	_ = h.RecordValue(min(max(1, d.Microseconds()), maxMicros))
+	_ = h.RecordValue(min(max(1, d.Microseconds()), maxMicroseconds))
 }
 
 // Run logs what was recorded at regular intervals, until the context ends.
@@ -58,7 +58,7 @@
 	if r == nil {
 		return
 	}
-	ticker := time.NewTicker(interval)
+	ticker := time.NewTicker(logInterval)
 	defer ticker.Stop()
 	for {
 		select {
--- a/internal/timing/timing_test.go
+++ b/internal/timing/timing_test.go
@@ -16,7 +16,7 @@
 	r := NewRecorder()
 	r.Record(Cycle, 3*time.Millisecond)
 	r.Record(Cycle, 0)
-	r.Record(Report, 100*time.Hour)
+	r.Record(WorkerHeartbeat, 100*time.Hour)
 	r.flush(log)
 	r.flush(log)
 	if lines := strings.Count(out.String(), "\n"); lines != 2 {
