--- a/internal/coordination/machineindex/index.go
+++ b/internal/coordination/machineindex/index.go
@@ -32,10 +32,10 @@
 
 // Entry is a machine in the index, with what its user keeps of it.
 type Entry[T any] struct {
-	Value T
-	name  string
-	free  partition.Resources
-	home  *cell[T]
+	Value  T
+	name   string
+	free   partition.Resources
+	bucket *bucket[T]
 }
 
 // Index is an index of machines. Its methods are called by one goroutine at a time.
@@ -46,56 +46,56 @@
 
 // pool holds the machines of one Pool in cells.
 type pool[T any] struct {
-	key      Pool
+	id       Pool
 	capacity partition.Resources
-	cells    []*cell[T] // not empty, in the order of their levels
+	buckets  []*bucket[T] // not empty, in the order of their levels
 }
 
-// cell holds the machines whose free room is at the same level of each resource.
-type cell[T any] struct {
+// bucket holds the machines whose free room is at the same level of each resource.
+type bucket[T any] struct {
 	pool    *pool[T]
-	levels  levels
+	key     bucketKey
 	entries *btree.BTreeG[*Entry[T]] // by free room, then by name
 }
 
-// levelCount is into how many parts the room of a machine is divided by each resource.
-const levelCount = 16
+// bucketsPerResource is into how many parts the room of a machine is divided by each resource.
+const bucketsPerResource = 16
 
-// levels are a cell's level of each resource, the highest first, so that cells in order go
+// bucketKey are a cell's level of each resource, the highest first, so that cells in order go
 // from full machines to empty ones.
-type levels struct{ highest, cpus, gpus, memory int }
+type bucketKey struct{ highest, cpus, gpus, memory int }
 
-func compareLevels(a, b levels) int {
+func compareBucketKeys(a, b bucketKey) int {
 	return cmp.Or(cmp.Compare(a.highest, b.highest), cmp.Compare(a.cpus, b.cpus), cmp.Compare(a.gpus, b.gpus), cmp.Compare(a.memory, b.memory))
 }
 
-const slack = 1e-9 // amounts are decimal numbers
+const tolerance = 1e-9 // amounts are decimal numbers
 
-// levelOf is the level of an amount: 0 for hardly any, levelCount for all.
-func levelOf(free, capacity float64) int {
+// bucketOf is the level of an amount: 0 for hardly any, bucketsPerResource for all.
+func bucketOf(free, capacity float64) int {
 	if capacity <= 0 || free <= 0 {
 		return 0
 	}
-	return min(levelCount, int(free/capacity*levelCount+slack))
+	return min(bucketsPerResource, int(free/capacity*bucketsPerResource+tolerance))
 }
 
-func levelsOf(free, capacity partition.Resources) levels {
-	l := levels{cpus: levelOf(free.CPUs, capacity.CPUs), gpus: levelOf(free.GPUs, capacity.GPUs), memory: levelOf(free.MemoryGB, capacity.MemoryGB)}
+func bucketKeyOf(free, capacity partition.Resources) bucketKey {
+	l := bucketKey{cpus: bucketOf(free.CPUs, capacity.CPUs), gpus: bucketOf(free.GPUs, capacity.GPUs), memory: bucketOf(free.MemoryGB, capacity.MemoryGB)}
 	l.highest = max(l.cpus, l.gpus, l.memory)
 	return l
 }
 
-// edges are the least and the most room that a machine at some level has.
-func edges(level int, capacity float64) (low, high float64) {
-	low = float64(level) / levelCount * capacity
-	high = min(capacity, float64(level+1)/levelCount*capacity)
+// bucketBounds are the least and the most room that a machine at some level has.
+func bucketBounds(level int, capacity float64) (low, high float64) {
+	low = float64(level) / bucketsPerResource * capacity
+	high = min(capacity, float64(level+1)/bucketsPerResource*capacity)
 	return low, high
 }
 
-func (c *cell[T]) edges() (low, high partition.Resources) {
-	low.CPUs, high.CPUs = edges(c.levels.cpus, c.pool.capacity.CPUs)
-	low.GPUs, high.GPUs = edges(c.levels.gpus, c.pool.capacity.GPUs)
-	low.MemoryGB, high.MemoryGB = edges(c.levels.memory, c.pool.capacity.MemoryGB)
+func (c *bucket[T]) bounds() (low, high partition.Resources) {
+	low.CPUs, high.CPUs = bucketBounds(c.key.cpus, c.pool.capacity.CPUs)
+	low.GPUs, high.GPUs = bucketBounds(c.key.gpus, c.pool.capacity.GPUs)
+	low.MemoryGB, high.MemoryGB = bucketBounds(c.key.memory, c.pool.capacity.MemoryGB)
 	return low, high
 }
 
@@ -110,8 +110,8 @@
 
 // Put enters a machine, or moves it to where its pool and free room say.
 func (x *Index[T]) Put(e *Entry[T], key Pool, capacity, free partition.Resources) {
-	at := levelsOf(free, capacity)
-	if h := e.home; h != nil && h.pool.key == key && h.pool.capacity == capacity && h.levels == at {
+	at := bucketKeyOf(free, capacity)
+	if h := e.bucket; h != nil && h.pool.id == key && h.pool.capacity == capacity && h.key == at {
 		if e.free != free {
 			h.entries.Delete(e)
 			e.free = free
@@ -121,56 +121,56 @@
 	}
 	x.Remove(e)
 	e.free = free
-	e.home = x.cell(key, capacity, at)
-	e.home.entries.Set(e)
+	e.bucket = x.ensureBucket(key, capacity, at)
+	e.bucket.entries.Set(e)
 	x.size++
 }
 
 // Remove takes a machine out of the index, if it is there.
 func (x *Index[T]) Remove(e *Entry[T]) {
-	if e.home == nil {
+	if e.bucket == nil {
 		return
 	}
-	e.home.entries.Delete(e)
-	if e.home.entries.Len() == 0 {
-		x.drop(e.home)
+	e.bucket.entries.Delete(e)
+	if e.bucket.entries.Len() == 0 {
+		x.removeBucket(e.bucket)
 	}
-	e.home = nil
+	e.bucket = nil
 	x.size--
 }
 
 // Has says whether an entry is in the index.
-func (x *Index[T]) Has(e *Entry[T]) bool { return e.home != nil }
+func (x *Index[T]) Has(e *Entry[T]) bool { return e.bucket != nil }
 
-func comparePoolTo[T any](p *pool[T], key Pool) int { return comparePools(p.key, key) }
+func comparePoolTo[T any](p *pool[T], key Pool) int { return comparePools(p.id, key) }
 
-func compareCellTo[T any](c *cell[T], at levels) int { return compareLevels(c.levels, at) }
+func compareBucketTo[T any](c *bucket[T], at bucketKey) int { return compareBucketKeys(c.key, at) }
 
-// cell returns the cell of a pool at some levels, making both if need be.
-func (x *Index[T]) cell(key Pool, capacity partition.Resources, at levels) *cell[T] {
+// ensureBucket returns the cell of a pool at some levels, making both if need be.
+func (x *Index[T]) ensureBucket(key Pool, capacity partition.Resources, at bucketKey) *bucket[T] {
 	i, ok := slices.BinarySearchFunc(x.pools, key, comparePoolTo[T])
-	for ok && i < len(x.pools) && x.pools[i].key == key && x.pools[i].capacity != capacity {
+	for ok && i < len(x.pools) && x.pools[i].id == key && x.pools[i].capacity != capacity {
 		i++ // machines whose type was another when they were entered
 	}
-	if i == len(x.pools) || x.pools[i].key != key || x.pools[i].capacity != capacity {
-		x.pools = slices.Insert(x.pools, i, &pool[T]{key: key, capacity: capacity})
+	if i == len(x.pools) || x.pools[i].id != key || x.pools[i].capacity != capacity {
+		x.pools = slices.Insert(x.pools, i, &pool[T]{id: key, capacity: capacity})
 	}
 	p := x.pools[i]
-	k, ok := slices.BinarySearchFunc(p.cells, at, compareCellTo[T])
+	k, ok := slices.BinarySearchFunc(p.buckets, at, compareBucketTo[T])
 	if !ok {
-		c := &cell[T]{pool: p, levels: at, entries: btree.NewBTreeGOptions(before[T], btree.Options{NoLocks: true})}
-		p.cells = slices.Insert(p.cells, k, c)
+		c := &bucket[T]{pool: p, key: at, entries: btree.NewBTreeGOptions(entryBefore[T], btree.Options{NoLocks: true})}
+		p.buckets = slices.Insert(p.buckets, k, c)
 	}
-	return p.cells[k]
+	return p.buckets[k]
 }
 
-// drop removes an empty cell, and its pool if that is empty too.
-func (x *Index[T]) drop(c *cell[T]) {
+// removeBucket removes an empty cell, and its pool if that is empty too.
+func (x *Index[T]) removeBucket(c *bucket[T]) {
 	p := c.pool
-	if k := slices.Index(p.cells, c); k >= 0 {
-		p.cells = slices.Delete(p.cells, k, k+1)
+	if k := slices.Index(p.buckets, c); k >= 0 {
+		p.buckets = slices.Delete(p.buckets, k, k+1)
 	}
-	if len(p.cells) > 0 {
+	if len(p.buckets) > 0 {
 		return
 	}
 	if i := slices.Index(x.pools, p); i >= 0 {
@@ -178,32 +178,32 @@
 	}
 }
 
-// before orders the entries of a cell.
-func before[T any](a, b *Entry[T]) bool {
+// entryBefore orders the entries of a cell.
+func entryBefore[T any](a, b *Entry[T]) bool {
 	if a.free != b.free {
-		return compareRoom(a.free, b.free) < 0
+		return compareFree(a.free, b.free) < 0
 	}
 	return a.name < b.name
 }
 
-func compareRoom(a, b partition.Resources) int {
+func compareFree(a, b partition.Resources) int {
 	return cmp.Or(cmp.Compare(a.CPUs, b.CPUs), cmp.Compare(a.GPUs, b.GPUs), cmp.Compare(a.MemoryGB, b.MemoryGB))
 }
 
-// lastName sorts after every name of a machine.
-const lastName = "\U0010ffff"
+// maxName sorts after every name of a machine.
+const maxName = "\U0010ffff"
 
 // Pools calls f for every pool that has machines.
 func (x *Index[T]) Pools(f func(Pool)) {
 	for _, p := range x.pools {
-		f(p.key)
+		f(p.id)
 	}
 }
 
 // Each calls f for every machine in the index.
 func (x *Index[T]) Each(f func(T)) {
 	for _, p := range x.pools {
-		for _, c := range p.cells {
+		for _, c := range p.buckets {
 			c.entries.Scan(func(e *Entry[T]) bool {
 				f(e.Value)
 				return true
--- a/internal/coordination/machineindex/index_test.go
+++ b/internal/coordination/machineindex/index_test.go
@@ -15,11 +15,11 @@
 
 // machine is the model's view of a machine.
 type machine struct {
-	entry *Entry[*machine]
-	pool  Pool
-	free  partition.Resources
-	worse float64 // what it scores beyond its room
-	shut  bool
+	entry   *Entry[*machine]
+	pool    Pool
+	free    partition.Resources
+	penalty float64 // what it scores beyond its room
+	closed  bool
 }
 
 var capacity = partition.Resources{CPUs: 64, GPUs: 8, MemoryGB: 256}
@@ -31,13 +31,13 @@
 
 // score is what a machine scores for a need; Loosest turns it round.
 func (m *machine) score(order Order, need partition.Resources) float64 {
-	if order == Loosest {
-		return base(m.pool) - m.free.DominantShare(capacity) + m.worse
+	if order == WorstFit {
+		return testPoolScore(m.pool) - m.free.DominantShare(capacity) + m.penalty
 	}
-	return base(m.pool) + m.free.Minus(need).DominantShare(capacity) + m.worse
+	return testPoolScore(m.pool) + m.free.Minus(need).DominantShare(capacity) + m.penalty
 }
 
-func base(p Pool) float64 {
+func testPoolScore(p Pool) float64 {
 	if p.Zone == "closed" {
 		return math.Inf(1)
 	}
@@ -47,11 +47,11 @@
 	return 0
 }
 
-func query(order Order, need partition.Resources, looks int) Query {
-	q := Query{Need: need, Order: order, Looks: looks, Ties: looks, Base: base}
-	q.Bound = func(capacity, free partition.Resources) float64 { return free.Minus(need).DominantShare(capacity) }
-	if order == Loosest {
-		q.Bound = func(capacity, free partition.Resources) float64 { return -free.DominantShare(capacity) }
+func newQuery(order Order, need partition.Resources, looks int) Query {
+	q := Query{Need: need, Order: order, MaxExamined: looks, MaxTies: looks, PoolScore: testPoolScore}
+	q.ScoreBound = func(capacity, free partition.Resources) float64 { return free.Minus(need).DominantShare(capacity) }
+	if order == WorstFit {
+		q.ScoreBound = func(capacity, free partition.Resources) float64 { return -free.DominantShare(capacity) }
 	}
 	return q
 }
@@ -63,7 +63,7 @@
 		x := New[*machine]()
 		var all []*machine
 		for i := range rapid.IntRange(1, 60).Draw(t, "machines") {
-			m := &machine{worse: float64(rapid.IntRange(0, 2).Draw(t, "worse")) / 4, shut: rapid.IntRange(0, 5).Draw(t, "shut") == 0}
+			m := &machine{penalty: float64(rapid.IntRange(0, 2).Draw(t, "worse")) / 4, closed: rapid.IntRange(0, 5).Draw(t, "shut") == 0}
 			m.entry = NewEntry(fmt.Sprintf("m%03d", i), m)
 			all = append(all, m)
 		}
@@ -79,7 +79,7 @@
 		}
 		size := 0
 		need := drawNeed(t, "need")
-		order := rapid.SampledFrom([]Order{Tightest, Loosest}).Draw(t, "order")
+		order := rapid.SampledFrom([]Order{BestFit, WorstFit}).Draw(t, "order")
 		var want *machine
 		fits := false
 		for _, m := range all {
@@ -87,8 +87,8 @@
 				continue
 			}
 			size++
-			fits = fits || need.Fits(m.free) && !math.IsInf(base(m.pool), 1)
-			if m.shut || !need.Fits(m.free) || math.IsInf(base(m.pool), 1) {
+			fits = fits || need.Fits(m.free) && !math.IsInf(testPoolScore(m.pool), 1)
+			if m.closed || !need.Fits(m.free) || math.IsInf(testPoolScore(m.pool), 1) {
 				continue
 			}
 			if want == nil || m.score(order, need) < want.score(order, need) {
@@ -96,8 +96,8 @@
 			}
 		}
 		var best Best[*machine]
-		complete := x.Search(query(order, need, len(all)), &best, func(m *machine) (float64, bool) { return m.score(order, need), !m.shut })
-		if may := x.MayFit(query(order, need, 0)); may != fits {
+		complete := x.Search(newQuery(order, need, len(all)), &best, func(m *machine) (float64, bool) { return m.score(order, need), !m.closed })
+		if may := x.MayFit(newQuery(order, need, 0)); may != fits {
 			t.Fatalf("may fit: %v, want %v", may, fits)
 		}
 		if x.Len() != size || !complete {
@@ -112,9 +112,9 @@
 	})
 }
 
-// TestLooksDoNotGrow: what a search looks at does not grow with the number of machines, whether
+// TestExaminedMachinesDoNotGrow: what a search looks at does not grow with the number of machines, whether
 // they are all alike, all different, full, or nearly full.
-func TestLooksDoNotGrow(t *testing.T) {
+func TestExaminedMachinesDoNotGrow(t *testing.T) {
 	const most = 40
 	need := partition.Resources{CPUs: 2, MemoryGB: 4}
 	for name, free := range map[string]func(i int) partition.Resources{
@@ -136,11 +136,11 @@
 			}
 			looks := 0
 			var best Best[*machine]
-			q := query(Tightest, need, 1000)
-			q.Ties = 8
+			q := newQuery(BestFit, need, 1000)
+			q.MaxTies = 8
 			x.Search(q, &best, func(m *machine) (float64, bool) {
 				looks++
-				return m.score(Tightest, need), true
+				return m.score(BestFit, need), true
 			})
 			if looks > most || best.Found != (name != "full") {
 				t.Errorf("%s, %d machines: %d looks, found %v", name, n, looks, best.Found)
@@ -149,16 +149,16 @@
 	}
 }
 
-// TestBoundedSearch: a search whose looks are used up says so, and has the best of what it saw.
-func TestBoundedSearch(t *testing.T) {
+// TestSearchLimit: a search whose looks are used up says so, and has the best of what it saw.
+func TestSearchLimit(t *testing.T) {
 	x := New[*machine]()
 	for i := range 20 {
-		m := &machine{pool: Pool{Type: "g8", Zone: "a"}, free: capacity, worse: float64(20 - i)}
+		m := &machine{pool: Pool{Type: "g8", Zone: "a"}, free: capacity, penalty: float64(20 - i)}
 		m.entry = NewEntry(fmt.Sprintf("m%02d", i), m)
 		x.Put(m.entry, m.pool, capacity, m.free)
 	}
 	var best Best[*machine]
-	if x.Search(query(Tightest, partition.Resources{}, 5), &best, func(m *machine) (float64, bool) { return m.score(Tightest, partition.Resources{}), true }) {
+	if x.Search(newQuery(BestFit, partition.Resources{}, 5), &best, func(m *machine) (float64, bool) { return m.score(BestFit, partition.Resources{}), true }) {
 		t.Error("five looks at twenty machines that all differ were enough")
 	}
 	if !best.Found || best.Entry.name != "m04" {
@@ -183,7 +183,7 @@
 			need := partition.Resources{CPUs: 2, MemoryGB: 4}
 			for b.Loop() {
 				var best Best[*machine]
-				x.Search(query(Tightest, need, 1000), &best, func(m *machine) (float64, bool) { return m.score(Tightest, need), true })
+				x.Search(newQuery(BestFit, need, 1000), &best, func(m *machine) (float64, bool) { return m.score(BestFit, need), true })
 			}
 		})
 	}
--- a/internal/coordination/scheduler/allocate.go
+++ b/internal/coordination/scheduler/allocate.go
@@ -7,52 +7,52 @@
 	"pinebay/internal/protocol"
 )
 
-// shortCycles is how many cycles a gang's partial room stays closed before
+// gangHoldCycles is how many cycles a gang's partial room stays closed before
 // smaller jobs may backfill it, for one cycle at a time.
-const shortCycles = 3
+const gangHoldCycles = 3
 
-// schedule is the cycle: jobs by priority, then age, teams in turn.
-func (c *Core) schedule(now time.Duration) {
+// runCycle is the cycle: jobs by priority, then age, teams in turn.
+func (c *Core) runCycle(now time.Duration) {
 	c.cycles++
-	c.beginCycle(now)
-	waiting := c.waitingJobs(now)
-	c.byDeadline(now, waiting)
-	c.keep(now)
-	c.beginPreemption()
-	failed := map[kind]int{}
+	c.refreshCandidates(now)
+	waiting := c.schedulableJobs(now)
+	c.orderGangsByDeadline(now, waiting)
+	c.holdHeadroom(now)
+	c.beginPreemptionCycle()
+	failed := map[searchKey]int{}
 	if c.inZoneFailover() {
 		c.placeWithinQuota(now, waiting)
 	}
-	queue := c.newTurns(waiting)
+	queue := c.newFairShareQueue(waiting)
 	for j := queue.next(); j != nil; j = queue.next() {
 		j.served = c.cycles
 		if len(j.reserved) > 0 {
-			c.roomEvents++ // what is cleared for it may be had by others from now on
+			c.capacityEvents++ // what is cleared for it may be had by others from now on
 		}
 		if j.counts[pending] == 0 {
 			continue // placed within its team's guarantee just now
 		}
-		k := j.kind()
-		if failed[k] >= manyAlike {
+		k := j.searchKey()
+		if failed[k] >= maxFailuresPerSearchKey {
 			j.short++
 			continue
 		}
 		before := j.counts[pending]
-		c.place(now, j, c.allowance(j))
+		c.placeJob(now, j, c.tasksWithinQuotaLimit(j))
 		if j.spec.Shape != protocol.Gang && j.counts[pending] == before {
 			failed[k]++
 		}
 	}
-	c.endPreemption()
-	c.refetchAll(now)
+	c.endPreemptionCycle()
+	c.relocateFetchingTasks(now)
 	// Last, with the room that is left: what waits still could not use it.
 	c.consolidate(now)
 }
 
-// waitingJobs lists the jobs that have tasks to place, in order.
-func (c *Core) waitingJobs(now time.Duration) (waiting []*job) {
+// schedulableJobs lists the jobs that have tasks to place, in order.
+func (c *Core) schedulableJobs(now time.Duration) (waiting []*job) {
 	c.queues.pendingJobs.Scan(func(j *job) bool {
-		if c.waits(now, j) {
+		if c.placeableNow(now, j) {
 			j.queued = c.cycles
 			waiting = append(waiting, j)
 		}
@@ -62,26 +62,26 @@
 	return waiting
 }
 
-// place allocates as much of a job as there is room for, of so many tasks that are
+// placeJob allocates as much of a job as there is room for, of so many tasks that are
 // allowed: up to minAvailable or nothing for a gang, task by task for the others.
-func (c *Core) place(now time.Duration, j *job, allowed int) {
+func (c *Core) placeJob(now time.Duration, j *job, allowed int) {
 	gang := j.spec.Shape == protocol.Gang
 	if gang && allowed < j.spec.TaskCount {
 		return
 	}
-	l := c.limits(j)
+	l := c.zoneLimitsOf(j)
 	var got allocation
-	if gang && j.spec.SameZone && l.zone == "" {
+	if gang && j.spec.SameZone && l.onlyZone == "" {
 		got, l = c.bestZone(now, j, l)
 	} else {
 		got = c.allocate(now, j, l, min(allowed, j.counts[pending]))
 	}
 	if gang && len(got) < j.spec.TaskCount {
-		c.hold(now, j, got, l)
+		c.holdForGang(now, j, got, l)
 		return
 	}
 	wanted := min(allowed, j.counts[pending])
-	c.grant(now, j, got)
+	c.bind(now, j, got)
 	if len(got) < wanted {
 		j.short++
 		c.preempt(now, j, l, wanted-len(got))
@@ -97,24 +97,24 @@
 }
 
 // allocate takes room for up to n tasks, task by task.
-func (c *Core) allocate(now time.Duration, j *job, l *limits, n int) allocation {
+func (c *Core) allocate(now time.Duration, j *job, l *zoneLimits, n int) allocation {
 	var got allocation
 	for t := j.nextPending(0); t >= 0 && len(got) < n; t = j.nextPending(t + 1) {
-		x, attempted := c.pick(now, j, t, l)
+		x, attempted := c.selectMachine(now, j, t, l)
 		if x == nil {
 			if attempted {
 				continue
 			}
 			break
 		}
-		if j.spec.Shape != protocol.Gang && c.displace(now, j, t, x, l) {
+		if j.spec.Shape != protocol.Gang && c.waitForMachineWithImage(now, j, t, x, l) {
 			continue
 		}
 		c.stopCompetingFetches(now, j, x)
 		c.setFree(x, x.free.Minus(j.need))
-		l.perZone[x.m.Zone]++
+		l.tasksPerZone[x.machine.Zone]++
 		if j.spec.SameZone {
-			l.zone = x.m.Zone
+			l.onlyZone = x.machine.Zone
 		}
 		got = append(got, struct {
 			task int
@@ -124,8 +124,8 @@
 	return got
 }
 
-func (c *Core) release(j *job, got allocation) {
-	c.roomEvents++
+func (c *Core) undoAllocation(j *job, got allocation) {
+	c.capacityEvents++
 	for _, g := range got {
 		c.setFree(g.x, g.x.free.Plus(j.need))
 	}
@@ -133,20 +133,20 @@
 
 // bestZone tries the zones for a gang that must be in one, and keeps the room
 // in the one that holds all of it, or else most of it.
-func (c *Core) bestZone(now time.Duration, j *job, l *limits) (allocation, *limits) {
+func (c *Core) bestZone(now time.Duration, j *job, l *zoneLimits) (allocation, *zoneLimits) {
 	best, bestN, bestScore := "", -1, 0.0
-	try := func(z string) (allocation, *limits, float64) {
-		zl := &limits{zone: z, perZone: map[string]int{}, most: l.most}
+	try := func(z string) (allocation, *zoneLimits, float64) {
+		zl := &zoneLimits{onlyZone: z, tasksPerZone: map[string]int{}, maxTasksPerZone: l.maxTasksPerZone}
 		got := c.allocate(now, j, zl, j.spec.TaskCount)
 		s := 0.0
 		for _, g := range got {
-			s = max(s, c.machines.FetchTime(now, g.x.m, &j.spec).Seconds())
+			s = max(s, c.machines.FetchTime(now, g.x.machine, &j.spec).Seconds())
 		}
 		return got, zl, s
 	}
 	for _, z := range c.zonesByAvailability(&j.spec) {
 		got, _, s := try(z)
-		c.release(j, got)
+		c.undoAllocation(j, got)
 		if len(got) > bestN || len(got) == bestN && s < bestScore {
 			best, bestN, bestScore = z, len(got), s
 		}
@@ -158,20 +158,20 @@
 	return got, zl
 }
 
-// hold keeps the room of a short gang closed to others until the next cycle:
+// holdForGang keeps the room of a short gang closed to others until the next cycle:
 // what it was allocated, and for each task without room the machine that is
 // nearest to having it. Every fourth short cycle smaller jobs may backfill.
-func (c *Core) hold(now time.Duration, j *job, got allocation, l *limits) {
+func (c *Core) holdForGang(now time.Duration, j *job, got allocation, l *zoneLimits) {
 	j.short++
 	missing := j.spec.TaskCount - len(got)
 	c.preempt(now, j, l, missing)
-	if j.short%(shortCycles+1) == 0 && !c.awaitsLentCapacity(now, j) {
-		c.release(j, got)
+	if j.short%(gangHoldCycles+1) == 0 && !c.awaitsLentCapacity(now, j) {
+		c.undoAllocation(j, got)
 		return
 	}
 	taken := map[*candidate]bool{}
 	for range missing {
-		x := c.find.nearest(now, j, l, taken)
+		x := c.finder.mostFreeCapacity(now, j, l, taken)
 		if x == nil {
 			return
 		}
@@ -180,8 +180,8 @@
 	}
 }
 
-// grant promises room for the tasks, and has their placements recorded.
-func (c *Core) grant(now time.Duration, j *job, got allocation) {
+// bind promises room for the tasks, and has their placements recorded.
+func (c *Core) bind(now time.Duration, j *job, got allocation) {
 	if len(got) == 0 {
 		return
 	}
@@ -197,14 +197,14 @@
 			a = j.attempt(t)
 		}
 		ps = append(ps, &partition.Placement{
-			Task: protocol.TaskID{JobID: j.spec.ID, Index: t}, Attempt: a, Machine: x.m.Name,
+			Task: protocol.TaskID{JobID: j.spec.ID, Index: t}, Attempt: a, Machine: x.machine.Name,
 			Resources: j.need, Team: j.spec.Team, PriorityLevel: j.level, Job: &j.spec,
 		})
 		p := j.pageOfTask(t)
 		p.highestAttempt = max(p.highestAttempt, a)
 	}
 	if !c.machines.Reserve(now, ps) {
-		c.due, c.roster.wrong = true, true // the partition knows better; ask again with what it says
+		c.due, c.candidateIndex.stale = true, true // the partition knows better; ask again with what it says
 		return
 	}
 	for _, pl := range ps {
--- a/internal/coordination/scheduler/allocate_test.go
+++ b/internal/coordination/scheduler/allocate_test.go
@@ -87,22 +87,22 @@
 	})
 }
 
-// TestHeldRoomAndBackfill: a short gang's room stays closed to smaller jobs
+// TestGangHoldAndBackfill: a short gang's room stays closed to smaller jobs
 // for three cycles, and then they may backfill it.
-func TestHeldRoomAndBackfill(t *testing.T) {
+func TestGangHoldAndBackfill(t *testing.T) {
 	b := newBench([]config.Team{{Name: "red"}}, "a")
 	b.machine("m1", "a", false)
 	b.job(spec("j-1", protocol.Gang, "urgent", 2, 8)) // needs two machines
 	small := spec("j-2", protocol.Array, "urgent", 1, 1)
 	small.Class = "d"
-	for cycle := 1; cycle <= shortCycles+1; cycle++ {
+	for cycle := 1; cycle <= gangHoldCycles+1; cycle++ {
 		if cycle == 1 {
 			b.now++
 			b.job(small)
 		}
 		b.machine("m1", "a", false)
 		b.cycle()
-		if got, want := b.started("j-2"), cycle > shortCycles; (got == 1) != want {
+		if got, want := b.started("j-2"), cycle > gangHoldCycles; (got == 1) != want {
 			t.Fatalf("cycle %d: backfilled %v", cycle, got)
 		}
 	}
@@ -111,10 +111,10 @@
 	}
 }
 
-// TestFleetIsPlannedInACrowd: however often something relevant arrives, the fleet
+// TestCapacityIsPlannedUnderLoad: however often something relevant arrives, the fleet
 // is planned once a second. With hundreds of machines every eager cycle had a
 // reason, and dead machines were not fenced for minutes.
-func TestFleetIsPlannedInACrowd(t *testing.T) {
+func TestCapacityIsPlannedUnderLoad(t *testing.T) {
 	b := newBench([]config.Team{{Name: "red"}}, "a")
 	lists, until := 0, 30*time.Second
 	for i := 0; b.now < until; i++ {
@@ -133,9 +133,9 @@
 	}
 }
 
-// TestTeamsAreServedInTurn: when more is asked than can be done, the queue of
+// TestTeamsShareFairly: when more is asked than can be done, the queue of
 // one team does not shut out another's.
-func TestTeamsAreServedInTurn(t *testing.T) {
+func TestTeamsShareFairly(t *testing.T) {
 	b := newBench([]config.Team{{Name: "red"}, {Name: "blue"}}, "a")
 	for i := range 20 {
 		b.job(spec(fmt.Sprintf("j-%d", i), protocol.Service, "normal", 1, 1))
--- a/internal/coordination/scheduler/crowd_test.go
+++ b/internal/coordination/scheduler/backlog_bench_test.go
@@ -8,9 +8,9 @@
 	"pinebay/internal/protocol"
 )
 
-// BenchmarkCrowd shows what a cycle costs with thousands of jobs waiting for
+// BenchmarkBacklog shows what a cycle costs with thousands of jobs waiting for
 // full machines.
-func BenchmarkCrowd(b *testing.B) {
+func BenchmarkBacklog(b *testing.B) {
 	f := newBench([]config.Team{{Name: "red"}}, "a", "b")
 	for i := range 130 {
 		f.machine(fmt.Sprintf("m%03d", i), []string{"a", "b"}[i%2], false)
--- a/internal/coordination/scheduler/bench_test.go
+++ b/internal/coordination/scheduler/bench_test.go
@@ -53,7 +53,7 @@
 // setObjectives replaces the aims.
 func (b *bench) setObjectives(objectives []config.Objective) {
 	b.c.cfg.Objectives = objectives
-	b.c.waitAims = waitAimsOf(objectives)
+	b.c.startLatencyObjectives = startLatencyObjectivesOf(objectives)
 }
 
 func (b *bench) do(e Event) {
--- a/internal/coordination/scheduler/borrowablecapacity.go
+++ b/internal/coordination/scheduler/borrowablecapacity.go
@@ -29,19 +29,19 @@
 
 // newBorrowableCapacity returns the room on all machines of zones that are available.
 func (c *Core) newBorrowableCapacity(now time.Duration) *borrowableCapacity {
-	c.beginCycle(now)
-	return c.borrowableCapacityOf(now, c.candidates(now))
+	c.refreshCandidates(now)
+	return c.borrowableCapacityOf(now, c.schedulableCandidates(now))
 }
 
 // borrowableCapacityOf returns the room on candidates, less what this cycle has given away.
 func (c *Core) borrowableCapacityOf(now time.Duration, cands []*candidate) *borrowableCapacity {
 	k := &borrowableCapacity{scheduler: c, now: now, usageByTeam: map[string]partition.Resources{}, lent: map[zones.TaskAttempt]bool{}}
 	for _, x := range cands {
-		if c.zoneFailover.monitor.State(x.m.Zone) != zones.Available {
+		if c.zoneFailover.monitor.State(x.machine.Zone) != zones.Available {
 			continue
 		}
 		room := &borrowableMachine{candidate: x, free: x.free}
-		x.m.EachPlacement(func(pl *partition.Placement) {
+		x.machine.EachPlacement(func(pl *partition.Placement) {
 			switch {
 			case pl.Stopping:
 				room.free = room.free.Plus(pl.Resources)
@@ -73,12 +73,12 @@
 	var offers []zones.CapacityOffer
 	for _, room := range k.machines {
 		x := room.candidate
-		if request.MaxPerZone[x.m.Zone] <= 0 || !allowed(x) || !j.need.Fits(partition.CapacityOf(x.kind)) {
+		if request.MaxPerZone[x.machine.Zone] <= 0 || !allowed(x) || !j.need.Fits(partition.CapacityOf(x.machineType)) {
 			continue
 		}
 		offers = append(offers, zones.CapacityOffer{
-			Machine: x.m.Name, Zone: x.m.Zone, Free: room.free, Lenders: k.lendersFor(j, room),
-			StartCost: k.scheduler.machines.FetchTime(k.now, x.m, &j.spec).Seconds(),
+			Machine: x.machine.Name, Zone: x.machine.Zone, Free: room.free, Lenders: k.lendersFor(j, room),
+			StartCost: k.scheduler.machines.FetchTime(k.now, x.machine, &j.spec).Seconds(),
 		})
 	}
 	return zones.ChooseLenders(request, offers)
@@ -87,7 +87,7 @@
 // lendersFor returns the work on a machine that lends its room to a job: lower work that its
 // team does not run within its guarantee.
 func (k *borrowableCapacity) lendersFor(j *job, room *borrowableMachine) (lenders []zones.Lender) {
-	capacity := partition.CapacityOf(room.candidate.kind)
+	capacity := partition.CapacityOf(room.candidate.machineType)
 	for _, pl := range room.lenders {
 		if pl.PriorityLevel <= j.level || k.scheduler.recoversBefore(pl, j) || k.lent[taskAttemptOf(pl)] || k.protectedByQuota(pl) {
 			continue
@@ -96,7 +96,7 @@
 		// Who has lent before is the more likely to be late for it.
 		cost := k.scheduler.lostWorkSeconds(k.now, pl)*pl.Resources.DominantShare(capacity) + float64(k.scheduler.zoneFailover.loansByJob[pl.Task.JobID])
 		if gang {
-			cost += room.candidate.kind.BootSeconds // all of it has to find room, and often its image, again
+			cost += room.candidate.machineType.BootSeconds // all of it has to find room, and often its image, again
 		}
 		lenders = append(lenders, zones.Lender{Task: taskAttemptOf(pl), Need: pl.Resources, Cost: cost, Gang: gang})
 	}
@@ -106,7 +106,7 @@
 // protectedByQuota says whether a placement runs within its team's guarantee, given what of the
 // team leaves already.
 func (k *borrowableCapacity) protectedByQuota(pl *partition.Placement) bool {
-	return withinGuarantee(k.scheduler.team(pl.Team), k.teamUsage(pl.Team))
+	return fitsGuaranteedQuota(k.scheduler.team(pl.Team), k.teamUsage(pl.Team))
 }
 
 func (k *borrowableCapacity) teamUsage(team string) partition.Resources {
@@ -166,7 +166,7 @@
 			room.free = room.free.Plus(pl.Resources)
 		}
 		for _, pick := range choice.Picks {
-			if pick.Machine == room.candidate.m.Name {
+			if pick.Machine == room.candidate.machine.Name {
 				room.free = room.free.Minus(j.need)
 			}
 		}
@@ -186,7 +186,7 @@
 			if !ok {
 				used = k.teamUsage(pl.Team)
 			}
-			if withinGuarantee(k.scheduler.team(pl.Team), used) {
+			if fitsGuaranteedQuota(k.scheduler.team(pl.Team), used) {
 				return true
 			}
 			usage[pl.Team] = used.Minus(pl.Resources)
--- a/internal/coordination/scheduler/borrowing.go
+++ b/internal/coordination/scheduler/borrowing.go
@@ -27,15 +27,15 @@
 	if !c.mayBorrow(j) {
 		return false
 	}
-	return len(c.reservedFor(now, j)) > 0
+	return len(c.nominatedCandidates(now, j)) > 0
 }
 
 // borrowCapacity finds room for up to n tasks of a job that lost them with a zone. What is to be
 // stopped for it is recorded first: should we end in between, the next leader finds who
 // was to lend to whom. It says whether that is how the job gets room: not when no further
 // loan can be recorded.
-func (c *Core) borrowCapacity(now time.Duration, j *job, l *limits, n int) bool {
-	n -= len(c.reservedFor(now, j)) // lent already, and not yet free
+func (c *Core) borrowCapacity(now time.Duration, j *job, l *zoneLimits, n int) bool {
+	n -= len(c.nominatedCandidates(now, j)) // lent already, and not yet free
 	if n <= 0 {
 		return true
 	}
@@ -43,13 +43,13 @@
 	if !ok || !c.acquireSearch(now, j) {
 		return true
 	}
-	if l.zone != "" {
-		request.MaxPerZone = map[string]int{l.zone: request.MaxPerZone[l.zone]}
+	if l.onlyZone != "" {
+		request.MaxPerZone = map[string]int{l.onlyZone: request.MaxPerZone[l.onlyZone]}
 	}
-	cands := c.candidates(now)
+	cands := c.schedulableCandidates(now)
 	k := c.borrowableCapacityOf(now, cands)
 	choice := k.choose(j, request, func(x *candidate) bool {
-		return c.fits(now, j, x, l) && !x.m.IsReservedFor(now, j.spec.ID)
+		return c.feasible(now, j, x, l) && !x.machine.IsReservedFor(now, j.spec.ID)
 	})
 	if len(choice.Picks) == 0 || j.spec.Shape == protocol.Gang && len(choice.Picks) < n || k.violatesQuota(choice) {
 		j.searchAgain = now + searchRetryDelay
@@ -77,17 +77,17 @@
 }
 
 // reserveChosenMachines keeps the machines of a choice for the job until the lenders have left.
-func (c *Core) reserveChosenMachines(now time.Duration, j *job, cands []*candidate, l *limits, choice zones.Choice) {
+func (c *Core) reserveChosenMachines(now time.Duration, j *job, cands []*candidate, l *zoneLimits, choice zones.Choice) {
 	save := 0.0
 	for _, task := range choice.Lenders {
 		save = max(save, c.jobs[task.Job].spec.SaveSeconds+c.cfg.Workers.GangPeerSeconds)
 	}
 	for _, x := range cands {
-		if !slices.ContainsFunc(choice.Picks, func(p zones.Pick) bool { return p.Machine == x.m.Name }) {
+		if !slices.ContainsFunc(choice.Picks, func(p zones.Pick) bool { return p.Machine == x.machine.Name }) {
 			continue
 		}
-		c.setTaken(x)
-		l.perZone[x.m.Zone]++
-		c.reserve(x.m, j, now+config.Seconds(save+3*c.cfg.Workers.HeartbeatSeconds)+2*Cycle)
+		c.claimNomination(x)
+		l.tasksPerZone[x.machine.Zone]++
+		c.nominate(x.machine, j, now+config.Seconds(save+3*c.cfg.Workers.HeartbeatSeconds)+2*Cycle)
 	}
 }
--- a/internal/coordination/scheduler/index_rules_test.go
+++ b/internal/coordination/scheduler/candidateindex_test.go
@@ -18,7 +18,7 @@
 		x, ok := m.SchedulerData.(*candidate)
 		open := b.c.machines.Schedulable(b.now, m)
 		switch {
-		case !ok || open && !b.c.roster.index.Has(x.entry):
+		case !ok || open && !b.c.candidateIndex.index.Has(x.indexEntry):
 			wrong++
 		case open && x.free != b.c.machines.FreeCapacity(m):
 			wrong++
@@ -49,12 +49,12 @@
 			x := m.SchedulerData.(*candidate)
 			switch rapid.IntRange(0, 3).Draw(t, "break") {
 			case 0:
-				b.c.roster.index.Remove(x.entry)
+				b.c.candidateIndex.index.Remove(x.indexEntry)
 			case 1:
 				x.free = partition.Resources{CPUs: 1000, GPUs: 1000, MemoryGB: 1000}
-				b.c.enter(x)
+				b.c.indexCandidate(x)
 			case 2:
-				b.c.roster.index.Put(x.entry, machineindex.Pool{Type: "g8", Zone: "elsewhere"}, partition.CapacityOf(x.kind), x.free)
+				b.c.candidateIndex.index.Put(x.indexEntry, machineindex.Pool{Type: "g8", Zone: "elsewhere"}, partition.CapacityOf(x.machineType), x.free)
 			}
 		})
 		for i := range 6 {
@@ -63,22 +63,22 @@
 			b.job(j)
 			b.cycle()
 			b.settle()
-			b.checkRoom(t)
+			b.checkCapacity(t)
 		}
 		for range machines + 2 {
 			b.cycle()
 			b.settle()
 		}
-		b.checkRoom(t)
-		b.c.beginCycle(b.now) // with what has been reported since the last
+		b.checkCapacity(t)
+		b.c.refreshCandidates(b.now) // with what has been reported since the last
 		if n := b.indexErrors(); n > 0 {
 			t.Errorf("the index is wrong about %d machines", n)
 		}
 	})
 }
 
-// checkRoom demands that no machine runs more than it holds, and nothing outside its zone.
-func (b *bench) checkRoom(t *rapid.T) {
+// checkCapacity demands that no machine runs more than it holds, and nothing outside its zone.
+func (b *bench) checkCapacity(t *rapid.T) {
 	for name, tasks := range b.tasks {
 		gpus := 0.0
 		for id, task := range tasks {
@@ -97,69 +97,69 @@
 	}
 }
 
-// TestIndexFollowsTheBooks: after machines came, fell silent, returned in another session or were
+// TestIndexMatchesTheRegistry: after machines came, fell silent, returned in another session or were
 // lost, after types changed, and after a take-over, the index agrees with the books.
-func TestIndexFollowsTheBooks(t *testing.T) {
+func TestIndexMatchesTheRegistry(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newTwins(t, rapid.Uint64().Draw(t, "seed"), []config.Team{{Name: "red"}, {Name: "blue"}, {Name: "green"}}, nil, false)
+		w := newSchedulerPair(t, rapid.Uint64().Draw(t, "seed"), []config.Team{{Name: "red"}, {Name: "blue"}, {Name: "green"}}, nil, false)
 		for range 8 {
-			w.machine()
+			w.addMachine()
 		}
 		for range rapid.IntRange(5, 30).Draw(t, "steps") {
-			w.step()
+			w.drawStep()
 		}
 		if rapid.Bool().Draw(t, "types change") {
-			for _, b := range w.pair {
+			for _, b := range w.benches {
 				changed := *b.c.machines.MachineType("g8")
 				changed.CPUs *= 2
 				b.do(Types{Types: []protocol.MachineType{changed}})
 			}
 		}
 		if rapid.Bool().Draw(t, "old report") {
-			w.both("a copy of an old report", func(b *bench) {
-				r := b.report(w.names[0])
+			w.applyToBoth("a copy of an old report", func(b *bench) {
+				r := b.report(w.machines[0])
 				r.Sequence = 1
-				b.do(Reported{Tag: w.names[0], Report: r})
+				b.do(Reported{Tag: w.machines[0], Report: r})
 			})
 		}
-		b := w.pair[0]
-		b.c.beginCycle(b.now)
+		b := w.benches[0]
+		b.c.refreshCandidates(b.now)
 		if n := b.indexErrors(); n > 0 {
 			t.Errorf("the index is wrong about %d of %d machines", n, b.c.machines.Len())
 		}
 	})
 }
 
-// TestLooksOfAStart: how many machines are looked at for a start does not grow with the fleet, and a
+// TestMachinesExaminedPerStart: how many machines are looked at for a start does not grow with the fleet, and a
 // cycle in which nothing can be placed looks at none again and again.
-func TestLooksOfAStart(t *testing.T) {
+func TestMachinesExaminedPerStart(t *testing.T) {
 	const mostPerStart, mostPerWaiting = 80, 4
 	for _, machines := range []int{200, 2000, 6000} {
 		b := newFleetBench(machines, 50, 0)
 		b.fill(50, standing)
 		b.reportAll()
-		b.c.looks, b.started = 0, 0
+		b.c.machinesExamined, b.started = 0, 0
 		for range 10 {
 			b.submit(protocol.Array, b.rng.IntN(50), 64, "normal")
 			b.pass(Eager)
 		}
 		b.pass(Cycle)
-		if b.started != 640 || b.c.looks > uint64(mostPerStart*b.started) {
-			t.Errorf("%d machines: %d looks for %d starts", machines, b.c.looks, b.started)
+		if b.started != 640 || b.c.machinesExamined > uint64(mostPerStart*b.started) {
+			t.Errorf("%d machines: %d looks for %d starts", machines, b.c.machinesExamined, b.started)
 		}
-		t.Logf("%d machines: %.1f looks a start", machines, float64(b.c.looks)/float64(b.started))
+		t.Logf("%d machines: %.1f looks a start", machines, float64(b.c.machinesExamined)/float64(b.started))
 	}
 	b := overload(200, 50, 500)
-	b.c.looks = 0
+	b.c.machinesExamined = 0
 	b.pass(Cycle)
-	if most := uint64(mostPerWaiting * 500); b.c.looks > most {
-		t.Errorf("%d looks in a cycle in which 500 jobs wait, want %d at most", b.c.looks, most)
+	if most := uint64(mostPerWaiting * 500); b.c.machinesExamined > most {
+		t.Errorf("%d looks in a cycle in which 500 jobs wait, want %d at most", b.c.machinesExamined, most)
 	}
 }
 
-// TestAllocationsOfAQuietCycle: a cycle without news allocates as much for many machines as for
+// TestAllocationsOfAnUnchangedCycle: a cycle without news allocates as much for many machines as for
 // few, and a quiet second no more than what the fleet's list of rooms takes.
-func TestAllocationsOfAQuietCycle(t *testing.T) {
+func TestAllocationsOfAnUnchangedCycle(t *testing.T) {
 	const most = 150
 	for _, machines := range []int{200, 4000} {
 		b := newFleetBench(machines, 50, 0)
--- a/internal/coordination/scheduler/candidates.go
+++ b/internal/coordination/scheduler/candidates.go
@@ -12,89 +12,89 @@
 
 // candidate is a machine that takes new tasks, with what the cycle under way knows of it.
 type candidate struct {
-	m    *partition.Machine
-	kind *protocol.MachineType
-	free partition.Resources // less what was granted or is held in this cycle
-	// taken says that the room reserved on it is spoken for in this cycle.
-	taken bool
-	// kept is room for jobs to come.
-	kept []kept
+	machine     *partition.Machine
+	machineType *protocol.MachineType
+	free        partition.Resources // less what was granted or is held in this cycle
+	// nominationClaimed says that the room reserved on it is spoken for in this cycle.
+	nominationClaimed bool
+	// headroom is room for jobs to come.
+	headroom []heldHeadroom
 
-	entry *machineindex.Entry[*candidate]
-	dirty bool // something of the cycle must be undone when it is over
+	indexEntry     *machineindex.Entry[*candidate]
+	changedInCycle bool // something of the cycle must be undone when it is over
 }
 
-// kept is room for jobs to come of a class, against work of the given level that
+// heldHeadroom is room for jobs to come of a class, against work of the given level that
 // can wait for longer. Of the class's own level, it could not be preempted for them.
-type kept struct {
-	level    int
-	aim      float64 // the class's on waiting, in seconds
-	position int     // the class's in the order of return, while that is in force
-	need     partition.Resources
+type heldHeadroom struct {
+	level                 int
+	startLatencyObjective float64 // the class's on waiting, in seconds
+	returnPosition        int     // the class's in the order of return, while that is in force
+	need                  partition.Resources
 }
 
-// less is what is left of the free room for work of the level with that aim on
+// freeBeyondHeadroom is what is left of the free room for work of the level with that aim on
 // waiting, and that position in the order of return.
-func (x *candidate) less(level int, aim float64, position int) partition.Resources {
+func (x *candidate) freeBeyondHeadroom(level int, aim float64, position int) partition.Resources {
 	n := x.free
-	for _, k := range x.kept {
-		if k.level == level && k.aim < aim && k.position <= position {
+	for _, k := range x.headroom {
+		if k.level == level && k.startLatencyObjective < aim && k.returnPosition <= position {
 			n = n.Minus(k.need)
 		}
 	}
 	return n
 }
 
-// roster holds the machines that take new tasks, in an index by their room. It is brought up
+// candidateIndex holds the machines that take new tasks, in an index by their room. It is brought up
 // to date at the beginning of each cycle, by what has changed since the last. What it says is
 // never more than a proposal: the partition's books decide on each grant.
-type roster struct {
-	index   *machineindex.Index[*candidate]
-	dirty   []*candidate        // changed by the cycle under way
-	muted   map[*candidate]bool // out of the index until they may be commanded again
-	closed  []*candidate        // found closed by a search, and still in the index
-	wrong   bool                // the books have refused what the index proposed
-	audited string              // the machine up to which the index was checked
+type candidateIndex struct {
+	index          *machineindex.Index[*candidate]
+	changedInCycle []*candidate        // changed by the cycle under way
+	unresponsive   map[*candidate]bool // out of the index until they may be commanded again
+	unschedulable  []*candidate        // found closed by a search, and still in the index
+	stale          bool                // the books have refused what the index proposed
+	verifiedUpTo   string              // the machine up to which the index was checked
 }
 
-func newRoster() roster {
-	return roster{index: machineindex.New[*candidate](), muted: map[*candidate]bool{}}
+func newCandidateIndex() candidateIndex {
+	return candidateIndex{index: machineindex.New[*candidate](), unresponsive: map[*candidate]bool{}}
 }
 
-// auditShare is which part of the machines is checked against the books in a full cycle,
+// verifiedFraction is which part of the machines is checked against the books in a full cycle,
 // whether or not they are known to have changed.
-const auditShare = 64
+const verifiedFraction = 64
 
-// beginCycle brings the roster up to date.
-func (c *Core) beginCycle(now time.Duration) {
-	r := &c.roster
-	if r.wrong {
-		c.rebuild(now)
+// refreshCandidates brings the roster up to date.
+func (c *Core) refreshCandidates(now time.Duration) {
+	r := &c.candidateIndex
+	if r.stale {
+		c.rebuildCandidates(now)
 		return
 	}
-	for _, x := range r.dirty {
-		x.dirty, x.taken, x.kept = false, false, nil
-		c.refresh(now, x)
+	for _, x := range r.changedInCycle {
+		x.changedInCycle, x.nominationClaimed, x.headroom = false, false, nil
+		c.refreshCandidate(now, x)
 	}
-	r.dirty = r.dirty[:0]
+	r.changedInCycle = r.changedInCycle[:0]
 	for _, m := range c.machines.TakeChanged() {
 		c.refreshMachine(now, m)
 	}
-	for x := range r.muted {
-		if now >= x.m.UnresponsiveUntil {
-			c.refresh(now, x)
+	for x := range r.unresponsive {
+		if now >= x.machine.UnresponsiveUntil {
+			c.refreshCandidate(now, x)
 		}
 	}
 }
 
-// audit checks some machines against the books, so that a wrong entry does not last.
-func (c *Core) audit(now time.Duration) {
-	from := c.roster.audited
-	c.roster.audited = ""
-	left := 1 + c.machines.Len()/auditShare
+// verifyCandidates checks some machines against the books, so that a wrong entry does not last.
+func (c *Core) verifyCandidates(now time.Duration) {
+	from := c.candidateIndex.verifiedUpTo
+	c.candidateIndex.verifiedUpTo = ""
+	left := 1 + c.machines.Len()/verifiedFraction
 	c.machines.EachFrom(from, func(m *partition.Machine) bool {
 		if left--; left < 0 {
-			c.roster.audited = m.Name
+			c.candidateIndex.verifiedUpTo = m.Name
 			return false
 		}
 		c.refreshMachine(now, m)
@@ -102,9 +102,9 @@
 	})
 }
 
-// rebuild enters all machines anew, since the index has turned out to be wrong.
-func (c *Core) rebuild(now time.Duration) {
-	c.roster = newRoster()
+// rebuildCandidates enters all machines anew, since the index has turned out to be wrong.
+func (c *Core) rebuildCandidates(now time.Duration) {
+	c.candidateIndex = newCandidateIndex()
 	c.machines.TakeChanged() // all are entered
 	c.machines.Each(func(m *partition.Machine) {
 		m.SchedulerData = nil
@@ -117,71 +117,71 @@
 	x, ok := m.SchedulerData.(*candidate)
 	switch {
 	case m.Removed() && ok:
-		c.roster.index.Remove(x.entry)
-		delete(c.roster.muted, x)
+		c.candidateIndex.index.Remove(x.indexEntry)
+		delete(c.candidateIndex.unresponsive, x)
 		m.SchedulerData = nil
 		return
 	case m.Removed():
 		return
 	case !ok:
-		x = &candidate{m: m}
-		x.entry = machineindex.NewEntry(m.Name, x)
+		x = &candidate{machine: m}
+		x.indexEntry = machineindex.NewEntry(m.Name, x)
 		m.SchedulerData = x
 	}
-	c.refresh(now, x)
+	c.refreshCandidate(now, x)
 }
 
-// refresh enters a candidate by its machine's books, or takes it out if the machine takes no
+// refreshCandidate enters a candidate by its machine's books, or takes it out if the machine takes no
 // new tasks now.
-func (c *Core) refresh(now time.Duration, x *candidate) {
-	delete(c.roster.muted, x)
-	x.kind = c.machines.MachineType(x.m.Type)
-	if x.m.Removed() || x.kind == nil || !c.machines.Schedulable(now, x.m) {
-		c.roster.index.Remove(x.entry)
-		if now < x.m.UnresponsiveUntil {
-			c.roster.muted[x] = true // no event tells when that is over
+func (c *Core) refreshCandidate(now time.Duration, x *candidate) {
+	delete(c.candidateIndex.unresponsive, x)
+	x.machineType = c.machines.MachineType(x.machine.Type)
+	if x.machine.Removed() || x.machineType == nil || !c.machines.Schedulable(now, x.machine) {
+		c.candidateIndex.index.Remove(x.indexEntry)
+		if now < x.machine.UnresponsiveUntil {
+			c.candidateIndex.unresponsive[x] = true // no event tells when that is over
 		}
 		return
 	}
-	x.free = c.machines.FreeCapacity(x.m)
-	c.enter(x)
+	x.free = c.machines.FreeCapacity(x.machine)
+	c.indexCandidate(x)
 }
 
-// enter enters a candidate where its room says.
-func (c *Core) enter(x *candidate) {
-	key := machineindex.Pool{Type: x.m.Type, Zone: x.m.Zone, Spot: x.m.Spot}
-	c.roster.index.Put(x.entry, key, partition.CapacityOf(x.kind), x.free)
+// indexCandidate enters a candidate where its room says.
+func (c *Core) indexCandidate(x *candidate) {
+	key := machineindex.Pool{Type: x.machine.Type, Zone: x.machine.Zone, Spot: x.machine.Spot}
+	c.candidateIndex.index.Put(x.indexEntry, key, partition.CapacityOf(x.machineType), x.free)
 }
 
-// open says whether a candidate still takes new tasks. One that does not, since it fell silent,
+// checkSchedulable says whether a candidate still takes new tasks. One that does not, since it fell silent,
 // leaves the index after the search.
-func (c *Core) open(now time.Duration, x *candidate) bool {
-	if c.machines.Schedulable(now, x.m) {
+func (c *Core) checkSchedulable(now time.Duration, x *candidate) bool {
+	if c.machines.Schedulable(now, x.machine) {
 		return true
 	}
-	c.roster.closed = append(c.roster.closed, x)
+	c.candidateIndex.unschedulable = append(c.candidateIndex.unschedulable, x)
 	return false
 }
 
-// removeClosed takes the candidates out of the index that searches found closed.
-func (c *Core) removeClosed(now time.Duration) {
-	for _, x := range c.roster.closed {
-		c.refresh(now, x)
+// removeUnschedulable takes the candidates out of the index that searches found closed.
+func (c *Core) removeUnschedulable(now time.Duration) {
+	for _, x := range c.candidateIndex.unschedulable {
+		c.refreshCandidate(now, x)
 	}
-	c.roster.closed = c.roster.closed[:0]
+	c.candidateIndex.unschedulable = c.candidateIndex.unschedulable[:0]
 }
 
 // candidateOf returns the candidate of a machine if it takes new tasks now, or nil.
 func (c *Core) candidateOf(now time.Duration, m *partition.Machine) *candidate {
 	x, ok := m.SchedulerData.(*candidate)
-	if !ok || !c.roster.index.Has(x.entry) || !c.machines.Schedulable(now, m) {
+	if !ok || !c.candidateIndex.index.Has(x.indexEntry) || !c.machines.Schedulable(now, m) {
 		return nil
 	}
 	return x
 }
 
-// candidates lists the machines that take new tasks now, in name order.
-func (c *Core) candidates(now time.Duration) (cands []*candidate) {
+// schedulableCandidates lists the machines that take new tasks now, in name order.
+func (c *Core) schedulableCandidates(now time.Duration) (cands []*candidate) {
 	c.machines.Each(func(m *partition.Machine) {
 		if x := c.candidateOf(now, m); x != nil {
 			cands = append(cands, x)
@@ -190,64 +190,64 @@
 	return cands
 }
 
-// mark notes that the cycle has changed something of a candidate that ends with it.
-func (c *Core) mark(x *candidate) {
-	if !x.dirty {
-		x.dirty = true
-		c.roster.dirty = append(c.roster.dirty, x)
+// markChanged notes that the cycle has changed something of a candidate that ends with it.
+func (c *Core) markChanged(x *candidate) {
+	if !x.changedInCycle {
+		x.changedInCycle = true
+		c.candidateIndex.changedInCycle = append(c.candidateIndex.changedInCycle, x)
 	}
 }
 
 // setFree changes a candidate's room for the rest of the cycle.
 func (c *Core) setFree(x *candidate, free partition.Resources) {
-	c.mark(x)
+	c.markChanged(x)
 	x.free = free
-	c.enter(x)
+	c.indexCandidate(x)
 }
 
-// setTaken says that the room reserved on a candidate is spoken for in this cycle.
-func (c *Core) setTaken(x *candidate) {
-	c.mark(x)
-	x.taken = true
+// claimNomination says that the room reserved on a candidate is spoken for in this cycle.
+func (c *Core) claimNomination(x *candidate) {
+	c.markChanged(x)
+	x.nominationClaimed = true
 }
 
-// room is what a job may use of a candidate.
-func (c *Core) room(x *candidate, j *job) partition.Resources {
-	if len(x.kept) == 0 {
+// freeForJob is what a job may use of a candidate.
+func (c *Core) freeForJob(x *candidate, j *job) partition.Resources {
+	if len(x.headroom) == 0 {
 		return x.free
 	}
-	return x.less(j.level, c.waitAim(j.spec.Class), c.recoveryPosition(&j.spec))
+	return x.freeBeyondHeadroom(j.level, c.startLatencyObjective(j.spec.Class), c.recoveryPosition(&j.spec))
 }
 
-// keep sets aside the room that classes with an aim on waiting are likely to
+// holdHeadroom sets aside the room that classes with an aim on waiting are likely to
 // want soon. Against lower work it needs no keeping where there is time to
 // preempt that. While the order of return is in force, lower work must not have what
 // is kept from higher work.
-func (c *Core) keep(now time.Duration) {
-	none := &limits{}
+func (c *Core) holdHeadroom(now time.Duration) {
+	none := &zoneLimits{}
 	recovering := c.inZoneFailover()
 	for _, u := range c.spareNow {
 		j := &job{spec: *u.Job, need: partition.TaskResources(u.Job), level: u.Job.Priority.Rank()}
-		aim, position := c.waitAim(u.Job.Class), c.recoveryPosition(u.Job)
+		aim, position := c.startLatencyObjective(u.Job.Class), c.recoveryPosition(u.Job)
 		allowed := func(x *candidate) bool {
-			return (u.Zone == "" || u.Zone == x.m.Zone) && j.need.Fits(x.less(j.level, math.Inf(1), math.MaxInt)) &&
-				(!x.m.Spot || j.spec.SpotAllowed) && x.kind.AllowedBy(&j.spec)
+			return (u.Zone == "" || u.Zone == x.machine.Zone) && j.need.Fits(x.freeBeyondHeadroom(j.level, math.Inf(1), math.MaxInt)) &&
+				(!x.machine.Spot || j.spec.SpotAllowed) && x.machineType.AllowedBy(&j.spec)
 		}
 		for range u.Count {
-			best := c.find.best(now, j, none, allowed)
+			best := c.finder.bestMachine(now, j, none, allowed)
 			if best == nil {
 				break
 			}
-			c.mark(best)
+			c.markChanged(best)
 			for level := j.level; level == j.level || (u.MustBeFree || recovering) && level < fleet.PriorityLevels; level++ {
-				best.kept = append(best.kept, kept{level, aim, position, j.need})
+				best.headroom = append(best.headroom, heldHeadroom{level, aim, position, j.need})
 			}
 		}
 	}
 }
 
-// reserve has the room on a machine cleared for a job until the given time.
-func (c *Core) reserve(m *partition.Machine, j *job, until time.Duration) {
+// nominate has the room on a machine cleared for a job until the given time.
+func (c *Core) nominate(m *partition.Machine, j *job, until time.Duration) {
 	m.ReservedJob, m.ReservedUntil = j.spec.ID, until
 	if j.reserved == nil {
 		j.reserved = map[*partition.Machine]bool{}
@@ -255,8 +255,8 @@
 	j.reserved[m] = true
 }
 
-// reservedFor lists the candidates on which room is cleared for a job, in name order.
-func (c *Core) reservedFor(now time.Duration, j *job) (list []*candidate) {
+// nominatedCandidates lists the candidates on which room is cleared for a job, in name order.
+func (c *Core) nominatedCandidates(now time.Duration, j *job) (list []*candidate) {
 	for m := range j.reserved {
 		if !m.IsReservedFor(now, j.spec.ID) || m.Removed() {
 			delete(j.reserved, m)
--- /dev/null
+++ b/internal/coordination/scheduler/consolidate.go
@@ -0,0 +1,190 @@
+package scheduler
+
+import (
+	"math"
+	"sort"
+	"time"
+
+	"pinebay/internal/config"
+	"pinebay/internal/coordination/partition"
+	"pinebay/internal/protocol"
+)
+
+// startCountsAfter is how long a replica runs before it may be moved: a start counts
+// only if no command stops the task within this time, by the protocol.
+const startCountsAfter = 30 * time.Second
+
+// consolidationPause is the time between two machines that are emptied.
+const consolidationPause = 2 * Cycle
+
+// consolidate empties a machine that only few replicas hold, by moving them to
+// machines in the same zone that have room and the image. Such a move takes a
+// replica away for a moment, while a machine held by one small replica is paid
+// for as long as it lives. The old attempt is proven gone before the new one
+// starts, as always.
+func (c *Core) consolidate(now time.Duration) {
+	if now-c.lastConsolidation < consolidationPause {
+		return
+	}
+	light := c.underutilizedMachines(now)
+	sort.SliceStable(light, func(a, b int) bool { return c.utilization(light[a]) < c.utilization(light[b]) })
+	for _, x := range light {
+		if !c.fitsElsewhere(now, x) {
+			continue
+		}
+		c.lastConsolidation = now
+		x.machine.EachPlacement(func(pl *partition.Placement) {
+			c.log.Info("moving", "task", pl.Task, "from", pl.Machine)
+		})
+		for _, pl := range c.placementsOn(x.machine) {
+			c.stop(now, c.jobs[pl.Task.JobID], pl, 0)
+		}
+		return
+	}
+}
+
+// utilization is the part of a machine that is in use.
+func (c *Core) utilization(x *candidate) float64 {
+	capacity := partition.CapacityOf(x.machineType)
+	return capacity.Minus(c.machines.FreeCapacity(x.machine)).DominantShare(capacity)
+}
+
+// underutilizedMachines lists machines that could be emptied. In a large fleet it looks at a part of
+// the machines, and the next time at the next.
+func (c *Core) underutilizedMachines(now time.Duration) (light []*candidate) {
+	left := maxExaminedMachines
+	from := c.consolidationCursor
+	c.consolidationCursor = ""
+	c.machines.EachFrom(from, func(m *partition.Machine) bool {
+		if left--; left < 0 {
+			c.consolidationCursor = m.Name
+			return false
+		}
+		if x := c.candidateOf(now, m); x != nil && c.canBeEmptied(now, x) {
+			light = append(light, x)
+		}
+		return true
+	})
+	return light
+}
+
+func (c *Core) placementsOn(m *partition.Machine) (out []*partition.Placement) {
+	m.EachPlacement(func(pl *partition.Placement) { out = append(out, pl) })
+	sort.Slice(out, func(a, b int) bool { return out[a].Task.String() < out[b].Task.String() })
+	return out
+}
+
+// canBeEmptied says whether a machine holds nothing but a few settled replicas.
+func (c *Core) canBeEmptied(now time.Duration, x *candidate) bool {
+	if x.machine.PlacementCount() == 0 || c.nominatedForOther(now, x.machine, "") {
+		return false
+	}
+	ok := true
+	x.machine.EachPlacement(func(pl *partition.Placement) {
+		j := c.jobs[pl.Task.JobID]
+		if j == nil || j.over || j.writeInFlight || j.spec.Shape != protocol.Service || pl.Stopping ||
+			pl.State != protocol.TaskRunning || now-pl.StateSince < startCountsAfter {
+			ok = false
+		}
+	})
+	return ok && c.utilization(x) <= 0.5
+}
+
+// fitsElsewhere says whether all that a machine holds fits on machines that
+// are fuller, have the images and are in the same zone.
+func (c *Core) fitsElsewhere(now time.Duration, x *candidate) bool {
+	taken := map[*candidate]partition.Resources{}
+	for _, pl := range c.placementsOn(x.machine) {
+		best := c.fullestTarget(now, x, pl, taken)
+		if best == nil {
+			return false
+		}
+		taken[best] = taken[best].Plus(pl.Resources)
+	}
+	return true
+}
+
+// fullestTarget returns the fullest machine that a placement could move to, or nil.
+func (c *Core) fullestTarget(now time.Duration, x *candidate, pl *partition.Placement, taken map[*candidate]partition.Resources) (best *candidate) {
+	set := c.machines.MachinesWithImage(pl.Job.Image)
+	if set == nil {
+		return nil
+	}
+	looks := 0
+	set.Scan(func(m *partition.Machine) bool {
+		if looks++; looks > maxExaminedMachines {
+			return false
+		}
+		y := c.candidateOf(now, m)
+		if y == nil || y == x || m.Zone != x.machine.Zone || m.Spot || !y.machineType.AllowedBy(pl.Job) || c.utilization(y) < c.utilization(x) || m.PlacementCount() == 0 ||
+			m.HasAttempt(pl.Task) || len(m.FailedJobs) > 0 || c.machines.FetchTime(now, m, pl.Job) > 0 ||
+			c.nominatedForOther(now, m, "") || !pl.Resources.Fits(y.free.Minus(taken[y])) {
+			return true
+		}
+		if best == nil || c.utilization(y) > c.utilization(best) {
+			best = y
+		}
+		return true
+	})
+	return best
+}
+
+// relocateFetchingTasks has a look at the jobs of which tasks may still fetch their image.
+func (c *Core) relocateFetchingTasks(now time.Duration) {
+	for _, j := range c.inSchedulingOrder(c.queues.fetchingJobs) {
+		if !c.mayRelocate(j) || !mayBeFetching(j) {
+			c.queues.fetchingJobs.Delete(j)
+			continue
+		}
+		c.relocateFetchingTask(now, j)
+	}
+}
+
+// mayRelocate says whether tasks of a job are ever moved to a machine with its image. Those of a
+// gang wait for the slowest, and would have to move together.
+func (c *Core) mayRelocate(j *job) bool {
+	return !j.over && !math.IsInf(c.startLatencyObjective(j.spec.Class), 1) && (j.spec.Shape != protocol.Gang || j.spec.TaskCount == 1)
+}
+
+// mayBeFetching says whether a task of the job may still fetch its image.
+func mayBeFetching(j *job) bool {
+	for _, pl := range j.places {
+		if !pl.Reported || pl.State == protocol.TaskFetching {
+			return true
+		}
+	}
+	return false
+}
+
+// relocateFetchingTask moves tasks that still fetch their image to a machine that has it and
+// has come free meanwhile. Fetches take up to a third longer than the type
+// says, and for large images that is longer than some aims on waiting; a task
+// that has not started loses nothing by the move.
+func (c *Core) relocateFetchingTask(now time.Duration, j *job) {
+	if c.held(j) || j.writeInFlight || j.counts[pending] > 0 {
+		return
+	}
+	for _, pl := range placements(j) {
+		m := c.machines.Machine(pl.Machine)
+		if m == nil || !pl.Reported || pl.Stopping || pl.State != protocol.TaskFetching ||
+			c.machines.FetchTime(now, m, &j.spec) < config.Seconds(3*c.cfg.Workers.HeartbeatSeconds) {
+			continue
+		}
+		l := c.zoneLimitsOf(j)
+		l.tasksPerZone[pl.Zone]--
+		if len(j.places) == 1 {
+			l.onlyZone = j.spec.Zone
+		}
+		best := c.finder.bestWithImage(now, j, l, func(x *candidate) bool {
+			return x.machine != m && c.feasible(now, j, x, l) && j.need.Fits(c.freeForJob(x, j)) && !x.machine.HasAttempt(pl.Task) && len(x.machine.FailedJobs) == 0
+		})
+		if best == nil {
+			continue
+		}
+		c.log.Info("moving to a machine with the image", "task", pl.Task, "from", pl.Machine, "to", best.machine.Name)
+		c.setFree(best, best.free.Minus(j.need))
+		c.nominate(best.machine, j, now+config.Seconds(2*c.cfg.Workers.HeartbeatSeconds))
+		c.stop(now, j, pl, 0)
+		return
+	}
+}
--- a/internal/coordination/scheduler/core.go
+++ b/internal/coordination/scheduler/core.go
@@ -47,29 +47,29 @@
 	cascade      []*job // cancelled with a job that they await, and not recorded yet
 	delayedCalls []delayedCall
 
-	machines *partition.Registry
-	fleet    *fleet.Autoscaler
-	jobs     map[string]*job
-	queues   *jobQueues
-	teams    map[string]*config.Team
-	waitAims map[string]float64 // by class, in seconds
-	roster   roster
-	find     finder
+	machines               *partition.Registry
+	fleet                  *fleet.Autoscaler
+	jobs                   map[string]*job
+	queues                 *jobQueues
+	teams                  map[string]*config.Team
+	startLatencyObjectives map[string]float64 // by class, in seconds
+	candidateIndex         candidateIndex
+	finder                 machineFinder
 	// pagesInFlight counts the pages that are being written, by purpose.
 	pagesInFlight [Upkeep + 1]int
-	// roomEvents counts what may have made room within a cycle.
-	roomEvents uint64
-	// preemptionLeft is what searches for work to stop may still cost in this cycle,
-	// preemptionRound counts the rounds in which every waiting job has one, and preemptFrom is
+	// capacityEvents counts what may have made room within a cycle.
+	capacityEvents uint64
+	// preemptionBudgetLeft is what searches for work to stop may still cost in this cycle,
+	// preemptionRound counts the rounds in which every waiting job has one, and preemptionCursor is
 	// where the next search of a large fleet begins.
-	preemptionLeft  int
-	preemptionRound uint64
-	preemptFrom     string
-	noVictims       map[kind]uint64
-	searchLooks     int    // at how many machines a search looks at first
-	preemptionLooks int    // what preemptionLeft begins with
-	looks           uint64 // machines that searches have looked at
-	lightFrom       string // where the next look for machines to empty begins
+	preemptionBudgetLeft int
+	preemptionRound      uint64
+	preemptionCursor     string
+	noVictimsSince       map[searchKey]uint64
+	searchLimit          int    // at how many machines a search looks at first
+	preemptionBudget     int    // what preemptionBudgetLeft begins with
+	machinesExamined     uint64 // machines that searches have looked at
+	consolidationCursor  string // where the next look for machines to empty begins
 	// withdrawn holds the jobs that users may have been told are cancelled, until the
 	// state service tells, by when one must have been told.
 	withdrawn map[string]time.Duration
@@ -81,7 +81,7 @@
 	cycles              uint64
 	lastCycle           time.Duration
 	lastPlan            time.Duration // when the fleet was last planned
-	lastMove            time.Duration
+	lastConsolidation   time.Duration
 	began               time.Duration
 	arrivals            map[string][]time.Duration // by class, newest last
 	sample              map[string]*protocol.Job   // the newest job of each class
@@ -123,9 +123,9 @@
 		counted: map[string]float64{}, prior: map[string]float64{}, imageHintPages: map[string]string{}, imageHintsWrittenAt: now,
 	}
 	c.setFeatureLevel(term.Level)
-	c.queues, c.roster, c.find, c.preemptionRound = newJobQueues(), newRoster(), indexFinder{c}, 1
-	c.searchLooks, c.preemptionLooks = maxLooks, preemptionLooks
-	c.teams, c.waitAims = map[string]*config.Team{}, waitAimsOf(cfg.Objectives)
+	c.queues, c.candidateIndex, c.finder, c.preemptionRound = newJobQueues(), newCandidateIndex(), indexFinder{c}, 1
+	c.searchLimit, c.preemptionBudget = maxExaminedMachines, preemptionBudgetPerCycle
+	c.teams, c.startLatencyObjectives = map[string]*config.Team{}, startLatencyObjectivesOf(cfg.Objectives)
 	for i := range cfg.Teams {
 		c.teams[cfg.Teams[i].Name] = &cfg.Teams[i]
 	}
@@ -295,7 +295,7 @@
 			c.updateZoneStates(now, c.sorted())
 		}
 		c.stopOnNotice(now)
-		c.schedule(now)
+		c.runCycle(now)
 		c.writeAll(now)
 		if full {
 			c.plan(now)
@@ -309,7 +309,7 @@
 // plan has the fleet rent and return machines, and does what else is due once a second.
 func (c *Core) plan(now time.Duration) {
 	c.lastPlan = now
-	c.audit(now)
+	c.verifyCandidates(now)
 	units := c.demand(now)
 	for _, e := range c.fleet.Plan(now, c.machines, units) {
 		c.emit(Fleet{e})
--- a/internal/coordination/scheduler/demand.go
+++ b/internal/coordination/scheduler/demand.go
@@ -17,8 +17,8 @@
 func (c *Core) demand(now time.Duration) []fleet.Demand {
 	var units []fleet.Demand
 	zones := map[zoneQuestion]string{}
-	for _, j := range c.inTurn(c.queues.pendingJobs) {
-		n := min(j.counts[pending], c.allowance(j))
+	for _, j := range c.inSchedulingOrder(c.queues.pendingJobs) {
+		n := min(j.counts[pending], c.tasksWithinQuotaLimit(j))
 		if n == 0 || c.held(j) {
 			continue
 		}
@@ -32,12 +32,12 @@
 				n = 1
 			}
 		}
-		l := c.limits(j)
-		if j.spec.SameZone && l.zone == "" && n > 1 {
-			l.zone = c.likelyZone(now, j, zones)
+		l := c.zoneLimitsOf(j)
+		if j.spec.SameZone && l.onlyZone == "" && n > 1 {
+			l.onlyZone = c.likelyZone(now, j, zones)
 		}
-		if !j.spec.Spread || l.zone != "" {
-			units = append(units, fleet.Demand{Job: &j.spec, Zone: l.zone, Count: n, ExcludedMachines: j.avoids()})
+		if !j.spec.Spread || l.onlyZone != "" {
+			units = append(units, fleet.Demand{Job: &j.spec, Zone: l.onlyZone, Count: n, ExcludedMachines: j.avoids()})
 			continue
 		}
 		for _, u := range c.spreadUnits(&j.spec, l, n) {
@@ -113,13 +113,13 @@
 }
 
 // spreadUnits deals tasks to zones as the job's spread demands.
-func (c *Core) spreadUnits(spec *protocol.Job, l *limits, n int) []fleet.Demand {
+func (c *Core) spreadUnits(spec *protocol.Job, l *zoneLimits, n int) []fleet.Demand {
 	names := c.zones(spec)
 	counts := map[string]int{}
 	for ; n > 0; n-- {
 		best := ""
 		for _, z := range names {
-			if l.perZone[z]+counts[z] < l.most && (best == "" || l.perZone[z]+counts[z] < l.perZone[best]+counts[best]) {
+			if l.tasksPerZone[z]+counts[z] < l.maxTasksPerZone && (best == "" || l.tasksPerZone[z]+counts[z] < l.tasksPerZone[best]+counts[best]) {
 				best = z
 			}
 		}
@@ -143,7 +143,7 @@
 	var units []fleet.Demand
 	for _, class := range slices.Sorted(maps.Keys(c.sample)) {
 		spec := c.sample[class]
-		within := c.waitAim(class)
+		within := c.startLatencyObjective(class)
 		boot, ready := 0.0, math.Inf(1)
 		for _, t := range c.machines.MachineTypes() {
 			if t.AllowedBy(spec) && t.TaskCapacity(spec) > 0 && t.FetchGBPerSecond > 0 {
@@ -168,7 +168,7 @@
 			continue
 		}
 		if spec.Spread {
-			l := &limits{perZone: map[string]int{}, most: (tasks + 1) / 2}
+			l := &zoneLimits{tasksPerZone: map[string]int{}, maxTasksPerZone: (tasks + 1) / 2}
 			for _, u := range c.spreadUnits(spec, l, tasks) {
 				u.Headroom, u.MustBeFree = true, quick
 				units = append(units, u)
--- a/internal/coordination/scheduler/turns_test.go
+++ b/internal/coordination/scheduler/fairshare_test.go
@@ -15,10 +15,10 @@
 	"pinebay/internal/storage"
 )
 
-// TestTurns: on drawn queues the next job is always the one at the head of its team's queue that
+// TestFairShareQueue: on drawn queues the next job is always the one at the head of its team's queue that
 // goes first by guarantee, priority, the team's share and age, also when usage changes between two
 // turns; every job has its turn once.
-func TestTurns(t *testing.T) {
+func TestFairShareQueue(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var teams []config.Team
 		for i := range rapid.IntRange(2, 6).Draw(t, "teams") {
@@ -32,13 +32,13 @@
 			waiting = append(waiting, newJob(j, 1, int64(i), 0, storage.PageLayout{TasksPerPage: 10}))
 		}
 		slices.SortFunc(waiting, func(a, b *job) int {
-			if goesBefore(a, b) {
+			if scheduledBefore(a, b) {
 				return -1
 			}
 			return 1
 		})
 		left := slices.Clone(waiting)
-		turns := b.c.newTurns(waiting)
+		turns := b.c.newFairShareQueue(waiting)
 		for len(left) > 0 {
 			want := referenceNext(b.c, left)
 			got := turns.next()
@@ -47,7 +47,7 @@
 			}
 			left = slices.DeleteFunc(left, func(j *job) bool { return j == got })
 			if rapid.Bool().Draw(t, "placed") {
-				place(b, got)
+				occupy(b, got)
 			}
 		}
 		if got := turns.next(); got != nil {
@@ -56,8 +56,8 @@
 	})
 }
 
-// place puts a task of a job on a machine, so that its team uses more.
-func place(b *bench, j *job) {
+// occupy puts a task of a job on a machine, so that its team uses more.
+func occupy(b *bench, j *job) {
 	b.c.machines.Adopt(0, &partition.Placement{Task: protocol.TaskID{JobID: j.spec.ID}, Attempt: 1, Machine: "m-" + j.spec.ID, Resources: j.need,
 		Team: j.spec.Team, PriorityLevel: j.level, Job: &j.spec})
 }
@@ -71,18 +71,18 @@
 			continue
 		}
 		seen[j.spec.Team] = true
-		if best == nil || less(c, j, best) {
+		if best == nil || referenceBefore(c, j, best) {
 			best = j
 		}
 	}
 	return best
 }
 
-func less(c *Core, a, b *job) bool {
-	if c.guaranteed(a) != c.guaranteed(b) {
-		return c.guaranteed(a)
+func referenceBefore(c *Core, a, b *job) bool {
+	if c.withinGuaranteedQuota(a) != c.withinGuaranteedQuota(b) {
+		return c.withinGuaranteedQuota(a)
 	}
-	return cmp.Or(cmp.Compare(a.level, b.level), cmp.Compare(c.teamShare(a.spec.Team), c.teamShare(b.spec.Team))) < 0
+	return cmp.Or(cmp.Compare(a.level, b.level), cmp.Compare(c.weightedUsage(a.spec.Team), c.weightedUsage(b.spec.Team))) < 0
 }
 
 // TestEachTeamIsServed: while room for one task after the other comes up, teams that wait are
@@ -116,11 +116,11 @@
 	})
 }
 
-// obey ends the tasks that were told to stop.
-func (b *bench) obey() {
+// exitStoppedTasks ends the tasks that were told to stop.
+func (b *bench) exitStoppedTasks() {
 	for _, tasks := range b.tasks {
 		for id, t := range tasks {
-			if b.stopped(id) {
+			if b.wasStopped(id) {
 				t.State, t.Cause = protocol.TaskExited, protocol.CauseStopped
 				tasks[id] = t
 			}
@@ -128,13 +128,13 @@
 	}
 }
 
-// TestNobodyIsPassedOver: when the looks for work to stop are used up in each cycle, every job
+// TestPreemptionBudgetStarvesNoJob: when the looks for work to stop are used up in each cycle, every job
 // that waits for some has its turn all the same, also behind older ones that never find any.
-func TestNobodyIsPassedOver(t *testing.T) {
+func TestPreemptionBudgetStarvesNoJob(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(2, 10).Draw(t, "jobs")
 		b := newBench([]config.Team{{Name: "red"}}, "a", "b")
-		b.c.preemptionLooks = 1
+		b.c.preemptionBudget = 1
 		for i := range n {
 			b.machine(fmt.Sprintf("m%02d", i), "a", false)
 			b.job(spec(fmt.Sprintf("j-low%d", i), protocol.Array, "normal", 1, 8))
@@ -153,7 +153,7 @@
 		}
 		for range 2 * (n + blocked) * (n + blocked) {
 			b.cycle()
-			b.obey()
+			b.exitStoppedTasks()
 			b.settle()
 		}
 		if len(b.stops) != n {
@@ -168,7 +168,7 @@
 	const machines = 30
 	for _, looks := range []int{1, 4} {
 		b := newBench([]config.Team{{Name: "red"}}, "a")
-		b.c.searchLooks = looks
+		b.c.searchLimit = looks
 		for i := range machines {
 			b.machine(fmt.Sprintf("m%02d", i), "a", false)
 		}
--- a/internal/coordination/scheduler/reference_test.go
+++ b/internal/coordination/scheduler/fullscan_test.go
@@ -18,36 +18,38 @@
 )
 
 // fullScan is the reference of the index: it looks at every machine for every task.
-type fullScan struct{ c *Core }
+type fullScan struct{ scheduler *Core }
 
-func (f fullScan) best(now time.Duration, j *job, l *limits, allowed func(*candidate) bool) (best *candidate) {
+func (f fullScan) bestMachine(now time.Duration, j *job, l *zoneLimits, allowed func(*candidate) bool) (best *candidate) {
 	bestScore := 0.0
-	for _, x := range f.c.candidates(now) {
+	for _, x := range f.scheduler.schedulableCandidates(now) {
 		if !allowed(x) {
 			continue
 		}
-		if s := f.c.score(now, j, x, l); best == nil || s < bestScore {
+		if s := f.scheduler.score(now, j, x, l); best == nil || s < bestScore {
 			best, bestScore = x, s
 		}
 	}
 	return best
 }
 
-func (f fullScan) withImage(now time.Duration, j *job, l *limits, allowed func(*candidate) bool) *candidate {
-	return f.best(now, j, l, func(x *candidate) bool { return f.c.machines.FetchTime(now, x.m, &j.spec) == 0 && allowed(x) })
+func (f fullScan) bestWithImage(now time.Duration, j *job, l *zoneLimits, allowed func(*candidate) bool) *candidate {
+	return f.bestMachine(now, j, l, func(x *candidate) bool {
+		return f.scheduler.machines.FetchTime(now, x.machine, &j.spec) == 0 && allowed(x)
+	})
 }
 
-func (f fullScan) cheapest(now time.Duration, j *job, l *limits, within time.Duration, level int) (best *candidate, bestVictims []*partition.Placement) {
+func (f fullScan) cheapestPreemption(now time.Duration, j *job, l *zoneLimits, within time.Duration, level int) (best *candidate, bestVictims []*partition.Placement) {
 	bestCost := math.Inf(1)
-	for _, x := range f.c.candidates(now) {
-		if !f.c.fits(now, j, x, l) || x.m.IsReservedFor(now, j.spec.ID) || !j.need.Fits(partition.CapacityOf(x.kind)) {
+	for _, x := range f.scheduler.schedulableCandidates(now) {
+		if !f.scheduler.feasible(now, j, x, l) || x.machine.IsReservedFor(now, j.spec.ID) || !j.need.Fits(partition.CapacityOf(x.machineType)) {
 			continue
 		}
-		warm := f.c.machines.FetchTime(now, x.m, &j.spec)
+		warm := f.scheduler.machines.FetchTime(now, x.machine, &j.spec)
 		if warm > within {
 			continue
 		}
-		victims, cost, ok := f.c.victims(now, j, x, level)
+		victims, cost, ok := f.scheduler.selectVictims(now, j, x, level)
 		cost += warm.Seconds()
 		if ok && cost < bestCost {
 			best, bestVictims, bestCost = x, victims, cost
@@ -56,43 +58,43 @@
 	return best, bestVictims
 }
 
-func (f fullScan) nearest(now time.Duration, j *job, l *limits, taken map[*candidate]bool) (best *candidate) {
-	for _, x := range f.c.candidates(now) {
-		if taken[x] || !f.c.fits(now, j, x, l) || !j.need.Fits(partition.CapacityOf(x.kind)) {
+func (f fullScan) mostFreeCapacity(now time.Duration, j *job, l *zoneLimits, taken map[*candidate]bool) (best *candidate) {
+	for _, x := range f.scheduler.schedulableCandidates(now) {
+		if taken[x] || !f.scheduler.feasible(now, j, x, l) || !j.need.Fits(partition.CapacityOf(x.machineType)) {
 			continue
 		}
-		if best == nil || x.free.DominantShare(partition.CapacityOf(x.kind)) > best.free.DominantShare(partition.CapacityOf(best.kind)) {
+		if best == nil || x.free.DominantShare(partition.CapacityOf(x.machineType)) > best.free.DominantShare(partition.CapacityOf(best.machineType)) {
 			best = x
 		}
 	}
 	return best
 }
 
-// twins are two cores that get the same events, one with the index and one that scans all.
-type twins struct {
-	t     *rapid.T
-	rng   *rand.Rand
-	pair  [2]*bench
-	seen  [2][]string
-	jobs  []string
-	names []string
-	quiet map[string]bool // machines that do not report
-	round int
+// schedulerPair are two cores that get the same events, one with the index and one that scans all.
+type schedulerPair struct {
+	t        *rapid.T
+	rng      *rand.Rand
+	benches  [2]*bench
+	effects  [2][]string
+	jobs     []string
+	machines []string
+	silent   map[string]bool // machines that do not report
+	round    int
 }
 
-func newTwins(t *rapid.T, seed uint64, teams []config.Team, objectives []config.Objective, zoneReturn bool) *twins {
-	w := &twins{t: t, rng: rand.New(rand.NewPCG(seed, 5)), quiet: map[string]bool{}}
-	for i := range w.pair {
+func newSchedulerPair(t *rapid.T, seed uint64, teams []config.Team, objectives []config.Objective, zoneReturn bool) *schedulerPair {
+	w := &schedulerPair{t: t, rng: rand.New(rand.NewPCG(seed, 5)), silent: map[string]bool{}}
+	for i := range w.benches {
 		b := newBench(teams, "a", "b", "c")
 		b.setObjectives(objectives)
 		if i == 1 {
-			b.c.find = fullScan{b.c}
+			b.c.finder = fullScan{b.c}
 		}
 		if zoneReturn {
 			b.c.startZoneFailover(0, zones.DefaultRecoveryOrder(), nil)
 		}
-		b.onEffect = func(e Effect) { w.seen[i] = append(w.seen[i], describe(e)) }
-		w.pair[i] = b
+		b.onEffect = func(e Effect) { w.effects[i] = append(w.effects[i], describe(e)) }
+		w.benches[i] = b
 	}
 	return w
 }
@@ -128,14 +130,14 @@
 	}
 }
 
-// both does the same to both, and demands that they ask for the same.
-func (w *twins) both(what string, f func(b *bench)) {
+// applyToBoth does the same to both, and demands that they ask for the same.
+func (w *schedulerPair) applyToBoth(what string, f func(b *bench)) {
 	w.round++
-	for i, b := range w.pair {
-		w.seen[i] = nil
+	for i, b := range w.benches {
+		w.effects[i] = nil
 		f(b)
 	}
-	a, b := w.seen[0], w.seen[1]
+	a, b := w.effects[0], w.effects[1]
 	for i := range max(len(a), len(b)) {
 		if i >= len(a) || i >= len(b) || a[i] != b[i] {
 			at := func(list []string) string {
@@ -149,16 +151,16 @@
 	}
 }
 
-func (w *twins) chance(p float64) bool { return w.rng.Float64() < p }
+func (w *schedulerPair) chance(p float64) bool { return w.rng.Float64() < p }
 
-func (w *twins) machine() {
-	name := fmt.Sprintf("m%03d", len(w.names))
+func (w *schedulerPair) addMachine() {
+	name := fmt.Sprintf("m%03d", len(w.machines))
 	zone, spot := []string{"a", "b", "c"}[w.rng.IntN(3)], w.chance(0.25)
-	w.names = append(w.names, name)
-	w.both("new machine", func(b *bench) { b.machine(name, zone, spot) })
+	w.machines = append(w.machines, name)
+	w.applyToBoth("new machine", func(b *bench) { b.machine(name, zone, spot) })
 }
 
-func (w *twins) submit() {
+func (w *schedulerPair) submit() {
 	shapes := []protocol.Shape{protocol.Array, protocol.Gang, protocol.Service}
 	j := spec(fmt.Sprintf("j-%d", len(w.jobs)), shapes[w.rng.IntN(3)], []protocol.Priority{"critical", "urgent", "normal", "best_effort"}[w.rng.IntN(4)],
 		1+w.rng.IntN(6), []float64{0, 1, 2, 4, 8}[w.rng.IntN(5)])
@@ -179,21 +181,21 @@
 	}
 	j.EstimateSeconds = 30
 	w.jobs = append(w.jobs, j.ID)
-	w.both("submission", func(b *bench) { b.job(j) })
+	w.applyToBoth("submission", func(b *bench) { b.job(j) })
 }
 
 // report has a machine report; what its tasks have come to is drawn by their names.
-func (w *twins) report(name string) {
+func (w *schedulerPair) report(name string) {
 	notice := w.chance(0.01)
 	draw := w.rng.Uint64()
-	w.both("report of "+name, func(b *bench) {
+	w.applyToBoth("report of "+name, func(b *bench) {
 		for _, id := range sortedIDs(b.tasks[name]) {
 			t := b.tasks[name][id]
 			fate := rand.New(rand.NewPCG(draw, uint64(len(id.JobID))<<32|uint64(id.Index)<<8|uint64(id.JobID[len(id.JobID)-1]))).Float64()
 			switch {
 			case t.State == protocol.TaskFetching && fate < 0.7, t.State == protocol.TaskWaiting:
 				t.State = protocol.TaskRunning
-			case t.State == protocol.TaskRunning && b.stopped(id):
+			case t.State == protocol.TaskRunning && b.wasStopped(id):
 				t.State, t.Cause = protocol.TaskExited, protocol.CauseStopped
 			case t.State == protocol.TaskRunning && fate < 0.1 && b.c.jobs[id.JobID] != nil && b.c.jobs[id.JobID].spec.Shape != protocol.Service:
 				t.State, t.Cause = protocol.TaskExited, protocol.CauseDone
@@ -210,8 +212,8 @@
 	})
 }
 
-// stopped says whether a task was told to stop.
-func (b *bench) stopped(id protocol.TaskID) bool {
+// wasStopped says whether a task was told to stop.
+func (b *bench) wasStopped(id protocol.TaskID) bool {
 	_, ok := b.stops[id]
 	return ok
 }
@@ -224,31 +226,31 @@
 	return ids
 }
 
-// step draws what happens next.
-func (w *twins) step() {
+// drawStep draws what happens next.
+func (w *schedulerPair) drawStep() {
 	switch {
-	case w.chance(0.15) && len(w.names) < 40:
-		w.machine()
+	case w.chance(0.15) && len(w.machines) < 40:
+		w.addMachine()
 	case w.chance(0.5):
 		w.submit()
 	case w.chance(0.1) && len(w.jobs) > 0:
 		id := w.jobs[w.rng.IntN(len(w.jobs))]
-		w.both("cancellation", func(b *bench) { b.do(JobDropped{ID: id}) })
-	case w.chance(0.1) && len(w.names) > 0:
-		name := w.names[w.rng.IntN(len(w.names))]
-		w.quiet[name] = !w.quiet[name]
-	case w.chance(0.05) && len(w.names) > 4:
-		name := w.names[w.rng.IntN(len(w.names))]
-		w.quiet[name] = true
-		w.both("loss of "+name, func(b *bench) { b.do(Released{Names: []string{name}, OK: true}) })
+		w.applyToBoth("cancellation", func(b *bench) { b.do(JobDropped{ID: id}) })
+	case w.chance(0.1) && len(w.machines) > 0:
+		name := w.machines[w.rng.IntN(len(w.machines))]
+		w.silent[name] = !w.silent[name]
+	case w.chance(0.05) && len(w.machines) > 4:
+		name := w.machines[w.rng.IntN(len(w.machines))]
+		w.silent[name] = true
+		w.applyToBoth("loss of "+name, func(b *bench) { b.do(Released{Names: []string{name}, OK: true}) })
 	}
-	for _, name := range w.names {
-		if !w.quiet[name] && w.chance(0.7) {
+	for _, name := range w.machines {
+		if !w.silent[name] && w.chance(0.7) {
 			w.report(name)
 		}
 	}
 	pause := []time.Duration{Eager, Eager, 3 * Eager, Cycle}[w.rng.IntN(4)]
-	w.both("time", func(b *bench) {
+	w.applyToBoth("time", func(b *bench) {
 		b.now += pause
 		b.do(Tick{})
 	})
@@ -272,19 +274,19 @@
 			objectives = []config.Objective{{Kind: "wait", Class: "class-0", WithinSeconds: 2, Fraction: 0.9}, {Kind: "wait", Class: "class-1", WithinSeconds: 20, Fraction: 0.9},
 				{Kind: "finished", Class: "class-2", WithinSeconds: 60, Fraction: 0.9}}
 		}
-		w := newTwins(t, rapid.Uint64().Draw(t, "seed"), teams, objectives, rapid.Bool().Draw(t, "zone return"))
+		w := newSchedulerPair(t, rapid.Uint64().Draw(t, "seed"), teams, objectives, rapid.Bool().Draw(t, "zone return"))
 		for range rapid.IntRange(3, 20).Draw(t, "machines") {
-			w.machine()
+			w.addMachine()
 		}
 		for range rapid.IntRange(20, 80).Draw(t, "steps") {
-			w.step()
+			w.drawStep()
 		}
 		started := 0
-		for range w.pair[0].runs {
+		for range w.benches[0].runs {
 			started++
 		}
-		if started != len(w.pair[1].runs) {
-			t.Fatalf("%d starts with the index, %d without", started, len(w.pair[1].runs))
+		if started != len(w.benches[1].runs) {
+			t.Fatalf("%d starts with the index, %d without", started, len(w.benches[1].runs))
 		}
 	})
 }
--- a/internal/coordination/scheduler/queue.go
+++ b/internal/coordination/scheduler/gangorder.go
@@ -8,32 +8,32 @@
 	"pinebay/internal/protocol"
 )
 
-// manyAlike is after how many jobs of a kind that found no room the others of
+// maxFailuresPerSearchKey is after how many jobs of a kind that found no room the others of
 // the kind are not tried in the same cycle: thousands of jobs that wait must
 // not cost thousands of searches.
-const manyAlike = 16
+const maxFailuresPerSearchKey = 16
 
-// kind is what the search for room depends on.
-type kind struct {
+// searchKey is what the search for room depends on.
+type searchKey struct {
 	team, image, zone, types string
 	need                     partition.Resources
-	level, placed            int
-	same, spread, spot       bool
-	victims                  int // level of the work that may leave, for searches for that
+	level, placedTasks       int
+	sameZone, spread, spot   bool
+	victimLevel              int // level of the work that may leave, for searches for that
 }
 
-func (j *job) kind() kind {
-	return kind{
+func (j *job) searchKey() searchKey {
+	return searchKey{
 		team: j.spec.Team, image: j.spec.Image, zone: j.spec.Zone, types: j.types, need: j.need,
-		level: j.level, placed: len(j.places), same: j.spec.SameZone, spread: j.spec.Spread, spot: j.spec.SpotAllowed,
+		level: j.level, placedTasks: len(j.places), sameZone: j.spec.SameZone, spread: j.spec.Spread, spot: j.spec.SpotAllowed,
 	}
 }
 
-// byDeadline reorders the gangs of each class among themselves, in a list sorted by
+// orderGangsByDeadline reorders the gangs of each class among themselves, in a list sorted by
 // priority and age: first, by age, those that can still meet an aim. When more is
 // asked than can be done, age alone would spend all room on gangs that are late
 // whatever is done, until every gang is late.
-func (c *Core) byDeadline(now time.Duration, waiting []*job) {
+func (c *Core) orderGangsByDeadline(now time.Duration, waiting []*job) {
 	type queue struct {
 		class, team string
 		level       int
@@ -50,18 +50,18 @@
 		for k, i := range at {
 			jobs[k] = waiting[i]
 		}
-		sort.SliceStable(jobs, func(a, b int) bool { return c.deadlineClass(now, jobs[a]) < c.deadlineClass(now, jobs[b]) })
+		sort.SliceStable(jobs, func(a, b int) bool { return c.deadlineTier(now, jobs[a]) < c.deadlineTier(now, jobs[b]) })
 		for k, i := range at {
 			waiting[i] = jobs[k]
 		}
 	}
 }
 
-// deadlineClass orders a class's gangs: 0 for one that can still start in the time that an
+// deadlineTier orders a class's gangs: 0 for one that can still start in the time that an
 // aim asks for, 1 for one that can at least still be done in time, 2 for others.
 // A gang that has waited twice as long as its longest aim comes first again:
 // none waits for ever.
-func (c *Core) deadlineClass(now time.Duration, j *job) int {
+func (c *Core) deadlineTier(now time.Duration, j *job) int {
 	waited := (now - j.known).Seconds()
 	class, longest := 2, 0.0
 	for _, o := range c.cfg.Objectives {
@@ -82,8 +82,8 @@
 	return class
 }
 
-// waits says whether a job has tasks that may be placed now.
-func (c *Core) waits(now time.Duration, j *job) bool {
+// placeableNow says whether a job has tasks that may be placed now.
+func (c *Core) placeableNow(now time.Duration, j *job) bool {
 	if j.counts[pending] == 0 || c.held(j) || j.writeInFlight || now < j.notBefore {
 		return false
 	}
--- a/internal/coordination/scheduler/jobqueues.go
+++ b/internal/coordination/scheduler/jobqueues.go
@@ -18,13 +18,15 @@
 }
 
 func newJobQueues() *jobQueues {
-	tree := func() *btree.BTreeG[*job] { return btree.NewBTreeGOptions(goesBefore, btree.Options{NoLocks: true}) }
+	tree := func() *btree.BTreeG[*job] {
+		return btree.NewBTreeGOptions(scheduledBefore, btree.Options{NoLocks: true})
+	}
 	return &jobQueues{pendingJobs: tree(), blockedJobs: tree(), starts: newStartQueue(), fetchingJobs: tree()}
 }
 
-// goesBefore orders jobs by priority; among equals those come first of which a pipeline's deadline depends,
+// scheduledBefore orders jobs by priority; among equals those come first of which a pipeline's deadline depends,
 // by when they must start, and the others by age.
-func goesBefore(a, b *job) bool {
+func scheduledBefore(a, b *job) bool {
 	return cmp.Or(cmp.Compare(a.level, b.level), cmp.Compare(a.latestStart, b.latestStart), cmp.Compare(a.atMS, b.atMS), cmp.Compare(a.spec.ID, b.spec.ID)) < 0
 }
 
@@ -112,8 +114,8 @@
 	q.fetchingJobs.Delete(j)
 }
 
-// inTurn lists the jobs of a tree in the order of their turns.
-func (c *Core) inTurn(tree *btree.BTreeG[*job]) []*job {
+// inSchedulingOrder lists the jobs of a tree in the order of their turns.
+func (c *Core) inSchedulingOrder(tree *btree.BTreeG[*job]) []*job {
 	jobs := tree.Items()
 	c.sortForRecovery(jobs)
 	return jobs
--- a/internal/coordination/scheduler/limits_test.go
+++ b/internal/coordination/scheduler/largefleet_test.go
@@ -18,8 +18,8 @@
 
 func machineName(i int) string { return fmt.Sprintf("m%05d", i) }
 
-// recorded is what an earlier leader left of one job a machine, each with a task there.
-func recorded(t *testing.T, machines int) (r Records) {
+// largeFleetRecords is what an earlier leader left of one job a machine, each with a task there.
+func largeFleetRecords(t *testing.T, machines int) (r Records) {
 	for i := range machines {
 		id := fmt.Sprintf("j-%06d", i)
 		live, err := protocol.Encode(storage.LiveJobRecord{Job: spec(id, protocol.Array, "normal", 1, 4)})
@@ -45,7 +45,7 @@
 	b := newBench([]config.Team{{Name: "red"}}, "a")
 	cfg := *b.c.cfg
 	cfg.Quota.CoreShare, cfg.Cloud.RPS = 0.336, 4
-	records := recorded(t, manyMachines)
+	records := largeFleetRecords(t, manyMachines)
 	records.Types = []protocol.MachineType{{Name: "g8", CPUs: 64, GPUs: 8, MemoryGB: 256, CacheGB: 100, FetchGBPerSecond: 1, HourlyPrice: 4, BootSeconds: 30, Zones: []string{"a"}}}
 	b.c = New(0, &cfg, slog.New(slog.NewTextHandler(io.Discard, nil)), Term{Number: 5, Stamp: 1}, records, 0, nil)
 	var list []protocol.ListedMachine
--- a/internal/coordination/scheduler/lifecycle.go
+++ b/internal/coordination/scheduler/lifecycle.go
@@ -101,7 +101,7 @@
 		}
 		return
 	}
-	j.begun = j.begun || j.runAt > 0 && now-j.runAt >= settled
+	j.begun = j.begun || j.runAt > 0 && now-j.runAt >= startCountsAfter
 	j.runAt = 0
 	j.set(task, pending)
 	j.markDirty(task, now) // or its exited entry could never be forgotten
@@ -174,7 +174,7 @@
 
 // stop asks a placement to end, and takes in when that needs no proof.
 func (c *Core) stop(now time.Duration, j *job, pl *partition.Placement, graceS float64) {
-	c.roomEvents++
+	c.capacityEvents++
 	if c.machines.Stop(now, pl, graceS) && !pl.StartAllowed && j.writeInFlight {
 		// Its record may be written at this moment; it names a placement that
 		// was never started, which a later write replaces.
--- a/internal/coordination/scheduler/pipelines.go
+++ b/internal/coordination/scheduler/pipelines.go
@@ -209,7 +209,7 @@
 			return false
 		}
 		if c.graph.State(j.spec.ID) == dependency.Live && c.isNear(now, j) {
-			units = append(units, fleet.Demand{Job: &j.spec, Count: min(j.spec.TaskCount, c.allowance(j)), Headroom: true})
+			units = append(units, fleet.Demand{Job: &j.spec, Count: min(j.spec.TaskCount, c.tasksWithinQuotaLimit(j)), Headroom: true})
 		}
 		return true
 	})
--- a/internal/coordination/scheduler/poolscore.go
+++ b/internal/coordination/scheduler/poolscore.go
@@ -8,34 +8,36 @@
 	"pinebay/internal/coordination/partition"
 )
 
-// aimless says whether no aim on waiting is stated for a job's class.
-func (c *Core) aimless(j *job) bool { return math.IsInf(c.waitAim(j.spec.Class), 1) }
+// lacksStartLatencyObjective says whether no aim on waiting is stated for a job's class.
+func (c *Core) lacksStartLatencyObjective(j *job) bool {
+	return math.IsInf(c.startLatencyObjective(j.spec.Class), 1)
+}
 
-// prefersRoom says whether the score of machines without the job's image falls with their room.
-func (c *Core) prefersRoom(j *job) bool {
-	aim := c.waitAim(j.spec.Class)
-	if c.aimless(j) {
+// prefersFreeCapacity says whether the score of machines without the job's image falls with their room.
+func (c *Core) prefersFreeCapacity(j *job) bool {
+	aim := c.startLatencyObjective(j.spec.Class)
+	if c.lacksStartLatencyObjective(j) {
 		return true
 	}
 	for name, t := range c.machines.MachineTypes() {
-		if fetch := c.fetchS(j, name); fetch > max(aim, t.BootSeconds) || fetch*partition.SlowFetchFactor > aim {
+		if fetch := c.fetchSeconds(j, name); fetch > max(aim, t.BootSeconds) || fetch*partition.SlowFetchFactor > aim {
 			return true
 		}
 	}
 	return false
 }
 
-// poolAllows says whether machines of a pool may do for a job.
-func (c *Core) poolAllows(j *job, l *limits, p machineindex.Pool) bool {
+// poolFeasible says whether machines of a pool may do for a job.
+func (c *Core) poolFeasible(j *job, l *zoneLimits, p machineindex.Pool) bool {
 	t := c.machines.MachineType(p.Type)
-	return t != nil && (!p.Spot || j.spec.SpotAllowed) && t.AllowedBy(&j.spec) && (l.perZone == nil || l.allow(p.Zone))
+	return t != nil && (!p.Spot || j.spec.SpotAllowed) && t.AllowedBy(&j.spec) && (l.tasksPerZone == nil || l.allows(p.Zone))
 }
 
 // poolScore is what every machine of a pool adds to a score.
-func (c *Core) poolScore(j *job, l *limits, p machineindex.Pool) float64 {
+func (c *Core) poolScore(j *job, l *zoneLimits, p machineindex.Pool) float64 {
 	s := c.zoneRiskPenalty(j, p.Zone)
-	if j.spec.Spread && l.perZone != nil {
-		s += float64(l.perZone[p.Zone]) / float64(j.spec.TaskCount)
+	if j.spec.Spread && l.tasksPerZone != nil {
+		s += float64(l.tasksPerZone[p.Zone]) / float64(j.spec.TaskCount)
 	}
 	switch {
 	case !p.Spot:
@@ -47,8 +49,8 @@
 	return s
 }
 
-// fetchS is how long a type of machines takes for the job's image, in seconds.
-func (c *Core) fetchS(j *job, kind string) float64 {
+// fetchSeconds is how long a type of machines takes for the job's image, in seconds.
+func (c *Core) fetchSeconds(j *job, kind string) float64 {
 	t := c.machines.MachineType(kind)
 	if t == nil || t.FetchGBPerSecond <= 0 {
 		return 0
--- a/internal/coordination/scheduler/preempt_test.go
+++ b/internal/coordination/scheduler/preempt_test.go
@@ -74,11 +74,11 @@
 	}
 }
 
-// TestClearedRoomIsTaken: room that was cleared for a task for want of any is
+// TestPreemptedCapacityIsUsed: room that was cleared for a task for want of any is
 // taken when it is free, although its fetch now lasts longer than what is left
 // of the aim on waiting. Waiting on for room with the image, which nobody was
 // clearing, had used up the whole aim.
-func TestClearedRoomIsTaken(t *testing.T) {
+func TestPreemptedCapacityIsUsed(t *testing.T) {
 	b := newBench([]config.Team{{Name: "red"}}, "a")
 	b.setObjectives([]config.Objective{{Kind: "wait", Class: "quick", WithinSeconds: 12, Fraction: 0.9}})
 	b.machine("m1", "a", false)
@@ -106,10 +106,10 @@
 	}
 }
 
-// TestLateGangsMakeRoom: when more is asked than can be done, a gang that can
+// TestLateGangsYield: when more is asked than can be done, a gang that can
 // still start in time goes before an older one of its class that is late
 // whatever is done; and that one comes first again in the end.
-func TestLateGangsMakeRoom(t *testing.T) {
+func TestLateGangsYield(t *testing.T) {
 	for _, x := range []struct {
 		waited int // seconds, by the older gang
 		want   string
@@ -141,10 +141,10 @@
 	}
 }
 
-// TestClearedRoomYieldsToEarlierJobs: room that is being cleared for one gang is
+// TestNominationYieldsToEarlierJobs: room that is being cleared for one gang is
 // closed to later jobs, not to those that come first, and is open again once its
 // gang has found room elsewhere. Else gangs each sit on a part of what one needs.
-func TestClearedRoomYieldsToEarlierJobs(t *testing.T) {
+func TestNominationYieldsToEarlierJobs(t *testing.T) {
 	for _, x := range []struct {
 		owner string // for whom the first machine is being cleared
 		want  map[string]int
@@ -181,11 +181,11 @@
 	}
 }
 
-// TestColdReplicaLeavesRoomForTheNext: a replica that must fetch, for longer than
+// TestReplicaWithoutImageLeavesCapacityForTheNext: a replica that must fetch, for longer than
 // its class's aim, goes beside others where most room is left, so that the next
 // of its kind starts there without a fetch; not to an empty machine, which jobs
 // that want a whole one need.
-func TestColdReplicaLeavesRoomForTheNext(t *testing.T) {
+func TestReplicaWithoutImageLeavesCapacityForTheNext(t *testing.T) {
 	b := newBench([]config.Team{{Name: "red"}}, "a")
 	b.setObjectives([]config.Objective{{Kind: "wait", Class: "quick", WithinSeconds: 1, Fraction: 0.9}})
 	for i, gpus := range []float64{6, 3} {
@@ -209,11 +209,11 @@
 	}
 }
 
-// TestFetchingArraysMakeWay: in a crowd, arrays that came first fetch on every
+// TestFetchingArraysYield: in a crowd, arrays that came first fetch on every
 // machine. A replica takes a machine as if they had left, and they leave: they
 // lose nothing but a fetch, while it would take twice as long beside them. Arrays
 // that run stay.
-func TestFetchingArraysMakeWay(t *testing.T) {
+func TestFetchingArraysYield(t *testing.T) {
 	for _, x := range []struct {
 		state protocol.TaskState
 		prio  protocol.Priority
@@ -243,10 +243,10 @@
 	}
 }
 
-// TestWarmRoomIsCleared guards the aim on short waits: a critical task with
+// TestMachineWithImageIsPreempted guards the aim on short waits: a critical task with
 // cold free room and a warm machine full of lower work waits for the latter
 // to be cleared, and is not sent to fetch for longer than its aim.
-func TestWarmRoomIsCleared(t *testing.T) {
+func TestMachineWithImageIsPreempted(t *testing.T) {
 	for _, x := range []struct {
 		prio protocol.Priority
 		want string
@@ -282,11 +282,11 @@
 	}
 }
 
-// TestFetchesThatTakeLongerAreNotSwapped: two machines fetch the same image and
+// TestSlowFetchesAreNotSwapped: two machines fetch the same image and
 // take longer than the type's rate says. Neither task may be moved to the
 // other's machine, where the fetch would begin anew once its own task has left;
 // only when one is seen past its fetch does the other join it.
-func TestFetchesThatTakeLongerAreNotSwapped(t *testing.T) {
+func TestSlowFetchesAreNotSwapped(t *testing.T) {
 	b := newBench([]config.Team{{Name: "red"}}, "a")
 	b.setObjectives([]config.Objective{{Kind: "wait", Class: "quick", WithinSeconds: 40, Fraction: 0.9}})
 	one, two := protocol.TaskID{JobID: "j-1"}, protocol.TaskID{JobID: "j-2"}
@@ -319,17 +319,17 @@
 	}
 }
 
-// TestRoomIsKeptForWaitAims: arrays of the same level, which could not be
+// TestHeadroomForStartLatencyObjectives: arrays of the same level, which could not be
 // preempted for it, leave the room that a class with a wait aim is likely to
 // want, also if they have a looser one; the class itself may use it.
-func TestRoomIsKeptForWaitAims(t *testing.T) {
-	t.Run("no aim", func(t *testing.T) { roomIsKept(t) })
+func TestHeadroomForStartLatencyObjectives(t *testing.T) {
+	t.Run("no aim", func(t *testing.T) { checkHeadroomIsHeld(t) })
 	t.Run("looser aim", func(t *testing.T) {
-		roomIsKept(t, config.Objective{Kind: "wait", Class: "c", WithinSeconds: 100, Fraction: 0.9})
+		checkHeadroomIsHeld(t, config.Objective{Kind: "wait", Class: "c", WithinSeconds: 100, Fraction: 0.9})
 	})
 }
 
-func roomIsKept(t *testing.T, aims ...config.Objective) {
+func checkHeadroomIsHeld(t *testing.T, aims ...config.Objective) {
 	b := newBench([]config.Team{{Name: "red"}}, "a")
 	b.setObjectives(append(aims, config.Objective{Kind: "wait", Class: "quick", WithinSeconds: 12, Fraction: 0.9}))
 	b.machine("m1", "a", false)
@@ -354,10 +354,10 @@
 	}
 }
 
-// TestQuickRoomIsKeptFromLowerWork: a class whose fetch leaves no time to clear
+// TestHeadroomIsHeldAgainstLowerPriorities: a class whose fetch leaves no time to clear
 // room of arrays has its room kept free of them, and rented for if need be. At
 // many machines, arrays had else left no whole one free anywhere.
-func TestQuickRoomIsKeptFromLowerWork(t *testing.T) {
+func TestHeadroomIsHeldAgainstLowerPriorities(t *testing.T) {
 	for _, x := range []struct {
 		within float64
 		tasks  int // of the array that may start
--- a/internal/coordination/scheduler/teams.go
+++ b/internal/coordination/scheduler/quota.go
@@ -10,8 +10,8 @@
 // team returns the team of that name, or nil.
 func (c *Core) team(name string) *config.Team { return c.teams[name] }
 
-// teamShare is what a team uses for its weight: its guarantee, or 1.
-func (c *Core) teamShare(team string) float64 {
+// weightedUsage is what a team uses for its weight: its guarantee, or 1.
+func (c *Core) weightedUsage(team string) float64 {
 	u := c.machines.TeamUsage(team)
 	t := c.team(team)
 	if t != nil && (t.GuaranteedGPUs > 0 || t.GuaranteedCPUs > 0) {
@@ -20,8 +20,8 @@
 	return u.GPUs + u.CPUs
 }
 
-// allowance is how many more tasks of the job its team's limit lets start.
-func (c *Core) allowance(j *job) int {
+// tasksWithinQuotaLimit is how many more tasks of the job its team's limit lets start.
+func (c *Core) tasksWithinQuotaLimit(j *job) int {
 	t := c.team(j.spec.Team)
 	n := math.MaxInt32
 	if t == nil {
@@ -37,20 +37,20 @@
 	return max(0, n)
 }
 
-// borrows says whether a placement's team uses more than its guarantee.
-func (c *Core) borrows(pl *partition.Placement) bool {
-	return !withinGuarantee(c.team(pl.Team), c.machines.TeamUsage(pl.Team))
+// exceedsGuaranteedQuota says whether a placement's team uses more than its guarantee.
+func (c *Core) exceedsGuaranteedQuota(pl *partition.Placement) bool {
+	return !fitsGuaranteedQuota(c.team(pl.Team), c.machines.TeamUsage(pl.Team))
 }
 
-// guaranteed says whether a job's team is still within its guarantee with one more
+// withinGuaranteedQuota says whether a job's team is still within its guarantee with one more
 // of its tasks.
-func (c *Core) guaranteed(j *job) bool {
-	return withinGuarantee(c.team(j.spec.Team), c.machines.TeamUsage(j.spec.Team).Plus(j.need))
+func (c *Core) withinGuaranteedQuota(j *job) bool {
+	return fitsGuaranteedQuota(c.team(j.spec.Team), c.machines.TeamUsage(j.spec.Team).Plus(j.need))
 }
 
-// tasksWithinGuarantee is how many more of a job's tasks its team can run within its guarantee.
-func (c *Core) tasksWithinGuarantee(j *job) int {
-	if !c.guaranteed(j) {
+// tasksWithinGuaranteedQuota is how many more of a job's tasks its team can run within its guarantee.
+func (c *Core) tasksWithinGuaranteedQuota(j *job) int {
+	if !c.withinGuaranteedQuota(j) {
 		return 0
 	}
 	t, used := c.team(j.spec.Team), c.machines.TeamUsage(j.spec.Team)
@@ -63,9 +63,9 @@
 	return n
 }
 
-// withinGuarantee says whether a team that uses so much has a guarantee and fits into
+// fitsGuaranteedQuota says whether a team that uses so much has a guarantee and fits into
 // it. A resource that no guarantee names does not count.
-func withinGuarantee(t *config.Team, used partition.Resources) bool {
+func fitsGuaranteedQuota(t *config.Team, used partition.Resources) bool {
 	if t == nil || t.GuaranteedCPUs == 0 && t.GuaranteedGPUs == 0 {
 		return false
 	}
--- a/internal/coordination/scheduler/recoveryorder.go
+++ b/internal/coordination/scheduler/recoveryorder.go
@@ -37,7 +37,7 @@
 	}
 	keys := make(map[*job]recoverySortKey, len(jobs))
 	for _, j := range jobs {
-		keys[j] = recoverySortKey{z.order.Position(j.spec.Class, j.spec.Team), j.level, debts[j.spec.ID], c.waitAim(j.spec.Class)}
+		keys[j] = recoverySortKey{z.order.Position(j.spec.Class, j.spec.Team), j.level, debts[j.spec.ID], c.startLatencyObjective(j.spec.Class)}
 	}
 	slices.SortStableFunc(jobs, func(a, b *job) int {
 		x, y := keys[a], keys[b]
@@ -93,8 +93,8 @@
 		if j.spec.Shape == protocol.Gang {
 			least = j.spec.TaskCount
 		}
-		if n := min(c.allowance(j), c.tasksWithinGuarantee(j)); n >= least {
-			c.place(now, j, n)
+		if n := min(c.tasksWithinQuotaLimit(j), c.tasksWithinGuaranteedQuota(j)); n >= least {
+			c.placeJob(now, j, n)
 		}
 		beyond[j.spec.Team] = j.counts[pending] > 0
 	}
--- /dev/null
+++ b/internal/coordination/scheduler/victimsearch.go
@@ -0,0 +1,100 @@
+package scheduler
+
+import (
+	"math"
+	"time"
+
+	"pinebay/internal/coordination/partition"
+)
+
+// preemptionLooks bounds what searches for work to stop may cost in a cycle, in machines looked
+// at; one whose work must be chosen counts as several.
+const (
+	preemptionBudgetPerCycle = 1 << 18
+	victimSelectionCost      = 8
+)
+
+// cheapestPreemption looks at the machines that have work which may have to leave: of at least the level,
+// or about to leave anyhow, or any if the job's team is within its guarantee.
+func (f indexFinder) cheapestPreemption(now time.Duration, j *job, l *zoneLimits, within time.Duration, level int) (*candidate, []*partition.Placement) {
+	lowest := level
+	if f.scheduler.withinGuaranteedQuota(j) {
+		lowest = 0
+	}
+	sets := []*partition.MachineSet{f.scheduler.machines.MachinesWithStopping()}
+	for r := lowest; r < partition.PriorityLevels; r++ {
+		sets = append(sets, f.scheduler.machines.MachinesAtPriority(r))
+	}
+	total := 0
+	for _, set := range sets {
+		total += set.Len()
+	}
+	from := ""
+	if total > maxExaminedMachines {
+		from = f.scheduler.preemptionCursor
+	}
+	s := victimSearch{scheduler: f.scheduler, now: now, job: j, limits: l, maxFetchTime: within, victimLevel: level, candidateLevel: lowest, cost: math.Inf(1), remaining: maxExaminedMachines}
+	for _, set := range sets {
+		s.scan(set, from)
+	}
+	if total > maxExaminedMachines {
+		f.scheduler.preemptionCursor = s.lastExamined
+	}
+	return s.best, s.victims
+}
+
+// victimSearch is a search for work to stop.
+type victimSearch struct {
+	scheduler      *Core
+	now            time.Duration
+	job            *job
+	limits         *zoneLimits
+	maxFetchTime   time.Duration
+	victimLevel    int // work of at least it leaves
+	candidateLevel int // level of work that may leave for whatever reason
+	remaining      int // machines that may still be looked at
+	lastExamined   string
+
+	best    *candidate
+	victims []*partition.Placement
+	cost    float64
+}
+
+// scan looks at the machines of a set from a name on, and then at those before it.
+func (s *victimSearch) scan(set *partition.MachineSet, from string) {
+	look := func(m *partition.Machine) bool {
+		if s.remaining--; s.remaining < 0 {
+			return false
+		}
+		s.lastExamined = m.Name
+		s.examine(m)
+		return true
+	}
+	set.Ascend(&partition.Machine{Name: from}, look)
+	if from == "" || s.remaining < 0 {
+		return
+	}
+	set.Scan(func(m *partition.Machine) bool { return m.Name < from && look(m) })
+}
+
+// examine takes a machine into account.
+func (s *victimSearch) examine(m *partition.Machine) {
+	c, j := s.scheduler, s.job
+	c.preemptionBudgetLeft--
+	c.machinesExamined++
+	x := c.candidateOf(s.now, m)
+	if x == nil || !j.need.Fits(x.free.Plus(m.PreemptibleResources(s.candidateLevel))) || !j.need.Fits(partition.CapacityOf(x.machineType)) ||
+		!c.feasible(s.now, j, x, s.limits) || m.IsReservedFor(s.now, j.spec.ID) {
+		return
+	}
+	warm := c.machines.FetchTime(s.now, m, &j.spec)
+	if warm > s.maxFetchTime {
+		return
+	}
+	c.preemptionBudgetLeft -= victimSelectionCost
+	victims, cost, ok := c.selectVictims(s.now, j, x, s.victimLevel)
+	cost += warm.Seconds()
+	if ok && (cost < s.cost || cost == s.cost && s.best != nil && m.Name < s.best.machine.Name) {
+		s.best, s.victims, s.cost = x, victims, cost
+	}
+}
--- a/internal/coordination/scheduler/zonefencing.go
+++ b/internal/coordination/scheduler/zonefencing.go
@@ -40,7 +40,7 @@
 			return
 		}
 		held := c.placementsInLostZones(now, j, patience)
-		waiting := min(j.counts[pending], c.allowance(j), maxWaitingConsidered)
+		waiting := min(j.counts[pending], c.tasksWithinQuotaLimit(j), maxWaitingConsidered)
 		if c.held(j) || len(held)+waiting == 0 || now < j.searchAgain {
 			continue
 		}
@@ -116,11 +116,11 @@
 // its limits allow none.
 func (c *Core) requestInAvailableZones(j *job, tasks int) (zones.CapacityRequest, bool) {
 	perZone := map[string]int{}
-	limits := c.limits(j)
+	limits := c.zoneLimitsOf(j)
 	total := 0
 	for _, zone := range c.zoneFailover.monitor.Zones() {
 		allowed := j.spec.Zone == "" || j.spec.Zone == zone.Name
-		if left := min(tasks, limits.most-limits.perZone[zone.Name]); allowed && left > 0 && zone.State == zones.Available {
+		if left := min(tasks, limits.maxTasksPerZone-limits.tasksPerZone[zone.Name]); allowed && left > 0 && zone.State == zones.Available {
 			perZone[zone.Name] = left
 			total += left
 		}
--- a/internal/coordination/scheduler/zoneharness_test.go
+++ b/internal/coordination/scheduler/zoneharness_test.go
@@ -136,7 +136,7 @@
 func (b *zoneHarness) lenderFacts(row storage.LoanRow) simulation.LenderObservation {
 	lender, borrower := b.c.jobs[row.Lender], b.c.jobs[row.Borrower]
 	return simulation.LenderObservation{LenderLevel: lender.level, BorrowerLevel: borrower.level,
-		ProtectedByQuota: withinGuarantee(b.c.cfg.Team(lender.spec.Team), b.c.machines.TeamUsage(lender.spec.Team))}
+		ProtectedByQuota: fitsGuaranteedQuota(b.c.cfg.Team(lender.spec.Team), b.c.machines.TeamUsage(lender.spec.Team))}
 }
 
 func (b *zoneHarness) heartbeatOf(name string) *protocol.WorkerHeartbeat {
@@ -215,7 +215,7 @@
 		for _, pl := range placements(j) {
 			if !before[placedAttempt{pl.Task, pl.Attempt}] {
 				team = team.Plus(pl.Resources)
-				guaranteed := withinGuarantee(b.c.cfg.Team(pl.Team), team)
+				guaranteed := fitsGuaranteedQuota(b.c.cfg.Team(pl.Team), team)
 				starts = append(starts, simulation.PlacedTask{Job: b.recoveryJob(j), Machine: pl.Machine, WithinQuota: guaranteed})
 			}
 		}
@@ -223,11 +223,11 @@
 	return starts
 }
 
-// waitingJobs returns the jobs that wait for room, but those that stand back for another
+// schedulableJobs returns the jobs that wait for room, but those that stand back for another
 // reason: their team's limit, a record under way, or that backfill is allowed just now.
 func (b *zoneHarness) waitingJobs() (waiting []simulation.WaitingJob) {
 	for _, j := range b.c.jobs {
-		if !b.c.waits(b.now, j) || b.c.allowance(j) == 0 || j.spec.Shape == protocol.Gang && (b.c.allowance(j) < j.spec.TaskCount || j.short%(shortCycles+1) == 0) {
+		if !b.c.placeableNow(b.now, j) || b.c.tasksWithinQuotaLimit(j) == 0 || j.spec.Shape == protocol.Gang && (b.c.tasksWithinQuotaLimit(j) < j.spec.TaskCount || j.short%(gangHoldCycles+1) == 0) {
 			continue
 		}
 		waiting = append(waiting, b.recoveryJob(j))
@@ -256,10 +256,10 @@
 		r.Tasks, r.SameZone = j.spec.TaskCount, j.spec.SameZone
 	}
 	r.ExcludedMachines = b.excluded[j.spec.ID]
-	l := b.c.limits(j)
+	l := b.c.zoneLimitsOf(j)
 	for _, zone := range []string{"a", "b"} {
-		if l.allow(zone) {
-			r.MaxPerZone[zone] = min(j.spec.TaskCount, l.most-l.perZone[zone])
+		if l.allows(zone) {
+			r.MaxPerZone[zone] = min(j.spec.TaskCount, l.maxTasksPerZone-l.tasksPerZone[zone])
 		}
 	}
 	return r
--- a/internal/coordination/scheduler/zoneloans.go
+++ b/internal/coordination/scheduler/zoneloans.go
@@ -47,7 +47,7 @@
 		if pl == nil || pl.Attempt != loan.Lender.Attempt || pl.Stopping {
 			continue
 		}
-		c.stopFor(now, pl, loan.Borrower, c.patience(now, borrower, 0))
+		c.preemptPlacement(now, pl, loan.Borrower, c.checkpointAllowance(now, borrower, 0))
 	}
 }
 
--- a/internal/coordination/scheduler/zoneloans_test.go
+++ b/internal/coordination/scheduler/zoneloans_test.go
@@ -196,7 +196,7 @@
 	gang.Zone, small.Zone = "b", "b"
 	b.submit(gang)
 	b.submit(small)
-	b.c.jobs["j-8"].displacedFrom, b.c.jobs["j-8"].short = "a", shortCycles
+	b.c.jobs["j-8"].displacedFrom, b.c.jobs["j-8"].short = "a", gangHoldCycles
 	b.runSecond()
 	if countDecisions[zones.LoanMade](b.decisions) == 0 {
 		t.Fatalf("nothing was lent:\n%s", strings.Join(b.describeDecisions(), "\n"))
