--- a/internal/coordination/api/jobreader.go
+++ b/internal/coordination/api/jobreader.go
@@ -219,7 +219,7 @@
 		st = protocol.JobStatus{ID: q.id, State: protocol.JobQueued}
 	}
 	if st.Unblocked {
-		r.graph.Free(q.id) // the leader has read that all that it awaits is done
+		r.graph.Unblock(q.id) // the leader has read that all that it awaits is done
 	}
 	if q.unreadDependencies = r.unreadDependencies(q.id); len(q.unreadDependencies) > 0 {
 		return
@@ -233,7 +233,7 @@
 // unreadDependencies lists jobs that a job awaits, directly or not, of which it must be read how they ended.
 func (r *jobReader) unreadDependencies(id string) []string {
 	for {
-		ids := r.graph.UnknownBefore(id, maxFinalReads)
+		ids := r.graph.UnknownOutcomesBefore(id, maxFinalReads)
 		settled := false
 		for _, need := range ids {
 			if f, ok := r.finalState(need); ok {
@@ -280,7 +280,7 @@
 		if e.DeleteKey != "" {
 			id := e.DeleteKey[len(storage.LiveJobPrefix):]
 			delete(r.liveShapes, id)
-			r.graph.EndUnknown(id)
+			r.graph.EndWithUnknownOutcome(id)
 			dropped = true
 		} else {
 			r.addLiveJob(e.PutKey, e.Value)
@@ -326,7 +326,7 @@
 		r.log.Error("live record out of form", "key", key, "err", err)
 	}
 	r.liveShapes[id] = rec.Job.Shape
-	r.graph.Add(dependency.Job{ID: id, Needs: rec.Job.Awaits, Due: dependency.Never})
+	r.graph.Add(dependency.Job{ID: id, Dependencies: rec.Job.Awaits, Deadline: dependency.NoDeadline})
 }
 
 func (r *jobReader) finalState(id string) (finalState, bool) {
--- a/internal/coordination/dependency/graph_test.go
+++ b/internal/coordination/dependency/graph_test.go
@@ -21,7 +21,7 @@
 
 // state returns whether a job is free, cancelled because of another, or waits.
 func (r *reference) state(id string) (open int, cancelled bool) {
-	for _, need := range r.jobs[id].Needs {
+	for _, need := range r.jobs[id].Dependencies {
 		switch r.ended[need] {
 		case Done:
 			continue
@@ -39,15 +39,15 @@
 // lives says whether a job has not ended and is not cancelled with another.
 func (r *reference) lives(id string) bool {
 	_, cancelled := r.state(id)
-	return r.ended[id] == Unknown && !cancelled
+	return r.ended[id] == UnknownOutcome && !cancelled
 }
 
-// level is the highest priority of a job and those that live and need it.
-func (r *reference) level(id string) int {
-	level := r.jobs[id].Level
+// priority is the highest priority of a job and those that live and need it.
+func (r *reference) priority(id string) int {
+	level := r.jobs[id].Priority
 	for other, j := range r.jobs {
-		if r.lives(other) && slices.Contains(j.Needs, id) {
-			level = min(level, r.level(other))
+		if r.lives(other) && slices.Contains(j.Dependencies, id) {
+			level = min(level, r.priority(other))
 		}
 	}
 	return level
@@ -60,7 +60,7 @@
 		g, r := New(), &reference{jobs: map[string]Job{}, ended: map[string]State{}}
 		freed, cancelled := map[string]bool{}, map[string]bool{}
 		take := func(c Change) {
-			for _, id := range c.Freed {
+			for _, id := range c.Unblocked {
 				if freed[id] {
 					t.Fatalf("%s is freed twice", id)
 				}
@@ -72,10 +72,10 @@
 				}
 				cancelled[id] = true
 			}
-			for _, id := range c.Unknown {
-				if state := r.ended[id]; state != Unknown {
+			for _, id := range c.UnknownOutcomes {
+				if state := r.ended[id]; state != UnknownOutcome {
 					c := g.End(id, state)
-					for _, id := range c.Freed {
+					for _, id := range c.Unblocked {
 						freed[id] = true
 					}
 					for _, id := range c.Cancelled {
@@ -88,10 +88,10 @@
 		}
 		for step := range rapid.IntRange(1, 40).Draw(t, "steps") {
 			if len(r.jobs) == 0 || rapid.IntRange(0, 2).Draw(t, "what") > 0 {
-				j := Job{ID: fmt.Sprintf("j-%02d", step), Level: rapid.IntRange(0, 3).Draw(t, "level"), Due: Never}
+				j := Job{ID: fmt.Sprintf("j-%02d", step), Priority: rapid.IntRange(0, 3).Draw(t, "level"), Deadline: NoDeadline}
 				for other := range r.jobs {
 					if rapid.IntRange(0, 3).Draw(t, "needs "+other) == 0 {
-						j.Needs = append(j.Needs, other)
+						j.Dependencies = append(j.Dependencies, other)
 					}
 				}
 				r.jobs[j.ID] = j
@@ -101,7 +101,7 @@
 			id := fmt.Sprintf("j-%02d", rapid.IntRange(0, step).Draw(t, "which"))
 			open, cancelledWithNeed := r.state(id)
 			switch {
-			case r.jobs[id].ID == "" || r.ended[id] != Unknown:
+			case r.jobs[id].ID == "" || r.ended[id] != UnknownOutcome:
 			case cancelledWithNeed || rapid.Bool().Draw(t, "cancel"):
 				r.ended[id] = Cancelled
 				take(g.End(id, Cancelled))
@@ -112,10 +112,10 @@
 		}
 		for id := range r.jobs {
 			open, cancelledWithNeed := r.state(id)
-			if r.ended[id] != Unknown {
+			if r.ended[id] != UnknownOutcome {
 				continue
 			}
-			if got := g.State(id); (got == Cancelled) != cancelledWithNeed || got == Done || got == Unknown {
+			if got := g.State(id); (got == Cancelled) != cancelledWithNeed || got == Done || got == UnknownOutcome {
 				t.Fatalf("%s is in state %d, cancelled %v", id, got, cancelledWithNeed)
 			}
 			if cancelled[id] != cancelledWithNeed {
@@ -124,27 +124,27 @@
 			if cancelledWithNeed {
 				continue
 			}
-			if got := g.Open(id); got != open {
+			if got := g.OpenDependencies(id); got != open {
 				t.Fatalf("%s has %d open needs, want %d", id, got, open)
 			}
 			if freed[id] && open > 0 {
 				t.Fatalf("%s was freed with %d open needs", id, open)
 			}
-			if got, ok := g.Level(id); !ok || got != r.level(id) {
-				t.Fatalf("%s has level %d, want %d", id, got, r.level(id))
+			if got, ok := g.Priority(id); !ok || got != r.priority(id) {
+				t.Fatalf("%s has level %d, want %d", id, got, r.priority(id))
 			}
 		}
 	})
 }
 
-// TestLatestStartFlowsBack: the deadline of the last job bounds when all before it must start, whichever
+// TestLatestStartReachesDependencies: the deadline of the last job bounds when all before it must start, whichever
 // was submitted first, and the longest path counts.
-func TestLatestStartFlowsBack(t *testing.T) {
+func TestLatestStartReachesDependencies(t *testing.T) {
 	jobs := []Job{
-		{ID: "first", Level: 3, Due: Never, Estimate: 10},
-		{ID: "short", Level: 3, Due: Never, Estimate: 5, Needs: []string{"first"}},
-		{ID: "long", Level: 3, Due: Never, Estimate: 50, Needs: []string{"first"}},
-		{ID: "last", Level: 1, Due: 200, Estimate: 20, Needs: []string{"short", "long"}},
+		{ID: "first", Priority: 3, Deadline: NoDeadline, EstimatedDuration: 10},
+		{ID: "short", Priority: 3, Deadline: NoDeadline, EstimatedDuration: 5, Dependencies: []string{"first"}},
+		{ID: "long", Priority: 3, Deadline: NoDeadline, EstimatedDuration: 50, Dependencies: []string{"first"}},
+		{ID: "last", Priority: 1, Deadline: 200, EstimatedDuration: 20, Dependencies: []string{"short", "long"}},
 	}
 	want := map[string]time.Duration{"first": 120, "short": 175, "long": 130, "last": 180}
 	for _, order := range [][]int{{0, 1, 2, 3}, {3, 2, 1, 0}, {3, 0, 2, 1}} {
@@ -156,63 +156,63 @@
 			if got := g.LatestStart(id); got != start {
 				t.Errorf("order %v: %s must start by %d, want %d", order, id, got, start)
 			}
-			if level, _ := g.Level(id); level != 1 {
+			if level, _ := g.Priority(id); level != 1 {
 				t.Errorf("order %v: %s has level %d, want that of the last job", order, id, level)
 			}
 		}
 	}
 }
 
-// TestLostAndReadAgain: a job that has ended, nobody knows how, holds up those that need it until that is
+// TestUnknownOutcomeHoldsDependents: a job that has ended, nobody knows how, holds up those that need it until that is
 // read, and they are found however far they are.
-func TestLostAndReadAgain(t *testing.T) {
+func TestUnknownOutcomeHoldsDependents(t *testing.T) {
 	g := New()
-	g.Add(Job{ID: "a", Due: Never})
-	g.Add(Job{ID: "b", Needs: []string{"a"}, Due: Never})
-	g.Add(Job{ID: "c", Needs: []string{"b"}, Due: Never})
-	if c := g.EndUnknown("a"); !slices.Equal(c.Unknown, []string{"a"}) {
-		t.Fatalf("losing it asks for %v", c.Unknown)
+	g.Add(Job{ID: "a", Deadline: NoDeadline})
+	g.Add(Job{ID: "b", Dependencies: []string{"a"}, Deadline: NoDeadline})
+	g.Add(Job{ID: "c", Dependencies: []string{"b"}, Deadline: NoDeadline})
+	if c := g.EndWithUnknownOutcome("a"); !slices.Equal(c.UnknownOutcomes, []string{"a"}) {
+		t.Fatalf("losing it asks for %v", c.UnknownOutcomes)
 	}
-	if got := g.UnknownBefore("c", 9); !slices.Equal(got, []string{"a"}) {
+	if got := g.UnknownOutcomesBefore("c", 9); !slices.Equal(got, []string{"a"}) {
 		t.Fatalf("before the last job is unknown: %v", got)
 	}
-	if c := g.End("a", Cancelled); !slices.Equal(c.Cancelled, []string{"b", "c"}) || g.Cause("c") != "a" {
-		t.Errorf("cancelled with it: %v, because of %q", c.Cancelled, g.Cause("c"))
+	if c := g.End("a", Cancelled); !slices.Equal(c.Cancelled, []string{"b", "c"}) || g.CancelledBy("c") != "a" {
+		t.Errorf("cancelled with it: %v, because of %q", c.Cancelled, g.CancelledBy("c"))
 	}
 }
 
-// TestCostsFollowEdges: what an end and a submission cost does not grow with the jobs that wait, in a chain of ten
+// TestCostGrowsWithEdgesOnly: what an end and a submission cost does not grow with the jobs that wait, in a chain of ten
 // thousand, with one job that ten thousand await, and in layers.
-func TestCostsFollowEdges(t *testing.T) {
+func TestCostGrowsWithEdgesOnly(t *testing.T) {
 	const n = 10_000
 	chain, star := New(), New()
-	star.Add(Job{ID: "hub", Level: 3, Due: Never})
+	star.Add(Job{ID: "hub", Priority: 3, Deadline: NoDeadline})
 	last := ""
 	for i := range n {
 		id := fmt.Sprintf("j-%05d", i)
-		star.Add(Job{ID: id, Level: 3, Due: Never, Needs: []string{"hub"}})
+		star.Add(Job{ID: id, Priority: 3, Deadline: NoDeadline, Dependencies: []string{"hub"}})
 		var needs []string
 		if last != "" {
 			needs = []string{last}
 		}
-		chain.Add(Job{ID: id, Level: 3, Due: Never, Needs: needs})
+		chain.Add(Job{ID: id, Priority: 3, Deadline: NoDeadline, Dependencies: needs})
 		last = id
 	}
-	if c := chain.Add(Job{ID: "end", Level: 1, Due: time.Hour, Needs: []string{last}}); len(c.Raised) != n+1 {
-		t.Errorf("the chain's end raises %d jobs, want %d", len(c.Raised), n+1)
+	if c := chain.Add(Job{ID: "end", Priority: 1, Deadline: time.Hour, Dependencies: []string{last}}); len(c.Reprioritised) != n+1 {
+		t.Errorf("the chain's end raises %d jobs, want %d", len(c.Reprioritised), n+1)
 	}
-	if c := chain.End("j-00000", Done); len(c.Freed) != 1 || len(c.Raised) != 0 {
-		t.Errorf("the chain's first end frees %d and raises %d jobs", len(c.Freed), len(c.Raised))
+	if c := chain.End("j-00000", Done); len(c.Unblocked) != 1 || len(c.Reprioritised) != 0 {
+		t.Errorf("the chain's first end frees %d and raises %d jobs", len(c.Unblocked), len(c.Reprioritised))
 	}
-	if c := star.End("hub", Done); len(c.Freed) != n {
-		t.Errorf("the end that all await frees %d jobs", len(c.Freed))
+	if c := star.End("hub", Done); len(c.Unblocked) != n {
+		t.Errorf("the end that all await frees %d jobs", len(c.Unblocked))
 	}
 	layers := New()
 	for layer := range 100 {
 		for k := range 100 {
-			j := Job{ID: fmt.Sprintf("l%02d-%02d", layer, k), Level: 3, Due: Never}
+			j := Job{ID: fmt.Sprintf("l%02d-%02d", layer, k), Priority: 3, Deadline: NoDeadline}
 			for need := 0; layer > 0 && need < 100; need++ {
-				j.Needs = append(j.Needs, fmt.Sprintf("l%02d-%02d", layer-1, need))
+				j.Dependencies = append(j.Dependencies, fmt.Sprintf("l%02d-%02d", layer-1, need))
 			}
 			layers.Add(j)
 		}
--- a/internal/coordination/leader/cloud.go
+++ b/internal/coordination/leader/cloud.go
@@ -29,7 +29,7 @@
 // only the leader calls more than now and then.
 func NewCloudClient(network transport.Network, addr string, cfg config.Cloud) *CloudClient {
 	return &CloudClient{baseURL: "http://" + addr, client: transport.NewClient(network, 4, 4, config.Seconds(cfg.ListLagSeconds)),
-		limiter: rate.NewLimiter(rate.Limit(cfg.RPS*0.9), max(1, int(cfg.RPS))), timeout: 4 * scheduler.Cycle}
+		limiter: rate.NewLimiter(rate.Limit(cfg.RPS*0.9), max(1, int(cfg.RPS))), timeout: 4 * scheduler.CycleInterval}
 }
 
 var (
--- a/internal/coordination/leader/effects.go
+++ b/internal/coordination/leader/effects.go
@@ -17,26 +17,26 @@
 func (l *Leader) applyEffects(effects []scheduler.Effect) {
 	for _, e := range effects {
 		switch e := e.(type) {
-		case scheduler.Answer:
-			if ch, ok := e.Tag.(chan protocol.WorkerHeartbeatReply); ok {
+		case scheduler.HeartbeatReply:
+			if ch, ok := e.ReplyTo.(chan protocol.WorkerHeartbeatReply); ok {
 				ch <- e.Body
 			}
-		case scheduler.Depose:
-			l.Log.Info("deposed", "reason", e.Reason, "later", e.Term)
+		case scheduler.StepDown:
+			l.Log.Info("deposed", "reason", e.Reason, "later", e.LaterTerm)
 			l.Deposed(l.term, e)
 		case scheduler.Write:
-			go l.write(e, l.Store.Admit(writeUse(e.For), &e.Txn))
-		case scheduler.Order:
+			go l.write(e, l.Store.Admit(writeUse(e.Priority), &e.Txn))
+		case scheduler.SendCommandBatch:
 			go l.sendCommands(e)
-		case scheduler.Inspect:
+		case scheduler.Probe:
 			l.probes.Add(e)
-		case scheduler.ReadEnd:
+		case scheduler.ReadFinalState:
 			go l.readEndedJob(e)
-		case scheduler.LevelReached:
+		case scheduler.FeatureLevelFinal:
 			l.LevelReached(e.Level)
-		case scheduler.Decided:
+		case scheduler.ZoneDecision:
 			l.Log.Info("zone return", "decision", e.Decision.Describe())
-		case scheduler.Fleet:
+		case scheduler.CloudRequest:
 			l.applyCloudEffect(e.Effect)
 		}
 	}
@@ -56,11 +56,11 @@
 }
 
 // writeUse says out of which budget a write is paid.
-func writeUse(p scheduler.Purpose) storage.Budget {
+func writeUse(p scheduler.WritePriority) storage.Budget {
 	switch p {
-	case scheduler.Ends:
+	case scheduler.PriorityCompletion:
 		return storage.BudgetCompletion
-	case scheduler.Upkeep:
+	case scheduler.PriorityMaintenance:
 		return storage.BudgetMaintenance
 	default:
 		return storage.BudgetPlacement
@@ -71,33 +71,33 @@
 // answer, a failed condition may be the work of that very try: the record that
 // names the write tells. It has its place within the budgets.
 func (l *Leader) write(w scheduler.Write, admission storage.Admission) {
-	use := writeUse(w.For)
+	use := writeUse(w.Priority)
 	uncertain := false
 	for ; l.ctx.Err() == nil; admission = l.Store.Admit(use, &w.Txn) {
 		rev, ok, failed, err := l.Store.TxnAdmitted(l.ctx, admission, w.Txn)
 		switch {
 		case err == nil && ok:
-			l.mailbox.Send(scheduler.Written{Write: w.ID, OK: true, Rev: rev})
+			l.mailbox.Send(scheduler.TransactionOutcome{WriteID: w.ID, Succeeded: true, Revision: rev})
 			return
 		case err == nil && !uncertain:
-			l.mailbox.Send(scheduler.Written{Write: w.ID, Failed: failed})
+			l.mailbox.Send(scheduler.TransactionOutcome{WriteID: w.ID, FailedKeys: failed})
 			return
 		case err == nil:
 			if mine, rev, known := l.verifyWrite(use, w, uncertain); known {
-				l.mailbox.Send(scheduler.Written{Write: w.ID, OK: mine, Rev: rev, Failed: failed})
+				l.mailbox.Send(scheduler.TransactionOutcome{WriteID: w.ID, Succeeded: mine, Revision: rev, FailedKeys: failed})
 				return
 			}
 		case errors.Is(err, storage.ErrOutcomeUnknown):
 			uncertain = true
 		case !errors.Is(err, storage.ErrUnavailable):
 			// Refused for its form: as it is it will never be carried out, unless an earlier try was.
-			l.Log.Error("write refused", "key", w.Verify, "err", err)
+			l.Log.Error("write refused", "key", w.VerifyKey, "err", err)
 			if mine, rev, known := l.verifyWrite(use, w, uncertain); known {
-				l.mailbox.Send(scheduler.Written{Write: w.ID, OK: mine, Rev: rev, Refused: !mine})
+				l.mailbox.Send(scheduler.TransactionOutcome{WriteID: w.ID, Succeeded: mine, Revision: rev, Malformed: !mine})
 				return
 			}
 		}
-		l.Random.Pause(l.ctx, w.Verify, scheduler.Cycle/10)
+		l.Random.Pause(l.ctx, w.VerifyKey, scheduler.CycleInterval/10)
 	}
 }
 
@@ -107,7 +107,7 @@
 	if !uncertain {
 		return false, 0, true
 	}
-	p, err := l.Store.Get(l.ctx, use, w.Verify)
+	p, err := l.Store.Get(l.ctx, use, w.VerifyKey)
 	if err != nil {
 		return false, 0, false
 	}
@@ -122,28 +122,28 @@
 }
 
 // readEndedJob reads how a job has ended.
-func (l *Leader) readEndedJob(e scheduler.ReadEnd) {
-	read := scheduler.EndRead{ID: e.ID}
+func (l *Leader) readEndedJob(e scheduler.ReadFinalState) {
+	read := scheduler.FinalStateRead{ID: e.ID}
 	p, err := l.Store.Get(l.ctx, storage.BudgetPlacement, storage.EndedJobKey(e.ID))
 	var rec storage.EndedJobRecord
 	switch {
 	case err != nil:
 		l.Log.Debug("end not read", "job", e.ID, "err", err)
 	case p.Revision != 0 && protocol.Decode(p.Value, &rec) == nil:
-		read.Standing = rec.State
+		read.State = rec.State
 	}
 	l.mailbox.Send(read)
 }
 
-func (l *Leader) sendCommands(o scheduler.Order) {
-	status, raw, err := l.Workers.Do(l.ctx, commandTimeout(l.Deployment), http.MethodPost, "http://"+o.Addr+"/commands", o.Orders)
-	done := scheduler.OrdersDone{Machine: o.Machine}
+func (l *Leader) sendCommands(o scheduler.SendCommandBatch) {
+	status, raw, err := l.Workers.Do(l.ctx, commandTimeout(l.Deployment), http.MethodPost, "http://"+o.Addr+"/commands", o.Batch)
+	done := scheduler.CommandBatchResult{Machine: o.Machine}
 	if err == nil && (status == http.StatusOK || status == http.StatusConflict) {
 		if r, err := protocol.DecodeWorkerHeartbeat(raw); err == nil {
-			done.OK, done.Report = status == http.StatusOK, r
+			done.Acknowledged, done.Heartbeat = status == http.StatusOK, r
 		}
 	}
-	if done.Report == nil {
+	if done.Heartbeat == nil {
 		l.Log.Info("command unanswered", "machine", o.Machine, "status", status, "err", err)
 	}
 	l.mailbox.Send(done)
@@ -151,7 +151,7 @@
 
 // probe asks a machine how it stands. A new leader asks all of them at once;
 // some at a time are asked in fact.
-func (l *Leader) probe(e scheduler.Inspect) {
+func (l *Leader) probe(e scheduler.Probe) {
 	if l.ctx.Err() != nil {
 		return
 	}
@@ -161,7 +161,7 @@
 		return
 	}
 	if r, err := protocol.DecodeWorkerHeartbeat(raw); err == nil && r.Machine == e.Machine {
-		l.mailbox.Send(scheduler.Inspected{Report: r})
+		l.mailbox.Send(scheduler.ProbeReply{Heartbeat: r})
 	}
 }
 
@@ -177,7 +177,7 @@
 	if err != nil {
 		l.Log.Info("machine list not read", "err", err)
 	}
-	l.mailbox.Send(scheduler.Listed{Asked: asked, Machines: ms, Failed: err != nil})
+	l.mailbox.Send(scheduler.MachinesListed{RequestedAt: asked, Machines: ms, Failed: err != nil})
 }
 
 func (l *Leader) rentMachines(e fleet.ScaleOut, turn CallSlot) {
@@ -185,12 +185,12 @@
 	for ; l.ctx.Err() == nil; turn = l.Cloud.Reserve() {
 		names, refused, err := l.Cloud.Rent(l.ctx, turn, e.Rental)
 		if err == nil {
-			l.mailbox.Send(scheduler.Rented{Request: e.Rental.RequestID, Asked: asked, Names: names, Refused: refused})
+			l.mailbox.Send(scheduler.ScaleOutResult{Request: e.Rental.RequestID, RequestedAt: asked, Machines: names, Refused: refused})
 			return
 		}
 		// The same name rents nothing twice, so trying again is safe.
 		l.Log.Info("rental unanswered", "request", e.Rental.RequestID, "err", err)
-		l.Random.Pause(l.ctx, e.Rental.RequestID, scheduler.Cycle)
+		l.Random.Pause(l.ctx, e.Rental.RequestID, scheduler.CycleInterval)
 	}
 }
 
@@ -198,10 +198,10 @@
 	for ; l.ctx.Err() == nil; turn = l.Cloud.Reserve() {
 		err := l.Cloud.Release(l.ctx, turn, e.Machines)
 		if err == nil {
-			l.mailbox.Send(scheduler.Released{Names: e.Machines, OK: true})
+			l.mailbox.Send(scheduler.ScaleInResult{Machines: e.Machines, Succeeded: true})
 			return
 		}
 		l.Log.Info("release unanswered", "machines", len(e.Machines), "err", err)
-		l.Random.Pause(l.ctx, "release "+e.Machines[0], scheduler.Cycle)
+		l.Random.Pause(l.ctx, "release "+e.Machines[0], scheduler.CycleInterval)
 	}
 }
--- a/internal/coordination/leader/leader.go
+++ b/internal/coordination/leader/leader.go
@@ -44,7 +44,7 @@
 	HasCancellationIntent func(job string) bool
 	ConfirmWithin         time.Duration
 	// Deposed is told that the term is over, and why.
-	Deposed func(term uint64, d scheduler.Depose)
+	Deposed func(term uint64, d scheduler.StepDown)
 	// ZoneReturn is the order in which work returns when a zone is lost; nil: off.
 	ZoneReturn *zones.RecoveryOrder
 	// MachineTypesRead is told of machine types that were read.
@@ -63,26 +63,26 @@
 	mailbox       *actor.Mailbox[any] // of scheduler.Event, query and loaded
 	ctx           context.Context
 	cancel        context.CancelFunc
-	probes        *actor.Pool[scheduler.Inspect]
+	probes        *actor.Pool[scheduler.Probe]
 	ready         atomic.Bool // the records are read
 }
 
 // earlyHeartbeats keeps the newest report of each machine that came before the records were read,
 // in the order in which the machines were first heard.
 type earlyHeartbeats struct {
-	heartbeats []scheduler.Reported
+	heartbeats []scheduler.HeartbeatReceived
 	index      map[string]int
 }
 
-func (e *earlyHeartbeats) add(r scheduler.Reported) {
-	if i, ok := e.index[r.Report.Machine]; ok {
+func (e *earlyHeartbeats) add(r scheduler.HeartbeatReceived) {
+	if i, ok := e.index[r.Heartbeat.Machine]; ok {
 		e.heartbeats[i] = r
 		return
 	}
 	if e.index == nil {
 		e.index = map[string]int{}
 	}
-	e.index[r.Report.Machine] = len(e.heartbeats)
+	e.index[r.Heartbeat.Machine] = len(e.heartbeats)
 	e.heartbeats = append(e.heartbeats, r)
 }
 
@@ -119,7 +119,7 @@
 // false if none came in time. relayed says that another controller passed it on.
 func (l *Leader) Heartbeat(ctx context.Context, r *protocol.WorkerHeartbeat, relayed bool) (protocol.WorkerHeartbeatReply, bool) {
 	reply := make(chan protocol.WorkerHeartbeatReply, 1)
-	l.mailbox.Send(scheduler.Reported{Tag: reply, Report: r, Relayed: relayed})
+	l.mailbox.Send(scheduler.HeartbeatReceived{ReplyTo: reply, Heartbeat: r, Relayed: relayed})
 	select {
 	case a := <-reply:
 		return a, true
@@ -131,9 +131,9 @@
 
 // UnchangedHeartbeats hands in which machines an owner has heard that told nothing new, and returns those of which the next report
 // is to be passed on; false if no answer came in time.
-func (l *Leader) UnchangedHeartbeats(ctx context.Context, machines []scheduler.AliveMachine) ([]string, bool) {
+func (l *Leader) UnchangedHeartbeats(ctx context.Context, machines []scheduler.UnchangedHeartbeat) ([]string, bool) {
 	reply := make(chan []string, 1)
-	l.mailbox.Send(scheduler.Alive{Machines: machines, Reply: func(passOn []string) { reply <- passOn }})
+	l.mailbox.Send(scheduler.UnchangedHeartbeats{Heartbeats: machines, ForwardNext: func(passOn []string) { reply <- passOn }})
 	select {
 	case passOn := <-reply:
 		return passOn, true
@@ -145,19 +145,19 @@
 
 // AddCancellationIntent tells that a user may be about to hear that the job is cancelled.
 func (l *Leader) AddCancellationIntent(job string, at time.Duration) {
-	l.mailbox.Send(scheduler.Withdrawn{ID: job, Until: at + l.ConfirmWithin})
+	l.mailbox.Send(scheduler.CancellationIntent{ID: job, ValidUntil: at + l.ConfirmWithin})
 }
 
-func machineNames(machines []scheduler.AliveMachine) (names []string) {
+func machineNames(machines []scheduler.UnchangedHeartbeat) (names []string) {
 	for _, m := range machines {
-		names = append(names, m.Name)
+		names = append(names, m.Machine)
 	}
 	return names
 }
 
 // FinaliseLevel asks that a feature level be made final.
 func (l *Leader) FinaliseLevel(level featurelevel.Level) {
-	l.mailbox.Send(scheduler.Finalise{Level: level})
+	l.mailbox.Send(scheduler.FinaliseFeatureLevel{Level: level})
 }
 
 // JobStatuses asks what the leader knows of jobs; those that it does not know are missing.
@@ -179,7 +179,7 @@
 	l.Log.Info("leading")
 	began := l.Now()
 	go l.loadRecords()
-	var core *scheduler.Core
+	var core *scheduler.Scheduler
 	var early earlyHeartbeats
 	var changes []scheduler.Event // of the accepted jobs, since they were read
 	step := func(e any) {
@@ -202,24 +202,24 @@
 		switch e := e.(type) {
 		case statusQuery:
 			e.reply <- nil
-		case scheduler.Alive:
-			e.Reply(machineNames(e.Machines)) // nothing is known of them yet
-		case scheduler.Reported:
-			if t := protocol.TermOfToken(e.Report.FencingToken); t > l.term {
-				l.Deposed(l.term, scheduler.Depose{Term: t, Reason: "a worker has seen a later term"})
+		case scheduler.UnchangedHeartbeats:
+			e.ForwardNext(machineNames(e.Heartbeats)) // nothing is known of them yet
+		case scheduler.HeartbeatReceived:
+			if t := protocol.TermOfToken(e.Heartbeat.FencingToken); t > l.term {
+				l.Deposed(l.term, scheduler.StepDown{LaterTerm: t, Reason: "a worker has seen a later term"})
 				return
 			}
 			// What users may have been told is cancelled ends all the same.
-			e.Tag.(chan protocol.WorkerHeartbeatReply) <- protocol.WorkerHeartbeatReply{FencingToken: protocol.FencingToken(l.term, 0), Commands: e.Report.StopCommands(l.HasCancellationIntent)}
-			e.Tag = nil // it has its answer
+			e.ReplyTo.(chan protocol.WorkerHeartbeatReply) <- protocol.WorkerHeartbeatReply{FencingToken: protocol.FencingToken(l.term, 0), Commands: e.Heartbeat.StopCommands(l.HasCancellationIntent)}
+			e.ReplyTo = nil // it has its answer
 			early.add(e)
 		case loadedRecords:
-			records := scheduler.Records{Types: e.types, Live: e.liveJobs, Pages: e.pages, Images: e.images, ZonePages: e.zones}
+			records := scheduler.RecoveredRecords{MachineTypes: e.types, LiveJobs: e.liveJobs, Pages: e.pages, Images: e.images, ZoneReturnPages: e.zones}
 			core = scheduler.New(now, l.Deployment, l.Log, l.schedulerTerm, records, time.Now().UnixMilli(), l.ZoneReturn)
 			l.Log.Info("records read", "jobs", len(e.liveJobs), "pages", len(e.pages), "took", now-began)
 			withdrawals := l.CancellationIntents(now)
 			for _, job := range slices.Sorted(maps.Keys(withdrawals)) {
-				l.applyEffects(core.Step(now, scheduler.Withdrawn{ID: job, Until: withdrawals[job] + l.ConfirmWithin}))
+				l.applyEffects(core.Step(now, scheduler.CancellationIntent{ID: job, ValidUntil: withdrawals[job] + l.ConfirmWithin}))
 			}
 			for _, c := range changes {
 				l.applyEffects(core.Step(now, c))
@@ -230,19 +230,19 @@
 				l.applyEffects(core.Step(now, r))
 			}
 			go l.refreshMachineTypes()
-		case scheduler.JobSet, scheduler.JobDropped, scheduler.Fresh, scheduler.Finalise:
+		case scheduler.JobAccepted, scheduler.JobEnded, scheduler.WatchProgress, scheduler.FinaliseFeatureLevel:
 			changes = append(changes, e.(scheduler.Event))
 		}
 	}
 	rest := time.Duration(0)
-	l.mailbox.Run(l.ctx, scheduler.Cycle/8, step, func() {
+	l.mailbox.Run(l.ctx, scheduler.CycleInterval/8, step, func() {
 		now := l.Now()
 		if core == nil || now < rest || !l.stillConfirmed() {
 			return
 		}
-		cycles := core.Cycles()
+		cycles := core.CycleCount()
 		l.applyEffects(core.Step(now, scheduler.Tick{}))
-		if core.Cycles() > cycles {
+		if core.CycleCount() > cycles {
 			l.Timing.Record(timing.Cycle, l.Now()-now)
 		}
 		// A cycle that takes long is followed by a pause, so that reports and
@@ -258,7 +258,7 @@
 		return
 	}
 	kind := timing.Other
-	if _, ok := e.(scheduler.Reported); ok {
+	if _, ok := e.(scheduler.HeartbeatReceived); ok {
 		kind = timing.WorkerHeartbeat
 	}
 	l.Timing.Record(kind, l.Now()-began)
@@ -276,7 +276,7 @@
 		return true
 	}
 	if l.ctx.Err() == nil {
-		l.Deposed(l.term, scheduler.Depose{Reason: "unconfirmed"})
+		l.Deposed(l.term, scheduler.StepDown{Reason: "unconfirmed"})
 		l.cancel()
 	}
 	return false
--- a/internal/coordination/leader/leader_test.go
+++ b/internal/coordination/leader/leader_test.go
@@ -37,7 +37,7 @@
 	addr := strings.TrimPrefix(srv.URL, "http://")
 	start := time.Now()
 	var stale atomic.Bool
-	deposed := make(chan scheduler.Depose, 1)
+	deposed := make(chan scheduler.StepDown, 1)
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	l := Start(ctx, Deps{
@@ -45,11 +45,11 @@
 		Cloud: NewCloudClient(transport.TCP{}, addr, cfg.Cloud), Workers: transport.NewClient(transport.TCP{}, 1, 4, time.Minute),
 		Now: func() time.Duration { return time.Since(start) }, MachineTypesRead: func([]protocol.MachineType) {},
 		Confirmed: func() bool { return !stale.Load() },
-		Deposed:   func(_ uint64, d scheduler.Depose) { deposed <- d },
+		Deposed:   func(_ uint64, d scheduler.StepDown) { deposed <- d },
 		Fresh:     func(uint64, time.Duration) {}, WatchTimeout: time.Second,
 		CancellationIntents:   func(time.Duration) map[string]time.Duration { return nil },
 		HasCancellationIntent: func(string) bool { return false },
-	}, scheduler.Term{Number: 3, Stamp: 1})
+	}, scheduler.Term{Number: 3, Revision: 1})
 	r := &protocol.WorkerHeartbeat{Machine: "m1", Addr: "127.0.0.1:1", Type: "g8", Zone: "a", Incarnation: 1, Sequence: 1}
 	if a, ok := l.Heartbeat(ctx, r, false); !ok || protocol.TermOfToken(a.FencingToken) != 3 {
 		t.Fatalf("while it is confirmed: %+v %v", a, ok)
@@ -59,7 +59,7 @@
 	if a, ok := l.Heartbeat(ctx, r, false); ok {
 		t.Errorf("unconfirmed: %+v", a)
 	}
-	if d := <-deposed; d.Away || d.Term != 0 {
+	if d := <-deposed; d.TransferLeadership || d.LaterTerm != 0 {
 		t.Errorf("gave up with %+v", d)
 	}
 }
--- a/internal/coordination/leader/recovery.go
+++ b/internal/coordination/leader/recovery.go
@@ -42,7 +42,7 @@
 			return
 		}
 		l.Log.Info("recovery delayed", "err", err)
-		l.Random.Pause(l.ctx, "recovery", scheduler.Cycle/5)
+		l.Random.Pause(l.ctx, "recovery", scheduler.CycleInterval/5)
 	}
 }
 
@@ -66,7 +66,7 @@
 // markFresh notes that all changes up to the given time have been taken in or wait
 // in the mailbox.
 func (l *Leader) markFresh(at time.Duration) {
-	l.mailbox.Send(scheduler.Fresh{At: at})
+	l.mailbox.Send(scheduler.WatchProgress{At: at})
 	l.Fresh(l.term, at)
 }
 
@@ -77,17 +77,17 @@
 		asked := l.Now()
 		ev, err := l.Store.Watch(l.ctx, storage.LiveJobPrefix, rev, l.WatchTimeout)
 		if errors.Is(err, storage.ErrCompacted) {
-			l.Deposed(l.term, scheduler.Depose{Reason: "fell behind the changes"})
+			l.Deposed(l.term, scheduler.StepDown{Reason: "fell behind the changes"})
 			return
 		}
 		if err != nil {
-			l.Random.Pause(l.ctx, "watch jobs", scheduler.Cycle/5)
+			l.Random.Pause(l.ctx, "watch jobs", scheduler.CycleInterval/5)
 			continue
 		}
 		rev = max(rev, ev.Revision)
 		for _, e := range ev.Events {
 			if e.DeleteKey != "" {
-				l.mailbox.Send(scheduler.JobDropped{ID: e.DeleteKey[len(storage.LiveJobPrefix):]})
+				l.mailbox.Send(scheduler.JobEnded{ID: e.DeleteKey[len(storage.LiveJobPrefix):]})
 				continue
 			}
 			var rec storage.LiveJobRecord
@@ -95,7 +95,7 @@
 				l.Log.Error("live record out of form", "key", e.PutKey, "err", err)
 				continue
 			}
-			l.mailbox.Send(scheduler.JobSet{Record: rec, Stamp: e.Revision})
+			l.mailbox.Send(scheduler.JobAccepted{Record: rec, Revision: e.Revision})
 		}
 		l.markFresh(asked)
 	}
@@ -111,6 +111,6 @@
 			continue
 		}
 		l.MachineTypesRead(types)
-		l.mailbox.Send(scheduler.Types{Types: types})
+		l.mailbox.Send(scheduler.MachineTypesUpdated{Types: types})
 	}
 }
--- a/internal/coordination/scheduler/allocate.go
+++ b/internal/coordination/scheduler/allocate.go
@@ -12,8 +12,8 @@
 const gangHoldCycles = 3
 
 // runCycle is the cycle: jobs by priority, then age, teams in turn.
-func (c *Core) runCycle(now time.Duration) {
-	c.cycles++
+func (c *Scheduler) runCycle(now time.Duration) {
+	c.cycleCount++
 	c.refreshCandidates(now)
 	waiting := c.schedulableJobs(now)
 	c.orderGangsByDeadline(now, waiting)
@@ -25,21 +25,21 @@
 	}
 	queue := c.newFairShareQueue(waiting)
 	for j := queue.next(); j != nil; j = queue.next() {
-		j.served = c.cycles
-		if len(j.reserved) > 0 {
+		j.LastTriedCycle = c.cycleCount
+		if len(j.ReservedMachines) > 0 {
 			c.capacityEvents++ // what is cleared for it may be had by others from now on
 		}
-		if j.counts[pending] == 0 {
+		if j.TaskCounts[TaskPending] == 0 {
 			continue // placed within its team's guarantee just now
 		}
 		k := j.searchKey()
 		if failed[k] >= maxFailuresPerSearchKey {
-			j.short++
+			j.UnschedulableCycles++
 			continue
 		}
-		before := j.counts[pending]
+		before := j.TaskCounts[TaskPending]
 		c.placeJob(now, j, c.tasksWithinQuotaLimit(j))
-		if j.spec.Shape != protocol.Gang && j.counts[pending] == before {
+		if j.Spec.Shape != protocol.Gang && j.TaskCounts[TaskPending] == before {
 			failed[k]++
 		}
 	}
@@ -50,10 +50,10 @@
 }
 
 // schedulableJobs lists the jobs that have tasks to place, in order.
-func (c *Core) schedulableJobs(now time.Duration) (waiting []*job) {
-	c.queues.pendingJobs.Scan(func(j *job) bool {
+func (c *Scheduler) schedulableJobs(now time.Duration) (waiting []*Job) {
+	c.queues.pendingJobs.Scan(func(j *Job) bool {
 		if c.placeableNow(now, j) {
-			j.queued = c.cycles
+			j.LastWaitingCycle = c.cycleCount
 			waiting = append(waiting, j)
 		}
 		return true
@@ -64,29 +64,29 @@
 
 // placeJob allocates as much of a job as there is room for, of so many tasks that are
 // allowed: up to minAvailable or nothing for a gang, task by task for the others.
-func (c *Core) placeJob(now time.Duration, j *job, allowed int) {
-	gang := j.spec.Shape == protocol.Gang
-	if gang && allowed < j.spec.TaskCount {
+func (c *Scheduler) placeJob(now time.Duration, j *Job, allowed int) {
+	gang := j.Spec.Shape == protocol.Gang
+	if gang && allowed < j.Spec.TaskCount {
 		return
 	}
 	l := c.zoneLimitsOf(j)
 	var got allocation
-	if gang && j.spec.SameZone && l.onlyZone == "" {
+	if gang && j.Spec.SameZone && l.onlyZone == "" {
 		got, l = c.bestZone(now, j, l)
 	} else {
-		got = c.allocate(now, j, l, min(allowed, j.counts[pending]))
+		got = c.allocate(now, j, l, min(allowed, j.TaskCounts[TaskPending]))
 	}
-	if gang && len(got) < j.spec.TaskCount {
+	if gang && len(got) < j.Spec.TaskCount {
 		c.holdForGang(now, j, got, l)
 		return
 	}
-	wanted := min(allowed, j.counts[pending])
+	wanted := min(allowed, j.TaskCounts[TaskPending])
 	c.bind(now, j, got)
 	if len(got) < wanted {
-		j.short++
+		j.UnschedulableCycles++
 		c.preempt(now, j, l, wanted-len(got))
 	} else {
-		j.short = 0
+		j.UnschedulableCycles = 0
 	}
 }
 
@@ -97,9 +97,9 @@
 }
 
 // allocate takes room for up to n tasks, task by task.
-func (c *Core) allocate(now time.Duration, j *job, l *zoneLimits, n int) allocation {
+func (c *Scheduler) allocate(now time.Duration, j *Job, l *zoneLimits, n int) allocation {
 	var got allocation
-	for t := j.nextPending(0); t >= 0 && len(got) < n; t = j.nextPending(t + 1) {
+	for t := j.NextPending(0); t >= 0 && len(got) < n; t = j.NextPending(t + 1) {
 		x, attempted := c.selectMachine(now, j, t, l)
 		if x == nil {
 			if attempted {
@@ -107,13 +107,13 @@
 			}
 			break
 		}
-		if j.spec.Shape != protocol.Gang && c.waitForMachineWithImage(now, j, t, x, l) {
+		if j.Spec.Shape != protocol.Gang && c.waitForMachineWithImage(now, j, t, x, l) {
 			continue
 		}
 		c.stopCompetingFetches(now, j, x)
-		c.setFree(x, x.free.Minus(j.need))
+		c.setFree(x, x.free.Minus(j.TaskResources))
 		l.tasksPerZone[x.machine.Zone]++
-		if j.spec.SameZone {
+		if j.Spec.SameZone {
 			l.onlyZone = x.machine.Zone
 		}
 		got = append(got, struct {
@@ -124,27 +124,27 @@
 	return got
 }
 
-func (c *Core) undoAllocation(j *job, got allocation) {
+func (c *Scheduler) undoAllocation(j *Job, got allocation) {
 	c.capacityEvents++
 	for _, g := range got {
-		c.setFree(g.x, g.x.free.Plus(j.need))
+		c.setFree(g.x, g.x.free.Plus(j.TaskResources))
 	}
 }
 
 // bestZone tries the zones for a gang that must be in one, and keeps the room
 // in the one that holds all of it, or else most of it.
-func (c *Core) bestZone(now time.Duration, j *job, l *zoneLimits) (allocation, *zoneLimits) {
+func (c *Scheduler) bestZone(now time.Duration, j *Job, l *zoneLimits) (allocation, *zoneLimits) {
 	best, bestN, bestScore := "", -1, 0.0
 	try := func(z string) (allocation, *zoneLimits, float64) {
 		zl := &zoneLimits{onlyZone: z, tasksPerZone: map[string]int{}, maxTasksPerZone: l.maxTasksPerZone}
-		got := c.allocate(now, j, zl, j.spec.TaskCount)
+		got := c.allocate(now, j, zl, j.Spec.TaskCount)
 		s := 0.0
 		for _, g := range got {
-			s = max(s, c.machines.FetchTime(now, g.x.machine, &j.spec).Seconds())
+			s = max(s, c.machines.FetchTime(now, g.x.machine, &j.Spec).Seconds())
 		}
 		return got, zl, s
 	}
-	for _, z := range c.zonesByAvailability(&j.spec) {
+	for _, z := range c.zonesByAvailability(&j.Spec) {
 		got, _, s := try(z)
 		c.undoAllocation(j, got)
 		if len(got) > bestN || len(got) == bestN && s < bestScore {
@@ -161,11 +161,11 @@
 // holdForGang keeps the room of a short gang closed to others until the next cycle:
 // what it was allocated, and for each task without room the machine that is
 // nearest to having it. Every fourth short cycle smaller jobs may backfill.
-func (c *Core) holdForGang(now time.Duration, j *job, got allocation, l *zoneLimits) {
-	j.short++
-	missing := j.spec.TaskCount - len(got)
+func (c *Scheduler) holdForGang(now time.Duration, j *Job, got allocation, l *zoneLimits) {
+	j.UnschedulableCycles++
+	missing := j.Spec.TaskCount - len(got)
 	c.preempt(now, j, l, missing)
-	if j.short%(gangHoldCycles+1) == 0 && !c.awaitsLentCapacity(now, j) {
+	if j.UnschedulableCycles%(gangHoldCycles+1) == 0 && !c.awaitsLentCapacity(now, j) {
 		c.undoAllocation(j, got)
 		return
 	}
@@ -181,40 +181,40 @@
 }
 
 // bind promises room for the tasks, and has their placements recorded.
-func (c *Core) bind(now time.Duration, j *job, got allocation) {
+func (c *Scheduler) bind(now time.Duration, j *Job, got allocation) {
 	if len(got) == 0 {
 		return
 	}
 	attempt := uint64(0)
-	if j.spec.Shape == protocol.Gang {
-		attempt = j.attempt(0)
+	if j.Spec.Shape == protocol.Gang {
+		attempt = j.NextAttempt(0)
 	}
 	var ps []*partition.Placement
 	for _, g := range got {
 		t, x := g.task, g.x
 		a := attempt
 		if a == 0 {
-			a = j.attempt(t)
+			a = j.NextAttempt(t)
 		}
 		ps = append(ps, &partition.Placement{
-			Task: protocol.TaskID{JobID: j.spec.ID, Index: t}, Attempt: a, Machine: x.machine.Name,
-			Resources: j.need, Team: j.spec.Team, PriorityLevel: j.level, Job: &j.spec,
+			Task: protocol.TaskID{JobID: j.Spec.ID, Index: t}, Attempt: a, Machine: x.machine.Name,
+			Resources: j.TaskResources, Team: j.Spec.Team, PriorityLevel: j.EffectivePriority, Job: &j.Spec,
 		})
 		p := j.pageOfTask(t)
 		p.highestAttempt = max(p.highestAttempt, a)
 	}
 	if !c.machines.Reserve(now, ps) {
-		c.due, c.candidateIndex.stale = true, true // the partition knows better; ask again with what it says
+		c.cycleDue, c.candidateIndex.stale = true, true // the partition knows better; ask again with what it says
 		return
 	}
 	for _, pl := range ps {
 		t := pl.Task.Index
-		j.set(t, placed)
-		j.places[t] = pl
+		j.SetTask(t, TaskPlaced)
+		j.Placements[t] = pl
 		j.markDirty(t, now)
 		j.unstarted = append(j.unstarted, pl)
-		j.queues.addPlaced(j)
-		if m := c.machines.Machine(pl.Machine); m.ReservedJob == j.spec.ID {
+		j.Queues.addPlaced(j)
+		if m := c.machines.Machine(pl.Machine); m.ReservedJob == j.Spec.ID {
 			m.ReservedJob = ""
 		}
 	}
--- a/internal/coordination/scheduler/allocate_test.go
+++ b/internal/coordination/scheduler/allocate_test.go
@@ -17,17 +17,17 @@
 func TestAllocationInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limit := float64(rapid.IntRange(0, 30).Draw(t, "limit"))
-		b := newBench([]config.Team{{Name: "red", MaxGPUs: limit}, {Name: "blue"}}, "a", "b")
+		b := newHarness([]config.Team{{Name: "red", MaxGPUs: limit}, {Name: "blue"}}, "a", "b")
 		zone, spot := map[string]string{}, map[string]bool{}
 		for i := range rapid.IntRange(1, 6).Draw(t, "machines") {
 			name := fmt.Sprintf("m%d", i)
 			zone[name] = rapid.SampledFrom([]string{"a", "b"}).Draw(t, "zone")
 			spot[name] = rapid.IntRange(0, 3).Draw(t, "spot") == 0
-			b.machine(name, zone[name], spot[name])
+			b.heartbeat(name, zone[name], spot[name])
 		}
 		jobs := map[string]protocol.Job{}
 		for i := range rapid.IntRange(1, 12).Draw(t, "jobs") {
-			j := spec(fmt.Sprintf("j-%d", i), rapid.SampledFrom([]protocol.Shape{protocol.Array, protocol.Gang, protocol.Service}).Draw(t, "shape"),
+			j := jobSpec(fmt.Sprintf("j-%d", i), rapid.SampledFrom([]protocol.Shape{protocol.Array, protocol.Gang, protocol.Service}).Draw(t, "shape"),
 				rapid.SampledFrom([]protocol.Priority{"critical", "normal", "best_effort"}).Draw(t, "prio"),
 				rapid.IntRange(1, 9).Draw(t, "tasks"), float64(rapid.IntRange(1, 8).Draw(t, "gpus")))
 			j.Team = rapid.SampledFrom([]string{"red", "blue"}).Draw(t, "team")
@@ -38,17 +38,17 @@
 				j.Zone = "a"
 			}
 			jobs[j.ID] = j
-			b.job(j)
+			b.addJob(j)
 			if rapid.Bool().Draw(t, "cycle") {
-				b.cycle()
+				b.runCycle()
 			}
 		}
 		for range 6 {
-			b.cycle()
+			b.runCycle()
 		}
 		used, red := map[string]float64{}, 0.0
 		zones := map[string]map[string]int{}
-		for id, m := range b.on {
+		for id, m := range b.machineOf {
 			j := jobs[id.JobID]
 			used[m] += j.GPUs
 			if j.Team == "red" {
@@ -71,7 +71,7 @@
 			t.Fatalf("team uses %v of %v", red, limit)
 		}
 		for id, j := range jobs {
-			n := b.started(id)
+			n := b.startedTasks(id)
 			if j.Shape == protocol.Gang && n != 0 && n != j.TaskCount {
 				t.Fatalf("gang %s: %d of %d started", id, n, j.TaskCount)
 			}
@@ -90,23 +90,23 @@
 // TestGangHoldAndBackfill: a short gang's room stays closed to smaller jobs
 // for three cycles, and then they may backfill it.
 func TestGangHoldAndBackfill(t *testing.T) {
-	b := newBench([]config.Team{{Name: "red"}}, "a")
-	b.machine("m1", "a", false)
-	b.job(spec("j-1", protocol.Gang, "urgent", 2, 8)) // needs two machines
-	small := spec("j-2", protocol.Array, "urgent", 1, 1)
+	b := newHarness([]config.Team{{Name: "red"}}, "a")
+	b.heartbeat("m1", "a", false)
+	b.addJob(jobSpec("j-1", protocol.Gang, "urgent", 2, 8)) // needs two machines
+	small := jobSpec("j-2", protocol.Array, "urgent", 1, 1)
 	small.Class = "d"
 	for cycle := 1; cycle <= gangHoldCycles+1; cycle++ {
 		if cycle == 1 {
 			b.now++
-			b.job(small)
+			b.addJob(small)
 		}
-		b.machine("m1", "a", false)
-		b.cycle()
-		if got, want := b.started("j-2"), cycle > gangHoldCycles; (got == 1) != want {
+		b.heartbeat("m1", "a", false)
+		b.runCycle()
+		if got, want := b.startedTasks("j-2"), cycle > gangHoldCycles; (got == 1) != want {
 			t.Fatalf("cycle %d: backfilled %v", cycle, got)
 		}
 	}
-	if b.started("j-1") != 0 {
+	if b.startedTasks("j-1") != 0 {
 		t.Error("part of the gang was started")
 	}
 }
@@ -115,19 +115,19 @@
 // is planned once a second. With hundreds of machines every eager cycle had a
 // reason, and dead machines were not fenced for minutes.
 func TestCapacityIsPlannedUnderLoad(t *testing.T) {
-	b := newBench([]config.Team{{Name: "red"}}, "a")
+	b := newHarness([]config.Team{{Name: "red"}}, "a")
 	lists, until := 0, 30*time.Second
 	for i := 0; b.now < until; i++ {
-		b.now += Eager
-		b.job(spec(fmt.Sprintf("j-%d", i), protocol.Array, "normal", 1, 1))
-		for _, e := range b.c.Step(b.now, Tick{}) {
-			if f, ok := e.(Fleet); ok && f.Effect == (fleet.ListMachines{}) {
+		b.now += MinCycleInterval
+		b.addJob(jobSpec(fmt.Sprintf("j-%d", i), protocol.Array, "normal", 1, 1))
+		for _, e := range b.scheduler.Step(b.now, Tick{}) {
+			if f, ok := e.(CloudRequest); ok && f.Effect == (fleet.ListMachines{}) {
 				lists++
-				b.do(Listed{Asked: b.now})
+				b.apply(MachinesListed{RequestedAt: b.now})
 			}
 		}
 	}
-	every := config.Seconds(b.c.cfg.Cloud.ListLagSeconds/2) + Cycle // a list is asked for when the fleet is planned next
+	every := config.Seconds(b.scheduler.cfg.Cloud.ListLagSeconds/2) + CycleInterval // a list is asked for when the fleet is planned next
 	if want := int(until / every); lists < want {
 		t.Errorf("the machines were listed %d times, want %d", lists, want)
 	}
@@ -136,19 +136,19 @@
 // TestTeamsShareFairly: when more is asked than can be done, the queue of
 // one team does not shut out another's.
 func TestTeamsShareFairly(t *testing.T) {
-	b := newBench([]config.Team{{Name: "red"}, {Name: "blue"}}, "a")
+	b := newHarness([]config.Team{{Name: "red"}, {Name: "blue"}}, "a")
 	for i := range 20 {
-		b.job(spec(fmt.Sprintf("j-%d", i), protocol.Service, "normal", 1, 1))
+		b.addJob(jobSpec(fmt.Sprintf("j-%d", i), protocol.Service, "normal", 1, 1))
 	}
 	b.now++
 	for i := range 20 {
-		j := spec(fmt.Sprintf("j-%d", 100+i), protocol.Service, "normal", 1, 1)
+		j := jobSpec(fmt.Sprintf("j-%d", 100+i), protocol.Service, "normal", 1, 1)
 		j.Team = "blue"
-		b.job(j)
+		b.addJob(j)
 	}
-	b.machine("m1", "a", false)
-	b.cycle()
-	if red, blue := b.c.machines.TeamUsage("red").GPUs, b.c.machines.TeamUsage("blue").GPUs; red != 4 || blue != 4 {
+	b.heartbeat("m1", "a", false)
+	b.runCycle()
+	if red, blue := b.scheduler.machines.TeamUsage("red").GPUs, b.scheduler.machines.TeamUsage("blue").GPUs; red != 4 || blue != 4 {
 		t.Errorf("red has %v, blue %v of 8", red, blue)
 	}
 }
@@ -156,26 +156,26 @@
 // TestLargestJob: a job of 100,000 tasks is taken, paged and placed without
 // its size showing in what each cycle costs.
 func TestLargestJob(t *testing.T) {
-	b := newBench([]config.Team{{Name: "red"}}, "a")
+	b := newHarness([]config.Team{{Name: "red"}}, "a")
 	for i := range 10 {
-		b.machine(fmt.Sprintf("m%d", i), "a", false)
+		b.heartbeat(fmt.Sprintf("m%d", i), "a", false)
 	}
-	b.job(spec("j-1", protocol.Array, "normal", protocol.MaxTasks, 1))
+	b.addJob(jobSpec("j-1", protocol.Array, "normal", protocol.MaxTasks, 1))
 	done := 0
 	for range 30 {
-		b.cycle()
+		b.runCycle()
 		by := map[string][]protocol.TaskStatus{}
 		for id, c := range b.runs {
-			by[b.on[id]] = append(by[b.on[id]], protocol.TaskStatus{TaskName: id.String(), Attempt: c.Attempt, State: protocol.TaskExited, Cause: protocol.CauseDone})
+			by[b.machineOf[id]] = append(by[b.machineOf[id]], protocol.TaskStatus{TaskName: id.String(), Attempt: c.Attempt, State: protocol.TaskExited, Cause: protocol.CauseDone})
 			done++
 		}
 		clear(b.runs)
 		for i := range 10 {
 			m := fmt.Sprintf("m%d", i)
-			b.machine(m, "a", false, by[m]...)
+			b.heartbeat(m, "a", false, by[m]...)
 		}
 	}
-	if s, ok := b.c.Status("j-1"); !ok || s.DoneTasks != done || done < 30*80/2 {
+	if s, ok := b.scheduler.Status("j-1"); !ok || s.DoneTasks != done || done < 30*80/2 {
 		t.Errorf("%+v, %d done", s, done)
 	}
 }
--- a/internal/coordination/scheduler/backlog_bench_test.go
+++ b/internal/coordination/scheduler/backlog_bench_test.go
@@ -11,22 +11,22 @@
 // BenchmarkBacklog shows what a cycle costs with thousands of jobs waiting for
 // full machines.
 func BenchmarkBacklog(b *testing.B) {
-	f := newBench([]config.Team{{Name: "red"}}, "a", "b")
+	f := newHarness([]config.Team{{Name: "red"}}, "a", "b")
 	for i := range 130 {
-		f.machine(fmt.Sprintf("m%03d", i), []string{"a", "b"}[i%2], false)
+		f.heartbeat(fmt.Sprintf("m%03d", i), []string{"a", "b"}[i%2], false)
 	}
 	for i := range 5000 {
-		j := spec(fmt.Sprintf("j-%d", i), protocol.Array, "normal", 3, 1)
+		j := jobSpec(fmt.Sprintf("j-%d", i), protocol.Array, "normal", 3, 1)
 		j.Image = fmt.Sprintf("i%d", i%10)
-		f.job(j)
+		f.addJob(j)
 	}
 	for range 5 {
-		f.cycle()
+		f.runCycle()
 	}
 	for b.Loop() {
 		for i := range 130 {
-			f.machine(fmt.Sprintf("m%03d", i), []string{"a", "b"}[i%2], false)
+			f.heartbeat(fmt.Sprintf("m%03d", i), []string{"a", "b"}[i%2], false)
 		}
-		f.cycle()
+		f.runCycle()
 	}
 }
--- a/internal/coordination/scheduler/borrowablecapacity.go
+++ b/internal/coordination/scheduler/borrowablecapacity.go
@@ -13,7 +13,7 @@
 // borrowableCapacity is the room outside the lost zones, free or held by work that may lend it, while
 // it is dealt out to jobs one after the other.
 type borrowableCapacity struct {
-	scheduler   *Core
+	scheduler   *Scheduler
 	now         time.Duration
 	machines    []*borrowableMachine
 	usageByTeam map[string]partition.Resources // of teams, less what has been lent
@@ -28,13 +28,13 @@
 }
 
 // newBorrowableCapacity returns the room on all machines of zones that are available.
-func (c *Core) newBorrowableCapacity(now time.Duration) *borrowableCapacity {
+func (c *Scheduler) newBorrowableCapacity(now time.Duration) *borrowableCapacity {
 	c.refreshCandidates(now)
 	return c.borrowableCapacityOf(now, c.schedulableCandidates(now))
 }
 
 // borrowableCapacityOf returns the room on candidates, less what this cycle has given away.
-func (c *Core) borrowableCapacityOf(now time.Duration, cands []*candidate) *borrowableCapacity {
+func (c *Scheduler) borrowableCapacityOf(now time.Duration, cands []*candidate) *borrowableCapacity {
 	k := &borrowableCapacity{scheduler: c, now: now, usageByTeam: map[string]partition.Resources{}, lent: map[zones.TaskAttempt]bool{}}
 	for _, x := range cands {
 		if c.zoneFailover.monitor.State(x.machine.Zone) != zones.Available {
@@ -59,9 +59,9 @@
 
 // isLendable says whether a placement's room may be lent at all: never that of critical work,
 // nor what has been lent already.
-func (c *Core) isLendable(pl *partition.Placement) bool {
+func (c *Scheduler) isLendable(pl *partition.Placement) bool {
 	j := c.jobs[pl.Task.JobID]
-	return pl.PriorityLevel > 0 && j != nil && !j.over && !c.zoneFailover.ledger.IsLent(taskAttemptOf(pl))
+	return pl.PriorityLevel > 0 && j != nil && !j.Ended && !c.zoneFailover.ledger.IsLent(taskAttemptOf(pl))
 }
 
 func taskAttemptOf(pl *partition.Placement) zones.TaskAttempt {
@@ -69,16 +69,16 @@
 }
 
 // choose looks for room for the request, without taking it.
-func (k *borrowableCapacity) choose(j *job, request zones.CapacityRequest, allowed func(*candidate) bool) zones.Choice {
+func (k *borrowableCapacity) choose(j *Job, request zones.CapacityRequest, allowed func(*candidate) bool) zones.Choice {
 	var offers []zones.CapacityOffer
 	for _, room := range k.machines {
 		x := room.candidate
-		if request.MaxPerZone[x.machine.Zone] <= 0 || !allowed(x) || !j.need.Fits(partition.CapacityOf(x.machineType)) {
+		if request.MaxPerZone[x.machine.Zone] <= 0 || !allowed(x) || !j.TaskResources.Fits(partition.CapacityOf(x.machineType)) {
 			continue
 		}
 		offers = append(offers, zones.CapacityOffer{
 			Machine: x.machine.Name, Zone: x.machine.Zone, Free: room.free, Lenders: k.lendersFor(j, room),
-			StartCost: k.scheduler.machines.FetchTime(k.now, x.machine, &j.spec).Seconds(),
+			StartCost: k.scheduler.machines.FetchTime(k.now, x.machine, &j.Spec).Seconds(),
 		})
 	}
 	return zones.ChooseLenders(request, offers)
@@ -86,10 +86,10 @@
 
 // lendersFor returns the work on a machine that lends its room to a job: lower work that its
 // team does not run within its guarantee.
-func (k *borrowableCapacity) lendersFor(j *job, room *borrowableMachine) (lenders []zones.Lender) {
+func (k *borrowableCapacity) lendersFor(j *Job, room *borrowableMachine) (lenders []zones.Lender) {
 	capacity := partition.CapacityOf(room.candidate.machineType)
 	for _, pl := range room.lenders {
-		if pl.PriorityLevel <= j.level || k.scheduler.recoversBefore(pl, j) || k.lent[taskAttemptOf(pl)] || k.protectedByQuota(pl) {
+		if pl.PriorityLevel <= j.EffectivePriority || k.scheduler.recoversBefore(pl, j) || k.lent[taskAttemptOf(pl)] || k.protectedByQuota(pl) {
 			continue
 		}
 		gang := pl.Job != nil && pl.Job.Shape == protocol.Gang
@@ -118,7 +118,7 @@
 }
 
 // lostWorkSeconds is the work that a placement loses when it is stopped, in seconds.
-func (c *Core) lostWorkSeconds(now time.Duration, pl *partition.Placement) float64 {
+func (c *Scheduler) lostWorkSeconds(now time.Duration, pl *partition.Placement) float64 {
 	if pl.Job != nil && pl.Job.CheckpointIntervalSeconds > 0 {
 		return min(pl.Job.SaveSeconds, (now - pl.StateSince).Seconds())
 	}
@@ -127,10 +127,10 @@
 
 // placeJob finds room for tasks of a job and takes it off the market, and returns for how many
 // there is room; for a job that must be whole, and in one zone if it says so, none or all.
-func (k *borrowableCapacity) placeJob(j *job, request zones.CapacityRequest, whole bool) int {
+func (k *borrowableCapacity) placeJob(j *Job, request zones.CapacityRequest, whole bool) int {
 	anywhere := func(*candidate) bool { return true }
 	choose := k.choose
-	if j.spec.SameZone {
+	if j.Spec.SameZone {
 		choose = k.chooseSingleZone
 	}
 	best := choose(j, request, anywhere)
@@ -142,8 +142,8 @@
 }
 
 // chooseSingleZone looks for room in a single zone, where it costs least among those with most.
-func (k *borrowableCapacity) chooseSingleZone(j *job, request zones.CapacityRequest, allowed func(*candidate) bool) (best zones.Choice) {
-	for _, zone := range k.scheduler.zones(&j.spec) {
+func (k *borrowableCapacity) chooseSingleZone(j *Job, request zones.CapacityRequest, allowed func(*candidate) bool) (best zones.Choice) {
+	for _, zone := range k.scheduler.allowedZones(&j.Spec) {
 		one := request
 		one.MaxPerZone = map[string]int{zone: request.MaxPerZone[zone]}
 		got := k.choose(j, one, allowed)
@@ -155,7 +155,7 @@
 }
 
 // commit takes a choice off the market.
-func (k *borrowableCapacity) commit(j *job, choice zones.Choice) {
+func (k *borrowableCapacity) commit(j *Job, choice zones.Choice) {
 	for _, room := range k.machines {
 		for _, pl := range room.lenders {
 			if !slices.Contains(choice.Lenders, taskAttemptOf(pl)) {
@@ -167,7 +167,7 @@
 		}
 		for _, pick := range choice.Picks {
 			if pick.Machine == room.candidate.machine.Name {
-				room.free = room.free.Minus(j.need)
+				room.free = room.free.Minus(j.TaskResources)
 			}
 		}
 	}
--- a/internal/coordination/scheduler/borrowing.go
+++ b/internal/coordination/scheduler/borrowing.go
@@ -10,20 +10,20 @@
 )
 
 // disturbanceCost is what it counts for, in seconds of work, that one more job lends room.
-func (c *Core) disturbanceCost() float64 { return 3 * c.cfg.Workers.HeartbeatSeconds }
+func (c *Scheduler) disturbanceCost() float64 { return 3 * c.cfg.Workers.HeartbeatSeconds }
 
 // mayBorrow says whether a job may borrow room: it has lost tasks with a zone that is not
 // trusted again yet.
-func (c *Core) mayBorrow(j *job) bool {
-	if c.zoneFailover == nil || j.displacedFrom == "" {
+func (c *Scheduler) mayBorrow(j *Job) bool {
+	if c.zoneFailover == nil || j.DisplacedFromZone == "" {
 		return false
 	}
-	return c.zoneFailover.monitor.State(j.displacedFrom) != zones.Available
+	return c.zoneFailover.monitor.State(j.DisplacedFromZone) != zones.Available
 }
 
 // awaitsLentCapacity says whether room that a job was lent is about to come free. Backfill would take
 // what it has meanwhile, only to be stopped for it at once.
-func (c *Core) awaitsLentCapacity(now time.Duration, j *job) bool {
+func (c *Scheduler) awaitsLentCapacity(now time.Duration, j *Job) bool {
 	if !c.mayBorrow(j) {
 		return false
 	}
@@ -34,7 +34,7 @@
 // stopped for it is recorded first: should we end in between, the next leader finds who
 // was to lend to whom. It says whether that is how the job gets room: not when no further
 // loan can be recorded.
-func (c *Core) borrowCapacity(now time.Duration, j *job, l *zoneLimits, n int) bool {
+func (c *Scheduler) borrowCapacity(now time.Duration, j *Job, l *zoneLimits, n int) bool {
 	n -= len(c.nominatedCandidates(now, j)) // lent already, and not yet free
 	if n <= 0 {
 		return true
@@ -49,14 +49,14 @@
 	cands := c.schedulableCandidates(now)
 	k := c.borrowableCapacityOf(now, cands)
 	choice := k.choose(j, request, func(x *candidate) bool {
-		return c.feasible(now, j, x, l) && !x.machine.IsReservedFor(now, j.spec.ID)
+		return c.feasible(now, j, x, l) && !x.machine.IsReservedFor(now, j.Spec.ID)
 	})
-	if len(choice.Picks) == 0 || j.spec.Shape == protocol.Gang && len(choice.Picks) < n || k.violatesQuota(choice) {
-		j.searchAgain = now + searchRetryDelay
+	if len(choice.Picks) == 0 || j.Spec.Shape == protocol.Gang && len(choice.Picks) < n || k.violatesQuota(choice) {
+		j.NextLoanSearch = now + searchRetryDelay
 		return true
 	}
 	if err := c.openLoans(now, j, k, choice); err != nil {
-		c.log.Info("no loan", "job", j.spec.ID, "err", err)
+		c.log.Info("no loan", "job", j.Spec.ID, "err", err)
 		return false
 	}
 	c.reserveChosenMachines(now, j, cands, l, choice)
@@ -64,12 +64,12 @@
 }
 
 // acquireSearch says whether room to borrow may be looked for now, and counts that it is.
-func (c *Core) acquireSearch(now time.Duration, j *job) bool {
+func (c *Scheduler) acquireSearch(now time.Duration, j *Job) bool {
 	z := c.zoneFailover
-	if now < j.searchAgain {
+	if now < j.NextLoanSearch {
 		return false
 	}
-	if now-z.searchCycleStart >= Cycle {
+	if now-z.searchCycleStart >= CycleInterval {
 		z.searchCycleStart, z.searchesInCycle = now, 0
 	}
 	z.searchesInCycle++
@@ -77,10 +77,10 @@
 }
 
 // reserveChosenMachines keeps the machines of a choice for the job until the lenders have left.
-func (c *Core) reserveChosenMachines(now time.Duration, j *job, cands []*candidate, l *zoneLimits, choice zones.Choice) {
+func (c *Scheduler) reserveChosenMachines(now time.Duration, j *Job, cands []*candidate, l *zoneLimits, choice zones.Choice) {
 	save := 0.0
 	for _, task := range choice.Lenders {
-		save = max(save, c.jobs[task.Job].spec.SaveSeconds+c.cfg.Workers.GangPeerSeconds)
+		save = max(save, c.jobs[task.Job].Spec.SaveSeconds+c.cfg.Workers.GangPeerSeconds)
 	}
 	for _, x := range cands {
 		if !slices.ContainsFunc(choice.Picks, func(p zones.Pick) bool { return p.Machine == x.machine.Name }) {
@@ -88,6 +88,6 @@
 		}
 		c.claimNomination(x)
 		l.tasksPerZone[x.machine.Zone]++
-		c.nominate(x.machine, j, now+config.Seconds(save+3*c.cfg.Workers.HeartbeatSeconds)+2*Cycle)
+		c.nominate(x.machine, j, now+config.Seconds(save+3*c.cfg.Workers.HeartbeatSeconds)+2*CycleInterval)
 	}
 }
--- a/internal/coordination/scheduler/candidateindex_test.go
+++ b/internal/coordination/scheduler/candidateindex_test.go
@@ -13,14 +13,14 @@
 )
 
 // indexErrors counts the machines of which the roster says something else than the books.
-func (b *bench) indexErrors() (wrong int) {
-	b.c.machines.Each(func(m *partition.Machine) {
+func (b *harness) indexErrors() (wrong int) {
+	b.scheduler.machines.Each(func(m *partition.Machine) {
 		x, ok := m.SchedulerData.(*candidate)
-		open := b.c.machines.Schedulable(b.now, m)
+		open := b.scheduler.machines.Schedulable(b.now, m)
 		switch {
-		case !ok || open && !b.c.candidateIndex.index.Has(x.indexEntry):
+		case !ok || open && !b.scheduler.candidateIndex.index.Has(x.indexEntry):
 			wrong++
-		case open && x.free != b.c.machines.FreeCapacity(m):
+		case open && x.free != b.scheduler.machines.FreeCapacity(m):
 			wrong++
 		}
 	})
@@ -33,44 +33,44 @@
 func TestBrokenIndex(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const machines = 12
-		b := newBench([]config.Team{{Name: "red"}, {Name: "blue"}}, "a", "b")
+		b := newHarness([]config.Team{{Name: "red"}, {Name: "blue"}}, "a", "b")
 		for i := range machines {
-			b.machine(fmt.Sprintf("m%02d", i), []string{"a", "b"}[i%2], false)
+			b.heartbeat(fmt.Sprintf("m%02d", i), []string{"a", "b"}[i%2], false)
 		}
-		b.cycle()
+		b.runCycle()
 		for i := range rapid.IntRange(1, 10).Draw(t, "jobs") {
-			j := spec(fmt.Sprintf("j-%d", i), rapid.SampledFrom([]protocol.Shape{protocol.Array, protocol.Gang}).Draw(t, "shape"), "normal", 4, 2)
+			j := jobSpec(fmt.Sprintf("j-%d", i), rapid.SampledFrom([]protocol.Shape{protocol.Array, protocol.Gang}).Draw(t, "shape"), "normal", 4, 2)
 			j.Team, j.Zone = rapid.SampledFrom([]string{"red", "blue"}).Draw(t, "team"), rapid.SampledFrom([]string{"", "a", "b"}).Draw(t, "zone")
-			b.job(j)
+			b.addJob(j)
 		}
-		b.cycle()
-		b.settle()
-		b.c.machines.Each(func(m *partition.Machine) {
+		b.runCycle()
+		b.runFetchingTasks()
+		b.scheduler.machines.Each(func(m *partition.Machine) {
 			x := m.SchedulerData.(*candidate)
 			switch rapid.IntRange(0, 3).Draw(t, "break") {
 			case 0:
-				b.c.candidateIndex.index.Remove(x.indexEntry)
+				b.scheduler.candidateIndex.index.Remove(x.indexEntry)
 			case 1:
 				x.free = partition.Resources{CPUs: 1000, GPUs: 1000, MemoryGB: 1000}
-				b.c.indexCandidate(x)
+				b.scheduler.indexCandidate(x)
 			case 2:
-				b.c.candidateIndex.index.Put(x.indexEntry, machineindex.Pool{Type: "g8", Zone: "elsewhere"}, partition.CapacityOf(x.machineType), x.free)
+				b.scheduler.candidateIndex.index.Put(x.indexEntry, machineindex.Pool{Type: "g8", Zone: "elsewhere"}, partition.CapacityOf(x.machineType), x.free)
 			}
 		})
 		for i := range 6 {
-			j := spec(fmt.Sprintf("j-after%d", i), protocol.Array, "normal", 4, 2)
+			j := jobSpec(fmt.Sprintf("j-after%d", i), protocol.Array, "normal", 4, 2)
 			j.Zone = "a"
-			b.job(j)
-			b.cycle()
-			b.settle()
+			b.addJob(j)
+			b.runCycle()
+			b.runFetchingTasks()
 			b.checkCapacity(t)
 		}
 		for range machines + 2 {
-			b.cycle()
-			b.settle()
+			b.runCycle()
+			b.runFetchingTasks()
 		}
 		b.checkCapacity(t)
-		b.c.refreshCandidates(b.now) // with what has been reported since the last
+		b.scheduler.refreshCandidates(b.now) // with what has been reported since the last
 		if n := b.indexErrors(); n > 0 {
 			t.Errorf("the index is wrong about %d machines", n)
 		}
@@ -78,17 +78,17 @@
 }
 
 // checkCapacity demands that no machine runs more than it holds, and nothing outside its zone.
-func (b *bench) checkCapacity(t *rapid.T) {
+func (b *harness) checkCapacity(t *rapid.T) {
 	for name, tasks := range b.tasks {
 		gpus := 0.0
 		for id, task := range tasks {
 			if task.State == protocol.TaskExited {
 				continue
 			}
-			j := b.c.jobs[id.JobID]
-			gpus += j.spec.GPUs
-			if j.spec.Zone != "" && j.spec.Zone != b.zone[name] {
-				t.Fatalf("%s runs in zone %s", id, b.zone[name])
+			j := b.scheduler.jobs[id.JobID]
+			gpus += j.Spec.GPUs
+			if j.Spec.Zone != "" && j.Spec.Zone != b.zoneOf[name] {
+				t.Fatalf("%s runs in zone %s", id, b.zoneOf[name])
 			}
 		}
 		if gpus > 8 {
@@ -110,22 +110,22 @@
 		}
 		if rapid.Bool().Draw(t, "types change") {
 			for _, b := range w.benches {
-				changed := *b.c.machines.MachineType("g8")
+				changed := *b.scheduler.machines.MachineType("g8")
 				changed.CPUs *= 2
-				b.do(Types{Types: []protocol.MachineType{changed}})
+				b.apply(MachineTypesUpdated{Types: []protocol.MachineType{changed}})
 			}
 		}
 		if rapid.Bool().Draw(t, "old report") {
-			w.applyToBoth("a copy of an old report", func(b *bench) {
-				r := b.report(w.machines[0])
+			w.applyToBoth("a copy of an old report", func(b *harness) {
+				r := b.nextHeartbeat(w.machines[0])
 				r.Sequence = 1
-				b.do(Reported{Tag: w.machines[0], Report: r})
+				b.apply(HeartbeatReceived{ReplyTo: w.machines[0], Heartbeat: r})
 			})
 		}
 		b := w.benches[0]
-		b.c.refreshCandidates(b.now)
+		b.scheduler.refreshCandidates(b.now)
 		if n := b.indexErrors(); n > 0 {
-			t.Errorf("the index is wrong about %d of %d machines", n, b.c.machines.Len())
+			t.Errorf("the index is wrong about %d of %d machines", n, b.scheduler.machines.Len())
 		}
 	})
 }
@@ -135,25 +135,25 @@
 func TestMachinesExaminedPerStart(t *testing.T) {
 	const mostPerStart, mostPerWaiting = 80, 4
 	for _, machines := range []int{200, 2000, 6000} {
-		b := newFleetBench(machines, 50, 0)
-		b.fill(50, standing)
-		b.reportAll()
-		b.c.machinesExamined, b.started = 0, 0
+		b := newFleetHarness(machines, 50, 0)
+		b.fill(50, serviceSlots)
+		b.heartbeatAll()
+		b.scheduler.machinesExamined, b.started = 0, 0
 		for range 10 {
 			b.submit(protocol.Array, b.rng.IntN(50), 64, "normal")
-			b.pass(Eager)
+			b.advance(MinCycleInterval)
 		}
-		b.pass(Cycle)
-		if b.started != 640 || b.c.machinesExamined > uint64(mostPerStart*b.started) {
-			t.Errorf("%d machines: %d looks for %d starts", machines, b.c.machinesExamined, b.started)
+		b.advance(CycleInterval)
+		if b.started != 640 || b.scheduler.machinesExamined > uint64(mostPerStart*b.started) {
+			t.Errorf("%d machines: %d looks for %d starts", machines, b.scheduler.machinesExamined, b.started)
 		}
-		t.Logf("%d machines: %.1f looks a start", machines, float64(b.c.machinesExamined)/float64(b.started))
+		t.Logf("%d machines: %.1f looks a start", machines, float64(b.scheduler.machinesExamined)/float64(b.started))
 	}
-	b := overload(200, 50, 500)
-	b.c.machinesExamined = 0
-	b.pass(Cycle)
-	if most := uint64(mostPerWaiting * 500); b.c.machinesExamined > most {
-		t.Errorf("%d looks in a cycle in which 500 jobs wait, want %d at most", b.c.machinesExamined, most)
+	b := newOverloadedHarness(200, 50, 500)
+	b.scheduler.machinesExamined = 0
+	b.advance(CycleInterval)
+	if most := uint64(mostPerWaiting * 500); b.scheduler.machinesExamined > most {
+		t.Errorf("%d looks in a cycle in which 500 jobs wait, want %d at most", b.scheduler.machinesExamined, most)
 	}
 }
 
@@ -162,14 +162,14 @@
 func TestAllocationsOfAnUnchangedCycle(t *testing.T) {
 	const most = 150
 	for _, machines := range []int{200, 4000} {
-		b := newFleetBench(machines, 50, 0)
-		b.fill(50, standing)
-		b.reportAll()
-		b.pass(Cycle)
+		b := newFleetHarness(machines, 50, 0)
+		b.fill(50, serviceSlots)
+		b.heartbeatAll()
+		b.advance(CycleInterval)
 		allocations := testing.AllocsPerRun(20, func() {
-			b.c.due = true
-			b.c.lastCycle = b.now - Cycle
-			b.c.Step(b.now, Tick{})
+			b.scheduler.cycleDue = true
+			b.scheduler.lastCycleAt = b.now - CycleInterval
+			b.scheduler.Step(b.now, Tick{})
 		})
 		t.Logf("%d machines: %.0f allocations", machines, allocations)
 		if allocations > most {
--- a/internal/coordination/scheduler/candidates.go
+++ b/internal/coordination/scheduler/candidates.go
@@ -66,7 +66,7 @@
 const verifiedFraction = 64
 
 // refreshCandidates brings the roster up to date.
-func (c *Core) refreshCandidates(now time.Duration) {
+func (c *Scheduler) refreshCandidates(now time.Duration) {
 	r := &c.candidateIndex
 	if r.stale {
 		c.rebuildCandidates(now)
@@ -88,7 +88,7 @@
 }
 
 // verifyCandidates checks some machines against the books, so that a wrong entry does not last.
-func (c *Core) verifyCandidates(now time.Duration) {
+func (c *Scheduler) verifyCandidates(now time.Duration) {
 	from := c.candidateIndex.verifiedUpTo
 	c.candidateIndex.verifiedUpTo = ""
 	left := 1 + c.machines.Len()/verifiedFraction
@@ -103,7 +103,7 @@
 }
 
 // rebuildCandidates enters all machines anew, since the index has turned out to be wrong.
-func (c *Core) rebuildCandidates(now time.Duration) {
+func (c *Scheduler) rebuildCandidates(now time.Duration) {
 	c.candidateIndex = newCandidateIndex()
 	c.machines.TakeChanged() // all are entered
 	c.machines.Each(func(m *partition.Machine) {
@@ -113,7 +113,7 @@
 }
 
 // refreshMachine enters a machine by its books.
-func (c *Core) refreshMachine(now time.Duration, m *partition.Machine) {
+func (c *Scheduler) refreshMachine(now time.Duration, m *partition.Machine) {
 	x, ok := m.SchedulerData.(*candidate)
 	switch {
 	case m.Removed() && ok:
@@ -133,7 +133,7 @@
 
 // refreshCandidate enters a candidate by its machine's books, or takes it out if the machine takes no
 // new tasks now.
-func (c *Core) refreshCandidate(now time.Duration, x *candidate) {
+func (c *Scheduler) refreshCandidate(now time.Duration, x *candidate) {
 	delete(c.candidateIndex.unresponsive, x)
 	x.machineType = c.machines.MachineType(x.machine.Type)
 	if x.machine.Removed() || x.machineType == nil || !c.machines.Schedulable(now, x.machine) {
@@ -148,14 +148,14 @@
 }
 
 // indexCandidate enters a candidate where its room says.
-func (c *Core) indexCandidate(x *candidate) {
+func (c *Scheduler) indexCandidate(x *candidate) {
 	key := machineindex.Pool{Type: x.machine.Type, Zone: x.machine.Zone, Spot: x.machine.Spot}
 	c.candidateIndex.index.Put(x.indexEntry, key, partition.CapacityOf(x.machineType), x.free)
 }
 
 // checkSchedulable says whether a candidate still takes new tasks. One that does not, since it fell silent,
 // leaves the index after the search.
-func (c *Core) checkSchedulable(now time.Duration, x *candidate) bool {
+func (c *Scheduler) checkSchedulable(now time.Duration, x *candidate) bool {
 	if c.machines.Schedulable(now, x.machine) {
 		return true
 	}
@@ -164,7 +164,7 @@
 }
 
 // removeUnschedulable takes the candidates out of the index that searches found closed.
-func (c *Core) removeUnschedulable(now time.Duration) {
+func (c *Scheduler) removeUnschedulable(now time.Duration) {
 	for _, x := range c.candidateIndex.unschedulable {
 		c.refreshCandidate(now, x)
 	}
@@ -172,7 +172,7 @@
 }
 
 // candidateOf returns the candidate of a machine if it takes new tasks now, or nil.
-func (c *Core) candidateOf(now time.Duration, m *partition.Machine) *candidate {
+func (c *Scheduler) candidateOf(now time.Duration, m *partition.Machine) *candidate {
 	x, ok := m.SchedulerData.(*candidate)
 	if !ok || !c.candidateIndex.index.Has(x.indexEntry) || !c.machines.Schedulable(now, m) {
 		return nil
@@ -181,7 +181,7 @@
 }
 
 // schedulableCandidates lists the machines that take new tasks now, in name order.
-func (c *Core) schedulableCandidates(now time.Duration) (cands []*candidate) {
+func (c *Scheduler) schedulableCandidates(now time.Duration) (cands []*candidate) {
 	c.machines.Each(func(m *partition.Machine) {
 		if x := c.candidateOf(now, m); x != nil {
 			cands = append(cands, x)
@@ -191,7 +191,7 @@
 }
 
 // markChanged notes that the cycle has changed something of a candidate that ends with it.
-func (c *Core) markChanged(x *candidate) {
+func (c *Scheduler) markChanged(x *candidate) {
 	if !x.changedInCycle {
 		x.changedInCycle = true
 		c.candidateIndex.changedInCycle = append(c.candidateIndex.changedInCycle, x)
@@ -199,39 +199,39 @@
 }
 
 // setFree changes a candidate's room for the rest of the cycle.
-func (c *Core) setFree(x *candidate, free partition.Resources) {
+func (c *Scheduler) setFree(x *candidate, free partition.Resources) {
 	c.markChanged(x)
 	x.free = free
 	c.indexCandidate(x)
 }
 
 // claimNomination says that the room reserved on a candidate is spoken for in this cycle.
-func (c *Core) claimNomination(x *candidate) {
+func (c *Scheduler) claimNomination(x *candidate) {
 	c.markChanged(x)
 	x.nominationClaimed = true
 }
 
 // freeForJob is what a job may use of a candidate.
-func (c *Core) freeForJob(x *candidate, j *job) partition.Resources {
+func (c *Scheduler) freeForJob(x *candidate, j *Job) partition.Resources {
 	if len(x.headroom) == 0 {
 		return x.free
 	}
-	return x.freeBeyondHeadroom(j.level, c.startLatencyObjective(j.spec.Class), c.recoveryPosition(&j.spec))
+	return x.freeBeyondHeadroom(j.EffectivePriority, c.startLatencyObjective(j.Spec.Class), c.recoveryPosition(&j.Spec))
 }
 
 // holdHeadroom sets aside the room that classes with an aim on waiting are likely to
 // want soon. Against lower work it needs no keeping where there is time to
 // preempt that. While the order of return is in force, lower work must not have what
 // is kept from higher work.
-func (c *Core) holdHeadroom(now time.Duration) {
+func (c *Scheduler) holdHeadroom(now time.Duration) {
 	none := &zoneLimits{}
 	recovering := c.inZoneFailover()
-	for _, u := range c.spareNow {
-		j := &job{spec: *u.Job, need: partition.TaskResources(u.Job), level: u.Job.Priority.Rank()}
+	for _, u := range c.forecastUnits {
+		j := &Job{Spec: *u.Job, TaskResources: partition.TaskResources(u.Job), EffectivePriority: u.Job.Priority.Rank()}
 		aim, position := c.startLatencyObjective(u.Job.Class), c.recoveryPosition(u.Job)
 		allowed := func(x *candidate) bool {
-			return (u.Zone == "" || u.Zone == x.machine.Zone) && j.need.Fits(x.freeBeyondHeadroom(j.level, math.Inf(1), math.MaxInt)) &&
-				(!x.machine.Spot || j.spec.SpotAllowed) && x.machineType.AllowedBy(&j.spec)
+			return (u.Zone == "" || u.Zone == x.machine.Zone) && j.TaskResources.Fits(x.freeBeyondHeadroom(j.EffectivePriority, math.Inf(1), math.MaxInt)) &&
+				(!x.machine.Spot || j.Spec.SpotAllowed) && x.machineType.AllowedBy(&j.Spec)
 		}
 		for range u.Count {
 			best := c.finder.bestMachine(now, j, none, allowed)
@@ -239,27 +239,27 @@
 				break
 			}
 			c.markChanged(best)
-			for level := j.level; level == j.level || (u.MustBeFree || recovering) && level < fleet.PriorityLevels; level++ {
-				best.headroom = append(best.headroom, heldHeadroom{level, aim, position, j.need})
+			for level := j.EffectivePriority; level == j.EffectivePriority || (u.MustBeFree || recovering) && level < fleet.PriorityLevels; level++ {
+				best.headroom = append(best.headroom, heldHeadroom{level, aim, position, j.TaskResources})
 			}
 		}
 	}
 }
 
 // nominate has the room on a machine cleared for a job until the given time.
-func (c *Core) nominate(m *partition.Machine, j *job, until time.Duration) {
-	m.ReservedJob, m.ReservedUntil = j.spec.ID, until
-	if j.reserved == nil {
-		j.reserved = map[*partition.Machine]bool{}
+func (c *Scheduler) nominate(m *partition.Machine, j *Job, until time.Duration) {
+	m.ReservedJob, m.ReservedUntil = j.Spec.ID, until
+	if j.ReservedMachines == nil {
+		j.ReservedMachines = map[*partition.Machine]bool{}
 	}
-	j.reserved[m] = true
+	j.ReservedMachines[m] = true
 }
 
 // nominatedCandidates lists the candidates on which room is cleared for a job, in name order.
-func (c *Core) nominatedCandidates(now time.Duration, j *job) (list []*candidate) {
-	for m := range j.reserved {
-		if !m.IsReservedFor(now, j.spec.ID) || m.Removed() {
-			delete(j.reserved, m)
+func (c *Scheduler) nominatedCandidates(now time.Duration, j *Job) (list []*candidate) {
+	for m := range j.ReservedMachines {
+		if !m.IsReservedFor(now, j.Spec.ID) || m.Removed() {
+			delete(j.ReservedMachines, m)
 			continue
 		}
 		if x := c.candidateOf(now, m); x != nil {
--- a/internal/coordination/scheduler/completion_test.go
+++ b/internal/coordination/scheduler/completion_test.go
@@ -13,21 +13,21 @@
 
 // manualStore is a core whose writes are answered only when the test says so.
 type manualStore struct {
-	*bench
+	*harness
 	inFlight []Write
 }
 
 func newManualStore(t *testing.T, jobs int) *manualStore {
 	t.Helper()
-	s := &manualStore{bench: newBench([]config.Team{{Name: "red"}}, "a")}
+	s := &manualStore{harness: newHarness([]config.Team{{Name: "red"}}, "a")}
 	for i := range jobs {
-		s.machine(fmt.Sprintf("m%03d", i), "a", false)
-		s.job(spec(fmt.Sprintf("j-%03d", i), protocol.Array, "normal", 2, 4))
+		s.heartbeat(fmt.Sprintf("m%03d", i), "a", false)
+		s.addJob(jobSpec(fmt.Sprintf("j-%03d", i), protocol.Array, "normal", 2, 4))
 	}
-	s.cycle()
-	s.settle()
+	s.runCycle()
+	s.runFetchingTasks()
 	for i := range jobs {
-		if s.started(fmt.Sprintf("j-%03d", i)) != 2 {
+		if s.startedTasks(fmt.Sprintf("j-%03d", i)) != 2 {
 			t.Fatalf("job %d did not start", i)
 		}
 	}
@@ -36,7 +36,7 @@
 
 // step hands in an event and keeps what is written.
 func (s *manualStore) step(e Event) {
-	for _, effect := range s.c.Step(s.now, e) {
+	for _, effect := range s.scheduler.Step(s.now, e) {
 		if w, ok := effect.(Write); ok {
 			s.inFlight = append(s.inFlight, w)
 		}
@@ -52,14 +52,14 @@
 				s.tasks[name][id] = t
 			}
 		}
-		s.step(Reported{Tag: name, Report: s.report(name)})
+		s.step(HeartbeatReceived{ReplyTo: name, Heartbeat: s.nextHeartbeat(name)})
 	}
 }
 
 // heartbeatAll has all machines report.
 func (s *manualStore) heartbeatAll() {
 	for _, name := range sortedNames(s.tasks) {
-		s.step(Reported{Tag: name, Report: s.report(name)})
+		s.step(HeartbeatReceived{ReplyTo: name, Heartbeat: s.nextHeartbeat(name)})
 	}
 }
 
@@ -72,9 +72,9 @@
 }
 
 // pagesInFlight returns the pages that are being written for a purpose.
-func (s *manualStore) pagesInFlight(p Purpose) (pages int) {
+func (s *manualStore) pagesInFlight(p WritePriority) (pages int) {
 	for _, w := range s.inFlight {
-		if w.For == p {
+		if w.Priority == p {
 			pages += len(w.Txn.Then)
 		}
 	}
@@ -89,19 +89,19 @@
 	s := newManualStore(t, 60)
 	s.endFirstTasks()
 	for range 3 {
-		s.now += Cycle
+		s.now += CycleInterval
 		s.heartbeatAll()
 		s.step(Tick{})
 	}
-	if n, most := s.pagesInFlight(Ends), s.c.maxCompletionPages(); n == 0 || n > most {
+	if n, most := s.pagesInFlight(PriorityCompletion), s.scheduler.maxCompletionPages(); n == 0 || n > most {
 		t.Fatalf("%d pages of ends under way, want 1 to %d", n, most)
 	}
-	s.rev++
-	s.step(JobSet{Record: storage.LiveJobRecord{Job: spec("j-urgent", protocol.Array, "urgent", 1, 4), AcceptedAtMS: s.now.Milliseconds()}, Stamp: s.rev})
-	s.now += Eager
+	s.revision++
+	s.step(JobAccepted{Record: storage.LiveJobRecord{Job: jobSpec("j-urgent", protocol.Array, "urgent", 1, 4), AcceptedAtMS: s.now.Milliseconds()}, Revision: s.revision})
+	s.now += MinCycleInterval
 	s.step(Tick{})
-	if s.pagesInFlight(Starts) != 1 {
-		t.Errorf("%d records of starts are asked for, want 1", s.pagesInFlight(Starts))
+	if s.pagesInFlight(PriorityStart) != 1 {
+		t.Errorf("%d records of starts are asked for, want 1", s.pagesInFlight(PriorityStart))
 	}
 }
 
@@ -111,28 +111,28 @@
 	const jobs = 40
 	s := newManualStore(t, jobs)
 	s.endFirstTasks()
-	s.now += Cycle
+	s.now += CycleInterval
 	s.step(Tick{})
 	var order []string
 	for len(s.inFlight) > 0 {
 		w := s.inFlight[0]
 		s.inFlight = s.inFlight[1:]
 		order = append(order, w.Txn.Then[0].PutKey)
-		s.rev++
-		s.step(Written{Write: w.ID, OK: true, Rev: s.rev})
+		s.revision++
+		s.step(TransactionOutcome{WriteID: w.ID, Succeeded: true, Revision: s.revision})
 	}
 	if len(order) != jobs || !slices.IsSorted(order) {
 		t.Errorf("%d of %d jobs' ends recorded, in the order %v", len(order), jobs, order)
 	}
-	if s.c.pagesInFlight[Ends] != 0 {
-		t.Errorf("%d pages count as under way", s.c.pagesInFlight[Ends])
+	if s.scheduler.pagesInFlight[PriorityCompletion] != 0 {
+		t.Errorf("%d pages count as under way", s.scheduler.pagesInFlight[PriorityCompletion])
 	}
 }
 
 // TestPagesOfStartsAreWrittenFirst: of a job with many pages to write, those go first for which starts
 // wait.
 func TestPagesOfStartsAreWrittenFirst(t *testing.T) {
-	j := newJob(spec("j-1", protocol.Array, "normal", 100, 1), 1, 0, 0, storage.PageLayout{TasksPerPage: 10})
+	j := NewJob(jobSpec("j-1", protocol.Array, "normal", 100, 1), 1, 0, 0, storage.PageLayout{TasksPerPage: 10})
 	for task := range 100 {
 		j.markDirty(task, 0)
 	}
--- a/internal/coordination/scheduler/consolidate.go
+++ b/internal/coordination/scheduler/consolidate.go
@@ -15,14 +15,14 @@
 const startCountsAfter = 30 * time.Second
 
 // consolidationPause is the time between two machines that are emptied.
-const consolidationPause = 2 * Cycle
+const consolidationPause = 2 * CycleInterval
 
 // consolidate empties a machine that only few replicas hold, by moving them to
 // machines in the same zone that have room and the image. Such a move takes a
 // replica away for a moment, while a machine held by one small replica is paid
 // for as long as it lives. The old attempt is proven gone before the new one
 // starts, as always.
-func (c *Core) consolidate(now time.Duration) {
+func (c *Scheduler) consolidate(now time.Duration) {
 	if now-c.lastConsolidation < consolidationPause {
 		return
 	}
@@ -37,21 +37,21 @@
 			c.log.Info("moving", "task", pl.Task, "from", pl.Machine)
 		})
 		for _, pl := range c.placementsOn(x.machine) {
-			c.stop(now, c.jobs[pl.Task.JobID], pl, 0)
+			c.stopPlacement(now, c.jobs[pl.Task.JobID], pl, 0)
 		}
 		return
 	}
 }
 
 // utilization is the part of a machine that is in use.
-func (c *Core) utilization(x *candidate) float64 {
+func (c *Scheduler) utilization(x *candidate) float64 {
 	capacity := partition.CapacityOf(x.machineType)
 	return capacity.Minus(c.machines.FreeCapacity(x.machine)).DominantShare(capacity)
 }
 
 // underutilizedMachines lists machines that could be emptied. In a large fleet it looks at a part of
 // the machines, and the next time at the next.
-func (c *Core) underutilizedMachines(now time.Duration) (light []*candidate) {
+func (c *Scheduler) underutilizedMachines(now time.Duration) (light []*candidate) {
 	left := maxExaminedMachines
 	from := c.consolidationCursor
 	c.consolidationCursor = ""
@@ -68,21 +68,21 @@
 	return light
 }
 
-func (c *Core) placementsOn(m *partition.Machine) (out []*partition.Placement) {
+func (c *Scheduler) placementsOn(m *partition.Machine) (out []*partition.Placement) {
 	m.EachPlacement(func(pl *partition.Placement) { out = append(out, pl) })
 	sort.Slice(out, func(a, b int) bool { return out[a].Task.String() < out[b].Task.String() })
 	return out
 }
 
 // canBeEmptied says whether a machine holds nothing but a few settled replicas.
-func (c *Core) canBeEmptied(now time.Duration, x *candidate) bool {
+func (c *Scheduler) canBeEmptied(now time.Duration, x *candidate) bool {
 	if x.machine.PlacementCount() == 0 || c.nominatedForOther(now, x.machine, "") {
 		return false
 	}
 	ok := true
 	x.machine.EachPlacement(func(pl *partition.Placement) {
 		j := c.jobs[pl.Task.JobID]
-		if j == nil || j.over || j.writeInFlight || j.spec.Shape != protocol.Service || pl.Stopping ||
+		if j == nil || j.Ended || j.writeInFlight || j.Spec.Shape != protocol.Service || pl.Stopping ||
 			pl.State != protocol.TaskRunning || now-pl.StateSince < startCountsAfter {
 			ok = false
 		}
@@ -92,7 +92,7 @@
 
 // fitsElsewhere says whether all that a machine holds fits on machines that
 // are fuller, have the images and are in the same zone.
-func (c *Core) fitsElsewhere(now time.Duration, x *candidate) bool {
+func (c *Scheduler) fitsElsewhere(now time.Duration, x *candidate) bool {
 	taken := map[*candidate]partition.Resources{}
 	for _, pl := range c.placementsOn(x.machine) {
 		best := c.fullestTarget(now, x, pl, taken)
@@ -105,7 +105,7 @@
 }
 
 // fullestTarget returns the fullest machine that a placement could move to, or nil.
-func (c *Core) fullestTarget(now time.Duration, x *candidate, pl *partition.Placement, taken map[*candidate]partition.Resources) (best *candidate) {
+func (c *Scheduler) fullestTarget(now time.Duration, x *candidate, pl *partition.Placement, taken map[*candidate]partition.Resources) (best *candidate) {
 	set := c.machines.MachinesWithImage(pl.Job.Image)
 	if set == nil {
 		return nil
@@ -130,7 +130,7 @@
 }
 
 // relocateFetchingTasks has a look at the jobs of which tasks may still fetch their image.
-func (c *Core) relocateFetchingTasks(now time.Duration) {
+func (c *Scheduler) relocateFetchingTasks(now time.Duration) {
 	for _, j := range c.inSchedulingOrder(c.queues.fetchingJobs) {
 		if !c.mayRelocate(j) || !mayBeFetching(j) {
 			c.queues.fetchingJobs.Delete(j)
@@ -142,13 +142,13 @@
 
 // mayRelocate says whether tasks of a job are ever moved to a machine with its image. Those of a
 // gang wait for the slowest, and would have to move together.
-func (c *Core) mayRelocate(j *job) bool {
-	return !j.over && !math.IsInf(c.startLatencyObjective(j.spec.Class), 1) && (j.spec.Shape != protocol.Gang || j.spec.TaskCount == 1)
+func (c *Scheduler) mayRelocate(j *Job) bool {
+	return !j.Ended && !math.IsInf(c.startLatencyObjective(j.Spec.Class), 1) && (j.Spec.Shape != protocol.Gang || j.Spec.TaskCount == 1)
 }
 
 // mayBeFetching says whether a task of the job may still fetch its image.
-func mayBeFetching(j *job) bool {
-	for _, pl := range j.places {
+func mayBeFetching(j *Job) bool {
+	for _, pl := range j.Placements {
 		if !pl.Reported || pl.State == protocol.TaskFetching {
 			return true
 		}
@@ -160,31 +160,31 @@
 // has come free meanwhile. Fetches take up to a third longer than the type
 // says, and for large images that is longer than some aims on waiting; a task
 // that has not started loses nothing by the move.
-func (c *Core) relocateFetchingTask(now time.Duration, j *job) {
-	if c.held(j) || j.writeInFlight || j.counts[pending] > 0 {
+func (c *Scheduler) relocateFetchingTask(now time.Duration, j *Job) {
+	if c.startForbidden(j) || j.writeInFlight || j.TaskCounts[TaskPending] > 0 {
 		return
 	}
-	for _, pl := range placements(j) {
+	for _, pl := range sortedPlacements(j) {
 		m := c.machines.Machine(pl.Machine)
 		if m == nil || !pl.Reported || pl.Stopping || pl.State != protocol.TaskFetching ||
-			c.machines.FetchTime(now, m, &j.spec) < config.Seconds(3*c.cfg.Workers.HeartbeatSeconds) {
+			c.machines.FetchTime(now, m, &j.Spec) < config.Seconds(3*c.cfg.Workers.HeartbeatSeconds) {
 			continue
 		}
 		l := c.zoneLimitsOf(j)
 		l.tasksPerZone[pl.Zone]--
-		if len(j.places) == 1 {
-			l.onlyZone = j.spec.Zone
+		if len(j.Placements) == 1 {
+			l.onlyZone = j.Spec.Zone
 		}
 		best := c.finder.bestWithImage(now, j, l, func(x *candidate) bool {
-			return x.machine != m && c.feasible(now, j, x, l) && j.need.Fits(c.freeForJob(x, j)) && !x.machine.HasAttempt(pl.Task) && len(x.machine.FailedJobs) == 0
+			return x.machine != m && c.feasible(now, j, x, l) && j.TaskResources.Fits(c.freeForJob(x, j)) && !x.machine.HasAttempt(pl.Task) && len(x.machine.FailedJobs) == 0
 		})
 		if best == nil {
 			continue
 		}
 		c.log.Info("moving to a machine with the image", "task", pl.Task, "from", pl.Machine, "to", best.machine.Name)
-		c.setFree(best, best.free.Minus(j.need))
+		c.setFree(best, best.free.Minus(j.TaskResources))
 		c.nominate(best.machine, j, now+config.Seconds(2*c.cfg.Workers.HeartbeatSeconds))
-		c.stop(now, j, pl, 0)
+		c.stopPlacement(now, j, pl, 0)
 		return
 	}
 }
--- a/internal/coordination/scheduler/cost_test.go
+++ b/internal/coordination/scheduler/costs_test.go
@@ -14,17 +14,17 @@
 // on every machine: allocations, cycles and bytes. Their bounds are about a half above what was
 // measured when they were written (docs/experiments.md, "Costs by message").
 
-// TestAllocationsOfAReport: a report without a change costs a fixed number of allocations
+// TestAllocationsOfHeartbeat: a report without a change costs a fixed number of allocations
 // and a few for each of its tasks, however large the fleet.
-func TestAllocationsOfAReport(t *testing.T) {
+func TestAllocationsOfHeartbeat(t *testing.T) {
 	const fixed, perTask = 8, 1
 	for _, machines := range []int{50, 200} {
-		b := largeBench(machines)
+		b := largeHarness(machines)
 		name := "m0001"
-		report := b.report(name)
+		report := b.nextHeartbeat(name)
 		allocations := testing.AllocsPerRun(200, func() {
 			report.Sequence++
-			b.c.Step(b.now, Reported{Tag: name, Report: report})
+			b.scheduler.Step(b.now, HeartbeatReceived{ReplyTo: name, Heartbeat: report})
 		})
 		t.Logf("%d machines: %.0f allocations for %d tasks", machines, allocations, len(report.Tasks))
 		if most := float64(fixed + perTask*len(report.Tasks)); allocations > most {
@@ -33,34 +33,34 @@
 	}
 }
 
-// TestAllocationsOfAQuietTick: between two cycles, time that passes without an event costs nothing
+// TestAllocationsOfQuietTick: between two cycles, time that passes without an event costs nothing
 // that grows with the fleet.
-func TestAllocationsOfAQuietTick(t *testing.T) {
+func TestAllocationsOfQuietTick(t *testing.T) {
 	const most = 4
-	b := largeBench(200)
-	b.do(Tick{})
-	if allocations := testing.AllocsPerRun(200, func() { b.c.Step(b.now, Tick{}) }); allocations > most {
+	b := largeHarness(200)
+	b.apply(Tick{})
+	if allocations := testing.AllocsPerRun(200, func() { b.scheduler.Step(b.now, Tick{}) }); allocations > most {
 		t.Errorf("%.0f allocations, want %d at most", allocations, most)
 	}
 }
 
 // TestCyclesForManyTriggers: however many relevant events arrive, cycles keep their pace.
 func TestCyclesForManyTriggers(t *testing.T) {
-	b := largeBench(50)
-	before, from := b.c.cycles, b.now
+	b := largeHarness(50)
+	before, from := b.scheduler.cycleCount, b.now
 	const triggers = 2000
 	for i := range triggers {
 		b.now = from + time.Duration(i)*time.Second/triggers
-		b.job(spec(fmt.Sprintf("j-trigger%d", i), protocol.Array, "normal", 1, 1))
-		b.do(Tick{})
+		b.addJob(jobSpec(fmt.Sprintf("j-trigger%d", i), protocol.Array, "normal", 1, 1))
+		b.apply(Tick{})
 	}
-	if got, most := b.c.cycles-before, uint64(time.Second/Eager)+1; got > most {
+	if got, most := b.scheduler.cycleCount-before, uint64(time.Second/MinCycleInterval)+1; got > most {
 		t.Errorf("%d cycles for %d triggers in a second, want %d at most", got, triggers, most)
 	}
 }
 
-// TestBytesHeld: what a leader holds for a fleet and its jobs is bounded by their number.
-func TestBytesHeld(t *testing.T) {
+// TestMemoryHeld: what a leader holds for a fleet and its jobs is bounded by their number.
+func TestMemoryHeld(t *testing.T) {
 	const perMachine, perJob, perTask = 2 << 10, 1 << 10, 512
 	held := func() int64 {
 		runtime.GC()
@@ -69,12 +69,12 @@
 		return int64(s.HeapAlloc)
 	}
 	before := held()
-	b := largeBench(200)
-	b.last, b.runs, b.on, b.stops = nil, nil, nil, nil // the test's own books
+	b := largeHarness(200)
+	b.transactions, b.runs, b.machineOf, b.stops = nil, nil, nil, nil // the test's own books
 	got := held() - before
-	machines, jobs, tasks := 200, len(b.c.jobs), 0
-	for _, j := range b.c.jobs {
-		tasks += len(j.tasks)
+	machines, jobs, tasks := 200, len(b.scheduler.jobs), 0
+	for _, j := range b.scheduler.jobs {
+		tasks += len(j.TaskStates)
 	}
 	t.Logf("%d bytes for %d machines, %d jobs and %d tasks", got, machines, jobs, tasks)
 	if most := int64(machines*perMachine + jobs*perJob + tasks*perTask); got > most {
@@ -87,16 +87,16 @@
 // allocations, however many machines there are, and writes nothing.
 func TestCostOfZoneReturn(t *testing.T) {
 	const most = 8
-	b := largeBench(200)
-	b.c.startZoneFailover(b.now, zones.DefaultRecoveryOrder(), nil)
-	jobs := b.c.sorted()
+	b := largeHarness(200)
+	b.scheduler.startZoneFailover(b.now, zones.DefaultRecoveryOrder(), nil)
+	jobs := b.scheduler.sortedJobs()
 	allocations := testing.AllocsPerRun(100, func() {
-		b.c.updateZoneStates(b.now, jobs)
-		b.c.sortForRecovery(jobs)
-		b.c.writeFailoverRecords(b.now)
+		b.scheduler.updateZoneStates(b.now, jobs)
+		b.scheduler.sortForRecovery(jobs)
+		b.scheduler.writeFailoverRecords(b.now)
 	})
 	t.Logf("%.0f allocations", allocations)
-	if allocations > most || len(b.c.writesInFlight) > 0 {
-		t.Errorf("%.0f allocations and %d writes, want %d and none", allocations, len(b.c.writesInFlight), most)
+	if allocations > most || len(b.scheduler.writesInFlight) > 0 {
+		t.Errorf("%.0f allocations and %d writes, want %d and none", allocations, len(b.scheduler.writesInFlight), most)
 	}
 }
--- a/internal/coordination/scheduler/large_test.go
+++ b/internal/coordination/scheduler/cycle_bench_test.go
@@ -8,25 +8,25 @@
 	"pinebay/internal/protocol"
 )
 
-// largeBench is a fleet of n machines that are nearly full, with jobs that wait.
-func largeBench(n int) *bench {
-	b := newBench([]config.Team{{Name: "red"}}, "a", "b")
+// largeHarness is a fleet of n machines that are nearly full, with jobs that wait.
+func largeHarness(n int) *harness {
+	b := newHarness([]config.Team{{Name: "red"}}, "a", "b")
 	b.setObjectives([]config.Objective{
 		{Kind: "wait", Class: "serve", WithinSeconds: 0.5, Fraction: 0.9}, {Kind: "wait", Class: "big", WithinSeconds: 20, Fraction: 0.9},
 		{Kind: "finished", Class: "sweep", WithinSeconds: 100, Fraction: 0.9},
 	})
 	zones := []string{"a", "b"}
 	for i := range n {
-		b.machine(fmt.Sprintf("m%04d", i), zones[i%2], i%5 == 0)
+		b.heartbeat(fmt.Sprintf("m%04d", i), zones[i%2], i%5 == 0)
 	}
 	job := func(i int, class string, shape protocol.Shape, prio protocol.Priority, tasks int, gpus float64) {
-		j := spec(fmt.Sprintf("j-%s%d", class, i), shape, prio, tasks, gpus)
+		j := jobSpec(fmt.Sprintf("j-%s%d", class, i), shape, prio, tasks, gpus)
 		j.Class, j.Image, j.ImageGB, j.Spread = class, fmt.Sprintf("%s-%d", class, i%6), 10, shape == protocol.Service && tasks > 1
 		j.SpotAllowed = shape == protocol.Array
 		if shape != protocol.Service {
 			j.CheckpointIntervalSeconds, j.SaveSeconds = 10, 2
 		}
-		b.job(j)
+		b.addJob(j)
 	}
 	for i := range n * 2 / 5 {
 		job(i, "serve", protocol.Service, "critical", 2+i%3, 2)
@@ -35,19 +35,19 @@
 		}
 		job(i, "sweep", protocol.Array, "normal", 20, 1)
 		if i%20 == 0 {
-			b.cycle()
-			b.settle()
+			b.runCycle()
+			b.runFetchingTasks()
 		}
 	}
 	for range 60 {
-		b.cycle()
-		b.settle()
+		b.runCycle()
+		b.runFetchingTasks()
 	}
 	return b
 }
 
-// settle lets everything that fetches run.
-func (b *bench) settle() {
+// runFetchingTasks lets everything that fetches run.
+func (b *harness) runFetchingTasks() {
 	for name, ts := range b.tasks {
 		for id, t := range ts {
 			if t.State == protocol.TaskFetching {
@@ -55,37 +55,37 @@
 				ts[id] = t
 			}
 		}
-		b.do(Reported{Tag: name, Report: b.report(name)})
+		b.apply(HeartbeatReceived{ReplyTo: name, Heartbeat: b.nextHeartbeat(name)})
 	}
 }
 
 func BenchmarkCycle(b *testing.B) {
 	for _, n := range []int{100, 400, 1000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			l := largeBench(n)
+			l := largeHarness(n)
 			waiting := 0
-			for _, j := range l.c.jobs {
-				waiting += j.counts[pending]
+			for _, j := range l.scheduler.jobs {
+				waiting += j.TaskCounts[TaskPending]
 			}
 			b.ResetTimer()
 			b.ReportMetric(float64(waiting), "waiting")
 			for range b.N {
-				l.now += Eager
-				l.c.due = true
-				l.c.Step(l.now, Tick{})
+				l.now += MinCycleInterval
+				l.scheduler.cycleDue = true
+				l.scheduler.Step(l.now, Tick{})
 			}
 		})
 	}
 }
 
-func BenchmarkReport(b *testing.B) {
+func BenchmarkHeartbeat(b *testing.B) {
 	for _, n := range []int{100, 1000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			l := largeBench(n)
+			l := largeHarness(n)
 			b.ResetTimer()
 			for i := range b.N {
 				name := fmt.Sprintf("m%04d", i%n)
-				l.c.Step(l.now, Reported{Tag: name, Report: l.report(name)})
+				l.scheduler.Step(l.now, HeartbeatReceived{ReplyTo: name, Heartbeat: l.nextHeartbeat(name)})
 			}
 		})
 	}
--- a/internal/coordination/scheduler/demand.go
+++ b/internal/coordination/scheduler/demand.go
@@ -12,83 +12,83 @@
 	"pinebay/internal/protocol"
 )
 
-// demand lists the room that is wanted: for tasks that wait, and then for the
+// capacityDemand lists the room that is wanted: for tasks that wait, and then for the
 // jobs that are likely to come before a machine rented now would be up.
-func (c *Core) demand(now time.Duration) []fleet.Demand {
+func (c *Scheduler) capacityDemand(now time.Duration) []fleet.Demand {
 	var units []fleet.Demand
-	zones := map[zoneQuestion]string{}
+	zones := map[zoneChoiceKey]string{}
 	for _, j := range c.inSchedulingOrder(c.queues.pendingJobs) {
-		n := min(j.counts[pending], c.tasksWithinQuotaLimit(j))
-		if n == 0 || c.held(j) {
+		n := min(j.TaskCounts[TaskPending], c.tasksWithinQuotaLimit(j))
+		if n == 0 || c.startForbidden(j) {
 			continue
 		}
-		if j.suspect() {
+		if j.LikelyFaulty() {
 			// Its tasks fail everywhere. It still gets room, or it could never
 			// show that the machines were at fault, but just for one attempt.
-			if now < j.notBefore {
+			if now < j.BackoffUntil {
 				continue
 			}
-			if j.spec.Shape != protocol.Gang {
+			if j.Spec.Shape != protocol.Gang {
 				n = 1
 			}
 		}
 		l := c.zoneLimitsOf(j)
-		if j.spec.SameZone && l.onlyZone == "" && n > 1 {
-			l.onlyZone = c.likelyZone(now, j, zones)
+		if j.Spec.SameZone && l.onlyZone == "" && n > 1 {
+			l.onlyZone = c.chooseZone(now, j, zones)
 		}
-		if !j.spec.Spread || l.onlyZone != "" {
-			units = append(units, fleet.Demand{Job: &j.spec, Zone: l.onlyZone, Count: n, ExcludedMachines: j.avoids()})
+		if !j.Spec.Spread || l.onlyZone != "" {
+			units = append(units, fleet.Demand{Job: &j.Spec, Zone: l.onlyZone, Count: n, ExcludedMachines: j.AvoidedMachines()})
 			continue
 		}
-		for _, u := range c.spreadUnits(&j.spec, l, n) {
-			u.ExcludedMachines = j.avoids()
+		for _, u := range c.unitsByZone(&j.Spec, l, n) {
+			u.ExcludedMachines = j.AvoidedMachines()
 			units = append(units, u)
 		}
 	}
-	c.spareNow = c.spare(now)
-	return append(append(units, c.foreseen(now)...), c.spareNow...)
+	c.forecastUnits = c.forecastCapacity(now)
+	return append(append(units, c.forecastBlockedJobs(now)...), c.forecastUnits...)
 }
 
-// zoneQuestion is what the choice of a zone depends on.
-type zoneQuestion struct {
+// zoneChoiceKey is what the choice of a zone depends on.
+type zoneChoiceKey struct {
 	need        partition.Resources
 	types, zone string
 	tasks       int
 	spot        bool
 }
 
-// likelyZone picks the zone in which room for a job that must be in one is gathered, and
+// chooseZone picks the zone in which room for a job that must be in one is gathered, and
 // remembers it for its like. Without it, machines in several zones could look like enough room
 // while no zone has it, and the job would wait for ever.
-func (c *Core) likelyZone(now time.Duration, j *job, known map[zoneQuestion]string) string {
-	q := zoneQuestion{j.need, j.types, j.spec.Zone, j.spec.TaskCount, j.spec.SpotAllowed}
+func (c *Scheduler) chooseZone(now time.Duration, j *Job, known map[zoneChoiceKey]string) string {
+	q := zoneChoiceKey{j.TaskResources, j.AllowedTypes, j.Spec.Zone, j.Spec.TaskCount, j.Spec.SpotAllowed}
 	zone, ok := known[q]
 	if !ok {
-		zone = c.roomiestZone(now, j)
+		zone = c.zoneWithMostCapacity(now, j)
 		known[q] = zone
 	}
 	return zone
 }
 
-// roomiestZone returns the zone with room for most of a job's tasks, there or to be rented.
-func (c *Core) roomiestZone(now time.Duration, j *job) string {
+// zoneWithMostCapacity returns the zone with room for most of a job's tasks, there or to be rented.
+func (c *Scheduler) zoneWithMostCapacity(now time.Duration, j *Job) string {
 	room := map[string]int{}
 	c.machines.Each(func(m *partition.Machine) {
 		t := c.machines.MachineType(m.Type)
-		if t == nil || !t.AllowedBy(&j.spec) || m.Terminating || m.InterruptionNotice || m.Quarantined || m.Spot && !j.spec.SpotAllowed || c.isZoneLost(m.Zone) {
+		if t == nil || !t.AllowedBy(&j.Spec) || m.Terminating || m.InterruptionNotice || m.Quarantined || m.Spot && !j.Spec.SpotAllowed || c.isZoneLost(m.Zone) {
 			return
 		}
 		free := c.machines.FreeCapacity(m)
-		for n := 0; n < j.spec.TaskCount && j.need.Fits(free); n++ {
-			free = free.Minus(j.need)
+		for n := 0; n < j.Spec.TaskCount && j.TaskResources.Fits(free); n++ {
+			free = free.Minus(j.TaskResources)
 			room[m.Zone]++
 		}
 	})
 	best, bestRoom := "", -1
-	for _, z := range c.zonesByAvailability(&j.spec) {
+	for _, z := range c.zonesByAvailability(&j.Spec) {
 		n := room[z]
-		if n < j.spec.TaskCount && c.fleet.CanScaleOut(now, c.machines, &j.spec, z) {
-			n += j.spec.TaskCount
+		if n < j.Spec.TaskCount && c.autoscaler.CanScaleOut(now, c.machines, &j.Spec, z) {
+			n += j.Spec.TaskCount
 		}
 		if n > bestRoom {
 			best, bestRoom = z, n
@@ -97,8 +97,8 @@
 	return best
 }
 
-// zones lists the zones that a job allows, in order.
-func (c *Core) zones(spec *protocol.Job) []string {
+// allowedZones lists the zones that a job allows, in order.
+func (c *Scheduler) allowedZones(spec *protocol.Job) []string {
 	zones := map[string]bool{}
 	for _, t := range c.machines.MachineTypes() {
 		if t.AllowedBy(spec) {
@@ -112,9 +112,9 @@
 	return slices.Sorted(maps.Keys(zones))
 }
 
-// spreadUnits deals tasks to zones as the job's spread demands.
-func (c *Core) spreadUnits(spec *protocol.Job, l *zoneLimits, n int) []fleet.Demand {
-	names := c.zones(spec)
+// unitsByZone deals tasks to zones as the job's spread demands.
+func (c *Scheduler) unitsByZone(spec *protocol.Job, l *zoneLimits, n int) []fleet.Demand {
+	names := c.allowedZones(spec)
 	counts := map[string]int{}
 	for ; n > 0; n-- {
 		best := ""
@@ -137,12 +137,12 @@
 	return units
 }
 
-// spare is the room kept for classes whose aim on waiting is shorter than a
+// forecastCapacity is the room kept for classes whose aim on waiting is shorter than a
 // machine takes to come up with their image.
-func (c *Core) spare(now time.Duration) []fleet.Demand {
+func (c *Scheduler) forecastCapacity(now time.Duration) []fleet.Demand {
 	var units []fleet.Demand
-	for _, class := range slices.Sorted(maps.Keys(c.sample)) {
-		spec := c.sample[class]
+	for _, class := range slices.Sorted(maps.Keys(c.newestJobs)) {
+		spec := c.newestJobs[class]
 		within := c.startLatencyObjective(class)
 		boot, ready := 0.0, math.Inf(1)
 		for _, t := range c.machines.MachineTypes() {
@@ -155,21 +155,21 @@
 		if within >= ready || math.IsInf(ready, 1) {
 			continue
 		}
-		mean := c.expected(now, class, config.Seconds(boot))
+		mean := c.expectedArrivals(now, class, config.Seconds(boot))
 		if mean < 0.1 {
 			continue
 		}
 		// Where a fetch that takes a third longer outlasts the aim, no time is
 		// left to clear room first.
 		quick := within < (ready-boot)*partition.SlowFetchFactor
-		jobs := mean + c.margin(class)*math.Sqrt(mean)
-		tasks := int(math.Round(jobs * c.sizes[class]))
+		jobs := mean + c.safetyMargin(class)*math.Sqrt(mean)
+		tasks := int(math.Round(jobs * c.meanTasks[class]))
 		if tasks == 0 {
 			continue
 		}
 		if spec.Spread {
 			l := &zoneLimits{tasksPerZone: map[string]int{}, maxTasksPerZone: (tasks + 1) / 2}
-			for _, u := range c.spreadUnits(spec, l, tasks) {
+			for _, u := range c.unitsByZone(spec, l, tasks) {
 				u.Headroom, u.MustBeFree = true, quick
 				units = append(units, u)
 			}
@@ -180,9 +180,9 @@
 	return units
 }
 
-// margin is how many deviations above the expected arrivals are met by the
+// safetyMargin is how many deviations above the expected arrivals are met by the
 // share of starts in time that a class's aims ask for.
-func (c *Core) margin(class string) float64 {
+func (c *Scheduler) safetyMargin(class string) float64 {
 	share := 0.5
 	for _, o := range c.cfg.Objectives {
 		if o.Kind == "wait" && o.Class == class {
@@ -192,16 +192,16 @@
 	return math.Sqrt2 * math.Erfinv(2*share-1)
 }
 
-// expected is how many jobs of a class are likely to come in one boot time,
+// expectedArrivals is how many jobs of a class are likely to come in one boot time,
 // with something added for a swing. Arrivals count for less as they age.
-func (c *Core) expected(now time.Duration, class string, boot time.Duration) float64 {
-	memory := memoryBoots * boot
+func (c *Scheduler) expectedArrivals(now time.Duration, class string, boot time.Duration) float64 {
+	memory := arrivalMemoryBoots * boot
 	as := c.arrivals[class]
 	for len(as) > 0 && as[0] < now-4*memory {
 		as = as[1:]
 	}
 	c.arrivals[class] = as
-	prior := c.prior[class] * math.Exp(-(now-c.began).Seconds()/memory.Seconds())
+	prior := c.inheritedArrivals[class] * math.Exp(-(now-c.termStartedAt).Seconds()/memory.Seconds())
 	if len(as) == 0 && prior == 0 {
 		return 0
 	}
@@ -218,7 +218,7 @@
 	}
 	// What came in so short a time that it could not yet have aged counts as if
 	// it had come in a boot time or two.
-	c.counted[class] = sum + prior
+	c.decayedArrivals[class] = sum + prior
 	if prior > 0 {
 		return 1.2 * (sum + prior) * boot.Seconds() / memory.Seconds()
 	}
@@ -226,5 +226,5 @@
 	return 1.2 * sum * boot.Seconds() / memory.Seconds() / seen
 }
 
-// memoryBoots is the memory of the arrival rate, in boot times.
-const memoryBoots = 3
+// arrivalMemoryBoots is the memory of the arrival rate, in boot times.
+const arrivalMemoryBoots = 3
--- /dev/null
+++ b/internal/coordination/scheduler/dependencies.go
@@ -0,0 +1,239 @@
+package scheduler
+
+import (
+	"slices"
+	"time"
+
+	"pinebay/internal/config"
+	"pinebay/internal/coordination/dependency"
+	"pinebay/internal/coordination/fleet"
+	"pinebay/internal/protocol"
+	"pinebay/internal/storage"
+)
+
+// jobsWithPlacementPages names the jobs of which placements were recorded.
+func jobsWithPlacementPages(pairs []protocol.KeyValue) map[string]bool {
+	ids := map[string]bool{}
+	for _, pair := range pairs {
+		if name, err := storage.ParsePageKey(pair.Key, 1); err == nil {
+			ids[name.Job] = true
+		}
+	}
+	return ids
+}
+
+// addDependencies enters a job that was accepted, and what it awaits.
+func (c *Scheduler) addDependencies(now time.Duration, j *Job) {
+	due := dependency.NoDeadline
+	if j.Spec.DeadlineSeconds > 0 {
+		due = j.WaitingSince + config.Seconds(j.Spec.DeadlineSeconds)
+	}
+	change := c.dependencies.Add(dependency.Job{ID: j.Spec.ID, Dependencies: j.Spec.Dependencies, Priority: j.EffectivePriority, Deadline: due, EstimatedDuration: config.Seconds(j.Spec.EstimateSeconds * estimateSlack)})
+	j.Blocked = c.dependencies.OpenDependencies(j.Spec.ID) > 0 || c.dependencies.State(j.Spec.ID) == dependency.Cancelled
+	c.applyDependencyChange(now, change)
+}
+
+// estimateSlack is how many times its estimate a job is expected to take when others wait for it: estimates
+// are wrong by half.
+const estimateSlack = 1.5
+
+// dependencyEnded takes in how a job has ended that others may await. It must be recorded, and so final.
+func (c *Scheduler) dependencyEnded(now time.Duration, id string, state dependency.State) {
+	c.applyDependencyChange(now, c.dependencies.End(id, state))
+}
+
+// liveRecordDeleted takes in that a job's live record is gone. How it has ended is read if others await it.
+func (c *Scheduler) liveRecordDeleted(now time.Duration, id string) {
+	if c.dependencies.State(id) != dependency.UnknownOutcome {
+		c.applyDependencyChange(now, c.dependencies.EndWithUnknownOutcome(id))
+	}
+}
+
+// handleFinalState takes in what the state service says of how a job ended.
+func (c *Scheduler) handleFinalState(now time.Duration, e FinalStateRead) {
+	switch e.State {
+	case protocol.JobDone:
+		c.dependencyEnded(now, e.ID, dependency.Done)
+	case protocol.JobCancelled:
+		c.dependencyEnded(now, e.ID, dependency.Cancelled)
+	default:
+		// It lives, and we are about to hear so, or the service has not answered.
+		c.callAt(now+CycleInterval/4, func(now time.Duration) { c.requestFinalState(e.ID) })
+	}
+}
+
+// requestFinalState asks how a job has ended, if anybody still awaits it.
+func (c *Scheduler) requestFinalState(id string) {
+	if c.dependencies.HasDependents(id) && c.dependencies.State(id) == dependency.UnknownOutcome {
+		c.emit(ReadFinalState{ID: id})
+	}
+}
+
+// applyDependencyChange takes in what follows for other jobs.
+func (c *Scheduler) applyDependencyChange(now time.Duration, change dependency.Change) {
+	for _, id := range change.UnknownOutcomes {
+		c.requestFinalState(id)
+	}
+	for _, id := range change.Reprioritised {
+		c.reprioritise(c.jobs[id])
+	}
+	for _, id := range change.Unblocked {
+		c.unblock(now, c.jobs[id])
+	}
+	for _, id := range change.Cancelled {
+		if j := c.jobs[id]; j != nil && !j.Ended {
+			j.Blocked = true
+			c.queues.update(j)
+			c.cancelledDependents = append(c.cancelledDependents, j)
+		}
+	}
+	c.writeCancelledDependents()
+}
+
+// unblock lets a job begin of which all needs are durably done. Its waiting times count from now on.
+func (c *Scheduler) unblock(now time.Duration, j *Job) {
+	if j == nil || j.Ended || !j.Blocked {
+		return
+	}
+	c.log.Debug("freed", "job", j.Spec.ID, "class", j.Spec.Class, "after", now-j.WaitingSince)
+	j.Blocked, j.WaitingSince = false, now
+	c.queues.update(j)
+	c.recordArrival(j, now)
+	c.cycleDue = true
+}
+
+// reprioritise gives a job the priority and the latest start that it has by itself and by those that await it.
+// Its running tasks go on, and count by the new priority.
+func (c *Scheduler) reprioritise(j *Job) {
+	if j == nil || j.Ended {
+		return
+	}
+	level, ok := c.dependencies.Priority(j.Spec.ID)
+	start := c.dependencies.LatestStart(j.Spec.ID)
+	if !c.dependencies.InPipeline(j.Spec.ID) {
+		start = dependency.NoDeadline // an ordinary job goes by age
+	}
+	if !ok || level == j.EffectivePriority && start == j.LatestStart {
+		return
+	}
+	c.queues.reorder(j, func() { j.EffectivePriority, j.LatestStart = level, start })
+	for _, pl := range j.Placements {
+		c.machines.SetPriorityLevel(pl, level)
+	}
+	c.cycleDue = true
+}
+
+// writeCancelledDependents writes the ends of jobs that are cancelled with one that they await. They count as
+// cancelled without that, for every controller derives it; the record spares it the work.
+func (c *Scheduler) writeCancelledDependents() {
+	for len(c.cancelledDependents) > 0 && !c.writesPaused && c.pagesInFlight[PriorityCompletion] < c.maxCompletionPages() {
+		id, name := c.nextWriteID()
+		t := protocol.Txn{If: []protocol.Compare{{Key: storage.TermKey, Revision: c.termRevision}}}
+		var jobs []*Job
+		for len(c.cancelledDependents) > 0 && len(t.Then)+minTransactionOperations <= max(minTransactionOperations, c.stateLimits.TxnOps) {
+			j := c.cancelledDependents[0]
+			c.cancelledDependents[0] = nil
+			c.cancelledDependents = c.cancelledDependents[1:]
+			if j.Ended || j.writeInFlight || j.Ending {
+				continue // it has ended by itself
+			}
+			value, err := protocol.Encode(storage.EndedJobRecord{State: protocol.JobCancelled, WriteName: name, CancelledDependency: c.dependencies.CancelledBy(j.Spec.ID)})
+			if err != nil {
+				c.log.Error("ended record", "err", err)
+				continue
+			}
+			live, ended := storage.LiveJobKey(j.Spec.ID), storage.EndedJobKey(j.Spec.ID)
+			t.If = append(t.If, protocol.Compare{Key: live, Revision: j.LiveRevision}, protocol.Compare{Key: ended})
+			t.Then = append(t.Then, protocol.Op{DeleteKey: live}, protocol.Op{PutKey: ended, Value: value})
+			jobs = append(jobs, j)
+		}
+		if len(jobs) == 0 {
+			return
+		}
+		c.writeCancellations(id, name, t, jobs)
+	}
+}
+
+// writeCancellations writes the ends of jobs in one transaction.
+func (c *Scheduler) writeCancellations(id uint64, name string, t protocol.Txn, jobs []*Job) {
+	c.pagesInFlight[PriorityCompletion] += len(t.Then)
+	for _, j := range jobs {
+		j.Ending = true
+	}
+	c.writesInFlight[id] = func(now time.Duration, w TransactionOutcome) {
+		c.pagesInFlight[PriorityCompletion] -= len(t.Then)
+		for _, j := range jobs {
+			j.Ending = false
+		}
+		switch {
+		case w.Succeeded:
+			for _, j := range jobs {
+				c.log.Debug("cancelled with a job that it awaits", "job", j.Spec.ID)
+				c.dependencies.EndWithUnknownOutcome(j.Spec.ID)
+				c.endJob(now, j)
+			}
+		case w.Malformed:
+			c.shrinkTransactions(&t)
+			c.callAt(now+rejectedRetryDelay, func(time.Duration) { c.cancelledDependents = append(c.cancelledDependents, jobs...) })
+			return
+		case !c.handleEndedElsewhere(now, jobs, w):
+			return
+		default:
+			// Some ended by themselves meanwhile; the others are written again.
+			c.cancelledDependents = append(c.cancelledDependents, jobs...)
+		}
+		c.writeCancelledDependents()
+	}
+	c.emit(Write{ID: id, Txn: t, Priority: PriorityCompletion, VerifyKey: t.Then[1].PutKey, Name: name})
+}
+
+// handleEndedElsewhere says whether a transaction about several jobs failed because some of them are over, and takes
+// that in.
+func (c *Scheduler) handleEndedElsewhere(now time.Duration, jobs []*Job, w TransactionOutcome) bool {
+	over := false
+	for _, j := range jobs {
+		if slices.Contains(w.FailedKeys, storage.LiveJobKey(j.Spec.ID)) || slices.Contains(w.FailedKeys, storage.EndedJobKey(j.Spec.ID)) {
+			c.endJob(now, j)
+			over = true
+		}
+	}
+	return over || c.endedMeanwhile(now, jobs[0], w)
+}
+
+// forecastBlockedJobs lists the room that blocked jobs will want before a machine rented now would be up: the jobs that
+// they await all run, and are likely to be done by then.
+func (c *Scheduler) forecastBlockedJobs(now time.Duration) (units []fleet.Demand) {
+	left := maxForecastJobs
+	c.queues.blockedJobs.Scan(func(j *Job) bool {
+		if left--; left < 0 {
+			return false
+		}
+		if c.dependencies.State(j.Spec.ID) == dependency.Live && c.dependenciesEndSoon(now, j) {
+			units = append(units, fleet.Demand{Job: &j.Spec, Count: min(j.Spec.TaskCount, c.tasksWithinQuotaLimit(j)), Headroom: true})
+		}
+		return true
+	})
+	return units
+}
+
+// maxForecastJobs bounds the jobs that a plan looks at for what they will want: the first by priority and latest
+// start, however many wait.
+const maxForecastJobs = 256
+
+// dependenciesEndSoon says whether all that a job awaits is likely to be done within a boot time.
+func (c *Scheduler) dependenciesEndSoon(now time.Duration, j *Job) bool {
+	boot := 0.0
+	for _, t := range c.machines.MachineTypes() {
+		boot = max(boot, t.BootSeconds)
+	}
+	for _, id := range j.Spec.Dependencies {
+		need := c.jobs[id]
+		if need == nil || need.Ended {
+			continue
+		}
+		if need.LastTaskStart == 0 || need.TaskCounts[TaskPending] > 0 || (need.LastTaskStart+config.Seconds(need.Spec.EstimateSeconds)-now).Seconds() > boot {
+			return false
+		}
+	}
+	return true
+}
--- a/internal/coordination/scheduler/events.go
+++ b/internal/coordination/scheduler/events.go
@@ -17,95 +17,95 @@
 type (
 	// Tick lets time pass.
 	Tick struct{}
-	// Reported is a worker's report; Tag comes back with the answer. Relayed
+	// HeartbeatReceived is a worker's report; Tag comes back with the answer. Relayed
 	// says that another controller passed it on.
-	Reported struct {
-		Tag     any
-		Report  *protocol.WorkerHeartbeat
-		Relayed bool
+	HeartbeatReceived struct {
+		ReplyTo   any
+		Heartbeat *protocol.WorkerHeartbeat
+		Relayed   bool
 	}
-	// Alive tells of machines whose reports an owner has answered, as they told nothing new; Reply takes those of which
+	// UnchangedHeartbeats tells of machines whose reports an owner has answered, as they told nothing new; Reply takes those of which
 	// the next report is to be passed on. It must not wait.
-	Alive struct {
-		Machines []AliveMachine
-		Reply    func(passOn []string)
+	UnchangedHeartbeats struct {
+		Heartbeats  []UnchangedHeartbeat
+		ForwardNext func(passOn []string)
 	}
-	// JobSet is an accepted job.
-	JobSet struct {
-		Record storage.LiveJobRecord
-		Stamp  uint64
+	// JobAccepted is an accepted job.
+	JobAccepted struct {
+		Record   storage.LiveJobRecord
+		Revision uint64
 	}
-	// JobDropped says that a job's live record is gone: it is over.
-	JobDropped struct{ ID string }
-	// Withdrawn says that a user may be about to be told that a job is cancelled, by
+	// JobEnded says that a job's live record is gone: it is over.
+	JobEnded struct{ ID string }
+	// CancellationIntent says that a user may be about to be told that a job is cancelled, by
 	// the given time or else not before another Withdrawn.
-	Withdrawn struct {
-		ID    string
-		Until time.Duration
+	CancellationIntent struct {
+		ID         string
+		ValidUntil time.Duration
 	}
-	// Fresh says that all changes of the accepted jobs up to At have been told.
-	Fresh struct{ At time.Duration }
-	// Written is the outcome of a Write. Failed names the conditions that did
+	// WatchProgress says that all changes of the accepted jobs up to At have been told.
+	WatchProgress struct{ At time.Duration }
+	// TransactionOutcome is the outcome of a Write. Failed names the conditions that did
 	// not hold. Refused says that it was refused for its form, and not carried out.
-	Written struct {
-		Write   uint64
-		OK      bool
-		Rev     uint64
-		Failed  []string
-		Refused bool
+	TransactionOutcome struct {
+		WriteID    uint64
+		Succeeded  bool
+		Revision   uint64
+		FailedKeys []string
+		Malformed  bool
 	}
-	// EndRead is what the state service says of how a job ended: "" if there is no record of that.
-	EndRead struct {
-		ID       string
-		Standing protocol.JobState
+	// FinalStateRead is what the state service says of how a job ended: "" if there is no record of that.
+	FinalStateRead struct {
+		ID    string
+		State protocol.JobState
 	}
-	// Finalise asks that a feature level be made final.
-	Finalise struct{ Level featurelevel.Level }
-	// OrdersDone is the outcome of an Order. Report is nil without an answer.
-	OrdersDone struct {
-		Machine string
-		OK      bool
-		Report  *protocol.WorkerHeartbeat
+	// FinaliseFeatureLevel asks that a feature level be made final.
+	FinaliseFeatureLevel struct{ Level featurelevel.Level }
+	// CommandBatchResult is the outcome of an Order. Report is nil without an answer.
+	CommandBatchResult struct {
+		Machine      string
+		Acknowledged bool
+		Heartbeat    *protocol.WorkerHeartbeat
 	}
-	// Inspected is a machine's answer to an Inspect.
-	Inspected struct{ Report *protocol.WorkerHeartbeat }
-	// Types is the cloud's price list.
-	Types struct{ Types []protocol.MachineType }
-	// Listed is the cloud's list; Failed says that it did not come.
-	Listed struct {
-		Asked    time.Duration
-		Machines []protocol.ListedMachine
-		Failed   bool
+	// ProbeReply is a machine's answer to an Inspect.
+	ProbeReply struct{ Heartbeat *protocol.WorkerHeartbeat }
+	// MachineTypesUpdated is the cloud's price list.
+	MachineTypesUpdated struct{ Types []protocol.MachineType }
+	// MachinesListed is the cloud's list; Failed says that it did not come.
+	MachinesListed struct {
+		RequestedAt time.Duration
+		Machines    []protocol.ListedMachine
+		Failed      bool
 	}
-	// Rented is the outcome of a rental.
-	Rented struct {
-		Request string
-		Asked   time.Duration
-		Names   []string
-		Refused bool
+	// ScaleOutResult is the outcome of a rental.
+	ScaleOutResult struct {
+		Request     string
+		RequestedAt time.Duration
+		Machines    []string
+		Refused     bool
 	}
-	// Released is the outcome of a release.
-	Released struct {
-		Names []string
-		OK    bool
+	// ScaleInResult is the outcome of a release.
+	ScaleInResult struct {
+		Machines  []string
+		Succeeded bool
 	}
 )
 
-// AliveMachine is the last report of a machine that told nothing new.
-type AliveMachine struct {
-	Name         string
-	Session, Seq uint64
+// UnchangedHeartbeat is the last report of a machine that told nothing new.
+type UnchangedHeartbeat struct {
+	Machine          string
+	Incarnation, Seq uint64
 }
 
-// Purpose says what a write is for, and so which of them goes first.
-type Purpose uint8
+// WritePriority says what a write is for, and so which of them goes first.
+type WritePriority uint8
 
 // Purposes.
 const (
-	Starts Purpose = iota // placements that wait for their record
-	Frees                 // ends of jobs that others await
-	Ends                  // what has ended: tasks, and jobs
-	Upkeep                // cleaning, and hints for the next leader
+	PriorityStart       WritePriority = iota // placements that wait for their record
+	PriorityUnblock                          // ends of jobs that others await
+	PriorityCompletion                       // what has ended: tasks, and jobs
+	PriorityMaintenance                      // cleaning, and hints for the next leader
 )
 
 // Effect is what a step asks for.
@@ -113,68 +113,68 @@
 
 // Effects.
 type (
-	// Fleet is what the fleet asks of the cloud.
-	Fleet struct{ Effect fleet.Effect }
-	// Answer goes back to a worker.
-	Answer struct {
-		Tag  any
-		Body protocol.WorkerHeartbeatReply
+	// CloudRequest is what the fleet asks of the cloud.
+	CloudRequest struct{ Effect fleet.Effect }
+	// HeartbeatReply goes back to a worker.
+	HeartbeatReply struct {
+		ReplyTo any
+		Body    protocol.WorkerHeartbeatReply
 	}
 	// Write is a conditional transaction; it is tried until its outcome is
 	// known. Verify is a key whose record names the write.
 	Write struct {
-		ID     uint64
-		Txn    protocol.Txn
-		Verify string
-		Name   string
-		For    Purpose
-		Shared bool // it has records of several jobs, and may be taken apart
+		ID         uint64
+		Txn        protocol.Txn
+		VerifyKey  string
+		Name       string
+		Priority   WritePriority
+		Splittable bool // it has records of several jobs, and may be taken apart
 	}
-	// Order is a command that goes straight to a machine.
-	Order struct {
+	// SendCommandBatch is a command that goes straight to a machine.
+	SendCommandBatch struct {
 		Machine, Addr string
-		Orders        protocol.CommandBatch
+		Batch         protocol.CommandBatch
 	}
-	// Inspect asks a machine how it stands; no answer means nothing.
-	Inspect struct{ Machine, Addr string }
-	// ReadEnd asks how a job ended; EndRead answers.
-	ReadEnd struct{ ID string }
-	// LevelReached says that a feature level is final.
-	LevelReached struct{ Level featurelevel.Level }
-	// Decided tells of a decision because of a zone.
-	Decided struct{ Decision zones.Decision }
-	// Depose says that this leader's time is over; Term is a later one, if one
+	// Probe asks a machine how it stands; no answer means nothing.
+	Probe struct{ Machine, Addr string }
+	// ReadFinalState asks how a job ended; FinalStateRead answers.
+	ReadFinalState struct{ ID string }
+	// FeatureLevelFinal says that a feature level is final.
+	FeatureLevelFinal struct{ Level featurelevel.Level }
+	// ZoneDecision tells of a decision because of a zone.
+	ZoneDecision struct{ Decision zones.Decision }
+	// StepDown says that this leader's time is over; Term is a later one, if one
 	// was seen.
-	Depose struct {
-		Term   uint64
-		Reason string
-		Away   bool // another controller should lead
+	StepDown struct {
+		LaterTerm          uint64
+		Reason             string
+		TransferLeadership bool // another controller should lead
 	}
 )
 
-func (Tick) event()       {}
-func (Reported) event()   {}
-func (Alive) event()      {}
-func (JobSet) event()     {}
-func (JobDropped) event() {}
-func (Withdrawn) event()  {}
-func (Fresh) event()      {}
-func (Written) event()    {}
-func (EndRead) event()    {}
-func (Finalise) event()   {}
-func (OrdersDone) event() {}
-func (Inspected) event()  {}
-func (Types) event()      {}
-func (Listed) event()     {}
-func (Rented) event()     {}
-func (Released) event()   {}
+func (Tick) event()                 {}
+func (HeartbeatReceived) event()    {}
+func (UnchangedHeartbeats) event()  {}
+func (JobAccepted) event()          {}
+func (JobEnded) event()             {}
+func (CancellationIntent) event()   {}
+func (WatchProgress) event()        {}
+func (TransactionOutcome) event()   {}
+func (FinalStateRead) event()       {}
+func (FinaliseFeatureLevel) event() {}
+func (CommandBatchResult) event()   {}
+func (ProbeReply) event()           {}
+func (MachineTypesUpdated) event()  {}
+func (MachinesListed) event()       {}
+func (ScaleOutResult) event()       {}
+func (ScaleInResult) event()        {}
 
-func (Answer) effect()       {}
-func (Write) effect()        {}
-func (Order) effect()        {}
-func (Inspect) effect()      {}
-func (Depose) effect()       {}
-func (Fleet) effect()        {}
-func (Decided) effect()      {}
-func (ReadEnd) effect()      {}
-func (LevelReached) effect() {}
+func (HeartbeatReply) effect()    {}
+func (Write) effect()             {}
+func (SendCommandBatch) effect()  {}
+func (Probe) effect()             {}
+func (StepDown) effect()          {}
+func (CloudRequest) effect()      {}
+func (ZoneDecision) effect()      {}
+func (ReadFinalState) effect()    {}
+func (FeatureLevelFinal) effect() {}
--- a/internal/coordination/scheduler/failure_test.go
+++ b/internal/coordination/scheduler/failure_test.go
@@ -17,16 +17,16 @@
 func TestGangRestartsWhole(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(2, 5).Draw(t, "tasks")
-		b := newBench([]config.Team{{Name: "red"}}, "a")
+		b := newHarness([]config.Team{{Name: "red"}}, "a")
 		for i := range n + 1 {
-			b.machine(fmt.Sprintf("m%d", i), "a", false)
+			b.heartbeat(fmt.Sprintf("m%d", i), "a", false)
 		}
-		b.job(spec("j-1", protocol.Gang, "urgent", n, 8))
-		b.cycle()
+		b.addJob(jobSpec("j-1", protocol.Gang, "urgent", n, 8))
+		b.runCycle()
 		first := map[protocol.TaskID]string{}
-		for id, m := range b.on {
+		for id, m := range b.machineOf {
 			first[id] = m
-			b.machine(m, "a", false, running(id, 1))
+			b.heartbeat(m, "a", false, runningTask(id, 1))
 		}
 		if len(first) != n {
 			t.Fatalf("%d of %d started", len(first), n)
@@ -34,8 +34,8 @@
 		lost := protocol.TaskID{JobID: "j-1", Index: rapid.IntRange(0, n-1).Draw(t, "lost")}
 		clear(b.runs)
 		cause := rapid.SampledFrom([]protocol.ExitCause{protocol.CauseError, protocol.CausePeerLost, protocol.CauseIncomplete}).Draw(t, "cause")
-		b.machine(first[lost], "a", false, protocol.TaskStatus{TaskName: lost.String(), Attempt: 1, State: protocol.TaskExited, Cause: cause})
-		b.cycle()
+		b.heartbeat(first[lost], "a", false, protocol.TaskStatus{TaskName: lost.String(), Attempt: 1, State: protocol.TaskExited, Cause: cause})
+		b.runCycle()
 		if len(b.stops) != n-1 || len(b.runs) != 0 {
 			t.Fatalf("stopped %v, started %v", b.stops, b.runs)
 		}
@@ -44,15 +44,15 @@
 				if len(b.runs) != 0 {
 					t.Fatalf("restarted while %v is not gone", id)
 				}
-				b.machine(m, "a", false, protocol.TaskStatus{TaskName: id.String(), Attempt: 1, State: protocol.TaskExited, Cause: protocol.CauseStopped})
+				b.heartbeat(m, "a", false, protocol.TaskStatus{TaskName: id.String(), Attempt: 1, State: protocol.TaskExited, Cause: protocol.CauseStopped})
 			}
 		}
 		// The entries are forgotten once the workers have seen a new epoch.
 		for range 40 {
 			for i := range n + 1 {
-				b.machine(fmt.Sprintf("m%d", i), "a", false)
+				b.heartbeat(fmt.Sprintf("m%d", i), "a", false)
 			}
-			b.cycle()
+			b.runCycle()
 		}
 		if len(b.runs) != n {
 			t.Fatalf("%d of %d restarted", len(b.runs), n)
@@ -65,92 +65,92 @@
 	})
 }
 
-// TestDoneIsRecordedOnce: the last task's exit ends the job in the same
+// TestCompletionIsRecordedOnce: the last task's exit ends the job in the same
 // transaction that drops its page, and nothing is written for it after.
-func TestDoneIsRecordedOnce(t *testing.T) {
-	b := newBench([]config.Team{{Name: "red"}}, "a")
-	b.machine("m1", "a", false)
-	b.job(spec("j-1", protocol.Array, "normal", 3, 1))
-	b.cycle()
+func TestCompletionIsRecordedOnce(t *testing.T) {
+	b := newHarness([]config.Team{{Name: "red"}}, "a")
+	b.heartbeat("m1", "a", false)
+	b.addJob(jobSpec("j-1", protocol.Array, "normal", 3, 1))
+	b.runCycle()
 	var tasks []protocol.TaskStatus
 	for id, c := range b.runs {
 		tasks = append(tasks, protocol.TaskStatus{TaskName: id.String(), Attempt: c.Attempt, State: protocol.TaskExited, Cause: protocol.CauseDone})
 	}
-	b.machine("m1", "a", false, tasks[:2]...)
-	b.cycle()
-	b.machine("m1", "a", false, tasks...)
-	b.cycle()
-	end := b.last[len(b.last)-1]
+	b.heartbeat("m1", "a", false, tasks[:2]...)
+	b.runCycle()
+	b.heartbeat("m1", "a", false, tasks...)
+	b.runCycle()
+	end := b.transactions[len(b.transactions)-1]
 	if end.Then[0].DeleteKey != storage.LiveJobKey("j-1") || end.Then[1].PutKey != storage.EndedJobKey("j-1") || end.Then[2].DeleteKey != productionPage("j-1", 0) {
 		t.Errorf("end %+v", end)
 	}
 	if end.If[0].Key != storage.TermKey || end.If[1].Key != storage.LiveJobKey("j-1") {
 		t.Errorf("the end is not fenced: %+v", end.If)
 	}
-	n := len(b.last)
-	b.cycle()
-	if len(b.last) != n || len(b.c.jobs) != 0 {
-		t.Errorf("%d writes after the end, %d jobs kept", len(b.last)-n, len(b.c.jobs))
+	n := len(b.transactions)
+	b.runCycle()
+	if len(b.transactions) != n || len(b.scheduler.jobs) != 0 {
+		t.Errorf("%d writes after the end, %d jobs kept", len(b.transactions)-n, len(b.scheduler.jobs))
 	}
 }
 
 // TestFaultyJobIsBackedOff: a job that fails everywhere must not get machines
 // set aside, nor take all the starts.
 func TestFaultyJobIsBackedOff(t *testing.T) {
-	b := newBench([]config.Team{{Name: "red"}}, "a")
+	b := newHarness([]config.Team{{Name: "red"}}, "a")
 	for i := range 6 {
-		b.machine(fmt.Sprintf("m%d", i), "a", false)
+		b.heartbeat(fmt.Sprintf("m%d", i), "a", false)
 	}
-	b.job(spec("j-1", protocol.Array, "normal", 1, 1))
+	b.addJob(jobSpec("j-1", protocol.Array, "normal", 1, 1))
 	id := protocol.TaskID{JobID: "j-1"}
 	starts := 0
 	for range 120 {
-		b.cycle()
+		b.runCycle()
 		for i := range 6 {
 			m := fmt.Sprintf("m%d", i)
-			if c, ok := b.runs[id]; ok && b.on[id] == m {
+			if c, ok := b.runs[id]; ok && b.machineOf[id] == m {
 				starts++
 				delete(b.runs, id)
-				b.machine(m, "a", false, protocol.TaskStatus{TaskName: id.String(), Attempt: c.Attempt, State: protocol.TaskExited, Cause: protocol.CauseError})
+				b.heartbeat(m, "a", false, protocol.TaskStatus{TaskName: id.String(), Attempt: c.Attempt, State: protocol.TaskExited, Cause: protocol.CauseError})
 				continue
 			}
-			b.machine(m, "a", false)
+			b.heartbeat(m, "a", false)
 		}
 	}
 	if starts < 3 || starts > 20 {
 		t.Errorf("%d starts in two minutes", starts)
 	}
 	for i := range 6 {
-		if m := b.c.machines.Machine(fmt.Sprintf("m%d", i)); m == nil || m.Quarantined {
+		if m := b.scheduler.machines.Machine(fmt.Sprintf("m%d", i)); m == nil || m.Quarantined {
 			t.Errorf("machine %d was set aside for a faulty job", i)
 		}
 	}
 }
 
-// TestFailingMachineIsNoSink: a machine that fails every task at once has room
+// TestFailingMachineDoesNotAttractTasks: a machine that fails every task at once has room
 // again at once. The tasks of one large array must not go down it one after the
 // other; a machine is rented in its place, and the job is not taken for faulty.
-func TestFailingMachineIsNoSink(t *testing.T) {
-	b := newBench([]config.Team{{Name: "red"}}, "a")
-	b.do(Listed{})
-	b.machine("m1", "a", false)
-	b.machine("m2", "a", false)
-	b.job(spec("j-1", protocol.Array, "normal", 40, 2))
+func TestFailingMachineDoesNotAttractTasks(t *testing.T) {
+	b := newHarness([]config.Team{{Name: "red"}}, "a")
+	b.apply(MachinesListed{})
+	b.heartbeat("m1", "a", false)
+	b.heartbeat("m2", "a", false)
+	b.addJob(jobSpec("j-1", protocol.Array, "normal", 40, 2))
 	failed, ran := map[protocol.TaskID]bool{}, 0
 	for range 30 {
-		b.cycle()
+		b.runCycle()
 		for id, c := range b.runs {
 			delete(b.runs, id)
 			r := protocol.TaskStatus{TaskName: id.String(), Attempt: c.Attempt, State: protocol.TaskExited, Cause: protocol.CauseDone}
-			if b.on[id] == "m1" {
+			if b.machineOf[id] == "m1" {
 				failed[id], r.Cause = true, protocol.CauseError
 			} else {
 				ran++
 			}
-			b.machine(b.on[id], "a", false, r)
+			b.heartbeat(b.machineOf[id], "a", false, r)
 		}
-		b.machine("m1", "a", false)
-		b.machine("m2", "a", false)
+		b.heartbeat("m1", "a", false)
+		b.heartbeat("m2", "a", false)
 	}
 	if len(failed) > 4 || ran != 40 {
 		t.Errorf("%d tasks failed on the machine, %d ran elsewhere", len(failed), ran)
--- a/internal/coordination/scheduler/fairshare.go
+++ b/internal/coordination/scheduler/fairshare.go
@@ -10,15 +10,15 @@
 // team has a queue of its own, in order; the teams are in a heap by the job at the head of
 // their queue, which is put right when a team's usage has changed.
 type fairShareQueue struct {
-	scheduler   *Core
-	fixedOrder  []*job // where there are no teams to choose between, or the order of return is in force
+	scheduler   *Scheduler
+	fixedOrder  []*Job // where there are no teams to choose between, or the order of return is in force
 	teams       []*teamQueue
 	teamsByName map[string]*teamQueue
 }
 
 // teamQueue is a team's waiting jobs.
 type teamQueue struct {
-	jobs                  []*job
+	jobs                  []*Job
 	ranks                 []int // where the jobs stand in the order of all
 	withinGuaranteedQuota bool  // the job at the head is within the team's guarantee
 	share                 float64
@@ -26,17 +26,17 @@
 }
 
 // newFairShareQueue returns the turns of jobs that are in order.
-func (c *Core) newFairShareQueue(waiting []*job) *fairShareQueue {
+func (c *Scheduler) newFairShareQueue(waiting []*Job) *fairShareQueue {
 	t := &fairShareQueue{scheduler: c, teamsByName: map[string]*teamQueue{}}
 	if len(c.cfg.Teams) < 2 || c.inZoneFailover() {
 		t.fixedOrder = waiting
 		return t
 	}
 	for i, j := range waiting {
-		q := t.teamsByName[j.spec.Team]
+		q := t.teamsByName[j.Spec.Team]
 		if q == nil {
 			q = &teamQueue{heapIndex: len(t.teams)}
-			t.teamsByName[j.spec.Team] = q
+			t.teamsByName[j.Spec.Team] = q
 			t.teams = append(t.teams, q)
 		}
 		q.jobs, q.ranks = append(q.jobs, j), append(q.ranks, i)
@@ -52,11 +52,11 @@
 // updateRank computes by what a team is ordered.
 func (t *fairShareQueue) updateRank(q *teamQueue) {
 	head := q.jobs[0]
-	q.withinGuaranteedQuota, q.share = t.scheduler.withinGuaranteedQuota(head), t.scheduler.weightedUsage(head.spec.Team)
+	q.withinGuaranteedQuota, q.share = t.scheduler.withinGuaranteedQuota(head), t.scheduler.weightedUsage(head.Spec.Team)
 }
 
 // next returns the job whose turn it is, or nil.
-func (t *fairShareQueue) next() *job {
+func (t *fairShareQueue) next() *Job {
 	if len(t.fixedOrder) > 0 {
 		j := t.fixedOrder[0]
 		t.fixedOrder = t.fixedOrder[1:]
@@ -92,7 +92,7 @@
 	if a.withinGuaranteedQuota != b.withinGuaranteedQuota {
 		return a.withinGuaranteedQuota
 	}
-	return cmp.Or(cmp.Compare(a.jobs[0].level, b.jobs[0].level), cmp.Compare(a.share, b.share), cmp.Compare(a.ranks[0], b.ranks[0])) < 0
+	return cmp.Or(cmp.Compare(a.jobs[0].EffectivePriority, b.jobs[0].EffectivePriority), cmp.Compare(a.share, b.share), cmp.Compare(a.ranks[0], b.ranks[0])) < 0
 }
 
 func (t *fairShareQueue) Swap(i, k int) {
--- a/internal/coordination/scheduler/featurelevel_test.go
+++ b/internal/coordination/scheduler/featurelevel_test.go
@@ -18,7 +18,7 @@
 
 // withNextLimits gives a store's core limits of the state service that are to come.
 func withNextLimits(s *manualStore, next config.FutureStoreLimits) *manualStore {
-	s.c.cfg.Store.Next = next
+	s.scheduler.cfg.Store.Next = next
 	return s
 }
 
@@ -27,33 +27,33 @@
 func TestLevelChangeWaitsForWritesInFlight(t *testing.T) {
 	s := withNextLimits(newEmptyManualStore(4), config.FutureStoreLimits{ValueKB: 2, TxnOps: 5, WriteRPS: 18})
 	s.submit("j-1", "normal", 2)
-	s.cycleAll()
+	s.cycleWithHeartbeats()
 	if len(s.inFlight) != 1 {
 		t.Fatalf("%d writes under way", len(s.inFlight))
 	}
 	first := s.inFlight[0]
-	s.step(Finalise{Level: featurelevel.Pipelines})
-	s.step(Finalise{Level: featurelevel.Pipelines})
+	s.step(FinaliseFeatureLevel{Level: featurelevel.Pipelines})
+	s.step(FinaliseFeatureLevel{Level: featurelevel.Pipelines})
 	s.submit("j-2", "urgent", 2)
-	s.cycleAll()
+	s.cycleWithHeartbeats()
 	if len(s.inFlight) != 1 {
 		t.Fatalf("%d writes under way while one is awaited", len(s.inFlight))
 	}
-	s.answer(Written{Write: first.ID, OK: true})
-	if len(s.inFlight) != 1 || s.inFlight[0].Verify != storage.TermKey || s.inFlight[0].Txn.If[0].Revision != 1 {
+	s.answer(TransactionOutcome{WriteID: first.ID, Succeeded: true})
+	if len(s.inFlight) != 1 || s.inFlight[0].VerifyKey != storage.TermKey || s.inFlight[0].Txn.If[0].Revision != 1 {
 		t.Fatalf("the term's record is not what is written now: %+v", s.inFlight)
 	}
 	rec, err := storage.DecodeTerm(s.inFlight[0].Txn.Then[0].Value)
 	if err != nil || rec.Term != 5 || rec.FeatureLevel != int(featurelevel.Pipelines) || rec.WriteName != s.inFlight[0].Name {
 		t.Fatalf("the record: %+v, %v", rec, err)
 	}
-	s.cycleAll()
+	s.cycleWithHeartbeats()
 	if len(s.inFlight) != 1 {
 		t.Fatalf("%d writes under way while the level is made final", len(s.inFlight))
 	}
-	s.answer(Written{Write: s.inFlight[0].ID, OK: true})
-	stamp := s.rev
-	s.cycleAll()
+	s.answer(TransactionOutcome{WriteID: s.inFlight[0].ID, Succeeded: true})
+	stamp := s.revision
+	s.cycleWithHeartbeats()
 	if len(s.inFlight) == 0 {
 		t.Fatal("nothing is written any more")
 	}
@@ -70,18 +70,18 @@
 			}
 		}
 	}
-	if s.c.stateLimits.ValueKB != 2 || s.c.writesPaused {
-		t.Errorf("limits %+v, paused %v", s.c.stateLimits, s.c.writesPaused)
+	if s.scheduler.stateLimits.ValueKB != 2 || s.scheduler.writesPaused {
+		t.Errorf("limits %+v, paused %v", s.scheduler.stateLimits, s.scheduler.writesPaused)
 	}
 }
 
 // knownTasks is what a core knows of a job's tasks that a new leader must know too.
-func knownTasks(j *job) map[int]string {
+func knownTasks(j *Job) map[int]string {
 	known := map[int]string{}
-	for task, state := range j.tasks {
-		pl := j.places[task]
-		if state == done || pl != nil {
-			known[task] = describeTask(state == done, pl)
+	for task, state := range j.TaskStates {
+		pl := j.Placements[task]
+		if state == TaskDone || pl != nil {
+			known[task] = describeTask(state == TaskDone, pl)
 		}
 	}
 	return known
@@ -127,14 +127,14 @@
 func TestRecoveryAcrossPageLayouts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newEmptyManualStore(6)
-		s.c.cfg.Store = config.StoreLimits{RPS: 100, WriteRPS: 30, ValueKB: 4, TxnOps: rapid.IntRange(2, 6).Draw(t, "operations"),
+		s.scheduler.cfg.Store = config.StoreLimits{RPS: 100, WriteRPS: 30, ValueKB: 4, TxnOps: rapid.IntRange(2, 6).Draw(t, "operations"),
 			Next: config.FutureStoreLimits{ValueKB: rapid.SampledFrom([]float64{0.5, 1, 4}).Draw(t, "value"), TxnOps: rapid.IntRange(2, 5).Draw(t, "next operations")}}
-		s.c.setFeatureLevel(featurelevel.Production)
+		s.scheduler.setFeatureLevel(featurelevel.Production)
 		tasks := rapid.IntRange(1, 120).Draw(t, "tasks")
-		s.accept(spec("j-1", protocol.Array, "normal", tasks, 1))
+		s.accept(jobSpec("j-1", protocol.Array, "normal", tasks, 1))
 		stored, recorded := map[string]protocol.KeyValue{}, map[int]string{}
 		carryOut := func(w Write) {
-			s.rev++
+			s.revision++
 			for _, cond := range w.Txn.If {
 				if strings.HasPrefix(cond.Key, storage.PlacementPrefix) && stored[cond.Key].Revision != cond.Revision {
 					t.Fatalf("%s has version %d, wanted %d", cond.Key, stored[cond.Key].Revision, cond.Revision)
@@ -142,24 +142,24 @@
 			}
 			for _, op := range w.Txn.Then {
 				if op.PutKey != "" {
-					stored[op.PutKey] = protocol.KeyValue{Key: op.PutKey, Value: op.Value, Revision: s.rev}
+					stored[op.PutKey] = protocol.KeyValue{Key: op.PutKey, Value: op.Value, Revision: s.revision}
 					if strings.HasPrefix(op.PutKey, storage.PlacementPrefix) {
 						recordKnownTasks(t, recorded, stored[op.PutKey])
 					}
-					if s.c.level >= featurelevel.Pipelines && op.PutKey != storage.TermKey && !storage.FitsValueLimit(op.Value, s.c.stateLimits.ValueKB) && !strings.Contains(op.PutKey, "/w1.") {
+					if s.scheduler.level >= featurelevel.Pipelines && op.PutKey != storage.TermKey && !storage.FitsValueLimit(op.Value, s.scheduler.stateLimits.ValueKB) && !strings.Contains(op.PutKey, "/w1.") {
 						t.Fatalf("%s does not fit", op.PutKey)
 					}
 				}
 				delete(stored, op.DeleteKey)
 			}
-			if len(w.Txn.Then) > s.c.stateLimits.TxnOps {
+			if len(w.Txn.Then) > s.scheduler.stateLimits.TxnOps {
 				t.Fatalf("%d operations", len(w.Txn.Then))
 			}
 			s.inFlight = slices.DeleteFunc(s.inFlight, func(o Write) bool { return o.ID == w.ID })
-			s.stepAll(Written{Write: w.ID, OK: true, Rev: s.rev})
+			s.stepWithCommands(TransactionOutcome{WriteID: w.ID, Succeeded: true, Revision: s.revision})
 		}
 		for range rapid.IntRange(0, 3).Draw(t, "quiet cycles first") {
-			s.cycleAll()
+			s.cycleWithHeartbeats()
 			for len(s.inFlight) > 0 {
 				carryOut(s.inFlight[0])
 			}
@@ -167,13 +167,13 @@
 		for range rapid.IntRange(1, 25).Draw(t, "steps") {
 			switch rapid.IntRange(0, 5).Draw(t, "what") {
 			case 0:
-				s.cycleAll()
+				s.cycleWithHeartbeats()
 			case 1:
 				s.endSome(rapid.IntRange(0, 5).Draw(t, "which"))
 			case 2:
-				s.step(Finalise{Level: featurelevel.Pipelines})
+				s.step(FinaliseFeatureLevel{Level: featurelevel.Pipelines})
 			case 3:
-				if j := s.c.jobs["j-1"]; j != nil && j.layout.Compact && !j.writeInFlight && j.layout.TasksPerPage > 1 {
+				if j := s.scheduler.jobs["j-1"]; j != nil && j.layout.Compact && !j.writeInFlight && j.layout.TasksPerPage > 1 {
 					j.changeLayout(storage.PageLayout{TasksPerPage: (j.layout.TasksPerPage + 1) / 2, Compact: true})
 				}
 			default:
@@ -182,15 +182,15 @@
 				}
 			}
 		}
-		nextLeader := func() *job {
+		nextLeader := func() *Job {
 			pages := slices.Collect(maps.Values(stored))
 			pages = slices.DeleteFunc(pages, func(p protocol.KeyValue) bool { return !strings.HasPrefix(p.Key, storage.PlacementPrefix) })
-			raw, err := protocol.Encode(storage.LiveJobRecord{Job: spec("j-1", protocol.Array, "normal", tasks, 1)})
+			raw, err := protocol.Encode(storage.LiveJobRecord{Job: jobSpec("j-1", protocol.Array, "normal", tasks, 1)})
 			if err != nil {
 				t.Fatal(err)
 			}
-			next := New(s.now, s.c.cfg, s.c.log, Term{Number: 6, Stamp: 2, Level: s.c.level}, Records{Types: []protocol.MachineType{*s.c.machines.MachineType("g8")},
-				Live: []protocol.KeyValue{{Key: storage.LiveJobKey("j-1"), Value: raw, Revision: 5}}, Pages: pages}, 0, nil)
+			next := New(s.now, s.scheduler.cfg, s.scheduler.log, Term{Number: 6, Revision: 2, FeatureLevel: s.scheduler.level}, RecoveredRecords{MachineTypes: []protocol.MachineType{*s.scheduler.machines.MachineType("g8")},
+				LiveJobs: []protocol.KeyValue{{Key: storage.LiveJobKey("j-1"), Value: raw, Revision: 5}}, Pages: pages}, 0, nil)
 			return next.jobs["j-1"]
 		}
 		if stored[storage.EndedJobKey("j-1")].Revision > 0 {
@@ -199,16 +199,16 @@
 		if got := knownTasks(nextLeader()); !maps.Equal(got, recorded) {
 			t.Fatalf("in the midst a new leader reads\n%v\nof\n%v", got, recorded)
 		}
-		s.cycleAll()
+		s.cycleWithHeartbeats()
 		for n := 0; len(s.inFlight) > 0 && n < 500; n++ {
 			carryOut(s.inFlight[0])
 		}
-		j := s.c.jobs["j-1"]
-		if j == nil || j.over {
+		j := s.scheduler.jobs["j-1"]
+		if j == nil || j.Ended {
 			return // all of it is done
 		}
 		for range 200 {
-			s.cycleAll()
+			s.cycleWithHeartbeats()
 			for len(s.inFlight) > 0 {
 				carryOut(s.inFlight[0])
 			}
@@ -218,11 +218,11 @@
 			t.Fatalf("a new leader reads\n%v\nof\n%v", knownTasks(got), knownTasks(j))
 		}
 		for task := range tasks {
-			if got.attempt(task) < j.attempt(task) {
-				t.Fatalf("task %d would get attempt %d again", task, got.attempt(task))
+			if got.NextAttempt(task) < j.NextAttempt(task) {
+				t.Fatalf("task %d would get attempt %d again", task, got.NextAttempt(task))
 			}
 		}
-		if s.c.level >= featurelevel.Pipelines && len(j.supersededPages) > 0 {
+		if s.scheduler.level >= featurelevel.Pipelines && len(j.supersededPages) > 0 {
 			t.Fatalf("%d pages of another layout are left after many quiet cycles", len(j.supersededPages))
 		}
 	})
@@ -237,7 +237,7 @@
 				s.tasks[name][id] = t
 			}
 		}
-		s.stepAll(Reported{Tag: name, Report: s.report(name)})
+		s.stepWithCommands(HeartbeatReceived{ReplyTo: name, Heartbeat: s.nextHeartbeat(name)})
 	}
 }
 
@@ -246,32 +246,32 @@
 func TestRejectedRecordsAreSplit(t *testing.T) {
 	s := newEmptyManualStore(6)
 	s.submit("j-1", "normal", 10)
-	s.cycleAll()
+	s.cycleWithHeartbeats()
 	refused := s.inFlight[0]
-	s.answer(Written{Write: refused.ID, Refused: true})
+	s.answer(TransactionOutcome{WriteID: refused.ID, Malformed: true})
 	s.submit("j-2", "normal", 1)
-	s.cycleAll()
+	s.cycleWithHeartbeats()
 	if len(s.inFlight) != 1 || !slices.Contains(jobsOfWrite(s.inFlight[0]), "j-2") || slices.Contains(jobsOfWrite(s.inFlight[0]), "j-1") {
 		t.Fatalf("below the level the others do not go on alone: %+v", s.inFlight)
 	}
-	s.answerAll()
-	s.step(Finalise{Level: featurelevel.Pipelines})
-	s.answerAll()
-	for width := s.c.jobs["j-1"].layout.TasksPerPage; width > 8; width /= 2 {
-		s.cycleAll()
+	s.answerAllWrites()
+	s.step(FinaliseFeatureLevel{Level: featurelevel.Pipelines})
+	s.answerAllWrites()
+	for width := s.scheduler.jobs["j-1"].layout.TasksPerPage; width > 8; width /= 2 {
+		s.cycleWithHeartbeats()
 		i := slices.IndexFunc(s.inFlight, func(w Write) bool { return slices.Contains(jobsOfWrite(w), "j-1") })
 		if i < 0 {
 			t.Fatalf("the record is not written with pages of %d tasks", width)
 		}
-		if got := s.c.jobs["j-1"].layout.TasksPerPage; got != width {
+		if got := s.scheduler.jobs["j-1"].layout.TasksPerPage; got != width {
 			t.Fatalf("pages of %d tasks, want %d", got, width)
 		}
-		s.answer(Written{Write: s.inFlight[i].ID, Refused: true})
+		s.answer(TransactionOutcome{WriteID: s.inFlight[i].ID, Malformed: true})
 		s.answerOthers(func(w Write) bool { return slices.Contains(jobsOfWrite(w), "j-1") })
 	}
-	s.cycleAll()
-	s.answerAll()
-	if j := s.c.jobs["j-1"]; len(j.unstarted) > 0 {
+	s.cycleWithHeartbeats()
+	s.answerAllWrites()
+	if j := s.scheduler.jobs["j-1"]; len(j.unstarted) > 0 {
 		t.Errorf("%d starts still wait for their record", len(j.unstarted))
 	}
 }
@@ -280,7 +280,7 @@
 func (s *manualStore) answerOthers(refused func(Write) bool) {
 	for _, w := range slices.Clone(s.inFlight) {
 		if !refused(w) {
-			s.answer(Written{Write: w.ID, OK: true})
+			s.answer(TransactionOutcome{WriteID: w.ID, Succeeded: true})
 		}
 	}
 }
@@ -290,9 +290,9 @@
 func TestCostOfCompactPages(t *testing.T) {
 	cost := func(level featurelevel.Level, tasks int) (writes, bytes int) {
 		s := withNextLimits(newEmptyManualStore(tasks/8+1), config.FutureStoreLimits{ValueKB: 2, TxnOps: 5})
-		s.c.setFeatureLevel(level)
-		s.accept(spec("j-1", protocol.Array, "normal", tasks, 1))
-		s.cycleAll()
+		s.scheduler.setFeatureLevel(level)
+		s.accept(jobSpec("j-1", protocol.Array, "normal", tasks, 1))
+		s.cycleWithHeartbeats()
 		for len(s.inFlight) > 0 {
 			for _, op := range s.inFlight[0].Txn.Then {
 				size, err := storage.JSONSize(op.Value)
@@ -301,7 +301,7 @@
 				}
 				writes, bytes = writes+1, bytes+size
 			}
-			s.answer(Written{Write: s.inFlight[0].ID, OK: true})
+			s.answer(TransactionOutcome{WriteID: s.inFlight[0].ID, Succeeded: true})
 		}
 		return writes, bytes
 	}
--- a/internal/coordination/scheduler/fullscan_test.go
+++ b/internal/coordination/scheduler/fullscan_test.go
@@ -18,9 +18,9 @@
 )
 
 // fullScan is the reference of the index: it looks at every machine for every task.
-type fullScan struct{ scheduler *Core }
+type fullScan struct{ scheduler *Scheduler }
 
-func (f fullScan) bestMachine(now time.Duration, j *job, l *zoneLimits, allowed func(*candidate) bool) (best *candidate) {
+func (f fullScan) bestMachine(now time.Duration, j *Job, l *zoneLimits, allowed func(*candidate) bool) (best *candidate) {
 	bestScore := 0.0
 	for _, x := range f.scheduler.schedulableCandidates(now) {
 		if !allowed(x) {
@@ -33,19 +33,19 @@
 	return best
 }
 
-func (f fullScan) bestWithImage(now time.Duration, j *job, l *zoneLimits, allowed func(*candidate) bool) *candidate {
+func (f fullScan) bestWithImage(now time.Duration, j *Job, l *zoneLimits, allowed func(*candidate) bool) *candidate {
 	return f.bestMachine(now, j, l, func(x *candidate) bool {
-		return f.scheduler.machines.FetchTime(now, x.machine, &j.spec) == 0 && allowed(x)
+		return f.scheduler.machines.FetchTime(now, x.machine, &j.Spec) == 0 && allowed(x)
 	})
 }
 
-func (f fullScan) cheapestPreemption(now time.Duration, j *job, l *zoneLimits, within time.Duration, level int) (best *candidate, bestVictims []*partition.Placement) {
+func (f fullScan) cheapestPreemption(now time.Duration, j *Job, l *zoneLimits, within time.Duration, level int) (best *candidate, bestVictims []*partition.Placement) {
 	bestCost := math.Inf(1)
 	for _, x := range f.scheduler.schedulableCandidates(now) {
-		if !f.scheduler.feasible(now, j, x, l) || x.machine.IsReservedFor(now, j.spec.ID) || !j.need.Fits(partition.CapacityOf(x.machineType)) {
+		if !f.scheduler.feasible(now, j, x, l) || x.machine.IsReservedFor(now, j.Spec.ID) || !j.TaskResources.Fits(partition.CapacityOf(x.machineType)) {
 			continue
 		}
-		warm := f.scheduler.machines.FetchTime(now, x.machine, &j.spec)
+		warm := f.scheduler.machines.FetchTime(now, x.machine, &j.Spec)
 		if warm > within {
 			continue
 		}
@@ -58,9 +58,9 @@
 	return best, bestVictims
 }
 
-func (f fullScan) mostFreeCapacity(now time.Duration, j *job, l *zoneLimits, taken map[*candidate]bool) (best *candidate) {
+func (f fullScan) mostFreeCapacity(now time.Duration, j *Job, l *zoneLimits, taken map[*candidate]bool) (best *candidate) {
 	for _, x := range f.scheduler.schedulableCandidates(now) {
-		if taken[x] || !f.scheduler.feasible(now, j, x, l) || !j.need.Fits(partition.CapacityOf(x.machineType)) {
+		if taken[x] || !f.scheduler.feasible(now, j, x, l) || !j.TaskResources.Fits(partition.CapacityOf(x.machineType)) {
 			continue
 		}
 		if best == nil || x.free.DominantShare(partition.CapacityOf(x.machineType)) > best.free.DominantShare(partition.CapacityOf(best.machineType)) {
@@ -74,7 +74,7 @@
 type schedulerPair struct {
 	t        *rapid.T
 	rng      *rand.Rand
-	benches  [2]*bench
+	benches  [2]*harness
 	effects  [2][]string
 	jobs     []string
 	machines []string
@@ -85,13 +85,13 @@
 func newSchedulerPair(t *rapid.T, seed uint64, teams []config.Team, objectives []config.Objective, zoneReturn bool) *schedulerPair {
 	w := &schedulerPair{t: t, rng: rand.New(rand.NewPCG(seed, 5)), silent: map[string]bool{}}
 	for i := range w.benches {
-		b := newBench(teams, "a", "b", "c")
+		b := newHarness(teams, "a", "b", "c")
 		b.setObjectives(objectives)
 		if i == 1 {
-			b.c.finder = fullScan{b.c}
+			b.scheduler.finder = fullScan{b.scheduler}
 		}
 		if zoneReturn {
-			b.c.startZoneFailover(0, zones.DefaultRecoveryOrder(), nil)
+			b.scheduler.startZoneFailover(0, zones.DefaultRecoveryOrder(), nil)
 		}
 		b.onEffect = func(e Effect) { w.effects[i] = append(w.effects[i], describe(e)) }
 		w.benches[i] = b
@@ -114,24 +114,24 @@
 		return strings.Join(parts, ",")
 	}
 	switch e := e.(type) {
-	case Answer:
-		return fmt.Sprint("answer ", e.Tag, e.Body.FencingToken, commands(e.Body.Commands))
-	case Order:
-		return fmt.Sprint("order ", e.Machine, e.Orders.FencingToken, commands(e.Orders.Commands))
+	case HeartbeatReply:
+		return fmt.Sprint("answer ", e.ReplyTo, e.Body.FencingToken, commands(e.Body.Commands))
+	case SendCommandBatch:
+		return fmt.Sprint("order ", e.Machine, e.Batch.FencingToken, commands(e.Batch.Commands))
 	case Write:
 		var parts []string
 		for _, op := range e.Txn.Then {
 			parts = append(parts, fmt.Sprintf("%s=%x-%s", op.PutKey, op.Value, op.DeleteKey))
 		}
 		slices.Sort(parts)
-		return fmt.Sprint("write ", e.ID, e.For, parts)
+		return fmt.Sprint("write ", e.ID, e.Priority, parts)
 	default:
 		return fmt.Sprintf("%T %+v", e, e)
 	}
 }
 
 // applyToBoth does the same to both, and demands that they ask for the same.
-func (w *schedulerPair) applyToBoth(what string, f func(b *bench)) {
+func (w *schedulerPair) applyToBoth(what string, f func(b *harness)) {
 	w.round++
 	for i, b := range w.benches {
 		w.effects[i] = nil
@@ -157,12 +157,12 @@
 	name := fmt.Sprintf("m%03d", len(w.machines))
 	zone, spot := []string{"a", "b", "c"}[w.rng.IntN(3)], w.chance(0.25)
 	w.machines = append(w.machines, name)
-	w.applyToBoth("new machine", func(b *bench) { b.machine(name, zone, spot) })
+	w.applyToBoth("new machine", func(b *harness) { b.heartbeat(name, zone, spot) })
 }
 
 func (w *schedulerPair) submit() {
 	shapes := []protocol.Shape{protocol.Array, protocol.Gang, protocol.Service}
-	j := spec(fmt.Sprintf("j-%d", len(w.jobs)), shapes[w.rng.IntN(3)], []protocol.Priority{"critical", "urgent", "normal", "best_effort"}[w.rng.IntN(4)],
+	j := jobSpec(fmt.Sprintf("j-%d", len(w.jobs)), shapes[w.rng.IntN(3)], []protocol.Priority{"critical", "urgent", "normal", "best_effort"}[w.rng.IntN(4)],
 		1+w.rng.IntN(6), []float64{0, 1, 2, 4, 8}[w.rng.IntN(5)])
 	j.Team = []string{"red", "blue", "green"}[w.rng.IntN(3)]
 	j.Class = fmt.Sprintf("class-%d", w.rng.IntN(4))
@@ -181,14 +181,14 @@
 	}
 	j.EstimateSeconds = 30
 	w.jobs = append(w.jobs, j.ID)
-	w.applyToBoth("submission", func(b *bench) { b.job(j) })
+	w.applyToBoth("submission", func(b *harness) { b.addJob(j) })
 }
 
 // report has a machine report; what its tasks have come to is drawn by their names.
 func (w *schedulerPair) report(name string) {
 	notice := w.chance(0.01)
 	draw := w.rng.Uint64()
-	w.applyToBoth("report of "+name, func(b *bench) {
+	w.applyToBoth("report of "+name, func(b *harness) {
 		for _, id := range sortedIDs(b.tasks[name]) {
 			t := b.tasks[name][id]
 			fate := rand.New(rand.NewPCG(draw, uint64(len(id.JobID))<<32|uint64(id.Index)<<8|uint64(id.JobID[len(id.JobID)-1]))).Float64()
@@ -197,23 +197,23 @@
 				t.State = protocol.TaskRunning
 			case t.State == protocol.TaskRunning && b.wasStopped(id):
 				t.State, t.Cause = protocol.TaskExited, protocol.CauseStopped
-			case t.State == protocol.TaskRunning && fate < 0.1 && b.c.jobs[id.JobID] != nil && b.c.jobs[id.JobID].spec.Shape != protocol.Service:
+			case t.State == protocol.TaskRunning && fate < 0.1 && b.scheduler.jobs[id.JobID] != nil && b.scheduler.jobs[id.JobID].Spec.Shape != protocol.Service:
 				t.State, t.Cause = protocol.TaskExited, protocol.CauseDone
 			case t.State == protocol.TaskRunning && fate > 0.98:
 				t.State, t.Cause = protocol.TaskExited, protocol.CauseError
 			}
 			b.tasks[name][id] = t
 		}
-		r := b.report(name)
+		r := b.nextHeartbeat(name)
 		if notice {
 			r.InterruptionNoticeSeconds = new(float64)
 		}
-		b.do(Reported{Tag: name, Report: r})
+		b.apply(HeartbeatReceived{ReplyTo: name, Heartbeat: r})
 	})
 }
 
 // wasStopped says whether a task was told to stop.
-func (b *bench) wasStopped(id protocol.TaskID) bool {
+func (b *harness) wasStopped(id protocol.TaskID) bool {
 	_, ok := b.stops[id]
 	return ok
 }
@@ -235,24 +235,24 @@
 		w.submit()
 	case w.chance(0.1) && len(w.jobs) > 0:
 		id := w.jobs[w.rng.IntN(len(w.jobs))]
-		w.applyToBoth("cancellation", func(b *bench) { b.do(JobDropped{ID: id}) })
+		w.applyToBoth("cancellation", func(b *harness) { b.apply(JobEnded{ID: id}) })
 	case w.chance(0.1) && len(w.machines) > 0:
 		name := w.machines[w.rng.IntN(len(w.machines))]
 		w.silent[name] = !w.silent[name]
 	case w.chance(0.05) && len(w.machines) > 4:
 		name := w.machines[w.rng.IntN(len(w.machines))]
 		w.silent[name] = true
-		w.applyToBoth("loss of "+name, func(b *bench) { b.do(Released{Names: []string{name}, OK: true}) })
+		w.applyToBoth("loss of "+name, func(b *harness) { b.apply(ScaleInResult{Machines: []string{name}, Succeeded: true}) })
 	}
 	for _, name := range w.machines {
 		if !w.silent[name] && w.chance(0.7) {
 			w.report(name)
 		}
 	}
-	pause := []time.Duration{Eager, Eager, 3 * Eager, Cycle}[w.rng.IntN(4)]
-	w.applyToBoth("time", func(b *bench) {
+	pause := []time.Duration{MinCycleInterval, MinCycleInterval, 3 * MinCycleInterval, CycleInterval}[w.rng.IntN(4)]
+	w.applyToBoth("time", func(b *harness) {
 		b.now += pause
-		b.do(Tick{})
+		b.apply(Tick{})
 	})
 }
 
--- a/internal/coordination/scheduler/gangorder.go
+++ b/internal/coordination/scheduler/gangorder.go
@@ -22,10 +22,10 @@
 	victimLevel              int // level of the work that may leave, for searches for that
 }
 
-func (j *job) searchKey() searchKey {
+func (j *Job) searchKey() searchKey {
 	return searchKey{
-		team: j.spec.Team, image: j.spec.Image, zone: j.spec.Zone, types: j.types, need: j.need,
-		level: j.level, placedTasks: len(j.places), sameZone: j.spec.SameZone, spread: j.spec.Spread, spot: j.spec.SpotAllowed,
+		team: j.Spec.Team, image: j.Spec.Image, zone: j.Spec.Zone, types: j.AllowedTypes, need: j.TaskResources,
+		level: j.EffectivePriority, placedTasks: len(j.Placements), sameZone: j.Spec.SameZone, spread: j.Spec.Spread, spot: j.Spec.SpotAllowed,
 	}
 }
 
@@ -33,20 +33,20 @@
 // priority and age: first, by age, those that can still meet an aim. When more is
 // asked than can be done, age alone would spend all room on gangs that are late
 // whatever is done, until every gang is late.
-func (c *Core) orderGangsByDeadline(now time.Duration, waiting []*job) {
+func (c *Scheduler) orderGangsByDeadline(now time.Duration, waiting []*Job) {
 	type queue struct {
 		class, team string
 		level       int
 	}
 	slots := map[queue][]int{}
 	for i, j := range waiting {
-		if j.spec.Shape == protocol.Gang {
-			q := queue{j.spec.Class, j.spec.Team, j.level}
+		if j.Spec.Shape == protocol.Gang {
+			q := queue{j.Spec.Class, j.Spec.Team, j.EffectivePriority}
 			slots[q] = append(slots[q], i)
 		}
 	}
 	for _, at := range slots {
-		jobs := make([]*job, len(at))
+		jobs := make([]*Job, len(at))
 		for k, i := range at {
 			jobs[k] = waiting[i]
 		}
@@ -61,18 +61,18 @@
 // aim asks for, 1 for one that can at least still be done in time, 2 for others.
 // A gang that has waited twice as long as its longest aim comes first again:
 // none waits for ever.
-func (c *Core) deadlineTier(now time.Duration, j *job) int {
-	waited := (now - j.known).Seconds()
+func (c *Scheduler) deadlineTier(now time.Duration, j *Job) int {
+	waited := (now - j.WaitingSince).Seconds()
 	class, longest := 2, 0.0
 	for _, o := range c.cfg.Objectives {
-		if o.Class != j.spec.Class {
+		if o.Class != j.Spec.Class {
 			continue
 		}
 		longest = max(longest, o.WithinSeconds)
 		switch {
-		case o.Kind == "wait" && !j.begun && waited <= o.WithinSeconds:
+		case o.Kind == "wait" && !j.StartCounted && waited <= o.WithinSeconds:
 			class = 0
-		case o.Kind == "finished" && waited+j.spec.EstimateSeconds <= o.WithinSeconds:
+		case o.Kind == "finished" && waited+j.Spec.EstimateSeconds <= o.WithinSeconds:
 			class = min(class, 1)
 		}
 	}
@@ -83,10 +83,10 @@
 }
 
 // placeableNow says whether a job has tasks that may be placed now.
-func (c *Core) placeableNow(now time.Duration, j *job) bool {
-	if j.counts[pending] == 0 || c.held(j) || j.writeInFlight || now < j.notBefore {
+func (c *Scheduler) placeableNow(now time.Duration, j *Job) bool {
+	if j.TaskCounts[TaskPending] == 0 || c.startForbidden(j) || j.writeInFlight || now < j.BackoffUntil {
 		return false
 	}
 	// Starts of an array or a service are gathered in its record while that waits for its turn.
-	return j.spec.Shape != protocol.Gang || len(j.places) == 0
+	return j.Spec.Shape != protocol.Gang || len(j.Placements) == 0
 }
--- /dev/null
+++ b/internal/coordination/scheduler/harness_test.go
@@ -0,0 +1,149 @@
+package scheduler
+
+import (
+	"io"
+	"log/slog"
+	"testing"
+	"time"
+
+	"pinebay/internal/config"
+	"pinebay/internal/protocol"
+	"pinebay/internal/storage"
+	"pinebay/internal/testkit"
+)
+
+func TestMain(m *testing.M) { testkit.Main(m) }
+
+// harness drives a core whose writes succeed at once and whose machines are
+// just reports.
+type harness struct {
+	scheduler    *Scheduler
+	now          time.Duration
+	revision     uint64
+	sequences    map[string]uint64
+	runs         map[protocol.TaskID]protocol.Command
+	machineOf    map[protocol.TaskID]string // machine of each run
+	stops        map[protocol.TaskID]float64
+	transactions []protocol.Txn
+	tasks        map[string]map[protocol.TaskID]protocol.TaskStatus // by machine
+	tokens       map[string]uint64
+	zoneOf       map[string]string
+	spotMachines map[string]bool
+	// onEffect, if set, sees every effect.
+	onEffect func(Effect)
+}
+
+func newHarness(teams []config.Team, zones ...string) *harness {
+	cfg := &config.Deployment{
+		Controllers: 3, Teams: teams, Workers: config.Workers{HeartbeatSeconds: 1, LeaseSeconds: 10, GangWaitSeconds: 40, GangPeerSeconds: 4, CancelSeconds: 40},
+		Store: config.StoreLimits{RPS: 100, WriteRPS: 30, ValueKB: 8, TxnOps: 16}, Cloud: config.Cloud{RPS: 2, ListLagSeconds: 5}, Quota: config.Quota{CoreShare: 0.1},
+	}
+	types := []protocol.MachineType{{Name: "g8", CPUs: 64, GPUs: 8, MemoryGB: 256, CacheGB: 100, FetchGBPerSecond: 1, HourlyPrice: 4, HourlySpotPrice: 1, BootSeconds: 30, Zones: zones}}
+	log := slog.New(slog.NewTextHandler(io.Discard, nil))
+	return &harness{scheduler: New(0, cfg, log, Term{Number: 5, Revision: 1}, RecoveredRecords{MachineTypes: types}, 0, nil), revision: 10, sequences: map[string]uint64{},
+		runs: map[protocol.TaskID]protocol.Command{}, machineOf: map[protocol.TaskID]string{}, stops: map[protocol.TaskID]float64{},
+		tasks: map[string]map[protocol.TaskID]protocol.TaskStatus{}, tokens: map[string]uint64{}, zoneOf: map[string]string{}, spotMachines: map[string]bool{}}
+}
+
+// productionPage is the key of a page of the first layout.
+func productionPage(id string, number int) string {
+	return storage.PageID{Job: id, Layout: storage.PageLayout{TasksPerPage: storage.OriginalPageTasks(8)}, Number: number}.Key()
+}
+
+// setObjectives replaces the aims.
+func (b *harness) setObjectives(objectives []config.Objective) {
+	b.scheduler.cfg.Objectives = objectives
+	b.scheduler.startLatencyObjectives = startLatencyObjectivesOf(objectives)
+}
+
+func (b *harness) apply(e Event) {
+	for _, out := range b.scheduler.Step(b.now, e) {
+		if b.onEffect != nil {
+			b.onEffect(out)
+		}
+		switch o := out.(type) {
+		case Write:
+			b.revision++
+			b.transactions = append(b.transactions, o.Txn)
+			b.apply(TransactionOutcome{WriteID: o.ID, Succeeded: true, Revision: b.revision})
+		case SendCommandBatch:
+			b.executeCommands(o.Machine, o.Batch.FencingToken, o.Batch.Commands)
+			b.apply(CommandBatchResult{Machine: o.Machine, Acknowledged: true, Heartbeat: b.nextHeartbeat(o.Machine)})
+		case HeartbeatReply:
+			b.executeCommands(o.ReplyTo.(string), o.Body.FencingToken, o.Body.Commands)
+		}
+	}
+}
+
+func (b *harness) executeCommands(machine string, token uint64, cmds []protocol.Command) {
+	b.tokens[machine] = max(b.tokens[machine], token)
+	for _, c := range cmds {
+		id, err := protocol.ParseTaskID(c.TaskName)
+		if err != nil {
+			panic(err) // the core made it
+		}
+		switch c.Verb {
+		case protocol.VerbRun:
+			b.runs[id], b.machineOf[id] = c, machine
+			b.tasks[machine][id] = protocol.TaskStatus{TaskName: c.TaskName, Attempt: c.Attempt, State: protocol.TaskFetching}
+		case protocol.VerbStop:
+			b.stops[id] = *c.GraceSeconds
+		case protocol.VerbForget:
+			delete(b.tasks[machine], id)
+		}
+	}
+}
+
+func (b *harness) nextHeartbeat(name string) *protocol.WorkerHeartbeat {
+	b.sequences[name]++
+	r := &protocol.WorkerHeartbeat{Machine: name, Addr: "x", Type: "g8", Zone: b.zoneOf[name], Spot: b.spotMachines[name], Incarnation: 1,
+		Sequence: b.sequences[name], FencingToken: b.tokens[name]}
+	for _, id := range sortedIDs(b.tasks[name]) {
+		r.Tasks = append(r.Tasks, b.tasks[name][id])
+	}
+	return r
+}
+
+// heartbeat reports for a machine, whose tasks are now as given.
+func (b *harness) heartbeat(name, zone string, spot bool, tasks ...protocol.TaskStatus) {
+	if b.tasks[name] == nil {
+		b.tasks[name] = map[protocol.TaskID]protocol.TaskStatus{}
+	}
+	b.zoneOf[name], b.spotMachines[name] = zone, spot
+	for _, t := range tasks {
+		id, err := protocol.ParseTaskID(t.TaskName)
+		if err != nil {
+			panic(err) // the test made it
+		}
+		b.tasks[name][id] = t
+	}
+	b.apply(HeartbeatReceived{ReplyTo: name, Heartbeat: b.nextHeartbeat(name)})
+}
+
+func (b *harness) addJob(j protocol.Job) {
+	b.revision++
+	b.apply(JobAccepted{Record: storage.LiveJobRecord{Job: j, AcceptedAtMS: b.now.Milliseconds()}, Revision: b.revision})
+}
+
+func (b *harness) runCycle() {
+	b.now += CycleInterval
+	b.apply(Tick{})
+}
+
+func jobSpec(id string, shape protocol.Shape, prio protocol.Priority, tasks int, gpus float64) protocol.Job {
+	return protocol.Job{ID: id, Class: "c", Team: "red", Shape: shape, Priority: prio, TaskCount: tasks, CPUs: 1, GPUs: gpus, MemoryGB: 1, Image: "i", ImageGB: 1}
+}
+
+func (b *harness) startedTasks(id string) int {
+	n := 0
+	for t := range b.runs {
+		if t.JobID == id {
+			n++
+		}
+	}
+	return n
+}
+
+func runningTask(id protocol.TaskID, attempt uint64) protocol.TaskStatus {
+	return protocol.TaskStatus{TaskName: id.String(), Attempt: attempt, State: protocol.TaskRunning}
+}
--- a/internal/coordination/scheduler/imagehints.go
+++ b/internal/coordination/scheduler/imagehints.go
@@ -13,7 +13,7 @@
 )
 
 // recoverImageHints takes over what earlier leaders knew of the machines' images.
-func (c *Core) recoverImageHints(pairs []protocol.KeyValue) {
+func (c *Scheduler) recoverImageHints(pairs []protocol.KeyValue) {
 	for _, p := range pairs {
 		var rec storage.ImageHintRecord
 		if err := protocol.Decode(p.Value, &rec); err != nil || len(rec.Images) != len(rec.SizesGB) {
@@ -30,7 +30,7 @@
 			c.machines.SetImageHint(m.Name, copies)
 		}
 		for _, a := range rec.Arrivals {
-			c.prior[a.Class], c.sizes[a.Class] = a.Jobs, a.MeanTasks
+			c.inheritedArrivals[a.Class], c.meanTasks[a.Class] = a.Jobs, a.MeanTasks
 		}
 		c.imageHintPages[p.Key] = "" // to be written anew, or else dropped
 	}
@@ -38,7 +38,7 @@
 
 // writeImageHints writes down the machines' images, a page at a time and not often:
 // it is a help for the next leader, and must not stand in anybody's way.
-func (c *Core) writeImageHints(now time.Duration) {
+func (c *Scheduler) writeImageHints(now time.Duration) {
 	if c.imageHintsInFlight || c.writesPaused || now-c.imageHintsWrittenAt < imageHintInterval {
 		return
 	}
@@ -65,9 +65,9 @@
 			rec.Machines = append(rec.Machines, m)
 		}
 		if page == 0 {
-			for class, jobs := range c.counted {
+			for class, jobs := range c.decayedArrivals {
 				// Two digits are enough, and a quiet fleet writes nothing.
-				rec.Arrivals = append(rec.Arrivals, storage.ClassArrivals{Class: class, Jobs: math.Round(jobs*4) / 4, MeanTasks: c.sizes[class]})
+				rec.Arrivals = append(rec.Arrivals, storage.ClassArrivals{Class: class, Jobs: math.Round(jobs*4) / 4, MeanTasks: c.meanTasks[class]})
 			}
 			sort.Slice(rec.Arrivals, func(a, b int) bool { return rec.Arrivals[a].Class < rec.Arrivals[b].Class })
 		}
@@ -77,7 +77,7 @@
 		}
 		pages[storage.ImageHintKey(page)] = raw
 	}
-	t := protocol.Txn{If: []protocol.Compare{{Key: storage.TermKey, Revision: c.termStamp}}}
+	t := protocol.Txn{If: []protocol.Compare{{Key: storage.TermKey, Revision: c.termRevision}}}
 	var changed []string
 	for _, key := range slices.Sorted(maps.Keys(c.imageHintPages)) {
 		if pages[key] == nil && len(t.Then) < c.stateLimits.TxnOps/2 {
@@ -98,12 +98,12 @@
 	}
 	c.imageHintsInFlight = true
 	id, _ := c.nextWriteID()
-	c.writesInFlight[id] = func(_ time.Duration, w Written) {
+	c.writesInFlight[id] = func(_ time.Duration, w TransactionOutcome) {
 		c.imageHintsInFlight = false
-		if w.Refused {
+		if w.Malformed {
 			c.shrinkTransactions(&t)
 		}
-		if !w.OK {
+		if !w.Succeeded {
 			return // a hint; it is written anew the next time
 		}
 		for _, key := range changed {
@@ -114,7 +114,7 @@
 			}
 		}
 	}
-	c.emit(Write{ID: id, Txn: t, For: Upkeep, Verify: storage.TermKey, Name: "-"})
+	c.emit(Write{ID: id, Txn: t, Priority: PriorityMaintenance, VerifyKey: storage.TermKey, Name: "-"})
 }
 
 // rotateAfter lists keys that are in order from the one after the given key on, and then those before: a
@@ -128,4 +128,4 @@
 }
 
 // imageHintInterval is the time between two writes of the images.
-const imageHintInterval = 10 * Cycle
+const imageHintInterval = 10 * CycleInterval
--- a/internal/coordination/scheduler/jobcompletion.go
+++ b/internal/coordination/scheduler/jobcompletion.go
@@ -12,61 +12,61 @@
 
 // completeJob records that all tasks are done. The job's end moves it from its
 // live key to its final one; pages without placements go with it.
-func (c *Core) completeJob(now time.Duration, j *job) {
-	if j.finishing || j.over {
+func (c *Scheduler) completeJob(now time.Duration, j *Job) {
+	if j.Ending || j.Ended {
 		return
 	}
 	if j.writeInFlight || c.writesPaused {
 		return // the outcome of that write, or the end of the pause, comes back here
 	}
-	j.finishing = true
+	j.Ending = true
 	id, name := c.nextWriteID()
-	value, err := protocol.Encode(storage.EndedJobRecord{State: protocol.JobDone, DoneTasks: len(j.tasks), WriteName: name})
+	value, err := protocol.Encode(storage.EndedJobRecord{State: protocol.JobDone, DoneTasks: len(j.TaskStates), WriteName: name})
 	if err != nil {
 		c.log.Error("ended record", "err", err)
 		return
 	}
 	t := protocol.Txn{
-		If:   []protocol.Compare{{Key: storage.TermKey, Revision: c.termStamp}, {Key: storage.LiveJobKey(j.spec.ID), Revision: j.stamp}},
-		Then: []protocol.Op{{DeleteKey: storage.LiveJobKey(j.spec.ID)}, {PutKey: storage.EndedJobKey(j.spec.ID), Value: value}},
+		If:   []protocol.Compare{{Key: storage.TermKey, Revision: c.termRevision}, {Key: storage.LiveJobKey(j.Spec.ID), Revision: j.LiveRevision}},
+		Then: []protocol.Op{{DeleteKey: storage.LiveJobKey(j.Spec.ID)}, {PutKey: storage.EndedJobKey(j.Spec.ID), Value: value}},
 	}
 	var dropped pageDeletions
-	if len(j.places) == 0 {
+	if len(j.Placements) == 0 {
 		dropped = c.addPageDeletions(j, &t)
 	}
-	c.writesInFlight[id] = func(now time.Duration, w Written) {
-		j.finishing = false
-		if w.Refused {
+	c.writesInFlight[id] = func(now time.Duration, w TransactionOutcome) {
+		j.Ending = false
+		if w.Malformed {
 			c.shrinkTransactions(&t)
 			c.callAt(now+rejectedRetryDelay, func(now time.Duration) { c.completeJob(now, j) })
 			return
 		}
-		if !w.OK && !c.endedMeanwhile(now, j, w) {
+		if !w.Succeeded && !c.endedMeanwhile(now, j, w) {
 			return
 		}
-		if w.OK {
+		if w.Succeeded {
 			c.pagesDeleted(j, dropped)
-			c.needEnded(now, j.spec.ID, dependency.Done)
+			c.dependencyEnded(now, j.Spec.ID, dependency.Done)
 		}
-		c.log.Debug("job done", "job", j.spec.ID, "class", j.spec.Class, "tasks", len(j.tasks), "took", now-j.known)
-		c.end(now, j)
+		c.log.Debug("job done", "job", j.Spec.ID, "class", j.Spec.Class, "tasks", len(j.TaskStates), "took", now-j.WaitingSince)
+		c.endJob(now, j)
 	}
-	purpose := Ends
-	if c.graph.Needed(j.spec.ID) {
-		purpose = Frees
+	purpose := PriorityCompletion
+	if c.dependencies.HasDependents(j.Spec.ID) {
+		purpose = PriorityUnblock
 	}
-	c.emit(Write{ID: id, Txn: t, For: purpose, Verify: storage.EndedJobKey(j.spec.ID), Name: name})
+	c.emit(Write{ID: id, Txn: t, Priority: purpose, VerifyKey: storage.EndedJobKey(j.Spec.ID), Name: name})
 }
 
 // rejectedRetryDelay is the time after which a write is tried again that was refused for its form.
-const rejectedRetryDelay = 10 * Cycle
+const rejectedRetryDelay = 10 * CycleInterval
 
-func (c *Core) nextWriteID() (uint64, string) {
+func (c *Scheduler) nextWriteID() (uint64, string) {
 	c.lastWriteID++
 	return c.lastWriteID, fmt.Sprintf("%d.%d", c.term, c.lastWriteID)
 }
 
-func (c *Core) forgetExits(p *placementPage) {
+func (c *Scheduler) forgetExits(p *placementPage) {
 	for _, pl := range p.unrecordedExits {
 		c.machines.MarkOutcomeRecorded(pl)
 	}
@@ -76,25 +76,25 @@
 // endedMeanwhile says whether a write failed because the job is over. Any other
 // reason means that somebody else leads or that the books are wrong; either
 // way a new term, which reads everything afresh, is the safe answer.
-func (c *Core) endedMeanwhile(now time.Duration, j *job, w Written) bool {
-	for _, k := range w.Failed {
+func (c *Scheduler) endedMeanwhile(now time.Duration, j *Job, w TransactionOutcome) bool {
+	for _, k := range w.FailedKeys {
 		if k == storage.TermKey {
-			c.emit(Depose{Reason: "the term has changed"})
+			c.emit(StepDown{Reason: "the term has changed"})
 			return false
 		}
 	}
-	for _, k := range w.Failed {
-		if k == storage.LiveJobKey(j.spec.ID) {
+	for _, k := range w.FailedKeys {
+		if k == storage.LiveJobKey(j.Spec.ID) {
 			return true
 		}
 	}
-	c.emit(Depose{Reason: fmt.Sprintf("conditions failed: %v", w.Failed)})
+	c.emit(StepDown{Reason: fmt.Sprintf("conditions failed: %v", w.FailedKeys)})
 	return false
 }
 
 // cleanUpEndedJob removes the pages of a job that is over, once nothing of it is left.
-func (c *Core) cleanUpEndedJob(now time.Duration, j *job) {
-	if !j.over || j.writeInFlight || len(j.places) > 0 || c.writesPaused {
+func (c *Scheduler) cleanUpEndedJob(now time.Duration, j *Job) {
+	if !j.Ended || j.writeInFlight || len(j.Placements) > 0 || c.writesPaused {
 		return
 	}
 	if len(j.supersededPages) == 0 {
@@ -105,41 +105,41 @@
 			}
 		}
 	}
-	t := protocol.Txn{If: []protocol.Compare{{Key: storage.TermKey, Revision: c.termStamp}}}
+	t := protocol.Txn{If: []protocol.Compare{{Key: storage.TermKey, Revision: c.termRevision}}}
 	dropped := c.addPageDeletions(j, &t)
 	if len(t.Then) == 0 {
-		delete(c.jobs, j.spec.ID)
+		delete(c.jobs, j.Spec.ID)
 		c.queues.remove(j)
 		return
 	}
 	j.writeInFlight = true
 	id, _ := c.nextWriteID()
-	c.writesInFlight[id] = func(now time.Duration, w Written) {
+	c.writesInFlight[id] = func(now time.Duration, w TransactionOutcome) {
 		j.writeInFlight = false
-		if w.Refused {
+		if w.Malformed {
 			c.shrinkTransactions(&t)
 			c.callAt(now+rejectedRetryDelay, func(now time.Duration) { c.cleanUpEndedJob(now, j) })
 			return
 		}
-		if !w.OK {
-			c.emit(Depose{Reason: fmt.Sprintf("conditions failed: %v", w.Failed)})
+		if !w.Succeeded {
+			c.emit(StepDown{Reason: fmt.Sprintf("conditions failed: %v", w.FailedKeys)})
 			return
 		}
 		c.pagesDeleted(j, dropped)
 		c.cleanUpEndedJob(now, j)
 	}
-	c.emit(Write{ID: id, Txn: t, For: Upkeep, Verify: t.Then[0].DeleteKey})
+	c.emit(Write{ID: id, Txn: t, Priority: PriorityMaintenance, VerifyKey: t.Then[0].DeleteKey})
 }
 
 // startRecorded lets recorded placements go; a gang's only when all are recorded.
-func (c *Core) startRecorded(j *job) {
+func (c *Scheduler) startRecorded(j *Job) {
 	var rest []*partition.Placement
 	for _, pl := range j.unstarted {
 		if !pl.Recorded {
 			rest = append(rest, pl)
 		}
 	}
-	if j.spec.Shape == protocol.Gang && len(rest) > 0 {
+	if j.Spec.Shape == protocol.Gang && len(rest) > 0 {
 		return
 	}
 	for _, pl := range j.unstarted {
@@ -148,15 +148,15 @@
 		}
 	}
 	j.unstarted = rest
-	c.due = c.due || j.counts[pending] > 0
+	c.cycleDue = c.cycleDue || j.TaskCounts[TaskPending] > 0
 }
 
-func (c *Core) cancelUnstarted(now time.Duration, j *job) {
+func (c *Scheduler) cancelUnstarted(now time.Duration, j *Job) {
 	granted := j.unstarted
 	j.unstarted = nil
 	for _, pl := range granted {
 		if !pl.StartAllowed {
-			c.stop(now, j, pl, 0)
+			c.stopPlacement(now, j, pl, 0)
 		}
 	}
 }
--- a/internal/coordination/scheduler/largefleet_test.go
+++ b/internal/coordination/scheduler/largefleet_test.go
@@ -19,10 +19,10 @@
 func machineName(i int) string { return fmt.Sprintf("m%05d", i) }
 
 // largeFleetRecords is what an earlier leader left of one job a machine, each with a task there.
-func largeFleetRecords(t *testing.T, machines int) (r Records) {
+func largeFleetRecords(t *testing.T, machines int) (r RecoveredRecords) {
 	for i := range machines {
 		id := fmt.Sprintf("j-%06d", i)
-		live, err := protocol.Encode(storage.LiveJobRecord{Job: spec(id, protocol.Array, "normal", 1, 4)})
+		live, err := protocol.Encode(storage.LiveJobRecord{Job: jobSpec(id, protocol.Array, "normal", 1, 4)})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -31,7 +31,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		r.Live = append(r.Live, protocol.KeyValue{Key: storage.LiveJobKey(id), Value: live, Revision: uint64(i + 10)})
+		r.LiveJobs = append(r.LiveJobs, protocol.KeyValue{Key: storage.LiveJobKey(id), Value: live, Revision: uint64(i + 10)})
 		r.Pages = append(r.Pages, protocol.KeyValue{Key: productionPage(id, 0), Value: page, Revision: uint64(i + 10)})
 	}
 	return r
@@ -42,28 +42,28 @@
 // second than its share of a core allows. What runs goes on: nothing is started again, nothing is
 // returned, and every task is known as running once its machine was heard.
 func TestTakeOverOfManyMachines(t *testing.T) {
-	b := newBench([]config.Team{{Name: "red"}}, "a")
-	cfg := *b.c.cfg
+	b := newHarness([]config.Team{{Name: "red"}}, "a")
+	cfg := *b.scheduler.cfg
 	cfg.Quota.CoreShare, cfg.Cloud.RPS = 0.336, 4
 	records := largeFleetRecords(t, manyMachines)
-	records.Types = []protocol.MachineType{{Name: "g8", CPUs: 64, GPUs: 8, MemoryGB: 256, CacheGB: 100, FetchGBPerSecond: 1, HourlyPrice: 4, BootSeconds: 30, Zones: []string{"a"}}}
-	b.c = New(0, &cfg, slog.New(slog.NewTextHandler(io.Discard, nil)), Term{Number: 5, Stamp: 1}, records, 0, nil)
+	records.MachineTypes = []protocol.MachineType{{Name: "g8", CPUs: 64, GPUs: 8, MemoryGB: 256, CacheGB: 100, FetchGBPerSecond: 1, HourlyPrice: 4, BootSeconds: 30, Zones: []string{"a"}}}
+	b.scheduler = New(0, &cfg, slog.New(slog.NewTextHandler(io.Discard, nil)), Term{Number: 5, Revision: 1}, records, 0, nil)
 	var list []protocol.ListedMachine
 	for i := range manyMachines {
 		list = append(list, protocol.ListedMachine{Name: machineName(i), Addr: "x", Type: "g8", Zone: "a", State: protocol.MachineRunning})
-		b.zone[machineName(i)], b.tasks[machineName(i)] = "a", map[protocol.TaskID]protocol.TaskStatus{}
+		b.zoneOf[machineName(i)], b.tasks[machineName(i)] = "a", map[protocol.TaskID]protocol.TaskStatus{}
 	}
 	asked, second := map[string]int{}, 0
 	b.onEffect = func(e Effect) {
 		switch e := e.(type) {
-		case Inspect:
+		case Probe:
 			asked[e.Machine]++
 			second++
 		case Write:
-			if e.For == Starts {
-				t.Errorf("placements are written: %s", e.Verify)
+			if e.Priority == PriorityStart {
+				t.Errorf("placements are written: %s", e.VerifyKey)
 			}
-		case Fleet:
+		case CloudRequest:
 			if _, ok := e.Effect.(fleet.ScaleIn); ok {
 				t.Errorf("machines are returned: %v", e.Effect)
 			}
@@ -72,10 +72,10 @@
 	running := func(i int) protocol.TaskStatus {
 		return protocol.TaskStatus{TaskName: fmt.Sprintf("j-%06d/0", i), Attempt: 1, State: protocol.TaskRunning}
 	}
-	perSecond := int(inspectsPerCore * cfg.Quota.CoreShare)
-	b.do(Listed{Asked: b.now, Machines: list})
+	perSecond := int(probesPerCore * cfg.Quota.CoreShare)
+	b.apply(MachinesListed{RequestedAt: b.now, Machines: list})
 	for i := 0; i < manyMachines; i += 2 {
-		b.machine(machineName(i), "a", false, running(i)) // these report by themselves
+		b.heartbeat(machineName(i), "a", false, running(i)) // these report by themselves
 	}
 	early := len(asked)
 	for range manyMachines/perSecond + 1 {
@@ -83,7 +83,7 @@
 			t.Fatalf("%d inspections in a second, want %d at most", second, perSecond)
 		}
 		second = 0
-		b.cycle()
+		b.runCycle()
 	}
 	for i := range manyMachines {
 		switch n := asked[machineName(i)]; {
@@ -98,10 +98,10 @@
 	}
 	for i := 1; i < manyMachines; i += 2 {
 		b.tasks[machineName(i)][protocol.TaskID{JobID: fmt.Sprintf("j-%06d", i)}] = running(i)
-		b.do(Inspected{Report: b.report(machineName(i))})
+		b.apply(ProbeReply{Heartbeat: b.nextHeartbeat(machineName(i))})
 	}
 	for i := range manyMachines {
-		if st, ok := b.c.Status(fmt.Sprintf("j-%06d", i)); !ok || st.RunningTasks != 1 {
+		if st, ok := b.scheduler.Status(fmt.Sprintf("j-%06d", i)); !ok || st.RunningTasks != 1 {
 			t.Fatalf("job %d: %+v %v", i, st, ok)
 		}
 	}
@@ -131,10 +131,10 @@
 func TestLedgerOfManyLoans(t *testing.T) {
 	const loans, perBorrower = 1000, 7
 	b := newZoneHarness(zones.DefaultRecoveryOrder(), config.Team{Name: "red"})
-	b.c.cfg.Quota.RAMMB = 49
+	b.scheduler.cfg.Quota.RAMMB = 49
 	b.takeOver(6)
-	z := b.c.zoneFailover
-	if most := b.c.maxOpenLoans(); most < loans {
+	z := b.scheduler.zoneFailover
+	if most := b.scheduler.maxOpenLoans(); most < loans {
 		t.Fatalf("%d loans may be open, want %d", most, loans)
 	}
 	borrower := func(i int) string { return fmt.Sprintf("j-%06d", 900_000+i/perBorrower) }
@@ -145,19 +145,19 @@
 			t.Fatal(err)
 		}
 		z.awaitingPreemption[loan.Lender] = true
-		z.records.addLoan(loan.Lender, b.c.loansPerPage())
+		z.records.addLoan(loan.Lender, b.scheduler.loansPerPage())
 	}
 	recorded := map[string]protocol.KeyValue{}
 	rev := uint64(1000)
 	write := func() bool {
-		b.c.out = nil
-		b.c.writeFailoverRecords(b.now)
-		for _, e := range b.c.out {
+		b.scheduler.effects = nil
+		b.scheduler.writeFailoverRecords(b.now)
+		for _, e := range b.scheduler.effects {
 			w, ok := e.(Write)
 			if !ok {
 				continue
 			}
-			if len(w.Txn.Then) > b.c.pagesPerTransaction() {
+			if len(w.Txn.Then) > b.scheduler.pagesPerTransaction() {
 				t.Fatalf("%d pages in a transaction", len(w.Txn.Then))
 			}
 			rev++
@@ -167,7 +167,7 @@
 					recorded[op.PutKey] = protocol.KeyValue{Key: op.PutKey, Value: op.Value, Revision: rev}
 				}
 			}
-			b.c.Step(b.now, Written{Write: w.ID, OK: true, Rev: rev})
+			b.scheduler.Step(b.now, TransactionOutcome{WriteID: w.ID, Succeeded: true, Revision: rev})
 			return true
 		}
 		return false
@@ -207,16 +207,16 @@
 	}
 	b.records = recorded
 	b.takeOver(7)
-	if got := b.c.zoneFailover.ledger.Len(); got != loans {
+	if got := b.scheduler.zoneFailover.ledger.Len(); got != loans {
 		t.Errorf("the next leader knows of %d loans, want %d", got, loans)
 	}
-	z = b.c.zoneFailover
+	z = b.scheduler.zoneFailover
 	for i := range loans {
 		z.ledger.Close(lender(i))
 		z.records.removeLoan(lender(i))
 	}
 	for range loans {
-		b.now += Cycle
+		b.now += CycleInterval
 		write()
 	}
 	if len(recorded) != 1 {
--- a/internal/coordination/scheduler/lifecycle.go
+++ b/internal/coordination/scheduler/lifecycle.go
@@ -11,66 +11,66 @@
 	"pinebay/internal/storage"
 )
 
-func (c *Core) accept(now, since time.Duration, rec storage.LiveJobRecord, stamp uint64) {
+func (c *Scheduler) acceptJob(now, since time.Duration, rec storage.LiveJobRecord, stamp uint64) {
 	id := rec.Job.ID
 	if j := c.jobs[id]; j != nil {
-		if !j.over {
-			j.stamp = stamp
+		if !j.Ended {
+			j.LiveRevision = stamp
 		}
 		return
 	}
-	j := newJob(rec.Job, stamp, rec.AcceptedAtMS, since, c.newJobLayout())
+	j := NewJob(rec.Job, stamp, rec.AcceptedAtMS, since, c.newJobLayout())
 	c.jobs[id] = j
 	c.addDependencies(now, j)
 	c.enqueue(j)
-	if j.blocked {
+	if j.Blocked {
 		return // it arrives when it is freed
 	}
-	c.arrived(j, since)
-	c.due = true
+	c.recordArrival(j, since)
+	c.cycleDue = true
 }
 
-// arrived remembers when a job came that may begin, for the forecast of arrivals.
-func (c *Core) arrived(j *job, since time.Duration) {
-	class := j.spec.Class
+// recordArrival remembers when a job came that may begin, for the forecast of arrivals.
+func (c *Scheduler) recordArrival(j *Job, since time.Duration) {
+	class := j.Spec.Class
 	c.arrivals[class] = append(c.arrivals[class], since)
-	c.sample[class] = &j.spec
-	if old := c.sizes[class]; old > 0 {
-		c.sizes[class] = old + (float64(j.spec.TaskCount)-old)/8
+	c.newestJobs[class] = &j.Spec
+	if old := c.meanTasks[class]; old > 0 {
+		c.meanTasks[class] = old + (float64(j.Spec.TaskCount)-old)/8
 	} else {
-		c.sizes[class] = float64(j.spec.TaskCount)
+		c.meanTasks[class] = float64(j.Spec.TaskCount)
 	}
 }
 
-// facts takes in what became of placements.
-func (c *Core) facts(now time.Duration, facts []partition.Observation) {
+// applyObservations takes in what became of placements.
+func (c *Scheduler) applyObservations(now time.Duration, facts []partition.Observation) {
 	for _, f := range facts {
 		pl := f.Placement
 		j := c.jobs[pl.Task.JobID]
-		if j == nil || j.places[pl.Task.Index] != pl {
+		if j == nil || j.Placements[pl.Task.Index] != pl {
 			continue
 		}
 		if !pl.Terminated {
 			if pl.State == protocol.TaskRunning && pl.StateSince == now {
-				j.runAt = now
-				if j.spec.Shape == protocol.Service {
-					j.ran[pl.Task.Index] = true
+				j.LastTaskStart = now
+				if j.Spec.Shape == protocol.Service {
+					j.HasRun[pl.Task.Index] = true
 				}
-				j.failures = max(0, j.failures-1)
-				c.log.Debug("running", "task", pl.Task, "class", j.spec.Class, "attempt", pl.Attempt, "machine", pl.Machine,
-					"waited", now-j.known, "placed", now-pl.ReservedAt, "image", j.spec.Image)
+				j.Failures = max(0, j.Failures-1)
+				c.log.Debug("running", "task", pl.Task, "class", j.Spec.Class, "attempt", pl.Attempt, "machine", pl.Machine,
+					"waited", now-j.WaitingSince, "placed", now-pl.ReservedAt, "image", j.Spec.Image)
 			}
 			continue
 		}
-		c.gone(now, j, pl, f.Lost)
+		c.placementGone(now, j, pl, f.Lost)
 	}
 }
 
-// gone takes in that a placement is proven gone.
-func (c *Core) gone(now time.Duration, j *job, pl *partition.Placement, lost bool) {
-	c.due = true
+// placementGone takes in that a placement is proven gone.
+func (c *Scheduler) placementGone(now time.Duration, j *Job, pl *partition.Placement, lost bool) {
+	c.cycleDue = true
 	task := pl.Task.Index
-	delete(j.places, task)
+	delete(j.Placements, task)
 	pg := j.pageOfTask(task)
 	pg.unrecordedExits = append(pg.unrecordedExits, pl)
 	if lost {
@@ -78,46 +78,46 @@
 		c.log.Info("task lost with its machine", "task", pl.Task, "attempt", pl.Attempt, "machine", pl.Machine)
 	}
 	switch {
-	case j.over:
-		j.set(task, done)
+	case j.Ended:
+		j.SetTask(task, TaskDone)
 		c.cleanUpEndedJob(now, j)
 		return
-	case j.tasks[task] == done:
+	case j.TaskStates[task] == TaskDone:
 		return
 	case !lost && pl.Cause == protocol.CauseDone:
-		j.set(task, done)
+		j.SetTask(task, TaskDone)
 		j.markDirty(task, now)
-		if j.spec.Shape == protocol.Gang {
+		if j.Spec.Shape == protocol.Gang {
 			// A gang completes together.
-			for t := range j.tasks {
-				if j.tasks[t] != done {
-					j.set(t, done)
+			for t := range j.TaskStates {
+				if j.TaskStates[t] != TaskDone {
+					j.SetTask(t, TaskDone)
 					j.markDirty(t, now)
 				}
 			}
 		}
-		if j.counts[done] == len(j.tasks) {
+		if j.TaskCounts[TaskDone] == len(j.TaskStates) {
 			c.completeJob(now, j)
 		}
 		return
 	}
-	j.begun = j.begun || j.runAt > 0 && now-j.runAt >= startCountsAfter
-	j.runAt = 0
-	j.set(task, pending)
+	j.StartCounted = j.StartCounted || j.LastTaskStart > 0 && now-j.LastTaskStart >= startCountsAfter
+	j.LastTaskStart = 0
+	j.SetTask(task, TaskPending)
 	j.markDirty(task, now) // or its exited entry could never be forgotten
 	if !lost {
-		c.failed(now, j, pl)
+		c.taskFailed(now, j, pl)
 	}
-	if j.spec.Shape == protocol.Gang {
+	if j.Spec.Shape == protocol.Gang {
 		c.stopGang(now, j)
-		if len(j.places) == 0 {
-			j.stopping = false
+		if len(j.Placements) == 0 {
+			j.GangStopping = false
 		}
 	}
 }
 
-// failed draws the conclusions from an exit that was not asked for.
-func (c *Core) failed(now time.Duration, j *job, pl *partition.Placement) {
+// taskFailed draws the conclusions from an exit that was not asked for.
+func (c *Scheduler) taskFailed(now time.Duration, j *Job, pl *partition.Placement) {
 	switch pl.Cause {
 	case protocol.CauseStopped, protocol.CausePeerLost, protocol.CauseDone:
 		return
@@ -126,15 +126,15 @@
 	m := c.machines.Machine(pl.Machine)
 	switch pl.Cause {
 	case protocol.CauseError:
-		j.failures++
-		j.failedOn[pl.Machine] = true
-		if j.suspect() {
+		j.Failures++
+		j.FailedOn[pl.Machine] = true
+		if j.LikelyFaulty() {
 			// It fails everywhere: the job is at fault, not the machines. Back
 			// off, so that it spoils neither machines nor our verdict on them.
-			j.notBefore = now + min(Cycle<<min(j.failures, 6), config.Seconds(2*c.cfg.Workers.CancelSeconds))
-			for name := range j.failedOn {
+			j.BackoffUntil = now + min(CycleInterval<<min(j.Failures, 6), config.Seconds(2*c.cfg.Workers.CancelSeconds))
+			for name := range j.FailedOn {
 				if o := c.machines.Machine(name); o != nil {
-					delete(o.FailedJobs, j.spec.ID)
+					delete(o.FailedJobs, j.Spec.ID)
 				}
 			}
 		}
@@ -143,99 +143,99 @@
 		if m != nil {
 			m.UnresponsiveUntil = max(m.UnresponsiveUntil, now+config.Seconds(2*c.cfg.Workers.HeartbeatSeconds))
 		}
-		j.notBefore = now + Cycle/4
+		j.BackoffUntil = now + CycleInterval/4
 	case protocol.CauseUnknownTask:
-		j.failures++
-		j.notBefore = now + Cycle<<min(j.failures, 5)
+		j.Failures++
+		j.BackoffUntil = now + CycleInterval<<min(j.Failures, 5)
 	default:
-		j.notBefore = now + Cycle/4
+		j.BackoffUntil = now + CycleInterval/4
 	}
 }
 
 // stopGang stops all of a gang that has lost a task: below minAvailable it is
 // requeued as a whole, from its checkpoint.
-func (c *Core) stopGang(now time.Duration, j *job) {
-	for _, pl := range placements(j) {
+func (c *Scheduler) stopGang(now time.Duration, j *Job) {
+	for _, pl := range sortedPlacements(j) {
 		if !pl.Stopping || pl.GraceS > 0 {
-			c.stop(now, j, pl, 0)
+			c.stopPlacement(now, j, pl, 0)
 		}
 	}
-	j.stopping = len(j.places) > 0
+	j.GangStopping = len(j.Placements) > 0
 }
 
-func placements(j *job) []*partition.Placement {
-	list := make([]*partition.Placement, 0, len(j.places))
-	for _, pl := range j.places {
+func sortedPlacements(j *Job) []*partition.Placement {
+	list := make([]*partition.Placement, 0, len(j.Placements))
+	for _, pl := range j.Placements {
 		list = append(list, pl)
 	}
 	sort.Slice(list, func(a, b int) bool { return list[a].Task.Index < list[b].Task.Index })
 	return list
 }
 
-// stop asks a placement to end, and takes in when that needs no proof.
-func (c *Core) stop(now time.Duration, j *job, pl *partition.Placement, graceS float64) {
+// stopPlacement asks a placement to end, and takes in when that needs no proof.
+func (c *Scheduler) stopPlacement(now time.Duration, j *Job, pl *partition.Placement, graceS float64) {
 	c.capacityEvents++
 	if c.machines.Stop(now, pl, graceS) && !pl.StartAllowed && j.writeInFlight {
 		// Its record may be written at this moment; it names a placement that
 		// was never started, which a later write replaces.
 		c.log.Debug("placement withdrawn before its record", "task", pl.Task)
 	}
-	if pl.Terminated && j.places[pl.Task.Index] == pl {
-		c.gone(now, j, pl, true)
+	if pl.Terminated && j.Placements[pl.Task.Index] == pl {
+		c.placementGone(now, j, pl, true)
 	}
 }
 
-// stopJob stops everything of a job that is over.
-func (c *Core) stopJob(now time.Duration, j *job) {
-	for _, pl := range placements(j) {
-		c.stop(now, j, pl, 0)
+// stopJobTasks stops everything of a job that is over.
+func (c *Scheduler) stopJobTasks(now time.Duration, j *Job) {
+	for _, pl := range sortedPlacements(j) {
+		c.stopPlacement(now, j, pl, 0)
 	}
 	c.cleanUpEndedJob(now, j)
 }
 
-// end takes in that a job is over.
-func (c *Core) end(now time.Duration, j *job) {
-	j.over, j.stamp = true, 0
-	c.liveRecordGone(now, j.spec.ID)
+// endJob takes in that a job is over.
+func (c *Scheduler) endJob(now time.Duration, j *Job) {
+	j.Ended, j.LiveRevision = true, 0
+	c.liveRecordDeleted(now, j.Spec.ID)
 	c.queues.update(j)
-	c.due = true
-	if j.counts[done] < len(j.tasks) {
+	c.cycleDue = true
+	if j.TaskCounts[TaskDone] < len(j.TaskStates) {
 		c.setFencingDeadline(j, c.fencingDeadline(now))
 	}
-	c.stopJob(now, j)
+	c.stopJobTasks(now, j)
 }
 
-// stopOnNotice takes work off machines that the cloud is about to take away: saved
+// evictOnTerminationNotice takes work off machines that the cloud is about to take away: saved
 // if that can be done in time.
-func (c *Core) stopOnNotice(now time.Duration) {
+func (c *Scheduler) evictOnTerminationNotice(now time.Duration) {
 	c.machines.EachWithInterruptionNotice(func(m *partition.Machine) {
 		for _, pl := range c.placementsOn(m) {
 			if !pl.Stopping {
-				c.stopOrderly(now, pl, math.MaxInt64)
+				c.evict(now, pl, math.MaxInt64)
 			}
 		}
 	})
 }
 
-// stopOrderly stops a placement, with all of its gang if it has one, so that
+// evict stops a placement, with all of its gang if it has one, so that
 // its progress is saved if there is time for that.
-func (c *Core) stopOrderly(now time.Duration, pl *partition.Placement, within time.Duration) {
+func (c *Scheduler) evict(now time.Duration, pl *partition.Placement, within time.Duration) {
 	j := c.jobs[pl.Task.JobID]
 	if j == nil {
 		return
 	}
 	grace := 0.0
-	if j.spec.CheckpointIntervalSeconds > 0 && config.Seconds(j.spec.SaveSeconds+c.cfg.Workers.HeartbeatSeconds) < within {
-		grace = j.spec.SaveSeconds + c.cfg.Workers.GangPeerSeconds
+	if j.Spec.CheckpointIntervalSeconds > 0 && config.Seconds(j.Spec.SaveSeconds+c.cfg.Workers.HeartbeatSeconds) < within {
+		grace = j.Spec.SaveSeconds + c.cfg.Workers.GangPeerSeconds
 	}
-	if j.spec.Shape != protocol.Gang {
-		c.stop(now, j, pl, grace)
+	if j.Spec.Shape != protocol.Gang {
+		c.stopPlacement(now, j, pl, grace)
 		return
 	}
-	j.stopping = true
-	for _, o := range placements(j) {
+	j.GangStopping = true
+	for _, o := range sortedPlacements(j) {
 		if !o.Stopping {
-			c.stop(now, j, o, grace)
+			c.stopPlacement(now, j, o, grace)
 		}
 	}
 }
--- a/internal/coordination/scheduler/pagelayout.go
+++ b/internal/coordination/scheduler/pagelayout.go
@@ -11,11 +11,11 @@
 // changeLayout cuts a job's pages anew, narrower than they are. What is stored stays until pages of the new
 // layout say the same: of a task that several stored pages cover, the narrowest counts. No write of the job
 // may be under way.
-func (j *job) changeLayout(layout storage.PageLayout) {
+func (j *Job) changeLayout(layout storage.PageLayout) {
 	old, oldLayout := j.pages, j.layout
 	j.layout, j.pages = layout, map[int]*placementPage{}
 	for _, n := range slices.Sorted(maps.Keys(old)) {
-		p, name := old[n], storage.PageID{Job: j.spec.ID, Layout: oldLayout, Number: n}
+		p, name := old[n], storage.PageID{Job: j.Spec.ID, Layout: oldLayout, Number: n}
 		if p.revision != 0 {
 			j.supersededPages = append(j.supersededPages, supersededPage{name, p.revision, p.highestAttempt})
 		}
@@ -32,14 +32,14 @@
 }
 
 // narrowToFit cuts a job's pages narrower until those to be written fit a value. The first layout always fits.
-func (c *Core) narrowToFit(j *job) {
+func (c *Scheduler) narrowToFit(j *Job) {
 	for j.layout.Compact && j.layout.TasksPerPage > 1 && slices.ContainsFunc(j.dirtyPages(), func(n int) bool { return !c.pageFitsValue(j, n) }) {
 		j.changeLayout(storage.PageLayout{TasksPerPage: (j.layout.TasksPerPage + 1) / 2, Compact: true})
 	}
 }
 
 // pageFitsValue says whether page n fits a value. Few need more than a look at how many tasks are on them.
-func (c *Core) pageFitsValue(j *job, n int) bool {
+func (c *Scheduler) pageFitsValue(j *Job, n int) bool {
 	if float64(j.estimatedPageBytes(n)) <= c.stateLimits.ValueKB*1024 {
 		return true
 	}
@@ -49,15 +49,15 @@
 }
 
 // eachOverlappingPage calls f for each page of the job's layout that shares tasks with a page of another one.
-func (j *job) eachOverlappingPage(name storage.PageID, f func(n int)) {
-	end := min(name.EndTask(), len(j.tasks))
+func (j *Job) eachOverlappingPage(name storage.PageID, f func(n int)) {
+	end := min(name.EndTask(), len(j.TaskStates))
 	for n := name.FirstTask() / j.layout.TasksPerPage; n*j.layout.TasksPerPage < end; n++ {
 		f(n)
 	}
 }
 
 // fullyReplaced says whether a superseded page counts for no task any more once the given pages are written.
-func (j *job) fullyReplaced(s supersededPage, written []int) bool {
+func (j *Job) fullyReplaced(s supersededPage, written []int) bool {
 	ok := true
 	j.eachOverlappingPage(s.id, func(n int) {
 		if p := j.page(n); p.revision == 0 && p.highestAttempt > 0 && !slices.Contains(written, n) {
@@ -69,7 +69,7 @@
 
 // markReplacementsDirty has the pages written that keep a superseded page from being dropped. If there are none, it
 // goes with the next write of the first page that shares tasks with it.
-func (j *job) markReplacementsDirty(now time.Duration) {
+func (j *Job) markReplacementsDirty(now time.Duration) {
 	if len(j.supersededPages) == 0 {
 		return
 	}
@@ -82,5 +82,5 @@
 	if j.fullyReplaced(old, nil) {
 		j.page(old.id.FirstTask() / j.layout.TasksPerPage).dirty = true
 	}
-	j.queues.addEnded(now, j)
+	j.Queues.addEnded(now, j)
 }
--- a/internal/coordination/scheduler/placementpages.go
+++ b/internal/coordination/scheduler/placementpages.go
@@ -27,7 +27,7 @@
 	highestAttempt uint64
 }
 
-func (j *job) page(n int) *placementPage {
+func (j *Job) page(n int) *placementPage {
 	p := j.pages[n]
 	if p == nil {
 		p = &placementPage{}
@@ -36,31 +36,31 @@
 	return p
 }
 
-func (j *job) pageOfTask(task int) *placementPage { return j.page(task / j.layout.TasksPerPage) }
+func (j *Job) pageOfTask(task int) *placementPage { return j.page(task / j.layout.TasksPerPage) }
 
 // pageID is what tells a page from others.
-func (j *job) pageID(n int) storage.PageID {
-	return storage.PageID{Job: j.spec.ID, Layout: j.layout, Number: n}
+func (j *Job) pageID(n int) storage.PageID {
+	return storage.PageID{Job: j.Spec.ID, Layout: j.layout, Number: n}
 }
 
-func (j *job) markDirty(task int, now time.Duration) {
+func (j *Job) markDirty(task int, now time.Duration) {
 	j.pageOfTask(task).dirty = true
-	j.queues.addEnded(now, j)
+	j.Queues.addEnded(now, j)
 }
 
 // pageRecord returns page n as it should be stored.
-func (j *job) pageRecord(n int, write string) *storage.PlacementPage {
+func (j *Job) pageRecord(n int, write string) *storage.PlacementPage {
 	p := j.page(n)
 	r := &storage.PlacementPage{
-		WriteName: write, HighestAttempt: p.highestAttempt, Team: j.spec.Team,
-		CPUs: j.need.CPUs, GPUs: j.need.GPUs, MemoryGB: j.need.MemoryGB,
+		WriteName: write, HighestAttempt: p.highestAttempt, Team: j.Spec.Team,
+		CPUs: j.TaskResources.CPUs, GPUs: j.TaskResources.GPUs, MemoryGB: j.TaskResources.MemoryGB,
 	}
 	name := j.pageID(n)
-	for t := name.FirstTask(); t < min(name.EndTask(), len(j.tasks)); t++ {
-		if j.tasks[t] == done {
+	for t := name.FirstTask(); t < min(name.EndTask(), len(j.TaskStates)); t++ {
+		if j.TaskStates[t] == TaskDone {
 			r.AddDoneTask(t)
 		}
-		if pl := j.places[t]; pl != nil {
+		if pl := j.Placements[t]; pl != nil {
 			r.Placements = append(r.Placements, storage.Placement{
 				Task: t, Machine: pl.Machine, Incarnation: pl.Incarnation, Attempt: pl.Attempt, Zone: r.ZoneIndex(pl.Zone),
 			})
@@ -70,10 +70,10 @@
 }
 
 // encodePage returns page n as it is stored, for a transaction of the given name.
-func (j *job) encodePage(n int, write string) ([]byte, error) {
+func (j *Job) encodePage(n int, write string) ([]byte, error) {
 	value, err := storage.EncodePage(j.pageRecord(n, write), j.layout)
 	if err != nil {
-		return nil, fmt.Errorf("page %d of %s: %w", n, j.spec.ID, err)
+		return nil, fmt.Errorf("page %d of %s: %w", n, j.Spec.ID, err)
 	}
 	return value, nil
 }
@@ -85,17 +85,17 @@
 )
 
 // estimatedPageBytes bounds the size of page n as a record.
-func (j *job) estimatedPageBytes(n int) int {
+func (j *Job) estimatedPageBytes(n int) int {
 	size := recordHeaderBytes
 	last := false
 	name := j.pageID(n)
-	for t := name.FirstTask(); t < min(name.EndTask(), len(j.tasks)); t++ {
-		isDone := j.tasks[t] == done
+	for t := name.FirstTask(); t < min(name.EndTask(), len(j.TaskStates)); t++ {
+		isDone := j.TaskStates[t] == TaskDone
 		if isDone && !last {
 			size += doneRangeBytes
 		}
 		last = isDone
-		if j.places[t] != nil {
+		if j.Placements[t] != nil {
 			size += storage.PlacementBytes
 		}
 	}
@@ -103,7 +103,7 @@
 }
 
 // dirtyPages lists the pages to be written, in order.
-func (j *job) dirtyPages() []int {
+func (j *Job) dirtyPages() []int {
 	var ns []int
 	for n, p := range j.pages {
 		if p.dirty {
@@ -115,7 +115,7 @@
 }
 
 // pagesToWrite lists up to so many pages to be written, those first for which starts wait.
-func (j *job) pagesToWrite(most int) []int {
+func (j *Job) pagesToWrite(most int) []int {
 	var ns []int
 	add := func(n int) {
 		if len(ns) < most && !slices.Contains(ns, n) {
@@ -140,7 +140,7 @@
 
 // addPageDeletions adds to a transaction the deletion of a job's pages, as far as it has room: those first that
 // others supersede, or they would count again.
-func (c *Core) addPageDeletions(j *job, t *protocol.Txn) (d pageDeletions) {
+func (c *Scheduler) addPageDeletions(j *Job, t *protocol.Txn) (d pageDeletions) {
 	drop := func(name storage.PageID, stamp uint64) {
 		t.If = append(t.If, protocol.Compare{Key: name.Key(), Revision: stamp})
 		t.Then = append(t.Then, protocol.Op{DeleteKey: name.Key()})
@@ -161,7 +161,7 @@
 }
 
 // pagesDeleted takes in that pages of a job are gone.
-func (c *Core) pagesDeleted(j *job, d pageDeletions) {
+func (c *Scheduler) pagesDeleted(j *Job, d pageDeletions) {
 	for _, n := range d.pages {
 		c.forgetExits(j.pages[n])
 		delete(j.pages, n)
