--- a/internal/coordination/election/candidacy.go
+++ b/internal/coordination/election/candidacy.go
@@ -6,20 +6,22 @@
 )
 
 const (
-	// recentHeartbeats is for how many heartbeat intervals a peer counts as heard.
-	recentHeartbeats = 3
-	// stableHeartbeats is for how many heartbeat intervals a quorum must have been heard before
-	// this controller trusts that it is not itself the one that is cut off.
-	stableHeartbeats = 3
-	// reconnectHeartbeats is how many heartbeat intervals a follower waits for a leader whose
-	// connection has ended. A live leader connects again within one.
-	reconnectHeartbeats = 2
-	// renewalsPerTTL is how many times the leader renews its lease within the lease's time to live.
+	// peerHeardIntervals is the number of heartbeat intervals for which a peer counts as reachable after its last
+	// heartbeat.
+	peerHeardIntervals = 3
+	// stableQuorumIntervals is the number of heartbeat intervals for which a quorum must have been reachable before
+	// this controller may replace a silent leader. A shorter contact does not rule out that this controller is the one
+	// that is partitioned.
+	stableQuorumIntervals = 3
+	// leaderReconnectIntervals is the number of heartbeat intervals that a follower waits for a disconnected leader. A
+	// live leader reconnects within one.
+	leaderReconnectIntervals = 2
+	// renewalsPerTTL is the number of lease renewals that the leader sends during one time to live of the lease.
 	renewalsPerTTL = 3
 )
 
-// candidateRank spreads the claims of candidates that become ready together. The order changes
-// with the term, so that a candidate that cannot lead is not always first.
+// candidateRank returns this controller's position in the order in which candidates that become ready together claim
+// the leadership. The order rotates with the term, so that a candidate that is unable to lead does not always go first.
 func (e *Election) candidateRank() int {
 	all := append([]string{e.self}, e.peers...)
 	sort.Strings(all)
@@ -27,8 +29,8 @@
 	return int((position + e.term) % uint64(len(all)))
 }
 
-// scheduleClaim plans a claim at a time, delayed by the candidate's rank. An earlier planned claim
-// stays.
+// scheduleClaim schedules a claim at the given time plus a delay that grows with the candidate's rank. It never
+// postpones a claim that is already scheduled.
 func (e *Election) scheduleClaim(at time.Duration) {
 	at += time.Duration(e.candidateRank()) * e.timing.CandidateDelay
 	if e.claimAt == 0 || at < e.claimAt {
@@ -43,24 +45,24 @@
 	case roleLeader:
 		e.tickLeader(now)
 	case roleCandidate:
-		// The outcome of the claim decides.
+		// Wait for the ClaimResult.
 	}
 }
 
 func (e *Election) tickFollower(now time.Duration) {
 	e.trackQuorum(now)
-	if e.claimAt == 0 && (now-e.leaderHeardAt > e.timing.LeaderTimeout || e.keyMissing) {
+	if e.claimAt == 0 && (now-e.leaderHeardAt > e.timing.LeaderTimeout || e.leaderKeyMissing) {
 		e.scheduleClaim(now)
 	}
-	if e.claimAt != 0 && now >= max(e.claimAt, e.deferUntil) && e.mayReplaceLeader(now) {
+	if e.claimAt != 0 && now >= max(e.claimAt, e.noClaimBefore) && e.mayReplaceLeader(now) {
 		e.claimAt = 0
 		e.role = roleCandidate
 		e.emit(Claim{AboveTerm: e.term})
 	}
 }
 
-// trackQuorum notes since when a quorum has been heard without interruption. When connections come
-// back after a cut, the leader's may be the last one.
+// trackQuorum records since when a quorum has been reachable without interruption. When connections come back after a
+// network partition, the one to the leader may be the last.
 func (e *Election) trackQuorum(now time.Duration) {
 	switch {
 	case !e.quorumHeardAfter(now, 0):
@@ -72,48 +74,48 @@
 
 func (e *Election) tickLeader(now time.Duration) {
 	if now >= e.confirmedUntil(now) {
-		// Others may lead by now, and know of cancellations that we don't. Workers must be free to
-		// find them.
+		// Another controller may have become the leader and know of cancellations that this one has missed, so workers
+		// must be free to switch to it.
 		e.stepDown(now)
 		e.leader = ""
 		return
 	}
-	if !e.renewing && now-e.renewalSentAt >= e.timing.LeaseTTL/renewalsPerTTL {
-		e.renewing, e.renewalSentAt = true, now
+	if !e.renewalInFlight && now-e.renewalSentAt >= e.timing.LeaseTTL/renewalsPerTTL {
+		e.renewalInFlight, e.renewalSentAt = true, now
 		e.emit(RenewLease{LeaseID: e.leaseID, Term: e.term})
 	}
 }
 
-// mayReplaceLeader says whether a silent leader whose key is still there counts as failed: only
-// while a quorum is heard. A controller that hears hardly anybody is more likely cut off itself;
-// or all are cut off from each other, while the leader serves the workers and keeps its key.
-// Without this check the leadership moved on again and again as long as connections between
-// controllers were refused. The lease of the key still ends the term of a leader that has failed.
+// mayReplaceLeader reports whether a silent leader may be replaced. A leader whose key is still in the store counts as
+// failed only while this controller reaches a quorum: otherwise it is more likely that this controller is partitioned,
+// or that all controllers are partitioned from each other while the leader still serves the workers and keeps its key.
+// Without this check, the leadership changed hands repeatedly for as long as connections between controllers were
+// refused. A leader that has really failed loses its key when the lease expires.
 func (e *Election) mayReplaceLeader(now time.Duration) bool {
-	if e.keyMissing || e.leader == "" || e.leader == e.self {
+	if e.leaderKeyMissing || e.leader == "" || e.leader == e.self {
 		return true
 	}
-	stable := stableHeartbeats * e.timing.HeartbeatInterval
+	stable := stableQuorumIntervals * e.timing.HeartbeatInterval
 	return e.quorumHeardSince != 0 && now-e.quorumHeardSince >= stable &&
 		e.quorumHeardAfter(now, e.leaderDisconnectedAt+e.timing.HeartbeatInterval/2)
 }
 
-// quorumHeardAfter says whether a quorum, including this controller, was heard recently and after
-// the given time.
+// quorumHeardAfter reports whether a quorum, which includes this controller, has been heard from recently and after the
+// given time.
 func (e *Election) quorumHeardAfter(now, after time.Duration) bool {
 	heard := 1
 	for _, at := range e.peerHeardAt {
-		if now-at <= recentHeartbeats*e.timing.HeartbeatInterval && at > after {
+		if now-at <= peerHeardIntervals*e.timing.HeartbeatInterval && at > after {
 			heard++
 		}
 	}
 	return IsQuorum(heard, len(e.peers))
 }
 
-// stepDown makes a leader a follower.
+// stepDown turns the leader into a follower.
 func (e *Election) stepDown(now time.Duration) {
 	e.emit(StepDown{Term: e.term, LeaseID: e.leaseID})
-	e.role, e.leaseID, e.renewing = roleFollower, 0, false
+	e.role, e.leaseID, e.renewalInFlight = roleFollower, 0, false
 	e.leaderHeardAt = now
 	clear(e.ackedAt)
 	clear(e.intentsReceivedAt)
--- a/internal/coordination/election/cluster_test.go
+++ b/internal/coordination/election/cluster_test.go
@@ -25,33 +25,33 @@
 	RecoveryPeriod:      7 * time.Second,
 }
 
-// cluster is a group of controllers with a model of the store. Messages between controllers and
-// calls of the store are instantaneous.
+// cluster simulates a group of controllers and the store that they share. Messages between controllers and requests to
+// the store take no time.
 type cluster struct {
-	t         *rapid.T
-	now       time.Duration
-	names     []string
-	elections map[string]*Election
-	startedAt map[string]time.Duration
-	storeDown map[string]bool // controllers that do not reach the store
-	isolated  map[string]bool // controllers that do not reach their peers
-
-	term         uint64 // of the term's record
-	holder       string // of the leader's key
-	keyPresent   bool
-	leaseID      uint64
-	expires      time.Duration     // when the lease does
-	leaderOfTerm map[uint64]string // all terms that were led
+	t                *rapid.T
+	now              time.Duration
+	names            []string
+	elections        map[string]*Election
+	startedAt        map[string]time.Duration
+	storeUnreachable map[string]bool // controllers that cannot reach the store
+	isolated         map[string]bool // controllers that cannot reach their peers
+
+	term           uint64 // the term in the term record
+	keyHolder      string // the controller named in the leader key
+	keyPresent     bool
+	leaseID        uint64
+	leaseExpiresAt time.Duration     // when the lease that holds the leader key expires
+	leaderOfTerm   map[uint64]string // the leader of each term that has had one
 }
 
 func newCluster(t *rapid.T, n int) *cluster {
 	c := &cluster{
-		elections:    map[string]*Election{},
-		storeDown:    map[string]bool{},
-		isolated:     map[string]bool{},
-		leaderOfTerm: map[uint64]string{},
-		startedAt:    map[string]time.Duration{},
-		t:            t,
+		elections:        map[string]*Election{},
+		storeUnreachable: map[string]bool{},
+		isolated:         map[string]bool{},
+		leaderOfTerm:     map[uint64]string{},
+		startedAt:        map[string]time.Duration{},
+		t:                t,
 	}
 	for i := range n {
 		c.names = append(c.names, fmt.Sprintf("n%d", i))
@@ -62,7 +62,7 @@
 	return c
 }
 
-// restart starts a new process of a controller.
+// restart replaces a controller by a new process that has kept no state.
 func (c *cluster) restart(name string) {
 	var peers []string
 	for _, n := range c.names {
@@ -74,7 +74,7 @@
 	c.startedAt[name] = c.now
 }
 
-// step passes an event to a controller and carries out the effects.
+// step passes an event to a controller and applies the resulting effects.
 func (c *cluster) step(name string, e Event) {
 	for _, effect := range c.elections[name].Step(c.now, e) {
 		switch o := effect.(type) {
@@ -88,7 +88,7 @@
 			}
 			c.leaderOfTerm[o.Term] = name
 		case StepDown:
-			if !c.storeDown[name] && c.leaseID == o.LeaseID {
+			if !c.storeUnreachable[name] && c.leaseID == o.LeaseID {
 				c.keyPresent = false
 			}
 		}
@@ -96,40 +96,40 @@
 }
 
 func (c *cluster) renew(name string, renewal RenewLease) RenewalResult {
-	if c.storeDown[name] {
+	if c.storeUnreachable[name] {
 		return RenewalResult{Term: renewal.Term}
 	}
 	if c.leaseID != renewal.LeaseID || !c.keyPresent {
 		return RenewalResult{Term: renewal.Term, LeaseExpired: true}
 	}
-	c.expires = c.now + testTiming.LeaseTTL
+	c.leaseExpiresAt = c.now + testTiming.LeaseTTL
 	return RenewalResult{Term: renewal.Term}
 }
 
 func (c *cluster) claim(name string, claim Claim) ClaimResult {
-	if c.storeDown[name] {
+	if c.storeUnreachable[name] {
 		return ClaimResult{}
 	}
-	if c.term > claim.AboveTerm && c.keyPresent && c.holder != name {
-		c.step(name, LeaderKey{Present: true, Holder: c.holder, Term: c.term})
+	if c.term > claim.AboveTerm && c.keyPresent && c.keyHolder != name {
+		c.step(name, LeaderKey{Present: true, Holder: c.keyHolder, Term: c.term})
 		return ClaimResult{}
 	}
 	c.term = max(c.term, claim.AboveTerm) + 1
-	c.holder, c.keyPresent, c.expires = name, true, c.now+testTiming.LeaseTTL
+	c.keyHolder, c.keyPresent, c.leaseExpiresAt = name, true, c.now+testTiming.LeaseTTL
 	c.leaseID++
 	return ClaimResult{Won: true, Term: c.term, Revision: c.term, LeaseID: c.leaseID, SentAt: c.now}
 }
 
-// run lets time pass in steps of half a heartbeat interval.
+// run advances the simulation by a number of steps, each half a heartbeat interval long.
 func (c *cluster) run(steps int) {
 	for range steps {
 		c.now += testTiming.HeartbeatInterval / 2
-		if c.keyPresent && c.now > c.expires {
+		if c.keyPresent && c.now > c.leaseExpiresAt {
 			c.keyPresent = false
 		}
 		for _, name := range c.names {
-			if !c.storeDown[name] {
-				c.step(name, LeaderKey{Present: c.keyPresent, Holder: c.holder, Term: c.term})
+			if !c.storeUnreachable[name] {
+				c.step(name, LeaderKey{Present: c.keyPresent, Holder: c.keyHolder, Term: c.term})
 				c.step(name, WatchProgress{Term: c.elections[name].term, UpTo: c.now})
 			}
 			c.step(name, Tick{})
@@ -138,7 +138,7 @@
 	}
 }
 
-// sendHeartbeats exchanges a heartbeat and its answer with every peer.
+// sendHeartbeats exchanges a heartbeat and its reply with every reachable peer.
 func (c *cluster) sendHeartbeats(from string) {
 	for _, to := range c.names {
 		if to == from || c.isolated[from] || c.isolated[to] {
@@ -169,7 +169,7 @@
 	return names
 }
 
-// requireLeader fails the test unless the named controller is the only leader, in the term.
+// requireLeader fails the test unless the named controller is the only leader and the current term is the given one.
 func (c *cluster) requireLeader(name string, term uint64) {
 	c.t.Helper()
 	if l := c.leaders(); len(l) != 1 || l[0] != name || c.term != term || c.elections[name].term != term {
@@ -177,7 +177,7 @@
 	}
 }
 
-// requireOtherLeader fails the test unless there is one leader, which is not the named controller.
+// requireOtherLeader fails the test unless there is exactly one leader and it is not the named controller.
 func (c *cluster) requireOtherLeader(name string) {
 	c.t.Helper()
 	if l := c.leaders(); len(l) != 1 || l[0] == name {
--- a/internal/coordination/election/election.go
+++ b/internal/coordination/election/election.go
@@ -1,95 +1,93 @@
-// Package election decides which controller leads.
+// Package election elects the leader among the controllers.
 //
-// The leader holds a key of the key-value store by a lease. Every change of leader raises the
-// term. The term is part of the workers' fencing token, and the record of the term is a
-// condition of every write of a leader, so two controllers that both believe to lead cannot do
-// harm. Claiming the leadership early is therefore safe; what this package has to provide is
-// that it changes hands seldom and only for a reason.
+// The leader holds a key in the key-value store, which is bound to a lease. Each change of leadership increments the
+// term. The term is part of the fencing token that workers check, and every write of a leader is conditional on the
+// term record. Two controllers that both believe they lead are therefore harmless, and so is claiming the leadership
+// too early. What this package must ensure is that the leadership changes rarely, and only for a reason.
 //
-// Election is a pure state machine: it does no I/O, reads no clock, starts no goroutines and is
-// not safe for concurrent use. All times are durations on one steady clock. The caller passes
-// every event to Step with the current time and then, in this order,
+// Election is a pure state machine: it performs no I/O, reads no clock, starts no goroutines and is not safe for
+// concurrent use. All times are durations on one monotonic clock. The caller passes each event to Step together with
+// the current time, and then, in this order:
 //
 //  1. publishes the new View, before anything acts on the effects,
 //  2. carries out the effects in the order in which they were returned.
 //
-// Claim, RenewLease and the end of the lease in StepDown wait for the store; the caller runs them
-// in the background and passes the outcome of the first two to Step as ClaimResult and
-// RenewalResult. BecomeLeader and StepDown must have started and stopped the work of the term
-// before the next call of Step.
+// Claim, RenewLease and the revocation of the lease in StepDown wait for the store, so the caller runs them in the
+// background. It passes the outcome of the first two to Step as ClaimResult and RenewalResult. The work of a term must
+// have been started for BecomeLeader, or stopped for StepDown, before Step is called again.
 package election
 
 import (
 	"time"
 )
 
-// Timing holds the intervals and timeouts of the election. All are derived from the settings.
+// Timing holds the intervals and timeouts of the election, all of which are derived from the configuration.
 type Timing struct {
-	// HeartbeatInterval is the time between two heartbeats to a peer, and between two Ticks.
+	// HeartbeatInterval is the time between two heartbeats to the same peer, and between two Ticks.
 	HeartbeatInterval time.Duration
-	// LeaderTimeout is how long a leader must be silent before it may be replaced.
+	// LeaderTimeout is how long a leader must have been silent before it may be replaced.
 	LeaderTimeout time.Duration
-	// LeaseTTL is the time to live of the lease that holds the leader's key.
+	// LeaseTTL is the time to live of the lease that holds the leader key.
 	LeaseTTL time.Duration
-	// ConfirmationTimeout is how long a leader goes on without any confirmation.
+	// ConfirmationTimeout is how long a leader may continue after its leadership was last confirmed.
 	ConfirmationTimeout time.Duration
-	// RenewalHorizon is how long a controller that knew of every cancellation at some time may go
-	// on to renew leases: leases must expire before cancelled tasks have to be gone.
+	// RenewalHorizon is how long a controller may keep renewing workers' leases after the last time at which it knew
+	// every cancellation. It is limited because leases must expire before the tasks of a cancelled job have to be gone.
 	RenewalHorizon time.Duration
-	// CancellationTimeout is the time within which a cancellation is confirmed after its intent
-	// was recorded. A cancellation that is not confirmed by then needs a new intent.
+	// CancellationTimeout is how long after its intent was recorded a cancellation can still be confirmed to the user.
+	// A later confirmation requires a new intent.
 	CancellationTimeout time.Duration
-	// RecoveryPeriod is how long after its start a controller may lack intents that still matter,
-	// because an earlier process of the same name held them: until every task has ended whose
-	// lease was last renewed by a controller that did not know those intents.
+	// RecoveryPeriod is how long after its start a controller may lack relevant cancellation intents that an earlier
+	// process of the same name held. It ends when every task has ended whose lease was last renewed by a controller
+	// that did not know those intents.
 	RecoveryPeriod time.Duration
-	// CandidateDelay is the time between the claims of candidates that become ready together.
+	// CandidateDelay is the delay between the claims of two candidates that become ready together.
 	CandidateDelay time.Duration
 }
 
-// role is the part that a controller currently plays in the election.
+// role is the current role of a controller in the election.
 type role int
 
 const (
 	roleFollower role = iota
-	// roleCandidate has a claim under way.
+	// roleCandidate means that a claim is in flight.
 	roleCandidate
 	roleLeader
 )
 
-// Election is the state machine of one controller.
+// Election is the state machine of a single controller. See the package comment for how to drive it.
 type Election struct {
 	self   string
 	peers  []string
 	timing Timing
 
 	role      role
-	term      uint64 // highest known term
-	leader    string // leader of that term, "" if unknown
+	term      uint64 // the highest term known
+	leader    string // the leader of that term, or "" if unknown
 	startedAt time.Duration
-	effects   []Effect // of the current step
+	effects   []Effect // to be returned by the current Step
 
-	// As a follower.
+	// Follower state.
 	leaderHeardAt        time.Duration
 	leaderDisconnectedAt time.Duration
-	peerHeardAt          map[string]time.Duration // without peers whose connection has ended
-	quorumHeardSince     time.Duration            // 0: no quorum is heard
-	keyTerm              uint64                   // highest term seen in the leader's key
-	keyMissing           bool
-	claimAt              time.Duration // 0: no claim is scheduled
-	deferUntil           time.Duration // no claim before, so that others can lead
+	peerHeardAt          map[string]time.Duration // excludes peers that have disconnected
+	quorumHeardSince     time.Duration            // 0 if no quorum is reachable
+	leaderKeyTerm        uint64                   // the highest term seen in the leader key
+	leaderKeyMissing     bool
+	claimAt              time.Duration // 0 if no claim is scheduled
+	noClaimBefore        time.Duration // lets other controllers lead after a resignation
 
-	// As the leader.
-	leaseID           uint64
-	renewalSentAt     time.Duration
-	renewing          bool
-	claimSentAt       time.Duration
-	changesKnownUpTo  time.Duration            // of the store; 0: nothing is known
-	ackedAt           map[string]time.Duration // when the last heartbeat was sent that the peer acknowledged
-	intentsReceivedAt map[string]time.Duration // the same, of answers that completed the peer's intents
+	// Leader state.
+	leaseID                uint64
+	renewalSentAt          time.Duration
+	renewalInFlight        bool
+	claimSentAt            time.Duration
+	storeChangesKnownUntil time.Duration            // 0 if no changes are known
+	ackedAt                map[string]time.Duration // when the latest heartbeat acknowledged by the peer was sent
+	intentsReceivedAt      map[string]time.Duration // same, for replies that completed the peer's intents
 }
 
-// New returns a follower that knows no term and no leader.
+// New returns an Election in the follower role that knows neither a term nor a leader.
 func New(now time.Duration, self string, peers []string, timing Timing) *Election {
 	return &Election{
 		self:              self,
@@ -103,26 +101,26 @@
 	}
 }
 
-// View is a snapshot of the election for other actors. Its times are absolute, so a view that
-// was taken before the process stood still is recognisably out of date.
+// View is a snapshot of the election for other actors. Its times are absolute, so a process that was suspended can tell
+// that a view taken before is out of date.
 type View struct {
 	Term    uint64
-	Leader  string // "" when unknown or silent
-	Leading bool   // this controller leads
-	// ConfirmedUntil is, on the leader, when its leadership stops being confirmed.
+	Leader  string // "" if unknown or silent
+	Leading bool   // whether this controller is the leader
+	// ConfirmedUntil is set on the leader: the time at which its leadership ceases to be confirmed.
 	ConfirmedUntil time.Duration
-	// MayRenewUntil is, on the leader, until when it may renew workers' leases. Whoever renews
-	// them must know of every cancellation that a user may have been told of.
+	// MayRenewUntil is set on the leader: the time until which it may renew workers' leases. A controller that renews
+	// leases must know every cancellation that may have been confirmed to a user.
 	MayRenewUntil time.Duration
 }
 
-// View returns a snapshot.
+// View returns a snapshot of the election at the given time.
 func (e *Election) View(now time.Duration) View {
 	v := View{Term: e.term, Leader: e.leader, Leading: e.role == roleLeader}
 	switch {
 	case v.Leading:
 		v.ConfirmedUntil = e.confirmedUntil(now)
-		if at := e.cancellationsKnownUpTo(now); at > 0 {
+		if at := e.cancellationsKnownUntil(now); at > 0 {
 			v.MayRenewUntil = at + e.timing.RenewalHorizon
 		}
 	case e.leader == e.self || now-e.leaderHeardAt > e.timing.LeaderTimeout:
@@ -131,8 +129,8 @@
 	return v
 }
 
-// Step processes an event and returns the effects that the caller must carry out, in order. The
-// slice belongs to the caller.
+// Step processes an event and returns the effects that the caller must carry out, in order. The caller owns the
+// returned slice.
 func (e *Election) Step(now time.Duration, event Event) []Effect {
 	e.effects = nil
 	switch ev := event.(type) {
@@ -150,7 +148,7 @@
 		e.handleRenewalResult(now, ev)
 	case WatchProgress:
 		if e.role == roleLeader && ev.Term == e.term {
-			e.changesKnownUpTo = max(e.changesKnownUpTo, ev.UpTo)
+			e.storeChangesKnownUntil = max(e.storeChangesKnownUntil, ev.UpTo)
 		}
 	case HigherTerm:
 		e.adoptTerm(now, ev.Term, "")
@@ -160,5 +158,5 @@
 	return e.effects
 }
 
-// emit adds an effect to those of the current step.
+// emit appends an effect to those that the current Step returns.
 func (e *Election) emit(effect Effect) { e.effects = append(e.effects, effect) }
--- a/internal/coordination/election/election_test.go
+++ b/internal/coordination/election/election_test.go
@@ -7,8 +7,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestOneLeaderPerTerm plays network cuts, outages of the store, resignations and restarts. It checks
-// that no term has two leaders, and that when the faults are over there is one leader, who stays.
+// TestOneLeaderPerTerm injects network partitions, store outages, resignations and restarts. It checks that no term has
+// two leaders, and that exactly one leader remains and keeps the leadership once the faults are over.
 func TestOneLeaderPerTerm(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := newCluster(t, rapid.SampledFrom([]int{1, 2, 3, 5}).Draw(t, "controllers"))
@@ -18,34 +18,34 @@
 			case 0:
 				c.restart(name)
 			case 1:
-				c.storeDown[name] = !c.storeDown[name]
+				c.storeUnreachable[name] = !c.storeUnreachable[name]
 			case 2:
 				c.isolated[name] = !c.isolated[name]
 			case 3:
-				down := !c.storeDown[name]
+				down := !c.storeUnreachable[name]
 				for _, other := range c.names {
-					c.storeDown[other] = down
+					c.storeUnreachable[other] = down
 				}
 			case 4:
 				c.step(name, Resign{Term: c.elections[name].term})
 			}
 			c.run(rapid.IntRange(0, 80).Draw(t, "ticks"))
 		}
-		clear(c.storeDown)
+		clear(c.storeUnreachable)
 		clear(c.isolated)
 		c.run(200)
 		if l := c.leaders(); len(l) != 1 {
-			t.Fatalf("leaders after the faults: %v", l)
+			t.Fatalf("leaders after the faults: %v, want exactly one", l)
 		}
 		before := c.term
 		c.run(400)
 		if c.term != before {
-			t.Fatalf("the term rose from %d to %d without a fault", before, c.term)
+			t.Fatalf("term changed from %d to %d without a fault", before, c.term)
 		}
 	})
 }
 
-// TestLeaderSurvivesStoreOutage checks that a leader goes on without the store while a quorum
+// TestLeaderSurvivesStoreOutage checks that a leader keeps the leadership without the store for as long as a quorum
 // acknowledges its heartbeats.
 func TestLeaderSurvivesStoreOutage(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -53,56 +53,56 @@
 		c.run(100)
 		leader, term := c.leaders()[0], c.term
 		for _, name := range c.names {
-			c.storeDown[name] = true
+			c.storeUnreachable[name] = true
 		}
 		for range rapid.IntRange(1, 600).Draw(t, "ticks") {
-			c.expires = c.now + testTiming.LeaseTTL // no lease expires during an outage
+			c.leaseExpiresAt = c.now + testTiming.LeaseTTL // the store expires no leases during an outage
 			c.run(1)
 			c.requireLeader(leader, term)
 		}
 	})
 }
 
-// TestIsolatedLeaderStepsDown checks that a leader that reaches neither the store nor a peer steps
-// down within the confirmation timeout, and that another one is elected.
+// TestIsolatedLeaderStepsDown checks that a leader that can reach neither the store nor any peer steps down within the
+// confirmation timeout, and that another controller is elected.
 func TestIsolatedLeaderStepsDown(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := newCluster(t, 3)
 		c.run(100)
 		old := c.leaders()[0]
-		c.storeDown[old], c.isolated[old] = true, true
+		c.storeUnreachable[old], c.isolated[old] = true, true
 		end := c.now + testTiming.ConfirmationTimeout + 2*testTiming.HeartbeatInterval
 		for c.now < end {
 			c.run(1)
 		}
 		if c.elections[old].View(c.now).Leading {
-			t.Fatalf("%s still leads without confirmation", old)
+			t.Fatalf("%s still leads although its leadership is unconfirmed", old)
 		}
 		c.run(60)
 		c.requireOtherLeader(old)
 	})
 }
 
-// TestPausedLeaderIsUnconfirmedOnWakeUp checks that a leader's view says until when it is confirmed.
-// A process that stood still knows from it, before its first step, that it is not any more.
-func TestPausedLeaderIsUnconfirmedOnWakeUp(t *testing.T) {
+// TestSuspendedLeaderIsUnconfirmedOnResume checks that a leader's view states until when its leadership is confirmed,
+// so that a process that was suspended can tell, before its first step, that it is no longer confirmed.
+func TestSuspendedLeaderIsUnconfirmedOnResume(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := newCluster(t, 3)
 		c.run(rapid.IntRange(100, 130).Draw(t, "ticks"))
 		e := c.elections[c.leaders()[0]]
-		wakeUp := c.now + testTiming.ConfirmationTimeout
-		if v := e.View(c.now); !v.Leading || v.ConfirmedUntil <= c.now || v.ConfirmedUntil > wakeUp {
+		resumedAt := c.now + testTiming.ConfirmationTimeout
+		if v := e.View(c.now); !v.Leading || v.ConfirmedUntil <= c.now || v.ConfirmedUntil > resumedAt {
 			t.Fatalf("view at %v: %+v", c.now, v)
 		}
-		if v := e.View(wakeUp); v.ConfirmedUntil > wakeUp {
-			t.Fatalf("view at %v, after a pause: %+v", wakeUp, v)
+		if v := e.View(resumedAt); v.ConfirmedUntil > resumedAt {
+			t.Fatalf("view at %v, after a suspension: %+v", resumedAt, v)
 		}
 	})
 }
 
-// TestRenewalWithoutLeaderNeedsQuorum checks that a peer that reaches the store or knows a leader
-// forbids renewals without a leader, and that otherwise they need a quorum that was heard recently
-// and a quorum that has handed over all its intents within the renewal horizon.
+// TestRenewalWithoutLeaderNeedsQuorum checks when leases may be renewed without a leader. A peer that reaches the store
+// or knows a leader forbids it. Otherwise it takes a quorum that was heard from recently, and a quorum that has
+// delivered all of its intents within the renewal horizon.
 func TestRenewalWithoutLeaderNeedsQuorum(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Minute
@@ -142,17 +142,17 @@
 		want := !forbidden && 2*agreeing > len(peers)+1 && 2*known > len(peers)+1 &&
 			g.View.Leader == "" && !g.StoreReachable && g.Recovered
 		if got := g.MayRenewLeases(); got != want {
-			t.Fatalf("may renew: %v, want %v, with %+v", got, want, g)
+			t.Fatalf("MayRenewLeases() = %v, want %v, for %+v", got, want, g)
 		}
 	})
 	if (GroupStatus{Now: time.Minute, Timing: testTiming, Recovered: true}).MayRenewLeases() {
-		t.Error("a controller without peers may renew without a leader")
+		t.Error("a controller without peers may renew leases without a leader")
 	}
 }
 
-// TestOnlyLeaderThatKnowsCancellationsMayRenew checks that a leader may renew workers' leases only
-// while it knows the store's changes or a quorum's intents; its own renewed lease is not enough. A
-// peer that lacks intents counts only once the store has shown all that it can lack.
+// TestOnlyLeaderThatKnowsCancellationsMayRenew checks that a leader may renew workers' leases only while it knows the
+// changes in the store or the intents of a quorum; renewing its own lease is not enough. A peer that may have lost
+// intents counts only once the store has shown every cancellation that they could belong to.
 func TestOnlyLeaderThatKnowsCancellationsMayRenew(t *testing.T) {
 	const (
 		claimed = 10 * time.Second
@@ -187,7 +187,7 @@
 		{"leader that lacks intents", acknowledgement(true, true, 0, sentAt), 9 * time.Second, 0},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			e := newLeader(t, claimed)
+			e := newTestLeader(t, claimed)
 			e.startedAt = test.startedAt
 			e.Step(now, test.event)
 			if v := e.View(now); v.MayRenewUntil != test.mayRenewUntil || v.ConfirmedUntil < now {
@@ -195,20 +195,20 @@
 			}
 			e.Step(now+testTiming.ConfirmationTimeout, Tick{})
 			if e.View(now + testTiming.ConfirmationTimeout).Leading {
-				t.Errorf("still leads without confirmation for %v", testTiming.ConfirmationTimeout)
+				t.Errorf("still leads after %v without confirmation", testTiming.ConfirmationTimeout)
 			}
 		})
 	}
 	t.Run("peer whose lost intents the store has shown", func(t *testing.T) {
-		e := newLeader(t, claimed)
-		e.Step(now, WatchProgress{Term: 1, UpTo: sentAt}) // two seconds after the peer's start
+		e := newTestLeader(t, claimed)
+		e.Step(now, WatchProgress{Term: 1, UpTo: sentAt}) // two seconds after the peer started
 		e.Step(now, acknowledgement(false, true, 9*time.Second, now))
 		if v := e.View(now); v.MayRenewUntil != now+testTiming.RenewalHorizon {
 			t.Errorf("view %+v, want renewals until %v", v, now+testTiming.RenewalHorizon)
 		}
 	})
 	t.Run("quorum that lacks intents keeps the leadership only", func(t *testing.T) {
-		e := newLeader(t, claimed)
+		e := newTestLeader(t, claimed)
 		e.Step(now, WatchProgress{Term: 1, UpTo: sentAt})
 		for at := now; at < 20*time.Second; at += testTiming.HeartbeatInterval {
 			e.Step(at, acknowledgement(false, true, now, at))
@@ -220,8 +220,8 @@
 	})
 }
 
-// newLeader returns a controller "a" with peers "b" and "c" that leads term 1 since the given time.
-func newLeader(t *testing.T, since time.Duration) *Election {
+// newTestLeader returns controller "a", with peers "b" and "c", which has led term 1 since the given time.
+func newTestLeader(t *testing.T, since time.Duration) *Election {
 	t.Helper()
 	e := New(0, "a", []string{"b", "c"}, testTiming)
 	e.startedAt = -time.Hour
@@ -234,8 +234,8 @@
 	return e
 }
 
-// TestResignedLeaderDefersToOthers checks that a leader that resigns because machines reach only
-// other controllers does not take the leadership back at once.
+// TestResignedLeaderDefersToOthers checks that a leader that resigns because machines reach only other controllers does
+// not reclaim the leadership at once.
 func TestResignedLeaderDefersToOthers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := newCluster(t, 3)
@@ -247,9 +247,9 @@
 	})
 }
 
-// TestRefusedConnectionsKeepLeader checks that a leader that renews its key stays while all
-// controllers refuse each other's connections, and that a leader that alone is cut off is replaced
-// although it renews its key.
+// TestRefusedConnectionsKeepLeader checks that a leader that renews its lease keeps the leadership while all
+// controllers refuse each other's connections, and that a leader that is the only partitioned controller is replaced
+// even though it renews its lease.
 func TestRefusedConnectionsKeepLeader(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := newCluster(t, rapid.SampledFrom([]int{3, 5}).Draw(t, "controllers"))
@@ -268,7 +268,7 @@
 			c.requireLeader(leader, term)
 		}
 		clear(c.isolated)
-		c.isolated[leader] = true // its connections are the last to come back
+		c.isolated[leader] = true // the leader is the last to reconnect
 		c.run(2)
 		clear(c.isolated)
 		c.run(20)
@@ -278,7 +278,7 @@
 			c.run(1)
 		}
 		if c.term == term {
-			t.Fatalf("%s is cut off and still not replaced", leader)
+			t.Fatalf("%s is partitioned from its peers but was not replaced", leader)
 		}
 	})
 }
--- a/internal/coordination/election/events.go
+++ b/internal/coordination/election/events.go
@@ -6,99 +6,96 @@
 	"pinebay/internal/coordination/featurelevel"
 )
 
-// Event is an input of Step.
+// Event is an input to Election.Step.
 type Event interface{ event() }
 
-// Events.
+// Events that Step accepts.
 type (
-	// Tick lets time pass. The caller sends one every heartbeat interval.
+	// Tick reports that time has passed. The caller sends one per heartbeat interval.
 	Tick struct{}
 
-	// LeaderKey is the state of the leader's key in the store.
+	// LeaderKey reports the state of the leader key in the store.
 	LeaderKey struct {
 		Present bool
 		Holder  string
 		Term    uint64
 	}
 
-	// PeerHeartbeat is a peer's heartbeat, or its answer to ours.
+	// PeerHeartbeat reports a heartbeat from a peer, or a peer's reply to a heartbeat of this controller.
 	PeerHeartbeat struct {
 		From   string
 		Term   uint64
 		Leader string
-		// Reply is set if this answers a heartbeat of ours, which was sent at SentAt.
+		// Reply is true for a reply. SentAt is then when this controller sent the heartbeat that was replied to.
 		Reply  bool
 		SentAt time.Duration
-		// IntentsComplete says that we now hold every cancellation intent that the peer holds.
+		// IntentsComplete reports whether this controller now holds every cancellation intent that the peer holds.
 		IntentsComplete bool
-		// Recovered says that the peer lacks no intent that still matters.
+		// Recovered reports whether the peer holds every intent that is still relevant, including those from before its
+		// restart.
 		Recovered bool
-		// IncarnationSince is when the peer's current process first answered us.
+		// IncarnationSince is when the peer's current process first replied to this controller.
 		IncarnationSince time.Duration
 	}
 
-	// PeerDisconnected says that a peer's connection to us has ended.
+	// PeerDisconnected reports that a peer's connection to this controller has ended.
 	PeerDisconnected struct{ Peer string }
 
-	// ClaimResult is the outcome of a Claim. The other fields are set if Won is. If the claim was
-	// lost to another leader, a LeaderKey event names that one.
+	// ClaimResult reports the outcome of a Claim. The other fields are set only if Won is true. If another leader won,
+	// a LeaderKey event identifies it.
 	ClaimResult struct {
 		Won          bool
 		Term         uint64
-		Revision     uint64             // of the term's record
-		FeatureLevel featurelevel.Level // that is final in this term
+		Revision     uint64             // of the term record
+		FeatureLevel featurelevel.Level // the final feature level as of this term
 		LeaseID      uint64
 		SentAt       time.Duration
 	}
 
-	// RenewalResult is the outcome of a RenewLease. A renewal that failed for another reason than
-	// an expired lease is reported without LeaseExpired and tried again.
+	// RenewalResult reports the outcome of a RenewLease. LeaseExpired is false if the renewal failed for any other
+	// reason; the renewal is then retried.
 	RenewalResult struct {
 		LeaseExpired bool
 		Term         uint64
 	}
 
-	// WatchProgress says that the leader of the term knows every change of the accepted jobs up to
-	// a time.
+	// WatchProgress reports that the leader of the term knows every change to the accepted jobs up to the given time.
 	WatchProgress struct {
 		Term uint64
 		UpTo time.Duration
 	}
 
-	// HigherTerm says that a higher term was seen somewhere, without its leader.
+	// HigherTerm reports that a higher term was observed and its leader is unknown.
 	HigherTerm struct{ Term uint64 }
 
-	// Resign ends our leadership if the term is still ours. With DeferToOthers, this controller
-	// does not claim for a while, so that another one can lead.
+	// Resign ends this controller's leadership if it still leads the term. With DeferToOthers, the controller refrains
+	// from claims for a while so that another one can take over.
 	Resign struct {
 		Term          uint64
 		DeferToOthers bool
 	}
 )
 
-// Effect is an output of Step. See the package comment for the order in which the caller carries
-// effects out.
+// Effect is an output of Election.Step. The package comment defines the order in which the caller carries effects out.
 type Effect interface{ effect() }
 
-// Effects.
+// Effects that Step returns.
 type (
-	// Claim asks for one attempt to take the leadership, unless a leader of a term above AboveTerm
-	// holds the key. The caller must answer with exactly one ClaimResult; until then no other claim
-	// is made.
+	// Claim requests one attempt to acquire the leadership, unless the leader of a term above AboveTerm holds the key.
+	// The caller must respond with exactly one ClaimResult; no other Claim is issued before that.
 	Claim struct{ AboveTerm uint64 }
 
-	// RenewLease asks for one renewal of the leader's lease. The caller must answer with exactly one
-	// RenewalResult.
+	// RenewLease requests one renewal of the leader's lease. The caller must respond with exactly one RenewalResult.
 	RenewLease struct{ LeaseID, Term uint64 }
 
 	// BecomeLeader starts this controller's leadership of a term.
 	BecomeLeader struct {
 		Term         uint64
-		Revision     uint64             // of the term's record
-		FeatureLevel featurelevel.Level // that is final in this term
+		Revision     uint64             // of the term record
+		FeatureLevel featurelevel.Level // the final feature level as of this term
 	}
 
-	// StepDown ends this controller's leadership of a term, and the lease that holds its key.
+	// StepDown ends this controller's leadership of a term and revokes the lease that holds its key.
 	StepDown struct{ Term, LeaseID uint64 }
 )
 
--- a/internal/coordination/election/handlers.go
+++ b/internal/coordination/election/handlers.go
@@ -5,22 +5,22 @@
 )
 
 func (e *Election) handleLeaderKey(now time.Duration, key LeaderKey) {
-	if key.Term < e.keyTerm {
+	if key.Term < e.leaderKeyTerm {
 		return
 	}
 	if !key.Present {
-		e.keyMissing = true
+		e.leaderKeyMissing = true
 		if e.role == roleFollower {
 			e.scheduleClaim(now)
 		}
 		return
 	}
-	e.keyTerm, e.keyMissing = key.Term, false
+	e.leaderKeyTerm, e.leaderKeyMissing = key.Term, false
 	if key.Term > e.term || key.Term == e.term && e.leader == "" && e.role != roleLeader {
 		e.adoptTerm(now, key.Term, key.Holder)
 	}
 	if key.Holder == e.self && e.role == roleFollower && key.Term == e.term {
-		// An earlier process of this controller holds the key, so nobody leads.
+		// The key belongs to an earlier process of this controller, so there is no leader.
 		e.leader = ""
 		e.scheduleClaim(now)
 	}
@@ -33,7 +33,7 @@
 	}
 	if e.role == roleLeader && h.Reply && h.Term == e.term && h.Leader == e.self {
 		e.ackedAt[h.From] = max(e.ackedAt[h.From], h.SentAt)
-		if h.IntentsComplete && (h.Recovered || e.forgottenIntentsSettled(h.IncarnationSince)) {
+		if h.IntentsComplete && (h.Recovered || e.lostIntentsResolved(h.IncarnationSince)) {
 			e.intentsReceivedAt[h.From] = max(e.intentsReceivedAt[h.From], h.SentAt)
 		}
 	}
@@ -47,12 +47,11 @@
 	delete(e.peerHeardAt, d.Peer)
 	if e.role == roleFollower && d.Peer == e.leader {
 		e.leaderDisconnectedAt = now
-		e.scheduleClaim(now + reconnectHeartbeats*e.timing.HeartbeatInterval)
+		e.scheduleClaim(now + leaderReconnectIntervals*e.timing.HeartbeatInterval)
 	}
 }
 
-// adoptTerm follows a later term, or learns the leader of the current one. leader is "" if it is
-// not known.
+// adoptTerm switches to a higher term, or records the leader of the current term. The leader is "" if unknown.
 func (e *Election) adoptTerm(now time.Duration, term uint64, leader string) {
 	if term < e.term || term == e.term && leader == "" {
 		return
@@ -61,7 +60,7 @@
 		e.stepDown(now)
 	}
 	e.term, e.leader, e.leaderHeardAt = term, leader, now
-	e.keyMissing = e.keyMissing && term <= e.keyTerm
+	e.leaderKeyMissing = e.leaderKeyMissing && term <= e.leaderKeyTerm
 	e.claimAt = 0
 }
 
@@ -71,21 +70,21 @@
 	}
 	e.role = roleFollower
 	if !r.Won {
-		// The store did not answer, or another candidate was quicker and will be heard.
+		// Either the store did not respond, or another candidate won and will announce itself.
 		e.scheduleClaim(now + e.timing.LeaseTTL/4)
 		return
 	}
 	if r.Term <= e.term && e.term != 0 && e.leader != "" && e.leader != e.self {
-		return // a later leader is known already
+		return // a later leader is already known
 	}
 	e.becomeLeader(now, r)
 }
 
 func (e *Election) becomeLeader(now time.Duration, r ClaimResult) {
 	e.role, e.term, e.leader = roleLeader, r.Term, e.self
-	e.leaseID, e.claimSentAt, e.renewalSentAt, e.renewing = r.LeaseID, r.SentAt, now, false
-	e.changesKnownUpTo = 0
-	e.keyMissing, e.keyTerm = false, r.Term
+	e.leaseID, e.claimSentAt, e.renewalSentAt, e.renewalInFlight = r.LeaseID, r.SentAt, now, false
+	e.storeChangesKnownUntil = 0
+	e.leaderKeyMissing, e.leaderKeyTerm = false, r.Term
 	e.claimAt = 0
 	clear(e.ackedAt)
 	clear(e.intentsReceivedAt)
@@ -96,11 +95,11 @@
 	if e.role != roleLeader || r.Term != e.term {
 		return
 	}
-	e.renewing = false
+	e.renewalInFlight = false
 	if r.LeaseExpired {
 		e.stepDown(now)
 		e.leader = ""
-		e.keyMissing = true
+		e.leaderKeyMissing = true
 		e.scheduleClaim(now)
 	}
 }
@@ -112,7 +111,7 @@
 	e.stepDown(now)
 	e.leader = ""
 	if r.DeferToOthers {
-		e.deferUntil = now + 2*e.timing.LeaseTTL
+		e.noClaimBefore = now + 2*e.timing.LeaseTTL
 	} else {
 		e.scheduleClaim(now + e.timing.HeartbeatInterval)
 	}
--- a/internal/coordination/election/quorum.go
+++ b/internal/coordination/election/quorum.go
@@ -6,35 +6,37 @@
 	"time"
 )
 
-// IsQuorum says whether count controllers are a majority of a group that consists of one
-// controller and its peers.
+// IsQuorum reports whether count controllers are a majority of a group of one controller and its peers.
 func IsQuorum(count, peers int) bool { return 2*count > peers+1 }
 
-// confirmedUntil is when the leadership stops being confirmed. It is confirmed by following the
-// changes of the store, or by heartbeats that a quorum acknowledges. A renewed lease does not
-// confirm it: the key may be ours while a cancellation that another controller confirmed has not
-// reached us.
+// confirmedUntil returns when the leadership ceases to be confirmed. It is confirmed by following the changes in the
+// store or by heartbeats that a quorum acknowledges. Renewing the lease does not confirm it: this controller may hold
+// the key and still have missed a cancellation that another controller confirmed to a user.
 func (e *Election) confirmedUntil(now time.Duration) time.Duration {
-	return max(e.claimSentAt, e.changesKnownUpTo, e.quorumTime(now, e.ackedAt)) + e.timing.ConfirmationTimeout
+	return max(
+		e.claimSentAt,
+		e.storeChangesKnownUntil,
+		e.quorumContactTime(now, e.ackedAt),
+	) + e.timing.ConfirmationTimeout
 }
 
-// cancellationsKnownUpTo is the time up to which this controller certainly knows of every
-// cancellation that users were told of, or 0. Either the store has shown its changes up to then;
-// or a quorum, none of which lacks an intent, has handed over its intents: a cancellation is not
-// confirmed before a quorum holds its intent, and two quorums have a member in common.
-func (e *Election) cancellationsKnownUpTo(now time.Duration) time.Duration {
-	if now < e.startedAt+e.timing.RecoveryPeriod && !e.forgottenIntentsSettled(e.startedAt) {
-		return e.changesKnownUpTo // this controller itself may lack intents, so it counts for no quorum
+// cancellationsKnownUntil returns the time up to which this controller is certain to know every cancellation that was
+// confirmed to a user, or 0 if there is none. It is certain if it has seen the changes in the store up to that time, or
+// if a quorum whose members lack no intents has delivered all of its intents: a cancellation is confirmed only after a
+// quorum holds its intent, and any two quorums intersect.
+func (e *Election) cancellationsKnownUntil(now time.Duration) time.Duration {
+	if now < e.startedAt+e.timing.RecoveryPeriod && !e.lostIntentsResolved(e.startedAt) {
+		return e.storeChangesKnownUntil // this controller may lack intents itself, so no quorum may include it
 	}
-	return max(e.changesKnownUpTo, e.quorumTime(now, e.intentsReceivedAt))
+	return max(e.storeChangesKnownUntil, e.quorumContactTime(now, e.intentsReceivedAt))
 }
 
-// quorumTime returns the latest time at or after which a quorum, including this controller, was
-// heard, by the time at which each peer was last heard. Without a quorum it is 0.
-func (e *Election) quorumTime(now time.Duration, heardAt map[string]time.Duration) time.Duration {
+// quorumContactTime returns the latest time such that a quorum, which includes this controller, was heard from at or
+// after it. heardAt holds the time of the last contact with each peer. The result is 0 if there is no quorum.
+func (e *Election) quorumContactTime(now time.Duration, heardAt map[string]time.Duration) time.Duration {
 	needed := (len(e.peers) + 1) / 2
 	if needed == 0 {
-		return now // there are no peers
+		return now // this controller alone is a quorum
 	}
 	if times := slices.Sorted(maps.Values(heardAt)); len(times) >= needed {
 		return times[len(times)-needed]
@@ -42,9 +44,9 @@
 	return 0
 }
 
-// forgottenIntentsSettled says whether the store has shown every cancellation of which a process
-// that started at the given time may lack the intent. Intents of before its start have been
-// committed by now, or never will be without a new intent.
-func (e *Election) forgottenIntentsSettled(startedAt time.Duration) bool {
-	return e.changesKnownUpTo >= startedAt+e.timing.CancellationTimeout+e.timing.LeaderTimeout
+// lostIntentsResolved reports whether the store has shown every cancellation whose intent a process that started at the
+// given time may have lost in the restart. A cancellation whose intent predates the start has been committed by then,
+// or can no longer be committed without a new intent.
+func (e *Election) lostIntentsResolved(startedAt time.Duration) bool {
+	return e.storeChangesKnownUntil >= startedAt+e.timing.CancellationTimeout+e.timing.LeaderTimeout
 }
--- a/internal/coordination/election/standby.go
+++ b/internal/coordination/election/standby.go
@@ -2,51 +2,50 @@
 
 import "time"
 
-// PeerStatus is what a peer last reported about itself, in its answer to a heartbeat of ours that
-// was sent at SentAt.
+// PeerStatus is the status that a peer last reported, in its reply to the heartbeat that this controller sent at
+// SentAt.
 type PeerStatus struct {
 	SentAt         time.Duration
 	StoreReachable bool
-	Leader         string // "" if the peer knows none
-	// IntentsReceivedAt is when the last heartbeat was sent whose answer completed the peer's
-	// cancellation intents, of which it lacked none that still matters; 0: never.
+	Leader         string // "" if the peer knows no leader
+	// IntentsReceivedAt is when this controller sent the latest heartbeat whose reply completed the peer's cancellation
+	// intents while the peer lacked none that are still relevant. It is 0 if there is no such reply.
 	IntentsReceivedAt time.Duration
 }
 
-// GroupStatus is what a controller knows of itself and its peers at one moment. It decides what
-// the controller may do while nobody leads.
+// GroupStatus is what a controller knows about itself and its peers at one point in time. It determines what the
+// controller may do while there is no leader.
 type GroupStatus struct {
 	Now    time.Duration
 	Timing Timing
 	View   View
-	// StoreReachable says that this controller reaches the store.
+	// StoreReachable reports whether this controller can reach the store.
 	StoreReachable bool
-	// Recovered says that this controller lacks no intent that still matters.
+	// Recovered reports whether this controller holds every intent that is still relevant, including those from before
+	// its restart.
 	Recovered bool
-	// Peers names all other controllers, and Statuses holds those that have answered.
+	// Peers lists all other controllers. Statuses contains those that have replied.
 	Peers    []string
 	Statuses map[string]PeerStatus
 }
 
-// MayRenewLeases says whether this controller may renew workers' leases although nobody leads. If
-// the leader fails during an outage of the store, no other one can be elected, and all tasks would
-// be killed when their leases expire.
+// MayRenewLeases reports whether this controller may renew workers' leases without a leader. If the leader fails during
+// a store outage, no successor can be elected, and every task would be killed when its lease expires.
 //
-// It takes a quorum, including this controller, that has just reported that it reaches neither the
-// store nor a leader: nobody else could do better. It also takes a quorum that has recently handed
-// over all its cancellation intents. Before a user is told that a job is cancelled, a quorum holds
-// an intent of it, so the intents of any quorum together name every task that must be stopped.
-// On that basis leases may be renewed within the renewal horizon. A controller that has started
-// recently lacks the intents of its earlier process and counts for nothing, until every task has
-// ended whose lease was last renewed without them. No command other than those stops is given, and
-// a lease never proves that a task has ended.
+// A quorum that includes this controller must have just reported that it reaches neither the store nor a leader, which
+// means that no other controller can do better. In addition, a quorum must have recently delivered all of its
+// cancellation intents. A quorum holds the intent of a job before a user is told that the job is cancelled, so the
+// intents of any quorum together identify every task that must be stopped. On that basis, leases may be renewed until
+// the renewal horizon ends. A recently started controller lacks the intents of its earlier process, so it is not
+// counted until every task has ended whose lease was last renewed without knowledge of those intents. Workers are sent
+// no commands other than to stop those tasks, and a lease is never taken as proof that a task has ended.
 func (g GroupStatus) MayRenewLeases() bool {
 	return len(g.Peers) > 0 && g.KnowsCancellations() && g.Leaderless("")
 }
 
-// KnowsCancellations says whether this controller knows every cancellation that whoever renews
-// leases must know: a quorum, including this controller, has handed over all its intents within
-// the renewal horizon, and none of it lacks any.
+// KnowsCancellations reports whether this controller knows every cancellation that a controller must know to renew
+// leases: within the renewal horizon, a quorum that includes this controller has delivered all of its intents, and no
+// member of the quorum lacks any.
 func (g GroupStatus) KnowsCancellations() bool {
 	if !g.Recovered {
 		return false
@@ -61,9 +60,9 @@
 	return IsQuorum(known, len(g.Peers))
 }
 
-// Leaderless says whether a quorum, including this controller, has just reported that it reaches
-// neither the store nor a leader, so that none can be elected. A peer that takes the controller
-// named ignored for the leader does not count against it; "" names none.
+// Leaderless reports whether a quorum that includes this controller has just reported that it reaches neither the store
+// nor a leader, so that no leader can be elected. A peer that considers the controller named ignored to be the leader
+// does not count as an objection. Pass "" to ignore none.
 func (g GroupStatus) Leaderless(ignored string) bool {
 	if g.View.Leading || g.View.Leader != "" || g.StoreReachable {
 		return false
@@ -73,9 +72,9 @@
 		p, ok := g.Statuses[name]
 		switch {
 		case !ok || g.Now-p.SentAt > g.Timing.LeaderTimeout/2:
-			// Not heard recently: neither agrees nor objects.
+			// A peer without a recent report neither agrees nor objects.
 		case p.StoreReachable || p.Leader != "" && p.Leader != ignored:
-			return false // it can be elected, or knows who leads
+			return false // the peer can be elected, or knows the leader
 		default:
 			agreeing++
 		}
