--- a/internal/coordination/cancellation/exchange.go
+++ b/internal/coordination/cancellation/exchange.go
@@ -6,38 +6,41 @@
 	"pinebay/internal/protocol"
 )
 
-// peer is what is known of the exchange with one other controller. Counts refer to the sequence
-// numbers of whoever sends the intents.
+// peer is the state of the intent exchange with one other controller. Counts refer to the sequence numbers of the
+// controller that sends the intents.
 type peer struct {
-	incarnation      uint64        // of the process that last answered us
-	incarnationSince time.Duration // when it first did
-	// reportedHeld is how many of our intents it holds according to its last message, which may be
-	// an old one; confirmedHeld is the same according to answers, which are not.
-	reportedHeld, confirmedHeld uint64
-	// receivedByIncarnation is how many of its intents we hold, by the incarnation that sent them.
+	incarnation      uint64        // the process that replied last
+	incarnationSince time.Duration // when that process first replied
+	// reportedAcked is the number of this controller's intents that the peer acknowledged in its last message, which
+	// may have been delayed. confirmedAcked is the number that it acknowledged in its last reply, which is never
+	// outdated.
+	reportedAcked, confirmedAcked uint64
+	// receivedByIncarnation is the number of the peer's intents that this controller holds, by the incarnation of the
+	// peer that sent them.
 	receivedByIncarnation map[uint64]uint64
 }
 
-// maxIncarnations is how many incarnations of a peer are remembered, for late messages of earlier
-// ones.
-const maxIncarnations = 4
+// maxPeerIncarnations is the number of incarnations that are remembered per peer, so that delayed messages of earlier
+// incarnations can still be processed.
+const maxPeerIncarnations = 4
 
-// Holders returns how many controllers, including this one, certainly hold all intents up to a
-// sequence number, and a channel that is closed when that may have changed.
+// Holders returns the number of controllers, including this one, that are certain to hold all intents up to a sequence
+// number. The returned channel is closed when that number may have changed.
 func (l *IntentLog) Holders(sequence uint64) (int, <-chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	n := 1
 	for _, p := range l.peers {
-		if p.confirmedHeld >= sequence {
+		if p.confirmedAcked >= sequence {
 			n++
 		}
 	}
 	return n, l.changed
 }
 
-// FillMessage adds to a message to a peer the intents that it does not hold yet, and how many of
-// its own we hold: of the given incarnation, or if that is 0, of the one that last answered us.
+// FillMessage adds to a message the intents that the recipient does not hold yet. It also acknowledges the intents that
+// this controller has received from the given incarnation of the recipient, or, if incarnation is 0, from the
+// incarnation that replied last.
 func (l *IntentLog) FillMessage(now time.Duration, to string, incarnation uint64, m *protocol.PeerMessage) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -51,28 +54,29 @@
 	}
 	m.Incarnation, m.Recovered = l.incarnation, now >= l.recoveredAt
 	m.AckedIncarnation, m.AckedIntents = incarnation, p.receivedByIncarnation[incarnation]
-	m.ExpiredIntents, m.IntentOffset = l.expired, max(l.expired, p.reportedHeld)
-	rest := l.entries[min(m.IntentOffset-l.expired, uint64(len(l.entries))):]
+	m.ExpiredIntents, m.IntentOffset = l.expiredCount, max(l.expiredCount, p.reportedAcked)
+	rest := l.entries[min(m.IntentOffset-l.expiredCount, uint64(len(l.entries))):]
 	m.MoreIntents = len(rest) > protocol.MaxIntentsPerMessage
 	for _, e := range rest[:min(len(rest), protocol.MaxIntentsPerMessage)] {
 		m.Intents = append(m.Intents, e.CancellationIntent)
 	}
 }
 
-// ReceiveResult is what a peer's message contained.
+// ReceiveResult describes the content of a message from a peer.
 type ReceiveResult struct {
-	// Complete says that we now hold every intent that the peer holds.
+	// Complete reports whether this controller now holds every intent that the peer holds.
 	Complete bool
-	// Recovered says that the peer lacks no intent that still matters.
+	// Recovered reports whether the peer holds every intent that is still relevant, including those from before its
+	// restart.
 	Recovered bool
-	// IncarnationSince is when the peer's current process first answered us.
+	// IncarnationSince is when the peer's current process first replied to this controller.
 	IncarnationSince time.Duration
-	// NewIntents are those that we did not hold.
+	// NewIntents are the intents that this controller did not hold before.
 	NewIntents []protocol.CancellationIntent
 }
 
-// Receive processes a peer's message. reply says that it answers a message of ours, so it is not
-// older than that one: only answers show which process of the peer is running, and what it holds.
+// Receive processes a message from a peer. reply is true if the message replies to one of this controller, and hence is
+// not older than that one. Only replies prove which process of the peer is running and what it holds.
 func (l *IntentLog) Receive(now time.Duration, m *protocol.PeerMessage, reply bool) ReceiveResult {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -83,12 +87,12 @@
 	l.expireEntries(now)
 	if reply && p.incarnation != m.Incarnation {
 		p.incarnation, p.incarnationSince = m.Incarnation, now
-		p.reportedHeld, p.confirmedHeld = 0, 0
+		p.reportedAcked, p.confirmedAcked = 0, 0
 	}
-	p.limitIncarnations(m.Incarnation)
-	added, end := l.appendNew(now, m)
-	complete := p.noteReceived(m, end)
-	l.noteAcknowledged(p, m, reply)
+	p.pruneIncarnations(m.Incarnation)
+	added, end := l.appendNewIntents(now, m)
+	complete := p.recordReceived(m, end)
+	l.recordAcknowledged(p, m, reply)
 	return ReceiveResult{
 		Complete:         reply && complete,
 		Recovered:        m.Recovered,
@@ -97,23 +101,23 @@
 	}
 }
 
-// limitIncarnations makes space for another incarnation of the peer. Should one that is dropped
-// send again, its intents count as not received.
-func (p *peer) limitIncarnations(incarnation uint64) {
+// pruneIncarnations makes room for another incarnation of the peer. If an incarnation that was dropped sends again, its
+// intents count as not received.
+func (p *peer) pruneIncarnations(incarnation uint64) {
 	if _, known := p.receivedByIncarnation[incarnation]; known {
 		return
 	}
 	for other := range p.receivedByIncarnation {
-		if len(p.receivedByIncarnation) >= maxIncarnations && other != p.incarnation {
+		if len(p.receivedByIncarnation) >= maxPeerIncarnations && other != p.incarnation {
 			delete(p.receivedByIncarnation, other)
 		}
 	}
 }
 
-// appendNew adds the intents of a message that we do not hold, as far as there is space, and
-// returns them with the sender's sequence number up to which we hold those of the message. What
-// does not fit is not acknowledged.
-func (l *IntentLog) appendNew(
+// appendNewIntents adds the intents of a message that this controller does not hold yet, up to the limit of the log. It
+// returns them together with the sender's sequence number up to which all intents of the message are held. Intents that
+// exceed the limit are not acknowledged.
+func (l *IntentLog) appendNewIntents(
 	now time.Duration,
 	m *protocol.PeerMessage,
 ) (added []protocol.CancellationIntent, end uint64) {
@@ -131,10 +135,10 @@
 	return added, end
 }
 
-// noteReceived notes that we hold the peer's intents of a message up to a sequence number, and says
-// whether we now hold all that it holds. If we lack earlier ones that have not expired, the peer
-// takes us for an earlier process of ours, and we must not claim to hold what follows them.
-func (p *peer) noteReceived(m *protocol.PeerMessage, end uint64) (complete bool) {
+// recordReceived records up to which sequence number this controller holds the peer's intents, and reports whether it
+// now holds all of them. If unexpired intents that precede the message are missing here, the peer believes that it is
+// talking to an earlier process of this controller. The intents of the message must not be acknowledged then.
+func (p *peer) recordReceived(m *protocol.PeerMessage, end uint64) (complete bool) {
 	received := p.receivedByIncarnation[m.Incarnation]
 	if m.IntentOffset > m.ExpiredIntents && received < m.IntentOffset {
 		return false
@@ -143,14 +147,14 @@
 	return !m.MoreIntents && end == m.IntentOffset+uint64(len(m.Intents))
 }
 
-// noteAcknowledged notes how many of our intents the peer holds.
-func (l *IntentLog) noteAcknowledged(p *peer, m *protocol.PeerMessage, reply bool) {
-	p.reportedHeld = 0
+// recordAcknowledged records how many of this controller's intents the peer holds.
+func (l *IntentLog) recordAcknowledged(p *peer, m *protocol.PeerMessage, reply bool) {
+	p.reportedAcked = 0
 	if m.AckedIncarnation == l.incarnation {
-		p.reportedHeld = m.AckedIntents
+		p.reportedAcked = m.AckedIntents
 	}
-	if reply && p.confirmedHeld != p.reportedHeld {
-		p.confirmedHeld = p.reportedHeld
+	if reply && p.confirmedAcked != p.reportedAcked {
+		p.confirmedAcked = p.reportedAcked
 		close(l.changed)
 		l.changed = make(chan struct{})
 	}
