--- a/internal/coordination/fencing/events.go
+++ b/internal/coordination/fencing/events.go
@@ -6,62 +6,62 @@
 	"pinebay/internal/protocol"
 )
 
-// Event is an input of Step.
+// Event is an input to Fencer.Step.
 type Event interface{ event() }
 
-// Events.
+// Events that Step accepts.
 type (
-	// Assessment describes this controller's situation. The caller sends one at a regular interval.
+	// Assessment describes the situation of this controller. The caller sends one at regular intervals.
 	Assessment struct {
-		// Leaderless says that a quorum agrees that there is no leader and that none can be elected.
+		// Leaderless reports whether a quorum agrees that there is no leader and that none can be elected.
 		Leaderless bool
-		// Recovering says that this process started so recently that it may lack intents of an
-		// earlier one that still matter.
+		// Recovering reports whether this process started so recently that it may lack intents which an earlier process
+		// held and which are still relevant.
 		Recovering bool
-		// OldestIntentAt is when the oldest cancellation intent arrived that is still held, if
-		// HasIntent is set.
+		// OldestIntentAt is when the oldest cancellation intent still held arrived. It is valid if HasIntent is true.
 		HasIntent      bool
 		OldestIntentAt time.Duration
 	}
 
-	// HeartbeatReceived is a worker's heartbeat that reached this controller.
+	// HeartbeatReceived reports that this controller received a heartbeat from a worker.
 	HeartbeatReceived struct{ Heartbeat *protocol.WorkerHeartbeat }
 
-	// MachinesListed is the cloud's machine list.
+	// MachinesListed reports the cloud's list of machines.
 	MachinesListed struct{ Machines []protocol.ListedMachine }
 
-	// SilenceConfirmed names machines that no peer hears either.
+	// SilenceConfirmed lists machines that none of the peers has heard from either.
 	SilenceConfirmed struct{ Machines []string }
 
-	// MachinesReleased names machines that the cloud has taken back.
+	// MachinesReleased lists machines whose release the cloud has accepted.
 	MachinesReleased struct{ Machines []string }
 
-	// PeerQuery asks on behalf of a peer which of the machines this controller hears. Reply must
-	// have room for one answer.
+	// PeerQuery is a peer's question which of the machines this controller has recently heard from. Reply must have
+	// buffer space for one answer.
 	PeerQuery struct {
 		Machines []string
 		Reply    chan<- []string
 	}
 )
 
-// Effect is an output of Step.
+// Effect is an output of Fencer.Step.
 type Effect interface{ effect() }
 
-// Effects.
+// Effects that Step returns.
 type (
-	// ListMachines asks for the cloud's machine list, as MachinesListed. If that fails, the next
-	// assessment asks again.
+	// ListMachines requests the cloud's list of machines, to be reported as MachinesListed. A failed request is
+	// repeated at the next Assessment.
 	ListMachines struct{}
 
-	// QueryPeers asks every peer which of the machines it hears. StillSilent evaluates the
-	// replies; the result is SilenceConfirmed. If it is not certain, the next assessment asks again.
+	// QueryPeers requests that every peer be asked which of the machines it has heard from. The caller evaluates the
+	// replies with StillSilent and reports the result as SilenceConfirmed. If the result is not certain, the query is
+	// repeated at the next Assessment.
 	QueryPeers struct{ Machines []string }
 
-	// ReleaseMachines returns machines to the cloud. Those that were released are reported as
+	// ReleaseMachines requests that machines be returned to the cloud. Those that were released are reported as
 	// MachinesReleased.
 	ReleaseMachines struct{ Machines []string }
 
-	// AnswerPeer answers a PeerQuery.
+	// AnswerPeer is the answer to a PeerQuery.
 	AnswerPeer struct {
 		Heard []string
 		Reply chan<- []string
--- a/internal/coordination/fencing/fencer.go
+++ b/internal/coordination/fencing/fencer.go
@@ -1,17 +1,16 @@
 // Package fencing returns silent machines to the cloud while no controller can lead.
 //
-// A task of a cancelled job must have ended within the cancellation's time limit. Normally the
-// leader ensures that: it releases a silent machine that may still run such a task. During an
-// outage of the store no leader can be elected, and no other controller knows where tasks are
-// placed. But a machine that hangs resumes whatever it had, however late. So when no leader can be
-// elected for a while and the deadline of a cancellation may be near, every machine is released
-// that the cloud lists as running and that no controller hears. A machine that has been silent for
-// that long has lost its tasks with its lease, unless it hangs: the cost of its release is at most
-// a boot.
+// A task of a cancelled job must have ended within the time limit for cancellations. Normally the leader enforces this
+// by releasing a silent machine that may still run such a task. During an outage of the store, no leader can be
+// elected, and no other controller knows where tasks are placed. Yet a hung machine resumes its tasks when it recovers,
+// however late that is. Therefore, once no leader could be elected for a while and the deadline of a cancellation may
+// be near, every machine is released that the cloud lists as running and that no controller has heard from. Unless it
+// hangs, a machine that has been silent for that long has already lost its tasks, because its lease has expired.
+// Releasing it costs no more than booting a machine again.
 //
-// Fencer is a pure state machine: it does no I/O, reads no clock and is not safe for concurrent
-// use. The caller passes every event to Step and carries out the returned effects. A release takes
-// these events and effects; if one of them fails, the next assessment starts over:
+// Fencer is a pure state machine: it performs no I/O, reads no clock and is not safe for concurrent use. The caller
+// passes each event to Step and carries out the returned effects. A release is the following sequence; if any effect
+// fails, the next Assessment starts over:
 //
 //	event               effect
 //	Assessment          ListMachines
@@ -27,37 +26,38 @@
 	"pinebay/internal/protocol"
 )
 
-// Timing holds the intervals of fencing. All are derived from the settings.
+// Timing holds the intervals of the fencer, all of which are derived from the configuration.
 type Timing struct {
-	// GracePeriod is how long there must have been no leader, and how long a machine must have been
-	// silent. A healthy worker finds another controller within it.
+	// GracePeriod is how long there must have been no leader, and how long a machine must have been silent, before the
+	// machine is released. A healthy worker finds another controller within this time.
 	GracePeriod time.Duration
-	// MinIntentAge is how old a cancellation intent must be. A leader would have fenced by then.
+	// MinIntentAge is the minimum age of a cancellation intent that justifies a release. A leader would have fenced the
+	// machine by then.
 	MinIntentAge time.Duration
-	// Retention is how long heartbeats are remembered, and released machines, which old machine
-	// lists still show.
+	// Retention is how long heartbeats are remembered, as well as released machines, which outdated machine lists still
+	// contain.
 	Retention time.Duration
 }
 
-// lastHeartbeat identifies the newest heartbeat of a machine.
+// lastHeartbeat identifies the most recent heartbeat of a machine.
 type lastHeartbeat struct {
 	incarnation, sequence uint64
 	receivedAt            time.Duration
 }
 
-// Fencer is the state machine of one controller.
+// Fencer is the state machine of a single controller. See the package comment for how to drive it.
 type Fencer struct {
 	timing          Timing
 	leaderless      bool
 	leaderlessSince time.Duration
-	mayRelease      bool // as of the last assessment
+	mayRelease      bool // as of the latest Assessment
 	lastHeartbeats  map[string]lastHeartbeat
-	released        map[string]time.Duration // when each machine was released
+	releasedAt      map[string]time.Duration // release time of each machine
 }
 
-// New returns a Fencer that has heard no machine.
+// New returns a Fencer that has not received any heartbeat.
 func New(timing Timing) *Fencer {
-	return &Fencer{timing: timing, lastHeartbeats: map[string]lastHeartbeat{}, released: map[string]time.Duration{}}
+	return &Fencer{timing: timing, lastHeartbeats: map[string]lastHeartbeat{}, releasedAt: map[string]time.Duration{}}
 }
 
 // Step processes an event and returns the effects that the caller must carry out, in order.
@@ -72,7 +72,7 @@
 			return []Effect{QueryPeers{Machines: silent}}
 		}
 	case SilenceConfirmed:
-		// A heartbeat may have come while the peers were asked.
+		// Heartbeats may have arrived while the peers were queried.
 		silent := slices.DeleteFunc(
 			slices.Clone(e.Machines),
 			func(name string) bool { return f.heardRecently(now, name) },
@@ -82,7 +82,7 @@
 		}
 	case MachinesReleased:
 		for _, name := range e.Machines {
-			f.released[name] = now
+			f.releasedAt[name] = now
 		}
 	case PeerQuery:
 		heard := slices.DeleteFunc(
@@ -94,9 +94,9 @@
 	return nil
 }
 
-// assess decides whether machines may be released until the next assessment.
+// assess determines whether machines may be released until the next assessment.
 func (f *Fencer) assess(now time.Duration, a Assessment) []Effect {
-	f.expire(now)
+	f.dropOutdated(now)
 	if !a.Leaderless {
 		f.leaderless, f.mayRelease = false, false
 		return nil
@@ -112,7 +112,7 @@
 	return []Effect{ListMachines{}}
 }
 
-// recordHeartbeat notes a heartbeat. A copy of an older one proves nothing about the machine.
+// recordHeartbeat records a heartbeat unless it repeats an older one, which does not prove that the machine is alive.
 func (f *Fencer) recordHeartbeat(now time.Duration, h *protocol.WorkerHeartbeat) {
 	last := f.lastHeartbeats[h.Machine]
 	if h.Incarnation > last.incarnation || h.Incarnation == last.incarnation && h.Sequence > last.sequence {
@@ -120,18 +120,18 @@
 	}
 }
 
-// heardRecently says whether a machine has sent a heartbeat within the grace period.
+// heardRecently reports whether a heartbeat of the machine was received within the grace period.
 func (f *Fencer) heardRecently(now time.Duration, name string) bool {
 	last, ok := f.lastHeartbeats[name]
 	return ok && now-last.receivedAt <= f.timing.GracePeriod
 }
 
-// silentMachines returns the machines that run according to the cloud, have not been released, and
-// have not been heard here recently.
+// silentMachines returns the machines that are running according to the cloud, have not been released, and have not
+// been heard from recently by this controller.
 func (f *Fencer) silentMachines(now time.Duration, list []protocol.ListedMachine) (names []string) {
 	for i := range list {
 		name := list[i].Name
-		_, released := f.released[name]
+		_, released := f.releasedAt[name]
 		if list[i].State == protocol.MachineRunning && !released && !f.heardRecently(now, name) {
 			names = append(names, name)
 		}
@@ -139,17 +139,16 @@
 	return names
 }
 
-// expire drops what no longer matters, so that memory does not grow with every machine that ever
-// existed.
-func (f *Fencer) expire(now time.Duration) {
+// dropOutdated drops outdated entries, so that memory use does not grow with every machine that has ever existed.
+func (f *Fencer) dropOutdated(now time.Duration) {
 	for name, last := range f.lastHeartbeats {
 		if now-last.receivedAt > f.timing.Retention {
 			delete(f.lastHeartbeats, name)
 		}
 	}
-	for name, at := range f.released {
+	for name, at := range f.releasedAt {
 		if now-at > f.timing.Retention {
-			delete(f.released, name)
+			delete(f.releasedAt, name)
 		}
 	}
 }
--- a/internal/coordination/fencing/fencer_test.go
+++ b/internal/coordination/fencing/fencer_test.go
@@ -23,7 +23,7 @@
 	return New(Timing{GracePeriod: testGracePeriod, MinIntentAge: testMinIntentAge, Retention: time.Minute})
 }
 
-// machineList returns a machine list on which everything runs but "starting" and "failed".
+// machineList returns a machine list on which all machines are running except "starting" and "failed".
 func machineList(names ...string) MachinesListed {
 	var list MachinesListed
 	for _, name := range names {
@@ -45,32 +45,32 @@
 	}
 }
 
-// asksForMachines says whether the fencer asks for the machine list.
-func asksForMachines(f *Fencer, now time.Duration, a Assessment) bool {
+// requestsMachineList reports whether the fencer requests the machine list in response to an assessment.
+func requestsMachineList(f *Fencer, now time.Duration, a Assessment) bool {
 	return slices.Contains(f.Step(now, a), Effect(ListMachines{}))
 }
 
-// fatalHelper is what helpers need of *testing.T and *rapid.T.
+// fatalHelper is the part of *testing.T and *rapid.T that test helpers need.
 type fatalHelper interface {
 	Helper()
 	Fatalf(format string, args ...any)
 }
 
-// requireQuery returns the machines that the only effect asks the peers about.
+// requireQuery returns the machines of the QueryPeers effect, and fails the test unless that is the only effect.
 func requireQuery(t fatalHelper, effects []Effect) []string {
 	t.Helper()
 	if len(effects) != 1 {
-		t.Fatalf("%d effects, want a QueryPeers", len(effects))
+		t.Fatalf("%d effects, want one QueryPeers", len(effects))
 	}
 	query, ok := effects[0].(QueryPeers)
 	if !ok {
-		t.Fatalf("effect %T, want a QueryPeers", effects[0])
+		t.Fatalf("effect %T, want QueryPeers", effects[0])
 	}
 	return query.Machines
 }
 
-// TestReleaseWaitsForGracePeriodAndIntent checks that machines are released only after a grace period
-// without a leader, and only if the deadline of a cancellation may be near.
+// TestReleaseWaitsForGracePeriodAndIntent checks that machines are released only after a grace period without a leader,
+// and only if the deadline of a cancellation may be near.
 func TestReleaseWaitsForGracePeriodAndIntent(t *testing.T) {
 	const start, end = time.Second, time.Second + testGracePeriod
 	for _, test := range []struct {
@@ -90,42 +90,41 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			f := newTestFencer()
-			if asksForMachines(f, start, test.assessment) {
-				t.Error("asks for the machines at once")
+			if requestsMachineList(f, start, test.assessment) {
+				t.Error("requests the machine list at once")
 			}
-			if asksForMachines(f, end-time.Second, test.assessment) {
-				t.Error("asks for the machines before the grace period is over")
+			if requestsMachineList(f, end-time.Second, test.assessment) {
+				t.Error("requests the machine list before the end of the grace period")
 			}
-			if got := asksForMachines(f, end, test.assessment); got != test.want {
-				t.Errorf("asks for the machines after the grace period: %v, want %v", got, test.want)
+			if got := requestsMachineList(f, end, test.assessment); got != test.want {
+				t.Errorf("requests the machine list after the grace period: %v, want %v", got, test.want)
 			}
 		})
 	}
 }
 
-// TestLeaderResetsGracePeriod checks that a leader starts the grace period over, and that lists and
-// replies that were asked for before it release nothing.
+// TestLeaderResetsGracePeriod checks that the grace period starts over after there was a leader, and that machine lists
+// and peer replies requested before that cause no release.
 func TestLeaderResetsGracePeriod(t *testing.T) {
 	f := newTestFencer()
 	leaderless := Assessment{Leaderless: true, Recovering: true}
 	f.Step(0, leaderless)
-	if !asksForMachines(f, testGracePeriod, leaderless) {
-		t.Fatal("does not ask for the machines")
+	if !requestsMachineList(f, testGracePeriod, leaderless) {
+		t.Fatal("does not request the machine list")
 	}
 	f.Step(testGracePeriod+1, Assessment{})
 	if effects := f.Step(testGracePeriod+2, machineList("m1")); effects != nil {
-		t.Errorf("effects %v of a list from before the leader", effects)
+		t.Errorf("effects %v for a machine list requested before there was a leader", effects)
 	}
 	if effects := f.Step(testGracePeriod+2, SilenceConfirmed{Machines: []string{"m1"}}); effects != nil {
-		t.Errorf("effects %v of replies from before the leader", effects)
+		t.Errorf("effects %v for peer replies requested before there was a leader", effects)
 	}
-	if asksForMachines(f, testGracePeriod+3, leaderless) {
-		t.Error("asks for the machines right after a leader")
+	if requestsMachineList(f, testGracePeriod+3, leaderless) {
+		t.Error("requests the machine list right after there was a leader")
 	}
 }
 
-// TestStaleHeartbeatsAreIgnored checks that a machine that hangs does not count as heard because a
-// copy of an older heartbeat arrives.
+// TestStaleHeartbeatsAreIgnored checks that a repeated older heartbeat does not make a hung machine count as alive.
 func TestStaleHeartbeatsAreIgnored(t *testing.T) {
 	f := newTestFencer()
 	const later = 2 * testGracePeriod
@@ -135,11 +134,11 @@
 	f.Step(later, heartbeat("m1", 1, 9))
 	f.Step(later, Assessment{Leaderless: true, Recovering: true})
 	if asked := requireQuery(t, f.Step(later, machineList("m1"))); !slices.Equal(asked, []string{"m1"}) {
-		t.Errorf("asks about %v, want m1", asked)
+		t.Errorf("queries peers about %v, want m1", asked)
 	}
 }
 
-// releaseModel follows what a fencer may release.
+// releaseModel tracks which machines a fencer is allowed to release.
 type releaseModel struct {
 	t               *rapid.T
 	fencer          *Fencer
@@ -147,10 +146,10 @@
 	sequence        uint64
 	heardAt         map[string]time.Duration
 	released        map[string]bool
-	leaderlessSince time.Duration // negative: there is a leader
+	leaderlessSince time.Duration // negative while there is a leader
 }
 
-// heartbeat sends a new heartbeat of a machine.
+// heartbeat delivers a new heartbeat of a machine.
 func (m *releaseModel) heartbeat(machine string) {
 	m.sequence++
 	m.heardAt[machine] = m.now
@@ -172,7 +171,7 @@
 	return heard && m.now-at <= testGracePeriod
 }
 
-// apply checks effects and carries out releases.
+// apply checks effects against the model and carries out releases.
 func (m *releaseModel) apply(effects []Effect) {
 	m.t.Helper()
 	for _, effect := range effects {
@@ -183,7 +182,7 @@
 			m.requireGracePeriod()
 			for _, name := range e.Machines {
 				if name == "starting" || name == "failed" || m.released[name] || m.heardRecently(name) {
-					m.t.Fatalf("%s released at %v, heard at %v, released before: %v",
+					m.t.Fatalf("%s released at %v; last heartbeats: %v, already released: %v",
 						name, m.now, m.heardAt, m.released)
 				}
 				m.released[name] = true
@@ -196,13 +195,12 @@
 func (m *releaseModel) requireGracePeriod() {
 	m.t.Helper()
 	if m.leaderlessSince < 0 || m.now-m.leaderlessSince < testGracePeriod {
-		m.t.Fatalf("at %v: release without a leader since %v", m.now, m.leaderlessSince)
+		m.t.Fatalf("at %v: release is too early, without a leader since %v", m.now, m.leaderlessSince)
 	}
 }
 
-// TestOnlySilentMachinesAreReleased draws heartbeats, replies of peers, lists and releases. It checks
-// that a machine is released only if it has been silent for the grace period and runs according to
-// the list, and only once.
+// TestOnlySilentMachinesAreReleased draws random heartbeats, peer queries, machine lists and releases. It checks that a
+// machine is released only if it has been silent for the grace period and is listed as running, and only once.
 func TestOnlySilentMachinesAreReleased(t *testing.T) {
 	names := []string{"m1", "m2", "m3", "starting", "failed"}
 	released := 0
@@ -237,11 +235,11 @@
 				for _, effect := range m.fencer.Step(m.now, PeerQuery{Machines: names, Reply: reply}) {
 					answer, ok := effect.(AnswerPeer)
 					if !ok {
-						t.Fatalf("effect %T of a peer's query", effect)
+						t.Fatalf("effect %T for a PeerQuery, want AnswerPeer", effect)
 					}
 					for _, name := range answer.Heard {
 						if !m.heardRecently(name) {
-							t.Fatalf("%s is reported as heard at %v", name, m.now)
+							t.Fatalf("%s is reported as recently heard from at %v", name, m.now)
 						}
 					}
 				}
@@ -250,12 +248,12 @@
 		released += len(m.released)
 	})
 	if released == 0 {
-		t.Error("nothing was released, so nothing was tested")
+		t.Error("no machine was released, so the test checked nothing")
 	}
 }
 
-// TestUnansweredPeerDefersRelease checks that a peer in the quorum that does not answer defers a
-// release, since machines may report to it alone, and that a peer that has failed does not.
+// TestUnansweredPeerDefersRelease checks that a release is deferred while a peer in the quorum has not answered,
+// because some machines may report to that peer only. A failed peer defers nothing.
 func TestUnansweredPeerDefersRelease(t *testing.T) {
 	machines := []string{"a", "b", "c"}
 	for _, test := range []struct {
@@ -294,8 +292,8 @@
 	}
 }
 
-// TestManySilentMachines checks that of thousands of machines exactly those are asked about that are
-// not heard here, and exactly those released that no peer hears either.
+// TestManySilentMachines checks with thousands of machines that the peers are queried about exactly those that this
+// controller has not heard from, and that exactly those are released that no peer has heard from either.
 func TestManySilentMachines(t *testing.T) {
 	const machines = 4000
 	f := newTestFencer()
@@ -309,14 +307,14 @@
 	for i := 0; i < machines; i += 2 {
 		f.Step(now, heartbeat(names[i], 1, 1))
 	}
-	if !asksForMachines(f, now, assessment) {
-		t.Fatal("does not ask for the machines")
+	if !requestsMachineList(f, now, assessment) {
+		t.Fatal("does not request the machine list")
 	}
 	asked := requireQuery(t, f.Step(now, machineList(names...)))
 	if len(asked) != machines/2 {
-		t.Fatalf("asks about %d machines, want %d", len(asked), machines/2)
+		t.Fatalf("queries peers about %d machines, want %d", len(asked), machines/2)
 	}
-	var heard []string // by one peer a quarter of all, by another the first of them again
+	var heard []string // one peer hears a quarter of all machines, the other only the first of these
 	for i := 1; i < machines; i += 4 {
 		heard = append(heard, names[i])
 	}
@@ -327,9 +325,9 @@
 	}
 	effects := f.Step(now, SilenceConfirmed{Machines: silent})
 	if len(effects) != 1 {
-		t.Fatalf("%d effects, want a ReleaseMachines", len(effects))
+		t.Fatalf("%d effects, want one ReleaseMachines", len(effects))
 	}
 	if release, ok := effects[0].(ReleaseMachines); !ok || len(release.Machines) != machines/4 {
-		t.Errorf("effect %T with %d machines, want %d released", effects[0], len(release.Machines), machines/4)
+		t.Errorf("effect %T of %d machines, want ReleaseMachines of %d", effects[0], len(release.Machines), machines/4)
 	}
 }
--- a/internal/coordination/fencing/peerreply.go
+++ b/internal/coordination/fencing/peerreply.go
@@ -2,19 +2,19 @@
 
 import "slices"
 
-// PeerReply is the outcome of asking one peer which of some machines it hears.
+// PeerReply is the outcome of asking one peer which machines it has recently heard from.
 type PeerReply struct {
-	// Answered says that the peer answered the whole question.
+	// Answered reports whether the peer answered the query completely.
 	Answered bool
-	// Heard names the machines that it hears.
+	// Heard lists the machines that the peer has recently heard from.
 	Heard []string
-	// InQuorum says that the peer was just counted towards the quorum that agrees that nobody leads.
-	// Such a peer may be serving machines.
+	// InQuorum reports whether the peer was just counted towards the quorum that agrees that there is no leader. Such a
+	// peer may be serving machines.
 	InQuorum bool
 }
 
-// StillSilent returns those of the machines that no peer hears. certain is false if a peer that is
-// in the quorum did not answer: a live machine that only this peer hears would be released.
+// StillSilent returns the machines that no peer has heard from. certain is false if a peer in the quorum did not
+// answer: a machine that is alive but reports to that peer only would otherwise be released.
 func StillSilent(machines []string, replies []PeerReply) (silent []string, certain bool) {
 	heard := map[string]bool{}
 	for _, r := range replies {
