--- a/internal/coordination/featurelevel/events.go
+++ b/internal/coordination/featurelevel/events.go
@@ -1,62 +1,62 @@
 package featurelevel
 
-// Event is an input of Step.
+// Event is an input to Gate.Step.
 type Event interface{ event() }
 
-// Events.
+// Events that Step accepts.
 type (
-	// Tick lets time pass.
+	// Tick reports that time has passed.
 	Tick struct{}
 
-	// RecordsListed is the outcome of ListRecords: the recorded levels by controller, and the final
-	// level. Failed says that the store did not answer.
+	// RecordsListed reports the outcome of ListRecords: the recorded level of each controller, and the final level.
+	// Failed is true if the store did not respond.
 	RecordsListed struct {
 		Controllers map[string]Record
 		Final       Level
 		Failed      bool
 	}
 
-	// AnnounceDone says that an Announce has ended, whether it succeeded or not.
+	// AnnounceDone reports that an Announce has ended, successfully or not.
 	AnnounceDone struct{}
 
-	// PeerHeartbeat is the level that a peer states in its heartbeat.
+	// PeerHeartbeat reports the level that a peer stated in its latest heartbeat.
 	PeerHeartbeat struct {
 		Controller string
 		Level      Level
 	}
 
-	// Leadership says whether this controller leads and has read the records.
+	// Leadership reports whether this controller is the leader and has read the records.
 	Leadership struct{ Leading bool }
 
-	// Finalised says that the leader of this process has made a level final.
+	// Finalised reports that the leader in this process has made a level final.
 	Finalised struct{ Level Level }
 )
 
-// Record is a controller's level as the store holds it.
+// Record is a controller's level as recorded in the store.
 type Record struct {
 	Level    Level
-	Revision uint64 // 0: there is no record
+	Revision uint64 // 0 if there is no record
 }
 
-// Effect is an output of Step.
+// Effect is an output of Gate.Step.
 type Effect interface{ effect() }
 
-// Effects.
+// Effects that Step returns.
 type (
-	// ListRecords asks for the records, as exactly one RecordsListed.
+	// ListRecords requests the records, to be reported as exactly one RecordsListed.
 	ListRecords struct{}
 
-	// Announce asks to record this controller's level if its record still has the revision. The
-	// caller must answer with exactly one AnnounceDone.
+	// Announce requests that this controller's level be recorded, provided that its record still has the given
+	// revision. The caller must respond with exactly one AnnounceDone.
 	Announce struct {
 		Level    Level
 		Revision uint64
 	}
 
-	// Finalise asks the leader of this process to make a level final.
+	// Finalise requests that the leader in this process make a level final.
 	Finalise struct{ Level Level }
 
-	// Activate says that a level is final, so its features may be used.
+	// Activate reports that a level is final, so its features may be used from now on.
 	Activate struct{ Level Level }
 )
 
--- a/internal/coordination/featurelevel/gate.go
+++ b/internal/coordination/featurelevel/gate.go
@@ -1,12 +1,12 @@
-// Package featurelevel decides when controllers of several versions may use what only newer
+// Package featurelevel decides when controllers of different versions may start to use features that only newer
 // versions understand.
 //
-// Every controller records in the store the highest feature level that one of its processes has
-// spoken. Once every configured controller has recorded a level, the leader makes that level final
-// in the record of its term; from then on processes of a lower level cannot lead. Until then
-// nothing is written or accepted that the oldest supported version cannot read.
+// Each controller records in the store the highest feature level that any of its processes has supported. Once all
+// configured controllers have recorded a level, the leader makes it final in the record of its term, and processes that
+// support only a lower level can no longer lead. Until then, nothing is written or accepted that the oldest supported
+// version cannot read.
 //
-// Gate is a pure state machine: it does no I/O, reads no clock and is not safe for concurrent use.
+// Gate is a pure state machine: it performs no I/O, reads no clock and is not safe for concurrent use.
 package featurelevel
 
 import (
@@ -15,56 +15,56 @@
 	"time"
 )
 
-// Level numbers the sets of features that a version can read, evaluate and write.
+// Level identifies a set of features that a version can read, evaluate and write.
 type Level int
 
-// Levels.
+// The feature levels.
 const (
-	// Baseline is the level of versions that record none.
+	// Baseline is the level of versions that do not record a level.
 	Baseline Level = 0
-	// Pipelines adds jobs with dependencies, compact placement pages, and the store's next limits.
+	// Pipelines adds jobs with dependencies, compact placement pages, and the store's future limits.
 	Pipelines Level = 1
-	// Current is the level that this version speaks.
+	// Current is the level that this version supports.
 	Current = Pipelines
 )
 
-// Gate is the state machine of one controller.
+// Gate is the state machine of a single controller.
 type Gate struct {
-	self         string
-	controllers  []string // all that are configured, including this one
-	ownLevel     Level
-	pollInterval time.Duration
+	self           string
+	controllers    []string // all configured controllers, including this one
+	supportedLevel Level
+	pollInterval   time.Duration
 
-	final          Level
-	records        map[string]Record
-	peerLevels     map[string]Level // as stated in each peer's last heartbeat
-	leading        bool
-	requestPending bool // a ListRecords or an Announce is under way
-	nextPollAt     time.Duration
+	final           Level
+	records         map[string]Record
+	peerLevels      map[string]Level // from the latest heartbeat of each peer
+	leading         bool
+	requestInFlight bool // a ListRecords or an Announce is in flight
+	nextPollAt      time.Duration
 }
 
-// New returns the gate of a controller that speaks ownLevel. peers are the other configured
-// controllers. The gate polls the records at the interval until its own level is final.
-func New(self string, peers []string, ownLevel Level, pollInterval time.Duration) *Gate {
+// New returns the gate of a controller that supports supportedLevel. peers are the other configured controllers. The
+// gate polls the records at the given interval until supportedLevel is final.
+func New(self string, peers []string, supportedLevel Level, pollInterval time.Duration) *Gate {
 	return &Gate{
-		self:         self,
-		controllers:  append([]string{self}, peers...),
-		ownLevel:     ownLevel,
-		pollInterval: pollInterval,
-		records:      map[string]Record{},
-		peerLevels:   map[string]Level{},
+		self:           self,
+		controllers:    append([]string{self}, peers...),
+		supportedLevel: supportedLevel,
+		pollInterval:   pollInterval,
+		records:        map[string]Record{},
+		peerLevels:     map[string]Level{},
 	}
 }
 
-// Final returns the highest level that is known to be final.
+// Final returns the highest level known to be final.
 func (g *Gate) Final() Level { return g.final }
 
-// Missing lists, in name order, the configured controllers that have not recorded this version's
-// level.
+// Missing returns, in name order, the configured controllers that have not recorded the level that this version
+// supports.
 func (g *Gate) Missing() []string {
 	var missing []string
 	for _, name := range g.controllers {
-		if g.records[name].Level < g.ownLevel {
+		if g.records[name].Level < g.supportedLevel {
 			missing = append(missing, name)
 		}
 	}
@@ -78,12 +78,12 @@
 	case Tick:
 		return g.poll(now)
 	case RecordsListed:
-		g.requestPending = false
+		g.requestInFlight = false
 		if !e.Failed {
 			return g.handleRecords(e)
 		}
 	case AnnounceDone:
-		g.requestPending, g.nextPollAt = false, now
+		g.requestInFlight, g.nextPollAt = false, now
 	case PeerHeartbeat:
 		g.peerLevels[e.Controller] = e.Level
 	case Leadership:
@@ -94,23 +94,23 @@
 	return nil
 }
 
-// poll reads the records when that is due.
+// poll requests the records if the next poll is due.
 func (g *Gate) poll(now time.Duration) []Effect {
-	if g.requestPending || now < g.nextPollAt || g.final >= g.ownLevel {
+	if g.requestInFlight || now < g.nextPollAt || g.final >= g.supportedLevel {
 		return nil
 	}
-	g.requestPending, g.nextPollAt = true, now+g.pollInterval
+	g.requestInFlight, g.nextPollAt = true, now+g.pollInterval
 	return []Effect{ListRecords{}}
 }
 
-// handleRecords announces this controller's level if its record lacks it. Otherwise, on the
-// leader, it makes the common level final.
+// handleRecords announces this controller's level if its record is missing or states a lower one. Otherwise, the leader
+// makes the common level final.
 func (g *Gate) handleRecords(e RecordsListed) []Effect {
 	g.records = maps.Clone(e.Controllers)
 	effects := g.activate(e.Final)
-	if own := g.records[g.self]; own.Level < g.ownLevel {
-		g.requestPending = true
-		return append(effects, Announce{Level: g.ownLevel, Revision: own.Revision})
+	if own := g.records[g.self]; own.Level < g.supportedLevel {
+		g.requestInFlight = true
+		return append(effects, Announce{Level: g.supportedLevel, Revision: own.Revision})
 	}
 	if common := g.commonLevel(); g.leading && common > g.final {
 		effects = append(effects, Finalise{Level: common})
@@ -118,11 +118,10 @@
 	return effects
 }
 
-// commonLevel returns the highest level, up to this controller's own, that every configured
-// controller has recorded. A controller without a record, or whose last heartbeat stated a lower
-// level, holds it back.
+// commonLevel returns the highest level, capped at supportedLevel, that all configured controllers have recorded. A
+// controller that has no record, or that stated a lower level in its latest heartbeat, lowers the result.
 func (g *Gate) commonLevel() Level {
-	level := g.ownLevel
+	level := g.supportedLevel
 	for _, name := range g.controllers {
 		level = min(level, g.records[name].Level)
 		if stated, ok := g.peerLevels[name]; ok {
@@ -132,8 +131,8 @@
 	return level
 }
 
-// activate notes that a level is final. The level may be above this version's own: the record of
-// the term keeps this controller from leading then.
+// activate records that a level is final. That may be a level that this version does not support; the term record then
+// prevents this controller from leading.
 func (g *Gate) activate(level Level) []Effect {
 	if level <= g.final {
 		return nil
--- a/internal/coordination/featurelevel/gate_test.go
+++ b/internal/coordination/featurelevel/gate_test.go
@@ -14,7 +14,7 @@
 
 const testPollInterval = time.Second
 
-// finalisedLevel returns the level that the effects ask to make final, or Baseline.
+// finalisedLevel returns the level that the effects make final, or Baseline if there is none.
 func finalisedLevel(effects []Effect) Level {
 	for _, e := range effects {
 		if f, ok := e.(Finalise); ok {
@@ -24,9 +24,8 @@
 	return Baseline
 }
 
-// TestFinalNeedsEveryController checks, with random events, that a level is made final only by a
-// leader, once every configured controller has recorded it and none has stated a lower one in its
-// last heartbeat.
+// TestFinalNeedsEveryController checks with random events that only a leader makes a level final, and only once all
+// configured controllers have recorded it and none stated a lower one in its latest heartbeat.
 func TestFinalNeedsEveryController(t *testing.T) {
 	controllers := []string{"a", "b", "c"}
 	rapid.Check(t, func(t *rapid.T) {
@@ -49,7 +48,7 @@
 				})
 				got := finalisedLevel(g.Step(0, RecordsListed{Controllers: records}))
 				if want := leading && !held; (got == Pipelines) != want {
-					t.Fatalf("leading %v, recorded %v, stated %v: makes level %d final, want one: %v",
+					t.Fatalf("leading %v, recorded %v, stated %v: finalised level %d, want Pipelines finalised: %v",
 						leading, records, stated, got, want)
 				}
 			}
@@ -57,7 +56,7 @@
 	})
 }
 
-// drawRecords draws which of the controllers have a record, and its level.
+// drawRecords draws which of the controllers have a record, and at which level.
 func drawRecords(t *rapid.T, names []string) map[string]Record {
 	records := map[string]Record{}
 	for _, name := range names {
@@ -69,20 +68,20 @@
 	return records
 }
 
-// requireEffects fails the test unless an event has exactly these effects.
+// requireEffects fails the test unless an event has exactly the given effects.
 func requireEffects(t *testing.T, g *Gate, now time.Duration, event Event, want ...Effect) {
 	t.Helper()
 	if got := g.Step(now, event); !slices.Equal(got, want) {
-		t.Fatalf("at %v: %#v has the effects %#v, want %#v", now, event, got, want)
+		t.Fatalf("at %v: event %#v returned %#v, want %#v", now, event, got, want)
 	}
 }
 
-// TestPollsUntilOwnLevelIsFinal checks that a controller polls the records at the interval, also after
-// a failure, announces its level if its record lacks it, and stops when its level is final.
-func TestPollsUntilOwnLevelIsFinal(t *testing.T) {
+// TestPollsUntilSupportedLevelIsFinal checks that a controller polls the records at the given interval, even after a
+// failure, announces its level if its record is missing or lower, and stops polling once its level is final.
+func TestPollsUntilSupportedLevelIsFinal(t *testing.T) {
 	g := New("a", []string{"b"}, Pipelines, testPollInterval)
 	requireEffects(t, g, 0, Tick{}, ListRecords{})
-	requireEffects(t, g, testPollInterval, Tick{}) // the first request is pending
+	requireEffects(t, g, testPollInterval, Tick{}) // the first request is still in flight
 
 	requireEffects(t, g, 0, RecordsListed{Failed: true})
 	requireEffects(t, g, testPollInterval/2, Tick{})
@@ -91,7 +90,7 @@
 	records := map[string]Record{"a": {Level: Baseline, Revision: 3}}
 	requireEffects(t, g, testPollInterval, RecordsListed{Controllers: records}, Announce{Level: Pipelines, Revision: 3})
 	requireEffects(t, g, testPollInterval, AnnounceDone{})
-	requireEffects(t, g, testPollInterval, Tick{}, ListRecords{}) // at once, to see the outcome
+	requireEffects(t, g, testPollInterval, Tick{}, ListRecords{}) // polls at once to learn the outcome
 
 	records = map[string]Record{"a": {Level: Pipelines}}
 	requireEffects(t, g, testPollInterval, RecordsListed{Controllers: records})
@@ -109,8 +108,8 @@
 	}
 }
 
-// TestBaselineLevelDoesNothing checks that a controller that is held at the lowest level neither
-// polls nor records anything.
+// TestBaselineLevelDoesNothing checks that a controller that supports only the lowest level neither polls nor records
+// anything.
 func TestBaselineLevelDoesNothing(t *testing.T) {
 	g := New("a", []string{"b"}, Baseline, testPollInterval)
 	for now := time.Duration(0); now < 10*testPollInterval; now += testPollInterval {
