--- a/internal/coordination/failuredetector/accrual.go
+++ b/internal/coordination/failuredetector/accrual.go
@@ -5,42 +5,43 @@
 	"time"
 )
 
-// accrualDetector is an adaptive failure detector of one peer. From the intervals between its
-// heartbeats it computes phi, a measure of how unlikely the current silence is. It is the phi
-// accrual detector of Hayashibara et al. (2004), with normally distributed intervals.
+// accrualDetector is an adaptive failure detector for one peer. From the intervals between the peer's heartbeats it
+// computes phi, a measure of how unlikely the current silence is. It implements the phi accrual detector of Hayashibara
+// et al. (2004), with normally distributed intervals.
 type accrualDetector struct {
 	lastHeardAt   time.Duration
-	lastReachedAt time.Duration // when it was last known to live without being heard here
-	intervals     []float64     // the last intervals between heartbeats, in seconds
-	nextIndex     int           // of the interval that is replaced next
+	lastReachedAt time.Duration // when it was last known to be alive through another controller
+	intervals     []float64     // the latest intervals between heartbeats, in seconds
+	nextIndex     int           // index in intervals that is overwritten next
 	sum           float64
 	sumOfSquares  float64
 }
 
 const (
-	// maxSamples is how many intervals are remembered.
+	// maxSamples is the number of intervals in the sample window.
 	maxSamples = 64
-	// phiThreshold is the phi at which a peer is suspected: a silence of a probability of 10^-8.
+	// phiThreshold is the phi at which a peer becomes suspected. It corresponds to a silence with a probability of
+	// 10^-8.
 	phiThreshold = 8
-	// maxPhi stands for silences that are practically impossible.
+	// maxPhi is the upper bound of phi, used for silences whose probability is practically zero.
 	maxPhi = 100
-	// minDeviation is the least standard deviation assumed, as a fraction of the heartbeat interval: a
-	// peer that has been punctual for a while may still be late.
-	minDeviation = 0.25
-	// maxGap is the longest interval that is remembered, in heartbeat intervals: one long outage must
-	// not make the detector blind for dozens of heartbeats.
-	maxGap = 8
+	// minStdDev is the lower bound of the standard deviation, as a fraction of the heartbeat interval. Even a peer that
+	// has been punctual for a while may be late.
+	minStdDev = 0.25
+	// maxSampleInterval is the upper bound of a sample, in heartbeat intervals. Without it, one long outage would make
+	// the detector blind for dozens of heartbeats.
+	maxSampleInterval = 8
 )
 
-// observe notes a heartbeat. One that comes within a quarter of the interval after another, such as
-// an answer beside a heartbeat, says nothing about the pace and is ignored.
-func (a *accrualDetector) observe(now, interval time.Duration) {
+// recordHeartbeat records a heartbeat. It ignores a heartbeat that arrives less than a quarter of the interval after
+// another, such as a reply next to a heartbeat, because that says nothing about the rate at which the peer sends.
+func (a *accrualDetector) recordHeartbeat(now, interval time.Duration) {
 	gap := now - a.lastHeardAt
 	if gap < interval/4 {
 		return
 	}
 	if a.lastHeardAt > 0 {
-		a.addInterval(min(gap, maxGap*interval).Seconds())
+		a.addInterval(min(gap, maxSampleInterval*interval).Seconds())
 	}
 	a.lastHeardAt = now
 }
@@ -59,19 +60,18 @@
 	a.sumOfSquares += seconds * seconds
 }
 
-// lastAliveAt is when the peer was last known to live.
+// lastAliveAt returns the latest time at which the peer was known to be alive.
 func (a *accrualDetector) lastAliveAt() time.Duration { return max(a.lastHeardAt, a.lastReachedAt) }
 
-// phi returns the negative decimal logarithm of the probability that a live peer is silent until
-// now. slack is added to the expected interval: an observer that is late itself hears everybody
-// late.
+// phi returns the negative decimal logarithm of the probability that a live peer stays silent until now. slack is added
+// to the expected interval, because an observer that is itself delayed receives every heartbeat late.
 func (a *accrualDetector) phi(now, interval, slack time.Duration) float64 {
 	mean, variance := interval.Seconds(), 0.0
 	if n := float64(len(a.intervals)); n > 0 {
 		mean = max(mean, a.sum/n)
 		variance = max(0, a.sumOfSquares/n-(a.sum/n)*(a.sum/n))
 	}
-	deviation := max(math.Sqrt(variance), minDeviation*interval.Seconds())
+	deviation := max(math.Sqrt(variance), minStdDev*interval.Seconds())
 	late := ((now - a.lastAliveAt() - slack).Seconds() - mean) / deviation
 	probability := 0.5 * math.Erfc(late/math.Sqrt2)
 	if probability <= 0 {
--- a/internal/coordination/failuredetector/cluster_test.go
+++ b/internal/coordination/failuredetector/cluster_test.go
@@ -15,36 +15,36 @@
 
 var testTiming = Timing{TickInterval: testTickInterval, SuspicionTimeout: 2 * time.Second, OpinionTTL: 2 * time.Second}
 
-// link is a connection between two controllers in one direction.
+// link is one direction of a connection between two controllers.
 type link struct{ from, to string }
 
-// decided is a decision, and which process of which controller made it.
-type decided struct {
+// decisionRecord is a decision, with the controller and the process that made it.
+type decisionRecord struct {
 	Decision
 	by      string
 	process uint64
 }
 
-// cluster is a group of controllers that advance one tick interval at a time. Heartbeats and probes
-// arrive at once, unless a fault prevents that.
+// cluster simulates a group of controllers that advance by one tick interval at a time. Heartbeats and probes arrive
+// immediately unless a fault prevents it.
 type cluster struct {
-	now        time.Duration
-	names      []string
-	detectors  map[string]*Detector
-	processes  map[string]uint64 // number of the current process of each controller
-	frozen     map[string]bool   // controllers that do nothing
-	cut        map[link]bool     // links that transmit nothing
-	recovering map[string]bool   // controllers that do not vote yet
-	decisions  []decided
+	now       time.Duration
+	names     []string
+	detectors map[string]*Detector
+	processes map[string]uint64 // counts the processes started for each controller
+	frozen    map[string]bool   // controllers whose process is frozen
+	cut       map[link]bool     // links that deliver nothing
+	nonVoting map[string]bool   // controllers that do not yet vote
+	decisions []decisionRecord
 }
 
 func newCluster(size int) *cluster {
 	c := &cluster{
-		detectors:  map[string]*Detector{},
-		processes:  map[string]uint64{},
-		frozen:     map[string]bool{},
-		cut:        map[link]bool{},
-		recovering: map[string]bool{},
+		detectors: map[string]*Detector{},
+		processes: map[string]uint64{},
+		frozen:    map[string]bool{},
+		cut:       map[link]bool{},
+		nonVoting: map[string]bool{},
 	}
 	for i := range size {
 		c.names = append(c.names, fmt.Sprintf("n-%d", i))
@@ -55,7 +55,7 @@
 	return c
 }
 
-// start starts a new process of a controller.
+// start replaces a controller by a new process.
 func (c *cluster) start(name string) {
 	c.processes[name]++
 	others := slices.DeleteFunc(slices.Clone(c.names), func(other string) bool { return other == name })
@@ -63,17 +63,20 @@
 	c.detectors[name] = New(c.now, name, process, others, testTiming)
 }
 
-// step passes an event to a controller and carries out the effects.
+// step passes an event to a controller and applies the resulting effects.
 func (c *cluster) step(name string, e Event) {
 	if c.frozen[name] {
 		return
 	}
 	d := c.detectors[name]
-	d.SetVoting(!c.recovering[name])
+	d.SetVoting(!c.nonVoting[name])
 	for _, effect := range d.Step(c.now, e) {
 		switch effect := effect.(type) {
 		case DecisionMade:
-			c.decisions = append(c.decisions, decided{Decision: effect.Decision, by: name, process: c.processes[name]})
+			c.decisions = append(
+				c.decisions,
+				decisionRecord{Decision: effect.Decision, by: name, process: c.processes[name]},
+			)
 		case Probe:
 			for _, through := range effect.Through {
 				c.probe(name, effect.Target, through)
@@ -82,12 +85,12 @@
 	}
 }
 
-// transmits says whether messages from one controller reach another.
-func (c *cluster) transmits(from, to string) bool { return !c.cut[link{from, to}] && !c.frozen[to] }
+// delivers reports whether messages from one controller reach another.
+func (c *cluster) delivers(from, to string) bool { return !c.cut[link{from, to}] && !c.frozen[to] }
 
-// connected says whether a call of one controller to another is answered.
+// connected reports whether requests of one controller to another are answered.
 func (c *cluster) connected(from, to string) bool {
-	return c.transmits(from, to) && c.transmits(to, from)
+	return c.delivers(from, to) && c.delivers(to, from)
 }
 
 func (c *cluster) probe(from, target, through string) {
@@ -97,7 +100,7 @@
 	c.step(from, ProbeResult{Target: target, Through: through, Reached: c.connected(through, target)})
 }
 
-// run lets time pass. late names controllers whose ticks come late.
+// run advances the simulation. The ticks of the controllers in late are delayed.
 func (c *cluster) run(d time.Duration, late ...string) {
 	for end := c.now + d; c.now < end; {
 		c.now += testTickInterval
@@ -114,14 +117,14 @@
 func (c *cluster) sendHeartbeats(from string) {
 	d := c.detectors[from]
 	for _, to := range c.names {
-		if to == from || !c.transmits(from, to) {
+		if to == from || !c.delivers(from, to) {
 			continue
 		}
 		c.step(to, PeerHeartbeat{
 			Peer:        from,
 			Incarnation: d.Incarnation(),
 			HealthScore: d.HealthScore(),
-			Voting:      !c.recovering[from],
+			Voting:      !c.nonVoting[from],
 			Opinions:    d.Opinions(c.now),
 		})
 	}
@@ -133,7 +136,7 @@
 	}
 }
 
-// disconnect cuts the link from one controller to another, or in both directions.
+// disconnect cuts the link from one controller to another, or the links in both directions.
 func (c *cluster) disconnect(from, to string, both bool) {
 	c.cut[link{from, to}] = true
 	if both {
@@ -141,7 +144,7 @@
 	}
 }
 
-// countDecisions returns how many decisions of a type were made.
+// countDecisions returns the number of decisions of type D.
 func countDecisions[D Decision](c *cluster) (n int) {
 	for _, d := range c.decisions {
 		if _, ok := d.Decision.(D); ok {
@@ -151,15 +154,15 @@
 	return n
 }
 
-// describe returns all decisions in words.
-func (c *cluster) describe() (lines []string) {
+// describeDecisions returns the descriptions of all decisions.
+func (c *cluster) describeDecisions() (lines []string) {
 	for _, d := range c.decisions {
 		lines = append(lines, d.by+": "+d.Describe())
 	}
 	return lines
 }
 
-// checkVerdicts fails the test if a verdict lacks a quorum or comes twice from the same process.
+// checkVerdicts fails the test if a verdict lacks a quorum or is reached twice by the same process.
 func (c *cluster) checkVerdicts(t interface {
 	Helper()
 	Errorf(format string, args ...any)
@@ -174,7 +177,7 @@
 		}
 		key := fmt.Sprint(d.by, d.process, v.Controller, v.Incarnation)
 		if reached[key] {
-			t.Errorf("second verdict of %s: %s", d.by, v.Describe())
+			t.Errorf("repeated verdict of %s: %s", d.by, v.Describe())
 		}
 		reached[key] = true
 		if v.GroupSize != len(c.names) || 2*len(v.Evidence) <= v.GroupSize {
--- a/internal/coordination/failuredetector/decision.go
+++ b/internal/coordination/failuredetector/decision.go
@@ -6,50 +6,50 @@
 	"time"
 )
 
-// Decision is a decision with its reasons. Describe returns it as one line, for the log and for
-// the reason in the ownership record.
+// Decision is a decision of the detector together with its reasons. Describe returns it as one line, which is used in
+// the log and as the reason in the ownership record.
 type Decision interface{ Describe() string }
 
-// Suspected says that this controller suspects another one.
+// Suspected reports that this controller has started to suspect another one.
 type Suspected struct {
 	Controller  string
 	Incarnation Incarnation
 	SilentFor   time.Duration
 	Phi         float64
-	HealthScore int // of the observer
+	HealthScore int // health score of the observer
 }
 
-// SuspicionCleared says that a suspicion has ended because the controller was heard, or reached
+// SuspicionCleared reports that a suspicion has ended, because the controller was heard from directly or reached
 // through a peer.
 type SuspicionCleared struct {
 	Controller     string
 	Incarnation    Incarnation
 	SuspectedFor   time.Duration
-	ReachedThrough string // "": heard by the observer itself
+	ReachedThrough string // "" if the observer heard from it directly
 }
 
-// Observation is what one controller contributes to a verdict.
+// Observation is the contribution of one controller to a verdict.
 type Observation struct {
 	Observer    string
 	HealthScore int
 	Opinion     Opinion
 }
 
-// Verdict says that a quorum holds that a controller has failed, and why.
+// Verdict reports that a quorum considers a controller failed, and on which evidence.
 type Verdict struct {
 	Controller  string
 	Incarnation Incarnation
-	GroupSize   int // number of controllers, including the failed one
+	GroupSize   int // number of controllers in the group, including the failed one
 	Evidence    []Observation
 }
 
-// Returned says that a controller is heard again after a verdict on an earlier incarnation.
-type Returned struct {
+// Rejoined reports that a controller was heard from again, after a verdict on an earlier incarnation of it.
+type Rejoined struct {
 	Controller                     string
 	Incarnation, FailedIncarnation Incarnation
 }
 
-// String returns the incarnation as PROCESS.REFUTATIONS.
+// String formats the incarnation as PROCESS.REFUTATIONS.
 func (i Incarnation) String() string { return fmt.Sprintf("%x.%d", i.Process, i.Refutations) }
 
 // Describe implements Decision.
@@ -85,7 +85,7 @@
 }
 
 // Describe implements Decision.
-func (d Returned) Describe() string {
+func (d Rejoined) Describe() string {
 	return fmt.Sprintf(
 		"controller %s is back as %s after the verdict on %s",
 		d.Controller,
--- a/internal/coordination/failuredetector/detector.go
+++ b/internal/coordination/failuredetector/detector.go
@@ -1,15 +1,13 @@
 // Package failuredetector decides whether other controllers have failed.
 //
-// Each controller watches the heartbeats of the others with an adaptive detector (see
-// accrualDetector). A controller that it no longer hears is suspected: peers are asked to probe it,
-// and the opinion is sent to the others with the heartbeats. A verdict is reached when a quorum
-// holds that the same incarnation has failed. A suspicion alone causes nothing but probes, and a
-// verdict takes effect only through the ownership record.
+// Each controller monitors the heartbeats of the others with an adaptive detector (see accrualDetector). A controller
+// that has become silent is suspected: its peers are asked to probe it, and the suspicion is sent to all controllers in
+// the heartbeats. A verdict is reached once a quorum considers the same incarnation failed. A suspicion alone only
+// causes probes, and a verdict takes effect only through the ownership record.
 //
-// Detector is a pure state machine: it does no I/O, reads no clock and is not safe for concurrent
-// use. The caller passes every event to Step, carries out the effects in the order in which they
-// were returned, and after each Tick publishes Incarnation, HealthScore and Opinions for the
-// heartbeats to the peers.
+// Detector is a pure state machine: it performs no I/O, reads no clock and is not safe for concurrent use. The caller
+// passes each event to Step and carries out the effects in the order in which they were returned. After each Tick, it
+// publishes Incarnation, HealthScore and Opinions, which are sent in the heartbeats to the peers.
 package failuredetector
 
 import (
@@ -17,46 +15,47 @@
 	"time"
 )
 
-// Timing holds the intervals of the detector. All are derived from the settings.
+// Timing holds the intervals of the detector, all of which are derived from the configuration.
 type Timing struct {
-	// TickInterval is the time between two Ticks, and at most between two heartbeats of a peer.
+	// TickInterval is the time between two Ticks, and the maximum time between two heartbeats of a peer.
 	TickInterval time.Duration
-	// SuspicionTimeout is how long a suspicion must last, without a successful probe, until the
-	// observer holds that the peer has failed.
+	// SuspicionTimeout is how long a suspicion must last, without a successful probe, before the observer considers the
+	// peer failed.
 	SuspicionTimeout time.Duration
-	// OpinionTTL is how long a peer's opinions count.
+	// OpinionTTL is how long the opinions of a peer are valid.
 	OpinionTTL time.Duration
 }
 
-// Incarnation identifies a span of a controller's life without an undisputed failure. Process
-// tells processes of the same name apart. Refutations is how often the process has learned that it
-// is suspected, and has refuted that by going on under the next number.
+// Incarnation identifies a period in the lifetime of a controller. A new one begins when the controller restarts or
+// refutes a suspicion. Process distinguishes processes of the same name. Refutations counts how often the process has
+// learned that it is suspected; it refutes a suspicion by incrementing this number.
 type Incarnation struct {
 	Process, Refutations uint64
 }
 
-// neverHeard is the HeardAgo of an observer that has never heard the controller.
+// neverHeard is the value of HeardAgo if the observer has never heard from the controller.
 const neverHeard = -1
 
-// Opinion is what one controller, the observer, holds of another.
+// Opinion is what one controller, the observer, believes about another.
 type Opinion struct {
 	Incarnation Incarnation
-	// HeardAgo is how long ago the observer itself last heard the controller; negative: never.
+	// HeardAgo is how long ago the observer last heard from the controller directly. It is negative if it never has.
 	HeardAgo time.Duration
-	// Suspected says that it is suspected, since SuspectedFor ago. Phi is how unlikely its silence is.
+	// Suspected reports whether the observer suspects the controller. If so, SuspectedFor is for how long it has, and
+	// Phi is a measure of how unlikely the current silence is.
 	Suspected    bool
 	SuspectedFor time.Duration
 	Phi          float64
-	// Failed says that the observer holds that it has failed. UnreachableThrough names the peers whose
-	// probes did not reach it.
+	// Failed reports whether the observer considers the controller failed. UnreachableThrough lists the peers whose
+	// probes did not reach the controller.
 	Failed             bool
 	UnreachableThrough []string
 }
 
-// peer is what is known of one other controller.
+// peer is the state kept for one other controller.
 type peer struct {
 	accrual     accrualDetector
-	known       bool // it was heard, so incarnation is set
+	everHeard   bool // whether it was ever heard from; if so, incarnation is set
 	incarnation Incarnation
 	voting      bool
 	healthScore int
@@ -66,23 +65,23 @@
 
 	suspected          bool
 	suspectedSince     time.Duration
-	failed             bool // in this controller's opinion
+	failed             bool // whether this controller considers it failed
 	probedAt           time.Duration
-	unreachableThrough map[string]bool // peers whose probes have failed since it is suspected
-	verdictReached     bool            // on its incarnation
+	unreachableThrough map[string]bool // peers whose probes failed during the current suspicion
+	verdictReached     bool            // whether there is a verdict on its current incarnation
 }
 
-// Detector is the state machine of one controller.
+// Detector is the state machine of a single controller. See the package comment for how to drive it.
 type Detector struct {
 	self        string
 	timing      Timing
 	incarnation Incarnation
 	voting      bool
 	peers       map[string]*peer
-	peerNames   []string // sorted, so that the same events have the same effects
+	peerNames   []string // sorted, so that effects are deterministic
 	lastTick    time.Duration
 	healthScore int
-	effects     []Effect // of the current step
+	effects     []Effect // to be returned by the current Step
 }
 
 // New returns the detector of a process that has just started.
@@ -101,8 +100,8 @@
 	return d
 }
 
-// Step processes an event and returns the effects that the caller must carry out, in order. The
-// slice belongs to the caller.
+// Step processes an event and returns the effects that the caller must carry out, in order. The caller owns the
+// returned slice.
 func (d *Detector) Step(now time.Duration, event Event) []Effect {
 	d.effects = nil
 	switch e := event.(type) {
@@ -116,17 +115,17 @@
 	return d.effects
 }
 
-// Incarnation returns this process's current incarnation.
+// Incarnation returns the current incarnation of this process.
 func (d *Detector) Incarnation() Incarnation { return d.incarnation }
 
-// HealthScore says how late this process's own ticks come: 0 if they are punctual, and higher the
-// more of them are late.
+// HealthScore returns a measure of how late the ticks of this process are. It is 0 while they are punctual and rises
+// with each late one.
 func (d *Detector) HealthScore() int { return d.healthScore }
 
-// SetVoting says whether this process counts for quorums. It must not while it has just started.
+// SetVoting sets whether this process counts towards quorums. It must not do so shortly after its start.
 func (d *Detector) SetVoting(voting bool) { d.voting = voting }
 
-// Opinions returns what this controller holds of each other one.
+// Opinions returns this controller's opinion of each other controller.
 func (d *Detector) Opinions(now time.Duration) map[string]Opinion {
 	opinions := make(map[string]Opinion, len(d.peers))
 	for name, p := range d.peers {
@@ -137,7 +136,7 @@
 
 func (d *Detector) opinionOf(now time.Duration, p *peer) Opinion {
 	o := Opinion{Incarnation: p.incarnation, HeardAgo: neverHeard, Suspected: p.suspected, Failed: p.failed}
-	if p.known {
+	if p.everHeard {
 		o.HeardAgo = now - p.accrual.lastHeardAt
 	}
 	if p.suspected {
@@ -155,8 +154,8 @@
 	for _, name := range d.peerNames {
 		p := d.peers[name]
 		switch {
-		case !p.known:
-			// A peer that was never heard cannot be missed.
+		case !p.everHeard:
+			// A peer that has never been heard from cannot be silent.
 		case !p.suspected && d.phi(now, p) >= phiThreshold:
 			d.suspect(now, name, p)
 		case p.suspected:
@@ -166,24 +165,24 @@
 	}
 }
 
-// handleHeartbeat ignores heartbeats of unknown controllers, of versions without incarnations, and
-// of incarnations that are older than the last one that was heard.
+// handleHeartbeat processes a peer's heartbeat. It ignores heartbeats from unknown controllers, from versions without
+// incarnations, and from incarnations older than the latest one heard from.
 func (d *Detector) handleHeartbeat(now time.Duration, h PeerHeartbeat) {
 	p := d.peers[h.Peer]
 	if p == nil || h.Incarnation.Process == 0 {
 		return
 	}
-	sameProcess := p.known && h.Incarnation.Process == p.incarnation.Process
+	sameProcess := p.everHeard && h.Incarnation.Process == p.incarnation.Process
 	if sameProcess && h.Incarnation.Refutations < p.incarnation.Refutations {
 		return
 	}
-	if p.known && !sameProcess {
+	if p.everHeard && !sameProcess {
 		p.accrual = accrualDetector{}
 	}
 	d.updateIncarnation(h.Peer, p, h.Incarnation)
 	d.clearSuspicion(now, h.Peer, p, "")
-	p.accrual.observe(now, d.timing.TickInterval)
-	p.known, p.voting, p.healthScore = true, h.Voting, h.HealthScore
+	p.accrual.recordHeartbeat(now, d.timing.TickInterval)
+	p.everHeard, p.voting, p.healthScore = true, h.Voting, h.HealthScore
 	p.opinions, p.opinionsReceivedAt = h.Opinions, now
 	if o, ok := h.Opinions[d.self]; ok && o.Suspected && o.Incarnation == d.incarnation {
 		d.incarnation.Refutations++
@@ -191,10 +190,10 @@
 	d.applyRefutations(now, h)
 }
 
-// updateIncarnation notes in which incarnation a peer is.
+// updateIncarnation records the current incarnation of a peer.
 func (d *Detector) updateIncarnation(name string, p *peer, incarnation Incarnation) {
 	if p.verdictReached && incarnation != p.incarnation {
-		d.emitDecision(Returned{Controller: name, Incarnation: incarnation, FailedIncarnation: p.incarnation})
+		d.emitDecision(Rejoined{Controller: name, Incarnation: incarnation, FailedIncarnation: p.incarnation})
 		p.verdictReached = false
 	}
 	p.incarnation = incarnation
--- a/internal/coordination/failuredetector/detector_test.go
+++ b/internal/coordination/failuredetector/detector_test.go
@@ -7,14 +7,14 @@
 	"pgregory.net/rapid"
 )
 
-// TestVerdictsByFailureScenario plays what may look like a failure. It checks that a controller that
-// has failed gets one verdict from each process of a quorum, and that one that is only slow, cut off
-// in one direction, or observed by a process that is short of processor time gets none.
+// TestVerdictsByFailureScenario simulates real and apparent failures. It checks that a failed controller receives one
+// verdict from each process of a quorum, and that there is none on a controller that is merely slow, unreachable in one
+// direction, or observed by processes that are short of CPU time.
 func TestVerdictsByFailureScenario(t *testing.T) {
 	for _, test := range []struct {
 		name               string
 		controllers        int
-		late               []string // controllers whose ticks come late
+		late               []string // controllers whose ticks are delayed
 		fault              func(c *cluster)
 		suspected, verdict bool
 	}{
@@ -81,7 +81,7 @@
 		{
 			name: "quorum has just started", controllers: 3,
 			fault: func(c *cluster) {
-				c.recovering["n-1"] = true
+				c.nonVoting["n-1"] = true
 				c.freeze("n-0")
 			},
 			suspected: true,
@@ -93,20 +93,20 @@
 			test.fault(c)
 			c.run(time.Minute, test.late...)
 			if got := countDecisions[Suspected](c) > 0; got != test.suspected {
-				t.Errorf("suspected %v, want %v: %v", got, test.suspected, c.describe())
+				t.Errorf("suspected: %v, want %v; decisions: %v", got, test.suspected, c.describeDecisions())
 			}
 			if got := countDecisions[Verdict](c) > 0; got != test.verdict {
-				t.Errorf("verdict %v, want %v: %v", got, test.verdict, c.describe())
+				t.Errorf("verdict reached: %v, want %v; decisions: %v", got, test.verdict, c.describeDecisions())
 			}
 			c.checkVerdicts(t)
 		})
 	}
 }
 
-// TestReturnAfterVerdict checks that a controller that stood still until a verdict learns of it from
-// the others' heartbeats when it wakes up, goes on in a new incarnation, and is reported as returned
-// once by each of the others. A new process is a new incarnation as well.
-func TestReturnAfterVerdict(t *testing.T) {
+// TestRejoinAfterVerdict checks that a controller that was frozen until a verdict on it learns of the verdict from
+// the heartbeats of the others when it resumes, continues in a new incarnation, and is reported as rejoined once by
+// each of the others. A new process is a new incarnation as well.
+func TestRejoinAfterVerdict(t *testing.T) {
 	for _, test := range []struct {
 		name      string
 		restarted bool
@@ -126,21 +126,21 @@
 			}
 			c.run(20 * time.Second)
 			if c.detectors["n-0"].Incarnation() == failed {
-				t.Errorf("still in incarnation %s", failed)
+				t.Errorf("n-0 is still in incarnation %s after the verdict", failed)
 			}
-			if n := countDecisions[Returned](c); n != 2 {
-				t.Errorf("%d times reported as returned, want 2: %v", n, c.describe())
+			if n := countDecisions[Rejoined](c); n != 2 {
+				t.Errorf("reported as rejoined %d times, want 2; decisions: %v", n, c.describeDecisions())
 			}
 			if n := countDecisions[Verdict](c); n != 2 {
-				t.Errorf("%d verdicts, want 2: %v", n, c.describe())
+				t.Errorf("%d verdicts, want 2; decisions: %v", n, c.describeDecisions())
 			}
 		})
 	}
 }
 
-// TestRandomFaultsNeedQuorumForVerdict checks, with random cuts, pauses and restarts, that there is no
-// verdict on a controller that is connected to all others all the time, that the evidence is a
-// quorum's and of one incarnation, and that each process reaches a verdict on an incarnation once.
+// TestRandomFaultsNeedQuorumForVerdict checks with random partitions, freezes and restarts that there is no verdict
+// on a controller that stays connected to all others, that the evidence comes from a quorum and concerns one
+// incarnation, and that each process reaches at most one verdict on an incarnation.
 func TestRandomFaultsNeedQuorumForVerdict(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := newCluster(rapid.SampledFrom([]int{3, 5}).Draw(t, "controllers"))
@@ -173,12 +173,12 @@
 				continue
 			}
 			if !faulty[v.Controller] {
-				t.Fatalf("%s has not failed: %s", v.Controller, v.Describe())
+				t.Fatalf("verdict on %s, which had no fault: %s", v.Controller, v.Describe())
 			}
 			for _, o := range v.Evidence {
 				if o.Opinion.Incarnation != v.Incarnation || !o.Opinion.Failed ||
 					len(o.Opinion.UnreachableThrough) == 0 {
-					t.Fatalf("evidence of something else: %s", v.Describe())
+					t.Fatalf("evidence does not support the verdict: %s", v.Describe())
 				}
 			}
 		}
@@ -186,9 +186,9 @@
 	})
 }
 
-// TestProbeCostIsLinear checks that the probes grow linearly with the controllers, however long a
-// suspicion lasts: one through each other controller twice per suspicion timeout, and none while
-// everybody is heard.
+// TestProbeCostIsLinear checks that the number of probes grows linearly with the number of controllers, however long a
+// suspicion lasts: a target is probed twice per suspicion timeout through each other controller. There are no probes
+// while all controllers are heard from.
 func TestProbeCostIsLinear(t *testing.T) {
 	const controllers = 36
 	c := newCluster(controllers)
@@ -197,7 +197,7 @@
 	heartbeat := func(from string) {
 		observer.Step(c.now, PeerHeartbeat{Peer: from, Incarnation: c.detectors[from].Incarnation(), Voting: true})
 	}
-	// countProbes lets time pass in which the observer hears everybody but n-0.
+	// countProbes advances the time, during which the observer hears from all controllers except n-0.
 	countProbes := func(d time.Duration) (probes int) {
 		for end := c.now + d; c.now < end; {
 			c.now += testTickInterval
@@ -216,12 +216,12 @@
 	lastHeardAt := observer.peers["n-0"].accrual.lastHeardAt
 	for range 20 {
 		if probes := countProbes(testTickInterval); probes > 0 {
-			t.Errorf("%d probes while all are heard", probes)
+			t.Errorf("%d probes while all controllers are heard from, want 0", probes)
 		}
 		heartbeat("n-0")
 	}
 	if observer.peers["n-0"].accrual.lastHeardAt == lastHeardAt {
-		t.Error("n-0 was not heard")
+		t.Error("no heartbeat of n-0 was recorded")
 	}
 
 	const silence = 5 * time.Minute
@@ -234,8 +234,8 @@
 	}
 }
 
-// TestInvalidEventsAreIgnored checks that events that name an unknown controller, are older than what
-// was heard, or come from a version without incarnations change nothing.
+// TestInvalidEventsAreIgnored checks that an event changes nothing if it names an unknown controller, is outdated, or
+// comes from a version without incarnations.
 func TestInvalidEventsAreIgnored(t *testing.T) {
 	current := newCluster(3).detectors["n-0"].Incarnation()
 	current.Refutations = 7
@@ -266,7 +266,7 @@
 			c.step("n-1", test.event)
 			if p.incarnation != before.incarnation || p.accrual.lastHeardAt != before.accrual.lastHeardAt ||
 				p.suspected || len(p.unreachableThrough) > 0 {
-				t.Errorf("peer is %+v, before the event %+v", *p, before)
+				t.Errorf("peer state changed to %+v, was %+v", *p, before)
 			}
 		})
 	}
--- a/internal/coordination/failuredetector/events.go
+++ b/internal/coordination/failuredetector/events.go
@@ -1,45 +1,44 @@
 package failuredetector
 
-// Event is an input of Step.
+// Event is an input to Detector.Step.
 type Event interface{ event() }
 
-// Events.
+// Events that Step accepts.
 type (
-	// Tick lets time pass. The caller sends one every TickInterval; lateness is measured, and taken
-	// into account when peers are judged.
+	// Tick reports that time has passed. The caller sends one every TickInterval. The detector measures the delay of
+	// the ticks and takes it into account when it judges peers.
 	Tick struct{}
 
-	// PeerHeartbeat is a heartbeat of a peer, or its answer to ours.
+	// PeerHeartbeat reports a heartbeat from a peer, or a peer's reply to a heartbeat of this controller.
 	PeerHeartbeat struct {
 		Peer        string
 		Incarnation Incarnation
 		HealthScore int
-		// Voting says whether the peer counts for quorums.
+		// Voting reports whether the peer counts towards quorums.
 		Voting bool
-		// Opinions is what the peer holds of the other controllers.
+		// Opinions holds the peer's opinions of the other controllers.
 		Opinions map[string]Opinion
 	}
 
-	// ProbeResult is the outcome of a probe of Target through a peer. A probe that the peer did not
-	// answer has no result.
+	// ProbeResult reports the outcome of probing Target through a peer. There is no result if the peer did not reply.
 	ProbeResult struct {
 		Target, Through string
 		Reached         bool
 	}
 )
 
-// Effect is an output of Step.
+// Effect is an output of Detector.Step.
 type Effect interface{ effect() }
 
-// Effects.
+// Effects that Step returns.
 type (
-	// Probe asks that the target be probed through each of the peers, in the background.
+	// Probe requests that the target be probed through each of the given peers, in the background.
 	Probe struct {
 		Target  string
 		Through []string
 	}
 
-	// DecisionMade reports a decision. A Verdict must be passed on to the ownership.
+	// DecisionMade reports a decision. The caller must pass a Verdict on to the ownership assigner.
 	DecisionMade struct{ Decision Decision }
 )
 
--- a/internal/coordination/failuredetector/health.go
+++ b/internal/coordination/failuredetector/health.go
@@ -2,12 +2,12 @@
 
 import "time"
 
-// maxHealthScore bounds how far lateness of the own ticks extends the timeouts.
+// maxHealthScore is the upper bound of the health score. It limits how far delayed ticks of this process extend its
+// timeouts.
 const maxHealthScore = 8
 
-// updateHealthScore notes how late this tick is. A tick that is late by more than half an interval
-// raises the score by one, and by another one for each full interval. A punctual tick lowers it by
-// one.
+// updateHealthScore updates the health score by the delay of the current tick. A delay of more than half an interval
+// raises the score by one, plus one for each full interval. A punctual tick lowers it by one.
 func (d *Detector) updateHealthScore(now time.Duration) {
 	late := now - d.lastTick - d.timing.TickInterval
 	d.lastTick = now
@@ -19,7 +19,7 @@
 	}
 }
 
-// slack is how much the timeouts are extended because this process itself is late.
+// slack returns how much the timeouts are extended because this process is itself delayed.
 func (d *Detector) slack() time.Duration { return time.Duration(d.healthScore) * d.timing.TickInterval }
 
 func (d *Detector) phi(now time.Duration, p *peer) float64 {
--- a/internal/coordination/failuredetector/suspicion.go
+++ b/internal/coordination/failuredetector/suspicion.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// suspect starts a suspicion and has the other peers probe the controller.
+// suspect starts a suspicion and requests probes of the controller through the other peers.
 func (d *Detector) suspect(now time.Duration, name string, p *peer) {
 	p.suspected, p.suspectedSince, p.failed = true, now, false
 	clear(p.unreachableThrough)
@@ -16,9 +16,9 @@
 	d.requestProbes(now, name, p)
 }
 
-// confirmSuspicion has a suspected controller probed again, and holds that it has failed once the
-// suspicion has lasted and no probe succeeded. An observer without a peer that could probe holds
-// nothing: it is as likely to be cut off itself.
+// confirmSuspicion requests further probes of a suspected controller, and considers it failed once the suspicion has
+// lasted long enough without a successful probe. An observer without any peer that could probe draws no conclusion,
+// since it is just as likely to be partitioned itself.
 func (d *Detector) confirmSuspicion(now time.Duration, name string, p *peer) {
 	if now-p.probedAt >= d.timing.SuspicionTimeout/2 {
 		d.requestProbes(now, name, p)
@@ -27,12 +27,12 @@
 	p.failed = p.failed || timedOut && len(p.unreachableThrough) > 0
 }
 
-// requestProbes has the target probed through every peer that is not suspected.
+// requestProbes requests probes of the target through every peer that is not suspected.
 func (d *Detector) requestProbes(now time.Duration, target string, p *peer) {
 	p.probedAt = now
 	var through []string
 	for _, name := range d.peerNames {
-		if o := d.peers[name]; name != target && o.known && !o.suspected {
+		if o := d.peers[name]; name != target && o.everHeard && !o.suspected {
 			through = append(through, name)
 		}
 	}
@@ -50,14 +50,13 @@
 		p.unreachableThrough[r.Through] = true
 		return
 	}
-	// It lives; only the connection between it and this controller has failed.
+	// The target is alive. Only the connection between it and this controller has failed.
 	d.clearSuspicion(now, r.Target, p, r.Through)
 	p.accrual.lastReachedAt = now
 }
 
-// clearSuspicion ends a suspicion because the controller was heard, or reached through a peer. An
-// incarnation on which there is a verdict stays suspected, so that it learns of the verdict and
-// goes on as another one.
+// clearSuspicion ends a suspicion because the controller was heard from, or reached through a peer. An incarnation with
+// a verdict remains suspected, so that it learns of the verdict and continues as a new incarnation.
 func (d *Detector) clearSuspicion(now time.Duration, name string, p *peer, through string) {
 	if !p.suspected || p.verdictReached {
 		return
@@ -72,8 +71,8 @@
 	clear(p.unreachableThrough)
 }
 
-// applyRefutations ends suspicions that a peer knows to be wrong, because it has recently heard a
-// later incarnation of the suspected controller.
+// applyRefutations ends suspicions that a peer has refuted, because it recently heard from a later incarnation of the
+// suspected controller.
 func (d *Detector) applyRefutations(now time.Duration, h PeerHeartbeat) {
 	for _, name := range d.peerNames {
 		p, o := d.peers[name], h.Opinions[name]
@@ -87,7 +86,7 @@
 	}
 }
 
-// heardRecently says whether the observer had recently heard the controller itself.
+// heardRecently reports whether the observer had recently heard from the controller directly.
 func (d *Detector) heardRecently(o Opinion) bool {
 	return o.HeardAgo >= 0 && o.HeardAgo <= d.timing.OpinionTTL
 }
--- a/internal/coordination/failuredetector/verdict.go
+++ b/internal/coordination/failuredetector/verdict.go
@@ -8,9 +8,9 @@
 	"pinebay/internal/coordination/election"
 )
 
-// evaluateVerdict reaches a verdict on a peer when a quorum of all controllers holds that the same
-// incarnation has failed, and no voting one has heard it recently. Only controllers that vote and
-// whose opinions are recent count.
+// evaluateVerdict reaches a verdict on a peer if a quorum of all controllers considers the same incarnation failed and
+// no voting controller has heard from it recently. Only controllers that vote and whose opinions are recent are
+// counted.
 func (d *Detector) evaluateVerdict(now time.Duration, name string, p *peer) {
 	if !p.failed || !d.voting || p.verdictReached {
 		return
@@ -28,8 +28,8 @@
 	})
 }
 
-// collectEvidence returns the opinions that a peer's incarnation has failed, by the observers'
-// names. heard says that a controller has recently heard the peer, so that there can be no verdict.
+// collectEvidence returns the opinions that the current incarnation of a peer has failed, sorted by observer. heard is
+// true if a controller has recently heard from the peer, which rules out a verdict.
 func (d *Detector) collectEvidence(now time.Duration, name string, p *peer) (evidence []Observation, heard bool) {
 	evidence = append(evidence, Observation{Observer: d.self, HealthScore: d.healthScore, Opinion: d.opinionOf(now, p)})
 	for _, other := range d.peerNames {
