--- a/internal/coordination/ownership/assigner.go
+++ b/internal/coordination/ownership/assigner.go
@@ -1,18 +1,17 @@
-// Package ownership decides which controllers serve the connections of which workers.
+// Package ownership decides which controller serves the connections of which workers.
 //
-// The leader maintains one record in the store. It holds an epoch, the controllers that own
-// machines with their incarnations, and why the epoch began. Nothing but this record is in force.
-// An owner answers workers on behalf of the leader and decides nothing itself, so a wrong verdict
-// on an owner costs reconnections but breaks no guarantee.
+// The leader maintains a single record in the store. It contains an epoch, the controllers that own machines together
+// with their incarnations, and the reason why the epoch began. Nothing but this record is authoritative. An owner
+// answers workers on behalf of the leader and makes no decisions, so a wrong verdict on an owner costs reconnections
+// but violates no guarantee.
 //
 //   - Assigner maintains the record.
-//   - Table maps machines to owners in an epoch.
-//   - OwnerStatus decides whether a controller may answer as an owner.
-//   - HeartbeatFilter decides which heartbeats an owner must forward to the leader.
+//   - Table maps machines to owners in one epoch.
+//   - OwnerStatus determines whether a controller may answer workers as an owner.
+//   - HeartbeatFilter determines which heartbeats an owner must forward to the leader.
 //
-// Assigner is a pure state machine: it does no I/O, reads no clock and is not safe for concurrent
-// use. The caller passes every event to Step and carries out the effects in the order in which they
-// were returned.
+// Assigner is a pure state machine: it performs no I/O, reads no clock and is not safe for concurrent use. The caller
+// passes each event to Step and carries out the effects in the order in which they were returned.
 package ownership
 
 import (
@@ -23,46 +22,45 @@
 	"pinebay/internal/coordination/failuredetector"
 )
 
-// Timing holds the intervals of the ownership. All are derived from the settings.
+// Timing holds the intervals of the assigner, all of which are derived from the configuration.
 type Timing struct {
 	// TickInterval is the time between two Ticks.
 	TickInterval time.Duration
-	// PeerTimeout is how long a peer's heartbeat counts.
+	// PeerTimeout is how long the latest heartbeat of a peer is valid.
 	PeerTimeout time.Duration
-	// RejoinDelay is how long a controller owns no machines after a verdict on it. It doubles with
-	// each further verdict, up to maxRejoinDoublings times. The verdicts are forgotten after twice the
-	// last delay without another one.
+	// RejoinDelay is how long a controller may not own machines after a verdict on it. The delay doubles with each
+	// further verdict, up to maxRejoinDoublings times. The verdicts are forgotten if no other one follows within twice
+	// the last delay after that delay has ended.
 	RejoinDelay time.Duration
 }
 
 const maxRejoinDoublings = 6
 
-// defaultReason is the reason of an epoch that did not begin because of a verdict.
+// defaultReason is the reason recorded for an epoch that began for a cause other than a verdict.
 const defaultReason = "controllers have come, or begun anew"
 
-// Record is the ownership that is in force. Epoch 0 means that there is none.
+// Record is the content of the ownership record, which determines who owns machines. Epoch is 0 if there is none.
 type Record struct {
 	Epoch   uint64
-	Members []Member // in the order of their names
-	// Reason is the verdict because of which the epoch began, with its evidence, or what else
-	// changed.
+	Members []Member // sorted by name
+	// Reason is the verdict that caused the epoch, with its evidence, or else a description of what changed.
 	Reason   string
-	Revision uint64 // of the record's key; 0: there is no record
+	Revision uint64 // of the record's key, or 0 if there is no record
 }
 
-// peer is what is known of one other controller.
+// peer is the state kept for one other controller.
 type peer struct {
 	incarnation failuredetector.Incarnation
 	canOwn      bool
-	heardAt     time.Duration // 0: never
+	heardAt     time.Duration // 0 if never heard from
 
-	verdicts           int           // recent ones
-	verdictsExpireAt   time.Duration // when they are forgotten
-	excludedUntil      time.Duration // it owns nothing before
+	recentVerdicts     int
+	verdictsExpireAt   time.Duration // when the recent verdicts are forgotten
+	excludedUntil      time.Duration // the peer may not own machines before this time
 	failedIncarnations map[failuredetector.Incarnation]bool
 }
 
-// Assigner is the state machine of one controller. Only that of the leader proposes records.
+// Assigner is the state machine of a single controller. Only the leader's proposes records.
 type Assigner struct {
 	self          string
 	timing        Timing
@@ -71,12 +69,12 @@
 	leadingSince  time.Duration
 	peers         map[string]*peer
 	record        Record
-	recordKnown   bool // the record was read
-	writing       bool
-	pendingReason string // the last verdict that is not reflected by the record
+	recordKnown   bool // whether the record has been read
+	writeInFlight bool
+	pendingReason string // the latest verdict that the record does not reflect yet
 }
 
-// New returns the assigner of a controller that knows no record.
+// New returns the assigner of a controller that does not know any record.
 func New(self string, peers []string, timing Timing) *Assigner {
 	a := &Assigner{self: self, timing: timing, peers: map[string]*peer{}}
 	for _, name := range peers {
@@ -89,12 +87,12 @@
 func (a *Assigner) Step(now time.Duration, event Event) []Effect {
 	switch e := event.(type) {
 	case Tick:
-		return a.propose(now)
+		return a.proposeRecord(now)
 	case PeerHeartbeat:
 		a.handleHeartbeat(now, e)
 	case Verdict:
 		a.handleVerdict(now, e)
-		return a.propose(now)
+		return a.proposeRecord(now)
 	case OwnIncarnation:
 		a.incarnation = e.Incarnation
 	case Leadership:
@@ -105,7 +103,7 @@
 	case RecordRead:
 		return a.adopt(e.Record)
 	case WriteDone:
-		a.writing = false
+		a.writeInFlight = false
 	}
 	return nil
 }
@@ -118,26 +116,26 @@
 	p.incarnation, p.canOwn, p.heardAt = h.Member.Incarnation, h.CanOwn, now
 }
 
-// handleVerdict excludes a controller whose incarnation has failed. It owns machines again in
-// another incarnation, after a delay that grows if it fails again and again.
+// handleVerdict excludes a controller whose incarnation has failed. The controller can own machines again as another
+// incarnation, after a delay that grows with repeated failures.
 func (a *Assigner) handleVerdict(now time.Duration, v Verdict) {
 	p := a.peers[v.Member.Controller]
 	if p == nil || p.failedIncarnations[v.Member.Incarnation] {
 		return
 	}
 	if now >= p.verdictsExpireAt {
-		p.verdicts = 0
+		p.recentVerdicts = 0
 	}
-	clear(p.failedIncarnations) // earlier ones are not heard any more
+	clear(p.failedIncarnations) // earlier incarnations send no more heartbeats
 	p.failedIncarnations[v.Member.Incarnation] = true
-	delay := a.timing.RejoinDelay << min(p.verdicts, maxRejoinDoublings)
-	p.verdicts++
+	delay := a.timing.RejoinDelay << min(p.recentVerdicts, maxRejoinDoublings)
+	p.recentVerdicts++
 	p.excludedUntil = now + delay
 	p.verdictsExpireAt = p.excludedUntil + 2*delay
 	a.pendingReason = v.Reason
 }
 
-// adopt puts a record into force, unless a later one is.
+// adopt makes a record the current one, unless the current one is at least as recent.
 func (a *Assigner) adopt(r Record) []Effect {
 	if a.recordKnown && r.Revision <= a.record.Revision {
 		return nil
@@ -146,12 +144,12 @@
 	return []Effect{AdoptRecord{Record: r}}
 }
 
-// propose asks to write the next epoch if other controllers should own machines than do.
-func (a *Assigner) propose(now time.Duration) []Effect {
-	if !a.leading || !a.recordKnown || a.writing {
+// proposeRecord requests that the next epoch be written if the set of owners should change.
+func (a *Assigner) proposeRecord(now time.Duration) []Effect {
+	if !a.leading || !a.recordKnown || a.writeInFlight {
 		return nil
 	}
-	// A new leader hears its peers first, or all machines would move for nothing.
+	// A new leader first waits for heartbeats of its peers. Otherwise, all machines would change owners needlessly.
 	if now-a.leadingSince < a.timing.PeerTimeout {
 		return nil
 	}
@@ -160,7 +158,7 @@
 		a.pendingReason = ""
 		return nil
 	}
-	a.writing = true
+	a.writeInFlight = true
 	return []Effect{WriteRecord{Record: Record{
 		Epoch:    a.record.Epoch + 1,
 		Members:  members,
@@ -169,8 +167,8 @@
 	}}}
 }
 
-// desiredMembers returns the controllers that should own machines, in the order of their names:
-// this one, and every peer that should.
+// desiredMembers returns the controllers that should own machines, sorted by name: this one, and each peer that
+// qualifies.
 func (a *Assigner) desiredMembers(now time.Duration) []Member {
 	members := []Member{{Controller: a.self, Incarnation: a.incarnation}}
 	for name := range a.peers {
@@ -182,8 +180,8 @@
 	return members
 }
 
-// desiredMember returns the entry that a peer should have, if any. A peer that owns machines keeps
-// them while it is silent, until there is a verdict.
+// desiredMember returns the entry that a peer should have, and whether it should have one. A silent owner keeps its
+// machines until there is a verdict on it.
 func (a *Assigner) desiredMember(now time.Duration, name string) (Member, bool) {
 	p := a.peers[name]
 	current, owns := findMember(a.record.Members, name)
@@ -191,11 +189,11 @@
 	switch {
 	case recent && p.canOwn && owns && current.Incarnation.Process == p.incarnation.Process &&
 		!p.failedIncarnations[current.Incarnation]:
-		return current, true // a refuted suspicion is no reason for another epoch
+		return current, true // a refuted suspicion does not justify a new epoch
 	case recent && p.canOwn && now >= p.excludedUntil && !p.failedIncarnations[p.incarnation]:
 		return Member{Controller: name, Incarnation: p.incarnation}, true
 	case recent && !p.canOwn:
-		return Member{}, false // it was restarted without ownership, or is draining
+		return Member{}, false // restarted with ownership disabled, or draining
 	case owns && !p.failedIncarnations[current.Incarnation] && now >= p.excludedUntil:
 		return current, true
 	}
--- a/internal/coordination/ownership/assigner_test.go
+++ b/internal/coordination/ownership/assigner_test.go
@@ -22,7 +22,7 @@
 	}
 }
 
-// leadingAssigner is an assigner on a leader whose writes all succeed at once.
+// leadingAssigner is the assigner of a leader whose writes all succeed at once.
 type leadingAssigner struct {
 	*Assigner
 	now      time.Duration
@@ -52,7 +52,7 @@
 	}
 }
 
-// runWithHeartbeats lets time pass in which the members are heard at every tick.
+// runWithHeartbeats advances the time, and delivers a heartbeat of each given member at every tick.
 func (l *leadingAssigner) runWithHeartbeats(d time.Duration, members ...Member) {
 	for end := l.now + d; l.now < end; l.now += testTiming.TickInterval {
 		for _, m := range members {
@@ -62,7 +62,7 @@
 	}
 }
 
-// requireOwners fails the test unless these controllers own machines in the last epoch.
+// requireOwners fails the test unless exactly the given controllers own machines in the current epoch.
 func (l *leadingAssigner) requireOwners(t *testing.T, want ...string) {
 	t.Helper()
 	if got := l.owners(); !slices.Equal(got, want) {
@@ -70,7 +70,7 @@
 	}
 }
 
-// owners lists the members of the last epoch.
+// owners returns the names of the members in the current epoch.
 func (l *leadingAssigner) owners() (names []string) {
 	for _, m := range l.record.Members {
 		names = append(names, m.Controller)
@@ -78,9 +78,9 @@
 	return names
 }
 
-// TestOwnersFollowHeartbeatsAndVerdicts checks that a controller owns machines once it is heard, keeps
-// them while it is silent, loses them only by a verdict on its incarnation, and owns machines again in
-// another incarnation, after a longer delay each time that it fails again.
+// TestOwnersFollowHeartbeatsAndVerdicts checks that a controller owns machines once it was heard from, keeps them while
+// it is silent, and loses them only through a verdict on its incarnation. It owns machines again as another
+// incarnation, after a delay that grows with each failure.
 func TestOwnersFollowHeartbeatsAndVerdicts(t *testing.T) {
 	l := newLeadingAssigner("b", "c")
 	b, c := member("b", 2, 0), member("c", 3, 0)
@@ -88,7 +88,7 @@
 	l.requireOwners(t, "a", "b", "c")
 	l.runWithHeartbeats(time.Minute, b)
 	if len(l.written) != 1 {
-		t.Fatalf("%d epochs, want 1: silence alone is no reason: %+v", len(l.written), l.written)
+		t.Fatalf("%d epochs, want 1, since silence alone must not start an epoch: %+v", len(l.written), l.written)
 	}
 
 	var delays []time.Duration
@@ -100,29 +100,29 @@
 		if l.record.Reason != "verdict" {
 			t.Fatalf("reason %q, want the verdict", l.record.Reason)
 		}
-		l.runWithHeartbeats(2*time.Second, b, failed) // it has not heard of the verdict yet
+		l.runWithHeartbeats(2*time.Second, b, failed) // c does not know of the verdict yet
 		for !slices.Contains(l.owners(), "c") && l.now < failedAt+time.Hour {
 			l.runWithHeartbeats(time.Second, b, next)
 		}
 		delays = append(delays, (l.now - failedAt).Round(time.Second))
 	}
 	if delays[1] <= delays[0] || delays[2] <= delays[1] {
-		t.Errorf("it owns machines again after %v, want growing delays", delays)
+		t.Errorf("c owns machines again after %v, want increasing delays", delays)
 	}
 
-	l.step(Verdict{Member: member("c", 3, 1), Reason: "late"}) // on an earlier incarnation
+	l.step(Verdict{Member: member("c", 3, 1), Reason: "late"}) // concerns an earlier incarnation
 	l.runWithHeartbeats(time.Second, b, member("c", 3, 3))
 	l.requireOwners(t, "a", "b", "c")
 }
 
-// proposalModel follows when an assigner may propose a record.
+// proposalModel tracks when an assigner may propose a record.
 type proposalModel struct {
-	leading, recordKnown, writing bool
-	leadingSince                  time.Duration
-	revision, epoch               uint64 // of the record that was read
+	leading, recordKnown, writeInFlight bool
+	leadingSince                        time.Duration
+	revision, epoch                     uint64 // of the record read last
 }
 
-// check fails the test if effects contain a write that is not allowed.
+// check fails the test if the effects contain a write that is not allowed.
 func (m *proposalModel) check(t *rapid.T, now time.Duration, effects []Effect) {
 	t.Helper()
 	for _, effect := range effects {
@@ -130,19 +130,19 @@
 		if !ok {
 			continue
 		}
-		if !m.leading || !m.recordKnown || m.writing || now-m.leadingSince < testTiming.PeerTimeout {
-			t.Fatalf("proposes a record at %v: %+v", now, *m)
+		if !m.leading || !m.recordKnown || m.writeInFlight || now-m.leadingSince < testTiming.PeerTimeout {
+			t.Fatalf("proposed a record at %v, which %+v does not allow", now, *m)
 		}
 		if write.Record.Revision != m.revision || write.Record.Epoch != m.epoch+1 {
-			t.Fatalf("writes epoch %d on revision %d: %+v", write.Record.Epoch, write.Record.Revision, *m)
+			t.Fatalf("wrote epoch %d on top of revision %d: %+v", write.Record.Epoch, write.Record.Revision, *m)
 		}
-		m.writing = true
+		m.writeInFlight = true
 	}
 }
 
-// TestProposalsNeedLeadershipAndRecord checks, with random events, that an assigner proposes a record
-// only if it leads, has read the record, has led for the peer timeout and has no write under way, and
-// that it proposes the epoch after the one that it has read.
+// TestProposalsNeedLeadershipAndRecord checks with random events that an assigner proposes a record only if it is the
+// leader, has been for the peer timeout, has read the record and has no write in flight, and that it proposes the epoch
+// that follows the one it has read.
 func TestProposalsNeedLeadershipAndRecord(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a := New("a", []string{"b", "c"}, testTiming)
@@ -175,7 +175,7 @@
 				record := Record{Epoch: m.epoch, Revision: m.revision, Members: []Member{member("c", 5, 0)}}
 				event = RecordRead{Record: record}
 			case 4:
-				m.writing = false
+				m.writeInFlight = false
 				event = WriteDone{}
 			default:
 				event = Tick{}
--- a/internal/coordination/ownership/events.go
+++ b/internal/coordination/ownership/events.go
@@ -2,50 +2,50 @@
 
 import "pinebay/internal/coordination/failuredetector"
 
-// Event is an input of Step.
+// Event is an input to Assigner.Step.
 type Event interface{ event() }
 
-// Events.
+// Events that Step accepts.
 type (
-	// Tick lets time pass. The caller sends one every TickInterval.
+	// Tick reports that time has passed. The caller sends one every TickInterval.
 	Tick struct{}
 
-	// PeerHeartbeat is a heartbeat of a peer: its incarnation, and whether it can own machines.
+	// PeerHeartbeat reports a peer's heartbeat with its incarnation, and whether the peer can own machines.
 	PeerHeartbeat struct {
 		Member Member
 		CanOwn bool
 	}
 
-	// Verdict says that a quorum holds that a controller's incarnation has failed, and why.
+	// Verdict reports that a quorum considers an incarnation of a controller failed, and why.
 	Verdict struct {
 		Member Member
 		Reason string
 	}
 
-	// OwnIncarnation is this controller's own incarnation.
+	// OwnIncarnation reports the incarnation of this controller.
 	OwnIncarnation struct{ Incarnation failuredetector.Incarnation }
 
-	// Leadership says whether this controller leads, has read the records, and may use ownership.
+	// Leadership reports whether this controller is the leader, has read the records, and may use ownership.
 	Leadership struct{ Leading bool }
 
-	// RecordRead is the record as the store has it; the zero Record if there is none.
+	// RecordRead reports the record that the store holds, or the zero Record if there is none.
 	RecordRead struct{ Record Record }
 
-	// WriteDone says that a WriteRecord has ended, whether it succeeded or not: RecordRead shows
-	// what is in force.
+	// WriteDone reports that a WriteRecord has ended, successfully or not. Which record is current is reported by
+	// RecordRead.
 	WriteDone struct{}
 )
 
-// Effect is an output of Step.
+// Effect is an output of Assigner.Step.
 type Effect interface{ effect() }
 
-// Effects.
+// Effects that Step returns.
 type (
-	// WriteRecord asks to replace the record if its key still has the revision and this controller
-	// still leads. The caller must answer with exactly one WriteDone.
+	// WriteRecord requests that the record be replaced, provided that its key still has the given revision and that
+	// this controller is still the leader. The caller must respond with exactly one WriteDone.
 	WriteRecord struct{ Record Record }
 
-	// AdoptRecord says that a record is in force from now on.
+	// AdoptRecord reports that a record is authoritative from now on.
 	AdoptRecord struct{ Record Record }
 )
 
--- a/internal/coordination/ownership/heartbeatfilter.go
+++ b/internal/coordination/ownership/heartbeatfilter.go
@@ -9,15 +9,15 @@
 	"pinebay/internal/protocol"
 )
 
-// UnchangedHeartbeat identifies the last heartbeat of a machine that the owner answered itself.
+// UnchangedHeartbeat identifies the latest heartbeat of a machine that the owner answered without the leader.
 type UnchangedHeartbeat struct {
 	Machine               string
 	Incarnation, Sequence uint64
 }
 
-// HeartbeatFilter decides, on an owner, which heartbeats must be forwarded to the leader and which
-// the owner may answer itself: those that contain nothing that the leader does not know. It is not
-// safe for concurrent use.
+// HeartbeatFilter determines, on an owner, which heartbeats must be forwarded to the leader. The owner may answer the
+// others itself because they contain nothing that the leader does not know. A HeartbeatFilter is not safe for
+// concurrent use.
 type HeartbeatFilter struct {
 	refreshInterval time.Duration
 	seed            maphash.Seed
@@ -26,17 +26,17 @@
 	unchanged       map[string]UnchangedHeartbeat  // by machine, since the last TakeUnchanged
 }
 
-// forwardedHeartbeat is the last heartbeat of a machine that the leader has answered.
+// forwardedHeartbeat describes the latest heartbeat of a machine that the leader has answered.
 type forwardedHeartbeat struct {
 	forwardedAt        time.Duration
 	incarnation, token uint64
-	notice             bool
+	interruptionNotice bool
 	tasksHash          uint64
-	forwardNext        bool // the leader wants the next heartbeat, whatever it contains
+	forwardNext        bool // whether the next heartbeat must be forwarded regardless of its content
 }
 
-// NewHeartbeatFilter returns a filter that has forwarded nothing. A heartbeat of each machine is
-// forwarded at least once per refresh interval.
+// NewHeartbeatFilter returns a filter that has not forwarded anything yet. Each machine's heartbeats are forwarded at
+// least once per refresh interval.
 func NewHeartbeatFilter(refreshInterval time.Duration) *HeartbeatFilter {
 	return &HeartbeatFilter{
 		refreshInterval: refreshInterval,
@@ -46,12 +46,12 @@
 	}
 }
 
-// MustForward says whether a heartbeat must be forwarded to the leader of a term: it contains
-// something new, or an exited task, which only the leader may drop, or the leader has asked for it.
+// MustForward reports whether a heartbeat must be forwarded to the leader of a term: because it contains new
+// information, because it contains an exited task, which only the leader may drop, or because the leader requested it.
 func (f *HeartbeatFilter) MustForward(now time.Duration, h *protocol.WorkerHeartbeat, term uint64) bool {
 	if term != f.term {
 		f.term = term
-		clear(f.forwarded) // the new leader knows none of them
+		clear(f.forwarded) // the new leader has received none of them
 		clear(f.unchanged)
 	}
 	last := f.forwarded[h.Machine]
@@ -60,13 +60,13 @@
 		now-last.forwardedAt >= f.refreshInterval ||
 		last.incarnation != h.Incarnation ||
 		last.token != h.FencingToken ||
-		last.notice != (h.InterruptionNoticeSeconds != nil) ||
+		last.interruptionNotice != (h.InterruptionNoticeSeconds != nil) ||
 		last.tasksHash != f.tasksHash(h) ||
 		protocol.TermOfToken(h.FencingToken) != term ||
 		slices.ContainsFunc(h.Tasks, func(t protocol.TaskStatus) bool { return t.State == protocol.TaskExited })
 }
 
-// tasksHash returns a hash of the reported tasks.
+// tasksHash returns a hash of the reported task statuses.
 func (f *HeartbeatFilter) tasksHash(h *protocol.WorkerHeartbeat) uint64 {
 	var hash maphash.Hash
 	hash.SetSeed(f.seed)
@@ -76,24 +76,25 @@
 	return hash.Sum64()
 }
 
-// Forwarded notes that the leader has answered a heartbeat.
+// Forwarded records that the leader has answered a heartbeat.
 func (f *HeartbeatFilter) Forwarded(now time.Duration, h *protocol.WorkerHeartbeat) {
 	f.forwarded[h.Machine] = &forwardedHeartbeat{
-		forwardedAt: now,
-		incarnation: h.Incarnation,
-		token:       h.FencingToken,
-		notice:      h.InterruptionNoticeSeconds != nil,
-		tasksHash:   f.tasksHash(h),
+		forwardedAt:        now,
+		incarnation:        h.Incarnation,
+		token:              h.FencingToken,
+		interruptionNotice: h.InterruptionNoticeSeconds != nil,
+		tasksHash:          f.tasksHash(h),
 	}
 	delete(f.unchanged, h.Machine)
 }
 
-// AnsweredLocally notes that the owner has answered a heartbeat itself.
+// AnsweredLocally records that the owner has answered a heartbeat itself.
 func (f *HeartbeatFilter) AnsweredLocally(h *protocol.WorkerHeartbeat) {
 	f.unchanged[h.Machine] = UnchangedHeartbeat{Machine: h.Machine, Incarnation: h.Incarnation, Sequence: h.Sequence}
 }
 
-// TakeUnchanged returns and forgets the machines that were answered locally, in name order.
+// TakeUnchanged returns the latest heartbeat of each machine that was answered locally, sorted by machine name, and
+// clears the list.
 func (f *HeartbeatFilter) TakeUnchanged() []UnchangedHeartbeat {
 	list := make([]UnchangedHeartbeat, 0, len(f.unchanged))
 	for _, name := range slices.Sorted(maps.Keys(f.unchanged)) {
@@ -103,7 +104,7 @@
 	return list
 }
 
-// ForwardNext makes the next heartbeats of machines be forwarded, whatever they contain.
+// ForwardNext ensures that the next heartbeat of each of the machines is forwarded regardless of its content.
 func (f *HeartbeatFilter) ForwardNext(machines []string) {
 	for _, name := range machines {
 		if last := f.forwarded[name]; last != nil {
@@ -112,7 +113,7 @@
 	}
 }
 
-// Expire drops the machines of which nothing was forwarded for long: they report elsewhere.
+// Expire drops machines for which nothing was forwarded for a long time. They now report to other controllers.
 func (f *HeartbeatFilter) Expire(now time.Duration) {
 	maps.DeleteFunc(f.forwarded, func(_ string, last *forwardedHeartbeat) bool {
 		return now-last.forwardedAt > 2*f.refreshInterval
--- a/internal/coordination/ownership/heartbeatfilter_test.go
+++ b/internal/coordination/ownership/heartbeatfilter_test.go
@@ -13,8 +13,7 @@
 	testRefreshInterval = 5 * time.Second
 )
 
-// testHeartbeat returns the heartbeat of a machine with one running task, with a change unless that
-// is nil.
+// testHeartbeat returns the heartbeat of a machine with one running task. A non-nil change is applied to it.
 func testHeartbeat(change func(*protocol.WorkerHeartbeat)) *protocol.WorkerHeartbeat {
 	h := &protocol.WorkerHeartbeat{
 		Machine:      "m1",
@@ -29,16 +28,16 @@
 	return h
 }
 
-// TestHeartbeatFilter checks that an owner forwards a heartbeat unless it contains what the leader of
-// the term has recently answered.
+// TestHeartbeatFilter checks that an owner forwards a heartbeat unless the leader of the term has recently answered one
+// with the same content.
 func TestHeartbeatFilter(t *testing.T) {
 	notice := 3.0
 	for _, test := range []struct {
 		name      string
 		change    func(*protocol.WorkerHeartbeat)
-		after     time.Duration // default: 1 s
-		term      uint64        // default: testTerm
-		requested bool          // the leader has asked for the next heartbeat
+		after     time.Duration // 1 s if zero
+		term      uint64        // testTerm if zero
+		requested bool          // whether the leader requested the next heartbeat
 		forward   bool
 	}{
 		{name: "same"},
@@ -69,7 +68,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			f := NewHeartbeatFilter(testRefreshInterval)
 			if !f.MustForward(0, testHeartbeat(nil), testTerm) {
-				t.Fatal("the first heartbeat is not forwarded")
+				t.Fatal("the first heartbeat need not be forwarded")
 			}
 			f.Forwarded(0, testHeartbeat(nil))
 			if test.requested {
@@ -78,34 +77,33 @@
 			now := max(test.after, time.Second)
 			term := max(test.term, testTerm)
 			if got := f.MustForward(now, testHeartbeat(test.change), term); got != test.forward {
-				t.Errorf("must forward: %v, want %v", got, test.forward)
+				t.Errorf("MustForward() = %v, want %v", got, test.forward)
 			}
 		})
 	}
 }
 
-// TestExitedTasksAreForwarded checks that heartbeats with an exited task are always forwarded.
+// TestExitedTasksAreForwarded checks that heartbeats that contain an exited task are always forwarded.
 func TestExitedTasksAreForwarded(t *testing.T) {
 	f := NewHeartbeatFilter(testRefreshInterval)
 	exited := testHeartbeat(func(h *protocol.WorkerHeartbeat) { h.Tasks[0].State = protocol.TaskExited })
 	f.MustForward(0, exited, testTerm)
 	f.Forwarded(0, exited)
 	if !f.MustForward(time.Second, exited, testTerm) {
-		t.Error("a repeated heartbeat with an exited task is not forwarded")
+		t.Error("a repeated heartbeat with an exited task need not be forwarded")
 	}
 }
 
-// TestTakeUnchanged checks that the last heartbeat of each machine that the owner has answered is
-// returned once.
+// TestTakeUnchanged checks that the latest heartbeat of each machine that the owner answered is returned exactly once.
 func TestTakeUnchanged(t *testing.T) {
 	f := NewHeartbeatFilter(testRefreshInterval)
 	f.Forwarded(0, testHeartbeat(nil))
 	f.AnsweredLocally(testHeartbeat(func(h *protocol.WorkerHeartbeat) { h.Sequence = 11 }))
 	want := []UnchangedHeartbeat{{Machine: "m1", Incarnation: 2, Sequence: 11}}
 	if got := f.TakeUnchanged(); !slices.Equal(got, want) {
-		t.Errorf("unchanged %v, want %v", got, want)
+		t.Errorf("TakeUnchanged() = %v, want %v", got, want)
 	}
 	if got := f.TakeUnchanged(); len(got) > 0 {
-		t.Errorf("unchanged %v again", got)
+		t.Errorf("second TakeUnchanged() = %v, want none", got)
 	}
 }
--- a/internal/coordination/ownership/ownerstatus.go
+++ b/internal/coordination/ownership/ownerstatus.go
@@ -6,28 +6,30 @@
 	"pinebay/internal/protocol"
 )
 
-// OwnerStatus is what decides, at one moment, whether a controller may answer workers as an owner.
+// OwnerStatus is the information that determines whether, at one point in time, a controller may answer workers as an
+// owner.
 type OwnerStatus struct {
-	// Table is in force as far as this controller has read; nil: none.
+	// Table is the ownership table of the latest record that this controller has read, or nil if there is none.
 	Table *Table
-	// Controller is this controller, and Process the number of its process.
+	// Controller is the name of this controller, and Process identifies its process.
 	Controller string
 	Process    uint64
-	// Leader is who leads according to a recent heartbeat, and LeaderEpoch the ownership epoch in
-	// which it works; "": nobody is known.
+	// Leader is the leader according to a recent heartbeat, or "" if unknown. LeaderEpoch is the ownership epoch that
+	// the leader uses.
 	Leader      string
 	LeaderEpoch uint64
-	// DigestAge is how long ago the last digest of unchanged heartbeats was sent that the leader has
+	// DigestAge is the time since this controller sent the latest digest of unchanged heartbeats that the leader has
 	// acknowledged. It must not exceed MaxDigestAge.
 	DigestAge, MaxDigestAge time.Duration
-	// KnowsCancellations says that this controller knows every cancellation that whoever renews leases
-	// must know.
+	// KnowsCancellations reports whether this controller knows every cancellation that a controller must know to renew
+	// leases.
 	KnowsCancellations bool
 }
 
-// MayAnswer says whether the controller may answer workers as an owner: it is one in the epoch in
-// which the leader works, the leader has recently acknowledged which machines it answered, and it
-// knows every cancellation. None of that is recent for a process that wakes after it stood still.
+// MayAnswer reports whether the controller may answer workers as an owner. It must be an owner in the epoch that the
+// leader uses, the leader must have recently acknowledged which machines it answered, and it must know every
+// cancellation. A process that resumes after a suspension fails these conditions, because all of its information is too
+// old.
 func (s OwnerStatus) MayAnswer() bool {
 	if s.Table == nil || s.Leader == "" || s.Leader == s.Controller || s.LeaderEpoch != s.Table.Epoch {
 		return false
@@ -36,9 +38,8 @@
 	return ok && m.Incarnation.Process == s.Process && s.DigestAge <= s.MaxDigestAge && s.KnowsCancellations
 }
 
-// UnchangedReply is an owner's reply to a heartbeat that it need not forward. The fencing token is
-// the worker's own, and the only commands are those that stop tasks of jobs of which users may
-// have been told that they are cancelled.
+// UnchangedReply returns an owner's reply to a heartbeat that need not be forwarded. It repeats the worker's own
+// fencing token. Its only commands stop tasks of jobs that users may have been told are cancelled.
 func UnchangedReply(h *protocol.WorkerHeartbeat, cancelled func(job string) bool) protocol.WorkerHeartbeatReply {
 	return protocol.WorkerHeartbeatReply{FencingToken: h.FencingToken, Commands: h.StopCommands(cancelled)}
 }
--- a/internal/coordination/ownership/ownerstatus_test.go
+++ b/internal/coordination/ownership/ownerstatus_test.go
@@ -7,7 +7,7 @@
 	"pinebay/internal/protocol"
 )
 
-// TestOwnerStatusMayAnswer checks that an owner may not answer if any single precondition is missing.
+// TestOwnerStatusMayAnswer checks that an owner may not answer if any one of the preconditions is violated.
 func TestOwnerStatusMayAnswer(t *testing.T) {
 	valid := OwnerStatus{
 		Table:              NewTable(4, []Member{member("a", 1, 0), member("b", 2, 0)}),
@@ -20,7 +20,7 @@
 		KnowsCancellations: true,
 	}
 	if !valid.MayAnswer() {
-		t.Fatal("an owner may not answer")
+		t.Fatal("an owner that meets all preconditions may not answer")
 	}
 	for _, test := range []struct {
 		name   string
@@ -40,14 +40,14 @@
 			s := valid
 			test.change(&s)
 			if s.MayAnswer() {
-				t.Error("may answer")
+				t.Error("may answer although a precondition is violated")
 			}
 		})
 	}
 }
 
-// TestUnchangedReplyStopsCancelledTasksOnly checks that an owner's reply stops the tasks of cancelled
-// jobs, commands nothing else, and has the worker's own token.
+// TestUnchangedReplyStopsCancelledTasksOnly checks that an owner's reply stops the tasks of cancelled jobs, contains no
+// other commands, and carries the worker's own fencing token.
 func TestUnchangedReplyStopsCancelledTasksOnly(t *testing.T) {
 	h := &protocol.WorkerHeartbeat{
 		Machine:      "m1",
@@ -61,12 +61,12 @@
 	}
 	reply := UnchangedReply(h, func(job string) bool { return job == "j-1" })
 	if reply.FencingToken != 77 || len(reply.Commands) != 1 {
-		t.Fatalf("reply %+v, want one command with token 77", reply)
+		t.Fatalf("reply %+v, want one command and fencing token 77", reply)
 	}
 	if c := reply.Commands[0]; c.Verb != protocol.VerbStop || c.TaskName != "j-1/0" || *c.GraceSeconds != 0 {
 		t.Errorf("command %+v, want to stop j-1/0 at once", c)
 	}
 	if reply := UnchangedReply(h, func(string) bool { return false }); len(reply.Commands) != 0 {
-		t.Errorf("commands %+v although nothing is cancelled", reply.Commands)
+		t.Errorf("commands %+v although no job is cancelled, want none", reply.Commands)
 	}
 }
--- a/internal/coordination/ownership/table.go
+++ b/internal/coordination/ownership/table.go
@@ -9,21 +9,21 @@
 	"pinebay/internal/coordination/failuredetector"
 )
 
-// Member is a controller that owns machines, in one incarnation.
+// Member is an incarnation of a controller that owns machines.
 type Member struct {
 	Controller  string
 	Incarnation failuredetector.Incarnation
 }
 
-// Table maps machines to their owners in one epoch, by rendezvous hashing of the members' names: a
-// change of one member moves only that one's machines. It is immutable and safe for concurrent use.
+// Table maps machines to their owners in one epoch, by rendezvous hashing of the members' names. A change of one member
+// therefore moves only the machines of that member. A Table is immutable and safe for concurrent use.
 type Table struct {
 	Epoch   uint64
 	members []Member
 	hash    *rendezvous.Rendezvous
 }
 
-// NewTable returns the table of an epoch.
+// NewTable returns the table for an epoch.
 func NewTable(epoch uint64, members []Member) *Table {
 	names := make([]string, len(members))
 	for i, m := range members {
@@ -40,7 +40,7 @@
 // Members returns the controllers that own machines.
 func (t *Table) Members() []Member { return slices.Clone(t.members) }
 
-// Member returns a controller's entry, if it owns machines.
+// Member returns the entry of a controller, and whether the controller owns machines.
 func (t *Table) Member(controller string) (Member, bool) { return findMember(t.members, controller) }
 
 func findMember(members []Member, controller string) (Member, bool) {
@@ -51,5 +51,5 @@
 	return members[i], true
 }
 
-// Owner returns the controller that owns a machine, or "" if nobody does.
+// Owner returns the controller that owns a machine, or "" if there is none.
 func (t *Table) Owner(machine string) string { return t.hash.Lookup(machine) }
--- a/internal/coordination/ownership/table_test.go
+++ b/internal/coordination/ownership/table_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// TestRendezvousMovesFewestMachines checks that only the machines of a controller move that leaves,
-// that they return when it comes back, and that machines are spread evenly.
+// TestRendezvousMovesFewestMachines checks that only the machines of a departed controller change owners, that they
+// return to it when it is back, and that machines are distributed evenly.
 func TestRendezvousMovesFewestMachines(t *testing.T) {
 	members := []Member{
 		member("a", 1, 0),
@@ -26,10 +26,10 @@
 		owner := before.Owner(machine)
 		counts[owner]++
 		if moved := without.Owner(machine); owner != "c" && moved != owner {
-			t.Fatalf("%s moves from %s to %s although only c has left", machine, owner, moved)
+			t.Fatalf("%s moved from %s to %s although only c left", machine, owner, moved)
 		}
 		if returned := again.Owner(machine); returned != owner {
-			t.Fatalf("%s is owned by %s when all are back, and was by %s", machine, returned, owner)
+			t.Fatalf("%s is owned by %s after all members returned, previously by %s", machine, returned, owner)
 		}
 	}
 	for owner, n := range counts {
@@ -38,6 +38,6 @@
 		}
 	}
 	if owner := NewTable(1, nil).Owner("host-000001"); owner != "" {
-		t.Errorf("%s owns a machine in an empty table", owner)
+		t.Errorf("%q owns a machine in an empty table, want no owner", owner)
 	}
 }
