--- a/internal/coordination/election/election.go
+++ b/internal/coordination/election/election.go
@@ -1,9 +1,9 @@
 // Package election elects the leader among the controllers.
 //
 // The leader holds a key in the key-value store, which is bound to a lease. Each change of leadership increments the
-// term. The term is part of the fencing token that workers check, and every write of a leader is conditional on the
-// term record. Two controllers that both believe they lead are therefore harmless, and so is claiming the leadership
-// too early. What this package must ensure is that the leadership changes rarely, and only for a reason.
+// term. The term is part of the workers' fencing token, and every write of a leader is conditional on the term record.
+// Two controllers that both believe they lead are therefore harmless, and so is claiming the leadership too early. What
+// this package must ensure is that the leadership changes rarely, and only for a reason.
 //
 // Election is a pure state machine: it performs no I/O, reads no clock, starts no goroutines and is not safe for
 // concurrent use. All times are durations on one monotonic clock. The caller passes each event to Step together with
@@ -34,8 +34,8 @@
 	// RenewalHorizon is how long a controller may keep renewing workers' leases after the last time at which it knew
 	// every cancellation. It is limited because leases must expire before the tasks of a cancelled job have to be gone.
 	RenewalHorizon time.Duration
-	// CancellationTimeout is how long after its intent was recorded a cancellation can still be confirmed to the user.
-	// A later confirmation requires a new intent.
+	// CancellationTimeout is how long after its intent was recorded a cancellation can still be confirmed. A
+	// later confirmation requires a new intent.
 	CancellationTimeout time.Duration
 	// RecoveryPeriod is how long after its start a controller may lack relevant cancellation intents that an earlier
 	// process of the same name held. It ends when every task has ended whose lease was last renewed by a controller
