--- a/internal/coordination/placement/consolidation.go
+++ b/internal/coordination/placement/consolidation.go
@@ -10,57 +10,58 @@
 	"pinebay/internal/protocol"
 )
 
-// StartCountsAfter is how long a task has to run for its start to count, by the protocol: a start that a
-// command ends earlier does not. Tasks are not moved before.
+// StartCountsAfter is the time that a task must run for its start to count. By the protocol, a start does not count
+// if a command ends the task earlier. Consolidation therefore does not move tasks that have run for less.
 const StartCountsAfter = 30 * time.Second
 
-// maxConsolidatedUtilization is the utilization up to which a machine may be emptied.
+// maxConsolidatedUtilization is the highest utilization at which a machine may be drained.
 const maxConsolidatedUtilization = 0.5
 
-// Consolidator finds machines that few replicas hold, and that can be emptied by moving these to fuller
-// machines. A move takes a replica away for a moment, while a machine that one small replica holds is paid
-// for as long as the replica lives.
+// Consolidator selects underutilized machines to drain: machines that hold only a few service replicas, all of which
+// fit on better utilized machines. Moving a replica interrupts it briefly, while a machine that is kept for one small
+// replica has to be paid for as long as the replica lives.
 type Consolidator struct {
-	rules *Rules
-	pause time.Duration
-	// lastAt is when a machine was last found.
-	lastAt time.Duration
-	// cursor is the machine at which the next search in a large fleet begins.
+	rules    *Rules
+	interval time.Duration
+	// lastSelected is when Next last returned a machine.
+	lastSelected time.Duration
+	// cursor is the name of the machine at which the next scan of a large fleet starts.
 	cursor string
 }
 
-// NewConsolidator returns a consolidator that finds a machine after each pause at most.
-func NewConsolidator(rules *Rules, pause time.Duration) *Consolidator {
-	return &Consolidator{rules: rules, pause: pause}
+// NewConsolidator returns a consolidator that selects at most one machine per interval.
+func NewConsolidator(rules *Rules, interval time.Duration) *Consolidator {
+	return &Consolidator{rules: rules, interval: interval}
 }
 
-// Next returns the least utilized machine whose tasks all fit elsewhere, or nil.
+// Next returns the least utilized machine whose placements all fit on other machines, or nil if there is none or the
+// interval since the last one is not over.
 func (c *Consolidator) Next(now time.Duration) *machineregistry.Machine {
-	if now-c.lastAt < c.pause {
+	if now-c.lastSelected < c.interval {
 		return nil
 	}
-	light := c.underutilized(now)
-	slices.SortStableFunc(light, func(a, b *candidates.Candidate) int {
+	list := c.underutilized(now)
+	slices.SortStableFunc(list, func(a, b *candidates.Candidate) int {
 		return cmp.Compare(c.utilization(a), c.utilization(b))
 	})
-	for _, x := range light {
+	for _, x := range list {
 		if c.fitsElsewhere(now, x) {
-			c.lastAt = now
+			c.lastSelected = now
 			return x.Machine
 		}
 	}
 	return nil
 }
 
-// utilization returns the share of a machine that is reserved.
+// utilization returns the dominant share of a machine's capacity that is reserved.
 func (c *Consolidator) utilization(x *candidates.Candidate) float64 {
 	capacity := x.Capacity()
 	return capacity.Minus(c.rules.Machines.FreeCapacity(x.Machine)).DominantShare(capacity)
 }
 
-// underutilized returns machines that may be emptied. In a large fleet it examines a part of the machines,
-// and goes on from there the next time.
-func (c *Consolidator) underutilized(now time.Duration) (light []*candidates.Candidate) {
+// underutilized returns machines that may be drained. It examines at most MaxExaminedMachines, and the next call
+// continues with the rest of the fleet.
+func (c *Consolidator) underutilized(now time.Duration) (list []*candidates.Candidate) {
 	remaining := MaxExaminedMachines
 	from := c.cursor
 	c.cursor = ""
@@ -69,16 +70,17 @@
 			c.cursor = m.Name
 			return false
 		}
-		if x := c.rules.Candidates.Of(now, m); x != nil && c.mayBeEmptied(now, x) {
-			light = append(light, x)
+		if x := c.rules.Candidates.Of(now, m); x != nil && c.drainable(now, x) {
+			list = append(list, x)
 		}
 		return true
 	})
-	return light
+	return list
 }
 
-// mayBeEmptied reports whether a machine holds nothing but a few replicas that have run for long enough.
-func (c *Consolidator) mayBeEmptied(now time.Duration, x *candidates.Candidate) bool {
+// drainable reports whether a machine holds only movable replicas, is utilized little enough, and is not nominated
+// for a job.
+func (c *Consolidator) drainable(now time.Duration, x *candidates.Candidate) bool {
 	if x.Machine.PlacementCount() == 0 || c.rules.NominatedForOther(now, x.Machine, "") {
 		return false
 	}
@@ -89,33 +91,36 @@
 	return movable && c.utilization(x) <= maxConsolidatedUtilization
 }
 
+// movable reports whether a placement is a service replica that has run long enough to be moved, with no write of its
+// job's records in flight.
 func (c *Consolidator) movable(now time.Duration, pl *machineregistry.Placement) bool {
 	j := c.rules.Jobs[pl.Task.JobID]
 	return j != nil && !j.Ended && !j.WriteInFlight && j.Spec.Shape == protocol.Service &&
 		!pl.Stopping && pl.State == protocol.TaskRunning && now-pl.StateSince >= StartCountsAfter
 }
 
-// fitsElsewhere reports whether all that a machine holds fits on fuller machines in its zone that have the
+// fitsElsewhere reports whether all placements of a machine fit on better utilized machines of its zone that have the
 // images.
 func (c *Consolidator) fitsElsewhere(now time.Duration, x *candidates.Candidate) bool {
-	taken := map[*candidates.Candidate]machineregistry.Resources{}
+	claimed := map[*candidates.Candidate]machineregistry.Resources{}
 	for _, pl := range PlacementsOn(x.Machine) {
-		target := c.fullestTarget(now, x, pl, taken)
+		target := c.mostUtilizedTarget(now, x, pl, claimed)
 		if target == nil {
 			return false
 		}
-		taken[target] = taken[target].Plus(pl.Resources)
+		claimed[target] = claimed[target].Plus(pl.Resources)
 	}
 	return true
 }
 
-// fullestTarget returns the fullest machine to which a placement could move from a machine, or nil.
-func (c *Consolidator) fullestTarget(
+// mostUtilizedTarget returns the most utilized machine to which a placement may move, or nil. claimed is the capacity
+// that other placements of the same machine have already claimed on each target.
+func (c *Consolidator) mostUtilizedTarget(
 	now time.Duration,
 	from *candidates.Candidate,
 	pl *machineregistry.Placement,
-	taken map[*candidates.Candidate]machineregistry.Resources,
-) (fullest *candidates.Candidate) {
+	claimed map[*candidates.Candidate]machineregistry.Resources,
+) (mostUtilized *candidates.Candidate) {
 	set := c.rules.Machines.MachinesWithImage(pl.Job.Image)
 	if set == nil {
 		return nil
@@ -126,19 +131,20 @@
 			return false
 		}
 		x := c.rules.Candidates.Of(now, m)
-		if x == nil || x == from || !c.isTarget(now, x, from, pl) || !pl.Resources.Fits(x.Free.Minus(taken[x])) {
+		if x == nil || x == from || !c.isTarget(now, x, from, pl) || !pl.Resources.Fits(x.Free.Minus(claimed[x])) {
 			return true
 		}
-		if fullest == nil || c.utilization(x) > c.utilization(fullest) {
-			fullest = x
+		if mostUtilized == nil || c.utilization(x) > c.utilization(mostUtilized) {
+			mostUtilized = x
 		}
 		return true
 	})
-	return fullest
+	return mostUtilized
 }
 
-// isTarget reports whether a placement may move to a machine, whatever is free there: an on-demand machine
-// in the same zone that is used no less, is reliable, and has the image.
+// isTarget reports whether a placement may move to a machine, regardless of its free capacity: an on-demand machine
+// of the same zone that is at least as utilized as the source, has the image, and had no task failure since a task
+// last succeeded there.
 func (c *Consolidator) isTarget(now time.Duration, x, from *candidates.Candidate, pl *machineregistry.Placement) bool {
 	m := x.Machine
 	return m.Zone == from.Machine.Zone && !m.Spot && x.Type.AllowedBy(pl.Job) &&
--- a/internal/coordination/placement/consolidation_test.go
+++ b/internal/coordination/placement/consolidation_test.go
@@ -13,7 +13,7 @@
 	"pinebay/internal/protocol"
 )
 
-// replicaFleet is a set of machines of 8 GPUs in zone "a" that run replicas of one image.
+// replicaFleet is a set of 8-GPU machines that run service replicas of one image.
 type replicaFleet struct {
 	rules      *Rules
 	heartbeats map[string]*protocol.WorkerHeartbeat
@@ -44,7 +44,7 @@
 	}
 }
 
-// addMachine adds a machine on which one replica has been running since the beginning.
+// addMachine adds a machine on which one replica has been running since time 0.
 func (f *replicaFleet) addMachine(t *testing.T, name, zone string, gpus float64) *jobstate.Job {
 	t.Helper()
 	f.heartbeats[name] = &protocol.WorkerHeartbeat{
@@ -81,13 +81,14 @@
 	return j
 }
 
+// heartbeat sends a heartbeat of a machine at the given time.
 func (f *replicaFleet) heartbeat(now time.Duration, name string) {
 	f.heartbeats[name].Sequence++
 	heartbeat := *f.heartbeats[name]
 	f.rules.Machines.HandleHeartbeat(now, &heartbeat)
 }
 
-// refresh has all machines send a heartbeat at the given time.
+// refresh sends a heartbeat of every machine at the given time.
 func (f *replicaFleet) refresh(now time.Duration) {
 	for name := range f.heartbeats {
 		f.heartbeat(now, name)
@@ -97,15 +98,15 @@
 
 func TestConsolidator(t *testing.T) {
 	for _, test := range []struct {
-		name       string
-		gpus       [2]float64 // of the replicas on m0 and m1
-		otherZone  bool
-		nominated  bool
-		writing    bool
-		now        time.Duration
-		wantToMove string
+		name        string
+		gpus        [2]float64 // of the replicas on m0 and m1
+		otherZone   bool
+		nominated   bool
+		writing     bool
+		now         time.Duration
+		wantDrained string
 	}{
-		{name: "moves to the fuller machine", gpus: [2]float64{1, 4}, now: time.Minute, wantToMove: "m0"},
+		{name: "moves to the fuller machine", gpus: [2]float64{1, 4}, now: time.Minute, wantDrained: "m0"},
 		{name: "not before starts count", gpus: [2]float64{1, 4}, now: StartCountsAfter - time.Second},
 		{name: "no capacity elsewhere", gpus: [2]float64{3, 6}, now: time.Minute},
 		{name: "both are well used", gpus: [2]float64{5, 5}, now: time.Minute},
@@ -134,11 +135,11 @@
 			if m := c.Next(test.now); m != nil {
 				got = m.Name
 			}
-			if got != test.wantToMove {
-				t.Errorf("empties %q, want %q", got, test.wantToMove)
+			if got != test.wantDrained {
+				t.Errorf("drains %q, want %q", got, test.wantDrained)
 			}
-			if m := c.Next(test.now + time.Second/2); m != nil && test.wantToMove != "" {
-				t.Errorf("empties %s within the pause", m.Name)
+			if m := c.Next(test.now + time.Second/2); m != nil && test.wantDrained != "" {
+				t.Errorf("drains %s within the interval", m.Name)
 			}
 		})
 	}
--- a/internal/coordination/placement/finder.go
+++ b/internal/coordination/placement/finder.go
@@ -10,44 +10,48 @@
 	"pinebay/internal/coordination/machineregistry"
 )
 
-// Limits of one search. With up to maxTies machines a search finds what examining all of them would find.
-// With more, it need not find the first by name of those with equal scores, and with more than
-// MaxExaminedMachines it may miss one that is slightly better.
+// Limits of one search. In a fleet of up to maxTies machines, a search returns the same machine as an exhaustive one.
+// In a larger fleet, it may return any of the machines with the best score instead of the first by name; with more
+// than MaxExaminedMachines, it may also return a machine with a slightly worse score.
 const (
-	// MaxExaminedMachines is the number of machines that one search examines.
+	// MaxExaminedMachines limits the machines that one search examines. For searches for free capacity, the limit of
+	// a job is doubled after a search that reached it without finding a machine.
 	MaxExaminedMachines = 1024
-	maxTies             = 64
-	// maxSearchDoublings limits how often the limit of a job's searches doubles.
+	// maxTies limits how many machines a search examines that can at most equal the best score found so far.
+	maxTies = 64
+	// maxSearchDoublings limits how often the search limit of a job is doubled.
 	maxSearchDoublings = 10
 )
 
-// Filter reports whether a candidate is admitted for the task at hand.
+// Filter reports whether a candidate is admissible for the task being placed.
 type Filter func(*candidates.Candidate) bool
 
-// Finder finds machines through the candidate index and the registry's sets of machines.
+// Finder selects machines for tasks. It searches the candidate index and the machine sets of the registry instead of
+// scanning the whole fleet.
 type Finder struct {
-	// MaxExamined limits a search that has not been widened.
+	// MaxExamined limits the machines that a search examines, unless the limit of the job has been doubled.
 	MaxExamined int
-	// Examined counts the machines that all searches have examined.
+	// Examined is the total number of machines examined by all searches.
 	Examined uint64
 
 	rules  *Rules
 	budget *PreemptionBudget
-	// victimCursor is the machine at which the next search for victims in a large fleet begins.
+	// victimCursor is the name of the machine at which the next preemption search in a large fleet starts.
 	victimCursor string
 }
 
-// NewFinder returns a finder. Its searches for victims are charged to the budget.
+// NewFinder returns a finder that charges its preemption searches to the budget.
 func NewFinder(rules *Rules, budget *PreemptionBudget) *Finder {
 	return &Finder{MaxExamined: MaxExaminedMachines, rules: rules, budget: budget}
 }
 
-// evaluation returns the score of a candidate, and whether it is feasible.
+// evaluation returns the score of a candidate and whether the candidate is feasible.
 type evaluation func(*candidates.Candidate) (score float64, feasible bool)
 
 // best is the best candidate found so far.
 type best = machineindex.Best[*candidates.Candidate]
 
+// candidateOf returns the best candidate found, or nil.
 func candidateOf(b *best) *candidates.Candidate {
 	if !b.Found {
 		return nil
@@ -55,9 +59,9 @@
 	return b.Entry.Value
 }
 
-// BestMachine returns the admitted candidate with the lowest score for a task of the job, or nil. It
-// searches the machines that have the image or fetch it first, and the others only if one of them could
-// score lower with the fetch that it needs.
+// BestMachine returns the admissible candidate with the lowest score for a task of the job, or nil. It searches
+// machines that have the job's image or are fetching it first, and other machines only if one of them could score
+// lower despite the fetch that it needs.
 func (f *Finder) BestMachine(
 	now time.Duration,
 	j *jobstate.Job,
@@ -74,12 +78,11 @@
 	f.searchFetching(now, j, evaluate, &found)
 	complete = f.searchWithoutImage(j, q, evaluate, &found) && complete
 	f.rules.Candidates.RemoveUnschedulable(now)
-	widenNextSearch(j, found.Found, complete)
+	adjustSearchLimit(j, found.Found, complete)
 	return candidateOf(&found)
 }
 
-// BestWithImage returns the admitted candidate with the lowest score among those that have the job's image,
-// or nil.
+// BestWithImage returns the admissible candidate with the lowest score among those that have the job's image, or nil.
 func (f *Finder) BestWithImage(
 	now time.Duration,
 	j *jobstate.Job,
@@ -91,9 +94,10 @@
 	return candidateOf(&found)
 }
 
-// widenNextSearch doubles the limit of the job's next search if this one found no machine within its
-// limit. Otherwise the job would starve while the first machines have capacity that is not for it.
-func widenNextSearch(j *jobstate.Job, found, complete bool) {
+// adjustSearchLimit doubles the limit of the job's next search if this one reached its limit without finding a
+// machine, and resets the limit once a machine is found. Without this, a job would starve if the machines examined
+// first have free capacity that the job cannot use.
+func adjustSearchLimit(j *jobstate.Job, found, complete bool) {
 	switch {
 	case found:
 		j.SearchDoublings = 0
@@ -102,10 +106,10 @@
 	}
 }
 
-// maxExamined returns the limit of the job's next search.
+// maxExamined returns the limit of the job's next search, in machines examined.
 func (f *Finder) maxExamined(j *jobstate.Job) int { return f.MaxExamined << j.SearchDoublings }
 
-// evaluator returns the evaluation of candidates for a job.
+// evaluator returns the function that filters and scores candidates for a job.
 func (f *Finder) evaluator(now time.Duration, j *jobstate.Job, l *ZoneLimits, admits Filter) evaluation {
 	return func(x *candidates.Candidate) (float64, bool) {
 		f.Examined++
@@ -116,8 +120,8 @@
 	}
 }
 
-// searchWithImage searches the machines that are known to have the job's image. It reports whether it
-// examined all that could be better.
+// searchWithImage searches the machines that are known to have the job's image. It reports whether it examined every
+// machine that could score lower than the best.
 func (f *Finder) searchWithImage(
 	now time.Duration,
 	j *jobstate.Job,
@@ -143,7 +147,8 @@
 		return free.Minus(j.TaskResources).DominantShare(capacity)
 	}
 	if !f.rules.StartLatency.Has(j.Spec.Class) {
-		q.ScoreBound = func(_, _ machineregistry.Resources) float64 { return 1 } // all score the same
+		// Without an objective, packingScore is 1 for every machine that needs no fetch.
+		q.ScoreBound = func(_, _ machineregistry.Resources) float64 { return 1 }
 	}
 	return f.rules.Candidates.Machines.Search(q, found, evaluateWithImage)
 }
@@ -156,23 +161,24 @@
 	}
 	f.searchSet(set, j, math.Inf(-1), func(x *candidates.Candidate) (float64, bool) {
 		if f.rules.Machines.FetchTime(now, x.Machine, &j.Spec) == 0 {
-			return 0, false // searchWithImage has examined it
+			return 0, false // already examined by searchWithImage
 		}
 		return evaluate(x)
 	}, found)
 }
 
-// minScoreWithImage returns a lower bound of the score of machines that have the job's image.
+// minScoreWithImage returns a lower bound of the scores of machines that have the job's image.
 func (f *Finder) minScoreWithImage(q machineindex.Query, j *jobstate.Job) float64 {
-	least := math.Inf(1)
-	f.rules.Candidates.Machines.Pools(func(p machineindex.Pool) { least = min(least, q.PoolScore(p)) })
+	lowest := math.Inf(1)
+	f.rules.Candidates.Machines.Pools(func(p machineindex.Pool) { lowest = min(lowest, q.PoolScore(p)) })
 	if !f.rules.StartLatency.Has(j.Spec.Class) {
-		least++
+		lowest++ // see packingScore
 	}
-	return least
+	return lowest
 }
 
-// searchSet examines machines in name order, until one has the lowest possible score.
+// searchSet examines the machines of a set in name order until one has the lowest possible score or the limit is
+// reached.
 func (f *Finder) searchSet(
 	set *machineregistry.MachineSet,
 	j *jobstate.Job,
@@ -197,8 +203,8 @@
 	})
 }
 
-// searchWithoutImage searches the machines without the job's image. It reports whether it examined all that
-// could be better.
+// searchWithoutImage searches the machines without the job's image. It reports whether it examined every machine that
+// could score lower than the best.
 func (f *Finder) searchWithoutImage(
 	j *jobstate.Job,
 	q machineindex.Query,
@@ -221,7 +227,7 @@
 	})
 }
 
-// query returns a best-fit query for machines with capacity for a task of the job.
+// query returns a best-fit query for machines with enough free capacity for a task of the job.
 func (f *Finder) query(j *jobstate.Job, l *ZoneLimits) machineindex.Query {
 	return machineindex.Query{
 		Need:        j.TaskResources,
@@ -236,25 +242,29 @@
 	}
 }
 
-// scoreBound is a lower bound of the score of a machine with so much free capacity, beyond its pool's.
+// scoreBound returns a lower bound of the score of a machine with the given free capacity, not counting the score of
+// its pool.
 type scoreBound func(capacity, free machineregistry.Resources) float64
 
-// boundPreferringFreeCapacity bounds what a machine without the job's image scores beyond one fetch of it,
-// where that falls with the free capacity: by half of the longest fetch at most (see packingScore).
+// boundPreferringFreeCapacity returns the score bound of machines without the job's image, not counting one fetch of
+// it, for a job whose score falls as free capacity grows. Free capacity lowers the score by at most half of the
+// longest fetch (see packingScore).
 func (f *Finder) boundPreferringFreeCapacity(j *jobstate.Job) scoreBound {
 	longest := 0.0
 	for name := range f.rules.Machines.MachineTypes() {
 		longest = max(longest, f.rules.fetchSeconds(j, name))
 	}
-	least := 1 - longest/2
+	lowest := 1 - longest/2
 	if f.rules.StartLatency.Has(j.Spec.Class) {
-		least = min(least, -1)
+		lowest = min(lowest, -1)
 	}
-	return func(_, _ machineregistry.Resources) float64 { return least }
+	return func(_, _ machineregistry.Resources) float64 { return lowest }
 }
 
-// boundPreferringPackedMachines bounds the same where the score rises with the free capacity, but for
-// machines whose other fetches delay this one beyond the start latency objective.
+// boundPreferringPackedMachines returns the score bound of machines without the job's image, not counting one fetch
+// of it, for a job whose score rises as free capacity grows. The exception is a machine whose other fetches delay
+// this one beyond the start latency objective: its fetch takes at least objective/SlowFetchFactor, and its packing
+// score can be as low as -1.
 func (f *Finder) boundPreferringPackedMachines(j *jobstate.Job) scoreBound {
 	delayed := math.Inf(1)
 	objective := f.rules.StartLatency.Seconds(j.Spec.Class)
@@ -266,8 +276,8 @@
 	}
 }
 
-// MostFreeCapacity returns the candidate with the most free capacity of those that the job admits and that
-// could hold a task of it when empty, except those in the given set.
+// MostFreeCapacity returns the candidate with the most free capacity among the feasible ones that could hold a task
+// of the job if they were empty, leaving out the candidates in except.
 func (f *Finder) MostFreeCapacity(
 	now time.Duration,
 	j *jobstate.Job,
--- a/internal/coordination/placement/gangorder.go
+++ b/internal/coordination/placement/gangorder.go
@@ -10,15 +10,15 @@
 	"pinebay/internal/protocol"
 )
 
-// gangGroup identifies gangs that are ordered among themselves.
+// gangGroup identifies a group of gangs that are reordered among themselves.
 type gangGroup struct {
 	class, team string
 	priority    int
 }
 
-// OrderGangsByDeadline reorders the gangs of each class, team and priority among themselves, in a list in
-// scheduling order: those that can still meet an objective go first. Under overload, age alone would spend
-// the capacity on gangs that are late in any case, until every gang is late.
+// OrderGangsByDeadline reorders the gangs of each class, team and priority among themselves in a list that is in
+// scheduling order: gangs that can still meet a service-level objective go first. If gangs were ordered by age alone,
+// an overloaded fleet would spend its capacity on gangs that are already late, until every gang is late.
 func OrderGangsByDeadline(now time.Duration, waiting []*jobstate.Job, objectives []config.Objective) {
 	positions := map[gangGroup][]int{}
 	for i, j := range waiting {
@@ -27,38 +27,38 @@
 			positions[group] = append(positions[group], i)
 		}
 	}
-	for _, at := range positions {
-		gangs := make([]*jobstate.Job, len(at))
-		for k, i := range at {
+	for _, indexes := range positions {
+		gangs := make([]*jobstate.Job, len(indexes))
+		for k, i := range indexes {
 			gangs[k] = waiting[i]
 		}
 		slices.SortStableFunc(gangs, func(a, b *jobstate.Job) int {
-			return cmp.Compare(deadlineTierOf(now, a, objectives), deadlineTierOf(now, b, objectives))
+			return cmp.Compare(objectiveTierOf(now, a, objectives), objectiveTierOf(now, b, objectives))
 		})
-		for k, i := range at {
+		for k, i := range indexes {
 			waiting[i] = gangs[k]
 		}
 	}
 }
 
-// deadlineTier is a rank of gangs by what they can still achieve; lower goes first.
-type deadlineTier int
+// objectiveTier ranks a gang by the objective that it can still meet. Lower tiers are scheduled first.
+type objectiveTier int
 
 const (
-	canStartInTime deadlineTier = iota
-	canFinishInTime
-	lateInAnyCase
+	canMeetStartLatency objectiveTier = iota
+	canMeetCompletion
+	cannotMeetObjective
 )
 
-// starvationFactor is the multiple of its longest objective after which a gang goes first again, so that
-// none waits for ever.
+// starvationFactor is the multiple of a gang's longest objective after which the gang returns to the first tier, so
+// that it does not starve.
 const starvationFactor = 2
 
-// deadlineTierOf returns the tier of a gang. One without an objective, and one that has waited for too long,
-// is in the first.
-func deadlineTierOf(now time.Duration, j *jobstate.Job, objectives []config.Objective) deadlineTier {
+// objectiveTierOf returns the tier of a gang. Gangs without an objective, and gangs that have waited too long, are in
+// the first tier.
+func objectiveTierOf(now time.Duration, j *jobstate.Job, objectives []config.Objective) objectiveTier {
 	waited := (now - j.WaitingSince).Seconds()
-	tier, longest := lateInAnyCase, 0.0
+	tier, longest := cannotMeetObjective, 0.0
 	for _, o := range objectives {
 		if o.Class != j.Spec.Class {
 			continue
@@ -66,13 +66,13 @@
 		longest = max(longest, o.WithinSeconds)
 		switch {
 		case o.Kind == config.ObjectiveStartLatency && !j.StartCounted && waited <= o.WithinSeconds:
-			tier = canStartInTime
+			tier = canMeetStartLatency
 		case o.Kind == config.ObjectiveCompletion && waited+j.Spec.EstimateSeconds <= o.WithinSeconds:
-			tier = min(tier, canFinishInTime)
+			tier = min(tier, canMeetCompletion)
 		}
 	}
 	if longest == 0 || waited > starvationFactor*longest {
-		return canStartInTime
+		return canMeetStartLatency
 	}
 	return tier
 }
--- a/internal/coordination/placement/gangorder_test.go
+++ b/internal/coordination/placement/gangorder_test.go
@@ -10,8 +10,8 @@
 	"pinebay/internal/protocol"
 )
 
-// TestOrderGangsByDeadline: gangs of a class trade places by what they can still achieve; other jobs keep
-// theirs.
+// TestOrderGangsByDeadline checks that gangs of a group are reordered by the objective that they can still meet, and
+// that other jobs keep their positions.
 func TestOrderGangsByDeadline(t *testing.T) {
 	const now = time.Hour
 	objectives := []config.Objective{
--- a/internal/coordination/placement/nomination.go
+++ b/internal/coordination/placement/nomination.go
@@ -8,8 +8,8 @@
 	"pinebay/internal/coordination/machineregistry"
 )
 
-// A machine is nominated for a job while work on it is being preempted for the job, so that the capacity
-// does not go to a later one as it becomes free.
+// A machine is nominated for a job while placements on it are being preempted for that job. The nomination keeps jobs
+// that are scheduled later from taking the capacity as it becomes free.
 
 // Nominate nominates a machine for a job until the given time.
 func (r *Rules) Nominate(m *machineregistry.Machine, j *jobstate.Job, until time.Duration) {
@@ -35,17 +35,17 @@
 	return list
 }
 
-// NominatedForOther reports whether a machine is nominated for another job that goes first. A job that
-// comes before the nominated one in this cycle may take the capacity: if every gang kept what was
-// preempted for it, each could hold a part of what one of them needs. A job that has found capacity
-// elsewhere keeps none.
+// NominatedForOther reports whether a machine is nominated for another job whose claim takes precedence. A job that
+// is scheduled before the nominated one in this cycle may take the capacity: if every gang kept what was preempted
+// for it, several gangs could each hold a part of the capacity that one of them needs. A job that has found capacity
+// elsewhere has no claim any more.
 func (r *Rules) NominatedForOther(now time.Duration, m *machineregistry.Machine, id string) bool {
 	if m.NominatedJob == "" || m.NominatedJob == id || now >= m.NominatedUntil {
 		return false
 	}
-	o := r.Jobs[m.NominatedJob]
-	if o == nil || o.Ended || o.PendingTasks() == 0 && !o.HasStoppingTasks() {
+	nominee := r.Jobs[m.NominatedJob]
+	if nominee == nil || nominee.Ended || nominee.PendingTasks() == 0 && !nominee.HasStoppingTasks() {
 		return false
 	}
-	return o.LastWaitingCycle != r.Cycle || o.LastTriedCycle == r.Cycle
+	return nominee.LastWaitingCycle != r.Cycle || nominee.LastTriedCycle == r.Cycle
 }
--- a/internal/coordination/placement/objectives.go
+++ b/internal/coordination/placement/objectives.go
@@ -6,11 +6,10 @@
 	"pinebay/internal/config"
 )
 
-// StartLatencyObjectives holds the shortest start latency that the service-level objectives ask for, in
-// seconds, by job class.
+// StartLatencyObjectives maps each job class to its strictest start latency objective, in seconds.
 type StartLatencyObjectives map[string]float64
 
-// StartLatencyObjectivesOf returns the start latencies of the objectives.
+// StartLatencyObjectivesOf extracts the start latency objectives from the service-level objectives.
 func StartLatencyObjectivesOf(objectives []config.Objective) StartLatencyObjectives {
 	latencies := StartLatencyObjectives{}
 	for _, o := range objectives {
@@ -21,7 +20,7 @@
 	return latencies
 }
 
-// Seconds returns the objective of a class; infinite if it has none.
+// Seconds returns the objective of a class, or +Inf if it has none.
 func (s StartLatencyObjectives) Seconds(class string) float64 {
 	if within, ok := s[class]; ok {
 		return within
@@ -29,5 +28,5 @@
 	return math.Inf(1)
 }
 
-// Has reports whether a class has an objective.
+// Has reports whether a class has a start latency objective.
 func (s StartLatencyObjectives) Has(class string) bool { return !math.IsInf(s.Seconds(class), 1) }
--- a/internal/coordination/placement/placement_test.go
+++ b/internal/coordination/placement/placement_test.go
@@ -19,14 +19,14 @@
 
 func TestMain(m *testing.M) { testutil.Main(m) }
 
-// noFailover is the policy while no zone is lost.
+// noFailover is the ZonePolicy while no zone failover is in progress.
 type noFailover struct{}
 
 func (noFailover) RiskPenalty(*jobstate.Job, string) float64 { return 0 }
 
 func (noFailover) RecoversBefore(*machineregistry.Placement, *jobstate.Job) bool { return false }
 
-// newTestRules returns rules for the teams red and blue, and one empty machine "m1" of 8 GPUs.
+// newTestRules returns rules for the teams "red" and "blue" and one empty machine "m1" with 8 GPUs.
 func newTestRules(t *testing.T, red, blue config.Team) (*Rules, *candidates.Candidate) {
 	t.Helper()
 	red.Name, blue.Name = "red", "blue"
@@ -53,7 +53,7 @@
 	return r, r.Candidates.Of(0, machines.Machine("m1"))
 }
 
-// newTestJob returns a job of one task.
+// newTestJob returns an array job with one task.
 func newTestJob(id, team string, priority protocol.Priority, gpus float64) *jobstate.Job {
 	spec := protocol.Job{
 		ID:        id,
@@ -69,8 +69,8 @@
 	return jobstate.New(spec, 1, 0, 0, storage.PageLayout{TasksPerPage: 10})
 }
 
-// run reserves the capacity of a job's task on "m1".
-func run(t *testing.T, r *Rules, j *jobstate.Job, now time.Duration) *machineregistry.Placement {
+// mustReserve reserves capacity for the task of a job on "m1", which must succeed.
+func mustReserve(t *testing.T, r *Rules, j *jobstate.Job, now time.Duration) *machineregistry.Placement {
 	t.Helper()
 	pl := &machineregistry.Placement{
 		Task:          protocol.TaskID{JobID: j.Spec.ID},
@@ -145,7 +145,7 @@
 			r.Cycle, r.Jobs["j-2"] = cycle, f.other
 			test.change(f)
 			if got := r.Feasible(0, f.job, x, f.limits); got != test.want {
-				t.Errorf("feasible: %v", got)
+				t.Errorf("Feasible returned %v", got)
 			}
 		})
 	}
@@ -185,10 +185,10 @@
 	}
 }
 
-// TestVictims: work of lower priority leaves before that of higher, the younger job before the older, and no
-// more of it than is needed; quotas bound what other teams have to give.
+// TestVictims checks that less important priorities are preempted first, then younger jobs, and no more placements
+// than needed, and that guaranteed quotas protect the placements of other teams.
 func TestVictims(t *testing.T) {
-	type work struct {
+	type runningJob struct {
 		id, team string
 		priority protocol.Priority
 		gpus     float64
@@ -197,55 +197,55 @@
 	for _, test := range []struct {
 		name      string
 		red, blue config.Team
-		running   []work
+		running   []runningJob
 		gpus      float64
-		want      []string // nil: nothing helps
+		want      []string // nil if preemption does not help
 	}{
 		{
 			name:    "lowest priority first",
-			running: []work{{"j-1", "red", "normal", 4, 0}, {"j-2", "red", "best_effort", 4, 0}},
+			running: []runningJob{{"j-1", "red", "normal", 4, 0}, {"j-2", "red", "best_effort", 4, 0}},
 			gpus:    4,
 			want:    []string{"j-2"},
 		},
 		{
 			name:    "younger job first",
-			running: []work{{"j-1", "red", "normal", 4, 0}, {"j-2", "red", "normal", 4, time.Minute}},
+			running: []runningJob{{"j-1", "red", "normal", 4, 0}, {"j-2", "red", "normal", 4, time.Minute}},
 			gpus:    4,
 			want:    []string{"j-1"},
 		},
 		{
 			name:    "as many as needed",
-			running: []work{{"j-1", "red", "normal", 4, 0}, {"j-2", "red", "normal", 4, time.Minute}},
+			running: []runningJob{{"j-1", "red", "normal", 4, 0}, {"j-2", "red", "normal", 4, time.Minute}},
 			gpus:    5,
 			want:    []string{"j-1", "j-2"},
 		},
 		{
 			name:    "not of the same priority",
-			running: []work{{"j-1", "red", "urgent", 8, 0}},
+			running: []runningJob{{"j-1", "red", "urgent", 8, 0}},
 			gpus:    1,
 		},
 		{
 			name:    "lower work of a team without a quota",
-			running: []work{{"j-1", "blue", "normal", 8, 0}},
+			running: []runningJob{{"j-1", "blue", "normal", 8, 0}},
 			gpus:    1,
 			want:    []string{"j-1"},
 		},
 		{
 			name:    "lower work within another team's guaranteed quota",
 			blue:    config.Team{GuaranteedGPUs: 8},
-			running: []work{{"j-1", "blue", "normal", 8, 0}},
+			running: []runningJob{{"j-1", "blue", "normal", 8, 0}},
 			gpus:    1,
 		},
 		{
 			name:    "equal work beyond another team's guaranteed quota, for a guaranteed quota",
 			red:     config.Team{GuaranteedGPUs: 8},
-			running: []work{{"j-1", "blue", "urgent", 8, 0}},
+			running: []runningJob{{"j-1", "blue", "urgent", 8, 0}},
 			gpus:    1,
 			want:    []string{"j-1"},
 		},
 		{
 			name:    "too little in all",
-			running: []work{{"j-1", "red", "urgent", 4, 0}, {"j-2", "red", "normal", 4, 0}},
+			running: []runningJob{{"j-1", "red", "urgent", 4, 0}, {"j-2", "red", "normal", 4, 0}},
 			gpus:    5,
 		},
 	} {
@@ -255,7 +255,7 @@
 			for _, w := range test.running {
 				j := newTestJob(w.id, w.team, w.priority, w.gpus)
 				j.WaitingSince = now - w.age
-				run(t, r, j, 0)
+				mustReserve(t, r, j, 0)
 			}
 			r.Candidates.Refresh(0)
 			j := newTestJob("j-new", "red", "urgent", test.gpus)
@@ -274,8 +274,8 @@
 	}
 }
 
-// TestPreemptionBudget: a search that found no victims is not repeated until capacity may be free, and jobs
-// that had a search in a round wait for those that had none.
+// TestPreemptionBudget checks that a search that found no victims is not repeated until capacity may have been freed,
+// and that a job that searched in a round waits for those that have not.
 func TestPreemptionBudget(t *testing.T) {
 	b := NewPreemptionBudget()
 	b.PerCycle = 1
@@ -297,7 +297,7 @@
 	}
 	for _, j := range jobs {
 		if admitted[j.Spec.ID] != 1 {
-			t.Errorf("%s: %d searches in three cycles", j.Spec.ID, admitted[j.Spec.ID])
+			t.Errorf("%s: %d searches in three cycles, want 1", j.Spec.ID, admitted[j.Spec.ID])
 		}
 	}
 	b = NewPreemptionBudget()
@@ -305,14 +305,14 @@
 	j := newTestJob("j-new", "red", "normal", 1)
 	key := SearchKeyOf(j)
 	if !b.Admit(j, key, 4) {
-		t.Error("the first search is not admitted")
+		t.Error("first search not admitted")
 	}
 	b.NoVictims(key)
 	if b.Admit(j, key, 4) {
-		t.Error("a search is repeated although nothing has become free")
+		t.Error("failed search repeated although no capacity was freed")
 	}
 	b.CapacityMayBeFree()
 	if !b.Admit(j, key, 4) {
-		t.Error("no search after capacity may have become free")
+		t.Error("search not admitted after capacity may have been freed")
 	}
 }
--- a/internal/coordination/placement/rules.go
+++ b/internal/coordination/placement/rules.go
@@ -1,7 +1,7 @@
-// Package placement finds machines for tasks, and work to preempt for them. Its steps have the names of
-// the Kubernetes scheduling framework: a machine is filtered (Rules.Feasible), scored (Rules.Score), or, if
-// none is free, chosen for preemption with the victims that cost least (Rules.SelectVictims). Finder
-// applies the rules to the candidate index without examining every machine.
+// Package placement selects machines for tasks, and placements to preempt for them. Its steps follow the Kubernetes
+// scheduling framework: machines are filtered (Rules.Feasible) and scored (Rules.Score); if none has enough free
+// capacity, a machine is selected for preemption together with the victims that cost least (Rules.SelectVictims).
+// Finder applies these rules to the candidate index without examining every machine.
 //
 // The package only proposes. The scheduler reserves capacity, records placements and stops the victims.
 package placement
@@ -21,30 +21,30 @@
 	"pinebay/internal/protocol"
 )
 
-// ZonePolicy is what the failover between zones adds to the rules.
+// ZonePolicy is the influence of zone failover on placement.
 type ZonePolicy interface {
-	// RiskPenalty returns what starting a task of the job in a zone adds to the score.
+	// RiskPenalty returns the score penalty for starting a task of the job in a zone.
 	RiskPenalty(j *jobstate.Job, zone string) float64
-	// RecoversBefore reports whether a placement's work goes before a job in the recovery order that is
-	// in effect, so that it must not be preempted for the job.
+	// RecoversBefore reports whether a placement precedes the job in the current recovery order, so that it must not
+	// be preempted for the job.
 	RecoversBefore(pl *machineregistry.Placement, j *jobstate.Job) bool
 }
 
-// Rules decides where a task may and should go. It reads the scheduler's state and changes none of it but
-// nominations.
+// Rules decides which machines a task may run on and which of them is best. It reads the state of the scheduler and
+// changes nothing but nominations.
 type Rules struct {
 	Machines     *machineregistry.Registry
 	Candidates   *candidates.Index
 	Quotas       *fairshare.Quotas
 	StartLatency StartLatencyObjectives
 	Zones        ZonePolicy
-	// Jobs holds the scheduler's jobs by ID.
+	// Jobs holds the jobs of the scheduler by ID.
 	Jobs map[string]*jobstate.Job
 	// Cycle is the number of the current scheduling cycle.
 	Cycle uint64
 }
 
-// Feasible reports whether a job's constraints admit a candidate, whatever is free there.
+// Feasible reports whether a task of the job may run on a candidate, regardless of the free capacity.
 func (r *Rules) Feasible(now time.Duration, j *jobstate.Job, x *candidates.Candidate, l *ZoneLimits) bool {
 	if !AllowsMachine(&j.Spec, x) || !l.Allows(x.Machine.Zone) || j.AvoidedMachines()[x.Machine.Name] {
 		return false
@@ -52,17 +52,17 @@
 	return !r.NominatedForOther(now, x.Machine, j.Spec.ID)
 }
 
-// AllowsMachine reports whether a job's own constraints admit the type and kind of a candidate.
+// AllowsMachine reports whether a job allows the machine type of a candidate, and spot machines if it is one.
 func AllowsMachine(spec *protocol.Job, x *candidates.Candidate) bool {
 	return (!x.Machine.Spot || spec.SpotAllowed) && x.Type.AllowedBy(spec)
 }
 
-// Score returns the score of a feasible candidate for a task, in seconds; lower is better. It adds up the
-// time until the image is there, how well the task packs, and penalties for risks.
+// Score returns the score of a feasible candidate for a task, in seconds; lower is better. It is the sum of the time
+// until the image is available, the delay of other fetches, the packing score, and penalties for risks.
 func (r *Rules) Score(now time.Duration, j *jobstate.Job, x *candidates.Candidate, l *ZoneLimits) float64 {
-	yields := r.YieldingFetches(j)
-	fetch := r.Machines.FetchTimeWithout(now, x.Machine, &j.Spec, yields)
-	score := fetch.Seconds() + r.Machines.FetchDelayWithout(now, x.Machine, &j.Spec, yields).Seconds()
+	yielding := r.YieldingFetches(j)
+	fetch := r.Machines.FetchTimeWithout(now, x.Machine, &j.Spec, yielding)
+	score := fetch.Seconds() + r.Machines.FetchDelayWithout(now, x.Machine, &j.Spec, yielding).Seconds()
 	score += r.packingScore(j, x, fetch)
 	if j.Spec.Spread && l.TasksPerZone != nil {
 		score += float64(l.TasksPerZone[x.Machine.Zone]) / float64(j.Spec.TaskCount)
@@ -76,13 +76,15 @@
 	return score + float64(len(x.Machine.FailedJobs))*x.Type.BootSeconds + r.Zones.RiskPenalty(j, x.Machine.Zone)
 }
 
-// failedOnMachineBoots is the penalty for a machine on which the job has failed, in boot times.
+// failedOnMachineBoots is the score penalty for a machine on which a task of the job has failed, as a multiple of the
+// machine's boot time.
 const failedOnMachineBoots = 10
 
-// packingScore prefers machines that the task fills up, unless its image has to be fetched for so long that
-// the next task of the kind will want to start beside it without a fetch. Then it prefers room beside the
-// task, free or held by arrays, and values it at no more than half the fetch, as a machine that has the
-// image stays better.
+// packingScore returns the part of the score that rates how a task packs onto a machine. It normally prefers the
+// machine with the least capacity left. If the image takes long to fetch, it prefers the machine with the most
+// capacity left instead, including capacity held by array tasks, so that later tasks of the same kind can start there
+// without a fetch. That preference is worth at most half of the fetch time, so that a machine that already has the
+// image still scores better.
 func (r *Rules) packingScore(j *jobstate.Job, x *candidates.Candidate, fetch time.Duration) float64 {
 	capacity := x.Capacity()
 	left := x.Free.Minus(j.TaskResources)
@@ -91,15 +93,15 @@
 	case math.IsInf(objective, 1) || fetch > config.Seconds(max(objective, x.Type.BootSeconds)):
 		return 1 - fetch.Seconds()/2*left.Plus(x.Machine.ArrayUsage()).DominantShare(capacity)
 	case fetch > 0 && fetch.Seconds()*machineregistry.SlowFetchFactor > objective && x.Machine.PlacementCount() > 0:
-		// A shorter fetch that may still miss the objective. Empty machines are left to jobs that need a
-		// whole one.
+		// The fetch is shorter, but may still miss the objective. Empty machines are left to jobs that need a whole
+		// machine.
 		return -left.Plus(x.Machine.ArrayUsage()).DominantShare(capacity)
 	default:
 		return left.DominantShare(capacity)
 	}
 }
 
-// spotScore prefers spot machines for jobs that save checkpoints, and avoids them for others.
+// spotScore prefers spot machines for jobs that save checkpoints and penalizes them for other jobs.
 func spotScore(j *jobstate.Job, t *protocol.MachineType) float64 {
 	if j.Spec.CheckpointIntervalSeconds > 0 {
 		return -1
@@ -107,21 +109,25 @@
 	return t.BootSeconds
 }
 
-// yieldingPriorityGap is by how many priorities the work that yields to a start latency objective must be lower.
+// yieldingPriorityGap is the number of priority levels by which a fetching task must be less important than a job
+// with a start latency objective to be preempted for it.
 const yieldingPriorityGap = 2
 
-// YieldingFetches returns the placements that a job with a start latency objective may drive off a machine
-// to fetch its image at the full rate, or nil: tasks of arrays of much lower priority that are fetching, and
-// lose nothing else. When many jobs are submitted at once, arrays come first, and replicas that share the
-// rate with them take twice as long to start.
+// YieldingFetches returns a function that selects the placements that may be preempted so that the job fetches its
+// image at the full rate, or nil if the job is a gang or has no start latency objective. Only array tasks of much
+// lower priority that are still fetching are selected, as they lose nothing but the fetch. Without this, when many
+// jobs are submitted at once, array tasks are placed first, and service replicas that share the fetch rate with them
+// take twice as long to start.
 func (r *Rules) YieldingFetches(j *jobstate.Job) func(*machineregistry.Placement) bool {
 	if j.Spec.Shape == protocol.Gang || !r.StartLatency.Has(j.Spec.Class) {
 		return nil
 	}
 	return func(pl *machineregistry.Placement) bool {
+		// A placement adopted from an earlier term may be running without having been reported yet; it is selected
+		// only once it is reported as fetching.
 		return pl.PriorityLevel >= j.EffectivePriority+yieldingPriorityGap &&
 			pl.Job != nil && pl.Job.Shape == protocol.Array && pl.Job.Image != j.Spec.Image &&
-			(!pl.StartAllowed || pl.State == protocol.TaskFetching) // one from an earlier term may run unseen
+			(!pl.StartAllowed || pl.State == protocol.TaskFetching)
 	}
 }
 
@@ -144,8 +150,8 @@
 	return score
 }
 
-// prefersFreeCapacity reports whether the score of machines without the job's image falls with their free
-// capacity (see packingScore).
+// prefersFreeCapacity reports whether the score of machines without the job's image falls as their free capacity
+// grows (see packingScore).
 func (r *Rules) prefersFreeCapacity(j *jobstate.Job) bool {
 	if !r.StartLatency.Has(j.Spec.Class) {
 		return true
@@ -160,7 +166,7 @@
 	return false
 }
 
-// fetchSeconds returns how long a type of machines takes to fetch the job's image alone.
+// fetchSeconds returns how long a machine of the type takes to fetch the job's image with no other fetch in progress.
 func (r *Rules) fetchSeconds(j *jobstate.Job, machineType string) float64 {
 	t := r.Machines.MachineType(machineType)
 	if t == nil || t.FetchGBPerSecond <= 0 {
@@ -169,7 +175,7 @@
 	return config.Seconds(j.Spec.ImageGB / t.FetchGBPerSecond).Seconds()
 }
 
-// PlacementsOn returns the placements on a machine in the order of their tasks' names.
+// PlacementsOn returns the placements on a machine, sorted by task name.
 func PlacementsOn(m *machineregistry.Machine) (list []*machineregistry.Placement) {
 	m.EachPlacement(func(pl *machineregistry.Placement) { list = append(list, pl) })
 	slices.SortFunc(list, func(a, b *machineregistry.Placement) int {
--- a/internal/coordination/placement/searchkey.go
+++ b/internal/coordination/placement/searchkey.go
@@ -5,10 +5,11 @@
 	"pinebay/internal/coordination/machineregistry"
 )
 
-// SearchKey identifies jobs for which searches for a machine mostly find the same, so that a cycle with
-// thousands of waiting jobs does not cost thousands of searches.
+// SearchKey identifies jobs whose searches for a machine have mostly the same outcome. Sharing the outcome keeps a
+// cycle with thousands of waiting jobs from making thousands of searches.
 type SearchKey struct {
-	// VictimPriority is the priority from which on work may be preempted, for searches for victims.
+	// VictimPriority is the most important priority level that a preemption search may preempt. It is 0 for searches
+	// for free capacity.
 	VictimPriority int
 
 	team, image, zone, types string
--- a/internal/coordination/placement/victims.go
+++ b/internal/coordination/placement/victims.go
@@ -12,12 +12,12 @@
 	"pinebay/internal/protocol"
 )
 
-// CheapestPreemption returns the candidate on which it costs least to preempt work for a task of the job,
-// and the victims, among those where the task's image is there within the given time. Of the job's own team
-// only work of at least the victim priority (a lower one has a higher number) may be preempted.
+// CheapestPreemption returns the candidate on which preempting placements for a task of the job costs least, and the
+// victims there. It considers only candidates that have the task's image within maxFetchTime. Placements of the job's
+// own team are preempted only at level victimPriority or less important levels, which have higher numbers.
 //
-// It examines the machines that have work of at least that priority, or of any if the job's team is within
-// its guaranteed quota, or work that is stopping anyhow.
+// It examines machines with placements at these levels (at any level if the job's team is within its guaranteed
+// quota) and machines with placements that are stopping already.
 func (f *Finder) CheapestPreemption(
 	now time.Duration,
 	j *jobstate.Job,
@@ -25,12 +25,12 @@
 	maxFetchTime time.Duration,
 	victimPriority int,
 ) (*candidates.Candidate, []*machineregistry.Placement) {
-	lowest := victimPriority
+	mostImportant := victimPriority
 	if f.rules.Quotas.WithinGuarantee(j.Spec.Team, j.TaskResources) {
-		lowest = 0
+		mostImportant = 0
 	}
 	sets := []*machineregistry.MachineSet{f.rules.Machines.MachinesWithStopping()}
-	for priority := lowest; priority < machineregistry.PriorityLevels; priority++ {
+	for priority := mostImportant; priority < machineregistry.PriorityLevels; priority++ {
 		sets = append(sets, f.rules.Machines.MachinesAtPriority(priority))
 	}
 	total := 0
@@ -42,15 +42,15 @@
 		from = f.victimCursor
 	}
 	s := victimSearch{
-		finder:         f,
-		now:            now,
-		job:            j,
-		limits:         l,
-		maxFetchTime:   maxFetchTime,
-		victimPriority: victimPriority,
-		lowestPriority: lowest,
-		remaining:      MaxExaminedMachines,
-		cost:           math.Inf(1),
+		finder:             f,
+		now:                now,
+		job:                j,
+		limits:             l,
+		maxFetchTime:       maxFetchTime,
+		victimPriority:     victimPriority,
+		mostImportantLevel: mostImportant,
+		remaining:          MaxExaminedMachines,
+		cost:               math.Inf(1),
 	}
 	for _, set := range sets {
 		s.scan(set, from)
@@ -61,7 +61,7 @@
 	return s.best, s.victims
 }
 
-// victimSearch is the state of one search for victims.
+// victimSearch is the state of one preemption search.
 type victimSearch struct {
 	finder         *Finder
 	now            time.Duration
@@ -69,16 +69,18 @@
 	limits         *ZoneLimits
 	maxFetchTime   time.Duration
 	victimPriority int
-	lowestPriority int // of work that may be preempted for any reason
-	remaining      int // machines that may still be examined
-	lastExamined   string
+	// mostImportantLevel is the most important priority level at which any placement may be preempted.
+	mostImportantLevel int
+	// remaining is the number of machines that may still be examined.
+	remaining    int
+	lastExamined string
 
 	best    *candidates.Candidate
 	victims []*machineregistry.Placement
 	cost    float64
 }
 
-// scan examines the machines of a set from a name on, and then those before it.
+// scan examines the machines of a set in name order, starting at the given name and wrapping around at the end.
 func (s *victimSearch) scan(set *machineregistry.MachineSet, from string) {
 	visit := func(m *machineregistry.Machine) bool {
 		if s.remaining--; s.remaining < 0 {
@@ -95,13 +97,13 @@
 	set.Scan(func(m *machineregistry.Machine) bool { return m.Name < from && visit(m) })
 }
 
-// examine compares the cost of preempting on a machine with the lowest so far.
+// examine determines the cost of preemption on a machine and keeps the machine if it is the cheapest so far.
 func (s *victimSearch) examine(m *machineregistry.Machine) {
 	s.finder.budget.spend(1)
 	s.finder.Examined++
 	rules := s.finder.rules
 	x := rules.Candidates.Of(s.now, m)
-	if x == nil || !s.mayMakeRoom(x) {
+	if x == nil || !s.canMakeRoom(x) {
 		return
 	}
 	fetch := rules.Machines.FetchTime(s.now, m, &s.job.Spec)
@@ -116,26 +118,26 @@
 	}
 }
 
-// mayMakeRoom reports whether the task could run on a candidate if all work left that may be preempted for
-// any reason. A machine that is nominated for the job already does not count again.
-func (s *victimSearch) mayMakeRoom(x *candidates.Candidate) bool {
+// canMakeRoom reports whether the task would fit on a feasible candidate if every placement that may be preempted for
+// any reason were gone. Machines that are already nominated for the job are left out.
+func (s *victimSearch) canMakeRoom(x *candidates.Candidate) bool {
 	task := s.job.TaskResources
-	return task.Fits(x.Free.Plus(x.Machine.PreemptibleResources(s.lowestPriority))) &&
+	return task.Fits(x.Free.Plus(x.Machine.PreemptibleResources(s.mostImportantLevel))) &&
 		task.Fits(x.Capacity()) &&
 		s.finder.rules.Feasible(s.now, s.job, x, s.limits) &&
 		!x.Machine.IsNominatedFor(s.now, s.job.Spec.ID)
 }
 
-// SelectVictims selects the placements on a candidate that have to leave for a task of the job, and returns
-// what that costs, in seconds of work that is lost or has to move. It returns false if the task would not
-// fit, or needs no preemption.
+// SelectVictims selects the placements on a candidate to be preempted for a task of the job, and returns the cost of
+// that, in seconds of work that is lost or has to be placed again. It returns false if the task would not fit even
+// then, or needs no preemption.
 func (r *Rules) SelectVictims(
 	now time.Duration,
 	j *jobstate.Job,
 	x *candidates.Candidate,
 	victimPriority int,
 ) (victims []*machineregistry.Placement, cost float64, ok bool) {
-	free := x.Free // without what this cycle has given away
+	free := x.Free // excludes capacity that was given away in this cycle
 	var preemptible []*machineregistry.Placement
 	x.Machine.EachPlacement(func(pl *machineregistry.Placement) {
 		switch {
@@ -155,15 +157,15 @@
 		victims = append(victims, pl)
 		cost += r.preemptionCost(now, pl, x)
 		if pl.Job != nil && pl.Job.Shape == protocol.Gang {
-			// All of it has to find room, and often its image, again.
+			// The whole gang has to be placed again, and often has to fetch its image again.
 			cost += float64(pl.Job.TaskCount) * x.Type.BootSeconds
 		}
 	}
 	return victims, cost, len(victims) > 0 && j.TaskResources.Fits(free)
 }
 
-// compareVictims orders work by who is preempted first: the lowest priority, then the youngest job, then
-// what has run for the shortest time.
+// compareVictims defines the order in which placements are preempted: least important priority first, then youngest
+// job first, then the latest change of state first.
 func (r *Rules) compareVictims(now time.Duration, a, b *machineregistry.Placement) int {
 	if order := cmp.Compare(b.PriorityLevel, a.PriorityLevel); order != 0 {
 		return order
@@ -177,9 +179,9 @@
 	return cmp.Compare(a.Task.String(), b.Task.String())
 }
 
-// preemptionCost returns the cost of preempting one placement, in seconds: the work that is lost, by its
-// share of the machine, and something for the job's age. An old job has been passed over or preempted
-// before, and is the more likely to miss its objective.
+// preemptionCost returns the cost of preempting one placement, in seconds: the work that is lost, weighted by the
+// placement's share of the machine, plus a term for the age of the job. An old job has probably been passed over or
+// preempted before and is more likely to miss its objective.
 func (r *Rules) preemptionCost(now time.Duration, pl *machineregistry.Placement, x *candidates.Candidate) float64 {
 	const jobAgeWeight = 10
 	lost := (now - pl.StateSince).Seconds()
@@ -189,10 +191,13 @@
 	return 1 + lost*pl.Resources.DominantShare(x.Capacity()) + r.jobAge(now, pl).Seconds()/jobAgeWeight
 }
 
-// mayPreempt reports whether a placement may be preempted for a job: work of at least the victim priority,
-// and work of any priority that another team runs beyond its guaranteed quota, for a team within its own.
-// What a team runs within its guaranteed quota yields to no other team. Work of other teams is not exempt
-// in general: else idle-time batch work of one team keeps whole machines while urgent gangs of others wait.
+// mayPreempt reports whether a placement may be preempted for a job. Placements of the job's own team may be
+// preempted at level victimPriority and less important levels. Placements of another team may be preempted only while
+// that team exceeds its guaranteed quota, and only at these levels or if the job is within its own team's guaranteed
+// quota.
+//
+// Placements of other teams are not exempt in general: otherwise best-effort batch tasks of one team would hold whole
+// machines while urgent gangs of other teams wait.
 func (r *Rules) mayPreempt(j *jobstate.Job, pl *machineregistry.Placement, victimPriority int) bool {
 	if r.Zones.RecoversBefore(pl, j) {
 		return false
@@ -204,7 +209,7 @@
 		(pl.PriorityLevel >= victimPriority || r.Quotas.WithinGuarantee(j.Spec.Team, j.TaskResources))
 }
 
-// jobAge returns how long the job of a placement has been known.
+// jobAge returns the time since the job of a placement was accepted or unblocked, or 0 if the job is unknown.
 func (r *Rules) jobAge(now time.Duration, pl *machineregistry.Placement) time.Duration {
 	if j := r.Jobs[pl.Task.JobID]; j != nil {
 		return now - j.WaitingSince
