--- a/internal/coordination/candidates/candidate.go
+++ b/internal/coordination/candidates/candidate.go
@@ -6,31 +6,34 @@
 	"pinebay/internal/protocol"
 )
 
-// Candidate is a machine that accepts new tasks, with what the current cycle has decided about it.
+// Candidate is a machine that accepts new tasks, together with the decisions that the current scheduling cycle has
+// made about it.
 type Candidate struct {
 	Machine *machineregistry.Machine
 	Type    *protocol.MachineType
-	// Free is the capacity that the current cycle has not yet given away. Index.SetFree changes it.
+	// Free is the capacity that is neither reserved nor given away in the current cycle. It is changed with
+	// Index.SetFree.
 	Free machineregistry.Resources
-	// NominationClaimed reports that a task of the job for which work was preempted here already counts
-	// on the capacity in this cycle.
+	// NominationClaimed is set if a task of the job that the machine is nominated for already counts on the capacity
+	// in this cycle.
 	NominationClaimed bool
-	// Entry is the candidate's place in the Index.
+	// Entry is the candidate's entry in Index.Machines.
 	Entry *machineindex.Entry[*Candidate]
 
-	headroom       []Headroom
-	changedInCycle bool // something must be undone when the cycle is over
+	headroom []Headroom
+	// changedInCycle is set if the next Refresh has to undo changes of this cycle.
+	changedInCycle bool
 }
 
-// Headroom is capacity held back for expected jobs of a class against jobs of one priority whose start
-// may be later.
+// Headroom is capacity that is held back for expected jobs of a class. It is withheld from jobs of one priority whose
+// start is less urgent.
 type Headroom struct {
-	// Priority is that of the jobs against which the capacity is held. Jobs of the class's own priority
-	// could not be preempted for it later.
+	// Priority is the priority of the jobs from which the capacity is withheld. Jobs of the class's own priority
+	// could not be preempted for the expected jobs later.
 	Priority int
-	// StartLatencySeconds is the class's objective.
+	// StartLatencySeconds is the start latency objective of the class.
 	StartLatencySeconds float64
-	// RecoveryPosition is the class's position in the recovery order of a zone failover.
+	// RecoveryPosition is the position of the class in the recovery order of a zone failover.
 	RecoveryPosition int
 	Resources        machineregistry.Resources
 }
@@ -38,9 +41,8 @@
 // HasHeadroom reports whether capacity is held back on the candidate.
 func (x *Candidate) HasHeadroom() bool { return len(x.headroom) > 0 }
 
-// FreeBeyondHeadroom returns the free capacity that jobs of the given priority may use: all of it but
-// what is held for classes with a shorter start latency objective that are not later in the recovery
-// order.
+// FreeBeyondHeadroom returns the free capacity that jobs of the given priority may use. It excludes capacity held
+// back for classes that have a shorter start latency objective and are not later in the recovery order.
 func (x *Candidate) FreeBeyondHeadroom(
 	priority int,
 	startLatencySeconds float64,
@@ -56,10 +58,10 @@
 	return free
 }
 
-// Capacity returns what the machine offers when it is empty.
+// Capacity returns the capacity of the machine when it is empty.
 func (x *Candidate) Capacity() machineregistry.Resources { return machineregistry.CapacityOf(x.Type) }
 
-// Pool returns the machine's pool in the index.
+// Pool returns the index pool to which the machine belongs.
 func (x *Candidate) Pool() machineindex.Pool {
 	return machineindex.Pool{Type: x.Machine.Type, Zone: x.Machine.Zone, Spot: x.Machine.Spot}
 }
--- a/internal/coordination/candidates/index.go
+++ b/internal/coordination/candidates/index.go
@@ -1,9 +1,9 @@
-// Package candidates keeps the machines that accept new tasks in an index by their free capacity, and
-// what a scheduling cycle has decided about them so far.
+// Package candidates indexes the machines that accept new tasks by free capacity and holds the decisions that the
+// current scheduling cycle has made about them.
 //
-// The index is a cache of the machine registry. It is brought up to date at the beginning of each cycle
-// from what has changed since the last one, and what a cycle changes in it is undone by the next. It only
-// proposes machines: the registry decides on each reservation, and a refused one marks the index stale.
+// The index is a cache of the machine registry. Each cycle starts by undoing the changes of the previous cycle and
+// applying the changes of the registry. The index only proposes machines: the registry has the final say on every
+// reservation, and a rejected reservation marks the index as stale.
 package candidates
 
 import (
@@ -15,21 +15,25 @@
 	"pinebay/internal/coordination/machineregistry"
 )
 
-// verifiedFraction is the part of the machines that one call of Verify compares with the registry: one in so many.
+// verifiedFraction is the inverse of the share of the machines that one call of Verify checks.
 const verifiedFraction = 64
 
-// Index is an index of candidates. The candidate of a machine is in the machine's SchedulerData; it stays
-// there while the machine accepts no tasks and is out of the index.
+// Index is an index of candidates. The candidate of a machine is stored in the machine's SchedulerData and stays
+// there while the machine accepts no tasks and is not indexed.
 type Index struct {
-	// Machines is the underlying index, for searches.
+	// Machines is the underlying index, which searches use.
 	Machines *machineindex.Index[*Candidate]
 
 	registry       *machineregistry.Registry
 	changedInCycle []*Candidate
-	unresponsive   map[*Candidate]bool // out of the index until they may be sent commands again
-	unschedulable  []*Candidate        // found by a search to accept no tasks, and still in the index
-	stale          bool                // the registry has refused what the index proposed
-	verifyFrom     string              // the machine from which the next verification goes on
+	// unresponsive holds the candidates that are not indexed until the end of their machine's unresponsive period.
+	unresponsive map[*Candidate]bool
+	// unschedulable holds indexed candidates that a search found to accept no tasks any more.
+	unschedulable []*Candidate
+	// stale is set after the registry has rejected a reservation that the index proposed.
+	stale bool
+	// verifyCursor is the name of the machine at which the next call of Verify continues.
+	verifyCursor string
 }
 
 // NewIndex returns an index of the registry's machines. It is empty until the first Refresh.
@@ -39,6 +43,7 @@
 	return ix
 }
 
+// reset empties the index.
 func (ix *Index) reset() {
 	*ix = Index{
 		Machines:     machineindex.New[*Candidate](),
@@ -47,8 +52,7 @@
 	}
 }
 
-// Refresh begins a cycle: it undoes what the last one changed, and takes over what has changed in the
-// registry.
+// Refresh starts a cycle: it undoes the changes of the previous cycle and applies the changes of the registry.
 func (ix *Index) Refresh(now time.Duration) {
 	if ix.stale {
 		ix.rebuild(now)
@@ -69,18 +73,18 @@
 	}
 }
 
-// MarkStale has the next Refresh build the index anew.
+// MarkStale causes the next Refresh to rebuild the index.
 func (ix *Index) MarkStale() { ix.stale = true }
 
-// Verify compares a part of the machines with the registry, whether or not they are known to have
-// changed, so that a wrong entry does not last.
+// Verify updates the next part of the machines from the registry, whether or not they were reported as changed, so
+// that an incorrect entry does not persist.
 func (ix *Index) Verify(now time.Duration) {
-	from := ix.verifyFrom
-	ix.verifyFrom = ""
-	left := 1 + ix.registry.Len()/verifiedFraction
+	from := ix.verifyCursor
+	ix.verifyCursor = ""
+	remaining := 1 + ix.registry.Len()/verifiedFraction
 	ix.registry.EachFrom(from, func(m *machineregistry.Machine) bool {
-		if left--; left < 0 {
-			ix.verifyFrom = m.Name
+		if remaining--; remaining < 0 {
+			ix.verifyCursor = m.Name
 			return false
 		}
 		ix.refreshMachine(now, m)
@@ -88,17 +92,17 @@
 	})
 }
 
-// rebuild replaces the index by one of all machines of the registry.
+// rebuild replaces the contents of the index with all machines of the registry.
 func (ix *Index) rebuild(now time.Duration) {
 	ix.reset()
-	ix.registry.TakeChanged() // all are indexed below
+	ix.registry.TakeChanged() // discarded, as all machines are indexed below
 	ix.registry.Each(func(m *machineregistry.Machine) {
 		m.SchedulerData = nil
 		ix.refreshMachine(now, m)
 	})
 }
 
-// refreshMachine indexes a machine by what the registry says of it.
+// refreshMachine updates the candidate of a machine from the registry, and creates or deletes it as needed.
 func (ix *Index) refreshMachine(now time.Duration, m *machineregistry.Machine) {
 	x, ok := m.SchedulerData.(*Candidate)
 	switch {
@@ -117,15 +121,15 @@
 	ix.refreshCandidate(now, x)
 }
 
-// refreshCandidate indexes a candidate by what the registry says of its machine, or removes it from the
-// index if the machine accepts no tasks now.
+// refreshCandidate updates the index entry of a candidate from the registry, or removes it from the index if the
+// machine accepts no tasks now.
 func (ix *Index) refreshCandidate(now time.Duration, x *Candidate) {
 	delete(ix.unresponsive, x)
 	x.Type = ix.registry.MachineType(x.Machine.Type)
 	if x.Machine.Removed() || x.Type == nil || !ix.registry.Schedulable(now, x.Machine) {
 		ix.Machines.Remove(x.Entry)
 		if now < x.Machine.UnresponsiveUntil {
-			ix.unresponsive[x] = true // no event announces the end of that
+			ix.unresponsive[x] = true // the registry does not report the end of this period
 		}
 		return
 	}
@@ -136,9 +140,9 @@
 // put indexes a candidate by its free capacity.
 func (ix *Index) put(x *Candidate) { ix.Machines.Put(x.Entry, x.Pool(), x.Capacity(), x.Free) }
 
-// CheckSchedulable reports whether a candidate that a search has found still accepts tasks. One that does
-// not, because it has fallen silent since the last Refresh, leaves the index with RemoveUnschedulable; a
-// search must not change the index that it walks.
+// CheckSchedulable reports whether a candidate that a search found still accepts tasks. If not, because the machine
+// has missed heartbeats since the last Refresh, the candidate is queued for RemoveUnschedulable: the index must not
+// be changed during a search.
 func (ix *Index) CheckSchedulable(now time.Duration, x *Candidate) bool {
 	if ix.registry.Schedulable(now, x.Machine) {
 		return true
@@ -147,7 +151,7 @@
 	return false
 }
 
-// RemoveUnschedulable removes the candidates from the index for which CheckSchedulable returned false.
+// RemoveUnschedulable removes the candidates for which CheckSchedulable returned false from the index.
 func (ix *Index) RemoveUnschedulable(now time.Duration) {
 	for _, x := range ix.unschedulable {
 		ix.refreshCandidate(now, x)
@@ -155,8 +159,8 @@
 	ix.unschedulable = ix.unschedulable[:0]
 }
 
-// Indexed returns the candidate of a machine if it is in the index, or nil. The machine may have fallen
-// silent since the last Refresh.
+// Indexed returns the candidate of a machine if it is indexed, or nil. The machine may have become unschedulable
+// since the last Refresh.
 func (ix *Index) Indexed(m *machineregistry.Machine) *Candidate {
 	x, ok := m.SchedulerData.(*Candidate)
 	if !ok || !ix.Machines.Has(x.Entry) {
@@ -165,7 +169,7 @@
 	return x
 }
 
-// Of returns the candidate of a machine if it accepts tasks now, or nil.
+// Of returns the candidate of a machine if the machine accepts tasks now, or nil.
 func (ix *Index) Of(now time.Duration, m *machineregistry.Machine) *Candidate {
 	x := ix.Indexed(m)
 	if x == nil || !ix.registry.Schedulable(now, m) {
@@ -174,7 +178,7 @@
 	return x
 }
 
-// All returns the machines that accept tasks now, in name order.
+// All returns the candidates of all machines that accept tasks now, in name order.
 func (ix *Index) All(now time.Duration) (list []*Candidate) {
 	ix.registry.Each(func(m *machineregistry.Machine) {
 		if x := ix.Of(now, m); x != nil {
@@ -184,27 +188,27 @@
 	return list
 }
 
-// SetFree changes a candidate's free capacity for the rest of the cycle.
+// SetFree changes the free capacity of a candidate for the rest of the cycle.
 func (ix *Index) SetFree(x *Candidate, free machineregistry.Resources) {
 	ix.markChanged(x)
 	x.Free = free
 	ix.put(x)
 }
 
-// ClaimNomination notes for the rest of the cycle that a task counts on the capacity for which work is
-// being preempted on a candidate.
+// ClaimNomination records for the rest of the cycle that a task counts on the capacity that is being freed by
+// preemption on a candidate.
 func (ix *Index) ClaimNomination(x *Candidate) {
 	ix.markChanged(x)
 	x.NominationClaimed = true
 }
 
-// HoldHeadroom holds capacity of a candidate back for the rest of the cycle.
+// HoldHeadroom holds back capacity of a candidate for the rest of the cycle.
 func (ix *Index) HoldHeadroom(x *Candidate, h Headroom) {
 	ix.markChanged(x)
 	x.headroom = append(x.headroom, h)
 }
 
-// markChanged notes that the next Refresh has to undo something of a candidate.
+// markChanged records that the next Refresh has to undo changes of a candidate.
 func (ix *Index) markChanged(x *Candidate) {
 	if !x.changedInCycle {
 		x.changedInCycle = true
@@ -212,7 +216,7 @@
 	}
 }
 
-// SortByName sorts candidates by the names of their machines.
+// SortByName sorts candidates by machine name.
 func SortByName(list []*Candidate) {
 	slices.SortFunc(list, func(a, b *Candidate) int { return cmp.Compare(a.Machine.Name, b.Machine.Name) })
 }
--- a/internal/coordination/candidates/index_test.go
+++ b/internal/coordination/candidates/index_test.go
@@ -16,7 +16,7 @@
 
 var capacity = machineregistry.Resources{CPUs: 64, GPUs: 8, MemoryGB: 256}
 
-// newTestIndex returns an index, refreshed once, of a registry with empty machines of the given names.
+// newTestIndex returns a refreshed index of a registry with empty machines of the given names.
 func newTestIndex(t *testing.T, names ...string) (*Index, *machineregistry.Registry) {
 	t.Helper()
 	registry := machineregistry.New(1, config.Workers{HeartbeatSeconds: 1, LeaseSeconds: 10})
@@ -35,6 +35,7 @@
 	return ix, registry
 }
 
+// heartbeat sends a heartbeat of a machine to the registry.
 func heartbeat(registry *machineregistry.Registry, now time.Duration, name string, sequence uint64) {
 	registry.HandleHeartbeat(now, &protocol.WorkerHeartbeat{
 		Machine:     name,
@@ -46,7 +47,8 @@
 	})
 }
 
-func demandNames(t *testing.T, list []*Candidate, want ...string) {
+// checkNames checks the machine names of a list of candidates.
+func checkNames(t *testing.T, list []*Candidate, want ...string) {
 	t.Helper()
 	var names []string
 	for _, x := range list {
@@ -57,69 +59,70 @@
 	}
 }
 
-// TestRefreshUndoesTheCycle: what a cycle decided about a candidate ends with the next Refresh.
+// TestRefreshUndoesTheCycle checks that Refresh undoes the changes that a cycle made to a candidate.
 func TestRefreshUndoesTheCycle(t *testing.T) {
 	ix, registry := newTestIndex(t, "m2", "m1")
-	demandNames(t, ix.All(0), "m1", "m2")
+	checkNames(t, ix.All(0), "m1", "m2")
 	x := ix.Of(0, registry.Machine("m1"))
 	ix.SetFree(x, machineregistry.Resources{CPUs: 1})
 	ix.ClaimNomination(x)
 	ix.HoldHeadroom(x, Headroom{Resources: capacity})
 	if x.Free.CPUs != 1 || !x.NominationClaimed || !x.HasHeadroom() {
-		t.Errorf("not changed: %+v", x)
+		t.Errorf("candidate not changed: %+v", x)
 	}
 	ix.Refresh(0)
 	if x.Free != capacity || x.NominationClaimed || x.HasHeadroom() {
-		t.Errorf("not undone: %+v", x)
+		t.Errorf("changes not undone: %+v", x)
 	}
 }
 
-// TestSilentMachine: a machine that has fallen silent since the last Refresh is found by searches no
-// more than once, and comes back with its next heartbeat.
+// TestSilentMachine checks that a machine that misses heartbeats after Refresh is removed from the index once a
+// search has found it, and returns with its next heartbeat.
 func TestSilentMachine(t *testing.T) {
 	ix, registry := newTestIndex(t, "m1", "m2")
 	later := time.Minute
 	heartbeat(registry, later, "m2", 2)
 	x := ix.Indexed(registry.Machine("m1"))
 	if x == nil || ix.Of(later, x.Machine) != nil || ix.CheckSchedulable(later, x) {
-		t.Error("a silent machine accepts tasks")
+		t.Error("machine without recent heartbeats accepts tasks")
 	}
 	ix.RemoveUnschedulable(later)
 	if ix.Indexed(x.Machine) != nil {
-		t.Error("a silent machine is still in the index")
+		t.Error("machine without recent heartbeats is still indexed")
 	}
-	demandNames(t, ix.All(later), "m2")
+	checkNames(t, ix.All(later), "m2")
 	heartbeat(registry, later, "m1", 2)
 	ix.Refresh(later)
-	demandNames(t, ix.All(later), "m1", "m2")
+	checkNames(t, ix.All(later), "m1", "m2")
 }
 
-// TestStaleIndexIsRebuilt: after a refused reservation the next Refresh starts from the registry alone.
+// TestStaleIndexIsRebuilt checks that Refresh rebuilds a stale index from the registry alone.
 func TestStaleIndexIsRebuilt(t *testing.T) {
 	ix, registry := newTestIndex(t, "m1", "m2")
-	wrong := ix.Of(0, registry.Machine("m1"))
-	ix.Machines.Remove(wrong.Entry)
+	old := ix.Of(0, registry.Machine("m1"))
+	ix.Machines.Remove(old.Entry)
 	ix.Refresh(0)
-	demandNames(t, ix.All(0), "m2")
+	checkNames(t, ix.All(0), "m2")
 	ix.MarkStale()
 	ix.Refresh(0)
-	demandNames(t, ix.All(0), "m1", "m2")
-	if ix.Of(0, registry.Machine("m1")) == wrong {
-		t.Error("the wrong entry was kept")
+	checkNames(t, ix.All(0), "m1", "m2")
+	if ix.Of(0, registry.Machine("m1")) == old {
+		t.Error("rebuild kept the old candidate")
 	}
 }
 
-// TestVerify: a wrong entry is found by verification alone, and a removed machine leaves the index.
+// TestVerify checks that Verify restores an entry that is missing from the index, and that a removed machine leaves
+// the index.
 func TestVerify(t *testing.T) {
 	ix, registry := newTestIndex(t, "m1", "m2", "m3")
 	ix.Machines.Remove(ix.Of(0, registry.Machine("m2")).Entry)
 	for range registry.Len() {
 		ix.Verify(0)
 	}
-	demandNames(t, ix.All(0), "m1", "m2", "m3")
+	checkNames(t, ix.All(0), "m1", "m2", "m3")
 	registry.Remove(0, "m2")
 	ix.Refresh(0)
-	demandNames(t, ix.All(0), "m1", "m3")
+	checkNames(t, ix.All(0), "m1", "m3")
 	if ix.Machines.Len() != 2 {
 		t.Errorf("%d machines indexed, want 2", ix.Machines.Len())
 	}
