--- a/internal/coordination/machineindex/index_test.go
+++ b/internal/coordination/machineindex/index_test.go
@@ -13,18 +13,19 @@
 
 func TestMain(m *testing.M) { testutil.Main(m) }
 
-// machine is a machine of the test, scored by its pool, its free capacity and a penalty.
+// machine is an indexed machine whose score depends on its pool, its free capacity and a penalty.
 type machine struct {
-	entry   *Entry[*machine]
-	pool    Pool
-	free    machineregistry.Resources
-	penalty float64 // what it scores beyond its free capacity
-	closed  bool
+	entry      *Entry[*machine]
+	pool       Pool
+	free       machineregistry.Resources
+	penalty    float64 // added to the score
+	infeasible bool
 }
 
 var capacity = machineregistry.Resources{CPUs: 64, GPUs: 8, MemoryGB: 256}
 
-func drawNeed(t *rapid.T, label string) machineregistry.Resources {
+// drawResources draws amounts of each resource up to the capacity of a machine.
+func drawResources(t *rapid.T, label string) machineregistry.Resources {
 	return machineregistry.Resources{
 		CPUs: rapid.Float64Range(0, 64).
 			Draw(t, label+" cpus"),
@@ -33,7 +34,7 @@
 	}
 }
 
-// score returns a machine's score for a need. With WorstFit more free capacity scores lower.
+// score returns the score of a machine for a need. With WorstFit, more free capacity gives a lower score.
 func (m *machine) score(order Order, need machineregistry.Resources) float64 {
 	if order == WorstFit {
 		return testPoolScore(m.pool) - m.free.DominantShare(capacity) + m.penalty
@@ -41,6 +42,7 @@
 	return testPoolScore(m.pool) + m.free.Minus(need).DominantShare(capacity) + m.penalty
 }
 
+// testPoolScore is the PoolScore of the tests: no machine of the zone "closed" is feasible.
 func testPoolScore(p Pool) float64 {
 	if p.Zone == "closed" {
 		return math.Inf(1)
@@ -51,6 +53,7 @@
 	return 0
 }
 
+// newQuery returns a query whose bounds match testPoolScore and machine.score.
 func newQuery(order Order, need machineregistry.Resources, maxExamined int) Query {
 	q := Query{Need: need, Order: order, MaxExamined: maxExamined, MaxTies: maxExamined, PoolScore: testPoolScore}
 	q.ScoreBound = func(capacity, free machineregistry.Resources) float64 {
@@ -62,16 +65,16 @@
 	return q
 }
 
-// TestSearchFindsTheBest: however machines came, moved and went, a search with a sufficient limit finds
-// just the machine that a scan of all finds, in either order.
+// TestSearchFindsTheBest checks that after random additions, changes and removals of machines, a search with a
+// sufficient limit finds the same machine as a scan of all machines, in both orders.
 func TestSearchFindsTheBest(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		x := New[*machine]()
 		var all []*machine
 		for i := range rapid.IntRange(1, 60).Draw(t, "machines") {
 			m := &machine{
-				penalty: float64(rapid.IntRange(0, 2).Draw(t, "worse")) / 4,
-				closed:  rapid.IntRange(0, 5).Draw(t, "shut") == 0,
+				penalty:    float64(rapid.IntRange(0, 2).Draw(t, "worse")) / 4,
+				infeasible: rapid.IntRange(0, 5).Draw(t, "shut") == 0,
 			}
 			m.entry = NewEntry(fmt.Sprintf("m%03d", i), m)
 			all = append(all, m)
@@ -87,11 +90,11 @@
 				Zone: rapid.SampledFrom([]string{"a", "b", "closed"}).Draw(t, "zone"),
 				Spot: rapid.Bool().Draw(t, "spot"),
 			}
-			m.free = drawNeed(t, "free")
+			m.free = drawResources(t, "free")
 			x.Put(m.entry, m.pool, capacity, m.free)
 		}
 		size := 0
-		need := drawNeed(t, "need")
+		need := drawResources(t, "need")
 		order := rapid.SampledFrom([]Order{BestFit, WorstFit}).Draw(t, "order")
 		var want *machine
 		fits := false
@@ -101,7 +104,7 @@
 			}
 			size++
 			fits = fits || need.Fits(m.free) && !math.IsInf(testPoolScore(m.pool), 1)
-			if m.closed || !need.Fits(m.free) || math.IsInf(testPoolScore(m.pool), 1) {
+			if m.infeasible || !need.Fits(m.free) || math.IsInf(testPoolScore(m.pool), 1) {
 				continue
 			}
 			if want == nil || m.score(order, need) < want.score(order, need) {
@@ -112,27 +115,27 @@
 		complete := x.Search(
 			newQuery(order, need, len(all)),
 			&best,
-			func(m *machine) (float64, bool) { return m.score(order, need), !m.closed },
+			func(m *machine) (float64, bool) { return m.score(order, need), !m.infeasible },
 		)
-		if may := x.MayFit(newQuery(order, need, 0)); may != fits {
-			t.Fatalf("may fit: %v, want %v", may, fits)
+		if mayFit := x.MayFit(newQuery(order, need, 0)); mayFit != fits {
+			t.Fatalf("MayFit returned %v, want %v", mayFit, fits)
 		}
 		if x.Len() != size || !complete {
 			t.Fatalf("%d machines, want %d; complete %v", x.Len(), size, complete)
 		}
 		switch {
 		case want == nil && best.Found:
-			t.Fatalf("found %+v, though none will do", best.Entry.Value)
+			t.Fatalf("found %+v, want no machine", best.Entry.Value)
 		case want != nil && (!best.Found || best.Entry.Value != want):
 			t.Fatalf("found %+v, want %+v", best, want)
 		}
 	})
 }
 
-// TestExaminedMachinesDoNotGrow: the number of machines that a search examines does not grow with the size
-// of the index, whether they are all alike, all different, full, or nearly full.
+// TestExaminedMachinesDoNotGrow checks that the number of machines that a search examines does not grow with the size
+// of the index, whether the machines are identical, all different, full or nearly full.
 func TestExaminedMachinesDoNotGrow(t *testing.T) {
-	const most = 40
+	const maxExamined = 40
 	need := machineregistry.Resources{CPUs: 2, MemoryGB: 4}
 	for name, free := range map[string]func(i int) machineregistry.Resources{
 		"empty": func(int) machineregistry.Resources { return capacity },
@@ -163,14 +166,15 @@
 				examined++
 				return m.score(BestFit, need), true
 			})
-			if examined > most || best.Found != (name != "full") {
+			if examined > maxExamined || best.Found != (name != "full") {
 				t.Errorf("%s, %d machines: %d examined, found %v", name, n, examined, best.Found)
 			}
 		}
 	}
 }
 
-// TestSearchLimit: a search that reaches its limit reports that, and returns the best of what it examined.
+// TestSearchLimit checks that a search that reaches its limit reports so and returns the best of the machines that it
+// examined.
 func TestSearchLimit(t *testing.T) {
 	x := New[*machine]()
 	for i := range 20 {
@@ -184,10 +188,10 @@
 		&best,
 		func(m *machine) (float64, bool) { return m.score(BestFit, machineregistry.Resources{}), true },
 	) {
-		t.Error("examining five of twenty machines that all differ was enough")
+		t.Error("search limited to 5 of 20 different machines is reported as complete")
 	}
 	if !best.Found || best.Entry.name != "m04" {
-		t.Errorf("best of the first five is %+v", best)
+		t.Errorf("best of the first 5 machines is %+v, want m04", best)
 	}
 	n := 0
 	x.Each(func(*machine) { n++ })
--- a/internal/coordination/machineindex/search.go
+++ b/internal/coordination/machineindex/search.go
@@ -22,32 +22,31 @@
 
 // Query describes a search. Lower scores are better.
 type Query struct {
-	// Need is what a machine must have free.
+	// Need is the free capacity that a machine must have.
 	Need machineregistry.Resources
-	// IgnoreFree includes machines that do not have Need free.
+	// IgnoreFree includes machines with less free capacity than Need.
 	IgnoreFree bool
 	Order      Order
-	// PoolScore returns a lower bound of the score of every machine of a pool. It is infinite if none of
-	// them is feasible.
+	// PoolScore returns a lower bound of the scores of all machines of a pool, or +Inf if none of them is feasible.
 	PoolScore func(Pool) float64
-	// ScoreBound returns a lower bound of what a machine with so much free capacity scores beyond the
-	// PoolScore. With BestFit it must not fall as the free capacity grows, with WorstFit it must not rise.
+	// ScoreBound returns a lower bound of the score of a machine with the given free capacity, not counting
+	// PoolScore. As the free capacity grows, it must not decrease with BestFit and must not increase with WorstFit.
 	ScoreBound func(capacity, free machineregistry.Resources) float64
-	// MaxExamined limits the machines that the search examines.
+	// MaxExamined limits the number of machines that the search examines.
 	MaxExamined int
-	// MaxTies limits those among them that by their bound cannot beat the best, but may equal it.
+	// MaxTies limits the number of examined machines that can equal the best score but not beat it.
 	MaxTies int
 }
 
-// Best is the best machine found so far. The zero value has found none.
+// Best is the best machine found so far. In the zero value, none has been found.
 type Best[T any] struct {
 	Found bool
 	Score float64
 	Entry *Entry[T]
 }
 
-// Offer replaces the best by a machine that scores lower. Of equals the first by name is the best, so that
-// the outcome does not depend on the order in which machines are examined.
+// Offer replaces the best machine if the given one scores lower. Equal scores are decided by name, so that the result
+// does not depend on the order in which machines are examined.
 func (b *Best[T]) Offer(e *Entry[T], score float64) {
 	if !b.Found || score < b.Score || score == b.Score && e.name < b.Entry.name {
 		b.Found, b.Score, b.Entry = true, score, e
@@ -63,10 +62,9 @@
 	ties     int
 }
 
-// Search examines machines until no other can score less than the best, or a limit of the query is
-// reached. evaluate returns a machine's score, and whether it is feasible at all. best may hold the result
-// of earlier searches, and receives the result. Search reports whether it examined every machine that could
-// be better.
+// Search examines machines until no other can score lower than the best, or until a limit of the query is reached.
+// evaluate returns the score of a machine and whether the machine is feasible. best holds the result of earlier
+// searches, if any, and receives the result. Search reports whether it examined every machine that could be better.
 func (x *Index[T]) Search(
 	q Query,
 	best *Best[T],
@@ -84,7 +82,7 @@
 	return true
 }
 
-// MayFit reports whether some machine of a feasible pool has the query's need free.
+// MayFit reports whether any machine of a feasible pool has the free capacity that the query needs.
 func (x *Index[T]) MayFit(q Query) bool {
 	for _, p := range x.pools {
 		if math.IsInf(q.PoolScore(p.id), 1) {
@@ -99,7 +97,7 @@
 	return false
 }
 
-// hasFree reports whether some machine of the bucket has the need free.
+// hasFree reports whether any machine of the bucket has the given free capacity.
 func (b *bucket[T]) hasFree(need machineregistry.Resources) bool {
 	it := b.entries.Iter()
 	defer it.Release()
@@ -113,18 +111,18 @@
 	return false
 }
 
-// seekPast moves an iterator past all machines with the same free capacity.
+// seekPast moves an iterator past all machines with the given free capacity.
 func seekPast[T any](it *btree.IterG[*Entry[T]], free machineregistry.Resources) bool {
 	return it.Seek(&Entry[T]{free: free, name: maxName})
 }
 
-// scoredPool is a pool with the lower bound of its machines' scores.
+// scoredPool is a pool with the lower bound of the scores of its machines.
 type scoredPool[T any] struct {
 	*pool[T]
 	score float64
 }
 
-// poolsByScore returns the feasible pools, those with the lowest bound first.
+// poolsByScore returns the feasible pools in ascending order of their lower bounds.
 func (x *Index[T]) poolsByScore(poolScore func(Pool) float64) []scoredPool[T] {
 	list := make([]scoredPool[T], 0, len(x.pools))
 	for _, p := range x.pools {
@@ -136,7 +134,7 @@
 	return list
 }
 
-// minScore returns a lower bound of what the machines of a pool score beyond the PoolScore.
+// minScore returns a lower bound of the scores of a pool's machines, not counting PoolScore.
 func (s *search[T]) minScore(p *pool[T]) float64 {
 	if s.Order == WorstFit {
 		return s.ScoreBound(p.capacity, p.capacity)
@@ -144,7 +142,7 @@
 	return s.ScoreBound(p.capacity, s.Need)
 }
 
-// searchPool searches a pool's buckets. It returns false when a limit was reached.
+// searchPool searches the buckets of a pool. It returns false once a limit is reached.
 func (s *search[T]) searchPool(p scoredPool[T]) bool {
 	for i := range p.buckets {
 		b := p.buckets[i]
@@ -169,7 +167,7 @@
 	return true
 }
 
-// maxResources returns the larger of two amounts of each resource.
+// maxResources returns the larger amount of each resource.
 func maxResources(a, b machineregistry.Resources) machineregistry.Resources {
 	return machineregistry.Resources{
 		CPUs:     max(a.CPUs, b.CPUs),
@@ -178,13 +176,13 @@
 	}
 }
 
-// cannotWin reports whether a lower bound excludes a machine. Bounds are summed in another order than
-// scores, and may exceed them by rounding.
+// cannotWin reports whether a machine with the given lower bound can neither beat nor equal the best. The tolerance
+// is needed because bounds are summed in a different order than scores and may exceed them by a rounding error.
 func (s *search[T]) cannotWin(bound float64) bool {
 	return s.best.Found && bound-tolerance > s.best.Score
 }
 
-// searchBucket examines the machines of a bucket. It returns false when a limit was reached.
+// searchBucket examines the machines of a bucket. It returns false once a limit is reached.
 func (s *search[T]) searchBucket(b *bucket[T], poolScore float64) bool {
 	it := b.entries.Iter()
 	defer it.Release()
@@ -204,7 +202,7 @@
 			s.best.Offer(e, score)
 		}
 		if feasible && score <= bound+tolerance {
-			// Others with the same free capacity cannot score lower, and have later names.
+			// Other machines with the same free capacity cannot score lower and have later names.
 			ok = seekPast(&it, e.free)
 			continue
 		}
@@ -213,7 +211,7 @@
 	return true
 }
 
-// countExamined counts a machine that is about to be examined, and reports whether the limits allow it.
+// countExamined counts a machine that is about to be examined and reports whether the limits allow examining it.
 func (s *search[T]) countExamined(bound float64) bool {
 	s.examined++
 	if s.examined > s.MaxExamined {
--- a/internal/coordination/placement/finder.go
+++ b/internal/coordination/placement/finder.go
@@ -170,7 +170,7 @@
 // minScoreWithImage returns a lower bound of the scores of machines that have the job's image.
 func (f *Finder) minScoreWithImage(q machineindex.Query, j *jobstate.Job) float64 {
 	lowest := math.Inf(1)
-	f.rules.Candidates.Machines.Pools(func(p machineindex.Pool) { lowest = min(lowest, q.PoolScore(p)) })
+	f.rules.Candidates.Machines.EachPool(func(p machineindex.Pool) { lowest = min(lowest, q.PoolScore(p)) })
 	if !f.rules.StartLatency.Has(j.Spec.Class) {
 		lowest++ // see packingScore
 	}
