--- a/internal/coordination/candidates/index.go
+++ b/internal/coordination/candidates/index.go
@@ -63,7 +63,7 @@
 		ix.refreshCandidate(now, x)
 	}
 	ix.changedInCycle = ix.changedInCycle[:0]
-	for _, m := range ix.registry.TakeChanged() {
+	for _, m := range ix.registry.TakeChangedMachines() {
 		ix.refreshMachine(now, m)
 	}
 	for x := range ix.unresponsive {
@@ -95,7 +95,7 @@
 // rebuild replaces the contents of the index with all machines of the registry.
 func (ix *Index) rebuild(now time.Duration) {
 	ix.reset()
-	ix.registry.TakeChanged() // discarded, as all machines are indexed below
+	ix.registry.TakeChangedMachines() // discarded, as all machines are indexed below
 	ix.registry.Each(func(m *machineregistry.Machine) {
 		m.SchedulerData = nil
 		ix.refreshMachine(now, m)
--- a/internal/coordination/machineregistry/commands.go
+++ b/internal/coordination/machineregistry/commands.go
@@ -10,36 +10,38 @@
 	"pinebay/internal/protocol"
 )
 
-// maxCommandsPerBatch keeps a batch, and a heartbeat's reply with it, within the protocol's limit.
+// maxCommandsPerBatch limits the number of commands per message, so that a heartbeat reply stays within the size
+// limit of the protocol.
 const maxCommandsPerBatch = 400
 
-// commandQueue is the state of the commands to one machine. What is due follows from the
-// machine's placements, unknown tasks and exited tasks; commands that the machine has not
-// executed, as far as its heartbeats say, are due again.
-type commandQueue struct {
-	inFlight bool          // a direct command has no answer yet
-	retryAt  time.Duration // when the next direct command may be sent
-	// newDue says that something new is due since the last batch was taken.
-	newDue bool
+// commandState is the state of command delivery to one machine. It holds no commands: those that are due are derived
+// from the machine's placements, unknown tasks and exited tasks, and a command stays due until a heartbeat shows that
+// it was executed.
+type commandState struct {
+	inFlight bool          // a direct command has not been answered yet
+	retryAt  time.Duration // earliest time of the next direct command
+	// newCommandDue is set if a command has become due since the last batch was taken.
+	newCommandDue bool
 
-	// epoch is the part of the fencing token that this leader raises to make the worker refuse
-	// delayed copies of earlier commands.
-	epoch         uint64
-	epochRaisedAt time.Duration
+	// epoch is the part of the fencing token that this leader increments to make the worker reject delayed copies of
+	// earlier commands.
+	epoch              uint64
+	epochIncrementedAt time.Duration
 }
 
-// exitedTask is an exited task that the worker still lists, and refuses to start again, until it
-// is told to forget it.
+// exitedTask is an exited task that the worker still lists. The worker refuses to start that attempt again until it
+// is told to forget the task.
 type exitedTask struct {
 	attempt         uint64
-	outcomeRecorded bool   // no record names the attempt as running any more
-	runFencingToken uint64 // of the last run command
+	outcomeRecorded bool   // no record lists the attempt as running any more
+	runFencingToken uint64 // token of the last run command
 	exitedAt        time.Duration
 }
 
-// commandBatch collects the commands to one machine up to the limit.
+// commandBatch collects commands for one machine.
 type commandBatch []protocol.Command
 
+// isFull reports whether the batch has reached maxCommandsPerBatch.
 func (b *commandBatch) isFull() bool { return len(*b) >= maxCommandsPerBatch }
 
 func (b *commandBatch) addRun(task protocol.TaskID, attempt uint64) {
@@ -59,11 +61,11 @@
 	*b = append(*b, protocol.Command{Verb: protocol.VerbForget, TaskName: task.String(), Attempt: attempt})
 }
 
-// TakeDueCommands returns the commands that are due to a machine, in a fixed order, and marks
-// them as sent. Commands beyond the limit of a batch are left for the next one.
+// TakeDueCommands returns the commands that are due for a machine, in a deterministic order, and marks them as sent.
+// Commands that exceed the limit of a batch are left for the next batch.
 func (r *Registry) TakeDueCommands(now time.Duration, m *Machine) []protocol.Command {
-	r.raiseEpochIfNeeded(now, m)
-	m.commands.newDue = false
+	r.incrementEpochIfNeeded(now, m)
+	m.commands.newCommandDue = false
 	var batch commandBatch
 	if len(m.placements) > 0 {
 		for _, pl := range sortedPlacements(m.placements) {
@@ -99,15 +101,15 @@
 	case pl.Reported:
 		batch.addStop(pl.Task, pl.Attempt, pl.GraceSeconds)
 	default:
-		// The run command may still be delayed on its way. It is not repeated in order to stop the
-		// task then: a cancelled task must not run even for a moment. The raised epoch makes the
-		// worker refuse the run, and its next heartbeat proves that (see removeAbsent).
+		// A copy of the run command may still be in transit. The run command is not sent again just to be able to
+		// stop the task, because a cancelled task must not run even for a moment. Instead, the increased epoch makes
+		// the worker reject the run command, and the next heartbeat confirms that (see terminateAbsent).
 		batch.addStop(pl.Task, pl.Attempt, 0)
 	}
 }
 
-// needsCommand reports whether a run or stop command is due for the placement. A task that is
-// saving a checkpoint already needs no other stop command, unless its grace period was cut to 0.
+// needsCommand reports whether a run or stop command is due for the placement. A task that is already saving a
+// checkpoint needs no further stop command unless its grace period has been reduced to 0.
 func (pl *Placement) needsCommand() bool {
 	if !pl.StartAllowed {
 		return false
@@ -115,38 +117,38 @@
 	return !pl.Reported || pl.Stopping && (pl.State != protocol.TaskSaving || pl.GraceSeconds == 0)
 }
 
-// canForget reports whether the worker may forget an exited task. A run command that arrived
-// after that would start the attempt again, so none may be acceptable to the worker any more: it
-// refuses commands whose token is below the highest that it has seen.
+// canForget reports whether the worker may be told to forget an exited task. A run command that arrived afterwards
+// would start the attempt again, so the worker must already be rejecting it: it rejects commands with a fencing token
+// below the highest one that it has received.
 func canForget(m *Machine, e *exitedTask) bool {
 	return e.outcomeRecorded && e.runFencingToken < m.HighestFencingToken
 }
 
-// FencingToken returns the token that commands to the machine carry now.
+// FencingToken returns the fencing token of commands that are sent to the machine now.
 func (r *Registry) FencingToken(m *Machine) uint64 {
 	return protocol.FencingToken(r.term, m.commands.epoch)
 }
 
-// lastTokenOfEarlierTerms is the highest token that an earlier leader may have sent.
+// lastTokenOfEarlierTerms returns the highest fencing token that a leader of an earlier term may have used.
 func (r *Registry) lastTokenOfEarlierTerms() uint64 { return protocol.FencingToken(r.term, 0) - 1 }
 
-// raiseEpochIfNeeded raises the machine's command epoch in two cases: to make the worker refuse a
-// run that is to be stopped before the machine has reported it, and to be able to forget exited
-// tasks. It waits for a command in flight, and the second case for starts as well, which the new
-// epoch would only delay.
-func (r *Registry) raiseEpochIfNeeded(now time.Duration, m *Machine) {
+// incrementEpochIfNeeded increments the command epoch of a machine for two purposes: to make the worker reject the
+// run command of a placement that is to be stopped before the machine has reported it, and to be able to forget
+// exited tasks. It never does so while a command is in flight. The second purpose also waits until no placement is
+// starting, because a new epoch would delay these starts.
+func (r *Registry) incrementEpochIfNeeded(now time.Duration, m *Machine) {
 	if m.commands.inFlight || m.commands.epoch >= protocol.MaxTokenEpoch {
 		return
 	}
 	starting, stopping := r.unreportedRuns(m)
-	if stopping || !starting && r.exitedTasksWait(now, m) {
+	if stopping || !starting && r.exitedTasksNeedEpoch(now, m) {
 		m.commands.epoch++
-		m.commands.epochRaisedAt = now
+		m.commands.epochIncrementedAt = now
 	}
 }
 
-// unreportedRuns reports whether a placement is starting, and whether one is stopping whose run
-// command the worker would still accept, among those that the machine has not reported.
+// unreportedRuns reports on the placements that the machine has not listed yet: whether any is starting, and whether
+// any is stopping although the worker would still accept its run command.
 func (r *Registry) unreportedRuns(m *Machine) (starting, stopping bool) {
 	for _, pl := range m.placements {
 		switch {
@@ -160,24 +162,24 @@
 	return starting, stopping
 }
 
-// exitedTasksWait reports whether an exited task has been waiting for a higher epoch for half a
-// lease, and the epoch is as old.
-func (r *Registry) exitedTasksWait(now time.Duration, m *Machine) bool {
-	pause := config.Seconds(r.workerSettings.LeaseSeconds / 2)
-	if now-m.commands.epochRaisedAt < pause {
+// exitedTasksNeedEpoch reports whether an exited task has waited for a higher epoch for more than half a lease and
+// the epoch has not been incremented for as long.
+func (r *Registry) exitedTasksNeedEpoch(now time.Duration, m *Machine) bool {
+	minWait := config.Seconds(r.workerSettings.LeaseSeconds / 2)
+	if now-m.commands.epochIncrementedAt < minWait {
 		return false
 	}
 	for _, e := range m.exitedTasks {
-		if e.outcomeRecorded && e.runFencingToken >= r.FencingToken(m) && now-e.exitedAt > pause {
+		if e.outcomeRecorded && e.runFencingToken >= r.FencingToken(m) && now-e.exitedAt > minWait {
 			return true
 		}
 	}
 	return false
 }
 
-// MachinesToCommand returns, in name order, the machines to which due commands should be sent
-// directly, as waiting for their next heartbeat would delay a start or a stop. It is called after
-// every event and looks only at machines on which something may be due.
+// MachinesToCommand returns, in name order, the machines to which due commands should be sent directly, because
+// waiting for the next heartbeat would delay a start or a stop. It is called after every event and therefore examines
+// only machines for which a command may be due.
 func (r *Registry) MachinesToCommand(now time.Duration) []*Machine {
 	var list []*Machine
 	for name, m := range r.commandsDue {
@@ -185,11 +187,11 @@
 			delete(r.commandsDue, name)
 			continue
 		}
-		due, reachable := m.placementsNeedCommand()
+		due, ofCurrentIncarnation := m.placementsNeedCommand()
 		switch {
 		case !due:
 			delete(r.commandsDue, name)
-		case reachable && m.canBeCommanded(now):
+		case ofCurrentIncarnation && m.acceptsDirectCommand(now):
 			list = append(list, m)
 		}
 	}
@@ -197,39 +199,39 @@
 	return list
 }
 
-// placementsNeedCommand reports whether a command is due for any placement, and for any of the
-// worker's present incarnation.
-func (m *Machine) placementsNeedCommand() (due, ofIncarnation bool) {
+// placementsNeedCommand reports whether a command is due for any placement, and whether one is due for any placement
+// of the worker's current incarnation.
+func (m *Machine) placementsNeedCommand() (due, ofCurrentIncarnation bool) {
 	for _, pl := range m.placements {
 		if pl.needsCommand() {
 			due = true
-			ofIncarnation = ofIncarnation || pl.Incarnation == m.Incarnation
+			ofCurrentIncarnation = ofCurrentIncarnation || pl.Incarnation == m.Incarnation
 		}
 	}
-	return due, ofIncarnation
+	return due, ofCurrentIncarnation
 }
 
-// canBeCommanded reports whether a direct command may be sent to the machine now.
-func (m *Machine) canBeCommanded(now time.Duration) bool {
+// acceptsDirectCommand reports whether a direct command may be sent to the machine now.
+func (m *Machine) acceptsDirectCommand(now time.Duration) bool {
 	return m.Registered && !m.Relayed && m.Addr != "" && !m.commands.inFlight && now >= m.commands.retryAt
 }
 
-// CommandSent notes that a direct command has been sent to the machine. No other is sent until
-// CommandAnswered.
+// CommandSent records that a direct command has been sent to the machine. No other is sent until CommandAnswered is
+// called.
 func (r *Registry) CommandSent(m *Machine) { m.commands.inFlight = true }
 
-// CommandAnswered notes the outcome of a direct command. After a success, commands are repeated
-// only once a heartbeat could have confirmed them. After a failure the next heartbeat is the
-// natural moment to try again; a silent machine is tried more seldom, as hundreds that are cut off
-// would otherwise delay the commands to those that answer.
+// CommandAnswered records the outcome of a direct command. After a success, unconfirmed commands are repeated only
+// after a pause, so that a heartbeat can confirm them first. After a failure, the next attempt is made at about the
+// time of the next heartbeat. A machine that is no longer sending heartbeats is retried less often: otherwise, if
+// hundreds of machines are unreachable, they would delay commands to the others.
 func (r *Registry) CommandAnswered(now time.Duration, m *Machine, ok bool) {
-	const pausesPerHeartbeat = 4
+	const repeatsPerHeartbeat = 4
 	m.commands.inFlight = false
 	heartbeat := r.workerSettings.HeartbeatSeconds
 	switch {
-	case ok && m.commands.newDue:
+	case ok && m.commands.newCommandDue:
 	case ok:
-		m.commands.retryAt = now + config.Seconds(heartbeat/pausesPerHeartbeat)
+		m.commands.retryAt = now + config.Seconds(heartbeat/repeatsPerHeartbeat)
 	case now-m.LastHeartbeat > r.SilenceTimeout():
 		m.commands.retryAt = now + config.Seconds(r.workerSettings.LeaseSeconds/2)
 	default:
@@ -237,15 +239,15 @@
 	}
 }
 
-// expediteCommand lets the next command to a placement's machine be sent without a pause.
+// expediteCommand allows the next command to a placement's machine to be sent without a pause.
 func (r *Registry) expediteCommand(pl *Placement) {
 	if m := r.machines[pl.Machine]; m != nil {
-		m.commands.retryAt, m.commands.newDue = 0, true
+		m.commands.retryAt, m.commands.newCommandDue = 0, true
 		r.commandsDue[m.Name] = m
 	}
 }
 
-// sortedTaskIDs returns the keys of a map in task order.
+// sortedTaskIDs returns the keys of a map, sorted by job ID and task index.
 func sortedTaskIDs[V any](tasks map[protocol.TaskID]V) []protocol.TaskID {
 	if len(tasks) == 0 {
 		return nil
--- a/internal/coordination/machineregistry/commands_test.go
+++ b/internal/coordination/machineregistry/commands_test.go
@@ -7,7 +7,7 @@
 	"pinebay/internal/protocol"
 )
 
-// verbsOf lists the verbs of commands, each followed by a space.
+// verbsOf returns the verbs of commands, each followed by a space.
 func verbsOf(commands []protocol.Command) string {
 	verbs := ""
 	for _, c := range commands {
@@ -16,8 +16,8 @@
 	return verbs
 }
 
-// TestMoreCommandsThanAReplyHolds: of more commands than fit into one reply, the next replies carry
-// the rest, each command once.
+// TestMoreCommandsThanAReplyHolds checks that commands that exceed the limit of one reply are sent in the next
+// replies, each command once.
 func TestMoreCommandsThanAReplyHolds(t *testing.T) {
 	const tasks = 1500
 	registry := newTestRegistry(1)
@@ -54,13 +54,13 @@
 		registry.HandleHeartbeat(now, testHeartbeat(1, round, 0, listed...))
 	}
 	if len(started) != tasks {
-		t.Errorf("%d of %d tasks were started", len(started), tasks)
+		t.Errorf("%d of %d tasks started", len(started), tasks)
 	}
 }
 
-// TestForgetWaitsForRecordAndFencing: the worker's entry of an exited task protects against delayed
-// copies of its run command. The worker is told to forget it only once the outcome is recorded and
-// the worker refuses tokens as low as that of the run.
+// TestForgetWaitsForRecordAndFencing checks that a worker is told to forget an exited task only once the outcome is
+// recorded and the worker rejects the fencing token of the run command. Until then, the worker's entry of the task
+// prevents a delayed copy of the run command from starting the attempt again.
 func TestForgetWaitsForRecordAndFencing(t *testing.T) {
 	registry := newTestRegistry(2)
 	registry.HandleHeartbeat(0, testHeartbeat(1, 1, 0))
@@ -68,11 +68,11 @@
 	pl := newTestPlacement(1, 1)
 	mustReserve(t, registry, 0, pl)
 	if got := verbsOf(registry.TakeDueCommands(0, m)); got != "" {
-		t.Errorf("before its record: %q", got)
+		t.Errorf("commands before the placement is recorded: %q", got)
 	}
 	registry.AllowStart(pl)
 	if got := verbsOf(registry.TakeDueCommands(0, m)); got != "run " {
-		t.Errorf("after its record: %q", got)
+		t.Errorf("commands after the placement is recorded: %q", got)
 	}
 	exit := testExit(1, protocol.CauseStopped)
 	runToken := registry.FencingToken(m)
@@ -80,29 +80,29 @@
 	now := time.Hour
 	registry.HandleHeartbeat(now, testHeartbeat(1, 3, runToken, exit))
 	if got := verbsOf(registry.TakeDueCommands(now, m)); got != "" {
-		t.Errorf("outcome not recorded: %q", got)
+		t.Errorf("commands before the outcome is recorded: %q", got)
 	}
 	again := newTestPlacement(1, 1)
 	again.Attempt = 2
 	if registry.Reserve(now, []*Placement{again}) {
-		t.Error("a new attempt was reserved although a copy of the old run may arrive")
+		t.Error("new attempt reserved although a copy of the old run command may arrive")
 	}
 	registry.MarkOutcomeRecorded(pl)
 	if got := verbsOf(registry.TakeDueCommands(now, m)); got != "" || registry.FencingToken(m) <= runToken {
-		t.Errorf("outcome recorded: %q, token %d after %d", got, registry.FencingToken(m), runToken)
+		t.Errorf("commands after the outcome record: %q, token %d after %d", got, registry.FencingToken(m), runToken)
 	}
 	registry.HandleHeartbeat(now+1, testHeartbeat(1, 4, registry.FencingToken(m), exit))
 	if got := verbsOf(registry.TakeDueCommands(now+1, m)); got != "forget " {
-		t.Errorf("the worker has seen the new token: %q", got)
+		t.Errorf("commands after the worker has reported the new token: %q", got)
 	}
 	if !registry.Reserve(now+2, []*Placement{again}) {
-		t.Error("not reserved once forgotten")
+		t.Error("new attempt not reserved after the old one was forgotten")
 	}
 }
 
-// TestStopsOfUnreportedStarts: a run that the machine has not reported is never repeated in order
-// to stop it. Its absence is a proof only in a heartbeat with a token above the run's, as the worker
-// refuses the run from then on.
+// TestStopsOfUnreportedStarts checks that a run command that the machine has not reported is never repeated in order
+// to stop the task. Absence of the task proves that it is gone only in a heartbeat with a higher fencing token than
+// the run command's, because the worker rejects the run command from then on.
 func TestStopsOfUnreportedStarts(t *testing.T) {
 	registry := newTestRegistry(2)
 	registry.HandleHeartbeat(0, testHeartbeat(1, 1, 0))
@@ -116,16 +116,16 @@
 	registry.TakeDueCommands(0, m)
 	runToken := registry.FencingToken(m)
 	if registry.Stop(1, pl, 0) {
-		t.Fatal("a run that may be on its way was terminated")
+		t.Fatal("placement terminated although its run command may be in transit")
 	}
 	if got := verbsOf(registry.TakeDueCommands(2, m)); got != "stop " || registry.FencingToken(m) <= runToken {
-		t.Errorf("%q with token %d after %d", got, registry.FencingToken(m), runToken)
+		t.Errorf("commands %q with token %d after %d", got, registry.FencingToken(m), runToken)
 	}
 	if got := heartbeat(3, 2, runToken); len(got) != 0 || pl.Terminated {
-		t.Error("absence with the run's own token proved something")
+		t.Error("placement terminated after absence with the token of its run command")
 	}
 	if got := heartbeat(4, 3, registry.FencingToken(m)); len(got) != 1 || !got[0].Lost || !pl.Terminated {
-		t.Errorf("absence with a higher token: %v", got)
+		t.Errorf("observations after absence with a higher token: %v", got)
 	}
 
 	adopted := newTestPlacement(3, 1)
@@ -133,22 +133,22 @@
 	registry.Adopt(5, adopted)
 	registry.Stop(5, adopted, 0)
 	if got := heartbeat(6, 4, protocol.FencingToken(1, 9)); len(got) != 0 {
-		t.Error("absence with an earlier leader's token proved something")
+		t.Error("placement terminated after absence with a token of an earlier leader")
 	}
 	if got := heartbeat(7, 5, registry.FencingToken(m)); len(got) != 1 {
-		t.Errorf("absence with this leader's token: %v", got)
+		t.Errorf("observations after absence with a token of this leader: %v", got)
 	}
 
 	neverSent := newTestPlacement(2, 1)
 	mustReserve(t, registry, 8, neverSent)
 	if !registry.Stop(8, neverSent, 0) || !neverSent.Terminated {
-		t.Error("a run that was never sent was not terminated at once")
+		t.Error("placement not terminated immediately although its run command was never sent")
 	}
 }
 
-// TestNewStartsAreNotDelayed: the pause after an answered command keeps a run from being repeated
-// before the next heartbeat can confirm it. A new start must not wait for that pause: with a
-// heartbeat every 5 s it is longer than some start latency objectives.
+// TestNewStartsAreNotDelayed checks that the pause after an answered command, which keeps a run command from being
+// repeated before the next heartbeat can confirm it, does not delay new starts. With a heartbeat interval of 5 s,
+// that pause is longer than some start latency objectives.
 func TestNewStartsAreNotDelayed(t *testing.T) {
 	registry := newTestRegistry(1)
 	registry.HandleHeartbeat(0, testHeartbeat(1, 1, 0))
@@ -159,23 +159,23 @@
 	mustReserve(t, registry, now, second)
 	registry.AllowStart(first)
 	if len(registry.MachinesToCommand(now)) != 1 || len(registry.TakeDueCommands(now, m)) != 1 {
-		t.Fatal("the first start is not sent")
+		t.Fatal("first run command not sent")
 	}
 	registry.CommandAnswered(now, m, true)
 	if now += 10 * time.Millisecond; len(registry.MachinesToCommand(now)) != 0 {
-		t.Error("a run is repeated at once")
+		t.Error("run command repeated immediately")
 	}
 	registry.AllowStart(second)
 	if len(registry.MachinesToCommand(now)) != 1 || len(registry.TakeDueCommands(now, m)) == 0 {
-		t.Error("a new start waits for the pause after the last command")
+		t.Error("new start delayed by the pause after the last command")
 	}
-	// The same for a start that becomes due while a command is in flight.
+	// The same applies to a start that becomes due while a command is in flight.
 	registry.CommandSent(m)
 	third := newTestPlacement(3, 1)
 	mustReserve(t, registry, now, third)
 	registry.AllowStart(third)
 	registry.CommandAnswered(now, m, true)
 	if len(registry.MachinesToCommand(now)) != 1 {
-		t.Error("a new start waits for the pause after the command that was in flight")
+		t.Error("new start delayed by the pause after the command that was in flight")
 	}
 }
--- a/internal/coordination/machineregistry/heartbeat.go
+++ b/internal/coordination/machineregistry/heartbeat.go
@@ -7,28 +7,26 @@
 	"pinebay/internal/protocol"
 )
 
-// Observation is a change of a placement that a heartbeat, or a removal, has shown.
+// Observation is a change of a placement that was detected through a heartbeat or the removal of its machine.
 type Observation struct {
 	Placement *Placement
-	Lost      bool // terminated without an exit of the task
+	Lost      bool // the placement was terminated, but its task was not reported as exited
 }
 
-// HeartbeatResult is the outcome of a heartbeat.
+// HeartbeatResult is the result of processing a heartbeat.
 type HeartbeatResult struct {
 	Machine      *Machine
 	Observations []Observation
-	// Newer is false for duplicates and delayed heartbeats, which prove nothing but the exits that
-	// they list.
+	// Newer is false for duplicate and delayed heartbeats. These are evidence only of the exits that they list.
 	Newer bool
 }
 
-// HandleHeartbeat brings a machine up to date with a heartbeat of its worker and reconciles its
-// placements with the tasks that the worker lists. An unknown machine is created. Heartbeats may
-// be duplicated, delayed and reordered.
+// HandleHeartbeat updates a machine from a heartbeat of its worker and reconciles its placements with the tasks that
+// the worker lists. It creates the machine if it is unknown. Heartbeats may be duplicated, delayed and reordered.
 func (r *Registry) HandleHeartbeat(now time.Duration, heartbeat *protocol.WorkerHeartbeat) HeartbeatResult {
 	m := r.GetOrCreate(now, heartbeat.Machine)
 	if !r.Schedulable(now, m) {
-		defer r.markChanged(m) // it may be schedulable from now on
+		defer r.markChanged(m) // it may become schedulable
 	}
 	rec := reconciliation{
 		registry: r,
@@ -50,10 +48,9 @@
 	return HeartbeatResult{Machine: m, Observations: rec.observations, Newer: rec.newer}
 }
 
-// HandleUnchangedHeartbeat notes that another controller, the machine's owner, has answered a
-// heartbeat in which nothing had changed. It returns false if that is not enough: the leader knows
-// less of the machine than the owner, or the machine has commands to receive, so that the next
-// heartbeat must reach the leader.
+// HandleUnchangedHeartbeat records that another controller, the owner of the machine, has answered a heartbeat
+// without changes. It returns false if the next heartbeat must reach the leader itself, because the leader knows less
+// about the machine than the owner does or has commands for it.
 func (r *Registry) HandleUnchangedHeartbeat(now time.Duration, machine string, incarnation, sequence uint64) bool {
 	m := r.machines[machine]
 	if m == nil || !m.Registered || m.Incarnation != incarnation {
@@ -61,14 +58,14 @@
 	}
 	if sequence > m.Sequence {
 		if !r.Schedulable(now, m) {
-			defer r.markChanged(m) // it may be schedulable from now on
+			defer r.markChanged(m) // it may become schedulable
 		}
 		m.Sequence, m.LastHeartbeat, m.Relayed = sequence, now, false
 	}
 	return r.commandsDue[machine] != m && len(m.unknownTasks) == 0 && len(m.exitedTasks) == 0
 }
 
-// reconciliation is the work on one heartbeat.
+// reconciliation is the state of processing one heartbeat.
 type reconciliation struct {
 	registry     *Registry
 	now          time.Duration
@@ -77,8 +74,8 @@
 	observations []Observation
 }
 
-// beginIncarnation drops what belonged to earlier incarnations of the worker: a new one has killed
-// all their tasks before its first heartbeat.
+// beginIncarnation drops the state of earlier incarnations of the worker. A new incarnation has killed all their
+// tasks before its first heartbeat.
 func (c *reconciliation) beginIncarnation(incarnation uint64) {
 	m := c.machine
 	for _, pl := range sortedPlacements(m.placements) {
@@ -87,15 +84,15 @@
 		}
 	}
 	if m.Incarnation != 0 {
-		// The worker's lease expired while the leader may have answered its heartbeats. It has yet
-		// to show that commands reach it.
+		// The worker's lease expired although the leader may have answered its heartbeats. The machine gets no new
+		// tasks until the worker has had time to show that commands reach it.
 		m.MarkUnresponsive(c.now + config.Seconds(c.registry.workerSettings.HeartbeatSeconds))
 	}
 	m.exitedTasks, m.unknownTasks = map[protocol.TaskID]*exitedTask{}, map[protocol.TaskID]uint64{}
 	m.Incarnation, m.Sequence = incarnation, 0
 }
 
-// updateMachine takes over what a newer heartbeat says of the machine itself.
+// updateMachine updates the attributes of the machine from a newer heartbeat.
 func (c *reconciliation) updateMachine(heartbeat *protocol.WorkerHeartbeat) {
 	m := c.machine
 	m.Sequence = heartbeat.Sequence
@@ -119,7 +116,7 @@
 		status := &heartbeat.Tasks[i]
 		id, err := protocol.ParseTaskID(status.TaskName)
 		if err != nil {
-			continue // not a task of ours, and no command could name it
+			continue // not a task of this system; no command could name it
 		}
 		listed[id] = status.Attempt
 		c.reconcileTask(id, status)
@@ -129,11 +126,11 @@
 	}
 }
 
-// reconcileTask brings the placement of a listed task up to date.
+// reconcileTask updates the placement of a listed task.
 func (c *reconciliation) reconcileTask(id protocol.TaskID, status *protocol.TaskStatus) {
 	pl := c.machine.placements[id]
 	if pl == nil || pl.Attempt != status.Attempt || pl.Incarnation != c.machine.Incarnation {
-		c.noteUnplaced(id, status, pl)
+		c.recordUnplacedTask(id, status, pl)
 		return
 	}
 	first := !pl.Reported
@@ -147,10 +144,10 @@
 	}
 }
 
-// noteUnplaced notes a listed task without a placement of that attempt; pl is the placement of
-// another attempt or incarnation, or nil. The machine is to forget it if it has exited, and to stop
-// it otherwise.
-func (c *reconciliation) noteUnplaced(id protocol.TaskID, status *protocol.TaskStatus, pl *Placement) {
+// recordUnplacedTask records a listed task whose attempt has no placement on the machine; pl is the placement of
+// another attempt or incarnation of the task, or nil. The worker will be told to forget the task if it has exited,
+// and to stop it otherwise.
+func (c *reconciliation) recordUnplacedTask(id protocol.TaskID, status *protocol.TaskStatus, pl *Placement) {
 	m := c.machine
 	exited := m.exitedTasks[id]
 	if exited != nil && exited.attempt == status.Attempt {
@@ -165,8 +162,8 @@
 	if pl != nil && pl.Attempt <= status.Attempt || exited != nil && exited.attempt >= status.Attempt {
 		return
 	}
-	// An earlier leader placed it, and its outcome is recorded: otherwise the record would still
-	// name it, and this leader would have adopted it.
+	// A leader of an earlier term placed this attempt, and its outcome is recorded: otherwise the record would still
+	// list it and this leader would have adopted it.
 	m.exitedTasks[id] = &exitedTask{
 		attempt:         status.Attempt,
 		outcomeRecorded: true,
@@ -196,7 +193,7 @@
 	c.registry.abandonFetch(m, pl)
 }
 
-// updateState takes over the state of a task that has not exited, and reports whether it is new.
+// updateState updates the state of a task that has not exited, and reports whether it has changed.
 func (c *reconciliation) updateState(pl *Placement, status *protocol.TaskStatus) bool {
 	if !c.newer || pl.State == status.State {
 		return false
@@ -208,11 +205,10 @@
 	return true
 }
 
-// terminateAbsent terminates the placements that are to end and are proven not to be on the
-// machine. A worker refuses run commands whose token is below the highest that it has seen. So
-// once it reports a token above that of every run command of an attempt, none of these is executed
-// any more, and an attempt that it does not list is not there and will not be. Without that token,
-// absence proves nothing: a run command may still be delayed on its way.
+// terminateAbsent terminates the stopping placements that are proven to be absent from the machine. A worker rejects
+// run commands with a fencing token below the highest one that it has received. Once it reports a token above that of
+// every run command of an attempt, no such command can be executed any more, so an attempt that it does not list is
+// absent for good. Without that token, absence proves nothing, because a run command may still be in transit.
 func (c *reconciliation) terminateAbsent(reportedToken uint64, listed map[protocol.TaskID]uint64) {
 	for _, pl := range sortedPlacements(c.machine.placements) {
 		if !pl.Stopping || pl.Reported || pl.Incarnation != c.machine.Incarnation {
@@ -226,7 +222,7 @@
 	}
 }
 
-// terminateLost terminates a placement whose task is gone without having exited.
+// terminateLost terminates a placement whose task is gone without a reported exit.
 func (c *reconciliation) terminateLost(pl *Placement) {
 	c.registry.removePlacement(c.now, c.machine, pl)
 	c.observations = append(c.observations, Observation{Placement: pl, Lost: true})
--- a/internal/coordination/machineregistry/heartbeat_test.go
+++ b/internal/coordination/machineregistry/heartbeat_test.go
@@ -8,22 +8,21 @@
 	"pinebay/internal/protocol"
 )
 
-// TestUnchangedHeartbeat: an unchanged heartbeat that the owner has answered keeps a machine from
-// counting as silent if nothing newer is known and the leader knows the same incarnation. It proves
-// nothing of tasks. The next heartbeat must reach the leader if it does not know the machine, or
-// has commands for it.
+// TestUnchangedHeartbeat checks that an unchanged heartbeat that was answered by the owner counts as a heartbeat of
+// the machine if the leader knows the same incarnation and no newer heartbeat. It proves nothing about tasks. The
+// next heartbeat must reach the leader if the leader does not know the machine or has commands for it.
 func TestUnchangedHeartbeat(t *testing.T) {
 	registry := New(3, config.Workers{HeartbeatSeconds: 1, LeaseSeconds: 10})
 	registered := time.Second
 	if registry.HandleUnchangedHeartbeat(registered, "m1", 1, 1) {
-		t.Error("enough for a machine that is not registered")
+		t.Error("accepted for a machine that is not registered")
 	}
 	registry.HandleHeartbeat(registered, testHeartbeat(2, 5, 7))
 	now := registered + 5*time.Second
 	for _, x := range []struct {
 		name                  string
 		incarnation, sequence uint64
-		enough                bool
+		accepted              bool
 		lastHeartbeat         time.Duration
 	}{
 		{"earlier incarnation", 1, 9, false, registered},
@@ -31,20 +30,20 @@
 		{"known already", 2, 5, true, registered},
 		{"newer", 2, 6, true, now},
 	} {
-		enough := registry.HandleUnchangedHeartbeat(now, "m1", x.incarnation, x.sequence)
-		if last := registry.Machine("m1").LastHeartbeat; enough != x.enough || last != x.lastHeartbeat {
-			t.Errorf("%s: enough %v, last heartbeat at %v", x.name, enough, last)
+		accepted := registry.HandleUnchangedHeartbeat(now, "m1", x.incarnation, x.sequence)
+		if last := registry.Machine("m1").LastHeartbeat; accepted != x.accepted || last != x.lastHeartbeat {
+			t.Errorf("%s: accepted %v, last heartbeat at %v", x.name, accepted, last)
 		}
 	}
 	pl := &Placement{Task: protocol.TaskID{JobID: "j-1"}, Attempt: 1, Machine: "m1", Incarnation: 2, StartAllowed: true}
 	registry.Adopt(now, pl)
 	if registry.HandleUnchangedHeartbeat(now, "m1", 2, 7) || pl.Terminated {
-		t.Errorf("enough although a command is due, or terminated: %v", pl.Terminated)
+		t.Errorf("accepted although a command is due, or placement terminated (%v)", pl.Terminated)
 	}
 }
 
-// TestAbsenceProvesNoTermination: delayed heartbeats, and heartbeats without the task, never
-// terminate a placement. An exit, a later incarnation or the removal of the machine does.
+// TestAbsenceProvesNoTermination checks that delayed heartbeats and heartbeats without the task never terminate a
+// placement, while an exit, a later incarnation or the removal of the machine does.
 func TestAbsenceProvesNoTermination(t *testing.T) {
 	otherAttempt := testStatus(1, protocol.TaskExited)
 	otherAttempt.Attempt = 7
@@ -56,7 +55,7 @@
 	exit := testStatus(1, protocol.TaskExited)
 	for _, x := range []struct {
 		name       string
-		do         func(*Registry) []Observation
+		event      func(*Registry) []Observation
 		terminated bool
 	}{
 		{"newer heartbeat without it", heartbeat(3, 50), false},
@@ -75,7 +74,7 @@
 		pl.Incarnation = 3
 		registry.Adopt(0, pl)
 		registry.HandleHeartbeat(1, testHeartbeat(3, 10, 0))
-		observations := x.do(registry)
+		observations := x.event(registry)
 		terminated := len(observations) == 1 && observations[0].Placement == pl && pl.Terminated
 		if terminated != x.terminated || pl.Terminated != x.terminated {
 			t.Errorf("%s: terminated %v, observations %v", x.name, terminated, observations)
@@ -83,8 +82,8 @@
 	}
 }
 
-// TestSteadyHeartbeatAllocations bounds what a heartbeat allocates that lists the same tasks as the
-// one before: the set of listed tasks and the sorted placements.
+// TestSteadyHeartbeatAllocations limits the allocations of a heartbeat that lists the same tasks as the previous one.
+// Only the set of listed tasks and the sorted placements may be allocated.
 func TestSteadyHeartbeatAllocations(t *testing.T) {
 	const tasks, maxAllocations = 8, 4
 	registry := newTestRegistry(1)
@@ -103,11 +102,11 @@
 		now := time.Duration(heartbeat.Sequence)
 		registry.HandleHeartbeat(now, heartbeat)
 		if commands := registry.TakeDueCommands(now, m); len(commands) > 0 {
-			t.Fatalf("commands in a steady state: %v", commands)
+			t.Fatalf("unexpected commands: %v", commands)
 		}
 		registry.MachinesToCommand(now)
 	})
 	if allocations > maxAllocations {
-		t.Errorf("%v allocations, at most %d are expected", allocations, maxAllocations)
+		t.Errorf("%v allocations, want at most %d", allocations, maxAllocations)
 	}
 }
--- a/internal/coordination/machineregistry/images.go
+++ b/internal/coordination/machineregistry/images.go
@@ -9,44 +9,45 @@
 	"pinebay/internal/protocol"
 )
 
-// SlowFetchFactor is how much longer than the machine type's rate suggests a fetch may take.
+// SlowFetchFactor is the ratio of the duration of a slow fetch to the duration expected at the fetch rate of the
+// machine type.
 const SlowFetchFactor = 4.0 / 3
 
-// CachedImage is an image in a machine's cache.
+// CachedImage is an image in the cache of a machine.
 type CachedImage struct {
 	Image  string
 	SizeGB float64
 }
 
-// imageCache is an estimate of the images in a machine's cache, by name. Workers do not report
-// their cache: the estimate follows from the placements and the states of their tasks.
+// imageCache is an estimate of the images in the cache of a machine, by image name. Workers do not report the
+// contents of their caches; the estimate is derived from the placements and the states of their tasks.
 type imageCache map[string]*imageEntry
 
-// imageEntry is an image that is in the cache or being fetched.
+// imageEntry is an image that is cached or being fetched.
 type imageEntry struct {
 	sizeGB     float64
-	expectedAt time.Duration // when the fetch is over at the machine type's rate
-	latestAt   time.Duration // when it is over if it is slow
-	confirmed  bool          // a task that needs it has been seen past its fetch
+	expectedAt time.Duration // expected end of the fetch at the fetch rate of the machine type
+	latestAt   time.Duration // expected end of a slow fetch
+	confirmed  bool          // a task that needs the image has been seen past the fetching state
 	lastUsed   time.Duration
 }
 
-// remainingFetch estimates how long the fetch will still take. A fetch that should be over may
-// still go on, so until the image is confirmed some time is left: otherwise tasks would be moved
-// from one unfinished fetch to the next, and each would begin anew.
+// remainingFetch estimates how long the fetch will still take. A fetch may take longer than expected, so the estimate
+// stays above 0 until the image is confirmed. Otherwise tasks would be moved from one unfinished fetch to another,
+// and each fetch would start from the beginning.
 func (e *imageEntry) remainingFetch(now time.Duration) time.Duration {
-	third := e.latestAt - e.expectedAt
+	margin := e.latestAt - e.expectedAt
 	switch {
 	case e.confirmed:
 		return 0
-	case now < e.expectedAt-third:
+	case now < e.expectedAt-margin:
 		return e.expectedAt - now
 	default:
-		return max(e.latestAt-now, third/2) / 2
+		return max(e.latestAt-now, margin/2) / 2
 	}
 }
 
-// confirmedImages returns the images that are known to be in the cache, by name.
+// confirmedImages returns the images that are known to be cached, sorted by name.
 func (c imageCache) confirmedImages() []CachedImage {
 	var list []CachedImage
 	for name, e := range c {
@@ -58,8 +59,8 @@
 	return list
 }
 
-// leastRecentlyUsed returns the image that is evicted first, except those in use, or "" if there
-// is none, and the size of the whole cache.
+// leastRecentlyUsed returns the name of the image to be evicted first, not considering images in use, or "" if there
+// is none. It also returns the total size of the cached images.
 func (c imageCache) leastRecentlyUsed(inUse map[string]bool) (name string, totalGB float64) {
 	for candidate, e := range c {
 		totalGB += e.sizeGB
@@ -70,7 +71,7 @@
 	return name, totalGB
 }
 
-// evictedBefore orders images by their last use, and those of equal use by name.
+// evictedBefore orders images by last use, then by name.
 func (c imageCache) evictedBefore(a, b string) bool {
 	if usedA, usedB := c[a].lastUsed, c[b].lastUsed; usedA != usedB {
 		return usedA < usedB
@@ -78,7 +79,7 @@
 	return a < b
 }
 
-// CachedImages returns the images that are known to be in the caches, by machine.
+// CachedImages returns the images that are known to be cached, by machine.
 func (r *Registry) CachedImages() map[string][]CachedImage {
 	byMachine := map[string][]CachedImage{}
 	for _, m := range r.sortedMachines {
@@ -89,25 +90,25 @@
 	return byMachine
 }
 
-// SetImageHint sets the images that a machine had when an earlier leader last recorded them. They
-// are taken for confirmed when the machine is created; a wrong hint costs no more than a fetch.
+// SetImageHint sets the images of a machine that a leader of an earlier term last recorded. They are considered
+// confirmed when the machine is created. An incorrect hint costs no more than a fetch.
 func (r *Registry) SetImageHint(machine string, images []CachedImage) { r.imageHints[machine] = images }
 
 // HasImage reports whether the machine has an image or is fetching it.
 func (m *Machine) HasImage(image string) bool { return m.images[image] != nil }
 
-// FetchTime estimates how long a machine takes until it has the job's image.
+// FetchTime estimates how long it takes until a machine has the job's image.
 func (r *Registry) FetchTime(now time.Duration, m *Machine, j *protocol.Job) time.Duration {
 	return r.FetchTimeWithout(now, m, j, nil)
 }
 
-// FetchTimeWithout is FetchTime in case the placements for which leaves returns true end. A nil
-// leaves stands for none of them.
+// FetchTimeWithout is like FetchTime, but assumes that the placements for which evicted returns true end. If evicted
+// is nil, none ends.
 func (r *Registry) FetchTimeWithout(
 	now time.Duration,
 	m *Machine,
 	j *protocol.Job,
-	leaves func(*Placement) bool,
+	evicted func(*Placement) bool,
 ) time.Duration {
 	if e := m.images[j.Image]; e != nil {
 		return e.remainingFetch(now)
@@ -118,21 +119,20 @@
 	}
 	fetches := 1
 	for name, e := range m.images {
-		if !e.confirmed && !m.fetchedOnlyFor(name, leaves) {
+		if !e.confirmed && !m.fetchedOnlyFor(name, evicted) {
 			fetches++
 		}
 	}
 	return config.Seconds(j.ImageGB / t.FetchGBPerSecond * float64(fetches))
 }
 
-// FetchDelayWithout estimates by how much, summed up, a fetch of the job's image would delay the
-// other fetches on the machine, which share its rate, in case the placements for which leaves
-// returns true end.
+// FetchDelayWithout estimates the total delay that a fetch of the job's image would cause to the other fetches on the
+// machine, which share its fetch rate. It assumes that the placements for which evicted returns true end.
 func (r *Registry) FetchDelayWithout(
 	now time.Duration,
 	m *Machine,
 	j *protocol.Job,
-	leaves func(*Placement) bool,
+	evicted func(*Placement) bool,
 ) time.Duration {
 	t := r.machineTypes[m.Type]
 	if m.images[j.Image] != nil || t == nil || t.FetchGBPerSecond <= 0 {
@@ -141,29 +141,28 @@
 	fetch := config.Seconds(j.ImageGB / t.FetchGBPerSecond)
 	sum := time.Duration(0)
 	for name, e := range m.images {
-		if !e.confirmed && !m.fetchedOnlyFor(name, leaves) {
+		if !e.confirmed && !m.fetchedOnlyFor(name, evicted) {
 			sum += min(fetch, e.remainingFetch(now))
 		}
 	}
 	return sum
 }
 
-// fetchedOnlyFor reports whether all placements that need an image are among those for which
-// leaves returns true.
-func (m *Machine) fetchedOnlyFor(image string, leaves func(*Placement) bool) bool {
-	if leaves == nil {
+// fetchedOnlyFor reports whether evicted returns true for every placement that needs an image.
+func (m *Machine) fetchedOnlyFor(image string, evicted func(*Placement) bool) bool {
+	if evicted == nil {
 		return false
 	}
 	for _, pl := range m.placements {
-		if pl.Job != nil && pl.Job.Image == image && !leaves(pl) {
+		if pl.Job != nil && pl.Job.Image == image && !evicted(pl) {
 			return false
 		}
 	}
 	return true
 }
 
-// recordImageUse adds the job's image to the machine's cache if it is not there, and evicts
-// others, least recently used first, as the worker is expected to.
+// recordImageUse records that a task of the job uses its image. A missing image is added to the cache estimate, and
+// the least recently used images are evicted if the cache is full, as the worker is expected to do.
 func (r *Registry) recordImageUse(now time.Duration, m *Machine, j *protocol.Job) {
 	e := m.images[j.Image]
 	if e == nil {
@@ -183,15 +182,15 @@
 	inUse := m.imagesInUse()
 	inUse[j.Image] = true
 	for {
-		oldest, totalGB := m.images.leastRecentlyUsed(inUse)
-		if totalGB <= t.CacheGB || oldest == "" {
+		leastRecent, totalGB := m.images.leastRecentlyUsed(inUse)
+		if totalGB <= t.CacheGB || leastRecent == "" {
 			return
 		}
-		r.deleteImage(m, oldest)
+		r.deleteImage(m, leastRecent)
 	}
 }
 
-// imagesInUse returns the images that placements need, however long ago they started.
+// imagesInUse returns the images that placements need, no matter how long ago these started.
 func (m *Machine) imagesInUse() map[string]bool {
 	inUse := map[string]bool{}
 	for _, pl := range m.placements {
@@ -202,7 +201,7 @@
 	return inUse
 }
 
-// confirmImage notes that a task of the job is past its fetch, so that the machine has the image.
+// confirmImage records that the machine has the job's image, because a task of the job is past its fetch.
 func (r *Registry) confirmImage(now time.Duration, m *Machine, j *protocol.Job) {
 	e := m.images[j.Image]
 	switch {
@@ -214,8 +213,8 @@
 	}
 }
 
-// abandonFetch drops the image of a placement that has ended if its fetch may be unfinished and
-// no other placement needs it: the worker gives up such a fetch.
+// abandonFetch removes the image of an ended placement from the cache estimate if its fetch may be incomplete and no
+// other placement needs it: the worker aborts such a fetch.
 func (r *Registry) abandonFetch(m *Machine, pl *Placement) {
 	if pl.Job == nil {
 		return
--- a/internal/coordination/machineregistry/images_test.go
+++ b/internal/coordination/machineregistry/images_test.go
@@ -7,9 +7,9 @@
 	"pinebay/internal/protocol"
 )
 
-// TestImagesInUseAreNotEvicted: a machine evicts the least recently used images. One that a task
-// needs is in use however long ago the task started, and was last used when the task ended. A wrong
-// estimate would send replicas to machines where they have to fetch.
+// TestImagesInUseAreNotEvicted checks that the least recently used image is evicted, and that an image is in use as
+// long as a task needs it, no matter how long ago the task started. Its last use is the end of that task. An
+// incorrect estimate would place service replicas on machines that have to fetch the image.
 func TestImagesInUseAreNotEvicted(t *testing.T) {
 	registry := newTestRegistry(1)
 	sequence := uint64(0)
@@ -29,17 +29,17 @@
 	cached := func(now time.Duration, image string) bool {
 		return registry.FetchTime(now, registry.Machine("m1"), &protocol.Job{Image: image, ImageGB: 1}) == 0
 	}
-	start(0, 1, "old", 4) // runs on
+	start(0, 1, "old", 4) // keeps running
 	start(10*time.Second, 2, "short", 4)
 	end(20*time.Second, 2)
-	start(30*time.Second, 3, "new", 4) // evicts one
+	start(30*time.Second, 3, "new", 4) // evicts one image
 	if now := 40 * time.Second; !cached(now, "old") || cached(now, "short") || !cached(now, "new") {
-		t.Errorf("old %v, short %v, new %v", cached(now, "old"), cached(now, "short"), cached(now, "new"))
+		t.Errorf("cached: old %v, short %v, new %v", cached(now, "old"), cached(now, "short"), cached(now, "new"))
 	}
 	end(50*time.Second, 3)
 	end(60*time.Second, 1)
 	start(70*time.Second, 4, "next", 4)
 	if now := 80 * time.Second; !cached(now, "old") || cached(now, "new") {
-		t.Errorf("old, used last, %v; new %v", cached(now, "old"), cached(now, "new"))
+		t.Errorf("cached: old (last used) %v, new %v", cached(now, "old"), cached(now, "new"))
 	}
 }
--- a/internal/coordination/machineregistry/indexes.go
+++ b/internal/coordination/machineregistry/indexes.go
@@ -7,12 +7,12 @@
 // MachineSet is a set of machines in name order.
 type MachineSet = btree.BTreeG[*Machine]
 
-// indexes are sets of machines by what callers look for, so that none has to walk all machines.
-// Every change of the registry keeps them up to date.
+// indexes holds sets of machines for the lookups that callers need, so that they do not have to scan all machines.
+// Every change of the registry updates them.
 type indexes struct {
 	withImage              map[string]*MachineSet
-	fetching               map[string]*MachineSet // of those, the machines whose copy is not confirmed
-	byPriority             [PriorityLevels]*MachineSet
+	fetching               map[string]*MachineSet      // the subset of withImage in which the image is not confirmed
+	byPriority             [PriorityLevels]*MachineSet // machines with placements of each priority level
 	withStopping           *MachineSet
 	withInterruptionNotice *MachineSet
 
@@ -38,10 +38,10 @@
 	return btree.NewBTreeGOptions(func(a, b *Machine) bool { return a.Name < b.Name }, btree.Options{NoLocks: true})
 }
 
-// TakeChanged returns the machines whose free capacity, type or schedulability may have changed
-// since the last call, removed ones among them. Conditions that end by the passage of time
-// (silence, Machine.UnresponsiveUntil) are not noticed.
-func (r *Registry) TakeChanged() []*Machine {
+// TakeChangedMachines returns the machines whose free capacity, type or schedulability may have changed since the
+// last call, including removed machines. Changes that result only from the passage of time are not included: missed
+// heartbeats and the end of Machine.UnresponsiveUntil.
+func (r *Registry) TakeChangedMachines() []*Machine {
 	list := r.indexes.changedMachines
 	r.indexes.changedMachines = nil
 	for _, m := range list {
@@ -50,6 +50,7 @@
 	return list
 }
 
+// markChanged adds a machine to the result of the next TakeChangedMachines.
 func (r *Registry) markChanged(m *Machine) {
 	if !m.listedAsChanged {
 		m.listedAsChanged = true
@@ -57,8 +58,7 @@
 	}
 }
 
-// TakeChangedTeams calls f for each team whose usage has changed since the last call, in no
-// particular order.
+// TakeChangedTeams calls f for each team whose usage has changed since the last call, in no particular order.
 func (r *Registry) TakeChangedTeams(f func(team string)) {
 	for team := range r.indexes.changedTeams {
 		f(team)
@@ -66,29 +66,29 @@
 	clear(r.indexes.changedTeams)
 }
 
+// setTeamUsage sets the usage of a team and records the change for TakeChangedTeams.
 func (r *Registry) setTeamUsage(team string, usage Resources) {
 	r.teamUsage[team] = usage
 	r.indexes.changedTeams[team] = true
 }
 
-// MachinesWithImage returns the machines that have an image or are fetching it, or nil if there is
-// none. The caller must not change the set.
+// MachinesWithImage returns the machines that have an image or are fetching it, or nil if there are none. The caller
+// must not modify the set.
 func (r *Registry) MachinesWithImage(image string) *MachineSet { return r.indexes.withImage[image] }
 
-// MachinesFetching returns the machines that may still be fetching an image, or nil if there is
-// none. The caller must not change the set.
+// MachinesFetching returns the machines that may still be fetching an image, or nil if there are none. The caller
+// must not modify the set.
 func (r *Registry) MachinesFetching(image string) *MachineSet { return r.indexes.fetching[image] }
 
-// MachinesAtPriority returns the machines with placements of a priority level. The caller must not
-// change the set.
+// MachinesAtPriority returns the machines with placements at a priority level. The caller must not modify the set.
 func (r *Registry) MachinesAtPriority(level int) *MachineSet { return r.indexes.byPriority[level] }
 
-// MachinesWithStopping returns the machines with placements that are to end. The caller must not
-// change the set.
-func (r *Registry) MachinesWithStopping() *MachineSet { return r.indexes.withStopping }
+// MachinesWithStoppingPlacements returns the machines with placements that are being stopped. The caller must not
+// modify the set.
+func (r *Registry) MachinesWithStoppingPlacements() *MachineSet { return r.indexes.withStopping }
 
-// EachWithInterruptionNotice calls f for every machine that the cloud has announced to take away,
-// in name order.
+// EachWithInterruptionNotice calls f for every machine that has received an interruption notice from the cloud, in
+// name order.
 func (r *Registry) EachWithInterruptionNotice(f func(*Machine)) {
 	r.indexes.withInterruptionNotice.Scan(func(m *Machine) bool {
 		f(m)
@@ -96,7 +96,7 @@
 	})
 }
 
-// setImage puts an entry into a machine's image cache, or indexes the changed entry anew.
+// setImage adds an entry to the image cache of a machine, or updates the indexes after the entry has changed.
 func (r *Registry) setImage(m *Machine, image string, e *imageEntry) {
 	m.images[image] = e
 	addToSet(r.indexes.withImage, image, m)
@@ -107,12 +107,14 @@
 	}
 }
 
+// deleteImage removes an entry from the image cache of a machine and from the indexes.
 func (r *Registry) deleteImage(m *Machine, image string) {
 	delete(m.images, image)
 	removeFromSet(r.indexes.withImage, image, m)
 	removeFromSet(r.indexes.fetching, image, m)
 }
 
+// addToSet adds a machine to the set for a key, and creates the set if it does not exist.
 func addToSet(sets map[string]*MachineSet, key string, m *Machine) {
 	set := sets[key]
 	if set == nil {
@@ -122,6 +124,7 @@
 	set.Set(m)
 }
 
+// removeFromSet removes a machine from the set for a key, and deletes the set if it becomes empty.
 func removeFromSet(sets map[string]*MachineSet, key string, m *Machine) {
 	set := sets[key]
 	if set == nil {
@@ -132,7 +135,7 @@
 	}
 }
 
-// indexPlacement counts a placement in its machine's usage and in the indexes.
+// indexPlacement adds a placement to the usage of its machine and to the indexes.
 func (r *Registry) indexPlacement(m *Machine, pl *Placement) {
 	level := clampedPriorityLevel(pl)
 	m.usage.byPriority[level].add(pl.Resources)
@@ -147,7 +150,7 @@
 	r.markChanged(m)
 }
 
-// unindexPlacement undoes indexPlacement.
+// unindexPlacement reverts indexPlacement.
 func (r *Registry) unindexPlacement(m *Machine, pl *Placement) {
 	level := clampedPriorityLevel(pl)
 	if m.usage.byPriority[level].remove(pl.Resources); m.usage.byPriority[level].count == 0 {
@@ -164,7 +167,7 @@
 	r.markChanged(m)
 }
 
-// indexStopping counts a placement as stopping that was indexed before.
+// indexStopping updates the usage and the indexes after an indexed placement has started to stop.
 func (r *Registry) indexStopping(pl *Placement) {
 	m := r.machines[pl.Machine]
 	if m == nil || m.placements[pl.Task] != pl {
@@ -174,7 +177,7 @@
 	r.indexes.withStopping.Set(m)
 }
 
-// unindexMachine takes a machine that is being removed out of all indexes.
+// unindexMachine removes a machine that is being removed from the registry from all indexes.
 func (r *Registry) unindexMachine(m *Machine) {
 	m.removed = true
 	for image := range m.images {
--- a/internal/coordination/machineregistry/placement.go
+++ b/internal/coordination/machineregistry/placement.go
@@ -6,21 +6,21 @@
 	"pinebay/internal/protocol"
 )
 
-// Placement is one attempt of a task on a machine, from the reservation of its capacity until the
-// task is proven not to run there any more. It goes through these steps:
+// Placement is one attempt of a task on a machine, from the reservation of its capacity until it is proven that the
+// task does not run there any more. It passes through these states:
 //
-//	reserved   Reserve     capacity is held, nothing is sent
-//	startable  AllowStart  its record is written: a run command may be sent
-//	reported   heartbeat   the machine has listed the task
-//	stopping   Stop        a stop command is sent until the task is gone
-//	terminated             Terminated is set; the registry has dropped it
+//	reserved    after Reserve: capacity is held, no command is sent
+//	startable   after AllowStart: its record is written, a run command may be sent
+//	reported    after a heartbeat: the machine has listed the task
+//	stopping    after Stop: a stop command is sent until the task is gone
+//	terminated  Terminated is set, and the registry has dropped the placement
 //
-// A placement that an earlier leader recorded enters by Adopt as startable.
+// A placement that was recorded by a leader of an earlier term is added by Adopt and is startable.
 type Placement struct {
 	Task          protocol.TaskID
 	Attempt       uint64
 	Machine       string
-	Incarnation   uint64 // of the worker for which the capacity was reserved
+	Incarnation   uint64 // incarnation of the worker for which the capacity was reserved
 	Zone          string
 	Resources     Resources
 	Team          string
@@ -28,28 +28,28 @@
 	Job           *protocol.Job // nil if the job is no longer known
 
 	ReservedAt      time.Duration
-	Recorded        bool // a durable record names it
-	StartAllowed    bool // all that must be recorded before its start is
+	Recorded        bool // a durable record lists it
+	StartAllowed    bool // everything that must be recorded before it starts is recorded
 	Reported        bool // its machine has listed it in a heartbeat
 	State           protocol.TaskState
-	StateSince      time.Duration // when State was first reported
+	StateSince      time.Duration // time when State was first reported
 	Cause           protocol.ExitCause
 	CheckpointSaved bool
-	Terminated      bool // proven not to run, now or later
+	Terminated      bool // proven not to run now or later
 
 	Stopping     bool
-	GraceSeconds float64 // seconds that the task has to save a checkpoint
-	// FenceAt is when the machine is to be fenced if it is still silent then, since the job was
-	// cancelled; 0 means never.
+	GraceSeconds float64 // time that the task has to save a checkpoint
+	// FenceAt is the time from which the machine is to be fenced if it is still not sending heartbeats, because the
+	// job was cancelled; 0 means never.
 	FenceAt time.Duration
 
 	runSent         bool   // a run command may have reached the machine
-	runFencingToken uint64 // of the last run command
+	runFencingToken uint64 // token of the last run command
 }
 
-// Reserve reserves capacity for all placements, or for none of them if one does not fit, its
-// machine is not schedulable, or the machine may still have an earlier attempt of the task. It
-// fills in the incarnation, the zone and the time of the reservation.
+// Reserve reserves capacity for all placements or for none of them. It fails if a placement does not fit, its machine
+// is not schedulable, or an earlier attempt of its task may still be on the machine. It sets the incarnation, zone
+// and reservation time of each placement.
 func (r *Registry) Reserve(now time.Duration, placements []*Placement) bool {
 	for i, pl := range placements {
 		m := r.machines[pl.Machine]
@@ -66,6 +66,7 @@
 	return true
 }
 
+// canReserve reports whether a placement can be reserved on a machine.
 func (r *Registry) canReserve(now time.Duration, m *Machine, pl *Placement) bool {
 	return r.Schedulable(now, m) && !m.HasAttempt(pl.Task) && pl.Resources.Fits(r.FreeCapacity(m))
 }
@@ -78,8 +79,8 @@
 	}
 }
 
-// Adopt adds a placement that an earlier leader recorded. Its run may have been sent with any
-// token of an earlier term.
+// Adopt adds a placement that was recorded by a leader of an earlier term. Its run command may have been sent with
+// any fencing token of the earlier terms.
 func (r *Registry) Adopt(now time.Duration, pl *Placement) {
 	m := r.GetOrCreate(now, pl.Machine)
 	if m.Zone == "" {
@@ -91,15 +92,15 @@
 	r.addPlacement(m, pl)
 }
 
-// AllowStart lets the run command of a placement be sent, now that a record names it. The pause
-// after an earlier command does not delay it: that pause is for repeated commands.
+// AllowStart allows the run command of a placement to be sent, once a record lists the placement. The pause after an
+// earlier command does not delay it, because that pause is meant for repeated commands.
 func (r *Registry) AllowStart(pl *Placement) {
 	pl.StartAllowed = true
 	r.expediteCommand(pl)
 }
 
-// Stop asks for the end of a placement. A shorter grace period replaces a longer one. Stop
-// returns true if the placement was terminated at once, as no run command was ever sent.
+// Stop requests the end of a placement. If it is called again, the shorter grace period applies. It returns true if
+// the placement was terminated immediately, because its run command was never sent.
 func (r *Registry) Stop(now time.Duration, pl *Placement, graceSeconds float64) bool {
 	if pl.Terminated {
 		return false
@@ -117,8 +118,8 @@
 	return false
 }
 
-// MarkOutcomeRecorded says that the outcome of an exited placement is recorded, so that the
-// machine may forget the task.
+// MarkOutcomeRecorded records that the outcome of an exited placement is stored, so that the machine may forget the
+// task.
 func (r *Registry) MarkOutcomeRecorded(pl *Placement) {
 	m := r.machines[pl.Machine]
 	if m == nil {
@@ -129,7 +130,7 @@
 	}
 }
 
-// SetPriorityLevel changes the priority by which a placement counts.
+// SetPriorityLevel changes the priority level of a placement.
 func (r *Registry) SetPriorityLevel(pl *Placement, level int) {
 	m := r.machines[pl.Machine]
 	if m == nil || m.placements[pl.Task] != pl {
@@ -141,6 +142,7 @@
 	r.indexPlacement(m, pl)
 }
 
+// addPlacement adds a placement to a machine and counts its resources as used.
 func (r *Registry) addPlacement(m *Machine, pl *Placement) {
 	m.placements[pl.Task] = pl
 	m.usage.total = m.usage.total.Plus(pl.Resources)
@@ -162,12 +164,12 @@
 	r.setTeamUsage(pl.Team, r.teamUsage[pl.Team].Minus(pl.Resources))
 	r.unindexPlacement(m, pl)
 	if len(m.placements) == 0 {
-		m.usage.total = Resources{} // without the rounding errors of the sums
+		m.usage.total = Resources{} // discards rounding errors
 		m.IdleSince = now
 	}
 }
 
-// sortedPlacements returns a machine's placements in task order.
+// sortedPlacements returns placements sorted by job ID and task index.
 func sortedPlacements(placements map[protocol.TaskID]*Placement) []*Placement {
 	list := make([]*Placement, 0, len(placements))
 	for _, id := range sortedTaskIDs(placements) {
--- a/internal/coordination/machineregistry/registry.go
+++ b/internal/coordination/machineregistry/registry.go
@@ -1,12 +1,11 @@
-// Package machineregistry holds what the leader knows of its worker machines: their state, the
-// placements on them, their free capacity, their image caches and the commands they are due.
+// Package machineregistry holds the leader's view of the worker machines: their state, placements, free capacity,
+// image caches, and the commands that are due for them.
 //
-// A Registry is a passive data structure. It does no I/O, reads no clock (callers pass the time)
-// and is not safe for concurrent use. Three rules hold whatever the caller does:
-//   - capacity is never reserved twice (Registry.Reserve);
-//   - a run command is sent only after the caller has said that its record is written
-//     (Registry.AllowStart);
-//   - a placement is terminated only once it is proven that its task does not run and will not
+// A Registry is a passive data structure. It does no I/O, reads no clock (callers pass the time) and is not safe for
+// concurrent use. It guarantees that:
+//   - no capacity is reserved twice (Registry.Reserve);
+//   - a run command is sent only after the caller has confirmed that the placement is recorded (Registry.AllowStart);
+//   - a placement is terminated only once it is proven that its task does not run and will not run later
 //     (Registry.HandleHeartbeat, Registry.Remove).
 package machineregistry
 
@@ -25,12 +24,12 @@
 	workerSettings config.Workers
 	machineTypes   map[string]*protocol.MachineType
 	machines       map[string]*Machine
-	// sortedMachines are the same machines by name, so that decisions do not depend on map order.
+	// sortedMachines holds the same machines in name order, so that decisions do not depend on map order.
 	sortedMachines []*Machine
 	teamUsage      map[string]Resources
-	// commandsDue are the machines with a placement that may need a command.
+	// commandsDue holds the machines with placements for which a command may be due.
 	commandsDue map[string]*Machine
-	// imageHints are the images that machines had in an earlier term, until the machine is created.
+	// imageHints holds the images that machines had in an earlier term, for machines that have not been created yet.
 	imageHints map[string][]CachedImage
 	indexes    indexes
 }
@@ -62,7 +61,7 @@
 // MachineType returns a machine type, or nil if it is unknown.
 func (r *Registry) MachineType(name string) *protocol.MachineType { return r.machineTypes[name] }
 
-// MachineTypes returns the machine types by name. The caller must not change the map.
+// MachineTypes returns the machine types by name. The caller must not modify the map.
 func (r *Registry) MachineTypes() map[string]*protocol.MachineType { return r.machineTypes }
 
 // Machine returns a machine, or nil if it is unknown or was removed.
@@ -81,7 +80,7 @@
 	}
 }
 
-// EachFrom calls f for the machines from the given name on, in name order, until f returns false.
+// EachFrom calls f for each machine in name order, starting at the given name, until f returns false.
 func (r *Registry) EachFrom(name string, f func(*Machine) bool) {
 	i, _ := slices.BinarySearchFunc(r.sortedMachines, name, compareName)
 	for _, m := range r.sortedMachines[i:] {
@@ -94,11 +93,11 @@
 // Len returns the number of machines.
 func (r *Registry) Len() int { return len(r.sortedMachines) }
 
-// TeamUsage returns the resources that a team's placements hold.
+// TeamUsage returns the total resources of a team's placements.
 func (r *Registry) TeamUsage(team string) Resources { return r.teamUsage[team] }
 
-// GetOrCreate returns the machine of that name. A new machine has no type, is not registered, and
-// counts as heard from and rented now.
+// GetOrCreate returns the machine with the given name and creates it if it is unknown. A new machine has no type and
+// is not registered; the current time counts as its last heartbeat and as the time when it was requested.
 func (r *Registry) GetOrCreate(now time.Duration, name string) *Machine {
 	if m := r.machines[name]; m != nil {
 		return m
@@ -127,8 +126,8 @@
 
 func compareName(m *Machine, name string) int { return strings.Compare(m.Name, name) }
 
-// Remove drops a machine that is proven to be gone and terminates all its placements. It returns
-// one observation for each of them, in task order. An unknown name is ignored.
+// Remove removes a machine that is proven to be gone and terminates its placements. It returns one observation per
+// placement, sorted by task. An unknown name is ignored.
 func (r *Registry) Remove(now time.Duration, name string) []Observation {
 	m := r.machines[name]
 	if m == nil {
@@ -147,8 +146,7 @@
 	return observations
 }
 
-// FreeCapacity returns the part of a machine's capacity that is not reserved, or nothing if its
-// type is unknown.
+// FreeCapacity returns the unreserved capacity of a machine, or zero if its type is unknown.
 func (r *Registry) FreeCapacity(m *Machine) Resources {
 	t := r.machineTypes[m.Type]
 	if t == nil {
@@ -163,8 +161,8 @@
 		now >= m.UnresponsiveUntil && now-m.LastHeartbeat < r.SilenceTimeout()
 }
 
-// SilenceTimeout is how long a machine may be silent before it is no longer schedulable: two and a
-// half heartbeats, but at most half a lease.
+// SilenceTimeout returns the time without heartbeats after which a machine is not schedulable: 2.5 heartbeat
+// intervals, but at most half a lease.
 func (r *Registry) SilenceTimeout() time.Duration {
 	const heartbeats = 2.5
 	return config.Seconds(min(r.workerSettings.LeaseSeconds/2, heartbeats*r.workerSettings.HeartbeatSeconds))
--- a/internal/coordination/machineregistry/registry_test.go
+++ b/internal/coordination/machineregistry/registry_test.go
@@ -53,7 +53,7 @@
 
 func testTaskID(n int) protocol.TaskID { return protocol.TaskID{JobID: "j-1", Index: n} }
 
-// newTestPlacement returns the first attempt of a task on the machine "m1".
+// newTestPlacement returns a placement of the first attempt of a task on the machine "m1".
 func newTestPlacement(n int, gpus float64) *Placement {
 	return &Placement{
 		Task:      testTaskID(n),
@@ -85,8 +85,8 @@
 	}
 }
 
-// TestCapacityIsNeverReservedTwice reserves, starts and ends placements at random. A reservation
-// succeeds exactly if all its placements fit, and the team's usage is the sum of what is reserved.
+// TestCapacityIsNeverReservedTwice reserves, starts and ends random placements. It checks that a reservation succeeds
+// exactly if all its placements fit, and that the usage of the team is the sum of the reserved resources.
 func TestCapacityIsNeverReservedTwice(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		registry := newTestRegistry(1)
@@ -112,7 +112,7 @@
 				}
 				used := reservedGPUs()
 				if ok := registry.Reserve(now, placements); ok != (used+sum <= testMachineType.GPUs+1e-9) {
-					t.Fatalf("reservation of %v beside %v: %v", sum, used, ok)
+					t.Fatalf("reservation of %v GPUs with %v in use: %v", sum, used, ok)
 				} else if ok {
 					for _, pl := range placements {
 						reserved[pl.Task.Index] = pl
@@ -131,7 +131,7 @@
 			}
 			used := reservedGPUs()
 			if got := registry.TeamUsage("red").GPUs; got < used-1e-6 || got > used+1e-6 {
-				t.Fatalf("the team's usage is %v, reserved are %v", got, used)
+				t.Fatalf("team usage is %v GPUs, want the reserved %v", got, used)
 			}
 		}
 	})
--- a/internal/coordination/machineregistry/resources.go
+++ b/internal/coordination/machineregistry/resources.go
@@ -4,37 +4,36 @@
 	"pinebay/internal/protocol"
 )
 
-// Resources is an amount of processors, accelerators and memory: what a task requests, or what a
-// machine offers.
+// Resources is an amount of CPUs, GPUs and memory: the request of a task or the capacity of a machine.
 type Resources struct{ CPUs, GPUs, MemoryGB float64 }
 
-// tolerance is by how much an amount may exceed a capacity: sums of decimal fractions are inexact.
+// tolerance is the amount by which a request may exceed a capacity, because sums of decimal fractions are inexact.
 const tolerance = 1e-6
 
-// Fits reports whether n fits into a capacity.
-func (n Resources) Fits(capacity Resources) bool {
-	return n.CPUs <= capacity.CPUs+tolerance &&
-		n.GPUs <= capacity.GPUs+tolerance &&
-		n.MemoryGB <= capacity.MemoryGB+tolerance
+// Fits reports whether r does not exceed a capacity.
+func (r Resources) Fits(capacity Resources) bool {
+	return r.CPUs <= capacity.CPUs+tolerance &&
+		r.GPUs <= capacity.GPUs+tolerance &&
+		r.MemoryGB <= capacity.MemoryGB+tolerance
 }
 
-// Plus returns the sum of both.
-func (n Resources) Plus(o Resources) Resources {
-	return Resources{n.CPUs + o.CPUs, n.GPUs + o.GPUs, n.MemoryGB + o.MemoryGB}
+// Plus returns r + o.
+func (r Resources) Plus(o Resources) Resources {
+	return Resources{r.CPUs + o.CPUs, r.GPUs + o.GPUs, r.MemoryGB + o.MemoryGB}
 }
 
-// Minus returns n less o. Amounts may become negative.
-func (n Resources) Minus(o Resources) Resources {
-	return Resources{n.CPUs - o.CPUs, n.GPUs - o.GPUs, n.MemoryGB - o.MemoryGB}
+// Minus returns r - o. Amounts may become negative.
+func (r Resources) Minus(o Resources) Resources {
+	return Resources{r.CPUs - o.CPUs, r.GPUs - o.GPUs, r.MemoryGB - o.MemoryGB}
 }
 
-// DominantShare returns the largest fraction of a capacity's processors, accelerators or memory
-// that n takes, as in dominant resource fairness. What the capacity has none of is left out.
-func (n Resources) DominantShare(capacity Resources) float64 {
+// DominantShare returns the largest fraction of a capacity's CPUs, GPUs or memory that r uses, as in dominant
+// resource fairness. Resources that the capacity does not include are ignored.
+func (r Resources) DominantShare(capacity Resources) float64 {
 	return max(
-		fraction(n.CPUs, capacity.CPUs),
-		fraction(n.GPUs, capacity.GPUs),
-		fraction(n.MemoryGB, capacity.MemoryGB),
+		fraction(r.CPUs, capacity.CPUs),
+		fraction(r.GPUs, capacity.GPUs),
+		fraction(r.MemoryGB, capacity.MemoryGB),
 	)
 }
 
@@ -45,8 +44,8 @@
 	return 0
 }
 
-// TaskResources returns what each task of the job requests.
+// TaskResources returns the resources that each task of the job requests.
 func TaskResources(j *protocol.Job) Resources { return Resources{j.CPUs, j.GPUs, j.MemoryGB} }
 
-// CapacityOf returns what a machine of the type offers.
+// CapacityOf returns the capacity of a machine of the type.
 func CapacityOf(t *protocol.MachineType) Resources { return Resources{t.CPUs, t.GPUs, t.MemoryGB} }
--- a/internal/coordination/machineregistry/usage.go
+++ b/internal/coordination/machineregistry/usage.go
@@ -2,18 +2,18 @@
 
 import "pinebay/internal/protocol"
 
-// PriorityLevels is the number of priorities. Level 0 is the most important one.
+// PriorityLevels is the number of priority levels. Level 0 is the most important.
 const PriorityLevels = 4
 
-// machineUsage sums up the resources that a machine's placements hold.
+// machineUsage holds the total resources of a machine's placements, by category.
 type machineUsage struct {
 	total          Resources
-	stopping       placementUsage                 // of placements that are to end
-	byPriority     [PriorityLevels]placementUsage // of each priority
-	checkpointable [PriorityLevels]placementUsage // of those among them that can save a checkpoint
+	stopping       placementUsage                 // placements that are being stopped
+	byPriority     [PriorityLevels]placementUsage // placements of each priority level
+	checkpointable [PriorityLevels]placementUsage // those of each priority level that can save a checkpoint
 }
 
-// placementUsage sums up the resources of some placements.
+// placementUsage is the number and the total resources of a set of placements.
 type placementUsage struct {
 	count     int
 	resources Resources
@@ -28,12 +28,12 @@
 	u.count--
 	u.resources = u.resources.Minus(resources)
 	if u.count == 0 {
-		u.resources = Resources{} // without the rounding errors of the sums
+		u.resources = Resources{} // discards rounding errors
 	}
 }
 
-// PreemptibleResources is an upper bound of what is freed if all work of the given level and of
-// those less important ends, with what is stopping anyway.
+// PreemptibleResources returns an upper bound of the resources that become free if all placements at the given level
+// and at less important levels end, along with all placements that are already being stopped.
 func (m *Machine) PreemptibleResources(level int) Resources {
 	sum := m.usage.stopping.resources
 	for l := max(0, level); l < PriorityLevels; l++ {
@@ -42,8 +42,8 @@
 	return sum
 }
 
-// CheckpointableResources is what work of the given level and of those less important holds that
-// can save a checkpoint when it is stopped. Services are not counted.
+// CheckpointableResources returns the resources of the placements at the given level and at less important levels
+// that can save a checkpoint when they are stopped. Services are not included.
 func (m *Machine) CheckpointableResources(level int) Resources {
 	var sum Resources
 	for l := max(0, level); l < PriorityLevels; l++ {
@@ -52,7 +52,7 @@
 	return sum
 }
 
-// ArrayUsage returns the resources that tasks of job arrays hold.
+// ArrayUsage returns the total resources of the tasks of array jobs.
 func (m *Machine) ArrayUsage() Resources {
 	var sum Resources
 	for _, pl := range m.placements {
@@ -63,10 +63,10 @@
 	return sum
 }
 
-// checkpointable reports whether a placement's task can save a checkpoint when it is stopped.
+// checkpointable reports whether the task of a placement can save a checkpoint when it is stopped.
 func checkpointable(pl *Placement) bool {
 	return pl.Job != nil && pl.Job.Shape != protocol.Service && pl.Job.CheckpointIntervalSeconds > 0
 }
 
-// clampedPriorityLevel is the level by which a placement is counted.
+// clampedPriorityLevel returns the priority level of a placement, limited to the valid range.
 func clampedPriorityLevel(pl *Placement) int { return min(max(pl.PriorityLevel, 0), PriorityLevels-1) }
--- a/internal/coordination/placement/victims.go
+++ b/internal/coordination/placement/victims.go
@@ -29,7 +29,7 @@
 	if f.rules.Quotas.WithinGuarantee(j.Spec.Team, j.TaskResources) {
 		mostImportant = 0
 	}
-	sets := []*machineregistry.MachineSet{f.rules.Machines.MachinesWithStopping()}
+	sets := []*machineregistry.MachineSet{f.rules.Machines.MachinesWithStoppingPlacements()}
 	for priority := mostImportant; priority < machineregistry.PriorityLevels; priority++ {
 		sets = append(sets, f.rules.Machines.MachinesAtPriority(priority))
 	}
