--- a/internal/coordination/fairshare/queue.go
+++ b/internal/coordination/fairshare/queue.go
@@ -7,19 +7,19 @@
 	"pinebay/internal/coordination/machineregistry"
 )
 
-// Request is what a queue orders a job by.
+// Request holds the attributes by which a queue orders a job.
 type Request struct {
 	Team     string
-	Task     machineregistry.Resources // of each of its tasks
-	Priority int                       // lower goes first
+	Task     machineregistry.Resources // resources of each task
+	Priority int                       // lower values go first
 }
 
-// Queue hands out the jobs of a scheduling cycle: teams within their guaranteed quota first, then by
-// priority; among equals the team with the least weighted usage, and of its jobs the first. Usage may
-// change between two calls of Next, as jobs are placed.
+// Queue yields the jobs of a scheduling cycle in fair-share order: jobs within their team's guaranteed quota first,
+// then by priority, then by the least weighted usage of the team. The jobs of a team keep their order. Usage may
+// change between calls of Next as jobs are placed.
 //
-// Each team has a queue of its own, and the teams are in a heap by the job at the head of their queue,
-// so that a cycle costs the logarithm of the number of teams for each job.
+// The jobs of each team are in a separate queue, and the teams are in a heap ordered by the job at the head of their
+// queue, so that a job costs time logarithmic in the number of teams.
 type Queue[J any] struct {
 	quotas      *Quotas
 	request     func(J) Request
@@ -28,18 +28,18 @@
 	teamsByName map[string]*teamQueue[J]
 }
 
-// teamQueue holds a team's waiting jobs.
+// teamQueue holds the waiting jobs of a team.
 type teamQueue[J any] struct {
 	jobs            []J
-	ranks           []int // the jobs' positions in the order of all jobs
+	ranks           []int // positions of the jobs in the order of all jobs
 	head            Request
-	withinGuarantee bool // the job at the head is within the team's guaranteed quota
+	withinGuarantee bool // the head job is within the team's guaranteed quota
 	weightedUsage   float64
 	heapIndex       int // -1 once the queue is empty
 }
 
-// NewQueue returns a queue of jobs that are already in the order in which each team's own jobs are to
-// be handed out. With fewer than two teams they keep that order.
+// NewQueue returns a queue of jobs, given in the order in which the jobs of each team are to be scheduled. With fewer
+// than two teams, Next returns them in that order.
 func NewQueue[J any](quotas *Quotas, waiting []J, request func(J) Request) *Queue[J] {
 	if len(quotas.teams) < 2 {
 		return NewOrderedQueue(waiting)
@@ -59,21 +59,21 @@
 		q.updateHead(team)
 	}
 	heap.Init(&q.teams)
-	quotas.machines.TakeChangedTeams(func(string) {}) // the heap already reflects them
+	quotas.machines.TakeChangedTeams(func(string) {}) // discarded, as the heap already reflects these changes
 	return q
 }
 
-// NewOrderedQueue returns a queue that hands out the jobs in the given order, whatever their teams use.
+// NewOrderedQueue returns a queue that yields the jobs in the given order, regardless of their teams' usage.
 func NewOrderedQueue[J any](waiting []J) *Queue[J] { return &Queue[J]{fixedOrder: waiting} }
 
-// updateHead updates what a team is ordered by, after its usage or its first job has changed.
+// updateHead updates the sort key of a team after its usage or its head job has changed.
 func (q *Queue[J]) updateHead(team *teamQueue[J]) {
 	team.head = q.request(team.jobs[0])
 	team.withinGuarantee = q.quotas.WithinGuarantee(team.head.Team, team.head.Task)
 	team.weightedUsage = q.quotas.WeightedUsage(team.head.Team)
 }
 
-// Next removes and returns the job that goes next. It returns false when none is left.
+// Next removes and returns the next job. It returns false if none is left.
 func (q *Queue[J]) Next() (job J, ok bool) {
 	if len(q.fixedOrder) > 0 {
 		job = q.fixedOrder[0]
@@ -123,14 +123,14 @@
 	h[i].heapIndex, h[k].heapIndex = i, k
 }
 
-// Push is not used: all teams are in the heap from the beginning.
+// Push is required by heap.Interface but not used: all teams are in the heap from the start.
 func (h *teamHeap[J]) Push(x any) {
 	if team, ok := x.(*teamQueue[J]); ok {
 		*h = append(*h, team)
 	}
 }
 
-// Pop removes the last team.
+// Pop removes and returns the last team.
 func (h *teamHeap[J]) Pop() any {
 	old := *h
 	last := len(old) - 1
--- a/internal/coordination/fairshare/queue_test.go
+++ b/internal/coordination/fairshare/queue_test.go
@@ -16,7 +16,7 @@
 
 func TestMain(m *testing.M) { testutil.Main(m) }
 
-// testJob is a waiting job of one task.
+// testJob is a waiting job with one task.
 type testJob struct {
 	id string
 	Request
@@ -24,9 +24,9 @@
 
 func requestOf(j *testJob) Request { return j.Request }
 
-// TestQueue: on drawn queues the next job is always the one at the head of its team's queue that
-// goes first by guaranteed quota, priority, the team's weighted usage and position, also when usage
-// changes between two calls; every job is handed out once.
+// TestQueue checks on random queues that Next always returns the head job of the team that goes first by guaranteed
+// quota, priority, weighted usage and position, even if usage changes between calls, and that every job is returned
+// once.
 func TestQueue(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var teams []config.Team
@@ -58,7 +58,7 @@
 			want := referenceNext(quotas, left)
 			got, ok := queue.Next()
 			if !ok || got != want {
-				t.Fatalf("next is %v, %v, want %v", got, ok, want.id)
+				t.Fatalf("Next returned %v, %v, want %v", got, ok, want.id)
 			}
 			left = slices.DeleteFunc(left, func(j *testJob) bool { return j == got })
 			if rapid.Bool().Draw(t, "placed") {
@@ -66,12 +66,12 @@
 			}
 		}
 		if got, ok := queue.Next(); ok {
-			t.Errorf("%s is handed out twice", got.id)
+			t.Errorf("%s is returned twice", got.id)
 		}
 	})
 }
 
-// placeTask puts the task of a job on a machine, so that its team uses more.
+// placeTask places the task of a job on a machine, which increases the usage of its team.
 func placeTask(machines *machineregistry.Registry, j *testJob) {
 	machines.Adopt(0, &machineregistry.Placement{
 		Task:          protocol.TaskID{JobID: j.id},
@@ -84,7 +84,7 @@
 	})
 }
 
-// referenceNext compares the first jobs of all teams.
+// referenceNext returns the expected result of Next by comparing the first jobs of all teams.
 func referenceNext(quotas *Quotas, left []*testJob) *testJob {
 	var best *testJob
 	seen := map[string]bool{}
@@ -100,6 +100,7 @@
 	return best
 }
 
+// referenceBefore reports whether a goes before b, unless they are equal.
 func referenceBefore(quotas *Quotas, a, b *testJob) bool {
 	withinA, withinB := quotas.WithinGuarantee(a.Team, a.Task), quotas.WithinGuarantee(b.Team, b.Task)
 	if withinA != withinB {
@@ -111,7 +112,7 @@
 	) < 0
 }
 
-// TestOrderedQueue: without teams to choose between, or by request, jobs keep their order.
+// TestOrderedQueue checks that jobs keep their order if there is only one team, and in an ordered queue.
 func TestOrderedQueue(t *testing.T) {
 	var waiting []*testJob
 	for i := range 5 {
@@ -127,7 +128,7 @@
 			got = append(got, j)
 		}
 		if !slices.Equal(got, waiting) {
-			t.Errorf("%s: %v", name, got)
+			t.Errorf("%s: jobs in the order %v", name, got)
 		}
 	}
 }
@@ -135,21 +136,21 @@
 func TestQuotas(t *testing.T) {
 	task := machineregistry.Resources{CPUs: 2, GPUs: 1, MemoryGB: 1}
 	for _, test := range []struct {
-		name               string
-		team               config.Team
-		placed             int
-		withinLimit        int
-		withinGuarantee    int
-		exceedsGuarantee   bool
-		weightedUsage      float64
-		unboundedWithLimit bool
+		name             string
+		team             config.Team
+		placed           int
+		withinLimit      int
+		withinGuarantee  int
+		exceedsGuarantee bool
+		weightedUsage    float64
+		unlimited        bool
 	}{
 		{
-			name:               "no quota",
-			placed:             3,
-			unboundedWithLimit: true,
-			exceedsGuarantee:   true,
-			weightedUsage:      9,
+			name:             "no quota",
+			placed:           3,
+			unlimited:        true,
+			exceedsGuarantee: true,
+			weightedUsage:    9,
 		},
 		{
 			name:             "limit of one resource",
@@ -175,27 +176,27 @@
 			weightedUsage:    9,
 		},
 		{
-			name:               "within the guarantee",
-			team:               config.Team{GuaranteedGPUs: 6},
-			placed:             3,
-			unboundedWithLimit: true,
-			withinGuarantee:    3,
-			weightedUsage:      0.5,
+			name:            "within the guarantee",
+			team:            config.Team{GuaranteedGPUs: 6},
+			placed:          3,
+			unlimited:       true,
+			withinGuarantee: 3,
+			weightedUsage:   0.5,
 		},
 		{
-			name:               "guarantee used up",
-			team:               config.Team{GuaranteedGPUs: 3},
-			placed:             3,
-			unboundedWithLimit: true,
-			weightedUsage:      1,
+			name:          "guarantee used up",
+			team:          config.Team{GuaranteedGPUs: 3},
+			placed:        3,
+			unlimited:     true,
+			weightedUsage: 1,
 		},
 		{
-			name:               "beyond the guarantee",
-			team:               config.Team{GuaranteedGPUs: 2},
-			placed:             3,
-			unboundedWithLimit: true,
-			exceedsGuarantee:   true,
-			weightedUsage:      1.5,
+			name:             "beyond the guarantee",
+			team:             config.Team{GuaranteedGPUs: 2},
+			placed:           3,
+			unlimited:        true,
+			exceedsGuarantee: true,
+			weightedUsage:    1.5,
 		},
 		{
 			name:            "decimal amounts",
@@ -211,7 +212,7 @@
 			for i := range test.placed {
 				placeTask(machines, &testJob{id: fmt.Sprintf("j-%d", i), Request: Request{Team: "red", Task: task}})
 			}
-			if test.unboundedWithLimit {
+			if test.unlimited {
 				test.withinLimit = 1<<31 - 1
 			}
 			if got := quotas.TasksWithinLimit("red", task); got != test.withinLimit {
@@ -221,10 +222,10 @@
 				t.Errorf("%d more tasks within the guarantee, want %d", got, test.withinGuarantee)
 			}
 			if got := quotas.WithinGuarantee("red", task); got != (test.withinGuarantee > 0) {
-				t.Errorf("within the guarantee: %v", got)
+				t.Errorf("WithinGuarantee returned %v", got)
 			}
 			if got := quotas.ExceedsGuarantee("red"); got != test.exceedsGuarantee {
-				t.Errorf("exceeds the guarantee: %v", got)
+				t.Errorf("ExceedsGuarantee returned %v", got)
 			}
 			if got := quotas.WeightedUsage("red"); got != test.weightedUsage {
 				t.Errorf("weighted usage %v, want %v", got, test.weightedUsage)
--- a/internal/coordination/fairshare/quotas.go
+++ b/internal/coordination/fairshare/quotas.go
@@ -1,6 +1,6 @@
-// Package fairshare divides the fleet between teams. Quotas answers how much a team uses of its
-// guaranteed quota and of its limit, and Queue decides which team's job is scheduled next. It keeps no
-// usage of its own: what a team uses is what the machine registry has reserved for its tasks.
+// Package fairshare divides the fleet among teams. Quotas compares the usage of a team with its guaranteed quota and
+// its limit, and Queue decides which team's job is scheduled next. The package stores no usage itself: the usage of a
+// team is what the machine registry has reserved for its tasks.
 package fairshare
 
 import (
@@ -10,7 +10,7 @@
 	"pinebay/internal/coordination/machineregistry"
 )
 
-// roundingTolerance keeps sums of decimal amounts from falling short of a whole task.
+// roundingTolerance keeps rounding errors in sums of decimal amounts from reducing a count of whole tasks.
 const roundingTolerance = 1e-9
 
 // Quotas compares the usage of teams with their quotas.
@@ -19,7 +19,7 @@
 	machines *machineregistry.Registry
 }
 
-// NewQuotas returns the quotas of the teams, whose usage the registry counts. The teams are not copied.
+// NewQuotas returns the quotas of the teams. Their usage is taken from the registry. The teams are not copied.
 func NewQuotas(teams []config.Team, machines *machineregistry.Registry) *Quotas {
 	q := &Quotas{teams: make(map[string]*config.Team, len(teams)), machines: machines}
 	for i := range teams {
@@ -28,8 +28,8 @@
 	return q
 }
 
-// WeightedUsage returns the usage by which teams are compared: its dominant share of the guaranteed
-// quota, or, for a team without one, the plain sum of its GPUs and CPUs.
+// WeightedUsage returns the measure by which the usage of teams is compared: the dominant share of the team's
+// guaranteed quota or, for a team without one, the sum of its GPUs and CPUs.
 func (q *Quotas) WeightedUsage(team string) float64 {
 	usage := q.machines.TeamUsage(team)
 	t := q.teams[team]
@@ -39,7 +39,7 @@
 	return usage.GPUs + usage.CPUs
 }
 
-// TasksWithinLimit returns how many more tasks of the given size the team's quota limit admits.
+// TasksWithinLimit returns how many more tasks of the given size fit within the team's quota limit.
 func (q *Quotas) TasksWithinLimit(team string, task machineregistry.Resources) int {
 	t := q.teams[team]
 	n := math.MaxInt32
@@ -56,11 +56,11 @@
 	return max(0, n)
 }
 
-// wholeTasks returns how many tasks that take so much each fit into an amount.
+// wholeTasks returns how many tasks that need perTask each fit into an amount.
 func wholeTasks(amount, perTask float64) int { return int(amount/perTask + roundingTolerance) }
 
-// WithinGuarantee reports whether the team would still be within its guaranteed quota with one more
-// task of the given size.
+// WithinGuarantee reports whether the team would stay within its guaranteed quota with one more task of the given
+// size.
 func (q *Quotas) WithinGuarantee(team string, task machineregistry.Resources) bool {
 	return q.GuaranteeCovers(team, q.machines.TeamUsage(team).Plus(task))
 }
@@ -70,14 +70,14 @@
 	return !q.GuaranteeCovers(team, q.machines.TeamUsage(team))
 }
 
-// TasksWithinGuarantee returns how many more tasks of the given size the team's guaranteed quota
-// covers, but no more than the given number.
-func (q *Quotas) TasksWithinGuarantee(team string, task machineregistry.Resources, most int) int {
+// TasksWithinGuarantee returns how many more tasks of the given size fit within the team's guaranteed quota, but at
+// most maxTasks.
+func (q *Quotas) TasksWithinGuarantee(team string, task machineregistry.Resources, maxTasks int) int {
 	if !q.WithinGuarantee(team, task) {
 		return 0
 	}
 	t, usage := q.teams[team], q.machines.TeamUsage(team)
-	n := most
+	n := maxTasks
 	if t.GuaranteedCPUs > 0 && task.CPUs > 0 {
 		n = min(n, wholeTasks(t.GuaranteedCPUs-usage.CPUs, task.CPUs))
 	}
@@ -92,8 +92,8 @@
 	return GuaranteeCovers(q.teams[team], usage)
 }
 
-// GuaranteeCovers reports whether a team has a guaranteed quota that covers the given usage. A resource
-// without a guarantee is not compared. A nil team has no quota.
+// GuaranteeCovers reports whether a team has a guaranteed quota that covers the given usage. Resources without a
+// guarantee are ignored. A nil team has no quota.
 func GuaranteeCovers(t *config.Team, usage machineregistry.Resources) bool {
 	if t == nil || t.GuaranteedCPUs == 0 && t.GuaranteedGPUs == 0 {
 		return false
