--- a/internal/coordination/dependency/graph.go
+++ b/internal/coordination/dependency/graph.go
@@ -1,7 +1,9 @@
-// Package dependency is the graph of the dependencies between jobs. It knows how many dependencies of each job are
-// open, which jobs are unblocked or cancelled when another ends, and which priority and latest start a job has by the
-// jobs that depend on it, directly or not. It does no I/O and reads no clock. The cost of a change is that of the
-// edges concerned, and no function recurses, so that long chains are safe.
+// Package dependency maintains the graph of dependencies between jobs. For each job, it tracks the number of open
+// dependencies, and the priority and latest start that follow from all its direct and indirect dependents. It
+// determines which jobs are unblocked or cancelled when another job ends. It does no I/O and reads no clock.
+//
+// The cost of a change is proportional to the number of affected edges. Chains of dependencies are walked by
+// iteration, not by recursion, so that long chains cannot overflow the stack.
 package dependency
 
 import (
@@ -10,45 +12,46 @@
 	"time"
 )
 
-// State is what is known of a job.
+// State is the known state of a job.
 type State uint8
 
 const (
-	// UnknownOutcome is a job that others depend on and that is not known to live: its final state has to be read.
+	// UnknownOutcome is the state of a job that others depend on and that is not known to be live: its final state
+	// has to be read from its record.
 	UnknownOutcome State = iota
-	// Live is a job that was accepted and has not ended.
+	// Live is the state of a job that was accepted and has not ended.
 	Live
-	// Done is a job that has ended successfully.
+	// Done is the state of a job that has ended successfully.
 	Done
-	// Cancelled is a job that was cancelled itself or because a dependency was.
+	// Cancelled is the state of a job that was cancelled, either itself or because a dependency was cancelled.
 	Cancelled
 )
 
 // Priorities is the number of priorities; 0 is the highest.
 const Priorities = 4
 
-// NoDeadline is the deadline and latest start of jobs without one.
+// NoDeadline is the deadline and latest start of jobs that have none.
 const NoDeadline = time.Duration(math.MaxInt64)
 
 // Job is a job as it was accepted.
 type Job struct {
 	ID           string
 	Dependencies []string // duplicates count once
-	Priority     int      // its own
-	// Deadline is its own deadline, or NoDeadline.
+	Priority     int      // the job's own priority, not considering dependents
+	// Deadline is the job's own deadline, or NoDeadline.
 	Deadline          time.Duration
 	EstimatedDuration time.Duration
 }
 
-// Change is what follows for other jobs from an addition or an end. Each list is sorted.
+// Change lists the effects of an operation on jobs of the graph. Each list is sorted.
 type Change struct {
-	Unblocked       []string // jobs without open dependencies now
+	Unblocked       []string // jobs that have no open dependencies any more
 	Cancelled       []string // jobs that are cancelled because a dependency is
 	Reprioritised   []string // jobs whose priority or latest start has changed
 	UnknownOutcomes []string // dependencies whose final state has to be read
 }
 
-// sort makes the lists independent of the iteration order of maps.
+// sort makes the lists independent of map iteration order.
 func (c *Change) sort() {
 	for _, list := range [][]string{c.Unblocked, c.Cancelled, c.Reprioritised, c.UnknownOutcomes} {
 		slices.Sort(list)
@@ -59,15 +62,15 @@
 type node struct {
 	id                     string
 	state                  State
-	dependencies           map[*node]bool // open ones
-	dependents             map[*node]bool // live ones
+	dependencies           map[*node]bool // open dependencies
+	dependents             map[*node]bool // live dependents
 	job                    Job
-	inPipeline             bool            // it has or had dependencies or dependents
-	priority               int             // the highest of its own and its dependents'
-	dependentsByPriority   [Priorities]int // the number of its dependents
-	earliestDependentStart time.Duration   // the earliest of its dependents' latest starts
-	latestStart            time.Duration   // by which all deadlines that depend on it can be met
-	cancelledBy            string          // the cancelled job that caused its cancellation
+	inPipeline             bool            // has or had dependencies or dependents
+	priority               int             // highest priority among the job and its dependents
+	dependentsByPriority   [Priorities]int // number of dependents with each priority
+	earliestDependentStart time.Duration   // earliest latest start among the dependents
+	latestStart            time.Duration   // latest start that meets all deadlines depending on the job
+	cancelledBy            string          // the cancelled job that caused the cancellation
 }
 
 // Graph holds the live jobs and their dependencies. It is not safe for concurrent use.
@@ -79,10 +82,10 @@
 // New returns an empty graph.
 func New() *Graph { return &Graph{nodes: map[string]*node{}} }
 
-// Len returns how many jobs the graph holds.
+// Len returns the number of jobs in the graph.
 func (g *Graph) Len() int { return len(g.nodes) }
 
-// State returns what is known of a job. One that the graph does not hold has an unknown outcome.
+// State returns the state of a job. The outcome of a job that is not in the graph is unknown.
 func (g *Graph) State(id string) State {
 	if n := g.nodes[id]; n != nil {
 		return n.state
@@ -90,7 +93,7 @@
 	return UnknownOutcome
 }
 
-// CancelledBy returns the cancelled job that caused the cancellation of a job, or "".
+// CancelledBy returns the cancelled job that caused the cancellation of a job, or "" if the job is not cancelled.
 func (g *Graph) CancelledBy(id string) string {
 	if n := g.nodes[id]; n != nil {
 		return n.cancelledBy
@@ -98,7 +101,7 @@
 	return ""
 }
 
-// OpenDependencies returns how many dependencies of a job are not done.
+// OpenDependencies returns the number of dependencies of a job that are not done.
 func (g *Graph) OpenDependencies(id string) int {
 	if n := g.nodes[id]; n != nil {
 		return len(n.dependencies)
@@ -112,14 +115,14 @@
 	return n != nil && len(n.dependents) > 0
 }
 
-// InPipeline reports whether a job has, or has had, dependencies or dependents.
+// InPipeline reports whether a job has or has had dependencies or dependents.
 func (g *Graph) InPipeline(id string) bool {
 	n := g.nodes[id]
 	return n != nil && n.inPipeline
 }
 
-// Priority returns the highest priority of a job and all that depend on it. It returns false for a job that does not
-// live.
+// Priority returns the highest priority among a job and all its direct and indirect dependents. It returns false if
+// the job is not live.
 func (g *Graph) Priority(id string) (priority int, ok bool) {
 	n := g.nodes[id]
 	if n == nil || n.state != Live {
@@ -128,7 +131,8 @@
 	return n.priority, true
 }
 
-// LatestStart returns by when a job must start for all deadlines that depend on it to be met, or NoDeadline.
+// LatestStart returns the time by which a job must start so that all deadlines that depend on it can be met, or
+// NoDeadline.
 func (g *Graph) LatestStart(id string) time.Duration {
 	if n := g.nodes[id]; n != nil && n.state == Live {
 		return n.latestStart
@@ -145,12 +149,12 @@
 	}
 	seen := map[*node]bool{n: true}
 	for stack := []*node{n}; len(stack) > 0 && len(ids) < limit; {
-		at := stack[len(stack)-1]
+		cur := stack[len(stack)-1]
 		stack = stack[:len(stack)-1]
-		if at != n && at.state == UnknownOutcome {
-			ids = append(ids, at.id)
+		if cur != n && cur.state == UnknownOutcome {
+			ids = append(ids, cur.id)
 		}
-		for dep := range at.dependencies {
+		for dep := range cur.dependencies {
 			if !seen[dep] {
 				seen[dep] = true
 				stack = append(stack, dep)
@@ -160,7 +164,7 @@
 	return ids
 }
 
-// Add adds a live job with its dependencies. A job that is known to live or to have ended is left as it is.
+// Add adds a live job with its dependencies. It does nothing if the job is already known to be live or to have ended.
 func (g *Graph) Add(j Job) (c Change) {
 	n := g.getOrCreate(j.ID)
 	if n.state != UnknownOutcome {
@@ -184,7 +188,7 @@
 	return c
 }
 
-// End removes a job that has ended, with a state of Done or Cancelled, and unblocks or cancels its dependents.
+// End removes a job that has ended as Done or Cancelled, and unblocks or cancels its dependents.
 func (g *Graph) End(id string, state State) (c Change) {
 	n := g.nodes[id]
 	if n == nil {
@@ -206,8 +210,8 @@
 	return c
 }
 
-// EndWithUnknownOutcome records that a job has ended in a state that is not known yet. Its dependents stay blocked
-// until End is called for it.
+// EndWithUnknownOutcome records that a job has ended with a final state that is not known yet. Its dependents stay
+// blocked until End is called for the job.
 func (g *Graph) EndWithUnknownOutcome(id string) (c Change) {
 	n := g.nodes[id]
 	if n == nil || n.state == UnknownOutcome {
@@ -224,7 +228,7 @@
 	return c
 }
 
-// Unblock drops the dependencies of a job of which another source says that they are all done.
+// Unblock removes the dependencies of a job that are all known from another source to be done.
 func (g *Graph) Unblock(id string) (c Change) {
 	n := g.nodes[id]
 	if n == nil || len(n.dependencies) == 0 || n.state != Live {
@@ -236,7 +240,7 @@
 	return c
 }
 
-// getOrCreate returns the node of a job. A new one has an unknown outcome.
+// getOrCreate returns the node of a job. The outcome of a new node is unknown.
 func (g *Graph) getOrCreate(id string) *node {
 	n := g.nodes[id]
 	if n == nil {
@@ -255,7 +259,7 @@
 	return n
 }
 
-// setState changes the state of a node and keeps the count of unknown outcomes.
+// setState changes the state of a node and updates the count of unknown outcomes.
 func (g *Graph) setState(n *node, state State) {
 	if n.state == UnknownOutcome {
 		g.unknownOutcomes--
@@ -266,7 +270,8 @@
 	n.state = state
 }
 
-// link adds a dependency of a job, unless that dependency is cancelled: then it returns the cause of that.
+// link adds a dependency to a job. If the dependency is cancelled, link returns the cause of that cancellation
+// instead.
 func (g *Graph) link(n *node, id string, c *Change) (cause string, cancelled bool) {
 	known := g.nodes[id] != nil
 	dep := g.getOrCreate(id)
@@ -294,7 +299,7 @@
 		dep.dependentsByPriority[n.priority]--
 		formerDependencies = append(formerDependencies, dep)
 		if dep.state == UnknownOutcome && len(dep.dependents) == 0 {
-			g.remove(dep, c) // nobody needs its final state any more
+			g.remove(dep, c) // its final state is not needed any more
 		}
 	}
 	clear(n.dependencies)
@@ -313,8 +318,8 @@
 	g.unlink(n, c)
 }
 
-// cancel cancels a job because of another, or itself, and with it all that depend on it, directly or not. The
-// dependents stay in the graph until their own ends are reported.
+// cancel cancels a job and all its direct and indirect dependents. cause is the job that caused the cancellation,
+// which may be the job itself. The dependents stay in the graph until their own ends are reported.
 func (g *Graph) cancel(n *node, cause string, c *Change) {
 	if n.id != cause {
 		c.Cancelled = append(c.Cancelled, n.id)
@@ -322,9 +327,9 @@
 	g.setState(n, Cancelled)
 	n.cancelledBy = cause
 	for queue := []*node{n}; len(queue) > 0; {
-		at := queue[0]
+		cur := queue[0]
 		queue = queue[1:]
-		for d := range at.dependents {
+		for d := range cur.dependents {
 			if d.state == Cancelled {
 				continue
 			}
@@ -333,13 +338,13 @@
 			c.Cancelled = append(c.Cancelled, d.id)
 			queue = append(queue, d)
 		}
-		clear(at.dependents)
-		g.unlink(at, c)
+		clear(cur.dependents)
+		g.unlink(cur, c)
 	}
 }
 
-// propagateUrgency updates the priority and latest start of jobs by their own and their dependents', and so on of all
-// their dependencies that this changes.
+// propagateUrgency updates the priority and latest start of jobs, and of all direct and indirect dependencies that
+// are affected by the changes.
 func (g *Graph) propagateUrgency(from []*node, c *Change) {
 	for queue := from; len(queue) > 0; {
 		n := queue[0]
@@ -361,8 +366,8 @@
 	}
 }
 
-// derivedUrgency returns the priority and latest start that a job should have. A latest start is kept when the
-// dependent that caused it is gone: starting early does no harm.
+// derivedUrgency returns the priority and latest start that follow from a job and its dependents. The latest start is
+// not reset when the dependent that caused it is gone, because an earlier start does no harm.
 func (n *node) derivedUrgency() (priority int, start time.Duration) {
 	priority = n.job.Priority
 	for dependentPriority, count := range n.dependentsByPriority {
--- a/internal/coordination/dependency/graph_test.go
+++ b/internal/coordination/dependency/graph_test.go
@@ -13,22 +13,22 @@
 
 func TestMain(m *testing.M) { testutil.Main(m) }
 
-// reference derives by a walk over all jobs what the graph keeps up to date.
+// reference is a simple model of the graph that computes every answer by walking all jobs.
 type reference struct {
 	jobs  map[string]Job
 	ended map[string]State
 }
 
-// state returns how many dependencies of a job are open, and whether it is cancelled because of one.
+// state returns the number of open dependencies of a job, and whether the job is cancelled because of a dependency.
 func (r *reference) state(id string) (open int, cancelled bool) {
-	for _, need := range r.jobs[id].Dependencies {
-		switch r.ended[need] {
+	for _, dep := range r.jobs[id].Dependencies {
+		switch r.ended[dep] {
 		case Done:
 			continue
 		case Cancelled:
 			return 0, true
 		}
-		if _, c := r.state(need); c {
+		if _, c := r.state(dep); c {
 			return 0, true
 		}
 		open++
@@ -36,35 +36,35 @@
 	return open, false
 }
 
-// lives reports whether a job has neither ended nor been cancelled with another.
-func (r *reference) lives(id string) bool {
+// isLive reports whether a job has neither ended nor been cancelled because of a dependency.
+func (r *reference) isLive(id string) bool {
 	_, cancelled := r.state(id)
 	return r.ended[id] == UnknownOutcome && !cancelled
 }
 
-// priority returns the highest priority of a job and of the live jobs that depend on it.
+// priority returns the highest priority among a job and the live jobs that depend on it.
 func (r *reference) priority(id string) int {
 	level := r.jobs[id].Priority
 	for other, j := range r.jobs {
-		if r.lives(other) && slices.Contains(j.Dependencies, id) {
+		if r.isLive(other) && slices.Contains(j.Dependencies, id) {
 			level = min(level, r.priority(other))
 		}
 	}
 	return level
 }
 
-// TestGraphAgainstReference draws graphs, orders of submission, ends and cancellations, also of dependencies whose
-// final state was not known when they were named, and compares every answer with the reference's.
+// TestGraphAgainstReference compares the graph with the reference on random sequences of submissions, ends and
+// cancellations, including dependencies whose final state is unknown when a job that names them is added.
 func TestGraphAgainstReference(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g, r := New(), &reference{jobs: map[string]Job{}, ended: map[string]State{}}
-		freed, cancelled := map[string]bool{}, map[string]bool{}
-		take := func(c Change) {
+		unblocked, cancelled := map[string]bool{}, map[string]bool{}
+		apply := func(c Change) {
 			for _, id := range c.Unblocked {
-				if freed[id] {
+				if unblocked[id] {
 					t.Fatalf("%s is unblocked twice", id)
 				}
-				freed[id] = true
+				unblocked[id] = true
 			}
 			for _, id := range c.Cancelled {
 				if cancelled[id] {
@@ -76,13 +76,13 @@
 				if state := r.ended[id]; state != UnknownOutcome {
 					c := g.End(id, state)
 					for _, id := range c.Unblocked {
-						freed[id] = true
+						unblocked[id] = true
 					}
 					for _, id := range c.Cancelled {
 						cancelled[id] = true
 					}
 				} else {
-					t.Fatalf("%s lives, and its final state is to be read", id)
+					t.Fatalf("%s is live, but its final state is to be read", id)
 				}
 			}
 		}
@@ -99,39 +99,39 @@
 					}
 				}
 				r.jobs[j.ID] = j
-				take(g.Add(j))
+				apply(g.Add(j))
 				continue
 			}
 			id := fmt.Sprintf("j-%02d", rapid.IntRange(0, step).Draw(t, "which"))
-			open, cancelledWithNeed := r.state(id)
+			open, cancelledByDependency := r.state(id)
 			switch {
 			case r.jobs[id].ID == "" || r.ended[id] != UnknownOutcome:
-			case cancelledWithNeed || rapid.Bool().Draw(t, "cancel"):
+			case cancelledByDependency || rapid.Bool().Draw(t, "cancel"):
 				r.ended[id] = Cancelled
-				take(g.End(id, Cancelled))
+				apply(g.End(id, Cancelled))
 			case open == 0:
 				r.ended[id] = Done
-				take(g.End(id, Done))
+				apply(g.End(id, Done))
 			}
 		}
 		for id := range r.jobs {
-			open, cancelledWithNeed := r.state(id)
+			open, cancelledByDependency := r.state(id)
 			if r.ended[id] != UnknownOutcome {
 				continue
 			}
-			if got := g.State(id); (got == Cancelled) != cancelledWithNeed || got == Done || got == UnknownOutcome {
-				t.Fatalf("%s is in state %d, cancelled %v", id, got, cancelledWithNeed)
+			if got := g.State(id); (got == Cancelled) != cancelledByDependency || got == Done || got == UnknownOutcome {
+				t.Fatalf("%s is in state %d, cancelled %v", id, got, cancelledByDependency)
 			}
-			if cancelled[id] != cancelledWithNeed {
-				t.Fatalf("%s was reported as cancelled: %v, want %v", id, cancelled[id], cancelledWithNeed)
+			if cancelled[id] != cancelledByDependency {
+				t.Fatalf("%s reported as cancelled: %v, want %v", id, cancelled[id], cancelledByDependency)
 			}
-			if cancelledWithNeed {
+			if cancelledByDependency {
 				continue
 			}
 			if got := g.OpenDependencies(id); got != open {
 				t.Fatalf("%s has %d open dependencies, want %d", id, got, open)
 			}
-			if freed[id] && open > 0 {
+			if unblocked[id] && open > 0 {
 				t.Fatalf("%s was unblocked with %d open dependencies", id, open)
 			}
 			if got, ok := g.Priority(id); !ok || got != r.priority(id) {
@@ -141,8 +141,8 @@
 	})
 }
 
-// TestLatestStartReachesDependencies: the deadline of the last job bounds the latest starts of all its dependencies, by
-// the longest path and whatever the order of submission.
+// TestLatestStartReachesDependencies checks that the deadline of the last job determines the latest starts of all its
+// dependencies by the longest path, in any order of submission.
 func TestLatestStartReachesDependencies(t *testing.T) {
 	jobs := []Job{
 		{ID: "first", Priority: 3, Deadline: NoDeadline, EstimatedDuration: 10},
@@ -167,26 +167,26 @@
 	}
 }
 
-// TestUnknownOutcomeHoldsDependents: a job whose final state is not known blocks its direct and indirect dependents
-// until that is read.
-func TestUnknownOutcomeHoldsDependents(t *testing.T) {
+// TestUnknownOutcomeBlocksDependents checks that a job with an unknown final state blocks its direct and indirect
+// dependents until that state is read.
+func TestUnknownOutcomeBlocksDependents(t *testing.T) {
 	g := New()
 	g.Add(Job{ID: "a", Deadline: NoDeadline})
 	g.Add(Job{ID: "b", Dependencies: []string{"a"}, Deadline: NoDeadline})
 	g.Add(Job{ID: "c", Dependencies: []string{"b"}, Deadline: NoDeadline})
 	if c := g.EndWithUnknownOutcome("a"); !slices.Equal(c.UnknownOutcomes, []string{"a"}) {
-		t.Fatalf("final states to be read: %v", c.UnknownOutcomes)
+		t.Fatalf("unknown outcomes: %v", c.UnknownOutcomes)
 	}
 	if got := g.UnknownOutcomesBefore("c", 9); !slices.Equal(got, []string{"a"}) {
-		t.Fatalf("dependencies of the last job with unknown outcomes: %v", got)
+		t.Fatalf("unknown outcomes before the last job: %v", got)
 	}
 	if c := g.End("a", Cancelled); !slices.Equal(c.Cancelled, []string{"b", "c"}) || g.CancelledBy("c") != "a" {
-		t.Errorf("cancelled with it: %v, by %q", c.Cancelled, g.CancelledBy("c"))
+		t.Errorf("cancelled dependents: %v, cancelled by %q", c.Cancelled, g.CancelledBy("c"))
 	}
 }
 
-// TestCostGrowsWithEdgesOnly: the cost of an end and of a submission is that of the edges concerned, in a chain of ten
-// thousand jobs, with ten thousand dependents of one job, and in layers.
+// TestCostGrowsWithEdgesOnly checks that the cost of ends and submissions depends only on the affected edges, in a
+// chain of 10,000 jobs, with 10,000 dependents of one job, and in fully connected layers.
 func TestCostGrowsWithEdgesOnly(t *testing.T) {
 	const n = 10_000
 	chain, star := New(), New()
@@ -195,11 +195,11 @@
 	for i := range n {
 		id := fmt.Sprintf("j-%05d", i)
 		star.Add(Job{ID: id, Priority: 3, Deadline: NoDeadline, Dependencies: []string{"hub"}})
-		var needs []string
+		var dependencies []string
 		if last != "" {
-			needs = []string{last}
+			dependencies = []string{last}
 		}
-		chain.Add(Job{ID: id, Priority: 3, Deadline: NoDeadline, Dependencies: needs})
+		chain.Add(Job{ID: id, Priority: 3, Deadline: NoDeadline, Dependencies: dependencies})
 		last = id
 	}
 	if c := chain.Add(
@@ -207,27 +207,27 @@
 	); len(
 		c.Reprioritised,
 	) != n+1 {
-		t.Errorf("the chain's end reprioritises %d jobs, want %d", len(c.Reprioritised), n+1)
+		t.Errorf("adding the last job of the chain reprioritises %d jobs, want %d", len(c.Reprioritised), n+1)
 	}
 	if c := chain.End("j-00000", Done); len(c.Unblocked) != 1 || len(c.Reprioritised) != 0 {
-		t.Errorf("the chain's first end unblocks %d and reprioritises %d jobs", len(c.Unblocked), len(c.Reprioritised))
+		t.Errorf("end of the first job unblocks %d and reprioritises %d jobs", len(c.Unblocked), len(c.Reprioritised))
 	}
 	if c := star.End("hub", Done); len(c.Unblocked) != n {
-		t.Errorf("the end of the common dependency unblocks %d jobs", len(c.Unblocked))
+		t.Errorf("end of the common dependency unblocks %d jobs", len(c.Unblocked))
 	}
 	layers := New()
 	for layer := range 100 {
 		for k := range 100 {
 			j := Job{ID: fmt.Sprintf("l%02d-%02d", layer, k), Priority: 3, Deadline: NoDeadline}
-			for need := 0; layer > 0 && need < 100; need++ {
-				j.Dependencies = append(j.Dependencies, fmt.Sprintf("l%02d-%02d", layer-1, need))
+			for dep := 0; layer > 0 && dep < 100; dep++ {
+				j.Dependencies = append(j.Dependencies, fmt.Sprintf("l%02d-%02d", layer-1, dep))
 			}
 			layers.Add(j)
 		}
 	}
 	if c := layers.End("l00-00", Cancelled); len(c.Cancelled) != 99*100 {
 		t.Errorf(
-			"a cancellation in the first layer cancels %d jobs after it, want all of the others'",
+			"cancellation in the first layer cancels %d jobs, want all jobs of the other layers",
 			len(c.Cancelled),
 		)
 	}
