--- a/internal/coordination/candidates/candidate.go
+++ b/internal/coordination/candidates/candidate.go
@@ -11,7 +11,7 @@
 type Candidate struct {
 	Machine *machineregistry.Machine
 	Type    *protocol.MachineType
-	// Free is the capacity that is neither reserved nor given away in the current cycle. It is changed with
+	// Free is the capacity that is neither reserved nor allocated in the current cycle. It is changed with
 	// Index.SetFree.
 	Free machineregistry.Resources
 	// NominationClaimed is set if a task of the job that the machine is nominated for already counts on the capacity
--- a/internal/coordination/candidates/index.go
+++ b/internal/coordination/candidates/index.go
@@ -26,7 +26,7 @@
 
 	registry       *machineregistry.Registry
 	changedInCycle []*Candidate
-	// unresponsive holds the candidates that are not indexed until the end of their machine's unresponsive period.
+	// unresponsive holds the candidates that are not indexed until their machine's unresponsive period ends.
 	unresponsive map[*Candidate]bool
 	// unschedulable holds indexed candidates that a search found to accept no tasks any more.
 	unschedulable []*Candidate
--- a/internal/coordination/machineregistry/commands_test.go
+++ b/internal/coordination/machineregistry/commands_test.go
@@ -16,9 +16,9 @@
 	return verbs
 }
 
-// TestMoreCommandsThanAReplyHolds checks that commands that exceed the limit of one reply are sent in the next
+// TestCommandsBeyondReplyLimit checks that commands that exceed the limit of one reply are sent in the next
 // replies, each command once.
-func TestMoreCommandsThanAReplyHolds(t *testing.T) {
+func TestCommandsBeyondReplyLimit(t *testing.T) {
 	const tasks = 1500
 	registry := newTestRegistry(1)
 	large := testMachineType
--- a/internal/coordination/placement/victims.go
+++ b/internal/coordination/placement/victims.go
@@ -137,7 +137,7 @@
 	x *candidates.Candidate,
 	victimPriority int,
 ) (victims []*machineregistry.Placement, cost float64, ok bool) {
-	free := x.Free // excludes capacity that was given away in this cycle
+	free := x.Free // excludes capacity allocated in this cycle
 	var preemptible []*machineregistry.Placement
 	x.Machine.EachPlacement(func(pl *machineregistry.Placement) {
 		switch {
