--- a/internal/coordination/scheduler/allocate.go
+++ b/internal/coordination/scheduler/allocate.go
@@ -10,11 +10,11 @@
 	"pinebay/internal/protocol"
 )
 
-// gangHoldCycles is the number of cycles in a row for which the partial capacity of a gang is held. In the
-// cycle after them smaller jobs may backfill it.
+// gangHoldCycles is the number of consecutive cycles for which the partial capacity of a gang is held. In the following
+// cycle smaller jobs may backfill that capacity.
 const gangHoldCycles = 3
 
-// allocation is the capacity that the current cycle has set aside for tasks of a job.
+// allocation is the capacity that the current cycle has set aside for tasks of one job.
 type allocation []allocatedTask
 
 type allocatedTask struct {
@@ -22,9 +22,9 @@
 	candidate *candidates.Candidate
 }
 
-// placeJob places as many of a job's tasks as there is capacity for, up to the given number. A gang is
-// placed as a whole or not at all.
-func (c *Scheduler) placeJob(now time.Duration, j *jobstate.Job, allowed int) {
+// placeJob places as many tasks of a job as there is capacity for, up to the allowed number. A gang is placed as a
+// whole or not at all.
+func (s *Scheduler) placeJob(now time.Duration, j *jobstate.Job, allowed int) {
 	gang := j.Spec.Shape == protocol.Gang
 	if gang && allowed < j.Spec.TaskCount {
 		return
@@ -33,66 +33,66 @@
 	limits := placement.ZoneLimitsOf(j)
 	var allocated allocation
 	if gang && j.Spec.SameZone && limits.OnlyZone == "" {
-		allocated, limits = c.allocateInBestZone(now, j, limits)
+		allocated, limits = s.allocateInBestZone(now, j, limits)
 	} else {
-		allocated = c.allocate(now, j, limits, wanted)
+		allocated = s.allocate(now, j, limits, wanted)
 	}
 	if gang && len(allocated) < j.Spec.TaskCount {
-		c.holdForGang(now, j, allocated, limits)
+		s.holdForGang(now, j, allocated, limits)
 		return
 	}
-	c.bind(now, j, allocated)
+	s.bind(now, j, allocated)
 	if len(allocated) < wanted {
 		j.UnschedulableCycles++
-		c.preempt(now, j, limits, wanted-len(allocated))
+		s.preempt(now, j, limits, wanted-len(allocated))
 	} else {
 		j.UnschedulableCycles = 0
 	}
 }
 
-// allocate sets capacity aside for up to n tasks, one after the other, and updates the zone limits.
-func (c *Scheduler) allocate(
+// allocate sets aside capacity for up to n tasks, one at a time, and updates the zone limits.
+func (s *Scheduler) allocate(
 	now time.Duration,
 	j *jobstate.Job,
 	limits *placement.ZoneLimits,
 	n int,
 ) (allocated allocation) {
 	for task := j.NextPending(0); task >= 0 && len(allocated) < n; task = j.NextPending(task + 1) {
-		x, attempted := c.selectMachine(now, j, task, limits)
-		if x == nil {
+		best, attempted := s.selectMachine(now, j, task, limits)
+		if best == nil {
 			if attempted {
-				continue // another task may run there
+				continue // the excluded machine may still be used for another task
 			}
 			break
 		}
-		if j.Spec.Shape != protocol.Gang && c.waitForMachineWithImage(now, j, task, x, limits) {
+		if j.Spec.Shape != protocol.Gang && s.waitForMachineWithImage(now, j, task, best, limits) {
 			continue
 		}
-		c.stopCompetingFetches(now, j, x)
-		c.candidates.SetFree(x, x.Free.Minus(j.TaskResources))
-		limits.TasksPerZone[x.Machine.Zone]++
+		s.stopCompetingFetches(now, j, best)
+		s.candidates.SetFree(best, best.Free.Minus(j.TaskResources))
+		limits.TasksPerZone[best.Machine.Zone]++
 		if j.Spec.SameZone {
-			limits.OnlyZone = x.Machine.Zone
+			limits.OnlyZone = best.Machine.Zone
 		}
-		allocated = append(allocated, allocatedTask{task: task, candidate: x})
+		allocated = append(allocated, allocatedTask{task: task, candidate: best})
 	}
 	return allocated
 }
 
-// selectMachine returns the best machine for a task, or nil. attempted reports that a machine was passed
-// over only because an earlier attempt of this very task may still be there.
-func (c *Scheduler) selectMachine(
+// selectMachine returns the best machine for a task, or nil. attempted is set if a machine was excluded only because an
+// earlier attempt of the same task may still be on it.
+func (s *Scheduler) selectMachine(
 	now time.Duration,
 	j *jobstate.Job,
 	task int,
 	limits *placement.ZoneLimits,
 ) (best *candidates.Candidate, attempted bool) {
 	id := protocol.TaskID{JobID: j.Spec.ID, Index: task}
-	best = c.finder.BestMachine(now, j, limits, func(x *candidates.Candidate) bool {
-		if !j.TaskResources.Fits(c.freeForJob(x, j)) || !c.rules.Feasible(now, j, x, limits) {
+	best = s.finder.BestMachine(now, j, limits, func(candidate *candidates.Candidate) bool {
+		if !j.TaskResources.Fits(s.freeForJob(candidate, j)) || !s.rules.Feasible(now, j, candidate, limits) {
 			return false
 		}
-		if x.Machine.HasAttempt(id) {
+		if candidate.Machine.HasAttempt(id) {
 			attempted = true
 			return false
 		}
@@ -101,26 +101,26 @@
 	return best, attempted
 }
 
-// undoAllocation gives capacity that was set aside to later jobs of the cycle.
-func (c *Scheduler) undoAllocation(j *jobstate.Job, allocated allocation) {
-	c.preemption.CapacityMayBeFree()
+// undoAllocation returns capacity that was set aside, so that later jobs of the cycle can use it.
+func (s *Scheduler) undoAllocation(j *jobstate.Job, allocated allocation) {
+	s.preemption.CapacityMayBeFree()
 	for _, a := range allocated {
-		c.candidates.SetFree(a.candidate, a.candidate.Free.Plus(j.TaskResources))
+		s.candidates.SetFree(a.candidate, a.candidate.Free.Plus(j.TaskResources))
 	}
 }
 
-// allocateInBestZone allocates a gang that must be in one zone, in the zone that holds most of it. Of zones
-// that hold as much, the one in which its images are there first.
-func (c *Scheduler) allocateInBestZone(
+// allocateInBestZone allocates a gang that must run in a single zone. It chooses the zone that can hold the most tasks
+// and, among equals, the one in which the image is available on all machines soonest.
+func (s *Scheduler) allocateInBestZone(
 	now time.Duration,
 	j *jobstate.Job,
 	limits *placement.ZoneLimits,
 ) (allocation, *placement.ZoneLimits) {
 	bestZone, mostTasks, shortestFetch := "", -1, 0.0
-	for _, zone := range c.zonesByAvailability(&j.Spec) {
-		allocated, _ := c.allocateInZone(now, j, zone, limits.MaxTasksPerZone)
-		fetch := c.longestFetchSeconds(now, j, allocated)
-		c.undoAllocation(j, allocated)
+	for _, zone := range s.zonesByAvailability(&j.Spec) {
+		allocated, _ := s.allocateInZone(now, j, zone, limits.MaxTasksPerZone)
+		fetch := s.longestFetchSeconds(now, j, allocated)
+		s.undoAllocation(j, allocated)
 		if len(allocated) > mostTasks || len(allocated) == mostTasks && fetch < shortestFetch {
 			bestZone, mostTasks, shortestFetch = zone, len(allocated), fetch
 		}
@@ -128,33 +128,34 @@
 	if bestZone == "" {
 		return nil, limits
 	}
-	return c.allocateInZone(now, j, bestZone, limits.MaxTasksPerZone)
+	return s.allocateInZone(now, j, bestZone, limits.MaxTasksPerZone)
 }
 
-// allocateInZone allocates as much of a job as fits into a zone.
-func (c *Scheduler) allocateInZone(
+// allocateInZone allocates as many tasks of a job as fit into a zone.
+func (s *Scheduler) allocateInZone(
 	now time.Duration,
 	j *jobstate.Job,
 	zone string,
 	maxTasks int,
 ) (allocation, *placement.ZoneLimits) {
 	limits := &placement.ZoneLimits{OnlyZone: zone, TasksPerZone: map[string]int{}, MaxTasksPerZone: maxTasks}
-	return c.allocate(now, j, limits, j.Spec.TaskCount), limits
+	return s.allocate(now, j, limits, j.Spec.TaskCount), limits
 }
 
-// longestFetchSeconds returns how long it takes until the job's image is on all machines of an allocation.
-func (c *Scheduler) longestFetchSeconds(now time.Duration, j *jobstate.Job, allocated allocation) float64 {
+// longestFetchSeconds returns the time, in seconds, until the image of the job is available on all machines of an
+// allocation.
+func (s *Scheduler) longestFetchSeconds(now time.Duration, j *jobstate.Job, allocated allocation) float64 {
 	longest := 0.0
 	for _, a := range allocated {
-		longest = max(longest, c.machines.FetchTime(now, a.candidate.Machine, &j.Spec).Seconds())
+		longest = max(longest, s.machines.FetchTime(now, a.candidate.Machine, &j.Spec).Seconds())
 	}
 	return longest
 }
 
-// holdForGang holds capacity for a gang that does not fit as a whole, against the later jobs of the cycle:
-// what was allocated, and for each other task the machine with the most free capacity. Every few cycles it
-// holds nothing, and smaller jobs may backfill.
-func (c *Scheduler) holdForGang(
+// holdForGang holds capacity for a gang that does not fit as a whole, so that later jobs of the cycle cannot use it:
+// the capacity that was allocated and, for each missing task, the machine with the most free capacity. Every
+// gangHoldCycles+1 cycles it holds nothing, so that smaller jobs can backfill.
+func (s *Scheduler) holdForGang(
 	now time.Duration,
 	j *jobstate.Job,
 	allocated allocation,
@@ -162,46 +163,46 @@
 ) {
 	j.UnschedulableCycles++
 	missing := j.Spec.TaskCount - len(allocated)
-	c.preempt(now, j, limits, missing)
-	if j.UnschedulableCycles%(gangHoldCycles+1) == 0 && !c.awaitsLentCapacity(now, j) {
-		c.undoAllocation(j, allocated)
+	s.preempt(now, j, limits, missing)
+	if j.UnschedulableCycles%(gangHoldCycles+1) == 0 && !s.awaitsLentCapacity(now, j) {
+		s.undoAllocation(j, allocated)
 		return
 	}
 	nothingFree := machineregistry.Resources{CPUs: -1, GPUs: -1, MemoryGB: -1}
 	held := map[*candidates.Candidate]bool{}
 	for range missing {
-		x := c.finder.MostFreeCapacity(now, j, limits, held)
-		if x == nil {
+		candidate := s.finder.MostFreeCapacity(now, j, limits, held)
+		if candidate == nil {
 			return
 		}
-		held[x] = true
-		c.candidates.SetFree(x, nothingFree)
+		held[candidate] = true
+		s.candidates.SetFree(candidate, nothingFree)
 	}
 }
 
-// bind reserves the capacity of an allocation in the machine registry, all or nothing, and has the
-// placements recorded. Their tasks start once the record is written.
-func (c *Scheduler) bind(now time.Duration, j *jobstate.Job, allocated allocation) {
+// bind reserves the capacity of an allocation in the machine registry, all or nothing, and has the placements recorded.
+// Their tasks start once the record is written.
+func (s *Scheduler) bind(now time.Duration, j *jobstate.Job, allocated allocation) {
 	if len(allocated) == 0 {
 		return
 	}
 	placements := newPlacements(j, allocated)
-	if !c.machines.Reserve(now, placements) {
-		// The registry knows better. The next cycle asks again with what the registry says.
-		c.cycle.due = true
-		c.candidates.MarkStale()
+	if !s.machines.Reserve(now, placements) {
+		// The registry is authoritative. The next cycle tries again with refreshed candidates.
+		s.cycle.due = true
+		s.candidates.MarkStale()
 		return
 	}
 	for _, pl := range placements {
 		j.Bind(now, pl)
-		if m := c.machines.Machine(pl.Machine); m.NominatedJob == j.Spec.ID {
+		if m := s.machines.Machine(pl.Machine); m.NominatedJob == j.Spec.ID {
 			m.ClearNomination()
 		}
 	}
 }
 
-// newPlacements returns the placements of an allocation, with new attempt numbers. The numbers count as used
-// even if the capacity is not reserved.
+// newPlacements returns the placements of an allocation, each with a new attempt number. Attempt numbers are used up
+// even if the capacity cannot be reserved.
 func newPlacements(j *jobstate.Job, allocated allocation) []*machineregistry.Placement {
 	gang := j.Spec.Shape == protocol.Gang
 	gangAttempt := uint64(0)
--- a/internal/coordination/scheduler/allocate_test.go
+++ b/internal/coordination/scheduler/allocate_test.go
@@ -12,18 +12,18 @@
 	"pinebay/internal/protocol"
 )
 
-// TestAllocationInvariants throws jobs at machines: gangs start whole or not
-// at all, nothing is overcommitted, and limits, zones and kinds are kept.
+// TestAllocationInvariants checks the invariants of allocation for random jobs and machines: gangs start as a whole or
+// not at all, no machine is overcommitted, and quota limits, zones and the exclusion of spot machines are respected.
 func TestAllocationInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limit := float64(rapid.IntRange(0, 30).Draw(t, "limit"))
-		b := newHarness([]config.Team{{Name: "red", MaxGPUs: limit}, {Name: "blue"}}, "a", "b")
+		h := newHarness([]config.Team{{Name: "red", MaxGPUs: limit}, {Name: "blue"}}, "a", "b")
 		zone, spot := map[string]string{}, map[string]bool{}
 		for i := range rapid.IntRange(1, 6).Draw(t, "machines") {
 			name := fmt.Sprintf("m%d", i)
 			zone[name] = rapid.SampledFrom([]string{"a", "b"}).Draw(t, "zone")
 			spot[name] = rapid.IntRange(0, 3).Draw(t, "spot") == 0
-			b.heartbeat(name, zone[name], spot[name])
+			h.heartbeat(name, zone[name], spot[name])
 		}
 		jobs := map[string]protocol.Job{}
 		for i := range rapid.IntRange(1, 12).Draw(t, "jobs") {
@@ -42,17 +42,17 @@
 				j.Zone = "a"
 			}
 			jobs[j.ID] = j
-			b.addJob(j)
+			h.addJob(j)
 			if rapid.Bool().Draw(t, "cycle") {
-				b.runCycle()
+				h.runCycle()
 			}
 		}
 		for range 6 {
-			b.runCycle()
+			h.runCycle()
 		}
 		used, red := map[string]float64{}, 0.0
 		zones := map[string]map[string]int{}
-		for id, m := range b.machineOf {
+		for id, m := range h.machineOf {
 			j := jobs[id.JobID]
 			used[m] += j.GPUs
 			if j.Team == "red" {
@@ -63,123 +63,124 @@
 			}
 			zones[id.JobID][zone[m]]++
 			if spot[m] && !j.SpotAllowed || j.Zone != "" && j.Zone != zone[m] {
-				t.Fatalf("%v on %s: zone %s spot %v", id, m, zone[m], spot[m])
+				t.Fatalf("%v was placed on %s in zone %s, spot %v", id, m, zone[m], spot[m])
 			}
 		}
 		for m, u := range used {
 			if u > 8 {
-				t.Fatalf("%s holds %v of 8 GPUs", m, u)
+				t.Fatalf("tasks on %s use %v of 8 GPUs", m, u)
 			}
 		}
 		if limit > 0 && red > limit {
-			t.Fatalf("team uses %v of %v", red, limit)
+			t.Fatalf("team red uses %v GPUs, limit %v", red, limit)
 		}
 		for id, j := range jobs {
-			n := b.startedTasks(id)
+			n := h.startedTasks(id)
 			if j.Shape == protocol.Gang && n != 0 && n != j.TaskCount {
-				t.Fatalf("gang %s: %d of %d started", id, n, j.TaskCount)
+				t.Fatalf("gang %s: %d of %d tasks started", id, n, j.TaskCount)
 			}
 			if j.SameZone && len(zones[id]) > 1 {
-				t.Fatalf("%s is in zones %v", id, zones[id])
+				t.Fatalf("tasks of %s run in several zones: %v", id, zones[id])
 			}
 			for z, n := range zones[id] {
 				if j.Spread && n > (j.TaskCount+1)/2 {
-					t.Fatalf("%s has %d of %d in %s", id, n, j.TaskCount, z)
+					t.Fatalf("%s runs %d of %d tasks in zone %s", id, n, j.TaskCount, z)
 				}
 			}
 		}
 	})
 }
 
-// TestGangHoldAndBackfill: capacity for a part of a gang is held against smaller jobs for three cycles, and
-// then they may backfill it.
+// TestGangHoldAndBackfill checks that capacity for a part of a gang is held against smaller jobs for gangHoldCycles
+// cycles and that smaller jobs may backfill it in the next one.
 func TestGangHoldAndBackfill(t *testing.T) {
-	b := newHarness([]config.Team{{Name: "red"}}, "a")
-	b.heartbeat("m1", "a", false)
-	b.addJob(jobSpec("j-1", protocol.Gang, "urgent", 2, 8)) // needs two machines
+	h := newHarness([]config.Team{{Name: "red"}}, "a")
+	h.heartbeat("m1", "a", false)
+	h.addJob(jobSpec("j-1", protocol.Gang, "urgent", 2, 8)) // needs two machines
 	small := jobSpec("j-2", protocol.Array, "urgent", 1, 1)
 	small.Class = "d"
 	for cycle := 1; cycle <= gangHoldCycles+1; cycle++ {
 		if cycle == 1 {
-			b.now++
-			b.addJob(small)
+			h.now++
+			h.addJob(small)
 		}
-		b.heartbeat("m1", "a", false)
-		b.runCycle()
-		if got, want := b.startedTasks("j-2"), cycle > gangHoldCycles; (got == 1) != want {
-			t.Fatalf("cycle %d: backfilled %v", cycle, got)
+		h.heartbeat("m1", "a", false)
+		h.runCycle()
+		if got, want := h.startedTasks("j-2"), cycle > gangHoldCycles; (got == 1) != want {
+			t.Fatalf("cycle %d: %d backfilling tasks started", cycle, got)
 		}
 	}
-	if b.startedTasks("j-1") != 0 {
-		t.Error("part of the gang was started")
+	if h.startedTasks("j-1") != 0 {
+		t.Error("a part of the gang was started")
 	}
 }
 
-// TestCapacityIsPlannedUnderLoad: however often events make a cycle due, capacity is planned once a second.
-// With hundreds of machines a cycle is always due, and dead machines would not be fenced for minutes.
+// TestCapacityIsPlannedUnderLoad checks that capacity is planned once per second even if events keep making a cycle
+// due. With hundreds of machines a cycle is always due; if planning waited for an idle moment, dead machines would not
+// be fenced for minutes.
 func TestCapacityIsPlannedUnderLoad(t *testing.T) {
-	b := newHarness([]config.Team{{Name: "red"}}, "a")
+	h := newHarness([]config.Team{{Name: "red"}}, "a")
 	lists, until := 0, 30*time.Second
-	for i := 0; b.now < until; i++ {
-		b.now += MinCycleInterval
-		b.addJob(jobSpec(fmt.Sprintf("j-%d", i), protocol.Array, "normal", 1, 1))
-		for _, e := range b.scheduler.Step(b.now, Tick{}) {
-			if f, ok := e.(CloudRequest); ok && f.Effect == (autoscaler.ListMachines{}) {
+	for i := 0; h.now < until; i++ {
+		h.now += MinCycleInterval
+		h.addJob(jobSpec(fmt.Sprintf("j-%d", i), protocol.Array, "normal", 1, 1))
+		for _, e := range h.scheduler.Step(h.now, Tick{}) {
+			if request, ok := e.(CloudRequest); ok && request.Effect == (autoscaler.ListMachines{}) {
 				lists++
-				b.apply(MachinesListed{RequestedAt: b.now})
+				h.apply(MachinesListed{RequestedAt: h.now})
 			}
 		}
 	}
-	// A list is requested when the capacity is planned next.
-	every := config.Seconds(b.scheduler.cfg.Cloud.ListLagSeconds/2) + CycleInterval
+	// The list of machines is requested with the next capacity plan.
+	every := config.Seconds(h.scheduler.cfg.Cloud.ListLagSeconds/2) + CycleInterval
 	if want := int(until / every); lists < want {
-		t.Errorf("the machines were listed %d times, want %d", lists, want)
+		t.Errorf("the machines were listed %d times, want at least %d", lists, want)
 	}
 }
 
-// TestTeamsShareFairly: under overload, the queue of one team does not shut out another's.
+// TestTeamsShareFairly checks that under overload the queue of one team does not starve another team.
 func TestTeamsShareFairly(t *testing.T) {
-	b := newHarness([]config.Team{{Name: "red"}, {Name: "blue"}}, "a")
+	h := newHarness([]config.Team{{Name: "red"}, {Name: "blue"}}, "a")
 	for i := range 20 {
-		b.addJob(jobSpec(fmt.Sprintf("j-%d", i), protocol.Service, "normal", 1, 1))
+		h.addJob(jobSpec(fmt.Sprintf("j-%d", i), protocol.Service, "normal", 1, 1))
 	}
-	b.now++
+	h.now++
 	for i := range 20 {
 		j := jobSpec(fmt.Sprintf("j-%d", 100+i), protocol.Service, "normal", 1, 1)
 		j.Team = "blue"
-		b.addJob(j)
+		h.addJob(j)
 	}
-	b.heartbeat("m1", "a", false)
-	b.runCycle()
-	red, blue := b.scheduler.machines.TeamUsage("red").GPUs, b.scheduler.machines.TeamUsage("blue").GPUs
+	h.heartbeat("m1", "a", false)
+	h.runCycle()
+	red, blue := h.scheduler.machines.TeamUsage("red").GPUs, h.scheduler.machines.TeamUsage("blue").GPUs
 	if red != 4 || blue != 4 {
-		t.Errorf("red has %v, blue %v of 8", red, blue)
+		t.Errorf("red uses %v and blue %v of 8 GPUs, want 4 each", red, blue)
 	}
 }
 
-// TestLargestJob: a job of 100,000 tasks is accepted, recorded and placed, and its size does not show in the
-// cost of a cycle.
+// TestLargestJob checks that a job with the maximum of 100,000 tasks is accepted, recorded and placed, and that the
+// cost of a cycle does not depend on its size.
 func TestLargestJob(t *testing.T) {
-	b := newHarness([]config.Team{{Name: "red"}}, "a")
+	h := newHarness([]config.Team{{Name: "red"}}, "a")
 	for i := range 10 {
-		b.heartbeat(fmt.Sprintf("m%d", i), "a", false)
+		h.heartbeat(fmt.Sprintf("m%d", i), "a", false)
 	}
-	b.addJob(jobSpec("j-1", protocol.Array, "normal", protocol.MaxTasks, 1))
+	h.addJob(jobSpec("j-1", protocol.Array, "normal", protocol.MaxTasks, 1))
 	done := 0
 	for range 30 {
-		b.runCycle()
+		h.runCycle()
 		by := map[string][]protocol.TaskStatus{}
-		for id, c := range b.runs {
-			by[b.machineOf[id]] = append(by[b.machineOf[id]], exitedTask(id, c.Attempt, protocol.CauseDone))
+		for id, c := range h.runs {
+			by[h.machineOf[id]] = append(by[h.machineOf[id]], exitedTask(id, c.Attempt, protocol.CauseDone))
 			done++
 		}
-		clear(b.runs)
+		clear(h.runs)
 		for i := range 10 {
 			m := fmt.Sprintf("m%d", i)
-			b.heartbeat(m, "a", false, by[m]...)
+			h.heartbeat(m, "a", false, by[m]...)
 		}
 	}
-	if s, ok := b.scheduler.Status("j-1"); !ok || s.DoneTasks != done || done < 30*80/2 {
-		t.Errorf("%+v, %d done", s, done)
+	if s, ok := h.scheduler.Status("j-1"); !ok || s.DoneTasks != done || done < 30*80/2 {
+		t.Errorf("status %+v, %d tasks reported as done", s, done)
 	}
 }
--- a/internal/coordination/scheduler/backlog_bench_test.go
+++ b/internal/coordination/scheduler/backlog_bench_test.go
@@ -8,24 +8,24 @@
 	"pinebay/internal/protocol"
 )
 
-// BenchmarkBacklog measures a cycle with thousands of jobs that wait for full machines.
+// BenchmarkBacklog measures a cycle while thousands of jobs wait and all machines are full.
 func BenchmarkBacklog(b *testing.B) {
-	f := newHarness([]config.Team{{Name: "red"}}, "a", "b")
+	h := newHarness([]config.Team{{Name: "red"}}, "a", "b")
 	for i := range 130 {
-		f.heartbeat(fmt.Sprintf("m%03d", i), []string{"a", "b"}[i%2], false)
+		h.heartbeat(fmt.Sprintf("m%03d", i), []string{"a", "b"}[i%2], false)
 	}
 	for i := range 5000 {
 		j := jobSpec(fmt.Sprintf("j-%d", i), protocol.Array, "normal", 3, 1)
 		j.Image = fmt.Sprintf("i%d", i%10)
-		f.addJob(j)
+		h.addJob(j)
 	}
 	for range 5 {
-		f.runCycle()
+		h.runCycle()
 	}
 	for b.Loop() {
 		for i := range 130 {
-			f.heartbeat(fmt.Sprintf("m%03d", i), []string{"a", "b"}[i%2], false)
+			h.heartbeat(fmt.Sprintf("m%03d", i), []string{"a", "b"}[i%2], false)
 		}
-		f.runCycle()
+		h.runCycle()
 	}
 }
--- a/internal/coordination/scheduler/borrowing.go
+++ b/internal/coordination/scheduler/borrowing.go
@@ -12,8 +12,8 @@
 	"pinebay/internal/protocol"
 )
 
-// borrowerOf describes a job for which zone failover searches for capacity.
-func (c *Scheduler) borrowerOf(j *jobstate.Job) zonefailover.Borrower {
+// borrowerOf describes a job to zone failover, which searches for capacity that the job can borrow.
+func (s *Scheduler) borrowerOf(j *jobstate.Job) zonefailover.Borrower {
 	limits := placement.ZoneLimitsOf(j)
 	return zonefailover.Borrower{
 		Job:       &j.Spec,
@@ -24,71 +24,73 @@
 	}
 }
 
-// mayBorrow reports whether a job may borrow capacity, since it has lost tasks with a zone that is not available
-// again.
-func (c *Scheduler) mayBorrow(j *jobstate.Job) bool {
-	return c.zoneFailover != nil && c.zoneFailover.MayBorrow(j.Spec.ID)
+// mayBorrow reports whether a job may borrow capacity because it has lost tasks with a zone that is not available yet.
+func (s *Scheduler) mayBorrow(j *jobstate.Job) bool {
+	return s.zoneFailover != nil && s.zoneFailover.MayBorrow(j.Spec.ID)
 }
 
-// awaitsLentCapacity reports whether capacity that a job was lent is about to come free. Backfill would take what the
-// job has meanwhile, only to be preempted for it at once.
-func (c *Scheduler) awaitsLentCapacity(now time.Duration, j *jobstate.Job) bool {
-	return c.mayBorrow(j) && len(c.rules.Nominated(now, j)) > 0
+// awaitsLentCapacity reports whether capacity that was lent to a job is about to become free. Meanwhile, backfilling
+// the capacity that the job already holds would only lead to an immediate preemption.
+func (s *Scheduler) awaitsLentCapacity(now time.Duration, j *jobstate.Job) bool {
+	return s.mayBorrow(j) && len(s.rules.Nominated(now, j)) > 0
 }
 
-// borrowCapacity finds capacity for up to n tasks of a job that lost them with a zone. It reports whether that is how
-// the job gets its capacity, which it is unless no further loan can be recorded.
-func (c *Scheduler) borrowCapacity(now time.Duration, j *jobstate.Job, l *placement.ZoneLimits, n int) bool {
-	n -= len(c.rules.Nominated(now, j)) // lent already, and not free yet
+// borrowCapacity searches for capacity for up to n tasks of a job that has lost them with a zone. It returns false only
+// if the loans cannot be recorded, in which case the job has to get its capacity by ordinary preemption.
+func (s *Scheduler) borrowCapacity(now time.Duration, j *jobstate.Job, limits *placement.ZoneLimits, n int) bool {
+	n -= len(s.rules.Nominated(now, j)) // already lent but not free yet
 	if n <= 0 {
 		return true
 	}
-	m := c.zoneFailover
-	borrower := c.borrowerOf(j)
-	request, ok := m.Request(&borrower, n)
-	if !ok || !m.AcquireSearch(now, j.Spec.ID) {
+	failover := s.zoneFailover
+	borrower := s.borrowerOf(j)
+	request, ok := failover.Request(&borrower, n)
+	if !ok || !failover.AcquireSearch(now, j.Spec.ID) {
 		return true
 	}
-	if l.OnlyZone != "" {
-		request = request.InZone(l.OnlyZone)
+	if limits.OnlyZone != "" {
+		request = request.InZone(limits.OnlyZone)
 	}
-	all := c.candidates.All(now)
-	capacity := m.BorrowableCapacity(now, all)
-	choice := capacity.Choose(&borrower, request, func(x *candidates.Candidate) bool {
-		return c.rules.Feasible(now, j, x, l) && !x.Machine.IsNominatedFor(now, j.Spec.ID)
+	all := s.candidates.All(now)
+	capacity := failover.BorrowableCapacity(now, all)
+	choice := capacity.Choose(&borrower, request, func(candidate *candidates.Candidate) bool {
+		return s.rules.Feasible(now, j, candidate, limits) && !candidate.Machine.IsNominatedFor(now, j.Spec.ID)
 	})
 	incomplete := j.Spec.Shape == protocol.Gang && len(choice.Picks) < n
 	if len(choice.Picks) == 0 || incomplete || capacity.ViolatesQuota(choice) {
-		m.DelaySearch(now, j.Spec.ID)
+		failover.DelaySearch(now, j.Spec.ID)
 		return true
 	}
-	if err := m.Lend(now, j.Spec.ID, choice.Lenders, c.failoverRecordLimits()); err != nil {
-		c.log.Info("failed to open loans", "job", j.Spec.ID, "error", err)
+	if err := failover.Lend(now, j.Spec.ID, choice.Lenders, s.failoverRecordLimits()); err != nil {
+		s.log.Info("failed to open loans", "job", j.Spec.ID, "error", err)
 		return false
 	}
-	c.nominateChosen(now, j, all, l, choice)
+	s.nominatePicks(now, j, all, limits, choice)
 	return true
 }
 
-// nominateChosen keeps the machines of a choice for the job until the lenders have left.
-func (c *Scheduler) nominateChosen(
+// nominatePicks nominates the chosen machines for the borrower until the lenders have stopped.
+func (s *Scheduler) nominatePicks(
 	now time.Duration,
 	j *jobstate.Job,
 	all []*candidates.Candidate,
-	l *placement.ZoneLimits,
+	limits *placement.ZoneLimits,
 	choice zonefailover.Choice,
 ) {
 	save := 0.0
 	for _, lender := range choice.Lenders {
-		save = max(save, c.jobs[lender.Job].Spec.SaveSeconds+c.cfg.Workers.GangPeerSeconds)
+		save = max(save, s.jobs[lender.Job].Spec.SaveSeconds+s.cfg.Workers.GangPeerSeconds)
 	}
-	until := now + config.Seconds(save+3*c.cfg.Workers.HeartbeatSeconds) + 2*CycleInterval
-	for _, x := range all {
-		if !slices.ContainsFunc(choice.Picks, func(p zonefailover.Pick) bool { return p.Machine == x.Machine.Name }) {
+	until := now + config.Seconds(save+3*s.cfg.Workers.HeartbeatSeconds) + 2*CycleInterval
+	for _, candidate := range all {
+		if !slices.ContainsFunc(
+			choice.Picks,
+			func(p zonefailover.Pick) bool { return p.Machine == candidate.Machine.Name },
+		) {
 			continue
 		}
-		c.candidates.ClaimNomination(x)
-		l.TasksPerZone[x.Machine.Zone]++
-		c.rules.Nominate(x.Machine, j, until)
+		s.candidates.ClaimNomination(candidate)
+		limits.TasksPerZone[candidate.Machine.Zone]++
+		s.rules.Nominate(candidate.Machine, j, until)
 	}
 }
--- a/internal/coordination/scheduler/cancellation.go
+++ b/internal/coordination/scheduler/cancellation.go
@@ -8,63 +8,64 @@
 	"pinebay/internal/protocol"
 )
 
-// handleCancellationIntent stops a job whose user may be told that it is cancelled before the leader reads that from
-// the state service, which may not be reachable. Nobody needs the results of its tasks. If it is not cancelled after
-// all, it is placed again.
-func (c *Scheduler) handleCancellationIntent(now time.Duration, e CancellationIntent) {
-	c.cancellationIntents[e.ID] = max(c.cancellationIntents[e.ID], e.ValidUntil)
-	j := c.jobs[e.ID]
+// handleCancellationIntent stops a job whose user may be told that it is cancelled before the leader can read the
+// cancellation from the state service, which may be unreachable. Nobody needs the results of its tasks by then. If the
+// job turns out not to be cancelled, it is placed again.
+func (s *Scheduler) handleCancellationIntent(now time.Duration, e CancellationIntent) {
+	s.cancellationIntents[e.ID] = max(s.cancellationIntents[e.ID], e.ValidUntil)
+	j := s.jobs[e.ID]
 	if j == nil || j.Ended {
 		return
 	}
-	c.log.Debug("cancellation requested", "job", e.ID)
-	c.setFencingDeadline(j, c.fencingDeadline(now))
+	s.log.Debug("cancellation requested", "job", e.ID)
+	s.setFencingDeadline(j, s.fencingDeadline(now))
 	if j.Spec.Shape == protocol.Gang {
-		c.stopGang(now, j)
+		s.stopGang(now, j)
 		return
 	}
 	for _, pl := range j.SortedPlacements() {
-		c.stopPlacement(now, j, pl, 0)
+		s.stopPlacement(now, j, pl, 0)
 	}
 }
 
-// fencingDeadline is when machines must be fenced that may still run tasks of a job that is cancelled now. Half of the
-// time is left for the release of the machines, and for another leader should this one fail.
-func (c *Scheduler) fencingDeadline(now time.Duration) time.Duration {
-	return now + config.Seconds(c.cfg.Workers.CancelSeconds/2)
+// fencingDeadline returns the time at which machines have to be fenced that may still run tasks of a job that is
+// cancelled now. That is after half of the allowed time; the other half is reserved for the release of the machines and
+// for a failover to another leader.
+func (s *Scheduler) fencingDeadline(now time.Duration) time.Duration {
+	return now + config.Seconds(s.cfg.Workers.CancelSeconds/2)
 }
 
-// setFencingDeadline sets by when the tasks of a job must be gone, unless that is set already.
-func (c *Scheduler) setFencingDeadline(j *jobstate.Job, by time.Duration) {
+// setFencingDeadline sets the time by which the tasks of a job must be gone. Deadlines that are already set stay.
+func (s *Scheduler) setFencingDeadline(j *jobstate.Job, deadline time.Duration) {
 	for _, pl := range j.Placements {
 		if pl.FenceAt == 0 {
-			pl.FenceAt = by
+			pl.FenceAt = deadline
 		}
 	}
 }
 
-// expireCancellationIntents lets jobs run again of which the watch has shown no cancellation up to a time at which
-// their intents were no longer valid.
-func (c *Scheduler) expireCancellationIntents(watchedUpTo time.Duration) {
-	for id, validUntil := range c.cancellationIntents {
+// expireCancellationIntents removes the intents that had expired by watchedUpTo. The watch has delivered all changes up
+// to that time, so a job that is still live was not cancelled and may run again.
+func (s *Scheduler) expireCancellationIntents(watchedUpTo time.Duration) {
+	for id, validUntil := range s.cancellationIntents {
 		if watchedUpTo > validUntil {
-			delete(c.cancellationIntents, id)
-			c.cycle.due = true
+			delete(s.cancellationIntents, id)
+			s.cycle.due = true
 		}
 	}
 }
 
-// startForbidden reports whether no task of a job may start.
-func (c *Scheduler) startForbidden(j *jobstate.Job) bool {
-	_, mayBeCancelled := c.cancellationIntents[j.Spec.ID]
+// startForbidden reports whether tasks of a job must not be started.
+func (s *Scheduler) startForbidden(j *jobstate.Job) bool {
+	_, mayBeCancelled := s.cancellationIntents[j.Spec.ID]
 	return mayBeCancelled || j.Ended || j.Ending || j.Blocked
 }
 
-// handleJobEnded ends a job whose live record another transaction than the leader's has deleted.
-func (c *Scheduler) handleJobEnded(now time.Duration, id string) {
-	j := c.jobs[id]
+// handleJobEnded ends a job whose live record was deleted by a transaction other than the leader's own.
+func (s *Scheduler) handleJobEnded(now time.Duration, id string) {
+	j := s.jobs[id]
 	if j == nil || j.Ended || j.Ending {
-		return // the outcome of the leader's own write will end it
+		return // the outcome of the leader's own write ends it
 	}
-	c.endJob(now, j)
+	s.endJob(now, j)
 }
--- a/internal/coordination/scheduler/cancelleddependents.go
+++ b/internal/coordination/scheduler/cancelleddependents.go
@@ -10,16 +10,16 @@
 	"pinebay/internal/storage"
 )
 
-// cancelledDependents is the queue of the jobs that were cancelled with a dependency and whose ends have to be
-// recorded. They count as cancelled without a record, since every controller derives that from the dependency. The
-// record saves that work.
+// cancelledDependents is the queue of jobs that were cancelled together with a dependency and whose ends have yet to be
+// recorded. They count as cancelled even without a record, because every controller derives that from the dependency;
+// the record spares controllers the derivation.
 type cancelledDependents struct{ jobs []*jobstate.Job }
 
 func (q *cancelledDependents) empty() bool { return len(q.jobs) == 0 }
 
 func (q *cancelledDependents) add(jobs ...*jobstate.Job) { q.jobs = append(q.jobs, jobs...) }
 
-// next removes and returns the next job. The queue must not be empty.
+// next removes and returns the first job. The queue must not be empty.
 func (q *cancelledDependents) next() *jobstate.Job {
 	j := q.jobs[0]
 	q.jobs[0] = nil
@@ -27,86 +27,87 @@
 	return j
 }
 
-// writeCancelledDependents records the ends of cancelled dependents, as far as the state service has room for them.
-func (c *Scheduler) writeCancelledDependents() {
-	for !c.cancelledDependents.empty() && c.mayWriteCompletions() {
-		id, name := c.writes.nextID()
-		t, jobs := c.nextCancellations(name)
+// writeCancelledDependents records the ends of cancelled dependents, as far as the state service has capacity for them.
+func (s *Scheduler) writeCancelledDependents() {
+	for !s.cancelledDependents.empty() && s.mayWriteCompletions() {
+		id, name := s.writes.nextID()
+		txn, jobs := s.nextCancellationBatch(name)
 		if len(jobs) == 0 {
 			return
 		}
-		c.writeCancellations(id, name, t, jobs)
+		s.writeCancellationBatch(id, name, txn, jobs)
 	}
 }
 
-// nextCancellations returns a transaction that records the ends of the next cancelled dependents, and those jobs.
-func (c *Scheduler) nextCancellations(name string) (t protocol.Txn, jobs []*jobstate.Job) {
-	t.If = []protocol.Compare{c.writes.termUnchanged()}
-	maxOperations := max(placementrecords.MinOperations, c.recordLimits.MaxOperations())
-	for !c.cancelledDependents.empty() && len(t.Then)+placementrecords.MinOperations <= maxOperations {
-		j := c.cancelledDependents.next()
+// nextCancellationBatch returns a transaction that records the ends of the next cancelled dependents, and the jobs that
+// it covers.
+func (s *Scheduler) nextCancellationBatch(name string) (txn protocol.Txn, jobs []*jobstate.Job) {
+	txn.If = []protocol.Compare{s.writes.termUnchanged()}
+	maxOperations := max(placementrecords.MinOperations, s.recordLimits.MaxOperations())
+	for !s.cancelledDependents.empty() && len(txn.Then)+placementrecords.MinOperations <= maxOperations {
+		j := s.cancelledDependents.next()
 		if j.Ended || j.WriteInFlight || j.Ending {
-			continue // it has ended otherwise, or is about to
+			continue // it has ended for another reason or is about to
 		}
 		value, err := protocol.Encode(storage.EndedJobRecord{
 			State:               protocol.JobCancelled,
 			WriteName:           name,
-			CancelledDependency: c.dependencies.CancelledBy(j.Spec.ID),
+			CancelledDependency: s.dependencies.CancelledBy(j.Spec.ID),
 		})
 		if err != nil {
-			c.log.Error("failed to encode ended job record", "job", j.Spec.ID, "error", err)
+			s.log.Error("failed to encode ended job record", "job", j.Spec.ID, "error", err)
 			continue
 		}
 		live, ended := storage.LiveJobKey(j.Spec.ID), storage.EndedJobKey(j.Spec.ID)
-		t.If = append(t.If, protocol.Compare{Key: live, Revision: j.LiveRevision}, protocol.Compare{Key: ended})
-		t.Then = append(t.Then, protocol.Op{DeleteKey: live}, protocol.Op{PutKey: ended, Value: value})
+		txn.If = append(txn.If, protocol.Compare{Key: live, Revision: j.LiveRevision}, protocol.Compare{Key: ended})
+		txn.Then = append(txn.Then, protocol.Op{DeleteKey: live}, protocol.Op{PutKey: ended, Value: value})
 		jobs = append(jobs, j)
 	}
-	return t, jobs
+	return txn, jobs
 }
 
-// writeCancellations records the ends of jobs in one transaction.
-func (c *Scheduler) writeCancellations(id uint64, name string, t protocol.Txn, jobs []*jobstate.Job) {
+// writeCancellationBatch records the ends of several jobs in one transaction.
+func (s *Scheduler) writeCancellationBatch(id uint64, name string, txn protocol.Txn, jobs []*jobstate.Job) {
 	for _, j := range jobs {
 		j.Ending = true
 	}
-	onOutcome := func(now time.Duration, w TransactionOutcome) {
+	onOutcome := func(now time.Duration, outcome TransactionOutcome) {
 		for _, j := range jobs {
 			j.Ending = false
 		}
 		switch {
-		case w.Succeeded:
+		case outcome.Succeeded:
 			for _, j := range jobs {
-				c.log.Debug("job cancelled with dependency", "job", j.Spec.ID)
-				c.dependencies.EndWithUnknownOutcome(j.Spec.ID)
-				c.endJob(now, j)
+				s.log.Debug("job cancelled with dependency", "job", j.Spec.ID)
+				s.dependencies.EndWithUnknownOutcome(j.Spec.ID)
+				s.endJob(now, j)
 			}
-		case w.Malformed:
-			c.shrinkTransactions(&t)
-			c.delayedCalls.add(now+rejectedRetryDelay, func(time.Duration) { c.cancelledDependents.add(jobs...) })
+		case outcome.Malformed:
+			s.shrinkTransactions(&txn)
+			s.delayedCalls.add(now+rejectedRetryDelay, func(time.Duration) { s.cancelledDependents.add(jobs...) })
 			return
-		case !c.handleEndedElsewhere(now, jobs, w):
+		case !s.handleConcurrentEnds(now, jobs, outcome):
 			return
 		default:
-			// Some have ended meanwhile. The others are written again.
-			c.cancelledDependents.add(jobs...)
+			// Some of the jobs have ended concurrently. The others are written again.
+			s.cancelledDependents.add(jobs...)
 		}
-		c.writeCancelledDependents()
+		s.writeCancelledDependents()
 	}
-	write := Write{ID: id, Txn: t, Priority: PriorityCompletion, VerifyKey: t.Then[1].PutKey, Name: name}
-	c.submitPages(write, onOutcome)
+	write := Write{ID: id, Txn: txn, Priority: PriorityCompletion, VerifyKey: txn.Then[1].PutKey, Name: name}
+	s.submitPages(write, onOutcome)
 }
 
-// handleEndedElsewhere ends the jobs whose records another transaction has changed, and so made the leader's fail. It
-// returns false if that was not the reason, and the leader has stepped down.
-func (c *Scheduler) handleEndedElsewhere(now time.Duration, jobs []*jobstate.Job, w TransactionOutcome) bool {
+// handleConcurrentEnds ends the jobs whose records were changed by another transaction, which made the leader's
+// transaction fail. It returns false if that was not the reason for the failure; the leader has then stepped down.
+func (s *Scheduler) handleConcurrentEnds(now time.Duration, jobs []*jobstate.Job, outcome TransactionOutcome) bool {
 	ended := false
 	for _, j := range jobs {
-		if slices.Contains(w.FailedKeys, storage.LiveJobKey(j.Spec.ID)) ||
-			slices.Contains(w.FailedKeys, storage.EndedJobKey(j.Spec.ID)) {
-			c.endJob(now, j)
+		if slices.Contains(outcome.FailedKeys, storage.LiveJobKey(j.Spec.ID)) ||
+			slices.Contains(outcome.FailedKeys, storage.EndedJobKey(j.Spec.ID)) {
+			s.endJob(now, j)
 			ended = true
 		}
 	}
-	return ended || c.endedMeanwhile(jobs[0], w)
+	return ended || s.endedConcurrently(jobs[0], outcome)
 }
--- a/internal/coordination/scheduler/cloudevents.go
+++ b/internal/coordination/scheduler/cloudevents.go
@@ -7,31 +7,31 @@
 	"pinebay/internal/protocol"
 )
 
-// handleMachinesListed compares the registry with the cloud's list of machines.
-func (c *Scheduler) handleMachinesListed(now time.Duration, e MachinesListed) {
+// handleMachinesListed reconciles the registry with the list of machines in the cloud.
+func (s *Scheduler) handleMachinesListed(now time.Duration, e MachinesListed) {
 	if e.Failed {
-		c.autoscaler.HandleListFailure()
+		s.autoscaler.HandleListFailure()
 		return
 	}
-	if c.prober.enqueueListed(e.Machines) {
-		c.sendProbes(now)
+	if s.prober.enqueueListed(e.Machines) {
+		s.sendProbes(now)
 	}
 	for i := range e.Machines {
 		if e.Machines[i].State == protocol.MachineFailed {
-			c.zoneFailover.NoteDepartedMachine(e.Machines[i].Name)
+			s.zoneFailover.NoteDepartedMachine(e.Machines[i].Name)
 		}
 	}
-	for _, name := range c.autoscaler.HandleList(now, e.RequestedAt, e.Machines) {
-		c.log.Info("machine no longer listed", "machine", name)
-		c.zoneFailover.NoteDepartedMachine(name)
-		c.removeMachine(now, name)
+	for _, name := range s.autoscaler.HandleList(now, e.RequestedAt, e.Machines) {
+		s.log.Info("machine no longer listed", "machine", name)
+		s.zoneFailover.NoteDepartedMachine(name)
+		s.removeMachine(now, name)
 	}
 }
 
-// handleScaleOut passes the outcome of a rental to the autoscaler.
-func (c *Scheduler) handleScaleOut(now time.Duration, e ScaleOutResult) {
-	c.log.Info("scale-out answered", "request_id", e.Request, "machine_count", len(e.Machines), "refused", e.Refused)
-	c.autoscaler.HandleScaleOut(now, autoscaler.RentalOutcome{
+// handleScaleOut passes the outcome of a request for machines to the autoscaler.
+func (s *Scheduler) handleScaleOut(now time.Duration, e ScaleOutResult) {
+	s.log.Info("scale-out answered", "request_id", e.Request, "machine_count", len(e.Machines), "refused", e.Refused)
+	s.autoscaler.HandleScaleOut(now, autoscaler.RentalOutcome{
 		RequestID:   e.Request,
 		RequestedAt: e.RequestedAt,
 		Machines:    e.Machines,
@@ -39,18 +39,18 @@
 	})
 }
 
-// handleScaleIn removes machines that the cloud has taken back: nothing runs on them any more.
-func (c *Scheduler) handleScaleIn(now time.Duration, e ScaleInResult) {
-	c.autoscaler.HandleScaleIn(now, e.Machines, e.Succeeded)
+// handleScaleIn removes the machines that the cloud has taken back. Nothing runs on them any longer.
+func (s *Scheduler) handleScaleIn(now time.Duration, e ScaleInResult) {
+	s.autoscaler.HandleScaleIn(now, e.Machines, e.Succeeded)
 	if !e.Succeeded {
 		return
 	}
 	for _, name := range e.Machines {
-		c.removeMachine(now, name)
+		s.removeMachine(now, name)
 	}
 }
 
-// removeMachine removes a machine that does not exist any more, and applies what follows for its placements.
-func (c *Scheduler) removeMachine(now time.Duration, name string) {
-	c.applyObservations(now, c.machines.Remove(now, name))
+// removeMachine removes a machine that no longer exists and handles the loss of its placements.
+func (s *Scheduler) removeMachine(now time.Duration, name string) {
+	s.applyObservations(now, s.machines.Remove(now, name))
 }
--- a/internal/coordination/scheduler/completion_test.go
+++ b/internal/coordination/scheduler/completion_test.go
@@ -12,13 +12,13 @@
 	"pinebay/internal/storage"
 )
 
-// manualStore is a harness whose writes have an outcome only when the test gives them one.
+// manualStore is a harness in which the test determines the outcome of each write.
 type manualStore struct {
 	*harness
 	inFlight []Write
 }
 
-// newManualStore returns one in which a number of jobs run, each of two tasks on a machine of its own.
+// newManualStore returns a manualStore with running jobs, each with two tasks on a machine of its own.
 func newManualStore(t *testing.T, jobs int) *manualStore {
 	t.Helper()
 	s := &manualStore{harness: newHarness([]config.Team{{Name: "red"}}, "a")}
@@ -36,7 +36,7 @@
 	return s
 }
 
-// step applies an event and keeps the writes that it causes.
+// step passes an event to the scheduler and keeps the resulting writes in flight.
 func (s *manualStore) step(e Event) {
 	for _, effect := range s.scheduler.Step(s.now, e) {
 		if w, ok := effect.(Write); ok {
@@ -73,7 +73,7 @@
 	return names
 }
 
-// pagesInFlight returns how many pages are being written with a priority.
+// pagesInFlight returns the number of pages in flight with a priority.
 func (s *manualStore) pagesInFlight(p WritePriority) (pages int) {
 	for _, w := range s.inFlight {
 		if w.Priority == p {
@@ -83,9 +83,9 @@
 	return pages
 }
 
-// However many completions are to be recorded and however slow the store is, only a few of those writes are in flight,
-// and a start is written at once. With a thousand workers completions alone had filled the leader's share of the
-// writes, and an urgent task waited for them.
+// TestStartsDoNotWaitForCompletions checks that only a few writes of completions are in flight, however many there are
+// to record and however slow the store is, so that a start is written immediately. With a thousand workers, completions
+// alone used to take up the leader's whole share of the writes, and an urgent task had to wait for them.
 func TestStartsDoNotWaitForCompletions(t *testing.T) {
 	s := newManualStore(t, 60)
 	s.endFirstTasks()
@@ -106,7 +106,8 @@
 	}
 }
 
-// All completions are recorded in the end, longest waiting first, while the store answers one write after the other.
+// TestCompletionsAreRecordedOldestFirst checks that all completions are recorded eventually, starting with the one that
+// has waited longest, while the store processes one write at a time.
 func TestCompletionsAreRecordedOldestFirst(t *testing.T) {
 	const jobs = 40
 	s := newManualStore(t, jobs)
@@ -125,11 +126,12 @@
 		t.Errorf("%d of %d jobs' completions recorded, in the order %v", len(order), jobs, order)
 	}
 	if s.scheduler.writes.pagesInFlight[PriorityCompletion] != 0 {
-		t.Errorf("%d pages count as in flight", s.scheduler.writes.pagesInFlight[PriorityCompletion])
+		t.Errorf("%d pages still count as in flight", s.scheduler.writes.pagesInFlight[PriorityCompletion])
 	}
 }
 
-// Of a job with many pages to write, those that starts wait for go first.
+// TestPagesOfStartsAreWrittenFirst checks that, if a job has many pages to write, the pages that starts wait for are
+// written first.
 func TestPagesOfStartsAreWrittenFirst(t *testing.T) {
 	j := jobstate.New(jobSpec("j-1", protocol.Array, "normal", 100, 1), 1, 0, 0, storage.PageLayout{TasksPerPage: 10})
 	for task := range 100 {
@@ -137,6 +139,6 @@
 	}
 	j.Unstarted = []*machineregistry.Placement{{Task: protocol.TaskID{JobID: "j-1", Index: 95}}}
 	if got := j.PagesToWrite(3); !slices.Equal(got, []int{0, 1, 9}) {
-		t.Errorf("pages %v, want the one of the start and two more", got)
+		t.Errorf("pages %v, want the page of the start and two others", got)
 	}
 }
--- a/internal/coordination/scheduler/consolidate.go
+++ b/internal/coordination/scheduler/consolidate.go
@@ -6,19 +6,18 @@
 	"pinebay/internal/coordination/placement"
 )
 
-// consolidationPause is the least time between two machines that are emptied.
-const consolidationPause = 2 * CycleInterval
+// consolidationInterval is the minimum time between two machines being drained for consolidation.
+const consolidationInterval = 2 * CycleInterval
 
-// consolidate empties a machine that few replicas hold, if they fit on fuller machines: it stops them, and
-// the following cycles place them there. The old attempts are proven gone before the new ones start, as
-// always.
-func (c *Scheduler) consolidate(now time.Duration) {
-	m := c.consolidator.Next(now)
+// consolidate drains a machine with few replicas if these fit on fuller machines. It stops the replicas, and the
+// following cycles place them there. As always, a new attempt starts only after the old one is known to be gone.
+func (s *Scheduler) consolidate(now time.Duration) {
+	m := s.consolidator.Next(now)
 	if m == nil {
 		return
 	}
 	for _, pl := range placement.PlacementsOn(m) {
-		c.log.Info("task evicted for consolidation", "task", pl.Task, "attempt", pl.Attempt, "machine", m.Name)
-		c.stopPlacement(now, c.jobs[pl.Task.JobID], pl, 0)
+		s.log.Info("task evicted for consolidation", "task", pl.Task, "attempt", pl.Attempt, "machine", m.Name)
+		s.stopPlacement(now, s.jobs[pl.Task.JobID], pl, 0)
 	}
 }
--- a/internal/coordination/scheduler/cycle_bench_test.go
+++ b/internal/coordination/scheduler/cycle_bench_test.go
@@ -8,17 +8,17 @@
 	"pinebay/internal/protocol"
 )
 
-// largeHarness returns a harness with n machines that are nearly full, and jobs that wait.
+// largeHarness returns a harness with n nearly full machines and with waiting jobs.
 func largeHarness(n int) *harness {
-	b := newHarness([]config.Team{{Name: "red"}}, "a", "b")
-	b.setObjectives([]config.Objective{
+	h := newHarness([]config.Team{{Name: "red"}}, "a", "b")
+	h.setObjectives([]config.Objective{
 		{Kind: "wait", Class: "serve", WithinSeconds: 0.5, Fraction: 0.9},
 		{Kind: "wait", Class: "big", WithinSeconds: 20, Fraction: 0.9},
 		{Kind: "finished", Class: "sweep", WithinSeconds: 100, Fraction: 0.9},
 	})
 	zones := []string{"a", "b"}
 	for i := range n {
-		b.heartbeat(fmt.Sprintf("m%04d", i), zones[i%2], i%5 == 0)
+		h.heartbeat(fmt.Sprintf("m%04d", i), zones[i%2], i%5 == 0)
 	}
 	job := func(i int, class string, shape protocol.Shape, prio protocol.Priority, tasks int, gpus float64) {
 		j := jobSpec(fmt.Sprintf("j-%s%d", class, i), shape, prio, tasks, gpus)
@@ -32,7 +32,7 @@
 		if shape != protocol.Service {
 			j.CheckpointIntervalSeconds, j.SaveSeconds = 10, 2
 		}
-		b.addJob(j)
+		h.addJob(j)
 	}
 	for i := range n * 2 / 5 {
 		job(i, "serve", protocol.Service, "critical", 2+i%3, 2)
@@ -41,44 +41,44 @@
 		}
 		job(i, "sweep", protocol.Array, "normal", 20, 1)
 		if i%20 == 0 {
-			b.runCycle()
-			b.runFetchingTasks()
+			h.runCycle()
+			h.runFetchingTasks()
 		}
 	}
 	for range 60 {
-		b.runCycle()
-		b.runFetchingTasks()
+		h.runCycle()
+		h.runFetchingTasks()
 	}
-	return b
+	return h
 }
 
-// runFetchingTasks has all tasks run that are fetching their image.
-func (b *harness) runFetchingTasks() {
-	for name, ts := range b.tasks {
+// runFetchingTasks starts all tasks that were fetching their image.
+func (h *harness) runFetchingTasks() {
+	for name, ts := range h.tasks {
 		for id, t := range ts {
 			if t.State == protocol.TaskFetching {
 				t.State = protocol.TaskRunning
 				ts[id] = t
 			}
 		}
-		b.apply(HeartbeatReceived{ReplyTo: name, Heartbeat: b.nextHeartbeat(name)})
+		h.apply(HeartbeatReceived{ReplyTo: name, Heartbeat: h.nextHeartbeat(name)})
 	}
 }
 
 func BenchmarkCycle(b *testing.B) {
 	for _, n := range []int{100, 400, 1000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			l := largeHarness(n)
+			h := largeHarness(n)
 			waiting := 0
-			for _, j := range l.scheduler.jobs {
+			for _, j := range h.scheduler.jobs {
 				waiting += j.PendingTasks()
 			}
 			b.ResetTimer()
 			b.ReportMetric(float64(waiting), "waiting")
 			for range b.N {
-				l.now += MinCycleInterval
-				l.scheduler.cycle.due = true
-				l.scheduler.Step(l.now, Tick{})
+				h.now += MinCycleInterval
+				h.scheduler.cycle.due = true
+				h.scheduler.Step(h.now, Tick{})
 			}
 		})
 	}
@@ -87,11 +87,11 @@
 func BenchmarkHeartbeat(b *testing.B) {
 	for _, n := range []int{100, 1000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			l := largeHarness(n)
+			h := largeHarness(n)
 			b.ResetTimer()
 			for i := range b.N {
 				name := fmt.Sprintf("m%04d", i%n)
-				l.scheduler.Step(l.now, HeartbeatReceived{ReplyTo: name, Heartbeat: l.nextHeartbeat(name)})
+				h.scheduler.Step(h.now, HeartbeatReceived{ReplyTo: name, Heartbeat: h.nextHeartbeat(name)})
 			}
 		})
 	}
--- a/internal/coordination/scheduler/cycleclock.go
+++ b/internal/coordination/scheduler/cycleclock.go
@@ -3,90 +3,90 @@
 import "time"
 
 const (
-	// CycleInterval is the longest time between two scheduling cycles, and the time between two plans of capacity.
+	// CycleInterval is the maximum time between two scheduling cycles, and the time between two capacity plans.
 	CycleInterval = time.Second
-	// MinCycleInterval is the shortest time between two cycles, after something relevant has happened.
+	// MinCycleInterval is the minimum time between two scheduling cycles while relevant events keep arriving.
 	MinCycleInterval = CycleInterval / 20
 
-	// A cycle's cost grows with the number of jobs. jobsPerCyclePause is how many of them lengthen the shortest time
-	// between two cycles by once itself, up to maxCyclePause: urgent jobs must not wait for a full interval behind
-	// any number of others.
-	jobsPerCyclePause = 500
-	maxCyclePause     = CycleInterval / 4
+	// The cost of a cycle grows with the number of jobs, so the minimum time between two cycles does, too: it grows by
+	// MinCycleInterval for every jobsPerPauseStep jobs. maxCyclePause bounds it, because urgent jobs must not have to
+	// wait for a full CycleInterval however many other jobs there are.
+	jobsPerPauseStep = 500
+	maxCyclePause    = CycleInterval / 4
 )
 
-// cycleClock decides when a scheduling cycle and a plan of capacity are due.
+// cycleClock determines when a scheduling cycle and a capacity plan are due.
 type cycleClock struct {
-	due        bool // something relevant has happened since the last cycle
+	due        bool // a relevant event has occurred since the last cycle
 	count      uint64
 	lastAt     time.Duration
 	lastPlanAt time.Duration
 }
 
-// newCycleClock returns a clock with a cycle and a plan due at once.
+// newCycleClock returns a clock for which a cycle and a plan are due immediately.
 func newCycleClock(now time.Duration) cycleClock {
 	return cycleClock{due: true, lastAt: now - CycleInterval, lastPlanAt: now - CycleInterval}
 }
 
-// planDue reports whether the next cycle should plan capacity. That has a time of its own: in a large fleet something
-// relevant happens before every cycle, and if planning waited for one without, nothing would be scaled or fenced for
-// minutes.
-func (k *cycleClock) planDue(now time.Duration) bool { return now-k.lastPlanAt >= CycleInterval }
+// planDue reports whether the next cycle should also plan capacity. Planning has an interval of its own: in a large
+// fleet a relevant event precedes every cycle, and if planning waited for a cycle without one, machines would not be
+// scaled or fenced for minutes.
+func (c *cycleClock) planDue(now time.Duration) bool { return now-c.lastPlanAt >= CycleInterval }
 
-// cycleDue reports whether something relevant has happened and the pause after the last cycle is over.
-func (k *cycleClock) cycleDue(now time.Duration, jobs int) bool {
-	pause := min(maxCyclePause, MinCycleInterval*time.Duration(1+jobs/jobsPerCyclePause))
-	return k.due && now-k.lastAt >= pause
+// cycleDue reports whether a relevant event has occurred and the pause after the last cycle has elapsed.
+func (c *cycleClock) cycleDue(now time.Duration, jobs int) bool {
+	pause := min(maxCyclePause, MinCycleInterval*time.Duration(1+jobs/jobsPerPauseStep))
+	return c.due && now-c.lastAt >= pause
 }
 
-// begin records that a cycle begins.
-func (k *cycleClock) begin(now time.Duration) { k.lastAt, k.due = now, false }
+// begin records the start of a cycle.
+func (c *cycleClock) begin(now time.Duration) { c.lastAt, c.due = now, false }
 
-// tick runs a cycle when one is due, and what goes with it.
-func (c *Scheduler) tick(now time.Duration) {
-	c.delayedCalls.run(now)
-	c.sendProbes(now)
-	planDue := c.cycle.planDue(now)
-	if planDue || c.cycle.cycleDue(now, len(c.jobs)) {
-		c.cycle.begin(now)
-		c.runFullCycle(now, planDue)
+// tick runs a scheduling cycle if one is due, and all other work that depends on time alone.
+func (s *Scheduler) tick(now time.Duration) {
+	s.delayedCalls.run(now)
+	s.sendProbes(now)
+	planDue := s.cycle.planDue(now)
+	if planDue || s.cycle.cycleDue(now, len(s.jobs)) {
+		s.cycle.begin(now)
+		s.runFullCycle(now, planDue)
 	}
-	c.recordStarts(now) // writes that were put off may be due
-	c.sendUrgentCommands(now)
+	s.recordStarts(now) // delayed writes may be due
+	s.sendUrgentCommands(now)
 }
 
-// runFullCycle runs a scheduling cycle with all that comes before and after it.
-func (c *Scheduler) runFullCycle(now time.Duration, planDue bool) {
-	if planDue && c.zoneFailover != nil {
-		c.updateZoneStates(now, c.sortedJobs())
+// runFullCycle runs a scheduling cycle with the steps that precede and follow it.
+func (s *Scheduler) runFullCycle(now time.Duration, planDue bool) {
+	if planDue && s.zoneFailover != nil {
+		s.updateZoneStates(now, s.sortedJobs())
 	}
-	c.evictOnTerminationNotice(now)
-	c.runCycle(now)
-	c.writeRecords(now)
+	s.evictOnInterruptionNotice(now)
+	s.runCycle(now)
+	s.writeRecords(now)
 	if planDue {
-		c.planCapacity(now)
+		s.planCapacity(now)
 	}
-	c.writeFailoverRecords(now)
+	s.writeFailoverRecords(now)
 }
 
-// planCapacity scales the fleet, and does what else is due once in an interval.
-func (c *Scheduler) planCapacity(now time.Duration) {
-	c.cycle.lastPlanAt = now
-	c.candidates.Verify(now)
-	demands := c.capacityDemand(now)
-	for _, e := range c.autoscaler.Plan(now, demands) {
-		c.emit(CloudRequest{e})
+// planCapacity scales the fleet and does the other work that is due once per CycleInterval.
+func (s *Scheduler) planCapacity(now time.Duration) {
+	s.cycle.lastPlanAt = now
+	s.candidates.Verify(now)
+	demands := s.capacityDemand(now)
+	for _, e := range s.autoscaler.Plan(now, demands) {
+		s.emit(CloudRequest{e})
 	}
-	c.logUtilization(now, demands)
-	c.checkReachability(now)
-	c.replaceSupersededPages(now)
-	c.writeImageHints(now)
+	s.logUtilization(now, demands)
+	s.checkReachability(now)
+	s.replaceSupersededPages(now)
+	s.writeImageHints(now)
 }
 
-// writeRecords writes the records that starts wait for, then the ends of cancelled dependents and of tasks, as far
-// as the state service has room for them.
-func (c *Scheduler) writeRecords(now time.Duration) {
-	c.recordStarts(now)
-	c.writeCancelledDependents()
-	c.recordCompletions(now)
+// writeRecords writes the records that starts wait for, then the ends of cancelled dependents, then completed tasks, as
+// far as the state service has capacity for them.
+func (s *Scheduler) writeRecords(now time.Duration) {
+	s.recordStarts(now)
+	s.writeCancelledDependents()
+	s.recordCompletions(now)
 }
--- a/internal/coordination/scheduler/delayedcalls.go
+++ b/internal/coordination/scheduler/delayedcalls.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// delayedCalls are functions to be called at a later time, from the tick that follows it.
+// delayedCalls holds functions to be called at a later time. The first tick at or after that time calls them.
 type delayedCalls struct {
 	calls []delayedCall
 }
@@ -16,19 +16,19 @@
 	d.calls = append(d.calls, delayedCall{at, call})
 }
 
-// run calls what is due, in the order in which it was added. Calls may add others, which are not run before the
-// next tick.
+// run makes the calls that are due, in the order in which they were added. Calls that they add run with the next tick
+// at the earliest.
 func (d *delayedCalls) run(now time.Duration) {
 	if len(d.calls) == 0 {
 		return
 	}
 	calls := d.calls
 	d.calls = nil
-	for _, c := range calls {
-		if now < c.at {
-			d.calls = append(d.calls, c)
+	for _, delayed := range calls {
+		if now < delayed.at {
+			d.calls = append(d.calls, delayed)
 			continue
 		}
-		c.call(now)
+		delayed.call(now)
 	}
 }
--- a/internal/coordination/scheduler/demand.go
+++ b/internal/coordination/scheduler/demand.go
@@ -13,26 +13,26 @@
 	"pinebay/internal/protocol"
 )
 
-// capacityDemand returns the capacity that is needed: for pending tasks, for blocked jobs that are likely to be
-// unblocked before a machine requested now has booted, and for jobs that are likely to be submitted before that.
-func (c *Scheduler) capacityDemand(now time.Duration) []autoscaler.Demand {
+// capacityDemand returns the capacity that is needed for pending tasks, for blocked jobs that are likely to be
+// unblocked before a machine requested now has booted, and for jobs that are likely to be submitted before then.
+func (s *Scheduler) capacityDemand(now time.Duration) []autoscaler.Demand {
 	var demands []autoscaler.Demand
 	zones := map[zoneChoiceKey]string{}
-	for _, j := range c.inSchedulingOrder(c.queues.Pending) {
-		if tasks := c.tasksInDemand(now, j); tasks > 0 {
-			demands = c.appendDemand(demands, now, j, tasks, zones)
+	for _, j := range s.inSchedulingOrder(s.queues.Pending) {
+		if tasks := s.demandedTasks(now, j); tasks > 0 {
+			demands = s.appendDemand(demands, now, j, tasks, zones)
 		}
 	}
-	c.forecast.PlanHeadroom(now, c.machines.MachineTypes(), c.objectives())
-	return append(append(demands, c.forecastBlockedJobs(now)...), c.forecast.Headroom()...)
+	s.forecast.PlanHeadroom(now, s.machines.MachineTypes(), s.objectives())
+	return append(append(demands, s.forecastBlockedJobs(now)...), s.forecast.Headroom()...)
 }
 
-// tasksInDemand returns for how many tasks of a job capacity is needed. A job whose tasks fail everywhere gets
-// capacity for one attempt at a time: without any it could never show that the machines were at fault.
-func (c *Scheduler) tasksInDemand(now time.Duration, j *jobstate.Job) int {
-	tasks := min(j.PendingTasks(), c.tasksWithinQuotaLimit(j))
+// demandedTasks returns the number of tasks of a job for which capacity is needed. A job that is likely to be faulty
+// gets capacity for one attempt at a time: without any capacity it could never show that the machines were at fault.
+func (s *Scheduler) demandedTasks(now time.Duration, j *jobstate.Job) int {
+	tasks := min(j.PendingTasks(), s.tasksWithinQuotaLimit(j))
 	switch {
-	case tasks == 0 || c.startForbidden(j):
+	case tasks == 0 || s.startForbidden(j):
 		return 0
 	case !j.LikelyFaulty():
 		return tasks
@@ -44,15 +44,15 @@
 	return tasks
 }
 
-// appendDemand appends the demand for tasks of a job, in the zones that the job allows. zones holds the choices made
+// appendDemand appends the demand for tasks of a job, in the zones that the job allows. zones caches the zones chosen
 // so far.
-func (c *Scheduler) appendDemand(
+func (s *Scheduler) appendDemand(
 	demands []autoscaler.Demand, now time.Duration, j *jobstate.Job, tasks int, zones map[zoneChoiceKey]string,
 ) []autoscaler.Demand {
 	limits := placement.ZoneLimitsOf(j)
 	zone := limits.OnlyZone
 	if j.Spec.SameZone && zone == "" && tasks > 1 {
-		zone = c.chooseZone(now, j, zones)
+		zone = s.chooseZone(now, j, zones)
 	}
 	if !j.Spec.Spread || zone != "" {
 		return append(demands, autoscaler.Demand{
@@ -62,7 +62,7 @@
 			ExcludedMachines: j.AvoidedMachines(),
 		})
 	}
-	allowed := c.allowedZones(&j.Spec)
+	allowed := s.allowedZones(&j.Spec)
 	for _, d := range demand.SpreadOverZones(&j.Spec, allowed, limits.TasksPerZone, limits.MaxTasksPerZone, tasks) {
 		d.ExcludedMachines = j.AvoidedMachines()
 		demands = append(demands, d)
@@ -70,7 +70,8 @@
 	return demands
 }
 
-// zoneChoiceKey is what the choice of a zone depends on. Jobs with the same key get the same zone.
+// zoneChoiceKey contains everything that the choice of a zone depends on. Jobs with the same key are assigned the same
+// zone.
 type zoneChoiceKey struct {
 	need        machineregistry.Resources
 	types, zone string
@@ -78,10 +79,10 @@
 	spot        bool
 }
 
-// chooseZone returns the zone in which capacity is provided for a job that must be in one, and keeps the choice for
-// others of its kind. Otherwise machines in several zones could seem to be enough while no zone has enough, and the job
-// would wait forever.
-func (c *Scheduler) chooseZone(now time.Duration, j *jobstate.Job, chosen map[zoneChoiceKey]string) string {
+// chooseZone returns the zone in which to provide capacity for a job that must run in a single zone, and caches the
+// choice for other jobs with the same key. Without a common choice, machines in several zones could appear to be enough
+// together although no zone has enough, and the jobs would wait forever.
+func (s *Scheduler) chooseZone(now time.Duration, j *jobstate.Job, chosen map[zoneChoiceKey]string) string {
 	key := zoneChoiceKey{
 		need:  j.TaskResources,
 		types: j.AllowedTypes,
@@ -91,19 +92,19 @@
 	}
 	zone, ok := chosen[key]
 	if !ok {
-		zone = c.zoneWithMostCapacity(now, j)
+		zone = s.zoneWithMostCapacity(now, j)
 		chosen[key] = zone
 	}
 	return zone
 }
 
-// zoneWithMostCapacity returns the zone with capacity for most of a job's tasks, on its machines or on new ones.
-func (c *Scheduler) zoneWithMostCapacity(now time.Duration, j *jobstate.Job) string {
-	free := c.freeTasksByZone(j)
+// zoneWithMostCapacity returns the zone with capacity for the most tasks of a job, on existing or new machines.
+func (s *Scheduler) zoneWithMostCapacity(now time.Duration, j *jobstate.Job) string {
+	free := s.freeSlotsByZone(j)
 	best, bestTasks := "", -1
-	for _, zone := range c.zonesByAvailability(&j.Spec) {
+	for _, zone := range s.zonesByAvailability(&j.Spec) {
 		tasks := free[zone]
-		if tasks < j.Spec.TaskCount && c.autoscaler.CanScaleOut(now, &j.Spec, zone) {
+		if tasks < j.Spec.TaskCount && s.autoscaler.CanScaleOut(now, &j.Spec, zone) {
 			tasks += j.Spec.TaskCount
 		}
 		if tasks > bestTasks {
@@ -113,15 +114,15 @@
 	return best
 }
 
-// freeTasksByZone returns for how many tasks of a job the machines of each zone have free capacity. No machine counts
-// for more tasks than the job has.
-func (c *Scheduler) freeTasksByZone(j *jobstate.Job) map[string]int {
+// freeSlotsByZone returns, for each zone, the number of tasks of a job that fit into the free capacity of its machines.
+// A single machine counts for no more tasks than the job has.
+func (s *Scheduler) freeSlotsByZone(j *jobstate.Job) map[string]int {
 	tasks := map[string]int{}
-	c.machines.Each(func(m *machineregistry.Machine) {
-		if !c.mayHost(m, j) {
+	s.machines.Each(func(m *machineregistry.Machine) {
+		if !s.mayHost(m, j) {
 			return
 		}
-		free := c.machines.FreeCapacity(m)
+		free := s.machines.FreeCapacity(m)
 		for n := 0; n < j.Spec.TaskCount && j.TaskResources.Fits(free); n++ {
 			free = free.Minus(j.TaskResources)
 			tasks[m.Zone]++
@@ -130,40 +131,40 @@
 	return tasks
 }
 
-// mayHost reports whether a machine can be expected to run tasks of a job, now or soon.
-func (c *Scheduler) mayHost(m *machineregistry.Machine, j *jobstate.Job) bool {
-	machineType := c.machines.MachineType(m.Type)
+// mayHost reports whether a machine can be expected to run tasks of a job now or soon.
+func (s *Scheduler) mayHost(m *machineregistry.Machine, j *jobstate.Job) bool {
+	machineType := s.machines.MachineType(m.Type)
 	return machineType != nil && machineType.AllowedBy(&j.Spec) &&
 		(!m.Spot || j.Spec.SpotAllowed) &&
 		!m.Terminating && !m.InterruptionNotice && !m.Quarantined &&
-		!c.zoneFailover.IsZoneLost(m.Zone)
+		!s.zoneFailover.IsZoneLost(m.Zone)
 }
 
-// allowedZones returns the zones that a job allows, in order.
-func (c *Scheduler) allowedZones(spec *protocol.Job) []string {
-	return demand.AllowedZones(c.machines.MachineTypes(), spec)
+// allowedZones returns the zones that a job allows, sorted.
+func (s *Scheduler) allowedZones(spec *protocol.Job) []string {
+	return demand.AllowedZones(s.machines.MachineTypes(), spec)
 }
 
-// objectives returns the service-level objectives that headroom is kept for.
-func (c *Scheduler) objectives() demand.Objectives {
-	return demand.Objectives{StartLatencySeconds: c.rules.StartLatency, All: c.cfg.Objectives}
+// objectives returns the service-level objectives for which headroom is kept.
+func (s *Scheduler) objectives() demand.Objectives {
+	return demand.Objectives{StartLatencySeconds: s.rules.StartLatency, All: s.cfg.Objectives}
 }
 
-// maxForecastJobs is how many blocked jobs a plan considers, in scheduling order.
+// maxForecastJobs is the maximum number of blocked jobs, in scheduling order, that a capacity plan considers.
 const maxForecastJobs = 256
 
 // forecastBlockedJobs returns the capacity that blocked jobs are likely to need before a machine requested now has
 // booted.
-func (c *Scheduler) forecastBlockedJobs(now time.Duration) (demands []autoscaler.Demand) {
-	left := maxForecastJobs
-	c.queues.Blocked.Scan(func(j *jobstate.Job) bool {
-		if left--; left < 0 {
+func (s *Scheduler) forecastBlockedJobs(now time.Duration) (demands []autoscaler.Demand) {
+	remaining := maxForecastJobs
+	s.queues.Blocked.Scan(func(j *jobstate.Job) bool {
+		if remaining--; remaining < 0 {
 			return false
 		}
-		if c.dependencies.State(j.Spec.ID) == dependency.Live && c.dependenciesEndSoon(now, j) {
+		if s.dependencies.State(j.Spec.ID) == dependency.Live && s.dependenciesEndSoon(now, j) {
 			demands = append(demands, autoscaler.Demand{
 				Job:      &j.Spec,
-				Count:    min(j.Spec.TaskCount, c.tasksWithinQuotaLimit(j)),
+				Count:    min(j.Spec.TaskCount, s.tasksWithinQuotaLimit(j)),
 				Headroom: true,
 			})
 		}
@@ -172,11 +173,12 @@
 	return demands
 }
 
-// dependenciesEndSoon reports whether all dependencies of a job run and are likely to be done within a boot time.
-func (c *Scheduler) dependenciesEndSoon(now time.Duration, j *jobstate.Job) bool {
-	boot := c.longestBootSeconds()
+// dependenciesEndSoon reports whether all dependencies of a job are running and likely to be done within the time that
+// a machine takes to boot.
+func (s *Scheduler) dependenciesEndSoon(now time.Duration, j *jobstate.Job) bool {
+	boot := s.longestBootSeconds()
 	for _, id := range j.Spec.Dependencies {
-		d := c.jobs[id]
+		d := s.jobs[id]
 		if d == nil || d.Ended {
 			continue
 		}
@@ -188,10 +190,10 @@
 	return true
 }
 
-// longestBootSeconds returns the longest boot time of all machine types.
-func (c *Scheduler) longestBootSeconds() float64 {
+// longestBootSeconds returns the longest boot time of all machine types, in seconds.
+func (s *Scheduler) longestBootSeconds() float64 {
 	boot := 0.0
-	for _, t := range c.machines.MachineTypes() {
+	for _, t := range s.machines.MachineTypes() {
 		boot = max(boot, t.BootSeconds)
 	}
 	return boot
--- a/internal/coordination/scheduler/dependencies_test.go
+++ b/internal/coordination/scheduler/dependencies_test.go
@@ -13,14 +13,14 @@
 	"pinebay/internal/storage"
 )
 
-// dependentJob returns a job that depends on others.
-func dependentJob(id string, prio protocol.Priority, tasks int, awaits ...string) protocol.Job {
+// dependentJob returns a job with dependencies.
+func dependentJob(id string, prio protocol.Priority, tasks int, dependencies ...string) protocol.Job {
 	j := jobSpec(id, protocol.Array, prio, tasks, 4)
-	j.Dependencies = awaits
+	j.Dependencies = dependencies
 	return j
 }
 
-// stepWithCommands is step, and has the machines carry out their commands.
+// stepWithCommands is like step, but machines execute the commands sent to them.
 func (s *manualStore) stepWithCommands(e Event) {
 	for _, effect := range s.scheduler.Step(s.now, e) {
 		switch effect := effect.(type) {
@@ -41,7 +41,7 @@
 	}
 }
 
-// cycleWithHeartbeats runs a cycle in which the machines send heartbeats and carry out commands.
+// cycleWithHeartbeats runs a cycle in which machines send heartbeats and execute commands.
 func (s *manualStore) cycleWithHeartbeats() {
 	s.now += CycleInterval
 	for _, name := range sortedNames(s.tasks) {
@@ -50,13 +50,13 @@
 	s.stepWithCommands(Tick{})
 }
 
-// accept applies an accepted job.
+// accept delivers an accepted job.
 func (s *manualStore) accept(j protocol.Job) {
 	s.revision++
 	s.step(JobAccepted{Record: storage.LiveJobRecord{Job: j, AcceptedAtMS: s.now.Milliseconds()}, Revision: s.revision})
 }
 
-// exitAllTasks ends all tasks of a job.
+// exitAllTasks reports all tasks of a job as done.
 func (s *manualStore) exitAllTasks(id string) {
 	for _, name := range sortedNames(s.tasks) {
 		for task, t := range s.tasks[name] {
@@ -69,15 +69,15 @@
 	}
 }
 
-// answerAllWrites answers the writes in flight, in order.
+// answerAllWrites lets all writes in flight succeed, in order.
 func (s *manualStore) answerAllWrites() {
 	for len(s.inFlight) > 0 {
 		s.answer(TransactionOutcome{WriteID: s.inFlight[0].ID, Succeeded: true})
 	}
 }
 
-// TestUnblockedByFinalRecordOnly: a job whose tasks have all exited unblocks its dependents only once its end is
-// recorded, and that record goes before the ends of other jobs.
+// TestUnblockedByFinalRecordOnly checks that a job whose tasks have all exited unblocks its dependents only after its
+// end is recorded, and that its record takes precedence over the ends of other jobs.
 func TestUnblockedByFinalRecordOnly(t *testing.T) {
 	s := newEmptyManualStore(3)
 	s.accept(jobSpec("j-1", protocol.Array, "normal", 2, 4))
@@ -89,52 +89,62 @@
 	s.exitAllTasks("j-1")
 	i := slices.IndexFunc(s.inFlight, func(w Write) bool { return w.VerifyKey == storage.EndedJobKey("j-1") })
 	if i < 0 || s.inFlight[i].Priority != PriorityUnblock {
-		t.Fatalf("its end is not written with the priority of one that unblocks others: %+v", s.inFlight)
+		t.Fatalf("the end of j-1 is not written with PriorityUnblock: %+v", s.inFlight)
 	}
 	for range 5 {
 		s.cycleOnce()
 		if j := s.scheduler.jobs["j-2"]; len(j.Placements) > 0 || !j.Blocked {
-			t.Fatal("its dependent has a placement before its end is recorded")
+			t.Fatal("the dependent was unblocked or placed before the end of its dependency was recorded")
 		}
 	}
 	s.answer(TransactionOutcome{WriteID: s.inFlight[i].ID, Succeeded: true})
 	s.cycleOnce()
 	if len(s.scheduler.jobs["j-2"].Placements) != 1 {
-		t.Error("its dependent has no placement although its end is recorded")
+		t.Error("the dependent was not placed after the end of its dependency was recorded")
 	}
 }
 
-// TestBlockedJobUsesNoQuota: a blocked job uses nothing of its team's quota, and its waiting counts from when it is
-// unblocked.
+// TestBlockedJobUsesNoQuota checks that a blocked job uses none of the quota of its team, and that its waiting time
+// counts from the time at which it is unblocked.
 func TestBlockedJobUsesNoQuota(t *testing.T) {
-	b := newHarness([]config.Team{{Name: "red", MaxGPUs: 8}}, "a")
-	b.heartbeat("m1", "a", false)
-	b.heartbeat("m2", "a", false)
-	b.addJob(jobSpec("j-1", protocol.Array, "normal", 1, 4))
-	b.addJob(dependentJob("j-2", "critical", 2, "j-1"))
-	b.addJob(jobSpec("j-3", protocol.Array, "best_effort", 1, 4))
-	b.runCycle()
-	if b.startedTasks("j-1") != 1 || b.startedTasks("j-3") != 1 || b.startedTasks("j-2") != 0 {
-		t.Fatalf("starts: %d, %d, %d", b.startedTasks("j-1"), b.startedTasks("j-3"), b.startedTasks("j-2"))
-	}
-	b.now += time.Minute
-	b.heartbeat("m1", "a", false)
-	b.heartbeat("m2", "a", false)
-	for name, tasks := range b.tasks {
+	h := newHarness([]config.Team{{Name: "red", MaxGPUs: 8}}, "a")
+	h.heartbeat("m1", "a", false)
+	h.heartbeat("m2", "a", false)
+	h.addJob(jobSpec("j-1", protocol.Array, "normal", 1, 4))
+	h.addJob(dependentJob("j-2", "critical", 2, "j-1"))
+	h.addJob(jobSpec("j-3", protocol.Array, "best_effort", 1, 4))
+	h.runCycle()
+	if h.startedTasks("j-1") != 1 || h.startedTasks("j-3") != 1 || h.startedTasks("j-2") != 0 {
+		t.Fatalf(
+			"j-1, j-3 and j-2 started %d, %d and %d tasks, want 1, 1 and 0",
+			h.startedTasks("j-1"),
+			h.startedTasks("j-3"),
+			h.startedTasks("j-2"),
+		)
+	}
+	h.now += time.Minute
+	h.heartbeat("m1", "a", false)
+	h.heartbeat("m2", "a", false)
+	for name, tasks := range h.tasks {
 		for id, task := range tasks {
 			if id.JobID == "j-1" {
 				task.State, task.Cause = protocol.TaskExited, protocol.CauseDone
-				b.heartbeat(name, "a", false, task)
+				h.heartbeat(name, "a", false, task)
 			}
 		}
 	}
-	if j := b.scheduler.jobs["j-2"]; j.Blocked || j.WaitingSince != b.now {
-		t.Errorf("unblocked: blocked %v, its waiting counts from %v at %v", j.Blocked, j.WaitingSince, b.now)
+	if j := h.scheduler.jobs["j-2"]; j.Blocked || j.WaitingSince != h.now {
+		t.Errorf(
+			"blocked %v, waiting since %v, want an unblocked job waiting since %v",
+			j.Blocked,
+			j.WaitingSince,
+			h.now,
+		)
 	}
 }
 
-// TestCancelledDependentsAreRecorded: the leader records the ends of all jobs that are cancelled with a dependency, at
-// any depth and also if submitted later, several in a transaction within the limits.
+// TestCancelledDependentsAreRecorded checks that the leader records the ends of all jobs that are cancelled with a
+// dependency, at any depth and even if they are submitted later, several in a transaction within the limits.
 func TestCancelledDependentsAreRecorded(t *testing.T) {
 	s := newEmptyManualStore(2)
 	s.accept(jobSpec("j-0", protocol.Array, "normal", 1, 4))
@@ -148,7 +158,7 @@
 	s.step(JobEnded{ID: "j-0"})
 	s.step(FinalStateRead{ID: "j-0", State: protocol.JobCancelled})
 	if _, ok := s.scheduler.Status("j-40"); ok {
-		t.Error("the leader still has a status of the last one")
+		t.Error("the leader still returns a status of j-40")
 	}
 	s.accept(dependentJob("j-41", "normal", 1, "j-7"))
 	ended := map[string]string{}
@@ -156,7 +166,7 @@
 		w := s.inFlight[0]
 		if len(w.Txn.Then) > s.scheduler.recordLimits.MaxOperations() ||
 			len(w.Txn.If) > 4*s.scheduler.recordLimits.MaxOperations() {
-			t.Fatalf("%d operations and %d conditions", len(w.Txn.Then), len(w.Txn.If))
+			t.Fatalf("%d operations and %d conditions exceed the limits", len(w.Txn.Then), len(w.Txn.If))
 		}
 		for _, op := range w.Txn.Then {
 			var rec storage.EndedJobRecord
@@ -177,49 +187,56 @@
 		}
 	}
 	if s.scheduler.dependencies.Len() != 0 {
-		t.Errorf("%d jobs stay in the graph", s.scheduler.dependencies.Len())
+		t.Errorf("%d jobs remain in the graph", s.scheduler.dependencies.Len())
 	}
 }
 
-// TestPriorityReachesDependencies: the priority and deadline of a job apply to its dependencies, waiting or running,
-// once it is submitted. Nothing is restarted for that, and lower priorities don't preempt them any more.
+// TestPriorityReachesDependencies checks that the priority and deadline of a job apply to its waiting and running
+// dependencies as soon as it is submitted. The dependencies are not restarted for that, and jobs of lower priority no
+// longer preempt them.
 func TestPriorityReachesDependencies(t *testing.T) {
-	b := newHarness([]config.Team{{Name: "red"}}, "a")
-	b.heartbeat("m1", "a", false)
-	b.addJob(jobSpec("j-1", protocol.Array, "best_effort", 2, 4))
-	b.addJob(dependentJob("j-2", "best_effort", 1, "j-1"))
-	b.runCycle()
-	if b.startedTasks("j-1") != 2 {
-		t.Fatalf("%d starts", b.startedTasks("j-1"))
+	h := newHarness([]config.Team{{Name: "red"}}, "a")
+	h.heartbeat("m1", "a", false)
+	h.addJob(jobSpec("j-1", protocol.Array, "best_effort", 2, 4))
+	h.addJob(dependentJob("j-2", "best_effort", 1, "j-1"))
+	h.runCycle()
+	if h.startedTasks("j-1") != 2 {
+		t.Fatalf("%d tasks started, want 2", h.startedTasks("j-1"))
 	}
 	last := dependentJob("j-3", "urgent", 1, "j-2")
 	last.DeadlineSeconds, last.EstimateSeconds = 100, 10
-	b.addJob(last)
+	h.addJob(last)
 	for _, id := range []string{"j-1", "j-2"} {
-		if j := b.scheduler.jobs[id]; j.EffectivePriority != 1 || j.LatestStart == dependency.NoDeadline {
-			t.Errorf("%s has priority %d, latest start %v", id, j.EffectivePriority, j.LatestStart)
+		if j := h.scheduler.jobs[id]; j.EffectivePriority != 1 || j.LatestStart == dependency.NoDeadline {
+			t.Errorf(
+				"%s has priority %d and latest start %v, want those of j-3",
+				id,
+				j.EffectivePriority,
+				j.LatestStart,
+			)
 		}
 	}
-	if m := b.scheduler.machines.Machine(
+	if m := h.scheduler.machines.Machine(
 		"m1",
 	); m.PreemptibleResources(2).GPUs != 0 ||
 		m.PreemptibleResources(1).GPUs != 8 {
 		t.Error("the running tasks still count with the old priority")
 	}
-	if b.startedTasks("j-1") != 2 || len(b.stops) > 0 {
-		t.Error("something was stopped or started again")
+	if h.startedTasks("j-1") != 2 || len(h.stops) > 0 {
+		t.Error("a task was stopped or restarted")
 	}
-	b.addJob(jobSpec("j-4", protocol.Array, "normal", 1, 8))
+	h.addJob(jobSpec("j-4", protocol.Array, "normal", 1, 8))
 	for range 5 {
-		b.runCycle()
+		h.runCycle()
 	}
-	if len(b.stops) > 0 {
-		t.Error("normal work has preempted a dependency of urgent work")
+	if len(h.stops) > 0 {
+		t.Error("a job of normal priority preempted a dependency of an urgent job")
 	}
 }
 
-// TestRecoveryOfPipelines: a new leader reads the final states of dependencies that don't live any more, and starts
-// nothing before the answer. Of jobs with recorded placements it needs none: all their dependencies were done.
+// TestRecoveryOfPipelines checks that a new leader reads the final states of dependencies that are no longer live, and
+// starts no dependents before the answer. Jobs with recorded placements need no answer: all of their dependencies were
+// done.
 func TestRecoveryOfPipelines(t *testing.T) {
 	old := newHarness([]config.Team{{Name: "red"}}, "a")
 	record := func(j protocol.Job) protocol.KeyValue {
@@ -237,8 +254,8 @@
 		t.Fatal(err)
 	}
 	started := storage.PageID{Job: "j-2", Layout: storage.PageLayout{TasksPerPage: 48, Compact: true}}
-	b := newHarness([]config.Team{{Name: "red"}}, "a")
-	b.scheduler = New(0, Options{
+	h := newHarness([]config.Team{{Name: "red"}}, "a")
+	h.scheduler = New(0, Options{
 		Config: old.scheduler.cfg,
 		Log:    old.scheduler.log,
 		Term:   Term{Number: 6, Revision: 2, FeatureLevel: featurelevel.Pipelines},
@@ -252,48 +269,52 @@
 			Pages: []protocol.KeyValue{{Key: started.Key(), Value: page, Revision: 4}},
 		},
 	})
-	var asked []string
-	b.onEffect = func(e Effect) {
+	var read []string
+	h.onEffect = func(e Effect) {
 		if r, ok := e.(ReadFinalState); ok {
-			asked = append(asked, r.ID)
+			read = append(read, r.ID)
 		}
 	}
-	b.heartbeat("m1", "a", false, runningTask(protocol.TaskID{JobID: "j-2"}, 1))
-	b.heartbeat("m2", "a", false)
+	h.heartbeat("m1", "a", false, runningTask(protocol.TaskID{JobID: "j-2"}, 1))
+	h.heartbeat("m2", "a", false)
 	for range 3 {
-		b.runCycle()
+		h.runCycle()
 	}
-	if !slices.Equal(asked, []string{"j-1"}) {
-		t.Errorf("it reads the final states of %v", asked)
+	if !slices.Equal(read, []string{"j-1"}) {
+		t.Errorf("final states read: %v, want j-1", read)
 	}
-	if status, ok := b.scheduler.Status(
+	if status, ok := h.scheduler.Status(
 		"j-2",
-	); !ok || !status.Unblocked || b.scheduler.jobs["j-2"].Blocked ||
-		b.startedTasks("j-3")+b.startedTasks("j-4") > 0 {
+	); !ok || !status.Unblocked || h.scheduler.jobs["j-2"].Blocked ||
+		h.startedTasks("j-3")+h.startedTasks("j-4") > 0 {
 		t.Errorf(
-			"the started one: %+v %v; the others have %d starts",
+			"started job: %+v %v; the others started %d tasks",
 			status,
 			ok,
-			b.startedTasks("j-3")+b.startedTasks("j-4"),
+			h.startedTasks("j-3")+h.startedTasks("j-4"),
 		)
 	}
-	b.apply(FinalStateRead{ID: "j-1"}) // not to be read yet
-	b.now += CycleInterval
-	b.apply(Tick{})
-	if len(asked) != 2 {
-		t.Errorf("%d reads although there was no answer, want 2", len(asked))
-	}
-	b.apply(FinalStateRead{ID: "j-1", State: protocol.JobDone})
-	b.heartbeat("m1", "a", false)
-	b.heartbeat("m2", "a", false)
-	b.runCycle()
-	if b.startedTasks("j-3") != 1 || b.startedTasks("j-4") != 0 {
-		t.Errorf("starts after the answer: %d, %d", b.startedTasks("j-3"), b.startedTasks("j-4"))
+	h.apply(FinalStateRead{ID: "j-1"}) // the state could not be read
+	h.now += CycleInterval
+	h.apply(Tick{})
+	if len(read) != 2 {
+		t.Errorf("%d reads after an answer without a state, want 2", len(read))
+	}
+	h.apply(FinalStateRead{ID: "j-1", State: protocol.JobDone})
+	h.heartbeat("m1", "a", false)
+	h.heartbeat("m2", "a", false)
+	h.runCycle()
+	if h.startedTasks("j-3") != 1 || h.startedTasks("j-4") != 0 {
+		t.Errorf(
+			"after the answer j-3 and j-4 started %d and %d tasks, want 1 and 0",
+			h.startedTasks("j-3"),
+			h.startedTasks("j-4"),
+		)
 	}
 }
 
-// TestCycleCostIgnoresBlockedJobs: with fifty thousand blocked jobs a cycle without events allocates no more than
-// without them, and the end of a job costs no more than its own dependents.
+// TestCycleCostIgnoresBlockedJobs checks that a cycle without events allocates no more with fifty thousand blocked jobs
+// than with a few, and that the cost of a job's end depends only on its own dependents.
 func TestCycleCostIgnoresBlockedJobs(t *testing.T) {
 	costs := func(waiting int) (cycle, end float64) {
 		s := newEmptyManualStore(50)
@@ -306,7 +327,7 @@
 		s.cycleOnce()
 		s.answerAllWrites()
 		cycle = testing.AllocsPerRun(20, func() {
-			s.now += CycleInterval // with a plan of the fleet
+			s.now += CycleInterval // includes a capacity plan
 			s.scheduler.Step(s.now, Tick{})
 		})
 		runs := 0
@@ -321,7 +342,7 @@
 	largeCycle, largeEnd := costs(50_000)
 	if largeCycle > smallCycle+2*maxForecastJobs || largeEnd > smallEnd+10 {
 		t.Errorf(
-			"allocations with 50,000 that wait: %v a cycle, %v an end; with 10: %v, %v",
+			"allocations with 50,000 blocked jobs: %v per cycle, %v per end; with 10: %v, %v",
 			largeCycle,
 			largeEnd,
 			smallCycle,
@@ -330,32 +351,32 @@
 	}
 }
 
-// TestForecastOfBlockedJobs: capacity is demanded for a blocked job once all its dependencies run and are likely to end
-// before a machine requested now has booted, and not before.
+// TestForecastOfBlockedJobs checks that capacity is requested for a blocked job as soon as all of its dependencies are
+// running and likely to end before a machine requested now has booted, and not before.
 func TestForecastOfBlockedJobs(t *testing.T) {
-	b := newHarness([]config.Team{{Name: "red"}}, "a")
-	b.heartbeat("m1", "a", false)
-	need := jobSpec("j-1", protocol.Array, "normal", 1, 4)
-	need.EstimateSeconds = 50 // longer than a boot time of 30 s
-	b.addJob(need)
-	b.addJob(dependentJob("j-2", "normal", 3, "j-1"))
-	b.addJob(dependentJob("j-3", "normal", 3, "j-2"))
-	wanted := func() (ids []string) {
-		for _, u := range b.scheduler.forecastBlockedJobs(b.now) {
-			ids = append(ids, u.Job.ID)
+	h := newHarness([]config.Team{{Name: "red"}}, "a")
+	h.heartbeat("m1", "a", false)
+	first := jobSpec("j-1", protocol.Array, "normal", 1, 4)
+	first.EstimateSeconds = 50 // longer than the boot time of 30 s
+	h.addJob(first)
+	h.addJob(dependentJob("j-2", "normal", 3, "j-1"))
+	h.addJob(dependentJob("j-3", "normal", 3, "j-2"))
+	forecast := func() (ids []string) {
+		for _, d := range h.scheduler.forecastBlockedJobs(h.now) {
+			ids = append(ids, d.Job.ID)
 		}
 		return ids
 	}
-	b.runCycle()
-	if got := wanted(); len(got) > 0 {
-		t.Fatalf("before its dependency runs: %v", got)
+	h.runCycle()
+	if got := forecast(); len(got) > 0 {
+		t.Fatalf("forecast before the dependency runs: %v", got)
 	}
-	b.heartbeat("m1", "a", false, runningTask(protocol.TaskID{JobID: "j-1"}, 1))
-	if got := wanted(); len(got) > 0 {
-		t.Fatalf("long before its dependency ends: %v", got)
+	h.heartbeat("m1", "a", false, runningTask(protocol.TaskID{JobID: "j-1"}, 1))
+	if got := forecast(); len(got) > 0 {
+		t.Fatalf("forecast long before the dependency ends: %v", got)
 	}
-	b.now += 25 * time.Second
-	if got := wanted(); !slices.Equal(got, []string{"j-2"}) {
-		t.Errorf("shortly before its dependency ends: %v", got)
+	h.now += 25 * time.Second
+	if got := forecast(); !slices.Equal(got, []string{"j-2"}) {
+		t.Errorf("forecast shortly before the dependency ends: %v, want j-2", got)
 	}
 }
--- a/internal/coordination/scheduler/effects.go
+++ b/internal/coordination/scheduler/effects.go
@@ -7,57 +7,58 @@
 	"pinebay/internal/protocol"
 )
 
-// Effect is an output of a step, to be carried out in order.
+// Effect is an output of Step. The caller carries out effects in order.
 type Effect interface{ effect() }
 
-// CloudRequest is a call to the cloud.
+// CloudRequest is a request to the cloud.
 type CloudRequest struct{ Effect autoscaler.Effect }
 
-// HeartbeatReply answers a HeartbeatReceived.
+// HeartbeatReply is the answer to a HeartbeatReceived event.
 type HeartbeatReply struct {
 	ReplyTo any
 	Body    protocol.WorkerHeartbeatReply
 }
 
-// WritePriority is the purpose of a write, which decides what goes first. Lower values go first.
+// WritePriority is the purpose of a write, which determines its priority. Lower values go first.
 type WritePriority uint8
 
 const (
-	// PriorityStart is for placements that start once they are recorded.
+	// PriorityStart is for placements that start as soon as they are recorded.
 	PriorityStart WritePriority = iota
-	// PriorityUnblock is for the ends of jobs that others depend on.
+	// PriorityUnblock is for the ends of jobs that other jobs depend on.
 	PriorityUnblock
-	// PriorityCompletion is for the ends of tasks and of other jobs.
+	// PriorityCompletion is for the ends of tasks and of all other jobs.
 	PriorityCompletion
-	// PriorityMaintenance is for deletions, and for hints to the next leader.
+	// PriorityMaintenance is for deletions and for hints to the next leader.
 	PriorityMaintenance
 )
 
-// Write is a transaction. It is retried until its outcome is known, which a TransactionOutcome reports.
+// Write is a transaction. It is retried until its outcome is known, and that outcome is reported by a
+// TransactionOutcome.
 type Write struct {
 	ID  uint64
 	Txn protocol.Txn
-	// VerifyKey is a key whose record holds Name if the write was carried out.
+	// VerifyKey is a key whose record contains Name if the transaction was committed.
 	VerifyKey string
 	Name      string
 	Priority  WritePriority
-	// Splittable is set if it has records of several jobs, which may be written apart.
+	// Splittable is set if the transaction contains records of several jobs, which may be written separately.
 	Splittable bool
 }
 
-// SendCommandBatch sends commands to a machine. A CommandBatchResult follows.
+// SendCommandBatch sends commands to a machine. It is answered by a CommandBatchResult.
 type SendCommandBatch struct {
 	Machine, Addr string
 	Batch         protocol.CommandBatch
 }
 
-// Probe asks a machine for a heartbeat. A ProbeReply follows if it answers.
+// Probe asks a machine for a heartbeat. If the machine answers, a ProbeReply follows.
 type Probe struct{ Machine, Addr string }
 
-// ReadFinalState reads how a job has ended. A FinalStateRead follows.
+// ReadFinalState reads the state in which a job has ended. It is answered by a FinalStateRead.
 type ReadFinalState struct{ ID string }
 
-// FeatureLevelFinal says that a feature level is final.
+// FeatureLevelFinal reports that a feature level is final.
 type FeatureLevelFinal struct{ Level featurelevel.Level }
 
 // ZoneDecision reports a decision of zone failover.
@@ -65,10 +66,10 @@
 
 // StepDown ends the term.
 type StepDown struct {
-	// LaterTerm is the term of another leader if one is known, or 0.
+	// LaterTerm is the number of the later term, if one is known to have begun, or 0.
 	LaterTerm uint64
 	Reason    string
-	// TransferLeadership is set if another controller should lead.
+	// TransferLeadership is set if another controller should become the leader.
 	TransferLeadership bool
 }
 
--- a/internal/coordination/scheduler/events.go
+++ b/internal/coordination/scheduler/events.go
@@ -8,85 +8,88 @@
 	"pinebay/internal/storage"
 )
 
-// Event is an input of a step: something that has happened, or the outcome of an effect.
+// Event is an input to Step: something that has happened, or the outcome of an effect.
 type Event interface{ event() }
 
-// Tick lets time pass.
+// Tick reports only that time has passed.
 type Tick struct{}
 
-// HeartbeatReceived is a worker's heartbeat. It is answered by a HeartbeatReply with the same ReplyTo.
+// HeartbeatReceived is a heartbeat from a worker. It is answered by a HeartbeatReply with the same ReplyTo.
 type HeartbeatReceived struct {
 	ReplyTo   any
 	Heartbeat *protocol.WorkerHeartbeat
-	// Relayed is set if another controller received it.
+	// Relayed is set if the heartbeat arrived through another controller.
 	Relayed bool
 }
 
-// UnchangedHeartbeats are the heartbeats without news that the owner of a shard has answered for the leader.
+// UnchangedHeartbeats reports the heartbeats without changes that the owner of a shard has answered on behalf of the
+// leader.
 type UnchangedHeartbeats struct {
 	Heartbeats []UnchangedHeartbeat
-	// ForwardNext receives the machines whose next heartbeat has to be forwarded to the leader. It must not block.
+	// ForwardNext is called with the machines whose next heartbeat has to be forwarded to the leader. It must not
+	// block.
 	ForwardNext func(machines []string)
 }
 
-// UnchangedHeartbeat identifies the last heartbeat of a machine.
+// UnchangedHeartbeat identifies the most recent heartbeat of a machine.
 type UnchangedHeartbeat struct {
 	Machine          string
 	Incarnation, Seq uint64
 }
 
-// JobAccepted is a job's live record, new or changed.
+// JobAccepted reports the live record of a job, which is new or has changed.
 type JobAccepted struct {
 	Record   storage.LiveJobRecord
 	Revision uint64
 }
 
-// JobEnded says that a job's live record has been deleted.
+// JobEnded reports that the live record of a job has been deleted.
 type JobEnded struct{ ID string }
 
-// CancellationIntent says that a user may be told that a job is cancelled, until the given time.
+// CancellationIntent reports that, until ValidUntil, a user may be told that a job is cancelled.
 type CancellationIntent struct {
 	ID         string
 	ValidUntil time.Duration
 }
 
-// WatchProgress says that all changes of live records up to a time have been delivered.
+// WatchProgress reports that all changes of live records up to a time have been delivered.
 type WatchProgress struct{ At time.Duration }
 
 // TransactionOutcome is the outcome of a Write.
 type TransactionOutcome struct {
 	WriteID   uint64
 	Succeeded bool
-	Revision  uint64 // of the keys written
-	// FailedKeys are the keys whose comparison failed.
+	Revision  uint64 // revision of the keys that were written
+	// FailedKeys lists the keys whose comparison failed.
 	FailedKeys []string
-	// Malformed is set if the transaction was rejected for its form, and so not carried out.
+	// Malformed is set if the store rejected the transaction as malformed and therefore did not apply it.
 	Malformed bool
 }
 
-// FinalStateRead answers ReadFinalState. State is "" if no final record exists or it could not be read.
+// FinalStateRead is the answer to ReadFinalState. State is empty if there is no final record or it could not be read.
 type FinalStateRead struct {
 	ID    string
 	State protocol.JobState
 }
 
-// FinaliseFeatureLevel requests that a feature level be made final. FeatureLevelFinal follows.
+// FinaliseFeatureLevel asks for a feature level to be made final. It is answered by FeatureLevelFinal.
 type FinaliseFeatureLevel struct{ Level featurelevel.Level }
 
-// CommandBatchResult is the outcome of SendCommandBatch. Heartbeat is nil if the machine did not answer with one.
+// CommandBatchResult is the outcome of SendCommandBatch. Heartbeat is nil if the machine did not answer with a
+// heartbeat.
 type CommandBatchResult struct {
 	Machine      string
 	Acknowledged bool
 	Heartbeat    *protocol.WorkerHeartbeat
 }
 
-// ProbeReply is a machine's answer to a Probe.
+// ProbeReply is the answer of a machine to a Probe.
 type ProbeReply struct{ Heartbeat *protocol.WorkerHeartbeat }
 
-// MachineTypesUpdated is the cloud's price list.
+// MachineTypesUpdated reports the price list of the cloud.
 type MachineTypesUpdated struct{ Types []protocol.MachineType }
 
-// MachinesListed is the cloud's list of machines. Failed is set if it could not be read.
+// MachinesListed reports the list of machines in the cloud. Failed is set if the list could not be read.
 type MachinesListed struct {
 	RequestedAt time.Duration
 	Machines    []protocol.ListedMachine
@@ -98,11 +101,11 @@
 	Request     string
 	RequestedAt time.Duration
 	Machines    []string
-	// Refused is set if the cloud has none to give.
+	// Refused is set if the cloud has no such machines available.
 	Refused bool
 }
 
-// ScaleInResult is the outcome of returning machines.
+// ScaleInResult is the outcome of releasing machines.
 type ScaleInResult struct {
 	Machines  []string
 	Succeeded bool
--- a/internal/coordination/scheduler/featurelevel.go
+++ b/internal/coordination/scheduler/featurelevel.go
@@ -10,68 +10,69 @@
 	"pinebay/internal/storage"
 )
 
-// beginLevelChange begins to make a feature level final. The transaction changes the term's record, on whose revision
-// all of the leader's writes depend. So no other write begins until its outcome is known, and those in flight
-// end first.
-func (c *Scheduler) beginLevelChange(e FinaliseFeatureLevel) {
-	if c.writes.paused || e.Level <= c.recordLimits.Level() {
+// beginLevelChange begins to make a feature level final. That changes the term record, on whose revision all writes of
+// the leader are conditional. Therefore writes are paused: those in flight finish first, and no other write begins
+// until the outcome of the change is known.
+func (s *Scheduler) beginLevelChange(e FinaliseFeatureLevel) {
+	if s.writes.paused || e.Level <= s.recordLimits.Level() {
 		return
 	}
-	c.writes.paused, c.targetLevel = true, e.Level
-	c.log.Info("feature level change started", "level", e.Level, "writes_in_flight", len(c.writes.inFlight))
-	c.writeLevelWhenIdle()
+	s.writes.paused, s.targetLevel = true, e.Level
+	s.log.Info("feature level change started", "level", e.Level, "writes_in_flight", len(s.writes.inFlight))
+	s.writeLevelWhenIdle()
 }
 
-// writeLevelWhenIdle writes the term's record with the new feature level once no other write is in flight.
-func (c *Scheduler) writeLevelWhenIdle() {
-	if !c.writes.paused || !c.writes.none() {
+// writeLevelWhenIdle writes the term record with the new feature level once no other write is in flight.
+func (s *Scheduler) writeLevelWhenIdle() {
+	if !s.writes.paused || !s.writes.idle() {
 		return
 	}
-	id, name := c.writes.nextID()
+	id, name := s.writes.nextID()
 	value, err := storage.EncodeTerm(storage.TermRecord{
-		Term:         c.term.number,
-		Controller:   c.term.controller,
-		FeatureLevel: int(c.targetLevel),
+		Term:         s.term.number,
+		Controller:   s.term.controller,
+		FeatureLevel: int(s.targetLevel),
 		WriteName:    name,
 	})
 	if err != nil {
-		c.emit(StepDown{Reason: err.Error()})
+		s.emit(StepDown{Reason: err.Error()})
 		return
 	}
-	t := protocol.Txn{
-		If:   []protocol.Compare{c.writes.termUnchanged()},
+	txn := protocol.Txn{
+		If:   []protocol.Compare{s.writes.termUnchanged()},
 		Then: []protocol.Op{{PutKey: storage.TermKey, Value: value}},
 	}
-	write := Write{ID: id, Txn: t, Priority: PriorityStart, VerifyKey: storage.TermKey, Name: name}
-	c.submit(write, c.levelWritten)
+	write := Write{ID: id, Txn: txn, Priority: PriorityStart, VerifyKey: storage.TermKey, Name: name}
+	s.submit(write, s.levelWritten)
 }
 
-// levelWritten applies the outcome: the level is final, and the writes that were held back begin.
-func (c *Scheduler) levelWritten(now time.Duration, w TransactionOutcome) {
-	if !w.Succeeded {
-		c.emit(StepDown{Reason: fmt.Sprintf("level not final: conditions failed: %v", w.FailedKeys)})
+// levelWritten handles the outcome of the level change. On success the level is final, and the paused writes resume.
+func (s *Scheduler) levelWritten(now time.Duration, outcome TransactionOutcome) {
+	if !outcome.Succeeded {
+		s.emit(StepDown{Reason: fmt.Sprintf("level not final: conditions failed: %v", outcome.FailedKeys)})
 		return
 	}
-	c.writes.paused, c.writes.termRevision = false, w.Revision
-	c.recordLimits.SetLevel(c.targetLevel)
-	c.log.Info(
+	s.writes.paused, s.writes.termRevision = false, outcome.Revision
+	s.recordLimits.SetLevel(s.targetLevel)
+	s.log.Info(
 		"feature level final",
-		"level", c.recordLimits.Level(),
-		"value_limit_kb", c.recordLimits.ValueKB(),
-		"operation_limit", c.recordLimits.MaxOperations(),
+		"level", s.recordLimits.Level(),
+		"value_limit_kb", s.recordLimits.ValueKB(),
+		"operation_limit", s.recordLimits.MaxOperations(),
 	)
-	for _, j := range c.sortedJobs() {
-		c.resumeWrites(now, j)
+	for _, j := range s.sortedJobs() {
+		s.resumeWrites(now, j)
 	}
-	c.zoneFailover.RedistributeLoans(c.failoverRecordLimits())
-	c.emit(FeatureLevelFinal{Level: c.recordLimits.Level()})
-	c.cycle.due = true
+	s.zoneFailover.RedistributeLoans(s.failoverRecordLimits())
+	s.emit(FeatureLevelFinal{Level: s.recordLimits.Level()})
+	s.cycle.due = true
 }
 
-// resumeWrites begins those writes of a job that were held back during the change of the level, in its new layout.
-func (c *Scheduler) resumeWrites(now time.Duration, j *jobstate.Job) {
+// resumeWrites starts the writes of a job that were paused during the level change, using the page layout of the new
+// level.
+func (s *Scheduler) resumeWrites(now time.Duration, j *jobstate.Job) {
 	current := j.Pages.Layout()
-	if layout := c.recordLimits.LayoutAtMost(current.TasksPerPage); layout != current {
+	if layout := s.recordLimits.LayoutAtMost(current.TasksPerPage); layout != current {
 		j.Pages.ChangeLayout(layout)
 	}
 	j.RecordNotBefore = 0
@@ -80,41 +81,42 @@
 	}
 	switch {
 	case j.Ended:
-		c.cleanUpEndedJob(j)
+		s.cleanUpEndedJob(j)
 	case j.AllTasksDone():
-		c.completeJob(j)
+		s.completeJob(j)
 	}
 }
 
-// replaceSupersededPages causes some superseded pages to be replaced when there is little else to write: each of them
-// takes room in the key-value store, and time of the next leader.
-func (c *Scheduler) replaceSupersededPages(now time.Duration) {
-	inFlight := c.writes.pagesInFlight[PriorityCompletion] + c.writes.pagesInFlight[PriorityStart]
-	if c.recordLimits.Level() < featurelevel.Pipelines || inFlight > 0 {
+// replaceSupersededPages schedules the replacement of some superseded pages while there are few other writes.
+// Superseded pages take up space in the key-value store and prolong the recovery of the next leader.
+func (s *Scheduler) replaceSupersededPages(now time.Duration) {
+	inFlight := s.writes.pagesInFlight[PriorityCompletion] + s.writes.pagesInFlight[PriorityStart]
+	if s.recordLimits.Level() < featurelevel.Pipelines || inFlight > 0 {
 		return
 	}
-	left := c.recordLimits.MaxCompletionPages()
+	remaining := s.recordLimits.MaxCompletionPages()
 	canReplace := func(j *jobstate.Job) bool {
 		return len(j.Pages.Superseded()) > 0 && !j.Ended && !j.Ending && !j.WriteInFlight
 	}
-	for _, j := range c.sortedJobsWhere(canReplace) {
+	for _, j := range s.sortedJobsMatching(canReplace) {
 		j.Pages.MarkReplacementsDirty()
 		j.QueueCompletion(now)
-		if left--; left <= 0 {
+		if remaining--; remaining <= 0 {
 			return
 		}
 	}
 }
 
-// shrinkTransactions applies the rejection of a malformed transaction, and reports whether later ones are smaller.
-func (c *Scheduler) shrinkTransactions(t *protocol.Txn) bool {
-	if !c.recordLimits.ShrinkTransactions(len(t.Then)) {
+// shrinkTransactions handles the rejection of a malformed transaction. It reports whether the size limit for later
+// transactions was lowered.
+func (s *Scheduler) shrinkTransactions(txn *protocol.Txn) bool {
+	if !s.recordLimits.ShrinkTransactions(len(txn.Then)) {
 		return false
 	}
-	c.log.Error(
+	s.log.Error(
 		"transaction rejected",
-		"operations", len(t.Then),
-		"operation_limit", c.recordLimits.MaxOperations(),
+		"operations", len(txn.Then),
+		"operation_limit", s.recordLimits.MaxOperations(),
 	)
 	return true
 }
--- a/internal/coordination/scheduler/featurelevel_test.go
+++ b/internal/coordination/scheduler/featurelevel_test.go
@@ -17,20 +17,21 @@
 	"pinebay/internal/storage"
 )
 
-// withNextLimits sets limits that the store will have later.
+// withNextLimits sets the limits that the store will have in the future.
 func withNextLimits(s *manualStore, next config.FutureStoreLimits) *manualStore {
 	s.scheduler.cfg.Store.Next = next
 	return s
 }
 
-// The record of the term changes only when no other write depends on it. None begins meanwhile, and all that follow
-// depend on its new revision. Starts go on afterwards.
+// TestLevelChangeWaitsForWritesInFlight checks that the term record is changed only while no other write, each of which
+// is conditional on it, is in flight. No write begins during the change, all later writes are conditional on the new
+// revision of the term record, and starts continue afterwards.
 func TestLevelChangeWaitsForWritesInFlight(t *testing.T) {
 	s := withNextLimits(newEmptyManualStore(4), config.FutureStoreLimits{ValueKB: 2, TxnOps: 5, WriteRPS: 18})
 	s.submit("j-1", "normal", 2)
 	s.cycleWithHeartbeats()
 	if len(s.inFlight) != 1 {
-		t.Fatalf("%d writes in flight", len(s.inFlight))
+		t.Fatalf("%d writes in flight, want 1", len(s.inFlight))
 	}
 	first := s.inFlight[0]
 	s.step(FinaliseFeatureLevel{Level: featurelevel.Pipelines})
@@ -38,33 +39,33 @@
 	s.submit("j-2", "urgent", 2)
 	s.cycleWithHeartbeats()
 	if len(s.inFlight) != 1 {
-		t.Fatalf("%d writes in flight while the first one is", len(s.inFlight))
+		t.Fatalf("%d writes in flight, want only the first one", len(s.inFlight))
 	}
 	s.answer(TransactionOutcome{WriteID: first.ID, Succeeded: true})
 	if len(s.inFlight) != 1 || s.inFlight[0].VerifyKey != storage.TermKey || s.inFlight[0].Txn.If[0].Revision != 1 {
-		t.Fatalf("the term's record is not what is written now: %+v", s.inFlight)
+		t.Fatalf("the write in flight is not that of the term record: %+v", s.inFlight)
 	}
 	rec, err := storage.DecodeTerm(s.inFlight[0].Txn.Then[0].Value)
 	if err != nil || rec.Term != 5 || rec.FeatureLevel != int(featurelevel.Pipelines) ||
 		rec.WriteName != s.inFlight[0].Name {
-		t.Fatalf("the record: %+v, %v", rec, err)
+		t.Fatalf("term record %+v, error %v", rec, err)
 	}
 	s.cycleWithHeartbeats()
 	if len(s.inFlight) != 1 {
-		t.Fatalf("%d writes in flight while the level is made final", len(s.inFlight))
+		t.Fatalf("%d writes in flight during the level change, want 1", len(s.inFlight))
 	}
 	s.answer(TransactionOutcome{WriteID: s.inFlight[0].ID, Succeeded: true})
 	termRevision := s.revision
 	s.cycleWithHeartbeats()
 	if len(s.inFlight) == 0 {
-		t.Fatal("nothing is written any more")
+		t.Fatal("no writes after the level change")
 	}
 	for _, w := range s.inFlight {
 		if w.Txn.If[0] != (protocol.Compare{Key: storage.TermKey, Revision: termRevision}) {
-			t.Errorf("a write depends on %+v, want revision %d of the term", w.Txn.If[0], termRevision)
+			t.Errorf("a write is conditional on %+v, want revision %d of the term record", w.Txn.If[0], termRevision)
 		}
 		if len(w.Txn.Then) > 5 {
-			t.Errorf("%d operations", len(w.Txn.Then))
+			t.Errorf("%d operations in a transaction, want 5 at most", len(w.Txn.Then))
 		}
 		for _, op := range w.Txn.Then {
 			if op.PutKey != "" && !strings.Contains(op.PutKey, "/w") {
@@ -73,11 +74,15 @@
 		}
 	}
 	if s.scheduler.recordLimits.ValueKB() != 2 || s.scheduler.writes.paused {
-		t.Errorf("value limit %v KB, paused %v", s.scheduler.recordLimits.ValueKB(), s.scheduler.writes.paused)
+		t.Errorf(
+			"value limit %v KB, writes paused %v, want 2 KB and not paused",
+			s.scheduler.recordLimits.ValueKB(),
+			s.scheduler.writes.paused,
+		)
 	}
 }
 
-// knownTasks describes what the leader knows of a job's tasks that a new leader must know too.
+// knownTasks describes those tasks of a job that a new leader must know about.
 func knownTasks(j *jobstate.Job) map[int]string {
 	known := map[int]string{}
 	for task := range j.TaskCount() {
@@ -104,8 +109,8 @@
 	)
 }
 
-// recordKnownTasks applies what a page says of its tasks: of several pages the last one that was written counts.
-func recordKnownTasks(t *rapid.T, known map[int]string, pair protocol.KeyValue) {
+// applyPage applies what a page records of its tasks. If several pages cover a task, the one written last counts.
+func applyPage(t *rapid.T, known map[int]string, pair protocol.KeyValue) {
 	t.Helper()
 	name, err := storage.ParsePageKey(pair.Key, storage.OriginalPageTasks(4))
 	if err != nil {
@@ -140,17 +145,17 @@
 	}
 }
 
-// layoutScenario is a random history of one job whose pages are narrowed now and then, while its writes are carried out
-// in part.
+// layoutScenario is a random history of one job whose pages are narrowed from time to time, while its writes are only
+// partly committed.
 type layoutScenario struct {
 	t *rapid.T
 	*manualStore
 	tasks    int
 	stored   map[string]protocol.KeyValue
-	recorded map[int]string // what the stored pages say of each task
+	recorded map[int]string // what the stored pages record of each task
 }
 
-// newLayoutScenario draws the limits, and a job at the lowest feature level.
+// newLayoutScenario returns a scenario with random limits and a job at the lowest feature level.
 func newLayoutScenario(t *rapid.T) *layoutScenario {
 	s := &layoutScenario{
 		t:           t,
@@ -178,8 +183,8 @@
 	return jobSpec("j-1", protocol.Array, "normal", s.tasks, 1)
 }
 
-// carryOut lets a write succeed, and checks that it is within the limits.
-func (s *layoutScenario) carryOut(w Write) {
+// commitWrite lets a write succeed and checks that it is within the limits.
+func (s *layoutScenario) commitWrite(w Write) {
 	s.revision++
 	for _, compare := range w.Txn.If {
 		stored := s.stored[compare.Key].Revision
@@ -194,7 +199,7 @@
 		delete(s.stored, op.DeleteKey)
 	}
 	if len(w.Txn.Then) > s.scheduler.recordLimits.MaxOperations() {
-		s.t.Fatalf("%d operations", len(w.Txn.Then))
+		s.t.Fatalf("%d operations exceed the limit", len(w.Txn.Then))
 	}
 	s.inFlight = slices.DeleteFunc(s.inFlight, func(o Write) bool { return o.ID == w.ID })
 	s.stepWithCommands(TransactionOutcome{WriteID: w.ID, Succeeded: true, Revision: s.revision})
@@ -203,30 +208,30 @@
 func (s *layoutScenario) put(op protocol.Op) {
 	s.stored[op.PutKey] = protocol.KeyValue{Key: op.PutKey, Value: op.Value, Revision: s.revision}
 	if strings.HasPrefix(op.PutKey, storage.PlacementPrefix) {
-		recordKnownTasks(s.t, s.recorded, s.stored[op.PutKey])
+		applyPage(s.t, s.recorded, s.stored[op.PutKey])
 	}
 	limits := &s.scheduler.recordLimits
 	if limits.Level() >= featurelevel.Pipelines && op.PutKey != storage.TermKey &&
 		!storage.FitsValueLimit(op.Value, limits.ValueKB()) && !strings.Contains(op.PutKey, "/w1.") {
-		s.t.Fatalf("%s does not fit", op.PutKey)
+		s.t.Fatalf("%s exceeds the value limit", op.PutKey)
 	}
 }
 
-// quietCycle runs a cycle and carries out all that it writes.
-func (s *layoutScenario) quietCycle() {
+// runCycleAndCommit runs a cycle and commits all writes.
+func (s *layoutScenario) runCycleAndCommit() {
 	s.cycleWithHeartbeats()
 	for len(s.inFlight) > 0 {
-		s.carryOut(s.inFlight[0])
+		s.commitWrite(s.inFlight[0])
 	}
 }
 
-// randomStep draws what happens next.
+// randomStep performs a random step.
 func (s *layoutScenario) randomStep() {
 	switch rapid.IntRange(0, 5).Draw(s.t, "what") {
 	case 0:
 		s.cycleWithHeartbeats()
 	case 1:
-		s.endSome(rapid.IntRange(0, 5).Draw(s.t, "which"))
+		s.exitTasksByIndex(rapid.IntRange(0, 5).Draw(s.t, "which"))
 	case 2:
 		s.step(FinaliseFeatureLevel{Level: featurelevel.Pipelines})
 	case 3:
@@ -235,12 +240,12 @@
 		}
 	default:
 		if len(s.inFlight) > 0 {
-			s.carryOut(s.inFlight[0])
+			s.commitWrite(s.inFlight[0])
 		}
 	}
 }
 
-// recoveredJob returns the job as a new leader reads it.
+// recoveredJob returns the job as a new leader recovers it.
 func (s *layoutScenario) recoveredJob() *jobstate.Job {
 	pages := slices.Collect(maps.Values(s.stored))
 	pages = slices.DeleteFunc(pages, func(p protocol.KeyValue) bool {
@@ -263,37 +268,38 @@
 	return next.jobs["j-1"]
 }
 
-// However far the replacement of a job's pages has come, a new leader reads its tasks as they were recorded last, and
-// no attempt number is used twice. In the end no page of another layout is left.
+// TestRecoveryAcrossPageLayouts checks that a new leader recovers the tasks of a job as they were last recorded,
+// whatever part of its pages has been replaced, and that no attempt number is used twice. Eventually, no page of
+// another layout is left.
 func TestRecoveryAcrossPageLayouts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newLayoutScenario(t)
 		for range rapid.IntRange(0, 3).Draw(t, "quiet cycles first") {
-			s.quietCycle()
+			s.runCycleAndCommit()
 		}
 		for range rapid.IntRange(1, 25).Draw(t, "steps") {
 			s.randomStep()
 		}
 		if s.stored[storage.EndedJobKey("j-1")].Revision > 0 {
-			return // all tasks are done, and the pages are deleted
+			return // all tasks are done and the pages deleted
 		}
 		if got := knownTasks(s.recoveredJob()); !maps.Equal(got, s.recorded) {
-			t.Fatalf("in the midst a new leader reads\n%v\nof\n%v", got, s.recorded)
+			t.Fatalf("during the replacement a new leader recovers\n%v\nwant\n%v", got, s.recorded)
 		}
 		s.cycleWithHeartbeats()
 		for n := 0; len(s.inFlight) > 0 && n < 500; n++ {
-			s.carryOut(s.inFlight[0])
+			s.commitWrite(s.inFlight[0])
 		}
 		j := s.scheduler.jobs["j-1"]
 		if j == nil || j.Ended {
 			return // all tasks are done
 		}
 		for range 200 {
-			s.quietCycle()
+			s.runCycleAndCommit()
 		}
 		got := s.recoveredJob()
 		if !maps.Equal(knownTasks(got), knownTasks(j)) {
-			t.Fatalf("a new leader reads\n%v\nof\n%v", knownTasks(got), knownTasks(j))
+			t.Fatalf("a new leader recovers\n%v\nwant\n%v", knownTasks(got), knownTasks(j))
 		}
 		for task := range s.tasks {
 			if got.NextAttempt(task) < j.NextAttempt(task) {
@@ -301,18 +307,22 @@
 			}
 		}
 		if s.scheduler.recordLimits.Level() >= featurelevel.Pipelines && len(j.Pages.Superseded()) > 0 {
-			t.Fatalf("%d pages of another layout are left after many quiet cycles", len(j.Pages.Superseded()))
+			t.Fatalf(
+				"%d pages of another layout are left after many cycles without other writes",
+				len(j.Pages.Superseded()),
+			)
 		}
 	})
 }
 
-// endSome ends the tasks on machines with every sixth index, as done or as stopped.
-func (s *manualStore) endSome(which int) {
+// exitTasksByIndex ends the tasks whose index modulo 6 is the given remainder, as done if the remainder is even and as
+// stopped if it is odd.
+func (s *manualStore) exitTasksByIndex(remainder int) {
 	for _, name := range sortedNames(s.tasks) {
 		for id, t := range s.tasks[name] {
-			if id.Index%6 == which && t.State != protocol.TaskExited {
+			if id.Index%6 == remainder && t.State != protocol.TaskExited {
 				causes := []protocol.ExitCause{protocol.CauseDone, protocol.CauseStopped}
-				t.State, t.Cause = protocol.TaskExited, causes[which%2]
+				t.State, t.Cause = protocol.TaskExited, causes[remainder%2]
 				s.tasks[name][id] = t
 			}
 		}
@@ -320,8 +330,8 @@
 	}
 }
 
-// A record that the store rejects as malformed is divided and never written again as it was. Below the feature level
-// that allows it, the job waits and the others go on.
+// TestRejectedRecordsAreSplit checks that a record that the store rejects as malformed is divided and never written
+// again unchanged. Below the feature level that allows the division, the job waits while other jobs continue.
 func TestRejectedRecordsAreSplit(t *testing.T) {
 	s := newEmptyManualStore(6)
 	s.submit("j-1", "normal", 10)
@@ -332,7 +342,7 @@
 	s.cycleWithHeartbeats()
 	if len(s.inFlight) != 1 || !slices.Contains(jobsOfWrite(s.inFlight[0]), "j-2") ||
 		slices.Contains(jobsOfWrite(s.inFlight[0]), "j-1") {
-		t.Fatalf("below the level the others do not go on alone: %+v", s.inFlight)
+		t.Fatalf("below the feature level, want only j-2 written: %+v", s.inFlight)
 	}
 	s.answerAllWrites()
 	s.step(FinaliseFeatureLevel{Level: featurelevel.Pipelines})
@@ -356,7 +366,7 @@
 	}
 }
 
-// answerOthers lets the writes in flight succeed, except those that are rejected.
+// answerOthers lets the writes in flight succeed, except the rejected ones.
 func (s *manualStore) answerOthers(rejected func(Write) bool) {
 	for _, w := range slices.Clone(s.inFlight) {
 		if !rejected(w) {
@@ -365,8 +375,8 @@
 	}
 }
 
-// The start of an array costs a fraction of the bytes in the compact layout with 2 KiB values of what it costs in the
-// original layout with 8 KiB, and up to 48 tasks one write in both.
+// TestCostOfCompactPages checks that the start of an array costs at most 70% as many bytes in the compact layout with 2
+// KiB values as in the original layout with 8 KiB values, and that up to 48 tasks take one write in both.
 func TestCostOfCompactPages(t *testing.T) {
 	cost := func(level featurelevel.Level, tasks int) (writes, bytes int) {
 		s := withNextLimits(newEmptyManualStore(tasks/8+1), config.FutureStoreLimits{ValueKB: 2, TxnOps: 5})
@@ -385,12 +395,26 @@
 		}
 		return writes, bytes
 	}
-	for tasks, most := range map[int]int{18: 1, 48: 1, 96: 2} {
+	for tasks, maximum := range map[int]int{18: 1, 48: 1, 96: 2} {
 		oldWrites, oldBytes := cost(featurelevel.Baseline, tasks)
 		writes, bytes := cost(featurelevel.Pipelines, tasks)
-		t.Logf("%d tasks: %d writes of %d bytes in all, before %d of %d", tasks, writes, bytes, oldWrites, oldBytes)
-		if writes > most || oldWrites != 1 || 10*bytes > 7*oldBytes {
-			t.Errorf("%d tasks: %d writes of %d bytes, before %d of %d", tasks, writes, bytes, oldWrites, oldBytes)
+		t.Logf(
+			"%d tasks: %d writes, %d bytes in total; original layout: %d writes, %d bytes",
+			tasks,
+			writes,
+			bytes,
+			oldWrites,
+			oldBytes,
+		)
+		if writes > maximum || oldWrites != 1 || 10*bytes > 7*oldBytes {
+			t.Errorf(
+				"%d tasks: %d writes, %d bytes in total; original layout: %d writes, %d bytes",
+				tasks,
+				writes,
+				bytes,
+				oldWrites,
+				oldBytes,
+			)
 		}
 	}
 }
--- a/internal/coordination/scheduler/fleet_bench_test.go
+++ b/internal/coordination/scheduler/fleet_bench_test.go
@@ -13,21 +13,22 @@
 	"pinebay/internal/storage"
 )
 
-// fleetHarness drives a scheduler with a large fleet, whose writes succeed at once and whose machines carry out all
+// fleetHarness drives a scheduler with a large fleet, whose writes succeed immediately and whose machines execute all
 // commands. Only the steps of the scheduler are timed.
 type fleetHarness struct {
 	scheduler    *Scheduler
 	now          time.Duration
 	revision     uint64
 	heartbeats   map[string]*protocol.WorkerHeartbeat
-	started      int // runs that were commanded
+	started      int // number of run commands
 	stepTime     time.Duration
 	jobs         int
 	rng          *rand.Rand
-	longestCycle time.Duration // step in which a cycle ran
+	longestCycle time.Duration // longest step that ran a cycle
 }
 
-// machineSlots is how many tasks fit on a machine, serviceSlots how many of them services take that run all the time.
+// machineSlots is the number of tasks that fit on a machine. serviceSlots is the number of those slots that are
+// occupied by services throughout a benchmark.
 const (
 	machineSlots = 16
 	serviceSlots = 10
@@ -71,7 +72,7 @@
 		},
 	}
 	log := slog.New(slog.NewTextHandler(io.Discard, &slog.HandlerOptions{Level: slog.LevelError}))
-	b := &fleetHarness{
+	h := &fleetHarness{
 		scheduler: New(0, Options{
 			Config:  cfg,
 			Log:     log,
@@ -82,11 +83,11 @@
 		heartbeats: map[string]*protocol.WorkerHeartbeat{},
 		rng:        rand.New(rand.NewPCG(1, 2)),
 	}
-	b.now = CycleInterval
+	h.now = CycleInterval
 	var list []protocol.ListedMachine
 	for i := range machines {
 		name := fmt.Sprintf("host-%06d", i)
-		b.heartbeats[name] = &protocol.WorkerHeartbeat{
+		h.heartbeats[name] = &protocol.WorkerHeartbeat{
 			Machine:     name,
 			Addr:        "x",
 			Type:        "m",
@@ -103,93 +104,93 @@
 				State: protocol.MachineRunning,
 			},
 		)
-		b.heartbeat(name)
+		h.heartbeat(name)
 	}
-	b.apply(MachinesListed{RequestedAt: b.now, Machines: list})
-	return b
+	h.apply(MachinesListed{RequestedAt: h.now, Machines: list})
+	return h
 }
 
-// apply hands an event to the scheduler and carries out the effects.
-func (b *fleetHarness) apply(e Event) {
-	cycles := b.scheduler.cycle.count
+// apply passes an event to the scheduler and carries out the resulting effects.
+func (h *fleetHarness) apply(e Event) {
+	cycles := h.scheduler.cycle.count
 	began := time.Now()
-	effects := b.scheduler.Step(b.now, e)
+	effects := h.scheduler.Step(h.now, e)
 	took := time.Since(began)
-	b.stepTime += took
-	if b.scheduler.cycle.count > cycles {
-		b.longestCycle = max(b.longestCycle, took)
+	h.stepTime += took
+	if h.scheduler.cycle.count > cycles {
+		h.longestCycle = max(h.longestCycle, took)
 	}
 	for _, out := range effects {
 		switch o := out.(type) {
 		case Write:
-			b.revision++
-			b.apply(TransactionOutcome{WriteID: o.ID, Succeeded: true, Revision: b.revision})
+			h.revision++
+			h.apply(TransactionOutcome{WriteID: o.ID, Succeeded: true, Revision: h.revision})
 		case SendCommandBatch:
-			b.executeCommands(o.Machine, o.Batch.FencingToken, o.Batch.Commands)
-			b.apply(CommandBatchResult{Machine: o.Machine, Acknowledged: true, Heartbeat: b.nextHeartbeat(o.Machine)})
+			h.executeCommands(o.Machine, o.Batch.FencingToken, o.Batch.Commands)
+			h.apply(CommandBatchResult{Machine: o.Machine, Acknowledged: true, Heartbeat: h.nextHeartbeat(o.Machine)})
 		case HeartbeatReply:
 			if name, ok := o.ReplyTo.(string); ok {
-				b.executeCommands(name, o.Body.FencingToken, o.Body.Commands)
+				h.executeCommands(name, o.Body.FencingToken, o.Body.Commands)
 			}
 		}
 	}
 }
 
-// executeCommands has a machine carry out commands. Tasks run at once.
-func (b *fleetHarness) executeCommands(name string, token uint64, commands []protocol.Command) {
-	r := b.heartbeats[name]
-	r.FencingToken = max(r.FencingToken, token)
+// executeCommands makes a machine execute commands. Tasks run immediately.
+func (h *fleetHarness) executeCommands(name string, token uint64, commands []protocol.Command) {
+	heartbeat := h.heartbeats[name]
+	heartbeat.FencingToken = max(heartbeat.FencingToken, token)
 	for _, c := range commands {
 		at := -1
-		for i := range r.Tasks {
-			if r.Tasks[i].TaskName == c.TaskName {
+		for i := range heartbeat.Tasks {
+			if heartbeat.Tasks[i].TaskName == c.TaskName {
 				at = i
 			}
 		}
 		switch {
 		case c.Verb == protocol.VerbRun && at < 0:
-			b.started++
-			r.Tasks = append(
-				r.Tasks,
+			h.started++
+			heartbeat.Tasks = append(
+				heartbeat.Tasks,
 				protocol.TaskStatus{TaskName: c.TaskName, Attempt: c.Attempt, State: protocol.TaskRunning},
 			)
 		case c.Verb == protocol.VerbStop && at >= 0:
-			r.Tasks[at].State, r.Tasks[at].Cause = protocol.TaskExited, protocol.CauseStopped
+			heartbeat.Tasks[at].State, heartbeat.Tasks[at].Cause = protocol.TaskExited, protocol.CauseStopped
 		case c.Verb == protocol.VerbForget && at >= 0:
-			r.Tasks = append(r.Tasks[:at], r.Tasks[at+1:]...)
+			heartbeat.Tasks = append(heartbeat.Tasks[:at], heartbeat.Tasks[at+1:]...)
 		}
 	}
 }
 
-// nextHeartbeat returns a machine's next heartbeat.
-func (b *fleetHarness) nextHeartbeat(name string) *protocol.WorkerHeartbeat {
-	r := *b.heartbeats[name]
-	b.heartbeats[name].Sequence++
-	r.Sequence = b.heartbeats[name].Sequence
-	r.Tasks = append([]protocol.TaskStatus{}, r.Tasks...)
-	return &r
+// nextHeartbeat returns the next heartbeat of a machine.
+func (h *fleetHarness) nextHeartbeat(name string) *protocol.WorkerHeartbeat {
+	heartbeat := *h.heartbeats[name]
+	h.heartbeats[name].Sequence++
+	heartbeat.Sequence = h.heartbeats[name].Sequence
+	heartbeat.Tasks = append([]protocol.TaskStatus{}, heartbeat.Tasks...)
+	return &heartbeat
 }
 
-func (b *fleetHarness) heartbeat(name string) {
-	b.apply(HeartbeatReceived{ReplyTo: name, Heartbeat: b.nextHeartbeat(name)})
+func (h *fleetHarness) heartbeat(name string) {
+	h.apply(HeartbeatReceived{ReplyTo: name, Heartbeat: h.nextHeartbeat(name)})
 }
 
-// heartbeatAll sends a heartbeat of each machine.
-func (b *fleetHarness) heartbeatAll() {
-	for name := range b.heartbeats {
-		b.heartbeat(name)
+// heartbeatAll delivers a heartbeat of each machine.
+func (h *fleetHarness) heartbeatAll() {
+	for name := range h.heartbeats {
+		h.heartbeat(name)
 	}
 }
 
-// submit submits a job of a team, of normal priority.
-func (b *fleetHarness) submit(shape protocol.Shape, team, tasks int) {
-	b.jobs++
-	id := fmt.Sprintf("j-%07d", b.jobs)
-	b.revision++
-	b.apply(
+// submit submits a job of normal priority for a team.
+func (h *fleetHarness) submit(shape protocol.Shape, team, tasks int) {
+	h.jobs++
+	id := fmt.Sprintf("j-%07d", h.jobs)
+	h.revision++
+	h.apply(
 		JobAccepted{
-			Revision: b.revision,
-			Record: storage.LiveJobRecord{AcceptedAtMS: b.now.Milliseconds(), Job: protocol.Job{
+			Revision: h.revision,
+			Record: storage.LiveJobRecord{AcceptedAtMS: h.now.Milliseconds(), Job: protocol.Job{
 				ID:              id,
 				Class:           string(shape),
 				Team:            fmt.Sprintf("team-%03d", team),
@@ -198,7 +199,7 @@
 				TaskCount:       tasks,
 				CPUs:            2,
 				MemoryGB:        4,
-				Image:           fmt.Sprintf("image-%02d", b.rng.IntN(imageCount)),
+				Image:           fmt.Sprintf("image-%02d", h.rng.IntN(imageCount)),
 				ImageGB:         1,
 				EstimateSeconds: 40,
 			}},
@@ -206,115 +207,115 @@
 	)
 }
 
-// fill starts services on all machines, with so many tasks on each.
-func (b *fleetHarness) fill(teams, perMachine int) {
-	left := perMachine * len(b.heartbeats)
+// fill starts services on all machines, with perMachine tasks on each.
+func (h *fleetHarness) fill(teams, perMachine int) {
+	left := perMachine * len(h.heartbeats)
 	for i := 0; left > 0; i++ {
 		n := min(left, 960)
-		b.submit(protocol.Service, i%teams, n)
+		h.submit(protocol.Service, i%teams, n)
 		left -= n
 		if i%8 == 0 {
-			b.advance(CycleInterval)
+			h.advance(CycleInterval)
 		}
 	}
 	for range 10 {
-		b.advance(CycleInterval)
+		h.advance(CycleInterval)
 	}
 }
 
-// advance lets time pass.
-func (b *fleetHarness) advance(d time.Duration) {
-	b.now += d
-	b.apply(Tick{})
+// advance advances the time and delivers a tick.
+func (h *fleetHarness) advance(d time.Duration) {
+	h.now += d
+	h.apply(Tick{})
 }
 
-// finishArrays ends all running tasks of arrays.
-func (b *fleetHarness) finishArrays() {
-	for name, r := range b.heartbeats {
+// finishArrays reports all running tasks of arrays as done.
+func (h *fleetHarness) finishArrays() {
+	for name, r := range h.heartbeats {
 		changed := false
 		for i := range r.Tasks {
 			t := &r.Tasks[i]
 			if id, err := protocol.ParseTaskID(
 				t.TaskName,
 			); err == nil && t.State == protocol.TaskRunning &&
-				b.scheduler.jobs[id.JobID] != nil &&
-				b.scheduler.jobs[id.JobID].Spec.Shape == protocol.Array {
+				h.scheduler.jobs[id.JobID] != nil &&
+				h.scheduler.jobs[id.JobID].Spec.Shape == protocol.Array {
 				t.State, t.Cause = protocol.TaskExited, protocol.CauseDone
 				changed = true
 			}
 		}
 		if changed {
-			b.heartbeat(name)
+			h.heartbeat(name)
 		}
 	}
 }
 
-// BenchmarkStarts measures how many starts a scheduler makes a second, with all that goes with them: submissions,
-// cycles, records, commands, heartbeats, ends.
+// BenchmarkStarts measures the number of starts per second, including everything that goes with them: submissions,
+// cycles, records, commands, heartbeats and completions.
 func BenchmarkStarts(b *testing.B) {
 	for _, machines := range []int{250, 1000, 4000, 18_000} {
 		b.Run(fmt.Sprint(machines), func(b *testing.B) {
-			f := newFleetHarness(machines, 200)
-			f.fill(200, serviceSlots)
-			f.heartbeatAll()
+			h := newFleetHarness(machines, 200)
+			h.fill(200, serviceSlots)
+			h.heartbeatAll()
 			const tasks, jobs = 64, 8
 			for b.Loop() {
-				f.stepTime, f.started, f.longestCycle = 0, 0, 0
+				h.stepTime, h.started, h.longestCycle = 0, 0, 0
 				for range 4 {
 					for range jobs {
-						f.submit(protocol.Array, f.rng.IntN(200), tasks)
+						h.submit(protocol.Array, h.rng.IntN(200), tasks)
 					}
 					for range 3 {
-						f.advance(MinCycleInterval)
+						h.advance(MinCycleInterval)
 					}
-					f.finishArrays()
-					f.advance(MinCycleInterval)
+					h.finishArrays()
+					h.advance(MinCycleInterval)
 				}
 			}
-			b.ReportMetric(float64(f.started)/f.stepTime.Seconds(), "starts/s")
-			b.ReportMetric(float64(f.longestCycle.Microseconds())/1000, "longest-cycle-ms")
+			b.ReportMetric(float64(h.started)/h.stepTime.Seconds(), "starts/s")
+			b.ReportMetric(float64(h.longestCycle.Microseconds())/1000, "longest-cycle-ms")
 		})
 	}
 }
 
-// BenchmarkQuietCycle measures a cycle with a plan of capacity when nothing has happened.
+// BenchmarkQuietCycle measures a cycle with a capacity plan when nothing has changed.
 func BenchmarkQuietCycle(b *testing.B) {
 	for _, machines := range []int{250, 1000, 4000, 18_000} {
 		b.Run(fmt.Sprint(machines), func(b *testing.B) {
-			f := newFleetHarness(machines, 200)
-			f.fill(200, serviceSlots+3)
-			f.heartbeatAll()
-			f.advance(CycleInterval)
+			h := newFleetHarness(machines, 200)
+			h.fill(200, serviceSlots+3)
+			h.heartbeatAll()
+			h.advance(CycleInterval)
 			b.ResetTimer()
 			for range b.N {
-				f.now += CycleInterval
-				f.scheduler.Step(f.now, Tick{})
+				h.now += CycleInterval
+				h.scheduler.Step(h.now, Tick{})
 				b.StopTimer()
-				f.heartbeatAll() // or the machines would count as silent
+				h.heartbeatAll() // otherwise the machines would count as silent
 				b.StartTimer()
 			}
 		})
 	}
 }
 
-// newOverloadedHarness returns a harness with a full fleet, and jobs of many teams that wait for capacity.
+// newOverloadedHarness returns a harness with a full fleet and with jobs of many teams that wait for capacity.
 func newOverloadedHarness(machines, teams, waiting int) *fleetHarness {
-	f := newFleetHarness(machines, teams)
-	f.fill(teams, machineSlots)
-	f.heartbeatAll()
+	h := newFleetHarness(machines, teams)
+	h.fill(teams, machineSlots)
+	h.heartbeatAll()
 	for i := range waiting {
-		f.submit(protocol.Array, i%teams, 64)
+		h.submit(protocol.Array, i%teams, 64)
 	}
 	for range 4 {
-		f.advance(CycleInterval)
+		h.advance(CycleInterval)
 	}
-	f.heartbeatAll()
-	return f
+	h.heartbeatAll()
+	return h
 }
 
-// BenchmarkOverload measures a cycle while many jobs wait that find no capacity.
+// BenchmarkOverload measures a cycle while many jobs wait for capacity that is not available.
 func BenchmarkOverload(b *testing.B) {
-	for _, x := range []struct{ machines, teams, waiting int }{
+	for _, tc := range []struct{ machines, teams, waiting int }{
 		{100, 1, 200},
 		{100, 20, 200},
 		{100, 200, 200},
@@ -323,14 +324,14 @@
 		{6000, 200, 6000},
 		{18_000, 200, 18_000},
 	} {
-		b.Run(fmt.Sprintf("%d-machines-%d-teams-%d-jobs", x.machines, x.teams, x.waiting), func(b *testing.B) {
-			f := newOverloadedHarness(x.machines, x.teams, x.waiting)
+		b.Run(fmt.Sprintf("%d-machines-%d-teams-%d-jobs", tc.machines, tc.teams, tc.waiting), func(b *testing.B) {
+			h := newOverloadedHarness(tc.machines, tc.teams, tc.waiting)
 			b.ResetTimer()
 			for range b.N {
-				f.now += CycleInterval
-				f.scheduler.Step(f.now, Tick{})
+				h.now += CycleInterval
+				h.scheduler.Step(h.now, Tick{})
 				b.StopTimer()
-				f.heartbeatAll()
+				h.heartbeatAll()
 				b.StartTimer()
 			}
 		})
--- a/internal/coordination/scheduler/fullscan_test.go
+++ b/internal/coordination/scheduler/fullscan_test.go
@@ -20,22 +20,22 @@
 	"pinebay/internal/protocol"
 )
 
-// fullScan is the reference of placement.Finder: it examines every machine for every task.
+// fullScan is the reference implementation of placement.Finder. It examines every machine for every task.
 type fullScan struct{ scheduler *Scheduler }
 
 func (f fullScan) BestMachine(
 	now time.Duration,
 	j *jobstate.Job,
-	l *placement.ZoneLimits,
+	limits *placement.ZoneLimits,
 	admits placement.Filter,
 ) (best *candidates.Candidate) {
 	bestScore := 0.0
-	for _, x := range f.scheduler.candidates.All(now) {
-		if !admits(x) {
+	for _, candidate := range f.scheduler.candidates.All(now) {
+		if !admits(candidate) {
 			continue
 		}
-		if s := f.scheduler.rules.Score(now, j, x, l); best == nil || s < bestScore {
-			best, bestScore = x, s
+		if score := f.scheduler.rules.Score(now, j, candidate, limits); best == nil || score < bestScore {
+			best, bestScore = candidate, score
 		}
 	}
 	return best
@@ -44,35 +44,35 @@
 func (f fullScan) BestWithImage(
 	now time.Duration,
 	j *jobstate.Job,
-	l *placement.ZoneLimits,
+	limits *placement.ZoneLimits,
 	admits placement.Filter,
 ) *candidates.Candidate {
-	return f.BestMachine(now, j, l, func(x *candidates.Candidate) bool {
-		return f.scheduler.machines.FetchTime(now, x.Machine, &j.Spec) == 0 && admits(x)
+	return f.BestMachine(now, j, limits, func(candidate *candidates.Candidate) bool {
+		return f.scheduler.machines.FetchTime(now, candidate.Machine, &j.Spec) == 0 && admits(candidate)
 	})
 }
 
 func (f fullScan) CheapestPreemption(
 	now time.Duration,
 	j *jobstate.Job,
-	l *placement.ZoneLimits,
-	within time.Duration,
-	level int,
+	limits *placement.ZoneLimits,
+	maxFetchTime time.Duration,
+	victimPriority int,
 ) (best *candidates.Candidate, bestVictims []*machineregistry.Placement) {
 	bestCost := math.Inf(1)
-	for _, x := range f.scheduler.candidates.All(now) {
-		if !f.scheduler.rules.Feasible(now, j, x, l) || x.Machine.IsNominatedFor(now, j.Spec.ID) ||
-			!j.TaskResources.Fits(x.Capacity()) {
+	for _, candidate := range f.scheduler.candidates.All(now) {
+		if !f.scheduler.rules.Feasible(now, j, candidate, limits) || candidate.Machine.IsNominatedFor(now, j.Spec.ID) ||
+			!j.TaskResources.Fits(candidate.Capacity()) {
 			continue
 		}
-		warm := f.scheduler.machines.FetchTime(now, x.Machine, &j.Spec)
-		if warm > within {
+		fetchTime := f.scheduler.machines.FetchTime(now, candidate.Machine, &j.Spec)
+		if fetchTime > maxFetchTime {
 			continue
 		}
-		victims, cost, ok := f.scheduler.rules.SelectVictims(now, j, x, level)
-		cost += warm.Seconds()
+		victims, cost, ok := f.scheduler.rules.SelectVictims(now, j, candidate, victimPriority)
+		cost += fetchTime.Seconds()
 		if ok && cost < bestCost {
-			best, bestVictims, bestCost = x, victims, cost
+			best, bestVictims, bestCost = candidate, victims, cost
 		}
 	}
 	return best, bestVictims
@@ -81,35 +81,37 @@
 func (f fullScan) MostFreeCapacity(
 	now time.Duration,
 	j *jobstate.Job,
-	l *placement.ZoneLimits,
-	taken map[*candidates.Candidate]bool,
+	limits *placement.ZoneLimits,
+	except map[*candidates.Candidate]bool,
 ) (best *candidates.Candidate) {
-	for _, x := range f.scheduler.candidates.All(now) {
-		if taken[x] || !f.scheduler.rules.Feasible(now, j, x, l) ||
-			!j.TaskResources.Fits(x.Capacity()) {
+	for _, candidate := range f.scheduler.candidates.All(now) {
+		if except[candidate] || !f.scheduler.rules.Feasible(now, j, candidate, limits) ||
+			!j.TaskResources.Fits(candidate.Capacity()) {
 			continue
 		}
-		if best == nil || freeShare(x) > freeShare(best) {
-			best = x
+		if best == nil || freeShare(candidate) > freeShare(best) {
+			best = candidate
 		}
 	}
 	return best
 }
 
-func freeShare(x *candidates.Candidate) float64 { return x.Free.DominantShare(x.Capacity()) }
+func freeShare(candidate *candidates.Candidate) float64 {
+	return candidate.Free.DominantShare(candidate.Capacity())
+}
 
-// indexFinderOf returns the finder of a scheduler that uses the index.
-func indexFinderOf(tb testing.TB, c *Scheduler) *placement.Finder {
+// indexFinderOf returns the finder of a scheduler, which must use the index.
+func indexFinderOf(tb testing.TB, s *Scheduler) *placement.Finder {
 	tb.Helper()
-	f, ok := c.finder.(*placement.Finder)
+	f, ok := s.finder.(*placement.Finder)
 	if !ok {
-		tb.Fatalf("the finder is a %T", c.finder)
+		tb.Fatalf("the finder is a %T", s.finder)
 	}
 	return f
 }
 
-// schedulerPair is two schedulers that get the same events, one with the index and one that scans all
-// machines.
+// schedulerPair holds two schedulers that receive the same events. One of them uses the index, the other one examines
+// all machines.
 type schedulerPair struct {
 	t         *rapid.T
 	rng       *rand.Rand
@@ -128,23 +130,24 @@
 	objectives []config.Objective,
 	zoneFailover bool,
 ) *schedulerPair {
-	w := &schedulerPair{t: t, rng: rand.New(rand.NewPCG(seed, 5)), silent: map[string]bool{}}
-	for i := range w.harnesses {
-		b := newHarness(teams, "a", "b", "c")
-		b.setObjectives(objectives)
+	p := &schedulerPair{t: t, rng: rand.New(rand.NewPCG(seed, 5)), silent: map[string]bool{}}
+	for i := range p.harnesses {
+		h := newHarness(teams, "a", "b", "c")
+		h.setObjectives(objectives)
 		if i == 1 {
-			b.scheduler.finder = fullScan{b.scheduler}
+			h.scheduler.finder = fullScan{h.scheduler}
 		}
 		if zoneFailover {
-			b.scheduler.startZoneFailover(0, zonefailover.DefaultRecoveryOrder(), nil)
+			h.scheduler.startZoneFailover(0, zonefailover.DefaultRecoveryOrder(), nil)
 		}
-		b.onEffect = func(e Effect) { w.effects[i] = append(w.effects[i], describe(e)) }
-		w.harnesses[i] = b
+		h.onEffect = func(e Effect) { p.effects[i] = append(p.effects[i], describe(e)) }
+		p.harnesses[i] = h
 	}
-	return w
+	return p
 }
 
-// describe returns all of an effect that is a decision. Lists in no particular order are sorted.
+// describe returns a description of an effect that contains every decision in it. Lists without a defined order are
+// sorted.
 func describe(e Effect) string {
 	commands := func(list []protocol.Command) string {
 		var parts []string
@@ -175,99 +178,106 @@
 	}
 }
 
-// applyToBoth does the same to both schedulers, and demands that they return the same effects.
-func (w *schedulerPair) applyToBoth(what string, f func(b *harness)) {
-	w.round++
-	for i, b := range w.harnesses {
-		w.effects[i] = nil
-		f(b)
+// applyToBoth applies an action to both schedulers and checks that they return the same effects.
+func (p *schedulerPair) applyToBoth(what string, f func(h *harness)) {
+	p.round++
+	for i, h := range p.harnesses {
+		p.effects[i] = nil
+		f(h)
 	}
-	a, b := w.effects[0], w.effects[1]
-	for i := range max(len(a), len(b)) {
-		if i >= len(a) || i >= len(b) || a[i] != b[i] {
+	indexed, scanned := p.effects[0], p.effects[1]
+	for i := range max(len(indexed), len(scanned)) {
+		if i >= len(indexed) || i >= len(scanned) || indexed[i] != scanned[i] {
 			at := func(list []string) string {
 				if i < len(list) {
 					return list[i]
 				}
 				return "nothing"
 			}
-			w.t.Fatalf("round %d, %s, effect %d:\nindex:     %s\nfull scan: %s", w.round, what, i, at(a), at(b))
+			p.t.Fatalf(
+				"round %d, %s, effect %d:\nindex:     %s\nfull scan: %s",
+				p.round,
+				what,
+				i,
+				at(indexed),
+				at(scanned),
+			)
 		}
 	}
 }
 
-func (w *schedulerPair) chance(p float64) bool { return w.rng.Float64() < p }
+func (p *schedulerPair) chance(probability float64) bool { return p.rng.Float64() < probability }
 
-func (w *schedulerPair) addMachine() {
-	name := fmt.Sprintf("m%03d", len(w.machines))
-	zone, spot := []string{"a", "b", "c"}[w.rng.IntN(3)], w.chance(0.25)
-	w.machines = append(w.machines, name)
-	w.applyToBoth("new machine", func(b *harness) { b.heartbeat(name, zone, spot) })
+func (p *schedulerPair) addMachine() {
+	name := fmt.Sprintf("m%03d", len(p.machines))
+	zone, spot := []string{"a", "b", "c"}[p.rng.IntN(3)], p.chance(0.25)
+	p.machines = append(p.machines, name)
+	p.applyToBoth("new machine", func(h *harness) { h.heartbeat(name, zone, spot) })
 }
 
-func (w *schedulerPair) submit() {
+func (p *schedulerPair) submit() {
 	shapes := []protocol.Shape{protocol.Array, protocol.Gang, protocol.Service}
 	j := jobSpec(
-		fmt.Sprintf("j-%d", len(w.jobs)),
-		shapes[w.rng.IntN(3)],
-		[]protocol.Priority{"critical", "urgent", "normal", "best_effort"}[w.rng.IntN(4)],
-		1+w.rng.IntN(6),
-		[]float64{0, 1, 2, 4, 8}[w.rng.IntN(5)],
+		fmt.Sprintf("j-%d", len(p.jobs)),
+		shapes[p.rng.IntN(3)],
+		[]protocol.Priority{"critical", "urgent", "normal", "best_effort"}[p.rng.IntN(4)],
+		1+p.rng.IntN(6),
+		[]float64{0, 1, 2, 4, 8}[p.rng.IntN(5)],
 	)
-	j.Team = []string{"red", "blue", "green"}[w.rng.IntN(3)]
-	j.Class = fmt.Sprintf("class-%d", w.rng.IntN(4))
-	j.CPUs = []float64{1, 2.5, 8, 30.25}[w.rng.IntN(4)]
-	j.MemoryGB = []float64{1, 10, 60}[w.rng.IntN(3)]
-	image := w.rng.IntN(6)
+	j.Team = []string{"red", "blue", "green"}[p.rng.IntN(3)]
+	j.Class = fmt.Sprintf("class-%d", p.rng.IntN(4))
+	j.CPUs = []float64{1, 2.5, 8, 30.25}[p.rng.IntN(4)]
+	j.MemoryGB = []float64{1, 10, 60}[p.rng.IntN(3)]
+	image := p.rng.IntN(6)
 	j.Image, j.ImageGB = fmt.Sprintf("image-%d", image), []float64{0, 1, 12, 30, 45, 2}[image]
-	j.SpotAllowed = w.chance(0.5)
-	j.SameZone = j.Shape == protocol.Gang && w.chance(0.5)
-	j.Spread = !j.SameZone && w.chance(0.3)
-	if w.chance(0.2) {
+	j.SpotAllowed = p.chance(0.5)
+	j.SameZone = j.Shape == protocol.Gang && p.chance(0.5)
+	j.Spread = !j.SameZone && p.chance(0.3)
+	if p.chance(0.2) {
 		j.Zone = "b"
 	}
-	if j.Shape != protocol.Service && w.chance(0.6) {
+	if j.Shape != protocol.Service && p.chance(0.6) {
 		j.CheckpointIntervalSeconds, j.SaveSeconds = 10, 2
 	}
 	j.EstimateSeconds = 30
-	w.jobs = append(w.jobs, j.ID)
-	w.applyToBoth("submission", func(b *harness) { b.addJob(j) })
+	p.jobs = append(p.jobs, j.ID)
+	p.applyToBoth("submission", func(h *harness) { h.addJob(j) })
 }
 
-// heartbeat sends a machine's heartbeat. What has become of its tasks is drawn by their names, so that it is
-// the same for both.
-func (w *schedulerPair) heartbeat(name string) {
-	notice := w.chance(0.01)
-	draw := w.rng.Uint64()
-	w.applyToBoth("heartbeat of "+name, func(b *harness) {
-		for _, id := range sortedIDs(b.tasks[name]) {
-			t := b.tasks[name][id]
+// heartbeat delivers a heartbeat of a machine to both schedulers. The changes of its tasks are random, derived from the
+// task names, and therefore the same in both.
+func (p *schedulerPair) heartbeat(name string) {
+	interrupted := p.chance(0.01)
+	draw := p.rng.Uint64()
+	p.applyToBoth("heartbeat of "+name, func(h *harness) {
+		for _, id := range sortedIDs(h.tasks[name]) {
+			t := h.tasks[name][id]
 			task := uint64(len(id.JobID))<<32 | uint64(id.Index)<<8 | uint64(id.JobID[len(id.JobID)-1])
-			fate := rand.New(rand.NewPCG(draw, task)).Float64()
-			j := b.scheduler.jobs[id.JobID]
+			outcome := rand.New(rand.NewPCG(draw, task)).Float64()
+			j := h.scheduler.jobs[id.JobID]
 			switch {
-			case t.State == protocol.TaskFetching && fate < 0.7, t.State == protocol.TaskWaiting:
+			case t.State == protocol.TaskFetching && outcome < 0.7, t.State == protocol.TaskWaiting:
 				t.State = protocol.TaskRunning
-			case t.State == protocol.TaskRunning && b.wasStopped(id):
+			case t.State == protocol.TaskRunning && h.wasStopped(id):
 				t.State, t.Cause = protocol.TaskExited, protocol.CauseStopped
-			case t.State == protocol.TaskRunning && fate < 0.1 && j != nil && j.Spec.Shape != protocol.Service:
+			case t.State == protocol.TaskRunning && outcome < 0.1 && j != nil && j.Spec.Shape != protocol.Service:
 				t.State, t.Cause = protocol.TaskExited, protocol.CauseDone
-			case t.State == protocol.TaskRunning && fate > 0.98:
+			case t.State == protocol.TaskRunning && outcome > 0.98:
 				t.State, t.Cause = protocol.TaskExited, protocol.CauseError
 			}
-			b.tasks[name][id] = t
+			h.tasks[name][id] = t
 		}
-		r := b.nextHeartbeat(name)
-		if notice {
-			r.InterruptionNoticeSeconds = new(float64)
+		workerHeartbeat := h.nextHeartbeat(name)
+		if interrupted {
+			workerHeartbeat.InterruptionNoticeSeconds = new(float64)
 		}
-		b.apply(HeartbeatReceived{ReplyTo: name, Heartbeat: r})
+		h.apply(HeartbeatReceived{ReplyTo: name, Heartbeat: workerHeartbeat})
 	})
 }
 
-// wasStopped reports whether a task was commanded to stop.
-func (b *harness) wasStopped(id protocol.TaskID) bool {
-	_, ok := b.stops[id]
+// wasStopped reports whether a task was told to stop.
+func (h *harness) wasStopped(id protocol.TaskID) bool {
+	_, ok := h.stops[id]
 	return ok
 }
 
@@ -279,43 +289,43 @@
 	return ids
 }
 
-// drawStep draws what happens next.
-func (w *schedulerPair) drawStep() {
+// applyRandomStep applies a random step to both schedulers.
+func (p *schedulerPair) applyRandomStep() {
 	switch {
-	case w.chance(0.15) && len(w.machines) < 40:
-		w.addMachine()
-	case w.chance(0.5):
-		w.submit()
-	case w.chance(0.1) && len(w.jobs) > 0:
-		id := w.jobs[w.rng.IntN(len(w.jobs))]
-		w.applyToBoth("cancellation", func(b *harness) { b.apply(JobEnded{ID: id}) })
-	case w.chance(0.1) && len(w.machines) > 0:
-		name := w.machines[w.rng.IntN(len(w.machines))]
-		w.silent[name] = !w.silent[name]
-	case w.chance(0.05) && len(w.machines) > 4:
-		name := w.machines[w.rng.IntN(len(w.machines))]
-		w.silent[name] = true
-		w.applyToBoth("loss of "+name, func(b *harness) {
-			b.apply(ScaleInResult{Machines: []string{name}, Succeeded: true})
+	case p.chance(0.15) && len(p.machines) < 40:
+		p.addMachine()
+	case p.chance(0.5):
+		p.submit()
+	case p.chance(0.1) && len(p.jobs) > 0:
+		id := p.jobs[p.rng.IntN(len(p.jobs))]
+		p.applyToBoth("cancellation", func(h *harness) { h.apply(JobEnded{ID: id}) })
+	case p.chance(0.1) && len(p.machines) > 0:
+		name := p.machines[p.rng.IntN(len(p.machines))]
+		p.silent[name] = !p.silent[name]
+	case p.chance(0.05) && len(p.machines) > 4:
+		name := p.machines[p.rng.IntN(len(p.machines))]
+		p.silent[name] = true
+		p.applyToBoth("loss of "+name, func(h *harness) {
+			h.apply(ScaleInResult{Machines: []string{name}, Succeeded: true})
 		})
 	}
-	for _, name := range w.machines {
-		if !w.silent[name] && w.chance(0.7) {
-			w.heartbeat(name)
+	for _, name := range p.machines {
+		if !p.silent[name] && p.chance(0.7) {
+			p.heartbeat(name)
 		}
 	}
-	pause := []time.Duration{MinCycleInterval, MinCycleInterval, 3 * MinCycleInterval, CycleInterval}[w.rng.IntN(4)]
-	w.applyToBoth("time", func(b *harness) {
-		b.now += pause
-		b.apply(Tick{})
+	pause := []time.Duration{MinCycleInterval, MinCycleInterval, 3 * MinCycleInterval, CycleInterval}[p.rng.IntN(4)]
+	p.applyToBoth("time", func(h *harness) {
+		h.now += pause
+		h.apply(Tick{})
 	})
 }
 
-// TestIndexDecidesAsAFullScan: in drawn sequences of events, what is placed and where, and what is
-// preempted for whom, is exactly what examining every machine decides. Teams have quotas, machines come, fall
-// silent, return and are lost, images are cached, being fetched and missing, capacity is held for gangs and
-// as headroom, and machines are nominated.
-func TestIndexDecidesAsAFullScan(t *testing.T) {
+// TestIndexMatchesFullScan checks, for random sequences of events, that placements and preemptions with the index are
+// exactly those that examining every machine leads to. The sequences cover teams with quotas; machines that are added,
+// fall silent, return and are lost; images that are cached, being fetched and missing; capacity held for gangs and as
+// headroom; and nominated machines.
+func TestIndexMatchesFullScan(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		teams := []config.Team{{Name: "red"}, {Name: "blue"}, {Name: "green"}}
 		if rapid.Bool().Draw(t, "limits") {
@@ -332,7 +342,7 @@
 				{Kind: "finished", Class: "class-2", WithinSeconds: 60, Fraction: 0.9},
 			}
 		}
-		w := newSchedulerPair(
+		p := newSchedulerPair(
 			t,
 			rapid.Uint64().Draw(t, "seed"),
 			teams,
@@ -340,12 +350,12 @@
 			rapid.Bool().Draw(t, "zone failover"),
 		)
 		for range rapid.IntRange(3, 20).Draw(t, "machines") {
-			w.addMachine()
+			p.addMachine()
 		}
 		for range rapid.IntRange(20, 80).Draw(t, "steps") {
-			w.drawStep()
+			p.applyRandomStep()
 		}
-		if with, without := len(w.harnesses[0].runs), len(w.harnesses[1].runs); with != without {
+		if with, without := len(p.harnesses[0].runs), len(p.harnesses[1].runs); with != without {
 			t.Fatalf("%d starts with the index, %d without", with, without)
 		}
 	})
--- a/internal/coordination/scheduler/harness_test.go
+++ b/internal/coordination/scheduler/harness_test.go
@@ -16,21 +16,21 @@
 
 func TestMain(m *testing.M) { testutil.Main(m) }
 
-// harness drives a scheduler whose writes succeed at once and whose machines exist by their heartbeats only.
+// harness drives a scheduler whose writes succeed immediately and whose machines exist only through their heartbeats.
 type harness struct {
 	scheduler    *Scheduler
 	now          time.Duration
 	revision     uint64
 	sequences    map[string]uint64
 	runs         map[protocol.TaskID]protocol.Command
-	machineOf    map[protocol.TaskID]string // machine of each run
+	machineOf    map[protocol.TaskID]string // machine that each run command was sent to
 	stops        map[protocol.TaskID]float64
 	transactions []protocol.Txn
 	tasks        map[string]map[protocol.TaskID]protocol.TaskStatus // by machine
 	tokens       map[string]uint64
 	zoneOf       map[string]string
 	spotMachines map[string]bool
-	// onEffect, if set, sees every effect.
+	// onEffect, if set, is called with every effect.
 	onEffect func(Effect)
 }
 
@@ -88,8 +88,8 @@
 	}
 }
 
-// productionPage returns the key of a job's first page in the original layout.
-func productionPage(id string) string {
+// originalPageKey returns the key of the first page of a job in the original page layout.
+func originalPageKey(id string) string {
 	return storage.PageID{
 		Job:    id,
 		Layout: storage.PageLayout{TasksPerPage: storage.OriginalPageTasks(8)},
@@ -97,105 +97,105 @@
 }
 
 // setObjectives replaces the service-level objectives.
-func (b *harness) setObjectives(objectives []config.Objective) {
-	b.scheduler.cfg.Objectives = objectives
-	b.scheduler.rules.StartLatency = placement.StartLatencyObjectivesOf(objectives)
+func (h *harness) setObjectives(objectives []config.Objective) {
+	h.scheduler.cfg.Objectives = objectives
+	h.scheduler.rules.StartLatency = placement.StartLatencyObjectivesOf(objectives)
 }
 
-// apply hands an event to the scheduler and carries out the effects.
-func (b *harness) apply(e Event) {
-	for _, out := range b.scheduler.Step(b.now, e) {
-		if b.onEffect != nil {
-			b.onEffect(out)
+// apply passes an event to the scheduler and carries out the resulting effects.
+func (h *harness) apply(e Event) {
+	for _, out := range h.scheduler.Step(h.now, e) {
+		if h.onEffect != nil {
+			h.onEffect(out)
 		}
 		switch o := out.(type) {
 		case Write:
-			b.revision++
-			b.transactions = append(b.transactions, o.Txn)
-			b.apply(TransactionOutcome{WriteID: o.ID, Succeeded: true, Revision: b.revision})
+			h.revision++
+			h.transactions = append(h.transactions, o.Txn)
+			h.apply(TransactionOutcome{WriteID: o.ID, Succeeded: true, Revision: h.revision})
 		case SendCommandBatch:
-			b.executeCommands(o.Machine, o.Batch.FencingToken, o.Batch.Commands)
-			b.apply(CommandBatchResult{Machine: o.Machine, Acknowledged: true, Heartbeat: b.nextHeartbeat(o.Machine)})
+			h.executeCommands(o.Machine, o.Batch.FencingToken, o.Batch.Commands)
+			h.apply(CommandBatchResult{Machine: o.Machine, Acknowledged: true, Heartbeat: h.nextHeartbeat(o.Machine)})
 		case HeartbeatReply:
-			b.executeReply(o)
+			h.executeReply(o)
 		}
 	}
 }
 
-// executeReply has a machine carry out the commands in the reply to its heartbeat.
-func (b *harness) executeReply(reply HeartbeatReply) {
+// executeReply makes a machine execute the commands in the reply to its heartbeat.
+func (h *harness) executeReply(reply HeartbeatReply) {
 	machine, ok := reply.ReplyTo.(string)
 	if !ok {
-		panic(fmt.Sprintf("a reply to %v, which is no machine", reply.ReplyTo))
+		panic(fmt.Sprintf("reply to %v, which is not a machine", reply.ReplyTo))
 	}
-	b.executeCommands(machine, reply.Body.FencingToken, reply.Body.Commands)
+	h.executeCommands(machine, reply.Body.FencingToken, reply.Body.Commands)
 }
 
-// executeCommands has a machine carry out commands.
-func (b *harness) executeCommands(machine string, token uint64, cmds []protocol.Command) {
-	b.tokens[machine] = max(b.tokens[machine], token)
+// executeCommands makes a machine execute commands.
+func (h *harness) executeCommands(machine string, token uint64, cmds []protocol.Command) {
+	h.tokens[machine] = max(h.tokens[machine], token)
 	for _, c := range cmds {
 		id, err := protocol.ParseTaskID(c.TaskName)
 		if err != nil {
-			panic(err) // the scheduler made it
+			panic(err) // the scheduler created the name
 		}
 		switch c.Verb {
 		case protocol.VerbRun:
-			b.runs[id], b.machineOf[id] = c, machine
-			b.tasks[machine][id] = protocol.TaskStatus{
+			h.runs[id], h.machineOf[id] = c, machine
+			h.tasks[machine][id] = protocol.TaskStatus{
 				TaskName: c.TaskName,
 				Attempt:  c.Attempt,
 				State:    protocol.TaskFetching,
 			}
 		case protocol.VerbStop:
-			b.stops[id] = *c.GraceSeconds
+			h.stops[id] = *c.GraceSeconds
 		case protocol.VerbForget:
-			delete(b.tasks[machine], id)
+			delete(h.tasks[machine], id)
 		}
 	}
 }
 
 // nextHeartbeat returns the next heartbeat of a machine.
-func (b *harness) nextHeartbeat(name string) *protocol.WorkerHeartbeat {
-	b.sequences[name]++
-	r := &protocol.WorkerHeartbeat{
-		Machine: name, Addr: "x", Type: "g8", Zone: b.zoneOf[name], Spot: b.spotMachines[name], Incarnation: 1,
-		Sequence: b.sequences[name], FencingToken: b.tokens[name],
+func (h *harness) nextHeartbeat(name string) *protocol.WorkerHeartbeat {
+	h.sequences[name]++
+	heartbeat := &protocol.WorkerHeartbeat{
+		Machine: name, Addr: "x", Type: "g8", Zone: h.zoneOf[name], Spot: h.spotMachines[name], Incarnation: 1,
+		Sequence: h.sequences[name], FencingToken: h.tokens[name],
 	}
-	for _, id := range sortedIDs(b.tasks[name]) {
-		r.Tasks = append(r.Tasks, b.tasks[name][id])
+	for _, id := range sortedIDs(h.tasks[name]) {
+		heartbeat.Tasks = append(heartbeat.Tasks, h.tasks[name][id])
 	}
-	return r
+	return heartbeat
 }
 
-// heartbeat sends a heartbeat of a machine, whose tasks are changed to those given.
-func (b *harness) heartbeat(name, zone string, spot bool, tasks ...protocol.TaskStatus) {
-	if b.tasks[name] == nil {
-		b.tasks[name] = map[protocol.TaskID]protocol.TaskStatus{}
+// heartbeat delivers a heartbeat of a machine after updating the given tasks on it.
+func (h *harness) heartbeat(name, zone string, spot bool, tasks ...protocol.TaskStatus) {
+	if h.tasks[name] == nil {
+		h.tasks[name] = map[protocol.TaskID]protocol.TaskStatus{}
 	}
-	b.zoneOf[name], b.spotMachines[name] = zone, spot
+	h.zoneOf[name], h.spotMachines[name] = zone, spot
 	for _, t := range tasks {
 		id, err := protocol.ParseTaskID(t.TaskName)
 		if err != nil {
-			panic(err) // the test made it
+			panic(err) // the test created the name
 		}
-		b.tasks[name][id] = t
+		h.tasks[name][id] = t
 	}
-	b.apply(HeartbeatReceived{ReplyTo: name, Heartbeat: b.nextHeartbeat(name)})
+	h.apply(HeartbeatReceived{ReplyTo: name, Heartbeat: h.nextHeartbeat(name)})
 }
 
-// addJob accepts a job.
-func (b *harness) addJob(j protocol.Job) {
-	b.revision++
-	b.apply(
-		JobAccepted{Record: storage.LiveJobRecord{Job: j, AcceptedAtMS: b.now.Milliseconds()}, Revision: b.revision},
+// addJob delivers an accepted job.
+func (h *harness) addJob(j protocol.Job) {
+	h.revision++
+	h.apply(
+		JobAccepted{Record: storage.LiveJobRecord{Job: j, AcceptedAtMS: h.now.Milliseconds()}, Revision: h.revision},
 	)
 }
 
-// runCycle lets time pass until the next cycle, and runs it.
-func (b *harness) runCycle() {
-	b.now += CycleInterval
-	b.apply(Tick{})
+// runCycle advances the time to the next cycle and runs it.
+func (h *harness) runCycle() {
+	h.now += CycleInterval
+	h.apply(Tick{})
 }
 
 // jobSpec returns the specification of a job of team red.
@@ -215,10 +215,10 @@
 	}
 }
 
-// startedTasks returns how many tasks of a job were started.
-func (b *harness) startedTasks(id string) int {
+// startedTasks returns the number of tasks of a job that were started.
+func (h *harness) startedTasks(id string) int {
 	n := 0
-	for t := range b.runs {
+	for t := range h.runs {
 		if t.JobID == id {
 			n++
 		}
@@ -226,7 +226,7 @@
 	return n
 }
 
-// runningTask returns the status of a task that runs.
+// runningTask returns the status of a running task.
 func runningTask(id protocol.TaskID, attempt uint64) protocol.TaskStatus {
 	return protocol.TaskStatus{TaskName: id.String(), Attempt: attempt, State: protocol.TaskRunning}
 }
--- a/internal/coordination/scheduler/heartbeats.go
+++ b/internal/coordination/scheduler/heartbeats.go
@@ -9,110 +9,111 @@
 	"pinebay/internal/protocol"
 )
 
-// handleHeartbeat applies a worker's heartbeat and answers it with the commands that are due. A heartbeat that is
-// older than the last one applied gets none.
-func (c *Scheduler) handleHeartbeat(now time.Duration, e HeartbeatReceived) {
+// handleHeartbeat applies a heartbeat from a worker and answers it with the commands that are due. A heartbeat older
+// than the last one applied is answered without commands.
+func (s *Scheduler) handleHeartbeat(now time.Duration, e HeartbeatReceived) {
 	heartbeat := e.Heartbeat
-	if c.stepDownForLaterTerm(heartbeat) {
+	if s.stepDownForLaterTerm(heartbeat) {
 		return
 	}
 	reply := protocol.WorkerHeartbeatReply{
-		FencingToken: protocol.FencingToken(c.term.number, 0),
+		FencingToken: protocol.FencingToken(s.term.number, 0),
 		Commands:     []protocol.Command{},
 	}
-	if c.autoscaler.RecentlyReleased(heartbeat.Machine) {
-		c.emit(HeartbeatReply{ReplyTo: e.ReplyTo, Body: reply})
+	if s.autoscaler.RecentlyReleased(heartbeat.Machine) {
+		s.emit(HeartbeatReply{ReplyTo: e.ReplyTo, Body: reply})
 		return
 	}
-	m, newer := c.applyHeartbeat(now, heartbeat)
+	m, newer := s.applyHeartbeat(now, heartbeat)
 	if newer {
 		m.Relayed = e.Relayed
-		if commands := c.machines.TakeDueCommands(now, m); commands != nil {
+		if commands := s.machines.TakeDueCommands(now, m); commands != nil {
 			reply.Commands = commands
 		}
 	}
-	reply.FencingToken = c.machines.FencingToken(m)
-	c.emit(HeartbeatReply{ReplyTo: e.ReplyTo, Body: reply})
+	reply.FencingToken = s.machines.FencingToken(m)
+	s.emit(HeartbeatReply{ReplyTo: e.ReplyTo, Body: reply})
 }
 
-// handleUnchangedHeartbeats renews machines whose heartbeats a shard's owner has answered, and has the next heartbeat
-// forwarded of those for which that is not enough.
-func (c *Scheduler) handleUnchangedHeartbeats(now time.Duration, e UnchangedHeartbeats) {
+// handleUnchangedHeartbeats renews the machines whose heartbeats were answered by the owner of a shard. For machines
+// where that is not sufficient, it asks the owner to forward the next heartbeat.
+func (s *Scheduler) handleUnchangedHeartbeats(now time.Duration, e UnchangedHeartbeats) {
 	var forward []string
 	for _, h := range e.Heartbeats {
-		if !c.machines.HandleUnchangedHeartbeat(now, h.Machine, h.Incarnation, h.Seq) {
+		if !s.machines.HandleUnchangedHeartbeat(now, h.Machine, h.Incarnation, h.Seq) {
 			forward = append(forward, h.Machine)
 		}
 	}
 	e.ForwardNext(forward)
 }
 
-// handleCommandBatchResult applies the heartbeat with which a machine has answered commands. One that did not answer
-// gets no new tasks until it has had time for a heartbeat: heartbeats may arrive although commands don't.
-func (c *Scheduler) handleCommandBatchResult(now time.Duration, e CommandBatchResult) {
-	m := c.machines.Machine(e.Machine)
+// handleCommandBatchResult applies the heartbeat with which a machine has answered a command batch. A machine that did
+// not answer gets no new tasks until it has had time for another heartbeat, since heartbeats can arrive even if
+// commands do not.
+func (s *Scheduler) handleCommandBatchResult(now time.Duration, e CommandBatchResult) {
+	m := s.machines.Machine(e.Machine)
 	if m == nil {
 		return
 	}
-	if e.Heartbeat != nil && c.stepDownForLaterTerm(e.Heartbeat) {
+	if e.Heartbeat != nil && s.stepDownForLaterTerm(e.Heartbeat) {
 		return
 	}
 	if e.Heartbeat != nil && e.Heartbeat.Machine == e.Machine {
-		c.applyHeartbeat(now, e.Heartbeat)
+		s.applyHeartbeat(now, e.Heartbeat)
 	}
-	c.machines.CommandAnswered(now, m, e.Acknowledged || e.Heartbeat != nil)
+	s.machines.CommandAnswered(now, m, e.Acknowledged || e.Heartbeat != nil)
 	if e.Heartbeat == nil {
-		m.MarkUnresponsive(now + config.Seconds(2*c.cfg.Workers.HeartbeatSeconds))
+		m.MarkUnresponsive(now + config.Seconds(2*s.cfg.Workers.HeartbeatSeconds))
 	}
 }
 
-// stepDownForLaterTerm ends the term if a worker has seen a later one, and reports whether it has.
-func (c *Scheduler) stepDownForLaterTerm(heartbeat *protocol.WorkerHeartbeat) bool {
+// stepDownForLaterTerm ends the term if the fencing token in a heartbeat is of a later term, and reports whether it is.
+func (s *Scheduler) stepDownForLaterTerm(heartbeat *protocol.WorkerHeartbeat) bool {
 	term := protocol.TermOfToken(heartbeat.FencingToken)
-	if term <= c.term.number {
+	if term <= s.term.number {
 		return false
 	}
-	c.emit(StepDown{LaterTerm: term, Reason: "a worker has seen a later term"})
+	s.emit(StepDown{LaterTerm: term, Reason: "a worker has seen a later term"})
 	return true
 }
 
-// applyHeartbeat applies a heartbeat, however it was received. It returns no machine if the machine was returned to
-// the cloud, and newer if the heartbeat is newer than the last one applied.
-func (c *Scheduler) applyHeartbeat(
+// applyHeartbeat applies a heartbeat, whichever way it was received. It returns no machine if the machine was released
+// or if a later term has begun. newer is set if the heartbeat is newer than the last one applied.
+func (s *Scheduler) applyHeartbeat(
 	now time.Duration, heartbeat *protocol.WorkerHeartbeat,
 ) (m *machineregistry.Machine, newer bool) {
-	if c.stepDownForLaterTerm(heartbeat) || c.autoscaler.RecentlyReleased(heartbeat.Machine) {
+	if s.stepDownForLaterTerm(heartbeat) || s.autoscaler.RecentlyReleased(heartbeat.Machine) {
 		return nil, false
 	}
-	registered := c.machines.Registered(heartbeat.Machine)
-	result := c.machines.HandleHeartbeat(now, heartbeat)
-	c.cycle.due = c.cycle.due || !registered
-	c.applyObservations(now, result.Observations)
-	c.quarantineIfFailing(result.Machine)
+	registered := s.machines.Registered(heartbeat.Machine)
+	result := s.machines.HandleHeartbeat(now, heartbeat)
+	s.cycle.due = s.cycle.due || !registered
+	s.applyObservations(now, result.Observations)
+	s.quarantineIfFailing(result.Machine)
 	return result.Machine, result.Newer
 }
 
-// quarantineIfFailing quarantines a machine that fails the tasks of several jobs.
-func (c *Scheduler) quarantineIfFailing(m *machineregistry.Machine) {
-	if len(m.FailedJobs) >= quarantineJobs && !m.Quarantined {
+// quarantineIfFailing quarantines a machine on which tasks of several jobs have failed.
+func (s *Scheduler) quarantineIfFailing(m *machineregistry.Machine) {
+	if len(m.FailedJobs) >= quarantineThreshold && !m.Quarantined {
 		m.Quarantine()
-		c.log.Info("machine quarantined", "machine", m.Name, "reason", "tasks of several jobs failed")
+		s.log.Info("machine quarantined", "machine", m.Name, "reason", "tasks of several jobs failed")
 	}
 }
 
-// sendUrgentCommands sends commands to machines that should not wait for the machines' next heartbeats.
-func (c *Scheduler) sendUrgentCommands(now time.Duration) {
-	for _, m := range c.machines.MachinesToCommand(now) {
-		commands := c.machines.TakeDueCommands(now, m)
+// sendUrgentCommands sends the commands that should not wait for the next heartbeat of their machine.
+func (s *Scheduler) sendUrgentCommands(now time.Duration) {
+	for _, m := range s.machines.MachinesToCommand(now) {
+		commands := s.machines.TakeDueCommands(now, m)
 		if len(commands) == 0 {
 			continue
 		}
-		c.machines.CommandSent(m)
-		c.emit(SendCommandBatch{
+		s.machines.CommandSent(m)
+		s.emit(SendCommandBatch{
 			Machine: m.Name,
 			Addr:    m.Addr,
 			Batch: protocol.CommandBatch{
-				FencingToken: c.machines.FencingToken(m),
+				FencingToken: s.machines.FencingToken(m),
 				Incarnation:  m.Incarnation,
 				Commands:     commands,
 			},
@@ -120,23 +121,23 @@
 	}
 }
 
-// Leadership is transferred when more than minRelayedMachines, and more than relayedRatio times as many as send their
-// heartbeats here, reach other controllers only.
+// The leadership is transferred if more than minRelayedMachines machines, and more than relayedRatio times as many as
+// send heartbeats to this controller, reach only other controllers.
 const (
 	minRelayedMachines = 2
 	relayedRatio       = 2
 )
 
-// checkReachability transfers the leadership when most machines reach other controllers only. Their heartbeats are
-// relayed, but a controller that they reach would serve them better, and can command them directly.
-func (c *Scheduler) checkReachability(now time.Duration) {
-	if now-c.term.startedAt < config.Seconds(c.cfg.Workers.LeaseSeconds/2) {
-		return // machines have not had the time to find this controller
+// checkReachability transfers the leadership if most machines reach only other controllers. Their heartbeats are
+// relayed, but a controller that they can reach would respond faster and could send them commands directly.
+func (s *Scheduler) checkReachability(now time.Duration) {
+	if now-s.term.startedAt < config.Seconds(s.cfg.Workers.LeaseSeconds/2) {
+		return // machines have not had enough time to find this controller
 	}
 	direct, relayed := 0, 0
-	c.machines.Each(func(m *machineregistry.Machine) {
+	s.machines.Each(func(m *machineregistry.Machine) {
 		switch {
-		case !m.Registered || now-m.LastHeartbeat > c.machines.SilenceTimeout():
+		case !m.Registered || now-m.LastHeartbeat > s.machines.SilenceTimeout():
 		case m.Relayed:
 			relayed++
 		default:
@@ -144,7 +145,7 @@
 		}
 	})
 	if relayed > relayedRatio*direct && relayed > minRelayedMachines {
-		c.emit(StepDown{
+		s.emit(StepDown{
 			Reason:             fmt.Sprintf("%d machines reach other controllers only", relayed),
 			TransferLeadership: true,
 		})
--- a/internal/coordination/scheduler/imagehints.go
+++ b/internal/coordination/scheduler/imagehints.go
@@ -10,57 +10,58 @@
 	"pinebay/internal/storage"
 )
 
-// recoverImageHints applies what earlier leaders recorded of the machines' images and of the arrivals of jobs.
-func (c *Scheduler) recoverImageHints(records []protocol.KeyValue) {
+// recoverImageHints applies the cached images of machines and the job arrivals that earlier leaders recorded.
+func (s *Scheduler) recoverImageHints(records []protocol.KeyValue) {
 	for _, record := range records {
-		hints, err := c.imageHints.Recover(record)
+		hints, err := s.imageHints.Recover(record)
 		if err != nil {
-			c.log.Error("malformed image hint record", "key", record.Key, "error", err)
+			s.log.Error("malformed image hint record", "key", record.Key, "error", err)
 			continue
 		}
 		for machine, images := range hints.Images {
-			c.machines.SetImageHint(machine, images)
+			s.machines.SetImageHint(machine, images)
 		}
 		for _, class := range hints.Arrivals {
 			rate := demand.ClassRate{Class: class.Class, Arrivals: class.Jobs, MeanTasks: class.MeanTasks}
-			c.forecast.Inherit(rate)
+			s.forecast.Inherit(rate)
 		}
 	}
 }
 
-// writeImageHints records the machines' images for the next leader, a few records at a time.
-func (c *Scheduler) writeImageHints(now time.Duration) {
-	if c.writes.paused || !c.imageHints.Due(now) {
+// writeImageHints records the cached images of machines for the next leader, a few records at a time.
+func (s *Scheduler) writeImageHints(now time.Duration) {
+	if s.writes.paused || !s.imageHints.Due(now) {
 		return
 	}
-	hints := imagehints.Hints{Images: c.machines.CachedImages(), Arrivals: c.classArrivals()}
-	limits := imagehints.Limits{ValueKB: c.recordLimits.ValueKB(), MaxOperations: c.recordLimits.MaxOperations()}
-	change, ok := c.imageHints.Next(now, hints, limits)
+	hints := imagehints.Hints{Images: s.machines.CachedImages(), Arrivals: s.classArrivals()}
+	limits := imagehints.Limits{ValueKB: s.recordLimits.ValueKB(), MaxOperations: s.recordLimits.MaxOperations()}
+	change, ok := s.imageHints.Next(now, hints, limits)
 	if !ok {
 		return
 	}
-	t := protocol.Txn{If: []protocol.Compare{c.writes.termUnchanged()}, Then: change.Ops}
+	txn := protocol.Txn{If: []protocol.Compare{s.writes.termUnchanged()}, Then: change.Ops}
 	onOutcome := func(_ time.Duration, outcome TransactionOutcome) {
 		if outcome.Malformed {
-			c.shrinkTransactions(&t)
+			s.shrinkTransactions(&txn)
 		}
-		c.imageHints.Written(change, outcome.Succeeded)
+		s.imageHints.Written(change, outcome.Succeeded)
 	}
-	id, _ := c.writes.nextID()
-	write := Write{ID: id, Txn: t, Priority: PriorityMaintenance, VerifyKey: storage.TermKey, Name: "-"}
-	c.submit(write, onOutcome)
+	id, _ := s.writes.nextID()
+	write := Write{ID: id, Txn: txn, Priority: PriorityMaintenance, VerifyKey: storage.TermKey, Name: "-"}
+	s.submit(write, onOutcome)
 }
 
-// arrivalPrecision is the fraction of a job to which arrivals are rounded, so that a quiet fleet writes nothing.
-const arrivalPrecision = 4
+// arrivalStepsPerJob is the resolution to which arrivals are rounded before they are recorded, in steps per job.
+// Rounding keeps an idle fleet from causing writes.
+const arrivalStepsPerJob = 4
 
-// classArrivals returns what is remembered of the arrivals of jobs, in the order of their classes.
-func (c *Scheduler) classArrivals() []storage.ClassArrivals {
+// classArrivals returns the job arrivals that the forecast remembers, sorted by class.
+func (s *Scheduler) classArrivals() []storage.ClassArrivals {
 	var arrivals []storage.ClassArrivals
-	for _, rate := range c.forecast.Rates() {
+	for _, rate := range s.forecast.Rates() {
 		arrivals = append(arrivals, storage.ClassArrivals{
 			Class:     rate.Class,
-			Jobs:      math.Round(rate.Arrivals*arrivalPrecision) / arrivalPrecision,
+			Jobs:      math.Round(rate.Arrivals*arrivalStepsPerJob) / arrivalStepsPerJob,
 			MeanTasks: rate.MeanTasks,
 		})
 	}
--- a/internal/coordination/scheduler/largefleet_test.go
+++ b/internal/coordination/scheduler/largefleet_test.go
@@ -13,12 +13,12 @@
 	"pinebay/internal/storage"
 )
 
-// manyMachines is a fleet larger than any deployment has run with.
-const manyMachines = 4000
+// largeFleetSize is larger than the fleet of any deployment so far.
+const largeFleetSize = 4000
 
 func machineName(i int) string { return fmt.Sprintf("m%05d", i) }
 
-// largeFleetRecords returns what an earlier leader recorded of one job for each machine, with a task there.
+// largeFleetRecords returns the records of an earlier leader that has placed a job with one task on each machine.
 func largeFleetRecords(t *testing.T, machines int) (r RecoveredRecords) {
 	t.Helper()
 	for i := range machines {
@@ -38,20 +38,20 @@
 			r.LiveJobs,
 			protocol.KeyValue{Key: storage.LiveJobKey(id), Value: live, Revision: uint64(i + 10)},
 		)
-		r.Pages = append(r.Pages, protocol.KeyValue{Key: productionPage(id), Value: page, Revision: uint64(i + 10)})
+		r.Pages = append(r.Pages, protocol.KeyValue{Key: originalPageKey(id), Value: page, Revision: uint64(i + 10)})
 	}
 	return r
 }
 
-// TestTakeOverOfManyMachines: a new leader knows of thousands of placements at once, reads the list
-// of their machines, and asks those that don't report by themselves, each once and no more in a
-// second than its share of a core allows. What runs goes on: nothing is started again, nothing is
-// returned, and every task is known as running once its machine was heard.
-func TestTakeOverOfManyMachines(t *testing.T) {
-	b := newHarness([]config.Team{{Name: "red"}}, "a")
-	cfg := *b.scheduler.cfg
+// TestTakeoverOfLargeFleet checks that a new leader recovers thousands of placements at once, reads the list of
+// machines, and probes those that do not send a heartbeat by themselves: each once, and no more per second than its
+// share of a core allows. Running tasks must not be interrupted: no task is started again, no machine is released, and
+// each task counts as running after the first heartbeat of its machine.
+func TestTakeoverOfLargeFleet(t *testing.T) {
+	h := newHarness([]config.Team{{Name: "red"}}, "a")
+	cfg := *h.scheduler.cfg
 	cfg.Quota.CoreShare, cfg.Cloud.RPS = 0.336, 4
-	records := largeFleetRecords(t, manyMachines)
+	records := largeFleetRecords(t, largeFleetSize)
 	records.MachineTypes = []protocol.MachineType{
 		{
 			Name:             "g8",
@@ -65,14 +65,14 @@
 			Zones:            []string{"a"},
 		},
 	}
-	b.scheduler = New(0, Options{
+	h.scheduler = New(0, Options{
 		Config:  &cfg,
 		Log:     slog.New(slog.NewTextHandler(io.Discard, nil)),
 		Term:    Term{Number: 5, Revision: 1},
 		Records: records,
 	})
 	var list []protocol.ListedMachine
-	for i := range manyMachines {
+	for i := range largeFleetSize {
 		list = append(
 			list,
 			protocol.ListedMachine{
@@ -83,76 +83,76 @@
 				State: protocol.MachineRunning,
 			},
 		)
-		b.zoneOf[machineName(i)], b.tasks[machineName(i)] = "a", map[protocol.TaskID]protocol.TaskStatus{}
+		h.zoneOf[machineName(i)], h.tasks[machineName(i)] = "a", map[protocol.TaskID]protocol.TaskStatus{}
 	}
-	asked, second := map[string]int{}, 0
-	b.onEffect = func(e Effect) {
+	probed, probesInSecond := map[string]int{}, 0
+	h.onEffect = func(e Effect) {
 		switch e := e.(type) {
 		case Probe:
-			asked[e.Machine]++
-			second++
+			probed[e.Machine]++
+			probesInSecond++
 		case Write:
 			if e.Priority == PriorityStart {
-				t.Errorf("placements are written: %s", e.VerifyKey)
+				t.Errorf("placements were written: %s", e.VerifyKey)
 			}
 		case CloudRequest:
 			if _, ok := e.Effect.(autoscaler.ScaleIn); ok {
-				t.Errorf("machines are returned: %v", e.Effect)
+				t.Errorf("machines were released: %v", e.Effect)
 			}
 		}
 	}
 	running := func(i int) protocol.TaskStatus {
 		return protocol.TaskStatus{TaskName: fmt.Sprintf("j-%06d/0", i), Attempt: 1, State: protocol.TaskRunning}
 	}
-	perSecond := int(probesPerCore * cfg.Quota.CoreShare)
-	b.apply(MachinesListed{RequestedAt: b.now, Machines: list})
-	for i := 0; i < manyMachines; i += 2 {
-		b.heartbeat(machineName(i), "a", false, running(i)) // these report by themselves
+	perSecond := int(probesPerSecondPerCore * cfg.Quota.CoreShare)
+	h.apply(MachinesListed{RequestedAt: h.now, Machines: list})
+	for i := 0; i < largeFleetSize; i += 2 {
+		h.heartbeat(machineName(i), "a", false, running(i)) // these send heartbeats without being probed
 	}
-	early := len(asked)
-	for range manyMachines/perSecond + 1 {
-		if second > perSecond {
-			t.Fatalf("%d inspections in a second, want %d at most", second, perSecond)
+	probedEarly := len(probed)
+	for range largeFleetSize/perSecond + 1 {
+		if probesInSecond > perSecond {
+			t.Fatalf("%d probes in a second, want %d at most", probesInSecond, perSecond)
 		}
-		second = 0
-		b.runCycle()
+		probesInSecond = 0
+		h.runCycle()
 	}
-	for i := range manyMachines {
-		switch n := asked[machineName(i)]; {
+	for i := range largeFleetSize {
+		switch n := probed[machineName(i)]; {
 		case n > 1, i%2 == 1 && n != 1:
-			t.Fatalf("%s was asked %d times", machineName(i), n)
+			t.Fatalf("%s was probed %d times", machineName(i), n)
 		case i%2 == 0 && n == 1:
-			early--
+			probedEarly--
 		}
 	}
-	if early < 0 {
-		t.Errorf("%d machines were asked after they had reported", -early)
+	if probedEarly < 0 {
+		t.Errorf("%d machines were probed after they had sent a heartbeat", -probedEarly)
 	}
-	for i := 1; i < manyMachines; i += 2 {
-		b.tasks[machineName(i)][protocol.TaskID{JobID: fmt.Sprintf("j-%06d", i)}] = running(i)
-		b.apply(ProbeReply{Heartbeat: b.nextHeartbeat(machineName(i))})
+	for i := 1; i < largeFleetSize; i += 2 {
+		h.tasks[machineName(i)][protocol.TaskID{JobID: fmt.Sprintf("j-%06d", i)}] = running(i)
+		h.apply(ProbeReply{Heartbeat: h.nextHeartbeat(machineName(i))})
 	}
-	for i := range manyMachines {
-		if st, ok := b.scheduler.Status(fmt.Sprintf("j-%06d", i)); !ok || st.RunningTasks != 1 {
-			t.Fatalf("job %d: %+v %v", i, st, ok)
+	for i := range largeFleetSize {
+		if status, ok := h.scheduler.Status(fmt.Sprintf("j-%06d", i)); !ok || status.RunningTasks != 1 {
+			t.Fatalf("job %d has status %+v, known %v, want a running task", i, status, ok)
 		}
 	}
-	if len(b.runs) > 0 {
-		t.Errorf("%d tasks were started again", len(b.runs))
+	if len(h.runs) > 0 {
+		t.Errorf("%d tasks were started again", len(h.runs))
 	}
 }
 
-// TestLedgerOfManyLoans: far more loans than fit one transaction are recorded a transaction at a time,
-// each of a size that the state service takes; what lends to one job is taken together, and only when
-// all of it is recorded; the next leader finds every one; and when all have ended, all pages but the
-// first are gone. Beyond one transaction loans had been refused.
+// TestLedgerOfManyLoans checks that the ledger handles far more loans than fit into one transaction, whereas it used to
+// refuse the excess. Loans are recorded one transaction at a time, each of a size that the state service accepts. All
+// lenders of a job are preempted together, and only after all of its loans are recorded. The next leader recovers every
+// loan. After all loans have ended, only the first page is left.
 func TestLedgerOfManyLoans(t *testing.T) {
-	const loans, perBorrower = 1000, 7
-	b := newZoneHarness(zonefailover.DefaultRecoveryOrder(), config.Team{Name: "red"})
-	b.scheduler.cfg.Quota.RAMMB = 49
-	b.takeOver(6)
-	z := b.scheduler.zoneFailover
-	borrower := func(i int) string { return fmt.Sprintf("j-%06d", 900_000+i/perBorrower) }
+	const loans, loansPerBorrower = 1000, 7
+	h := newZoneHarness(zonefailover.DefaultRecoveryOrder(), config.Team{Name: "red"})
+	h.scheduler.cfg.Quota.RAMMB = 49
+	h.startTerm(6)
+	z := h.scheduler.zoneFailover
+	borrower := func(i int) string { return fmt.Sprintf("j-%06d", 900_000+i/loansPerBorrower) }
 	lender := func(i int) zonefailover.TaskAttempt {
 		return zonefailover.TaskAttempt{Job: fmt.Sprintf("j-%06d", i), Attempt: 1}
 	}
@@ -165,22 +165,22 @@
 			Machine:  "m",
 			Zone:     "a",
 		}
-		if err := z.OpenLoans(b.scheduler.failoverRecordLimits(), loan); err != nil {
-			t.Fatalf("%d loans may be open, want %d: %v", i, loans, err)
+		if err := z.OpenLoans(h.scheduler.failoverRecordLimits(), loan); err != nil {
+			t.Fatalf("only %d of %d loans could be opened: %v", i, loans, err)
 		}
 	}
 	recorded := map[string]protocol.KeyValue{}
 	rev := uint64(1000)
 	write := func() bool {
-		b.scheduler.effects = nil
-		b.scheduler.writeFailoverRecords(b.now)
-		for _, e := range b.scheduler.effects {
+		h.scheduler.effects = nil
+		h.scheduler.writeFailoverRecords(h.now)
+		for _, e := range h.scheduler.effects {
 			w, ok := e.(Write)
 			if !ok {
 				continue
 			}
-			if len(w.Txn.Then) > b.scheduler.recordLimits.PagesPerTransaction() {
-				t.Fatalf("%d pages in a transaction", len(w.Txn.Then))
+			if len(w.Txn.Then) > h.scheduler.recordLimits.PagesPerTransaction() {
+				t.Fatalf("%d pages in a transaction exceed the limit", len(w.Txn.Then))
 			}
 			rev++
 			for _, op := range w.Txn.Then {
@@ -189,7 +189,7 @@
 					recorded[op.PutKey] = protocol.KeyValue{Key: op.PutKey, Value: op.Value, Revision: rev}
 				}
 			}
-			b.scheduler.Step(b.now, TransactionOutcome{WriteID: w.ID, Succeeded: true, Revision: rev})
+			h.scheduler.Step(h.now, TransactionOutcome{WriteID: w.ID, Succeeded: true, Revision: rev})
 			return true
 		}
 		return false
@@ -210,17 +210,17 @@
 	transactions := 0
 	for write() {
 		transactions++
-		onRecord, open := held(), map[string]bool{}
+		recordedLenders, open := held(), map[string]bool{}
 		for i := range loans {
 			if z.AwaitsPreemption(lender(i)) {
 				open[borrower(i)] = true
-			} else if !onRecord[lender(i)] {
-				t.Fatalf("loan %d is taken and not recorded", i)
+			} else if !recordedLenders[lender(i)] {
+				t.Fatalf("the lender of loan %d may be preempted before the loan is recorded", i)
 			}
 		}
 		for i := range loans {
 			if open[borrower(i)] && !z.AwaitsPreemption(lender(i)) {
-				t.Fatalf("loan %d is taken before others to the same job", i)
+				t.Fatalf("the lender of loan %d may be preempted before other lenders of the same job", i)
 			}
 		}
 	}
@@ -231,22 +231,22 @@
 		}
 	}
 	if waiting > 0 || transactions < 2 {
-		t.Errorf("%d loans are not taken after %d transactions", waiting, transactions)
+		t.Errorf("%d lenders still await preemption after %d transactions", waiting, transactions)
 	}
-	b.records = recorded
-	b.takeOver(7)
-	if got := b.scheduler.zoneFailover.Ledger().Len(); got != loans {
-		t.Errorf("the next leader knows of %d loans, want %d", got, loans)
+	h.records = recorded
+	h.startTerm(7)
+	if got := h.scheduler.zoneFailover.Ledger().Len(); got != loans {
+		t.Errorf("the next leader recovered %d loans, want %d", got, loans)
 	}
-	z = b.scheduler.zoneFailover
+	z = h.scheduler.zoneFailover
 	for _, loan := range z.Ledger().Loans() {
 		z.CloseLoan(loan, zonefailover.Repaid)
 	}
 	for range loans {
-		b.now += CycleInterval
+		h.now += CycleInterval
 		write()
 	}
 	if len(recorded) != 1 {
-		t.Errorf("%d pages are left", len(recorded))
+		t.Errorf("%d pages are left, want 1", len(recorded))
 	}
 }
--- a/internal/coordination/scheduler/pendingwrites.go
+++ b/internal/coordination/scheduler/pendingwrites.go
@@ -8,26 +8,26 @@
 	"pinebay/internal/storage"
 )
 
-// outcomeHandler is called with the outcome of a write once it is known.
+// outcomeHandler is called once with the outcome of a write.
 type outcomeHandler func(now time.Duration, outcome TransactionOutcome)
 
 // pendingWrite is a write in flight.
 type pendingWrite struct {
 	onOutcome outcomeHandler
 	priority  WritePriority
-	pages     int // how many count as in flight until the outcome is known
+	pages     int // number of pages that count as in flight until the outcome is known
 }
 
-// pendingWrites are the transactions in flight. Each depends on the revision of the term's record, so that none
-// of them is carried out once another controller leads.
+// pendingWrites holds the transactions in flight. Each is conditional on the revision of the term record, so that none
+// is committed after another controller has become the leader.
 type pendingWrites struct {
 	term         uint64
 	termRevision uint64
 	lastID       uint64
 	inFlight     map[uint64]pendingWrite
-	// pagesInFlight counts the pages of placements that are being written, by priority.
+	// pagesInFlight is the number of placement pages being written, by priority.
 	pagesInFlight [PriorityMaintenance + 1]int
-	// paused says that no write may begin: the term's record is about to change (see beginLevelChange).
+	// paused is set while no write may begin because the term record is about to change (see beginLevelChange).
 	paused bool
 }
 
@@ -35,27 +35,27 @@
 	return pendingWrites{term: term.Number, termRevision: term.Revision, inFlight: map[uint64]pendingWrite{}}
 }
 
-// nextID returns the number of a new write, and the name by which its author recognises its records.
+// nextID returns the ID and the name of a new write. The name identifies the records that the write has stored.
 func (w *pendingWrites) nextID() (id uint64, name string) {
 	w.lastID++
 	return w.lastID, fmt.Sprintf("%d.%d", w.term, w.lastID)
 }
 
-// nextName is nextID without the number.
+// nextName returns the name of a new write.
 func (w *pendingWrites) nextName() string {
 	_, name := w.nextID()
 	return name
 }
 
-// termUnchanged is the condition that this controller still leads.
+// termUnchanged returns the condition that this controller is still the leader.
 func (w *pendingWrites) termUnchanged() protocol.Compare {
 	return protocol.Compare{Key: storage.TermKey, Revision: w.termRevision}
 }
 
-// none reports whether no write is in flight.
-func (w *pendingWrites) none() bool { return len(w.inFlight) == 0 }
+// idle reports whether no write is in flight.
+func (w *pendingWrites) idle() bool { return len(w.inFlight) == 0 }
 
-// handleOutcome calls the handler of a write. Of an outcome that is reported twice the second one is ignored.
+// handleOutcome calls the handler of a write. An outcome that is reported again is ignored.
 func (w *pendingWrites) handleOutcome(now time.Duration, outcome TransactionOutcome) {
 	write, ok := w.inFlight[outcome.WriteID]
 	if !ok {
@@ -66,16 +66,16 @@
 	write.onOutcome(now, outcome)
 }
 
-// submit asks for a write.
-func (c *Scheduler) submit(write Write, onOutcome outcomeHandler) {
-	c.writes.inFlight[write.ID] = pendingWrite{onOutcome: onOutcome, priority: write.Priority}
-	c.emit(write)
+// submit emits a write and registers the handler of its outcome.
+func (s *Scheduler) submit(write Write, onOutcome outcomeHandler) {
+	s.writes.inFlight[write.ID] = pendingWrite{onOutcome: onOutcome, priority: write.Priority}
+	s.emit(write)
 }
 
-// submitPages asks for a write of placement pages, which count as in flight until its outcome is known.
-func (c *Scheduler) submitPages(write Write, onOutcome outcomeHandler) {
+// submitPages emits a write of placement pages, which count as in flight until its outcome is known.
+func (s *Scheduler) submitPages(write Write, onOutcome outcomeHandler) {
 	pages := len(write.Txn.Then)
-	c.writes.pagesInFlight[write.Priority] += pages
-	c.writes.inFlight[write.ID] = pendingWrite{onOutcome: onOutcome, priority: write.Priority, pages: pages}
-	c.emit(write)
+	s.writes.pagesInFlight[write.Priority] += pages
+	s.writes.inFlight[write.ID] = pendingWrite{onOutcome: onOutcome, priority: write.Priority, pages: pages}
+	s.emit(write)
 }
--- a/internal/coordination/scheduler/placementrules.go
+++ b/internal/coordination/scheduler/placementrules.go
@@ -9,42 +9,42 @@
 	"pinebay/internal/coordination/placement"
 )
 
-// machineFinder finds machines within a cycle. It is a placement.Finder; tests compare that with one that
-// examines all machines.
+// machineFinder searches for machines within a cycle. The implementation is placement.Finder; tests compare it with one
+// that examines all machines.
 type machineFinder interface {
 	// BestMachine returns the admitted candidate with the lowest score for a task of the job, or nil.
 	BestMachine(
 		now time.Duration,
 		j *jobstate.Job,
-		l *placement.ZoneLimits,
+		limits *placement.ZoneLimits,
 		admits placement.Filter,
 	) *candidates.Candidate
-	// BestWithImage is BestMachine among those that have the job's image.
+	// BestWithImage is like BestMachine but considers only candidates that have the image of the job.
 	BestWithImage(
 		now time.Duration,
 		j *jobstate.Job,
-		l *placement.ZoneLimits,
+		limits *placement.ZoneLimits,
 		admits placement.Filter,
 	) *candidates.Candidate
-	// CheapestPreemption returns the candidate on which it costs least to preempt work for a task of the
-	// job, and the victims.
+	// CheapestPreemption returns the candidate on which preempting tasks for a task of the job costs least, and the
+	// victims.
 	CheapestPreemption(
 		now time.Duration,
 		j *jobstate.Job,
-		l *placement.ZoneLimits,
+		limits *placement.ZoneLimits,
 		maxFetchTime time.Duration,
 		victimPriority int,
 	) (*candidates.Candidate, []*machineregistry.Placement)
-	// MostFreeCapacity returns the feasible candidate with the most free capacity, except those given.
+	// MostFreeCapacity returns the feasible candidate with the most free capacity, ignoring those in except.
 	MostFreeCapacity(
 		now time.Duration,
 		j *jobstate.Job,
-		l *placement.ZoneLimits,
+		limits *placement.ZoneLimits,
 		except map[*candidates.Candidate]bool,
 	) *candidates.Candidate
 }
 
-// zonePolicy is what the zone failover adds to the rules of placement.
+// zonePolicy adds the constraints of zone failover to the placement rules.
 type zonePolicy struct{ scheduler *Scheduler }
 
 // RiskPenalty implements placement.ZonePolicy.
