--- a/internal/coordination/scheduler/placementwriter.go
+++ b/internal/coordination/scheduler/placementwriter.go
@@ -12,49 +12,49 @@
 )
 
 const (
-	// maxRecordAttempts is how often a job's write is repeated alone although the stored page isn't the expected one.
-	// After that this leader's state counts as wrong, and it steps down.
+	// maxRecordAttempts is the number of times a write of a single job is retried after the revision of a stored page
+	// was not the expected one. After that the state of this leader is considered wrong, and it steps down.
 	maxRecordAttempts = 4
-	// recordBackoff is the pause before the first of these attempts. It doubles with each.
+	// recordBackoff is the delay before the first of these retries. It doubles with each retry.
 	recordBackoff = CycleInterval / 8
 )
 
-// recordStarts writes the placements that starts wait for, in the order of the queue, as far as the key-value store
-// can write them soon. Several jobs share a transaction.
-func (c *Scheduler) recordStarts(now time.Duration) {
-	for !c.writes.paused {
-		free := c.recordLimits.MaxStartPages() - c.writes.pagesInFlight[PriorityStart]
+// recordStarts writes the placements that starts wait for, in queue order, as many as the key-value store can write
+// soon. A transaction contains the placements of several jobs.
+func (s *Scheduler) recordStarts(now time.Duration) {
+	for !s.writes.paused {
+		free := s.recordLimits.MaxStartPages() - s.writes.pagesInFlight[PriorityStart]
 		if free <= 0 {
 			return
 		}
-		batch := c.nextStartBatch(now, free)
+		batch := s.nextStartBatch(now, free)
 		if len(batch) == 0 {
 			return
 		}
-		c.writeBatch(PriorityStart, batch)
+		s.writeBatch(PriorityStart, batch)
 	}
 }
 
-// nextStartBatch takes jobs from the queue of starts for one transaction with a limited number of operations. A job
-// that has failed before is written alone.
-func (c *Scheduler) nextStartBatch(now time.Duration, operations int) (batch []*placementrecords.JobWrite) {
-	operations = min(operations, c.recordLimits.MaxOperations())
+// nextStartBatch dequeues jobs from the start queue for one transaction with a limited number of operations. A job
+// whose write has failed before gets a transaction of its own.
+func (s *Scheduler) nextStartBatch(now time.Duration, operations int) (batch []*placementrecords.JobWrite) {
+	operations = min(operations, s.recordLimits.MaxOperations())
 	bytes := placementrecords.MaxTransactionBytes
-	order := c.failoverOrder()
+	order := s.failoverOrder()
 	for operations > 0 {
-		j := c.queues.Starts.Next(now, order)
+		j := s.queues.Starts.Next(now, order)
 		if j == nil {
 			return batch
 		}
 		if len(batch) > 0 && j.RecordAttempts > 0 {
 			return batch
 		}
-		write := c.newJobWrite(j, operations)
+		write := s.newJobWrite(j, operations)
 		fits := write.Size() <= bytes && write.Operations() <= operations && write.CoversAllStarts()
 		if len(batch) > 0 && !fits {
-			return batch // it begins the next one
+			return batch // this write goes into the next transaction
 		}
-		c.queues.Starts.Dequeue(j)
+		s.queues.Starts.Dequeue(j)
 		batch = append(batch, write)
 		operations -= write.Operations()
 		bytes -= write.Size()
@@ -65,53 +65,53 @@
 	return batch
 }
 
-// newJobWrite returns the next write of a job, whose pages are narrowed until they fit.
-func (c *Scheduler) newJobWrite(j *jobstate.Job, maxOperations int) *placementrecords.JobWrite {
-	c.recordLimits.NarrowToFit(j, c.writes.nextName)
+// newJobWrite returns the next write of a job, narrowing its pages until they fit.
+func (s *Scheduler) newJobWrite(j *jobstate.Job, maxOperations int) *placementrecords.JobWrite {
+	s.recordLimits.NarrowToFit(j, s.writes.nextName)
 	return placementrecords.NewJobWrite(j, maxOperations)
 }
 
-// failoverOrder returns the jobs in the queue of starts in the order of recovery, while that is in effect. Otherwise it
-// returns nil, and the order of the queue holds.
-func (c *Scheduler) failoverOrder() []*jobstate.Job {
-	if !c.zoneFailover.IsOrderInEffect() {
+// failoverOrder returns the jobs in the start queue, sorted by the recovery order, while that order is in effect.
+// Otherwise it returns nil, and the order of the queue applies.
+func (s *Scheduler) failoverOrder() []*jobstate.Job {
+	if !s.zoneFailover.IsOrderInEffect() {
 		return nil
 	}
-	jobs := c.queues.Starts.Jobs()
-	c.sortForRecovery(jobs)
+	jobs := s.queues.Starts.Jobs()
+	s.sortForRecovery(jobs)
 	return jobs
 }
 
-// recordCompletions writes what has ended of jobs, longest waiting first, as far as the key-value store can write it
-// soon.
-func (c *Scheduler) recordCompletions(now time.Duration) {
-	for c.mayWriteCompletions() {
-		j := c.queues.NextCompletion(now - placementrecords.CompletionDelay)
+// recordCompletions records ended tasks, starting with the job that has waited longest, as many as the key-value store
+// can write soon.
+func (s *Scheduler) recordCompletions(now time.Duration) {
+	for s.mayWriteCompletions() {
+		j := s.queues.NextCompletion(now - placementrecords.CompletionDelay)
 		if j == nil {
 			return
 		}
 		if now < j.RecordNotBefore {
-			c.delayedCalls.add(j.RecordNotBefore, func(now time.Duration) { j.QueueCompletion(now) })
+			s.delayedCalls.add(j.RecordNotBefore, func(now time.Duration) { j.QueueCompletion(now) })
 			continue
 		}
-		write := c.newJobWrite(j, c.recordLimits.PagesPerTransaction())
-		c.writeBatch(PriorityCompletion, []*placementrecords.JobWrite{write})
+		write := s.newJobWrite(j, s.recordLimits.PagesPerTransaction())
+		s.writeBatch(PriorityCompletion, []*placementrecords.JobWrite{write})
 	}
 }
 
 // mayWriteCompletions reports whether another write of completions may begin now.
-func (c *Scheduler) mayWriteCompletions() bool {
-	inFlight := c.writes.pagesInFlight[PriorityCompletion]
-	return !c.writes.paused && inFlight < c.recordLimits.MaxCompletionPages()
+func (s *Scheduler) mayWriteCompletions() bool {
+	inFlight := s.writes.pagesInFlight[PriorityCompletion]
+	return !s.writes.paused && inFlight < s.recordLimits.MaxCompletionPages()
 }
 
 // writeBatch submits the writes of several jobs in one transaction.
-func (c *Scheduler) writeBatch(priority WritePriority, batch []*placementrecords.JobWrite) {
-	id, name := c.writes.nextID()
-	t := protocol.Txn{If: []protocol.Compare{c.writes.termUnchanged()}}
+func (s *Scheduler) writeBatch(priority WritePriority, batch []*placementrecords.JobWrite) {
+	id, name := s.writes.nextID()
+	txn := protocol.Txn{If: []protocol.Compare{s.writes.termUnchanged()}}
 	for _, write := range batch {
-		if err := write.AppendTo(&t, name); err != nil {
-			c.emit(StepDown{Reason: err.Error()}) // no record can hold this leader's state
+		if err := write.AppendTo(&txn, name); err != nil {
+			s.emit(StepDown{Reason: err.Error()}) // the state of this leader cannot be encoded
 			return
 		}
 	}
@@ -119,30 +119,30 @@
 		write.Begin()
 	}
 	onOutcome := func(now time.Duration, outcome TransactionOutcome) {
-		c.applyBatchOutcome(now, &t, batch, outcome)
+		s.applyBatchOutcome(now, &txn, batch, outcome)
 		if priority == PriorityCompletion {
-			c.recordCompletions(now)
+			s.recordCompletions(now)
 		} else {
-			c.recordStarts(now)
+			s.recordStarts(now)
 		}
 	}
 	write := Write{
 		ID:         id,
-		Txn:        t,
+		Txn:        txn,
 		Priority:   priority,
-		VerifyKey:  t.Then[0].PutKey,
+		VerifyKey:  txn.Then[0].PutKey,
 		Name:       name,
 		Splittable: len(batch) > 1,
 	}
-	c.submitPages(write, onOutcome)
+	s.submitPages(write, onOutcome)
 }
 
-// applyBatchOutcome applies the outcome of a transaction. A failed condition of one job concerns that job alone: the
-// others are written again at once, in another transaction. The one that failed was not carried out and never
-// will be, as its conditions no longer hold.
-func (c *Scheduler) applyBatchOutcome(
+// applyBatchOutcome applies the outcome of a transaction. If a condition of one job failed, only that job is affected:
+// the others are written again immediately, in a new transaction. This is safe because the failed transaction was not
+// committed and never will be, as its conditions no longer hold.
+func (s *Scheduler) applyBatchOutcome(
 	now time.Duration,
-	t *protocol.Txn,
+	txn *protocol.Txn,
 	batch []*placementrecords.JobWrite,
 	outcome TransactionOutcome,
 ) {
@@ -151,56 +151,57 @@
 	}
 	failed := !outcome.Succeeded && !outcome.Malformed
 	if failed && (len(outcome.FailedKeys) == 0 || slices.Contains(outcome.FailedKeys, storage.TermKey)) {
-		// Another controller leads, or this leader's state is wrong: a new term reads everything again.
-		c.stepDownAfter(outcome)
+		// Either another controller leads or the state of this leader is wrong: a new term reads all records again.
+		s.stepDownAfter(outcome)
 		return
 	}
 	for _, write := range batch {
 		switch {
 		case outcome.Succeeded:
-			c.jobWriteSucceeded(now, write, outcome.Revision)
+			s.jobWriteSucceeded(now, write, outcome.Revision)
 		case outcome.Malformed && len(batch) > 1:
-			c.retryAlone(now, write) // one of them is malformed; alone it shows which
+			s.retryAlone(now, write) // separate transactions show which write is malformed
 		case outcome.Malformed:
-			c.jobWriteRejected(now, t, write)
+			s.jobWriteRejected(now, txn, write)
 		default:
-			c.jobWriteFailed(now, write, outcome)
+			s.jobWriteFailed(now, write, outcome)
 		}
 	}
-	c.sendUrgentCommands(now) // the starts of a machine go out together
+	s.sendUrgentCommands(now) // all starts on a machine are sent together
 }
 
-// stepDownAfter ends the term after a write whose conditions failed for no known reason.
-func (c *Scheduler) stepDownAfter(outcome TransactionOutcome) {
-	c.emit(StepDown{Reason: fmt.Sprintf("conditions failed: %v", outcome.FailedKeys)})
+// stepDownAfter ends the term after the conditions of a write have failed for an unknown reason.
+func (s *Scheduler) stepDownAfter(outcome TransactionOutcome) {
+	s.emit(StepDown{Reason: fmt.Sprintf("conditions failed: %v", outcome.FailedKeys)})
 }
 
-// jobWriteFailed handles the failure of a transaction that this write was part of.
-func (c *Scheduler) jobWriteFailed(now time.Duration, write *placementrecords.JobWrite, outcome TransactionOutcome) {
+// jobWriteFailed handles the failure of a transaction that contained this write.
+func (s *Scheduler) jobWriteFailed(now time.Duration, write *placementrecords.JobWrite, outcome TransactionOutcome) {
 	j := write.Job
 	switch {
 	case slices.Contains(outcome.FailedKeys, storage.LiveJobKey(j.Spec.ID)):
-		c.cancelUnstarted(now, j)
-		c.endJob(now, j)
+		s.cancelUnstarted(now, j)
+		s.endJob(now, j)
 	case !write.Failed(outcome.FailedKeys):
-		c.requeue(now, write)
+		s.requeue(now, write)
 	case j.RecordAttempts >= maxRecordAttempts:
-		c.stepDownAfter(outcome)
+		s.stepDownAfter(outcome)
 	default:
-		c.log.Info("placement record conflict", "job", j.Spec.ID, "tries", j.RecordAttempts)
+		s.log.Info("placement record conflict", "job", j.Spec.ID, "tries", j.RecordAttempts)
 		j.RecordNotBefore = now + recordBackoff<<j.RecordAttempts
 		j.RecordAttempts++
-		c.requeue(now, write)
+		s.requeue(now, write)
 	}
 }
 
-// jobWriteRejected handles the rejection of a write that was alone in its transaction. It is repeated with fewer pages
-// at a time, and then with narrower pages, as far as possible; else after a pause, in which others have their turn.
-func (c *Scheduler) jobWriteRejected(now time.Duration, t *protocol.Txn, write *placementrecords.JobWrite) {
+// jobWriteRejected handles the rejection of a write that had a transaction of its own. It is retried immediately with
+// smaller transactions or, if these cannot shrink any further, with narrower pages. If neither is possible, it is
+// retried after a delay, so that other jobs get their turn.
+func (s *Scheduler) jobWriteRejected(now time.Duration, txn *protocol.Txn, write *placementrecords.JobWrite) {
 	j := write.Job
-	c.requeue(now, write)
+	s.requeue(now, write)
 	j.RecordNotBefore = now + rejectedRetryDelay
-	if c.shrinkTransactions(t) {
+	if s.shrinkTransactions(txn) {
 		j.RecordNotBefore = now
 		return
 	}
@@ -208,7 +209,7 @@
 		j.Pages.Narrow()
 		j.RecordNotBefore = now
 	}
-	c.log.Error(
+	s.log.Error(
 		"placement record rejected",
 		"job", j.Spec.ID,
 		"page_count", write.Pages(),
@@ -216,42 +217,42 @@
 	)
 }
 
-// retryAlone repeats a job's write in a transaction of its own, until it succeeds.
-func (c *Scheduler) retryAlone(now time.Duration, write *placementrecords.JobWrite) {
+// retryAlone retries the write of a job in transactions of its own until it succeeds.
+func (s *Scheduler) retryAlone(now time.Duration, write *placementrecords.JobWrite) {
 	write.Job.RecordAttempts = max(write.Job.RecordAttempts, 1)
-	c.requeue(now, write)
+	s.requeue(now, write)
 }
 
-// requeue causes a write to be repeated that was not carried out.
-func (c *Scheduler) requeue(now time.Duration, write *placementrecords.JobWrite) {
+// requeue queues a write again that was not committed.
+func (s *Scheduler) requeue(now time.Duration, write *placementrecords.JobWrite) {
 	j := write.Job
 	write.Revert()
 	if j.Ended {
-		c.cancelUnstarted(now, j)
-		c.stopJobTasks(now, j)
+		s.cancelUnstarted(now, j)
+		s.stopJobTasks(now, j)
 		return
 	}
-	c.queues.Starts.Requeue(j)
+	s.queues.Starts.Requeue(j)
 	j.QueueCompletion(now)
 }
 
-// jobWriteSucceeded applies a write that was carried out, and starts what waited for it.
-func (c *Scheduler) jobWriteSucceeded(now time.Duration, write *placementrecords.JobWrite, revision uint64) {
+// jobWriteSucceeded applies a committed write and starts the tasks that waited for it.
+func (s *Scheduler) jobWriteSucceeded(now time.Duration, write *placementrecords.JobWrite, revision uint64) {
 	j := write.Job
 	j.RecordAttempts, j.RecordNotBefore = 0, 0
-	write.Commit(revision, c.machines.MarkOutcomeRecorded)
+	write.Commit(revision, s.machines.MarkOutcomeRecorded)
 	if j.Ended {
-		c.cancelUnstarted(now, j)
-		c.stopJobTasks(now, j)
+		s.cancelUnstarted(now, j)
+		s.stopJobTasks(now, j)
 		return
 	}
 	write.MarkStartsRecorded()
-	c.startRecorded(j)
+	s.allowRecordedStarts(j)
 	switch {
 	case j.AllTasksDone():
-		c.completeJob(j)
+		s.completeJob(j)
 	case len(j.Unstarted) > 0:
-		c.queues.Starts.Add(j)
+		s.queues.Starts.Add(j)
 	default:
 		j.QueueCompletion(now)
 	}
--- a/internal/coordination/scheduler/placementwriter_test.go
+++ b/internal/coordination/scheduler/placementwriter_test.go
@@ -12,7 +12,7 @@
 	"pinebay/internal/storage"
 )
 
-// jobsOfWrite returns the jobs whose pages are written.
+// jobsOfWrite returns the jobs whose pages a write contains.
 func jobsOfWrite(w Write) (jobs []string) {
 	for _, op := range w.Txn.Then {
 		id, _, _ := strings.Cut(strings.TrimPrefix(op.PutKey, storage.PlacementPrefix), "/")
@@ -21,7 +21,7 @@
 	return slices.Compact(jobs)
 }
 
-// submit accepts an array whose tasks take half a machine each.
+// submit delivers an accepted array, each of whose tasks takes half a machine.
 func (s *manualStore) submit(id string, priority protocol.Priority, tasks int) {
 	s.revision++
 	s.step(JobAccepted{
@@ -33,19 +33,19 @@
 	})
 }
 
-// cycleOnce runs a cycle and keeps the writes that it causes.
+// cycleOnce runs a cycle and keeps the resulting writes in flight.
 func (s *manualStore) cycleOnce() {
 	s.now += CycleInterval
 	s.heartbeatAll()
 	s.step(Tick{})
 }
 
-// answer gives a write its outcome.
-func (s *manualStore) answer(w TransactionOutcome) {
-	s.inFlight = slices.DeleteFunc(s.inFlight, func(o Write) bool { return o.ID == w.WriteID })
+// answer delivers the outcome of a write.
+func (s *manualStore) answer(outcome TransactionOutcome) {
+	s.inFlight = slices.DeleteFunc(s.inFlight, func(o Write) bool { return o.ID == outcome.WriteID })
 	s.revision++
-	w.Revision = s.revision
-	s.step(w)
+	outcome.Revision = s.revision
+	s.step(outcome)
 }
 
 // startWrites returns the writes in flight that starts wait for.
@@ -58,7 +58,7 @@
 	return open
 }
 
-// newEmptyManualStore returns one with idle machines.
+// newEmptyManualStore returns a manualStore with idle machines and no jobs.
 func newEmptyManualStore(machines int) *manualStore {
 	s := &manualStore{harness: newHarness([]config.Team{{Name: "red"}}, "a")}
 	for i := range machines {
@@ -67,8 +67,9 @@
 	return s
 }
 
-// However many starts of lower priority wait for their record, few of these are in flight, and an urgent one is
-// written next. They had all been in one queue, and an urgent start waited for thousands.
+// TestUrgentStartIsWrittenFirst checks that, however many starts of lower priority wait for their record, only a few of
+// these records are in flight and the record of an urgent start is written next. With a single queue for all of them,
+// an urgent start used to wait for thousands of others.
 func TestUrgentStartIsWrittenFirst(t *testing.T) {
 	const jobs = 200
 	s := newEmptyManualStore(jobs)
@@ -76,15 +77,15 @@
 		s.submit(fmt.Sprintf("j-%03d", i), "normal", 2)
 	}
 	s.cycleOnce()
-	under := s.pagesInFlight(PriorityStart)
-	if under == 0 || under > s.scheduler.recordLimits.MaxStartPages() {
-		t.Fatalf("%d pages in flight, want 1 to %d", under, s.scheduler.recordLimits.MaxStartPages())
+	inFlight := s.pagesInFlight(PriorityStart)
+	if inFlight == 0 || inFlight > s.scheduler.recordLimits.MaxStartPages() {
+		t.Fatalf("%d pages in flight, want 1 to %d", inFlight, s.scheduler.recordLimits.MaxStartPages())
 	}
 	s.heartbeat("m999", "a", false)
 	s.submit("j-urgent", "urgent", 1)
 	s.cycleOnce()
-	if got := s.pagesInFlight(PriorityStart); got != under {
-		t.Fatalf("%d pages in flight with an urgent job, %d without", got, under)
+	if got := s.pagesInFlight(PriorityStart); got != inFlight {
+		t.Fatalf("%d pages in flight with an urgent job, %d without", got, inFlight)
 	}
 	s.answer(TransactionOutcome{WriteID: s.startWrites()[0].ID, Succeeded: true})
 	isUrgent := func(w Write) bool { return slices.Contains(jobsOfWrite(w), "j-urgent") }
@@ -93,8 +94,9 @@
 	}
 }
 
-// A transaction holds pages of several jobs, within the limits, and no task starts before it is carried out.
-func TestSharedTransactions(t *testing.T) {
+// TestBatchedTransactions checks that a transaction contains pages of several jobs within the limits, and that no task
+// may start before the transaction is committed.
+func TestBatchedTransactions(t *testing.T) {
 	s := newEmptyManualStore(40)
 	for i := range 40 {
 		s.submit(fmt.Sprintf("j-%03d", i), "normal", 2)
@@ -104,10 +106,10 @@
 	for served := 0; len(s.startWrites()) > 0 && served < 200; served++ {
 		w := s.startWrites()[0]
 		if len(w.Txn.Then) > s.scheduler.cfg.Store.TxnOps || len(w.Txn.If) > 4*s.scheduler.cfg.Store.TxnOps {
-			t.Fatalf("%d operations and %d conditions", len(w.Txn.Then), len(w.Txn.If))
+			t.Fatalf("%d operations and %d conditions exceed the limits", len(w.Txn.Then), len(w.Txn.If))
 		}
 		if w.Splittable != (len(jobsOfWrite(w)) > 1) {
-			t.Fatalf("shared %v with %v", w.Splittable, jobsOfWrite(w))
+			t.Fatalf("splittable %v with jobs %v", w.Splittable, jobsOfWrite(w))
 		}
 		if w.Splittable {
 			shared++
@@ -115,7 +117,7 @@
 		for _, id := range jobsOfWrite(w) {
 			for _, pl := range s.scheduler.jobs[id].Placements {
 				if pl.StartAllowed {
-					t.Fatalf("%s may start before its record", pl.Task)
+					t.Fatalf("%s may start before it is recorded", pl.Task)
 				}
 			}
 		}
@@ -123,23 +125,23 @@
 		for _, id := range jobsOfWrite(w) {
 			for _, pl := range s.scheduler.jobs[id].Placements {
 				if !pl.StartAllowed {
-					t.Fatalf("%s may not start after its record", pl.Task)
+					t.Fatalf("%s may not start although it is recorded", pl.Task)
 				}
 			}
 		}
 	}
 	if shared == 0 {
-		t.Error("no transaction was shared")
+		t.Error("no transaction contained several jobs")
 	}
 }
 
-// failedWrite returns the outcome of a write that failed with the condition on a key.
+// failedWrite returns the outcome of a write that failed because of the condition on a key.
 func failedWrite(w Write, key string) TransactionOutcome {
 	return TransactionOutcome{WriteID: w.ID, FailedKeys: []string{key}}
 }
 
-// newSharedWrite returns a write in flight of four jobs' placements.
-func newSharedWrite(t *testing.T) (*manualStore, Write) {
+// newBatchWrite returns a write in flight that contains the placements of four jobs.
+func newBatchWrite(t *testing.T) (*manualStore, Write) {
 	t.Helper()
 	s := newEmptyManualStore(8)
 	for i := range 4 {
@@ -148,22 +150,22 @@
 	s.cycleOnce()
 	w := s.startWrites()[0]
 	if len(jobsOfWrite(w)) != 4 {
-		t.Fatalf("the transaction has %v", jobsOfWrite(w))
+		t.Fatalf("the transaction contains %v, want four jobs", jobsOfWrite(w))
 	}
 	return s, w
 }
 
-// requireOthersWritten checks that the other three jobs are written again at once, and lets that succeed.
-func (s *manualStore) requireOthersWritten(t *testing.T) {
+// requireOthersRewritten checks that the other three jobs are written again immediately, and lets that write succeed.
+func (s *manualStore) requireOthersRewritten(t *testing.T) {
 	t.Helper()
 	again := s.startWrites()
 	if len(again) != 1 || !slices.Equal(jobsOfWrite(again[0]), []string{"j-000", "j-002", "j-003"}) {
-		t.Fatalf("written again: %v", again)
+		t.Fatalf("writes in flight: %v, want one of the other three jobs", again)
 	}
 	s.answer(TransactionOutcome{WriteID: again[0].ID, Succeeded: true})
 }
 
-// stepsDown applies an event, and reports whether the leader steps down.
+// stepsDown passes an event to the scheduler and reports whether the leader steps down.
 func (s *manualStore) stepsDown(e Event) bool {
 	return slices.ContainsFunc(s.scheduler.Step(s.now, e), func(effect Effect) bool {
 		_, ok := effect.(StepDown)
@@ -171,63 +173,68 @@
 	})
 }
 
-// A job that was cancelled is split off a shared transaction, and the others are written again at once.
-func TestCancelledJobIsSplitOffSharedTransaction(t *testing.T) {
-	s, w := newSharedWrite(t)
+// TestCancelledJobIsSplitOffTransaction checks that a job that was cancelled is removed from a transaction of several
+// jobs, and that the others are written again immediately.
+func TestCancelledJobIsSplitOffTransaction(t *testing.T) {
+	s, w := newBatchWrite(t)
 	s.answer(failedWrite(w, storage.LiveJobKey("j-001")))
-	s.requireOthersWritten(t)
+	s.requireOthersRewritten(t)
 	s.cycleOnce()
 	if j := s.scheduler.jobs["j-001"]; j != nil && len(j.Placements) > 0 {
-		t.Errorf("the cancelled job holds %d placements", len(j.Placements))
+		t.Errorf("the cancelled job still has %d placements", len(j.Placements))
 	}
 }
 
-// A job whose stored page isn't the expected one is split off, and tried alone after a pause that doubles. When that
-// doesn't help, the state of the leader is wrong and it steps down.
-func TestFailedJobIsSplitOffSharedTransaction(t *testing.T) {
-	s, w := newSharedWrite(t)
-	stale := productionPage("j-001")
+// TestFailedJobIsSplitOffTransaction checks that a job whose stored page is not the expected one is removed from a
+// transaction of several jobs and retried alone, with a delay that doubles. If the retries fail, the state of the
+// leader is wrong and it steps down.
+func TestFailedJobIsSplitOffTransaction(t *testing.T) {
+	s, w := newBatchWrite(t)
+	stale := originalPageKey("j-001")
 	s.answer(failedWrite(w, stale))
-	s.requireOthersWritten(t)
+	s.requireOthersRewritten(t)
 	last, pause := s.now, time.Duration(0)
 	for attempt, steppedDown := 1, false; !steppedDown; attempt++ {
 		if attempt > maxRecordAttempts {
-			t.Fatal("tried without end")
+			t.Fatal("the leader did not step down after the last attempt")
 		}
 		for len(s.startWrites()) == 0 && s.now < last+time.Minute {
 			s.now += recordBackoff / 4
 			s.step(Tick{})
 		}
 		if got := s.now - last; got < 2*pause-recordBackoff/2 {
-			t.Errorf("attempt %d after %v, the one before after %v", attempt, got, pause)
+			t.Errorf("attempt %d after %v, the previous one after %v", attempt, got, pause)
 		} else {
 			last, pause = s.now, got
 		}
 		alone := s.startWrites()[0]
 		if !slices.Equal(jobsOfWrite(alone), []string{"j-001"}) {
-			t.Fatalf("attempt %d is of %v", attempt, jobsOfWrite(alone))
+			t.Fatalf("attempt %d contains %v, want only j-001", attempt, jobsOfWrite(alone))
 		}
 		s.inFlight = nil
 		steppedDown = s.stepsDown(failedWrite(alone, stale))
 	}
 }
 
+// TestLeaderStepsDownWhenTermHasChanged checks that the leader steps down when a write fails because the term record
+// has changed.
 func TestLeaderStepsDownWhenTermHasChanged(t *testing.T) {
-	s, w := newSharedWrite(t)
+	s, w := newBatchWrite(t)
 	if !s.stepsDown(failedWrite(w, storage.TermKey)) {
-		t.Error("the leader goes on")
+		t.Error("the leader did not step down")
 	}
 }
 
-// After a shared transaction was rejected as malformed, each job is tried alone, and only the malformed one waits.
-func TestMalformedSharedTransactionIsSplit(t *testing.T) {
-	s, w := newSharedWrite(t)
+// TestMalformedTransactionIsSplit checks that, after a transaction of several jobs was rejected as malformed, each job
+// is retried alone and only the malformed one has to wait.
+func TestMalformedTransactionIsSplit(t *testing.T) {
+	s, w := newBatchWrite(t)
 	s.answer(TransactionOutcome{WriteID: w.ID, Malformed: true})
 	succeeded := map[string]bool{}
 	for range 4 {
 		for _, alone := range s.startWrites() {
 			if len(jobsOfWrite(alone)) != 1 {
-				t.Fatalf("together again: %v", jobsOfWrite(alone))
+				t.Fatalf("several jobs in one transaction again: %v", jobsOfWrite(alone))
 			}
 			if id := jobsOfWrite(alone)[0]; id != "j-002" {
 				succeeded[id] = true
@@ -241,8 +248,8 @@
 	}
 }
 
-// While an array's record waits, the starts that its completions make room for go into it: there are far fewer records
-// than starts.
+// TestStartsAreBatched checks that, while the record of an array waits to be written, the starts that follow from
+// completions are added to it, so that there are no more records than starts.
 func TestStartsAreBatched(t *testing.T) {
 	s := newEmptyManualStore(10)
 	for i := range 20 {
@@ -253,7 +260,7 @@
 		s.now += CycleInterval / 4
 		s.completeRunningTasks()
 		s.step(Tick{})
-		if open := s.startWrites(); len(open) > 0 { // one transaction every quarter of a second
+		if open := s.startWrites(); len(open) > 0 { // one transaction per quarter of a second
 			records += len(open[0].Txn.Then)
 			before := len(s.runs)
 			s.succeed(open[0], uint64(1000+records))
@@ -261,11 +268,11 @@
 		}
 	}
 	if starts < 50 || records > starts {
-		t.Errorf("%d records for %d starts", records, starts)
+		t.Errorf("%d records for %d starts, want at least 50 starts and no more records than starts", records, starts)
 	}
 }
 
-// completeRunningTasks reports all tasks on machines as done, and lets the machines execute the commands in the
+// completeRunningTasks reports all tasks on machines as done, and makes the machines execute the commands in the
 // replies.
 func (s *manualStore) completeRunningTasks() {
 	for name, tasks := range s.tasks {
@@ -285,7 +292,7 @@
 	}
 }
 
-// succeed lets a write succeed, and machines execute the commands that follow.
+// succeed lets a write succeed and makes the machines execute the resulting commands.
 func (s *manualStore) succeed(w Write, revision uint64) {
 	outcome := TransactionOutcome{WriteID: w.ID, Succeeded: true, Revision: revision}
 	for _, e := range s.scheduler.Step(s.now, outcome) {
--- a/internal/coordination/scheduler/preempt.go
+++ b/internal/coordination/scheduler/preempt.go
@@ -12,68 +12,68 @@
 )
 
 const (
-	// cyclesBeforePreemption is the number of cycles in a row in which a job must find no capacity before
-	// work is preempted for it.
+	// cyclesBeforePreemption is the number of consecutive cycles in which a job must find no capacity before tasks are
+	// preempted for it.
 	cyclesBeforePreemption = 2
-	// latencyVictimGap is by how many priorities the work must be lower that is preempted just to start a
-	// task sooner, although there is free capacity.
+	// latencyVictimGap is the number of priority levels by which a victim must be lower if it is preempted only to
+	// start a task sooner, that is, although there is free capacity.
 	latencyVictimGap = 2
-	// anyFetchTime admits machines however long the image takes to fetch.
+	// anyFetchTime admits machines regardless of how long they take to fetch the image.
 	anyFetchTime = time.Duration(math.MaxInt64)
 )
 
-// waitForMachineWithImage reports whether a task should wait for capacity on a machine that has its image,
-// instead of starting on the candidate, where the fetch would outlast the start latency objective of its
-// class. Such capacity is preempted from work of much lower priority.
-func (c *Scheduler) waitForMachineWithImage(
+// waitForMachineWithImage reports whether a task should wait for capacity on a machine that has its image, because on
+// the candidate the fetch would take longer than the start latency objective of its class allows. Such capacity is
+// obtained by preempting tasks of much lower priority.
+func (s *Scheduler) waitForMachineWithImage(
 	now time.Duration,
 	j *jobstate.Job,
 	task int,
-	x *candidates.Candidate,
+	candidate *candidates.Candidate,
 	limits *placement.ZoneLimits,
 ) bool {
-	if !c.rules.StartLatency.Has(j.Spec.Class) || c.mayBorrow(j) {
+	if !s.rules.StartLatency.Has(j.Spec.Class) || s.mayBorrow(j) {
 		return false
 	}
-	objective := config.Seconds(c.rules.StartLatency.Seconds(j.Spec.Class))
+	objective := config.Seconds(s.rules.StartLatency.Seconds(j.Spec.Class))
 	left := objective - (now - j.WaitingSince)
 	if left <= 0 && j.HasRun[task] {
-		left = objective // a replica that was lost should be back as soon
+		left = objective // a lost replica should be replaced within the same time
 	}
-	if left <= 0 || c.machines.FetchTimeWithout(now, x.Machine, &j.Spec, c.rules.YieldingFetches(j)) <= left {
+	if left <= 0 || s.machines.FetchTimeWithout(now, candidate.Machine, &j.Spec, s.rules.YieldingFetches(j)) <= left {
 		return false
 	}
-	for _, y := range c.rules.Nominated(now, j) {
-		// A nominated machine that has the capacity by now was considered, and is not the better one.
-		if !y.NominationClaimed && limits.Allows(y.Machine.Zone) && !j.TaskResources.Fits(y.Free) {
-			c.candidates.ClaimNomination(y)
-			limits.TasksPerZone[y.Machine.Zone]++
+	for _, nominated := range s.rules.Nominated(now, j) {
+		// A nominated machine that already has the capacity was considered and is no better than the candidate.
+		if !nominated.NominationClaimed && limits.Allows(nominated.Machine.Zone) &&
+			!j.TaskResources.Fits(nominated.Free) {
+			s.candidates.ClaimNomination(nominated)
+			limits.TasksPerZone[nominated.Machine.Zone]++
 			return true
 		}
 	}
-	return c.preemptForTask(now, j, limits, left, j.EffectivePriority+latencyVictimGap)
+	return s.preemptForTask(now, j, limits, left, j.EffectivePriority+latencyVictimGap)
 }
 
-// preempt preempts work of lower priority for up to n tasks of a job that found no capacity, on the machines
-// where that costs least. Capacity that the job may borrow during a zone failover comes by way of the
-// ledger of loans instead.
-func (c *Scheduler) preempt(now time.Duration, j *jobstate.Job, limits *placement.ZoneLimits, n int) {
-	if c.mayBorrow(j) && c.borrowCapacity(now, j, limits, n) {
+// preempt preempts tasks of lower priority for up to n tasks of a job that found no capacity, on the machines where
+// that costs least. Capacity that the job may borrow during a zone failover is obtained through loans instead.
+func (s *Scheduler) preempt(now time.Duration, j *jobstate.Job, limits *placement.ZoneLimits, n int) {
+	if s.mayBorrow(j) && s.borrowCapacity(now, j, limits, n) {
 		return
 	}
 	if j.UnschedulableCycles < cyclesBeforePreemption {
 		return
 	}
-	n -= len(c.rules.Nominated(now, j)) // preempted before, and not yet free
-	for n > 0 && c.preemptForTask(now, j, limits, anyFetchTime, j.EffectivePriority+1) {
+	n -= len(s.rules.Nominated(now, j)) // already preempted but not free yet
+	for n > 0 && s.preemptForTask(now, j, limits, anyFetchTime, j.EffectivePriority+1) {
 		n--
 	}
 }
 
-// preemptForTask preempts work of at least the victim priority for one task, on the machine where that costs
-// least among those that can have the image in the given time, and nominates the machine. It reports whether
-// it did.
-func (c *Scheduler) preemptForTask(
+// preemptForTask preempts tasks with a priority of victimPriority or lower for one task of a job, and nominates the
+// machine for the job. Among the machines that can have the image within maxFetchTime, it chooses the one on which
+// preemption costs least. It reports whether it found one.
+func (s *Scheduler) preemptForTask(
 	now time.Duration,
 	j *jobstate.Job,
 	limits *placement.ZoneLimits,
@@ -82,45 +82,46 @@
 ) bool {
 	key := placement.SearchKeyOf(j)
 	key.VictimPriority = victimPriority
-	if !c.preemption.Admit(j, key, c.cycle.count) {
+	if !s.preemption.Admit(j, key, s.cycle.count) {
 		return false
 	}
-	best, victims := c.finder.CheapestPreemption(now, j, limits, maxFetchTime, victimPriority)
+	best, victims := s.finder.CheapestPreemption(now, j, limits, maxFetchTime, victimPriority)
 	if best == nil {
-		if maxFetchTime == anyFetchTime && c.searchedAsItsLike(j) {
-			c.preemption.NoVictims(key)
+		if maxFetchTime == anyFetchTime && s.searchIsRepresentative(j) {
+			s.preemption.NoVictims(key)
 		}
 		return false
 	}
-	allowance := c.checkpointAllowance(now, j, c.machines.FetchTime(now, best.Machine, &j.Spec))
+	allowance := s.checkpointAllowance(now, j, s.machines.FetchTime(now, best.Machine, &j.Spec))
 	longestGrace := 0.0
 	for _, victim := range victims {
 		if !victim.Stopping {
-			c.preemptPlacement(now, victim, j.Spec.ID, allowance)
+			s.preemptPlacement(now, victim, j.Spec.ID, allowance)
 		}
 		longestGrace = max(longestGrace, victim.GraceSeconds)
 	}
-	c.candidates.ClaimNomination(best)
+	s.candidates.ClaimNomination(best)
 	limits.TasksPerZone[best.Machine.Zone]++
-	stopped := config.Seconds(longestGrace + 3*c.cfg.Workers.HeartbeatSeconds)
-	c.rules.Nominate(best.Machine, j, now+stopped+CycleInterval)
+	stopped := config.Seconds(longestGrace + 3*s.cfg.Workers.HeartbeatSeconds)
+	s.rules.Nominate(best.Machine, j, now+stopped+CycleInterval)
 	return true
 }
 
-// searchedAsItsLike reports whether a search for a job covers all machines that other jobs with its search
+// searchIsRepresentative reports whether a search for this job covers all machines that other jobs with the same search
 // key could use.
-func (c *Scheduler) searchedAsItsLike(j *jobstate.Job) bool {
-	return len(j.AvoidedMachines()) == 0 && len(j.NominatedMachines) == 0 && !c.zoneFailover.InFailover()
+func (s *Scheduler) searchIsRepresentative(j *jobstate.Job) bool {
+	return len(j.AvoidedMachines()) == 0 && len(j.NominatedMachines) == 0 && !s.zoneFailover.InFailover()
 }
 
-// preemptPlacement stops a placement for a job that can wait for a checkpoint for as long as allowed.
-func (c *Scheduler) preemptPlacement(
+// preemptPlacement stops a placement on behalf of a job that can wait for a checkpoint for as long as
+// checkpointAllowance.
+func (s *Scheduler) preemptPlacement(
 	now time.Duration,
 	victim *machineregistry.Placement,
 	preemptor string,
 	checkpointAllowance time.Duration,
 ) {
-	c.log.Info(
+	s.log.Info(
 		"task preempted",
 		"task", victim.Task,
 		"attempt", victim.Attempt,
@@ -128,42 +129,51 @@
 		"preemptor", preemptor,
 	)
 	if victim.Job != nil && victim.Job.SaveSeconds >= victim.Job.CheckpointIntervalSeconds/2 {
-		checkpointAllowance = 0 // a checkpoint takes about as long as the work that is lost without it
+		checkpointAllowance = 0 // saving would take about as long as redoing the work that is lost without it
 	}
-	c.evict(now, victim, checkpointAllowance)
+	s.evict(now, victim, checkpointAllowance)
 }
 
-// checkpointAllowance returns how long a job can wait for victims to save a checkpoint and still start
-// within its objective, if its image is there after the fetch time. A job that is late in any case, or has
-// no objective, waits for as long as it takes.
-func (c *Scheduler) checkpointAllowance(now time.Duration, j *jobstate.Job, fetchTime time.Duration) time.Duration {
-	if !c.rules.StartLatency.Has(j.Spec.Class) {
+// checkpointAllowance returns how long a job can wait for victims to save a checkpoint and still start within its
+// objective, given the fetch time of its image. The wait is unlimited for a job that has no objective or misses it
+// anyway.
+func (s *Scheduler) checkpointAllowance(now time.Duration, j *jobstate.Job, fetchTime time.Duration) time.Duration {
+	if !s.rules.StartLatency.Has(j.Spec.Class) {
 		return math.MaxInt64
 	}
-	objective := config.Seconds(c.rules.StartLatency.Seconds(j.Spec.Class))
+	objective := config.Seconds(s.rules.StartLatency.Seconds(j.Spec.Class))
 	if left := objective - (now - j.WaitingSince) - fetchTime; left > 0 {
 		return left
 	}
 	return math.MaxInt64
 }
 
-// stopCompetingFetches stops the fetches on a candidate that yield to the fetch of a job's task.
-func (c *Scheduler) stopCompetingFetches(now time.Duration, j *jobstate.Job, x *candidates.Candidate) {
-	yields := c.rules.YieldingFetches(j)
+// stopCompetingFetches stops the fetches on a candidate that yield to the fetch for a task of the job.
+func (s *Scheduler) stopCompetingFetches(now time.Duration, j *jobstate.Job, candidate *candidates.Candidate) {
+	yields := s.rules.YieldingFetches(j)
 	if yields == nil ||
-		c.machines.FetchTime(now, x.Machine, &j.Spec) == c.machines.FetchTimeWithout(now, x.Machine, &j.Spec, yields) {
+		s.machines.FetchTime(
+			now,
+			candidate.Machine,
+			&j.Spec,
+		) == s.machines.FetchTimeWithout(
+			now,
+			candidate.Machine,
+			&j.Spec,
+			yields,
+		) {
 		return
 	}
-	for _, pl := range placement.PlacementsOn(x.Machine) {
-		if o := c.jobs[pl.Task.JobID]; o != nil && !pl.Stopping && yields(pl) {
-			c.log.Info(
+	for _, pl := range placement.PlacementsOn(candidate.Machine) {
+		if other := s.jobs[pl.Task.JobID]; other != nil && !pl.Stopping && yields(pl) {
+			s.log.Info(
 				"fetching task preempted",
 				"task", pl.Task,
 				"attempt", pl.Attempt,
 				"machine", pl.Machine,
 				"preemptor", j.Spec.ID,
 			)
-			c.stopPlacement(now, o, pl, 0)
+			s.stopPlacement(now, other, pl, 0)
 		}
 	}
 }
--- a/internal/coordination/scheduler/preempt_test.go
+++ b/internal/coordination/scheduler/preempt_test.go
@@ -9,41 +9,42 @@
 	"pinebay/internal/protocol"
 )
 
-// TestPreemption: work of lower priority is preempted, and saves a checkpoint if there is time; work of the
-// same priority never is.
+// TestPreemption checks that tasks of lower priority are preempted, with time to save a checkpoint if the objective
+// leaves enough, and that tasks of the same priority never are.
 func TestPreemption(t *testing.T) {
-	for _, x := range []struct {
+	for _, tc := range []struct {
 		prio       protocol.Priority
 		checkpoint float64
 		objective  float64 // for the start latency, in seconds
 		grace      float64
 		stops      int
 	}{{"critical", 10, 60, 6, 1}, {"critical", 4, 60, 0, 1}, {"critical", 10, 4, 0, 1}, {"normal", 10, 60, 0, 0}} {
-		b := newHarness([]config.Team{{Name: "red"}}, "a")
-		b.setObjectives([]config.Objective{{Kind: "wait", Class: "quick", WithinSeconds: x.objective, Fraction: 0.9}})
-		b.heartbeat("m1", "a", false)
+		h := newHarness([]config.Team{{Name: "red"}}, "a")
+		h.setObjectives([]config.Objective{{Kind: "wait", Class: "quick", WithinSeconds: tc.objective, Fraction: 0.9}})
+		h.heartbeat("m1", "a", false)
 		low := jobSpec("j-1", protocol.Array, "normal", 1, 8)
-		low.CheckpointIntervalSeconds, low.SaveSeconds = x.checkpoint, 2
-		b.addJob(low)
-		b.runCycle()
+		low.CheckpointIntervalSeconds, low.SaveSeconds = tc.checkpoint, 2
+		h.addJob(low)
+		h.runCycle()
 		id := protocol.TaskID{JobID: "j-1"}
-		high := jobSpec("j-2", protocol.Service, x.prio, 1, 4)
+		high := jobSpec("j-2", protocol.Service, tc.prio, 1, 4)
 		high.Class = "quick"
-		b.addJob(high)
+		h.addJob(high)
 		for range 4 {
-			b.heartbeat("m1", "a", false, runningTask(id, 1))
-			b.runCycle()
+			h.heartbeat("m1", "a", false, runningTask(id, 1))
+			h.runCycle()
 		}
-		if len(b.stops) != x.stops || b.stops[id] != x.grace {
-			t.Errorf("%s: stopped %v", x.prio, b.stops)
+		if len(h.stops) != tc.stops || h.stops[id] != tc.grace {
+			t.Errorf("%s: stopped with grace periods %v", tc.prio, h.stops)
 		}
 	}
 }
 
-// TestPreemptionAcrossTeams: lower work of another team is preempted too, except what that team runs within
-// its guaranteed quota. Equal work is preempted only for a guaranteed quota.
+// TestPreemptionAcrossTeams checks that tasks of lower priority are also preempted if they belong to another team,
+// except those within the guaranteed quota of that team. Tasks of equal priority are preempted only for a guaranteed
+// quota.
 func TestPreemptionAcrossTeams(t *testing.T) {
-	for _, x := range []struct {
+	for _, tc := range []struct {
 		name       string
 		red, guest config.Team
 		prio       protocol.Priority
@@ -55,164 +56,165 @@
 		{"lower work within its guarantee", config.Team{}, config.Team{GuaranteedGPUs: 8}, "urgent", 0},
 		{"lower work beyond its guarantee", config.Team{}, config.Team{GuaranteedGPUs: 4}, "urgent", 1},
 	} {
-		x.red.Name, x.guest.Name = "red", "guest"
-		b := newHarness([]config.Team{x.red, x.guest}, "a")
-		b.heartbeat("m1", "a", false)
+		tc.red.Name, tc.guest.Name = "red", "guest"
+		h := newHarness([]config.Team{tc.red, tc.guest}, "a")
+		h.heartbeat("m1", "a", false)
 		low := jobSpec("j-1", protocol.Array, "best_effort", 1, 8)
 		low.Team = "guest"
-		b.addJob(low)
-		b.runCycle()
+		h.addJob(low)
+		h.runCycle()
 		id := protocol.TaskID{JobID: "j-1"}
-		b.addJob(jobSpec("j-2", protocol.Gang, x.prio, 1, 8))
+		h.addJob(jobSpec("j-2", protocol.Gang, tc.prio, 1, 8))
 		for range 4 {
-			b.heartbeat("m1", "a", false, runningTask(id, 1))
-			b.runCycle()
+			h.heartbeat("m1", "a", false, runningTask(id, 1))
+			h.runCycle()
 		}
-		if len(b.stops) != x.stops {
-			t.Errorf("%s: stopped %v", x.name, b.stops)
+		if len(h.stops) != tc.stops {
+			t.Errorf("%s: stopped %v", tc.name, h.stops)
 		}
 	}
 }
 
-// TestPreemptedCapacityIsUsed: capacity that was preempted for a task is used when it is free, although the
-// fetch now outlasts what is left of the start latency objective. To wait for a machine with the image, on
-// which nothing is preempted, would use up the whole objective.
+// TestPreemptedCapacityIsUsed checks that capacity that was preempted for a task is used once it is free, although the
+// fetch now takes longer than what is left of the start latency objective. Waiting for a machine with the image, on
+// which nothing is being preempted, would use up the rest of the objective.
 func TestPreemptedCapacityIsUsed(t *testing.T) {
-	b := newHarness([]config.Team{{Name: "red"}}, "a")
-	b.setObjectives([]config.Objective{{Kind: "wait", Class: "quick", WithinSeconds: 12, Fraction: 0.9}})
-	b.heartbeat("m1", "a", false)
+	h := newHarness([]config.Team{{Name: "red"}}, "a")
+	h.setObjectives([]config.Objective{{Kind: "wait", Class: "quick", WithinSeconds: 12, Fraction: 0.9}})
+	h.heartbeat("m1", "a", false)
 	low := jobSpec("j-1", protocol.Gang, "urgent", 1, 8)
 	low.CheckpointIntervalSeconds, low.SaveSeconds = 30, 3
-	b.addJob(low)
-	b.runCycle()
+	h.addJob(low)
+	h.runCycle()
 	id := protocol.TaskID{JobID: "j-1"}
-	b.heartbeat("m1", "a", false, runningTask(id, 1))
+	h.heartbeat("m1", "a", false, runningTask(id, 1))
 	quick := jobSpec("j-2", protocol.Service, "critical", 1, 8)
 	quick.Class, quick.Image, quick.ImageGB = "quick", "big", 9
-	b.addJob(quick)
+	h.addJob(quick)
 	for range 3 {
-		b.runCycle()
-		b.heartbeat("m1", "a", false, runningTask(id, 1))
+		h.runCycle()
+		h.heartbeat("m1", "a", false, runningTask(id, 1))
 	}
-	if _, stopped := b.stops[id]; !stopped {
+	if _, stopped := h.stops[id]; !stopped {
 		t.Fatal("nothing was preempted")
 	}
-	b.runCycle()
+	h.runCycle()
 	saved := exitedTask(id, 1, protocol.CauseStopped)
 	saved.CheckpointSaved = true
-	b.heartbeat("m1", "a", false, saved)
-	b.runCycle()
-	if b.startedTasks("j-2") != 1 {
+	h.heartbeat("m1", "a", false, saved)
+	h.runCycle()
+	if h.startedTasks("j-2") != 1 {
 		t.Error("the preempted capacity was not used")
 	}
 }
 
-// TestLateGangsYield: under overload, a gang that can still start in time goes before an older one of its
-// class that is late in any case; and that one goes first again in the end.
+// TestLateGangsYield checks that, under overload, a gang that can still start in time takes precedence over an older
+// gang of its class that is late in any case, and that the older gang eventually takes precedence again.
 func TestLateGangsYield(t *testing.T) {
-	for _, x := range []struct {
+	for _, tc := range []struct {
 		waited int // seconds, by the older gang
 		want   string
 	}{{5, "j-2"}, {25, "j-3"}, {70, "j-2"}} {
-		b := newHarness([]config.Team{{Name: "red"}}, "a")
-		b.setObjectives([]config.Objective{
+		h := newHarness([]config.Team{{Name: "red"}}, "a")
+		h.setObjectives([]config.Objective{
 			{Kind: "wait", Class: "big", WithinSeconds: 20, Fraction: 0.9},
 			{Kind: "finished", Class: "big", WithinSeconds: 30, Fraction: 0.9},
 		})
 		gang := jobSpec("j-1", protocol.Gang, "urgent", 1, 8)
 		gang.Class, gang.EstimateSeconds = "big", 20
-		b.heartbeat("m1", "a", false)
-		b.addJob(gang)
-		b.runCycle()
+		h.heartbeat("m1", "a", false)
+		h.addJob(gang)
+		h.runCycle()
 		id := protocol.TaskID{JobID: "j-1"}
-		b.heartbeat("m1", "a", false, runningTask(id, 1))
+		h.heartbeat("m1", "a", false, runningTask(id, 1))
 		gang.ID = "j-2"
-		b.addJob(gang)
-		for range x.waited {
-			b.heartbeat("m1", "a", false, runningTask(id, 1))
-			b.runCycle()
+		h.addJob(gang)
+		for range tc.waited {
+			h.heartbeat("m1", "a", false, runningTask(id, 1))
+			h.runCycle()
 		}
 		gang.ID = "j-3"
-		b.addJob(gang)
-		b.heartbeat("m1", "a", false, exitedTask(id, 1, protocol.CauseDone))
-		b.runCycle()
-		second, third := b.startedTasks("j-2"), b.startedTasks("j-3")
-		if b.startedTasks(x.want) != 1 || second+third != 1 {
-			t.Errorf("after %d s j-2 started %d, j-3 %d, want %s", x.waited, second, third, x.want)
+		h.addJob(gang)
+		h.heartbeat("m1", "a", false, exitedTask(id, 1, protocol.CauseDone))
+		h.runCycle()
+		second, third := h.startedTasks("j-2"), h.startedTasks("j-3")
+		if h.startedTasks(tc.want) != 1 || second+third != 1 {
+			t.Errorf("after %d s: j-2 started %d tasks and j-3 %d, want only %s", tc.waited, second, third, tc.want)
 		}
 	}
 }
 
-// TestNominationYieldsToEarlierJobs: a machine that is nominated for one gang is closed to later jobs, not to
-// those that go first, and is open again once its gang has found capacity elsewhere. Otherwise each gang
-// would hold a part of what one of them needs.
+// TestNominationYieldsToEarlierJobs checks that a machine that is nominated for a gang is closed to jobs later in the
+// scheduling order but not to earlier ones, and that it is open again once its gang has found capacity elsewhere.
+// Otherwise each gang could hold a part of the capacity that any one of them needs.
 func TestNominationYieldsToEarlierJobs(t *testing.T) {
 	want := map[string]int{"j-1": 2, "j-3": 0}
 	for _, nominated := range []string{"j-2", "j-0", "j-1"} {
-		b := newHarness([]config.Team{{Name: "red"}}, "a")
-		b.heartbeat("m0", "a", false)
-		b.addJob(jobSpec("j-0", protocol.Gang, "urgent", 1, 8))
-		b.runCycle()
-		b.heartbeat("m0", "a", false, runningTask(protocol.TaskID{JobID: "j-0"}, 1))
+		h := newHarness([]config.Team{{Name: "red"}}, "a")
+		h.heartbeat("m0", "a", false)
+		h.addJob(jobSpec("j-0", protocol.Gang, "urgent", 1, 8))
+		h.runCycle()
+		h.heartbeat("m0", "a", false, runningTask(protocol.TaskID{JobID: "j-0"}, 1))
 		for _, m := range []string{"m1", "m2"} {
-			b.heartbeat(m, "a", false)
+			h.heartbeat(m, "a", false)
 		}
-		b.addJob(jobSpec("j-1", protocol.Gang, "urgent", 2, 8))
-		b.addJob(jobSpec("j-2", protocol.Gang, "urgent", 2, 8))
-		b.addJob(jobSpec("j-3", protocol.Array, "normal", 1, 1))
-		m := b.scheduler.machines.Machine("m1")
-		m.NominateFor(nominated, b.now+time.Minute)
-		b.runCycle()
+		h.addJob(jobSpec("j-1", protocol.Gang, "urgent", 2, 8))
+		h.addJob(jobSpec("j-2", protocol.Gang, "urgent", 2, 8))
+		h.addJob(jobSpec("j-3", protocol.Array, "normal", 1, 1))
+		m := h.scheduler.machines.Machine("m1")
+		m.NominateFor(nominated, h.now+time.Minute)
+		h.runCycle()
 		for id, n := range want {
-			if got := b.startedTasks(id); got != n {
+			if got := h.startedTasks(id); got != n {
 				t.Errorf("nominated for %s: %s started %d tasks, want %d", nominated, id, got, n)
 			}
 		}
 	}
-	b := newHarness([]config.Team{{Name: "red"}}, "a")
-	b.heartbeat("m1", "a", false)
-	b.addJob(jobSpec("j-1", protocol.Service, "critical", 1, 16)) // fits nowhere
-	b.addJob(jobSpec("j-2", protocol.Array, "normal", 1, 1))
-	m := b.scheduler.machines.Machine("m1")
-	m.NominateFor("j-1", b.now+time.Minute)
-	b.runCycle()
-	if b.startedTasks("j-2") != 0 {
+	h := newHarness([]config.Team{{Name: "red"}}, "a")
+	h.heartbeat("m1", "a", false)
+	h.addJob(jobSpec("j-1", protocol.Service, "critical", 1, 16)) // fits nowhere
+	h.addJob(jobSpec("j-2", protocol.Array, "normal", 1, 1))
+	m := h.scheduler.machines.Machine("m1")
+	m.NominateFor("j-1", h.now+time.Minute)
+	h.runCycle()
+	if h.startedTasks("j-2") != 0 {
 		t.Error("a later job took capacity of a nominated machine")
 	}
 }
 
-// TestReplicaWithoutImageLeavesCapacityForTheNext: a replica whose fetch outlasts the start latency objective
-// goes to the used machine with the most free capacity, so that the next of its kind starts there without a
-// fetch; not to an empty machine, which jobs that need a whole one want.
-func TestReplicaWithoutImageLeavesCapacityForTheNext(t *testing.T) {
-	b := newHarness([]config.Team{{Name: "red"}}, "a")
-	b.setObjectives([]config.Objective{{Kind: "wait", Class: "quick", WithinSeconds: 1, Fraction: 0.9}})
+// TestReplicaWithoutImageLeavesCapacityForNext checks that a replica whose fetch takes longer than the start latency
+// objective is placed on the used machine with the most free capacity, so that the next replica can start there without
+// a fetch. It must not be placed on an empty machine, which jobs that need a whole machine could use.
+func TestReplicaWithoutImageLeavesCapacityForNext(t *testing.T) {
+	h := newHarness([]config.Team{{Name: "red"}}, "a")
+	h.setObjectives([]config.Objective{{Kind: "wait", Class: "quick", WithinSeconds: 1, Fraction: 0.9}})
 	for i, gpus := range []float64{6, 3} {
 		name := fmt.Sprintf("m%d", i+1)
-		b.heartbeat(name, "a", false)
+		h.heartbeat(name, "a", false)
 		j := jobSpec(fmt.Sprintf("j-%d", i+1), protocol.Service, "critical", 1, gpus)
 		j.CPUs, j.MemoryGB = 8*gpus, 32*gpus
-		b.addJob(j)
-		b.runCycle()
-		b.heartbeat(name, "a", false, runningTask(protocol.TaskID{JobID: j.ID}, 1))
-		b.scheduler.machines.Machine("m1").Quarantined = i == 0 // so that each has its own
+		h.addJob(j)
+		h.runCycle()
+		h.heartbeat(name, "a", false, runningTask(protocol.TaskID{JobID: j.ID}, 1))
+		h.scheduler.machines.Machine("m1").Quarantined = i == 0 // so that each job gets a machine of its own
 	}
-	b.scheduler.machines.Machine("m1").Quarantined = false
-	b.heartbeat("m0", "a", false)
+	h.scheduler.machines.Machine("m1").Quarantined = false
+	h.heartbeat("m0", "a", false)
 	quick := jobSpec("j-3", protocol.Service, "critical", 1, 1)
 	quick.Class, quick.Image, quick.ImageGB = "quick", "small", 1
-	b.addJob(quick)
-	b.runCycle()
-	if got := b.machineOf[protocol.TaskID{JobID: "j-3"}]; got != "m2" {
-		t.Errorf("the replica went to %q, want m2", got)
+	h.addJob(quick)
+	h.runCycle()
+	if got := h.machineOf[protocol.TaskID{JobID: "j-3"}]; got != "m2" {
+		t.Errorf("the replica was placed on %q, want m2", got)
 	}
 }
 
-// TestFetchingArraysYield: when many jobs come at once, arrays that came first fetch on every machine. A
-// replica takes a machine as if they had left, and they are stopped: they lose nothing but a fetch, while the
-// replica's would take twice as long beside them. Arrays that run stay.
+// TestFetchingArraysYield checks that a replica is placed on a machine as if arrays that are still fetching their image
+// were not there, and that these arrays are stopped. When many jobs arrive at once, the arrays that came first fetch on
+// every machine. Stopping them loses nothing but a fetch, whereas the fetch of the replica would take twice as long
+// beside theirs. Arrays that are running are not stopped.
 func TestFetchingArraysYield(t *testing.T) {
-	for _, x := range []struct {
+	for _, tc := range []struct {
 		state protocol.TaskState
 		prio  protocol.Priority
 		stops int
@@ -222,108 +224,118 @@
 		{protocol.TaskRunning, "critical", 0},
 		{protocol.TaskFetching, "urgent", 0},
 	} {
-		b := newHarness([]config.Team{{Name: "red"}}, "a")
-		b.setObjectives([]config.Objective{{Kind: "wait", Class: "quick", WithinSeconds: 40, Fraction: 0.9}})
-		b.heartbeat("m1", "a", false)
+		h := newHarness([]config.Team{{Name: "red"}}, "a")
+		h.setObjectives([]config.Objective{{Kind: "wait", Class: "quick", WithinSeconds: 40, Fraction: 0.9}})
+		h.heartbeat("m1", "a", false)
 		low := jobSpec("j-1", protocol.Array, "normal", 1, 1)
 		low.Image, low.ImageGB = "low", 20
-		b.addJob(low)
-		b.runCycle()
+		h.addJob(low)
+		h.runCycle()
 		id := protocol.TaskID{JobID: "j-1"}
-		if x.state != "" { // else started, perhaps by an earlier leader, and not reported yet
-			b.heartbeat("m1", "a", false, protocol.TaskStatus{TaskName: id.String(), Attempt: 1, State: x.state})
+		if tc.state != "" { // otherwise the task was started, perhaps by an earlier leader, and not reported yet
+			h.heartbeat("m1", "a", false, protocol.TaskStatus{TaskName: id.String(), Attempt: 1, State: tc.state})
 		} else {
-			b.scheduler.jobs["j-1"].Placements[0].State = ""
+			h.scheduler.jobs["j-1"].Placements[0].State = ""
 		}
-		high := jobSpec("j-2", protocol.Service, x.prio, 1, 2)
+		high := jobSpec("j-2", protocol.Service, tc.prio, 1, 2)
 		high.Class, high.Image, high.ImageGB = "quick", "high", 30
-		b.addJob(high)
-		b.runCycle()
-		b.apply(Tick{}) // the run goes out once the stop is answered
-		if b.startedTasks("j-2") != 1 || len(b.stops) != x.stops {
-			t.Errorf("%s beside %s: started %d, stopped %v", x.prio, x.state, b.startedTasks("j-2"), b.stops)
+		h.addJob(high)
+		h.runCycle()
+		h.apply(Tick{}) // the run command is sent after the stop command is answered
+		if h.startedTasks("j-2") != 1 || len(h.stops) != tc.stops {
+			t.Errorf(
+				"%s replica and array in state %q: started %d tasks, stopped %v",
+				tc.prio,
+				tc.state,
+				h.startedTasks("j-2"),
+				h.stops,
+			)
 		}
 	}
 }
 
-// TestMachineWithImageIsPreempted: a critical task that could start on a free machine without its image, or on
-// a machine with the image that is full of lower work, waits for the latter to be preempted if the fetch
-// would outlast its objective.
+// TestMachineWithImageIsPreempted checks that a critical task waits for the preemption of a machine that has its image,
+// if the fetch on a free machine without the image would take longer than its objective allows.
 func TestMachineWithImageIsPreempted(t *testing.T) {
-	for _, x := range []struct {
+	for _, tc := range []struct {
 		prio protocol.Priority
 		want string
 	}{{"critical", "m1"}, {"urgent", "m2"}} {
-		b := newHarness([]config.Team{{Name: "red"}}, "a")
-		b.setObjectives([]config.Objective{{Kind: "wait", Class: "quick", WithinSeconds: 12, Fraction: 0.9}})
-		b.heartbeat("m1", "a", false)
+		h := newHarness([]config.Team{{Name: "red"}}, "a")
+		h.setObjectives([]config.Objective{{Kind: "wait", Class: "quick", WithinSeconds: 12, Fraction: 0.9}})
+		h.heartbeat("m1", "a", false)
 		low := jobSpec("j-2", protocol.Array, "normal", 1, 4)
 		low.CheckpointIntervalSeconds, low.SaveSeconds = 10, 2
-		b.addJob(low)
-		b.runCycle()
+		h.addJob(low)
+		h.runCycle()
 		two := protocol.TaskID{JobID: "j-2"}
-		b.heartbeat("m1", "a", false, runningTask(two, 1))
+		h.heartbeat("m1", "a", false, runningTask(two, 1))
 		first := jobSpec("j-1", protocol.Service, "critical", 1, 4)
 		first.Class, first.Image, first.ImageGB = "quick", "big", 60
-		b.addJob(first)
-		b.runCycle()
+		h.addJob(first)
+		h.runCycle()
 		one := protocol.TaskID{JobID: "j-1"}
-		b.heartbeat("m1", "a", false, runningTask(one, 1))
-		b.heartbeat("m2", "a", false) // empty, without the image
+		h.heartbeat("m1", "a", false, runningTask(one, 1))
+		h.heartbeat("m2", "a", false) // empty, without the image
 
 		next := first
-		next.ID, next.Priority = "j-3", x.prio
-		b.addJob(next)
-		b.runCycle()
-		if _, stopped := b.stops[two]; stopped {
-			b.heartbeat("m1", "a", false, exitedTask(two, 1, protocol.CauseStopped))
+		next.ID, next.Priority = "j-3", tc.prio
+		h.addJob(next)
+		h.runCycle()
+		if _, stopped := h.stops[two]; stopped {
+			h.heartbeat("m1", "a", false, exitedTask(two, 1, protocol.CauseStopped))
 		}
-		b.runCycle()
-		if got := b.machineOf[protocol.TaskID{JobID: "j-3"}]; got != x.want {
-			t.Errorf("%s went to %q, want %s", x.prio, got, x.want)
+		h.runCycle()
+		if got := h.machineOf[protocol.TaskID{JobID: "j-3"}]; got != tc.want {
+			t.Errorf("the %s task was placed on %q, want %s", tc.prio, got, tc.want)
 		}
 	}
 }
 
-// TestSlowFetchesAreNotSwapped: two machines fetch the same image, and take longer than the rate of the machine
-// type. Neither task may be moved to the other's machine, where the fetch would begin anew once its own task
-// has left; only when one is seen past its fetch does the other join it.
+// TestSlowFetchesAreNotSwapped checks that two tasks are not moved to the machine of the other one while both machines
+// fetch the same image more slowly than their machine type states. The fetch would start over there, because the other
+// task would have left. Only after one of the fetches is known to be complete does the other task move to that machine.
 func TestSlowFetchesAreNotSwapped(t *testing.T) {
-	b := newHarness([]config.Team{{Name: "red"}}, "a")
-	b.setObjectives([]config.Objective{{Kind: "wait", Class: "quick", WithinSeconds: 40, Fraction: 0.9}})
+	h := newHarness([]config.Team{{Name: "red"}}, "a")
+	h.setObjectives([]config.Objective{{Kind: "wait", Class: "quick", WithinSeconds: 40, Fraction: 0.9}})
 	one, two := protocol.TaskID{JobID: "j-1"}, protocol.TaskID{JobID: "j-2"}
 	fetching := func(id protocol.TaskID) protocol.TaskStatus {
 		return protocol.TaskStatus{TaskName: id.String(), Attempt: 1, State: protocol.TaskFetching}
 	}
 	for _, id := range []protocol.TaskID{one, two} {
-		b.heartbeat("m-"+id.JobID, "a", false)
+		h.heartbeat("m-"+id.JobID, "a", false)
 		j := jobSpec(id.JobID, protocol.Service, "critical", 1, 4)
 		j.Class, j.Image, j.ImageGB = "quick", "big", 40
-		b.addJob(j)
-		b.runCycle()
-		b.heartbeat("m-"+id.JobID, "a", false, fetching(id))
-		b.scheduler.machines.Machine("m-j-1").Quarantined = id == one // so that each has its own
+		h.addJob(j)
+		h.runCycle()
+		h.heartbeat("m-"+id.JobID, "a", false, fetching(id))
+		h.scheduler.machines.Machine("m-j-1").Quarantined = id == one // so that each job gets a machine of its own
 	}
-	b.scheduler.machines.Machine("m-j-1").Quarantined = false
-	b.stops = map[protocol.TaskID]float64{}
+	h.scheduler.machines.Machine("m-j-1").Quarantined = false
+	h.stops = map[protocol.TaskID]float64{}
 	for range 55 {
-		b.heartbeat(b.machineOf[one], "a", false, fetching(one))
-		b.heartbeat(b.machineOf[two], "a", false, fetching(two))
-		b.runCycle()
+		h.heartbeat(h.machineOf[one], "a", false, fetching(one))
+		h.heartbeat(h.machineOf[two], "a", false, fetching(two))
+		h.runCycle()
 	}
-	if b.machineOf[one] == b.machineOf[two] || len(b.stops) > 0 {
-		t.Fatalf("on %s and %s, stopped %v", b.machineOf[one], b.machineOf[two], b.stops)
+	if h.machineOf[one] == h.machineOf[two] || len(h.stops) > 0 {
+		t.Fatalf(
+			"tasks on %s and %s, stopped %v, want two machines and none stopped",
+			h.machineOf[one],
+			h.machineOf[two],
+			h.stops,
+		)
 	}
-	b.heartbeat(b.machineOf[one], "a", false, runningTask(one, 1))
-	b.runCycle()
-	if _, ok := b.stops[two]; !ok {
-		t.Error("the other task does not join the image that is there")
+	h.heartbeat(h.machineOf[one], "a", false, runningTask(one, 1))
+	h.runCycle()
+	if _, ok := h.stops[two]; !ok {
+		t.Error("the other task was not moved to the machine that has the image")
 	}
 }
 
-// TestHeadroomForStartLatencyObjectives: arrays of the same priority, which could not be preempted for it,
-// leave the capacity that a class with a start latency objective is likely to need, also if they have a
-// longer one; the class itself may use it.
+// TestHeadroomForStartLatencyObjectives checks that arrays leave free the capacity that a class with a start latency
+// objective is likely to need, if they have the same priority and therefore could not be preempted for it. That also
+// applies to arrays with a longer objective. The class itself may use the capacity.
 func TestHeadroomForStartLatencyObjectives(t *testing.T) {
 	t.Run("no objective", func(t *testing.T) { checkHeadroomIsHeld(t) })
 	t.Run("longer objective", func(t *testing.T) {
@@ -333,62 +345,63 @@
 
 func checkHeadroomIsHeld(t *testing.T, objectives ...config.Objective) {
 	t.Helper()
-	b := newHarness([]config.Team{{Name: "red"}}, "a")
-	b.setObjectives(
+	h := newHarness([]config.Team{{Name: "red"}}, "a")
+	h.setObjectives(
 		append(objectives, config.Objective{Kind: "wait", Class: "quick", WithinSeconds: 12, Fraction: 0.9}),
 	)
-	b.heartbeat("m1", "a", false)
+	h.heartbeat("m1", "a", false)
 	quick := jobSpec("j-1", protocol.Service, "normal", 1, 4)
 	quick.Class = "quick"
-	b.addJob(quick)
-	b.runCycle()
-	b.heartbeat("m1", "a", false, runningTask(protocol.TaskID{JobID: "j-1"}, 1))
-	b.runCycle()
-	b.heartbeat("m1", "a", false)
-	b.addJob(jobSpec("j-2", protocol.Array, "normal", 8, 1))
-	b.runCycle()
-	if n := b.startedTasks("j-2"); n != 0 {
-		t.Errorf("%d array tasks took the headroom of others", n)
+	h.addJob(quick)
+	h.runCycle()
+	h.heartbeat("m1", "a", false, runningTask(protocol.TaskID{JobID: "j-1"}, 1))
+	h.runCycle()
+	h.heartbeat("m1", "a", false)
+	h.addJob(jobSpec("j-2", protocol.Array, "normal", 8, 1))
+	h.runCycle()
+	if n := h.startedTasks("j-2"); n != 0 {
+		t.Errorf("%d array tasks use the headroom of another class", n)
 	}
 	quick.ID = "j-3"
-	b.heartbeat("m1", "a", false)
-	b.addJob(quick)
-	b.runCycle()
-	if b.startedTasks("j-3") != 1 {
-		t.Error("the headroom was held against those it was for")
+	h.heartbeat("m1", "a", false)
+	h.addJob(quick)
+	h.runCycle()
+	if h.startedTasks("j-3") != 1 {
+		t.Error("the headroom was held against the class that it is for")
 	}
 }
 
-// TestHeadroomIsHeldAgainstLowerPriorities: the headroom of a class whose fetch leaves no time to preempt
-// arrays is held against them too. Otherwise arrays leave no whole machine free, however many there are.
+// TestHeadroomIsHeldAgainstLowerPriorities checks that the headroom of a class is held against lower priorities, too,
+// if its fetch leaves no time to preempt them. Otherwise arrays would occupy a part of every machine, however many
+// there are.
 func TestHeadroomIsHeldAgainstLowerPriorities(t *testing.T) {
-	for _, x := range []struct {
+	for _, tc := range []struct {
 		within float64
-		tasks  int // of the array that may start
+		tasks  int // number of array tasks that may start
 	}{{45, 0}, {65, 8}} {
-		b := newHarness([]config.Team{{Name: "red"}}, "a")
-		b.setObjectives([]config.Objective{{Kind: "wait", Class: "big", WithinSeconds: x.within, Fraction: 0.9}})
-		b.heartbeat("m1", "a", false)
+		h := newHarness([]config.Team{{Name: "red"}}, "a")
+		h.setObjectives([]config.Objective{{Kind: "wait", Class: "big", WithinSeconds: tc.within, Fraction: 0.9}})
+		h.heartbeat("m1", "a", false)
 		gang := jobSpec("j-1", protocol.Gang, "urgent", 1, 8)
 		gang.Class, gang.Image, gang.ImageGB = "big", "big", 40
-		b.addJob(gang)
-		b.runCycle()
-		b.heartbeat("m1", "a", false, runningTask(protocol.TaskID{JobID: "j-1"}, 1))
-		b.runCycle()
-		b.heartbeat("m2", "a", false)
+		h.addJob(gang)
+		h.runCycle()
+		h.heartbeat("m1", "a", false, runningTask(protocol.TaskID{JobID: "j-1"}, 1))
+		h.runCycle()
+		h.heartbeat("m2", "a", false)
 		low := jobSpec("j-2", protocol.Array, "normal", 8, 1)
 		low.CheckpointIntervalSeconds, low.SaveSeconds = 10, 2
-		b.addJob(low)
-		b.runCycle()
-		if n := b.startedTasks("j-2"); n != x.tasks {
-			t.Errorf("objective of %v s: %d array tasks on the last whole machine, want %d", x.within, n, x.tasks)
+		h.addJob(low)
+		h.runCycle()
+		if n := h.startedTasks("j-2"); n != tc.tasks {
+			t.Errorf("objective of %v s: %d array tasks on the last whole machine, want %d", tc.within, n, tc.tasks)
 		}
 		gang.ID = "j-3"
-		b.heartbeat("m2", "a", false)
-		b.addJob(gang)
-		b.runCycle()
-		if x.tasks == 0 && b.startedTasks("j-3") != 1 {
-			t.Error("the headroom was held against those it was for")
+		h.heartbeat("m2", "a", false)
+		h.addJob(gang)
+		h.runCycle()
+		if tc.tasks == 0 && h.startedTasks("j-3") != 1 {
+			t.Error("the headroom was held against the class that it is for")
 		}
 	}
 }
--- a/internal/coordination/scheduler/prober.go
+++ b/internal/coordination/scheduler/prober.go
@@ -7,30 +7,31 @@
 )
 
 const (
-	// probesPerCore is how many machines a controller with a whole core probes a second, beside its other work.
-	// Each probe opens a connection and decodes a heartbeat.
-	probesPerCore = 1000
+	// probesPerSecondPerCore is the number of machines per second that a controller with a whole core can probe in
+	// addition to its other work. Each probe opens a connection and decodes a heartbeat.
+	probesPerSecondPerCore = 1000
 	// probeInterval is the time between two rounds of probes.
 	probeInterval = time.Second
 )
 
-// prober asks machines for a heartbeat that were there before the term. Their workers may still be waiting for the
-// last leader's answer, for most of a lease if it fell silent, and nothing can be placed on them before a heartbeat.
-// A small controller probes a few at a time: hundreds at once made it fall behind for seconds, while most machines
-// sent a heartbeat by themselves.
+// prober asks machines that existed before the term for a heartbeat. Nothing can be placed on a machine before its
+// first heartbeat, and its worker may still be waiting for an answer from the previous leader, for most of a lease if
+// that leader fell silent. A controller with a small share of a core probes only a few machines at a time: sending
+// hundreds of probes at once delayed its other work by seconds, while most machines sent a heartbeat without being
+// probed.
 type prober struct {
-	machinesListed bool    // the cloud's first list of the term has come
-	queue          []Probe // still to be sent
+	machinesListed bool    // the first machine list of the term has arrived
+	queue          []Probe // probes to be sent
 	nextRoundAt    time.Duration
 }
 
-// enqueue queues the probe of a machine.
+// enqueue queues a probe of a machine.
 func (p *prober) enqueue(machine, addr string) {
 	p.queue = append(p.queue, Probe{Machine: machine, Addr: addr})
 }
 
-// enqueueListed queues the running machines of the cloud's first list of the term, which has their addresses. It
-// returns false for later lists.
+// enqueueListed queues probes of the running machines in the first machine list of the term, which contains their
+// addresses. It returns false for later lists.
 func (p *prober) enqueueListed(list []protocol.ListedMachine) bool {
 	if p.machinesListed {
 		return false
@@ -47,7 +48,7 @@
 // roundDue reports whether probes may be sent now.
 func (p *prober) roundDue(now time.Duration) bool { return len(p.queue) > 0 && now >= p.nextRoundAt }
 
-// next removes the next probe from the queue.
+// next removes and returns the first probe in the queue.
 func (p *prober) next() (probe Probe, ok bool) {
 	if len(p.queue) == 0 {
 		return Probe{}, false
@@ -57,21 +58,21 @@
 	return probe, true
 }
 
-// sendProbes probes as many machines as a round allows, of those that have not sent a heartbeat meanwhile.
-func (c *Scheduler) sendProbes(now time.Duration) {
-	if !c.prober.roundDue(now) {
+// sendProbes sends one round of probes, skipping machines that have sent a heartbeat in the meantime.
+func (s *Scheduler) sendProbes(now time.Duration) {
+	if !s.prober.roundDue(now) {
 		return
 	}
-	c.prober.nextRoundAt = now + probeInterval
-	left := max(1, int(probesPerCore*c.cfg.Quota.CoreShare))
-	for left > 0 {
-		probe, ok := c.prober.next()
+	s.prober.nextRoundAt = now + probeInterval
+	remaining := max(1, int(probesPerSecondPerCore*s.cfg.Quota.CoreShare))
+	for remaining > 0 {
+		probe, ok := s.prober.next()
 		if !ok {
 			return
 		}
-		if !c.machines.Registered(probe.Machine) && !c.autoscaler.RecentlyReleased(probe.Machine) {
-			c.emit(probe)
-			left--
+		if !s.machines.Registered(probe.Machine) && !s.autoscaler.RecentlyReleased(probe.Machine) {
+			s.emit(probe)
+			remaining--
 		}
 	}
 }
--- a/internal/coordination/scheduler/queues.go
+++ b/internal/coordination/scheduler/queues.go
@@ -7,28 +7,28 @@
 	"pinebay/internal/coordination/jobstate"
 )
 
-// inSchedulingOrder returns the jobs of a queue in scheduling order, or in the recovery order while that is
-// in effect.
-func (c *Scheduler) inSchedulingOrder(queue *btree.BTreeG[*jobstate.Job]) []*jobstate.Job {
+// inSchedulingOrder returns the jobs in a queue in scheduling order, or in the recovery order while that order is in
+// effect.
+func (s *Scheduler) inSchedulingOrder(queue *btree.BTreeG[*jobstate.Job]) []*jobstate.Job {
 	jobs := queue.Items()
-	c.sortForRecovery(jobs)
+	s.sortForRecovery(jobs)
 	return jobs
 }
 
-// newFairShareQueue returns the queue of a cycle's jobs, which are in scheduling order. While the
-// recovery order of a zone failover is in effect, it goes before the teams' shares.
-func (c *Scheduler) newFairShareQueue(waiting []*jobstate.Job) *fairshare.Queue[*jobstate.Job] {
-	if c.zoneFailover.InFailover() {
+// newFairShareQueue returns the fair share queue of a cycle for jobs in scheduling order. During a zone failover the
+// recovery order takes precedence over the fair shares of the teams.
+func (s *Scheduler) newFairShareQueue(waiting []*jobstate.Job) *fairshare.Queue[*jobstate.Job] {
+	if s.zoneFailover.InFailover() {
 		return fairshare.NewOrderedQueue(waiting)
 	}
-	return fairshare.NewQueue(c.quotas, waiting, fairShareRequest)
+	return fairshare.NewQueue(s.quotas, waiting, fairShareRequest)
 }
 
 func fairShareRequest(j *jobstate.Job) fairshare.Request {
 	return fairshare.Request{Team: j.Spec.Team, Task: j.TaskResources, Priority: j.EffectivePriority}
 }
 
-// tasksWithinQuotaLimit returns how many more tasks of a job its team's quota limit admits.
-func (c *Scheduler) tasksWithinQuotaLimit(j *jobstate.Job) int {
-	return c.quotas.TasksWithinLimit(j.Spec.Team, j.TaskResources)
+// tasksWithinQuotaLimit returns the number of additional tasks of a job that the quota limit of its team admits.
+func (s *Scheduler) tasksWithinQuotaLimit(j *jobstate.Job) int {
+	return s.quotas.TasksWithinLimit(j.Spec.Team, j.TaskResources)
 }
--- a/internal/coordination/scheduler/recovery_test.go
+++ b/internal/coordination/scheduler/recovery_test.go
@@ -10,28 +10,29 @@
 	"pinebay/internal/storage"
 )
 
-// What one leader recorded of the machines' images leads the next one's tasks to the machine that has theirs.
+// TestNewLeaderRecoversImageHints checks that a new leader uses the recorded image hints to place a task on the machine
+// that already has its image.
 func TestNewLeaderRecoversImageHints(t *testing.T) {
-	b := newHarness([]config.Team{{Name: "red"}}, "a")
-	b.heartbeat("m2", "a", false)
+	h := newHarness([]config.Team{{Name: "red"}}, "a")
+	h.heartbeat("m2", "a", false)
 	j := jobSpec("j-1", protocol.Array, "normal", 1, 1)
 	j.Image, j.ImageGB = "big", 50
-	b.addJob(j)
-	b.runCycle()
+	h.addJob(j)
+	h.runCycle()
 	id := protocol.TaskID{JobID: "j-1"}
 	for range 15 {
-		b.heartbeat("m2", "a", false, runningTask(id, 1))
-		b.runCycle()
+		h.heartbeat("m2", "a", false, runningTask(id, 1))
+		h.runCycle()
 	}
-	var warm []protocol.KeyValue
-	for _, txn := range b.transactions {
+	var hints []protocol.KeyValue
+	for _, txn := range h.transactions {
 		for _, op := range txn.Then {
 			if op.PutKey == storage.ImageHintKey(0) {
-				warm = []protocol.KeyValue{{Key: op.PutKey, Value: op.Value, Revision: 1}}
+				hints = []protocol.KeyValue{{Key: op.PutKey, Value: op.Value, Revision: 1}}
 			}
 		}
 	}
-	if warm == nil {
+	if hints == nil {
 		t.Fatal("no image hint was written")
 	}
 	next := newHarness([]config.Team{{Name: "red"}}, "a")
@@ -40,8 +41,8 @@
 		Log:    next.scheduler.log,
 		Term:   Term{Number: 6, Revision: 2},
 		Records: RecoveredRecords{
-			MachineTypes: []protocol.MachineType{*b.scheduler.machines.MachineType("g8")},
-			Images:       warm,
+			MachineTypes: []protocol.MachineType{*h.scheduler.machines.MachineType("g8")},
+			Images:       hints,
 		},
 	})
 	for _, m := range []string{"m1", "m2", "m3"} {
@@ -51,15 +52,15 @@
 	next.addJob(j)
 	next.runCycle()
 	if got := next.machineOf[protocol.TaskID{JobID: "j-2"}]; got != "m2" {
-		t.Errorf("the task went to %q", got)
+		t.Errorf("the task was placed on %q, want m2", got)
 	}
 }
 
-// How long a job has waited counts from its submission, also for a new leader: here, which gang can still start in
-// time.
+// TestNewLeaderRecoversWaitingTimes checks that waiting times count from the submission of a job even under a new
+// leader. Here they determine which gang can still start in time.
 func TestNewLeaderRecoversWaitingTimes(t *testing.T) {
-	b := newHarness([]config.Team{{Name: "red"}}, "a")
-	b.setObjectives([]config.Objective{
+	h := newHarness([]config.Team{{Name: "red"}}, "a")
+	h.setObjectives([]config.Objective{
 		{
 			Kind:          "wait",
 			Class:         "big",
@@ -79,121 +80,131 @@
 		}
 		live = append(live, protocol.KeyValue{Key: storage.LiveJobKey(id), Value: value, Revision: 3})
 	}
-	b.scheduler = New(0, Options{
-		Config: b.scheduler.cfg,
-		Log:    b.scheduler.log,
+	h.scheduler = New(0, Options{
+		Config: h.scheduler.cfg,
+		Log:    h.scheduler.log,
 		Term:   Term{Number: 6, Revision: 2},
 		Records: RecoveredRecords{
-			MachineTypes: []protocol.MachineType{*b.scheduler.machines.MachineType("g8")},
+			MachineTypes: []protocol.MachineType{*h.scheduler.machines.MachineType("g8")},
 			LiveJobs:     live,
 		},
 		WallClockMS: wallMS,
 	})
-	b.heartbeat("m1", "a", false)
-	b.runCycle()
-	if b.startedTasks("j-1") != 0 || b.startedTasks("j-2") != 1 {
-		t.Errorf("started %d of the late gang, %d of the other", b.startedTasks("j-1"), b.startedTasks("j-2"))
+	h.heartbeat("m1", "a", false)
+	h.runCycle()
+	if h.startedTasks("j-1") != 0 || h.startedTasks("j-2") != 1 {
+		t.Errorf(
+			"the late gang started %d tasks, the other %d, want 0 and 1",
+			h.startedTasks("j-1"),
+			h.startedTasks("j-2"),
+		)
 	}
 }
 
-// A leader that most machines can't reach steps down for another controller. A machine that reaches only others gets
-// its commands with relayed replies, not directly.
+// TestUnreachableLeaderStepsDown checks that a leader that most machines cannot reach steps down in favor of another
+// controller. A machine that reaches only other controllers gets its commands in relayed replies, not directly.
 func TestUnreachableLeaderStepsDown(t *testing.T) {
-	for _, x := range []struct {
-		relayed int
-		away    bool
+	for _, tc := range []struct {
+		relayed     int
+		transferred bool
 	}{{1, false}, {5, true}} {
-		b := newHarness([]config.Team{{Name: "red"}}, "a")
-		b.addJob(jobSpec("j-1", protocol.Array, "normal", 40, 1))
-		away, direct := false, 0
+		h := newHarness([]config.Team{{Name: "red"}}, "a")
+		h.addJob(jobSpec("j-1", protocol.Array, "normal", 40, 1))
+		transferred, direct := false, 0
 		for range 10 {
 			for i := range 6 {
 				name := fmt.Sprintf("m%d", i)
-				b.heartbeat(name, "a", false)
-				r := b.nextHeartbeat(name)
-				received := HeartbeatReceived{ReplyTo: name, Heartbeat: r, Relayed: i < x.relayed}
-				for _, e := range b.scheduler.Step(b.now, received) {
-					if a, ok := e.(HeartbeatReply); ok {
-						b.executeCommands(name, a.Body.FencingToken, a.Body.Commands)
+				h.heartbeat(name, "a", false)
+				next := h.nextHeartbeat(name)
+				received := HeartbeatReceived{ReplyTo: name, Heartbeat: next, Relayed: i < tc.relayed}
+				for _, e := range h.scheduler.Step(h.now, received) {
+					if reply, ok := e.(HeartbeatReply); ok {
+						h.executeCommands(name, reply.Body.FencingToken, reply.Body.Commands)
 					}
 				}
 			}
-			b.now += CycleInterval
-			for _, e := range b.scheduler.Step(b.now, Tick{}) {
+			h.now += CycleInterval
+			for _, e := range h.scheduler.Step(h.now, Tick{}) {
 				switch e := e.(type) {
 				case StepDown:
-					away = away || e.TransferLeadership
+					transferred = transferred || e.TransferLeadership
 				case SendCommandBatch:
 					if e.Machine == "m0" {
 						direct++
 					}
 				case Write:
-					b.revision++
-					b.apply(TransactionOutcome{WriteID: e.ID, Succeeded: true, Revision: b.revision})
+					h.revision++
+					h.apply(TransactionOutcome{WriteID: e.ID, Succeeded: true, Revision: h.revision})
 				}
 			}
 		}
-		if away != x.away {
-			t.Errorf("%d of 6 relayed: away %v", x.relayed, away)
+		if transferred != tc.transferred {
+			t.Errorf("%d of 6 relayed: leadership transferred %v", tc.relayed, transferred)
 		}
-		if direct != 0 || b.startedTasks("j-1") == 0 {
-			t.Errorf("%d direct commands out of reach, %d started", direct, b.startedTasks("j-1"))
+		if direct != 0 || h.startedTasks("j-1") == 0 {
+			t.Errorf(
+				"%d commands sent directly to an unreachable machine, %d tasks started",
+				direct,
+				h.startedTasks("j-1"),
+			)
 		}
 	}
 }
 
-// The forecast of arrivals survives a failover, and live jobs are not counted twice.
+// TestNewLeaderRecoversArrivals checks that the forecast of arrivals survives a failover and that live jobs are not
+// counted twice.
 func TestNewLeaderRecoversArrivals(t *testing.T) {
-	cfg := []config.Objective{{Kind: "wait", Class: "quick", WithinSeconds: 12, Fraction: 0.9}}
-	b := newHarness([]config.Team{{Name: "red"}}, "a")
-	b.setObjectives(cfg)
+	objectives := []config.Objective{{Kind: "wait", Class: "quick", WithinSeconds: 12, Fraction: 0.9}}
+	h := newHarness([]config.Team{{Name: "red"}}, "a")
+	h.setObjectives(objectives)
 	j := jobSpec("j-1", protocol.Service, "normal", 2, 4)
 	j.Class = "quick"
 	var live []protocol.KeyValue
 	for i := range 40 {
 		if i%8 == 0 {
 			j.ID = fmt.Sprintf("j-%d", i)
-			b.addJob(j)
-			raw, err := protocol.Encode(storage.LiveJobRecord{Job: j, AcceptedAtMS: b.now.Milliseconds()})
+			h.addJob(j)
+			raw, err := protocol.Encode(storage.LiveJobRecord{Job: j, AcceptedAtMS: h.now.Milliseconds()})
 			if err != nil {
 				t.Fatal(err)
 			}
-			live = append(live, protocol.KeyValue{Key: storage.LiveJobKey(j.ID), Value: raw, Revision: b.revision})
+			live = append(live, protocol.KeyValue{Key: storage.LiveJobKey(j.ID), Value: raw, Revision: h.revision})
 		}
-		b.heartbeat("m1", "a", false)
-		b.runCycle()
+		h.heartbeat("m1", "a", false)
+		h.runCycle()
 	}
-	var warm []protocol.KeyValue
-	for _, txn := range b.transactions {
+	var hints []protocol.KeyValue
+	for _, txn := range h.transactions {
 		for _, op := range txn.Then {
 			if op.PutKey == storage.ImageHintKey(0) {
-				warm = []protocol.KeyValue{{Key: op.PutKey, Value: op.Value, Revision: 1}}
+				hints = []protocol.KeyValue{{Key: op.PutKey, Value: op.Value, Revision: 1}}
 			}
 		}
 	}
 	boot := 30 * time.Second
-	want := b.scheduler.forecast.ExpectedArrivals(b.now, "quick", boot)
+	want := h.scheduler.forecast.ExpectedArrivals(h.now, "quick", boot)
 	next := New(0, Options{
-		Config: b.scheduler.cfg,
-		Log:    b.scheduler.log,
+		Config: h.scheduler.cfg,
+		Log:    h.scheduler.log,
 		Term:   Term{Number: 6, Revision: 2},
 		Records: RecoveredRecords{
-			MachineTypes: []protocol.MachineType{*b.scheduler.machines.MachineType("g8")},
+			MachineTypes: []protocol.MachineType{*h.scheduler.machines.MachineType("g8")},
 			LiveJobs:     live,
-			Images:       warm,
+			Images:       hints,
 		},
-		WallClockMS: b.now.Milliseconds(),
+		WallClockMS: h.now.Milliseconds(),
 	})
 	got := next.forecast.ExpectedArrivals(0, "quick", boot)
 	if want == 0 || got < want/3 || got > want*1.2 {
-		t.Errorf("expects %v jobs after the take-over, %v before", got, want)
+		t.Errorf("%v jobs expected after the failover, %v before", got, want)
 	}
 }
 
-// A new leader probes the running machines that it has not heard of, once each, and places work where one answers,
-// before its worker has found out who leads. Duplicated replies do no harm.
+// TestNewLeaderProbesMachines checks that a new leader probes each running machine from which it has received no
+// heartbeat once, and that it places tasks on a machine that answers even before the worker has found out who leads.
+// Duplicate replies must be harmless.
 func TestNewLeaderProbesMachines(t *testing.T) {
-	b := newHarness([]config.Team{{Name: "red"}}, "a")
+	h := newHarness([]config.Team{{Name: "red"}}, "a")
 	var list []protocol.ListedMachine
 	states := []protocol.MachineState{
 		protocol.MachineRunning, protocol.MachineRunning, protocol.MachineStarting, protocol.MachineFailed,
@@ -204,37 +215,38 @@
 			protocol.ListedMachine{Name: fmt.Sprintf("m%d", i), Addr: "x", Type: "g8", Zone: "a", State: state},
 		)
 	}
-	b.heartbeat("m0", "a", false)
-	asked := map[string]int{}
+	h.heartbeat("m0", "a", false)
+	probed := map[string]int{}
 	for range 3 {
-		for _, e := range b.scheduler.Step(b.now, MachinesListed{RequestedAt: b.now, Machines: list}) {
+		for _, e := range h.scheduler.Step(h.now, MachinesListed{RequestedAt: h.now, Machines: list}) {
 			if i, ok := e.(Probe); ok {
-				asked[i.Machine]++
+				probed[i.Machine]++
 			}
 		}
-		b.now += CycleInterval
+		h.now += CycleInterval
 	}
-	if len(asked) != 1 || asked["m1"] != 1 {
-		t.Errorf("asked %v, want only the machine that runs and has not been heard", asked)
+	if len(probed) != 1 || probed["m1"] != 1 {
+		t.Errorf("probed %v, want only the running machine without a heartbeat", probed)
 	}
-	b.zoneOf["m1"], b.tasks["m1"] = "a", map[protocol.TaskID]protocol.TaskStatus{}
-	r := b.nextHeartbeat("m1")
-	b.apply(ProbeReply{Heartbeat: r})
-	b.heartbeat("m0", "a", false)
-	b.addJob(jobSpec("j-1", protocol.Array, "normal", 16, 1))
-	b.runCycle()
-	b.apply(ProbeReply{Heartbeat: r})
-	if n := b.startedTasks("j-1"); n != 16 {
+	h.zoneOf["m1"], h.tasks["m1"] = "a", map[protocol.TaskID]protocol.TaskStatus{}
+	r := h.nextHeartbeat("m1")
+	h.apply(ProbeReply{Heartbeat: r})
+	h.heartbeat("m0", "a", false)
+	h.addJob(jobSpec("j-1", protocol.Array, "normal", 16, 1))
+	h.runCycle()
+	h.apply(ProbeReply{Heartbeat: r})
+	if n := h.startedTasks("j-1"); n != 16 {
 		t.Errorf("%d of 16 tasks started on two machines", n)
 	}
 }
 
-// A leader with a small share of a core probes a few machines a second, and none that has reported meanwhile.
+// TestSmallLeaderLimitsProbes checks that a leader with a small share of a core probes only a few machines per second,
+// and none that has sent a heartbeat in the meantime.
 func TestSmallLeaderLimitsProbes(t *testing.T) {
-	b := newHarness([]config.Team{{Name: "red"}}, "a")
-	b.scheduler.cfg.Quota.CoreShare = 0.02
+	h := newHarness([]config.Team{{Name: "red"}}, "a")
+	h.scheduler.cfg.Quota.CoreShare = 0.02
 	const machines = 100
-	perSecond := int(probesPerCore * b.scheduler.cfg.Quota.CoreShare)
+	perSecond := int(probesPerSecondPerCore * h.scheduler.cfg.Quota.CoreShare)
 	var list []protocol.ListedMachine
 	for i := range machines {
 		list = append(
@@ -248,31 +260,31 @@
 			},
 		)
 	}
-	asked := map[string]int{}
+	probed := map[string]int{}
 	count := func(effects []Effect) (n int) {
 		for _, e := range effects {
 			if i, ok := e.(Probe); ok {
-				asked[i.Machine]++
+				probed[i.Machine]++
 				n++
 			}
 		}
 		return n
 	}
-	if n := count(b.scheduler.Step(b.now, MachinesListed{RequestedAt: b.now, Machines: list})); n != perSecond {
-		t.Errorf("%d inspections at once, want %d", n, perSecond)
+	if n := count(h.scheduler.Step(h.now, MachinesListed{RequestedAt: h.now, Machines: list})); n != perSecond {
+		t.Errorf("%d probes at once, want %d", n, perSecond)
 	}
 	for i := machines / 2; i < machines; i++ {
-		b.heartbeat(list[i].Name, "a", false)
+		h.heartbeat(list[i].Name, "a", false)
 	}
 	for range machines / perSecond {
-		b.now += CycleInterval
-		if n := count(b.scheduler.Step(b.now, Tick{})); n > perSecond {
-			t.Errorf("%d inspections in a second, want %d at most", n, perSecond)
+		h.now += CycleInterval
+		if n := count(h.scheduler.Step(h.now, Tick{})); n > perSecond {
+			t.Errorf("%d probes in a second, want %d at most", n, perSecond)
 		}
 	}
 	for i := range machines {
-		if want := 1 - i/(machines/2); asked[list[i].Name] != want {
-			t.Errorf("%s was asked %d times, want %d", list[i].Name, asked[list[i].Name], want)
+		if want := 1 - i/(machines/2); probed[list[i].Name] != want {
+			t.Errorf("%s was probed %d times, want %d", list[i].Name, probed[list[i].Name], want)
 		}
 	}
 }
--- a/internal/coordination/scheduler/relocate.go
+++ b/internal/coordination/scheduler/relocate.go
@@ -11,28 +11,29 @@
 	"pinebay/internal/protocol"
 )
 
-// Fetches take up to a third longer than the machine type says, and for large images that is longer than
-// some start latency objectives. A task that has not started loses nothing when it moves to a machine that
-// has its image and has become free meanwhile.
+// Fetching an image takes up to a third longer than the machine type states. For large images that can exceed a start
+// latency objective. A task that is still fetching loses nothing by moving to a machine that already has its image and
+// has become free in the meantime.
 
-// minRemainingFetchHeartbeats is how many heartbeats a fetch must still take for its task to be moved.
+// minRemainingFetchHeartbeats is the minimum remaining time of a fetch, in heartbeat intervals, for its task to be
+// moved.
 const minRemainingFetchHeartbeats = 3
 
-// relocateFetchingTasks moves tasks that are fetching their image, one of each job at most.
-func (c *Scheduler) relocateFetchingTasks(now time.Duration) {
-	for _, j := range c.inSchedulingOrder(c.queues.Fetching) {
-		if !c.mayRelocate(j) || !mayBeFetching(j) {
-			c.queues.Fetching.Delete(j)
+// relocateFetchingTasks moves tasks that are still fetching their image, at most one per job.
+func (s *Scheduler) relocateFetchingTasks(now time.Duration) {
+	for _, j := range s.inSchedulingOrder(s.queues.Fetching) {
+		if !s.mayRelocate(j) || !mayBeFetching(j) {
+			s.queues.Fetching.Delete(j)
 			continue
 		}
-		c.relocateFetchingTask(now, j)
+		s.relocateFetchingTask(now, j)
 	}
 }
 
-// mayRelocate reports whether tasks of a job are moved to a machine with its image at all. Those of a gang
-// wait for the slowest, and would have to move together.
-func (c *Scheduler) mayRelocate(j *jobstate.Job) bool {
-	return !j.Ended && c.rules.StartLatency.Has(j.Spec.Class) &&
+// mayRelocate reports whether tasks of a job may be moved to a machine that has its image. The tasks of a gang are not
+// moved: they wait for the slowest one and would have to move together.
+func (s *Scheduler) mayRelocate(j *jobstate.Job) bool {
+	return !j.Ended && s.rules.StartLatency.Has(j.Spec.Class) &&
 		(j.Spec.Shape != protocol.Gang || j.Spec.TaskCount == 1)
 }
 
@@ -46,46 +47,48 @@
 	return false
 }
 
-// relocateFetchingTask moves the first task of a job that is fetching its image for a while yet, and for
-// which a machine has the image. The machine is nominated for the job until the task can start there.
-func (c *Scheduler) relocateFetchingTask(now time.Duration, j *jobstate.Job) {
-	if c.startForbidden(j) || j.WriteInFlight || j.PendingTasks() > 0 {
+// relocateFetchingTask moves the first task of a job whose fetch has a long time left and for which another machine has
+// the image. That machine is nominated for the job until the task can start there.
+func (s *Scheduler) relocateFetchingTask(now time.Duration, j *jobstate.Job) {
+	if s.startForbidden(j) || j.WriteInFlight || j.PendingTasks() > 0 {
 		return
 	}
 	for _, pl := range j.SortedPlacements() {
-		if !c.fetchesForLong(now, j, pl) {
+		if !s.hasLongFetchLeft(now, j, pl) {
 			continue
 		}
-		target := c.relocationTarget(now, j, pl)
+		target := s.relocationTarget(now, j, pl)
 		if target == nil {
 			continue
 		}
-		c.log.Info(
+		s.log.Info(
 			"task evicted for image locality",
 			"task", pl.Task,
 			"attempt", pl.Attempt,
 			"machine", pl.Machine,
 			"target_machine", target.Machine.Name,
 		)
-		c.candidates.SetFree(target, target.Free.Minus(j.TaskResources))
-		c.rules.Nominate(target.Machine, j, now+config.Seconds(2*c.cfg.Workers.HeartbeatSeconds))
-		c.stopPlacement(now, j, pl, 0)
+		s.candidates.SetFree(target, target.Free.Minus(j.TaskResources))
+		s.rules.Nominate(target.Machine, j, now+config.Seconds(2*s.cfg.Workers.HeartbeatSeconds))
+		s.stopPlacement(now, j, pl, 0)
 		return
 	}
 }
 
-// fetchesForLong reports whether a placement is fetching its image and is likely to for several heartbeats.
-func (c *Scheduler) fetchesForLong(now time.Duration, j *jobstate.Job, pl *machineregistry.Placement) bool {
-	m := c.machines.Machine(pl.Machine)
+// hasLongFetchLeft reports whether a placement is fetching its image and is likely to do so for several heartbeats
+// more.
+func (s *Scheduler) hasLongFetchLeft(now time.Duration, j *jobstate.Job, pl *machineregistry.Placement) bool {
+	m := s.machines.Machine(pl.Machine)
 	if m == nil || !pl.Reported || pl.Stopping || pl.State != protocol.TaskFetching {
 		return false
 	}
-	least := config.Seconds(minRemainingFetchHeartbeats * c.cfg.Workers.HeartbeatSeconds)
-	return c.machines.FetchTime(now, m, &j.Spec) >= least
+	minRemaining := config.Seconds(minRemainingFetchHeartbeats * s.cfg.Workers.HeartbeatSeconds)
+	return s.machines.FetchTime(now, m, &j.Spec) >= minRemaining
 }
 
-// relocationTarget returns the best reliable machine with the image to which a placement could move, or nil.
-func (c *Scheduler) relocationTarget(
+// relocationTarget returns the best machine to which a placement can move, or nil. The machine must have the image, and
+// no job may have failed on it.
+func (s *Scheduler) relocationTarget(
 	now time.Duration,
 	j *jobstate.Job,
 	pl *machineregistry.Placement,
@@ -95,11 +98,11 @@
 	if len(j.Placements) == 1 {
 		limits.OnlyZone = j.Spec.Zone
 	}
-	return c.finder.BestWithImage(now, j, limits, func(x *candidates.Candidate) bool {
-		return x.Machine.Name != pl.Machine &&
-			c.rules.Feasible(now, j, x, limits) &&
-			j.TaskResources.Fits(c.freeForJob(x, j)) &&
-			!x.Machine.HasAttempt(pl.Task) &&
-			len(x.Machine.FailedJobs) == 0
+	return s.finder.BestWithImage(now, j, limits, func(candidate *candidates.Candidate) bool {
+		return candidate.Machine.Name != pl.Machine &&
+			s.rules.Feasible(now, j, candidate, limits) &&
+			j.TaskResources.Fits(s.freeForJob(candidate, j)) &&
+			!candidate.Machine.HasAttempt(pl.Task) &&
+			len(candidate.Machine.FailedJobs) == 0
 	})
 }
--- a/internal/coordination/scheduler/scheduler.go
+++ b/internal/coordination/scheduler/scheduler.go
@@ -1,9 +1,10 @@
-// Package scheduler is the leader's state machine. It accepts jobs, places their tasks on machines, has the placements
-// recorded before they start, and reacts to heartbeats, failures, cancellations and lost zones.
+// Package scheduler implements the leader's scheduler as a deterministic state machine. It accepts jobs, places their
+// tasks on machines, records each placement in the state service before the task may start, and reacts to heartbeats,
+// failures, cancellations and lost zones.
 //
-// A Scheduler does no I/O and reads no clock: Step takes an event and the time, and returns the effects to be carried
-// out. It is not safe for concurrent use. One scheduler serves one term: a new leader recovers another from the records
-// of the state service.
+// A [Scheduler] does no I/O and reads no clock: [Scheduler.Step] takes an event and the current time and returns the
+// effects that the caller has to carry out. It is not safe for concurrent use. A Scheduler serves one term; a new
+// leader builds another one from the records in the state service.
 package scheduler
 
 import (
@@ -28,16 +29,16 @@
 	"pinebay/internal/storage"
 )
 
-// Scheduler is the state of a leader in its term. It connects the parts that decide, each of which owns its own state:
-// the registry of machines, the jobs and their queues, placement, preemption, the autoscaler, the forecast of demand
-// and zone failover.
+// Scheduler is the state of a leader during its term. It connects the components that make the decisions, each of which
+// owns its own state: the machine registry, the jobs and their queues, placement, preemption, the autoscaler, the
+// demand forecast and zone failover.
 type Scheduler struct {
 	cfg                 *config.Deployment
 	log                 *slog.Logger
 	term                currentTerm
 	writes              pendingWrites
 	recordLimits        placementrecords.Limits
-	targetLevel         featurelevel.Level // the feature level that is being made final, while writes are paused
+	targetLevel         featurelevel.Level // the level being made final; valid while writes are paused
 	dependencies        *dependency.Graph
 	cancelledDependents cancelledDependents
 	delayedCalls        delayedCalls
@@ -52,8 +53,8 @@
 	finder       machineFinder
 	preemption   *placement.PreemptionBudget
 	consolidator *placement.Consolidator
-	// cancellationIntents holds the jobs that users may have been told are cancelled, with the time at which their
-	// intents stop being valid.
+	// cancellationIntents maps each job that users may have been told is cancelled to the time at which the intent
+	// expires.
 	cancellationIntents map[string]time.Duration
 
 	effects      []Effect
@@ -61,27 +62,28 @@
 	forecast     *demand.Forecast
 	imageHints   *imagehints.Writer
 	prober       prober
-	zoneFailover *zonefailover.Manager // nil unless it is on
+	zoneFailover *zonefailover.Manager // nil if zone failover is off
 }
 
-// Term identifies the term of a leader.
+// Term identifies a term of leadership.
 type Term struct {
 	Number       uint64
-	Revision     uint64 // of the term's record
-	Controller   string // the leader
+	Revision     uint64 // revision of the term record
+	Controller   string // name of the leader
 	FeatureLevel featurelevel.Level
 }
 
-// RecoveredRecords are the cloud's price list and the records of the state service that a new leader has read.
+// RecoveredRecords holds what a new leader has read before it starts: the price list of the cloud and the records of
+// the state service.
 type RecoveredRecords struct {
 	MachineTypes      []protocol.MachineType
 	LiveJobs          []protocol.KeyValue
-	Pages             []protocol.KeyValue // of placements
-	Images            []protocol.KeyValue // hints of the images on machines
+	Pages             []protocol.KeyValue // placement pages
+	Images            []protocol.KeyValue // image hints: which images are cached on which machines
 	ZoneFailoverPages []protocol.KeyValue
 }
 
-// currentTerm identifies the term and when it began, by the leader's time and by the time of day in milliseconds.
+// currentTerm identifies the term and its start, as time on the leader's clock and as wall clock time in milliseconds.
 type currentTerm struct {
 	number     uint64
 	controller string
@@ -89,39 +91,40 @@
 	startedMS  int64
 }
 
-// Options are what a Scheduler is made from.
+// Options configures a Scheduler.
 type Options struct {
 	Config  *config.Deployment
 	Log     *slog.Logger
 	Term    Term
 	Records RecoveredRecords
-	// WallClockMS is the time of day in milliseconds at which the term begins.
+	// WallClockMS is the wall clock time, in milliseconds, at which the term begins.
 	WallClockMS int64
-	// RecoveryOrder turns on zone failover. It is off if this is nil.
+	// RecoveryOrder turns zone failover on. Zone failover is off if it is nil.
 	RecoveryOrder *zonefailover.RecoveryOrder
 }
 
-// New returns the scheduler of a term that begins now, recovered from the records that the new leader has read.
+// New returns the scheduler of a term that begins now, with its state recovered from the records that the new leader
+// has read.
 func New(now time.Duration, options Options) *Scheduler {
-	c := newScheduler(now, options)
+	s := newScheduler(now, options)
 	records := options.Records
-	c.machines.SetMachineTypes(records.MachineTypes)
-	c.recoverImageHints(records.Images)
-	c.recoverLiveJobs(now, records.LiveJobs, jobsWithPlacementPages(records.Pages))
-	c.forecast.DropInheritedArrivals()
-	c.recoverPages(now, records.Pages)
-	c.resumeInterrupted(now)
+	s.machines.SetMachineTypes(records.MachineTypes)
+	s.recoverImageHints(records.Images)
+	s.recoverLiveJobs(now, records.LiveJobs, jobsWithPlacementPages(records.Pages))
+	s.forecast.DropInheritedArrivals()
+	s.recoverPlacementPages(now, records.Pages)
+	s.resumeInterrupted(now)
 	if options.RecoveryOrder != nil {
-		c.startZoneFailover(now, options.RecoveryOrder, records.ZoneFailoverPages)
+		s.startZoneFailover(now, options.RecoveryOrder, records.ZoneFailoverPages)
 	}
-	return c
+	return s
 }
 
-// newScheduler returns the scheduler of a term in which nothing is known yet.
+// newScheduler returns a scheduler with no jobs and no machines.
 func newScheduler(now time.Duration, options Options) *Scheduler {
 	cfg, term := options.Config, options.Term
 	machines := machineregistry.New(term.Number, cfg.Workers)
-	c := &Scheduler{
+	s := &Scheduler{
 		cfg: cfg,
 		log: options.Log,
 		term: currentTerm{
@@ -145,140 +148,142 @@
 		forecast:            demand.NewForecast(now),
 		imageHints:          imagehints.NewWriter(now),
 	}
-	c.rules = &placement.Rules{
+	s.rules = &placement.Rules{
 		Machines:     machines,
-		Candidates:   c.candidates,
-		Quotas:       c.quotas,
+		Candidates:   s.candidates,
+		Quotas:       s.quotas,
 		StartLatency: placement.StartLatencyObjectivesOf(cfg.Objectives),
-		Zones:        zonePolicy{c},
-		Jobs:         c.jobs,
+		Zones:        zonePolicy{s},
+		Jobs:         s.jobs,
 	}
-	c.finder = placement.NewFinder(c.rules, c.preemption)
-	c.consolidator = placement.NewConsolidator(c.rules, consolidationPause)
-	return c
+	s.finder = placement.NewFinder(s.rules, s.preemption)
+	s.consolidator = placement.NewConsolidator(s.rules, consolidationInterval)
+	return s
 }
 
-// recoverLiveJobs accepts the jobs that were accepted in earlier terms. started names those of which placements are
-// recorded.
-func (c *Scheduler) recoverLiveJobs(now time.Duration, records []protocol.KeyValue, started map[string]bool) {
+// recoverLiveJobs adds the jobs that were accepted in earlier terms. started is the set of jobs that have placement
+// pages.
+func (s *Scheduler) recoverLiveJobs(now time.Duration, records []protocol.KeyValue, started map[string]bool) {
 	for _, kv := range records {
 		var record storage.LiveJobRecord
 		if err := protocol.Decode(kv.Value, &record); err != nil {
-			c.log.Error("malformed live job record", "key", kv.Key, "error", err)
+			s.log.Error("malformed live job record", "key", kv.Key, "error", err)
 			continue
 		}
 		if started[record.Job.ID] {
-			record.Job.Dependencies = nil // a job is placed only when all of them are done
+			record.Job.Dependencies = nil // a job is placed only after all of them are done
 		}
-		age := time.Duration(max(0, c.term.startedMS-record.AcceptedAtMS)) * time.Millisecond
-		c.acceptJob(now, now-age, record, kv.Revision)
+		age := time.Duration(max(0, s.term.startedMS-record.AcceptedAtMS)) * time.Millisecond
+		s.acceptJob(now, now-age, record, kv.Revision)
 	}
 }
 
-// resumeInterrupted goes on with what the last leader did not finish.
-func (c *Scheduler) resumeInterrupted(now time.Duration) {
-	for _, j := range c.sortedJobs() {
-		// A gang of which only some placements were recorded is restarted.
+// resumeInterrupted continues the work that the previous leader left unfinished.
+func (s *Scheduler) resumeInterrupted(now time.Duration) {
+	for _, j := range s.sortedJobs() {
+		// A gang is restarted if only some of its placements were recorded.
 		if j.Spec.Shape == protocol.Gang && len(j.Placements) > 0 && j.PendingTasks() > 0 {
-			c.stopGang(now, j)
+			s.stopGang(now, j)
 		}
 		if j.Ended {
-			// When it ended under the last leader is not known.
-			c.setFencingDeadline(j, now+c.autoscaler.FencingTimeout())
-			c.stopJobTasks(now, j)
+			// The time at which the job ended in the previous term is unknown, so the deadline counts from now.
+			s.setFencingDeadline(j, now+s.autoscaler.FencingTimeout())
+			s.stopJobTasks(now, j)
 		}
 	}
 }
 
-// Step handles an event at a time and returns the effects to be carried out, in their order.
-func (c *Scheduler) Step(now time.Duration, event Event) []Effect {
-	c.handle(now, event)
-	c.emitDecisions()
-	effects := c.effects // of the recovery too, after the first event of a term
-	c.effects = nil
+// Step handles an event that occurs at time now and returns the effects to carry out, in order.
+func (s *Scheduler) Step(now time.Duration, event Event) []Effect {
+	s.handle(now, event)
+	s.emitDecisions()
+	effects := s.effects // the first Step of a term also returns the effects of the recovery
+	s.effects = nil
 	return effects
 }
 
-// handle passes an event to its handler.
-func (c *Scheduler) handle(now time.Duration, event Event) {
+// handle dispatches an event to its handler.
+func (s *Scheduler) handle(now time.Duration, event Event) {
 	switch e := event.(type) {
 	case Tick:
-		c.tick(now)
+		s.tick(now)
 	case HeartbeatReceived:
-		c.handleHeartbeat(now, e)
+		s.handleHeartbeat(now, e)
 	case UnchangedHeartbeats:
-		c.handleUnchangedHeartbeats(now, e)
+		s.handleUnchangedHeartbeats(now, e)
 	case JobAccepted:
-		c.acceptJob(now, now, e.Record, e.Revision)
+		s.acceptJob(now, now, e.Record, e.Revision)
 	case JobEnded:
-		c.handleJobEnded(now, e.ID)
+		s.handleJobEnded(now, e.ID)
 	case CancellationIntent:
-		c.handleCancellationIntent(now, e)
+		s.handleCancellationIntent(now, e)
 	case WatchProgress:
-		c.expireCancellationIntents(e.At)
+		s.expireCancellationIntents(e.At)
 	case TransactionOutcome:
-		c.handleTransactionOutcome(now, e)
+		s.handleTransactionOutcome(now, e)
 	case FinalStateRead:
-		c.handleFinalState(now, e)
+		s.handleFinalState(now, e)
 	case FinaliseFeatureLevel:
-		c.beginLevelChange(e)
+		s.beginLevelChange(e)
 	case CommandBatchResult:
-		c.handleCommandBatchResult(now, e)
+		s.handleCommandBatchResult(now, e)
 	case ProbeReply:
-		c.applyHeartbeat(now, e.Heartbeat)
+		s.applyHeartbeat(now, e.Heartbeat)
 	case MachineTypesUpdated:
-		c.machines.SetMachineTypes(e.Types)
+		s.machines.SetMachineTypes(e.Types)
 	case MachinesListed:
-		c.handleMachinesListed(now, e)
+		s.handleMachinesListed(now, e)
 	case ScaleOutResult:
-		c.handleScaleOut(now, e)
+		s.handleScaleOut(now, e)
 	case ScaleInResult:
-		c.handleScaleIn(now, e)
+		s.handleScaleIn(now, e)
 	}
 }
 
-// handleTransactionOutcome passes an outcome to the write that waits for it.
-func (c *Scheduler) handleTransactionOutcome(now time.Duration, e TransactionOutcome) {
-	c.writes.handleOutcome(now, e)
-	c.writeLevelWhenIdle()
+// handleTransactionOutcome passes an outcome to the write that waits for it. If that was the last write in flight, a
+// pending change of the feature level can go on.
+func (s *Scheduler) handleTransactionOutcome(now time.Duration, e TransactionOutcome) {
+	s.writes.handleOutcome(now, e)
+	s.writeLevelWhenIdle()
 }
 
-func (c *Scheduler) emit(effects ...Effect) { c.effects = append(c.effects, effects...) }
+func (s *Scheduler) emit(effects ...Effect) { s.effects = append(s.effects, effects...) }
 
-// Statuses returns the statuses of those of the jobs that Status knows.
-func (c *Scheduler) Statuses(ids []string) (known []protocol.JobStatus) {
+// Statuses returns the statuses of the given jobs, omitting those for which Status returns false.
+func (s *Scheduler) Statuses(ids []string) (known []protocol.JobStatus) {
 	for _, id := range ids {
-		if s, ok := c.Status(id); ok {
-			known = append(known, s)
+		if status, ok := s.Status(id); ok {
+			known = append(known, status)
 		}
 	}
 	return known
 }
 
-// Status returns the status of a live job. It returns false for others, and while the end of a job is being recorded.
-func (c *Scheduler) Status(id string) (protocol.JobStatus, bool) {
-	j := c.jobs[id]
-	if j == nil || j.Ended || j.Ending || c.dependencies.State(id) == dependency.Cancelled {
+// Status returns the status of a live job. It returns false for any other job, and also while the end of a job is being
+// recorded.
+func (s *Scheduler) Status(id string) (protocol.JobStatus, bool) {
+	j := s.jobs[id]
+	if j == nil || j.Ended || j.Ending || s.dependencies.State(id) == dependency.Cancelled {
 		return protocol.JobStatus{}, false
 	}
 	status := j.Status()
-	status.Unblocked = !j.Blocked && c.recordLimits.Level() >= featurelevel.Pipelines
+	status.Unblocked = !j.Blocked && s.recordLimits.Level() >= featurelevel.Pipelines
 	return status, true
 }
 
-// CycleCount returns how many scheduling cycles have run.
-func (c *Scheduler) CycleCount() uint64 { return c.cycle.count }
+// CycleCount returns the number of scheduling cycles that have run.
+func (s *Scheduler) CycleCount() uint64 { return s.cycle.count }
 
-// sortedJobs returns all jobs by priority and age.
-func (c *Scheduler) sortedJobs() []*jobstate.Job {
-	return c.sortedJobsWhere(func(*jobstate.Job) bool { return true })
+// sortedJobs returns all jobs, sorted by priority and age.
+func (s *Scheduler) sortedJobs() []*jobstate.Job {
+	return s.sortedJobsMatching(func(*jobstate.Job) bool { return true })
 }
 
-// sortedJobsWhere returns the jobs that a condition holds for, by priority and age.
-func (c *Scheduler) sortedJobsWhere(which func(*jobstate.Job) bool) []*jobstate.Job {
+// sortedJobsMatching returns the jobs for which the predicate is true, sorted by priority and age.
+func (s *Scheduler) sortedJobsMatching(matches func(*jobstate.Job) bool) []*jobstate.Job {
 	var list []*jobstate.Job
-	for _, j := range c.jobs {
-		if which(j) {
+	for _, j := range s.jobs {
+		if matches(j) {
 			list = append(list, j)
 		}
 	}
--- a/internal/coordination/scheduler/utilization.go
+++ b/internal/coordination/scheduler/utilization.go
@@ -10,24 +10,24 @@
 	"pinebay/internal/protocol"
 )
 
-// utilization is how the machines are used. Capacity is counted in whole machines.
+// utilization summarizes the use of the machines. Capacity is measured in whole machines.
 type utilization struct {
 	registered, empty, booting, silent int
 	free                               float64
-	arrays                             float64 // held by job arrays, which can be preempted
+	arrays                             float64 // used by job arrays, which can be preempted
 	onDemand                           int     // machines that are not spot instances
 	onDemandFree                       float64
 	onDemandByClass                    map[string]float64
 }
 
-// logUtilization logs how the machines are used, and what is demanded, if debug logs are on.
-func (c *Scheduler) logUtilization(now time.Duration, demands []autoscaler.Demand) {
-	if !c.log.Enabled(context.Background(), slog.LevelDebug) {
+// logUtilization logs the use of the machines and the demand for capacity if debug logging is enabled.
+func (s *Scheduler) logUtilization(now time.Duration, demands []autoscaler.Demand) {
+	if !s.log.Enabled(context.Background(), slog.LevelDebug) {
 		return
 	}
 	u := utilization{onDemandByClass: map[string]float64{}}
-	c.machines.Each(func(m *machineregistry.Machine) { c.addUtilization(&u, now, m) })
-	c.log.Debug("machine utilization",
+	s.machines.Each(func(m *machineregistry.Machine) { s.addUtilization(&u, now, m) })
+	s.log.Debug("machine utilization",
 		"up", u.registered,
 		"empty", u.empty,
 		"booting", u.booting,
@@ -40,21 +40,21 @@
 		"wanted", demandByClass(demands))
 }
 
-// addUtilization adds the use of one machine.
-func (c *Scheduler) addUtilization(u *utilization, now time.Duration, m *machineregistry.Machine) {
-	machineType := c.machines.MachineType(m.Type)
+// addUtilization adds the use of one machine to u.
+func (s *Scheduler) addUtilization(u *utilization, now time.Duration, m *machineregistry.Machine) {
+	machineType := s.machines.MachineType(m.Type)
 	switch {
 	case machineType == nil || !m.Registered:
 		u.booting++
 		return
 	case m.PlacementCount() == 0:
 		u.empty++
-	case now-m.LastHeartbeat > c.machines.SilenceTimeout():
+	case now-m.LastHeartbeat > s.machines.SilenceTimeout():
 		u.silent++
 	}
 	u.registered++
 	capacity := machineregistry.CapacityOf(machineType)
-	free := 1 - capacity.Minus(c.machines.FreeCapacity(m)).DominantShare(capacity)
+	free := 1 - capacity.Minus(s.machines.FreeCapacity(m)).DominantShare(capacity)
 	u.free += free
 	if !m.Spot {
 		u.onDemand++
@@ -71,7 +71,7 @@
 	})
 }
 
-// demandByClass returns the tasks demanded for each class, those of headroom apart.
+// demandByClass returns the number of demanded tasks for each class. Headroom is counted separately.
 func demandByClass(demands []autoscaler.Demand) map[string]int {
 	byClass := map[string]int{}
 	for _, d := range demands {
--- a/internal/coordination/scheduler/zonefailover.go
+++ b/internal/coordination/scheduler/zonefailover.go
@@ -10,55 +10,55 @@
 	"pinebay/internal/storage"
 )
 
-// startZoneFailover turns zone failover on, with what an earlier leader recorded.
-func (c *Scheduler) startZoneFailover(
+// startZoneFailover turns zone failover on and restores what earlier leaders recorded for it.
+func (s *Scheduler) startZoneFailover(
 	now time.Duration,
 	order *zonefailover.RecoveryOrder,
 	pages []protocol.KeyValue,
 ) {
-	c.zoneFailover = zonefailover.NewManager(now, zonefailover.Options{
-		Settings:      c.cfg,
-		Machines:      c.machines,
-		Jobs:          failoverJobs{c},
-		Log:           c.log,
+	s.zoneFailover = zonefailover.NewManager(now, zonefailover.Options{
+		Settings:      s.cfg,
+		Machines:      s.machines,
+		Jobs:          failoverJobs{s},
+		Log:           s.log,
 		Order:         order,
-		Zones:         c.allowedZones(&protocol.Job{}),
-		Limits:        c.failoverRecordLimits(),
+		Zones:         s.allowedZones(&protocol.Job{}),
+		Limits:        s.failoverRecordLimits(),
 		CycleInterval: CycleInterval,
-		Term:          c.term.number,
-		TermStartedAt: c.term.startedAt,
-		TermStartedMS: c.term.startedMS,
+		Term:          s.term.number,
+		TermStartedAt: s.term.startedAt,
+		TermStartedMS: s.term.startedMS,
 	})
-	if c.zoneFailover.WatchesZones() {
-		c.zoneFailover.Restore(now, pages)
-		c.recoverDisplacedJobs()
+	if s.zoneFailover.WatchesZones() {
+		s.zoneFailover.Restore(now, pages)
+		s.recoverDisplacedJobs()
 	}
 }
 
-// failoverRecordLimits are the limits in force for the stored records of zone failover.
-func (c *Scheduler) failoverRecordLimits() zonefailover.RecordLimits {
+// failoverRecordLimits returns the limits in force for the records of zone failover.
+func (s *Scheduler) failoverRecordLimits() zonefailover.RecordLimits {
 	return zonefailover.RecordLimits{
-		LoansPerPage:        storage.LoansPerPage(c.recordLimits.ValueKB()),
-		PagesPerTransaction: c.recordLimits.PagesPerTransaction(),
+		LoansPerPage:        storage.LoansPerPage(s.recordLimits.ValueKB()),
+		PagesPerTransaction: s.recordLimits.PagesPerTransaction(),
 	}
 }
 
-// recoverDisplacedJobs marks the jobs that wait although they had started, when a zone was lost under an earlier
-// leader.
-func (c *Scheduler) recoverDisplacedJobs() {
-	for _, zone := range c.zoneFailover.Monitor().Zones() {
+// recoverDisplacedJobs marks the jobs that have started but have pending tasks again as displaced by a zone that was
+// lost under an earlier leader.
+func (s *Scheduler) recoverDisplacedJobs() {
+	for _, zone := range s.zoneFailover.Monitor().Zones() {
 		if zone.State != zonefailover.Lost && zone.State != zonefailover.Returning {
 			continue
 		}
-		for _, j := range c.jobs {
+		for _, j := range s.jobs {
 			if j.PendingTasks() > 0 && j.HasStarted() {
-				c.zoneFailover.MarkDisplaced(j.Spec.ID, zone.Name)
+				s.zoneFailover.MarkDisplaced(j.Spec.ID, zone.Name)
 			}
 		}
 	}
 }
 
-// failoverJobs gives zone failover its view of the scheduler's jobs and quotas.
+// failoverJobs gives zone failover access to the jobs and quotas of the scheduler.
 type failoverJobs struct{ scheduler *Scheduler }
 
 // Lender implements zonefailover.Jobs.
@@ -87,52 +87,52 @@
 // AllowedZones implements zonefailover.Jobs.
 func (f failoverJobs) AllowedZones(job *protocol.Job) []string { return f.scheduler.allowedZones(job) }
 
-// updateZoneStates derives the states of the zones and acts on them.
-func (c *Scheduler) updateZoneStates(now time.Duration, jobs []*jobstate.Job) {
-	m := c.zoneFailover
-	if m == nil || !m.WatchesZones() {
+// updateZoneStates updates the states of the zones and acts on the changes.
+func (s *Scheduler) updateZoneStates(now time.Duration, jobs []*jobstate.Job) {
+	failover := s.zoneFailover
+	if failover == nil || !failover.WatchesZones() {
 		return
 	}
-	for _, zone := range m.UpdateZones(now) {
-		c.probeZone(zone)
+	for _, zone := range failover.UpdateZones(now) {
+		s.probeZone(zone)
 	}
-	m.CloseFinishedLoans(now)
-	c.autoscaler.SetZonePolicies(m.ZonePolicies(now))
-	c.fenceLostMachines(now, jobs)
-	m.EndFailover(now)
+	failover.CloseFinishedLoans(now)
+	s.autoscaler.SetZonePolicies(failover.ZonePolicies(now))
+	s.fenceLostMachines(now, jobs)
+	failover.EndFailover(now)
 }
 
-// probeZone asks the machines of a zone that returns for their state, without waiting for their workers to find the
-// leader.
-func (c *Scheduler) probeZone(zone string) {
-	c.machines.Each(func(m *machineregistry.Machine) {
+// probeZone probes all machines of a returning zone, instead of waiting until their workers have found the leader.
+func (s *Scheduler) probeZone(zone string) {
+	s.machines.Each(func(m *machineregistry.Machine) {
 		if m.Zone == zone && m.Addr != "" && !m.Terminating {
-			c.prober.enqueue(m.Name, m.Addr)
+			s.prober.enqueue(m.Name, m.Addr)
 		}
 	})
 }
 
-// fenceLostMachines fences machines of lost zones whose tasks would find capacity elsewhere, in the order of the jobs.
-func (c *Scheduler) fenceLostMachines(now time.Duration, jobs []*jobstate.Job) {
-	if !c.zoneFailover.Monitor().AnyInState(zonefailover.Lost) {
+// fenceLostMachines fences machines of lost zones whose tasks would find capacity elsewhere, in the order of the given
+// jobs.
+func (s *Scheduler) fenceLostMachines(now time.Duration, jobs []*jobstate.Job) {
+	if !s.zoneFailover.Monitor().AnyInState(zonefailover.Lost) {
 		return
 	}
-	c.candidates.Refresh(now)
-	round := c.zoneFailover.NewFencingRound(now, c.candidates.All(now))
+	s.candidates.Refresh(now)
+	round := s.zoneFailover.NewFencingRound(now, s.candidates.All(now))
 	for _, j := range jobs {
 		if round.IsExhausted() {
 			return
 		}
-		if c.startForbidden(j) || !c.zoneFailover.MaySearch(now, j.Spec.ID) {
+		if s.startForbidden(j) || !s.zoneFailover.MaySearch(now, j.Spec.ID) {
 			continue
 		}
 		movable := round.Movable(j.SortedPlacements())
-		startable := min(j.PendingTasks(), c.tasksWithinQuotaLimit(j))
+		startable := min(j.PendingTasks(), s.tasksWithinQuotaLimit(j))
 		if startable+len(movable) == 0 {
 			continue
 		}
 		round.FenceFor(&zonefailover.Displaced{
-			Borrower:   c.borrowerOf(j),
+			Borrower:   s.borrowerOf(j),
 			Startable:  startable,
 			Unfinished: j.PendingTasks() + len(j.Placements),
 			Movable:    movable,
@@ -140,16 +140,17 @@
 	}
 }
 
-// emitDecisions passes the decisions of zone failover on.
-func (c *Scheduler) emitDecisions() {
-	for _, d := range c.zoneFailover.TakeDecisions() {
-		c.emit(ZoneDecision{d})
+// emitDecisions emits the decisions that zone failover has made.
+func (s *Scheduler) emitDecisions() {
+	for _, d := range s.zoneFailover.TakeDecisions() {
+		s.emit(ZoneDecision{d})
 	}
 }
 
-// markDisplaced notes that a job has lost a task, which may go elsewhere if it was lost with its zone.
-func (c *Scheduler) markDisplaced(j *jobstate.Job, pl *machineregistry.Placement) {
+// markDisplaced records that a job has lost a task. If the zone of the task was lost, the job may borrow capacity in
+// other zones.
+func (s *Scheduler) markDisplaced(j *jobstate.Job, pl *machineregistry.Placement) {
 	if !j.Ended {
-		c.zoneFailover.MarkDisplaced(j.Spec.ID, pl.Zone)
+		s.zoneFailover.MarkDisplaced(j.Spec.ID, pl.Zone)
 	}
 }
--- a/internal/coordination/scheduler/zonefailover_test.go
+++ b/internal/coordination/scheduler/zonefailover_test.go
@@ -12,13 +12,13 @@
 	"pinebay/internal/storage"
 )
 
-// maxRandomLoans is more than what a loss and a return of ten machines at most can need.
+// maxRandomLoans exceeds the number of loans that the loss and return of at most ten machines can require.
 const maxRandomLoans = 30
 
-// TestZoneFailoverRandom: whatever runs when a zone is lost, and however much of it comes back, work recovers in the
-// order, no task lends that must not or twice, and every loan ends.
+// TestZoneFailoverRandom checks random workloads that lose a zone of which a random part returns: work recovers in the
+// recovery order, no task lends that must not, none lends twice, and every loan ends.
 func TestZoneFailoverRandom(t *testing.T) {
-	made, fenced, lost := 0, 0, 0
+	opened, fenced, lost := 0, 0, 0
 	rapid.Check(t, func(t *rapid.T) {
 		order := zonefailover.DefaultRecoveryOrder()
 		if rapid.Bool().Draw(t, "stated") {
@@ -31,53 +31,53 @@
 				t.Fatal(err)
 			}
 		}
-		b := newZoneHarness(
+		h := newZoneHarness(
 			order,
 			config.Team{Name: "red"},
 			config.Team{Name: "blue", GuaranteedGPUs: float64(rapid.SampledFrom([]int{0, 8, 16}).Draw(t, "guarantee"))},
 		)
 		perZone := rapid.SampledFrom([]int{2, 3, 4, 5}).Draw(t, "machines")
-		b.addMachines(2 * perZone)
-		b.runSeconds(2)
-		b.submitRandomJobs(t, 2*perZone*rapid.SampledFrom([]int{5, 7, 8, 9, 12}).Draw(t, "load"))
-		b.runSeconds(15)
-		b.loseZone()
-		b.runSeconds(rapid.SampledFrom([]int{5, 22, 36, 45, 60}).Draw(t, "away"))
+		h.addMachines(2 * perZone)
+		h.runSeconds(2)
+		h.submitRandomJobs(t, 2*perZone*rapid.SampledFrom([]int{5, 7, 8, 9, 12}).Draw(t, "load"))
+		h.runSeconds(15)
+		h.loseZone()
+		h.runSeconds(rapid.SampledFrom([]int{5, 22, 36, 45, 60}).Draw(t, "away"))
 		half := rapid.Bool().Draw(t, "half")
-		b.restoreZone(func(i int) bool { return !half || i%2 == 0 })
-		b.runSeconds(60)
+		h.restoreZone(func(i int) bool { return !half || i%2 == 0 })
+		h.runSeconds(60)
 		if rapid.Bool().Draw(t, "again") {
-			b.loseZone()
-			b.runSeconds(40)
-			b.restoreZone(func(int) bool { return true })
+			h.loseZone()
+			h.runSeconds(40)
+			h.restoreZone(func(int) bool { return true })
 		}
-		b.runSeconds(20*12 + 100) // until what is never repaid is written off
-		made += b.loanOracle.LoanCount
-		if b.loanOracle.LoanCount > maxRandomLoans {
+		h.runSeconds(20*12 + 100) // until loans that are never repaid are written off
+		opened += h.loanOracle.LoanCount
+		if h.loanOracle.LoanCount > maxRandomLoans {
 			t.Fatalf(
-				"%d loans: capacity is lent to and fro\n%s",
-				b.loanOracle.LoanCount,
-				strings.Join(b.describeDecisions(), "\n"),
+				"%d loans: capacity is lent back and forth\n%s",
+				h.loanOracle.LoanCount,
+				strings.Join(h.describeDecisions(), "\n"),
 			)
 		}
-		fenced += countDecisions[zonefailover.MachineFenced](b.decisions)
-		lost += countDecisions[zonefailover.RecoveryOrderInEffect](b.decisions) - 1
-		b.loanOracle.CheckAllClosed()
-		if broken := append(b.orderOracle.Violations, b.loanOracle.Violations...); len(broken) > 0 {
-			t.Fatalf("%s\n%s", broken[0], strings.Join(b.describeDecisions(), "\n"))
+		fenced += countDecisions[zonefailover.MachineFenced](h.decisions)
+		lost += countDecisions[zonefailover.RecoveryOrderInEffect](h.decisions) - 1
+		h.loanOracle.CheckAllClosed()
+		if broken := append(h.orderOracle.Violations, h.loanOracle.Violations...); len(broken) > 0 {
+			t.Fatalf("%s\n%s", broken[0], strings.Join(h.describeDecisions(), "\n"))
 		}
-		if n := len(b.storedLoans()); n > 0 {
+		if n := len(h.storedLoans()); n > 0 {
 			t.Fatalf("%d loans are still recorded", n)
 		}
 	})
-	if made == 0 {
-		t.Error("no loan was made: the test shows nothing")
+	if opened == 0 {
+		t.Error("no loan was opened, so the test checked none")
 	}
-	t.Logf("zones lost %d times, %d machines fenced, %d loans", lost, fenced, made)
+	t.Logf("zones lost %d times, %d machines fenced, %d loans", lost, fenced, opened)
 }
 
-// TestUnusableFailoverRecords: a record that cannot be read, or is of a newer format, is reported and never written,
-// and other records are as usual.
+// TestUnusableFailoverRecords checks that a record that cannot be decoded or has a newer format is reported and never
+// overwritten, while other records are processed as usual.
 func TestUnusableFailoverRecords(t *testing.T) {
 	newer, err := protocol.Encode(
 		storage.ZoneFailoverRecord{
@@ -103,57 +103,57 @@
 		"a number":     {7},
 		"malformed":    wrong,
 	} {
-		b := newZoneHarness(zonefailover.DefaultRecoveryOrder(), config.Team{Name: "red"})
+		h := newZoneHarness(zonefailover.DefaultRecoveryOrder(), config.Team{Name: "red"})
 		key := storage.ZoneFailoverKey(0)
-		b.records[key] = protocol.KeyValue{Key: key, Value: value, Revision: 9}
-		b.takeOver(6)
-		b.runSeconds(3)
-		if countDecisions[zonefailover.RecordIgnored](b.decisions) != 1 ||
-			b.scheduler.zoneFailover.Monitor().State("a") != zonefailover.Available {
-			t.Errorf("%s: %v", name, b.describeDecisions())
+		h.records[key] = protocol.KeyValue{Key: key, Value: value, Revision: 9}
+		h.startTerm(6)
+		h.runSeconds(3)
+		if countDecisions[zonefailover.RecordIgnored](h.decisions) != 1 ||
+			h.scheduler.zoneFailover.Monitor().State("a") != zonefailover.Available {
+			t.Errorf("%s: decisions %v, want the record ignored and zone a available", name, h.describeDecisions())
 		}
-		if got := b.records[key]; got.Revision != 9 || string(got.Value) != string(value) {
-			t.Errorf("%s was written over", name)
+		if got := h.records[key]; got.Revision != 9 || string(got.Value) != string(value) {
+			t.Errorf("%s: the record was overwritten", name)
 		}
-		b.scheduler.zoneFailover.MarkZoneStatesChanged()
-		b.runSeconds(3)
-		if got := b.records[key]; got.Revision != 9 || b.records[storage.ZoneFailoverKey(1)].Revision == 0 {
-			t.Errorf("%s: records %v", name, b.records)
+		h.scheduler.zoneFailover.MarkZoneStatesChanged()
+		h.runSeconds(3)
+		if got := h.records[key]; got.Revision != 9 || h.records[storage.ZoneFailoverKey(1)].Revision == 0 {
+			t.Errorf("%s: records %v, want the unusable one unchanged and the zone states in the next", name, h.records)
 		}
 	}
 }
 
-// TestSingleZone: with a single zone there is nothing to do, and the log says so.
+// TestSingleZone checks that zone failover does nothing in a deployment with a single zone, and that the log says so.
 func TestSingleZone(t *testing.T) {
-	b := newHarness([]config.Team{{Name: "red"}}, "a")
-	c := New(0, Options{
-		Config:        b.scheduler.cfg,
-		Log:           b.scheduler.log,
+	h := newHarness([]config.Team{{Name: "red"}}, "a")
+	s := New(0, Options{
+		Config:        h.scheduler.cfg,
+		Log:           h.scheduler.log,
 		Term:          Term{Number: 6, Revision: 2},
-		Records:       RecoveredRecords{MachineTypes: []protocol.MachineType{*b.scheduler.machines.MachineType("g8")}},
+		Records:       RecoveredRecords{MachineTypes: []protocol.MachineType{*h.scheduler.machines.MachineType("g8")}},
 		RecoveryOrder: zonefailover.DefaultRecoveryOrder(),
 	})
-	for _, e := range c.Step(0, Tick{}) {
+	for _, e := range s.Step(0, Tick{}) {
 		if d, ok := e.(ZoneDecision); ok {
-			if o, ok := d.Decision.(zonefailover.RecoveryOrderInEffect); !ok ||
-				!strings.Contains(o.Describe(), "nothing to do") {
+			if order, ok := d.Decision.(zonefailover.RecoveryOrderInEffect); !ok ||
+				!strings.Contains(order.Describe(), "nothing to do") {
 				t.Errorf("%s", d.Decision.Describe())
 			}
 		}
 	}
-	if c.zoneFailover.WatchesZones() || c.zoneFailover.InFailover() {
-		t.Error("a single zone is watched")
+	if s.zoneFailover.WatchesZones() || s.zoneFailover.InFailover() {
+		t.Error("a single zone is monitored")
 	}
 }
 
-// TestZoneFailoverOffCostsNothing: without the flag no decision is made and nothing is written,
-// whatever happens to a zone.
+// TestZoneFailoverOffCostsNothing checks that, without the flag, no decision is made and nothing is written, whatever
+// happens to a zone.
 func TestZoneFailoverOffCostsNothing(t *testing.T) {
-	b := newLendingHarness(t, 2)
-	b.scheduler.zoneFailover = nil
-	b.decisions = nil
-	b.runSeconds(60)
-	if len(b.decisions) > 0 || len(b.records) > 0 {
-		t.Errorf("%v %v", b.describeDecisions(), b.records)
+	h := newLendingHarness(t, 2)
+	h.scheduler.zoneFailover = nil
+	h.decisions = nil
+	h.runSeconds(60)
+	if len(h.decisions) > 0 || len(h.records) > 0 {
+		t.Errorf("decisions %v and records %v, want none", h.describeDecisions(), h.records)
 	}
 }
--- a/internal/coordination/scheduler/zonefailoverwriter.go
+++ b/internal/coordination/scheduler/zonefailoverwriter.go
@@ -7,61 +7,61 @@
 	"pinebay/internal/protocol"
 )
 
-// writeFailoverRecords writes the records of zone failover that have changed, and preempts the lenders of loans that
-// are recorded.
-func (c *Scheduler) writeFailoverRecords(now time.Duration) {
-	m := c.zoneFailover
-	if c.writes.paused || !m.IsWriteDue(now) {
+// writeFailoverRecords writes the changed records of zone failover and preempts the lenders of loans that have been
+// recorded.
+func (s *Scheduler) writeFailoverRecords(now time.Duration) {
+	failover := s.zoneFailover
+	if s.writes.paused || !failover.IsWriteDue(now) {
 		return
 	}
-	id, name := c.writes.nextID()
-	w := m.PrepareWrite(now, name, c.failoverRecordLimits())
-	if len(w.Then) == 0 {
-		c.preemptLenders(now, w.DurableLoans())
+	id, name := s.writes.nextID()
+	write := failover.PrepareWrite(now, name, s.failoverRecordLimits())
+	if len(write.Then) == 0 {
+		s.preemptLenders(now, write.DurableLoans())
 		return
 	}
 	onOutcome := func(now time.Duration, outcome TransactionOutcome) {
-		c.failoverRecordsWritten(now, w, outcome)
+		s.failoverRecordsWritten(now, write, outcome)
 	}
 	txn := protocol.Txn{
-		If:   append([]protocol.Compare{c.writes.termUnchanged()}, w.If...),
-		Then: w.Then,
+		If:   append([]protocol.Compare{s.writes.termUnchanged()}, write.If...),
+		Then: write.Then,
 	}
-	c.submit(Write{ID: id, Txn: txn, VerifyKey: w.VerifyKey, Name: w.VerifyName}, onOutcome)
+	s.submit(Write{ID: id, Txn: txn, VerifyKey: write.VerifyKey, Name: write.VerifyName}, onOutcome)
 }
 
-// failoverRecordsWritten handles the outcome of a write of zone failover.
-func (c *Scheduler) failoverRecordsWritten(
+// failoverRecordsWritten handles the outcome of a write of zone failover records.
+func (s *Scheduler) failoverRecordsWritten(
 	now time.Duration,
-	w *zonefailover.RecordWrite,
+	write *zonefailover.RecordWrite,
 	outcome TransactionOutcome,
 ) {
 	switch {
 	case outcome.Malformed:
-		c.log.Error("zone failover record rejected", "page_count", w.Pages())
-		c.zoneFailover.WriteRejected(w, now+rejectedRetryDelay)
+		s.log.Error("zone failover record rejected", "page_count", write.Pages())
+		s.zoneFailover.WriteRejected(write, now+rejectedRetryDelay)
 	case !outcome.Succeeded:
-		c.stepDownAfter(outcome)
+		s.stepDownAfter(outcome)
 	default:
-		c.zoneFailover.WriteSucceeded(w, outcome.Revision)
-		c.preemptLenders(now, w.DurableLoans())
+		s.zoneFailover.WriteSucceeded(write, outcome.Revision)
+		s.preemptLenders(now, write.DurableLoans())
 	}
 }
 
-// preemptLenders preempts the lenders of loans that are recorded now.
-func (c *Scheduler) preemptLenders(now time.Duration, loans []zonefailover.Loan) {
+// preemptLenders preempts the lenders of recorded loans.
+func (s *Scheduler) preemptLenders(now time.Duration, loans []zonefailover.Loan) {
 	for _, loan := range loans {
-		if !c.zoneFailover.ClaimPreemption(loan.Lender) {
+		if !s.zoneFailover.ClaimPreemption(loan.Lender) {
 			continue
 		}
-		lender, borrower := c.jobs[loan.Lender.Job], c.jobs[loan.Borrower]
-		if lender == nil || borrower == nil || c.startForbidden(borrower) {
-			continue // the loan is closed as never taken, or with the end of its job
+		lender, borrower := s.jobs[loan.Lender.Job], s.jobs[loan.Borrower]
+		if lender == nil || borrower == nil || s.startForbidden(borrower) {
+			continue // the loan is closed as not taken or with the end of one of its jobs
 		}
 		pl := lender.Placements[loan.Lender.Task]
 		if pl == nil || pl.Attempt != loan.Lender.Attempt || pl.Stopping {
 			continue
 		}
-		c.preemptPlacement(now, pl, loan.Borrower, c.checkpointAllowance(now, borrower, 0))
+		s.preemptPlacement(now, pl, loan.Borrower, s.checkpointAllowance(now, borrower, 0))
 	}
 }
--- a/internal/coordination/scheduler/zoneharness_test.go
+++ b/internal/coordination/scheduler/zoneharness_test.go
@@ -20,24 +20,24 @@
 	"pinebay/internal/storage"
 )
 
-// zoneHarness drives a scheduler with zone failover through the loss and return of zone a, under the oracles of the
-// recovery order and of loans.
+// zoneHarness drives a scheduler with zone failover through the loss and return of zone a. Oracles check the recovery
+// order and the loans.
 type zoneHarness struct {
 	*harness
-	order       *zonefailover.RecoveryOrder
-	silent      map[string]bool // machines whose heartbeats are lost
-	incarnation map[string]uint64
-	decisions   []zonefailover.Decision
-	records     map[string]protocol.KeyValue // of zone failover, as stored
-	orderOracle simulation.RecoveryOrderOracle
-	loanOracle  *simulation.LoanOracle
-	excluded    map[string]map[string]bool // machines that each job could not use in the last cycle
-	unanswered  func(Write) bool           // writes that the state service does not answer yet
-	nextSecond  []func()                   // answers of the cloud and of the state service that arrive after the cycle
+	order          *zonefailover.RecoveryOrder
+	silent         map[string]bool // machines whose heartbeats do not arrive
+	incarnation    map[string]uint64
+	decisions      []zonefailover.Decision
+	records        map[string]protocol.KeyValue // stored records of zone failover
+	orderOracle    simulation.RecoveryOrderOracle
+	loanOracle     *simulation.LoanOracle
+	excluded       map[string]map[string]bool // by job, machines that it could not use in the last cycle
+	unanswered     func(Write) bool           // selects writes that the state service does not answer yet
+	delayedAnswers []func()                   // answers of the cloud and the state service that arrive after the cycle
 }
 
 func newZoneHarness(order *zonefailover.RecoveryOrder, teams ...config.Team) *zoneHarness {
-	b := &zoneHarness{
+	h := &zoneHarness{
 		harness:     newHarness(teams, "a", "b"),
 		order:       order,
 		silent:      map[string]bool{},
@@ -45,187 +45,190 @@
 		records:     map[string]protocol.KeyValue{},
 		loanOracle:  simulation.NewLoanOracle(),
 	}
-	b.scheduler.cfg.Quota.CoreShare = 1
-	b.scheduler.cfg.Workers.CancelSeconds = 12 // so that a loan that is never repaid is written off soon
-	b.takeOver(5)
-	return b
+	h.scheduler.cfg.Quota.CoreShare = 1
+	h.scheduler.cfg.Workers.CancelSeconds = 12 // loans that are never repaid are written off after a short time
+	h.startTerm(5)
+	return h
 }
 
-// addMachines adds empty machines, in both zones by turns.
-func (b *zoneHarness) addMachines(n int) {
+// addMachines adds empty machines, alternating between the two zones.
+func (h *zoneHarness) addMachines(n int) {
 	for i := range n {
 		name := fmt.Sprintf("m%02d", i)
-		b.tasks[name] = map[protocol.TaskID]protocol.TaskStatus{}
-		b.zoneOf[name] = []string{"a", "b"}[i%2]
+		h.tasks[name] = map[protocol.TaskID]protocol.TaskStatus{}
+		h.zoneOf[name] = []string{"a", "b"}[i%2]
 	}
 }
 
-// takeOver begins a term of a new leader with what the last one recorded.
-func (b *zoneHarness) takeOver(term uint64) {
+// startTerm starts the term of a new leader, which recovers the stored records of zone failover.
+func (h *zoneHarness) startTerm(term uint64) {
 	var pages []protocol.KeyValue
-	for _, p := range b.records {
+	for _, p := range h.records {
 		pages = append(pages, p)
 	}
 	records := RecoveredRecords{
-		MachineTypes:      []protocol.MachineType{*b.scheduler.machines.MachineType("g8")},
+		MachineTypes:      []protocol.MachineType{*h.scheduler.machines.MachineType("g8")},
 		ZoneFailoverPages: pages,
 	}
-	b.scheduler = New(b.now, Options{
-		Config:        b.scheduler.cfg,
-		Log:           b.scheduler.log,
+	h.scheduler = New(h.now, Options{
+		Config:        h.scheduler.cfg,
+		Log:           h.scheduler.log,
 		Term:          Term{Number: term, Revision: term},
 		Records:       records,
-		WallClockMS:   b.now.Milliseconds(),
-		RecoveryOrder: b.order,
+		WallClockMS:   h.now.Milliseconds(),
+		RecoveryOrder: h.order,
 	})
 }
 
-// step gives an event to the scheduler and carries out its effects.
-func (b *zoneHarness) step(e Event) {
-	for _, out := range b.scheduler.Step(b.now, e) {
+// step passes an event to the scheduler and carries out the resulting effects.
+func (h *zoneHarness) step(e Event) {
+	for _, out := range h.scheduler.Step(h.now, e) {
 		switch o := out.(type) {
 		case ZoneDecision:
-			b.decisions = append(b.decisions, o.Decision)
+			h.decisions = append(h.decisions, o.Decision)
 		case Write:
-			b.write(o)
+			h.write(o)
 		case SendCommandBatch:
-			if b.silent[o.Machine] || b.tasks[o.Machine] == nil {
-				b.step(CommandBatchResult{Machine: o.Machine})
+			if h.silent[o.Machine] || h.tasks[o.Machine] == nil {
+				h.step(CommandBatchResult{Machine: o.Machine})
 				continue
 			}
-			b.executeCommands(o.Machine, o.Batch.FencingToken, o.Batch.Commands)
-			b.step(CommandBatchResult{Machine: o.Machine, Acknowledged: true, Heartbeat: b.heartbeatOf(o.Machine)})
+			h.executeCommands(o.Machine, o.Batch.FencingToken, o.Batch.Commands)
+			h.step(CommandBatchResult{Machine: o.Machine, Acknowledged: true, Heartbeat: h.heartbeatOf(o.Machine)})
 		case HeartbeatReply:
 			machine, ok := o.ReplyTo.(string)
 			if !ok {
-				panic(fmt.Sprintf("reply to %v, which is no machine", o.ReplyTo))
+				panic(fmt.Sprintf("reply to %v, which is not a machine", o.ReplyTo))
 			}
-			b.executeCommands(machine, o.Body.FencingToken, o.Body.Commands)
+			h.executeCommands(machine, o.Body.FencingToken, o.Body.Commands)
 		case CloudRequest:
-			b.callCloud(o.Effect)
+			h.callCloud(o.Effect)
 		}
 	}
 }
 
-func (b *zoneHarness) callCloud(e autoscaler.Effect) {
+func (h *zoneHarness) callCloud(e autoscaler.Effect) {
 	switch e := e.(type) {
 	case autoscaler.ListMachines:
-		b.after(MachinesListed{RequestedAt: b.now, Failed: true})
+		h.deliverAfterCycle(MachinesListed{RequestedAt: h.now, Failed: true})
 	case autoscaler.ScaleOut:
-		b.after(ScaleOutResult{Request: e.Rental.RequestID, RequestedAt: b.now, Refused: true})
+		h.deliverAfterCycle(ScaleOutResult{Request: e.Rental.RequestID, RequestedAt: h.now, Refused: true})
 	case autoscaler.ScaleIn:
 		for _, name := range e.Machines {
-			b.removeMachine(name)
+			h.removeMachine(name)
 		}
-		b.after(ScaleInResult{Machines: e.Machines, Succeeded: true})
+		h.deliverAfterCycle(ScaleInResult{Machines: e.Machines, Succeeded: true})
 	}
 }
 
-// after gives an event to the scheduler when the cycle is over.
-func (b *zoneHarness) after(e Event) { b.nextSecond = append(b.nextSecond, func() { b.step(e) }) }
+// deliverAfterCycle passes an event to the scheduler after the current cycle.
+func (h *zoneHarness) deliverAfterCycle(e Event) {
+	h.delayedAnswers = append(h.delayedAnswers, func() { h.step(e) })
+}
 
-func (b *zoneHarness) removeMachine(name string) {
-	delete(b.tasks, name)
-	delete(b.silent, name)
+func (h *zoneHarness) removeMachine(name string) {
+	delete(h.tasks, name)
+	delete(h.silent, name)
 }
 
-// write carries out a transaction, unless the state service is out.
-func (b *zoneHarness) write(w Write) {
-	if b.unanswered != nil && b.unanswered(w) {
-		b.nextSecond = append(b.nextSecond, func() { b.write(w) })
+// write commits a transaction, or keeps it for the next second if the state service does not answer yet.
+func (h *zoneHarness) write(w Write) {
+	if h.unanswered != nil && h.unanswered(w) {
+		h.delayedAnswers = append(h.delayedAnswers, func() { h.write(w) })
 		return
 	}
-	b.revision++
+	h.revision++
 	zone := false
 	for _, op := range w.Txn.Then {
 		if strings.HasPrefix(op.PutKey, storage.ZoneFailoverPrefix) {
-			b.records[op.PutKey] = protocol.KeyValue{Key: op.PutKey, Value: op.Value, Revision: b.revision}
+			h.records[op.PutKey] = protocol.KeyValue{Key: op.PutKey, Value: op.Value, Revision: h.revision}
 			zone = true
 		}
 		if strings.HasPrefix(op.DeleteKey, storage.ZoneFailoverPrefix) {
-			delete(b.records, op.DeleteKey)
+			delete(h.records, op.DeleteKey)
 			zone = true
 		}
 	}
 	if zone {
-		b.loanOracle.CheckRecords(b.storedLoans(), b.lenderFacts)
+		h.loanOracle.CheckRecords(h.storedLoans(), h.lenderObservation)
 	}
-	b.step(TransactionOutcome{WriteID: w.ID, Succeeded: true, Revision: b.revision})
+	h.step(TransactionOutcome{WriteID: w.ID, Succeeded: true, Revision: h.revision})
 }
 
-func (b *zoneHarness) storedLoans() (rows []storage.LoanRow) {
-	for _, p := range b.records {
+func (h *zoneHarness) storedLoans() (rows []storage.LoanRow) {
+	for _, p := range h.records {
 		rec, err := storage.DecodeZoneFailover(p)
 		if err != nil {
-			continue // an unusable one, which must stay as it is
+			continue // unusable records must stay unchanged
 		}
 		rows = append(rows, rec.Loans...)
 	}
 	return rows
 }
 
-// lenderFacts describes a loan's lender and borrower by the scheduler's state when the loan is recorded.
-func (b *zoneHarness) lenderFacts(row storage.LoanRow) simulation.LenderObservation {
-	lender, borrower := b.scheduler.jobs[row.Lender], b.scheduler.jobs[row.Borrower]
+// lenderObservation describes the lender and the borrower of a loan by the state of the scheduler when the loan is
+// recorded.
+func (h *zoneHarness) lenderObservation(row storage.LoanRow) simulation.LenderObservation {
+	lender, borrower := h.scheduler.jobs[row.Lender], h.scheduler.jobs[row.Borrower]
 	return simulation.LenderObservation{
 		LenderLevel:   lender.EffectivePriority,
 		BorrowerLevel: borrower.EffectivePriority,
 		ProtectedByQuota: fairshare.GuaranteeCovers(
-			b.scheduler.cfg.Team(lender.Spec.Team),
-			b.scheduler.machines.TeamUsage(lender.Spec.Team),
+			h.scheduler.cfg.Team(lender.Spec.Team),
+			h.scheduler.machines.TeamUsage(lender.Spec.Team),
 		),
 	}
 }
 
-func (b *zoneHarness) heartbeatOf(name string) *protocol.WorkerHeartbeat {
-	r := b.nextHeartbeat(name)
-	r.Incarnation = max(1, b.incarnation[name])
-	return r
+func (h *zoneHarness) heartbeatOf(name string) *protocol.WorkerHeartbeat {
+	heartbeat := h.nextHeartbeat(name)
+	heartbeat.Incarnation = max(1, h.incarnation[name])
+	return heartbeat
 }
 
-// runSecond lets a second pass: heartbeats and images arrive, stopped tasks exit, and the scheduler runs a cycle, which
-// the oracle of the recovery order checks.
-func (b *zoneHarness) runSecond() {
-	b.now += CycleInterval
-	later := b.nextSecond
-	b.nextSecond = nil
+// runSecond advances the time by a second: heartbeats arrive, fetches complete, stopped tasks exit, and the scheduler
+// runs a cycle, which the oracle of the recovery order checks.
+func (h *zoneHarness) runSecond() {
+	h.now += CycleInterval
+	later := h.delayedAnswers
+	h.delayedAnswers = nil
 	for _, f := range later {
 		f()
 	}
-	b.advanceTasks()
-	for _, name := range b.machineNames() {
-		if !b.silent[name] {
-			b.step(HeartbeatReceived{ReplyTo: name, Heartbeat: b.heartbeatOf(name)})
+	h.advanceTasks()
+	for _, name := range h.machineNames() {
+		if !h.silent[name] {
+			h.step(HeartbeatReceived{ReplyTo: name, Heartbeat: h.heartbeatOf(name)})
 		}
 	}
-	before := b.placedAttempts()
+	before := h.placedAttempts()
 	used := map[string]machineregistry.Resources{
-		"red":  b.scheduler.machines.TeamUsage("red"),
-		"blue": b.scheduler.machines.TeamUsage("blue"),
+		"red":  h.scheduler.machines.TeamUsage("red"),
+		"blue": h.scheduler.machines.TeamUsage("blue"),
 	}
-	b.excluded = b.excludedMachines() // some are free for another attempt once the cycle is over
-	b.step(Tick{})
-	if b.scheduler.zoneFailover.InFailover() {
-		b.orderOracle.CheckCycle(b.startsSince(before, used), b.waitingJobs(), b.freeCapacities())
+	h.excluded = h.excludedMachines() // the cycle may remove old attempts
+	h.step(Tick{})
+	if h.scheduler.zoneFailover.InFailover() {
+		h.orderOracle.CheckCycle(h.startsSince(before, used), h.waitingJobs(), h.freeCapacities())
 	}
 }
 
-func (b *zoneHarness) machineNames() (names []string) {
-	for name := range b.tasks {
+func (h *zoneHarness) machineNames() (names []string) {
+	for name := range h.tasks {
 		names = append(names, name)
 	}
 	slices.Sort(names)
 	return names
 }
 
-// advanceTasks lets tasks run that fetch their image, and tasks exit that were told to stop.
-func (b *zoneHarness) advanceTasks() {
-	for name, tasks := range b.tasks {
+// advanceTasks starts tasks that were fetching their image and ends tasks that were told to stop.
+func (h *zoneHarness) advanceTasks() {
+	for name, tasks := range h.tasks {
 		for id, t := range tasks {
-			if _, stopped := b.stops[id]; stopped && t.State != protocol.TaskExited {
+			if _, stopped := h.stops[id]; stopped && t.State != protocol.TaskExited {
 				t.State, t.Cause = protocol.TaskExited, protocol.CauseStopped
-				delete(b.stops, id)
-			} else if t.State == protocol.TaskFetching && !b.silent[name] {
+				delete(h.stops, id)
+			} else if t.State == protocol.TaskFetching && !h.silent[name] {
 				t.State = protocol.TaskRunning
 			}
 			tasks[id] = t
@@ -238,31 +241,31 @@
 	attempt uint64
 }
 
-func (b *zoneHarness) placedAttempts() map[placedAttempt]bool {
-	on := map[placedAttempt]bool{}
-	for _, j := range b.scheduler.jobs {
+func (h *zoneHarness) placedAttempts() map[placedAttempt]bool {
+	placed := map[placedAttempt]bool{}
+	for _, j := range h.scheduler.jobs {
 		for _, pl := range j.Placements {
-			on[placedAttempt{pl.Task, pl.Attempt}] = true
+			placed[placedAttempt{pl.Task, pl.Attempt}] = true
 		}
 	}
-	return on
+	return placed
 }
 
-// startsSince returns the tasks placed since, given what teams used before. Those that fit into their team's guaranteed
-// quota wait for no other team.
-func (b *zoneHarness) startsSince(
+// startsSince returns the tasks placed since before, given the usage of each team at that time. Tasks that fit into the
+// guaranteed quota of their team need not wait for other teams.
+func (h *zoneHarness) startsSince(
 	before map[placedAttempt]bool,
 	used map[string]machineregistry.Resources,
 ) (starts []simulation.PlacedTask) {
-	for _, j := range b.scheduler.jobs {
+	for _, j := range h.scheduler.jobs {
 		team := used[j.Spec.Team]
 		for _, pl := range j.SortedPlacements() {
 			if !before[placedAttempt{pl.Task, pl.Attempt}] {
 				team = team.Plus(pl.Resources)
-				guaranteed := fairshare.GuaranteeCovers(b.scheduler.cfg.Team(pl.Team), team)
+				guaranteed := fairshare.GuaranteeCovers(h.scheduler.cfg.Team(pl.Team), team)
 				starts = append(
 					starts,
-					simulation.PlacedTask{Job: b.recoveryJob(j), Machine: pl.Machine, WithinQuota: guaranteed},
+					simulation.PlacedTask{Job: h.recoveryJob(j), Machine: pl.Machine, WithinQuota: guaranteed},
 				)
 			}
 		}
@@ -270,29 +273,29 @@
 	return starts
 }
 
-// waitingJobs returns the jobs that wait for capacity, but those that wait for something else: their team's quota
-// limit, a record in flight, or the end of a cycle in which backfill is allowed.
-func (b *zoneHarness) waitingJobs() (waiting []simulation.WaitingJob) {
-	for _, j := range b.scheduler.jobs {
-		allowed := b.scheduler.tasksWithinQuotaLimit(j)
-		if !b.scheduler.placeableNow(b.now, j) || allowed == 0 {
+// waitingJobs returns the jobs that wait for capacity, except those that wait for another reason: the quota limit of
+// their team, a record in flight, or the end of a cycle in which smaller jobs may backfill.
+func (h *zoneHarness) waitingJobs() (waiting []simulation.WaitingJob) {
+	for _, j := range h.scheduler.jobs {
+		allowed := h.scheduler.tasksWithinQuotaLimit(j)
+		if !h.scheduler.placeableNow(h.now, j) || allowed == 0 {
 			continue
 		}
 		backfills := j.UnschedulableCycles%(gangHoldCycles+1) == 0
 		if j.Spec.Shape == protocol.Gang && (allowed < j.Spec.TaskCount || backfills) {
 			continue
 		}
-		waiting = append(waiting, b.recoveryJob(j))
+		waiting = append(waiting, h.recoveryJob(j))
 	}
 	return waiting
 }
 
-// excludedMachines returns, for each job, the machines that still hold an earlier attempt of a pending task.
-func (b *zoneHarness) excludedMachines() map[string]map[string]bool {
+// excludedMachines returns, for each job, the machines that still hold an earlier attempt of one of its pending tasks.
+func (h *zoneHarness) excludedMachines() map[string]map[string]bool {
 	excluded := map[string]map[string]bool{}
-	for id, j := range b.scheduler.jobs {
+	for id, j := range h.scheduler.jobs {
 		excluded[id] = map[string]bool{}
-		b.scheduler.machines.Each(func(m *machineregistry.Machine) {
+		h.scheduler.machines.Each(func(m *machineregistry.Machine) {
 			for t := j.NextPending(0); t >= 0; t = j.NextPending(t + 1) {
 				excluded[id][m.Name] = excluded[id][m.Name] || m.HasAttempt(protocol.TaskID{JobID: id, Index: t})
 			}
@@ -301,10 +304,10 @@
 	return excluded
 }
 
-func (b *zoneHarness) recoveryJob(j *jobstate.Job) simulation.WaitingJob {
+func (h *zoneHarness) recoveryJob(j *jobstate.Job) simulation.WaitingJob {
 	r := simulation.WaitingJob{
 		ID:            j.Spec.ID,
-		Position:      b.order.Position(j.Spec.Class, j.Spec.Team),
+		Position:      h.order.Position(j.Spec.Class, j.Spec.Team),
 		PriorityLevel: j.EffectivePriority,
 		Resources:     j.TaskResources,
 		Tasks:         1,
@@ -313,7 +316,7 @@
 	if j.Spec.Shape == protocol.Gang {
 		r.Tasks, r.SameZone = j.Spec.TaskCount, j.Spec.SameZone
 	}
-	r.ExcludedMachines = b.excluded[j.Spec.ID]
+	r.ExcludedMachines = h.excluded[j.Spec.ID]
 	l := placement.ZoneLimitsOf(j)
 	for _, zone := range []string{"a", "b"} {
 		if l.Allows(zone) {
@@ -323,51 +326,52 @@
 	return r
 }
 
-func (b *zoneHarness) freeCapacities() map[string]simulation.FreeMachine {
+func (h *zoneHarness) freeCapacities() map[string]simulation.FreeMachine {
 	free := map[string]simulation.FreeMachine{}
-	b.scheduler.machines.Each(func(m *machineregistry.Machine) {
-		if b.scheduler.machines.Schedulable(b.now, m) && m.NominatedJob == "" {
-			free[m.Name] = simulation.FreeMachine{Zone: m.Zone, Free: b.scheduler.machines.FreeCapacity(m)}
+	h.scheduler.machines.Each(func(m *machineregistry.Machine) {
+		if h.scheduler.machines.Schedulable(h.now, m) && m.NominatedJob == "" {
+			free[m.Name] = simulation.FreeMachine{Zone: m.Zone, Free: h.scheduler.machines.FreeCapacity(m)}
 		}
 	})
 	return free
 }
 
-// loseZone makes the machines of zone a silent.
-func (b *zoneHarness) loseZone() {
-	for name, zone := range b.zoneOf {
-		if zone == "a" && b.tasks[name] != nil {
-			b.silent[name] = true
+// loseZone silences the machines of zone a.
+func (h *zoneHarness) loseZone() {
+	for name, zone := range h.zoneOf {
+		if zone == "a" && h.tasks[name] != nil {
+			h.silent[name] = true
 		}
 	}
 }
 
-// restoreZone lets those of the silent machines be heard again that the function selects, with nothing on them.
-func (b *zoneHarness) restoreZone(which func(i int) bool) {
+// restoreZone lets the silent machines that the predicate selects send heartbeats again. They return as new
+// incarnations without tasks.
+func (h *zoneHarness) restoreZone(which func(i int) bool) {
 	i := 0
-	for _, name := range b.machineNames() {
-		if !b.silent[name] {
+	for _, name := range h.machineNames() {
+		if !h.silent[name] {
 			continue
 		}
 		if i++; which(i) {
-			delete(b.silent, name)
-			b.incarnation[name]++
-			b.incarnation[name] = max(2, b.incarnation[name])
-			b.tasks[name] = map[protocol.TaskID]protocol.TaskStatus{}
+			delete(h.silent, name)
+			h.incarnation[name]++
+			h.incarnation[name] = max(2, h.incarnation[name])
+			h.tasks[name] = map[protocol.TaskID]protocol.TaskStatus{}
 		}
 	}
 }
 
-func (b *zoneHarness) describeDecisions() (lines []string) {
-	for _, d := range b.decisions {
+func (h *zoneHarness) describeDecisions() (lines []string) {
+	for _, d := range h.decisions {
 		lines = append(lines, d.Describe())
 	}
 	return lines
 }
 
-func (b *zoneHarness) runSeconds(n int) {
+func (h *zoneHarness) runSeconds(n int) {
 	for range n {
-		b.runSecond()
+		h.runSecond()
 	}
 }
 
@@ -380,8 +384,8 @@
 	return n
 }
 
-// submitRandomJobs submits a mixture of jobs that asks for so many GPUs in all.
-func (b *zoneHarness) submitRandomJobs(t *rapid.T, gpus int) {
+// submitRandomJobs submits a random mixture of jobs that need the given number of GPUs in total.
+func (h *zoneHarness) submitRandomJobs(t *rapid.T, gpus int) {
 	for i := 0; gpus > 0; i++ {
 		shape := rapid.SampledFrom([]protocol.Shape{protocol.Array, protocol.Array, protocol.Gang, protocol.Service}).
 			Draw(t, "shape")
@@ -401,34 +405,34 @@
 			j.CheckpointIntervalSeconds, j.SaveSeconds = 10, 2
 		}
 		gpus -= j.TaskCount * int(j.GPUs)
-		b.step(
+		h.step(
 			JobAccepted{
-				Record:   storage.LiveJobRecord{Job: j, AcceptedAtMS: b.now.Milliseconds()},
+				Record:   storage.LiveJobRecord{Job: j, AcceptedAtMS: h.now.Milliseconds()},
 				Revision: uint64(i + 1),
 			},
 		)
 	}
 }
 
-func (b *zoneHarness) submit(j protocol.Job) {
-	b.revision++
-	b.step(JobAccepted{Record: storage.LiveJobRecord{Job: j, AcceptedAtMS: b.now.Milliseconds()}, Revision: b.revision})
+func (h *zoneHarness) submit(j protocol.Job) {
+	h.revision++
+	h.step(JobAccepted{Record: storage.LiveJobRecord{Job: j, AcceptedAtMS: h.now.Milliseconds()}, Revision: h.revision})
 }
 
-// runUntilLoan lets time pass until a loan is opened.
-func (b *zoneHarness) runUntilLoan(t *testing.T) {
+// runUntilLoan advances the time until a loan is opened.
+func (h *zoneHarness) runUntilLoan(t *testing.T) {
 	t.Helper()
 	for range 60 {
-		b.runSecond()
-		if countDecisions[zonefailover.LoanMade](b.decisions) > 0 {
+		h.runSecond()
+		if countDecisions[zonefailover.LoanMade](h.decisions) > 0 {
 			return
 		}
 	}
-	t.Fatalf("no loan was made:\n%s", strings.Join(b.describeDecisions(), "\n"))
+	t.Fatalf("no loan was opened:\n%s", strings.Join(h.describeDecisions(), "\n"))
 }
 
-func (b *zoneHarness) loanOutcomes() (ends []zonefailover.LoanOutcome) {
-	for _, d := range b.decisions {
+func (h *zoneHarness) loanOutcomes() (ends []zonefailover.LoanOutcome) {
+	for _, d := range h.decisions {
 		if e, ok := d.(zonefailover.LoanEnded); ok {
 			ends = append(ends, e.Outcome)
 		}
@@ -436,14 +440,14 @@
 	return ends
 }
 
-func (b *zoneHarness) requireOutcomes(t *testing.T, want zonefailover.LoanOutcome) {
+func (h *zoneHarness) requireOutcomes(t *testing.T, want zonefailover.LoanOutcome) {
 	t.Helper()
-	ends := b.loanOutcomes()
+	ends := h.loanOutcomes()
 	if len(ends) == 0 || slices.ContainsFunc(ends, func(e zonefailover.LoanOutcome) bool { return e != want }) {
-		t.Errorf("loans ended as %v, want %s:\n%s", ends, want, strings.Join(b.describeDecisions(), "\n"))
+		t.Errorf("loans ended as %v, want %s:\n%s", ends, want, strings.Join(h.describeDecisions(), "\n"))
 	}
-	b.loanOracle.CheckAllClosed()
-	if len(b.loanOracle.Violations) > 0 {
-		t.Error(b.loanOracle.Violations[0])
+	h.loanOracle.CheckAllClosed()
+	if len(h.loanOracle.Violations) > 0 {
+		t.Error(h.loanOracle.Violations[0])
 	}
 }
