--- a/internal/coordination/scheduler/consolidate.go
+++ b/internal/coordination/scheduler/consolidate.go
@@ -6,7 +6,7 @@
 	"pinebay/internal/coordination/placement"
 )
 
-// consolidationInterval is the minimum time between two machines being drained for consolidation.
+// consolidationInterval is the minimum time between draining two machines for consolidation.
 const consolidationInterval = 2 * CycleInterval
 
 // consolidate drains a machine with few replicas if these fit on fuller machines. It stops the replicas, and the
--- a/internal/coordination/scheduler/dependencies.go
+++ b/internal/coordination/scheduler/dependencies.go
@@ -42,8 +42,8 @@
 	s.applyDependencyChange(now, change)
 }
 
-// estimateSlack is the factor by which a job with dependents is expected to exceed its estimated duration, because
-// estimates are off by half.
+// estimateSlack is the factor by which the estimated duration of a job is multiplied when its latest start is computed,
+// because estimates are off by half.
 const estimateSlack = 1.5
 
 // dependencyEnded applies the final state of a job to its dependents. That state must have been recorded.
--- a/internal/coordination/scheduler/heartbeats.go
+++ b/internal/coordination/scheduler/heartbeats.go
@@ -129,7 +129,7 @@
 )
 
 // checkReachability transfers the leadership if most machines reach only other controllers. Their heartbeats are
-// relayed, but a controller that they can reach would respond faster and could send them commands directly.
+// relayed, but a controller that they can reach would serve them better and could send them commands directly.
 func (s *Scheduler) checkReachability(now time.Duration) {
 	if now-s.term.startedAt < config.Seconds(s.cfg.Workers.LeaseSeconds/2) {
 		return // machines have not had enough time to find this controller
--- a/internal/coordination/scheduler/lifecycle.go
+++ b/internal/coordination/scheduler/lifecycle.go
@@ -76,8 +76,8 @@
 		"image", j.Spec.Image)
 }
 
-// placementTerminated removes a placement that no longer exists: its worker has reported the end of the task or, if
-// lost is set, the machine is gone.
+// placementTerminated removes a placement that no longer exists, either because its worker has reported the end of the
+// task or, if lost is set, because its machine is gone or the task was stopped before it could start.
 func (s *Scheduler) placementTerminated(now time.Duration, j *jobstate.Job, pl *machineregistry.Placement, lost bool) {
 	s.cycle.due = true
 	task := pl.Task.Index
