--- a/internal/coordination/autoscaler/autoscaler.go
+++ b/internal/coordination/autoscaler/autoscaler.go
@@ -1,9 +1,9 @@
-// Package autoscaler decides which machines are requested from the cloud and which are returned to
-// it, and fences machines that have fallen silent by returning them.
+// Package autoscaler decides which machines to rent from the cloud and which to release, and fences silent machines by
+// releasing them.
 //
-// An Autoscaler only decides: Plan returns Effects, which the caller carries out, and the outcome
-// of each comes back by a Handle method. It does no I/O, reads no clock (callers pass the time)
-// and is not safe for concurrent use.
+// An [Autoscaler] only makes decisions: [Autoscaler.Plan] returns [Effect] values, which the caller carries out, and
+// the caller reports the outcome of each to one of the Handle methods. The package does no I/O and reads no clock
+// (callers pass the time). An Autoscaler is not safe for concurrent use.
 package autoscaler
 
 import (
@@ -15,53 +15,53 @@
 	"pinebay/internal/protocol"
 )
 
-// PriorityLevels is the number of priorities.
+// PriorityLevels is the number of priority levels of jobs.
 const PriorityLevels = machineregistry.PriorityLevels
 
-// Demand is capacity for a number of tasks of one job.
+// Demand is a request for capacity for Count tasks of one job.
 type Demand struct {
 	Job              *protocol.Job
-	Zone             string // the only suitable zone, or ""
+	Zone             string // the only zone to use, or "" for any
 	Count            int
 	ExcludedMachines map[string]bool
-	// Headroom is capacity that is kept ready for jobs to come, not for one that waits. Lower work
-	// that can save a checkpoint may hold it meanwhile, unless MustBeFree is set: then there would
-	// be no time to preempt that work.
+	// Headroom marks capacity that is kept for jobs expected soon rather than for a pending job. Tasks of lower
+	// priority that can save a checkpoint may use it in the meantime, unless MustBeFree is set because there would be
+	// no time to preempt them.
 	Headroom   bool
 	MustBeFree bool
 }
 
-// Effect is a call to the cloud: ScaleOut, ScaleIn or ListMachines.
+// Effect is a call to the cloud: [ScaleOut], [ScaleIn] or [ListMachines].
 type Effect interface{ effect() }
 
-// ScaleOut requests machines. Its outcome goes to Autoscaler.HandleScaleOut.
+// ScaleOut rents machines. Its outcome is passed to [Autoscaler.HandleScaleOut].
 type ScaleOut struct{ Rental protocol.Rental }
 
-// ScaleIn returns machines. Its outcome goes to Autoscaler.HandleScaleIn.
+// ScaleIn releases machines. Its outcome is passed to [Autoscaler.HandleScaleIn].
 type ScaleIn struct{ Machines []string }
 
-// ListMachines reads the cloud's list of machines. Its outcome goes to Autoscaler.HandleList or
-// HandleListFailure.
+// ListMachines reads the cloud's list of machines. Its outcome is passed to [Autoscaler.HandleList] or
+// [Autoscaler.HandleListFailure].
 type ListMachines struct{}
 
 func (ScaleOut) effect()     {}
 func (ScaleIn) effect()      {}
 func (ListMachines) effect() {}
 
-// ZonePolicy is how a zone is treated that may be lost or is returning.
+// ZonePolicy restricts scaling and fencing in a zone that may be lost or is returning.
 type ZonePolicy struct {
-	// NoScaleOut: no machine is requested there, as it would not come up.
+	// NoScaleOut forbids renting machines in the zone, because they would not register.
 	NoScaleOut bool
-	// ProbeOnly: one machine at a time is requested there, to learn whether others would come up.
+	// ProbeOnly allows one starting machine at a time in the zone, to find out whether more would register.
 	ProbeOnly bool
-	// IgnoreSilent: silent machines there do not count as capacity.
+	// IgnoreSilent excludes silent machines in the zone from the available capacity.
 	IgnoreSilent bool
-	// NoFencingUntil is until when machines there are not fenced for their silence alone, since the
-	// zone failover decides on them. Machines with overdue cancelled tasks are fenced all the same.
+	// NoFencingUntil is the time until which machines in the zone are not fenced for being silent, because zone
+	// failover decides about them. Machines with overdue cancelled tasks are fenced regardless.
 	NoFencingUntil time.Duration
 }
 
-// Autoscaler is the state of one leader's term.
+// Autoscaler holds the scaling state of one leader's term.
 type Autoscaler struct {
 	cloudSettings  config.Cloud
 	workerSettings config.Workers
@@ -71,24 +71,24 @@
 	registry *machineregistry.Registry
 	list     machineList
 
-	pendingRentals map[string]pendingRental // by request
+	pendingRentals map[string]pendingRental // by request ID
 	backoff        map[machinePool]poolBackoff
-	// releasing are the machines of ScaleIn effects without an outcome.
+	// releasing is the set of machines in ScaleIn effects whose outcome is not known yet.
 	releasing map[string]bool
 
 	zonePolicies map[string]ZonePolicy
-	// startingByZone counts the machines that are requested or booting. It is only kept while there
-	// are zone policies.
+	// startingByZone is the number of machines per zone that have been rented and have not registered yet. It is
+	// maintained only while zone policies are set.
 	startingByZone map[string]int
-	// unreachableUntil is when a zone, of which many machines fell silent at once, counts as
-	// reachable again.
+	// unreachableUntil is, for each zone in which many machines fell silent at once, the time until which the zone
+	// counts as unreachable.
 	unreachableUntil map[string]time.Duration
 
-	binBuffer []bin // of the last plan, reused
+	binBuffer []bin // of the last plan, kept to avoid an allocation
 }
 
-// New returns the autoscaler of a leader's term, which adds machines to the registry and reads what
-// else it decides on there.
+// New returns an autoscaler for the given leader term. It adds rented and listed machines to the registry and reads the
+// state of all machines from there.
 func New(
 	term uint64,
 	cloud config.Cloud,
@@ -112,12 +112,12 @@
 	}
 }
 
-// SetZonePolicies replaces the policies of zones. A zone without one is treated as usual.
+// SetZonePolicies replaces all zone policies. A zone without a policy is not restricted.
 func (a *Autoscaler) SetZonePolicies(policies map[string]ZonePolicy) { a.zonePolicies = policies }
 
-// Plan compares the demand with the machines there are and returns what is to be done. It must be
-// called once a second: the cloud's request rate is shared out on that assumption. Nothing is
-// requested before the first complete list of the term has arrived.
+// Plan compares the demands with the existing machines and returns the calls to make to the cloud. It must be called
+// once per second, because its limits on calls per plan assume that interval. It rents no machines before the first
+// complete machine list of the term has arrived.
 func (a *Autoscaler) Plan(
 	now time.Duration,
 	demands []Demand,
@@ -136,9 +136,9 @@
 	return append(effects, a.scaleIn(now, used)...)
 }
 
-// rateSharePerCallKind is the share of the cloud's request rate that each kind of call may take.
-// Calls beyond the rate queue in the cloud's client.
+// rateSharePerCallKind is the fraction of the cloud's request rate that each kind of call may use. Calls beyond the
+// rate wait in the cloud client's queue.
 const rateSharePerCallKind = 0.5
 
-// callsPerPlan is how many calls of a kind one plan may ask for; there is a plan a second.
+// callsPerPlan returns the maximum number of calls of one kind per plan. There is one plan per second.
 func (a *Autoscaler) callsPerPlan() int { return max(1, int(a.cloudSettings.RPS*rateSharePerCallKind)) }
--- a/internal/coordination/autoscaler/autoscaler_test.go
+++ b/internal/coordination/autoscaler/autoscaler_test.go
@@ -33,7 +33,7 @@
 	return scaler, registry
 }
 
-// sendHeartbeat registers a machine of the test's type, or shows that it is still there.
+// sendHeartbeat handles a heartbeat of a machine of type testMachineType, which registers the machine if necessary.
 func sendHeartbeat(
 	registry *machineregistry.Registry,
 	now time.Duration,
@@ -70,53 +70,53 @@
 
 const s = time.Second
 
-// TestScaleOutCoversMissingCapacity: nothing is requested before the machine list is known, tasks
-// share machines, requested machines count as capacity, and request identifiers are never reused.
+// TestScaleOutCoversMissingCapacity checks that nothing is rented before the machine list is known, that tasks share
+// machines, that machines of pending rentals count as capacity, and that request IDs are never reused.
 func TestScaleOutCoversMissingCapacity(t *testing.T) {
 	scaler, _ := setup()
 	j := &protocol.Job{ID: "j-1", GPUs: 2}
-	want := []Demand{{Job: j, Count: 10}}
-	if got := rentals(scaler.Plan(1*s, want)); got != nil {
-		t.Errorf("before the list: %v", got)
+	demands := []Demand{{Job: j, Count: 10}}
+	if got := rentals(scaler.Plan(1*s, demands)); got != nil {
+		t.Errorf("rented before the machine list is known: %v", got)
 	}
 	scaler.HandleList(2*s, 1*s, nil)
-	got := rentals(scaler.Plan(2*s, want))
+	got := rentals(scaler.Plan(2*s, demands))
 	if n := totalCount(got); n != 3 {
-		t.Errorf("10 tasks of 2 GPUs: %v", got)
+		t.Errorf("10 tasks of 2 GPUs: rented %v, want 3 machines", got)
 	}
-	if again := rentals(scaler.Plan(3*s, want)); again != nil {
-		t.Errorf("requested twice: %v", again)
+	if again := rentals(scaler.Plan(3*s, demands)); again != nil {
+		t.Errorf("rented again while the rentals are pending: %v", again)
 	}
 	for _, r := range got {
 		scaler.HandleScaleOut(3*s, RentalOutcome{RequestID: r.RequestID, RequestedAt: 2 * s, Refused: true})
 	}
 	seen := map[string]bool{}
 	for i := range 40 {
-		for _, r := range rentals(scaler.Plan(time.Duration(4+i)*s, want)) {
+		for _, r := range rentals(scaler.Plan(time.Duration(4+i)*s, demands)) {
 			if seen[r.RequestID] {
-				t.Errorf("request %s again", r.RequestID)
+				t.Errorf("request ID %s is reused", r.RequestID)
 			}
 			seen[r.RequestID] = true
 			scaler.HandleScaleOut(time.Duration(4+i)*s, RentalOutcome{RequestID: r.RequestID, Refused: true})
 		}
 	}
 	if len(seen) < 2 || len(seen) > 30 {
-		t.Errorf("%d requests in 40 s although all were refused", len(seen))
+		t.Errorf("%d requests in 40 s while all are refused, want 2 to 30", len(seen))
 	}
 }
 
-func totalCount(rs []protocol.Rental) int {
+func totalCount(requests []protocol.Rental) int {
 	n := 0
-	for _, r := range rs {
+	for _, r := range requests {
 		n += r.Count
 	}
 	return n
 }
 
-// TestSpotOnlyForCheckpointableJobs: spot machines are requested only for jobs that allow them and
-// save checkpoints.
+// TestSpotOnlyForCheckpointableJobs checks that spot machines are rented only for jobs that allow them and save
+// checkpoints.
 func TestSpotOnlyForCheckpointableJobs(t *testing.T) {
-	for _, x := range []struct {
+	for _, test := range []struct {
 		job  protocol.Job
 		spot bool
 	}{
@@ -126,34 +126,34 @@
 	} {
 		scaler, _ := setup()
 		scaler.HandleList(1, 0, nil)
-		got := rentals(scaler.Plan(2, []Demand{{Job: &x.job, Count: 1}}))
-		if len(got) != 1 || got[0].Spot != x.spot {
-			t.Errorf("%+v: %v", x.job, got)
+		got := rentals(scaler.Plan(2, []Demand{{Job: &test.job, Count: 1}}))
+		if len(got) != 1 || got[0].Spot != test.spot {
+			t.Errorf("job %+v: rented %v", test.job, got)
 		}
 	}
 }
 
-// TestListProvesOnlyLaterAbsence: lists lag and may describe an earlier moment than the one before.
-// A machine is gone only if it is missing from a list that describes a later moment than one that
-// had it, and only if it is silent.
+// TestListProvesOnlyLaterAbsence checks that a machine counts as terminated only if it is silent and missing from a
+// list that describes a later state than a list that contained it. Lists lag, and one may describe an earlier state
+// than the one before.
 func TestListProvesOnlyLaterAbsence(t *testing.T) {
 	scaler, registry := setup()
 	m1 := []protocol.ListedMachine{{Name: "m1", Addr: "x", Type: "g8", Zone: "a", State: protocol.MachineRunning}}
 	scaler.HandleList(10*s, 9*s, m1)
-	if gone := scaler.HandleList(19*s, 18*s, nil); gone != nil {
-		t.Errorf("an old list proved %v", gone)
+	if terminated := scaler.HandleList(19*s, 18*s, nil); terminated != nil {
+		t.Errorf("a stale list proved that %v are terminated", terminated)
 	}
 	sendHeartbeat(registry, 25*s, "m1", "a", 1)
-	if gone := scaler.HandleList(30*s, 29*s, nil); gone != nil {
-		t.Errorf("a machine with heartbeats is gone: %v", gone)
+	if terminated := scaler.HandleList(30*s, 29*s, nil); terminated != nil {
+		t.Errorf("machines that send heartbeats count as terminated: %v", terminated)
 	}
-	if gone := scaler.HandleList(50*s, 49*s, nil); len(gone) != 1 {
-		t.Errorf("missing for good: %v", gone)
+	if terminated := scaler.HandleList(50*s, 49*s, nil); len(terminated) != 1 {
+		t.Errorf("terminated machines %v, want m1", terminated)
 	}
 }
 
-// TestScaleIn: machines that are idle, never came up, or failed are returned. One silent machine is
-// fenced after its timeout, many at once are not.
+// TestScaleIn checks that idle machines, failed ones and those that never register are released. Silent machines are
+// fenced after the timeout, unless so many are silent at once that their zone counts as unreachable.
 func TestScaleIn(t *testing.T) {
 	scaler, registry := setup()
 	scaler.HandleList(
@@ -162,7 +162,7 @@
 		[]protocol.ListedMachine{{Name: "bad", Addr: "x", Type: "g8", Zone: "a", State: protocol.MachineFailed}},
 	)
 	if got := releasedMachines(scaler.Plan(2*s, nil)); len(got) != 1 || got[0] != "bad" {
-		t.Errorf("failed machine: %v", got)
+		t.Errorf("released %v, want the failed machine", got)
 	}
 	scaler.HandleScaleIn(2*s, []string{"bad"}, true)
 	registry.Remove(2*s, "bad")
@@ -172,45 +172,45 @@
 		[]protocol.ListedMachine{{Name: "bad", Type: "g8", Zone: "a", State: protocol.MachineRunning}},
 	)
 	if registry.Machine("bad") != nil {
-		t.Error("an old list brought back a returned machine")
+		t.Error("a stale list added a released machine again")
 	}
 	registry.GetOrCreate(3*s, "boot").Type = "g8"
 	if got := releasedMachines(scaler.Plan(100*s, nil)); got != nil {
-		t.Errorf("still booting: %v", got)
+		t.Errorf("released while still booting: %v", got)
 	}
 	if got := releasedMachines(scaler.Plan(200*s, nil)); len(got) != 1 || got[0] != "boot" {
-		t.Errorf("never came up: %v", got)
+		t.Errorf("released %v, want the machine that never registered", got)
 	}
 
-	for _, x := range []struct{ machines, silent, back, want int }{
+	for _, test := range []struct{ machines, silent, reconnected, want int }{
 		{12, 1, 0, 1},
 		{12, 3, 0, 3},
 		{12, 8, 0, 0},
-		{12, 8, 7, 0}, // the last one to find its way is none to be fenced
+		{12, 8, 7, 0}, // still unreachable when only one machine has not reconnected yet
 		{300, 60, 0, 60},
 	} {
 		scaler, registry := setup()
 		scaler.HandleList(1*s, 0, nil)
-		hear := func(now time.Duration, from int, seq uint64) {
-			for i := from; i < x.machines; i++ {
+		sendAll := func(now time.Duration, from int, seq uint64) {
+			for i := from; i < test.machines; i++ {
 				sendHeartbeat(registry, now, fmt.Sprintf("m%03d", i), "a", seq)
 			}
 		}
-		hear(10*s, 0, 1)
-		hear(16*s, x.silent, 2)
+		sendAll(10*s, 0, 1)
+		sendAll(16*s, test.silent, 2)
 		if got := releasedMachines(scaler.Plan(16*s, nil)); got != nil {
-			t.Errorf("%d of %d just silent: fenced %v", x.silent, x.machines, got)
+			t.Errorf("%d of %d silent for less than the timeout: fenced %v", test.silent, test.machines, got)
 		}
-		hear(18*s, x.silent-x.back, 3)
-		if got := releasedMachines(scaler.Plan(18*s, nil)); len(got) != x.want {
-			t.Errorf("%d of %d silent, %d back: fenced %v", x.silent, x.machines, x.back, got)
+		sendAll(18*s, test.silent-test.reconnected, 3)
+		if got := releasedMachines(scaler.Plan(18*s, nil)); len(got) != test.want {
+			t.Errorf("%d of %d silent, %d reconnected: fenced %v", test.silent, test.machines, test.reconnected, got)
 		}
 	}
 }
 
-// TestSilentZoneIsNotFenced: when a zone is cut off, its machines fall silent one after the other,
-// each when its next heartbeat is due. None is fenced before it shows that all do, whatever the
-// intervals in the settings.
+// TestSilentZoneIsNotFenced checks that no machine of a zone is fenced when the whole zone loses its connection,
+// whatever the intervals in the settings. Its machines then fall silent one after the other, each when its next
+// heartbeat is due, so the first could be fenced before the others show that the zone is unreachable.
 func TestSilentZoneIsNotFenced(t *testing.T) {
 	for _, w := range []config.Workers{
 		{HeartbeatSeconds: 1, LeaseSeconds: 10, CancelSeconds: 40},
@@ -231,13 +231,13 @@
 			sendHeartbeat(registry, now, fmt.Sprintf("m%03d", i), zone, 1)
 		}
 		for now := 11 * s; now < 10*s+config.Seconds(2*w.LeaseSeconds); now += s {
-			for i := 0; i < n; i += 2 { // zone b goes on
+			for i := 0; i < n; i += 2 { // zone b stays connected
 				sendHeartbeat(registry, now, fmt.Sprintf("m%03d", i), "b", 2+uint64(now))
 			}
 			for _, name := range releasedMachines(scaler.Plan(now, nil)) {
 				if registry.Machine(name).Zone == "a" {
 					t.Fatalf(
-						"heartbeat %v s, lease %v s: %s fenced at %v",
+						"heartbeat interval %v s, lease %v s: %s fenced at %v",
 						w.HeartbeatSeconds,
 						w.LeaseSeconds,
 						name,
@@ -249,9 +249,8 @@
 	}
 }
 
-// TestCancelledTasksAreFencedInAnUnreachableZone: machines of an unreachable zone are not fenced,
-// except those on which a cancelled task is overdue. That holds as well while the zone failover
-// decides on the zone's machines.
+// TestCancelledTasksAreFencedInAnUnreachableZone checks that in an unreachable zone only machines with an overdue
+// cancelled task are fenced, including while zone failover decides about the zone's machines.
 func TestCancelledTasksAreFencedInAnUnreachableZone(t *testing.T) {
 	t.Run("no policy", func(t *testing.T) { checkCancelledTasksAreFenced(t, nil) })
 	t.Run("zone failover decides", func(t *testing.T) {
@@ -274,41 +273,41 @@
 		Job:     &protocol.Job{ID: "j-1"},
 	}
 	if !registry.Reserve(10*s, []*machineregistry.Placement{pl}) {
-		t.Fatal("not reserved")
+		t.Fatal("capacity was not reserved")
 	}
 	pl.FenceAt = 20 * s
 	for now := 11 * s; now < 30*s; now += s {
 		got := releasedMachines(scaler.Plan(now, nil))
 		if (now < 20*s) != (len(got) == 0) {
-			t.Fatalf("%v returned at %v", got, now)
+			t.Fatalf("released %v at %v", got, now)
 		}
 		if len(got) > 0 {
 			if len(got) != 1 || got[0] != "m3" {
-				t.Errorf("returned %v", got)
+				t.Errorf("released %v, want m3", got)
 			}
 			return
 		}
 	}
 }
 
-// TestReleasedMachinesAreForgotten: the memory of returned machines is bounded.
+// TestReleasedMachinesAreForgotten checks that the number of remembered released machines is bounded.
 func TestReleasedMachinesAreForgotten(t *testing.T) {
 	scaler, _ := setup()
 	for i := range 1000 {
 		scaler.HandleScaleIn(time.Duration(i)*10*s, []string{fmt.Sprintf("m%d", i)}, true)
 	}
 	if n := len(scaler.list.releasedAt); n > 100 || !scaler.RecentlyReleased("m999") {
-		t.Errorf("%d returned machines remembered", n)
+		t.Errorf("%d released machines remembered", n)
 	}
 }
 
-// TestHeadroomCountsPreemptibleWork: headroom may be held by less important work that can save a
-// checkpoint, unless it must be free.
+// TestHeadroomCountsPreemptibleWork checks that capacity held by lower-priority tasks that can save a checkpoint counts
+// as headroom, unless the headroom must be free.
 func TestHeadroomCountsPreemptibleWork(t *testing.T) {
-	for _, x := range []struct {
+	for _, test := range []struct {
 		shape      protocol.Shape
 		checkpoint float64
-		quick      bool
+		mustBeFree bool
 		want       int
 	}{
 		{protocol.Array, 10, false, 0},
@@ -323,10 +322,10 @@
 		sendHeartbeat(registry, 2*s, "m1", "a", 1)
 		low := &protocol.Job{
 			ID:                        "j-1",
-			Shape:                     x.shape,
+			Shape:                     test.shape,
 			Priority:                  "normal",
 			GPUs:                      8,
-			CheckpointIntervalSeconds: x.checkpoint,
+			CheckpointIntervalSeconds: test.checkpoint,
 		}
 		pl := &machineregistry.Placement{
 			Task:          protocol.TaskID{JobID: "j-1"},
@@ -337,40 +336,39 @@
 			Job:           low,
 		}
 		if !registry.Reserve(2*s, []*machineregistry.Placement{pl}) {
-			t.Fatal("not reserved")
+			t.Fatal("capacity was not reserved")
 		}
 		high := &protocol.Job{ID: "j-2", Shape: protocol.Service, Priority: "critical", GPUs: 8}
 		if n := totalCount(
-			rentals(scaler.Plan(3*s, []Demand{{Job: high, Count: 1, Headroom: true, MustBeFree: x.quick}})),
-		); n != x.want {
-			t.Errorf("%+v: requested %d", x, n)
+			rentals(scaler.Plan(3*s, []Demand{{Job: high, Count: 1, Headroom: true, MustBeFree: test.mustBeFree}})),
+		); n != test.want {
+			t.Errorf("%+v: rented %d machines", test, n)
 		}
 	}
 }
 
-// TestSilentHeadroomStays: idle machines that are silent for a moment, as when the leader is cut off
-// from all workers, are neither returned nor replaced. Once, the headroom of all zones was returned
-// in such a moment.
+// TestSilentHeadroomStays checks that idle machines are neither released nor replaced while they are briefly silent, as
+// when the leader loses its connection to all workers. In that situation the headroom of all zones was once released.
 func TestSilentHeadroomStays(t *testing.T) {
 	scaler, registry := setup()
 	scaler.HandleList(1*s, 0, nil)
-	want := []Demand{{Job: &protocol.Job{ID: "j-1", GPUs: 8}, Count: 6, Headroom: true}}
+	demands := []Demand{{Job: &protocol.Job{ID: "j-1", GPUs: 8}, Count: 6, Headroom: true}}
 	for i := range 6 {
 		sendHeartbeat(registry, 100*s, fmt.Sprintf("m%d", i), "a", 1)
 	}
 	for now := 101 * s; now < 110*s; now += s {
-		effects := scaler.Plan(now, want)
+		effects := scaler.Plan(now, demands)
 		if got := releasedMachines(effects); got != nil {
-			t.Errorf("at %v: returned %v", now, got)
+			t.Errorf("at %v: released %v", now, got)
 		}
 		if got := rentals(effects); got != nil {
-			t.Errorf("at %v: requested %v", now, got)
+			t.Errorf("at %v: rented %v", now, got)
 		}
 	}
 }
 
-// TestZonePolicies: nothing is requested in a zone without scale out, and one machine at a time in a
-// zone that is probed.
+// TestZonePolicies checks that nothing is rented in a zone with NoScaleOut, and one machine at a time in a zone with
+// ProbeOnly.
 func TestZonePolicies(t *testing.T) {
 	scaler, _ := setup()
 	scaler.HandleList(1*s, 0, nil)
@@ -393,13 +391,13 @@
 		want   int
 	}{{ZonePolicy{NoScaleOut: true}, 0}, {ZonePolicy{ProbeOnly: true}, 1}, {ZonePolicy{}, 3}} {
 		if got := requestsPerZone(row.policy, time.Duration(2+i)*s); got["a"] != row.want || got["b"] != 2 {
-			t.Errorf("%+v: %v, want %d in a and 2 in b", row.policy, got, row.want)
+			t.Errorf("policy %+v: rented %v, want %d in a and 2 in b", row.policy, got, row.want)
 		}
 	}
 }
 
-// TestSilentMachinesUnderAPolicy: silent machines do not count where they are ignored, and are not
-// fenced until the policy says so.
+// TestSilentMachinesUnderAPolicy checks that silent machines do not count as capacity in a zone with IgnoreSilent, and
+// are not fenced before NoFencingUntil.
 func TestSilentMachinesUnderAPolicy(t *testing.T) {
 	scaler, registry := setup()
 	scaler.HandleList(1*s, 0, nil)
@@ -410,13 +408,13 @@
 	for now := 11 * s; now < 60*s; now += s {
 		effects := scaler.Plan(now, []Demand{{Job: &protocol.Job{ID: "j-1", GPUs: 8}, Count: 1}})
 		if got := releasedMachines(effects); len(got) > 0 {
-			t.Fatalf("returned %v at %v", got, now)
+			t.Fatalf("fenced %v at %v", got, now)
 		}
 		if got := rentals(effects); now == 20*s && scaler.pendingRentals["r-3-1"].count != 1 {
-			t.Errorf("silent machines counted as capacity: %v", got)
+			t.Errorf("silent machines counted as capacity: rented %v", got)
 		}
 	}
 	if got := releasedMachines(scaler.Plan(120*s, nil)); len(got) == 0 {
-		t.Error("not fenced once the policy allowed it")
+		t.Error("not fenced after NoFencingUntil")
 	}
 }
--- a/internal/coordination/autoscaler/fencing.go
+++ b/internal/coordination/autoscaler/fencing.go
@@ -8,31 +8,31 @@
 	"pinebay/internal/protocol"
 )
 
-// Bounds on fencing while a zone is unreachable.
+// Limits on fencing in unreachable zones.
 const (
-	// unreachableMinSilent machines of a zone, and one in unreachableMinPart, are silent at most
-	// while the zone counts as reachable.
-	unreachableMinSilent = 2
-	unreachableMinPart   = 3
-	// unreachableFencingLeases is after how many leases of silence machines of an unreachable zone
-	// are fenced after all, one in unreachableFencingPart per plan.
-	unreachableFencingLeases = 3
-	unreachableFencingPart   = 20
+	// A zone counts as unreachable if more than reachableMaxSilent of its machines, and more than one in
+	// reachableMaxSilentDivisor, are silent.
+	reachableMaxSilent        = 2
+	reachableMaxSilentDivisor = 3
+	// unreachableFencingLeases is the silence, in leases, after which machines in an unreachable zone are fenced after
+	// all. Each plan fences at most one in unreachableFencingDivisor of the zone's machines.
+	unreachableFencingLeases  = 3
+	unreachableFencingDivisor = 20
 )
 
-// zoneReach counts the machines of a zone.
-type zoneReach struct{ machines, silent int }
+// zoneCounts holds the numbers of all machines and of silent machines in a zone.
+type zoneCounts struct{ machines, silent int }
 
-// isUnreachable reports whether so many machines are silent at once that the network is the
-// likelier cause than the machines.
-func (z zoneReach) isUnreachable() bool {
-	return z.silent > max(unreachableMinSilent, z.machines/unreachableMinPart)
+// isUnreachable reports whether so many machines are silent at once that a network failure is more likely than machine
+// failures.
+func (z zoneCounts) isUnreachable() bool {
+	return z.silent > max(reachableMaxSilent, z.machines/reachableMaxSilentDivisor)
 }
 
-// fenceSilent fences machines that have been silent for too long: they are returned to the cloud,
-// as only that proves that their tasks do not run. In a zone that is unreachable as a whole it
-// waits, and for another lease after that: workers that lost their controller need until about
-// then to find another, and each machine fenced before is a healthy one.
+// fenceSilent marks machines that have been silent for too long for release to the cloud, because only their release
+// proves that their tasks no longer run. While a zone as a whole is unreachable, and for one lease after that, fencing
+// is delayed: workers that lost their controller need about a lease to find another one, and any machine fenced before
+// that would be a healthy one.
 func (a *Autoscaler) fenceSilent(now time.Duration) {
 	zones, overdue := a.findSilent(now)
 	lease := config.Seconds(a.workerSettings.LeaseSeconds)
@@ -44,7 +44,7 @@
 	fenced := map[string]int{}
 	for _, m := range overdue {
 		if now < a.unreachableUntil[m.Zone] {
-			quota := max(1, zones[m.Zone].machines/unreachableFencingPart)
+			quota := max(1, zones[m.Zone].machines/unreachableFencingDivisor)
 			if now-m.LastHeartbeat < unreachableFencingLeases*lease || fenced[m.Zone] >= quota {
 				continue
 			}
@@ -54,17 +54,16 @@
 	}
 }
 
-// findSilent counts the silent machines of each zone and returns those that are overdue for
-// fencing. Machines with an overdue cancelled task are fenced at once: their zone may be
-// unreachable, and the worker may have ended the task by itself, but users were told that the task
-// does not run any more.
+// findSilent counts the silent machines of each zone and returns the machines that are overdue for fencing. It fences
+// machines with an overdue cancelled task at once, even if their zone may be unreachable and the worker may have ended
+// the task by itself, because users were told that the task no longer runs.
 func (a *Autoscaler) findSilent(
 	now time.Duration,
-) (zones map[string]zoneReach, overdue []*machineregistry.Machine) {
+) (zones map[string]zoneCounts, overdue []*machineregistry.Machine) {
 	timeout, silenceTimeout := a.FencingTimeout(), a.registry.SilenceTimeout()
-	// It must show that a zone is unreachable before the first of its machines is overdue.
+	// An unreachable zone must be recognized before the first of its machines is overdue.
 	silentAfter := min(silenceTimeout, timeout-config.Seconds(a.workerSettings.HeartbeatSeconds))
-	zones = map[string]zoneReach{}
+	zones = map[string]zoneCounts{}
 	a.registry.Each(func(m *machineregistry.Machine) {
 		if !m.Registered && m.PlacementCount() == 0 {
 			return
@@ -86,9 +85,9 @@
 	return zones, overdue
 }
 
-// FencingTimeout is how long a machine may be silent before it is fenced. It leaves a worker the
-// time to send a late heartbeat, to wait for its reply in vain and to try the next controller, but
-// is no longer than three quarters of a lease.
+// FencingTimeout returns how long a machine may be silent before it is fenced. The timeout allows a worker to send a
+// late heartbeat, wait for a reply that never arrives and try the next controller, but is at most three quarters of a
+// lease.
 func (a *Autoscaler) FencingTimeout() time.Duration {
 	heartbeat := config.Seconds(a.workerSettings.HeartbeatSeconds)
 	return min(
--- a/internal/coordination/autoscaler/machinelist.go
+++ b/internal/coordination/autoscaler/machinelist.go
@@ -8,58 +8,56 @@
 	"pinebay/internal/protocol"
 )
 
-// machineList is what the cloud's list has shown. The list is eventually consistent: it lags, and
-// a later answer may describe an earlier moment.
+// machineList holds what the cloud's machine lists have shown. The list is eventually consistent: it lags, and a later
+// response may describe an earlier state than the one before.
 type machineList struct {
 	requestInFlight bool
 	lastRequest     time.Duration
-	firstCompleteAt time.Duration            // when the first complete list arrived; 0: none has
-	firstSeen       map[string]time.Duration // when machines were first listed
-	// releasedAt is when machines were returned to the cloud, for a while: late lists and
-	// heartbeats must not bring them back.
+	firstCompleteAt time.Duration            // arrival of the first complete list; 0 if there is none yet
+	firstSeen       map[string]time.Duration // when each machine first appeared in a list
+	// releasedAt is the time at which machines were released. Entries are kept for a while, so that stale lists and
+	// delayed heartbeats do not add a released machine to the registry again.
 	releasedAt map[string]time.Duration
 }
 
-// releasedMemoryFactor is how long returned machines are remembered, in times that a cancellation
-// may take. Messages may be minutes late. One that is later still would bring back a machine that
-// is silent from then on, and would so be returned once more.
-const releasedMemoryFactor = 20
+// releaseRetentionFactor is the time for which released machines are remembered, as a multiple of the time that a
+// cancellation may take. Messages may be delayed by minutes. If one arrives even later, it adds the machine again,
+// which is then silent and is released once more.
+const releaseRetentionFactor = 20
 
-// HasMachineList reports whether a complete list has arrived in this term. Before that it is not
-// known which machines are there.
+// HasMachineList reports whether a complete list has arrived in this term. Before that, the autoscaler does not know
+// which machines exist.
 func (a *Autoscaler) HasMachineList() bool { return a.list.firstCompleteAt > 0 }
 
-// RecentlyReleased reports whether the machine was returned to the cloud not long ago. Whatever is
-// still received of it is to be ignored.
+// RecentlyReleased reports whether the machine was released recently. Callers must ignore messages from such a machine.
 func (a *Autoscaler) RecentlyReleased(machine string) bool {
 	_, ok := a.list.releasedAt[machine]
 	return ok
 }
 
-// HandleList adds the machines of a complete list, requested at the given time, to the registry.
-// It returns, in name order, the machines that the list proves to be gone; the caller must remove
-// them from the registry.
+// HandleList adds the machines of a complete list, requested at the given time, to the registry. It returns the
+// machines that the list proves to be terminated, sorted by name. The caller must remove them from the registry.
 func (a *Autoscaler) HandleList(
 	now, requestedAt time.Duration,
 	list []protocol.ListedMachine,
-) (gone []string) {
+) (terminated []string) {
 	a.list.requestInFlight = false
 	listed := make(map[string]bool, len(list))
 	for i := range list {
 		listed[list[i].Name] = true
 		a.addListed(now, &list[i])
 	}
-	gone = a.goneMachines(now, requestedAt, listed)
+	terminated = a.findTerminated(now, requestedAt, listed)
 	if a.list.firstCompleteAt == 0 {
 		a.list.firstCompleteAt = now
 	}
-	return gone
+	return terminated
 }
 
-// HandleListFailure notes that a list could not be read. It is requested again in time.
+// HandleListFailure records that a list could not be read. A later Plan requests it again.
 func (a *Autoscaler) HandleListFailure() { a.list.requestInFlight = false }
 
-// addListed brings the registry up to date with one entry of a list.
+// addListed updates the registry with one entry of a list.
 func (a *Autoscaler) addListed(now time.Duration, l *protocol.ListedMachine) {
 	if a.RecentlyReleased(l.Name) {
 		return // the list is older than the release
@@ -83,14 +81,14 @@
 	}
 }
 
-// goneMachines returns the machines that are missing from a list and proven to be gone. A list
-// requested later than twice its lag after a machine was first listed describes a later moment
-// than that list did, so a machine that is missing there has left for good. A machine that still
-// sends heartbeats contradicts the list and is kept.
-func (a *Autoscaler) goneMachines(
+// findTerminated returns the machines that are missing from a list and proven to be terminated. If a list was requested
+// more than twice the list's lag after a machine first appeared, it describes a later state than the list in which the
+// machine appeared, so a machine missing from it has been terminated for good. A machine that still sends heartbeats
+// contradicts the list and is kept.
+func (a *Autoscaler) findTerminated(
 	now, requestedAt time.Duration,
 	listed map[string]bool,
-) (gone []string) {
+) (terminated []string) {
 	for name, firstSeen := range a.list.firstSeen {
 		if listed[name] || requestedAt <= firstSeen+a.listStaleness() {
 			continue
@@ -99,21 +97,21 @@
 			if now-m.LastHeartbeat < a.listStaleness() {
 				continue
 			}
-			gone = append(gone, name)
+			terminated = append(terminated, name)
 		}
 		delete(a.list.firstSeen, name)
 	}
-	slices.Sort(gone)
-	return gone
+	slices.Sort(terminated)
+	return terminated
 }
 
-// listStaleness bounds how old the moment is that a list describes.
+// listStaleness returns an upper bound on the age of the state that a list describes.
 func (a *Autoscaler) listStaleness() time.Duration {
 	return config.Seconds(2 * a.cloudSettings.ListLagSeconds)
 }
 
-// listInterval is the time between two readings of the list: half its lag, or as long as reading
-// its pages takes within their share of the request rate.
+// listInterval returns the time between two reads of the list: half the list's lag, or longer if reading all pages
+// within the rate share of these calls takes longer.
 func (a *Autoscaler) listInterval(machines int) time.Duration {
 	pages := 1 + machines/protocol.MaxMachinesPerPage
 	readSeconds := float64(pages) / (a.cloudSettings.RPS * rateSharePerCallKind)
--- a/internal/coordination/autoscaler/packing.go
+++ b/internal/coordination/autoscaler/packing.go
@@ -12,18 +12,18 @@
 	"pinebay/internal/protocol"
 )
 
-// bin is a machine into which demanded tasks are packed: one that is there, one that has been
-// requested, or one that this plan is to request.
+// bin is a machine into which tasks are packed: one in the registry, one with a pending rental, or one that this plan
+// is to rent.
 type bin struct {
-	name        string // "" unless the machine is there
+	name        string // "" unless the machine is in the registry
 	pool        machinePool
 	machineType *protocol.MachineType
 	free        machineregistry.Resources
-	machine     *machineregistry.Machine // nil unless the machine is there
+	machine     *machineregistry.Machine // nil unless the machine is in the registry
 }
 
-// freeFor is the free capacity for a demand. For headroom, what is held by less important work
-// that can save a checkpoint is as good as free: it can be preempted when a job arrives.
+// freeFor returns the free capacity for a demand. For headroom, capacity held by lower-priority tasks that can save a
+// checkpoint counts as free, because they can be preempted when a job arrives.
 func (b *bin) freeFor(d *Demand) machineregistry.Resources {
 	if !d.Headroom || d.MustBeFree || b.machine == nil {
 		return b.free
@@ -31,7 +31,7 @@
 	return b.free.Plus(b.machine.CheckpointableResources(max(0, d.Job.Priority.Rank()) + 1))
 }
 
-// demandKey is all that decides whether a bin suits a demand without excluded machines.
+// demandKey holds all properties that decide whether a bin suits a demand without excluded machines.
 type demandKey struct {
 	resources            machineregistry.Resources
 	machineTypes         string
@@ -55,23 +55,22 @@
 	}
 }
 
-// packing packs demanded tasks into bins, best fit first, and finds out which machines must be
-// requested for the rest.
+// packing packs tasks into bins by best fit and determines which machines must be rented for the remaining tasks.
 type packing struct {
 	autoscaler      *Autoscaler
 	now             time.Duration
 	registry        *machineregistry.Registry
 	bins            []bin
 	machinesPerZone map[string]int
-	usedMachines    map[string]bool // into which tasks were packed
+	usedMachines    map[string]bool // machines that received tasks
 
 	toRent      map[machinePool]int
 	toRentTotal int
 	maxToRent   int
 
-	// scannedBins is the number of bins, from the first on, that are known not to suit a demand,
-	// and unrentable says that no machine can be requested for it. Both stay true while tasks are
-	// packed: bins only get fuller.
+	// scannedBins is the number of leading bins that are known not to suit a demand, and unrentable marks demands for
+	// which no machine can be rented. Both remain valid during packing, because the free capacity of a bin only
+	// decreases.
 	scannedBins map[demandKey]int
 	unrentable  map[demandKey]bool
 }
@@ -91,7 +90,7 @@
 	}
 }
 
-// addBins adds the machines that are there or requested.
+// addBins adds the machines in the registry and those of pending rentals.
 func (p *packing) addBins() {
 	p.registry.Each(p.addMachine)
 	pending := p.autoscaler.pendingRentals
@@ -108,14 +107,15 @@
 	}
 }
 
-// addMachine adds the bin of a machine if it can be counted on.
+// addMachine adds a bin for a machine, unless the machine is about to leave, is quarantined, or is silent and not
+// expected to reconnect.
 func (p *packing) addMachine(m *machineregistry.Machine) {
 	t := p.registry.MachineType(m.Type)
 	if t == nil || m.Terminating || m.InterruptionNotice || m.Quarantined {
 		return
 	}
 	p.machinesPerZone[m.Zone]++
-	if m.Registered && p.now-m.LastHeartbeat > p.registry.SilenceTimeout() && !p.expectsReturn(m.Zone) {
+	if m.Registered && p.now-m.LastHeartbeat > p.registry.SilenceTimeout() && !p.expectsReconnect(m.Zone) {
 		return
 	}
 	p.bins = append(p.bins, bin{
@@ -127,9 +127,9 @@
 	})
 }
 
-// expectsReturn reports whether the silent machines of a zone are likely to return, since the zone
-// is unreachable as a whole.
-func (p *packing) expectsReturn(zone string) bool {
+// expectsReconnect reports whether the silent machines of a zone are likely to reconnect, because the zone as a whole
+// is unreachable.
+func (p *packing) expectsReconnect(zone string) bool {
 	return p.now < p.autoscaler.unreachableUntil[zone] && !p.autoscaler.zonePolicies[zone].IgnoreSilent
 }
 
@@ -137,42 +137,42 @@
 	return bin{pool: pool, machineType: t, free: machineregistry.CapacityOf(t)}
 }
 
-// pack packs the tasks of a demand, into machines to be requested if need be.
+// pack packs the tasks of a demand, into newly rented machines if necessary.
 func (p *packing) pack(d *Demand) {
-	key, left := demandKeyOf(d), d.Count
-	for _, i := range p.tightestBins(d, key, left) {
-		left = p.fill(d, &p.bins[i], left)
-		if left == 0 {
+	key, remaining := demandKeyOf(d), d.Count
+	for _, i := range p.bestFitBins(d, key, remaining) {
+		remaining = p.fill(d, &p.bins[i], remaining)
+		if remaining == 0 {
 			return
 		}
 	}
-	for left > 0 {
+	for remaining > 0 {
 		b := p.openBin(d, key)
 		if b == nil {
 			return
 		}
-		left = p.fill(d, b, left)
+		remaining = p.fill(d, b, remaining)
 	}
 }
 
-// fill packs as many of the tasks left into a bin as fit, and returns how many are left then.
-func (p *packing) fill(d *Demand, b *bin, left int) int {
+// fill packs as many of the remaining tasks into a bin as fit and returns the number of tasks that still remain.
+func (p *packing) fill(d *Demand, b *bin, remaining int) int {
 	resources := machineregistry.TaskResources(d.Job)
 	p.usedMachines[b.name] = true
-	for left > 0 && resources.Fits(b.freeFor(d)) {
+	for remaining > 0 && resources.Fits(b.freeFor(d)) {
 		b.free = b.free.Minus(resources)
-		left--
+		remaining--
 		if resources == (machineregistry.Resources{}) {
-			return 0 // any number of them fits
+			return 0 // tasks that request no resources always fit
 		}
 	}
-	return left
+	return remaining
 }
 
-// tightestBins returns the indexes of at most the given number of bins that suit a demand: those
-// with the least free capacity, the tightest first. Each of them holds one task at least.
-func (p *packing) tightestBins(d *Demand, key demandKey, limit int) []int {
-	selected := &loosestFirst{packing: p, demand: d}
+// bestFitBins returns the indexes of at most limit bins that suit a demand: those with the least free capacity, in
+// ascending order of free capacity. Each has room for at least one task.
+func (p *packing) bestFitBins(d *Demand, key demandKey, limit int) []int {
+	selected := &mostFreeHeap{packing: p, demand: d}
 	for i := p.scannedBins[key]; i < len(p.bins); i++ {
 		if !p.feasible(d, key.resources, &p.bins[i]) {
 			continue
@@ -180,7 +180,7 @@
 		switch {
 		case len(selected.bins) < limit:
 			heap.Push(selected, i)
-		case selected.isTighter(i, selected.bins[0]):
+		case selected.hasLessFree(i, selected.bins[0]):
 			selected.bins[0] = i
 			heap.Fix(selected, 0)
 		}
@@ -189,17 +189,17 @@
 		p.scannedBins[key] = len(p.bins)
 	}
 	bins := selected.bins
-	sort.Slice(bins, func(i, j int) bool { return selected.isTighter(bins[i], bins[j]) })
+	sort.Slice(bins, func(i, j int) bool { return selected.hasLessFree(bins[i], bins[j]) })
 	return bins
 }
 
-// feasible reports whether a bin suits a demand and holds one of its tasks at least.
+// feasible reports whether a bin suits a demand and has room for at least one of its tasks.
 func (p *packing) feasible(d *Demand, resources machineregistry.Resources, b *bin) bool {
 	return resources.Fits(b.freeFor(d)) && b.machineType.AllowedBy(d.Job) && d.allowsZone(b.pool.zone) &&
 		(!b.pool.spot || d.Job.SpotAllowed) && !d.ExcludedMachines[b.name]
 }
 
-// openBin adds a machine to be requested for a demand, or returns nil if none can be.
+// openBin adds a machine to rent for a demand. It returns nil if none can be rented.
 func (p *packing) openBin(d *Demand, key demandKey) *bin {
 	if p.unrentable[key] || p.toRentTotal >= p.maxToRent {
 		return nil
@@ -223,46 +223,45 @@
 	return &p.bins[len(p.bins)-1]
 }
 
-// loosestFirst is a heap of bins, by index, with the one of most free capacity at its top. It
-// implements heap.Interface.
-type loosestFirst struct {
+// mostFreeHeap is a heap of bin indexes with the bin of most free capacity at the top. It implements [heap.Interface].
+type mostFreeHeap struct {
 	packing *packing
 	demand  *Demand
 	bins    []int
 }
 
-// isTighter reports whether a bin is tighter than another, or as tight and earlier in the list.
-func (h *loosestFirst) isTighter(i, j int) bool {
+// hasLessFree reports whether bin i has less free capacity than bin j, or as much and a lower index.
+func (h *mostFreeHeap) hasLessFree(i, j int) bool {
 	a, b := h.packing.bins[i].freeFor(h.demand), h.packing.bins[j].freeFor(h.demand)
-	if tighter(a, b) || tighter(b, a) {
-		return tighter(a, b)
+	if lessFree(a, b) || lessFree(b, a) {
+		return lessFree(a, b)
 	}
 	return i < j
 }
 
-// Len is the number of bins.
-func (h *loosestFirst) Len() int { return len(h.bins) }
+// Len returns the number of bins.
+func (h *mostFreeHeap) Len() int { return len(h.bins) }
 
-// Less puts the looser bin first.
-func (h *loosestFirst) Less(i, j int) bool { return h.isTighter(h.bins[j], h.bins[i]) }
+// Less orders bins by descending free capacity.
+func (h *mostFreeHeap) Less(i, j int) bool { return h.hasLessFree(h.bins[j], h.bins[i]) }
 
-// Swap exchanges two bins.
-func (h *loosestFirst) Swap(i, j int) { h.bins[i], h.bins[j] = h.bins[j], h.bins[i] }
+// Swap swaps two bins.
+func (h *mostFreeHeap) Swap(i, j int) { h.bins[i], h.bins[j] = h.bins[j], h.bins[i] }
 
-// Push adds the index of a bin.
-func (h *loosestFirst) Push(x any) {
+// Push appends the index of a bin.
+func (h *mostFreeHeap) Push(x any) {
 	h.bins = append(h.bins, x.(int)) //nolint:errcheck,forcetypeassert // heap.Push is called with indexes only
 }
 
-// Pop removes the last bin.
-func (h *loosestFirst) Pop() any {
+// Pop removes and returns the last bin.
+func (h *mostFreeHeap) Pop() any {
 	last := h.bins[len(h.bins)-1]
 	h.bins = h.bins[:len(h.bins)-1]
 	return last
 }
 
-// tighter orders free capacity by accelerators, then by processors.
-func tighter(a, b machineregistry.Resources) bool {
+// lessFree compares free capacity by GPUs first, then by CPUs.
+func lessFree(a, b machineregistry.Resources) bool {
 	if a.GPUs != b.GPUs {
 		return a.GPUs < b.GPUs
 	}
--- a/internal/coordination/autoscaler/ratelimit_test.go
+++ b/internal/coordination/autoscaler/ratelimit_test.go
@@ -10,23 +10,23 @@
 	"pinebay/internal/protocol"
 )
 
-// manyMachines is more than any deployment has run with.
+// manyMachines is larger than the number of machines in any known deployment.
 const manyMachines = 4000
 
-// TestManyRentals: the cloud's request rate limits what one plan requests. The requests are of a
-// size that the cloud accepts, and the next plans request the rest.
+// TestManyRentals checks that the cloud's request rate limits the rentals of one plan, that each request has a size
+// that the cloud accepts, and that the following plans request the remaining machines.
 func TestManyRentals(t *testing.T) {
 	for _, rps := range []float64{1, 2, 4, 24} {
 		scaler, _ := setup()
 		scaler.cloudSettings.RPS = rps
 		scaler.HandleList(1*s, 0, nil)
-		units := []Demand{{Job: &protocol.Job{ID: "j-1", GPUs: 8}, Count: manyMachines}}
+		demands := []Demand{{Job: &protocol.Job{ID: "j-1", GPUs: 8}, Count: manyMachines}}
 		perPlan := protocol.MaxMachinesPerRental * max(1, int(rps/2))
 		total, plans, names := 0, 0, map[string]bool{}
 		for now := 2 * s; total < manyMachines && plans <= manyMachines; now += s {
-			got := rentals(scaler.Plan(now, units))
+			got := rentals(scaler.Plan(now, demands))
 			if n := totalCount(got); n > perPlan || n < min(perPlan, manyMachines-total) {
-				t.Fatalf("%v calls a second: %d machines in one plan, want %d", rps, n, perPlan)
+				t.Fatalf("%v calls per second: %d machines rented in one plan, want %d", rps, n, perPlan)
 			}
 			for _, r := range got {
 				if r.Count > protocol.MaxMachinesPerRental || names[r.RequestID] {
@@ -38,13 +38,13 @@
 			plans++
 		}
 		if total != manyMachines {
-			t.Errorf("%v calls a second: %d of %d rented after %d plans", rps, total, manyMachines, plans)
+			t.Errorf("%v calls per second: %d of %d machines rented after %d plans", rps, total, manyMachines, plans)
 		}
 	}
 }
 
-// TestManyReleases: machines with overdue cancelled tasks are returned before all others, however
-// many there are. All machines are returned in the end, none of them twice.
+// TestManyReleases checks that machines with overdue cancelled tasks are released before all others, however many there
+// are, and that each machine is released exactly once.
 func TestManyReleases(t *testing.T) {
 	scaler, registry := setup()
 	scaler.cloudSettings.RPS = 4
@@ -62,42 +62,42 @@
 				Job:     &protocol.Job{ID: "j-1"},
 			}
 			if !registry.Reserve(10*s, []*machineregistry.Placement{pl}) {
-				t.Fatal("not reserved")
+				t.Fatal("capacity was not reserved")
 			}
 			pl.FenceAt = 11 * s
 		}
 		m.MarkTerminating()
 	}
 	perPlan := 2 * protocol.MaxMachinesPerRelease
-	returned := map[string]bool{}
-	for now := 12 * s; len(returned) < manyMachines && now < time.Hour; now += s {
+	released := map[string]bool{}
+	for now := 12 * s; len(released) < manyMachines && now < time.Hour; now += s {
 		for _, e := range scaler.Plan(now, nil) {
 			if r, ok := e.(ScaleIn); ok && len(r.Machines) > protocol.MaxMachinesPerRelease {
-				t.Fatalf("%d names in a call", len(r.Machines))
+				t.Fatalf("%d machines in one release call", len(r.Machines))
 			}
 		}
 		names := scaler.releasing
 		if len(names) > perPlan {
-			t.Fatalf("%d machines in one plan, want %d", len(names), perPlan)
+			t.Fatalf("%d machines released in one plan, want at most %d", len(names), perPlan)
 		}
 		for name := range names {
-			if returned[name] || !overdue[name] && len(returned) < len(overdue) {
-				t.Fatalf("%s is returned as number %d", name, len(returned))
+			if released[name] || !overdue[name] && len(released) < len(overdue) {
+				t.Fatalf("machine %s released twice or before overdue ones, after %d others", name, len(released))
 			}
-			returned[name] = true
+			released[name] = true
 			registry.Remove(now, name)
 			scaler.HandleScaleIn(now, []string{name}, true)
 		}
 	}
-	if len(returned) != manyMachines {
-		t.Errorf("%d of %d returned", len(returned), manyMachines)
+	if len(released) != manyMachines {
+		t.Errorf("%d of %d machines released", len(released), manyMachines)
 	}
 }
 
-// TestListInterval: reading the list takes no more than its share of the cloud's request rate,
-// however many pages it has, as it would delay scale out and scale in.
+// TestListInterval checks that reading the machine list takes no more than its share of the cloud's request rate,
+// however many pages the list has. Otherwise the reads would delay scale-out and scale-in.
 func TestListInterval(t *testing.T) {
-	for _, x := range []struct {
+	for _, test := range []struct {
 		rps      float64
 		machines int
 		want     time.Duration
@@ -109,9 +109,15 @@
 		{4, 10_000, 10500 * time.Millisecond},
 		{24, 10_000, 2500 * time.Millisecond},
 	} {
-		scaler := New(1, config.Cloud{RPS: x.rps, ListLagSeconds: 5}, testWorkerSettings, nil)
-		if got := scaler.listInterval(x.machines); got != x.want {
-			t.Errorf("%d machines at %v calls a second: read every %v, want %v", x.machines, x.rps, got, x.want)
+		scaler := New(1, config.Cloud{RPS: test.rps, ListLagSeconds: 5}, testWorkerSettings, nil)
+		if got := scaler.listInterval(test.machines); got != test.want {
+			t.Errorf(
+				"%d machines at %v calls per second: list interval %v, want %v",
+				test.machines,
+				test.rps,
+				got,
+				test.want,
+			)
 		}
 	}
 }
--- a/internal/coordination/autoscaler/reference_test.go
+++ b/internal/coordination/autoscaler/reference_test.go
@@ -15,31 +15,31 @@
 
 func TestMain(m *testing.M) { testutil.Main(m) }
 
-// referencePack packs one task after the other into the tightest of all bins.
-func referencePack(packed *packing, units []Demand) {
-	for n := range units {
-		u := &units[n]
-		need := machineregistry.TaskResources(u.Job)
-		for left := u.Count; left > 0; {
+// referencePack packs each task into the bin with the least free capacity, and scans all bins for every task.
+func referencePack(p *packing, demands []Demand) {
+	for n := range demands {
+		d := &demands[n]
+		resources := machineregistry.TaskResources(d.Job)
+		for remaining := d.Count; remaining > 0; {
 			var best *bin
-			for i := range packed.bins {
-				if r := &packed.bins[i]; packed.feasible(u, need, r) &&
-					(best == nil || tighter(r.freeFor(u), best.freeFor(u))) {
-					best = r
+			for i := range p.bins {
+				if b := &p.bins[i]; p.feasible(d, resources, b) &&
+					(best == nil || lessFree(b.freeFor(d), best.freeFor(d))) {
+					best = b
 				}
 			}
 			if best == nil {
-				if best = packed.openBin(u, demandKeyOf(u)); best == nil {
+				if best = p.openBin(d, demandKeyOf(d)); best == nil {
 					break
 				}
 			}
-			left = packed.fill(u, best, left)
+			remaining = p.fill(d, best, remaining)
 		}
 	}
 }
 
-// TestPackingMatchesFullScan: for random machines and demands, the packing uses and requests the
-// same machines as the reference, which scans all bins for every task.
+// TestPackingMatchesFullScan checks that for random machines and demands, packing uses and rents the same machines as
+// referencePack.
 func TestPackingMatchesFullScan(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		scaler, registry := setup()
@@ -69,7 +69,7 @@
 				},
 			})
 		}
-		var units []Demand
+		var demands []Demand
 		for i := range rapid.IntRange(0, 12).Draw(t, "units") {
 			j := &protocol.Job{
 				ID: fmt.Sprintf(
@@ -77,13 +77,13 @@
 					i,
 				),
 				GPUs: float64(rapid.IntRange(0, 4).Draw(t, "gpus")),
-				CPUs: float64(rapid.IntRange(0, 16).Draw(t, "wanted cpus")),
+				CPUs: float64(rapid.IntRange(0, 16).Draw(t, "requested cpus")),
 				Priority: rapid.SampledFrom([]protocol.Priority{"critical", "normal", "best_effort"}).
 					Draw(t, "priority"),
-				SpotAllowed:               rapid.Bool().Draw(t, "may be spot"),
-				CheckpointIntervalSeconds: float64(rapid.IntRange(0, 1).Draw(t, "may save")),
+				SpotAllowed:               rapid.Bool().Draw(t, "spot allowed"),
+				CheckpointIntervalSeconds: float64(rapid.IntRange(0, 1).Draw(t, "saves checkpoints")),
 			}
-			u := Demand{
+			d := Demand{
 				Job:        j,
 				Count:      rapid.IntRange(1, 30).Draw(t, "count"),
 				Zone:       rapid.SampledFrom([]string{"", "a"}).Draw(t, "only zone"),
@@ -91,26 +91,26 @@
 				MustBeFree: rapid.Bool().Draw(t, "quick"),
 			}
 			if rapid.Bool().Draw(t, "avoids") {
-				u.ExcludedMachines = map[string]bool{"m00": true, "m03": true}
+				d.ExcludedMachines = map[string]bool{"m00": true, "m03": true}
 			}
-			units = append(units, u)
+			demands = append(demands, d)
 		}
 		packWith := func(pack func(*packing)) *packing {
-			packed := scaler.newPacking(time.Second)
-			packed.addBins()
-			pack(packed)
-			return packed
+			p := scaler.newPacking(time.Second)
+			p.addBins()
+			pack(p)
+			return p
 		}
-		got := packWith(func(packed *packing) {
-			for i := range units {
-				packed.pack(&units[i])
+		got := packWith(func(p *packing) {
+			for i := range demands {
+				p.pack(&demands[i])
 			}
 		})
-		want := packWith(func(packed *packing) { referencePack(packed, units) })
+		want := packWith(func(p *packing) { referencePack(p, demands) })
 		if !reflect.DeepEqual(got.toRent, want.toRent) || !reflect.DeepEqual(got.usedMachines, want.usedMachines) ||
 			got.toRentTotal != want.toRentTotal {
 			t.Errorf(
-				"requests %v and uses %v, want %v and %v",
+				"rents %v and uses machines %v, want %v and %v",
 				got.toRent,
 				got.usedMachines,
 				want.toRent,
--- a/internal/coordination/autoscaler/scalein.go
+++ b/internal/coordination/autoscaler/scalein.go
@@ -9,22 +9,22 @@
 	"pinebay/internal/protocol"
 )
 
-// Times after which machines are returned.
+// Timeouts for releasing machines.
 const (
-	// bootTimeoutFactor is after how many boot times a machine counts as never having come up.
+	// bootTimeoutFactor is the number of boot times after which a machine that has not registered is given up.
 	bootTimeoutFactor = 4
-	// idleBootDivisor is the part of a boot time for which an idle machine is kept.
+	// idleBootDivisor determines how long an idle machine is kept: its boot time divided by idleBootDivisor.
 	idleBootDivisor = 8
-	// minRentalTime is what the cloud charges for at least.
+	// minRentalTime is the shortest time that the cloud charges for.
 	minRentalTime = time.Minute
 )
 
-// HandleScaleIn notes the outcome of a ScaleIn effect. If it succeeded, the machines are proven to
-// be gone: the caller must remove them from the registry. Otherwise they are returned once more.
+// HandleScaleIn records the outcome of a ScaleIn effect. If it succeeded, the machines are proven to be terminated, and
+// the caller must remove them from the registry. Otherwise a later plan releases them again.
 func (a *Autoscaler) HandleScaleIn(now time.Duration, machines []string, succeeded bool) {
-	remember := config.Seconds(releasedMemoryFactor * a.workerSettings.CancelSeconds)
+	retention := config.Seconds(releaseRetentionFactor * a.workerSettings.CancelSeconds)
 	for name, releasedAt := range a.list.releasedAt {
-		if now-releasedAt > remember {
+		if now-releasedAt > retention {
 			delete(a.list.releasedAt, name)
 		}
 	}
@@ -37,9 +37,9 @@
 	}
 }
 
-// scaleIn returns machines to the cloud that are no longer needed or usable, except those that are
-// used for the demands. The cloud's rate limits how many; machines with overdue cancelled tasks go
-// first, and the rest waits for the next plan.
+// scaleIn releases machines that are no longer needed or usable, except those in used. The cloud's request rate limits
+// how many are released per plan: machines with overdue cancelled tasks go first, and the remaining ones wait for the
+// next plan.
 func (a *Autoscaler) scaleIn(
 	now time.Duration,
 	used map[string]bool,
@@ -54,9 +54,9 @@
 			others = append(others, m)
 		}
 	})
-	leaving := append(overdue, others...)
-	leaving = leaving[:min(len(leaving), protocol.MaxMachinesPerRelease*a.callsPerPlan())]
-	for batch := range slices.Chunk(leaving, protocol.MaxMachinesPerRelease) {
+	toRelease := append(overdue, others...)
+	toRelease = toRelease[:min(len(toRelease), protocol.MaxMachinesPerRelease*a.callsPerPlan())]
+	for batch := range slices.Chunk(toRelease, protocol.MaxMachinesPerRelease) {
 		names := make([]string, len(batch))
 		for i, m := range batch {
 			m.MarkTerminating()
@@ -68,7 +68,7 @@
 	return effects
 }
 
-// shouldScaleIn reports whether a machine is to be returned.
+// shouldScaleIn reports whether a machine should be released.
 func (a *Autoscaler) shouldScaleIn(
 	now time.Duration,
 	m *machineregistry.Machine,
@@ -84,23 +84,23 @@
 	case m.Terminating, m.Quarantined && empty, m.InterruptionNotice && empty:
 		return true
 	case !m.Registered:
-		return a.neverCameUp(now, m, boot)
+		return a.bootTimedOut(now, m, boot)
 	default:
 		return empty && !used[m.Name] && a.HasMachineList() && isIdle(now, m, boot) &&
 			now-m.LastHeartbeat <= a.registry.SilenceTimeout()
 	}
 }
 
-// neverCameUp reports whether a machine that is not registered is given up. It is charged until it
-// is returned.
-func (a *Autoscaler) neverCameUp(now time.Duration, m *machineregistry.Machine, boot time.Duration) bool {
+// bootTimedOut reports whether a machine that has not registered should be given up. The cloud charges for it until it
+// is released.
+func (a *Autoscaler) bootTimedOut(now time.Duration, m *machineregistry.Machine, boot time.Duration) bool {
 	if now-m.RentedAt <= bootTimeoutFactor*boot || now-m.LastHeartbeat <= boot {
 		return false
 	}
 	return m.PlacementCount() == 0 || now >= a.zonePolicies[m.Zone].NoFencingUntil
 }
 
-// isIdle reports whether an empty machine has been idle for long enough to be returned.
+// isIdle reports whether an empty machine has been idle long enough to be released.
 func isIdle(now time.Duration, m *machineregistry.Machine, boot time.Duration) bool {
 	return now-m.IdleSince > boot/idleBootDivisor && now-m.RentedAt > minRentalTime
 }
--- a/internal/coordination/autoscaler/scaleout.go
+++ b/internal/coordination/autoscaler/scaleout.go
@@ -12,32 +12,32 @@
 	"pinebay/internal/protocol"
 )
 
-// machinePool is a set of machines among which the cloud makes no difference.
+// machinePool is a set of machines that the cloud treats as interchangeable.
 type machinePool struct {
 	machineType, zone string
 	spot              bool
 }
 
-// sortKey orders pools, so that the same requests are made in the same order every time.
+// sortKey returns a key by which pools are ordered, so that requests are always made in the same order.
 func (p machinePool) sortKey() string { return fmt.Sprintf("%s %s %t", p.machineType, p.zone, p.spot) }
 
-// pendingRental is a ScaleOut effect without an outcome.
+// pendingRental is a ScaleOut effect whose outcome is not known yet.
 type pendingRental struct {
 	pool  machinePool
 	count int
 }
 
-// poolBackoff keeps a pool from being asked for a while after the cloud had too few machines.
+// poolBackoff delays further requests to a pool after the cloud had too few machines.
 type poolBackoff struct {
-	refusals     int // since the last request that was met in full
+	refusals     int // since the last request that was fulfilled completely
 	blockedUntil time.Duration
 }
 
-// maxBackoffSteps is how many refusals make the time longer for which a pool is not asked. Each
-// adds half of what a list may be stale.
+// maxBackoffSteps is the number of consecutive refusals up to which the backoff grows. Each refusal adds half of the
+// maximum staleness of the machine list.
 const maxBackoffSteps = 4
 
-// RentalOutcome is the outcome of a ScaleOut effect.
+// RentalOutcome is the outcome of a [ScaleOut] effect.
 type RentalOutcome struct {
 	RequestID   string
 	RequestedAt time.Duration
@@ -45,7 +45,7 @@
 	Refused     bool
 }
 
-// HandleScaleOut adds the machines of a rental to the registry. A repeated outcome is ignored.
+// HandleScaleOut adds the rented machines to the registry. It ignores a repeated outcome.
 func (a *Autoscaler) HandleScaleOut(now time.Duration, outcome RentalOutcome) {
 	rental, ok := a.pendingRentals[outcome.RequestID]
 	if !ok {
@@ -69,8 +69,8 @@
 	a.backoff[rental.pool] = backoff
 }
 
-// CanScaleOut reports whether machines for the job can be requested in the zone, as far as the
-// last refusals show.
+// CanScaleOut reports whether machines for the job can be rented in the zone, as far as recent refusals and the zone
+// policies show.
 func (a *Autoscaler) CanScaleOut(
 	now time.Duration,
 	j *protocol.Job,
@@ -80,8 +80,8 @@
 	return ok
 }
 
-// scaleOut returns the effects that meet the demands, and the names of the machines that are used
-// for them: these must not be returned.
+// scaleOut returns the effects that satisfy the demands, and the names of the machines that the demands use, which must
+// not be released.
 func (a *Autoscaler) scaleOut(
 	now time.Duration,
 	demands []Demand,
@@ -100,7 +100,7 @@
 	return a.rentalEffects(p.toRent), p.usedMachines
 }
 
-// countStarting counts the machines of each zone that are requested or booting.
+// countStarting counts the machines per zone that have been rented and have not registered yet.
 func (a *Autoscaler) countStarting() {
 	a.startingByZone = map[string]int{}
 	a.registry.Each(func(m *machineregistry.Machine) {
@@ -113,12 +113,12 @@
 	}
 }
 
-// zoneScarcityWeight makes zones with fewer machines a little cheaper, so that equal prices are
-// spread over the zones.
+// zoneScarcityWeight makes zones with fewer machines slightly cheaper, so that machines of equal price are spread over
+// the zones.
 const zoneScarcityWeight = 1e-3
 
-// choosePool returns the cheapest pool per task of those that suit the demand, or false if there
-// is none. Of pools with the same price the one in the zone with fewer machines is chosen.
+// choosePool returns the suitable pool with the lowest price per task, and false if no pool is suitable. Among pools of
+// equal price, it prefers the zone with fewer machines.
 func (a *Autoscaler) choosePool(
 	now time.Duration,
 	d *Demand,
@@ -138,7 +138,7 @@
 			}
 			for _, spot := range []bool{true, false} {
 				pool := machinePool{machineType: name, zone: zone, spot: spot}
-				if spot && !bearsInterruption(d.Job) || now < a.backoff[pool].blockedUntil {
+				if spot && !toleratesInterruption(d.Job) || now < a.backoff[pool].blockedUntil {
 					continue
 				}
 				price := t.HourlyPrice
@@ -155,31 +155,31 @@
 	return best, !math.IsInf(bestCost, 1)
 }
 
-// canScaleOutIn reports whether the zone's policy allows to request a machine there now.
+// canScaleOutIn reports whether the zone's policy allows renting a machine there now.
 func (a *Autoscaler) canScaleOutIn(zone string) bool {
 	policy := a.zonePolicies[zone]
 	return !policy.NoScaleOut && (!policy.ProbeOnly || a.startingByZone[zone] == 0)
 }
 
-// allowsZone reports whether machines of a zone suit the demand.
+// allowsZone reports whether machines in the zone suit the demand.
 func (d *Demand) allowsZone(zone string) bool {
 	return (d.Zone == "" || zone == d.Zone) && (d.Job.Zone == "" || zone == d.Job.Zone)
 }
 
-// bearsInterruption reports whether spot machines are requested for the job: it must save
-// checkpoints, or an interruption would lose all its progress.
-func bearsInterruption(j *protocol.Job) bool {
+// toleratesInterruption reports whether spot machines may be rented for the job. The job must save checkpoints, or an
+// interruption would lose all its progress.
+func toleratesInterruption(j *protocol.Job) bool {
 	return j.SpotAllowed && j.CheckpointIntervalSeconds != 0
 }
 
-// rentalEffects requests the machines, in as few calls as the cloud's limit allows.
+// rentalEffects returns the effects that rent the machines, in as few calls as the cloud's limit allows.
 func (a *Autoscaler) rentalEffects(wanted map[machinePool]int) (effects []Effect) {
 	pools := slices.SortedFunc(maps.Keys(wanted), func(x, y machinePool) int {
 		return cmp.Compare(x.sortKey(), y.sortKey())
 	})
 	for _, pool := range pools {
-		for left := wanted[pool]; left > 0; left -= protocol.MaxMachinesPerRental {
-			effects = append(effects, a.rentalEffect(pool, min(left, protocol.MaxMachinesPerRental)))
+		for remaining := wanted[pool]; remaining > 0; remaining -= protocol.MaxMachinesPerRental {
+			effects = append(effects, a.rentalEffect(pool, min(remaining, protocol.MaxMachinesPerRental)))
 		}
 	}
 	return effects
@@ -187,7 +187,7 @@
 
 func (a *Autoscaler) rentalEffect(pool machinePool, count int) Effect {
 	a.requestSeq++
-	// The term makes the identifier unique across leaders and restarts.
+	// The term makes the request ID unique across leaders and restarts.
 	id := fmt.Sprintf("r-%d-%d", a.term, a.requestSeq)
 	a.pendingRentals[id] = pendingRental{pool: pool, count: count}
 	return ScaleOut{Rental: protocol.Rental{
