--- a/internal/coordination/demand/demand_test.go
+++ b/internal/coordination/demand/demand_test.go
@@ -34,7 +34,7 @@
 	return &protocol.Job{ID: "j-1", Class: "serve", TaskCount: tasks, CPUs: 1, GPUs: 1, MemoryGB: 1, ImageGB: 1}
 }
 
-// steadyForecast returns a forecast of a class in which a job has arrived every ten seconds for ten minutes.
+// steadyForecast returns a forecast in which a job of one class has arrived every ten seconds for ten minutes.
 func steadyForecast(job *protocol.Job) (f *Forecast, now time.Duration) {
 	f = NewForecast(0)
 	for range 60 {
@@ -48,13 +48,13 @@
 	f, now := steadyForecast(testJob(2))
 	perBoot := testBoot.Seconds() / 10
 	if got := f.ExpectedArrivals(now, "serve", testBoot); got < perBoot || got > 1.5*perBoot {
-		t.Errorf("%v jobs expected, want a little more than %v", got, perBoot)
+		t.Errorf("%v expected arrivals, want between %v and 1.5 times that", got, perBoot)
 	}
 	if got := f.ExpectedArrivals(now, "other", testBoot); got != 0 {
-		t.Errorf("%v jobs expected of a class that never came", got)
+		t.Errorf("%v expected arrivals of a class without arrivals", got)
 	}
 	if got := f.ExpectedArrivals(now+time.Hour, "serve", testBoot); got != 0 {
-		t.Errorf("%v jobs expected of a class that came an hour ago", got)
+		t.Errorf("%v expected arrivals of a class whose last job arrived an hour ago", got)
 	}
 }
 
@@ -64,7 +64,7 @@
 		f.Arrived(testJob(1), time.Second)
 	}
 	if got := f.ExpectedArrivals(time.Second, "serve", testBoot); got > 2*maxBurstArrivals {
-		t.Errorf("%v jobs expected after a burst of 100", got)
+		t.Errorf("%v expected arrivals after a burst of 100", got)
 	}
 }
 
@@ -75,10 +75,10 @@
 	for _, rate := range old.Rates() {
 		next.Inherit(rate)
 	}
-	next.Arrived(testJob(2), now) // it still lives, and the last leader has counted it
+	next.Arrived(testJob(2), now) // the job has not ended, and the previous leader has counted it
 	next.DropInheritedArrivals()
 	if got := next.ExpectedArrivals(now, "serve", testBoot); math.Abs(got-want) > want/10 {
-		t.Errorf("%v jobs expected by the next leader, %v by the last", got, want)
+		t.Errorf("%v expected arrivals after the handover, want about %v", got, want)
 	}
 }
 
@@ -95,7 +95,7 @@
 		name       string
 		objectives Objectives
 		spread     bool
-		zones      int // with headroom
+		zones      int // number of zones with headroom
 		mustBeFree bool
 	}{
 		{name: "no objective"},
@@ -111,12 +111,12 @@
 			f.PlanHeadroom(now, testTypes(), test.objectives)
 			demands := f.Headroom()
 			if len(demands) != test.zones {
-				t.Fatalf("%d demands, want %d", len(demands), test.zones)
+				t.Fatalf("%d demands, want one for each of %d zones", len(demands), test.zones)
 			}
 			for _, d := range demands {
 				if d.Job != job || d.Count == 0 || !d.Headroom || d.MustBeFree != test.mustBeFree ||
 					(d.Zone != "") != test.spread {
-					t.Errorf("demand %+v", d)
+					t.Errorf("unexpected demand %+v", d)
 				}
 			}
 		})
--- a/internal/coordination/demand/forecast.go
+++ b/internal/coordination/demand/forecast.go
@@ -1,6 +1,6 @@
-// Package demand estimates which capacity jobs that have not been submitted yet will need, and divides demand among
-// zones. A Forecast learns from the arrivals of each class how many jobs are likely to come within the time that a
-// new machine takes to boot, and turns that into headroom for the autoscaler. It does no I/O and reads no clock.
+// Package demand forecasts the capacity that jobs not submitted yet will need, and divides demand among zones. A
+// [Forecast] uses the arrivals of each job class to estimate how many jobs are likely to arrive while a new machine
+// boots, and derives from that the headroom for the autoscaler. The package does no I/O and reads no clock.
 package demand
 
 import (
@@ -16,150 +16,150 @@
 )
 
 const (
-	// arrivalMemoryBoots is the time constant by which arrivals lose weight, in boot times.
-	arrivalMemoryBoots = 3
-	// forgetAfterMemories is the age, in time constants, at which an arrival is dropped.
-	forgetAfterMemories = 4
-	// burstBootFraction is the length of a burst, as a fraction of the boot time, and maxBurstArrivals how many
-	// arrivals of one burst count.
-	burstBootFraction = 8
-	maxBurstArrivals  = 2
-	// swingFactor is added to the expected arrivals, since rates swing.
-	swingFactor = 1.2
-	// minExpectedArrivals is the expectation below which no headroom is kept.
+	// arrivalDecayBoots is the time constant, in boot times, of the exponential decay of an arrival's weight.
+	arrivalDecayBoots = 3
+	// dropAfterTimeConstants is the age, in time constants, after which an arrival is dropped.
+	dropAfterTimeConstants = 4
+	// A burst lasts one burstBootDivisor-th of the boot time, and only its first maxBurstArrivals arrivals count.
+	burstBootDivisor = 8
+	maxBurstArrivals = 2
+	// arrivalMargin is the factor by which the expected arrivals are increased, because arrival rates vary.
+	arrivalMargin = 1.2
+	// minExpectedArrivals is the expected number of arrivals below which no headroom is kept.
 	minExpectedArrivals = 0.1
-	// meanTasksWeight is the weight of the past, in jobs, in the moving average of a job's tasks.
-	meanTasksWeight = 8
+	// meanTasksWindow is the window, in jobs, of the exponential moving average of the number of tasks per job.
+	meanTasksWindow = 8
 )
 
-// Forecast is what a leader has learned of the arrivals of each class.
+// Forecast holds what a leader has learned about the arrivals of each job class.
 type Forecast struct {
 	termStartedAt time.Duration
-	classes       map[string]*class
-	headroom      []autoscaler.Demand // of the last plan
+	classes       map[string]*classStats
+	headroom      []autoscaler.Demand // from the last PlanHeadroom
 }
 
-// class is what is known of the arrivals of one class.
-type class struct {
-	arrivals  []time.Duration // the newest last
+// classStats holds the arrival statistics of one job class.
+type classStats struct {
+	arrivals  []time.Duration // oldest first
 	newestJob *protocol.Job   // nil if none has arrived in this term
 	meanTasks float64
-	// inherited is how many arrivals the last leader counted, valid if isInherited is set.
-	inherited   float64
-	isInherited bool
-	// counted is the number of arrivals at the last estimate, each with its weight, valid if isCounted is set.
-	counted   float64
-	isCounted bool
+	// inheritedArrivals is the weighted arrival count of the previous leader, valid if hasInherited is set.
+	inheritedArrivals float64
+	hasInherited      bool
+	// weightedCount is the weighted number of arrivals at the last estimate, valid if hasWeightedCount is set.
+	weightedCount    float64
+	hasWeightedCount bool
 }
 
-// ClassRate is what the next leader needs to go on with the forecast of a class.
+// ClassRate holds the arrival statistics of a class that a leader hands over to the next one.
 type ClassRate struct {
 	Class     string
-	Arrivals  float64 // in the memory, each with its weight
+	Arrivals  float64 // number of recent arrivals, weighted by age
 	MeanTasks float64
 }
 
-// NewForecast returns the forecast of a term in which nothing has arrived yet.
+// NewForecast returns a forecast without any arrivals for the term that started at the given time.
 func NewForecast(termStartedAt time.Duration) *Forecast {
-	return &Forecast{termStartedAt: termStartedAt, classes: map[string]*class{}}
+	return &Forecast{termStartedAt: termStartedAt, classes: map[string]*classStats{}}
 }
 
-func (f *Forecast) class(name string) *class {
-	k := f.classes[name]
-	if k == nil {
-		k = &class{}
-		f.classes[name] = k
+func (f *Forecast) getOrCreateClass(name string) *classStats {
+	c := f.classes[name]
+	if c == nil {
+		c = &classStats{}
+		f.classes[name] = c
 	}
-	return k
+	return c
 }
 
-// Arrived records that a job which may start came at the given time.
+// Arrived records the arrival of a job that may start.
 func (f *Forecast) Arrived(job *protocol.Job, at time.Duration) {
-	k := f.class(job.Class)
-	k.arrivals = append(k.arrivals, at)
-	k.newestJob = job
-	if k.meanTasks > 0 {
-		k.meanTasks += (float64(job.TaskCount) - k.meanTasks) / meanTasksWeight
+	c := f.getOrCreateClass(job.Class)
+	c.arrivals = append(c.arrivals, at)
+	c.newestJob = job
+	if c.meanTasks > 0 {
+		c.meanTasks += (float64(job.TaskCount) - c.meanTasks) / meanTasksWindow
 	} else {
-		k.meanTasks = float64(job.TaskCount)
+		c.meanTasks = float64(job.TaskCount)
 	}
 }
 
-// Inherit takes over what the last leader knew of a class.
+// Inherit restores the statistics of a class from the previous leader.
 func (f *Forecast) Inherit(rate ClassRate) {
-	k := f.class(rate.Class)
-	k.inherited, k.isInherited = rate.Arrivals, true
-	k.meanTasks = rate.MeanTasks
+	c := f.getOrCreateClass(rate.Class)
+	c.inheritedArrivals, c.hasInherited = rate.Arrivals, true
+	c.meanTasks = rate.MeanTasks
 }
 
-// DropInheritedArrivals forgets the arrivals of classes that were inherited: the jobs that still live were counted
-// by the last leader already.
+// DropInheritedArrivals drops the arrivals recorded in this term for classes whose statistics were inherited. These are
+// the arrivals of recovered jobs, which the previous leader has already counted.
 func (f *Forecast) DropInheritedArrivals() {
-	for _, k := range f.classes {
-		if k.isInherited {
-			k.arrivals = nil
+	for _, c := range f.classes {
+		if c.hasInherited {
+			c.arrivals = nil
 		}
 	}
 }
 
-// Rates returns what is known of each class that was estimated, in the order of their names.
+// Rates returns the statistics of each class for which an estimate was made, sorted by class name.
 func (f *Forecast) Rates() []ClassRate {
 	var rates []ClassRate
 	for _, name := range slices.Sorted(maps.Keys(f.classes)) {
-		if k := f.classes[name]; k.isCounted {
-			rates = append(rates, ClassRate{Class: name, Arrivals: k.counted, MeanTasks: k.meanTasks})
+		if c := f.classes[name]; c.hasWeightedCount {
+			rates = append(rates, ClassRate{Class: name, Arrivals: c.weightedCount, MeanTasks: c.meanTasks})
 		}
 	}
 	return rates
 }
 
-// ExpectedArrivals returns how many jobs of a class are likely to come within one boot time. Arrivals count for
-// less as they age.
+// ExpectedArrivals returns the number of jobs of a class that are likely to arrive within one boot time. The weight of
+// an arrival decays with its age.
 func (f *Forecast) ExpectedArrivals(now time.Duration, className string, boot time.Duration) float64 {
-	k := f.classes[className]
-	if k == nil {
+	c := f.classes[className]
+	if c == nil {
 		return 0
 	}
-	memory := arrivalMemoryBoots * boot
-	k.forgetBefore(now - forgetAfterMemories*memory)
-	inherited := k.inherited * math.Exp(-(now-f.termStartedAt).Seconds()/memory.Seconds())
-	if len(k.arrivals) == 0 && inherited == 0 {
+	timeConstant := arrivalDecayBoots * boot
+	c.dropBefore(now - dropAfterTimeConstants*timeConstant)
+	inheritedArrivals := c.inheritedArrivals * math.Exp(-(now-f.termStartedAt).Seconds()/timeConstant.Seconds())
+	if len(c.arrivals) == 0 && inheritedArrivals == 0 {
 		return 0
 	}
-	sum := k.weightedArrivals(now, boot, memory)
-	k.counted, k.isCounted = sum+inherited, true
-	if inherited > 0 {
-		return swingFactor * (sum + inherited) * boot.Seconds() / memory.Seconds()
+	sum := c.weightedArrivals(now, boot, timeConstant)
+	c.weightedCount, c.hasWeightedCount = sum+inheritedArrivals, true
+	if inheritedArrivals > 0 {
+		return arrivalMargin * (sum + inheritedArrivals) * boot.Seconds() / timeConstant.Seconds()
 	}
-	// Arrivals of so short a time that they could not age yet count as if they had come within two boot times.
-	seen := 1 - math.Exp(-max(now-k.arrivals[0], 2*boot).Seconds()/memory.Seconds())
-	return swingFactor * sum * boot.Seconds() / memory.Seconds() / seen
+	// The sum is scaled up by the part of the time constant that has been observed. At least two boot times count as
+	// observed, or a few arrivals in quick succession would be extrapolated too far.
+	observedFraction := 1 - math.Exp(-max(now-c.arrivals[0], 2*boot).Seconds()/timeConstant.Seconds())
+	return arrivalMargin * sum * boot.Seconds() / timeConstant.Seconds() / observedFraction
 }
 
-// forgetBefore drops the arrivals before a time.
-func (k *class) forgetBefore(oldest time.Duration) {
-	for len(k.arrivals) > 0 && k.arrivals[0] < oldest {
-		k.arrivals = k.arrivals[1:]
+// dropBefore drops the arrivals before the given time.
+func (c *classStats) dropBefore(oldest time.Duration) {
+	for len(c.arrivals) > 0 && c.arrivals[0] < oldest {
+		c.arrivals = c.arrivals[1:]
 	}
 }
 
-// weightedArrivals returns the sum of the arrivals' weights. A burst, as when a fleet is opened, says little of the
-// rate, so only the first arrivals of one count.
-func (k *class) weightedArrivals(now, boot, memory time.Duration) float64 {
+// weightedArrivals returns the sum of the arrivals' weights. Only the first arrivals of a burst count, because a burst,
+// such as the submissions when a fleet goes into service, says little about the arrival rate.
+func (c *classStats) weightedArrivals(now, boot, timeConstant time.Duration) float64 {
 	sum, inBurst, burstStart := 0.0, 0, time.Duration(math.MinInt64/2)
-	for _, at := range k.arrivals {
-		if at-burstStart > boot/burstBootFraction {
+	for _, at := range c.arrivals {
+		if at-burstStart > boot/burstBootDivisor {
 			burstStart, inBurst = at, 0
 		}
 		if inBurst++; inBurst <= maxBurstArrivals {
-			sum += math.Exp(-(now - at).Seconds() / memory.Seconds())
+			sum += math.Exp(-(now - at).Seconds() / timeConstant.Seconds())
 		}
 	}
 	return sum
 }
 
-// bootAndStart returns how long the machine type that has a job's task running first takes to boot, and to boot and
-// fetch the image, in seconds. The latter is infinite if no type will do.
+// bootAndStart considers the suitable machine type on which a task of the job starts soonest. It returns the type's
+// boot time and its time to boot and to fetch the image, in seconds. The latter is infinite if no type is suitable.
 func bootAndStart(types map[string]*protocol.MachineType, job *protocol.Job) (boot, start float64) {
 	start = math.Inf(1)
 	for _, t := range types {
@@ -173,26 +173,26 @@
 	return boot, start
 }
 
-// mustBeFree reports whether there is no time to preempt other work first: when even a fetch at the slowest rate
-// that is reckoned with outlasts the objective.
-func mustBeFree(objective, fetch float64) bool {
+// noTimeToPreempt reports whether the start latency objective leaves no time to preempt other tasks first. That is so
+// if even a fetch of the image alone, at the slowest rate to be expected, takes longer than the objective.
+func noTimeToPreempt(objective, fetch float64) bool {
 	return objective < fetch*machineregistry.SlowFetchFactor
 }
 
-// Headroom returns the headroom of the last plan.
+// Headroom returns the headroom from the last call of PlanHeadroom.
 func (f *Forecast) Headroom() []autoscaler.Demand { return f.headroom }
 
-// PlanHeadroom plans the capacity to be kept for classes whose start latency objective is shorter than a new machine
-// takes to boot and to fetch their image.
+// PlanHeadroom computes the headroom for classes whose start latency objective is shorter than the time that a new
+// machine needs to boot and to fetch the image.
 func (f *Forecast) PlanHeadroom(now time.Duration, types map[string]*protocol.MachineType, objectives Objectives) {
 	f.headroom = nil
 	for _, name := range slices.Sorted(maps.Keys(f.classes)) {
-		k := f.classes[name]
-		if k.newestJob == nil {
+		c := f.classes[name]
+		if c.newestJob == nil {
 			continue
 		}
 		objective := objectives.startLatency(name)
-		boot, start := bootAndStart(types, k.newestJob)
+		boot, start := bootAndStart(types, c.newestJob)
 		if objective >= start || math.IsInf(start, 1) {
 			continue
 		}
@@ -200,25 +200,27 @@
 		if expected < minExpectedArrivals {
 			continue
 		}
-		jobs := expected + objectives.deviations(name)*math.Sqrt(expected)
-		tasks := int(math.Round(jobs * k.meanTasks))
-		f.headroom = append(f.headroom, headroomFor(k.newestJob, types, tasks, mustBeFree(objective, start-boot))...)
+		jobs := expected + objectives.standardDeviations(name)*math.Sqrt(expected)
+		tasks := int(math.Round(jobs * c.meanTasks))
+		f.headroom = append(
+			f.headroom,
+			headroomFor(c.newestJob, types, tasks, noTimeToPreempt(objective, start-boot))...)
 	}
 }
 
-// headroomFor returns the headroom for a number of tasks like those of a job.
+// headroomFor returns the headroom for the given number of tasks, each like those of the job.
 func headroomFor(
-	job *protocol.Job, types map[string]*protocol.MachineType, tasks int, free bool,
+	job *protocol.Job, types map[string]*protocol.MachineType, tasks int, mustBeFree bool,
 ) []autoscaler.Demand {
 	if tasks == 0 {
 		return nil
 	}
 	if !job.Spread {
-		return []autoscaler.Demand{{Job: job, Count: tasks, Headroom: true, MustBeFree: free}}
+		return []autoscaler.Demand{{Job: job, Count: tasks, Headroom: true, MustBeFree: mustBeFree}}
 	}
 	demands := SpreadOverZones(job, AllowedZones(types, job), nil, (tasks+1)/2, tasks)
 	for i := range demands {
-		demands[i].Headroom, demands[i].MustBeFree = true, free
+		demands[i].Headroom, demands[i].MustBeFree = true, mustBeFree
 	}
 	return demands
 }
--- a/internal/coordination/demand/objectives.go
+++ b/internal/coordination/demand/objectives.go
@@ -6,14 +6,14 @@
 	"pinebay/internal/config"
 )
 
-// Objectives are the service-level objectives that headroom is kept for.
+// Objectives holds the service-level objectives for which headroom is kept.
 type Objectives struct {
-	// StartLatencySeconds is the shortest time to start that is asked for, by class.
+	// StartLatencySeconds is the shortest start latency objective of each class.
 	StartLatencySeconds map[string]float64
 	All                 []config.Objective
 }
 
-// startLatency returns the start latency objective of a class in seconds, or infinity.
+// startLatency returns the start latency objective of a class in seconds, or infinity if it has none.
 func (o Objectives) startLatency(class string) float64 {
 	if seconds, ok := o.StartLatencySeconds[class]; ok {
 		return seconds
@@ -21,15 +21,15 @@
 	return math.Inf(1)
 }
 
-// Bounds of the fraction of starts in time that headroom is kept for.
+// Bounds on the fraction of jobs that must start within the objective.
 const (
 	defaultFraction = 0.5
 	maxFraction     = 0.999
 )
 
-// deviations returns how many standard deviations above the expected arrivals meet the fraction of starts in time
-// that is asked for a class.
-func (o Objectives) deviations(class string) float64 {
+// standardDeviations returns how many standard deviations above the expected number of arrivals the headroom must
+// cover, so that the required fraction of a class's jobs starts within the objective.
+func (o Objectives) standardDeviations(class string) float64 {
 	fraction := defaultFraction
 	for _, objective := range o.All {
 		if objective.Kind == config.ObjectiveStartLatency && objective.Class == class {
--- a/internal/coordination/demand/zones.go
+++ b/internal/coordination/demand/zones.go
@@ -8,7 +8,7 @@
 	"pinebay/internal/protocol"
 )
 
-// AllowedZones returns the zones with machine types that a job allows, in order.
+// AllowedZones returns the zones, sorted by name, that a job allows and that offer a machine type it allows.
 func AllowedZones(types map[string]*protocol.MachineType, job *protocol.Job) []string {
 	zones := map[string]bool{}
 	for _, t := range types {
@@ -24,14 +24,14 @@
 	return slices.Sorted(maps.Keys(zones))
 }
 
-// SpreadOverZones returns the demand for up to so many tasks of a job, each in the zone that has the fewest of its
-// tasks so far. No zone gets more than a maximum, in which the tasks that are placed already count.
+// SpreadOverZones returns the demand for up to the given number of tasks of a job. It assigns each task to the zone
+// with the fewest tasks of the job so far. No zone gets more than maxPerZone tasks, including those already placed.
 func SpreadOverZones(
 	job *protocol.Job, zones []string, placed map[string]int, maxPerZone, tasks int,
 ) []autoscaler.Demand {
 	added := map[string]int{}
 	for ; tasks > 0; tasks-- {
-		zone, ok := emptiestZone(zones, placed, added, maxPerZone)
+		zone, ok := leastLoadedZone(zones, placed, added, maxPerZone)
 		if !ok {
 			break
 		}
@@ -46,13 +46,13 @@
 	return demands
 }
 
-// emptiestZone returns the first zone with the fewest tasks, of those with fewer than the maximum.
-func emptiestZone(zones []string, placed, added map[string]int, maxPerZone int) (emptiest string, ok bool) {
+// leastLoadedZone returns the first of the zones with the fewest tasks, among those with fewer than maxPerZone.
+func leastLoadedZone(zones []string, placed, added map[string]int, maxPerZone int) (leastLoaded string, ok bool) {
 	for _, zone := range zones {
 		tasks := placed[zone] + added[zone]
-		if tasks < maxPerZone && (!ok || tasks < placed[emptiest]+added[emptiest]) {
-			emptiest, ok = zone, true
+		if tasks < maxPerZone && (!ok || tasks < placed[leastLoaded]+added[leastLoaded]) {
+			leastLoaded, ok = zone, true
 		}
 	}
-	return emptiest, ok
+	return leastLoaded, ok
 }
