--- a/internal/coordination/imagehints/imagehints.go
+++ b/internal/coordination/imagehints/imagehints.go
@@ -1,8 +1,9 @@
-// Package imagehints decides which records are written of the container images that machines have cached.
+// Package imagehints chooses which records to write about the container images that machines have cached.
 //
-// A new leader reads them, so that it doesn't send tasks to fetch an image that lies ready on another machine. They
-// are hints: nothing depends on them for correctness, and their writes yield to all others. The package does no
-// I/O: the scheduler submits what Next returns and reports the outcome to Written.
+// A new leader reads the records, so that it does not place tasks on machines that have to fetch an image while other
+// machines have it cached. The records are hints: correctness does not depend on them, and their writes have the lowest
+// priority. The package does no I/O: the scheduler submits the change that [Writer.Next] returns and reports its
+// outcome to [Writer.Written].
 package imagehints
 
 import (
@@ -17,46 +18,46 @@
 	"pinebay/internal/storage"
 )
 
-// Interval is the least time between two writes.
+// Interval is the minimum time between two writes.
 const Interval = 10 * time.Second
 
-// Hints are what the records say.
+// Hints holds the content of the records.
 type Hints struct {
-	// Images are the cached images of each machine.
+	// Images holds the cached images by machine name.
 	Images map[string][]machineregistry.CachedImage
-	// Arrivals are what the leader remembers of the arrivals of jobs, in the order of their classes.
+	// Arrivals holds the arrival statistics of job classes, sorted by class name.
 	Arrivals []storage.ClassArrivals
 }
 
-// Limits are how large records and transactions may be.
+// Limits holds the maximum sizes of records and transactions.
 type Limits struct {
 	ValueKB       float64
 	MaxOperations int
 }
 
-// Change is a set of records to be written and deleted in one transaction.
+// Change is a set of records to write and to delete in one transaction.
 type Change struct {
 	Ops []protocol.Op
 }
 
-// Writer knows the stored records, and chooses what is written next.
+// Writer keeps track of the stored records and chooses which ones to write next.
 type Writer struct {
-	// stored are the records by their keys; one that was found at the beginning of the term is "", so that it is
-	// written again or deleted.
+	// stored holds the value of each stored record by key. The value of a record recovered at the start of the term is
+	// "", so that the record is either rewritten or deleted.
 	stored      map[string]string
-	lastKey     string // of the last record that was chosen to be written
+	lastKey     string // key of the last record chosen for a write
 	inFlight    bool
 	lastAttempt time.Duration
 }
 
-// NewWriter returns a writer that knows of no records, and chooses none before the interval is over.
+// NewWriter returns a writer without stored records. The first write is due one interval after now.
 func NewWriter(now time.Duration) *Writer {
 	return &Writer{stored: map[string]string{}, lastAttempt: now}
 }
 
 var errMalformed = errors.New("malformed image hint")
 
-// Recover decodes a stored record and notes that it exists.
+// Recover decodes a stored record and registers its key as stored.
 func (w *Writer) Recover(record protocol.KeyValue) (Hints, error) {
 	var page storage.ImageHintRecord
 	if err := protocol.Decode(record.Value, &page); err != nil {
@@ -79,16 +80,16 @@
 	return hints, nil
 }
 
-// Due reports whether it is time for another write.
+// Due reports whether the next write is due.
 func (w *Writer) Due(now time.Duration) bool {
 	return !w.inFlight && now-w.lastAttempt >= Interval
 }
 
-// Next returns the records that differ from what is stored, up to half of what a transaction may hold. ok is false
-// if there is nothing to write; otherwise the outcome must be reported to Written.
+// Next returns the changes to the stored records, up to half of the operations that a transaction may hold. It returns
+// false if there is nothing to write. Otherwise the caller must report the outcome to Written.
 func (w *Writer) Next(now time.Duration, hints Hints, limits Limits) (change Change, ok bool) {
 	w.lastAttempt = now
-	pages := encode(hints, limits.ValueKB)
+	pages := encodePages(hints, limits.ValueKB)
 	full := func() bool { return len(change.Ops) >= limits.MaxOperations/2 }
 	for _, key := range slices.Sorted(maps.Keys(w.stored)) {
 		if pages[key] == nil && !full() {
@@ -105,7 +106,7 @@
 	return change, w.inFlight
 }
 
-// Written applies the outcome of a change. What failed is written anew the next time.
+// Written applies the outcome of a change. A failed change is retried by a later Next.
 func (w *Writer) Written(change Change, succeeded bool) {
 	w.inFlight = false
 	if !succeeded {
@@ -120,18 +121,18 @@
 	}
 }
 
-// encode returns the records of all machines by their keys.
-func encode(hints Hints, valueKB float64) map[string][]byte {
+// encodePages returns the records about all machines by key.
+func encodePages(hints Hints, valueKB float64) map[string][]byte {
 	names := slices.Sorted(maps.Keys(hints.Images))
 	pages := map[string][]byte{}
 	number := 0
 	for machines := range slices.Chunk(names, storage.MachinesPerImageHint(valueKB)) {
-		page := pageOf(machines, hints.Images)
+		page := buildPage(machines, hints.Images)
 		if number == 0 {
 			page.Arrivals = hints.Arrivals
 		}
 		value, err := protocol.Encode(page)
-		if err == nil && storage.FitsValueLimit(value, valueKB) { // else the names are too long for a hint
+		if err == nil && storage.FitsValueLimit(value, valueKB) { // else the names are too long
 			pages[storage.ImageHintKey(number)] = value
 		}
 		number++
@@ -139,8 +140,8 @@
 	return pages
 }
 
-// pageOf returns the record of some machines, which names each image once.
-func pageOf(machines []string, images map[string][]machineregistry.CachedImage) storage.ImageHintRecord {
+// buildPage returns the record about the given machines. Each image name appears in it once.
+func buildPage(machines []string, images map[string][]machineregistry.CachedImage) storage.ImageHintRecord {
 	var page storage.ImageHintRecord
 	index := map[string]int{}
 	for _, name := range machines {
@@ -160,8 +161,8 @@
 	return page
 }
 
-// rotateAfter returns sorted keys from the one after the given key on, and then those before it: a transaction
-// holds a few of them, and each must have its turn.
+// rotateAfter returns the sorted keys, starting with the first key after last and wrapping around. A transaction holds
+// only some of the records, so each write continues where the previous one stopped.
 func rotateAfter(last string, keys []string) []string {
 	i, found := slices.BinarySearch(keys, last)
 	if found {
--- a/internal/coordination/imagehints/imagehints_test.go
+++ b/internal/coordination/imagehints/imagehints_test.go
@@ -14,7 +14,7 @@
 
 func TestMain(m *testing.M) { testutil.Main(m) }
 
-// Whatever was written last, the next turn begins after it and leaves no key out.
+// TestRotateAfter checks that the keys start after the last written one and that none is left out.
 func TestRotateAfter(t *testing.T) {
 	keys := []string{"a", "b", "c"}
 	for last, want := range map[string]string{"": "abc", "a": "bca", "bb": "cab", "c": "abc", "z": "abc"} {
@@ -28,8 +28,8 @@
 	}
 }
 
-// fleet returns hints about machines that have an image each.
-func fleet(machines int, image string) Hints {
+// fleetHints returns hints about the given number of machines, each with the same image.
+func fleetHints(machines int, image string) Hints {
 	hints := Hints{Images: map[string][]machineregistry.CachedImage{}}
 	for i := range machines {
 		name := fmt.Sprintf("host-%06d", i)
@@ -38,7 +38,7 @@
 	return hints
 }
 
-// keysOf returns the keys that a change writes.
+// keysOf returns the keys that a change writes or deletes.
 func keysOf(change Change) (keys []string) {
 	for _, op := range change.Ops {
 		keys = append(keys, op.PutKey+op.DeleteKey)
@@ -46,8 +46,8 @@
 	return keys
 }
 
-// All records are written in the end, a few at a time and not more often than the interval allows, and again only
-// once something has changed.
+// TestWriterWritesEachRecordOnce checks that all records are written in batches, no more often than the interval
+// allows, and that none is written again until it changes.
 func TestWriterWritesEachRecordOnce(t *testing.T) {
 	limits := Limits{ValueKB: 1, MaxOperations: 4}
 	writer, now := NewWriter(0), time.Duration(0)
@@ -63,40 +63,40 @@
 		}
 		change, ok := writer.Next(now, hints, limits)
 		if ok == writer.Due(now+Interval) {
-			t.Errorf("with a write in flight %v: due %v", ok, writer.Due(now+Interval))
+			t.Errorf("change returned: %v, but next write due: %v", ok, writer.Due(now+Interval))
 		}
 		if ok {
 			writer.Written(change, true)
 		}
 		return keysOf(change)
 	}
-	hints := fleet(machines, "a")
+	hints := fleetHints(machines, "a")
 	var written []string
 	for range 3 {
 		written = append(written, write(hints)...)
 	}
 	want := []string{"warm/0000", "warm/0001", "warm/0002", "warm/0003", "warm/0004"}
 	if !slices.Equal(written, want) {
-		t.Errorf("written %v, want %v", written, want)
+		t.Errorf("wrote %v, want %v", written, want)
 	}
 	if got := write(hints); len(got) > 0 {
-		t.Errorf("written without a change: %v", got)
+		t.Errorf("wrote %v although nothing has changed", got)
 	}
-	if got := write(fleet(machines, "b")); !slices.Equal(got, want[:2]) {
-		t.Errorf("after a change %v is written, want %v", got, want[:2])
+	if got := write(fleetHints(machines, "b")); !slices.Equal(got, want[:2]) {
+		t.Errorf("wrote %v after a change, want %v", got, want[:2])
 	}
-	if got := write(fleet(1, "b")); !slices.Equal(got, want[1:3]) {
-		t.Errorf("with a machine left %v is deleted, want %v", got, want[1:3])
+	if got := write(fleetHints(1, "b")); !slices.Equal(got, want[1:3]) {
+		t.Errorf("deleted %v with one machine left, want %v", got, want[1:3])
 	}
 }
 
 func TestFailedWriteIsRepeated(t *testing.T) {
-	writer, hints := NewWriter(0), fleet(1, "a")
+	writer, hints := NewWriter(0), fleetHints(1, "a")
 	limits := Limits{ValueKB: 8, MaxOperations: 16}
 	for attempt := range 2 {
 		change, ok := writer.Next(0, hints, limits)
 		if !ok || len(change.Ops) != 1 {
-			t.Fatalf("attempt %d: %v", attempt, change)
+			t.Fatalf("attempt %d: change %v, want one operation", attempt, change)
 		}
 		writer.Written(change, false)
 	}
@@ -104,7 +104,7 @@
 
 func TestRecover(t *testing.T) {
 	first := NewWriter(0)
-	hints := fleet(3, "a")
+	hints := fleetHints(3, "a")
 	hints.Arrivals = []storage.ClassArrivals{{Class: "train", Jobs: 1.25, MeanTasks: 8}}
 	change, _ := first.Next(0, hints, Limits{ValueKB: 8, MaxOperations: 16})
 	stored := protocol.KeyValue{Key: change.Ops[0].PutKey, Value: change.Ops[0].Value}
@@ -119,7 +119,7 @@
 	}
 	if change, ok := next.Next(0, Hints{}, Limits{ValueKB: 8, MaxOperations: 16}); !ok ||
 		change.Ops[0].DeleteKey != stored.Key {
-		t.Errorf("a record about no machine is not deleted: %v", change)
+		t.Errorf("change %v, want the deletion of the record about machines that no longer exist", change)
 	}
 	for name, record := range map[string]storage.ImageHintRecord{
 		"fewer sizes than images": {Images: []string{"a", "b"}, SizesGB: []float64{1}},
@@ -134,6 +134,6 @@
 		}
 	}
 	if _, err := next.Recover(protocol.KeyValue{Key: "warm/0001", Value: []byte("x")}); err == nil {
-		t.Error("nonsense: no error")
+		t.Error("undecodable record: no error")
 	}
 }
