--- a/internal/coordination/zonefailover/borrowing.go
+++ b/internal/coordination/zonefailover/borrowing.go
@@ -11,29 +11,29 @@
 )
 
 const (
-	// searchesPerCore is for how many jobs a whole core searches for capacity in a cycle, next to its other work: a
-	// search among a hundred full machines takes it a millisecond or two.
+	// searchesPerCore is the number of capacity searches per cycle for one whole CPU core, which does other work as
+	// well. A search among a hundred full machines takes a core one to two milliseconds.
 	searchesPerCore = 100
-	// minSearches is for how many jobs capacity is searched for in a cycle on however small a part of a core.
+	// minSearches is the minimum number of capacity searches per cycle, however small the controller's CPU share is.
 	minSearches = 2
-	// searchRetryCycles is after how many cycles capacity is searched for again for a job for which there was none.
+	// searchRetryCycles is the number of cycles after which a search is repeated for a job that found no capacity.
 	searchRetryCycles = 3
-	// disturbanceHeartbeats is what it costs that one more job lends capacity, in times of the heartbeat interval.
-	disturbanceHeartbeats = 3
+	// disruptionHeartbeats is the cost of preempting tasks of one more job, as a multiple of the heartbeat interval.
+	disruptionHeartbeats = 3
 )
 
-// Borrower is a job for which capacity is searched.
+// Borrower is a job that needs capacity.
 type Borrower struct {
 	Job       *protocol.Job
 	Need      machineregistry.Resources // of one task
-	Priority  int                       // level of its priority, 0 for the highest
-	OnlyZone  string                    // that its tasks may start in, or ""
-	MaxInZone int                       // how many of its tasks may be in one zone
-	InZone    map[string]int            // tasks that it has placed, by zone
+	Priority  int                       // priority level, 0 is the highest
+	OnlyZone  string                    // the only zone that its tasks may start in, or ""
+	MaxInZone int                       // maximum number of its tasks in one zone
+	InZone    map[string]int            // number of placed tasks by zone
 }
 
-// MayBorrow reports whether a job may borrow capacity: it has lost tasks with a zone that is not available again. It
-// is false for a nil Manager.
+// MayBorrow reports whether a job may borrow capacity, because it lost tasks with a zone that is not available again.
+// It returns false for a nil Manager.
 func (m *Manager) MayBorrow(jobID string) bool {
 	if m == nil {
 		return false
@@ -42,10 +42,12 @@
 	return displaced && m.monitor.State(zone) != Available
 }
 
-// MaySearch reports whether capacity may be searched for now for a job, given earlier searches in vain.
-func (m *Manager) MaySearch(now time.Duration, jobID string) bool { return now >= m.nextSearch[jobID] }
+// MaySearch reports whether a capacity search is allowed for a job now. After a failed search the next one is delayed.
+func (m *Manager) MaySearch(now time.Duration, jobID string) bool {
+	return now >= m.nextSearchAt[jobID]
+}
 
-// AcquireSearch reports whether capacity to borrow may be searched for now for a job, and counts the search.
+// AcquireSearch reports whether a capacity search for a job is within the budget of the current cycle, and counts it.
 func (m *Manager) AcquireSearch(now time.Duration, jobID string) bool {
 	if !m.MaySearch(now, jobID) {
 		return false
@@ -57,17 +59,18 @@
 	return m.searchesInCycle <= m.searchBudget()
 }
 
-// searchBudget is for how many jobs capacity may be searched for in a cycle.
+// searchBudget returns the maximum number of capacity searches per cycle.
 func (m *Manager) searchBudget() int {
 	return max(minSearches, int(searchesPerCore*m.options.Settings.Quota.CoreShare))
 }
 
-// DelaySearch puts off the next search for a job for which no capacity was found.
+// DelaySearch delays the next search for a job for which no capacity was found.
 func (m *Manager) DelaySearch(now time.Duration, jobID string) {
-	m.nextSearch[jobID] = now + searchRetryCycles*m.options.CycleInterval
+	m.nextSearchAt[jobID] = now + searchRetryCycles*m.options.CycleInterval
 }
 
-// Request returns the capacity that so many tasks of a job may take in available zones, and false if it may take none.
+// Request returns a request for capacity for the given number of tasks of a job, limited to available zones. It returns
+// false if no zone may take any of the tasks.
 func (m *Manager) Request(borrower *Borrower, tasks int) (CapacityRequest, bool) {
 	perZone := map[string]int{}
 	total := 0
@@ -81,32 +84,32 @@
 		}
 	}
 	return CapacityRequest{
-		Need:            borrower.Need,
-		Tasks:           min(tasks, total),
-		MaxPerZone:      perZone,
-		DisturbanceCost: disturbanceHeartbeats * m.options.Settings.Workers.HeartbeatSeconds,
+		Need:           borrower.Need,
+		Tasks:          min(tasks, total),
+		MaxPerZone:     perZone,
+		DisruptionCost: disruptionHeartbeats * m.options.Settings.Workers.HeartbeatSeconds,
 	}, total > 0
 }
 
-// BorrowableCapacity is the capacity in available zones, free or held by work that may lend it, while it is dealt out
-// to jobs one after the other.
+// BorrowableCapacity tracks the free and lendable capacity in available zones while it is allocated to one job after
+// another.
 type BorrowableCapacity struct {
 	manager  *Manager
 	now      time.Duration
 	machines []*borrowableMachine
-	// usageByTeam is the usage of teams that have lent, less what they have lent.
+	// usageByTeam is the resource usage of teams that have lent capacity, minus what they have lent.
 	usageByTeam map[string]machineregistry.Resources
 	lent        map[TaskAttempt]bool
 }
 
-// borrowableMachine is a machine of an available zone.
+// borrowableMachine is a machine in an available zone.
 type borrowableMachine struct {
 	candidate *candidates.Candidate
-	free      machineregistry.Resources    // less what has been dealt out
-	lenders   []*machineregistry.Placement // that may lend to some job, sorted by task
+	free      machineregistry.Resources    // not allocated yet
+	lenders   []*machineregistry.Placement // tasks that may lend to some job, sorted by task
 }
 
-// BorrowableCapacity returns the capacity on those of the machines that are in available zones.
+// BorrowableCapacity returns the capacity of the given machines that are in available zones.
 func (m *Manager) BorrowableCapacity(now time.Duration, machines []*candidates.Candidate) *BorrowableCapacity {
 	b := &BorrowableCapacity{
 		manager:     m,
@@ -122,7 +125,8 @@
 	return b
 }
 
-// borrowableMachine returns a machine with its possible lenders. What is being stopped counts as free.
+// borrowableMachine returns a machine with its potential lenders. Resources of tasks that are being stopped count as
+// free.
 func (m *Manager) borrowableMachine(candidate *candidates.Candidate) *borrowableMachine {
 	b := &borrowableMachine{candidate: candidate, free: candidate.Free}
 	candidate.Machine.EachPlacement(func(placement *machineregistry.Placement) {
@@ -139,19 +143,19 @@
 	return b
 }
 
-// isLendable reports whether a placement's capacity may be lent at all: never that of the highest priority, nor what
-// has been lent already.
+// isLendable reports whether the capacity of a placement may be lent. Capacity of jobs with the highest priority and
+// capacity that is already lent may not.
 func (m *Manager) isLendable(placement *machineregistry.Placement) bool {
 	return placement.PriorityLevel > 0 && m.options.Jobs.IsActive(placement.Task.JobID) &&
 		!m.ledger.IsLent(attemptOf(placement))
 }
 
-// attemptOf returns the attempt that a placement is of.
+// attemptOf returns the task attempt of a placement.
 func attemptOf(placement *machineregistry.Placement) TaskAttempt {
 	return TaskAttempt{Job: placement.Task.JobID, Task: placement.Task.Index, Attempt: placement.Attempt}
 }
 
-// Choose chooses capacity for a request on the machines that are feasible, without taking it.
+// Choose chooses capacity for a request on the feasible machines, without allocating it.
 func (b *BorrowableCapacity) Choose(
 	borrower *Borrower,
 	request CapacityRequest,
@@ -176,8 +180,8 @@
 	return ChooseLenders(request, offers)
 }
 
-// lendersFor returns the work on a machine that may lend to a job: work of lower priority that its team does not run
-// within its guaranteed quota.
+// lendersFor returns the tasks on a machine that may lend to a job: tasks of lower priority that are not covered by the
+// guaranteed quota of their team.
 func (b *BorrowableCapacity) lendersFor(borrower *Borrower, machine *borrowableMachine) (lenders []Lender) {
 	capacity := machine.candidate.Capacity()
 	for _, placement := range machine.lenders {
@@ -189,10 +193,10 @@
 		}
 		isGang := placement.Job != nil && placement.Job.Shape == protocol.Gang
 		cost := lostWorkSeconds(b.now, placement) * placement.Resources.DominantShare(capacity)
-		// A job that has lent before is the more likely to miss its objectives for it.
+		// A job that has lent before is more likely to miss its objectives if it lends again.
 		cost += float64(b.manager.loansByJob[lender.Job])
 		if isGang {
-			// All of it has to find capacity, and often its image, again.
+			// All tasks of the gang must find capacity again, and often fetch their image again.
 			cost += machine.candidate.Type.BootSeconds
 		}
 		lenders = append(lenders, Lender{Task: lender, Need: placement.Resources, Cost: cost, Gang: isGang})
@@ -200,12 +204,12 @@
 	return lenders
 }
 
-// isProtected reports whether a placement's team uses no more than its guaranteed quota, less what it has lent.
+// isProtected reports whether the usage of a placement's team, minus what it has lent, is within its guaranteed quota.
 func (b *BorrowableCapacity) isProtected(placement *machineregistry.Placement) bool {
 	return b.manager.options.Jobs.FitsGuaranteedQuota(placement.Team, b.teamUsage(placement.Team))
 }
 
-// teamUsage is what a team uses, less what it has lent.
+// teamUsage returns the resource usage of a team, minus what it has lent.
 func (b *BorrowableCapacity) teamUsage(team string) machineregistry.Resources {
 	usage, ok := b.usageByTeam[team]
 	if !ok {
@@ -214,22 +218,23 @@
 	return usage
 }
 
-// Allocate takes capacity for the tasks of a request, on any machine, and returns for how many there is some. A
-// request that must be met whole gets all or nothing.
-func (b *BorrowableCapacity) Allocate(borrower *Borrower, request CapacityRequest, whole bool) int {
+// Allocate allocates capacity for the tasks of a request on any machine and returns the number of tasks that have
+// capacity. If allOrNothing is set, it allocates nothing unless all tasks have capacity.
+func (b *BorrowableCapacity) Allocate(borrower *Borrower, request CapacityRequest, allOrNothing bool) int {
 	choose := b.Choose
 	if borrower.Job.SameZone {
 		choose = b.chooseSingleZone
 	}
 	choice := choose(borrower, request, func(*candidates.Candidate) bool { return true })
-	if whole && len(choice.Picks) < request.Tasks {
+	if allOrNothing && len(choice.Picks) < request.Tasks {
 		return 0
 	}
-	b.take(borrower, choice)
+	b.markAllocated(borrower, choice)
 	return len(choice.Picks)
 }
 
-// chooseSingleZone chooses capacity in one zone: the cheapest of those with capacity for most tasks.
+// chooseSingleZone chooses capacity in a single zone: the one with capacity for the most tasks, and the cheapest of
+// several such zones.
 func (b *BorrowableCapacity) chooseSingleZone(
 	borrower *Borrower,
 	request CapacityRequest,
@@ -245,8 +250,8 @@
 	return best
 }
 
-// take takes the capacity of a choice, so that it is not dealt out again.
-func (b *BorrowableCapacity) take(borrower *Borrower, choice Choice) {
+// markAllocated marks the capacity of a choice as allocated.
+func (b *BorrowableCapacity) markAllocated(borrower *Borrower, choice Choice) {
 	for _, machine := range b.machines {
 		for _, placement := range machine.lenders {
 			if !slices.Contains(choice.Lenders, attemptOf(placement)) {
@@ -264,10 +269,10 @@
 	}
 }
 
-// ViolatesQuota reports whether a choice as a whole would take from what a team is guaranteed: each lender alone is
-// beyond its team's guaranteed quota, but several together may not be.
+// ViolatesQuota reports whether a choice as a whole would take capacity from a team's guaranteed quota. Each lender on
+// its own is beyond the guaranteed quota, but several lenders of one team together may reach into it.
 func (b *BorrowableCapacity) ViolatesQuota(choice Choice) bool {
-	usage := map[string]machineregistry.Resources{} // by team, less what it lends by this choice
+	usage := map[string]machineregistry.Resources{} // by team, minus what this choice lends
 	for _, machine := range b.machines {
 		for _, placement := range machine.lenders {
 			if !slices.Contains(choice.Lenders, attemptOf(placement)) {
--- a/internal/coordination/zonefailover/decisions.go
+++ b/internal/coordination/zonefailover/decisions.go
@@ -5,36 +5,36 @@
 	"time"
 )
 
-// Decision is something that was decided because of a zone, with its reasons.
+// Decision is an event or action of zone failover that is reported to the log, with its reasons.
 type Decision interface {
-	// Describe returns the decision in words, for logs.
+	// Describe returns a description of the decision for logs.
 	Describe() string
 	decision()
 }
 
 type (
-	// ZoneChanged says that a zone has changed its state.
+	// ZoneChanged reports a state change of a zone.
 	ZoneChanged struct{ Change }
-	// RecoveryOrderInEffect says in which order work recovers.
+	// RecoveryOrderInEffect reports the order in which work recovers.
 	RecoveryOrderInEffect struct {
 		Order string
-		// ZoneCount is how many zones there are; with a single one there is nothing to do.
+		// ZoneCount is the number of zones. With a single zone, failover has nothing to do.
 		ZoneCount int
 	}
-	// LoanMade says that a loan was opened.
+	// LoanMade reports that a loan was opened.
 	LoanMade struct{ Loan }
-	// LoanEnded says how a loan has ended.
+	// LoanEnded reports the outcome of a loan.
 	LoanEnded struct {
 		Loan
 		Outcome LoanOutcome
 	}
-	// MachineFenced says that a machine of a lost zone is terminated, which proves its tasks gone, since there is
-	// capacity elsewhere for those of the named job.
+	// MachineFenced reports that a machine of a lost zone is fenced because there is capacity elsewhere for the named
+	// job's tasks. The termination proves that no task runs on the machine any more.
 	MachineFenced struct {
 		Machine, Zone, Job string
 		LostFor            time.Duration
 	}
-	// RecordIgnored says that a record, or a loan of it, cannot be used. What it holds counts as ended.
+	// RecordIgnored reports that a record, or one of its loans, cannot be used. Such loans count as ended.
 	RecordIgnored struct{ Key, Reason string }
 )
 
@@ -48,7 +48,7 @@
 // Describe implements Decision.
 func (d ZoneChanged) Describe() string {
 	return fmt.Sprintf(
-		"zone %s was %s and is %s (%s), watched for %v on its return",
+		"zone %s was %s and is %s (%s), hold time on return %v",
 		d.Zone,
 		d.From,
 		d.To,
@@ -78,5 +78,5 @@
 
 // Describe implements Decision.
 func (d RecordIgnored) Describe() string {
-	return fmt.Sprintf("record %s is ignored, its loans count as ended: %s", d.Key, d.Reason)
+	return fmt.Sprintf("record %s ignored, its loans count as ended: %s", d.Key, d.Reason)
 }
--- a/internal/coordination/zonefailover/fencing.go
+++ b/internal/coordination/zonefailover/fencing.go
@@ -10,39 +10,40 @@
 )
 
 const (
-	// fenceDivisor is which part of the machines of lost zones may be fenced in a cycle: one in so many.
+	// fenceDivisor limits fencing: one in fenceDivisor of the machines in lost zones may be fenced per cycle.
 	fenceDivisor = 20
-	// maxWaitingConsidered is for how many of a job's pending tasks capacity is set aside before machines are fenced
-	// for the tasks that it still holds in a lost zone.
-	maxWaitingConsidered = 32
+	// maxPendingConsidered is the maximum number of a job's pending tasks for which capacity is reserved before
+	// machines are fenced to move its tasks out of a lost zone.
+	maxPendingConsidered = 32
 )
 
-// FencingRound decides in one cycle which machines of lost zones are fenced, job after job in the recovery order.
+// FencingRound decides during one cycle which machines of lost zones are fenced, job by job in recovery order.
 //
-// Only fencing proves the tasks on a machine gone, so that they may start elsewhere. A machine is fenced only for
-// tasks that would find capacity elsewhere; other work stays, and goes on at once when the zone comes back.
+// Only fencing proves that the tasks on a machine no longer run, so that they may start elsewhere. A machine is fenced
+// only if the movable tasks on it would find capacity elsewhere. Other tasks stay and continue at once when the zone
+// returns.
 type FencingRound struct {
-	manager      *Manager
-	now          time.Duration
-	gracePeriod  time.Duration
-	machinesLeft int // that may still be fenced
-	searchesLeft int
-	capacity     *BorrowableCapacity
+	manager           *Manager
+	now               time.Duration
+	gracePeriod       time.Duration
+	machinesRemaining int // machines that may still be fenced
+	searchesRemaining int
+	capacity          *BorrowableCapacity
 }
 
-// NewFencingRound begins the fencing of a cycle. The machines are those that take new tasks.
+// NewFencingRound starts the fencing round of a cycle. machines are the machines that accept new tasks.
 func (m *Manager) NewFencingRound(now time.Duration, machines []*candidates.Candidate) *FencingRound {
 	return &FencingRound{
-		manager:      m,
-		now:          now,
-		gracePeriod:  m.lostMachineGracePeriod(),
-		machinesLeft: m.fenceBudget(),
-		searchesLeft: m.searchBudget(),
-		capacity:     m.BorrowableCapacity(now, machines),
+		manager:           m,
+		now:               now,
+		gracePeriod:       m.lostMachineGracePeriod(),
+		machinesRemaining: m.fenceBudget(),
+		searchesRemaining: m.searchBudget(),
+		capacity:          m.BorrowableCapacity(now, machines),
 	}
 }
 
-// fenceBudget is how many machines may be fenced in a cycle.
+// fenceBudget returns the maximum number of machines that may be fenced per cycle.
 func (m *Manager) fenceBudget() int {
 	n := 0
 	m.options.Machines.Each(func(machine *machineregistry.Machine) {
@@ -53,10 +54,10 @@
 	return max(1, n/fenceDivisor)
 }
 
-// lostMachineGracePeriod is how long a machine of a lost zone may be silent before it is fenced: until its leases have
-// surely expired, and as long as a machine takes to boot. Moving work costs about as much again, for a fetch elsewhere
-// and for a boot when the zone is back; waiting as long as moving costs never costs more than twice the best choice in
-// hindsight.
+// lostMachineGracePeriod returns how long a machine of a lost zone must be silent before it may be fenced: until its
+// leases have certainly expired, and at least one boot time. Moving work costs about as much, for fetching the image
+// elsewhere and for booting a machine when the zone returns. Waiting for as long as moving costs is at most twice as
+// expensive as the best choice in hindsight.
 func (m *Manager) lostMachineGracePeriod() time.Duration {
 	period := m.MaxLeaseLifetime()
 	for _, t := range m.options.Machines.MachineTypes() {
@@ -65,11 +66,12 @@
 	return period
 }
 
-// IsExhausted reports whether no more can be done in this cycle.
-func (r *FencingRound) IsExhausted() bool { return r.machinesLeft <= 0 || r.searchesLeft <= 0 }
+// IsExhausted reports whether the fencing or search budget of this cycle is used up.
+func (r *FencingRound) IsExhausted() bool {
+	return r.machinesRemaining <= 0 || r.searchesRemaining <= 0
+}
 
-// Movable returns those of a job's placements that are on machines of lost zones which have been silent for longer
-// than the grace period.
+// Movable returns the placements on machines of lost zones that have been silent for longer than the grace period.
 func (r *FencingRound) Movable(placements []*machineregistry.Placement) (movable []*machineregistry.Placement) {
 	for _, placement := range placements {
 		machine := r.manager.options.Machines.Machine(placement.Machine)
@@ -80,32 +82,32 @@
 	return movable
 }
 
-// Displaced is a job with work in a lost zone or pending tasks.
+// Displaced is a job with tasks in a lost zone or pending tasks.
 type Displaced struct {
 	Borrower
-	// Startable is how many pending tasks its team's quota lets start.
+	// Startable is the number of pending tasks that the team's quota allows to start.
 	Startable int
-	// Unfinished is how many tasks it has that are pending or placed.
+	// Unfinished is the number of pending and placed tasks.
 	Unfinished int
-	// Movable are its placements that are worth fencing if their tasks find capacity elsewhere.
+	// Movable holds the placements whose machines should be fenced if the tasks find capacity elsewhere.
 	Movable []*machineregistry.Placement
 }
 
-// FenceFor fences machines that hold movable tasks of a job, as far as there is capacity elsewhere for these tasks
-// after the job's pending ones.
+// FenceFor fences machines with movable tasks of a job, as far as there is capacity elsewhere for these tasks in
+// addition to the job's pending ones.
 func (r *FencingRound) FenceFor(job *Displaced) {
-	waiting := min(job.Startable, maxWaitingConsidered)
-	whole := job.Job.Shape == protocol.Gang || job.Job.SameZone
-	wanted := waiting + len(job.Movable)
-	if whole {
+	pending := min(job.Startable, maxPendingConsidered)
+	allOrNothing := job.Job.Shape == protocol.Gang || job.Job.SameZone
+	wanted := pending + len(job.Movable)
+	if allOrNothing {
 		wanted = job.Unfinished
 	}
 	request, ok := r.manager.Request(&job.Borrower, wanted)
 	if !ok {
 		return
 	}
-	r.searchesLeft--
-	found := r.capacity.Allocate(&job.Borrower, request, whole) - waiting
+	r.searchesRemaining--
+	found := r.capacity.Allocate(&job.Borrower, request, allOrNothing) - pending
 	if found <= 0 && len(job.Movable) > 0 {
 		r.manager.DelaySearch(r.now, job.Job.ID)
 	}
@@ -114,14 +116,14 @@
 	}
 }
 
-// fenceMachineOf has the machine of a placement terminated.
+// fenceMachineOf marks the machine of a placement for termination.
 func (r *FencingRound) fenceMachineOf(jobID string, placement *machineregistry.Placement) {
 	machine := r.manager.options.Machines.Machine(placement.Machine)
 	if machine == nil || machine.Terminating {
 		return
 	}
-	since, _ := r.manager.monitor.LostSince(placement.Zone)
+	lostAt, _ := r.manager.monitor.LostSince(placement.Zone)
 	machine.MarkTerminating()
-	r.machinesLeft--
-	r.manager.decide(MachineFenced{Machine: machine.Name, Zone: machine.Zone, Job: jobID, LostFor: r.now - since})
+	r.machinesRemaining--
+	r.manager.addDecision(MachineFenced{Machine: machine.Name, Zone: machine.Zone, Job: jobID, LostFor: r.now - lostAt})
 }
--- a/internal/coordination/zonefailover/fencing_test.go
+++ b/internal/coordination/zonefailover/fencing_test.go
@@ -8,9 +8,10 @@
 	"pinebay/internal/protocol"
 )
 
-// TestMovable: only tasks on machines of lost zones that were silent for longer than the grace period may be moved.
+// TestMovable checks that only tasks on machines of lost zones that have been silent for longer than the grace period
+// are movable.
 func TestMovable(t *testing.T) {
-	const gracePeriod = 30 * time.Second // a boot takes longer than any lease lasts
+	const gracePeriod = 30 * time.Second // a boot time longer than the lifetime of leases
 	for _, test := range []struct {
 		name    string
 		state   State
@@ -41,8 +42,8 @@
 	}
 }
 
-// TestFencingNeedsCapacityElsewhere: without capacity in another zone no machine is fenced, and the next search for the
-// job is put off.
+// TestFencingNeedsCapacityElsewhere checks that no machine is fenced without capacity in another zone, and that the
+// next search for the job is delayed.
 func TestFencingNeedsCapacityElsewhere(t *testing.T) {
 	const now = 2 * time.Minute
 	m := newTestManager(fakeJobs{})
@@ -57,9 +58,9 @@
 		Movable:    []*machineregistry.Placement{{Machine: "m", Zone: "a"}},
 	})
 	if machine.Terminating {
-		t.Error("the machine is fenced")
+		t.Error("machine is fenced without capacity elsewhere")
 	}
 	if m.MaySearch(now, "j-1") || !m.MaySearch(now+searchRetryCycles*time.Second, "j-1") {
-		t.Error("the next search is not put off")
+		t.Error("the next search is not delayed by searchRetryCycles")
 	}
 }
--- a/internal/coordination/zonefailover/ledger.go
+++ b/internal/coordination/zonefailover/ledger.go
@@ -7,69 +7,69 @@
 	"slices"
 )
 
-// Errors of Ledger.Open.
+// Errors returned by [Ledger.Open].
 var (
-	// ErrLedgerFull says that no further loan can be kept in the records.
+	// ErrLedgerFull means that no further loan fits the ledger.
 	ErrLedgerFull = errors.New("loan ledger is full")
-	// ErrAlreadyLent says that a task has lent its capacity already.
+	// ErrAlreadyLent means that a task has already lent its capacity.
 	ErrAlreadyLent = errors.New("capacity is already lent")
 )
 
-// TaskAttempt is one attempt of a task, which may lend its capacity.
+// TaskAttempt identifies one attempt of a task.
 type TaskAttempt struct {
 	Job     string
 	Task    int
 	Attempt uint64
 }
 
-// Loan is capacity that a task of lower priority gives up for a job that has lost tasks with a zone.
+// Loan is capacity that a task of lower priority gives up to a job that lost tasks with a zone.
 type Loan struct {
-	Term, Number uint64 // of the leader that opened it, and within its term
+	Term, Number uint64 // of the leader that opened it, and sequence number within the term
 	Lender       TaskAttempt
-	Borrower     string // job
+	Borrower     string // job ID
 	Machine      string
-	Zone         string  // with which the borrower lost tasks
+	Zone         string  // zone with which the borrower lost tasks
 	LostSeconds  float64 // work that the lender loses, in seconds
-	CreatedMS    int64   // time of day, in milliseconds since the epoch
-	ExpiresMS    int64   // time of day after which it is written off
+	CreatedMS    int64   // Unix time in milliseconds
+	ExpiresMS    int64   // Unix time after which the loan is written off
 }
 
-// String returns the loan in a form for logs.
+// String returns a description of the loan for logs.
 func (l Loan) String() string {
-	return fmt.Sprintf("%d.%d: %s/%d attempt %d on %s to %s for zone %s, %.0f s lost",
+	return fmt.Sprintf("%d.%d: %s/%d attempt %d on %s lends to %s for zone %s, losing %.0f s of work",
 		l.Term, l.Number, l.Lender.Job, l.Lender.Task, l.Lender.Attempt, l.Machine, l.Borrower, l.Zone, l.LostSeconds)
 }
 
-// LoanOutcome is how a loan has ended.
+// LoanOutcome is the reason why a loan ended.
 type LoanOutcome string
 
 // Outcomes of loans.
 const (
-	// Repaid: the lender's task has been placed again.
+	// Repaid means that the lender's task has been placed again.
 	Repaid LoanOutcome = "repaid"
-	// LenderEnded: the lender's task or job has ended.
+	// LenderEnded means that the lender's task or job has ended.
 	LenderEnded LoanOutcome = "lender ended"
-	// LenderNotPreempted: the loan was recorded, but its leader failed before it preempted the lender.
+	// LenderNotPreempted means that the leader failed after it recorded the loan and before it preempted the lender.
 	LenderNotPreempted LoanOutcome = "lender not preempted"
-	// WrittenOff: the loan has expired.
+	// WrittenOff means that the loan has expired.
 	WrittenOff LoanOutcome = "written off"
 )
 
-// Ledger holds the open loans, as they are recorded or about to be.
+// Ledger holds the open loans, including those that are about to be recorded.
 type Ledger struct {
 	maxOpen int
 	loans   map[TaskAttempt]Loan
 }
 
-// NewLedger returns an empty Ledger for at most maxOpen open loans.
+// NewLedger returns an empty Ledger that holds at most maxOpen loans.
 func NewLedger(maxOpen int) *Ledger {
 	return &Ledger{maxOpen: maxOpen, loans: map[TaskAttempt]Loan{}}
 }
 
-// Open adds loans: all, or with an error none.
+// Open adds all loans. If it returns an error, it has added none.
 func (l *Ledger) Open(loans ...Loan) error {
 	if len(l.loans)+len(loans) > l.maxOpen {
-		return fmt.Errorf("%w: %d open, %d more", ErrLedgerFull, len(l.loans), len(loans))
+		return fmt.Errorf("%w: %d loans open, %d to add", ErrLedgerFull, len(l.loans), len(loans))
 	}
 	for i, loan := range loans {
 		same := func(o Loan) bool { return o.Lender == loan.Lender }
@@ -83,13 +83,13 @@
 	return nil
 }
 
-// IsLent reports whether a task has lent its capacity.
+// IsLent reports whether a task attempt has lent its capacity.
 func (l *Ledger) IsLent(t TaskAttempt) bool {
 	_, ok := l.loans[t]
 	return ok
 }
 
-// Close removes the loan of a lender and returns it.
+// Close removes and returns the loan of a lender. It returns false if there is none.
 func (l *Ledger) Close(t TaskAttempt) (Loan, bool) {
 	loan, ok := l.loans[t]
 	delete(l.loans, t)
@@ -115,7 +115,7 @@
 	return out
 }
 
-// Debts returns what each job is owed for its open loans: the work that it lost, in seconds, and one for each loan.
+// Debts returns the debt to each lending job for its open loans: one for each loan, plus the lost work in seconds.
 func (l *Ledger) Debts() map[string]float64 {
 	debts := map[string]float64{}
 	for _, loan := range l.Loans() {
--- a/internal/coordination/zonefailover/ledger_test.go
+++ b/internal/coordination/zonefailover/ledger_test.go
@@ -8,12 +8,12 @@
 	"pgregory.net/rapid"
 )
 
-// TestLedger: nothing is lent twice, loans are entered all or none, and what was entered is
-// what is open, in order of age.
+// TestLedger checks that no capacity is lent twice, that Open adds either all loans or none, and that Loans returns
+// exactly the open loans in order of creation.
 func TestLedger(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		const most = 8
-		l := NewLedger(most)
+		const maxLoans = 8
+		l := NewLedger(maxLoans)
 		open := map[TaskAttempt]bool{}
 		for i := range rapid.IntRange(1, 40).Draw(t, "steps") {
 			task := func() TaskAttempt {
@@ -26,17 +26,17 @@
 			if rapid.Bool().Draw(t, "close") {
 				lender := task()
 				if _, ok := l.Close(lender); ok != open[lender] {
-					t.Fatalf("closing %v: %v", lender, ok)
+					t.Fatalf("closing %v returned %v", lender, ok)
 				}
 				delete(open, lender)
 				continue
 			}
 			var loans []Loan
-			twice := false
+			duplicate := false
 			fresh := map[TaskAttempt]bool{}
 			for n := range rapid.IntRange(1, 3).Draw(t, "loans") {
 				lender := task()
-				twice = twice || open[lender] || fresh[lender]
+				duplicate = duplicate || open[lender] || fresh[lender]
 				fresh[lender] = true
 				loans = append(
 					loans,
@@ -44,10 +44,10 @@
 				)
 			}
 			err := l.Open(loans...)
-			full := len(open)+len(loans) > most
-			if (err != nil) != (twice || full) ||
+			full := len(open)+len(loans) > maxLoans
+			if (err != nil) != (duplicate || full) ||
 				err != nil && !errors.Is(err, ErrLedgerFull) && !errors.Is(err, ErrAlreadyLent) {
-				t.Fatalf("%v: twice %v, full %v", err, twice, full)
+				t.Fatalf("Open returned %v, with duplicate %v and full %v", err, duplicate, full)
 			}
 			if err == nil {
 				for lender := range fresh {
@@ -57,19 +57,19 @@
 		}
 		loans := l.Loans()
 		if len(loans) != len(open) || l.Len() != len(open) {
-			t.Fatalf("%d loans, %d are open", len(loans), len(open))
+			t.Fatalf("%d loans listed, %d are open", len(loans), len(open))
 		}
 		owed := 0.0
 		for i, loan := range loans {
 			if !open[loan.Lender] || i > 0 && loans[i-1].CreatedMS > loan.CreatedMS {
-				t.Fatalf("%v after %v", loan, loans[max(0, i-1)])
+				t.Fatalf("loan %v is not open or listed after the younger %v", loan, loans[max(0, i-1)])
 			}
 		}
 		for _, debt := range l.Debts() {
 			owed += debt
 		}
 		if owed != float64(3*len(open)) {
-			t.Fatalf("%v owed for %d loans", owed, len(open))
+			t.Fatalf("total debt %v for %d loans", owed, len(open))
 		}
 	})
 }
--- a/internal/coordination/zonefailover/lenders.go
+++ b/internal/coordination/zonefailover/lenders.go
@@ -12,74 +12,75 @@
 type Lender struct {
 	Task TaskAttempt
 	Need machineregistry.Resources
-	Cost float64 // work that is lost, in seconds
-	// Gang says that the job's lenders are all preempted if one is. Their costs add up.
+	Cost float64 // work lost by preemption, in seconds
+	// Gang means that preempting one lender of the job preempts all of them. Their costs add up.
 	Gang bool
 }
 
-// CapacityOffer is a machine whose capacity may be used.
+// CapacityOffer is a machine with capacity to choose from.
 type CapacityOffer struct {
 	Machine, Zone string
 	Free          machineregistry.Resources
 	Lenders       []Lender
-	StartCost     float64 // of a start there, in seconds, as for the fetch of an image
+	StartCost     float64 // cost of starting a task there, in seconds, such as for fetching the image
 }
 
-// CapacityRequest is capacity that is wanted for tasks of one job.
+// CapacityRequest is a request for capacity for tasks of one job.
 type CapacityRequest struct {
 	Need  machineregistry.Resources // of one task
 	Tasks int
-	// MaxPerZone is how many tasks each zone may take. Other zones take none.
+	// MaxPerZone is the maximum number of tasks by zone. Zones without an entry take none.
 	MaxPerZone map[string]int
-	// DisturbanceCost is what it costs that one more job has to lend, in seconds of work.
-	DisturbanceCost float64
+	// DisruptionCost is the cost of preempting tasks of one more job, in seconds of work.
+	DisruptionCost float64
 }
 
-// InZone returns the request limited to one zone.
+// InZone returns a copy of the request that is limited to one zone.
 func (r CapacityRequest) InZone(zone string) CapacityRequest {
 	r.MaxPerZone = map[string]int{zone: r.MaxPerZone[zone]}
 	return r
 }
 
-// minLentShare bounds the price of lenders whose capacity is next to nothing of what is wanted.
-const minLentShare = 1e-3
+// minLenderShare is the lower bound of a lender's share of the requested capacity. It bounds the price of lenders that
+// free almost nothing of what is requested.
+const minLenderShare = 1e-3
 
-// Pick is a machine that takes one of the tasks.
+// Pick is a machine chosen for one task.
 type Pick struct{ Machine, Zone string }
 
-// Choice is the capacity that was chosen for a request.
+// Choice is the capacity chosen for a request.
 type Choice struct {
 	Picks   []Pick
 	Lenders []TaskAttempt
 	Cost    float64
 }
 
-// ChooseLenders picks machines for as many of the tasks as possible, one after the other where it costs least: the
-// lenders that are cheapest for their capacity, without those that turn out not to be needed. The greedy choice costs
-// little more than that of an exact solver (docs/zone-return.md).
+// ChooseLenders picks machines for as many of the requested tasks as possible. It places one task after another at the
+// lowest cost, preempting the lenders with the lowest price per capacity, except those that turn out to be unnecessary.
+// This greedy choice costs little more than the choice of an exact solver (docs/zone-return.md).
 func ChooseLenders(r CapacityRequest, offers []CapacityOffer) Choice {
 	s := newLenderSearch(r, offers)
 	for range r.Tasks {
-		if !s.placeOnCheapest() {
+		if !s.placeTask() {
 			break
 		}
 	}
 	return s.choice
 }
 
-// lenderSearch is the state of one ChooseLenders.
+// lenderSearch is the state of one ChooseLenders call.
 type lenderSearch struct {
 	request       CapacityRequest
 	offers        []CapacityOffer
-	free          []machineregistry.Resources // left on each offer
-	zoneRemaining map[string]int              // tasks that each zone may still take
+	free          []machineregistry.Resources // remaining free resources by offer
+	zoneRemaining map[string]int              // number of tasks that each zone may still take
 	preempted     map[TaskAttempt]bool
-	disturbedJobs map[string]bool // that lend already
+	disruptedJobs map[string]bool // jobs that already lend
 	gangs         map[string][]gangMember
 	choice        Choice
 }
 
-// gangMember is a task of a gang, and the index of the offer whose machine it runs on.
+// gangMember is a task of a gang and the index of the offer for its machine.
 type gangMember struct {
 	offer  int
 	lender Lender
@@ -91,7 +92,7 @@
 		offers:        offers,
 		zoneRemaining: map[string]int{},
 		preempted:     map[TaskAttempt]bool{},
-		disturbedJobs: map[string]bool{},
+		disruptedJobs: map[string]bool{},
 		gangs:         map[string][]gangMember{},
 	}
 	for zone, n := range r.MaxPerZone {
@@ -108,8 +109,8 @@
 	return s
 }
 
-// placeOnCheapest places one task where it costs least, and reports whether there is capacity for it.
-func (s *lenderSearch) placeOnCheapest() bool {
+// placeTask places one task at the lowest cost. It returns false if there is no capacity for it.
+func (s *lenderSearch) placeTask() bool {
 	best, bestCost := -1, math.Inf(1)
 	var bestLenders []Lender
 	for i, o := range s.offers {
@@ -135,8 +136,8 @@
 	return true
 }
 
-// lendersForOffer returns the lenders that would be preempted for one more task on an offer, and what that costs. It
-// returns false if there is no capacity for the task even so.
+// lendersForOffer returns the lenders to preempt for one more task on an offer, and the cost. It returns false if the
+// task does not fit even then.
 func (s *lenderSearch) lendersForOffer(i int) (lenders []Lender, cost float64, ok bool) {
 	free := s.free[i]
 	var chosen []Lender
@@ -150,12 +151,12 @@
 	if !s.request.Need.Fits(free) {
 		return nil, 0, false
 	}
-	chosen = s.dropUnneeded(free, chosen)
-	return chosen, s.costOf(s.offers[i], chosen), true
+	chosen = s.dropUnnecessary(free, chosen)
+	return chosen, s.placementCost(s.offers[i], chosen), true
 }
 
-// costOf is what it costs to start a task on an offer and to preempt lenders for it, with all of their gangs.
-func (s *lenderSearch) costOf(offer CapacityOffer, lenders []Lender) float64 {
+// placementCost returns the cost of starting a task on an offer and preempting the lenders, including their gangs.
+func (s *lenderSearch) placementCost(offer CapacityOffer, lenders []Lender) float64 {
 	cost := offer.StartCost
 	jobs := map[string]bool{}
 	for _, lender := range lenders {
@@ -163,16 +164,16 @@
 		if lender.Gang && jobs[job] {
 			continue
 		}
-		cost += s.lossOf(lender)
-		if !s.disturbedJobs[job] && !jobs[job] {
-			cost += s.request.DisturbanceCost
+		cost += s.preemptionCost(lender)
+		if !s.disruptedJobs[job] && !jobs[job] {
+			cost += s.request.DisruptionCost
 		}
 		jobs[job] = true
 	}
 	return cost
 }
 
-// lendersByPrice returns the lenders on an offer that are not preempted yet, by what their capacity costs.
+// lendersByPrice returns the lenders on an offer that are not preempted yet, sorted by price per capacity.
 func (s *lenderSearch) lendersByPrice(i int) []Lender {
 	var lenders []Lender
 	for _, lender := range s.offers[i].Lenders {
@@ -181,20 +182,23 @@
 		}
 	}
 	price := func(lender Lender) float64 {
-		extra := s.request.DisturbanceCost
-		if s.disturbedJobs[lender.Task.Job] {
+		extra := s.request.DisruptionCost
+		if s.disruptedJobs[lender.Task.Job] {
 			extra = 0
 		}
-		return (s.lossOf(lender) + extra) / max(lender.Need.DominantShare(s.request.Need), minLentShare)
+		return (s.preemptionCost(lender) + extra) / max(lender.Need.DominantShare(s.request.Need), minLenderShare)
 	}
 	slices.SortStableFunc(lenders, func(a, b Lender) int { return cmp.Compare(price(a), price(b)) })
 	return lenders
 }
 
-// dropUnneeded drops the lenders without which there is enough free capacity as well, the most expensive first.
-func (s *lenderSearch) dropUnneeded(free machineregistry.Resources, chosen []Lender) []Lender {
+// dropUnnecessary removes lenders, the most expensive first, as long as the task still fits without them.
+func (s *lenderSearch) dropUnnecessary(free machineregistry.Resources, chosen []Lender) []Lender {
 	byCost := slices.Clone(chosen)
-	slices.SortStableFunc(byCost, func(a, b Lender) int { return cmp.Compare(s.lossOf(b), s.lossOf(a)) })
+	slices.SortStableFunc(
+		byCost,
+		func(a, b Lender) int { return cmp.Compare(s.preemptionCost(b), s.preemptionCost(a)) },
+	)
 	for _, lender := range byCost {
 		if without := free.Minus(lender.Need); s.request.Need.Fits(without) {
 			free = without
@@ -204,8 +208,8 @@
 	return chosen
 }
 
-// lossOf is the work that is lost when a lender is preempted, with all of its gang, in seconds.
-func (s *lenderSearch) lossOf(lender Lender) float64 {
+// preemptionCost returns the work lost by preempting a lender, including its gang, in seconds.
+func (s *lenderSearch) preemptionCost(lender Lender) float64 {
 	if !lender.Gang {
 		return lender.Cost
 	}
@@ -216,7 +220,7 @@
 	return cost
 }
 
-// preempt takes a lender off its offer, with all of its gang, and adds it to the choice.
+// preempt frees the capacity of a lender, including its gang, and adds the preempted tasks to the choice.
 func (s *lenderSearch) preempt(i int, lender Lender) {
 	members := []gangMember{{i, lender}}
 	if lender.Gang {
@@ -230,5 +234,5 @@
 		s.free[member.offer] = s.free[member.offer].Plus(member.lender.Need)
 		s.choice.Lenders = append(s.choice.Lenders, member.lender.Task)
 	}
-	s.disturbedJobs[lender.Task.Job] = true
+	s.disruptedJobs[lender.Task.Job] = true
 }
--- a/internal/coordination/zonefailover/lenders_test.go
+++ b/internal/coordination/zonefailover/lenders_test.go
@@ -12,16 +12,16 @@
 	"pinebay/internal/testutil"
 )
 
-// gpus is room that is short of GPUs alone.
+// gpus returns resources of n GPUs, without CPUs and memory.
 func gpus(n int) machineregistry.Resources { return machineregistry.Resources{GPUs: float64(n)} }
 
-// randomCase makes up a request, and machines with what runs on them.
+// randomCase returns a random request and random offers with lenders.
 func randomCase(rng *rand.Rand) (CapacityRequest, []CapacityOffer) {
 	r := CapacityRequest{
-		Need:            gpus(1 + rng.IntN(8)),
-		Tasks:           1 + rng.IntN(3),
-		MaxPerZone:      map[string]int{"a": 1 + rng.IntN(3), "b": rng.IntN(3)},
-		DisturbanceCost: 3,
+		Need:           gpus(1 + rng.IntN(8)),
+		Tasks:          1 + rng.IntN(3),
+		MaxPerZone:     map[string]int{"a": 1 + rng.IntN(3), "b": rng.IntN(3)},
+		DisruptionCost: 3,
 	}
 	var offers []CapacityOffer
 	gangs := map[int]int{}
@@ -51,8 +51,8 @@
 	return r, offers
 }
 
-// exactCost returns the least cost of room for all tasks, found by a pseudo-boolean solver, and
-// false if there is none.
+// exactCost returns the minimum cost of capacity for all tasks, computed by a pseudo-boolean solver. It returns false
+// if there is no such capacity.
 func exactCost(r CapacityRequest, offers []CapacityOffer) (float64, bool) {
 	var weights []int
 	var literals []solver.Lit
@@ -62,35 +62,35 @@
 		return len(literals)
 	}
 	var constraints []solver.PBConstr
-	leaves := map[TaskAttempt]int{}
+	preempted := map[TaskAttempt]int{}
 	job := map[string]int{}
 	gang := map[string]int{}
 	for _, o := range offers {
 		for _, l := range o.Lenders {
-			leaves[l.Task] = variable(l.Cost)
+			preempted[l.Task] = variable(l.Cost)
 			if job[l.Task.Job] == 0 {
-				job[l.Task.Job] = variable(r.DisturbanceCost)
+				job[l.Task.Job] = variable(r.DisruptionCost)
 			}
 			constraints = append(
 				constraints,
-				solver.PropClause(-leaves[l.Task], job[l.Task.Job]),
-			) // who leaves disturbs the job
+				solver.PropClause(-preempted[l.Task], job[l.Task.Job]),
+			) // a preempted task disrupts its job
 			if l.Gang {
 				if other := gang[l.Task.Job]; other != 0 {
 					constraints = append(
 						constraints,
-						solver.PropClause(-leaves[l.Task], other),
-						solver.PropClause(leaves[l.Task], -other),
+						solver.PropClause(-preempted[l.Task], other),
+						solver.PropClause(preempted[l.Task], -other),
 					)
 				}
-				gang[l.Task.Job] = leaves[l.Task]
+				gang[l.Task.Job] = preempted[l.Task]
 			}
 		}
 	}
 	all := []int{}
 	perZone := map[string][]int{}
 	for _, o := range offers {
-		// As many variables as tasks may start there; the room must hold them.
+		// r.Tasks variables represent the possible starts on this machine, whose capacity must suffice for all of them.
 		var lits, amounts []int
 		for range r.Tasks {
 			start := variable(o.StartCost)
@@ -98,9 +98,9 @@
 			perZone[o.Zone] = append(perZone[o.Zone], start)
 			lits, amounts = append(lits, -start), append(amounts, int(r.Need.GPUs))
 		}
-		atLeast := r.Tasks*int(r.Need.GPUs) - int(o.Free.GPUs) // starts that are not made, and room that comes free
+		atLeast := r.Tasks*int(r.Need.GPUs) - int(o.Free.GPUs) // omitted starts and freed capacity
 		for _, l := range o.Lenders {
-			lits, amounts = append(lits, leaves[l.Task]), append(amounts, int(l.Need.GPUs))
+			lits, amounts = append(lits, preempted[l.Task]), append(amounts, int(l.Need.GPUs))
 		}
 		if atLeast > 0 {
 			constraints = append(constraints, solver.GtEq(lits, amounts, atLeast))
@@ -116,55 +116,67 @@
 	return float64(cost) / 10, cost >= 0
 }
 
-// TestChooseLendersAgainstSolver: on drawn cases the choice has the room that it says, keeps zones and gangs
-// whole, and costs little more in all than the best that a solver finds. Where it finds room
-// for fewer tasks, the solver must be hard put too.
+// TestChooseLendersAgainstSolver checks on random cases that the choice has the claimed capacity, respects zone limits,
+// preempts only whole gangs, and costs at most 8% more in total than the optimum found by a solver. In at most 2% of
+// the cases it may fail to place all tasks although the solver can.
 func TestChooseLendersAgainstSolver(t *testing.T) {
 	rng := rand.New(rand.NewPCG(testutil.Seed(), 17))
 	const cases = 300
-	chosen, best, both, missed := 0.0, 0.0, 0, 0
+	totalCost, totalOptimum, solved, missed := 0.0, 0.0, 0, 0
 	for range cases {
 		r, offers := randomCase(rng)
 		got := ChooseLenders(r, offers)
 		checkChoice(t, r, offers, got)
-		least, ok := exactCost(r, offers)
+		optimum, ok := exactCost(r, offers)
 		switch {
 		case ok && len(got.Picks) == r.Tasks:
-			both++
-			chosen += got.Cost
-			best += least
-			if got.Cost < least-1e-6 {
-				t.Fatalf("%.1f is less than the best, %.1f: %+v %+v %+v", got.Cost, least, r, offers, got)
+			solved++
+			totalCost += got.Cost
+			totalOptimum += optimum
+			if got.Cost < optimum-1e-6 {
+				t.Fatalf(
+					"cost %.1f is less than the optimum %.1f: request %+v, offers %+v, choice %+v",
+					got.Cost,
+					optimum,
+					r,
+					offers,
+					got,
+				)
 			}
 		case ok:
 			missed++
 		case len(got.Picks) == r.Tasks:
-			t.Fatalf("room where there is none: %+v %+v %+v", r, offers, got)
+			t.Fatalf(
+				"choice for all tasks although the solver finds none: request %+v, offers %+v, choice %+v",
+				r,
+				offers,
+				got,
+			)
 		}
 	}
 	t.Logf(
-		"%d cases with room: cost %.0f, the best %.0f (%.1f%% more); %d of %d cases missed",
-		both,
-		chosen,
-		best,
-		100*(chosen/best-1),
+		"%d cases with capacity: cost %.0f, optimum %.0f (%.1f%% more); %d of %d cases missed",
+		solved,
+		totalCost,
+		totalOptimum,
+		100*(totalCost/totalOptimum-1),
 		missed,
-		both+missed,
+		solved+missed,
 	)
-	if chosen > 1.08*best || missed > cases/50 {
-		t.Errorf("cost %.0f against %.0f, %d missed", chosen, best, missed)
+	if totalCost > 1.08*totalOptimum || missed > cases/50 {
+		t.Errorf("total cost %.0f with an optimum of %.0f, %d cases missed", totalCost, totalOptimum, missed)
 	}
 }
 
-// checkChoice checks that a choice is possible.
+// checkChoice checks that a choice is feasible.
 func checkChoice(t *testing.T, r CapacityRequest, offers []CapacityOffer, got Choice) {
 	t.Helper()
-	leaves := map[TaskAttempt]bool{}
+	preempted := map[TaskAttempt]bool{}
 	for _, task := range got.Lenders {
-		if leaves[task] {
-			t.Fatalf("%v leaves twice", task)
+		if preempted[task] {
+			t.Fatalf("%v preempted twice", task)
 		}
-		leaves[task] = true
+		preempted[task] = true
 	}
 	zones, starts := map[string]int{}, map[string]int{}
 	for _, p := range got.Picks {
@@ -173,41 +185,40 @@
 	}
 	for zone, n := range zones {
 		if n > r.MaxPerZone[zone] {
-			t.Fatalf("%d tasks in %s, of %d", n, zone, r.MaxPerZone[zone])
+			t.Fatalf("%d tasks in zone %s, want at most %d", n, zone, r.MaxPerZone[zone])
 		}
 	}
 	for _, o := range offers {
-		room := o.Free
+		free := o.Free
 		for _, l := range o.Lenders {
-			if leaves[l.Task] {
-				room = room.Plus(l.Need)
+			if preempted[l.Task] {
+				free = free.Plus(l.Need)
 			}
-			if l.Gang && leaves[l.Task] {
-				requireWholeGang(t, offers, leaves, l.Task.Job)
+			if l.Gang && preempted[l.Task] {
+				requireWholeGang(t, offers, preempted, l.Task.Job)
 			}
 		}
 		for range starts[o.Machine] {
-			if !r.Need.Fits(room) {
-				t.Fatalf("%s has no room for %d tasks: %+v %+v", o.Machine, starts[o.Machine], r, o)
+			if !r.Need.Fits(free) {
+				t.Fatalf("%s has no capacity for %d tasks: request %+v, offer %+v", o.Machine, starts[o.Machine], r, o)
 			}
-			room = room.Minus(r.Need)
+			free = free.Minus(r.Need)
 		}
 	}
 }
 
-func requireWholeGang(t *testing.T, offers []CapacityOffer, leaves map[TaskAttempt]bool, job string) {
+func requireWholeGang(t *testing.T, offers []CapacityOffer, preempted map[TaskAttempt]bool, job string) {
 	t.Helper()
 	for _, o := range offers {
 		for _, l := range o.Lenders {
-			if l.Gang && l.Task.Job == job && !leaves[l.Task] {
-				t.Fatalf("gang %s is broken: %v stays", job, l.Task)
+			if l.Gang && l.Task.Job == job && !preempted[l.Task] {
+				t.Fatalf("gang %s is preempted only in part: %v still runs", job, l.Task)
 			}
 		}
 	}
 }
 
-// BenchmarkSolver shows what the exact choice costs on the drawn cases, and BenchmarkGreedy
-// what ours does.
+// BenchmarkSolver measures the exact choice on the random cases, for comparison with BenchmarkGreedy.
 func BenchmarkSolver(b *testing.B) {
 	rng := rand.New(rand.NewPCG(testutil.Seed(), 17))
 	for b.Loop() {
@@ -222,9 +233,9 @@
 	}
 }
 
-// BenchmarkChooseLenders shows what a choice costs among machines full of small tasks.
+// BenchmarkChooseLenders measures a choice among machines full of small tasks.
 func BenchmarkChooseLenders(b *testing.B) {
-	r := CapacityRequest{Need: gpus(8), Tasks: 2, MaxPerZone: map[string]int{"a": 2}, DisturbanceCost: 3}
+	r := CapacityRequest{Need: gpus(8), Tasks: 2, MaxPerZone: map[string]int{"a": 2}, DisruptionCost: 3}
 	var offers []CapacityOffer
 	for m := range 100 {
 		o := CapacityOffer{Machine: fmt.Sprintf("m%d", m), Zone: "a"}
--- a/internal/coordination/zonefailover/loans.go
+++ b/internal/coordination/zonefailover/loans.go
@@ -7,22 +7,23 @@
 	"pinebay/internal/coordination/machineregistry"
 )
 
-// writeOffCancelTimes is after how many times the longest time that a cancellation may take a loan is written off.
-const writeOffCancelTimes = 20
+// loanLifetimeFactor is the time after which a loan is written off, as a multiple of the time that a cancellation may
+// take.
+const loanLifetimeFactor = 20
 
 // LenderState is the current state of a task whose capacity is or may be lent.
 type LenderState struct {
-	// Ended says that the task is done, or that its job is.
+	// Ended means that the task is done or that its job has ended.
 	Ended bool
 	// Placement is the task's current placement, or nil.
 	Placement *machineregistry.Placement
 }
 
-// Lend opens the loans of a choice to a displaced job. The lenders are preempted only once the loans are recorded:
-// should the leader fail in between, the next one finds who was to lend to whom. All loans are opened or, with an
-// error, none.
+// Lend opens loans from the lenders of a choice to a displaced job. The lenders are preempted only after the loans are
+// recorded, so that if the leader fails in between, the next leader knows the loans. If Lend returns an error, it has
+// opened no loan.
 func (m *Manager) Lend(now time.Duration, borrower string, lenders []TaskAttempt, limits RecordLimits) error {
-	writeOff := config.Seconds(writeOffCancelTimes * m.options.Settings.Workers.CancelSeconds)
+	loanLifetime := config.Seconds(loanLifetimeFactor * m.options.Settings.Workers.CancelSeconds)
 	var loans []Loan
 	for _, lender := range lenders {
 		placement := m.options.Jobs.Lender(lender).Placement
@@ -35,14 +36,14 @@
 			Machine:     placement.Machine,
 			Zone:        m.displacedJobs[borrower],
 			LostSeconds: lostWorkSeconds(now, placement),
-			CreatedMS:   m.wallClockMS(now),
-			ExpiresMS:   m.wallClockMS(now + writeOff),
+			CreatedMS:   m.unixMS(now),
+			ExpiresMS:   m.unixMS(now + loanLifetime),
 		})
 	}
 	return m.OpenLoans(limits, loans...)
 }
 
-// OpenLoans opens loans, all or none, and has them recorded.
+// OpenLoans opens loans and schedules the write of their records. If it returns an error, it has opened none.
 func (m *Manager) OpenLoans(limits RecordLimits, loans ...Loan) error {
 	if err := m.ledger.Open(loans...); err != nil {
 		return err
@@ -51,7 +52,7 @@
 		m.awaitingPreemption[loan.Lender] = true
 		m.loansByJob[loan.Lender.Job]++
 		m.records.addLoan(loan.Lender, limits.LoansPerPage)
-		m.decide(LoanMade{Loan: loan})
+		m.addDecision(LoanMade{Loan: loan})
 	}
 	return nil
 }
@@ -59,7 +60,8 @@
 // AwaitsPreemption reports whether the lender of a loan made in this term has not been preempted yet.
 func (m *Manager) AwaitsPreemption(lender TaskAttempt) bool { return m.awaitingPreemption[lender] }
 
-// ClaimPreemption reports whether the lender of a recorded loan is to be preempted now. It is true once for a loan.
+// ClaimPreemption reports whether the lender of a recorded loan must be preempted now. It returns true only once per
+// loan.
 func (m *Manager) ClaimPreemption(lender TaskAttempt) bool {
 	if !m.awaitingPreemption[lender] {
 		return false
@@ -77,15 +79,15 @@
 	}
 }
 
-// CloseLoan closes an open loan with an outcome.
+// CloseLoan closes an open loan with the given outcome.
 func (m *Manager) CloseLoan(loan Loan, outcome LoanOutcome) {
 	m.ledger.Close(loan.Lender)
 	delete(m.awaitingPreemption, loan.Lender)
 	m.records.removeLoan(loan.Lender)
-	m.decide(LoanEnded{Loan: loan, Outcome: outcome})
+	m.addDecision(LoanEnded{Loan: loan, Outcome: outcome})
 }
 
-// outcomeOf returns how a loan has ended, or "" while it is open.
+// outcomeOf returns the outcome of a loan, or "" while it is open.
 func (m *Manager) outcomeOf(now time.Duration, loan Loan) LoanOutcome {
 	lender := m.options.Jobs.Lender(loan.Lender)
 	if lender.Ended {
@@ -98,13 +100,13 @@
 		return Repaid
 	case lends && !placement.Stopping && !m.awaitingPreemption[loan.Lender]:
 		return LenderNotPreempted
-	case m.wallClockMS(now) > loan.ExpiresMS:
+	case m.unixMS(now) > loan.ExpiresMS:
 		return WrittenOff
 	}
 	return ""
 }
 
-// lostWorkSeconds is the work that a placement loses when it is preempted, in seconds.
+// lostWorkSeconds returns the work, in seconds, that is lost if a placement is preempted.
 func lostWorkSeconds(now time.Duration, placement *machineregistry.Placement) float64 {
 	ran := (now - placement.StateSince).Seconds()
 	if placement.Job != nil && placement.Job.CheckpointIntervalSeconds > 0 {
--- a/internal/coordination/zonefailover/manager.go
+++ b/internal/coordination/zonefailover/manager.go
@@ -10,42 +10,42 @@
 	"pinebay/internal/protocol"
 )
 
-// Jobs is what a Manager asks of the scheduler's jobs and quotas.
+// Jobs gives a Manager access to the scheduler's jobs and quotas.
 type Jobs interface {
 	// Lender returns the current state of a task whose capacity is or may be lent.
 	Lender(task TaskAttempt) LenderState
 	// IsActive reports whether a job is known and has not ended.
 	IsActive(jobID string) bool
-	// FitsGuaranteedQuota reports whether a team has a guaranteed quota and this usage is within it.
+	// FitsGuaranteedQuota reports whether a team has a guaranteed quota that covers the usage.
 	FitsGuaranteedQuota(team string, usage machineregistry.Resources) bool
 	// AllowedZones returns the zones that a job may run in, sorted by name.
 	AllowedZones(job *protocol.Job) []string
 }
 
-// Options are what a Manager is made with.
+// Options configures a Manager.
 type Options struct {
 	Settings *config.Deployment
 	Machines *machineregistry.Registry
 	Jobs     Jobs
 	Log      *slog.Logger
 	Order    *RecoveryOrder
-	// Zones are the zones of the cloud. With a single zone there is nothing to fail over to.
+	// Zones holds the zones of the cloud. With a single zone, failover is not possible.
 	Zones []string
-	// Limits bound the stored records when the term begins.
+	// Limits holds the limits on the stored records at the start of the term.
 	Limits RecordLimits
 	// CycleInterval is the interval of the scheduling cycle.
 	CycleInterval time.Duration
-	// Term is the leader's term. It began at TermStartedAt by the leader's clock and at TermStartedMS by the time of
-	// day, in milliseconds since the epoch.
+	// Term is the leader's term. It started at TermStartedAt on the leader's clock, which is TermStartedMS in Unix
+	// milliseconds.
 	Term          uint64
 	TermStartedAt time.Duration
 	TermStartedMS int64
 }
 
-// Manager owns the state of zone failover in one leader's term and takes its decisions.
+// Manager owns the state of zone failover in one leader's term and makes its decisions.
 //
-// The feature is optional. A nil *Manager stands for the feature being off; the methods that say so accept it and
-// answer as if no zone could ever be lost.
+// The feature is optional. A nil *Manager means that it is off: the methods that document it accept a nil receiver and
+// behave as if no zone could be lost.
 type Manager struct {
 	options Options
 	order   *RecoveryOrder
@@ -54,21 +54,21 @@
 	records recordPages
 
 	lastLoanNumber uint64
-	// awaitingPreemption holds the lenders of loans made in this term that have not been preempted yet.
+	// awaitingPreemption is the set of lenders of loans made in this term that have not been preempted yet.
 	awaitingPreemption map[TaskAttempt]bool
-	// departedMachines holds the zones of machines that failed or left the cloud's list while their zone was not
-	// available, by machine.
+	// departedMachines maps machines that failed or left the cloud's list while their zone was not available to that
+	// zone.
 	departedMachines map[string]string
-	// loansByJob counts the loans that each job has made since all zones were last available.
+	// loansByJob is the number of loans made by each job since all zones were last available.
 	loansByJob map[string]int
-	// displacedJobs holds the zone with which each job has lost tasks, by job.
+	// displacedJobs maps each job that lost tasks with a zone to that zone.
 	displacedJobs map[string]string
-	// nextSearch holds when capacity may be searched for again for a job for which there was none, by job.
-	nextSearch map[string]time.Duration
-	// searchesInCycle counts the searches for capacity to borrow since searchCycleStart.
+	// nextSearchAt is, for each job whose last capacity search failed, the earliest time of the next one.
+	nextSearchAt map[string]time.Duration
+	// searchesInCycle is the number of capacity searches since searchCycleStart.
 	searchesInCycle  int
 	searchCycleStart time.Duration
-	// decisions have not been taken by TakeDecisions yet.
+	// decisions holds the decisions since the last call of TakeDecisions.
 	decisions []Decision
 }
 
@@ -84,34 +84,34 @@
 		departedMachines:   map[string]string{},
 		loansByJob:         map[string]int{},
 		displacedJobs:      map[string]string{},
-		nextSearch:         map[string]time.Duration{},
+		nextSearchAt:       map[string]time.Duration{},
 	}
-	m.decide(RecoveryOrderInEffect{Order: m.order.String(), ZoneCount: len(options.Zones)})
+	m.addDecision(RecoveryOrderInEffect{Order: m.order.String(), ZoneCount: len(options.Zones)})
 	return m
 }
 
-// Monitor returns the states of the zones.
+// Monitor returns the monitor of the zones' states.
 func (m *Manager) Monitor() *Monitor { return m.monitor }
 
-// Ledger returns the open loans.
+// Ledger returns the ledger of open loans.
 func (m *Manager) Ledger() *Ledger { return m.ledger }
 
-// WatchesZones reports whether there are several zones, so that the loss of one can be told from the loss of this
-// controller's own network, and work can go elsewhere.
+// WatchesZones reports whether there are several zones. Only then can the loss of a zone be distinguished from a
+// failure of this controller's own network, and work move elsewhere.
 func (m *Manager) WatchesZones() bool { return len(m.options.Zones) > 1 }
 
-// InFailover reports whether a zone is lost or not trusted again yet. It is false for a nil Manager.
+// InFailover reports whether any zone is lost or returning. It returns false for a nil Manager.
 func (m *Manager) InFailover() bool {
 	return m != nil && m.WatchesZones() && m.monitor.AnyInState(Lost, Returning)
 }
 
-// IsZoneLost reports whether a zone is lost. It is false for a nil Manager.
+// IsZoneLost reports whether a zone is lost. It returns false for a nil Manager.
 func (m *Manager) IsZoneLost(zone string) bool { return m != nil && m.monitor.State(zone) == Lost }
 
-// decide adds a decision to those that TakeDecisions returns.
-func (m *Manager) decide(d Decision) { m.decisions = append(m.decisions, d) }
+// addDecision adds a decision to those that TakeDecisions returns.
+func (m *Manager) addDecision(d Decision) { m.decisions = append(m.decisions, d) }
 
-// TakeDecisions returns the decisions since the last call, the oldest first. It returns nil for a nil Manager.
+// TakeDecisions returns the decisions since the last call, oldest first. It returns nil for a nil Manager.
 func (m *Manager) TakeDecisions() []Decision {
 	if m == nil {
 		return nil
@@ -121,13 +121,13 @@
 	return decisions
 }
 
-// wallClockMS is the time of day at a moment of the leader's clock, in milliseconds since the epoch.
-func (m *Manager) wallClockMS(now time.Duration) int64 {
+// unixMS converts a time of the leader's clock to Unix milliseconds.
+func (m *Manager) unixMS(now time.Duration) int64 {
 	return m.options.TermStartedMS + (now - m.options.TermStartedAt).Milliseconds()
 }
 
-// MarkDisplaced notes that a job has lost a task with a machine of a zone. Only a zone that is lost or returning
-// displaces the job, so that it may borrow capacity elsewhere. It does nothing for a nil Manager.
+// MarkDisplaced records that a job lost a task with a machine of a zone. If the zone is lost or returning, the job may
+// borrow capacity elsewhere. Otherwise the call has no effect. It does nothing for a nil Manager.
 func (m *Manager) MarkDisplaced(jobID, zone string) {
 	if m == nil {
 		return
@@ -138,21 +138,21 @@
 	}
 }
 
-// ForgetJob drops what is known of a job that is gone. It does nothing for a nil Manager.
+// ForgetJob drops the state of a job that no longer exists. It does nothing for a nil Manager.
 func (m *Manager) ForgetJob(jobID string) {
 	if m == nil {
 		return
 	}
 	delete(m.displacedJobs, jobID)
-	delete(m.nextSearch, jobID)
+	delete(m.nextSearchAt, jobID)
 }
 
-// EndFailover forgets which jobs were displaced and how often each has lent once all zones are available.
+// EndFailover resets the displaced jobs and the loan counts per job once all zones are available.
 func (m *Manager) EndFailover(now time.Duration) {
 	if m.monitor.AnyInState(Suspected, Lost, Returning) {
 		return
 	}
 	clear(m.loansByJob)
 	clear(m.displacedJobs)
-	maps.DeleteFunc(m.nextSearch, func(_ string, at time.Duration) bool { return now >= at })
+	maps.DeleteFunc(m.nextSearchAt, func(_ string, at time.Duration) bool { return now >= at })
 }
--- a/internal/coordination/zonefailover/manager_test.go
+++ b/internal/coordination/zonefailover/manager_test.go
@@ -15,7 +15,7 @@
 	"pinebay/internal/storage"
 )
 
-// fakeJobs is a scheduler in which every job is active and no team has a guaranteed quota.
+// fakeJobs simulates a scheduler in which every job is active and no team has a guaranteed quota.
 type fakeJobs struct{ lenders map[TaskAttempt]LenderState }
 
 func (f fakeJobs) Lender(task TaskAttempt) LenderState { return f.lenders[task] }
@@ -26,7 +26,7 @@
 
 func (f fakeJobs) AllowedZones(*protocol.Job) []string { return []string{"a", "b"} }
 
-// testLimits let a transaction write two pages of three loans each.
+// testLimits allows a transaction to write two pages of three loans each.
 var testLimits = RecordLimits{LoansPerPage: 3, PagesPerTransaction: 2}
 
 func newTestManager(jobs Jobs) *Manager {
@@ -44,7 +44,7 @@
 	})
 }
 
-// testLoan is the loan of the first attempt of a job's task.
+// testLoan returns a loan by the first attempt of a job's task.
 func testLoan(job string, task int, borrower string) Loan {
 	return Loan{
 		Term:     1,
@@ -56,7 +56,7 @@
 	}
 }
 
-// TestNilManager: with the feature off no zone is ever lost and nothing is decided, sorted or written.
+// TestNilManager checks that a nil Manager reports no zone as lost and decides, sorts and writes nothing.
 func TestNilManager(t *testing.T) {
 	var m *Manager
 	m.MarkDisplaced("j-1", "a")
@@ -66,9 +66,9 @@
 	zones := []string{"b", "a"}
 	m.SortZonesByState(zones)
 	jobs := []int{2, 1}
-	SortByRecoveryOrder(m, jobs, func(int) Rank { t.Error("a job was ranked"); return Rank{} })
+	SortByRecoveryOrder(m, jobs, func(int) Rank { t.Error("nil Manager ranked a job"); return Rank{} })
 	if !slices.Equal(zones, []string{"b", "a"}) || !slices.Equal(jobs, []int{2, 1}) {
-		t.Errorf("sorted: %v %v", zones, jobs)
+		t.Errorf("nil Manager sorted zones to %v and jobs to %v", zones, jobs)
 	}
 	job := &protocol.Job{Shape: protocol.Service}
 	if m.InFailover() || m.IsZoneLost("a") || m.MayBorrow("j-1") || m.IsOrderInEffect() || m.IsWriteDue(time.Hour) ||
@@ -77,14 +77,14 @@
 			job,
 		) || m.RecoveryPosition(job) != 0 || m.RiskPenalty(job, 0, "a") != 0 ||
 		m.TakeDecisions() != nil {
-		t.Error("the feature is on")
+		t.Error("nil Manager behaves as if the feature were on")
 	}
 }
 
-// store applies the writes of a Manager as the state service would.
-type store map[string]protocol.KeyValue
+// fakeStore is an in-memory key-value store that applies the writes of a Manager.
+type fakeStore map[string]protocol.KeyValue
 
-func (s store) apply(t *testing.T, w *RecordWrite, revision uint64) {
+func (s fakeStore) apply(t *testing.T, w *RecordWrite, revision uint64) {
 	t.Helper()
 	for _, compare := range w.If {
 		if got := s[compare.Key].Revision; got != compare.Revision {
@@ -99,15 +99,15 @@
 	}
 }
 
-func (s store) pages() (pages []protocol.KeyValue) {
+func (s fakeStore) pages() (pages []protocol.KeyValue) {
 	for _, page := range s {
 		pages = append(pages, page)
 	}
 	return pages
 }
 
-// TestRecordsAreRestored: what one Manager writes the next one knows, and when all loans are closed only the first page
-// stays.
+// TestRecordsAreRestored checks that a Manager restores what an earlier one wrote, and that only the first page remains
+// once all loans are closed.
 func TestRecordsAreRestored(t *testing.T) {
 	m := newTestManager(fakeJobs{})
 	m.monitor.Restore(Zone{Name: "a", State: Lost, Since: 5 * time.Second, Flaps: 2})
@@ -116,7 +116,7 @@
 			t.Fatal(err)
 		}
 	}
-	stored := store{}
+	stored := fakeStore{}
 	revision := uint64(0)
 	writeAll := func(m *Manager, now time.Duration) (writes int) {
 		for ; m.IsWriteDue(now); writes++ {
@@ -146,7 +146,7 @@
 		t.Errorf("loans %v, want %v", next.ledger.Loans(), m.ledger.Loans())
 	}
 	if zone := next.monitor.Zones()[0]; zone.State != Lost || zone.Flaps != 2 {
-		t.Errorf("zone %+v", zone)
+		t.Errorf("restored zone %+v, want it lost with 2 flaps", zone)
 	}
 	for _, loan := range next.ledger.Loans() {
 		next.CloseLoan(loan, Repaid)
@@ -155,11 +155,11 @@
 		writeAll(next, now)
 	}
 	if _, first := stored[storage.ZoneFailoverKey(0)]; len(stored) != 1 || !first {
-		t.Errorf("%d pages are left, want the first", len(stored))
+		t.Errorf("%d pages remain, want only the first", len(stored))
 	}
 }
 
-// TestRejectedWriteIsRetried: a rejected write is due again after the pause, with the same pages.
+// TestRejectedWriteIsRetried checks that a rejected write is due again after the pause, with the same pages.
 func TestRejectedWriteIsRetried(t *testing.T) {
 	m := newTestManager(fakeJobs{})
 	m.MarkZoneStatesChanged()
@@ -176,14 +176,14 @@
 	}
 	again := m.PrepareWrite(time.Minute+11*time.Second, "1.2", testLimits)
 	if again.VerifyKey != w.VerifyKey || again.VerifyName != "1.2" || again.Pages() != 1 {
-		t.Errorf("%+v, want the pages of %+v", again, w)
+		t.Errorf("retry %+v, want the pages of %+v", again, w)
 	}
 }
 
-// TestDurableLoans: the loans of a borrower are durable together, once the pages of all of them are written.
+// TestDurableLoans checks that the loans of a borrower become durable together, once all their pages are written.
 func TestDurableLoans(t *testing.T) {
 	m := newTestManager(fakeJobs{})
-	for i := range 7 { // on three pages, of which a transaction takes two
+	for i := range 7 { // on three pages, two of which fit into a transaction
 		if err := m.OpenLoans(testLimits, testLoan("j-1", i, []string{"j-8", "j-9"}[i/5])); err != nil {
 			t.Fatal(err)
 		}
@@ -203,7 +203,7 @@
 	}
 }
 
-// TestLoanOutcomes: how a loan ends follows from the lender's task alone, and from time.
+// TestLoanOutcomes checks that the outcome of a loan depends only on the state of the lender's task and on the time.
 func TestLoanOutcomes(t *testing.T) {
 	placementOf := func(attempt uint64, started, stopping bool) *machineregistry.Placement {
 		return &machineregistry.Placement{Attempt: attempt, StartAllowed: started, Stopping: stopping}
@@ -259,7 +259,7 @@
 	}
 }
 
-// TestZonePolicies: what the autoscaler may do in a zone that is not available.
+// TestZonePolicies checks the autoscaler's policy for a zone in each state that is not available.
 func TestZonePolicies(t *testing.T) {
 	const lease, maxLease = 10 * time.Second, 16 * time.Second
 	since := time.Minute
--- a/internal/coordination/zonefailover/monitor.go
+++ b/internal/coordination/zonefailover/monitor.go
@@ -9,21 +9,23 @@
 // State is the state of a zone.
 type State uint8
 
-// States of a zone. Their numbers are stored.
+// States of a zone. Their numeric values are stored.
 const (
-	// Available: the zone's machines are heard.
+	// Available means that the zone is trusted to run tasks.
 	Available State = iota
-	// Suspected: most of the zone's machines are silent, but their tasks may still run.
+	// Suspected means that most of the zone's machines are silent, but their tasks may still run.
 	Suspected
-	// Lost: most of the zone's machines have been silent for so long that no lease there can still be renewed.
+	// Lost means that most of the zone's machines have been silent for so long that none of their leases can be renewed
+	// any more.
 	Lost
-	// Returning: machines are heard again, or the zone has been without machines for long. It is not trusted yet.
+	// Returning means that machines send heartbeats again, or that the zone has had no machines for a long time. The
+	// zone is not trusted yet.
 	Returning
 )
 
 var stateNames = [...]string{Available: "available", Suspected: "suspected", Lost: "lost", Returning: "returning"}
 
-// String returns the state's name.
+// String returns the name of the state.
 func (s State) String() string {
 	if int(s) < len(stateNames) {
 		return stateNames[s]
@@ -31,27 +33,27 @@
 	return fmt.Sprintf("state %d", s)
 }
 
-// Observation counts the machines of a zone at a moment. A machine that has not been heard in this term, and not been
-// waited for long enough either, is neither reachable nor silent.
+// Observation holds the machine counts of a zone at one time. A machine that has sent no heartbeat in this term counts
+// as neither reachable nor silent until the silence timeout has passed.
 type Observation struct {
 	Zone         string
-	Machines     int // that run, or may hold tasks
-	Reachable    int // whose heartbeats arrive, by whichever controller
-	Silent       int // not heard for longer than the silence timeout
-	LeaseExpired int // silent for so long that no lease there can still be renewed
-	Departed     int // failed, or left the cloud's list, since the zone was last available
-	Booting      int // rented and not heard yet
+	Machines     int // running, or may hold tasks
+	Reachable    int // heartbeats arrive at any controller
+	Silent       int // no heartbeat for longer than the silence timeout
+	LeaseExpired int // silent for so long that no lease on it can be renewed any more
+	Departed     int // failed or left the cloud's list since the zone was last available
+	Booting      int // rented, no heartbeat yet
 }
 
-// Evidence is what a zone's state was derived from.
+// Evidence holds the facts from which a zone's state was derived.
 type Evidence struct {
 	Observation
-	// OtherMachines and OtherReachable count the machines of all other zones. Where those are silent as well, it is
-	// this controller's own network that has failed.
+	// OtherMachines and OtherReachable count the machines of all other zones. If those are silent as well, this
+	// controller's own network has failed.
 	OtherMachines, OtherReachable int
 }
 
-// String returns the evidence in a form for logs.
+// String returns a description of the evidence for logs.
 func (e Evidence) String() string {
 	return fmt.Sprintf(
 		"%d machines, %d reachable, %d silent, %d with expired leases, %d departed; %d of %d reachable elsewhere",
@@ -59,37 +61,37 @@
 	)
 }
 
-// mostlySilent reports whether most of the zone's machines are silent while machines elsewhere are reachable.
+// mostlySilent reports whether most of the zone's machines are silent while machines in other zones are reachable.
 func (e Evidence) mostlySilent() bool {
 	return e.Machines >= minMachinesToSuspect && float64(e.Silent) > suspectFraction*float64(e.Machines) &&
 		e.otherZonesReachable()
 }
 
-// otherZonesReachable reports whether at least half of the machines elsewhere are reachable. Otherwise nothing can be
-// said of a zone: it may be this controller that nobody reaches.
+// otherZonesReachable reports whether at least half of the machines in other zones are reachable. Otherwise nothing can
+// be concluded about the zone, because this controller itself may be unreachable.
 func (e Evidence) otherZonesReachable() bool {
 	return e.OtherMachines > 0 && 2*e.OtherReachable >= e.OtherMachines
 }
 
-// Fractions of a zone's machines that decide its state.
+// Fractions of a zone's machines that determine its state.
 const (
 	suspectFraction = 1. / 2 // a zone with more silent machines becomes suspected
-	clearFraction   = 1. / 4 // a suspected zone with no more silent machines is cleared
-	lostFraction    = 3. / 4 // a suspected zone with as many machines with expired leases becomes lost
-	relapseFraction = 1. / 2 // a returning zone with fewer reachable machines, of its peak, has relapsed
+	clearFraction   = 1. / 4 // a suspected zone with at most this many silent machines is cleared
+	lostFraction    = 3. / 4 // a suspected zone with at least this many expired leases becomes lost
+	relapseFraction = 1. / 2 // a returning zone with fewer reachable machines, relative to the peak, has relapsed
 )
 
-// minMachinesToSuspect is how many machines a zone must have for their silence to be evidence of the zone's state.
-// Fewer silent machines are fenced one by one.
+// minMachinesToSuspect is the minimum number of machines in a zone for their silence to be evidence about the zone. In
+// smaller zones, silent machines are fenced individually.
 const minMachinesToSuspect = 3
 
-// The hold time is how long a return is watched before the zone is trusted. Its base is set when a Monitor is made.
+// The hold time is how long a returning zone is observed before it is trusted. NewMonitor sets the base hold time.
 const (
-	maxHoldDoublings = 3 // each flap doubles the hold time, up to so many times
-	flapDecayHolds   = 8 // a flap is forgotten after so many base hold times
-	// emptyZoneHolds is after how many hold times without machines a lost zone begins to return, as nothing speaks
-	// against it any more. Otherwise the recovery order would stay in effect for good once the last machine of a lost
-	// zone is gone and nothing asks for another.
+	maxHoldDoublings = 3 // each flap doubles the hold time, at most this many times
+	flapDecayHolds   = 8 // number of base hold times after which a flap is forgotten
+	// emptyZoneHolds is the number of hold times without machines after which a lost zone becomes returning, because
+	// there is no evidence against it any more. Otherwise the recovery order would stay in effect forever if the last
+	// machine of a lost zone is terminated and no job needs another one there.
 	emptyZoneHolds = 4
 )
 
@@ -97,42 +99,42 @@
 type Zone struct {
 	Name     string
 	State    State
-	Since    time.Duration // when the state was entered
-	Flaps    int           // relapses that have not decayed yet
-	Evidence Evidence      // the latest
-
-	peakReachable  int           // most machines reachable at once since the return began
-	emptySince     time.Duration // since when a lost zone has had no machines
-	flapDecaySince time.Duration // when the last flap happened or decayed
-	recentlyLost   bool          // it was lost, and all its flaps since have not decayed yet
+	Since    time.Duration // time of the last state change
+	Flaps    int           // number of relapses that have not decayed yet
+	Evidence Evidence      // from the latest observation
+
+	peakReachable  int           // maximum number of reachable machines since the return began
+	emptySince     time.Duration // start of the period in which a lost zone has had no machines
+	flapDecaySince time.Duration // time of the last flap or decay of a flap
+	recentlyLost   bool          // the zone was lost, and its flaps since then have not all decayed
 }
 
-// Change is a change of a zone's state.
+// Change is a state change of a zone.
 type Change struct {
 	Zone     string
 	From, To State
-	Hold     time.Duration // how long a return is watched before the zone is trusted
+	Hold     time.Duration // how long a returning zone is observed before it is trusted
 	Evidence Evidence
 }
 
-// Monitor derives the states of the zones from the heartbeats of their machines. A state only says where capacity
-// should be prepared: silence alone never makes a task count as gone.
+// Monitor derives the states of the zones from the heartbeats of their machines. A state determines only where capacity
+// should be prepared: silence alone never proves that a task has ended.
 type Monitor struct {
-	hold  time.Duration
-	zones map[string]*Zone
-	names []string
+	baseHold time.Duration
+	zones    map[string]*Zone
+	names    []string
 }
 
-// NewMonitor returns a Monitor of the named zones, all of them available. hold is the base hold time.
+// NewMonitor returns a Monitor in which all named zones are available. hold is the base hold time.
 func NewMonitor(now, hold time.Duration, names []string) *Monitor {
-	m := &Monitor{hold: hold, zones: map[string]*Zone{}, names: slices.Sorted(slices.Values(names))}
+	m := &Monitor{baseHold: hold, zones: map[string]*Zone{}, names: slices.Sorted(slices.Values(names))}
 	for _, name := range m.names {
 		m.zones[name] = &Zone{Name: name, Since: now, flapDecaySince: now}
 	}
 	return m
 }
 
-// Restore takes over the state of a zone that an earlier leader recorded. Unknown zones and states are ignored.
+// Restore restores the state of a zone from an earlier leader's record. It ignores unknown zones and states.
 func (m *Monitor) Restore(z Zone) {
 	known := m.zones[z.Name]
 	if known == nil || z.State > Returning {
@@ -152,7 +154,7 @@
 	return out
 }
 
-// State returns a zone's state. An unknown zone is available.
+// State returns the state of a zone. An unknown zone is available.
 func (m *Monitor) State(zone string) State {
 	if z := m.zones[zone]; z != nil {
 		return z.State
@@ -160,7 +162,7 @@
 	return Available
 }
 
-// LostSince returns when a zone was lost, and false if it is not lost.
+// LostSince returns the time at which a zone became lost, and false if it is not lost.
 func (m *Monitor) LostSince(zone string) (time.Duration, bool) {
 	if z := m.zones[zone]; z != nil && z.State == Lost {
 		return z.Since, true
@@ -178,7 +180,7 @@
 	return false
 }
 
-// Observe derives the zones' states from observations of all zones, and returns the changes.
+// Observe updates the states of the zones from observations of all zones and returns the changes.
 func (m *Monitor) Observe(now time.Duration, observations []Observation) []Change {
 	var changes []Change
 	for _, o := range observations {
@@ -195,7 +197,7 @@
 	return changes
 }
 
-// evidenceFor sets an observation against those of all other zones.
+// evidenceFor combines an observation with the totals of all other zones.
 func evidenceFor(o Observation, observations []Observation) Evidence {
 	e := Evidence{Observation: o}
 	for _, other := range observations {
@@ -207,7 +209,7 @@
 	return e
 }
 
-// nextState returns the state that a zone's evidence speaks for.
+// nextState returns the state that follows from a zone's evidence.
 func (m *Monitor) nextState(now time.Duration, z *Zone) State {
 	switch z.State {
 	case Available:
@@ -236,9 +238,9 @@
 	case e.mostlySilent() && float64(e.LeaseExpired) >= lostFraction*machines:
 		return Lost
 	case e.Machines == 0 && e.Departed > 0:
-		return Lost // all have failed
+		return Lost // all machines have failed
 	case e.Machines == 0:
-		return Available // all were returned to the cloud: nothing speaks against the zone
+		return Available // all machines were released, which is no evidence against the zone
 	}
 	return Suspected
 }
@@ -262,12 +264,12 @@
 	case float64(e.Reachable) < relapseFraction*float64(z.peakReachable) && e.otherZonesReachable():
 		return Suspected
 	case now-z.Since >= m.holdTime(z) && (e.Reachable > 0 || e.Booting == 0):
-		return Available // machines are reachable, or none is expected
+		return Available // machines are reachable, or none is expected to register
 	}
 	return Returning
 }
 
-// transition changes a zone's state.
+// transition changes the state of a zone.
 func (m *Monitor) transition(now time.Duration, z *Zone, to State) Change {
 	from := z.State
 	if to == Suspected && z.recentlyLost {
@@ -282,12 +284,15 @@
 	return Change{Zone: z.Name, From: from, To: to, Hold: m.holdTime(z), Evidence: z.Evidence}
 }
 
-// holdTime is how long a return of the zone is watched.
-func (m *Monitor) holdTime(z *Zone) time.Duration { return m.hold << min(z.Flaps, maxHoldDoublings) }
+// holdTime returns how long a return of the zone is observed.
+func (m *Monitor) holdTime(z *Zone) time.Duration {
+	return m.baseHold << min(z.Flaps, maxHoldDoublings)
+}
 
-// decayFlaps forgets one flap of a zone that has been available for long enough, or at last that it was lost.
+// decayFlaps forgets one flap of a zone that has been available long enough. If no flap is left, it forgets that the
+// zone was lost.
 func (m *Monitor) decayFlaps(now time.Duration, z *Zone) {
-	if z.State != Available || now-max(z.flapDecaySince, z.Since) < flapDecayHolds*m.hold {
+	if z.State != Available || now-max(z.flapDecaySince, z.Since) < flapDecayHolds*m.baseHold {
 		return
 	}
 	z.flapDecaySince = now
--- a/internal/coordination/zonefailover/monitor_test.go
+++ b/internal/coordination/zonefailover/monitor_test.go
@@ -13,53 +13,53 @@
 
 const hold = 10 * time.Second
 
-// otherZone is a zone with all of its machines reachable.
+// otherZone is a zone in which all machines are reachable.
 var otherZone = Observation{Zone: "b", Machines: 10, Reachable: 10}
 
-// TestZoneStates plays sequences of observations of zone a and another one.
+// TestZoneStates checks the states of zone a for sequences of observations of zones a and b.
 func TestZoneStates(t *testing.T) {
-	heard := Observation{Zone: "a", Machines: 10, Reachable: 10}
+	reachable := Observation{Zone: "a", Machines: 10, Reachable: 10}
 	silent := Observation{Zone: "a", Machines: 10, Silent: 10}
 	expired := Observation{Zone: "a", Machines: 10, Silent: 10, LeaseExpired: 10}
-	half := Observation{Zone: "a", Machines: 10, Reachable: 5, Silent: 5, LeaseExpired: 5}
-	someHung := Observation{Zone: "a", Machines: 10, Reachable: 6, Silent: 4, LeaseExpired: 4}
-	unheard := Observation{Zone: "a", Machines: 10}
-	network := Observation{Zone: "b", Machines: 10, Reachable: 2, Silent: 8}
+	halfReachable := Observation{Zone: "a", Machines: 10, Reachable: 5, Silent: 5, LeaseExpired: 5}
+	someSilent := Observation{Zone: "a", Machines: 10, Reachable: 6, Silent: 4, LeaseExpired: 4}
+	noHeartbeatYet := Observation{Zone: "a", Machines: 10}
+	ownNetworkDown := Observation{Zone: "b", Machines: 10, Reachable: 2, Silent: 8}
 	type row struct {
 		a, b  Observation
 		after time.Duration
 		want  State
 	}
-	for _, x := range []struct {
+	for _, test := range []struct {
 		name string
 		rows []row
 	}{
 		{"lost and back", []row{
 			{silent, otherZone, 1, Suspected},
 			{expired, otherZone, 1, Lost},
-			{heard, otherZone, 1, Returning},
-			{heard, otherZone, hold - 1, Returning},
-			{heard, otherZone, 2, Available},
+			{reachable, otherZone, 1, Returning},
+			{reachable, otherZone, hold - 1, Returning},
+			{reachable, otherZone, 2, Available},
 		}},
-		{"silent for a moment", []row{{silent, otherZone, 1, Suspected}, {heard, otherZone, 1, Available}}},
-		{"our own network", []row{{expired, network, 1, Available}, {expired, network, hold, Available}}},
+		{"silent for a moment", []row{{silent, otherZone, 1, Suspected}, {reachable, otherZone, 1, Available}}},
+		{"our own network", []row{{expired, ownNetworkDown, 1, Available}, {expired, ownNetworkDown, hold, Available}}},
 		{"suspected, then our own network", []row{
 			{silent, otherZone, 1, Suspected},
-			{expired, network, 1, Suspected},
+			{expired, ownNetworkDown, 1, Suspected},
 			{expired, otherZone, 1, Lost},
 		}},
-		{"a few machines", []row{{someHung, otherZone, 1, Available}}},
+		{"a few machines", []row{{someSilent, otherZone, 1, Available}}},
 		{"half of it", []row{
 			{expired, otherZone, 1, Suspected},
 			{expired, otherZone, 1, Lost},
-			{half, otherZone, 1, Returning},
-			{half, otherZone, hold, Available},
+			{halfReachable, otherZone, 1, Returning},
+			{halfReachable, otherZone, hold, Available},
 		}},
 		{"all of it is gone", []row{
 			{silent, otherZone, 1, Suspected},
 			{Observation{Zone: "a", Departed: 3}, otherZone, 1, Lost},
 			{Observation{Zone: "a", Departed: 3}, otherZone, hold, Lost},
-			{heard, otherZone, 1, Returning},
+			{reachable, otherZone, 1, Returning},
 		}},
 		{"empty for long", []row{
 			{silent, otherZone, 1, Suspected},
@@ -67,7 +67,7 @@
 			{Observation{Zone: "a"}, otherZone, emptyZoneHolds*hold - 1, Lost},
 			{Observation{Zone: "a", Booting: 1}, otherZone, 1, Returning},
 			{Observation{Zone: "a", Booting: 1}, otherZone, 2 * hold, Returning},
-			{heard, otherZone, 1, Available},
+			{reachable, otherZone, 1, Available},
 		}},
 		{"empty, and nothing is wanted there", []row{
 			{silent, otherZone, 1, Suspected},
@@ -88,84 +88,86 @@
 		}},
 		{"its tasks still run", []row{{silent, otherZone, 1, Suspected}, {silent, otherZone, hold, Suspected}}},
 		{"a new leader has not heard it yet", []row{
-			{unheard, otherZone, 1, Available},
-			{unheard, otherZone, hold, Available},
+			{noHeartbeatYet, otherZone, 1, Available},
+			{noHeartbeatYet, otherZone, hold, Available},
 		}},
 		{"it flaps", []row{
 			{silent, otherZone, 1, Suspected},
 			{expired, otherZone, 1, Lost},
-			{heard, otherZone, 1, Returning},
+			{reachable, otherZone, 1, Returning},
 			{silent, otherZone, 1, Suspected},
-			{heard, otherZone, 1, Returning},
-			{heard, otherZone, hold + 1, Returning},
-			{heard, otherZone, hold, Available},
+			{reachable, otherZone, 1, Returning},
+			{reachable, otherZone, hold + 1, Returning},
+			{reachable, otherZone, hold, Available},
 		}},
 		{"single zone", []row{{expired, Observation{}, 1, Available}}},
 	} {
-		t.Run(x.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			m := NewMonitor(0, hold, []string{"a", "b"})
 			now := time.Duration(0)
-			for i, r := range x.rows {
+			for i, r := range test.rows {
 				now += r.after
 				m.Observe(now, []Observation{r.a, r.b})
 				if got := m.State("a"); got != r.want {
-					t.Fatalf("row %d: %s, want %s", i, got, r.want)
+					t.Fatalf("after row %d: state %s, want %s", i, got, r.want)
 				}
 			}
 		})
 	}
 }
 
-// TestZoneInvariants: whatever is observed, a zone is lost only when most of its machines have expired leases and
-// those elsewhere are reachable; it is trusted after a loss only a hold time after it was heard again, or was without
-// machines for several of them; and the hold time stays within its bounds.
+// TestZoneInvariants checks three properties for random observations. A zone with machines becomes lost only if most of
+// them have expired leases and the other zone's machines are reachable. After a loss, a zone becomes available only one
+// hold time after its machines sent heartbeats again, or after several hold times without machines. The hold time stays
+// within its bounds.
 func TestZoneInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := NewMonitor(0, hold, []string{"a", "b"})
 		now := time.Duration(0)
-		var lost, heardSince time.Duration = -1, -1
+		var lostAt, returnedAt time.Duration = -1, -1
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(1, 8).Draw(t, "seconds")) * time.Second
-			var facts []Observation
+			var observations []Observation
 			for _, zone := range []string{"a", "b"} {
-				f := Observation{Zone: zone, Machines: rapid.IntRange(0, 8).Draw(t, "machines")}
-				f.Reachable = rapid.IntRange(0, f.Machines).Draw(t, "heard")
-				f.Silent = f.Machines - f.Reachable
-				f.LeaseExpired = rapid.IntRange(0, f.Silent).Draw(t, "expired")
-				facts = append(facts, f)
+				o := Observation{Zone: zone, Machines: rapid.IntRange(0, 8).Draw(t, "machines")}
+				o.Reachable = rapid.IntRange(0, o.Machines).Draw(t, "heard")
+				o.Silent = o.Machines - o.Reachable
+				o.LeaseExpired = rapid.IntRange(0, o.Silent).Draw(t, "expired")
+				observations = append(observations, o)
 			}
-			for _, c := range m.Observe(now, facts) {
+			for _, c := range m.Observe(now, observations) {
 				if c.Zone != "a" {
 					continue
 				}
-				f, other := facts[0], facts[1]
-				if c.To == Lost && f.Machines > 0 &&
-					(4*f.LeaseExpired < 3*f.Machines || 2*other.Reachable < other.Machines) {
-					t.Fatalf("lost with %+v and %+v", f, other)
+				o, other := observations[0], observations[1]
+				if c.To == Lost && o.Machines > 0 &&
+					(4*o.LeaseExpired < 3*o.Machines || 2*other.Reachable < other.Machines) {
+					t.Fatalf("zone a became lost with %+v, zone b %+v", o, other)
 				}
-				if c.From == Lost && f.Machines > 0 && f.Reachable == 0 {
-					t.Fatalf("returning with %+v", f)
+				if c.From == Lost && o.Machines > 0 && o.Reachable == 0 {
+					t.Fatalf("lost zone became returning with %+v", o)
 				}
-				if c.To == Available && lost >= 0 && (heardSince < 0 || now-heardSince < hold) {
-					t.Fatalf("trusted %v after it was heard again", now-heardSince)
+				if c.To == Available && lostAt >= 0 && (returnedAt < 0 || now-returnedAt < hold) {
+					t.Fatalf("zone became available %v after it began to return", now-returnedAt)
 				}
 				if c.Hold < hold || c.Hold > hold<<maxHoldDoublings {
-					t.Fatalf("held for %v", c.Hold)
+					t.Fatalf("hold time %v is out of bounds", c.Hold)
 				}
 				switch c.To {
 				case Lost:
-					lost, heardSince = now, -1
+					lostAt, returnedAt = now, -1
 				case Returning:
-					heardSince = now
+					returnedAt = now
 				case Available:
-					lost = -1
+					lostAt = -1
 				}
 			}
 		}
 	})
 }
 
-// TestFlapsAreForgotten: a zone that stays is trusted as quickly again as one that never left.
+// TestFlapsAreForgotten checks that the flaps of a zone are forgotten after it has been available for long enough, so
+// that a later return is trusted as quickly as the first one.
 func TestFlapsAreForgotten(t *testing.T) {
 	m := NewMonitor(0, hold, []string{"a", "b"})
 	m.Restore(Zone{Name: "a", State: Available, Flaps: 2})
@@ -173,12 +175,12 @@
 		m.Observe(now, []Observation{{Zone: "a", Machines: 4, Reachable: 4}, otherZone})
 	}
 	if got := m.Zones()[0].Flaps; got != 0 {
-		t.Errorf("%d flaps are remembered", got)
+		t.Errorf("%d flaps are still counted, want none", got)
 	}
 }
 
-// TestRestoredState: what an earlier leader recorded goes on, and what cannot be is not
-// taken over.
+// TestRestoredState checks that a zone's state from an earlier leader is restored, and that unknown zones and states
+// are ignored.
 func TestRestoredState(t *testing.T) {
 	m := NewMonitor(time.Minute, hold, []string{"a", "b"})
 	m.Restore(Zone{Name: "a", State: Lost, Since: 20 * time.Second, Flaps: -3})
--- a/internal/coordination/zonefailover/records.go
+++ b/internal/coordination/zonefailover/records.go
@@ -13,29 +13,29 @@
 	"pinebay/internal/storage"
 )
 
-// openLoansPerMB is how many open loans are kept for each megabyte of the controller's memory: with their rows and
-// pages they take a tenth of it.
+// openLoansPerMB is the maximum number of open loans per megabyte of the controller's memory. The loans with their rows
+// and pages then use a tenth of the memory.
 const openLoansPerMB = 40
 
-// RecordLimits are the limits of the state service that the stored records keep to.
+// RecordLimits holds the store limits that the stored records must respect.
 type RecordLimits struct {
 	LoansPerPage        int
 	PagesPerTransaction int
 }
 
-// maxOpenLoans is how many loans may be open at a time in a controller with this much memory.
+// maxOpenLoans returns the maximum number of open loans for a controller with the given memory.
 func (l RecordLimits) maxOpenLoans(memoryMB float64) int {
 	return max(l.PagesPerTransaction*l.LoansPerPage, int(memoryMB*openLoansPerMB))
 }
 
-// recordPages are the pages of zone failover as they stand in the state service. A loan stays on the page that it was
-// first written on, so that a change concerns few pages. Changed pages are written one transaction at a time.
+// recordPages tracks the record pages of zone failover in the key-value store. A loan stays on the page to which it was
+// first written, so that a change affects few pages. One transaction with changed pages is in flight at a time.
 type recordPages struct {
 	writeInFlight bool
 	lastWrite     time.Duration
 	revisions     map[int]uint64 // by page
-	contents      map[int]string // as last written, without the name of the write, by page
-	unusable      map[int]bool   // pages of a newer format or out of form, which are never written
+	contents      map[int]string // last written content without the write's name, by page
+	unusable      map[int]bool   // malformed pages and pages of a newer format, which are never written
 	dirty         map[int]bool   // pages that have changed since they were last written
 	pageOf        map[TaskAttempt]int
 	loansOnPage   map[int]int // by page
@@ -52,7 +52,7 @@
 	}
 }
 
-// nextUsablePage returns the first page from the given one on that may be written.
+// nextUsablePage returns the first writable page at or after the given one.
 func (r *recordPages) nextUsablePage(page int) int {
 	for r.unusable[page] {
 		page++
@@ -60,10 +60,10 @@
 	return page
 }
 
-// firstPage is the page that also holds the states of the zones.
+// firstPage returns the page that also holds the states of the zones.
 func (r *recordPages) firstPage() int { return r.nextUsablePage(0) }
 
-// addLoan puts a loan on the first page that has room for it.
+// addLoan puts a loan on the first page with room for it.
 func (r *recordPages) addLoan(lender TaskAttempt, loansPerPage int) {
 	page := r.firstPage()
 	for r.loansOnPage[page] >= loansPerPage {
@@ -73,13 +73,13 @@
 	r.dirty[page] = true
 }
 
-// assignPage notes which page a loan is on.
+// assignPage records which page a loan is on.
 func (r *recordPages) assignPage(lender TaskAttempt, page int) {
 	r.pageOf[lender] = page
 	r.loansOnPage[page]++
 }
 
-// removeLoan takes a loan that has ended off its page.
+// removeLoan removes an ended loan from its page.
 func (r *recordPages) removeLoan(lender TaskAttempt) {
 	page, ok := r.pageOf[lender]
 	if !ok {
@@ -93,8 +93,8 @@
 // isDirty reports whether the page of a loan has changed since it was last written.
 func (r *recordPages) isDirty(lender TaskAttempt) bool { return r.dirty[r.pageOf[lender]] }
 
-// written notes that a page holds this content, or does not exist if the content is empty.
-func (r *recordPages) written(page int, content string, revision uint64) {
+// setStored records the content of a page in the store. Empty content means that the page does not exist.
+func (r *recordPages) setStored(page int, content string, revision uint64) {
 	if content == "" {
 		delete(r.revisions, page)
 		delete(r.contents, page)
@@ -103,23 +103,23 @@
 	r.revisions[page], r.contents[page] = revision, content
 }
 
-// MarkZoneStatesChanged has the states of the zones written again.
+// MarkZoneStatesChanged schedules another write of the states of the zones.
 func (m *Manager) MarkZoneStatesChanged() { m.records.dirty[m.records.firstPage()] = true }
 
-// Restore takes over what an earlier leader recorded. A page that cannot be read, or is of a newer format, is
-// reported and never written: its loans count as ended, which harms no job, as a lender waits for capacity like any
-// other job.
+// Restore restores the state recorded by an earlier leader. A page that is malformed or of a newer format is reported
+// and never written. Its loans count as ended. That harms no job, because a lender waits for capacity like any other
+// job.
 func (m *Manager) Restore(now time.Duration, pages []protocol.KeyValue) {
 	for _, p := range pages {
 		page, err := strconv.Atoi(strings.TrimPrefix(p.Key, storage.ZoneFailoverPrefix))
 		if err != nil {
-			m.decide(RecordIgnored{Key: p.Key, Reason: "not a page"})
+			m.addDecision(RecordIgnored{Key: p.Key, Reason: "key does not end in a page number"})
 			continue
 		}
 		record, err := storage.DecodeZoneFailover(p)
 		if err != nil {
 			m.records.unusable[page] = true
-			m.decide(RecordIgnored{Key: p.Key, Reason: err.Error()})
+			m.addDecision(RecordIgnored{Key: p.Key, Reason: err.Error()})
 			continue
 		}
 		m.records.revisions[page] = p.Revision
@@ -148,15 +148,15 @@
 	for _, row := range rows {
 		loan := LoanFromRow(row)
 		if err := m.ledger.Open(loan); err != nil {
-			reason := fmt.Sprintf("loan of %s/%d: %v", row.Lender, row.Task, err)
-			m.decide(RecordIgnored{Key: key, Reason: reason})
+			reason := fmt.Sprintf("loan by %s/%d: %v", row.Lender, row.Task, err)
+			m.addDecision(RecordIgnored{Key: key, Reason: reason})
 			continue
 		}
 		m.records.assignPage(loan.Lender, page)
 	}
 }
 
-// LoanFromRow returns a stored loan.
+// LoanFromRow converts a stored loan.
 func LoanFromRow(r storage.LoanRow) Loan {
 	return Loan{
 		Term:        r.Term,
@@ -171,7 +171,7 @@
 	}
 }
 
-// Row returns the loan as it is stored.
+// Row returns the stored form of the loan.
 func (l Loan) Row() storage.LoanRow {
 	return storage.LoanRow{
 		Term:        l.Term,
@@ -188,7 +188,8 @@
 	}
 }
 
-// RedistributeLoans moves loans off pages that hold more than the limits allow. It does nothing for a nil Manager.
+// RedistributeLoans moves loans off pages that hold more of them than the limits allow. It does nothing for a nil
+// Manager.
 func (m *Manager) RedistributeLoans(limits RecordLimits) {
 	if m == nil {
 		return
@@ -206,19 +207,19 @@
 type RecordWrite struct {
 	If   []protocol.Compare
 	Then []protocol.Op
-	// VerifyKey and VerifyName are the key, and the name of the write in its record, by which the author of the
-	// transaction recognises it when the answer is lost. A page that is deleted has no name.
+	// VerifyKey and VerifyName are the key and the write name by which the transaction's author finds out whether the
+	// transaction was applied if its response is lost. For the deletion of a page the name is empty.
 	VerifyKey, VerifyName string
 
-	contents map[int]string // of the pages once they are written; empty for a page that is deleted
+	contents map[int]string // content of each page after the write, empty for a deleted page
 	durable  []Loan         // open loans that are recorded once the pages are written
 }
 
-// Pages returns how many pages are written.
+// Pages returns the number of pages in the write.
 func (w *RecordWrite) Pages() int { return len(w.contents) }
 
-// DurableLoans returns the open loans that are recorded once the transaction has succeeded, but for those of
-// borrowers that have other loans which are not: all that lends to one job is preempted together.
+// DurableLoans returns the open loans that are recorded once the transaction has succeeded. It omits the loans of
+// borrowers with other loans that are not recorded yet, because all lenders to one job are preempted together.
 func (w *RecordWrite) DurableLoans() []Loan { return w.durable }
 
 // add adds the write of one page.
@@ -228,7 +229,7 @@
 	w.contents[page] = content
 }
 
-// setVerification chooses by which key the transaction is recognised.
+// setVerification chooses the key by which the outcome of the transaction is verified.
 func (w *RecordWrite) setVerification(name string) {
 	for _, op := range w.Then {
 		if op.PutKey != "" {
@@ -241,8 +242,9 @@
 	}
 }
 
-// IsWriteDue reports whether changes are to be written: at once while lenders wait to be preempted, and otherwise
-// gathered for a cycle. It is false for a nil Manager and while a write is in flight.
+// IsWriteDue reports whether changes should be written now. They are written at once while lenders wait to be
+// preempted, and are otherwise collected for one cycle. It returns false while a write is in flight and for a nil
+// Manager.
 func (m *Manager) IsWriteDue(now time.Duration) bool {
 	if m == nil || len(m.records.dirty) == 0 || m.records.writeInFlight {
 		return false
@@ -250,9 +252,9 @@
 	return len(m.awaitingPreemption) > 0 || now-m.records.lastWrite >= m.options.CycleInterval
 }
 
-// PrepareWrite returns the write of the pages that go into the next transaction, under the given name. It has no
-// operations if no page has really changed; then nothing is in flight and the durable loans are recorded already.
-// Otherwise WriteSucceeded or WriteRejected must follow, unless the leader's term ends.
+// PrepareWrite returns the next write, under the given write name. If no page has really changed, the write has no
+// operations: nothing is in flight and its durable loans are already recorded. Otherwise the caller must call
+// WriteSucceeded or WriteRejected unless the leader's term ends.
 func (m *Manager) PrepareWrite(now time.Duration, name string, limits RecordLimits) *RecordWrite {
 	w := &RecordWrite{contents: map[int]string{}}
 	pages := m.pagesToWrite(limits.PagesPerTransaction)
@@ -297,8 +299,8 @@
 	return nil
 }
 
-// pagesToWrite returns the pages that go into the next transaction, those first that lenders wait for.
-func (m *Manager) pagesToWrite(most int) []int {
+// pagesToWrite returns the pages for the next transaction. Pages that lenders wait for come first.
+func (m *Manager) pagesToWrite(limit int) []int {
 	awaited := map[int]bool{}
 	for lender := range m.awaitingPreemption {
 		awaited[m.records.pageOf[lender]] = true
@@ -312,10 +314,10 @@
 		}
 		return cmp.Compare(a, b)
 	})
-	return pages[:min(len(pages), most)]
+	return pages[:min(len(pages), limit)]
 }
 
-// buildRecords returns the records of some pages as they should be; nil for a page that nothing is on.
+// buildRecords returns the current records of the given pages. A page without content has no record.
 func (m *Manager) buildRecords(pages []int) map[int]*storage.ZoneFailoverRecord {
 	records := map[int]*storage.ZoneFailoverRecord{}
 	for _, page := range pages {
@@ -328,7 +330,7 @@
 			first.Zones = append(first.Zones, storage.ZoneRow{
 				Name:    zone.Name,
 				State:   int(zone.State),
-				SinceMS: m.wallClockMS(zone.Since),
+				SinceMS: m.unixMS(zone.Since),
 				Flaps:   zone.Flaps,
 			})
 		}
@@ -341,8 +343,8 @@
 	return records
 }
 
-// durableLoans returns the open loans on pages that have not changed, but for those of borrowers that have others on
-// pages which have.
+// durableLoans returns the open loans on unchanged pages. It omits the loans of borrowers with other loans on changed
+// pages.
 func (m *Manager) durableLoans() (durable []Loan) {
 	incomplete := map[string]bool{} // borrowers
 	for _, loan := range m.ledger.Loans() {
@@ -358,16 +360,16 @@
 	return durable
 }
 
-// WriteSucceeded notes that the pages of a write are stored, under the given revision.
+// WriteSucceeded records that the pages of a write are stored with the given revision.
 func (m *Manager) WriteSucceeded(w *RecordWrite, revision uint64) {
 	m.records.writeInFlight = false
 	for page, content := range w.contents {
-		m.records.written(page, content, revision)
+		m.records.setStored(page, content, revision)
 	}
 }
 
-// WriteRejected notes that the state service does not accept the form of a write. Its pages are written again once a
-// cycle has passed after the given moment, or as soon as lenders wait to be preempted.
+// WriteRejected records that the store rejected a write as malformed. Its pages are written again one cycle after
+// retryAfter, or as soon as lenders wait to be preempted.
 func (m *Manager) WriteRejected(w *RecordWrite, retryAfter time.Duration) {
 	m.records.writeInFlight = false
 	m.records.lastWrite = retryAfter
--- a/internal/coordination/zonefailover/recoveryorder.go
+++ b/internal/coordination/zonefailover/recoveryorder.go
@@ -12,18 +12,18 @@
 	"pinebay/internal/config"
 )
 
-// Errors of ParseRecoveryOrder.
+// Errors returned by [ParseRecoveryOrder].
 var (
 	ErrOrderSyntax        = errors.New("malformed recovery order")
-	ErrUnknownOrderItem   = errors.New("recovery order names what the settings don't have")
-	ErrDuplicateOrderItem = errors.New("recovery order names an item twice in a chain")
+	ErrUnknownOrderItem   = errors.New("recovery order names a class or team that the settings do not contain")
+	ErrDuplicateOrderItem = errors.New("recovery order names an item twice in one chain")
 	ErrOrderCycle         = errors.New("recovery order contradicts itself")
 )
 
-// OrderItem is a class of jobs or a team in a recovery order.
+// OrderItem is a job class or a team in a recovery order.
 type OrderItem struct{ Class, Team string }
 
-// String returns the item as operators write it.
+// String returns the item in the syntax that operators use.
 func (i OrderItem) String() string {
 	if i.Team != "" {
 		return "team " + i.Team
@@ -31,15 +31,15 @@
 	return "class " + i.Class
 }
 
-// RecoveryOrder is the order in which work recovers when a zone is lost: the named items first, then all other work.
-// Within an item, jobs go by priority, their class's start latency objective, and age.
+// RecoveryOrder is the order in which work recovers after the loss of a zone: the listed items first, then all other
+// work. Within an item, jobs are ordered by priority, start latency objective of their class, and age.
 type RecoveryOrder struct {
 	items         []OrderItem
 	classPosition map[string]int
 	teamPosition  map[string]int
 }
 
-// DefaultRecoveryOrder returns the order that names no item.
+// DefaultRecoveryOrder returns the order without items.
 func DefaultRecoveryOrder() *RecoveryOrder { return newRecoveryOrder(nil) }
 
 func newRecoveryOrder(items []OrderItem) *RecoveryOrder {
@@ -54,7 +54,7 @@
 	return o
 }
 
-// Position returns the position of a job's item in the order. Where both are named, its class decides, not its team.
+// Position returns the position of a job in the order. If both its class and its team are listed, the class decides.
 func (o *RecoveryOrder) Position(class, team string) int {
 	if position, ok := o.classPosition[class]; ok {
 		return position
@@ -65,24 +65,24 @@
 	return len(o.items)
 }
 
-// String returns the order in a form for logs.
+// String returns a description of the order for logs.
 func (o *RecoveryOrder) String() string {
 	var b strings.Builder
 	for _, item := range o.items {
 		b.WriteString(item.String())
 		b.WriteString(" > ")
 	}
-	b.WriteString(theRest)
+	b.WriteString(otherWork)
 	return b.String()
 }
 
-// theRest stands for all work that an order does not name.
-const theRest = "the rest by priority, start latency objective and age"
+// otherWork describes all work that is not listed in an order.
+const otherWork = "all other work by priority, start latency objective and age"
 
-// orderText is the grammar of an order as operators write it: chains of items, the first to recover first. All of
-// several chains, separated by semicolons, must hold.
+// orderText is the grammar of a recovery order. An order consists of chains separated by semicolons, which must all
+// hold. The first item of a chain recovers first.
 //
-//	cluesmith > team guests ; class vanquery > gridsweep
+//	serve > team research ; class train > batch
 type orderText struct {
 	Chains []*chainText `parser:"@@ ( ';' @@ )*"`
 }
@@ -98,19 +98,19 @@
 
 func (i itemText) item() OrderItem { return OrderItem{Class: i.Class, Team: i.Team} }
 
-// ParseRecoveryOrder parses an order that an operator has stated and checks it against the classes and teams of the
+// ParseRecoveryOrder parses an order written by an operator and validates it against the classes and teams in the
 // settings.
 func ParseRecoveryOrder(text string, d *config.Deployment) (*RecoveryOrder, error) {
 	parsed, err := parseOrderText(text)
 	if err != nil {
 		return nil, err
 	}
-	predecessors := map[OrderItem][]OrderItem{} // direct ones
+	predecessors := map[OrderItem][]OrderItem{} // direct predecessors
 	var items []OrderItem
 	for _, chain := range parsed.Chains {
 		var previous []OrderItem // in the chain
-		for _, itemText := range chain.Items {
-			item := itemText.item()
+		for _, parsedItem := range chain.Items {
+			item := parsedItem.item()
 			if !itemExists(item, d) {
 				return nil, fmt.Errorf("%w: %s", ErrUnknownOrderItem, item)
 			}
@@ -126,7 +126,7 @@
 			}
 		}
 	}
-	sorted, err := linearize(items, predecessors)
+	sorted, err := topologicalSort(items, predecessors)
 	if err != nil {
 		return nil, err
 	}
@@ -142,7 +142,7 @@
 		{Name: "Space", Pattern: `\s+`},
 	})
 	if err != nil {
-		return nil, fmt.Errorf("building the lexer of recovery orders: %w", err)
+		return nil, fmt.Errorf("build recovery order lexer: %w", err)
 	}
 	parser, err := participle.Build[orderText](
 		participle.Lexer(words),
@@ -150,7 +150,7 @@
 		participle.Unquote("Quoted"),
 	)
 	if err != nil {
-		return nil, fmt.Errorf("building the parser of recovery orders: %w", err)
+		return nil, fmt.Errorf("build recovery order parser: %w", err)
 	}
 	parsed, err := parser.ParseString("", text)
 	if err != nil {
@@ -159,7 +159,7 @@
 	return parsed, nil
 }
 
-// itemExists reports whether the settings have the team, or an objective for the class, that an item names.
+// itemExists reports whether the settings contain the item's team, or an objective for its class.
 func itemExists(item OrderItem, d *config.Deployment) bool {
 	if item.Team != "" {
 		return d.Team(item.Team) != nil
@@ -167,16 +167,16 @@
 	return slices.ContainsFunc(d.Objectives, func(o config.Objective) bool { return o.Class == item.Class })
 }
 
-// linearize sorts the items so that each comes after its predecessors. Among those that may come next, the one that
-// was written first does.
-func linearize(items []OrderItem, predecessors map[OrderItem][]OrderItem) ([]OrderItem, error) {
+// topologicalSort sorts the items so that each one follows its predecessors. If several items may come next, the one
+// that was written first does.
+func topologicalSort(items []OrderItem, predecessors map[OrderItem][]OrderItem) ([]OrderItem, error) {
 	var sorted []OrderItem
 	for len(sorted) < len(items) {
 		next := slices.IndexFunc(items, func(item OrderItem) bool {
 			return !slices.Contains(sorted, item) && containsAll(sorted, predecessors[item])
 		})
 		if next < 0 {
-			return nil, fmt.Errorf("%w: among %v", ErrOrderCycle, itemsNotIn(items, sorted))
+			return nil, fmt.Errorf("%w: cycle among %v", ErrOrderCycle, itemsNotIn(items, sorted))
 		}
 		sorted = append(sorted, items[next])
 	}
--- a/internal/coordination/zonefailover/recoveryorder_test.go
+++ b/internal/coordination/zonefailover/recoveryorder_test.go
@@ -10,7 +10,7 @@
 	"pinebay/internal/config"
 )
 
-func settings() *config.Deployment {
+func testSettings() *config.Deployment {
 	d := &config.Deployment{Teams: []config.Team{{Name: "red"}, {Name: "blue team"}}}
 	for _, class := range []string{"a", "b", "c", "d-1", "team"} {
 		d.Objectives = append(d.Objectives, config.Objective{Kind: "wait", Class: class})
@@ -18,8 +18,8 @@
 	return d
 }
 
-// TestParseRecoveryOrder: orders that are accepted, without the rest, and orders that are refused, each with an error
-// in one line that names what is wrong.
+// TestParseRecoveryOrder checks valid orders, and the errors for invalid ones. Each error must be a single line that
+// names the cause.
 func TestParseRecoveryOrder(t *testing.T) {
 	for _, row := range []struct {
 		text, want string
@@ -35,28 +35,28 @@
 		{"a >", "", ErrOrderSyntax},
 		{"a b", "", ErrOrderSyntax},
 		{"a & b", "", ErrOrderSyntax},
-		{"team", "class team", nil}, // a class of that name
+		{"team", "class team", nil}, // a class named "team"
 		{"team red blue", "", ErrOrderSyntax},
 		{"a > x", "class x", ErrUnknownOrderItem},
 		{"team green", "team green", ErrUnknownOrderItem},
 		{"a > b > a", "class a", ErrDuplicateOrderItem},
 		{"a > b; b > c; c > a", "class a", ErrOrderCycle},
 	} {
-		o, err := ParseRecoveryOrder(row.text, settings())
+		o, err := ParseRecoveryOrder(row.text, testSettings())
 		if row.err == nil {
-			if want := row.want + " > " + theRest; err != nil || o.String() != want {
-				t.Errorf("%q: %v %v, want %q", row.text, o, err, want)
+			if want := row.want + " > " + otherWork; err != nil || o.String() != want {
+				t.Errorf("%q: order %v, error %v, want %q", row.text, o, err, want)
 			}
 			continue
 		}
 		if !errors.Is(err, row.err) || strings.Contains(err.Error(), "\n") || !strings.Contains(err.Error(), row.want) {
-			t.Errorf("%q: %v, want %v that names %q", row.text, err, row.err, row.want)
+			t.Errorf("%q: error %v, want %v that names %q", row.text, err, row.err, row.want)
 		}
 	}
 }
 
-// TestRecoveryOrderKeepsAllChains: whatever chains are stated without contradiction, the row keeps all
-// of them, and reading it again gives the same row.
+// TestRecoveryOrderKeepsAllChains checks that a parsed order respects all of its chains, unless they form a cycle, and
+// that parsing the order's own text again gives the same order.
 func TestRecoveryOrderKeepsAllChains(t *testing.T) {
 	names := []string{"a", "b", "c", "d-1", "team red"}
 	rapid.Check(t, func(t *rapid.T) {
@@ -66,7 +66,7 @@
 			chains = append(chains, strings.Join(picked, " > "))
 		}
 		text := strings.Join(chains, "; ")
-		o, err := ParseRecoveryOrder(text, settings())
+		o, err := ParseRecoveryOrder(text, testSettings())
 		if errors.Is(err, ErrOrderCycle) {
 			return
 		}
@@ -88,36 +88,42 @@
 			}
 		}
 		again, err := ParseRecoveryOrder(
-			strings.TrimSuffix(o.String(), " > "+theRest),
-			settings(),
+			strings.TrimSuffix(o.String(), " > "+otherWork),
+			testSettings(),
 		)
 		if err != nil || again.String() != o.String() {
-			t.Fatalf("%s, read again: %v %v", o, again, err)
+			t.Fatalf("%s parsed again: order %v, error %v", o, again, err)
 		}
 	})
 }
 
-// TestRecoveryOrderPosition: a class goes before its team, and what is not named comes last.
+// TestRecoveryOrderPosition checks that a job's class takes precedence over its team, and that unlisted work comes
+// last.
 func TestRecoveryOrderPosition(t *testing.T) {
-	o, err := ParseRecoveryOrder("team red > a", settings())
+	o, err := ParseRecoveryOrder("team red > a", testSettings())
 	if err != nil {
 		t.Fatal(err)
 	}
 	if o.Position("a", "red") != 1 || o.Position("b", "red") != 0 || o.Position("b", "blue team") != 2 {
-		t.Errorf("%d %d %d", o.Position("a", "red"), o.Position("b", "red"), o.Position("b", "blue team"))
+		t.Errorf(
+			"positions %d, %d and %d, want 1, 0 and 2",
+			o.Position("a", "red"),
+			o.Position("b", "red"),
+			o.Position("b", "blue team"),
+		)
 	}
 	if d := DefaultRecoveryOrder(); d.Position("a", "red") != 0 || d.Position("b", "blue team") != 0 {
-		t.Error("the default order names something")
+		t.Error("the default order lists items")
 	}
 }
 
-// FuzzParseRecoveryOrder: nothing that an operator types ends the program.
+// FuzzParseRecoveryOrder checks that no input makes the parser panic.
 func FuzzParseRecoveryOrder(f *testing.F) {
 	f.Add("a > b; team red > c")
 	f.Add(`"a`)
 	f.Fuzz(func(t *testing.T, text string) {
-		if o, err := ParseRecoveryOrder(text, settings()); err == nil && o.String() == "" {
-			t.Error("an order without words")
+		if o, err := ParseRecoveryOrder(text, testSettings()); err == nil && o.String() == "" {
+			t.Error("parsed order without a description")
 		}
 	})
 }
--- a/internal/coordination/zonefailover/recoverysort.go
+++ b/internal/coordination/zonefailover/recoverysort.go
@@ -8,31 +8,31 @@
 	"pinebay/internal/protocol"
 )
 
-// Rank is what the place of a job in the recovery order depends on.
+// Rank holds the properties of a job that determine its place in the recovery order.
 type Rank struct {
 	Job      *protocol.Job
-	Priority int // level of its priority, 0 for the highest
-	// StartLatencyObjective is the wait for a start that its class's objectives allow, in seconds.
+	Priority int // priority level, 0 is the highest
+	// StartLatencyObjective is the start latency objective of the job's class, in seconds.
 	StartLatencyObjective float64
 }
 
-// rankedJob is a job with the keys that it is sorted by.
+// rankedJob is a job with its sort keys.
 type rankedJob[J any] struct {
 	job      J
 	position int
 	rank     Rank
-	debt     float64 // what the job is owed for its loans
+	debt     float64 // owed to the job for its loans
 }
 
-// IsOrderInEffect reports whether jobs are taken in the recovery order: while a zone is lost or not trusted again
-// yet, and until all loans are closed. It is false for a nil Manager.
+// IsOrderInEffect reports whether the recovery order is in effect: while any zone is lost or returning, and until all
+// loans are closed. It returns false for a nil Manager.
 func (m *Manager) IsOrderInEffect() bool {
 	return m != nil && (m.InFailover() || m.ledger.Len() > 0)
 }
 
-// SortByRecoveryOrder sorts jobs by the recovery order while that is in effect: by the order that operators have
-// stated, priority, what lenders are owed once no zone is lost, and the start latency objective. Jobs that are equal
-// in all of these stay as they are. It does nothing for a nil Manager.
+// SortByRecoveryOrder sorts jobs by the recovery order while it is in effect. The sort keys are the position in the
+// operators' order, the priority, the debt for loans (only while no zone is lost) and the start latency objective. The
+// sort is stable. The function does nothing for a nil Manager.
 func SortByRecoveryOrder[J any](m *Manager, jobs []J, rankOf func(J) Rank) {
 	if !m.IsOrderInEffect() {
 		return
@@ -64,8 +64,8 @@
 	}
 }
 
-// RecoveryPosition is the position of a job's class or team in the recovery order, and 0 for every job while no zone
-// is lost or returning, or for a nil Manager.
+// RecoveryPosition returns the position of a job's class or team in the recovery order. It returns 0 while no zone is
+// lost or returning, and for a nil Manager.
 func (m *Manager) RecoveryPosition(job *protocol.Job) int {
 	if !m.InFailover() {
 		return 0
@@ -73,8 +73,8 @@
 	return m.order.Position(job.Class, job.Team)
 }
 
-// RecoversBefore reports whether the recovery order puts the work of a placement before a job, whatever their
-// priorities. It is false for a nil Manager.
+// RecoversBefore reports whether the recovery order puts a placement's work before a job, regardless of their
+// priorities. It returns false for a nil Manager.
 func (m *Manager) RecoversBefore(placement *machineregistry.Placement, job *protocol.Job) bool {
 	if !m.InFailover() {
 		return false
@@ -86,8 +86,8 @@
 	return m.order.Position(class, placement.Team) < m.order.Position(job.Class, job.Team)
 }
 
-// RiskPenalty is what the start of a replica of the highest priority costs more, in seconds, in a zone that may be lost
-// again at any time. Other work starts anywhere alike. It is 0 for a nil Manager.
+// RiskPenalty returns the additional cost, in seconds, of starting a task of a highest-priority service in a zone that
+// may be lost again at any time. It returns 0 for other work and for a nil Manager.
 func (m *Manager) RiskPenalty(job *protocol.Job, priority int, zone string) float64 {
 	if m == nil || priority > 0 || job.Shape != protocol.Service || m.monitor.State(zone) == Available {
 		return 0
@@ -95,8 +95,8 @@
 	return m.options.Settings.Workers.LeaseSeconds
 }
 
-// SortZonesByState sorts zones so that available ones come first: where several have as little capacity, a job must
-// not wait for some in a lost one. It does nothing for a nil Manager.
+// SortZonesByState sorts zones so that available ones come first. The sort is stable. Among zones with equally little
+// capacity, a job must not wait for capacity in a lost one. It does nothing for a nil Manager.
 func (m *Manager) SortZonesByState(zones []string) {
 	if m == nil {
 		return
--- a/internal/coordination/zonefailover/zonestates.go
+++ b/internal/coordination/zonefailover/zonestates.go
@@ -10,23 +10,23 @@
 )
 
 const (
-	// retainLostZoneLeases is for how many leases machines of a lost zone are kept whose work has no room elsewhere:
-	// they still have its images when the zone comes back.
+	// retainLostZoneLeases is the time, in leases, for which machines of a lost zone are kept if their tasks do not fit
+	// elsewhere. Such machines still have the images cached when the zone returns.
 	retainLostZoneLeases = 12
-	// probeLostZoneLeases is after how many leases machines are rented in a lost zone one at a time, if work waits
-	// that can run nowhere else. Nothing would be heard of a zone without machines again.
+	// probeLostZoneLeases is the time, in leases, after which machines may be rented in a lost zone, one at a time, if
+	// pending tasks can run nowhere else. Without that, the return of a zone without machines would never be noticed.
 	probeLostZoneLeases = 2
 )
 
-// UpdateZones derives the zones' states from the machines' heartbeats. It returns the zones that have begun to
-// return, whose machines should be probed at once.
+// UpdateZones updates the states of the zones from the machines' heartbeats. It returns the zones that became
+// returning, whose machines should be probed at once.
 func (m *Manager) UpdateZones(now time.Duration) (returning []string) {
 	for _, change := range m.monitor.Observe(now, m.observeZones(now)) {
-		m.decide(ZoneChanged{Change: change})
+		m.addDecision(ZoneChanged{Change: change})
 		m.MarkZoneStatesChanged()
 		switch change.To {
 		case Lost:
-			m.decide(RecoveryOrderInEffect{Order: m.order.String(), ZoneCount: len(m.options.Zones)})
+			m.addDecision(RecoveryOrderInEffect{Order: m.order.String(), ZoneCount: len(m.options.Zones)})
 		case Returning:
 			returning = append(returning, change.Zone)
 		case Available:
@@ -36,7 +36,7 @@
 	return returning
 }
 
-// observeZones counts the machines of each zone by how long ago they were heard.
+// observeZones counts the machines of each zone by the time since their last heartbeat.
 func (m *Manager) observeZones(now time.Duration) []Observation {
 	var observations []Observation
 	index := map[string]int{}
@@ -72,14 +72,15 @@
 	return observations
 }
 
-// MaxLeaseLifetime is the silence after which no lease on a machine can still be renewed: a controller that renews
-// leases without the leader's knowledge stops within half a lease, and the last lease then takes its time to expire.
+// MaxLeaseLifetime returns the silence after which no lease on a machine can be renewed any more. A controller that
+// renews leases without the leader's knowledge stops within half a lease, and the last lease then takes its time to
+// expire.
 func (m *Manager) MaxLeaseLifetime() time.Duration {
 	workers := m.options.Settings.Workers
 	return config.Seconds(workers.LeaseSeconds*3/2 + workers.HeartbeatSeconds)
 }
 
-// ZonePolicies returns how the autoscaler must treat the zones that are not available.
+// ZonePolicies returns the autoscaler's policies for the zones that are not available.
 func (m *Manager) ZonePolicies(now time.Duration) map[string]autoscaler.ZonePolicy {
 	policies := map[string]autoscaler.ZonePolicy{}
 	lease := config.Seconds(m.options.Settings.Workers.LeaseSeconds)
@@ -93,7 +94,7 @@
 		case Lost:
 			policies[zone.Name] = lostZonePolicy(now, zone, lease)
 		case Returning:
-			// Until a machine there is heard, one at a time shows whether others would be.
+			// One machine at a time probes the zone until a machine there is reachable.
 			policies[zone.Name] = autoscaler.ZonePolicy{
 				ProbeOnly:      zone.Evidence.Reachable == 0,
 				NoFencingUntil: zone.Since + lease,
@@ -103,8 +104,8 @@
 	return policies
 }
 
-// lostZonePolicy is the policy of a lost zone. Where machines are cut off, new ones would not be heard either, and
-// are tried one at a time. Where all machines have failed, new ones are of use as soon as the cloud has some.
+// lostZonePolicy returns the policy for a lost zone. If its machines are unreachable, new ones would be as well, so
+// they are probed one at a time. If all its machines have failed, new ones are useful as soon as the cloud has any.
 func lostZonePolicy(now time.Duration, zone Zone, lease time.Duration) autoscaler.ZonePolicy {
 	if zone.Evidence.Machines == 0 && zone.Evidence.Departed > 0 {
 		return autoscaler.ZonePolicy{}
@@ -118,7 +119,7 @@
 	}
 }
 
-// NoteDepartedMachine notes that a machine has failed or has left the cloud's list by itself. It counts as evidence
+// NoteDepartedMachine records that a machine failed or left the cloud's list without being released. That is evidence
 // while its zone is not available. It does nothing for a nil Manager.
 func (m *Manager) NoteDepartedMachine(name string) {
 	if m == nil {
