--- a/internal/coordination/leader/cloud.go
+++ b/internal/coordination/leader/cloud.go
@@ -17,7 +17,7 @@
 	"pinebay/internal/transport"
 )
 
-// CloudClient is a client of the cloud that keeps to its rate.
+// CloudClient is a client of the cloud API that observes its rate limit.
 type CloudClient struct {
 	baseURL string
 	client  *transport.Client
@@ -25,8 +25,8 @@
 	timeout time.Duration
 }
 
-// NewCloudClient returns a client. A controller uses most of the whole rate, since
-// only the leader calls more than now and then.
+// NewCloudClient returns a client of the cloud API at an address. Each controller may use most of the cloud's whole
+// rate limit, since only the leader calls the API frequently.
 func NewCloudClient(network transport.Network, addr string, cfg config.Cloud) *CloudClient {
 	return &CloudClient{
 		baseURL: "http://" + addr,
@@ -37,39 +37,41 @@
 }
 
 const (
+	// maxConnections limits the connections to the cloud API.
 	maxConnections = 4
-	rateShare      = 0.9
+	// rateShare is the fraction of the cloud's rate limit that a controller uses.
+	rateShare = 0.9
 )
 
-// ErrRentalRefused says that the cloud has no machine for a rental, or does not offer what it asks for.
+// ErrRentalRefused indicates that the cloud has no machine available for a rental, or does not offer what it requests.
 var ErrRentalRefused = errors.New("rental refused")
 
 var errNoMachineTypes = errors.New("cloud: no machine types")
 
-// problemNoCapacity is how the cloud says that it has no machine for a rental.
+// problemNoCapacity is the error text of the cloud's response if it has no machine available for a rental.
 const problemNoCapacity = "no capacity"
 
-// CloudError is an answer of the cloud that refuses a request.
+// CloudError reports a request that the cloud answered with an error status.
 type CloudError struct {
 	Path    string
 	Status  int
-	Problem string // as the cloud describes it
+	Problem string // error text of the cloud's response
 }
 
 func (e *CloudError) Error() string {
 	return fmt.Sprintf("cloud: %s: status %d %s", e.Path, e.Status, e.Problem)
 }
 
-// CallSlot is a reservation of one call within the rate.
+// CallSlot is a reservation of one call within the rate limit.
 type CallSlot struct{ at time.Time }
 
-// Reserve reserves the next call. Calls are made in the order of their reservations.
+// Reserve reserves the next call. Calls are sent in the order of their reservations.
 func (c *CloudClient) Reserve() CallSlot {
 	now := time.Now()
 	return CallSlot{now.Add(c.limiter.ReserveN(now, 1).DelayFrom(now))}
 }
 
-// call makes a call at the time that was reserved for it, and decodes the answer into out unless that is nil.
+// call sends a request at its reserved time, and decodes the response into out unless out is nil.
 func (c *CloudClient) call(ctx context.Context, slot CallSlot, method, path string, body, out any) error {
 	if err := actor.Sleep(ctx, time.Until(slot.at)); err != nil {
 		return err
@@ -80,7 +82,7 @@
 	}
 	if status != http.StatusOK {
 		var p protocol.ErrorResponse
-		_ = protocol.Decode(raw, &p) // the status says enough without it
+		_ = protocol.Decode(raw, &p) // the status is sufficient if the body cannot be decoded
 		return &CloudError{Path: path, Status: status, Problem: p.Error}
 	}
 	if out == nil {
@@ -100,9 +102,8 @@
 	return t.Types, nil
 }
 
-// MachineTypes returns the machine types: from the key-value store if some controller
-// has left them there, which is quick and works while the cloud does not, or
-// else from the cloud.
+// MachineTypes returns the machine types. It prefers the copy that a controller has stored in the key-value store,
+// which is faster to read and available during an outage of the cloud, and reads them from the cloud if there is none.
 func (c *CloudClient) MachineTypes(ctx context.Context, store *storage.Client) ([]protocol.MachineType, error) {
 	var t protocol.MachineTypes
 	p, err := store.Get(ctx, storage.BudgetPlacement, storage.MachineTypesKey)
@@ -114,7 +115,7 @@
 		return nil, err
 	}
 	if value, err := protocol.Encode(protocol.MachineTypes{Types: types}); err == nil {
-		// Only a short cut for others: without it they ask the cloud.
+		// This is only a cache for other controllers: without it they query the cloud.
 		_, _ = store.Txn(ctx, storage.BudgetPlacement, protocol.Txn{
 			If:   []protocol.Compare{{Key: storage.MachineTypesKey, Revision: p.Revision}},
 			Then: []protocol.Op{{PutKey: storage.MachineTypesKey, Value: value}},
@@ -123,7 +124,7 @@
 	return types, nil
 }
 
-// List reads the whole machine list, page by page. The reservation is for the first page.
+// List reads the complete list of machines, page by page. The reservation is for the first page.
 func (c *CloudClient) List(ctx context.Context, slot CallSlot) ([]protocol.ListedMachine, error) {
 	var all []protocol.ListedMachine
 	from := ""
@@ -144,8 +145,8 @@
 	}
 }
 
-// Rent rents machines and returns their names. It returns ErrRentalRefused if the cloud has none; after any other error
-// they may have been rented.
+// Rent rents machines and returns their names. It returns ErrRentalRefused if the cloud refuses the rental. After any
+// other error the machines may have been rented.
 func (c *CloudClient) Rent(ctx context.Context, slot CallSlot, r protocol.Rental) ([]string, error) {
 	var out protocol.MachineNames
 	err := c.call(ctx, slot, http.MethodPost, "/machines", r, &out)
@@ -161,7 +162,7 @@
 		e.Status == http.StatusServiceUnavailable && e.Problem == problemNoCapacity
 }
 
-// Release returns machines to the cloud. Without an error they are released.
+// Release returns machines to the cloud. If it returns no error, they have been released.
 func (c *CloudClient) Release(ctx context.Context, slot CallSlot, names []string) error {
 	return c.call(ctx, slot, http.MethodPost, "/machines/release", protocol.MachineNames{Machines: names}, nil)
 }
--- a/internal/coordination/leader/cloud_test.go
+++ b/internal/coordination/leader/cloud_test.go
@@ -17,8 +17,8 @@
 	"pinebay/internal/transport"
 )
 
-// TestListOfManyMachines: the list of thousands of machines is read page by page, whole, in order and
-// without a call more than it has pages.
+// TestListOfManyMachines checks that a list of thousands of machines is read page by page, completely, in order, and
+// with no more calls than it has pages.
 func TestListOfManyMachines(t *testing.T) {
 	const machines = 4000
 	var mu sync.Mutex
@@ -42,19 +42,19 @@
 	)
 	list, err := c.List(t.Context(), c.Reserve())
 	if err != nil || len(list) != machines {
-		t.Fatalf("%d of %d machines: %v", len(list), machines, err)
+		t.Fatalf("listed %d of %d machines: %v", len(list), machines, err)
 	}
 	for i := range list[1:] {
 		if list[i].Name >= list[i+1].Name {
-			t.Fatalf("%s before %s", list[i].Name, list[i+1].Name)
+			t.Fatalf("%s is listed before %s", list[i].Name, list[i+1].Name)
 		}
 	}
 	if n := calls.Load(); n > machines/protocol.MaxMachinesPerPage+1 {
-		t.Errorf("%d calls", n)
+		t.Errorf("got %d calls, want at most one per page", n)
 	}
 }
 
-// TestRentalRefusals: a rental that the cloud can't serve is told from one whose outcome is unknown.
+// TestRentalRefusals checks that a rental that the cloud refuses is distinguished from one whose outcome is unknown.
 func TestRentalRefusals(t *testing.T) {
 	for _, row := range []struct {
 		name    string
@@ -79,11 +79,11 @@
 			names, err := c.Rent(t.Context(), c.Reserve(), protocol.Rental{})
 			if errors.Is(err, ErrRentalRefused) != row.refused || (err != nil) != row.failed ||
 				row.failed == (len(names) > 0) {
-				t.Errorf("%v %v", names, err)
+				t.Errorf("machines %v, error %v", names, err)
 			}
-			var answer *CloudError
-			if row.failed && (!errors.As(err, &answer) || answer.Status != row.status || answer.Path != "/machines") {
-				t.Errorf("%v is not the cloud's answer", err)
+			var got *CloudError
+			if row.failed && (!errors.As(err, &got) || got.Status != row.status || got.Path != "/machines") {
+				t.Errorf("%v does not describe the cloud's response", err)
 			}
 		})
 	}
--- a/internal/coordination/leader/effects.go
+++ b/internal/coordination/leader/effects.go
@@ -13,8 +13,8 @@
 	"pinebay/internal/storage"
 )
 
-// applyEffects carries out effects. Whatever waits runs on its own goroutine and sends its
-// outcome as an event.
+// applyEffects carries out effects. Operations that block run on their own goroutines, which send the outcome to the
+// mailbox as an event.
 func (l *Leader) applyEffects(ctx context.Context, effects []scheduler.Effect) {
 	for _, e := range effects {
 		switch e := e.(type) {
@@ -28,14 +28,14 @@
 		case scheduler.Write:
 			// Writes are admitted in the order of the effects.
 			admission := l.deps.Store.Admit(writeBudget(e.Priority), &e.Txn)
-			l.tasks.Go(func() { l.write(ctx, e, admission) })
+			l.goroutines.Go(func() { l.write(ctx, e, admission) })
 		case scheduler.SendCommandBatch:
-			l.tasks.Go(func() { l.sendCommands(ctx, e) })
+			l.goroutines.Go(func() { l.sendCommands(ctx, e) })
 		case scheduler.Probe:
-			l.tasks.Add(1)
+			l.goroutines.Add(1)
 			l.probes.Add(e)
 		case scheduler.ReadFinalState:
-			l.tasks.Go(func() { l.readEndedJob(ctx, e) })
+			l.goroutines.Go(func() { l.readEndedJob(ctx, e) })
 		case scheduler.FeatureLevelFinal:
 			l.deps.Observer.FeatureLevelFinal(e.Level)
 		case scheduler.ZoneDecision:
@@ -46,20 +46,20 @@
 	}
 }
 
-// applyCloudEffect makes a request of the autoscaler to the cloud. Requests are made in the order of the effects.
+// applyCloudEffect sends a request of the autoscaler to the cloud. Requests are sent in the order of the effects.
 func (l *Leader) applyCloudEffect(ctx context.Context, effect autoscaler.Effect) {
 	slot := l.deps.Cloud.Reserve()
 	switch e := effect.(type) {
 	case autoscaler.ScaleOut:
-		l.tasks.Go(func() { l.rentMachines(ctx, e, slot) })
+		l.goroutines.Go(func() { l.rentMachines(ctx, e, slot) })
 	case autoscaler.ScaleIn:
-		l.tasks.Go(func() { l.releaseMachines(ctx, e, slot) })
+		l.goroutines.Go(func() { l.releaseMachines(ctx, e, slot) })
 	case autoscaler.ListMachines:
-		l.tasks.Go(func() { l.listMachines(ctx, slot) })
+		l.goroutines.Go(func() { l.listMachines(ctx, slot) })
 	}
 }
 
-// writeBudget returns the budget that a write counts against.
+// writeBudget returns the budget from which a write of the given priority is paid.
 func writeBudget(p scheduler.WritePriority) storage.Budget {
 	switch p {
 	case scheduler.PriorityCompletion:
@@ -71,46 +71,46 @@
 	}
 }
 
-// write tries a transaction until its outcome is known. After a try without an
-// answer, a failed comparison may be due to that very try: whether it is follows
-// from the record, which names the write. Each try is admitted to its budget.
+// write repeats a transaction until its outcome is known. If an attempt got no response, the failed comparison of a
+// later attempt may be caused by the earlier one; the record, which contains the name of the write, shows whether it
+// is. Each attempt needs a new admission to its budget.
 func (l *Leader) write(ctx context.Context, w scheduler.Write, admission storage.Admission) {
 	budget := writeBudget(w.Priority)
-	uncertain := false // an earlier try had no answer
+	outcomeUnknown := false // an earlier attempt got no response
 	for ; ctx.Err() == nil; admission = l.deps.Store.Admit(budget, &w.Txn) {
 		outcome, err := l.deps.Store.TxnAdmitted(ctx, admission, w.Txn)
 		switch {
 		case err == nil && outcome.Succeeded:
 			l.mailbox.Send(scheduler.TransactionOutcome{WriteID: w.ID, Succeeded: true, Revision: outcome.Revision})
 			return
-		case err == nil && !uncertain:
+		case err == nil && !outcomeUnknown:
 			l.mailbox.Send(scheduler.TransactionOutcome{WriteID: w.ID, FailedKeys: outcome.FailedKeys})
 			return
 		case err == nil:
-			if earlier, err := l.findEarlierTry(ctx, budget, w); err == nil {
+			if previous, err := l.findPreviousAttempt(ctx, budget, w); err == nil {
 				l.mailbox.Send(scheduler.TransactionOutcome{
 					WriteID:    w.ID,
-					Succeeded:  earlier.succeeded,
-					Revision:   earlier.revision,
+					Succeeded:  previous.succeeded,
+					Revision:   previous.revision,
 					FailedKeys: outcome.FailedKeys,
 				})
 				return
 			}
 		case errors.Is(err, storage.ErrOutcomeUnknown):
-			uncertain = true
+			outcomeUnknown = true
 		case !errors.Is(err, storage.ErrUnavailable):
-			// Malformed: as it is it will never succeed, unless an earlier try has.
+			// A malformed transaction never succeeds if it is repeated, but an earlier attempt may have succeeded.
 			l.log.Error("write rejected", "key", w.VerifyKey, "error", err)
-			if !uncertain {
+			if !outcomeUnknown {
 				l.mailbox.Send(scheduler.TransactionOutcome{WriteID: w.ID, Malformed: true})
 				return
 			}
-			if earlier, err := l.findEarlierTry(ctx, budget, w); err == nil {
+			if previous, err := l.findPreviousAttempt(ctx, budget, w); err == nil {
 				l.mailbox.Send(scheduler.TransactionOutcome{
 					WriteID:   w.ID,
-					Succeeded: earlier.succeeded,
-					Revision:  earlier.revision,
-					Malformed: !earlier.succeeded,
+					Succeeded: previous.succeeded,
+					Revision:  previous.revision,
+					Malformed: !previous.succeeded,
 				})
 				return
 			}
@@ -119,26 +119,31 @@
 	}
 }
 
-// earlierTry is what became of a write's tries without an answer.
-type earlierTry struct {
+// previousAttempt is the outcome of the attempts of a write that got no response.
+type previousAttempt struct {
 	succeeded bool
-	revision  uint64 // of the record now
+	revision  uint64 // current revision of the record
 }
 
-// findEarlierTry reads the record that names the write, if the write has succeeded.
-func (l *Leader) findEarlierTry(ctx context.Context, budget storage.Budget, w scheduler.Write) (earlierTry, error) {
+// findPreviousAttempt reads the record of a write, which contains the name of the write if an earlier attempt has
+// succeeded.
+func (l *Leader) findPreviousAttempt(
+	ctx context.Context,
+	budget storage.Budget,
+	w scheduler.Write,
+) (previousAttempt, error) {
 	record, err := l.deps.Store.Get(ctx, budget, w.VerifyKey)
 	if err != nil {
-		return earlierTry{}, err
+		return previousAttempt{}, err
 	}
 	if record.Revision == 0 {
-		return earlierTry{succeeded: w.Name == ""}, nil // a write without a name deletes the record
+		return previousAttempt{succeeded: w.Name == ""}, nil // a write without a name deletes its record
 	}
 	var named struct {
 		Write string `msgpack:"w"`
 	}
 	succeeded := protocol.Decode(record.Value, &named) == nil && named.Write == w.Name
-	return earlierTry{succeeded: succeeded, revision: record.Revision}, nil
+	return previousAttempt{succeeded: succeeded, revision: record.Revision}, nil
 }
 
 // readEndedJob reads the final state of a job.
@@ -175,7 +180,8 @@
 	l.mailbox.Send(result)
 }
 
-// probe asks a machine for its state. A new leader probes all of them; the pool bounds how many at a time.
+// probe requests the current state of a machine. A new leader probes all machines; the pool limits how many
+// concurrently.
 func (l *Leader) probe(ctx context.Context, e scheduler.Probe) {
 	if ctx.Err() != nil {
 		return
@@ -196,23 +202,23 @@
 	}
 }
 
-// commandTimeout is how long a direct command may take: about the interval of the heartbeats,
-// after which the answer to the machine's next heartbeat is the better way.
+// commandTimeout limits how long a direct command may take. It is about the heartbeat interval: after that, the reply
+// to the machine's next heartbeat is the better way to deliver the command.
 func commandTimeout(cfg *config.Deployment) time.Duration {
 	return config.Seconds(min(cfg.Workers.HeartbeatSeconds*1.5, cfg.Workers.GangPeerSeconds/2))
 }
 
 func (l *Leader) listMachines(ctx context.Context, slot CallSlot) {
-	asked := l.deps.Now()
+	requestedAt := l.deps.Now()
 	ms, err := l.deps.Cloud.List(ctx, slot)
 	if err != nil {
 		l.log.Info("failed to list machines", "error", err)
 	}
-	l.mailbox.Send(scheduler.MachinesListed{RequestedAt: asked, Machines: ms, Failed: err != nil})
+	l.mailbox.Send(scheduler.MachinesListed{RequestedAt: requestedAt, Machines: ms, Failed: err != nil})
 }
 
 func (l *Leader) rentMachines(ctx context.Context, e autoscaler.ScaleOut, slot CallSlot) {
-	asked := l.deps.Now()
+	requestedAt := l.deps.Now()
 	for ; ctx.Err() == nil; slot = l.deps.Cloud.Reserve() {
 		names, err := l.deps.Cloud.Rent(ctx, slot, e.Rental)
 		refused := errors.Is(err, ErrRentalRefused)
@@ -220,14 +226,14 @@
 			l.mailbox.Send(
 				scheduler.ScaleOutResult{
 					Request:     e.Rental.RequestID,
-					RequestedAt: asked,
+					RequestedAt: requestedAt,
 					Machines:    names,
 					Refused:     refused,
 				},
 			)
 			return
 		}
-		// The same name rents nothing twice, so trying again is safe.
+		// Retrying is safe: the cloud rents machines for a request ID only once.
 		l.log.Info("scale-out failed", "request_id", e.Rental.RequestID, "error", err)
 		l.deps.Random.Pause(ctx, e.Rental.RequestID, scheduler.CycleInterval)
 	}
--- a/internal/coordination/leader/leader.go
+++ b/internal/coordination/leader/leader.go
@@ -1,5 +1,5 @@
-// Package leader runs one term of a leader: it reads the records, drives the
-// scheduler, which is a state machine, and carries out its effects.
+// Package leader runs one term of a leader. It loads the stored records, feeds events to the scheduler, which is a
+// state machine, and carries out the effects that the scheduler returns.
 package leader
 
 import (
@@ -21,33 +21,33 @@
 	"pinebay/internal/transport"
 )
 
-// Leadership is the election's side of one term.
+// Leadership connects a leader to the election for the duration of one term.
 type Leadership interface {
-	// Confirmed returns whether this controller is the confirmed leader of the term at this moment.
+	// Confirmed reports whether this controller is the confirmed leader of the term at this moment.
 	Confirmed() bool
-	// JobsKnownUpTo is called when the leader has received every change of the accepted jobs up to a time.
+	// JobsKnownUpTo reports that the leader has received all changes to the accepted jobs up to the given time.
 	JobsKnownUpTo(at time.Duration)
-	// StepDown is called when the leader gives up the term, with the reason.
+	// StepDown gives up the term for the given reason.
 	StepDown(reason scheduler.StepDown)
 }
 
-// CancellationIntents are the intents to cancel jobs that this controller knows of.
+// CancellationIntents gives access to the intents to cancel jobs that this controller knows of.
 type CancellationIntents interface {
-	// NewestByJob returns the jobs with an intent, each with the time of its newest one.
+	// NewestByJob returns the jobs that have an intent, with the time of the newest intent of each.
 	NewestByJob(now time.Duration) map[string]time.Duration
-	// HasIntent returns whether there is an intent to cancel the job.
+	// HasIntent reports whether there is an intent to cancel the job.
 	HasIntent(now time.Duration, job string) bool
 }
 
-// Observer is called for what the whole controller should know of a leader's work.
+// Observer is notified of the results of a leader that concern the whole controller.
 type Observer interface {
-	// MachineTypesRead is called each time that the leader has read the cloud's machine types and prices.
+	// MachineTypesRead is called whenever the leader has read the cloud's machine types and prices.
 	MachineTypesRead(types []protocol.MachineType)
 	// FeatureLevelFinal is called when the leader has recorded that a feature level is final.
 	FeatureLevelFinal(level featurelevel.Level)
 }
 
-// Dependencies are what a leader uses of its controller.
+// Dependencies holds the components of the controller that a leader uses.
 type Dependencies struct {
 	Leadership Leadership
 	Intents    CancellationIntents
@@ -60,45 +60,46 @@
 	Now        func() time.Duration
 }
 
-// Options are the settings of a leader.
+// Options holds the settings of a leader.
 type Options struct {
 	Deployment *config.Deployment
-	// WatchTimeout is how long one request for the store's changes may wait for a change.
+	// WatchTimeout limits how long one watch request to the store waits for a change.
 	WatchTimeout time.Duration
-	// ConfirmWithin is how long after its intent a cancellation is confirmed, or never without another intent.
+	// ConfirmWithin is how long a cancellation intent remains valid. A cancellation that has not been confirmed within
+	// this time needs a new intent.
 	ConfirmWithin time.Duration
-	// ZoneFailover is the order in which work recovers when a zone is lost; nil turns zone failover off.
+	// ZoneFailover is the order in which work is recovered after the loss of a zone; nil disables zone failover.
 	ZoneFailover *zonefailover.RecoveryOrder
-	// Timing measures the steps; nil: off.
+	// Timing records the duration of steps; nil disables the recording.
 	Timing *timing.Recorder
 }
 
-// Leader is one term of leadership. Its methods may be called from any goroutine.
+// Leader runs one term of leadership. It is safe for concurrent use.
 type Leader struct {
-	deps    Dependencies
-	options Options
-	term    scheduler.Term
-	log     *slog.Logger
-	mailbox *actor.Mailbox[any] // of scheduler.Event, statusQuery and loadedRecords
-	probes  *actor.Pool[scheduler.Probe]
-	cancel  context.CancelFunc
-	done    <-chan struct{} // closed when the term is over
-	tasks   sync.WaitGroup  // goroutines of this term but its main loop
-	stopped chan struct{}   // closed when the main loop and all tasks have ended
-	ready   atomic.Bool     // the records are read
+	deps       Dependencies
+	options    Options
+	term       scheduler.Term
+	log        *slog.Logger
+	mailbox    *actor.Mailbox[any] // holds scheduler.Event, statusQuery and loadedRecords
+	probes     *actor.Pool[scheduler.Probe]
+	cancel     context.CancelFunc
+	done       <-chan struct{} // closed when the term is over
+	goroutines sync.WaitGroup  // all goroutines of this term except the main loop
+	stopped    chan struct{}   // closed when the main loop and all other goroutines have ended
+	ready      atomic.Bool     // set once the records are loaded
 }
 
-// statusQuery asks for the status of jobs.
+// statusQuery requests the status of jobs from the main loop.
 type statusQuery struct {
 	jobs  []string
 	reply chan []protocol.JobStatus
 }
 
-// probeSocketDivisor is the part of a process's sockets, as its inverse, that may probe
-// machines at a time: fewer than may send commands, so that commands are not held up.
+// probeSocketDivisor limits concurrent probes: the process's sockets divided by it may be used at a time. That is fewer
+// than for commands, so that probes don't delay commands.
 const probeSocketDivisor = 32
 
-// Start begins a term, which lasts until the context ends, Stop is called or the leader steps down.
+// Start begins a term. The term lasts until the context ends, Stop is called or the leader steps down.
 func Start(ctx context.Context, deps Dependencies, options Options, term scheduler.Term) *Leader {
 	ctx, cancel := context.WithCancel(ctx)
 	l := &Leader{
@@ -113,7 +114,7 @@
 	}
 	concurrentProbes := max(1, options.Deployment.Quota.MaxSockets/probeSocketDivisor)
 	l.probes = actor.NewPool(concurrentProbes, func(p scheduler.Probe) {
-		defer l.tasks.Done()
+		defer l.goroutines.Done()
 		l.probe(ctx, p)
 	})
 	go func() {
@@ -123,20 +124,22 @@
 	return l
 }
 
-// Stop ends the term and does not wait for it. Answers under way still go out: they are fenced.
+// Stop ends the term without waiting for its goroutines. Replies in progress may still be sent; this is safe because
+// they carry a fencing token.
 func (l *Leader) Stop() { l.cancel() }
 
-// Wait returns when the term is over and none of its goroutines is left.
+// Wait blocks until the term is over and all its goroutines have ended.
 func (l *Leader) Wait() { <-l.stopped }
 
-// Term returns the term's number.
+// Term returns the number of the term.
 func (l *Leader) Term() uint64 { return l.term.Number }
 
-// Ready says whether the leader has read the records, and so knows where tasks are.
+// Ready reports whether the leader has loaded the records, from which it knows the placements of tasks.
 func (l *Leader) Ready() bool { return l.ready.Load() }
 
-// Heartbeat passes a worker's heartbeat to the leader and returns the answer. It returns
-// false if none came in time. relayed says that the worker can't reach this controller.
+// Heartbeat passes a worker's heartbeat to the leader and returns the reply. It returns false if the term or the
+// context ends before there is a reply. relayed is set if the worker can't reach this controller, and another one
+// forwarded the heartbeat.
 func (l *Leader) Heartbeat(
 	ctx context.Context,
 	r *protocol.WorkerHeartbeat,
@@ -153,34 +156,35 @@
 	return protocol.WorkerHeartbeatReply{}, false
 }
 
-// UnchangedHeartbeats passes an owner's digest of unchanged heartbeats to the leader, and returns the machines of which
-// the owner has to forward the next heartbeat. It returns false if no answer came in time.
+// UnchangedHeartbeats passes a digest of unchanged heartbeats from the owner of a shard to the leader, and returns the
+// machines whose next heartbeat the owner must forward. It returns false if the term or the context ends before there
+// is a reply.
 func (l *Leader) UnchangedHeartbeats(ctx context.Context, machines []scheduler.UnchangedHeartbeat) ([]string, bool) {
 	reply := make(chan []string, 1)
 	l.mailbox.Send(
-		scheduler.UnchangedHeartbeats{Heartbeats: machines, ForwardNext: func(passOn []string) { reply <- passOn }},
+		scheduler.UnchangedHeartbeats{Heartbeats: machines, ForwardNext: func(names []string) { reply <- names }},
 	)
 	select {
-	case passOn := <-reply:
-		return passOn, true
+	case names := <-reply:
+		return names, true
 	case <-l.done:
 	case <-ctx.Done():
 	}
 	return nil, false
 }
 
-// AddCancellationIntent says that a user may be about to learn that the job is cancelled.
+// AddCancellationIntent tells the leader that a user may soon be told that the job is cancelled.
 func (l *Leader) AddCancellationIntent(job string, at time.Duration) {
 	l.mailbox.Send(scheduler.CancellationIntent{ID: job, ValidUntil: at + l.options.ConfirmWithin})
 }
 
-// FinaliseLevel has the leader make a feature level final.
+// FinaliseLevel requests that the leader make a feature level final.
 func (l *Leader) FinaliseLevel(level featurelevel.Level) {
 	l.mailbox.Send(scheduler.FinaliseFeatureLevel{Level: level})
 }
 
-// JobStatuses returns what the leader knows of jobs; those that it does not know are missing.
-// It returns false if no answer came in time.
+// JobStatuses returns the status of the given jobs; jobs that the leader doesn't know are omitted. It returns false if
+// the term or the context ends before there is a reply.
 func (l *Leader) JobStatuses(ctx context.Context, ids []string) ([]protocol.JobStatus, bool) {
 	q := statusQuery{ids, make(chan []protocol.JobStatus, 1)}
 	l.mailbox.Send(q)
--- a/internal/coordination/leader/leader_test.go
+++ b/internal/coordination/leader/leader_test.go
@@ -22,10 +22,10 @@
 
 func TestMain(m *testing.M) { testutil.Main(m) }
 
-// TestStaleLeaderDoesNotAct: a leader that stood still while its clocks ran on
-// answers no worker any more, renews no lease and gives the term up, for others may
-// lead by then. Until that is so, it answers.
-func TestStaleLeaderDoesNotAct(t *testing.T) {
+// TestUnconfirmedLeaderStepsDown checks that a leader replies to heartbeats while its term is confirmed, and afterwards
+// gives up the term and replies to no further heartbeat, so that no lease is renewed. A term becomes unconfirmed when
+// the process is suspended while its clocks continue: another controller may lead by then.
+func TestUnconfirmedLeaderStepsDown(t *testing.T) {
 	srv := httptest.NewServer(simulation.NewStore())
 	t.Cleanup(srv.Close)
 	cfg := &config.Deployment{
@@ -49,12 +49,12 @@
 	}
 	addr := strings.TrimPrefix(srv.URL, "http://")
 	start := time.Now()
-	var stale atomic.Bool
-	deposed := make(chan scheduler.StepDown, 1)
+	var unconfirmed atomic.Bool
+	stepDowns := make(chan scheduler.StepDown, 1)
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	l := Start(ctx, Dependencies{
-		Leadership: fakeLeadership{stale: &stale, deposed: deposed},
+		Leadership: fakeLeadership{unconfirmed: &unconfirmed, stepDowns: stepDowns},
 		Intents:    noIntents{},
 		Observer:   noObserver{},
 		Store:      storage.NewClient(transport.TCP{}, random.New(1), cfg, addr, time.Minute),
@@ -74,36 +74,36 @@
 		Sequence:    1,
 	}
 	if a, ok := l.Heartbeat(ctx, r, false); !ok || protocol.TermOfToken(a.FencingToken) != 3 {
-		t.Fatalf("while it is confirmed: %+v %v", a, ok)
+		t.Fatalf("reply while the term is confirmed: %+v, %v", a, ok)
 	}
-	stale.Store(true)
+	unconfirmed.Store(true)
 	r.Sequence = 2
 	if a, ok := l.Heartbeat(ctx, r, false); ok {
-		t.Errorf("unconfirmed: %+v", a)
+		t.Errorf("reply while the term is unconfirmed: %+v", a)
 	}
-	if d := <-deposed; d.TransferLeadership || d.LaterTerm != 0 {
-		t.Errorf("gave up with %+v", d)
+	if d := <-stepDowns; d.TransferLeadership || d.LaterTerm != 0 {
+		t.Errorf("stepped down with %+v", d)
 	}
-	l.Wait() // a term that was given up leaves nothing running
+	l.Wait() // no goroutine of the term is left
 }
 
-// fakeLeadership is confirmed until it is stale.
+// fakeLeadership is confirmed until unconfirmed is set, and sends the reasons for stepping down to a channel.
 type fakeLeadership struct {
-	stale   *atomic.Bool
-	deposed chan<- scheduler.StepDown
+	unconfirmed *atomic.Bool
+	stepDowns   chan<- scheduler.StepDown
 }
 
-func (f fakeLeadership) Confirmed() bool                    { return !f.stale.Load() }
+func (f fakeLeadership) Confirmed() bool                    { return !f.unconfirmed.Load() }
 func (f fakeLeadership) JobsKnownUpTo(time.Duration)        {}
-func (f fakeLeadership) StepDown(reason scheduler.StepDown) { f.deposed <- reason }
+func (f fakeLeadership) StepDown(reason scheduler.StepDown) { f.stepDowns <- reason }
 
-// noIntents knows of no cancellation.
+// noIntents is a CancellationIntents without intents.
 type noIntents struct{}
 
 func (noIntents) NewestByJob(time.Duration) map[string]time.Duration { return nil }
 func (noIntents) HasIntent(time.Duration, string) bool               { return false }
 
-// noObserver ignores everything.
+// noObserver is an Observer that ignores all calls.
 type noObserver struct{}
 
 func (noObserver) MachineTypesRead([]protocol.MachineType) {}
--- a/internal/coordination/leader/recovery.go
+++ b/internal/coordination/leader/recovery.go
@@ -11,35 +11,35 @@
 	"pinebay/internal/storage"
 )
 
-// loadedRecords are the records of the key-value store that a scheduler starts from.
+// loadedRecords holds the records of the key-value store from which a scheduler is initialized.
 type loadedRecords struct {
 	types           []protocol.MachineType
 	liveJobs, pages []protocol.KeyValue
 	images, zones   []protocol.KeyValue
 }
 
-// loadRecords reads the records, trying until it can. The jobs come first and are watched from
-// then on, so that no change is missed.
+// loadRecords reads the records, retrying until it succeeds. It lists the jobs first and watches them from that
+// revision on, so that no change is missed.
 func (l *Leader) loadRecords(ctx context.Context) {
-	var got loadedRecords
+	var records loadedRecords
 	watching := false
 	for ctx.Err() == nil {
 		var err error
 		if !watching {
-			var rev uint64
-			asked := l.deps.Now()
-			if got.liveJobs, rev, err = l.deps.Store.List(ctx, storage.LiveJobPrefix); err == nil {
+			var revision uint64
+			requestedAt := l.deps.Now()
+			if records.liveJobs, revision, err = l.deps.Store.List(ctx, storage.LiveJobPrefix); err == nil {
 				watching = true
-				l.markFresh(asked)
-				l.tasks.Go(func() { l.watchJobs(ctx, rev) })
+				l.reportWatchProgress(requestedAt)
+				l.goroutines.Go(func() { l.watchJobs(ctx, revision) })
 			}
 		}
 		if err == nil {
-			err = l.loadRemaining(ctx, &got)
+			err = l.loadRemaining(ctx, &records)
 		}
 		if err == nil {
-			l.deps.Observer.MachineTypesRead(got.types)
-			l.mailbox.Send(got)
+			l.deps.Observer.MachineTypesRead(records.types)
+			l.mailbox.Send(records)
 			return
 		}
 		l.log.Info("recovery delayed", "error", err)
@@ -47,62 +47,61 @@
 	}
 }
 
-// loadRemaining reads all records but the jobs.
-func (l *Leader) loadRemaining(ctx context.Context, got *loadedRecords) (err error) {
-	if got.pages, _, err = l.deps.Store.List(ctx, storage.PlacementPrefix); err != nil {
+// loadRemaining reads all records other than the jobs.
+func (l *Leader) loadRemaining(ctx context.Context, records *loadedRecords) (err error) {
+	if records.pages, _, err = l.deps.Store.List(ctx, storage.PlacementPrefix); err != nil {
 		return err
 	}
-	if got.images, _, err = l.deps.Store.List(ctx, storage.ImageHintPrefix); err != nil {
+	if records.images, _, err = l.deps.Store.List(ctx, storage.ImageHintPrefix); err != nil {
 		return err
 	}
 	if l.options.ZoneFailover != nil {
-		if got.zones, _, err = l.deps.Store.List(ctx, storage.ZoneFailoverPrefix); err != nil {
+		if records.zones, _, err = l.deps.Store.List(ctx, storage.ZoneFailoverPrefix); err != nil {
 			return err
 		}
 	}
-	got.types, err = l.deps.Cloud.MachineTypes(ctx, l.deps.Store)
+	records.types, err = l.deps.Cloud.MachineTypes(ctx, l.deps.Store)
 	return err
 }
 
-// markFresh records that all changes up to the given time have been processed or wait
-// in the mailbox.
-func (l *Leader) markFresh(at time.Duration) {
+// reportWatchProgress reports that all changes up to the given time have been processed or are queued in the mailbox.
+func (l *Leader) reportWatchProgress(at time.Duration) {
 	l.mailbox.Send(scheduler.WatchProgress{At: at})
 	l.deps.Leadership.JobsKnownUpTo(at)
 }
 
-// watchJobs follows the accepted jobs. Its requests wait briefly: only an answer shows that
-// nothing had changed when the request was sent.
-func (l *Leader) watchJobs(ctx context.Context, rev uint64) {
+// watchJobs watches the accepted jobs. Its requests have a short timeout, because only a response proves that there
+// were no other changes when the request was sent.
+func (l *Leader) watchJobs(ctx context.Context, revision uint64) {
 	for ctx.Err() == nil {
-		asked := l.deps.Now()
-		ev, err := l.deps.Store.Watch(ctx, storage.LiveJobPrefix, rev, l.options.WatchTimeout)
+		requestedAt := l.deps.Now()
+		response, err := l.deps.Store.Watch(ctx, storage.LiveJobPrefix, revision, l.options.WatchTimeout)
 		if errors.Is(err, storage.ErrCompacted) {
-			l.deps.Leadership.StepDown(scheduler.StepDown{Reason: "fell behind the changes"})
+			l.deps.Leadership.StepDown(scheduler.StepDown{Reason: "watched job changes have been compacted"})
 			return
 		}
 		if err != nil {
 			l.deps.Random.Pause(ctx, "watch jobs", scheduler.CycleInterval/5)
 			continue
 		}
-		rev = max(rev, ev.Revision)
-		for _, e := range ev.Events {
-			if e.DeleteKey != "" {
-				l.mailbox.Send(scheduler.JobEnded{ID: e.DeleteKey[len(storage.LiveJobPrefix):]})
+		revision = max(revision, response.Revision)
+		for _, event := range response.Events {
+			if event.DeleteKey != "" {
+				l.mailbox.Send(scheduler.JobEnded{ID: event.DeleteKey[len(storage.LiveJobPrefix):]})
 				continue
 			}
-			var rec storage.LiveJobRecord
-			if err := protocol.Decode(e.Value, &rec); err != nil {
-				l.log.Error("malformed live job record", "key", e.PutKey, "error", err)
+			var record storage.LiveJobRecord
+			if err := protocol.Decode(event.Value, &record); err != nil {
+				l.log.Error("malformed live job record", "key", event.PutKey, "error", err)
 				continue
 			}
-			l.mailbox.Send(scheduler.JobAccepted{Record: rec, Revision: e.Revision})
+			l.mailbox.Send(scheduler.JobAccepted{Record: record, Revision: event.Revision})
 		}
-		l.markFresh(asked)
+		l.reportWatchProgress(requestedAt)
 	}
 }
 
-// refreshMachineTypes reads the machine types regularly, as prices change.
+// refreshMachineTypes reads the machine types periodically, because prices change.
 func (l *Leader) refreshMachineTypes(ctx context.Context) {
 	for ctx.Err() == nil {
 		l.deps.Random.Pause(ctx, "machine types", config.Seconds(8*l.options.Deployment.Cloud.ListLagSeconds))
--- a/internal/coordination/leader/term.go
+++ b/internal/coordination/leader/term.go
@@ -11,34 +11,34 @@
 	"pinebay/internal/timing"
 )
 
-// cyclePauseFactor is the length of the pause after a scheduling cycle, as a multiple of the cycle's.
+// cyclePauseFactor is the length of the pause after a scheduling cycle, as a multiple of the duration of the cycle.
 const cyclePauseFactor = 3
 
-// termLoop is the state of a term's main loop. Only its goroutine uses it.
+// termLoop is the state of a term's main loop. Only the goroutine of the main loop may use it.
 type termLoop struct {
 	*Leader
-	startedAt time.Duration
-	scheduler *scheduler.Scheduler // nil until the records are read
-	early     earlyHeartbeats
-	changes   []scheduler.Event // of the accepted jobs, received before the records were read
-	restUntil time.Duration     // no scheduling cycle before
+	startedAt          time.Duration
+	scheduler          *scheduler.Scheduler // nil until the records are loaded
+	bufferedHeartbeats heartbeatBuffer
+	bufferedEvents     []scheduler.Event // received before the records were loaded, other than heartbeats
+	nextCycleAt        time.Duration     // earliest time of the next scheduling cycle
 }
 
-// run is the main loop of the term. It returns when the term is over and all its tasks have ended.
+// run is the main loop of the term. It returns when the term is over and all its goroutines have ended.
 func (l *Leader) run(ctx context.Context) {
-	defer l.tasks.Wait()
+	defer l.goroutines.Wait()
 	defer l.cancel()
 	l.log.Info("leadership acquired")
 	t := &termLoop{Leader: l, startedAt: l.deps.Now()}
-	l.tasks.Go(func() { l.loadRecords(ctx) })
+	l.goroutines.Go(func() { l.loadRecords(ctx) })
 	step := func(message any) { t.handle(ctx, message) }
 	l.mailbox.Run(ctx, scheduler.CycleInterval/8, step, func() { t.tick(ctx) })
 	l.log.Info("leadership ended")
 }
 
-// handle processes one message of the mailbox.
+// handle processes one message from the mailbox.
 func (t *termLoop) handle(ctx context.Context, message any) {
-	if !t.stillConfirmed(ctx) {
+	if !t.ensureConfirmed(ctx) {
 		return
 	}
 	now := t.deps.Now()
@@ -55,33 +55,33 @@
 	}
 }
 
-// handleBeforeRecovery processes a message until the records are read: workers get answers that renew their leases, and
-// nothing is decided.
+// handleBeforeRecovery processes a message that arrives before the records are loaded. Workers receive replies, which
+// renew their leases, but the scheduler makes no decisions yet.
 func (t *termLoop) handleBeforeRecovery(ctx context.Context, now time.Duration, message any) {
 	switch m := message.(type) {
 	case statusQuery:
 		m.reply <- nil
 	case scheduler.UnchangedHeartbeats:
-		m.ForwardNext(machineNames(m.Heartbeats)) // nothing is known of them yet
+		m.ForwardNext(machineNames(m.Heartbeats)) // nothing is known about these machines yet
 	case scheduler.HeartbeatReceived:
-		t.answerEarly(m)
+		t.replyBeforeRecovery(m)
 	case loadedRecords:
 		t.startScheduler(ctx, now, m)
 	case scheduler.JobAccepted, scheduler.JobEnded, scheduler.WatchProgress, scheduler.FinaliseFeatureLevel:
-		if change, ok := m.(scheduler.Event); ok {
-			t.changes = append(t.changes, change)
+		if event, ok := m.(scheduler.Event); ok {
+			t.bufferedEvents = append(t.bufferedEvents, event)
 		}
 	}
 }
 
-// answerEarly answers a heartbeat before the records are read, and keeps it for the scheduler.
-func (t *termLoop) answerEarly(m scheduler.HeartbeatReceived) {
-	if later := protocol.TermOfToken(m.Heartbeat.FencingToken); later > t.term.Number {
-		t.deps.Leadership.StepDown(scheduler.StepDown{LaterTerm: later, Reason: "a worker has seen a later term"})
+// replyBeforeRecovery replies to a heartbeat before the records are loaded, and buffers it for the scheduler.
+func (t *termLoop) replyBeforeRecovery(m scheduler.HeartbeatReceived) {
+	if laterTerm := protocol.TermOfToken(m.Heartbeat.FencingToken); laterTerm > t.term.Number {
+		t.deps.Leadership.StepDown(scheduler.StepDown{LaterTerm: laterTerm, Reason: "a worker has seen a later term"})
 		return
 	}
 	if reply, ok := m.ReplyTo.(chan protocol.WorkerHeartbeatReply); ok {
-		// Jobs of which users may have been told that they are cancelled end all the same.
+		// Jobs whose users may have been told that they are cancelled must end in any case.
 		reply <- protocol.WorkerHeartbeatReply{
 			FencingToken: protocol.FencingToken(t.term.Number, 0),
 			Commands: m.Heartbeat.StopCommands(func(job string) bool {
@@ -89,12 +89,13 @@
 			}),
 		}
 	}
-	m.ReplyTo = nil // it has its answer
-	t.early.add(m)
+	m.ReplyTo = nil // the reply has been sent
+	t.bufferedHeartbeats.add(m)
 }
 
-// startScheduler creates the scheduler from the records. It gets what has arrived since they were asked for: the
-// intents of cancellation first, then the changes of jobs, then the heartbeats, by which it may act.
+// startScheduler creates the scheduler from the loaded records and passes it the events that have arrived since loading
+// began: first the cancellation intents, then the changes to jobs, and last the heartbeats, as those may cause it to
+// act.
 func (t *termLoop) startScheduler(ctx context.Context, now time.Duration, loaded loadedRecords) {
 	records := scheduler.RecoveredRecords{
 		MachineTypes:      loaded.types,
@@ -121,40 +122,40 @@
 		validUntil := intents[job] + t.options.ConfirmWithin
 		t.step(ctx, now, scheduler.CancellationIntent{ID: job, ValidUntil: validUntil})
 	}
-	for _, change := range t.changes {
-		t.step(ctx, now, change)
+	for _, event := range t.bufferedEvents {
+		t.step(ctx, now, event)
 	}
-	t.changes = nil
+	t.bufferedEvents = nil
 	t.ready.Store(true)
-	for _, heartbeat := range t.early.heartbeats {
+	for _, heartbeat := range t.bufferedHeartbeats.heartbeats {
 		t.step(ctx, now, heartbeat)
 	}
-	t.tasks.Go(func() { t.refreshMachineTypes(ctx) })
+	t.goroutines.Go(func() { t.refreshMachineTypes(ctx) })
 }
 
-// step has the scheduler process an event, and applies the effects.
+// step passes an event to the scheduler and applies the resulting effects.
 func (t *termLoop) step(ctx context.Context, now time.Duration, event scheduler.Event) {
-	effects := t.scheduler.Step(now, event) //nolint:contextcheck // a state machine without I/O; it only logs
+	effects := t.scheduler.Step(now, event) //nolint:contextcheck // the state machine does no I/O except logging
 	t.applyEffects(ctx, effects)
 }
 
-// tick runs a scheduling cycle if one is due. One that takes long is followed by a pause, so that heartbeats and
-// queries have most of the time, however many jobs wait.
+// tick runs a scheduling cycle if one is due. The cycle is followed by a pause proportional to its duration, so that
+// heartbeats and queries get most of the time, however many jobs are waiting.
 func (t *termLoop) tick(ctx context.Context) {
 	now := t.deps.Now()
-	if t.scheduler == nil || now < t.restUntil || !t.stillConfirmed(ctx) {
+	if t.scheduler == nil || now < t.nextCycleAt || !t.ensureConfirmed(ctx) {
 		return
 	}
-	cycles := t.scheduler.CycleCount()
+	previousCycles := t.scheduler.CycleCount()
 	t.step(ctx, now, scheduler.Tick{})
-	if t.scheduler.CycleCount() > cycles {
+	if t.scheduler.CycleCount() > previousCycles {
 		t.options.Timing.Record(timing.Cycle, t.deps.Now()-now)
 	}
-	t.restUntil = t.deps.Now() + cyclePauseFactor*(t.deps.Now()-now)
+	t.nextCycleAt = t.deps.Now() + cyclePauseFactor*(t.deps.Now()-now)
 }
 
-// recordStepTime records the duration of a step that began at the given time.
-func (t *termLoop) recordStepTime(event scheduler.Event, began time.Duration) {
+// recordStepTime records the duration of a step that started at the given time.
+func (t *termLoop) recordStepTime(event scheduler.Event, start time.Duration) {
 	if t.options.Timing == nil {
 		return
 	}
@@ -162,13 +163,13 @@
 	if _, ok := event.(scheduler.HeartbeatReceived); ok {
 		kind = timing.WorkerHeartbeat
 	}
-	t.options.Timing.Record(kind, t.deps.Now()-began)
+	t.options.Timing.Record(kind, t.deps.Now()-start)
 }
 
-// stillConfirmed returns whether the term is still confirmed, and ends it if not. A process that was suspended while
-// its clocks ran on would find all machines silent and all leases expired; by then others may lead, and it must not act
-// on any of that.
-func (t *termLoop) stillConfirmed(ctx context.Context) bool {
+// ensureConfirmed reports whether the term is still confirmed, and ends the term if it is not. After a suspension of
+// the process during which its clocks continued, all machines would seem silent and all leases expired. By then another
+// controller may lead, so this one must not act on any of that.
+func (t *termLoop) ensureConfirmed(ctx context.Context) bool {
 	if t.deps.Leadership.Confirmed() {
 		return true
 	}
@@ -179,23 +180,23 @@
 	return false
 }
 
-// earlyHeartbeats keeps the newest heartbeat of each machine that arrived before the records were read,
-// in the order in which the machines were first heard.
-type earlyHeartbeats struct {
+// heartbeatBuffer holds the newest heartbeat of each machine that arrived before the records were loaded, in the order
+// in which the machines were first heard from.
+type heartbeatBuffer struct {
 	heartbeats []scheduler.HeartbeatReceived
 	index      map[string]int
 }
 
-func (e *earlyHeartbeats) add(r scheduler.HeartbeatReceived) {
-	if i, ok := e.index[r.Heartbeat.Machine]; ok {
-		e.heartbeats[i] = r
+func (b *heartbeatBuffer) add(h scheduler.HeartbeatReceived) {
+	if i, ok := b.index[h.Heartbeat.Machine]; ok {
+		b.heartbeats[i] = h
 		return
 	}
-	if e.index == nil {
-		e.index = map[string]int{}
+	if b.index == nil {
+		b.index = map[string]int{}
 	}
-	e.index[r.Heartbeat.Machine] = len(e.heartbeats)
-	e.heartbeats = append(e.heartbeats, r)
+	b.index[h.Heartbeat.Machine] = len(b.heartbeats)
+	b.heartbeats = append(b.heartbeats, h)
 }
 
 func machineNames(machines []scheduler.UnchangedHeartbeat) (names []string) {
--- a/internal/coordination/leader/write_test.go
+++ b/internal/coordination/leader/write_test.go
@@ -18,15 +18,15 @@
 	"pinebay/internal/transport"
 )
 
-// TestWriteOutcomes: a write is repeated until its outcome is known, and an earlier try that has succeeded without an
-// answer is recognised by its record.
+// TestWriteOutcomes checks that a write is repeated until its outcome is known, and that the record shows the success
+// of an earlier attempt that got no response.
 func TestWriteOutcomes(t *testing.T) {
 	const key, writeID = "ended/j-1", 7
-	executed := simulation.Outcome{}                // without an answer
-	lost := simulation.Outcome{Delay: time.Hour}    // executed too late to matter
-	answered := simulation.Outcome{Reply: true}     // executed
-	malformed := simulation.Outcome{Rejected: true} // never executed
-	value := func(name string) []byte { return encoded(t, storage.EndedJobRecord{WriteName: name}) }
+	unacknowledged := simulation.Outcome{}             // applied, no response
+	notApplied := simulation.Outcome{Delay: time.Hour} // applied after the end of the test, no response
+	acknowledged := simulation.Outcome{Reply: true}    // applied
+	malformed := simulation.Outcome{Rejected: true}    // never applied
+	value := func(name string) []byte { return mustEncode(t, storage.EndedJobRecord{WriteName: name}) }
 	put := protocol.Txn{
 		If:   []protocol.Compare{{Key: key}},
 		Then: []protocol.Op{{PutKey: key, Value: value("7.1")}},
@@ -36,41 +36,41 @@
 		Then: []protocol.Op{{DeleteKey: key}},
 	}
 	for _, row := range []struct {
-		name     string
-		existing []byte // of the record before
-		txn      protocol.Txn
-		writer   string
-		outcomes []simulation.Outcome
-		want     scheduler.TransactionOutcome
+		name      string
+		existing  []byte // value of the record before the write, or nil
+		txn       protocol.Txn
+		writeName string
+		outcomes  []simulation.Outcome
+		want      scheduler.TransactionOutcome
 	}{
 		{
 			"at once", nil, put, "7.1",
-			[]simulation.Outcome{answered},
+			[]simulation.Outcome{acknowledged},
 			scheduler.TransactionOutcome{Succeeded: true, Revision: 1},
 		},
 		{
 			"comparison failed", value("6.9"), put, "7.1",
-			[]simulation.Outcome{answered},
+			[]simulation.Outcome{acknowledged},
 			scheduler.TransactionOutcome{FailedKeys: []string{key}},
 		},
 		{
 			"executed without an answer", nil, put, "7.1",
-			[]simulation.Outcome{executed, answered},
+			[]simulation.Outcome{unacknowledged, acknowledged},
 			scheduler.TransactionOutcome{Succeeded: true, Revision: 1, FailedKeys: []string{key}},
 		},
 		{
 			"not executed and not answered", nil, put, "7.1",
-			[]simulation.Outcome{lost, answered},
+			[]simulation.Outcome{notApplied, acknowledged},
 			scheduler.TransactionOutcome{Succeeded: true, Revision: 1},
 		},
 		{
 			"not answered, and another write was there", value("6.9"), put, "7.1",
-			[]simulation.Outcome{lost, answered},
+			[]simulation.Outcome{notApplied, acknowledged},
 			scheduler.TransactionOutcome{Revision: 1, FailedKeys: []string{key}},
 		},
 		{
 			"removed without an answer", value("6.9"), remove, "",
-			[]simulation.Outcome{executed, answered},
+			[]simulation.Outcome{unacknowledged, acknowledged},
 			scheduler.TransactionOutcome{Succeeded: true, FailedKeys: []string{key}},
 		},
 		{
@@ -80,12 +80,12 @@
 		},
 		{
 			"malformed after an execution without an answer", nil, put, "7.1",
-			[]simulation.Outcome{executed, malformed},
+			[]simulation.Outcome{unacknowledged, malformed},
 			scheduler.TransactionOutcome{Succeeded: true, Revision: 1},
 		},
 		{
 			"malformed after a try that was not executed", nil, put, "7.1",
-			[]simulation.Outcome{lost, malformed},
+			[]simulation.Outcome{notApplied, malformed},
 			scheduler.TransactionOutcome{Malformed: true},
 		},
 	} {
@@ -100,23 +100,23 @@
 				outcomes = outcomes[1:]
 				return next
 			})
-			l := writer(t, store)
-			w := scheduler.Write{ID: writeID, Txn: row.txn, VerifyKey: key, Name: row.writer}
+			l := newWriteOnlyLeader(t, store)
+			w := scheduler.Write{ID: writeID, Txn: row.txn, VerifyKey: key, Name: row.writeName}
 			l.write(t.Context(), w, l.deps.Store.Admit(writeBudget(w.Priority), &w.Txn))
 			messages := l.mailbox.Drain()
 			if len(messages) != 1 || len(outcomes) != 0 {
-				t.Fatalf("%d messages, %d outcomes left", len(messages), len(outcomes))
+				t.Fatalf("got %d messages with %d outcomes left, want 1 and 0", len(messages), len(outcomes))
 			}
 			row.want.WriteID = writeID
 			if !reflect.DeepEqual(messages[0], row.want) {
-				t.Errorf("%+v, want %+v", messages[0], row.want)
+				t.Errorf("got %+v, want %+v", messages[0], row.want)
 			}
 		})
 	}
 }
 
-// writer returns a leader that only writes.
-func writer(t *testing.T, store *simulation.Store) *Leader {
+// newWriteOnlyLeader returns a leader that can only execute writes.
+func newWriteOnlyLeader(t *testing.T, store *simulation.Store) *Leader {
 	t.Helper()
 	srv := httptest.NewServer(store)
 	t.Cleanup(srv.Close)
@@ -138,7 +138,7 @@
 	}
 }
 
-func encoded(t *testing.T, record any) []byte {
+func mustEncode(t *testing.T, record any) []byte {
 	t.Helper()
 	raw, err := protocol.Encode(record)
 	if err != nil {
