--- a/internal/coordination/jobstate/pages.go
+++ b/internal/coordination/jobstate/pages.go
@@ -69,7 +69,7 @@
 		}
 		previousDone = done
 		if j.Placements[task] != nil {
-			size += storage.PlacementBytes
+			size += storage.MaxPlacementBytes
 		}
 	}
 	return size
--- a/internal/coordination/placementrecords/limits.go
+++ b/internal/coordination/placementrecords/limits.go
@@ -59,12 +59,12 @@
 
 // fitsValue reports whether a value of an estimated size is within the limit.
 func (l *Limits) fitsValue(size int) bool {
-	return float64(size) <= l.current.ValueKB*storage.BytesPerKB
+	return float64(size) <= l.current.ValueKB*storage.BytesPerKiB
 }
 
 // PagesPerTransaction returns how many full pages fit a transaction.
 func (l *Limits) PagesPerTransaction() int {
-	return max(1, min(l.current.TxnOps, int(MaxTransactionBytes/(l.current.ValueKB*storage.BytesPerKB))))
+	return max(1, min(l.current.TxnOps, int(MaxTransactionBytes/(l.current.ValueKB*storage.BytesPerKiB))))
 }
 
 // MaxStartPages returns how many pages that starts wait for may be in flight: as many as the key-value store writes
@@ -84,7 +84,7 @@
 	if l.level < featurelevel.Pipelines {
 		return storage.PageLayout{TasksPerPage: storage.OriginalPageTasks(l.settings.ValueKB)}
 	}
-	return storage.PageLayout{TasksPerPage: storage.CompactPageTasks(l.current.ValueKB), Compact: true}
+	return storage.PageLayout{TasksPerPage: storage.CompactTasksPerPage(l.current.ValueKB), Compact: true}
 }
 
 // LayoutAtMost returns the layout for a job whose narrowest stored pages cover so many tasks. Of several pages that
--- a/internal/storage/budgets.go
+++ b/internal/storage/budgets.go
@@ -10,34 +10,34 @@
 	"pinebay/internal/config"
 )
 
-// Budget says what a request is for, and so which share of the store's rate limits it is paid from.
+// Budget is the purpose of a request, which determines its share of the store's rate limits.
 type Budget int
 
 // The budgets of a controller.
 const (
-	BudgetUrgent      Budget = iota // leadership: never waits
-	BudgetPlacement                 // the leader's placements
+	BudgetUrgent      Budget = iota // requests of the election, feature levels and readiness, which are not limited
+	BudgetPlacement                 // placements by the leader
 	BudgetAcceptance                // submissions and cancellations of jobs
-	BudgetPoll                      // users' queries
-	BudgetMaintenance               // cleaning up, and hints
-	BudgetCompletion                // ends of tasks and jobs: what BudgetPlacement leaves of its share
+	BudgetPoll                      // queries by users
+	BudgetMaintenance               // deletions of obsolete records, and hints
+	BudgetCompletion                // ends of tasks and jobs; uses the writes that BudgetPlacement leaves of its share
 )
 
 // Fractions of the store's rate limits.
 const (
-	// PlacementShare is the fraction of the writes for the leader's placements, and for completions as far as they
-	// leave room.
+	// PlacementShare is the fraction of the store's writes for placements by the leader. Completions use what
+	// placements leave of it.
 	PlacementShare = 0.6
-	// completionFloor is the fraction of the placements' writes that completions have in any case.
-	completionFloor       = 0.25
+	// completionMinShare is the fraction of the placement writes that completions get in any case.
+	completionMinShare    = 0.25
 	maintenanceWriteShare = 0.2
 	placementReadShare    = 0.5
 	pollReadShare         = 0.6
 	maintenanceReadShare  = 0.1
 )
 
-// readRates returns the requests per second of each budget. Those of the leader are of the whole store, the others
-// of this controller's share.
+// readRates returns the requests per second of each budget. The budgets of the leader are fractions of the store's
+// whole limit, the others of this controller's share of it.
 func (c *Client) readRates(limits config.StoreLimits) map[Budget]float64 {
 	controllers := float64(c.controllers)
 	return map[Budget]float64{
@@ -54,15 +54,15 @@
 		BudgetPlacement:   limits.WriteRPS * PlacementShare,
 		BudgetAcceptance:  limits.WriteRPS / float64(c.controllers),
 		BudgetMaintenance: limits.WriteRPS * maintenanceWriteShare,
-		BudgetCompletion:  limits.WriteRPS * PlacementShare * completionFloor,
+		BudgetCompletion:  limits.WriteRPS * PlacementShare * completionMinShare,
 	}
 }
 
-// burstFor returns how much of a budget may be used at one moment: a second's share. What is beyond that waits; the
-// store's own rate limit corrects the controllers where several are busy at once.
+// burstFor returns the burst of a rate limiter: the requests of one second. Requests beyond that wait. If several
+// controllers are busy at the same time, the store's own rate limit throttles them.
 func burstFor(limit float64) int { return max(1, int(limit)) }
 
-// SetLimits applies other limits of the store to the budgets.
+// SetLimits adjusts the budgets to new rate limits of the store.
 func (c *Client) SetLimits(limits config.StoreLimits) {
 	setRates(c.readLimiters, c.readRates(limits))
 	setRates(c.writeLimiters, c.writeRates(limits))
@@ -75,12 +75,13 @@
 	}
 }
 
-// MaxQueueTime is how long a user's request may wait for its budget: no longer than the pause after which a user who
-// was rejected asks again.
+// MaxQueueTime limits how long a request on behalf of a user may wait for its budget. It is no longer than the delay
+// after which a user whose request was rejected retries.
 const MaxQueueTime = time.Second
 
-// admit waits until the budget allows a request. Users' requests that would wait for too long fail at once, so that
-// they are repeated later instead of being held. The request's text tells it from others that wait.
+// admit waits until the budget allows a request. Requests on behalf of users fail immediately if they would wait too
+// long, so that the user retries instead of being kept waiting. The text of the request distinguishes it from others
+// that are waiting.
 func (c *Client) admit(ctx context.Context, budget Budget, request string, writes int) error {
 	if budget == BudgetCompletion {
 		return c.admitCompletion(ctx, request, writes)
@@ -104,21 +105,21 @@
 }
 
 const (
-	// completionPatience is how long a completion waits for writes that the placements leave. After that it competes
-	// with them, while no more than completionBacklog of a second's writes are promised already: a job's end
-	// waits for the record of its last tasks, and its user for the job's end.
-	completionPatience = time.Second
-	completionBacklog  = 0.1
+	// completionMaxWait is how long a completion waits for writes that placements leave unused. After that it competes
+	// with placements, as long as no more than the fraction completionMaxBacklog of one second's writes is reserved
+	// already: the end of a job waits for the record of its last tasks, and its user waits for the end of the job.
+	completionMaxWait    = time.Second
+	completionMaxBacklog = 0.1
 )
 
-// admitCompletion waits until the budget of the placements has something left. It reserves nothing meanwhile, so that
+// admitCompletion waits until the placement budget has unused writes. It reserves none while it waits, so that
 // placements don't queue behind hundreds of completions when many jobs end at once.
 func (c *Client) admitCompletion(ctx context.Context, request string, writes int) error {
 	limiter := c.writeLimiters[BudgetPlacement]
 	needed := min(writes, limiter.Burst())
-	began := time.Now()
+	start := time.Now()
 	for !limiter.AllowN(time.Now(), needed) {
-		if time.Since(began) > completionPatience && c.reserveCompletion(needed) {
+		if time.Since(start) > completionMaxWait && c.reserveCompletion(needed) {
 			break
 		}
 		c.random.Pause(ctx, request, time.Duration(float64(time.Second)/float64(limiter.Limit())))
@@ -129,22 +130,22 @@
 	return c.admit(ctx, BudgetPlacement, request, 0)
 }
 
-// reserveCompletion takes writes from the placements' budget although they are promised to those, within bounds. It
-// reports whether it did.
+// reserveCompletion reserves writes of the placement budget in advance, and reports whether it did. If the writes that
+// are already reserved exceed the permitted backlog, it reserves no more than the minimum share of completions.
 func (c *Client) reserveCompletion(writes int) bool {
 	c.completionMu.Lock()
 	defer c.completionMu.Unlock()
-	placements, floor := c.writeLimiters[BudgetPlacement], c.writeLimiters[BudgetCompletion]
+	placements, guaranteed := c.writeLimiters[BudgetPlacement], c.writeLimiters[BudgetCompletion]
 	now := time.Now()
-	backlogged := placements.Tokens() <= -completionBacklog*float64(placements.Limit())
-	if backlogged && !floor.AllowN(now, min(writes, floor.Burst())) {
+	backlogged := placements.Tokens() <= -completionMaxBacklog*float64(placements.Limit())
+	if backlogged && !guaranteed.AllowN(now, min(writes, guaranteed.Burst())) {
 		return false
 	}
 	placements.ReserveN(now, writes)
 	return true
 }
 
-// tryAdmit reports whether the budget has room for a request that could be done without, and takes it if so.
+// tryAdmit admits an optional request if the budget allows it immediately, and reports whether it did.
 func (c *Client) tryAdmit(budget Budget, writes int) bool {
 	if limiter := c.readLimiters[budget]; limiter != nil && !limiter.Allow() {
 		return false
--- a/internal/storage/client.go
+++ b/internal/storage/client.go
@@ -16,19 +16,19 @@
 )
 
 const (
-	// storeSocketShare is the fraction, as a divisor, of a process's sockets that requests may take.
-	storeSocketShare = 32
-	// minSockets is how many sockets requests of each kind may take at least.
+	// storeSocketDivisor limits the sockets of ordinary requests: the process's sockets divided by it may be used.
+	storeSocketDivisor = 32
+	// minSockets is the minimum number of sockets for each kind of request.
 	minSockets = 4
-	// maxReasonBytes is how much of an answer goes into the text of an error.
+	// maxReasonBytes limits how much of a response is included in the text of an error.
 	maxReasonBytes = 80
 )
 
 // Client is a client of the key-value store. It is safe for concurrent use.
 type Client struct {
-	base        string
+	baseURL     string
 	requests    *transport.Client
-	urgent      *transport.Client // apart, so that leadership never waits behind other requests
+	urgent      *transport.Client // separate, so that urgent requests never wait behind others
 	watches     *transport.Client
 	timeout     time.Duration
 	random      *random.Source
@@ -36,18 +36,18 @@
 
 	readLimiters  map[Budget]*rate.Limiter
 	writeLimiters map[Budget]*rate.Limiter
-	// completionMu lets one completion at a time examine the budget of the placements.
+	// completionMu serializes the completions that examine the placement budget.
 	completionMu sync.Mutex
 
 	admissionMu   sync.Mutex
-	lastAdmission time.Time // the last turn, before the budgets delay it
+	lastAdmission time.Time // time of the last admission, without the delay by its budget
 
-	start      time.Time
-	lastAnswer atomic.Int64 // time of the last answer, in nanoseconds since start; 0 if there was none
+	start        time.Time
+	lastResponse atomic.Int64 // time of the last response, in nanoseconds since start; 0 if there was none
 }
 
-// NewClient returns a client of the store at an address. The limits of the store are divided between the controllers;
-// within a controller each budget has a share of its own.
+// NewClient returns a client of the store at an address. The rate limits of the store are divided among the
+// controllers; within a controller each budget has its own share.
 func NewClient(
 	network transport.Network,
 	source *random.Source,
@@ -56,9 +56,9 @@
 	timeout time.Duration,
 ) *Client {
 	lease := config.Seconds(deployment.Workers.LeaseSeconds)
-	sockets := max(minSockets, deployment.Quota.MaxSockets/storeSocketShare)
+	sockets := max(minSockets, deployment.Quota.MaxSockets/storeSocketDivisor)
 	c := &Client{
-		base:          "http://" + addr,
+		baseURL:       "http://" + addr,
 		requests:      transport.NewClient(network, sockets, sockets, lease),
 		urgent:        transport.NewClient(network, minSockets, minSockets, lease),
 		watches:       transport.NewClient(network, minSockets, minSockets, lease),
@@ -78,15 +78,15 @@
 	return c
 }
 
-// SinceLastAnswer returns how long ago the store last answered.
+// SinceLastAnswer returns the time since the last response of the store.
 func (c *Client) SinceLastAnswer() time.Duration {
-	return time.Since(c.start) - time.Duration(c.lastAnswer.Load())
+	return time.Since(c.start) - time.Duration(c.lastResponse.Load())
 }
 
-// Answered reports whether the store has ever answered this process.
-func (c *Client) Answered() bool { return c.lastAnswer.Load() > 0 }
+// Answered reports whether the store has ever responded to this process.
+func (c *Client) Answered() bool { return c.lastResponse.Load() > 0 }
 
-// call sends a request once its budget allows it.
+// call sends a request as soon as its budget allows.
 func (c *Client) call(
 	ctx context.Context,
 	budget Budget,
@@ -99,7 +99,7 @@
 	return c.send(ctx, budget, method, path, "", body)
 }
 
-// send sends a request now. The key is only for the error of one that is rejected.
+// send sends a request immediately. The key is included in the error if the request is rejected.
 func (c *Client) send(
 	ctx context.Context,
 	budget Budget,
@@ -110,23 +110,24 @@
 	if budget == BudgetUrgent {
 		client = c.urgent
 	}
-	status, raw, err = client.Do(ctx, c.timeout, method, c.base+path, body)
+	status, raw, err = client.Do(ctx, c.timeout, method, c.baseURL+path, body)
 	if err != nil {
 		return 0, nil, fmt.Errorf("%w: %w", ErrOutcomeUnknown, err)
 	}
 	return status, raw, c.checkStatus(method, path, key, status, raw)
 }
 
-// checkStatus notes that the store has answered, and returns an error for a request that was not executed.
+// checkStatus returns an error if a request was not executed. It records that the store has responded, unless the store
+// is unavailable or has rejected the request as invalid.
 func (c *Client) checkStatus(method, path, key string, status int, raw []byte) error {
 	switch status {
 	case http.StatusTooManyRequests:
-		c.noteAnswer()
+		c.recordResponse()
 		return ErrRateLimited
 	case http.StatusServiceUnavailable:
 		return fmt.Errorf("%w: status %d", ErrUnavailable, status)
 	case http.StatusOK, http.StatusNotFound, http.StatusConflict, http.StatusGone:
-		c.noteAnswer()
+		c.recordResponse()
 		return nil
 	default:
 		reason := string(raw[:min(len(raw), maxReasonBytes)])
@@ -134,4 +135,4 @@
 	}
 }
 
-func (c *Client) noteAnswer() { c.lastAnswer.Store(int64(time.Since(c.start))) }
+func (c *Client) recordResponse() { c.lastResponse.Store(int64(time.Since(c.start))) }
--- a/internal/storage/compatibility_test.go
+++ b/internal/storage/compatibility_test.go
@@ -10,8 +10,8 @@
 	"pinebay/internal/testutil"
 )
 
-// Every record of the version in production is decoded, and below the first feature level encoded to the same bytes:
-// both versions work on each other's records.
+// TestProductionRecords checks that every record of the production version is decoded correctly and, at feature level
+// 0, encoded to the same bytes, because both versions process the same records.
 func TestProductionRecords(t *testing.T) {
 	job := protocol.Job{
 		ID:                        "j-000412",
@@ -79,15 +79,15 @@
 		raw := testutil.Production(t, name)
 		got := reflect.New(reflect.TypeOf(want).Elem()).Interface()
 		if err := protocol.Decode(raw, got); err != nil || !reflect.DeepEqual(got, want) {
-			t.Errorf("%s is read as %+v: %v", name, got, err)
+			t.Errorf("%s is decoded as %+v: %v", name, got, err)
 		}
 		if written, err := protocol.Encode(want); err != nil || !bytes.Equal(written, raw) {
-			t.Errorf("%s is written otherwise: %x, want %x, %v", name, written, raw, err)
+			t.Errorf("%s is encoded as %x, want %x: %v", name, written, raw, err)
 		}
 	}
 }
 
-// The same holds for a page of placements.
+// TestProductionPage checks the same as TestProductionRecords for a placement page.
 func TestProductionPage(t *testing.T) {
 	want := storage.PlacementPage{
 		WriteName:      "7.41",
@@ -107,34 +107,42 @@
 	raw := testutil.Production(t, "page")
 	got, err := storage.DecodePage(protocol.KeyValue{Value: raw}, layout)
 	if err != nil || !reflect.DeepEqual(*got, want) {
-		t.Errorf("it is read as %+v: %v", got, err)
+		t.Errorf("decoded as %+v: %v", got, err)
 	}
 	if written, err := storage.EncodePage(&want, layout); err != nil || !bytes.Equal(written, raw) {
-		t.Errorf("it is written otherwise: %x, want %x, %v", written, raw, err)
+		t.Errorf("encoded as %x, want %x: %v", written, raw, err)
 	}
 	if key := (storage.PageID{Job: "j-000412", Layout: layout, Number: 3}).Key(); key != "place/j-000412/0003" ||
 		layout.TasksPerPage != 96 {
-		t.Errorf("its key is %q, and it covers %d tasks", key, layout.TasksPerPage)
+		t.Errorf("key %q, %d tasks per page", key, layout.TasksPerPage)
 	}
 }
 
-// The same holds for the term's record below the first feature level. From then on the version in production, which
-// expects a number, can't decode it: so it can't claim a term.
+// TestProductionTerm checks the same as TestProductionRecords for the term record at feature level 0. At higher levels
+// the production version, which expects the term to be a number, must fail to decode the record, so that it can't claim
+// a term.
 func TestProductionTerm(t *testing.T) {
-	raw, plain := testutil.Production(t, "term"), storage.TermRecord{Term: 7, Controller: "bothy-1", ClaimID: "912"}
-	if got, err := storage.DecodeTerm(raw); err != nil || got != plain {
-		t.Errorf("it is read as %+v: %v", got, err)
+	raw, withoutLevel := testutil.Production(
+		t,
+		"term",
+	), storage.TermRecord{
+		Term:       7,
+		Controller: "bothy-1",
+		ClaimID:    "912",
 	}
-	if written, err := storage.EncodeTerm(plain); err != nil || !bytes.Equal(written, raw) {
-		t.Errorf("it is written otherwise: %x, want %x, %v", written, raw, err)
+	if got, err := storage.DecodeTerm(raw); err != nil || got != withoutLevel {
+		t.Errorf("decoded as %+v: %v", got, err)
 	}
-	leveled := storage.TermRecord{Term: 8, Controller: "bothy-2", ClaimID: "913", FeatureLevel: 1, WriteName: "8.2"}
-	written, err := storage.EncodeTerm(leveled)
+	if written, err := storage.EncodeTerm(withoutLevel); err != nil || !bytes.Equal(written, raw) {
+		t.Errorf("encoded as %x, want %x: %v", written, raw, err)
+	}
+	withLevel := storage.TermRecord{Term: 8, Controller: "bothy-2", ClaimID: "913", FeatureLevel: 1, WriteName: "8.2"}
+	written, err := storage.EncodeTerm(withLevel)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got, err := storage.DecodeTerm(written); err != nil || got != leveled {
-		t.Errorf("with a level it is read as %+v: %v", got, err)
+	if got, err := storage.DecodeTerm(written); err != nil || got != withLevel {
+		t.Errorf("record with a feature level is decoded as %+v: %v", got, err)
 	}
 	var production struct {
 		Term  uint64 `msgpack:"term"`
@@ -142,6 +150,6 @@
 		Claim string `msgpack:"claim"`
 	}
 	if err := protocol.Decode(written, &production); err == nil {
-		t.Error("production reads a term's record of a level that it does not speak")
+		t.Error("the production version decodes a term record of a feature level that it does not support")
 	}
 }
--- a/internal/storage/doc.go
+++ b/internal/storage/doc.go
@@ -1,23 +1,24 @@
-// Package storage is the durable side of a controller: a client of the key-value store (the "state service" of the
-// settings) whose requests are paid from rate budgets, and the records that the controllers keep in the store.
+// Package storage provides durable storage to the controllers: a client of the key-value store (the "state service" in
+// the settings), which limits the rate of its requests by purpose, and the records that the controllers keep in the
+// store.
 //
 // # Records
 //
-// Keys, tags and values are what versions in production wrote; they never change. This table maps the stored words to
-// the terms of the code. Values are MessagePack maps unless stated otherwise.
+// The keys, tags and values are compatible with the versions in production and must not change. The following tables
+// map the stored names to those in the code. Values are MessagePack maps unless stated otherwise.
 //
 //	key                        record
 //	-----------------------    ---------------------------------------------------------------
 //	leader                     LeaderRecord, attached to the leader's lease
-//	term                       TermRecord; its revision fences every write of a leader
+//	term                       TermRecord; every write of a leader is fenced by its revision
 //	types                      protocol.MachineTypes, the cloud's price list
 //	live/JOB                   LiveJobRecord, an accepted job
 //	ended/JOB                  EndedJobRecord, a job's final state
 //	place/JOB/NNNN             PlacementPage, original layout
 //	place/JOB/wTASKS.NNNN      PlacementPage, compact layout with TASKS tasks per page
-//	warm/NNNN                  ImageHintRecord, machines with the images that they have cached
-//	feature/node/CONTROLLER    FeatureLevelRecord, the highest feature level a controller has supported
-//	ownership                  OwnershipRecord, which controllers own shards of the machines
+//	warm/NNNN                  ImageHintRecord, the images that machines have cached
+//	feature/node/CONTROLLER    FeatureLevelRecord, the highest feature level that a controller has supported
+//	ownership                  OwnershipRecord, the controllers that own shards of the machines
 //	zone-return/NNNN           ZoneFailoverRecord, the states of zones and the open loans of capacity
 //
 // The tags of the fields:
@@ -27,7 +28,7 @@
 //	LeaderRecord         node         Controller
 //	TermRecord           node         Controller
 //	                     claim        ClaimID
-//	                     n, level     Term and FeatureLevel, from the first feature level on
+//	                     n, level     Term and FeatureLevel, if the feature level is at least 1
 //	                     w            WriteName
 //	LiveJobRecord        at           AcceptedAtMS
 //	EndedJobRecord       end          State
@@ -52,11 +53,11 @@
 //	                     z            Zones: name, state, since, flaps
 //	                     l            Loans
 //
-// A record that doesn't have its form is reported as a [MalformedRecordError], one that a later version wrote as a
-// [NewerFormatError].
+// A record that cannot be decoded or is invalid is reported as a [MalformedRecordError], and one that was written in a
+// newer format as a [NewerFormatError].
 //
 // # Requests
 //
-// The errors of a request say what may have happened to it: [ErrUnavailable] that it wasn't executed and may be
-// repeated, [ErrOutcomeUnknown] that it may have been executed, a [RejectedError] that it will never be.
+// The error of a request tells whether it was executed. After [ErrUnavailable] it was not, and may be retried; after
+// [ErrOutcomeUnknown] it may have been; after a [RejectedError] it was not, and retrying will not succeed.
 package storage
--- a/internal/storage/errors.go
+++ b/internal/storage/errors.go
@@ -6,25 +6,26 @@
 )
 
 var (
-	// ErrUnavailable says that a request was not executed.
+	// ErrUnavailable indicates that a request was not executed and may be retried.
 	ErrUnavailable = errors.New("key-value store unavailable")
 
-	// ErrRateLimited says that a request was not executed because its rate limit is used up. It can be repeated in a
-	// moment. It is a kind of ErrUnavailable.
+	// ErrRateLimited indicates that a request was not executed because its rate limit is exhausted. It can be retried
+	// after a short delay. It wraps ErrUnavailable.
 	ErrRateLimited = fmt.Errorf("%w: rate limited", ErrUnavailable)
 
-	// ErrThrottled says that a request was not even sent, because too many wait for the same budget. It is a kind of
-	// ErrRateLimited.
+	// ErrThrottled indicates that a request was not sent, because too many requests are waiting for the same budget. It
+	// wraps ErrRateLimited.
 	ErrThrottled = fmt.Errorf("%w by this controller", ErrRateLimited)
 
-	// ErrOutcomeUnknown says that a request may have been executed, or may be executed yet.
-	ErrOutcomeUnknown = errors.New("no answer from the key-value store")
+	// ErrOutcomeUnknown indicates that a request got no response: it may have been executed, or may still be executed.
+	ErrOutcomeUnknown = errors.New("no response from the key-value store")
 
-	// ErrLeaseNotFound says that a lease has ended.
+	// ErrLeaseNotFound indicates that a lease has expired or was revoked.
 	ErrLeaseNotFound = errors.New("lease not found")
 
-	// ErrCompacted says that changes were asked for that are too old to be kept: the keys have to be listed again.
-	ErrCompacted = errors.New("changes no longer kept")
+	// ErrCompacted indicates that the requested changes are so old that the store no longer has them. The keys must be
+	// listed again.
+	ErrCompacted = errors.New("requested changes have been compacted")
 
 	// ErrMalformedRecord matches every MalformedRecordError.
 	ErrMalformedRecord = errors.New("malformed record")
@@ -33,17 +34,17 @@
 	ErrNewerFormat = errors.New("record of a newer format")
 )
 
-// RejectedError reports a request that the key-value store has rejected as invalid. Repeating it is of no use.
+// RejectedError reports a request that the key-value store has rejected as invalid. Retrying it will not succeed.
 type RejectedError struct {
 	Method string
-	// Path is that of the request, and Key the first key that a transaction writes.
+	// Path is the path of the request. Key is the first key that a transaction changes.
 	Path, Key string
 	Status    int
-	// Reason is the beginning of the service's answer.
+	// Reason is the beginning of the store's response.
 	Reason string
 }
 
-// Error returns what was rejected, and why.
+// Error returns the rejected request, the status and the reason.
 func (e *RejectedError) Error() string {
 	request := e.Method + " " + e.Path
 	if e.Key != "" {
@@ -52,19 +53,19 @@
 	return fmt.Sprintf("key-value store rejected %s: status %d: %q", request, e.Status, e.Reason)
 }
 
-// MalformedRecordError reports a stored record that doesn't have the form of its kind.
+// MalformedRecordError reports a stored record that cannot be decoded or is invalid.
 type MalformedRecordError struct {
 	Key    string
 	Reason string
 	Err    error // the error of the decoder, or nil
 }
 
-// Error returns which record is malformed, and why.
+// Error returns the key of the record and the reason.
 func (e *MalformedRecordError) Error() string {
 	return fmt.Sprintf("%v %q: %s", ErrMalformedRecord, e.Key, e.Reason)
 }
 
-// Is makes every MalformedRecordError match ErrMalformedRecord.
+// Is reports whether target is ErrMalformedRecord.
 func (e *MalformedRecordError) Is(target error) bool { return target == ErrMalformedRecord }
 
 // Unwrap returns the error of the decoder.
@@ -74,17 +75,17 @@
 	return &MalformedRecordError{Key: key, Reason: fmt.Sprintf(format, args...)}
 }
 
-func undecodable(key string, err error) error {
+func decodeError(key string, err error) error {
 	return &MalformedRecordError{Key: key, Reason: err.Error(), Err: err}
 }
 
-// NewerFormatError reports a record that a later version has written. It must be left as it is.
+// NewerFormatError reports a record that a later version has written. The record must not be changed.
 type NewerFormatError struct {
 	Key               string
 	Format, Supported int
 }
 
-// Error returns both formats.
+// Error returns the key, the format of the record and the supported format.
 func (e *NewerFormatError) Error() string {
 	return fmt.Sprintf(
 		"%v: key %q has format %d, this version supports %d",
@@ -95,5 +96,5 @@
 	)
 }
 
-// Is makes every NewerFormatError match ErrNewerFormat.
+// Is reports whether target is ErrNewerFormat.
 func (e *NewerFormatError) Is(target error) bool { return target == ErrNewerFormat }
--- a/internal/storage/featurelevels.go
+++ b/internal/storage/featurelevels.go
@@ -6,21 +6,21 @@
 	"pinebay/internal/protocol"
 )
 
-// FeatureLevelPrefix begins the keys of the controllers' feature levels.
+// FeatureLevelPrefix is the prefix of the keys of the controllers' feature levels.
 const FeatureLevelPrefix = "feature/node/"
 
-// FeatureLevelKey is the key of a controller's feature level.
+// FeatureLevelKey returns the key of a controller's feature level.
 func FeatureLevelKey(controller string) string { return FeatureLevelPrefix + controller }
 
-// FeatureLevelRecord is the highest feature level that a process of a controller has supported.
+// FeatureLevelRecord is the highest feature level that any process of a controller has supported.
 type FeatureLevelRecord struct {
 	Level int `msgpack:"level"`
 }
 
-// DecodeFeatureLevel decodes a record, and returns the controller that its key names.
+// DecodeFeatureLevel decodes a record, and returns it with the controller that its key names.
 func DecodeFeatureLevel(p protocol.KeyValue) (controller string, record FeatureLevelRecord, err error) {
 	if err := protocol.Decode(p.Value, &record); err != nil {
-		return "", record, undecodable(p.Key, err)
+		return "", record, decodeError(p.Key, err)
 	}
 	return strings.TrimPrefix(p.Key, FeatureLevelPrefix), record, nil
 }
--- a/internal/storage/leases.go
+++ b/internal/storage/leases.go
@@ -14,7 +14,7 @@
 
 func leasePath(lease uint64) string { return leasesPath + "/" + strconv.FormatUint(lease, 10) }
 
-// GrantLease asks for a lease, and returns its ID.
+// GrantLease creates a lease and returns its ID.
 func (c *Client) GrantLease(ctx context.Context, ttl time.Duration) (uint64, error) {
 	request := protocol.LeaseRequest{TTLMS: ttl.Milliseconds()}
 	_, raw, err := c.call(ctx, BudgetUrgent, http.MethodPost, leasesPath, request)
@@ -28,7 +28,7 @@
 	return result.LeaseID, nil
 }
 
-// RenewLease renews a lease. The error is ErrLeaseNotFound if it has ended.
+// RenewLease renews a lease. The error is ErrLeaseNotFound if the lease has expired or was revoked.
 func (c *Client) RenewLease(ctx context.Context, lease uint64) error {
 	status, _, err := c.call(ctx, BudgetUrgent, http.MethodPost, leasePath(lease)+"/extend", struct{}{})
 	if err == nil && status == http.StatusNotFound {
@@ -37,7 +37,7 @@
 	return err
 }
 
-// RevokeLease ends a lease at once, and removes the keys attached to it.
+// RevokeLease revokes a lease, which deletes the keys attached to it.
 func (c *Client) RevokeLease(ctx context.Context, lease uint64) error {
 	_, _, err := c.call(ctx, BudgetUrgent, http.MethodDelete, leasePath(lease), nil)
 	return err
--- a/internal/storage/placementpages.go
+++ b/internal/storage/placementpages.go
@@ -8,24 +8,25 @@
 	"pinebay/internal/protocol"
 )
 
-// PageLayout says how the tasks of a job are divided into pages, and how pages are encoded.
+// PageLayout is the way in which the tasks of a job are divided into pages and the pages are encoded.
 type PageLayout struct {
-	// TasksPerPage is how many tasks a page covers.
+	// TasksPerPage is the number of tasks that a page covers.
 	TasksPerPage int
-	// Compact pages list their placements by machine, and have their width in their key. Others have the original
-	// layout, whose width follows from the limits of the store.
+	// Compact selects the compact layout, in which a page groups its placements by machine and its key contains the
+	// number of tasks per page. Otherwise the page has the original layout, whose number of tasks per page follows from
+	// the store's value limit.
 	Compact bool
 }
 
-// PageID identifies a page of a job's placements.
+// PageID identifies a placement page of a job.
 type PageID struct {
 	Job    string
 	Layout PageLayout
 	Number int
 }
 
-// compactPageMark begins the last part of a compact page's key.
-const compactPageMark = "w"
+// compactPagePrefix begins the last part of a compact page's key.
+const compactPagePrefix = "w"
 
 // Key returns the key of the page's record.
 func (id PageID) Key() string {
@@ -34,7 +35,7 @@
 			"%s%s/%s%d.%04d",
 			PlacementPrefix,
 			id.Job,
-			compactPageMark,
+			compactPagePrefix,
 			id.Layout.TasksPerPage,
 			id.Number,
 		)
@@ -45,38 +46,39 @@
 // FirstTask returns the first task that the page covers.
 func (id PageID) FirstTask() int { return id.Number * id.Layout.TasksPerPage }
 
-// EndTask returns the task after the last one that the page covers.
+// EndTask returns the index after the last task that the page covers.
 func (id PageID) EndTask() int { return (id.Number + 1) * id.Layout.TasksPerPage }
 
-// ParsePageKey returns the page whose key is given. Pages of the original layout cover the given number of tasks.
+// ParsePageKey parses the key of a page. originalTasks is the number of tasks on a page of the original layout, whose
+// key does not contain it.
 func ParsePageKey(key string, originalTasks int) (PageID, error) {
 	job, last, ok := strings.Cut(strings.TrimPrefix(key, PlacementPrefix), "/")
 	if !ok {
-		return PageID{}, malformed(key, "no page in the key")
+		return PageID{}, malformed(key, "key has no page number")
 	}
 	id := PageID{Job: job, Layout: PageLayout{TasksPerPage: originalTasks}}
-	if rest, compact := strings.CutPrefix(last, compactPageMark); compact {
+	if rest, compact := strings.CutPrefix(last, compactPagePrefix); compact {
 		width, number, ok := strings.Cut(rest, ".")
 		tasks, err := strconv.Atoi(width)
 		if !ok || err != nil || tasks < 1 || tasks > protocol.MaxTasks {
-			return PageID{}, malformed(key, "page of %q tasks", width)
+			return PageID{}, malformed(key, "invalid number of tasks per page %q", width)
 		}
 		id.Layout, last = PageLayout{TasksPerPage: tasks, Compact: true}, number
 	}
 	number, err := strconv.Atoi(last)
 	if err != nil || number < 0 || number > protocol.MaxTasks {
-		return PageID{}, malformed(key, "page number %q", last)
+		return PageID{}, malformed(key, "invalid page number %q", last)
 	}
 	id.Number = number
 	return id, nil
 }
 
-// PlacementPage holds the placements and the done tasks of a run of a job's tasks. It repeats the resources of a task,
-// so that an ended job still counts for its team until its tasks are gone.
+// PlacementPage holds the placements and the done tasks of a range of a job's tasks. It includes the resources of a
+// task, so that an ended job counts towards its team's usage until its tasks are gone.
 type PlacementPage struct {
 	WriteName      string      `msgpack:"w"`
-	HighestAttempt uint64      `msgpack:"n"`           // ever given to a task of the page
-	DoneRanges     [][2]int    `msgpack:"d,omitempty"` // first and last task of each
+	HighestAttempt uint64      `msgpack:"n"`           // highest attempt number ever given to a task of the page
+	DoneRanges     [][2]int    `msgpack:"d,omitempty"` // first and last task of each range
 	Zones          []string    `msgpack:"z,omitempty"`
 	Placements     []Placement `msgpack:"p,omitempty"`
 	Team           string      `msgpack:"t"`
@@ -85,9 +87,9 @@
 	MemoryGB       float64     `msgpack:"m"`
 }
 
-// Placement is a placement of a task. It is stored as a list, to save space.
+// Placement is a placement of a task. It is encoded as an array, to save space.
 type Placement struct {
-	//lint:ignore U1000 the codec reads its tag
+	//lint:ignore U1000 the codec reads the tag
 	_msgpack    struct{} `msgpack:",as_array"`
 	Task        int
 	Machine     string
@@ -96,30 +98,31 @@
 	Zone        int // index in Zones
 }
 
-// Sizes of placements, in the JSON form that the limits count.
+// Sizes of placements in JSON, the encoding in which the store measures values against its limits.
 const (
-	// PlacementBytes is an upper bound of a stored placement.
-	PlacementBytes = 64
+	// MaxPlacementBytes is an upper bound of the size of a stored placement.
+	MaxPlacementBytes = 64
 	// compactPlacementBytes is the size of a placement in a compact page if it is the only one on its machine and names
 	// have their usual length.
 	compactPlacementBytes = 32
-	// pageFillShare is the part of a value that the placements of a page, or the loans of one, may take. The rest is
-	// for the other fields.
+	// pageFillShare is the fraction of the value limit that the placements or loans of a page may take. The rest is for
+	// the other fields.
 	pageFillShare = 0.75
 )
 
-// OriginalPageTasks returns how many tasks a page of the original layout covers. A full page is well within the limit.
+// OriginalPageTasks returns the number of tasks on a page of the original layout. A full page is well within the value
+// limit.
 func OriginalPageTasks(valueKB float64) int {
-	return max(1, int(valueKB*BytesPerKB*pageFillShare/PlacementBytes))
+	return max(1, int(valueKB*BytesPerKiB*pageFillShare/MaxPlacementBytes))
 }
 
-// CompactPageTasks returns how many tasks a page of the compact layout covers at first: as many as fit with names of
-// usual length. A page that turns out too large is divided (see FitsValueLimit).
-func CompactPageTasks(valueKB float64) int {
-	return max(1, int(valueKB*BytesPerKB*pageFillShare/compactPlacementBytes))
+// CompactTasksPerPage returns the initial number of tasks on a page of the compact layout: as many as fit if names have
+// their usual length. A page that exceeds the limit nevertheless (see FitsValueLimit) is split.
+func CompactTasksPerPage(valueKB float64) int {
+	return max(1, int(valueKB*BytesPerKiB*pageFillShare/compactPlacementBytes))
 }
 
-// ZoneIndex returns the index of a zone in the record, adding it if need be.
+// ZoneIndex returns the index of a zone in Zones, adding the zone if necessary.
 func (r *PlacementPage) ZoneIndex(zone string) int {
 	for i, z := range r.Zones {
 		if z == zone {
@@ -130,7 +133,7 @@
 	return len(r.Zones) - 1
 }
 
-// AddDoneTask adds a task to the ranges. Tasks must be added in rising order.
+// AddDoneTask adds a task to DoneRanges. Tasks must be added in ascending order.
 func (r *PlacementPage) AddDoneTask(task int) {
 	if n := len(r.DoneRanges); n > 0 && r.DoneRanges[n-1][1] == task-1 {
 		r.DoneRanges[n-1][1] = task
@@ -139,7 +142,7 @@
 	r.DoneRanges = append(r.DoneRanges, [2]int{task, task})
 }
 
-// compactPage is a page as the compact layout stores it.
+// compactPage is the encoding of a page in the compact layout.
 type compactPage struct {
 	WriteName      string           `msgpack:"w"`
 	HighestAttempt uint64           `msgpack:"n"`
@@ -152,9 +155,9 @@
 	MemoryGB       float64          `msgpack:"m"`
 }
 
-// compactMachine is an incarnation of a machine with the tasks that were placed there.
+// compactMachine lists the tasks that are placed on one incarnation of a machine.
 type compactMachine struct {
-	//lint:ignore U1000 the codec reads its tag
+	//lint:ignore U1000 the codec reads the tag
 	_msgpack    struct{} `msgpack:",as_array"`
 	Name        string
 	Zone        int // index in Zones
@@ -162,10 +165,10 @@
 	Tasks       []compactTask
 }
 
-// compactTask is a task and its attempt.
+// compactTask is the index of a task and its attempt number.
 type compactTask [2]uint64
 
-// EncodePage returns a page as its layout stores it.
+// EncodePage encodes a page in the given layout.
 func EncodePage(r *PlacementPage, layout PageLayout) ([]byte, error) {
 	if !layout.Compact {
 		return protocol.Encode(r)
@@ -210,12 +213,12 @@
 	}
 	for _, pl := range page.Placements {
 		if pl.Zone < 0 || pl.Zone >= len(page.Zones) || pl.Task < 0 || pl.Task >= protocol.MaxTasks {
-			return nil, malformed(stored.Key, "placement of task %d in zone %d", pl.Task, pl.Zone)
+			return nil, malformed(stored.Key, "invalid placement of task %d with zone index %d", pl.Task, pl.Zone)
 		}
 	}
 	for _, done := range page.DoneRanges {
 		if done[0] < 0 || done[1] < done[0] || done[1] >= protocol.MaxTasks {
-			return nil, malformed(stored.Key, "done tasks %v", done)
+			return nil, malformed(stored.Key, "invalid range of done tasks %v", done)
 		}
 	}
 	return page, nil
@@ -227,7 +230,7 @@
 	}
 	page := &PlacementPage{}
 	if err := protocol.Decode(stored.Value, page); err != nil {
-		return nil, undecodable(stored.Key, err)
+		return nil, decodeError(stored.Key, err)
 	}
 	return page, nil
 }
@@ -235,7 +238,7 @@
 func decodeCompactPage(stored protocol.KeyValue) (*PlacementPage, error) {
 	var compact compactPage
 	if err := protocol.Decode(stored.Value, &compact); err != nil {
-		return nil, undecodable(stored.Key, err)
+		return nil, decodeError(stored.Key, err)
 	}
 	page := &PlacementPage{
 		WriteName:      compact.WriteName,
@@ -249,8 +252,8 @@
 	}
 	for _, machine := range compact.Machines {
 		for _, task := range machine.Tasks {
-			if task[0] >= protocol.MaxTasks { // before it is narrowed to an int
-				return nil, malformed(stored.Key, "placement of task %d", task[0])
+			if task[0] >= protocol.MaxTasks { // checked before the conversion to int
+				return nil, malformed(stored.Key, "invalid placement of task %d", task[0])
 			}
 			page.Placements = append(page.Placements, Placement{
 				Task:        int(task[0]),
--- a/internal/storage/reads.go
+++ b/internal/storage/reads.go
@@ -12,10 +12,10 @@
 	"pinebay/internal/transport"
 )
 
-// listPageSize is how many keys one request lists.
+// listPageSize is the maximum number of keys that one request lists.
 const listPageSize = 500
 
-// Get reads a key. A revision of 0 means that it doesn't exist.
+// Get reads a key. The revision is 0 if the key doesn't exist.
 func (c *Client) Get(ctx context.Context, budget Budget, key string) (protocol.KeyValue, error) {
 	status, raw, err := c.call(ctx, budget, http.MethodGet, "/kv/"+key, nil)
 	if err != nil {
@@ -31,12 +31,13 @@
 	return pair, nil
 }
 
-// List reads all keys with a prefix. The revision is that of the first page: a watch from there misses nothing.
+// List reads all keys with a prefix. It returns the revision of the first page; a watch from that revision misses no
+// change.
 func (c *Client) List(ctx context.Context, prefix string) (all []protocol.KeyValue, revision uint64, err error) {
 	return c.ListWithBudget(ctx, BudgetPlacement, prefix)
 }
 
-// ListWithBudget is List at the expense of another budget.
+// ListWithBudget is like List but uses the given budget.
 func (c *Client) ListWithBudget(
 	ctx context.Context,
 	budget Budget,
@@ -67,8 +68,9 @@
 	}
 }
 
-// Changes returns the changes after a revision of keys with a prefix. The error is ErrCompacted if they are no longer
-// kept, or too large for one answer: then the keys have to be listed again, which goes page by page.
+// Changes returns the changes to keys with a prefix after a revision. The error is ErrCompacted if the changes have
+// been compacted or are too large for one response. In both cases the keys must be listed again, which is done page by
+// page.
 func (c *Client) Changes(
 	ctx context.Context,
 	budget Budget,
@@ -85,7 +87,8 @@
 	return decodeEvents(prefix, status, raw)
 }
 
-// Watch waits for changes after a revision of keys with a prefix, up to a time. Its errors are those of Changes.
+// Watch returns the changes to keys with a prefix after a revision, and waits up to the given time if there are none
+// yet. Its errors are those of Changes.
 func (c *Client) Watch(
 	ctx context.Context,
 	prefix string,
@@ -93,7 +96,7 @@
 	wait time.Duration,
 ) (*protocol.WatchResponse, error) {
 	path := changesPath(prefix, revision, wait)
-	status, raw, err := c.watches.Do(ctx, wait+2*c.timeout, http.MethodGet, c.base+path, nil)
+	status, raw, err := c.watches.Do(ctx, wait+2*c.timeout, http.MethodGet, c.baseURL+path, nil)
 	if errors.Is(err, transport.ErrResponseTooLarge) {
 		return nil, fmt.Errorf("%w: %w", ErrCompacted, err)
 	}
@@ -116,7 +119,7 @@
 	}
 	var events protocol.WatchResponse
 	if err := protocol.Decode(raw, &events); err != nil {
-		return nil, fmt.Errorf("changes of %s: %w", prefix, err)
+		return nil, fmt.Errorf("decode changes of %s: %w", prefix, err)
 	}
 	return &events, nil
 }
--- a/internal/storage/records.go
+++ b/internal/storage/records.go
@@ -6,7 +6,8 @@
 	"pinebay/internal/protocol"
 )
 
-// Keys, and prefixes of keys, of the records. Those of features have them with their records.
+// Keys and key prefixes of the records. Those of feature levels, ownership and zone failover are defined with the
+// records.
 const (
 	LeaderKey       = "leader"
 	TermKey         = "term"
@@ -17,13 +18,13 @@
 	ImageHintPrefix = "warm/"
 )
 
-// LiveJobKey is the key of an accepted job until it ends.
+// LiveJobKey returns the key of the record of an accepted job, which exists until the job ends.
 func LiveJobKey(id string) string { return LiveJobPrefix + id }
 
-// EndedJobKey is the key of the final state of a job.
+// EndedJobKey returns the key of the final state of a job.
 func EndedJobKey(id string) string { return EndedJobPrefix + id }
 
-// LeaderRecord names the leader. It is attached to the leader's lease.
+// LeaderRecord names the leader. Its key is attached to the leader's lease.
 type LeaderRecord struct {
 	Controller string `msgpack:"node"`
 	Term       uint64 `msgpack:"term"`
@@ -39,43 +40,44 @@
 type EndedJobRecord struct {
 	State     protocol.JobState `msgpack:"end"`
 	DoneTasks int               `msgpack:"done"`
-	// WriteName names the transaction, so that its author recognises it.
+	// WriteName is the name of the transaction that wrote the record, by which its writer recognizes it.
 	WriteName string `msgpack:"w,omitempty"`
-	// CancelledDependency is the cancelled job on which this one depended, and with which it is cancelled. Such a
-	// job has never had a task.
+	// CancelledDependency is the dependency whose cancellation caused this job to be cancelled. No task of such a job
+	// was ever placed.
 	CancelledDependency string `msgpack:"need,omitempty"`
 }
 
-// ImageHintRecord says which images machines have cached, so that a new leader doesn't send tasks to fetch an image
-// that another machine has. Nothing depends on it for correctness.
+// ImageHintRecord lists the images that machines have cached, so that tasks placed by a new leader don't fetch an image
+// that another machine already has. Correctness does not depend on it.
 type ImageHintRecord struct {
 	Images   []string        `msgpack:"i"`
 	SizesGB  []float64       `msgpack:"s"`
 	Machines []MachineImages `msgpack:"m"`
-	// Arrivals are, by class, the decayed counts of arrived jobs. Only the first record has them.
+	// Arrivals are the decayed counts of arrived jobs by class. Only the first record has them.
 	Arrivals []ClassArrivals `msgpack:"a,omitempty"`
 }
 
-// ClassArrivals is the decayed count of the arrivals of a class. It is stored as a list.
+// ClassArrivals is the decayed count of arrived jobs of a class. It is encoded as an array.
 type ClassArrivals struct {
-	//lint:ignore U1000 the codec reads its tag
+	//lint:ignore U1000 the codec reads the tag
 	_msgpack  struct{} `msgpack:",as_array"`
 	Class     string
 	Jobs      float64
-	MeanTasks float64 // of a job
+	MeanTasks float64 // per job
 }
 
-// MachineImages is a machine with the indices of its images. It is stored as a list.
+// MachineImages lists the images that a machine has cached, as indices into Images of the record. It is encoded as an
+// array.
 type MachineImages struct {
-	//lint:ignore U1000 the codec reads its tag
+	//lint:ignore U1000 the codec reads the tag
 	_msgpack struct{} `msgpack:",as_array"`
 	Name     string
 	Images   []int
 }
 
-// MachinesPerImageHint returns how many machines one record covers: a machine takes up to twice the space of a
-// placement.
+// MachinesPerImageHint returns the number of machines that one record covers. A machine takes up to twice the space of
+// a placement.
 func MachinesPerImageHint(valueKB float64) int { return max(1, OriginalPageTasks(valueKB)/2) }
 
-// ImageHintKey is the key of a record of images.
+// ImageHintKey returns the key of an image hint record.
 func ImageHintKey(page int) string { return fmt.Sprintf("%s%04d", ImageHintPrefix, page) }
--- a/internal/storage/storage_test.go
+++ b/internal/storage/storage_test.go
@@ -29,6 +29,7 @@
 
 func TestMain(m *testing.M) { testutil.Main(m) }
 
+// newTestClient returns a client of a store that the handler implements.
 func newTestClient(t *testing.T, h http.Handler) *storage.Client {
 	t.Helper()
 	srv := httptest.NewServer(h)
@@ -49,6 +50,7 @@
 	return raw
 }
 
+// TestTransactionsAndLists checks transactions, a list that spans several pages, reads of single keys, and a watch.
 func TestTransactionsAndLists(t *testing.T) {
 	c, ctx := newTestClient(t, simulation.NewStore()), context.Background()
 	for i := range 1203 {
@@ -58,35 +60,36 @@
 		}
 		outcome, err := c.Txn(ctx, storage.BudgetAcceptance, txn)
 		if err != nil || !outcome.Succeeded || outcome.Revision != uint64(i+1) {
-			t.Fatalf("%+v %v", outcome, err)
+			t.Fatalf("transaction: %+v, %v", outcome, err)
 		}
 		if i == 0 {
 			outcome, err := c.Txn(ctx, storage.BudgetAcceptance, txn)
 			if err != nil || outcome.Succeeded || !reflect.DeepEqual(outcome.FailedKeys, []string{"live/j-0000"}) {
-				t.Fatalf("again: %+v %v", outcome, err)
+				t.Fatalf("repeated transaction: %+v, %v", outcome, err)
 			}
 		}
 	}
-	all, rev, err := c.List(ctx, "live/")
-	if err != nil || len(all) != 1203 || rev != 1203 {
-		t.Fatalf("%d keys at %d: %v", len(all), rev, err)
+	all, revision, err := c.List(ctx, "live/")
+	if err != nil || len(all) != 1203 || revision != 1203 {
+		t.Fatalf("listed %d keys at revision %d: %v", len(all), revision, err)
 	}
 	p, err := c.Get(ctx, storage.BudgetPoll, "live/j-0007")
 	if err != nil || p.Revision != 8 {
-		t.Fatalf("%+v %v", p, err)
+		t.Fatalf("get an existing key: %+v, %v", p, err)
 	}
 	if p, err = c.Get(ctx, storage.BudgetPoll, "live/none"); err != nil || p.Revision != 0 {
-		t.Fatalf("%+v %v", p, err)
+		t.Fatalf("get a missing key: %+v, %v", p, err)
 	}
-	ev, err := c.Watch(ctx, "live/", 1200, 0)
-	if err != nil || len(ev.Events) != 3 || ev.Events[0].PutKey != "live/j-1200" {
-		t.Fatalf("%+v %v", ev, err)
+	response, err := c.Watch(ctx, "live/", 1200, 0)
+	if err != nil || len(response.Events) != 3 || response.Events[0].PutKey != "live/j-1200" {
+		t.Fatalf("watch: %+v, %v", response, err)
 	}
 }
 
-// Only a request without an answer may have been executed. The leader's writes depend on the difference.
-func TestErrorsDistinguishUnsentFromUnanswered(t *testing.T) {
-	const noAnswer = 0
+// TestErrorsTellWhetherRequestWasExecuted checks that only the error of a request without a response indicates that the
+// request may have been executed. The leader's writes depend on this distinction.
+func TestErrorsTellWhetherRequestWasExecuted(t *testing.T) {
+	const noResponse = 0
 	for _, test := range []struct {
 		name   string
 		status int
@@ -94,17 +97,17 @@
 	}{
 		{"unavailable", http.StatusServiceUnavailable, storage.ErrUnavailable},
 		{"rate limited", http.StatusTooManyRequests, storage.ErrRateLimited},
-		{"no answer", noAnswer, storage.ErrOutcomeUnknown},
+		{"no answer", noResponse, storage.ErrOutcomeUnknown},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			c := newTestClient(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-				if test.status == noAnswer {
+				if test.status == noResponse {
 					panic(http.ErrAbortHandler) // the request may have been executed
 				}
 				w.WriteHeader(test.status)
 			}))
 			if _, err := c.Txn(t.Context(), storage.BudgetAcceptance, protocol.Txn{}); !errors.Is(err, test.want) {
-				t.Errorf("%v, want %v", err, test.want)
+				t.Errorf("got %v, want %v", err, test.want)
 			}
 		})
 	}
@@ -112,17 +115,18 @@
 		_, _ = w.Write([]byte("\xc1 nonsense"))
 	}))
 	if _, err := c.Get(context.Background(), storage.BudgetPoll, "x"); !errors.Is(err, protocol.ErrMalformed) {
-		t.Errorf("nonsense: %v", err)
+		t.Errorf("malformed response: %v", err)
 	}
 }
 
-// Whatever the tasks of a page are, its record is within the limit of a value, as counted in JSON.
-func TestFullPagesFitAValue(t *testing.T) {
+// TestFullPagesFitValueLimit checks that the record of a page is within the value limit, as measured in JSON, whatever
+// the states of its tasks are.
+func TestFullPagesFitValueLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		kb := rapid.SampledFrom([]float64{1, 2, 8, 64}).Draw(t, "kb")
-		layout := storage.PageLayout{TasksPerPage: storage.OriginalPageTasks(kb)}
+		valueKB := rapid.SampledFrom([]float64{1, 2, 8, 64}).Draw(t, "kb")
+		layout := storage.PageLayout{TasksPerPage: storage.OriginalPageTasks(valueKB)}
 		if rapid.Bool().Draw(t, "compact") {
-			layout = storage.PageLayout{TasksPerPage: storage.CompactPageTasks(kb), Compact: true}
+			layout = storage.PageLayout{TasksPerPage: storage.CompactTasksPerPage(valueKB), Compact: true}
 		}
 		n := layout.TasksPerPage
 		base := protocol.MaxTasks - n
@@ -152,16 +156,16 @@
 		if err := protocol.DecodeAny(raw, &v); err != nil {
 			t.Fatal(err)
 		}
-		out, err := json.Marshal(v)
-		// A compact page that is too large is divided before it is written (placementrecords).
-		if err != nil || !layout.Compact && len(out) > int(kb*1024) {
-			t.Fatalf("%d tasks take %d bytes of %v KiB: %v", n, len(out), kb, err)
+		encoded, err := json.Marshal(v)
+		// A compact page that exceeds the limit is split before it is written (see package placementrecords).
+		if err != nil || !layout.Compact && len(encoded) > int(valueKB*1024) {
+			t.Fatalf("%d tasks take %d bytes, limit %v KiB: %v", n, len(encoded), valueKB, err)
 		}
-		if size, err := storage.JSONSize(raw); err != nil || size < len(out) || size > len(out)*3/2 {
-			t.Fatalf("%d bytes are estimated for %d: %v", len(out), size, err)
+		if size, err := storage.JSONSize(raw); err != nil || size < len(encoded) || size > len(encoded)*3/2 {
+			t.Fatalf("%d bytes are estimated as %d: %v", len(encoded), size, err)
 		}
 		id := storage.PageID{Job: "j-000001", Layout: layout, Number: 17}
-		parsed, err := storage.ParsePageKey(id.Key(), storage.OriginalPageTasks(kb))
+		parsed, err := storage.ParsePageKey(id.Key(), storage.OriginalPageTasks(valueKB))
 		if err != nil || parsed != id {
 			t.Fatalf("%s is parsed as %+v: %v", id.Key(), parsed, err)
 		}
@@ -170,13 +174,15 @@
 			t.Fatal(err)
 		}
 		byTask := func(a, b storage.Placement) int { return a.Task - b.Task }
-		slices.SortFunc(got.Placements, byTask) // compact pages list them by machine
+		slices.SortFunc(got.Placements, byTask) // compact pages group them by machine
 		if !reflect.DeepEqual(*got, rec) {
 			t.Fatalf("%+v\n%+v", *got, rec)
 		}
 	})
 }
 
+// TestMalformedPagesAreRejected checks that a page with an invalid placement or range of done tasks is an error in both
+// layouts.
 func TestMalformedPagesAreRejected(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rec := storage.PlacementPage{
@@ -212,7 +218,8 @@
 	})
 }
 
-// When an answer is slow, a second try brings the outcome, and what the first one did meanwhile is not done twice.
+// TestHedgedTransactionReturnsFirstOutcome checks that a second attempt returns the outcome if the response to the
+// first one is slow, and that the transaction is not applied twice.
 func TestHedgedTransactionReturnsFirstOutcome(t *testing.T) {
 	state := simulation.NewStore()
 	release := make(chan struct{})
@@ -220,15 +227,15 @@
 	var mu sync.Mutex
 	c := newTestClient(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		mu.Lock()
-		hold := first
+		delayed := first
 		first = false
 		mu.Unlock()
-		if !hold {
+		if !delayed {
 			state.ServeHTTP(w, r)
 			return
 		}
 		rec := httptest.NewRecorder()
-		state.ServeHTTP(rec, r) // carried out, but the answer hangs
+		state.ServeHTTP(rec, r) // applied, but the response is delayed
 		<-release
 		w.WriteHeader(rec.Code)
 		_, _ = w.Write(rec.Body.Bytes())
@@ -241,19 +248,20 @@
 	})
 	close(release)
 	if err != nil || ok {
-		t.Errorf("second try: %v %v, want a failed condition", ok, err)
+		t.Errorf("second attempt: succeeded %v, %v; want a failed comparison", ok, err)
 	}
 	if p := state.Get("live/j-1"); p.Revision != 1 {
-		t.Errorf("written at %d", p.Revision)
+		t.Errorf("key has revision %d, want 1", p.Revision)
 	}
 }
 
-// A client that has never had an answer doesn't claim that the store has just answered.
-func TestAnsweredOnlyAfterAnAnswer(t *testing.T) {
+// TestAnsweredOnlyAfterResponse checks that Answered is false until the store has responded to a request other than by
+// being unavailable.
+func TestAnsweredOnlyAfterResponse(t *testing.T) {
 	status := http.StatusServiceUnavailable
 	c := newTestClient(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(status) }))
 	if c.Answered() {
-		t.Error("an answer is claimed before there was any")
+		t.Error("Answered is true before the first request")
 	}
 	if _, err := c.Get(
 		context.Background(),
@@ -261,16 +269,16 @@
 		"k",
 	); !errors.Is(err, storage.ErrUnavailable) ||
 		c.Answered() {
-		t.Errorf("a rejection counts as an answer: %v", err)
+		t.Errorf("a response of an unavailable store counts: %v", err)
 	}
 	status = http.StatusNotFound
 	if _, err := c.Get(context.Background(), storage.BudgetUrgent, "k"); err != nil || !c.Answered() {
-		t.Errorf("an answer is not noted: %v", err)
+		t.Errorf("a response does not count: %v", err)
 	}
 }
 
-// A page is decoded as it was encoded, and a full one fits a value. One that is truncated, malformed or of another
-// format is an error.
+// TestZoneFailoverPages checks that a page is decoded as it was encoded and that a full one is within the value limit.
+// A page that is truncated, malformed or of another format must be an error.
 func TestZoneFailoverPages(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		valueKB := float64(rapid.SampledFrom([]int{1, 8, 64}).Draw(t, "value"))
@@ -303,17 +311,17 @@
 			t.Fatal(err)
 		}
 		if text, err := json.Marshal(plain); err != nil || float64(len(text)) > valueKB*1024 {
-			t.Fatalf("%d bytes of %v KiB, %v", len(text), valueKB, err)
+			t.Fatalf("page takes %d bytes, limit %v KiB: %v", len(text), valueKB, err)
 		}
 		got, err := storage.DecodeZoneFailover(protocol.KeyValue{Key: storage.ZoneFailoverKey(0), Value: raw})
 		if err != nil || !reflect.DeepEqual(*got, rec) {
-			t.Fatalf("%+v %v", got, err)
+			t.Fatalf("decoded as %+v: %v", got, err)
 		}
 		if cut := rapid.IntRange(0, len(raw)-1).Draw(t, "cut"); cut > 0 {
 			if _, err := storage.DecodeZoneFailover(
 				protocol.KeyValue{Key: storage.ZoneFailoverKey(0), Value: raw[:cut]},
 			); err == nil {
-				t.Fatalf("%d of %d bytes were accepted", cut, len(raw))
+				t.Fatalf("the first %d of %d bytes were accepted", cut, len(raw))
 			}
 		}
 		rec.Format = rapid.SampledFrom([]int{-1, 0, storage.ZoneFailoverFormat + 1}).Draw(t, "format")
@@ -329,14 +337,14 @@
 	})
 }
 
-// However many completions wait, a burst of placements is written at once, and the completions use what is left of the
-// budget.
-func TestPlacementsHaveBudgetBesideCompletions(t *testing.T) {
+// TestPlacementsNotDelayedByCompletions checks that a burst of placements is written promptly however many
+// completions are waiting, and that completions use the rest of the budget.
+func TestPlacementsNotDelayedByCompletions(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		const perSecond = 20
+		const writesPerSecond = 20
 		d := &config.Deployment{
 			Controllers: 1,
-			Store:       config.StoreLimits{RPS: 1000, WriteRPS: perSecond / storage.PlacementShare, TxnOps: 16},
+			Store:       config.StoreLimits{RPS: 1000, WriteRPS: writesPerSecond / storage.PlacementShare, TxnOps: 16},
 			Workers:     config.Workers{LeaseSeconds: 10},
 			Quota:       config.Quota{MaxSockets: 500},
 		}
@@ -348,62 +356,63 @@
 			t.Fatal(err)
 		}
 		srv := &http.Server{Handler: state}
-		go func() { _ = srv.Serve(l) }() // until it is closed
+		go func() { _ = srv.Serve(l) }() // until the server is closed
 		defer func() {
 			_ = srv.Close()
 			service.Kill()
 			controller.Kill()
 			n.Close()
-			time.Sleep(time.Minute) // what still waits for its time
+			time.Sleep(time.Minute) // lets the remaining timers expire
 		}()
 		c := storage.NewClient(controller, random.New(1), d, "10.2.0.1:2379", time.Minute)
 		ctx, cancel := context.WithCancel(t.Context())
-		var ends atomic.Int64
-		write := func(use storage.Budget, key string) error {
+		var completions atomic.Int64
+		write := func(budget storage.Budget, key string) error {
 			outcome, err := c.Txn(
 				ctx,
-				use,
+				budget,
 				protocol.Txn{Then: []protocol.Op{{PutKey: key, Value: mustEncode(t, map[string]int{})}}},
 			)
 			if err == nil && !outcome.Succeeded {
-				return errors.New("not carried out")
+				return errors.New("transaction was not applied")
 			}
 			return err
 		}
 		var wg sync.WaitGroup
-		for i := range 10 * perSecond {
+		for i := range 10 * writesPerSecond {
 			wg.Go(func() {
 				for write(storage.BudgetCompletion, fmt.Sprint("end/", i)) == nil {
-					ends.Add(1)
+					completions.Add(1)
 				}
 			})
 		}
 		time.Sleep(10 * time.Second)
-		if got := ends.Load(); got < 8*perSecond || got > 12*perSecond {
-			t.Errorf("%d ends were recorded in 10 s, want about %d", got, 10*perSecond)
+		if got := completions.Load(); got < 8*writesPerSecond || got > 12*writesPerSecond {
+			t.Errorf("%d completions were written in 10 s, want about %d", got, 10*writesPerSecond)
 		}
-		// A third of a second's writes at once: they wait for their own number, and for what ends may
-		// have been promised before.
+		// The burst is a third of one second's writes. It takes the time of its own writes and of those that
+		// completions may have reserved before.
 		began := time.Now()
-		var starts sync.WaitGroup
-		for i := range perSecond / 3 {
-			starts.Go(func() {
+		var placements sync.WaitGroup
+		for i := range writesPerSecond / 3 {
+			placements.Go(func() {
 				if err := write(storage.BudgetPlacement, fmt.Sprint("start/", i)); err != nil {
 					t.Error(err)
 				}
 			})
 		}
-		starts.Wait()
+		placements.Wait()
 		if took := time.Since(began); took > 700*time.Millisecond {
-			t.Errorf("a burst of starts took %v beside ends", took)
+			t.Errorf("a burst of placements took %v while completions are waiting", took)
 		}
 		cancel()
 		wg.Wait()
 	})
 }
 
-// A reader that is so far behind that the changes are larger than the largest response must list the keys again. If it
-// repeated the request, it would get the same answer for ever, and a leader would never learn of another job.
+// TestOversizedChangesCountAsCompacted checks that changes larger than the largest response are reported as compacted,
+// so that the keys are listed again. A client that repeated the request would get the same response forever, and a
+// leader would receive no further jobs.
 func TestOversizedChangesCountAsCompacted(t *testing.T) {
 	value := mustEncode(t, map[string]string{"x": strings.Repeat("x", 8000)})
 	var events []protocol.WatchEvent
--- a/internal/storage/terms.go
+++ b/internal/storage/terms.go
@@ -6,28 +6,28 @@
 	"pinebay/internal/protocol"
 )
 
-// TermRecord counts terms. Its revision fences every write of a leader.
+// TermRecord is the record of the current term. Every write of a leader is fenced by its revision.
 type TermRecord struct {
 	Term       uint64
 	Controller string
-	// ClaimID tells this attempt to lead from others of the same controller for the same term.
+	// ClaimID distinguishes this attempt to become leader from other attempts of the same controller for the same term.
 	ClaimID string
-	// FeatureLevel is the feature level that is final: records written from then on need not be readable for
-	// processes of a lower level.
+	// FeatureLevel is the final feature level. Records that are written from then on may be unreadable for processes of
+	// a lower level.
 	FeatureLevel int
-	// WriteName names the transaction that raised the level, so that its author recognises it.
+	// WriteName is the name of the transaction that raised the level, by which its writer recognizes it.
 	WriteName string
 }
 
-// termWithoutLevel is a term record below the first feature level. Every version reads it.
+// termWithoutLevel is the encoding of a term record at feature level 0. Every version can decode it.
 type termWithoutLevel struct {
 	Term       uint64 `msgpack:"term"`
 	Controller string `msgpack:"node"`
 	ClaimID    string `msgpack:"claim"`
 }
 
-// termWithLevel is a term record from the first feature level on. A process from before the levels expects a number
-// for the term and fails to read this: so it can't claim the next term.
+// termWithLevel is the encoding of a term record at feature level 1 and above. A version without feature levels expects
+// the term to be a number, and so it can neither decode this record nor claim the next term.
 type termWithLevel struct {
 	Term       termNumberWithLevel `msgpack:"term"`
 	Controller string              `msgpack:"node"`
@@ -40,7 +40,7 @@
 	Level  int    `msgpack:"level"`
 }
 
-// EncodeTerm returns the record as it is stored.
+// EncodeTerm encodes a term record.
 func EncodeTerm(r TermRecord) ([]byte, error) {
 	if r.FeatureLevel == 0 {
 		return protocol.Encode(termWithoutLevel{Term: r.Term, Controller: r.Controller, ClaimID: r.ClaimID})
@@ -55,30 +55,34 @@
 	)
 }
 
-// DecodeTerm decodes a stored record of either form.
+// DecodeTerm decodes a term record in either encoding.
 func DecodeTerm(raw []byte) (TermRecord, error) {
-	var form struct {
+	var header struct {
 		Term msgpack.RawMessage `msgpack:"term"`
 	}
-	if err := protocol.Decode(raw, &form); err != nil {
-		return TermRecord{}, undecodable(TermKey, err)
+	if err := protocol.Decode(raw, &header); err != nil {
+		return TermRecord{}, decodeError(TermKey, err)
 	}
-	if !protocol.IsMap(form.Term) {
-		var plain termWithoutLevel
-		if err := protocol.Decode(raw, &plain); err != nil {
-			return TermRecord{}, undecodable(TermKey, err)
+	if !protocol.IsMap(header.Term) {
+		var withoutLevel termWithoutLevel
+		if err := protocol.Decode(raw, &withoutLevel); err != nil {
+			return TermRecord{}, decodeError(TermKey, err)
 		}
-		return TermRecord{Term: plain.Term, Controller: plain.Controller, ClaimID: plain.ClaimID}, nil
+		return TermRecord{
+			Term:       withoutLevel.Term,
+			Controller: withoutLevel.Controller,
+			ClaimID:    withoutLevel.ClaimID,
+		}, nil
 	}
-	var leveled termWithLevel
-	if err := protocol.Decode(raw, &leveled); err != nil {
-		return TermRecord{}, undecodable(TermKey, err)
+	var withLevel termWithLevel
+	if err := protocol.Decode(raw, &withLevel); err != nil {
+		return TermRecord{}, decodeError(TermKey, err)
 	}
 	return TermRecord{
-		Term:         leveled.Term.Number,
-		Controller:   leveled.Controller,
-		ClaimID:      leveled.ClaimID,
-		FeatureLevel: leveled.Term.Level,
-		WriteName:    leveled.WriteName,
+		Term:         withLevel.Term.Number,
+		Controller:   withLevel.Controller,
+		ClaimID:      withLevel.ClaimID,
+		FeatureLevel: withLevel.Term.Level,
+		WriteName:    withLevel.WriteName,
 	}, nil
 }
--- a/internal/storage/transactions.go
+++ b/internal/storage/transactions.go
@@ -12,38 +12,38 @@
 
 const transactionsPath = "/multi"
 
-// TxnOutcome is the answer to a transaction.
+// TxnOutcome is the outcome of a transaction.
 type TxnOutcome struct {
-	// Succeeded says that all conditions held, and the operations were carried out.
+	// Succeeded is set if all comparisons held and the operations were applied.
 	Succeeded bool
-	// Revision is that of the keys written.
+	// Revision is the new revision of the keys that were written.
 	Revision uint64
-	// FailedKeys are those whose conditions failed.
+	// FailedKeys are the keys whose comparisons failed.
 	FailedKeys []string
 }
 
-// Txn tries a transaction once.
+// Txn sends a transaction once, as soon as its budget allows.
 func (c *Client) Txn(ctx context.Context, budget Budget, t protocol.Txn) (TxnOutcome, error) {
-	if err := c.admit(ctx, budget, firstKeyOf(&t), len(t.Then)); err != nil {
+	if err := c.admit(ctx, budget, firstKey(&t), len(t.Then)); err != nil {
 		return TxnOutcome{}, err
 	}
-	return c.tryTxn(ctx, budget, t)
+	return c.sendTxn(ctx, budget, t)
 }
 
-// Admission is a transaction's turn within the budgets.
+// Admission is a transaction's reservation within its budget.
 type Admission struct {
 	budget Budget
 	at     time.Time
-	// leftover says that it still has to wait for what placements leave of their budget.
-	leftover bool
+	// waitsForSpareWrites is set if the transaction must wait for writes that placements leave unused.
+	waitsForSpareWrites bool
 }
 
-// admissionSpacing is the time between the turns of transactions that are admitted at the same moment, so that they
-// are sent in order.
+// admissionSpacing is the minimum interval between admission times. It makes transactions that are admitted at the same
+// moment start in the order of their admission.
 const admissionSpacing = time.Microsecond
 
-// Admit reserves the next turn for a transaction, without waiting. Transactions of one budget are sent in the order
-// in which they were admitted.
+// Admit reserves the next place in the budget for a transaction, without blocking. Transactions of the same budget are
+// sent in the order of their admission.
 func (c *Client) Admit(budget Budget, t *protocol.Txn) Admission {
 	now := time.Now()
 	c.admissionMu.Lock()
@@ -58,10 +58,10 @@
 	if budget == BudgetCompletion {
 		placements := c.writeLimiters[BudgetPlacement]
 		if !placements.AllowN(now, min(writes, placements.Burst())) {
-			admission.leftover = true
+			admission.waitsForSpareWrites = true
 			return admission
 		}
-		reader, writer = c.readLimiters[BudgetPlacement], nil // its writes are taken already
+		reader, writer = c.readLimiters[BudgetPlacement], nil // its writes have been reserved above
 	}
 	if reader != nil {
 		admission.delayUntil(now.Add(reader.ReserveN(now, 1).DelayFrom(now)))
@@ -78,30 +78,30 @@
 	}
 }
 
-// TxnAdmitted tries a transaction once, when it is its turn.
+// TxnAdmitted sends an admitted transaction once, at the time of its reservation.
 func (c *Client) TxnAdmitted(ctx context.Context, admission Admission, t protocol.Txn) (TxnOutcome, error) {
 	var err error
-	if admission.leftover {
-		err = c.admitCompletion(ctx, firstKeyOf(&t), len(t.Then))
+	if admission.waitsForSpareWrites {
+		err = c.admitCompletion(ctx, firstKey(&t), len(t.Then))
 	} else {
 		err = actor.Sleep(ctx, time.Until(admission.at))
 	}
 	if err != nil {
 		return TxnOutcome{}, fmt.Errorf("%w: %w", ErrThrottled, err)
 	}
-	return c.tryTxn(ctx, admission.budget, t)
+	return c.sendTxn(ctx, admission.budget, t)
 }
 
-// firstKeyOf returns the first key that a transaction changes, which tells it from others in flight.
-func firstKeyOf(t *protocol.Txn) string {
+// firstKey returns the first key that a transaction changes, which distinguishes it from other transactions in flight.
+func firstKey(t *protocol.Txn) string {
 	if len(t.Then) == 0 {
 		return ""
 	}
 	return t.Then[0].PutKey + t.Then[0].DeleteKey
 }
 
-func (c *Client) tryTxn(ctx context.Context, budget Budget, t protocol.Txn) (TxnOutcome, error) {
-	status, raw, err := c.send(ctx, budget, http.MethodPost, transactionsPath, firstKeyOf(&t), t)
+func (c *Client) sendTxn(ctx context.Context, budget Budget, t protocol.Txn) (TxnOutcome, error) {
+	status, raw, err := c.send(ctx, budget, http.MethodPost, transactionsPath, firstKey(&t), t)
 	if err != nil {
 		return TxnOutcome{}, err
 	}
@@ -116,14 +116,14 @@
 	}, nil
 }
 
-// HedgeDelay is when an answer counts as slow: after five times the 10 ms that are usual. A few take hundreds.
+// HedgeDelay is how long TxnHedged waits for a response before it sends a transaction again. It is five times the usual
+// response time of 10 ms; a few responses take hundreds of milliseconds.
 const HedgeDelay = 50 * time.Millisecond
 
-// TxnHedged tries a transaction, and a second time if the answer is slow and the budget has room, and returns the
-// first outcome that is certain. The transaction must be harmless to repeat: that it failed may be due to the
-// other try.
+// TxnHedged sends a transaction, sends it again if the response is slow and the budget allows, and returns the first
+// outcome that is certain. The transaction must be safe to repeat: a comparison may fail because of the other attempt.
 func (c *Client) TxnHedged(ctx context.Context, budget Budget, t protocol.Txn) (succeeded bool, err error) {
-	if err := c.admit(ctx, budget, firstKeyOf(&t), len(t.Then)); err != nil {
+	if err := c.admit(ctx, budget, firstKey(&t), len(t.Then)); err != nil {
 		return false, err
 	}
 	type result struct {
@@ -131,11 +131,11 @@
 		err     error
 	}
 	results := make(chan result, 2)
-	try := func() {
-		outcome, err := c.tryTxn(ctx, budget, t)
+	attempt := func() {
+		outcome, err := c.sendTxn(ctx, budget, t)
 		results <- result{outcome, err}
 	}
-	go try()
+	go attempt()
 	timer := time.NewTimer(HedgeDelay)
 	defer timer.Stop()
 	inFlight := 1
@@ -149,7 +149,7 @@
 		case <-timer.C:
 			if c.tryAdmit(budget, len(t.Then)) {
 				inFlight++
-				go try()
+				go attempt()
 			}
 		}
 	}
--- a/internal/storage/valuelimit.go
+++ b/internal/storage/valuelimit.go
@@ -7,25 +7,26 @@
 	"pinebay/internal/protocol"
 )
 
-// BytesPerKB converts limits of values, which are given in KiB.
-const BytesPerKB = 1024
+// BytesPerKiB converts value limits, which are configured in KiB, to bytes.
+const BytesPerKiB = 1024
 
-// JSONSize returns an upper bound of the size of a stored value in JSON, the form in which the store counts its limits.
-// As it isn't specified how items are separated, a blank is counted after each comma and colon.
+// JSONSize returns an upper bound of the size of a stored value in JSON, the encoding in which the store measures
+// values against its limits. The store does not specify the whitespace, so one space is counted after each comma and
+// colon.
 func JSONSize(raw []byte) (int, error) {
 	var value any
 	if err := protocol.DecodeAny(raw, &value); err != nil {
 		return 0, err
 	}
-	text, err := json.Marshal(value)
+	encoded, err := json.Marshal(value)
 	if err != nil {
 		return 0, err
 	}
-	return len(text) + bytes.Count(text, []byte(",")) + bytes.Count(text, []byte(":")), nil
+	return len(encoded) + bytes.Count(encoded, []byte(",")) + bytes.Count(encoded, []byte(":")), nil
 }
 
-// FitsValueLimit reports whether a value is within a limit in KiB.
+// FitsValueLimit reports whether a value is within a limit given in KiB.
 func FitsValueLimit(raw []byte, valueKB float64) bool {
 	size, err := JSONSize(raw)
-	return err == nil && float64(size) <= valueKB*BytesPerKB
+	return err == nil && float64(size) <= valueKB*BytesPerKiB
 }
--- a/internal/storage/zonefailover.go
+++ b/internal/storage/zonefailover.go
@@ -7,16 +7,16 @@
 	"pinebay/internal/protocol"
 )
 
-// ZoneFailoverPrefix begins the keys of the pages of zone failover.
+// ZoneFailoverPrefix is the prefix of the keys of the zone failover pages.
 const ZoneFailoverPrefix = "zone-return/"
 
-// ZoneFailoverKey returns the key of a page.
+// ZoneFailoverKey returns the key of a zone failover page.
 func ZoneFailoverKey(page int) string { return fmt.Sprintf("%s%04d", ZoneFailoverPrefix, page) }
 
-// ZoneFailoverFormat is the format of the pages that this version reads and writes.
+// ZoneFailoverFormat is the page format that this version reads and writes.
 const ZoneFailoverFormat = 1
 
-// ZoneFailoverRecord is a page with the states of the zones, on the first page, and the open loans of capacity.
+// ZoneFailoverRecord is a page with open loans of capacity. The first page also contains the states of the zones.
 type ZoneFailoverRecord struct {
 	Format    int       `msgpack:"v"`
 	WriteName string    `msgpack:"w"`
@@ -24,19 +24,19 @@
 	Loans     []LoanRow `msgpack:"l,omitempty"`
 }
 
-// ZoneRow is the state of a zone. It is stored as a list.
+// ZoneRow is the state of a zone. It is encoded as an array.
 type ZoneRow struct {
-	//lint:ignore U1000 the codec reads its tag
+	//lint:ignore U1000 the codec reads the tag
 	_msgpack struct{} `msgpack:",as_array"`
 	Name     string
 	State    int
-	SinceMS  int64 // Unix time
+	SinceMS  int64 // Unix time in milliseconds
 	Flaps    int
 }
 
-// LoanRow is an open loan of a task's capacity to a job. It is stored as a list.
+// LoanRow is an open loan of a task's capacity to a job. It is encoded as an array.
 type LoanRow struct {
-	//lint:ignore U1000 the codec reads its tag
+	//lint:ignore U1000 the codec reads the tag
 	_msgpack     struct{} `msgpack:",as_array"`
 	Term, Number uint64
 	Lender       string
@@ -46,16 +46,17 @@
 	Machine      string
 	Zone         string
 	LostSeconds  float64 // work that the lender loses
-	CreatedMS    int64   // Unix time
+	CreatedMS    int64   // Unix time in milliseconds
 	ExpiresMS    int64
 }
 
-// loanBytes is an upper bound of a stored loan with names of usual length, in the JSON form that the limits count.
+// loanBytes is an upper bound of the size of a stored loan with names of usual length, in JSON, the encoding in which
+// the store measures values against its limits.
 const loanBytes = 256
 
-// LoansPerPage returns how many loans fit a page, well within the limit of a value.
+// LoansPerPage returns the number of loans on a page. A full page is well within the value limit.
 func LoansPerPage(valueKB float64) int {
-	return max(1, int(valueKB*BytesPerKB*pageFillShare/loanBytes))
+	return max(1, int(valueKB*BytesPerKiB*pageFillShare/loanBytes))
 }
 
 // DecodeZoneFailover decodes and validates a page.
@@ -65,16 +66,16 @@
 	}
 	var record ZoneFailoverRecord
 	if err := protocol.Decode(stored.Value, &record); err != nil {
-		return nil, undecodable(stored.Key, err)
+		return nil, decodeError(stored.Key, err)
 	}
 	for _, zone := range record.Zones {
 		if zone.Name == "" || zone.State < 0 || zone.Flaps < 0 {
-			return nil, malformed(stored.Key, "zone %q", zone.Name)
+			return nil, malformed(stored.Key, "invalid zone %q", zone.Name)
 		}
 	}
 	for i := range record.Loans {
 		if loan := &record.Loans[i]; !loan.valid() {
-			return nil, malformed(stored.Key, "loan of %q", loan.Lender)
+			return nil, malformed(stored.Key, "invalid loan from job %q", loan.Lender)
 		}
 	}
 	return &record, nil
@@ -82,6 +83,6 @@
 
 func (l *LoanRow) valid() bool {
 	validTask := l.Task >= 0 && l.Task < protocol.MaxTasks
-	validLoss := l.LostSeconds >= 0 && !math.IsInf(l.LostSeconds, 0) // not true of NaN
+	validLoss := l.LostSeconds >= 0 && !math.IsInf(l.LostSeconds, 0) // false for NaN
 	return protocol.ValidJobID(l.Lender) && protocol.ValidJobID(l.Borrower) && validTask && validLoss
 }
