--- a/internal/coordination/jobstate/pages.go
+++ b/internal/coordination/jobstate/pages.go
@@ -85,7 +85,7 @@
 		}
 	}
 	for _, pl := range j.Unstarted {
-		add(j.Pages.NumberOf(pl.Task.Index))
+		add(j.Pages.PageNumber(pl.Task.Index))
 	}
 	for _, number := range j.Pages.Dirty() {
 		add(number)
--- a/internal/coordination/placementpages/placementpages.go
+++ b/internal/coordination/placementpages/placementpages.go
@@ -1,9 +1,9 @@
-// Package placementpages keeps track of the pages in which the placements of a job are stored.
+// Package placementpages tracks the pages in which the placements of a job are stored.
 //
-// A job's tasks are divided into pages of equal width, and each page is one record of the key-value store. A Set
-// knows, for one job, the layout of its pages, what of them is stored, what has to be written again, and which
-// stored pages of an earlier, wider layout still count for some tasks. It does no I/O: the scheduler builds
-// transactions from it and reports their outcome back.
+// The tasks of a job are divided into pages with the same number of tasks, and each page is one record in the key-value
+// store. A Set holds, for one job, the layout of its pages, which of them are stored, which must be written, and which
+// stored pages of an earlier, wider layout are still valid for some tasks. It does no I/O: the scheduler builds
+// transactions from it and reports their outcomes to it.
 package placementpages
 
 import (
@@ -15,36 +15,36 @@
 	"pinebay/internal/storage"
 )
 
-// Page is the state of one record: a run of tasks of the job.
+// Page is the state of one record, which covers a range of the tasks of the job.
 type Page struct {
-	// Revision is that of the stored record; 0 if nothing is stored.
+	// Revision is the revision of the stored record, or 0 if the page is not stored.
 	Revision uint64
-	// HighestAttempt is the highest attempt number that a task of the page has ever been given.
+	// HighestAttempt is the highest attempt number ever given to a task of the page.
 	HighestAttempt uint64
-	// Dirty pages differ from their record and have to be written.
+	// Dirty is set if the page differs from its record and must be written.
 	Dirty bool
-	// UnrecordedExits are placements that are gone but still listed in the stored record.
+	// UnrecordedExits are terminated placements that the stored record still lists.
 	UnrecordedExits []*machineregistry.Placement
 }
 
-// Superseded is a stored page of an earlier layout of its job. It counts for those of its tasks of whose page in
-// the current layout nothing is stored yet, and can be deleted when it counts for none.
-type Superseded struct {
+// SupersededPage is a stored page of an earlier layout of the job. It remains valid for those of its tasks whose page
+// in the current layout is not yet stored. Once it is valid for no task, it can be deleted.
+type SupersededPage struct {
 	ID             storage.PageID
 	Revision       uint64
 	HighestAttempt uint64
 }
 
-// Set is all pages of one job.
+// Set holds all pages of one job.
 type Set struct {
 	jobID      string
 	taskCount  int
 	layout     storage.PageLayout
 	pages      map[int]*Page
-	superseded []Superseded
+	superseded []SupersededPage
 }
 
-// NewSet returns the pages of a job of which nothing is stored.
+// NewSet returns the pages of a job that has no stored pages.
 func NewSet(jobID string, taskCount int, layout storage.PageLayout) Set {
 	return Set{jobID: jobID, taskCount: taskCount, layout: layout, pages: map[int]*Page{}}
 }
@@ -52,13 +52,13 @@
 // Layout returns the current layout.
 func (s *Set) Layout() storage.PageLayout { return s.layout }
 
-// Restore sets the layout and the number of tasks of a job that was read from its records. No page may have been
-// touched before.
+// Restore sets the layout and the number of tasks of a job whose pages are being read. It must be called before any
+// page is accessed.
 func (s *Set) Restore(taskCount int, layout storage.PageLayout) {
 	s.taskCount, s.layout = taskCount, layout
 }
 
-// RestorePage adds a page that was read. If its layout isn't the current one, it counts as superseded.
+// RestorePage adds a stored page. If its layout is not the current one, it is added as a superseded page.
 func (s *Set) RestorePage(id storage.PageID, revision, highestAttempt uint64) {
 	if id.Layout == s.layout {
 		page := s.Page(id.Number)
@@ -66,14 +66,14 @@
 		page.HighestAttempt = max(page.HighestAttempt, highestAttempt)
 		return
 	}
-	s.superseded = append(s.superseded, Superseded{ID: id, Revision: revision, HighestAttempt: highestAttempt})
+	s.superseded = append(s.superseded, SupersededPage{ID: id, Revision: revision, HighestAttempt: highestAttempt})
 	for number := range s.overlapping(id) {
 		page := s.Page(number)
 		page.HighestAttempt = max(page.HighestAttempt, highestAttempt)
 	}
 }
 
-// Page returns the page of the given number, which is created if need be.
+// Page returns the page with the given number, creating it if necessary.
 func (s *Set) Page(number int) *Page {
 	page := s.pages[number]
 	if page == nil {
@@ -83,24 +83,24 @@
 	return page
 }
 
-// NumberOf returns the number of the page that covers a task.
-func (s *Set) NumberOf(task int) int { return task / s.layout.TasksPerPage }
+// PageNumber returns the number of the page that covers a task.
+func (s *Set) PageNumber(task int) int { return task / s.layout.TasksPerPage }
 
 // PageOf returns the page that covers a task.
-func (s *Set) PageOf(task int) *Page { return s.Page(s.NumberOf(task)) }
+func (s *Set) PageOf(task int) *Page { return s.Page(s.PageNumber(task)) }
 
-// ID identifies a page among those of all jobs and layouts.
+// ID returns the identifier of a page, which is unique among the pages of all jobs and layouts.
 func (s *Set) ID(number int) storage.PageID {
 	return storage.PageID{Job: s.jobID, Layout: s.layout, Number: number}
 }
 
-// Tasks returns the range of tasks that a page covers: from the first one up to, but not including, the end.
+// Tasks returns the half-open range [first, end) of tasks that a page covers.
 func (s *Set) Tasks(number int) (first, end int) {
 	id := s.ID(number)
 	return id.FirstTask(), min(id.EndTask(), s.taskCount)
 }
 
-// HighestAttempt returns the highest attempt number that any task has ever been given.
+// HighestAttempt returns the highest attempt number ever given to a task of the job.
 func (s *Set) HighestAttempt() (highest uint64) {
 	for _, page := range s.pages {
 		highest = max(highest, page.HighestAttempt)
@@ -111,10 +111,10 @@
 // All returns the pages with their numbers, in no particular order.
 func (s *Set) All() iter.Seq2[int, *Page] { return maps.All(s.pages) }
 
-// Numbers returns the numbers of the pages, in rising order.
+// Numbers returns the numbers of the pages in ascending order.
 func (s *Set) Numbers() []int { return slices.Sorted(maps.Keys(s.pages)) }
 
-// Dirty returns the numbers of the pages that have to be written, in rising order.
+// Dirty returns the numbers of the dirty pages in ascending order.
 func (s *Set) Dirty() []int {
 	var numbers []int
 	for number, page := range s.pages {
@@ -126,31 +126,31 @@
 	return numbers
 }
 
-// Remove removes a page of which nothing is stored any more.
+// Remove removes a page that is no longer stored.
 func (s *Set) Remove(number int) { delete(s.pages, number) }
 
-// Superseded returns the stored pages of earlier layouts, in the order in which they are to be replaced.
-func (s *Set) Superseded() []Superseded { return s.superseded }
+// Superseded returns the stored pages of earlier layouts in the order in which they are to be replaced.
+func (s *Set) Superseded() []SupersededPage { return s.superseded }
 
-// RemoveSuperseded forgets a superseded page that has been deleted.
-func (s *Set) RemoveSuperseded(old Superseded) {
-	s.superseded = slices.DeleteFunc(s.superseded, func(other Superseded) bool { return other == old })
+// RemoveSuperseded removes a superseded page that has been deleted.
+func (s *Set) RemoveSuperseded(old SupersededPage) {
+	s.superseded = slices.DeleteFunc(s.superseded, func(other SupersededPage) bool { return other == old })
 }
 
-// RemoveFirstSuperseded forgets the given number of superseded pages, which have been deleted.
+// RemoveFirstSuperseded removes the first count superseded pages, which have been deleted.
 func (s *Set) RemoveFirstSuperseded(count int) { s.superseded = s.superseded[count:] }
 
-// CanNarrow reports whether the pages can be divided further: those of the original layout can't, as its width
-// isn't part of their key.
+// CanNarrow reports whether the pages can be narrowed. Those of the original layout can't, because their keys don't
+// contain the number of tasks per page.
 func (s *Set) CanNarrow() bool { return s.layout.Compact && s.layout.TasksPerPage > 1 }
 
-// Narrow divides each page in two. See ChangeLayout.
+// Narrow splits each page in two (see ChangeLayout).
 func (s *Set) Narrow() {
 	s.ChangeLayout(storage.PageLayout{TasksPerPage: (s.layout.TasksPerPage + 1) / 2, Compact: true})
 }
 
-// ChangeLayout divides the tasks into narrower pages. What is stored stays, as superseded pages, until pages of the
-// new layout say the same: of a task that several stored pages cover, the narrowest page counts. No write of
+// ChangeLayout divides the tasks into narrower pages. The stored pages are kept as superseded pages until pages of the
+// new layout are stored in their place; if several stored pages cover a task, the narrowest one is valid. No write of
 // the job may be in flight.
 func (s *Set) ChangeLayout(layout storage.PageLayout) {
 	oldPages, oldLayout := s.pages, s.layout
@@ -159,7 +159,7 @@
 		old := oldPages[number]
 		id := storage.PageID{Job: s.jobID, Layout: oldLayout, Number: number}
 		if old.Revision != 0 {
-			superseded := Superseded{ID: id, Revision: old.Revision, HighestAttempt: old.HighestAttempt}
+			superseded := SupersededPage{ID: id, Revision: old.Revision, HighestAttempt: old.HighestAttempt}
 			s.superseded = append(s.superseded, superseded)
 		}
 		for newNumber := range s.overlapping(id) {
@@ -174,8 +174,8 @@
 	}
 }
 
-// FullyReplaced reports whether a superseded page counts for no task any more once the given pages are written.
-func (s *Set) FullyReplaced(old Superseded, written []int) bool {
+// FullyReplaced reports whether a superseded page is valid for no task once the given pages have been written.
+func (s *Set) FullyReplaced(old SupersededPage, written []int) bool {
 	for number := range s.overlapping(old.ID) {
 		page := s.pages[number]
 		if page != nil && page.Revision == 0 && page.HighestAttempt > 0 && !slices.Contains(written, number) {
@@ -185,8 +185,9 @@
 	return true
 }
 
-// MarkReplacementsDirty causes those pages to be written that keep the first superseded page from being deleted. If
-// there are none, it is deleted along with the next write of the first page that shares tasks with it.
+// MarkReplacementsDirty marks the pages dirty that must be stored before the first superseded page can be deleted. If
+// there are none, it marks the first page that overlaps with the superseded page, because its next write deletes the
+// superseded page.
 func (s *Set) MarkReplacementsDirty() {
 	if len(s.superseded) == 0 {
 		return
@@ -202,11 +203,12 @@
 	}
 }
 
-// overlapping returns the numbers of the current layout's pages that share tasks with a page of any layout.
+// overlapping returns the numbers of the pages in the current layout that share tasks with the given page of any
+// layout.
 func (s *Set) overlapping(id storage.PageID) iter.Seq[int] {
 	return func(yield func(int) bool) {
 		end := min(id.EndTask(), s.taskCount)
-		for number := s.NumberOf(id.FirstTask()); number*s.layout.TasksPerPage < end; number++ {
+		for number := s.PageNumber(id.FirstTask()); number*s.layout.TasksPerPage < end; number++ {
 			if !yield(number) {
 				return
 			}
--- a/internal/coordination/placementpages/placementpages_test.go
+++ b/internal/coordination/placementpages/placementpages_test.go
@@ -14,8 +14,8 @@
 
 const testJob = "j-1"
 
-// storedSet returns the pages of a job with 20 tasks, all of which are stored in pages of eight tasks.
-func storedSet(t *testing.T) *Set {
+// newStoredSet returns the pages of a job with 20 tasks, all of which are stored on pages of eight tasks.
+func newStoredSet(t *testing.T) *Set {
 	t.Helper()
 	layout := storage.PageLayout{TasksPerPage: 8, Compact: true}
 	set := NewSet(testJob, 20, layout)
@@ -26,8 +26,9 @@
 	return &set
 }
 
+// TestPagesCoverAllTasksOnce checks that every task is on exactly one page.
 func TestPagesCoverAllTasksOnce(t *testing.T) {
-	set := storedSet(t)
+	set := newStoredSet(t)
 	next := 0
 	for _, number := range set.Numbers() {
 		first, end := set.Tasks(number)
@@ -35,8 +36,8 @@
 			t.Errorf("page %d begins with task %d, want %d", number, first, next)
 		}
 		for task := first; task < end; task++ {
-			if set.NumberOf(task) != number {
-				t.Errorf("task %d is on page %d, want %d", task, set.NumberOf(task), number)
+			if set.PageNumber(task) != number {
+				t.Errorf("task %d is on page %d, want %d", task, set.PageNumber(task), number)
 			}
 		}
 		next = end
@@ -46,20 +47,22 @@
 	}
 }
 
-func TestNarrowKeepsWhatIsKnown(t *testing.T) {
-	set := storedSet(t)
+// TestNarrowKeepsPageState checks that narrowing the pages preserves the dirty state, the unrecorded exits and the
+// attempt numbers of their tasks, and keeps the stored pages as superseded pages.
+func TestNarrowKeepsPageState(t *testing.T) {
+	set := newStoredSet(t)
 	set.Page(1).Dirty = true
 	exit := &machineregistry.Placement{Task: protocol.TaskID{JobID: testJob, Index: 13}}
 	set.Page(1).UnrecordedExits = []*machineregistry.Placement{exit}
 	set.Narrow()
 	if got := set.Layout(); got != (storage.PageLayout{TasksPerPage: 4, Compact: true}) {
-		t.Fatalf("layout %+v", got)
+		t.Fatalf("got layout %+v", got)
 	}
 	if got := set.Dirty(); !slices.Equal(got, []int{2, 3}) {
 		t.Errorf("dirty pages %v, want those that replace page 1", got)
 	}
 	if got := set.PageOf(13).UnrecordedExits; len(got) != 1 || got[0] != exit {
-		t.Errorf("exits of task 13's page: %v", got)
+		t.Errorf("got exits %v on the page of task 13", got)
 	}
 	for _, number := range set.Numbers() {
 		if page := set.Page(number); page.Revision != 0 || page.HighestAttempt != uint64(1+number/2) {
@@ -67,15 +70,17 @@
 		}
 	}
 	if got := len(set.Superseded()); got != 3 {
-		t.Errorf("%d superseded pages, want 3", got)
+		t.Errorf("got %d superseded pages, want 3", got)
 	}
 	if set.HighestAttempt() != 3 {
-		t.Errorf("highest attempt %d, want 3", set.HighestAttempt())
+		t.Errorf("got highest attempt %d, want 3", set.HighestAttempt())
 	}
 }
 
+// TestSupersededPageIsReplaced checks that a superseded page counts as replaced only when all its tasks are covered by
+// stored pages of the new layout, and which pages are marked dirty in order to replace and delete it.
 func TestSupersededPageIsReplaced(t *testing.T) {
-	set := storedSet(t)
+	set := newStoredSet(t)
 	set.Narrow()
 	old := set.Superseded()[0]
 	for _, test := range []struct {
@@ -104,7 +109,7 @@
 	}
 	set.MarkReplacementsDirty()
 	if got := set.Dirty(); !slices.Equal(got, []int{0}) {
-		t.Errorf("dirty pages %v, want the first one, whose write deletes the old page", got)
+		t.Errorf("dirty pages %v, want the first one, whose write deletes the superseded page", got)
 	}
 	set.RemoveSuperseded(old)
 	if got := set.Superseded(); len(got) != 2 || got[0].ID.Number != 1 {
@@ -116,6 +121,7 @@
 	}
 }
 
+// TestOriginalLayoutIsNotNarrowed checks that only compact pages with more than one task can be narrowed.
 func TestOriginalLayoutIsNotNarrowed(t *testing.T) {
 	for _, test := range []struct {
 		layout storage.PageLayout
@@ -126,7 +132,7 @@
 		{storage.PageLayout{TasksPerPage: 2, Compact: true}, true},
 	} {
 		if set := NewSet(testJob, 4, test.layout); set.CanNarrow() != test.want {
-			t.Errorf("%+v can be narrowed: %v, want %v", test.layout, set.CanNarrow(), test.want)
+			t.Errorf("CanNarrow of %+v: %v, want %v", test.layout, set.CanNarrow(), test.want)
 		}
 	}
 }
--- a/internal/coordination/placementrecords/decode.go
+++ b/internal/coordination/placementrecords/decode.go
@@ -8,17 +8,17 @@
 	"pinebay/internal/storage"
 )
 
-// StoredPage is a page that was read.
+// StoredPage is a page that was read from the store.
 type StoredPage struct {
 	ID       storage.PageID
 	Revision uint64
 	Record   *storage.PlacementPage
 
-	narrower []storage.PageID // pages of the job that count instead of this one, for their tasks
+	narrower []storage.PageID // pages of the job that take precedence for the tasks that they cover
 }
 
-// Decode decodes the pages of all jobs. Those of a job are in the order in which they count: of a task that several
-// pages cover, the narrowest page does. Malformed records are reported to onError and left out.
+// Decode decodes the pages of all jobs. The pages of each job are sorted by precedence: if several pages cover a task,
+// the narrowest one is valid. Malformed records are passed to onError and omitted.
 func Decode(
 	records []protocol.KeyValue,
 	originalTasks int,
@@ -44,6 +44,7 @@
 	return byJob
 }
 
+// sortByPrecedence sorts the pages of a job by precedence, and sets the preceding pages of each.
 func sortByPrecedence(pages []StoredPage) {
 	slices.SortStableFunc(pages, func(a, b StoredPage) int { return compareLayouts(a.ID.Layout, b.ID.Layout) })
 	ids := make([]storage.PageID, len(pages))
@@ -53,8 +54,8 @@
 	}
 }
 
-// compareLayouts orders layouts by precedence: the narrower one first, and of two that are equally wide the compact
-// one.
+// compareLayouts orders layouts by precedence: a narrower layout comes first, and of two layouts with the same number
+// of tasks per page the compact one.
 func compareLayouts(a, b storage.PageLayout) int {
 	if a.TasksPerPage == b.TasksPerPage && a.Compact != b.Compact {
 		if a.Compact {
@@ -65,7 +66,7 @@
 	return cmp.Compare(a.TasksPerPage, b.TasksPerPage)
 }
 
-// Counts reports whether what the page says of a task counts.
+// Counts reports whether the page is the valid one for a task, which no page of higher precedence covers.
 func (p *StoredPage) Counts(task int) bool {
 	return !slices.ContainsFunc(p.narrower, func(id storage.PageID) bool {
 		return task >= id.FirstTask() && task < id.EndTask()
--- a/internal/coordination/placementrecords/deletion.go
+++ b/internal/coordination/placementrecords/deletion.go
@@ -8,15 +8,15 @@
 	"pinebay/internal/storage"
 )
 
-// Deletion is the deletion of a job's pages in one transaction.
+// Deletion is the deletion of pages of one job in a transaction.
 type Deletion struct {
 	job        *jobstate.Job
 	pages      []int
-	superseded int // how many superseded pages, from the first one on
+	superseded int // number of superseded pages, from the first one on
 }
 
-// AppendDeletion adds the deletion of a job's pages to a transaction, up to a number of operations in all: superseded
-// pages first, as they would count again without the pages that replace them.
+// AppendDeletion adds the deletion of a job's pages to a transaction, up to a total of maxOperations operations.
+// Superseded pages are deleted first, because they would become valid again without the pages that replace them.
 func AppendDeletion(t *protocol.Txn, j *jobstate.Job, maxOperations int) Deletion {
 	deletion := Deletion{job: j}
 	deletePage := func(id storage.PageID, revision uint64) {
@@ -38,33 +38,34 @@
 	return deletion
 }
 
-// Commit applies a deletion that was carried out. It calls recorded for each placement that is gone and was listed in
-// a deleted page.
+// Commit updates the pages of the job after a successful deletion. It calls recorded for each terminated placement that
+// was listed on a deleted page.
 func (d Deletion) Commit(recorded func(*machineregistry.Placement)) {
 	if d.job == nil {
 		return
 	}
 	for _, number := range d.pages {
-		releaseExits(d.job.Pages.Page(number), recorded)
+		reportExits(d.job.Pages.Page(number), recorded)
 		d.job.Pages.Remove(number)
 	}
 	d.job.Pages.RemoveFirstSuperseded(d.superseded)
 }
 
-// ForgetUnstored removes the pages of an ended job of which nothing is stored.
+// ForgetUnstored removes the pages of an ended job that have no stored record.
 func ForgetUnstored(j *jobstate.Job, recorded func(*machineregistry.Placement)) {
 	if len(j.Pages.Superseded()) > 0 {
-		return // they still count for tasks of such pages
+		return // superseded pages may still be valid for the tasks of pages without a record
 	}
 	for number, page := range j.Pages.All() {
 		if page.Revision == 0 {
-			releaseExits(page, recorded)
+			reportExits(page, recorded)
 			j.Pages.Remove(number)
 		}
 	}
 }
 
-func releaseExits(page *placementpages.Page, recorded func(*machineregistry.Placement)) {
+// reportExits calls recorded for the terminated placements of a page, and removes them from the page.
+func reportExits(page *placementpages.Page, recorded func(*machineregistry.Placement)) {
 	for _, exit := range page.UnrecordedExits {
 		recorded(exit)
 	}
--- a/internal/coordination/placementrecords/jobwrite.go
+++ b/internal/coordination/placementrecords/jobwrite.go
@@ -10,23 +10,23 @@
 	"pinebay/internal/storage"
 )
 
-// JobWrite is what one job writes in a transaction, which several jobs may share.
+// JobWrite is the part of a transaction that belongs to one job. Several jobs may share a transaction.
 type JobWrite struct {
 	Job *jobstate.Job
 
 	pages []int
-	size  int // upper bound of the pages' records
-	// starting are the placements whose start waits for this write.
+	size  int // upper bound of the total size of the records of the pages
+	// starting are the placements that may start once this write has succeeded.
 	starting []*machineregistry.Placement
-	// replaced are superseded pages that count for no task once this is written. They are deleted with it.
-	replaced []placementpages.Superseded
-	// exitsWritten counts, for each page, the exits that its new record no longer lists.
+	// replaced are superseded pages that are not valid for any task after this write. They are deleted with it.
+	replaced []placementpages.SupersededPage
+	// exitsWritten counts by page the placements whose exits are recorded by the write.
 	exitsWritten map[int]int
 	compares     []protocol.Compare
 }
 
-// NewJobWrite returns the next write of a job, with a limited number of operations and as many pages as fit a
-// transaction: those that starts wait for go first. The pages must fit a value (see Limits.NarrowToFit).
+// NewJobWrite returns the next write of a job, with at most maxOperations operations and as many pages as fit into a
+// transaction. Pages that starts depend on go first. Each page must be within the value limit (see Limits.NarrowToFit).
 func NewJobWrite(j *jobstate.Job, maxOperations int) *JobWrite {
 	w := &JobWrite{Job: j}
 	for _, number := range j.PagesToWrite(maxOperations) {
@@ -38,7 +38,7 @@
 		w.size += size
 	}
 	for _, pl := range j.Unstarted {
-		if slices.Contains(w.pages, j.Pages.NumberOf(pl.Task.Index)) {
+		if slices.Contains(w.pages, j.Pages.PageNumber(pl.Task.Index)) {
 			w.starting = append(w.starting, pl)
 		}
 	}
@@ -50,19 +50,19 @@
 	return w
 }
 
-// Operations returns how many operations the write takes.
+// Operations returns the number of operations in the write.
 func (w *JobWrite) Operations() int { return len(w.pages) + len(w.replaced) }
 
-// Pages returns how many pages it writes.
+// Pages returns the number of pages that are written.
 func (w *JobWrite) Pages() int { return len(w.pages) }
 
-// Size returns an upper bound of the size of its records.
+// Size returns an upper bound of the total size of the records.
 func (w *JobWrite) Size() int { return w.size }
 
-// CoversAllStarts reports whether no start of the job waits for a further write.
+// CoversAllStarts reports whether the write includes all starts of the job that wait for their records.
 func (w *JobWrite) CoversAllStarts() bool { return len(w.starting) == len(w.Job.Unstarted) }
 
-// AppendTo adds the conditions and operations of the write to a transaction of the given name.
+// AppendTo adds the comparisons and operations of the write to a transaction with the given name.
 func (w *JobWrite) AppendTo(t *protocol.Txn, name string) error {
 	j := w.Job
 	w.exitsWritten = map[int]int{}
@@ -85,16 +85,16 @@
 	return nil
 }
 
-// Begin marks the job's write as in flight, and its pages as clean.
+// Begin marks a write of the job as in flight and its pages as clean.
 func (w *JobWrite) Begin() {
 	w.Job.WriteInFlight = true
 	w.setDirty(false)
 }
 
-// End marks the job's write as no longer in flight, whatever the outcome.
+// End marks the write of the job as no longer in flight, whatever its outcome.
 func (w *JobWrite) End() { w.Job.WriteInFlight = false }
 
-// Revert marks the pages as dirty again, after a write that was not carried out.
+// Revert marks the pages as dirty again after a write that was not applied.
 func (w *JobWrite) Revert() { w.setDirty(true) }
 
 func (w *JobWrite) setDirty(dirty bool) {
@@ -103,15 +103,15 @@
 	}
 }
 
-// Failed reports whether a condition of this write is among those that failed.
+// Failed reports whether a comparison of this write is among those that failed.
 func (w *JobWrite) Failed(failedKeys []string) bool {
 	return slices.ContainsFunc(w.compares, func(compare protocol.Compare) bool {
 		return slices.Contains(failedKeys, compare.Key)
 	})
 }
 
-// Commit applies a write that was carried out to the job's pages. It calls recorded for each placement that is gone
-// and no longer listed in the records.
+// Commit updates the job's pages after a successful write. It calls recorded for each terminated placement that the
+// stored records no longer list.
 func (w *JobWrite) Commit(revision uint64, recorded func(*machineregistry.Placement)) {
 	pages := &w.Job.Pages
 	for _, number := range w.pages {
@@ -127,15 +127,15 @@
 	}
 }
 
-// MarkStartsRecorded marks the placements as recorded whose start waited for this write.
+// MarkStartsRecorded marks the placements as recorded whose starts have waited for this write.
 func (w *JobWrite) MarkStartsRecorded() {
 	for _, pl := range w.starting {
 		pl.Recorded = true
 	}
 }
 
-// NarrowToFit narrows a job's pages until each of those to be written fits a value. Pages of the original layout
-// always do. nextName returns the name of a write, for the size of the record.
+// NarrowToFit narrows the pages of a job until each dirty page is within the value limit. Pages of the original layout
+// always are. nextName returns the name of a write, which is part of the record and so of its size.
 func (l *Limits) NarrowToFit(j *jobstate.Job, nextName func() string) {
 	tooLarge := func(number int) bool { return !l.pageFits(j, number, nextName) }
 	for j.Pages.CanNarrow() && slices.ContainsFunc(j.Pages.Dirty(), tooLarge) {
@@ -143,7 +143,8 @@
 	}
 }
 
-// pageFits reports whether a page fits a value. For most pages the estimate decides, without encoding them.
+// pageFits reports whether a page is within the value limit. For most pages the estimate is sufficient, without
+// encoding the page.
 func (l *Limits) pageFits(j *jobstate.Job, number int, nextName func() string) bool {
 	if l.fitsValue(j.EstimatedPageBytes(number)) {
 		return true
--- a/internal/coordination/placementrecords/placementrecords_test.go
+++ b/internal/coordination/placementrecords/placementrecords_test.go
@@ -16,7 +16,7 @@
 
 func TestMain(m *testing.M) { testutil.Main(m) }
 
-// newJob returns a job of 20 tasks in pages of eight, all of which are placed and wait for their record.
+// newJob returns a job with 20 tasks on pages of eight, all of which are placed but not recorded.
 func newJob(t *testing.T) *jobstate.Job {
 	t.Helper()
 	spec := protocol.Job{ID: "j-1", Team: "red", Shape: protocol.Array, TaskCount: 20, CPUs: 1, Priority: "normal"}
@@ -37,7 +37,7 @@
 	return j
 }
 
-// keysOf returns the keys of a transaction's conditions and operations.
+// keysOf returns the keys of the comparisons and operations of a transaction.
 func keysOf(t *protocol.Txn) (compares, ops []string) {
 	for _, compare := range t.If {
 		compares = append(compares, compare.Key)
@@ -48,13 +48,15 @@
 	return compares, ops
 }
 
+// TestJobWrite checks the transaction of a write that is limited to two pages, and the state of the job while the write
+// is in flight and after it has succeeded. An exit that is added during the write remains unrecorded.
 func TestJobWrite(t *testing.T) {
 	j := newJob(t)
 	exit := &machineregistry.Placement{Task: protocol.TaskID{JobID: "j-1", Index: 3}}
 	j.Pages.Page(0).UnrecordedExits = []*machineregistry.Placement{exit}
 	write := NewJobWrite(j, 2)
 	if write.Operations() != 2 || write.CoversAllStarts() {
-		t.Fatalf("%d operations, covers all starts: %v", write.Operations(), write.CoversAllStarts())
+		t.Fatalf("got %d operations, covers all starts: %v", write.Operations(), write.CoversAllStarts())
 	}
 	var txn protocol.Txn
 	if err := write.AppendTo(&txn, "5.1"); err != nil {
@@ -62,14 +64,14 @@
 	}
 	compares, ops := keysOf(&txn)
 	if want := []string{"live/j-1", "place/j-1/w8.0000", "place/j-1/w8.0001"}; !slices.Equal(compares, want) {
-		t.Errorf("conditions on %v, want %v", compares, want)
+		t.Errorf("comparisons of %v, want %v", compares, want)
 	}
 	if want := []string{"place/j-1/w8.0000", "place/j-1/w8.0001"}; !slices.Equal(ops, want) {
 		t.Errorf("writes %v, want %v", ops, want)
 	}
 	write.Begin()
 	if !j.WriteInFlight || !slices.Equal(j.Pages.Dirty(), []int{2}) {
-		t.Errorf("in flight %v, dirty pages %v", j.WriteInFlight, j.Pages.Dirty())
+		t.Errorf("in flight: %v, dirty pages %v", j.WriteInFlight, j.Pages.Dirty())
 	}
 	late := &machineregistry.Placement{Task: protocol.TaskID{JobID: "j-1", Index: 4}}
 	j.Pages.Page(0).UnrecordedExits = append(j.Pages.Page(0).UnrecordedExits, late)
@@ -77,24 +79,26 @@
 	var recorded []*machineregistry.Placement
 	write.Commit(9, func(pl *machineregistry.Placement) { recorded = append(recorded, pl) })
 	if len(recorded) != 1 || recorded[0] != exit {
-		t.Errorf("recorded exits %v, want the one from before the write", recorded)
+		t.Errorf("recorded exits %v, want only the one before the write", recorded)
 	}
 	if page := j.Pages.Page(0); page.Revision != 9 || len(page.UnrecordedExits) != 1 || j.WriteInFlight {
-		t.Errorf("page %+v, in flight %v", page, j.WriteInFlight)
+		t.Errorf("page %+v, in flight: %v", page, j.WriteInFlight)
 	}
 	write.MarkStartsRecorded()
 	for task, pl := range j.Placements {
 		if pl.Recorded != (task < 16) {
-			t.Errorf("task %d is recorded: %v", task, pl.Recorded)
+			t.Errorf("task %d: recorded is %v", task, pl.Recorded)
 		}
 	}
 }
 
-func TestJobWriteThatFailed(t *testing.T) {
+// TestFailedJobWrite checks that a write recognizes the failed comparisons that belong to it, and that its pages are
+// dirty again after it has been reverted.
+func TestFailedJobWrite(t *testing.T) {
 	j := newJob(t)
 	write := NewJobWrite(j, 10)
 	if !write.CoversAllStarts() {
-		t.Error("a start waits for another write")
+		t.Error("the write does not cover all starts")
 	}
 	var txn protocol.Txn
 	if err := write.AppendTo(&txn, "5.1"); err != nil {
@@ -103,7 +107,7 @@
 	write.Begin()
 	for key, want := range map[string]bool{"place/j-1/w8.0001": true, "live/j-1": true, "place/j-2/w8.0001": false} {
 		if got := write.Failed([]string{key}); got != want {
-			t.Errorf("failed with the condition on %s: %v, want %v", key, got, want)
+			t.Errorf("failed with the comparison of %s: %v, want %v", key, got, want)
 		}
 	}
 	write.End()
@@ -113,6 +117,8 @@
 	}
 }
 
+// TestNarrowToFit checks that pages are narrowed until their encoded records are within the value limit, if the names
+// of machines are longer than usual.
 func TestNarrowToFit(t *testing.T) {
 	settings := &config.StoreLimits{ValueKB: 0.5, TxnOps: 16, WriteRPS: 100}
 	limits := NewLimits(settings, featurelevel.Pipelines)
@@ -123,7 +129,7 @@
 	names := 0
 	limits.NarrowToFit(j, func() string { names++; return "5.1" })
 	if names == 0 {
-		t.Error("no page was encoded for its size")
+		t.Error("no page was encoded to determine its size")
 	}
 	for _, number := range j.Pages.Dirty() {
 		value, err := j.EncodePage(number, "5.2")
@@ -131,14 +137,16 @@
 			t.Fatal(err)
 		}
 		if j.Pages.CanNarrow() && !storage.FitsValueLimit(value, settings.ValueKB) {
-			t.Errorf("page %d doesn't fit", number)
+			t.Errorf("page %d exceeds the value limit", number)
 		}
 	}
 	if got := j.Pages.Layout().TasksPerPage; got >= 8 {
-		t.Errorf("pages of %d tasks", got)
+		t.Errorf("got %d tasks per page, want fewer than 8", got)
 	}
 }
 
+// TestDeletion checks that superseded pages are deleted first, and that pages without a record are kept as long as
+// superseded pages are stored.
 func TestDeletion(t *testing.T) {
 	j := newJob(t)
 	for _, number := range j.Pages.Numbers() {
@@ -149,7 +157,7 @@
 	recorded := func(*machineregistry.Placement) {}
 	ForgetUnstored(j, recorded)
 	if got := len(j.Pages.Numbers()); got != 5 {
-		t.Errorf("%d pages while superseded ones are stored, want 5", got)
+		t.Errorf("got %d pages while superseded ones are stored, want 5", got)
 	}
 	var txn protocol.Txn
 	deletion := AppendDeletion(&txn, j, 2)
@@ -160,7 +168,7 @@
 	txn = protocol.Txn{}
 	deletion = AppendDeletion(&txn, j, 10)
 	if _, ops := keysOf(&txn); !slices.Equal(ops, []string{"place/j-1/w8.0002", "place/j-1/w4.0000"}) {
-		t.Errorf("then deletes %v", ops)
+		t.Errorf("second transaction deletes %v", ops)
 	}
 	deletion.Commit(recorded)
 	ForgetUnstored(j, recorded)
@@ -169,6 +177,8 @@
 	}
 }
 
+// TestDecodePrecedence checks that a malformed page is reported and omitted, and that of several pages that cover a
+// task only the one with the highest precedence is valid.
 func TestDecodePrecedence(t *testing.T) {
 	page := func(tasksPerPage, number int, compact bool) protocol.KeyValue {
 		layout := storage.PageLayout{TasksPerPage: tasksPerPage, Compact: compact}
@@ -183,36 +193,37 @@
 	records := []protocol.KeyValue{page(8, 0, false), page(8, 0, true), malformed, page(4, 1, true)}
 	byJob := Decode(records, 8, func(record protocol.KeyValue, _ error) { errors = append(errors, record.Key) })
 	if !slices.Equal(errors, []string{malformed.Key}) {
-		t.Errorf("errors about %v", errors)
+		t.Errorf("got errors for %v", errors)
 	}
 	for i, want := range []struct {
-		key    string
-		counts []int
+		key      string
+		validFor []int
 	}{
 		{"place/j-1/w4.0001", []int{0, 1, 2, 3, 4, 5, 6, 7}},
 		{"place/j-1/w8.0000", []int{0, 1, 2, 3}},
 		{"place/j-1/0000", nil},
 	} {
 		stored := byJob["j-1"][i]
-		var counts []int
+		var validFor []int
 		for task := range 8 {
 			if stored.Counts(task) {
-				counts = append(counts, task)
+				validFor = append(validFor, task)
 			}
 		}
-		if stored.ID.Key() != want.key || !slices.Equal(counts, want.counts) {
+		if stored.ID.Key() != want.key || !slices.Equal(validFor, want.validFor) {
 			t.Errorf(
-				"page %d is %s and counts for %v, want %s for %v",
+				"page %d is %s and valid for tasks %v, want %s and %v",
 				i,
 				stored.ID.Key(),
-				counts,
+				validFor,
 				want.key,
-				want.counts,
+				want.validFor,
 			)
 		}
 	}
 }
 
+// TestLimits checks the limits at both feature levels and after the rejection of transactions.
 func TestLimits(t *testing.T) {
 	settings := &config.StoreLimits{
 		ValueKB:  8,
@@ -222,21 +233,21 @@
 	}
 	limits := NewLimits(settings, featurelevel.Baseline)
 	if got := limits.NewJobLayout(); got != (storage.PageLayout{TasksPerPage: 96}) {
-		t.Errorf("layout %+v at the lowest level", got)
+		t.Errorf("got layout %+v at the baseline level", got)
 	}
 	if limits.MaxOperations() != 16 || limits.PagesPerTransaction() != 6 {
-		t.Errorf("%d operations, %d pages", limits.MaxOperations(), limits.PagesPerTransaction())
+		t.Errorf("got %d operations, %d pages", limits.MaxOperations(), limits.PagesPerTransaction())
 	}
 	limits.SetLevel(featurelevel.Pipelines)
 	if got := limits.NewJobLayout(); got != (storage.PageLayout{TasksPerPage: 48, Compact: true}) {
-		t.Errorf("layout %+v", got)
+		t.Errorf("got layout %+v", got)
 	}
 	if got := limits.LayoutAtMost(10).TasksPerPage; got != 10 {
-		t.Errorf("pages of %d tasks beside stored ones of 10", got)
+		t.Errorf("got %d tasks per page, want 10 as on the stored pages", got)
 	}
 	if limits.ValueKB() != 2 || limits.MaxOperations() != 5 || limits.PagesPerTransaction() != 5 {
 		t.Errorf(
-			"%v KB, %d operations, %d pages",
+			"got %v KiB, %d operations, %d pages",
 			limits.ValueKB(),
 			limits.MaxOperations(),
 			limits.PagesPerTransaction(),
@@ -248,7 +259,12 @@
 		max      int
 	}{{5, true, 2}, {3, true, 2}, {MinOperations, false, 2}} {
 		if got := limits.ShrinkTransactions(test.rejected); got != test.want || limits.MaxOperations() != test.max {
-			t.Errorf("%d operations rejected: %v, now %d", test.rejected, got, limits.MaxOperations())
+			t.Errorf(
+				"after the rejection of %d operations: shrunk %v, limit now %d",
+				test.rejected,
+				got,
+				limits.MaxOperations(),
+			)
 		}
 	}
 }
