--- a/internal/coordination/jobstate/job.go
+++ b/internal/coordination/jobstate/job.go
@@ -1,8 +1,9 @@
-// Package jobstate holds what a leader knows of one job: its tasks and their placements, the pages that record
-// them, its progress towards its end, and the queues that it stands in. It does no I/O and reads no clock.
+// Package jobstate holds the state of one job as the leader knows it: its tasks and their placements, the pages that
+// record them, its progress, and the queues that contain the job. It does no I/O and reads no clock.
 //
-// A Job keeps its counters and its queues consistent with the states of its tasks: those change through its methods
-// only. Fields that are exported are facts of the scheduler's which nothing here derives from.
+// The methods of Job keep its counters and its queues consistent with the states of its tasks. Blocked, Ended,
+// EffectivePriority and LatestStart determine the queues and must be changed only by methods; the other exported fields
+// are maintained by the scheduler, and no counter or queue is derived from them.
 package jobstate
 
 import (
@@ -21,103 +22,106 @@
 type TaskState uint8
 
 const (
-	// TaskPending is a task that has to be placed.
+	// TaskPending is the state of a task that has to be placed.
 	TaskPending TaskState = iota
-	// TaskPlaced is a task with a placement that has not been proven gone.
+	// TaskPlaced is the state of a task with a placement that has not been proven to be terminated.
 	TaskPlaced
-	// TaskDone is a task that has ended successfully, or whose job is over.
+	// TaskDone is the state of a task that has succeeded, or whose job has ended.
 	TaskDone
 
 	taskStateCount = iota
 )
 
-// faultyMachineCount is on how many machines tasks of a job must fail for the job itself to be considered faulty.
-const faultyMachineCount = 3
+// faultyJobThreshold is the number of machines on which tasks of a job must fail for the job itself to be considered
+// faulty.
+const faultyJobThreshold = 3
 
-// Job is an accepted job, or one that has ended but of which placements or records are left. The zero value is not
-// usable: see New.
+// Job is an accepted job, or an ended one that still has placements or records. The zero value is not usable; use New.
 type Job struct {
 	Spec          protocol.Job
-	TaskResources machineregistry.Resources // of each task
-	// EffectivePriority is the rank of the highest priority of the job and of all that depend on it; 0 is the highest.
+	TaskResources machineregistry.Resources // resources of each task
+	// EffectivePriority is the rank of the highest priority among those of the job and of all jobs that depend on it; 0
+	// is the highest.
 	EffectivePriority int
-	// AllowedTypes are the allowed machine types, separated by spaces.
+	// AllowedTypes are the names of the allowed machine types, separated by spaces.
 	AllowedTypes string
-	// LiveRevision is the revision of its live record, 0 once it has ended.
+	// LiveRevision is the revision of the live record of the job, or 0 once the job has ended.
 	LiveRevision uint64
-	// AcceptedMS is the time of day in milliseconds at which it was accepted.
+	// AcceptedMS is when the job was accepted, as Unix time in milliseconds.
 	AcceptedMS int64
-	// WaitingSince is the leader's time from which its waiting counts: when it was accepted or unblocked.
+	// WaitingSince is the time, by the leader's clock, since which the job has been waiting: when it was accepted or
+	// unblocked.
 	WaitingSince time.Duration
 
 	taskStates    []TaskState
-	taskCounts    [taskStateCount]int // by state
-	lowestPending int                 // no task below it is pending
-	// Placements are those that have not been proven gone, by task.
+	taskCounts    [taskStateCount]int // number of tasks by state
+	lowestPending int                 // no task with a lower index is pending
+	// Placements are the placements by task that have not been proven to be terminated.
 	Placements map[int]*machineregistry.Placement
-	// HasRun holds the replicas that have run, and should be back soon when they are lost.
+	// HasRun holds the replicas of a service that have run before. They should be restarted soon if they are lost.
 	HasRun map[int]bool
-	Pages  placementpages.Set // the records of its placements
+	Pages  placementpages.Set // records of the placements
 
-	// Blocked is set while a dependency is not durably done, and for good when one was cancelled.
+	// Blocked is set while a dependency is not durably recorded as done, and permanently if a dependency was cancelled.
 	Blocked bool
-	// LatestStart is by when it must start for all deadlines that depend on it to be met, or dependency.NoDeadline.
+	// LatestStart is the latest time at which the job can start for all deadlines that depend on it to be met, or
+	// dependency.NoDeadline.
 	LatestStart time.Duration
 
-	// Ended is set once it is cancelled or its end is recorded.
+	// Ended is set once the job is cancelled or its end is recorded.
 	Ended bool
-	// Ending is set while the transaction that records its end is in flight.
+	// Ending is set while the transaction that records the end of the job is in flight.
 	Ending bool
 
-	// WriteInFlight is set while a write of its pages is in flight.
+	// WriteInFlight is set while a write of the job's pages is in flight.
 	WriteInFlight bool
 	// Unstarted are the placements that may start once they are recorded.
 	Unstarted []*machineregistry.Placement
-	// RecordNotBefore is when its record may be tried again after a write of it failed, and RecordAttempts how often
-	// that has happened.
+	// RecordNotBefore is the earliest time at which a failed write of the job's pages is retried. RecordAttempts is the
+	// number of failed attempts.
 	RecordNotBefore time.Duration
 	RecordAttempts  int
 
-	// GangStopping is set while a gang is being stopped as a whole.
+	// GangStopping is set while all tasks of a gang are being stopped together.
 	GangStopping bool
-	// LastTaskStart is when a task of it was last seen to start running, 0 if none runs.
+	// LastTaskStart is when a task of the job was last observed to start running, or 0 if no task is running.
 	LastTaskStart time.Duration
-	// StartCounted is set once it has run so long that its start counts for the start latency objective.
+	// StartCounted is set once the job has run long enough for its start to count for the start latency objective.
 	StartCounted bool
 
-	// UnschedulableCycles is how many cycles in a row had not enough capacity for it.
+	// UnschedulableCycles is the number of consecutive scheduling cycles that had insufficient capacity for the job.
 	UnschedulableCycles int
-	LastWaitingCycle    uint64 // in which it waited
-	LastTriedCycle      uint64 // in which it had its turn
-	// SearchDoublings is how often the number of machines that its searches examine was doubled.
+	LastWaitingCycle    uint64 // last cycle in which the job was waiting
+	LastTriedCycle      uint64 // last cycle in which the scheduler tried to place the job
+	// SearchDoublings is how many times the number of machines examined by a search for the job has been doubled.
 	SearchDoublings int
-	// PreemptionRound and PreemptionCycle are when victims were last searched for it.
+	// PreemptionRound and PreemptionCycle identify the last search for preemption victims for the job.
 	PreemptionRound, PreemptionCycle uint64
-	// NominatedMachines are those on which victims were preempted for it, as far as known.
+	// NominatedMachines are the machines on which tasks were preempted in favor of the job, as far as known.
 	NominatedMachines map[*machineregistry.Machine]bool
 
-	// BackoffUntil is until when no task of it starts, after failures.
+	// BackoffUntil is the time before which no task of the job starts, after failures.
 	BackoffUntil time.Duration
 	Failures     int
-	// FailedOn holds the machines on which tasks of it have failed.
+	// FailedOn holds the machines on which tasks of the job have failed.
 	FailedOn map[string]bool
 
-	// DisplacedFromZone is the lost zone in which it had tasks, or "".
+	// DisplacedFromZone is the lost zone in which the job had tasks, or "".
 	DisplacedFromZone string
-	// NextLoanSearch is when capacity to borrow is searched for it again, after none was found.
+	// NextLoanSearch is when the next search for capacity to borrow takes place, after the last one found none.
 	NextLoanSearch time.Duration
 
-	queues       *Queues // nil until it is added to some
-	inStartQueue bool
-	startTurn    uint64
-	startNumber  uint64
-	// completionQueued is set while it is queued for the record of what has ended, since completionQueuedAt.
+	queues        *Queues // nil until the job is added to queues
+	inStartQueue  bool
+	startRound    uint64
+	startSequence uint64
+	// completionQueued is set while the job waits in the queue of completions, since completionQueuedAt.
 	completionQueued   bool
 	completionQueuedAt time.Duration
 }
 
-// New returns a job that was accepted at acceptedMS, a time of day in milliseconds, and waits since the given time of
-// the leader.
+// New returns a job that was accepted at acceptedMS, a Unix time in milliseconds, and has been waiting since
+// waitingSince by the leader's clock.
 func New(
 	spec protocol.Job, liveRevision uint64, acceptedMS int64, waitingSince time.Duration, layout storage.PageLayout,
 ) *Job {
@@ -139,7 +143,7 @@
 	}
 }
 
-// TaskCount returns the number of its tasks.
+// TaskCount returns the number of tasks of the job.
 func (j *Job) TaskCount() int { return len(j.taskStates) }
 
 // TaskState returns the state of a task.
@@ -148,16 +152,16 @@
 // PendingTasks returns the number of tasks that have to be placed.
 func (j *Job) PendingTasks() int { return j.taskCounts[TaskPending] }
 
-// PlacedTasks returns the number of tasks with a placement.
+// PlacedTasks returns the number of placed tasks.
 func (j *Job) PlacedTasks() int { return j.taskCounts[TaskPlaced] }
 
-// DoneTasks returns the number of tasks that are done.
+// DoneTasks returns the number of done tasks.
 func (j *Job) DoneTasks() int { return j.taskCounts[TaskDone] }
 
 // AllTasksDone reports whether all tasks are done.
 func (j *Job) AllTasksDone() bool { return j.taskCounts[TaskDone] == len(j.taskStates) }
 
-// SetTask changes the state of a task. A task that the job does not have is ignored.
+// SetTask changes the state of a task. It ignores a task that the job does not have.
 func (j *Job) SetTask(task int, state TaskState) {
 	if task < 0 || task >= len(j.taskStates) {
 		return
@@ -174,7 +178,7 @@
 	}
 }
 
-// ExtendTasks adds pending tasks to a job whose specification is not known, up to a count.
+// ExtendTasks adds pending tasks, up to the given total, to a job whose specification is unknown.
 func (j *Job) ExtendTasks(count int) {
 	if added := count - len(j.taskStates); added > 0 {
 		j.taskStates = append(j.taskStates, make([]TaskState, added)...)
@@ -182,7 +186,7 @@
 	}
 }
 
-// NextPending returns the first pending task from the given one on, or -1.
+// NextPending returns the first pending task at or after the given index, or -1 if there is none.
 func (j *Job) NextPending(from int) int {
 	for t := max(from, j.lowestPending); t < len(j.taskStates); t++ {
 		if j.taskStates[t] == TaskPending {
@@ -195,7 +199,7 @@
 	return -1
 }
 
-// NextAttempt returns the next attempt number of a task. All tasks of a gang have the same.
+// NextAttempt returns the next attempt number of a task. All tasks of a gang have the same attempt number.
 func (j *Job) NextAttempt(task int) uint64 {
 	if j.Spec.Shape != protocol.Gang {
 		return j.Pages.PageOf(task).HighestAttempt + 1
@@ -203,7 +207,7 @@
 	return j.Pages.HighestAttempt() + 1
 }
 
-// Bind adds the placement of a pending task, which starts once it is recorded.
+// Bind adds the placement of a pending task. The task may start once the placement is recorded.
 func (j *Job) Bind(now time.Duration, pl *machineregistry.Placement) {
 	task := pl.Task.Index
 	j.SetTask(task, TaskPlaced)
@@ -222,7 +226,7 @@
 	}
 }
 
-// SortedPlacements returns its placements in the order of their tasks.
+// SortedPlacements returns the placements sorted by task.
 func (j *Job) SortedPlacements() []*machineregistry.Placement {
 	list := make([]*machineregistry.Placement, 0, len(j.Placements))
 	for _, pl := range j.Placements {
@@ -232,10 +236,10 @@
 	return list
 }
 
-// HasStarted reports whether a task of the job was ever placed.
+// HasStarted reports whether any task of the job was ever placed.
 func (j *Job) HasStarted() bool { return j.Pages.HighestAttempt() > 0 }
 
-// HasStoppingTasks reports whether tasks are being stopped, which will have to be placed again.
+// HasStoppingTasks reports whether any task is being stopped. Such tasks have to be placed again.
 func (j *Job) HasStoppingTasks() bool {
 	for _, pl := range j.Placements {
 		if pl.Stopping {
@@ -245,38 +249,39 @@
 	return false
 }
 
-// SetBlocked records whether it must wait because of its dependencies.
+// SetBlocked sets whether the job must wait for its dependencies.
 func (j *Job) SetBlocked(blocked bool) {
 	j.Blocked = blocked
 	j.queues.update(j)
 }
 
-// Unblock records that all its dependencies are done. Its waiting counts from now on.
+// Unblock removes the block of a job whose dependencies are all done. The job counts as waiting from now on.
 func (j *Job) Unblock(now time.Duration) {
 	j.WaitingSince = now
 	j.SetBlocked(false)
 }
 
-// MarkEnded records that it was cancelled or that its end is recorded.
+// MarkEnded marks the job as cancelled or its end as recorded.
 func (j *Job) MarkEnded() {
 	j.Ended, j.LiveRevision = true, 0
 	j.queues.update(j)
 }
 
-// Reprioritise changes its effective priority and its latest start, and with them its place in its queues.
+// Reprioritise changes the effective priority and the latest start of the job, and moves it within its queues
+// accordingly.
 func (j *Job) Reprioritise(priority int, latestStart time.Duration) {
 	j.queues.reorder(j, func() { j.EffectivePriority, j.LatestStart = priority, latestStart })
 }
 
-// QueueCompletion queues it for the record of what has ended, unless it is queued already.
+// QueueCompletion adds the job to the queue of completions, unless it is queued already.
 func (j *Job) QueueCompletion(now time.Duration) { j.queues.addCompletion(now, j) }
 
-// LikelyFaulty reports whether tasks have failed on so many machines that the job itself is likely to be at fault.
-// One that has done tasks is not.
-func (j *Job) LikelyFaulty() bool { return len(j.FailedOn) >= faultyMachineCount && j.DoneTasks() == 0 }
+// LikelyFaulty reports whether tasks have failed on so many machines that the job itself is probably faulty. A job with
+// done tasks is not considered faulty.
+func (j *Job) LikelyFaulty() bool { return len(j.FailedOn) >= faultyJobThreshold && j.DoneTasks() == 0 }
 
-// AvoidedMachines returns the machines on which its tasks should not be placed again: those where one has failed,
-// unless the job itself is likely to be at fault.
+// AvoidedMachines returns the machines on which no further tasks of the job should be placed because a task has failed
+// there. There are none if the job itself is likely to be faulty.
 func (j *Job) AvoidedMachines() map[string]bool {
 	if j.LikelyFaulty() {
 		return nil
@@ -284,7 +289,7 @@
 	return j.FailedOn
 }
 
-// Status returns the state that its user sees.
+// Status returns the status of the job as reported to its user.
 func (j *Job) Status() protocol.JobStatus {
 	s := protocol.JobStatus{ID: j.Spec.ID, State: protocol.JobQueued, DoneTasks: j.DoneTasks()}
 	for _, pl := range j.Placements {
--- a/internal/coordination/jobstate/job_test.go
+++ b/internal/coordination/jobstate/job_test.go
@@ -18,13 +18,13 @@
 	return New(spec, 1, 0, 0, storage.PageLayout{TasksPerPage: 4})
 }
 
-// placementOf returns a placement of a task.
-func placementOf(j *Job, task int) *machineregistry.Placement {
+// newTestPlacement returns a placement of a task.
+func newTestPlacement(j *Job, task int) *machineregistry.Placement {
 	return &machineregistry.Placement{Task: protocol.TaskID{JobID: j.Spec.ID, Index: task}, Machine: "m1"}
 }
 
-// TestCountersFollowTasks: whatever happens to the tasks, the counters, the next pending task and the queues are those
-// of their states.
+// TestCountersFollowTasks checks that the counters, the next pending task and the queues of a job match the states of
+// its tasks after any sequence of changes.
 func TestCountersFollowTasks(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q := NewQueues()
@@ -32,7 +32,7 @@
 		j := newTestJob("j-1", tasks)
 		q.Add(j)
 		for range rapid.IntRange(0, 40).Draw(t, "steps") {
-			task := rapid.IntRange(-1, tasks).Draw(t, "task") // also of tasks that it does not have
+			task := rapid.IntRange(-1, tasks).Draw(t, "task") // includes indices of tasks that the job does not have
 			switch rapid.IntRange(0, 3).Draw(t, "step") {
 			case 0:
 				j.SetTask(task, rapid.SampledFrom([]TaskState{TaskPending, TaskPlaced, TaskDone}).Draw(t, "state"))
@@ -57,7 +57,7 @@
 			if j.PendingTasks() != counts[TaskPending] || j.PlacedTasks() != counts[TaskPlaced] ||
 				j.DoneTasks() != counts[TaskDone] {
 				t.Fatalf(
-					"%d pending, %d placed, %d done, want %v",
+					"got %d pending, %d placed, %d done, want %v",
 					j.PendingTasks(),
 					j.PlacedTasks(),
 					j.DoneTasks(),
@@ -65,80 +65,89 @@
 				)
 			}
 			if got := j.NextPending(0); got != firstPending {
-				t.Fatalf("the first pending task is %d, want %d", got, firstPending)
+				t.Fatalf("got first pending task %d, want %d", got, firstPending)
 			}
-			waits := counts[TaskPending] > 0
-			if _, pending := q.Pending.Get(j); pending != (waits && !j.Blocked) {
-				t.Fatalf("in the queue of pending jobs: %v; blocked: %v, waits: %v", pending, j.Blocked, waits)
+			waiting := counts[TaskPending] > 0
+			if _, pending := q.Pending.Get(j); pending != (waiting && !j.Blocked) {
+				t.Fatalf("in the queue of pending jobs: %v; blocked: %v, waiting: %v", pending, j.Blocked, waiting)
 			}
-			if _, blocked := q.Blocked.Get(j); blocked != (waits && j.Blocked) {
-				t.Fatalf("in the queue of blocked jobs: %v; blocked: %v, waits: %v", blocked, j.Blocked, waits)
+			if _, blocked := q.Blocked.Get(j); blocked != (waiting && j.Blocked) {
+				t.Fatalf("in the queue of blocked jobs: %v; blocked: %v, waiting: %v", blocked, j.Blocked, waiting)
 			}
 		}
 	})
 }
 
-func TestBindQueuesTheStart(t *testing.T) {
+// TestBindQueuesStart checks that binding a placement changes the state of the task, queues its start and the job as
+// possibly fetching, and marks its page to be written.
+func TestBindQueuesStart(t *testing.T) {
 	q := NewQueues()
 	j := newTestJob("j-1", 2)
 	q.Add(j)
-	pl := placementOf(j, 1)
+	pl := newTestPlacement(j, 1)
 	j.Bind(time.Second, pl)
 	if j.TaskState(1) != TaskPlaced || j.Placements[1] != pl ||
 		!slices.Equal(j.Unstarted, []*machineregistry.Placement{pl}) {
 		t.Errorf("task 1 is %v, placements %v, unstarted %v", j.TaskState(1), j.Placements, j.Unstarted)
 	}
 	if q.Starts.Next(time.Second, nil) != j {
-		t.Error("its start is not queued")
+		t.Error("the start is not queued")
 	}
 	if _, fetching := q.Fetching.Get(j); !fetching {
-		t.Error("it is not in the queue of jobs that may be fetching")
+		t.Error("the job is not in the queue of fetching jobs")
 	}
 	if !slices.Equal(j.PagesToWrite(1), []int{0}) {
-		t.Errorf("pages to write %v", j.PagesToWrite(1))
+		t.Errorf("got pages to write %v, want [0]", j.PagesToWrite(1))
 	}
 }
 
+// TestRestoredPlacementOfDoneTask checks that restoring the placement of a done task does not change the state of the
+// task.
 func TestRestoredPlacementOfDoneTask(t *testing.T) {
 	j := newTestJob("j-1", 2)
 	j.SetTask(0, TaskDone)
-	j.RestorePlacement(placementOf(j, 0))
-	j.RestorePlacement(placementOf(j, 1))
+	j.RestorePlacement(newTestPlacement(j, 0))
+	j.RestorePlacement(newTestPlacement(j, 1))
 	if j.TaskState(0) != TaskDone || j.TaskState(1) != TaskPlaced || len(j.Placements) != 2 {
 		t.Errorf("states %v and %v, %d placements", j.TaskState(0), j.TaskState(1), len(j.Placements))
 	}
 }
 
-func TestReprioritisedJobKeepsItsQueues(t *testing.T) {
+// TestReprioritisedJobStaysInQueues checks that a job with a new priority remains in its queues, at the position of its
+// new priority.
+func TestReprioritisedJobStaysInQueues(t *testing.T) {
 	q := NewQueues()
 	first, second := newTestJob("j-1", 2), newTestJob("j-2", 2)
 	for _, j := range []*Job{first, second} {
 		q.Add(j)
-		j.Bind(0, placementOf(j, 0))
+		j.Bind(0, newTestPlacement(j, 0))
 	}
 	second.Reprioritise(0, time.Minute)
 	if got := q.Pending.Items(); !slices.Equal(got, []*Job{second, first}) {
-		t.Errorf("pending jobs in the order of %s, %s", got[0].Spec.ID, got[1].Spec.ID)
+		t.Errorf("pending jobs are in the order %s, %s", got[0].Spec.ID, got[1].Spec.ID)
 	}
 	if got := q.Fetching.Items(); !slices.Equal(got, []*Job{second, first}) {
-		t.Errorf("fetching jobs: %d", len(got))
+		t.Errorf("%d fetching jobs, want both in the new order", len(got))
 	}
 	if q.Starts.Next(0, nil) != second {
-		t.Error("its start does not go first")
+		t.Error("the start of the reprioritised job is not first")
 	}
 }
 
+// TestEndedJobLeavesQueues checks that a job is no longer pending once it has ended.
 func TestEndedJobLeavesQueues(t *testing.T) {
 	q := NewQueues()
 	j := newTestJob("j-1", 2)
 	q.Add(j)
 	j.MarkEnded()
 	if !j.Ended || j.LiveRevision != 0 || q.Pending.Len() != 0 {
-		t.Errorf("ended %v, revision %d, %d pending jobs", j.Ended, j.LiveRevision, q.Pending.Len())
+		t.Errorf("ended: %v, live revision %d, %d pending jobs", j.Ended, j.LiveRevision, q.Pending.Len())
 	}
 }
 
-func TestCompletionsInTheOrderOfWaiting(t *testing.T) {
+// TestCompletionOrder checks that completions are dequeued in the order in which they were queued, only if they were
+// queued by the given time, and not while another write of the job is in flight.
+func TestCompletionOrder(t *testing.T) {
 	q := NewQueues()
 	ids := func(before time.Duration) (ids []string) {
 		for j := q.NextCompletion(before); j != nil; j = q.NextCompletion(before) {
@@ -151,32 +160,34 @@
 		j := newTestJob(id, 2)
 		q.Add(j)
 		j.MarkDirty(0, time.Duration(i)*time.Second)
-		j.QueueCompletion(time.Hour) // it is queued already
+		j.QueueCompletion(time.Hour) // has no effect: the job is queued already
 		jobs = append(jobs, j)
 	}
-	jobs[1].WriteInFlight = true // the outcome of that write queues it again
+	jobs[1].WriteInFlight = true // the job is queued again after that write
 	if got := ids(2 * time.Second); !slices.Equal(got, []string{"j-1", "j-3"}) {
-		t.Errorf("after two seconds: %v", got)
+		t.Errorf("got %v up to two seconds", got)
 	}
 	if got := ids(time.Minute); !slices.Equal(got, []string{"j-4"}) {
-		t.Errorf("after a minute: %v", got)
+		t.Errorf("got %v up to a minute", got)
 	}
 }
 
+// TestLikelyFaultyJob checks that a job counts as faulty after failures on three machines if none of its tasks is done,
+// and that no machines are avoided then.
 func TestLikelyFaultyJob(t *testing.T) {
 	j := newTestJob("j-1", 2)
 	for _, machine := range []string{"m1", "m2"} {
 		j.FailedOn[machine] = true
 	}
 	if j.LikelyFaulty() || len(j.AvoidedMachines()) != 2 {
-		t.Errorf("failed on two machines: faulty %v, avoids %v", j.LikelyFaulty(), j.AvoidedMachines())
+		t.Errorf("failed on two machines: faulty %v, avoided machines %v", j.LikelyFaulty(), j.AvoidedMachines())
 	}
 	j.FailedOn["m3"] = true
 	if !j.LikelyFaulty() || len(j.AvoidedMachines()) != 0 {
-		t.Errorf("failed on three machines: faulty %v, avoids %v", j.LikelyFaulty(), j.AvoidedMachines())
+		t.Errorf("failed on three machines: faulty %v, avoided machines %v", j.LikelyFaulty(), j.AvoidedMachines())
 	}
 	j.SetTask(0, TaskDone)
 	if j.LikelyFaulty() {
-		t.Error("faulty although a task is done")
+		t.Error("job is faulty although a task is done")
 	}
 }
--- a/internal/coordination/jobstate/pages.go
+++ b/internal/coordination/jobstate/pages.go
@@ -8,13 +8,13 @@
 	"pinebay/internal/storage"
 )
 
-// MarkDirty causes the page of a task to be written again.
+// MarkDirty marks the page of a task as dirty, so that it will be written.
 func (j *Job) MarkDirty(task int, now time.Duration) {
 	j.Pages.PageOf(task).Dirty = true
 	j.QueueCompletion(now)
 }
 
-// PageRecord returns a page as it should be stored, by a transaction of the given name.
+// PageRecord returns the record of a page, to be written by a transaction with the given name.
 func (j *Job) PageRecord(number int, writeName string) *storage.PlacementPage {
 	record := &storage.PlacementPage{
 		WriteName:      writeName,
@@ -42,7 +42,7 @@
 	return record
 }
 
-// EncodePage returns a page as its layout stores it, for a transaction of the given name.
+// EncodePage encodes a page in the current layout, to be written by a transaction with the given name.
 func (j *Job) EncodePage(number int, writeName string) ([]byte, error) {
 	value, err := storage.EncodePage(j.PageRecord(number, writeName), j.Pages.Layout())
 	if err != nil {
@@ -51,7 +51,8 @@
 	return value, nil
 }
 
-// Upper bounds of what a record takes beside its placements, in the JSON form that the limits count.
+// Upper bounds of the sizes of the other parts of a page record in JSON, the encoding in which the store measures
+// values against its limits.
 const (
 	recordHeaderBytes = 512
 	doneRangeBytes    = 16
@@ -75,8 +76,8 @@
 	return size
 }
 
-// PagesToWrite returns the numbers of the next pages to be written, in rising order and up to a limit. Those that
-// starts wait for are chosen first.
+// PagesToWrite returns the numbers of the next pages to write in ascending order, at most limit of them. Pages that
+// starts depend on are chosen first.
 func (j *Job) PagesToWrite(limit int) []int {
 	var numbers []int
 	add := func(number int) {
--- a/internal/coordination/jobstate/queues.go
+++ b/internal/coordination/jobstate/queues.go
@@ -7,14 +7,14 @@
 	"github.com/tidwall/btree"
 )
 
-// Queues hold the jobs of which something is to be done, so that a cycle need not look at all jobs. The trees are in
-// scheduling order. A nil *Queues holds nothing.
+// Queues holds the jobs that need some action, so that a scheduling cycle does not have to examine all jobs. The trees
+// are in scheduling order. A nil *Queues is empty.
 type Queues struct {
-	Pending     *btree.BTreeG[*Job] // with tasks to place
-	Blocked     *btree.BTreeG[*Job] // with tasks to place, waiting for dependencies
-	Fetching    *btree.BTreeG[*Job] // placed lately, with tasks that may still be fetching their image
-	Starts      *StartQueue         // with placements that wait for their record
-	completions []*Job              // with pages to write; the one that has waited for longest is first
+	Pending     *btree.BTreeG[*Job] // with pending tasks, not blocked
+	Blocked     *btree.BTreeG[*Job] // with pending tasks, waiting for dependencies
+	Fetching    *btree.BTreeG[*Job] // recently placed, with tasks that may still be fetching their image
+	Starts      *StartQueue         // with placements that wait to be recorded
+	completions []*Job              // with dirty pages, in the order in which they were queued
 }
 
 // NewQueues returns empty queues.
@@ -26,8 +26,8 @@
 	return btree.NewBTreeGOptions(ScheduledBefore, btree.Options{NoLocks: true})
 }
 
-// ScheduledBefore is the scheduling order: by priority, then by latest start, so that jobs go first on which the
-// deadline of a pipeline depends, then by age.
+// ScheduledBefore reports whether a precedes b in scheduling order: by priority, then by latest start, so that jobs on
+// which the deadline of a pipeline depends go first, then by age.
 func ScheduledBefore(a, b *Job) bool {
 	return cmp.Or(
 		cmp.Compare(a.EffectivePriority, b.EffectivePriority),
@@ -37,20 +37,20 @@
 	) < 0
 }
 
-// Add adds a job, which updates its place in the queues itself from then on.
+// Add adds a job. From then on the job updates its position in the queues itself.
 func (q *Queues) Add(j *Job) {
 	j.queues = q
 	q.update(j)
 }
 
-// update moves a job to the tree of its state.
+// update moves a job to the tree that corresponds to its state.
 func (q *Queues) update(j *Job) {
 	if q == nil {
 		return
 	}
-	waits := j.PendingTasks() > 0 && !j.Ended
-	setMember(q.Pending, j, waits && !j.Blocked)
-	setMember(q.Blocked, j, waits && j.Blocked)
+	waiting := j.PendingTasks() > 0 && !j.Ended
+	setMember(q.Pending, j, waiting && !j.Blocked)
+	setMember(q.Blocked, j, waiting && j.Blocked)
 }
 
 // setMember adds a job to a tree or removes it.
@@ -62,7 +62,7 @@
 	}
 }
 
-// reorder makes a change of what a job is ordered by.
+// reorder calls change, which modifies the fields by which a job is ordered, and moves the job within its queues.
 func (q *Queues) reorder(j *Job, change func()) {
 	if q == nil {
 		change()
@@ -86,7 +86,7 @@
 	q.update(j)
 }
 
-// AddPlaced adds a job of which tasks were placed.
+// AddPlaced adds a job that has new placements.
 func (q *Queues) AddPlaced(j *Job) {
 	if q == nil {
 		return
@@ -97,7 +97,7 @@
 	}
 }
 
-// addCompletion adds a job with pages to write, unless it is queued for that.
+// addCompletion adds a job with dirty pages to the queue of completions, unless it is queued already.
 func (q *Queues) addCompletion(now time.Duration, j *Job) {
 	if q == nil || j.completionQueued {
 		return
@@ -106,9 +106,9 @@
 	q.completions = append(q.completions, j)
 }
 
-// NextCompletion removes and returns the job that has waited for longest to have its pages written, if it was queued
-// no later than the given time; nil if there is none. Jobs that don't need such a write any more are dropped. Those
-// with another write in flight are queued again by its outcome.
+// NextCompletion removes and returns the first job in the queue of completions, or nil if none was queued at or before
+// the given time. It drops jobs that no longer need such a write. A job with another write in flight is dropped too,
+// and is queued again after that write.
 func (q *Queues) NextCompletion(before time.Duration) *Job {
 	for len(q.completions) > 0 && q.completions[0].completionQueuedAt <= before {
 		j := q.completions[0]
@@ -122,7 +122,7 @@
 	return nil
 }
 
-// Remove removes a job from the trees and the queue of starts. The queue of completions drops it in its turn.
+// Remove removes a job from the trees and the start queue. NextCompletion drops it from the queue of completions later.
 func (q *Queues) Remove(j *Job) {
 	q.Pending.Delete(j)
 	q.Blocked.Delete(j)
--- a/internal/coordination/jobstate/startqueue.go
+++ b/internal/coordination/jobstate/startqueue.go
@@ -7,114 +7,117 @@
 	"github.com/tidwall/btree"
 )
 
-// StartQueue holds the jobs with placements that wait for their record. They are served by priority; within a priority
-// the teams take turns, and of a team the job that has waited longest is served first. Every fourth time the job that
-// has waited longest of all is served, so that none starves: with n jobs in the queue a job is served after at most
-// 4n others, whatever their priority.
+// StartQueue holds the jobs with placements that wait to be recorded. Jobs are dequeued by priority. Within a priority
+// the teams are served round-robin, and the jobs of a team in the order in which they were added. Every fourth time the
+// job that has been in the queue longest is dequeued instead, so that no job starves: of n jobs in the queue, each is
+// dequeued after at most 4n others, whatever their priorities.
 type StartQueue struct {
-	byTurn          *btree.BTreeG[*Job]
-	byAge           *btree.BTreeG[*Job]
-	turnsByPriority map[int]*teamTurns
-	enqueued        uint64 // how many jobs were added so far
-	dequeued        uint64 // how many jobs were served so far
+	byRound          *btree.BTreeG[*Job]
+	byAge            *btree.BTreeG[*Job]
+	roundsByPriority map[int]*teamRounds
+	enqueuedCount    uint64 // number of jobs added so far
+	dequeuedCount    uint64 // number of jobs dequeued so far
 }
 
-// oldestEvery is the interval, in jobs, at which the job is served that has waited longest of all.
-const oldestEvery = 4
+// oldestFirstInterval is the interval, in dequeued jobs, at which the job that has been in the queue longest is
+// dequeued.
+const oldestFirstInterval = 4
 
-// teamTurns assigns turns to the teams within a priority: a team's next job has the turn after that of its last one, or
-// the turn after the one that is being served.
-type teamTurns struct {
-	current    uint64
-	lastByTeam map[string]uint64
+// teamRounds assigns round-robin rounds to the jobs of a priority. The next job of a team is assigned the round after
+// that of its last job, or the round after the current one if that is later.
+type teamRounds struct {
+	currentRound    uint64
+	lastRoundByTeam map[string]uint64
 }
 
 // NewStartQueue returns an empty queue.
 func NewStartQueue() *StartQueue {
 	return &StartQueue{
-		byTurn:          btree.NewBTreeGOptions(lessByTurn, btree.Options{NoLocks: true}),
-		byAge:           btree.NewBTreeGOptions(lessByAge, btree.Options{NoLocks: true}),
-		turnsByPriority: map[int]*teamTurns{},
+		byRound:          btree.NewBTreeGOptions(lessByRound, btree.Options{NoLocks: true}),
+		byAge:            btree.NewBTreeGOptions(lessByAge, btree.Options{NoLocks: true}),
+		roundsByPriority: map[int]*teamRounds{},
 	}
 }
 
-func lessByTurn(a, b *Job) bool {
+func lessByRound(a, b *Job) bool {
 	return cmp.Or(
 		cmp.Compare(a.EffectivePriority, b.EffectivePriority),
-		cmp.Compare(a.startTurn, b.startTurn),
-		cmp.Compare(a.startNumber, b.startNumber),
+		cmp.Compare(a.startRound, b.startRound),
+		cmp.Compare(a.startSequence, b.startSequence),
 	) < 0
 }
 
 func lessByAge(a, b *Job) bool {
-	return a.startNumber < b.startNumber
+	return a.startSequence < b.startSequence
 }
 
-// Jobs returns the jobs in the order of their turns.
-func (q *StartQueue) Jobs() []*Job { return q.byTurn.Items() }
+// Jobs returns the jobs ordered by priority and round.
+func (q *StartQueue) Jobs() []*Job { return q.byRound.Items() }
 
-// Add adds a job with new placements to be recorded, unless it is in the queue already.
+// Add adds a job with new placements to be recorded, unless the queue contains it already.
 func (q *StartQueue) Add(j *Job) {
 	if q == nil || j.inStartQueue {
 		return
 	}
-	turns := q.turnsByPriority[j.EffectivePriority]
-	if turns == nil {
-		turns = &teamTurns{lastByTeam: map[string]uint64{}}
-		q.turnsByPriority[j.EffectivePriority] = turns
+	rounds := q.roundsByPriority[j.EffectivePriority]
+	if rounds == nil {
+		rounds = &teamRounds{lastRoundByTeam: map[string]uint64{}}
+		q.roundsByPriority[j.EffectivePriority] = rounds
 	}
-	q.enqueued++
-	j.startNumber = q.enqueued
-	j.startTurn = max(turns.current, turns.lastByTeam[j.Spec.Team]) + 1
-	turns.lastByTeam[j.Spec.Team] = j.startTurn
+	q.enqueuedCount++
+	j.startSequence = q.enqueuedCount
+	j.startRound = max(rounds.currentRound, rounds.lastRoundByTeam[j.Spec.Team]) + 1
+	rounds.lastRoundByTeam[j.Spec.Team] = j.startRound
 	q.Requeue(j)
 }
 
-// Requeue adds a job again with its former turn, if it still has placements to be recorded.
+// Requeue adds a job again in its previous round, if it still has placements to be recorded.
 func (q *StartQueue) Requeue(j *Job) {
 	if j.inStartQueue || len(j.Unstarted) == 0 {
 		return
 	}
 	j.inStartQueue = true
-	q.byTurn.Set(j)
+	q.byRound.Set(j)
 	q.byAge.Set(j)
 }
 
-// remove removes a job.
+// remove removes a job without counting it as dequeued.
 func (q *StartQueue) remove(j *Job) {
 	if !j.inStartQueue {
 		return
 	}
 	j.inStartQueue = false
-	q.byTurn.Delete(j)
+	q.byRound.Delete(j)
 	q.byAge.Delete(j)
 }
 
-// Dequeue removes the job that is being served.
+// Dequeue removes a job that Next has returned, and counts it as dequeued.
 func (q *StartQueue) Dequeue(j *Job) {
 	q.remove(j)
-	if turns := q.turnsByPriority[j.EffectivePriority]; turns != nil && !q.oldestIsNext() {
-		turns.current = max(turns.current, j.startTurn)
+	if rounds := q.roundsByPriority[j.EffectivePriority]; rounds != nil && !q.oldestIsNext() {
+		rounds.currentRound = max(rounds.currentRound, j.startRound)
 	}
-	q.dequeued++
+	q.dequeuedCount++
 }
 
-// oldestIsNext reports whether the job that has waited longest of all is served next.
-func (q *StartQueue) oldestIsNext() bool { return q.dequeued%oldestEvery == oldestEvery-1 }
+// oldestIsNext reports whether the next job to dequeue is the one that has been in the queue longest.
+func (q *StartQueue) oldestIsNext() bool {
+	return q.dequeuedCount%oldestFirstInterval == oldestFirstInterval-1
+}
 
-// Next returns the job to be served next, or nil if none may be written now. Jobs that no longer wait for a record are
-// removed. If an order is given, it takes precedence over that of the queue.
+// Next returns the next job to dequeue, or nil if no job can be written at present. It removes jobs that no longer wait
+// to be recorded. If order is not nil, it replaces the order of the queue.
 func (q *StartQueue) Next(now time.Duration, order []*Job) *Job {
-	jobs := q.byTurn
+	jobs := q.byRound
 	if q.oldestIsNext() {
 		jobs = q.byAge
 	}
 	var next *Job
-	var done []*Job
+	var stale []*Job
 	examine := func(j *Job) (more bool) {
 		switch {
 		case j.Ended || j.Ending || len(j.Unstarted) == 0:
-			done = append(done, j)
+			stale = append(stale, j)
 		case !j.WriteInFlight && now >= j.RecordNotBefore:
 			next = j
 		}
@@ -128,7 +131,7 @@
 			break
 		}
 	}
-	for _, j := range done {
+	for _, j := range stale {
 		q.remove(j)
 	}
 	return next
