--- a/internal/transport/client.go
+++ b/internal/transport/client.go
@@ -14,25 +14,26 @@
 	"pinebay/internal/protocol"
 )
 
-// maxResponseBytes is the limit of responses, which bounds their memory. The largest ones are those to watches of the
-// key-value store.
+// maxResponseBytes limits the size of a response, and so the memory that it takes. The largest responses are those to
+// watches of the key-value store.
 const maxResponseBytes = 8 << 20
 
-// clientBufferBytes is the size of the read and the write buffer of each connection.
+// clientBufferBytes is the size of the read buffer and of the write buffer of each connection.
 const clientBufferBytes = 4 << 10
 
-// ErrResponseTooLarge matches the error about a response that was received and exceeded the limit.
+// ErrResponseTooLarge matches the error for a response that was received but exceeds the size limit.
 var ErrResponseTooLarge = fmt.Errorf("%w: answer too long", protocol.ErrMalformed)
 
-// Client sends HTTP requests to one service or to many workers. It is safe for concurrent use.
+// Client sends HTTP requests to one service or to many workers. It limits the number of concurrent requests, and so of
+// sockets. It is safe for concurrent use.
 type Client struct {
 	http *http.Client
-	// slots holds a slot for each request that may be under way, and so for each socket.
+	// slots limits the concurrent requests, each of which uses one socket.
 	slots *semaphore.Weighted
 }
 
-// NewClient returns a client with at most total requests under way at a time, and perHost to one host. It keeps
-// connections open that have been idle for no longer than idle. It never follows redirects.
+// NewClient returns a client that has at most total concurrent requests, and at most perHost connections to each host.
+// It closes connections that have been idle for longer than the idle argument, and never follows redirects.
 func NewClient(network Network, perHost, total int, idle time.Duration) *Client {
 	dial := func(ctx context.Context, _, addr string) (net.Conn, error) { return network.Dial(ctx, addr) }
 	return &Client{
@@ -53,10 +54,10 @@
 	}
 }
 
-// Do sends a request, with body as MessagePack unless it is nil, and returns the status and the body of the response.
+// Do sends a request and returns the status and the body of the response. A non-nil body is sent as MessagePack.
 //
-// Do first waits for a free slot, for as long as ctx allows. The timeout limits the request itself. Do never sends a
-// request twice. On an error no complete response was received; the request may have been executed all the same.
+// Do waits for a free slot until ctx ends; timeout limits only the request itself. Do never sends a request twice. An
+// error means that no complete response was received; the server may have executed the request nevertheless.
 func (c *Client) Do(ctx context.Context, timeout time.Duration, method, url string, body any) (int, []byte, error) {
 	if err := c.slots.Acquire(ctx, 1); err != nil {
 		return 0, nil, fmt.Errorf("%s %s: %w", method, url, err)
@@ -80,7 +81,7 @@
 	return res.StatusCode, raw, nil
 }
 
-// newRequest returns a request with body as MessagePack, or without body if it is nil.
+// newRequest returns a request with body encoded as MessagePack, or without a body if it is nil.
 func newRequest(ctx context.Context, method, url string, body any) (*http.Request, error) {
 	var payload io.Reader
 	if body != nil {
@@ -97,13 +98,13 @@
 	if body != nil {
 		req.Header.Set("Content-Type", protocol.ContentType)
 	}
-	// Without GetBody, net/http does not repeat a request: only the caller knows whether executing it twice is
-	// harmless.
+	// Clearing GetBody keeps net/http from resending the request: only the caller knows whether the request may be
+	// executed twice.
 	req.GetBody = nil
 	return req, nil
 }
 
-// readResponse reads the body of a response up to the limit.
+// readResponse reads the body of a response up to the size limit.
 func readResponse(res *http.Response) ([]byte, error) {
 	raw, err := io.ReadAll(io.LimitReader(res.Body, maxResponseBytes+1))
 	if err != nil {
--- a/internal/transport/client_test.go
+++ b/internal/transport/client_test.go
@@ -8,17 +8,17 @@
 	"time"
 )
 
-// TestClientLimitsRequests: no more requests are under way than the client may have sockets for, and the timeout of a
-// request begins when it gets a slot.
+// TestClientLimitsRequests checks that the number of concurrent requests stays within the client's limit, and that the
+// requests that wait for a slot succeed.
 func TestClientLimitsRequests(t *testing.T) {
-	var underWay, maximum atomic.Int64
-	turn := make(chan struct{})
+	var inFlight, maximum atomic.Int64
+	release := make(chan struct{})
 	srv := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, _ *http.Request) {
-		n := underWay.Add(1)
+		n := inFlight.Add(1)
 		for m := maximum.Load(); n > m && !maximum.CompareAndSwap(m, n); m = maximum.Load() {
 		}
-		<-turn
-		underWay.Add(-1)
+		<-release
+		inFlight.Add(-1)
 	}))
 	defer srv.Close()
 	c := NewClient(TCP{}, 8, 3, time.Minute)
@@ -31,12 +31,12 @@
 		}()
 	}
 	for range n {
-		turn <- struct{}{}
+		release <- struct{}{}
 		if err := <-done; err != nil {
 			t.Error(err)
 		}
 	}
 	if m := maximum.Load(); m > 3 {
-		t.Errorf("%d requests under way at a time", m)
+		t.Errorf("%d concurrent requests, want at most 3", m)
 	}
 }
--- a/internal/transport/frame.go
+++ b/internal/transport/frame.go
@@ -7,13 +7,14 @@
 	"pinebay/internal/protocol"
 )
 
-// frameHeaderBytes is the size of a frame's header, which is the length of its content as a big-endian number.
+// frameHeaderBytes is the size of a frame's header, which holds the length of the content as a big-endian integer.
 const frameHeaderBytes = 4
 
-// maxFrameBytes is the limit of a frame's content: a body of another interface and the fields around it.
+// maxFrameBytes limits the content of a frame. A frame must be able to hold a forwarded HTTP body and the fields around
+// it.
 const maxFrameBytes = protocol.MaxBodyBytes + 4<<10
 
-// WriteFrame writes raw as one frame, in one call of w.Write.
+// WriteFrame writes raw as one frame with a single call of w.Write.
 func WriteFrame(w io.Writer, raw []byte) error {
 	if len(raw) > maxFrameBytes {
 		return protocol.Malformed("frame of %d bytes", len(raw))
@@ -24,7 +25,7 @@
 	return err
 }
 
-// ReadFrame reads one frame and returns its content. An empty or too long frame is an error that matches
+// ReadFrame reads one frame and returns its content. The error for an empty frame or one that is too long matches
 // [protocol.ErrMalformed]; other errors are those of r.
 func ReadFrame(r io.Reader) ([]byte, error) {
 	var header [frameHeaderBytes]byte
--- a/internal/transport/frame_test.go
+++ b/internal/transport/frame_test.go
@@ -14,8 +14,9 @@
 
 func TestMain(m *testing.M) { testutil.Main(m) }
 
-// TestFramesSurvive: frames are read as they were written, and a truncated stream ends with an error.
-func TestFramesSurvive(t *testing.T) {
+// TestFrameRoundTrip checks that frames are read as they were written, that reading a truncated stream ends with an
+// error, and that frames that are too long are rejected.
+func TestFrameRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var buf bytes.Buffer
 		var sent [][]byte
@@ -32,19 +33,19 @@
 			got, err := ReadFrame(r)
 			if err != nil {
 				if cut == buf.Len() && i != len(sent) {
-					t.Fatalf("%d of %d frames: %v", i, len(sent), err)
+					t.Fatalf("read %d of %d frames: %v", i, len(sent), err)
 				}
 				return
 			}
 			if !bytes.Equal(got, sent[i]) {
-				t.Fatalf("frame %d changed", i)
+				t.Fatalf("frame %d differs from the one written", i)
 			}
 		}
 	})
 	if err := WriteFrame(io.Discard, make([]byte, maxFrameBytes+1)); !errors.Is(err, protocol.ErrMalformed) {
-		t.Errorf("oversized frame: %v", err)
+		t.Errorf("writing a frame that is too long: %v", err)
 	}
 	if _, err := ReadFrame(bytes.NewReader([]byte{0xff, 0xff, 0xff, 0xff, 1})); !errors.Is(err, protocol.ErrMalformed) {
-		t.Errorf("oversized length: %v", err)
+		t.Errorf("reading a length that is too long: %v", err)
 	}
 }
--- a/internal/transport/listener.go
+++ b/internal/transport/listener.go
@@ -8,24 +8,24 @@
 	"sync"
 )
 
-// Listener is a listener with a limit on its open connections, so that the process keeps sockets for its own calls: a
-// controller without free sockets can reach nobody.
+// Listener is a net.Listener that limits the number of open connections. The limit leaves sockets for the connections
+// that the process opens itself: a controller that has run out of sockets cannot reach any other service.
 //
-// When a connection arrives at the limit, the one that has been idle for the longest time is closed to make room. If
-// none is idle, the new connection is closed, and the load balancer moves its user on to another controller.
+// When a connection arrives at the limit, the connection that has been idle for longest is closed to make room. If no
+// connection is idle, the new one is closed, and the load balancer directs its user to another controller.
 //
-// An [http.Server] that serves the listener must have [Listener.ConnState] as its ConnState, which is how the listener
-// knows which connections are idle.
+// An [http.Server] that serves the listener must use [Listener.ConnState] as its ConnState hook, which tells the
+// listener which connections are idle.
 type Listener struct {
 	net.Listener
 	maxConns int
 
 	mu   sync.Mutex
-	open int        // connections that are accepted and not closed
-	idle *list.List // of *countedConn, longest idle first
+	open int        // number of accepted connections that are not closed
+	idle *list.List // of *countedConn, the longest idle first
 }
 
-// Listen returns a listener on addr that keeps at most maxConns connections open.
+// Listen returns a listener on addr that allows at most maxConns open connections.
 func Listen(ctx context.Context, network Network, addr string, maxConns int) (*Listener, error) {
 	l, err := network.Listen(ctx, addr)
 	if err != nil {
@@ -34,7 +34,8 @@
 	return &Listener{Listener: l, maxConns: maxConns, idle: list.New()}, nil
 }
 
-// Accept waits for the next connection within the limit. Connections above it are closed and not returned.
+// Accept waits for the next connection that is within the limit. It closes connections above the limit instead of
+// returning them.
 func (l *Listener) Accept() (net.Conn, error) {
 	for {
 		c, err := l.Listener.Accept()
@@ -48,7 +49,8 @@
 	}
 }
 
-// admit counts one more connection and reports true, unless the limit is reached and no connection is idle.
+// admit counts a new connection and returns true, or returns false if the limit is reached and no connection is idle.
+// At the limit it closes the longest idle connection to make room.
 func (l *Listener) admit() bool {
 	l.mu.Lock()
 	var evicted *countedConn
@@ -66,7 +68,7 @@
 	return true
 }
 
-// longestIdle returns the connection that has been idle for the longest time, or nil. The caller holds l.mu.
+// longestIdle returns the connection that has been idle for longest, or nil if none is idle. The caller must hold l.mu.
 func (l *Listener) longestIdle() *countedConn {
 	front := l.idle.Front()
 	if front == nil {
@@ -76,8 +78,8 @@
 	return c
 }
 
-// ConnState records that a connection has become idle or active. It has the signature of [http.Server.ConnState], and
-// ignores connections that the listener did not accept or that are closed.
+// ConnState records that a connection has become idle or active. It is a hook for [http.Server.ConnState], and ignores
+// connections that were not accepted by this listener or are closed.
 func (l *Listener) ConnState(c net.Conn, state http.ConnState) {
 	counted, ok := c.(*countedConn)
 	if !ok {
@@ -94,16 +96,16 @@
 	}
 }
 
-// countedConn is an accepted connection, which counts toward the limit of its listener until it is closed. Its fields
+// countedConn is an accepted connection, which counts towards the limit of its listener until it is closed. Its fields
 // are guarded by the listener's mutex.
 type countedConn struct {
 	net.Conn
 	listener    *Listener
 	closed      bool
-	idleElement *list.Element // in the listener's list of idle connections; nil if it is not idle
+	idleElement *list.Element // element in the listener's idle list; nil if not idle
 }
 
-// removeFromIdle removes the connection from the list of idle ones. The caller holds the listener's mutex.
+// removeFromIdle removes the connection from the listener's idle list. The caller must hold the listener's mutex.
 func (c *countedConn) removeFromIdle() {
 	if c.idleElement != nil {
 		c.listener.idle.Remove(c.idleElement)
@@ -111,7 +113,7 @@
 	}
 }
 
-// Close closes the connection. It may be called more than once, and gives up the connection's place once.
+// Close closes the connection. It may be called more than once, but reduces the listener's count only once.
 func (c *countedConn) Close() error {
 	c.listener.mu.Lock()
 	if !c.closed {
--- a/internal/transport/listener_test.go
+++ b/internal/transport/listener_test.go
@@ -6,9 +6,9 @@
 	"testing"
 )
 
-// TestSocketBudget: connections above the limit are closed at once, unless one is idle, of which the longest idle one
-// is closed instead; and the place of a closed connection is used again.
-func TestSocketBudget(t *testing.T) {
+// TestConnectionLimit checks that a connection above the limit is closed at once, unless the longest idle connection
+// can be closed instead, and that a closed connection makes room for a new one.
+func TestConnectionLimit(t *testing.T) {
 	l, err := Listen(t.Context(), TCP{}, "127.0.0.1:0", 2)
 	if err != nil {
 		t.Fatal(err)
@@ -39,28 +39,28 @@
 	two := dial()
 	second := <-accepted
 	if !closed(dial()) {
-		t.Error("a third connection was kept beside two active ones")
+		t.Error("a third connection stayed open next to two active ones")
 	}
 	l.ConnState(second, http.StateIdle)
 	l.ConnState(first, http.StateIdle)
 	dial()
 	<-accepted
 	if !closed(two) {
-		t.Error("the longest idle connection was kept")
+		t.Error("the longest idle connection is still open")
 	}
 	l.ConnState(first, http.StateActive)
-	l.ConnState(second, http.StateIdle) // it is closed: a late change has no effect
+	l.ConnState(second, http.StateIdle) // second is closed already, so this has no effect
 	if !closed(dial()) {
-		t.Error("a connection was kept beside two active ones")
+		t.Error("a connection above the limit stayed open next to two active ones")
 	}
 	_ = first.Close()
-	_ = first.Close() // counted once
+	_ = first.Close() // must not be counted twice
 	if !closed(one) {
 		t.Error("a closed connection is still open")
 	}
 	dial()
 	<-accepted
 	if n := open(); n != 2 {
-		t.Errorf("%d open", n)
+		t.Errorf("%d connections counted as open, want 2", n)
 	}
 }
--- a/internal/transport/mesh.go
+++ b/internal/transport/mesh.go
@@ -15,42 +15,43 @@
 	"pinebay/internal/protocol"
 )
 
-// dialTimeoutDivisor sets the part of a call's timeout that dialing may take.
+// dialTimeoutDivisor divides the timeout of a call to get the timeout of dialing.
 const dialTimeoutDivisor = 4
 
-// peerReadBufferBytes is the size of the read buffer of a connection between controllers. With it a heartbeat takes one
-// system call instead of two, one for the header and one for the content.
+// peerReadBufferBytes is the size of the read buffer of a connection between controllers. The buffer makes reading a
+// heartbeat take one system call instead of two, for the header and the content.
 const peerReadBufferBytes = 1 << 10
 
-// ErrPeerUnreachable matches the errors of calls that could not be sent to their peer.
+// ErrPeerUnreachable matches the errors of calls to a peer that is unknown or not connected, and of calls whose
+// connection ended before the reply.
 var ErrPeerUnreachable = errors.New("peer not reachable")
 
-// MeshConfig configures a Mesh.
+// MeshConfig is the configuration of a Mesh.
 type MeshConfig struct {
 	Network Network
 	// Self is the name of this controller.
 	Self string
-	// Peers are the addresses of the other controllers by name.
+	// Peers maps the names of the other controllers to their addresses.
 	Peers map[string]string
-	// Timeout is the limit of each call, and of sending each reply.
+	// Timeout limits each call, and the time for sending each reply.
 	Timeout time.Duration
 	Log     *slog.Logger
-	// Handle answers a request of a peer. It is called one at a time for the heartbeats of a connection, and
-	// concurrently otherwise.
+	// Handle returns the reply to a peer's request. Calls for heartbeats on the same connection are sequential, all
+	// other calls are concurrent.
 	Handle func(*protocol.PeerMessage) *protocol.PeerMessage
 	// OnPeerLost is called when a connection that a peer had opened ends.
 	OnPeerLost func(peer string)
 }
 
-// Mesh connects the controllers with each other. Each controller opens one connection to each peer, on which it sends
-// its requests and receives the replies; the requests of the peer arrive on the peer's connection. A Mesh is safe for
-// concurrent use. Its connections to peers stay open until the peer closes them or a call on them fails.
+// Mesh connects the controllers with each other. Each controller opens one connection to each peer for its own requests
+// and their replies, and receives the peer's requests on the connection that the peer opens. A connection stays open
+// until the peer closes it or a call on it fails. A Mesh is safe for concurrent use.
 type Mesh struct {
 	config MeshConfig
 	peers  map[string]*peer
 }
 
-// NewMesh returns a mesh. It opens no connection before the first call.
+// NewMesh returns a mesh. It opens connections when they are first used.
 func NewMesh(config MeshConfig) *Mesh {
 	m := &Mesh{config: config, peers: map[string]*peer{}}
 	for name, addr := range config.Peers {
@@ -59,13 +60,13 @@
 	return m
 }
 
-// Peers returns the names of the other controllers, in order.
+// Peers returns the sorted names of the other controllers.
 func (m *Mesh) Peers() []string {
 	return slices.Sorted(maps.Keys(m.peers))
 }
 
-// Serve answers the requests that peers send over connections of the listener, until ctx ends or the listener fails. It
-// closes the listener before it returns, and each connection when ctx ends.
+// Serve answers the requests on connections that peers open to the listener, until ctx ends or the listener fails. It
+// closes the listener before it returns, and the connections when ctx ends.
 func (m *Mesh) Serve(ctx context.Context, l net.Listener) error {
 	stop := context.AfterFunc(ctx, func() { _ = l.Close() })
 	defer func() {
@@ -85,8 +86,8 @@
 	}
 }
 
-// serveConn answers the requests on one connection until it ends. A malformed message, or one of an unknown sender,
-// ends it.
+// serveConn answers the requests on one connection until it ends. It closes the connection after a malformed message or
+// a message of an unknown sender.
 func (m *Mesh) serveConn(ctx context.Context, conn net.Conn) {
 	defer func() { _ = conn.Close() }()
 	stop := context.AfterFunc(ctx, func() { _ = conn.Close() })
@@ -109,7 +110,7 @@
 		}
 		from = request.From
 		if request.Kind != protocol.PeerHeartbeat {
-			// Other requests may wait for the leader. They must not delay the heartbeats behind them.
+			// Other requests may have to wait for the leader, and must not delay the heartbeats that follow them.
 			go m.answer(replies, request)
 			continue
 		}
@@ -117,7 +118,7 @@
 	}
 }
 
-// answer handles a request and sends the reply.
+// answer processes a request and sends the reply.
 func (m *Mesh) answer(replies *replyWriter, request *protocol.PeerMessage) {
 	reply := m.config.Handle(request)
 	reply.ID, reply.From = request.ID, m.config.Self
@@ -129,34 +130,36 @@
 	replies.write(raw)
 }
 
-// replyWriter writes replies to a connection, one at a time.
+// replyWriter serializes the replies on a connection.
 type replyWriter struct {
 	mu      sync.Mutex
 	conn    net.Conn
 	timeout time.Duration
 }
 
-// write sends a reply. If that fails it closes the connection, which ends its reader; the peer then connects again.
+// write sends a reply. On an error it closes the connection, which also ends the goroutine that reads from it; the peer
+// then reconnects.
 func (w *replyWriter) write(raw []byte) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if err := writeFrameBefore(w.conn, time.Now().Add(w.timeout), raw); err != nil {
+	if err := writeFrameWithDeadline(w.conn, time.Now().Add(w.timeout), raw); err != nil {
 		_ = w.conn.Close()
 	}
 }
 
-// writeFrameBefore writes a frame, and fails at the deadline.
-func writeFrameBefore(conn net.Conn, deadline time.Time, raw []byte) error {
+// writeFrameWithDeadline writes a frame, and fails if that is not finished by the deadline.
+func writeFrameWithDeadline(conn net.Conn, deadline time.Time, raw []byte) error {
 	if err := conn.SetWriteDeadline(deadline); err != nil {
 		return err
 	}
 	return WriteFrame(conn, raw)
 }
 
-// Call sends a request to a peer and returns its reply. It returns at the latest when ctx ends or the mesh's timeout is
-// over. An error that matches [ErrPeerUnreachable] says that the peer is unknown or not connected, or that its
-// connection ended. A call that gets no reply in time closes the connection, as it may be broken without notice, so
-// that the next call opens another one.
+// Call sends a request to a peer and returns the reply. It is limited by ctx and by the mesh's timeout.
+//
+// The error matches [ErrPeerUnreachable] if the peer is unknown or not connected, or if its connection ended. A call
+// without a reply in time closes the connection, which may be broken without either side having noticed; the next call
+// then reconnects.
 func (m *Mesh) Call(ctx context.Context, name string, request protocol.PeerMessage) (*protocol.PeerMessage, error) {
 	p := m.peers[name]
 	if p == nil {
--- a/internal/transport/mesh_test.go
+++ b/internal/transport/mesh_test.go
@@ -31,7 +31,7 @@
 	return c
 }
 
-// newCaller returns a mesh that only calls the controller "b".
+// newCaller returns a mesh that can only call the controller "b".
 func newCaller(name string, addrOfB net.Addr) *Mesh {
 	return NewMesh(MeshConfig{
 		Network: TCP{},
@@ -44,8 +44,8 @@
 
 func discardLogger() *slog.Logger { return slog.New(slog.NewTextHandler(io.Discard, nil)) }
 
-// TestMeshAnswersPeersOnly: a peer's call is answered and the loss of its connection is reported; a message of an
-// unknown controller or a malformed one ends the connection.
+// TestMeshAnswersPeersOnly checks that a peer's call is answered and that the loss of its connection is reported. A
+// message from an unknown controller and a malformed message must end their connections.
 func TestMeshAnswersPeersOnly(t *testing.T) {
 	l := listenLocal(t)
 	lost := make(chan string, 1)
@@ -73,7 +73,7 @@
 		t.Error(err)
 	}
 	if peer := <-lost; peer != "a" {
-		t.Errorf("lost %q", peer)
+		t.Errorf("connection of %q reported as lost, want a", peer)
 	}
 	stranger := newCaller("x", l.Addr())
 	if r, err := stranger.Call(ctx, "b", protocol.PeerMessage{Kind: protocol.PeerHeartbeat}); err == nil {
@@ -96,7 +96,8 @@
 	}
 }
 
-// TestUnreachablePeers: calls to a controller that is unknown, or that refuses connections, match ErrPeerUnreachable.
+// TestUnreachablePeers checks that calls to a controller that is unknown or refuses connections return
+// ErrPeerUnreachable.
 func TestUnreachablePeers(t *testing.T) {
 	l := listenLocal(t)
 	if err := l.Close(); err != nil {
@@ -111,7 +112,8 @@
 	}
 }
 
-// TestCallWithoutReply: a call whose context ends returns its error, and closes the connection and its other calls.
+// TestCallWithoutReply checks that a call whose context ends returns the context's error and closes the connection,
+// which ends the other calls on it.
 func TestCallWithoutReply(t *testing.T) {
 	l := listenLocal(t)
 	accepted := make(chan net.Conn, 1)
--- a/internal/transport/network.go
+++ b/internal/transport/network.go
@@ -6,17 +6,17 @@
 	"net"
 )
 
-// Network opens listeners and connections. The context of a call limits the call, not what it returns: listeners and
-// connections belong to the caller, who must close them.
+// Network opens listeners and connections. The context of a call applies only to the call itself: the caller owns the
+// listener or connection that it returns, and must close it.
 type Network interface {
 	Listen(ctx context.Context, addr string) (net.Listener, error)
 	Dial(ctx context.Context, addr string) (net.Conn, error)
 }
 
-// TCP is the network of the operating system.
+// TCP is the operating system's TCP network.
 type TCP struct{}
 
-// Listen listens on a TCP address.
+// Listen returns a listener on a TCP address.
 func (TCP) Listen(ctx context.Context, addr string) (net.Listener, error) {
 	var config net.ListenConfig
 	l, err := config.Listen(ctx, "tcp", addr)
@@ -26,7 +26,7 @@
 	return l, nil
 }
 
-// Dial connects to a TCP address. It sends no keep-alive probes: every connection carries requests with timeouts.
+// Dial connects to a TCP address. It disables keep-alive probes, because every request on the connection has a timeout.
 func (TCP) Dial(ctx context.Context, addr string) (net.Conn, error) {
 	dialer := net.Dialer{KeepAlive: -1}
 	return dialer.DialContext(ctx, "tcp", addr)
--- a/internal/transport/peer.go
+++ b/internal/transport/peer.go
@@ -11,16 +11,16 @@
 	"pinebay/internal/protocol"
 )
 
-// peer is another controller and the connection to it, which is shared by all calls.
+// peer is another controller. All calls to it share one connection.
 type peer struct {
 	addr string
 
 	mu      sync.Mutex
-	conn    net.Conn // nil: not connected
+	conn    net.Conn // nil if not connected
 	dialing bool
 	lastID  uint64
-	// pending are the calls on the connection that wait for their replies, by the ids of their requests. A channel gets
-	// the reply, or is closed when the connection ends.
+	// pending holds the calls that wait for a reply, by request id. A call's channel receives the reply, or is closed
+	// when the connection ends.
 	pending map[uint64]chan *protocol.PeerMessage
 }
 
@@ -28,7 +28,7 @@
 	return &peer{addr: addr, pending: map[uint64]chan *protocol.PeerMessage{}}
 }
 
-// connect makes sure that there is a connection. While one call is dialing, others fail at once.
+// connect opens the connection if there is none. While it is dialing, other calls fail immediately.
 func (p *peer) connect(ctx context.Context, network Network, timeout time.Duration) error {
 	p.mu.Lock()
 	if p.conn != nil {
@@ -41,7 +41,8 @@
 	}
 	p.dialing = true
 	p.mu.Unlock()
-	// Dialing a controller that is down may hang. With a short timeout the next attempt comes soon after it is back.
+	// Dialing a controller that is down may block. A short timeout makes the next attempt follow soon after the
+	// controller is back.
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	conn, err := network.Dial(ctx, p.addr)
@@ -58,7 +59,7 @@
 	return nil
 }
 
-// send sends a request, for which it sets the id, and returns the connection and a channel for the reply.
+// send assigns an id to a request and sends it. It returns the connection and the channel for the reply.
 func (p *peer) send(ctx context.Context, request *protocol.PeerMessage) (
 	net.Conn, <-chan *protocol.PeerMessage, error,
 ) {
@@ -69,7 +70,7 @@
 	return conn, reply, err
 }
 
-// writeRequest writes a request. An error with a connection says that the connection has failed.
+// writeRequest writes a request. If it returns an error together with a connection, that connection has failed.
 func (p *peer) writeRequest(ctx context.Context, request *protocol.PeerMessage) (
 	net.Conn, <-chan *protocol.PeerMessage, error,
 ) {
@@ -87,10 +88,10 @@
 	}
 	p.pending[request.ID] = reply
 	deadline, _ := ctx.Deadline()
-	return p.conn, reply, writeFrameBefore(p.conn, deadline, raw)
+	return p.conn, reply, writeFrameWithDeadline(p.conn, deadline, raw)
 }
 
-// readReplies passes the replies on a connection to the calls that wait for them, until the connection ends.
+// readReplies delivers the replies on a connection to the waiting calls, until the connection ends.
 func (p *peer) readReplies(conn net.Conn) {
 	defer p.closeConn(conn)
 	r := bufio.NewReaderSize(conn, peerReadBufferBytes)
@@ -113,7 +114,7 @@
 	}
 }
 
-// closeConn closes a connection and fails the calls that wait for replies on it.
+// closeConn closes a connection and fails the calls that wait for a reply on it.
 func (p *peer) closeConn(conn net.Conn) {
 	_ = conn.Close()
 	p.mu.Lock()
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -9,8 +9,9 @@
 	"pinebay/internal/protocol"
 )
 
-// ReadBody reads the body of a request, up to [protocol.MaxBodyBytes]. A longer body is not read to its end: the error
-// matches [protocol.ErrMalformed], and the connection is closed after the response.
+// ReadBody reads the body of a request, which may have up to [protocol.MaxBodyBytes]. The error for a longer body
+// matches [protocol.ErrMalformed]. The rest of such a body is not read, and the connection is closed after the
+// response.
 func ReadBody(w http.ResponseWriter, r *http.Request) ([]byte, error) {
 	if r.ContentLength > protocol.MaxBodyBytes {
 		w.Header().Set("Connection", "close")
@@ -28,8 +29,8 @@
 	return raw, nil
 }
 
-// WriteResponse writes a response with body as MessagePack. If the body cannot be encoded, the response is a 500
-// without body. Errors of the connection are ignored: a client that has lost the response asks again.
+// WriteResponse writes a response with body encoded as MessagePack, or a 500 without body if encoding fails. Errors of
+// the connection are ignored, because a client that misses a response retries.
 func WriteResponse(w http.ResponseWriter, status int, body any) {
 	raw, err := protocol.Encode(body)
 	if err != nil {
--- a/internal/transport/server_test.go
+++ b/internal/transport/server_test.go
@@ -10,11 +10,12 @@
 	"pinebay/internal/protocol"
 )
 
-// TestReadBody: a body above the limit is malformed and ends the connection, whether its length is announced or not.
+// TestReadBody checks that a body above the limit is reported as malformed and closes the connection, whether or not
+// the request states the length of the body.
 func TestReadBody(t *testing.T) {
 	for name, x := range map[string]struct {
 		bytes     int
-		announced bool
+		hasLength bool
 		want      string
 	}{
 		"at the limit":           {protocol.MaxBodyBytes, true, ""},
@@ -26,7 +27,7 @@
 		t.Run(name, func(t *testing.T) {
 			body := strings.NewReader(strings.Repeat("x", x.bytes))
 			r := httptest.NewRequestWithContext(t.Context(), http.MethodPost, "/submissions", body)
-			if !x.announced {
+			if !x.hasLength {
 				r.ContentLength = -1
 			}
 			w := httptest.NewRecorder()
