--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,5 +1,8 @@
-// Package config reads and validates the settings file that the platform writes for a controller. Every timeout, rate
-// and limit of the service derives from it. Go names follow the code; the toml tags are the contract with the platform.
+// Package config reads and validates the settings file that the platform provides to each controller. All timeouts,
+// rates and limits of the service are derived from the settings.
+//
+// The toml tags are the names in the settings file, which are agreed with the platform. The Go names follow the terms
+// of the code.
 package config
 
 import (
@@ -11,7 +14,7 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Settings is the settings file of one controller. Fields that are not named here are ignored.
+// Settings is the settings file of one controller. Keys in the file without a field here are ignored.
 type Settings struct {
 	Name       string     `toml:"node"`
 	Location   string     `toml:"location"`
@@ -29,13 +32,13 @@
 	Addr     string `toml:"peer_addr"`
 }
 
-// Endpoints names the services that the daemon depends on.
+// Endpoints holds the addresses of the services that a controller depends on.
 type Endpoints struct {
 	Cloud string `toml:"cloud"`
 	Store string `toml:"state"`
 }
 
-// Deployment holds the settings that all controllers share.
+// Deployment holds the settings that are the same for all controllers.
 type Deployment struct {
 	Controllers      int         `toml:"nodes"`
 	Zones            []string    `toml:"zones"`
@@ -48,7 +51,8 @@
 	Quota            Quota       `toml:"quota"`
 }
 
-// Team has a guaranteed quota and a quota limit for each resource; 0 means none.
+// Team is a team with its guaranteed quota and its quota limit for CPUs and GPUs. A value of 0 means that there is
+// none.
 type Team struct {
 	Name           string  `toml:"name"`
 	GuaranteedCPUs float64 `toml:"cpus"`
@@ -57,41 +61,44 @@
 	MaxGPUs        float64 `toml:"gpus_max"`
 }
 
-// ObjectiveKind is what a service-level objective is about.
+// ObjectiveKind is the kind of a service-level objective.
 type ObjectiveKind string
 
-// Kinds of objectives, as the settings file names them.
+// Kinds of objectives. The values are those in the settings file.
 const (
-	// ObjectiveStartLatency is on the time from the submission of a job to its start.
+	// ObjectiveStartLatency is an objective for the time from the submission of a job to its start.
 	ObjectiveStartLatency ObjectiveKind = "wait"
-	// ObjectiveCompletion is on the time from the submission of a job to its end.
+	// ObjectiveCompletion is an objective for the time from the submission of a job to its end.
 	ObjectiveCompletion ObjectiveKind = "finished"
-	// ObjectiveDeadline is on meeting the deadline that a job states.
+	// ObjectiveDeadline is an objective for meeting the deadline that a job specifies.
 	ObjectiveDeadline ObjectiveKind = "deadline"
 )
 
-// Objective is a service-level objective: the fraction of the jobs of a class that is to start, or to finish,
-// within a time, or to meet its own deadline.
+// Objective is a service-level objective. It states which fraction of the jobs of a class must start or end within a
+// time limit, or meet their deadlines.
 type Objective struct {
 	Kind          ObjectiveKind `toml:"kind"`
 	Class         string        `toml:"class"`
 	WithinSeconds float64       `toml:"within_s"`
 	Fraction      float64       `toml:"share"`
-	// DeadlineFactor is how many times its deadline a job may take, for objectives on deadlines.
+	// DeadlineFactor is the multiple of its deadline that a job may take, for objectives of kind ObjectiveDeadline.
 	DeadlineFactor float64 `toml:"times"`
 }
 
-// Workers holds the times of the workers' protocol.
+// Workers holds the time limits of the protocol with the workers.
 type Workers struct {
-	// HeartbeatSeconds is the interval of a worker's heartbeats, give or take a quarter.
+	// HeartbeatSeconds is the interval of a worker's heartbeats, which may vary by up to a quarter.
 	HeartbeatSeconds float64 `toml:"report_s"`
-	// LeaseSeconds is for how long a worker runs its tasks after it has sent the last heartbeat that was answered.
+	// LeaseSeconds is the duration of a lease: how long a worker keeps running its tasks after it sent the last
+	// heartbeat that was answered.
 	LeaseSeconds float64 `toml:"lease_s"`
-	// GangWaitSeconds is how long a task waits for its gang to be complete.
+	// GangWaitSeconds limits how long a task waits for its gang to be complete.
 	GangWaitSeconds float64 `toml:"gang_wait_s"`
-	// GangPeerSeconds is within what time the tasks of a gang notice that one is lost, or have to be stopped together.
+	// GangPeerSeconds limits the time in which the tasks of a gang detect the loss of one of them, and in which they
+	// must be stopped together.
 	GangPeerSeconds float64 `toml:"gang_peer_s"`
-	// CancelSeconds is within what time the tasks of a job end after its user has learnt that it is cancelled.
+	// CancelSeconds limits the time from the moment at which a user is told that a job is cancelled until its tasks
+	// have ended.
 	CancelSeconds float64 `toml:"cancel_s"`
 }
 
@@ -101,11 +108,12 @@
 	WriteRPS float64 `toml:"write_rps"`
 	ValueKB  float64 `toml:"value_kb"`
 	TxnOps   int     `toml:"txn_ops"`
-	// Next holds the limits that the store will have at some time after an upgrade; one of 0 does not change.
+	// Next holds the limits that the store will have at some time after an upgrade. A value of 0 means that the limit
+	// will not change.
 	Next FutureStoreLimits `toml:"next"`
 }
 
-// FutureStoreLimits are limits of the key-value store that may come into force later.
+// FutureStoreLimits holds limits of the key-value store that may take effect later.
 type FutureStoreLimits struct {
 	RPS      float64 `toml:"rps"`
 	WriteRPS float64 `toml:"write_rps"`
@@ -113,7 +121,7 @@
 	TxnOps   int     `toml:"txn_ops"`
 }
 
-// Lowest returns the limits that hold both now and after the next change.
+// Lowest returns the lower of each current and future limit, which is valid both before and after the change.
 func (s StoreLimits) Lowest() StoreLimits {
 	lower := func(now, next float64) float64 {
 		if next > 0 {
@@ -130,13 +138,13 @@
 	}
 }
 
-// Cloud holds the limits of the cloud.
+// Cloud holds the limits of the cloud API.
 type Cloud struct {
 	RPS            float64 `toml:"rps"`
 	ListLagSeconds float64 `toml:"list_lag_s"`
 }
 
-// Quota is what one controller process may use.
+// Quota holds the resources that one controller process may use.
 type Quota struct {
 	CoreShare  float64 `toml:"core_share"`
 	RAMMB      float64 `toml:"ram_mb"`
@@ -146,8 +154,8 @@
 // Seconds converts a setting in seconds to a duration.
 func Seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// Load reads and validates a settings file. A setting that is missing or invalid is reported as a FieldError, one that
-// is not TOML or of another type as a DecodeError.
+// Load reads and validates a settings file. The error contains a FieldError if a setting is missing or invalid, and a
+// DecodeError if the file is not valid TOML or a value has the wrong type.
 func Load(path string) (*Settings, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -156,7 +164,7 @@
 	return Parse(raw)
 }
 
-// Parse decodes and validates settings; see Load.
+// Parse decodes and validates settings. Its errors are those of Load.
 func Parse(raw []byte) (*Settings, error) {
 	var s Settings
 	if err := toml.Unmarshal(raw, &s); err != nil {
@@ -173,7 +181,7 @@
 	return &s, nil
 }
 
-// Team returns the team of that name, or nil.
+// Team returns the team with the given name, or nil if there is none.
 func (d *Deployment) Team(name string) *Team {
 	for i := range d.Teams {
 		if d.Teams[i].Name == name {
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -60,8 +60,8 @@
 	}
 }
 
-// TestErrorsNameTheField breaks one line at a time; the message must be one
-// line that names the field.
+// TestErrorsNameTheField checks that settings with one invalid line are rejected with a one-line error that names the
+// field.
 func TestErrorsNameTheField(t *testing.T) {
 	lines := strings.Split(validSettings, "\n")
 	rapid.Check(t, func(t *rapid.T) {
@@ -70,36 +70,37 @@
 		if !ok || key == "unknown" || key == "zones" || key == "location" {
 			return
 		}
-		broken := append([]string{}, lines...)
+		modified := append([]string{}, lines...)
 		switch rapid.SampledFrom([]string{"drop", "type", "range"}).Draw(t, "how") {
 		case "drop":
-			broken[i] = ""
+			modified[i] = ""
 		case "type":
-			broken[i] = key + " = [true]"
+			modified[i] = key + " = [true]"
 		case "range":
 			if strings.HasPrefix(value, `"`) {
-				broken[i] = key + ` = ""`
+				modified[i] = key + ` = ""`
 			} else {
-				broken[i] = key + " = -1"
+				modified[i] = key + " = -1"
 			}
 		}
-		_, err := Parse([]byte(strings.Join(broken, "\n")))
+		_, err := Parse([]byte(strings.Join(modified, "\n")))
 		if err == nil {
-			t.Fatalf("%q was taken", broken[i])
+			t.Fatalf("%q was accepted", modified[i])
 		}
 		if !strings.Contains(err.Error(), key) || strings.Contains(err.Error(), "\n") {
-			t.Fatalf("%q: message %q", broken[i], err)
+			t.Fatalf("%q: error %q does not name the field, or has several lines", modified[i], err)
 		}
 	})
 }
 
 func TestMissingFile(t *testing.T) {
 	if _, err := Load(t.TempDir() + "/none.toml"); err == nil {
-		t.Error("a missing file was taken")
+		t.Error("a missing file was accepted")
 	}
 }
 
-// TestQuotaTooSmall: settings that no controller can run in are refused in one line.
+// TestQuotaTooSmall checks that a quota too small for any controller is rejected with a one-line error that names the
+// field, and that the smallest valid quota is accepted.
 func TestQuotaTooSmall(t *testing.T) {
 	for _, row := range []struct{ from, to, field string }{
 		{"ram_mb = 70.0", "ram_mb = 15.9", "ram_mb"},
@@ -118,7 +119,8 @@
 	}
 }
 
-// TestErrorTypes: callers can tell the field of an invalid setting, and operators read the same line as before.
+// TestErrorTypes checks the types of errors, from which callers get the field of an invalid setting, and their text,
+// which operators read.
 func TestErrorTypes(t *testing.T) {
 	for _, row := range []struct{ name, from, to, field, line string }{
 		{"missing", `node = "n-0"`, "", "node", "settings: field node: missing"},
@@ -156,7 +158,7 @@
 	}
 }
 
-// TestObjectives: the kinds of objectives have the names that the settings file uses.
+// TestObjectives checks that each kind of objective is decoded from its name in the settings file.
 func TestObjectives(t *testing.T) {
 	s, err := Parse([]byte(validSettings + `
 [[deployment.objectives]]
--- a/internal/config/errors.go
+++ b/internal/config/errors.go
@@ -2,20 +2,20 @@
 
 import "fmt"
 
-// FieldError says that a setting is missing or invalid.
+// FieldError reports a setting that is missing or invalid.
 type FieldError struct {
-	// Field is the path of the setting in the file, as in deployment.teams[0].name.
+	// Field is the path of the setting in the file, such as deployment.teams[0].name.
 	Field string
-	// Problem says what is wrong with its value.
+	// Problem describes what is wrong with the value.
 	Problem string
 }
 
 func (e *FieldError) Error() string { return fmt.Sprintf("field %s: %s", e.Field, e.Problem) }
 
-// DecodeError says where a settings file is not TOML, or has a value of the wrong type.
+// DecodeError reports the position at which a settings file is not valid TOML or has a value of the wrong type.
 type DecodeError struct {
 	Line, Column int
-	Key          []string // path of the setting, if there is one
+	Key          []string // path of the setting, if the error is about one
 	Err          error
 }
 
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -12,24 +12,24 @@
 	mustNotBeNegative = "must not be negative"
 )
 
-// What a controller needs to run at all, whatever the settings say. It takes 12 MB before
-// it has read its first record, and 18 to 24 MB with two hundred machines.
+// Minimum quota of a controller process, regardless of the other settings. A process uses 12 MB before it has read its
+// first record, and 18 to 24 MB with two hundred machines.
 const (
 	minRAMMB = 16
-	// minSockets serve the key-value store, the cloud and a few workers and users.
+	// minSockets is enough for the key-value store, the cloud and a few workers and users.
 	minSockets = 24
-	// socketsPerPeer is a connection in each direction.
+	// socketsPerPeer counts one connection in each direction.
 	socketsPerPeer = 2
 )
 
-// numericField is a setting with a number as its value.
+// numericField is a setting with a numeric value.
 type numericField struct {
 	path  string
 	value float64
 }
 
-// validate returns a FieldError for the first setting that is invalid, and sets the defaults of those that are missing
-// and may be.
+// validate returns a FieldError for the first invalid setting. It sets the default values of optional settings that are
+// missing.
 func (s *Settings) validate() error {
 	for _, step := range []func() error{
 		s.validateController,
@@ -76,14 +76,17 @@
 	return nil
 }
 
-// setControllerCount defaults the number of controllers to this one and its seeds.
+// setControllerCount sets the default number of controllers, which is this one and its seeds.
 func (s *Settings) setControllerCount() error {
 	d := &s.Deployment
 	if d.Controllers == 0 {
 		d.Controllers = len(s.Seeds) + 1
 	}
 	if d.Controllers < 0 {
-		return &FieldError{Field: "deployment.nodes", Problem: fmt.Sprintf("%d is not a count", d.Controllers)}
+		return &FieldError{
+			Field:   "deployment.nodes",
+			Problem: fmt.Sprintf("%d is not a valid number of controllers", d.Controllers),
+		}
 	}
 	return nil
 }
@@ -143,20 +146,20 @@
 	return nil
 }
 
-// validateQuota refuses a quota that no controller can run in, instead of running out of memory or refusing every
-// connection later.
+// validateQuota rejects a quota that is too small for any controller, which would otherwise run out of memory or refuse
+// connections later.
 func (s *Settings) validateQuota() error {
 	q := s.Deployment.Quota
 	if q.RAMMB < minRAMMB {
 		return &FieldError{
 			Field:   "deployment.quota.ram_mb",
-			Problem: fmt.Sprintf("%g is too little to run in, at least %d is needed", q.RAMMB, minRAMMB),
+			Problem: fmt.Sprintf("%g is too small, a controller needs at least %d", q.RAMMB, minRAMMB),
 		}
 	}
 	if need := minSockets + socketsPerPeer*len(s.Seeds); q.MaxSockets < need {
 		return &FieldError{
 			Field:   "deployment.quota.max_sockets",
-			Problem: fmt.Sprintf("%d is too few to run with, at least %d are needed", q.MaxSockets, need),
+			Problem: fmt.Sprintf("%d is too small, a controller needs at least %d", q.MaxSockets, need),
 		}
 	}
 	return nil
@@ -172,5 +175,5 @@
 	return nil
 }
 
-// isNonNegative is false for NaN too.
+// isNonNegative reports whether v is finite and not negative. It returns false for NaN.
 func isNonNegative(v float64) bool { return v >= 0 && !math.IsInf(v, 0) }
