--- a/internal/actor/actor.go
+++ b/internal/actor/actor.go
@@ -1,7 +1,7 @@
-// Package actor provides what the actors of a controller are made of.
+// Package actor provides the building blocks of a controller's actors.
 //
-// An actor is one goroutine that owns its state. Others communicate with it only by putting
-// messages into its mailbox, so the state machine that it drives needs no lock.
+// An actor is a goroutine that owns its state. Other goroutines communicate with it only by sending messages to its
+// mailbox, so the state needs no locks.
 package actor
 
 import (
@@ -10,12 +10,12 @@
 	"time"
 )
 
-// Mailbox is an unbounded queue with one reader. Senders never block, so actors that send to each
-// other cannot deadlock. Send is safe for concurrent use.
+// Mailbox is an unbounded queue with a single reader. Senders never block, so actors that send messages to each other
+// cannot deadlock. Send is safe for concurrent use.
 type Mailbox[M any] struct {
 	mu    sync.Mutex
 	queue []M
-	wake  chan struct{} // has a token when messages may be waiting
+	wake  chan struct{} // holds a value when messages may be waiting
 }
 
 // NewMailbox returns an empty mailbox.
@@ -23,7 +23,7 @@
 	return &Mailbox[M]{wake: make(chan struct{}, 1)}
 }
 
-// Send appends a message. It does not block.
+// Send appends a message without blocking.
 func (b *Mailbox[M]) Send(m M) {
 	b.mu.Lock()
 	b.queue = append(b.queue, m)
@@ -34,7 +34,7 @@
 	}
 }
 
-// Drain removes and returns all messages that are waiting, in the order in which they were sent.
+// Drain removes and returns all waiting messages in the order in which they were sent.
 func (b *Mailbox[M]) Drain() []M {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -43,8 +43,8 @@
 	return messages
 }
 
-// Run passes every message to step, and calls tick after each batch of messages and at least once
-// per interval, until the context ends. Both are called on the caller's goroutine.
+// Run calls step for every message, and tick after each batch of messages and at least once per interval, until ctx
+// ends. Both are called on the caller's goroutine.
 func (b *Mailbox[M]) Run(ctx context.Context, interval time.Duration, step func(M), tick func()) {
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
@@ -55,9 +55,9 @@
 		case <-b.wake:
 		case <-ticker.C:
 		}
-		// Messages are processed before the tick whichever woke the actor, so that decisions do not
-		// depend on which of the two is received first. Messages that have arrived together are decided
-		// on together.
+		// Messages are always processed before the tick, so that decisions do not depend on whether the message or the
+		// timer is received first. A single tick follows messages that arrived together, so it takes all of them into
+		// account.
 		for _, m := range b.Drain() {
 			if ctx.Err() != nil {
 				return
@@ -68,10 +68,10 @@
 	}
 }
 
-// Every returns a function that calls f if at least the interval has passed since the last call of
-// f, or since Every was called. It paces the ticks of a Mailbox, which are more frequent while
-// messages arrive. now is the clock.
-func Every(interval time.Duration, now func() time.Duration, f func(now time.Duration)) func() {
+// Throttle returns a function that calls f if at least interval has passed since its last call of f, or since Throttle
+// was called. now is the clock. Use it to limit the frequency of work in the tick of a Mailbox, which is called more
+// often while messages arrive.
+func Throttle(interval time.Duration, now func() time.Duration, f func(now time.Duration)) func() {
 	last := now()
 	return func() {
 		if t := now(); t-last >= interval {
--- a/internal/actor/actor_test.go
+++ b/internal/actor/actor_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// TestMailboxRun checks that messages are processed in their order and before the tick, and that
-// ticks come at the interval without messages.
+// TestMailboxRun checks that messages are processed in order and before the tick, and that the tick is called at the
+// interval when there are no messages.
 func TestMailboxRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithTimeout(t.Context(), 3500*time.Millisecond)
@@ -30,12 +30,11 @@
 	})
 }
 
-// TestEvery checks that the function is called only when the interval has passed since its last
-// call.
-func TestEvery(t *testing.T) {
+// TestThrottle checks that the function is called only when the interval has passed since its last call.
+func TestThrottle(t *testing.T) {
 	var clock time.Duration
 	var called []time.Duration
-	tick := Every(
+	tick := Throttle(
 		2*time.Second,
 		func() time.Duration { return clock },
 		func(now time.Duration) { called = append(called, now) },
--- a/internal/actor/pool.go
+++ b/internal/actor/pool.go
@@ -2,54 +2,54 @@
 
 import "sync"
 
-// Pool runs a function on pieces of work, in the order in which they were added and a limited
-// number at a time. It has no goroutines while it has no work. It is safe for concurrent use.
-type Pool[W any] struct {
-	do    func(W)
+// Pool runs a function for each work item, in the order in which the items were added and on a limited number of
+// goroutines. An idle pool has no goroutines. It is safe for concurrent use.
+type Pool[T any] struct {
+	do    func(T)
 	limit int
 
-	mu      sync.Mutex // guards what follows
-	pending []W
+	mu      sync.Mutex // guards the fields below
+	pending []T
 	running int
 }
 
-// NewPool returns a pool that calls do for each piece of work, on at most limit goroutines.
-func NewPool[W any](limit int, do func(W)) *Pool[W] { return &Pool[W]{do: do, limit: limit} }
+// NewPool returns a pool that calls do for each work item, on at most limit goroutines.
+func NewPool[T any](limit int, do func(T)) *Pool[T] { return &Pool[T]{do: do, limit: limit} }
 
-// Add adds a piece of work. It does not wait.
-func (p *Pool[W]) Add(work W) {
+// Add adds a work item without blocking.
+func (p *Pool[T]) Add(item T) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.running == p.limit {
-		p.pending = append(p.pending, work)
+		p.pending = append(p.pending, item)
 		return
 	}
 	p.running++
-	go p.run(work)
+	go p.run(item)
 }
 
-// run works until nothing is pending.
-func (p *Pool[W]) run(work W) {
+// run processes work items until none is pending.
+func (p *Pool[T]) run(item T) {
 	for {
-		p.do(work)
+		p.do(item)
 		next, ok := p.next()
 		if !ok {
 			return
 		}
-		work = next
+		item = next
 	}
 }
 
-// next returns the next pending piece of work. Without one, the calling goroutine must end.
-func (p *Pool[W]) next() (work W, ok bool) {
+// next returns the next pending work item. If there is none, it returns false, and the calling goroutine must end.
+func (p *Pool[T]) next() (item T, ok bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if len(p.pending) == 0 {
 		p.pending = nil
 		p.running--
-		return work, false
+		return item, false
 	}
-	work = p.pending[0]
+	item = p.pending[0]
 	p.pending = p.pending[1:]
-	return work, true
+	return item, true
 }
--- a/internal/actor/pool_test.go
+++ b/internal/actor/pool_test.go
@@ -7,38 +7,38 @@
 	"time"
 )
 
-// TestPool checks that work starts in the order in which it was added, that no more than the limit
-// runs at a time, and that all of it is done.
+// TestPool checks that work items are started in the order in which they were added, that no more than the limit run
+// concurrently, and that all of them are processed.
 func TestPool(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		const limit, pieces = 3, 40
-		started := make(chan int, pieces)
+		const limit, items = 3, 40
+		started := make(chan int, items)
 		p := NewPool(limit, func(n int) {
 			started <- n
 			time.Sleep(time.Second)
 		})
 		start := time.Now()
-		for n := range pieces {
+		for n := range items {
 			p.Add(n)
 		}
 		var order []int
-		for range pieces {
+		for range items {
 			order = append(order, <-started)
 		}
-		// Those that start at the same time do so in no particular order.
-		for i := 0; i+limit <= pieces; i += limit {
+		// Items that start at the same time may do so in any order.
+		for i := 0; i+limit <= items; i += limit {
 			slices.Sort(order[i : i+limit])
 		}
 		if !slices.IsSorted(order) {
-			t.Errorf("work started in the order %v", order)
+			t.Errorf("items started in the order %v", order)
 		}
-		if took, want := time.Since(start), time.Duration((pieces-1)/limit)*time.Second; took != want {
-			t.Errorf("the last piece started after %v, want %v", took, want)
+		if took, want := time.Since(start), time.Duration((items-1)/limit)*time.Second; took != want {
+			t.Errorf("the last item started after %v, want %v", took, want)
 		}
 		time.Sleep(2 * time.Second)
-		p.Add(pieces)
-		if n := <-started; n != pieces {
-			t.Errorf("piece %d started after the pool was idle, want %d", n, pieces)
+		p.Add(items)
+		if n := <-started; n != items {
+			t.Errorf("item %d started after the pool was idle, want %d", n, items)
 		}
 		time.Sleep(2 * time.Second)
 	})
--- a/internal/actor/sleep.go
+++ b/internal/actor/sleep.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Sleep waits for the duration, or until the context ends; then it returns the context's error.
+// Sleep waits for the duration d. If ctx ends first, it returns the context's error.
 func Sleep(ctx context.Context, d time.Duration) error {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/internal/daemon/failuredetection.go
+++ b/internal/daemon/failuredetection.go
@@ -61,7 +61,7 @@
 			a.apply(ctx, effect)
 		}
 	}
-	tick := actor.Every(times.TickInterval, a.now, func(now time.Duration) {
+	tick := actor.Throttle(times.TickInterval, a.now, func(now time.Duration) {
 		step(failuredetector.Tick{})
 		a.publish(now, detector)
 	})
--- a/internal/daemon/fencing.go
+++ b/internal/daemon/fencing.go
@@ -39,7 +39,7 @@
 		}
 	}
 	// Every controller of a quorum lists the machines at this interval, and all of them share the cloud's rate limit.
-	assess := actor.Every(a.times.LeaderTimeout, a.now, func(now time.Duration) { step(a.assess(now)) })
+	assess := actor.Throttle(a.times.LeaderTimeout, a.now, func(now time.Duration) { step(a.assess(now)) })
 	a.mailbox.Run(ctx, a.times.LeaderTimeout, step, assess)
 }
 
