--- a/internal/random/random_test.go
+++ b/internal/random/random_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// TestSameSeedSameNumbers checks that numbers depend on seed, purpose and time alone, and differ if
-// one of these does. Numbers that depended on the order of goroutines made runs differ.
+// TestSameSeedSameNumbers checks that numbers depend on the seed, the purpose and the time, and on nothing else. When
+// they depended on the order of goroutines, simulations with the same seed differed between runs.
 func TestSameSeedSameNumbers(t *testing.T) {
 	draw := func(s *Source) (numbers []uint64) {
 		synctest.Test(t, func(*testing.T) {
@@ -21,21 +21,21 @@
 	first, again, other := draw(New(1)), draw(New(1)), draw(New(2))
 	for i := range first {
 		if first[i] != again[i] {
-			t.Errorf("draw %d: %d, and in another run %d", i, first[i], again[i])
+			t.Errorf("draw %d: %d in one run, %d in another", i, first[i], again[i])
 		}
 		if first[i] == other[i] {
 			t.Errorf("draw %d is the same with another seed", i)
 		}
 	}
 	if first[0] == first[1] || first[0] == first[2] || first[1] == first[2] {
-		t.Errorf("%v: purpose or time makes no difference", first)
+		t.Errorf("numbers %v do not depend on purpose and time", first)
 	}
 	if draw(New(1).Named("n-0"))[0] == draw(New(1).Named("n-1"))[0] {
-		t.Error("two named sources draw the same")
+		t.Error("sources with different names draw the same number")
 	}
 }
 
-// TestUpTo checks that durations lie in their range and are spread over it.
+// TestUpTo checks that the durations are within the range and that their mean is near its middle.
 func TestUpTo(t *testing.T) {
 	s, sum := New(7), time.Duration(0)
 	const draws = 1000
@@ -50,6 +50,6 @@
 		}
 	})
 	if mean := sum / draws; mean < 450*time.Millisecond || mean > 550*time.Millisecond {
-		t.Errorf("the mean is %v", mean)
+		t.Errorf("mean %v, want between 450ms and 550ms", mean)
 	}
 }
