--- a/internal/timing/timing.go
+++ b/internal/timing/timing.go
@@ -1,4 +1,4 @@
-// Package timing measures how long a controller's steps take and logs histograms, for operators who turn it on.
+// Package timing measures the durations of a controller's steps and logs them as histograms, if an operator enables it.
 package timing
 
 import (
@@ -10,25 +10,26 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Kind is what was measured, as it stands in the log.
+// Kind is the kind of a measurement. Its value appears in the log.
 type Kind string
 
 // Kinds of measurements.
 const (
-	Cycle           Kind = "cycle"     // a step of the leader in which the scheduling cycle ran
+	Cycle           Kind = "cycle"     // a step of the leader that ran a scheduling cycle
 	WorkerHeartbeat Kind = "report"    // a step that processes a worker's heartbeat
 	Other           Kind = "other"     // any other step of the leader
-	PeerHeartbeat   Kind = "heartbeat" // from a heartbeat until its answer
+	PeerHeartbeat   Kind = "heartbeat" // round-trip time of a heartbeat to another controller
 )
 
-// logInterval is the time between two log lines, and maxMicroseconds the longest duration that is recorded as it is.
+// logInterval is the time between two log lines for a kind. maxMicroseconds is the longest duration that a histogram
+// can hold.
 const (
 	logInterval       = time.Second
 	maxMicroseconds   = int64(time.Hour / time.Microsecond)
 	significantDigits = 3
 )
 
-// Recorder collects durations. A nil recorder records nothing and costs nothing.
+// Recorder collects durations in a histogram for each kind. A nil Recorder records nothing and costs nothing.
 type Recorder struct {
 	mu         sync.Mutex
 	histograms map[Kind]*hdrhistogram.Histogram
@@ -37,7 +38,7 @@
 // NewRecorder returns an empty recorder.
 func NewRecorder() *Recorder { return &Recorder{histograms: map[Kind]*hdrhistogram.Histogram{}} }
 
-// Record notes a duration.
+// Record records a duration.
 func (r *Recorder) Record(kind Kind, d time.Duration) {
 	if r == nil {
 		return
@@ -49,11 +50,11 @@
 		h = hdrhistogram.New(1, maxMicroseconds, significantDigits)
 		r.histograms[kind] = h
 	}
-	// Beyond the range is as good as at its end.
+	// Durations outside the range are recorded as its minimum or maximum.
 	_ = h.RecordValue(min(max(1, d.Microseconds()), maxMicroseconds))
 }
 
-// Run logs what was recorded at regular intervals, until the context ends.
+// Run logs and resets the histograms at regular intervals until ctx ends.
 func (r *Recorder) Run(ctx context.Context, log *slog.Logger) {
 	if r == nil {
 		return
@@ -70,7 +71,7 @@
 	}
 }
 
-// flush logs what was recorded since the last time, and forgets it.
+// flush logs and resets the histograms that are not empty.
 func (r *Recorder) flush(log *slog.Logger) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/timing/timing_test.go
+++ b/internal/timing/timing_test.go
@@ -8,8 +8,7 @@
 	"time"
 )
 
-// TestRecorder: a recorder logs each kind once and then begins anew; without one, nothing is
-// allocated.
+// TestRecorder checks that each recorded kind is logged once and then reset, and that a nil recorder allocates nothing.
 func TestRecorder(t *testing.T) {
 	var out bytes.Buffer
 	log := slog.New(slog.NewTextHandler(&out, nil))
@@ -20,13 +19,13 @@
 	r.flush(log)
 	r.flush(log)
 	if lines := strings.Count(out.String(), "\n"); lines != 2 {
-		t.Errorf("%d lines, want one for each kind:\n%s", lines, out.String())
+		t.Errorf("%d lines, want one for each recorded kind:\n%s", lines, out.String())
 	}
 	if !strings.Contains(out.String(), "kind=cycle count=2") {
-		t.Errorf("cycles are missing:\n%s", out.String())
+		t.Errorf("no line for the two cycles:\n%s", out.String())
 	}
-	var none *Recorder
-	if n := testing.AllocsPerRun(100, func() { none.Record(Cycle, time.Second) }); n > 0 {
-		t.Errorf("%v allocations while off", n)
+	var disabled *Recorder
+	if n := testing.AllocsPerRun(100, func() { disabled.Record(Cycle, time.Second) }); n > 0 {
+		t.Errorf("%v allocations with a nil recorder", n)
 	}
 }
