--- a/internal/testutil/testutil.go
+++ b/internal/testutil/testutil.go
@@ -1,5 +1,5 @@
-// Package testutil fixes the seed of generated inputs, so that tests give the
-// same verdict every run. Set PINEBAY_SEED to try others.
+// Package testutil provides helpers for tests. It fixes the seed of generated inputs, so that a test has the same
+// result in every run; set PINEBAY_SEED to test with other inputs.
 package testutil
 
 import (
@@ -11,17 +11,17 @@
 	"strings"
 	"testing"
 
-	// Its flags must exist before the seed is set.
+	// Registers the flags that fixSeed sets.
 	_ "pgregory.net/rapid"
 )
 
-// Main runs a package's tests with the fixed seed, from its TestMain.
+// Main runs the tests of a package with the fixed seed. Call it from TestMain.
 func Main(m *testing.M) {
 	fixSeed()
 	os.Exit(m.Run())
 }
 
-// Seed is where generated inputs begin.
+// Seed returns the seed for generated inputs, which is PINEBAY_SEED if it is set.
 func Seed() uint64 {
 	if n, err := strconv.ParseUint(os.Getenv("PINEBAY_SEED"), 10, 64); err == nil {
 		return n
@@ -29,16 +29,17 @@
 	return 20261
 }
 
+// fixSeed sets the seed of package rapid and turns off its files with failed inputs.
 func fixSeed() {
 	for name, v := range map[string]string{"rapid.seed": strconv.FormatUint(Seed(), 10), "rapid.nofailfile": "true"} {
 		if err := flag.Set(name, v); err != nil {
-			panic(err) // a flag that the library no longer has
+			panic(err) // rapid no longer has this flag
 		}
 	}
 }
 
-// Production returns bytes as the version in production wrote them: those of a file in testdata/production of the
-// package under test, in hexadecimal.
+// Production returns a message or record as encoded by the version in production. It is stored in hexadecimal in the
+// directory testdata/production of the package under test.
 func Production(tb testing.TB, name string) []byte {
 	tb.Helper()
 	text, err := os.ReadFile(filepath.Join("testdata", "production", name+".hex"))
