--- a/cmd/pinebay/main.go
+++ b/cmd/pinebay/main.go
@@ -1,9 +1,7 @@
-// Command pinebay is the daemon of a controller. It schedules jobs that serve
-// and train language models on rented machines.
+// Command pinebay runs a controller, which schedules jobs that train and serve language models on rented machines.
 package main
 
 import (
-	// Linked against the system's C library, as the platform asks.
 	"context"
 	"errors"
 	"fmt"
@@ -12,7 +10,7 @@
 	"os"
 	"os/signal"
 	"runtime"
-	_ "runtime/cgo"
+	_ "runtime/cgo" // the platform requires programs to be linked with the system's C library
 	"runtime/debug"
 	"strings"
 	"sync"
@@ -28,10 +26,10 @@
 	"pinebay/internal/transport"
 )
 
-// version is that of CHANGELOG.md.
+// version is the version in CHANGELOG.md.
 const version = "0.1.0"
 
-// errUsage marks errors that end the program with exit status 2.
+// errUsage matches errors in flags, settings or the environment, for which the program exits with status 2.
 var errUsage = errors.New("usage")
 
 func main() {
@@ -44,7 +42,7 @@
 	}
 }
 
-// flags are the command line's.
+// flags holds the values of the command-line flags.
 type flags struct {
 	settingsPath string
 	stepTimes    bool
@@ -79,13 +77,13 @@
 	set := cmd.Flags()
 	set.StringVar(&f.settingsPath, "config", "", "settings file of this controller (TOML)")
 	set.BoolVar(&f.ownership, "ownership", false,
-		"watch the other controllers for failures, and part the machines among those that live")
+		"detect failures of other controllers, and divide the machines among the live ones")
 	set.BoolVar(&f.stepTimes, "step-times", false, "log how long the leader's steps and heartbeats take")
 	f.zoneFailover.add(cmd)
 }
 
-// newController checks flags, settings and environment, limits the runtime by the settings, and returns a controller
-// that is not running yet. Every error is one of usage.
+// newController validates the flags, the settings and the environment, applies the resource limits in the settings to
+// the runtime, and returns a controller that is not running yet. All of its errors are usage errors.
 func (f *flags) newController() (*daemon.Controller, error) {
 	if f.settingsPath == "" {
 		return nil, errors.New("--config FILE is missing")
@@ -110,7 +108,8 @@
 	return daemon.New(transport.TCP{}, random.NewSystemSeeded(), settings, features, log), nil
 }
 
-// run runs a controller until SIGINT or SIGTERM. The controller hands its machines to the others before it ends.
+// run runs a controller until SIGINT or SIGTERM. The controller is drained before it ends: it hands its machines over
+// to the other controllers.
 func run(ctx context.Context, controller *daemon.Controller) error {
 	signalled, stop := signal.NotifyContext(ctx, os.Interrupt, syscall.SIGTERM)
 	ctx, end := context.WithCancel(ctx)
@@ -121,26 +120,27 @@
 		end()
 	})
 	err := controller.Run(ctx)
-	// Should the controller end by itself, these end the wait for a signal, and nothing is drained any more.
+	// If the controller has ended without a signal, end the wait for one. The machines are not handed over in this
+	// case, because ctx has ended.
 	end()
 	stop()
 	draining.Wait()
 	return err
 }
 
-// zoneFailoverFlags are the flags of zone failover.
+// zoneFailoverFlags holds the values of the flags for zone failover.
 type zoneFailoverFlags struct {
 	enabled bool
 	order   string
 }
 
 func (f *zoneFailoverFlags) add(cmd *cobra.Command) {
-	cmd.Flags().BoolVar(&f.enabled, "zone-return", false, "bring work back in a stated order when a zone is lost")
+	cmd.Flags().BoolVar(&f.enabled, "zone-return", false, "recover jobs in a fixed order when a zone is lost")
 	cmd.Flags().StringVar(&f.order, "zone-return-order", "",
-		`with --zone-return, which classes and teams come first, as in "cluesmith > team guests"`)
+		`with --zone-return, the order of classes and teams, such as "cluesmith > team guests"`)
 }
 
-// features checks the flags against the settings.
+// features validates the flags against the settings.
 func (f *zoneFailoverFlags) features(cfg *config.Settings) (daemon.Features, error) {
 	switch {
 	case !f.enabled && f.order != "":
@@ -164,8 +164,8 @@
 	return nil
 }
 
-// limitRuntime fits the runtime to the machine: one core, and a memory limit below
-// which the collector may be lazy, since processor time is scarcer.
+// limitRuntime limits the Go runtime to one core and to a share of the memory quota. Below the memory limit the garbage
+// collector runs rarely, because CPU time is scarcer than memory.
 func limitRuntime(cfg *config.Settings) {
 	runtime.GOMAXPROCS(1)
 	debug.SetGCPercent(400)
--- a/cmd/pinebay/main_test.go
+++ b/cmd/pinebay/main_test.go
@@ -11,6 +11,8 @@
 	"pinebay/internal/config"
 )
 
+// TestCommandLine checks that invalid command lines and settings are reported as usage errors that name the problem,
+// and that --help and --version succeed and name the program.
 func TestCommandLine(t *testing.T) {
 	bad := filepath.Join(t.TempDir(), "bad.toml")
 	if err := os.WriteFile(bad, []byte("node = 3\n"), 0o600); err != nil {
@@ -43,21 +45,21 @@
 		}
 	}
 	if _, err := newLogger(nil, "loud"); err == nil {
-		t.Error("an unknown level was taken")
+		t.Error("an unknown log level was accepted")
 	}
 }
 
-// TestZoneReturnFlags: an order that cannot be kept ends the program in one line that names
-// what is wrong, and without the flag nothing is on.
+// TestZoneReturnFlags checks that an invalid order is rejected with a one-line error that names the problem, and that
+// zone failover is disabled without its flag.
 func TestZoneReturnFlags(t *testing.T) {
 	cfg := &config.Settings{Deployment: config.Deployment{
 		Teams:      []config.Team{{Name: "red"}},
 		Objectives: []config.Objective{{Kind: "wait", Class: "serve"}, {Kind: "finished", Class: "sweep"}},
 	}}
 	for _, row := range []struct {
-		flags zoneFailoverFlags
-		on    bool
-		want  string // in the error
+		flags       zoneFailoverFlags
+		wantEnabled bool
+		want        string // in the error
 	}{
 		{zoneFailoverFlags{}, false, ""},
 		{zoneFailoverFlags{enabled: true}, true, ""},
@@ -70,7 +72,7 @@
 	} {
 		features, err := row.flags.features(cfg)
 		switch {
-		case (features.ZoneFailover != nil) != row.on, (err != nil) != (row.want != ""):
+		case (features.ZoneFailover != nil) != row.wantEnabled, (err != nil) != (row.want != ""):
 			t.Errorf("%+v: %v %v", row.flags, features, err)
 		case err != nil && (!strings.Contains(err.Error(), row.want) || strings.Contains(err.Error(), "\n")):
 			t.Errorf("%+v: %v, want %q", row.flags, err, row.want)
