--- a/internal/coordination/api/jobreader.go
+++ b/internal/coordination/api/jobreader.go
@@ -24,7 +24,7 @@
 type jobReader struct {
 	store          *storage.Client
 	log            *slog.Logger
-	leaderStatuses LeaderStatuses
+	leaderStatuses LeaderStatusesFunc
 	finals         *finalStates
 	index          *jobIndex // used only by the goroutine in answerBatches
 
@@ -60,7 +60,7 @@
 func newJobReader(
 	store *storage.Client,
 	log *slog.Logger,
-	statuses LeaderStatuses,
+	statuses LeaderStatusesFunc,
 	finals *finalStates,
 ) *jobReader {
 	return &jobReader{
--- a/internal/coordination/api/server.go
+++ b/internal/coordination/api/server.go
@@ -35,13 +35,13 @@
 // finalStatesPerMB is the number of outcomes to cache for each MB of the process's memory limit.
 const finalStatesPerMB = 100
 
-// AnnounceIntent announces an intent to cancel a job to the other controllers. Once a quorum holds the intent, it
+// AnnounceIntentFunc announces an intent to cancel a job to the other controllers. Once a quorum holds the intent, it
 // returns the time at which the intent was created. It returns an error if no quorum can be reached.
-type AnnounceIntent func(ctx context.Context, jobID string) (time.Time, error)
+type AnnounceIntentFunc func(ctx context.Context, jobID string) (time.Time, error)
 
-// LeaderStatuses asks the leader for the statuses of jobs. It returns the statuses of the jobs that the leader knows,
+// LeaderStatusesFunc asks the leader for the statuses of jobs. It returns the statuses of the jobs that the leader knows,
 // by id, and whether the leader answered in time.
-type LeaderStatuses func(ctx context.Context, jobIDs []string) (map[string]protocol.JobStatus, bool)
+type LeaderStatusesFunc func(ctx context.Context, jobIDs []string) (map[string]protocol.JobStatus, bool)
 
 // Server serves the users' API. It is safe for concurrent use.
 type Server struct {
@@ -50,7 +50,7 @@
 	random         *random.Source
 	log            *slog.Logger
 	reader         *jobReader
-	announceIntent AnnounceIntent
+	announceIntent AnnounceIntentFunc
 	machineTypes   atomic.Pointer[[]protocol.MachineType] // nil until they are known
 	featureLevel   atomic.Int64
 }
@@ -61,8 +61,8 @@
 	store *storage.Client,
 	source *random.Source,
 	log *slog.Logger,
-	statuses LeaderStatuses,
-	announce AnnounceIntent,
+	statuses LeaderStatusesFunc,
+	announce AnnounceIntentFunc,
 ) *Server {
 	finals := newFinalStates(int(cfg.Quota.RAMMB * finalStatesPerMB))
 	return &Server{
