--- a/cmd/pinebay/main.go
+++ b/cmd/pinebay/main.go
@@ -144,7 +144,7 @@
 func (f *zoneFailoverFlags) features(cfg *config.Settings) (daemon.Features, error) {
 	switch {
 	case !f.enabled && f.order != "":
-		return daemon.Features{}, errors.New("--zone-return-order: needs --zone-return")
+		return daemon.Features{}, errors.New("--zone-return-order: requires --zone-return")
 	case !f.enabled:
 		return daemon.Features{}, nil
 	case f.order == "":
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -111,10 +111,10 @@
 		_, err := Parse([]byte(strings.Replace(validSettings, row.from, row.to, 1)))
 		switch {
 		case row.field == "" && err != nil:
-			t.Errorf("%s: %v", row.to, err)
+			t.Errorf("%s: error %v", row.to, err)
 		case row.field == "":
 		case err == nil || !strings.Contains(err.Error(), row.field) || strings.Contains(err.Error(), "\n"):
-			t.Errorf("%s: %v", row.to, err)
+			t.Errorf("%s: error %v", row.to, err)
 		}
 	}
 }
@@ -145,7 +145,7 @@
 			_, err := Parse([]byte(strings.Replace(validSettings, row.from, row.to, 1)))
 			var invalid *FieldError
 			if !errors.As(err, &invalid) || invalid.Field != row.field || err.Error() != row.line {
-				t.Errorf("%v, want %q", err, row.line)
+				t.Errorf("error %v, want %q", err, row.line)
 			}
 		})
 	}
@@ -154,7 +154,7 @@
 	const line = "settings: line 2 column 8, field [node]: toml: cannot decode TOML integer into struct field " +
 		"config.Settings.Name of type string"
 	if !errors.As(err, &decoding) || decoding.Line != 2 || err.Error() != line {
-		t.Errorf("%v, want %q", err, line)
+		t.Errorf("error %v, want %q", err, line)
 	}
 }
 
--- a/internal/coordination/api/cancellation.go
+++ b/internal/coordination/api/cancellation.go
@@ -34,7 +34,7 @@
 	}
 }
 
-// cancelJob cancels a job that has not ended, and returns the final status of the job. It announces the cancellation
+// cancelJob cancels a job unless it has ended, and returns the final status of the job. It announces the cancellation
 // intent before it writes the ended record.
 func (s *Server) cancelJob(ctx context.Context, id string) (protocol.JobStatus, error) {
 	ended, err := protocol.Encode(storage.EndedJobRecord{State: protocol.JobCancelled})
--- a/internal/coordination/api/feasibility_test.go
+++ b/internal/coordination/api/feasibility_test.go
@@ -43,10 +43,10 @@
 				got = err.Error()
 			}
 			if got != x.want {
-				t.Errorf("%q, want %q", got, x.want)
+				t.Errorf("error %q, want %q", got, x.want)
 			}
 			if err != nil && statusOf(err) != 422 {
-				t.Errorf("status %d", statusOf(err))
+				t.Errorf("status %d, want 422", statusOf(err))
 			}
 		})
 	}
--- a/internal/coordination/api/jobindex.go
+++ b/internal/coordination/api/jobindex.go
@@ -58,7 +58,7 @@
 	for _, pair := range pairs {
 		x.addLive(pair.Key, pair.Value)
 	}
-	// The revision is that of the first page of the list. Later changes are read by the next followLive.
+	// The revision is that of the first page of the list. Later changes are read by followLive and followEnded.
 	x.synced, x.liveRevision, x.endedRevision = true, revision, revision
 	return nil
 }
--- a/internal/coordination/api/server.go
+++ b/internal/coordination/api/server.go
@@ -39,8 +39,8 @@
 // returns the time at which the intent was created. It returns an error if no quorum can be reached.
 type AnnounceIntentFunc func(ctx context.Context, jobID string) (time.Time, error)
 
-// LeaderStatusesFunc asks the leader for the statuses of jobs. It returns the statuses of the jobs that the leader knows,
-// by id, and whether the leader answered in time.
+// LeaderStatusesFunc asks the leader for the statuses of jobs. It returns the statuses of the jobs that the leader
+// knows, by id, and whether the leader answered in time.
 type LeaderStatusesFunc func(ctx context.Context, jobIDs []string) (map[string]protocol.JobStatus, bool)
 
 // Server serves the users' API. It is safe for concurrent use.
--- a/internal/coordination/api/server_test.go
+++ b/internal/coordination/api/server_test.go
@@ -289,7 +289,7 @@
 	} {
 		code, _, h := s.call(0, x[0], x[1], encodeJob(t, arrayJob("j-000001")))
 		if code != http.StatusServiceUnavailable || h.Get("Retry-After") == "" {
-			t.Errorf("%v: %d %v", x, code, h)
+			t.Errorf("%v: status %d with header %v", x, code, h)
 		}
 	}
 }
--- a/internal/daemon/claim.go
+++ b/internal/daemon/claim.go
@@ -18,7 +18,7 @@
 type leadershipRecords struct {
 	term         storage.TermRecord
 	termRevision uint64 // 0 if there is no record
-	keyRevision  uint64 // of the leader key; 0 if nobody holds it
+	keyRevision  uint64 // of the leader key; 0 if no controller holds it
 }
 
 // claim makes one attempt to become leader. A failed attempt is logged and reported as not won.
--- a/internal/daemon/claim_test.go
+++ b/internal/daemon/claim_test.go
@@ -50,7 +50,7 @@
 	} {
 		got := row.actor.claim(t.Context(), election.Claim{AboveTerm: row.above})
 		if got.Won != row.won || got.Term != row.term {
-			t.Fatalf("%s: %+v, want %v of term %d", row.name, got, row.won, row.term)
+			t.Fatalf("%s: claim returned %+v, want won %v with term %d", row.name, got, row.won, row.term)
 		}
 		if !row.won {
 			continue
@@ -86,7 +86,7 @@
 	actor, out := newTestElectionActor(t, "n-0", store)
 	for range 2 {
 		if got := actor.claim(t.Context(), election.Claim{AboveTerm: 4}); got.Won {
-			t.Errorf("won: %+v", got)
+			t.Errorf("claim won at an unsupported feature level: %+v", got)
 		}
 	}
 	if lines := strings.Count(out.String(), "feature level not supported"); lines != 1 {
--- a/internal/daemon/failuredetection.go
+++ b/internal/daemon/failuredetection.go
@@ -82,15 +82,15 @@
 	opinions := d.Opinions(now)
 	for _, name := range slices.Sorted(maps.Keys(opinions)) {
 		o := opinions[name]
-		heard := o.HeardAgo.Milliseconds()
+		heardAgoMS := o.HeardAgo.Milliseconds()
 		if o.HeardAgo < 0 {
-			heard = -1
+			heardAgoMS = -1
 		}
 		out.opinions = append(out.opinions, protocol.PeerOpinion{
 			Controller:         name,
 			Incarnation:        o.Incarnation.Process,
 			Refutations:        o.Incarnation.Refutations,
-			HeardAgoMS:         heard,
+			HeardAgoMS:         heardAgoMS,
 			Suspected:          o.Suspected,
 			SuspectedForMS:     o.SuspectedFor.Milliseconds(),
 			Phi:                o.Phi,
@@ -162,9 +162,9 @@
 	}
 }
 
-// peerHeard passes a peer's heartbeat, or its reply to one, to the detector. Malformed opinions are dropped, so the
-// votes in them do not count.
-func (a *failureDetectorActor) peerHeard(m *protocol.PeerMessage) {
+// handlePeerHeartbeat passes a peer's heartbeat, or its reply to one, to the detector. Malformed opinions are dropped,
+// so the votes in them do not count.
+func (a *failureDetectorActor) handlePeerHeartbeat(m *protocol.PeerMessage) {
 	if a == nil || m.Incarnation == 0 {
 		return
 	}
@@ -185,13 +185,13 @@
 func decodeOpinions(list []protocol.PeerOpinion) map[string]failuredetector.Opinion {
 	out := make(map[string]failuredetector.Opinion, len(list))
 	for _, o := range list {
-		heard := time.Duration(o.HeardAgoMS) * time.Millisecond
+		heardAgo := time.Duration(o.HeardAgoMS) * time.Millisecond
 		if o.HeardAgoMS < 0 {
-			heard = -1
+			heardAgo = -1
 		}
 		out[o.Controller] = failuredetector.Opinion{
 			Incarnation:        failuredetector.Incarnation{Process: o.Incarnation, Refutations: o.Refutations},
-			HeardAgo:           heard,
+			HeardAgo:           heardAgo,
 			Suspected:          o.Suspected,
 			SuspectedFor:       time.Duration(o.SuspectedForMS) * time.Millisecond,
 			Phi:                o.Phi,
--- a/internal/daemon/featurelevels.go
+++ b/internal/daemon/featurelevels.go
@@ -50,8 +50,8 @@
 	})
 }
 
-// peerHeard processes the feature level in a peer's heartbeat or in its reply to one.
-func (a *featureLevelActor) peerHeard(m *protocol.PeerMessage) {
+// handlePeerHeartbeat processes the feature level in a peer's heartbeat or in its reply to one.
+func (a *featureLevelActor) handlePeerHeartbeat(m *protocol.PeerMessage) {
 	a.mailbox.Send(featurelevel.PeerHeartbeat{Controller: m.From, Level: featurelevel.Level(m.FeatureLevel)})
 }
 
--- a/internal/daemon/fencing.go
+++ b/internal/daemon/fencing.go
@@ -80,18 +80,18 @@
 
 // queryPeers asks every peer which of the machines send heartbeats to it.
 func (a *fencingActor) queryPeers(ctx context.Context, machines []string) []fencing.PeerReply {
-	var answers []fencing.PeerReply
+	var replies []fencing.PeerReply
 	for _, peer := range a.mesh.Peers() {
-		answers = append(answers, a.queryPeer(ctx, peer, machines))
+		replies = append(replies, a.queryPeer(ctx, peer, machines))
 	}
-	return answers
+	return replies
 }
 
 // queryPeer asks one peer which of the machines send heartbeats to it, in several messages if the list is long.
 func (a *fencingActor) queryPeer(ctx context.Context, peer string, machines []string) fencing.PeerReply {
-	reply := fencing.PeerReply{Answered: true, InQuorum: a.peers.recentlyHeard(peer)}
-	for _, asked := range protocol.SplitMachineNames(machines) {
-		r, err := a.mesh.Call(ctx, peer, protocol.PeerMessage{Kind: protocol.PeerLiveMachinesQuery, Machines: asked})
+	reply := fencing.PeerReply{Answered: true, InQuorum: a.peers.recentlyInContact(peer)}
+	for _, part := range protocol.SplitMachineNames(machines) {
+		r, err := a.mesh.Call(ctx, peer, protocol.PeerMessage{Kind: protocol.PeerLiveMachinesQuery, Machines: part})
 		if err != nil {
 			reply.Answered = false
 			return reply
--- a/internal/daemon/heartbeatrouting_test.go
+++ b/internal/daemon/heartbeatrouting_test.go
@@ -92,7 +92,7 @@
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			if got := routeHeartbeat(row.view, row.ownership, row.tokenTerm); got != row.want {
-				t.Errorf("%+v, want %+v", got, row.want)
+				t.Errorf("route %+v, want %+v", got, row.want)
 			}
 		})
 	}
@@ -154,7 +154,7 @@
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			if got := row.view.rejectsBeforeReading(); got != row.want {
-				t.Errorf("%v, want %v", got, row.want)
+				t.Errorf("rejectsBeforeReading() = %v, want %v", got, row.want)
 			}
 		})
 	}
--- a/internal/daemon/intentannouncer.go
+++ b/internal/daemon/intentannouncer.go
@@ -25,39 +25,39 @@
 }
 
 func newIntentAnnouncer(env *environment, peers *peerTable, names []string) *intentAnnouncer {
-	c := &intentAnnouncer{environment: env, peers: peers, heartbeatTriggers: map[string]chan struct{}{}}
+	a := &intentAnnouncer{environment: env, peers: peers, heartbeatTriggers: map[string]chan struct{}{}}
 	for _, name := range names {
-		c.heartbeatTriggers[name] = make(chan struct{}, 1)
+		a.heartbeatTriggers[name] = make(chan struct{}, 1)
 	}
-	return c
+	return a
 }
 
 // announce creates an intent to cancel a job and waits until a quorum of controllers holds it. It returns the time at
 // which the intent was created, or errNoQuorum.
-func (c *intentAnnouncer) announce(ctx context.Context, job string) (time.Time, error) {
-	now := c.now()
-	if !c.peers.inContactWithQuorum(now) {
+func (a *intentAnnouncer) announce(ctx context.Context, job string) (time.Time, error) {
+	now := a.now()
+	if !a.peers.inContactWithQuorum(now) {
 		return time.Time{}, errNoQuorum // fail fast: the user is told when to retry
 	}
-	own, err := c.intents.Announce(now, api.MaxIntentAge/4, job)
+	own, err := a.intents.Announce(now, api.MaxIntentAge/4, job)
 	if err != nil {
 		return time.Time{}, err
 	}
-	if l := c.localLeader.Load(); l != nil {
+	if l := a.localLeader.Load(); l != nil {
 		l.AddCancellationIntent(job, now)
 	}
-	for _, trigger := range c.heartbeatTriggers {
+	for _, trigger := range a.heartbeatTriggers {
 		select {
 		case trigger <- struct{}{}:
 		default:
 		}
 	}
-	ctx, cancel := context.WithTimeout(ctx, c.times.LeaderTimeout/2)
+	ctx, cancel := context.WithTimeout(ctx, a.times.LeaderTimeout/2)
 	defer cancel()
 	for {
-		holders, changed := c.intents.Holders(own.Sequence)
-		if election.IsQuorum(holders, len(c.heartbeatTriggers)) {
-			return c.start.Add(own.CreatedAt), nil
+		holders, changed := a.intents.Holders(own.Sequence)
+		if election.IsQuorum(holders, len(a.heartbeatTriggers)) {
+			return a.start.Add(own.CreatedAt), nil
 		}
 		select {
 		case <-changed:
@@ -68,10 +68,10 @@
 }
 
 // merge adds the intents of a peer's message to this controller's, and passes new ones to the local leader, if any.
-func (c *intentAnnouncer) merge(m *protocol.PeerMessage, reply bool) cancellation.ReceiveResult {
-	now := c.now()
-	received := c.intents.Receive(now, m, reply)
-	if l := c.localLeader.Load(); l != nil {
+func (a *intentAnnouncer) merge(m *protocol.PeerMessage, reply bool) cancellation.ReceiveResult {
+	now := a.now()
+	received := a.intents.Receive(now, m, reply)
+	if l := a.localLeader.Load(); l != nil {
 		for _, n := range received.NewIntents {
 			l.AddCancellationIntent(n.JobID, now)
 		}
--- a/internal/daemon/keywatch.go
+++ b/internal/daemon/keywatch.go
@@ -13,7 +13,7 @@
 type keyWatch struct {
 	*environment
 	key string
-	// purpose names the random numbers for the pauses between failed requests.
+	// purpose is the purpose for which the random pauses after failed requests are drawn; see package random.
 	purpose string
 	// read reads and processes the current value. known is the revision up to which changes have been processed; the
 	// result is the revision after which to watch.
--- a/internal/daemon/keywatch_test.go
+++ b/internal/daemon/keywatch_test.go
@@ -71,7 +71,7 @@
 		read: func(_ context.Context, revision uint64) (uint64, error) {
 			known = append(known, revision)
 			if len(known) == 1 {
-				return 0, errors.New("not read")
+				return 0, errors.New("read failed")
 			}
 			read := reads[0]
 			reads = reads[1:]
--- a/internal/daemon/leadership.go
+++ b/internal/daemon/leadership.go
@@ -23,7 +23,7 @@
 	mailbox                *actor.Mailbox[election.Event]
 	election               *election.Election
 	api                    *api.Server
-	workers                *transport.Client
+	workerClient           *transport.Client
 	levels                 *featureLevelActor
 	unsupportedLevelLogged sync.Once
 	tasks                  sync.WaitGroup // requests in progress, and leaders that have not ended
@@ -33,16 +33,16 @@
 	env *environment,
 	peers []string,
 	apiServer *api.Server,
-	workers *transport.Client,
+	workerClient *transport.Client,
 	levels *featureLevelActor,
 ) *electionActor {
 	a := &electionActor{
-		environment: env,
-		mailbox:     actor.NewMailbox[election.Event](),
-		election:    election.New(env.now(), env.cfg.Name, peers, env.times),
-		api:         apiServer,
-		workers:     workers,
-		levels:      levels,
+		environment:  env,
+		mailbox:      actor.NewMailbox[election.Event](),
+		election:     election.New(env.now(), env.cfg.Name, peers, env.times),
+		api:          apiServer,
+		workerClient: workerClient,
+		levels:       levels,
 	}
 	a.publishView()
 	return a
@@ -118,7 +118,7 @@
 		Observer:   leaderObserver{a},
 		Store:      a.store,
 		Cloud:      a.cloud,
-		Workers:    a.workers,
+		Workers:    a.workerClient,
 		Random:     a.random,
 		Log:        a.log,
 		Now:        a.now,
--- a/internal/daemon/ownerheartbeats.go
+++ b/internal/daemon/ownerheartbeats.go
@@ -32,11 +32,11 @@
 	digestReceivedAt map[string]time.Duration // on the leader: when the last digest of each owner arrived
 }
 
-func newMachineOwner(env *environment, record *ownershipActor, peers *peerTable) *machineOwner {
+func newMachineOwner(env *environment, recordActor *ownershipActor, peers *peerTable) *machineOwner {
 	lease := config.Seconds(env.cfg.Deployment.Workers.LeaseSeconds)
 	return &machineOwner{
 		environment:      env,
-		ownership:        record,
+		ownership:        recordActor,
 		peers:            peers,
 		redirects:        newRedirectTracker(lease),
 		heartbeats:       ownership.NewHeartbeatFilter(lease / 2),
@@ -82,7 +82,7 @@
 		}
 		return table
 	}
-	if at := o.ownership.leaderEpoch.Load(); at == nil || at.leader != v.Leader || at.epoch != table.Epoch {
+	if e := o.ownership.leaderEpoch.Load(); e == nil || e.leader != v.Leader || e.epoch != table.Epoch {
 		return nil
 	}
 	return table
@@ -100,8 +100,8 @@
 		MaxDigestAge:       o.times.LeaderTimeout,
 		KnowsCancellations: o.peers.hasAllIntents(now),
 	}
-	if at := o.ownership.leaderEpoch.Load(); at != nil && at.leader == v.Leader {
-		s.LeaderEpoch = at.epoch
+	if e := o.ownership.leaderEpoch.Load(); e != nil && e.leader == v.Leader {
+		s.LeaderEpoch = e.epoch
 	}
 	return s
 }
@@ -110,7 +110,7 @@
 // controllers by its replies to heartbeats.
 func (o *machineOwner) ownerReachable(owner string, leads bool) bool {
 	if !leads {
-		return o.peers.recentlyHeard(owner)
+		return o.peers.recentlyInContact(owner)
 	}
 	now := o.now()
 	o.mu.Lock()
--- a/internal/daemon/ownership.go
+++ b/internal/daemon/ownership.go
@@ -81,8 +81,8 @@
 }
 
 var (
-	errNotLeader  = errors.New("this controller is no longer the leader")
-	errSuperseded = errors.New("term or ownership record has changed since it was read")
+	errNotLeader        = errors.New("this controller is no longer the leader")
+	errOwnershipChanged = errors.New("term or ownership record has changed since it was read")
 )
 
 // writeRecord replaces the ownership record, on the condition that this controller still leads and that the record has
@@ -125,7 +125,7 @@
 		Then: []protocol.Op{{PutKey: storage.OwnershipKey, Value: value}},
 	})
 	if err == nil && !outcome.Succeeded {
-		err = errSuperseded
+		err = errOwnershipChanged
 	}
 	return err
 }
@@ -249,8 +249,8 @@
 	}
 }
 
-// peerHeard processes what a peer's heartbeat, or its reply to one, says about ownership.
-func (a *ownershipActor) peerHeard(m *protocol.PeerMessage) {
+// handlePeerHeartbeat processes what a peer's heartbeat, or its reply to one, says about ownership.
+func (a *ownershipActor) handlePeerHeartbeat(m *protocol.PeerMessage) {
 	if a == nil || m.Incarnation == 0 {
 		return
 	}
--- a/internal/daemon/peers.go
+++ b/internal/daemon/peers.go
@@ -90,9 +90,9 @@
 // receive processes the fields that heartbeats and replies to them have in common, except for intents.
 func (x *peerExchange) receive(m *protocol.PeerMessage) {
 	x.peers.recordContact(m)
-	x.levels.peerHeard(m)
-	x.detector.peerHeard(m)
-	x.ownership.peerHeard(m)
+	x.levels.handlePeerHeartbeat(m)
+	x.detector.handlePeerHeartbeat(m)
+	x.ownership.handlePeerHeartbeat(m)
 }
 
 // fill sets the fields that heartbeats and replies to them have in common. incarnation is the incarnation of the peer
--- a/internal/daemon/peertable.go
+++ b/internal/daemon/peertable.go
@@ -18,16 +18,16 @@
 	lastContactAt    atomic.Int64 // time of the last message of any peer, on the controller's clock
 	storeReachableAt atomic.Int64 // time of the last message of a peer that the key-value store answers
 
-	mu       sync.Mutex // guards the fields below
-	statuses map[string]election.PeerStatus
-	renewers map[string]time.Duration // peers that renew leases on standby, with the time of their last report
+	mu              sync.Mutex // guards the fields below
+	statuses        map[string]election.PeerStatus
+	standbyRenewers map[string]time.Duration // peers that renew leases on standby, with the time of their last report
 }
 
 func newPeerTable(env *environment) *peerTable {
 	return &peerTable{
-		environment: env,
-		statuses:    map[string]election.PeerStatus{},
-		renewers:    map[string]time.Duration{},
+		environment:     env,
+		statuses:        map[string]election.PeerStatus{},
+		standbyRenewers: map[string]time.Duration{},
 	}
 }
 
@@ -40,14 +40,14 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if m.RenewsLeases {
-		t.renewers[m.From] = t.now()
+		t.standbyRenewers[m.From] = t.now()
 	} else {
-		delete(t.renewers, m.From)
+		delete(t.standbyRenewers, m.From)
 	}
 }
 
-// recordReply records the reply to a heartbeat that was sent at the given time. received tells whether the reply
-// completed the peer's intents.
+// recordReply records the reply to a heartbeat that was sent at the given time. received says whether this controller
+// now has all intents of the peer.
 func (t *peerTable) recordReply(r *protocol.PeerMessage, sent time.Duration, received cancellation.ReceiveResult) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -95,8 +95,8 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	best, latest := "", t.now()-t.times.LeaderTimeout/2
-	for _, name := range slices.Sorted(maps.Keys(t.renewers)) {
-		if at := t.renewers[name]; at > latest {
+	for _, name := range slices.Sorted(maps.Keys(t.standbyRenewers)) {
+		if at := t.standbyRenewers[name]; at > latest {
 			best, latest = name, at
 		}
 	}
@@ -118,7 +118,7 @@
 }
 
 // leaderless reports whether a quorum agrees that there is no leader and that none can be elected. A local leader that
-// could not read the records before the store outage does not know where tasks are placed, and is not counted.
+// could not read the records before the store outage does not know where tasks are placed, so it counts as no leader.
 func (t *peerTable) leaderless(now time.Duration) bool {
 	v := *t.view.Load()
 	if l := t.localLeader.Load(); l != nil && !l.Ready() {
@@ -129,8 +129,8 @@
 	return t.groupStatus(now, v).Leaderless(t.cfg.Name)
 }
 
-// recentlyHeard reports whether a peer has replied recently enough to count towards a quorum.
-func (t *peerTable) recentlyHeard(peer string) bool {
+// recentlyInContact reports whether a peer has replied recently enough to count towards a quorum.
+func (t *peerTable) recentlyInContact(peer string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	s, ok := t.statuses[peer]
--- a/internal/transport/mesh_test.go
+++ b/internal/transport/mesh_test.go
@@ -67,7 +67,7 @@
 	a := newCaller("a", l.Addr())
 	r, err := a.Call(ctx, "b", protocol.PeerMessage{Kind: protocol.PeerHeartbeat, Term: 4})
 	if err != nil || r.Term != 5 || r.From != "b" {
-		t.Fatalf("%+v %v", r, err)
+		t.Fatalf("reply %+v, error %v", r, err)
 	}
 	if err := a.peers["b"].conn.Close(); err != nil {
 		t.Error(err)
@@ -107,7 +107,7 @@
 	for _, name := range []string{"b", "unknown"} {
 		_, err := a.Call(t.Context(), name, protocol.PeerMessage{Kind: protocol.PeerHeartbeat})
 		if !errors.Is(err, ErrPeerUnreachable) {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("call to %s: error %v, want ErrPeerUnreachable", name, err)
 		}
 	}
 }
@@ -145,10 +145,10 @@
 	}
 	cancel()
 	if err := <-first; !errors.Is(err, context.Canceled) {
-		t.Errorf("the cancelled call: %v", err)
+		t.Errorf("error of the cancelled call: %v", err)
 	}
 	if err := <-other; !errors.Is(err, ErrPeerUnreachable) {
-		t.Errorf("the other call: %v", err)
+		t.Errorf("error of the other call: %v", err)
 	}
 	if _, err := ReadFrame(silent); err == nil {
 		t.Error("the connection is still open")
--- a/internal/transport/server_test.go
+++ b/internal/transport/server_test.go
@@ -34,12 +34,12 @@
 			raw, err := ReadBody(w, r)
 			if x.want == "" {
 				if err != nil || len(raw) != x.bytes {
-					t.Errorf("%d bytes, %v", len(raw), err)
+					t.Errorf("read %d bytes, error %v", len(raw), err)
 				}
 				return
 			}
 			if !errors.Is(err, protocol.ErrMalformed) || err.Error() != x.want {
-				t.Errorf("%v, want %q", err, x.want)
+				t.Errorf("error %v, want %q", err, x.want)
 			}
 			if w.Header().Get("Connection") != "close" {
 				t.Error("the connection stays open")
