--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -119,8 +119,8 @@
 	}
 }
 
-// TestErrorTypes checks the types of errors, from which callers get the field of an invalid setting, and their text,
-// which operators read.
+// TestErrorTypes checks the types of errors, from which callers get the field of an invalid setting, and that the text
+// that operators read does not change.
 func TestErrorTypes(t *testing.T) {
 	for _, row := range []struct{ name, from, to, field, line string }{
 		{"missing", `node = "n-0"`, "", "node", "settings: field node: missing"},
--- a/internal/coordination/api/dependencies_test.go
+++ b/internal/coordination/api/dependencies_test.go
@@ -229,7 +229,7 @@
 	})
 }
 
-// TestCascadeNeedsNoQuorum checks that a c that reaches no other one reports cascading cancellations to users.
+// TestCascadeNeedsNoQuorum checks that a controller that reaches no other one reports cascading cancellations to users.
 // No quorum is needed, because a job that is cancelled together with a dependency has no tasks.
 func TestCascadeNeedsNoQuorum(t *testing.T) {
 	s := newPipelineCluster(t)
--- a/internal/daemon/controller.go
+++ b/internal/daemon/controller.go
@@ -228,7 +228,7 @@
 
 // Drain prepares a controller for shutdown by handing its machines over to the other controllers. It returns when their
 // workers have had time to be redirected, or when no other controller has taken over within the time in which a leader
-// would be replaced. It returns immediately on the leader, whose work is taken over by its successor.
+// would be replaced. On the leader it returns immediately, because the leader's machines pass to its successor.
 func (c *Controller) Drain(ctx context.Context) { c.ownership.drain(ctx) }
 
 // newServer returns the HTTP server for users and workers.
--- a/internal/daemon/heartbeatrouting_test.go
+++ b/internal/daemon/heartbeatrouting_test.go
@@ -138,7 +138,7 @@
 }
 
 // TestHeartbeatsRejectedBeforeReading checks that, without a leader, the body of a heartbeat is read only if the
-// heartbeat may be answered or be needed by fencing.
+// heartbeat may have to be answered, or shows fencing that a machine is alive.
 func TestHeartbeatsRejectedBeforeReading(t *testing.T) {
 	for _, row := range []struct {
 		name string
--- a/internal/daemon/keywatch_test.go
+++ b/internal/daemon/keywatch_test.go
@@ -60,7 +60,7 @@
 	defer srv.Close()
 	settings := testSettings()
 	settings.Endpoints.Store = strings.TrimPrefix(srv.URL, "http://")
-	settings.Deployment.Workers.LeaseSeconds = 1 // makes the wait of a watch short
+	settings.Deployment.Workers.LeaseSeconds = 1 // keeps the pauses short, which derive from the lease
 	env := newEnvironment(transport.TCP{}, random.New(1), settings, Features{}, slog.New(slog.DiscardHandler))
 	var known, changes []uint64
 	reads := []uint64{5, 10}
--- a/internal/daemon/redirects.go
+++ b/internal/daemon/redirects.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// redirectTracker remembers which machines were redirected to a target controller. A machine that comes back cannot
-// reach the target, although this controller can. Its heartbeats are relayed to the target, because its lease would
-// expire while it is redirected back and forth. After the duration of a lease the machine is redirected again, because
-// the target's commands reach it sooner on a direct connection.
+// redirectTracker remembers which machines were redirected to a target, which is the leader or the machine's owner. A
+// machine that comes back cannot reach the target, although this controller can. Its heartbeats are relayed to the
+// leader or answered here, because its lease would expire while it is redirected back and forth. After the duration of
+// a lease the machine is redirected again, because the target's commands reach it sooner on a direct connection.
 type redirectTracker struct {
 	mu        sync.Mutex
 	lease     time.Duration
-	target    string
+	target    string // name of the leader; for redirects to owners, the ownership epoch
 	entries   map[string]redirectEntry
 	expiredAt time.Duration // when expire last removed entries
 }
@@ -29,9 +29,10 @@
 	return &redirectTracker{lease: lease, entries: map[string]redirectEntry{}}
 }
 
-// shouldRelay records that a machine has sent a heartbeat here instead of to the target, and reports whether the
-// heartbeat should be relayed. answeredByTarget says that the target has answered the machine before: the machine would
-// not have come here if it could still reach the target. A change of target forgets all machines.
+// shouldRelay records that a machine has sent a heartbeat here instead of to the target, and reports whether this
+// controller should relay or answer the heartbeat instead of redirecting the machine. answeredByTarget says that the
+// target has answered the machine before: the machine would not have come here if it could still reach the target. A
+// change of target forgets all machines.
 func (t *redirectTracker) shouldRelay(machine, target string, answeredByTarget bool, now time.Duration) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/daemon/redirects_test.go
+++ b/internal/daemon/redirects_test.go
@@ -6,8 +6,8 @@
 )
 
 // TestRedirectTracker checks how machines are treated that can reach a follower but not the leader. They are redirected
-// once, and relayed when they come back; a machine that the leader has answered before is relayed at once. With long
-// leases, a second redirect of such machines once cost half of a large fleet its tasks. Machines are redirected again
+// once, and relayed when they come back. A machine that the leader has answered before is relayed at once: when the
+// leases had long to run, a second redirect had cost half of a large fleet its tasks. Machines are redirected again
 // after a while, and when the leader changes.
 func TestRedirectTracker(t *testing.T) {
 	tr := newRedirectTracker(10 * time.Second)
--- a/internal/random/random_test.go
+++ b/internal/random/random_test.go
@@ -6,8 +6,9 @@
 	"time"
 )
 
-// TestSameSeedSameNumbers checks that numbers depend on the seed, the purpose and the time, and on nothing else. When
-// they depended on the order of goroutines, simulations with the same seed differed between runs.
+// TestSameSeedSameNumbers checks that numbers depend on the seed, the purpose and the time, and on nothing else, and
+// that they differ if one of these differs. When numbers depended on the order of goroutines, simulations with the same
+// seed differed between runs.
 func TestSameSeedSameNumbers(t *testing.T) {
 	draw := func(s *Source) (numbers []uint64) {
 		synctest.Test(t, func(*testing.T) {
--- a/internal/timing/timing.go
+++ b/internal/timing/timing.go
@@ -1,4 +1,4 @@
-// Package timing measures the durations of a controller's steps and logs them as histograms, if an operator enables it.
+// Package timing measures the durations of a controller's steps and logs their distribution, if an operator enables it.
 package timing
 
 import (
@@ -22,7 +22,7 @@
 )
 
 // logInterval is the time between two log lines for a kind. maxMicroseconds is the longest duration that a histogram
-// can hold.
+// can hold, and significantDigits its precision in decimal digits.
 const (
 	logInterval       = time.Second
 	maxMicroseconds   = int64(time.Hour / time.Microsecond)
--- a/internal/transport/mesh_test.go
+++ b/internal/transport/mesh_test.go
@@ -96,7 +96,7 @@
 	}
 }
 
-// TestUnreachablePeers checks that calls to a controller that is unknown or refuses connections return
+// TestUnreachablePeers checks that the errors of calls to a controller that is unknown or refuses connections match
 // ErrPeerUnreachable.
 func TestUnreachablePeers(t *testing.T) {
 	l := listenLocal(t)
