--- a/internal/coordination/api/feasibility_test.go
+++ b/internal/coordination/api/feasibility_test.go
@@ -7,7 +7,7 @@
 	"pinebay/internal/protocol"
 )
 
-// TestInfeasibleJobs: the text of each reason for which a job can never run, which is part of the response.
+// TestInfeasibleJobs checks the error for each reason for which a job can never run. The text is part of the response.
 func TestInfeasibleJobs(t *testing.T) {
 	cfg := &config.Deployment{Teams: []config.Team{{Name: "red", MaxCPUs: 32, MaxGPUs: 16}}}
 	const (
@@ -43,10 +43,10 @@
 				got = err.Error()
 			}
 			if got != x.want {
-				t.Errorf("%q, want %q", got, x.want)
+				t.Errorf("error %q, want %q", got, x.want)
 			}
 			if err != nil && statusOf(err) != 422 {
-				t.Errorf("status %d", statusOf(err))
+				t.Errorf("status %d, want 422", statusOf(err))
 			}
 		})
 	}
--- a/internal/transport/server_test.go
+++ b/internal/transport/server_test.go
@@ -10,11 +10,12 @@
 	"pinebay/internal/protocol"
 )
 
-// TestReadBody: a body above the limit is malformed and ends the connection, whether its length is announced or not.
+// TestReadBody checks that a body above the limit is reported as malformed and closes the connection, whether or not
+// the request states the length of the body.
 func TestReadBody(t *testing.T) {
 	for name, x := range map[string]struct {
 		bytes     int
-		announced bool
+		hasLength bool
 		want      string
 	}{
 		"at the limit":           {protocol.MaxBodyBytes, true, ""},
@@ -26,19 +27,19 @@
 		t.Run(name, func(t *testing.T) {
 			body := strings.NewReader(strings.Repeat("x", x.bytes))
 			r := httptest.NewRequestWithContext(t.Context(), http.MethodPost, "/submissions", body)
-			if !x.announced {
+			if !x.hasLength {
 				r.ContentLength = -1
 			}
 			w := httptest.NewRecorder()
 			raw, err := ReadBody(w, r)
 			if x.want == "" {
 				if err != nil || len(raw) != x.bytes {
-					t.Errorf("%d bytes, %v", len(raw), err)
+					t.Errorf("read %d bytes, error %v", len(raw), err)
 				}
 				return
 			}
 			if !errors.Is(err, protocol.ErrMalformed) || err.Error() != x.want {
-				t.Errorf("%v, want %q", err, x.want)
+				t.Errorf("error %v, want %q", err, x.want)
 			}
 			if w.Header().Get("Connection") != "close" {
 				t.Error("the connection stays open")
