--- a/internal/protocol/codec.go
+++ b/internal/protocol/codec.go
@@ -9,13 +9,13 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// ContentType is the content type of every HTTP body.
+// ContentType is the media type of every HTTP request and response body.
 const ContentType = "application/msgpack"
 
-// MaxBodyBytes is the limit of request bodies, and of responses to workers and users.
+// MaxBodyBytes is the maximum size of a request body, and of the body of a response to a worker or a user.
 const MaxBodyBytes = 64 << 10
 
-// Encode returns v as MessagePack.
+// Encode returns the MessagePack encoding of v.
 func Encode(v any) ([]byte, error) {
 	var buf bytes.Buffer
 	enc := msgpack.GetEncoder()
@@ -28,8 +28,8 @@
 	return buf.Bytes(), nil
 }
 
-// Decode decodes raw, which must be exactly one MessagePack map, into v. Any other content is an error that matches
-// [ErrMalformed].
+// Decode decodes raw into v. It returns an error that matches [ErrMalformed] unless raw consists of exactly one
+// MessagePack map that fits v.
 func Decode(raw []byte, v any) error {
 	if !IsMap(raw) {
 		return Malformed("not a map")
@@ -37,10 +37,10 @@
 	return DecodeAny(raw, v)
 }
 
-// DecodeAny decodes raw, which must be exactly one MessagePack value, into v. Any other content is an error that
-// matches [ErrMalformed].
+// DecodeAny decodes raw into v. It returns an error that matches [ErrMalformed] unless raw consists of exactly one
+// MessagePack value, of any type that fits v.
 func DecodeAny(raw []byte, v any) (err error) {
-	// The decoder may panic on malformed input. Input from outside must never end the process.
+	// The msgpack decoder may panic on malformed input, and input from outside must never crash the process.
 	defer func() {
 		if r := recover(); r != nil {
 			err = Malformed("%v", r)
@@ -50,7 +50,7 @@
 	defer msgpack.PutDecoder(dec)
 	dec.Reset(bytes.NewReader(raw))
 	if err := dec.Decode(v); err != nil {
-		return undecodable(err)
+		return decodeError(err)
 	}
 	if _, err := dec.PeekCode(); !errors.Is(err, io.EOF) {
 		return Malformed("bytes after the value")
@@ -58,7 +58,8 @@
 	return nil
 }
 
-// First bytes of MessagePack maps: a map of up to 15 pairs has the length in the low bits of its first byte.
+// The first byte of an encoded MessagePack map. A map of up to 15 pairs (fixmap) has its length in the low four bits;
+// longer ones (map 16, map 32) have it in the bytes that follow.
 const (
 	codeFixMap     = 0x80
 	codeFixMapMask = 0xf0
@@ -66,7 +67,7 @@
 	codeMap32      = 0xdf
 )
 
-// IsMap reports whether an encoded value is a MessagePack map.
+// IsMap reports whether raw begins with a MessagePack map. It looks at the first byte only.
 func IsMap(raw []byte) bool {
 	if len(raw) == 0 {
 		return false
--- a/internal/protocol/codec_test.go
+++ b/internal/protocol/codec_test.go
@@ -11,13 +11,13 @@
 
 func TestMain(m *testing.M) { testutil.Main(m) }
 
-// TestNoInputPanics feeds random bytes, and valid messages that were truncated or changed, to every decoder of messages
-// from outside.
-func TestNoInputPanics(t *testing.T) {
+// TestDecodersDoNotPanic checks that no decoder of messages from outside panics, and that every error matches
+// ErrMalformed. The input is random bytes, or a valid message with one byte changed and the end cut off.
+func TestDecodersDoNotPanic(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		raw := rapid.SliceOfN(rapid.Byte(), 0, 200).Draw(t, "raw")
 		if rapid.Bool().Draw(t, "derived") {
-			good, err := Encode(randomJob(t))
+			good, err := Encode(drawJob(t))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -35,13 +35,15 @@
 			}
 		}
 		var txn Txn
-		_ = Decode(raw, &txn) // it must return, with an error or without
+		_ = Decode(raw, &txn) // must not panic; the error does not matter
 	})
 }
 
+// errorOf returns the error of a call that also returns a value.
 func errorOf[T any](_ T, err error) error { return err }
 
-func TestOnlyMapsAreBodies(t *testing.T) {
+// TestDecodeRejectsNonMaps checks that Decode rejects values that are not maps, and bytes after a map.
+func TestDecodeRejectsNonMaps(t *testing.T) {
 	for _, v := range []any{nil, 1, "x", []any{1, 2}, true, 2.5} {
 		raw, err := Encode(v)
 		if err != nil {
--- a/internal/protocol/command.go
+++ b/internal/protocol/command.go
@@ -1,26 +1,26 @@
 package protocol
 
-// Verb is what a command tells a worker to do with a task.
+// Verb is the action that a command requests from a worker.
 type Verb string
 
-// The verbs of commands.
+// Verbs of commands.
 const (
 	VerbRun    Verb = "run"
 	VerbStop   Verb = "stop"
-	VerbForget Verb = "forget" // drop an exited task from the heartbeats
+	VerbForget Verb = "forget" // stop reporting an exited task in heartbeats
 )
 
-// Command tells a worker what to do with one attempt of a task.
+// Command tells a worker to run, stop or forget one attempt of a task.
 type Command struct {
 	Verb     Verb   `msgpack:"verb"`
 	TaskName string `msgpack:"piece"`
 	Attempt  uint64 `msgpack:"try"`
-	// GraceSeconds, of a stop, is how long the task may take to save a checkpoint.
+	// GraceSeconds is the time that a stopped task has for saving a checkpoint. Only VerbStop uses it.
 	GraceSeconds *float64 `msgpack:"leave_s,omitempty"`
 }
 
-// CommandBatch is a request to a worker's address that carries commands. The worker executes them only if the token is
-// not lower than the highest one that it has seen and the incarnation is its current one.
+// CommandBatch is the body of a request that delivers commands to a worker. The worker executes them only if
+// FencingToken is not lower than the highest token that it has seen and Incarnation is its current incarnation.
 type CommandBatch struct {
 	FencingToken uint64    `msgpack:"warrant"`
 	Incarnation  uint64    `msgpack:"shift"`
--- a/internal/protocol/cost_test.go
+++ b/internal/protocol/cost_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// testPeerHeartbeat returns a heartbeat of a deployment without failures.
+// testPeerHeartbeat returns a heartbeat between controllers as it is sent while nothing fails.
 func testPeerHeartbeat() *PeerMessage {
 	return &PeerMessage{
 		Kind:             PeerHeartbeat,
@@ -20,7 +20,7 @@
 	}
 }
 
-// testWorkerHeartbeat returns a heartbeat with the given number of running tasks.
+// testWorkerHeartbeat returns a worker heartbeat that reports the given number of running tasks.
 func testWorkerHeartbeat(tasks int) *WorkerHeartbeat {
 	r := &WorkerHeartbeat{
 		Machine:      "host-000001",
@@ -37,8 +37,9 @@
 	return r
 }
 
-// TestCostOfAPeerHeartbeat: a heartbeat is small and costs few allocations on both sides.
-func TestCostOfAPeerHeartbeat(t *testing.T) {
+// TestPeerHeartbeatCost checks that a heartbeat between controllers stays small, and that encoding and decoding it
+// together need few allocations.
+func TestPeerHeartbeatCost(t *testing.T) {
 	const maxBytes, maxAllocations = 75, 8
 	raw, err := EncodePeerMessage(testPeerHeartbeat())
 	if err != nil {
@@ -60,8 +61,9 @@
 	}
 }
 
-// TestCostOfAWorkerHeartbeat: decoding a heartbeat costs a fixed number of allocations and a few for each task.
-func TestCostOfAWorkerHeartbeat(t *testing.T) {
+// TestWorkerHeartbeatCost checks that decoding a worker heartbeat needs at most a fixed number of allocations plus a
+// few for each reported task.
+func TestWorkerHeartbeatCost(t *testing.T) {
 	const fixed, perTask = 8, 4
 	for _, tasks := range []int{0, 8, 64} {
 		raw, err := Encode(testWorkerHeartbeat(tasks))
@@ -74,13 +76,13 @@
 			}
 		})
 		t.Logf("%d tasks: %d bytes, %.0f allocations", tasks, len(raw), allocations)
-		if most := float64(fixed + perTask*tasks); allocations > most {
-			t.Errorf("%.0f allocations for %d tasks, want %.0f at most", allocations, tasks, most)
+		if limit := float64(fixed + perTask*tasks); allocations > limit {
+			t.Errorf("%.0f allocations for %d tasks, want %.0f at most", allocations, tasks, limit)
 		}
 	}
 }
 
-// BenchmarkMessages measures encoding and decoding the messages of a deployment without failures.
+// BenchmarkMessages measures the encoding and decoding of messages that are exchanged while nothing fails.
 func BenchmarkMessages(b *testing.B) {
 	job := &Job{
 		ID:        "j-000001",
--- a/internal/protocol/doc.go
+++ b/internal/protocol/doc.go
@@ -1,14 +1,14 @@
-// Package protocol defines the messages of every interface of a controller: users, workers, the cloud, the key-value
-// store, and the other controllers. It encodes, decodes and validates them, and knows nothing of who sends them.
+// Package protocol defines the messages that a controller exchanges with users, workers, the cloud, the key-value store
+// and the other controllers. It encodes, decodes and validates them; it does not send or handle them.
 //
 // Messages to users, workers, the cloud and the key-value store are MessagePack maps ([Encode], [Decode]); messages
-// between controllers are CBOR maps with integer keys ([EncodePeerMessage], [DecodePeerMessage]). A message that does
-// not have the required form is reported as a [MalformedError], which matches [ErrMalformed].
+// between controllers are CBOR maps with integer keys ([EncodePeerMessage], [DecodePeerMessage]). A message that is not
+// well-formed or fails validation causes a [MalformedError], which matches [ErrMalformed].
 //
 // # Words on the wire
 //
-// The words of the published protocol appear only in the struct tags of this package (and in those of the records in
-// package storage). Everywhere else the code uses the terms of the field:
+// The published protocol has its own vocabulary. Its words appear only in the struct tags of this package, and in those
+// of the records in package storage. Everywhere else the code uses common scheduling terms:
 //
 //	on the wire            in the code
 //	-------------------    -----------------------------------------------------------
--- a/internal/protocol/errors.go
+++ b/internal/protocol/errors.go
@@ -5,21 +5,22 @@
 	"fmt"
 )
 
-// ErrMalformed matches, with [errors.Is], every error about the form of a message.
+// ErrMalformed is matched, with [errors.Is], by every error about a message that is not well-formed or fails
+// validation.
 var ErrMalformed = errors.New("malformed")
 
-// MalformedError reports a message that does not have the form that its interface requires. Its text is part of the
+// MalformedError reports a message that does not have the format that its interface requires. Its text is part of the
 // responses to users and workers.
 type MalformedError struct {
-	// Field is the field at fault, by its name on the wire, or empty if the error concerns the whole message.
+	// Field is the wire name of the invalid field. It is empty if the error concerns the whole message.
 	Field string
-	// Reason says what is wrong with the field or the message.
+	// Reason describes the error.
 	Reason string
-	// Err is the error of the decoder, if it found the fault.
+	// Err is the error that the decoder returned, or nil if validation failed after decoding.
 	Err error
 }
 
-// Error returns the reason, preceded by the field if there is one.
+// Error returns the reason, preceded by the name of the field if there is one.
 func (e *MalformedError) Error() string {
 	if e.Field == "" {
 		return ErrMalformed.Error() + ": " + e.Reason
@@ -27,28 +28,28 @@
 	return ErrMalformed.Error() + ": field " + e.Field + ": " + e.Reason
 }
 
-// Is makes every MalformedError match [ErrMalformed].
+// Is reports whether target is [ErrMalformed], which every MalformedError matches.
 func (e *MalformedError) Is(target error) bool { return target == ErrMalformed }
 
-// Unwrap returns the error of the decoder, or nil.
+// Unwrap returns the error that the decoder returned, or nil.
 func (e *MalformedError) Unwrap() error { return e.Err }
 
-// Malformed returns an error about a message as a whole.
+// Malformed returns a [MalformedError] that concerns a whole message.
 func Malformed(format string, args ...any) error {
 	return &MalformedError{Reason: fmt.Sprintf(format, args...)}
 }
 
-// malformedField returns an error about one field.
+// malformedField returns a [MalformedError] that concerns one field, given by its wire name.
 func malformedField(field, reason string) error {
 	return &MalformedError{Field: field, Reason: reason}
 }
 
-// undecodable returns an error for what a decoder has rejected.
-func undecodable(err error) error {
+// decodeError returns a [MalformedError] that wraps an error of a decoder.
+func decodeError(err error) error {
 	return &MalformedError{Reason: err.Error(), Err: err}
 }
 
-// ErrorResponse is the body of a response with an error status.
+// ErrorResponse is the body of a response with an HTTP error status.
 type ErrorResponse struct {
 	Error string `msgpack:"error"`
 }
--- a/internal/protocol/heartbeat.go
+++ b/internal/protocol/heartbeat.go
@@ -2,27 +2,28 @@
 
 import "time"
 
-// WorkerHeartbeat is a worker's periodic message to the controllers: the identity of its machine and the status of all
-// tasks on it.
+// WorkerHeartbeat is the message that a worker sends periodically to a controller. It identifies the worker's machine
+// and lists the status of all tasks there.
 type WorkerHeartbeat struct {
 	Machine string `msgpack:"rig"`
 	Addr    string `msgpack:"endpoint"`
 	Type    string `msgpack:"breed"`
 	Zone    string `msgpack:"parish"`
 	Spot    bool   `msgpack:"lendable"`
-	// Incarnation starts at 1 and increases each time the worker's lease expires.
+	// Incarnation starts at 1 and is incremented each time the worker's lease expires.
 	Incarnation uint64 `msgpack:"shift"`
 	// Sequence increases with every heartbeat of an incarnation. Of two heartbeats of a machine, the one with the
-	// larger (Incarnation, Sequence) is the newer.
+	// larger (Incarnation, Sequence), compared in this order, is the newer one.
 	Sequence uint64 `msgpack:"tally"`
-	// FencingToken is the highest token that the worker has seen.
+	// FencingToken is the highest fencing token that the worker has seen.
 	FencingToken uint64 `msgpack:"warrant"`
-	// InterruptionNoticeSeconds is the time until the cloud takes the machine back, or nil if no notice was given.
+	// InterruptionNoticeSeconds is the time until the cloud reclaims the machine. It is nil unless the cloud has given
+	// notice.
 	InterruptionNoticeSeconds *float64     `msgpack:"warning_s"`
 	Tasks                     []TaskStatus `msgpack:"pieces"`
 }
 
-// DecodeWorkerHeartbeat decodes and validates a worker's heartbeat.
+// DecodeWorkerHeartbeat decodes and validates a worker heartbeat.
 func DecodeWorkerHeartbeat(raw []byte) (*WorkerHeartbeat, error) {
 	var heartbeat WorkerHeartbeat
 	if err := Decode(raw, &heartbeat); err != nil {
@@ -35,7 +36,8 @@
 	return &heartbeat, nil
 }
 
-// StopCommands returns commands that stop at once every reported task whose job the given function selects.
+// StopCommands returns a command for each reported task that has not exited and whose job is selected. The commands
+// stop the tasks at once, without time for saving a checkpoint.
 func (h *WorkerHeartbeat) StopCommands(selected func(jobID string) bool) []Command {
 	commands := []Command{}
 	for i := range h.Tasks {
@@ -54,20 +56,22 @@
 	return commands
 }
 
-// WorkerHeartbeatReply is the reply to a worker's heartbeat. It renews the worker's lease if its token is not lower
-// than the highest one that the worker has seen.
+// WorkerHeartbeatReply is the reply to a worker heartbeat. It renews the worker's lease if FencingToken is not lower
+// than the highest token that the worker has seen.
 type WorkerHeartbeatReply struct {
 	FencingToken uint64    `msgpack:"warrant"`
 	Commands     []Command `msgpack:"orders"`
 }
 
-// Redirect sends a worker to the named controller, or to any other one if none is named.
+// Redirect tells a worker to send its heartbeats to another controller: the leader, or any other controller if Leader
+// is empty.
 type Redirect struct {
 	Leader string `msgpack:"foreman,omitempty"`
 }
 
-// How long a worker waits for the reply to a heartbeat, and how long it then waits before it tries the next controller.
 const (
-	HeartbeatTimeout    = 4 * time.Second
+	// HeartbeatTimeout limits how long a worker waits for the reply to a heartbeat.
+	HeartbeatTimeout = 4 * time.Second
+	// HeartbeatRetryDelay is how long a worker waits after an unanswered heartbeat before it tries the next controller.
 	HeartbeatRetryDelay = time.Second
 )
--- a/internal/protocol/heartbeat_test.go
+++ b/internal/protocol/heartbeat_test.go
@@ -10,20 +10,21 @@
 
 var taskStates = []TaskState{TaskFetching, TaskWaiting, TaskRunning, TaskSaving, TaskExited}
 
-func TestWorkerHeartbeatSurvivesTheWire(t *testing.T) {
+// TestWorkerHeartbeatRoundTrip checks that random heartbeats are the same after encoding and decoding.
+func TestWorkerHeartbeatRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := WorkerHeartbeat{
-			Machine:      word().Draw(t, "m"),
-			Addr:         word().Draw(t, "a"),
-			Type:         word().Draw(t, "t"),
-			Zone:         word().Draw(t, "z"),
+			Machine:      drawName().Draw(t, "m"),
+			Addr:         drawName().Draw(t, "a"),
+			Type:         drawName().Draw(t, "t"),
+			Zone:         drawName().Draw(t, "z"),
 			Spot:         rapid.Bool().Draw(t, "spot"),
 			Incarnation:  rapid.Uint64Min(1).Draw(t, "s"),
 			Sequence:     rapid.Uint64().Draw(t, "q"),
 			FencingToken: rapid.Uint64().Draw(t, "token"),
 		}
 		if rapid.Bool().Draw(t, "notice") {
-			n := amount().Draw(t, "n")
+			n := drawNumber().Draw(t, "n")
 			r.InterruptionNoticeSeconds = &n
 		}
 		for i := range rapid.IntRange(0, 5).Draw(t, "tasks") {
@@ -51,7 +52,8 @@
 	})
 }
 
-func TestTaskIDs(t *testing.T) {
+// TestParseTaskID checks that ParseTaskID reverses TaskID.String and rejects malformed names.
+func TestParseTaskID(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		id := TaskID{
 			"j-" + rapid.StringMatching(`[0-9]{1,9}`).Draw(t, "job"),
@@ -68,7 +70,8 @@
 	}
 }
 
-// TestFencingTokensOrderTermsFirst: no epoch of an earlier term reaches a token of a later one.
+// TestFencingTokensOrderTermsFirst checks that every token of an earlier term is lower than every token of a later one,
+// however large its epoch is.
 func TestFencingTokensOrderTermsFirst(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b := rapid.Uint64Range(0, 1<<30).Draw(t, "a"), rapid.Uint64Range(0, 1<<30).Draw(t, "b")
--- a/internal/protocol/job.go
+++ b/internal/protocol/job.go
@@ -2,20 +2,20 @@
 
 import "strings"
 
-// Shape says how the tasks of a job belong together.
+// Shape is the kind of a job: how its tasks relate to one another and when they end.
 type Shape string
 
-// The shapes of jobs.
+// Shapes of jobs.
 const (
-	Array   Shape = "array"  // independent tasks, each runs to completion
-	Gang    Shape = "group"  // all tasks run at the same time, or none does
+	Array   Shape = "array"  // independent tasks, each of which runs to completion
+	Gang    Shape = "group"  // gang scheduling: either all tasks run at the same time or none does
 	Service Shape = "daemon" // replicas that run until the job is cancelled
 )
 
-// Priority is the priority of a job.
+// Priority is the scheduling priority of a job.
 type Priority string
 
-// The priorities of jobs, highest first.
+// Priorities of jobs, highest first.
 const (
 	PriorityCritical   Priority = "critical"
 	PriorityUrgent     Priority = "urgent"
@@ -23,7 +23,7 @@
 	PriorityBestEffort Priority = "best_effort"
 )
 
-// Rank returns 0 for the highest priority, 3 for the lowest, and -1 for an unknown one.
+// Rank returns the position of p among the priorities, 0 for the highest and 3 for the lowest, or -1 if p is unknown.
 func (p Priority) Rank() int {
 	switch p {
 	case PriorityCritical:
@@ -38,10 +38,10 @@
 	return -1
 }
 
-// MaxTasks is the largest number of tasks of a job.
+// MaxTasks is the maximum number of tasks of a job.
 const MaxTasks = 100_000
 
-// Job is the description of a job, as its user submits it.
+// Job is the description of a job as the user submits it.
 type Job struct {
 	ID        string   `msgpack:"name_id"`
 	Class     string   `msgpack:"docket"`
@@ -49,43 +49,44 @@
 	Shape     Shape    `msgpack:"shape"`
 	Priority  Priority `msgpack:"urgency"`
 	TaskCount int      `msgpack:"pieces"`
-	// CPUs, GPUs and MemoryGB are the resources of each task.
+	// CPUs, GPUs and MemoryGB are the resources that each task requests.
 	CPUs     float64 `msgpack:"vcpus"`
 	GPUs     float64 `msgpack:"accelerators"`
 	MemoryGB float64 `msgpack:"memory_gb"`
-	// Image must be on a machine before a task starts there.
+	// Image is the name of the image that a machine must have before a task can start there; ImageGB is its size.
 	Image   string  `msgpack:"kit"`
 	ImageGB float64 `msgpack:"size_gb"`
-	// MachineTypes are the types of machines that the job may use. An empty list allows all.
+	// MachineTypes lists the machine types that the job may use. If it is empty, the job may use all types.
 	MachineTypes []string `msgpack:"breeds,omitempty"`
-	// Zone is the only zone that the job may use. An empty string allows all.
+	// Zone is the only zone that the job may use. If it is empty, the job may use all zones.
 	Zone string `msgpack:"parish,omitempty"`
-	// SameZone demands that all tasks are in one zone.
+	// SameZone requires that all tasks run in the same zone.
 	SameZone bool `msgpack:"same_place"`
-	// Spread demands that at most half of the tasks, rounded up, are in one zone.
+	// Spread requires that no zone has more than half of the tasks, rounded up.
 	Spread bool `msgpack:"spread"`
-	// SpotAllowed says whether the job may use spot machines.
+	// SpotAllowed says that the job may use spot machines.
 	SpotAllowed bool `msgpack:"lendable"`
-	// EstimateSeconds is the owner's estimate of a task's run time, without fetching the image.
+	// EstimateSeconds is the user's estimate of a task's run time. It does not include fetching the image.
 	EstimateSeconds float64 `msgpack:"reckon_s"`
-	// CheckpointIntervalSeconds is the progress between two checkpoints of a task, or 0 if it never saves any.
+	// CheckpointIntervalSeconds is the progress, in run time, between two checkpoints of a task, or 0 if the tasks save
+	// none.
 	CheckpointIntervalSeconds float64 `msgpack:"bookmark_s"`
-	// SaveSeconds is how long a task takes to save a checkpoint when it is stopped.
+	// SaveSeconds is the time that a task needs for saving a checkpoint when it is stopped.
 	SaveSeconds float64 `msgpack:"stow_s"`
-	// DeadlineSeconds is the time from the submission to the job's deadline, or 0 if it has none.
+	// DeadlineSeconds is the time from the submission to the deadline of the job, or 0 if it has no deadline.
 	DeadlineSeconds float64 `msgpack:"due_s,omitempty"`
-	// Dependencies are the jobs that must be done before any task of this one starts.
+	// Dependencies are the IDs of the jobs that must be done before any task of this job starts.
 	Dependencies []string `msgpack:"awaits,omitempty"`
 }
 
-// A job id is jobIDPrefix followed by at most maxJobIDSuffix letters and digits.
+// A job ID is jobIDPrefix followed by at least one and at most maxJobIDSuffix ASCII letters and digits.
 const (
 	jobIDPrefix    = "j-"
 	maxJobIDSuffix = 64
 )
 
-// ValidJobID reports whether id has the form of a job id. It is called for every task of every heartbeat and does not
-// allocate.
+// ValidJobID reports whether id is a well-formed job ID. It must not allocate, as it is called for every task of every
+// heartbeat.
 func ValidJobID(id string) bool {
 	suffix, ok := strings.CutPrefix(id, jobIDPrefix)
 	if !ok || suffix == "" || len(suffix) > maxJobIDSuffix {
@@ -103,10 +104,10 @@
 	return c >= '0' && c <= '9' || c >= 'A' && c <= 'Z' || c >= 'a' && c <= 'z'
 }
 
-// JobState is the state of a job as its user sees it.
+// JobState is the state of a job as it is shown to the user.
 type JobState string
 
-// The states of jobs.
+// States of jobs.
 const (
 	JobQueued    JobState = "queued"
 	JobRunning   JobState = "running"
@@ -114,15 +115,16 @@
 	JobCancelled JobState = "cancelled"
 )
 
-// Final reports whether a job in this state never changes its state again.
+// Final reports whether a job in this state can no longer change its state.
 func (s JobState) Final() bool { return s == JobDone || s == JobCancelled }
 
-// JobStatus is the answer to a user's request about a job.
+// JobStatus is the response to a user's request about a job.
 type JobStatus struct {
 	ID           string   `msgpack:"name_id"  cbor:"1,keyasint"`
 	State        JobState `msgpack:"standing" cbor:"2,keyasint"`
 	DoneTasks    int      `msgpack:"done"     cbor:"3,keyasint"`
 	RunningTasks int      `msgpack:"running"  cbor:"4,keyasint"`
-	// Unblocked says, between controllers, that all dependencies of the job are durably done.
+	// Unblocked says that all dependencies of the job are durably recorded as done. It is sent between controllers
+	// only.
 	Unblocked bool `msgpack:"-" cbor:"5,keyasint,omitempty"`
 }
--- a/internal/protocol/keyvalue.go
+++ b/internal/protocol/keyvalue.go
@@ -2,63 +2,65 @@
 
 import "github.com/vmihailenco/msgpack/v5"
 
-// KeyValue is a key of the key-value store with its value.
+// KeyValue is an entry of the key-value store.
 type KeyValue struct {
 	Key   string             `msgpack:"path"`
 	Value msgpack.RawMessage `msgpack:"data"`
-	// Revision is the store's revision at the last change of the key; 0 if the key does not exist.
+	// Revision is the revision of the store at which the key was last changed, or 0 if the key does not exist.
 	Revision uint64 `msgpack:"stamp"`
-	// LeaseID is the lease that the key is attached to, or 0.
+	// LeaseID is the lease to which the key is attached, or 0 if there is none.
 	LeaseID uint64 `msgpack:"tenancy,omitempty"`
 }
 
-// KeyValuePage is a page of a list of keys. The answer about a key that does not exist has only the revision.
+// KeyValuePage is one page of a list of keys. In the response about a single key that does not exist, only Revision is
+// set.
 type KeyValuePage struct {
 	Items []KeyValue `msgpack:"pairs"`
 	More  bool       `msgpack:"truncated"`
-	// Revision is the store's revision at the time of the answer.
+	// Revision is the revision of the store at the time of the response.
 	Revision uint64 `msgpack:"ledger"`
 }
 
-// Compare is a condition of a transaction: the key must have the revision. A revision of 0 demands that the key does
-// not exist.
+// Compare is a condition of a transaction: Key must have the given Revision, or must not exist if Revision is 0.
 type Compare struct {
 	Key      string `msgpack:"path"`
 	Revision uint64 `msgpack:"stamp"`
 }
 
-// Op is an operation of a transaction. Exactly one of PutKey and DeleteKey is set.
+// Op is a write operation of a transaction. Exactly one of PutKey and DeleteKey is set.
 type Op struct {
 	PutKey string             `msgpack:"set,omitempty"`
 	Value  msgpack.RawMessage `msgpack:"data,omitempty"`
-	// LeaseID attaches the key to a lease. A put without a lease detaches the key.
+	// LeaseID is the lease to which a put attaches the key. A put without a lease detaches the key from its lease.
 	LeaseID   uint64 `msgpack:"tenancy,omitempty"`
 	DeleteKey string `msgpack:"drop,omitempty"`
 }
 
-// Txn is a transaction: if all comparisons hold, all operations are applied at one revision.
+// Txn is a transaction: if all conditions in If hold, all operations in Then are applied at one revision, otherwise
+// none is.
 type Txn struct {
 	If   []Compare `msgpack:"if"`
 	Then []Op      `msgpack:"writes"`
 }
 
-// TxnResult is the answer to a transaction. It was applied unless FailedKeys lists the comparisons that did not hold.
+// TxnResult is the response to a transaction. FailedKeys lists the keys whose conditions did not hold; the transaction
+// was applied if and only if the list is empty.
 type TxnResult struct {
 	Revision   uint64   `msgpack:"ledger"`
 	FailedKeys []string `msgpack:"failed"`
 }
 
-// LeaseRequest asks for a lease.
+// LeaseRequest requests a lease from the key-value store.
 type LeaseRequest struct {
 	TTLMS int64 `msgpack:"ttl_ms"`
 }
 
-// LeaseResult is the answer to a LeaseRequest.
+// LeaseResult is the response to a [LeaseRequest].
 type LeaseResult struct {
 	LeaseID uint64 `msgpack:"tenancy"`
 }
 
-// WatchEvent is one change of a watched key. Exactly one of PutKey and DeleteKey is set.
+// WatchEvent is a change of a watched key. Exactly one of PutKey and DeleteKey is set.
 type WatchEvent struct {
 	PutKey    string             `msgpack:"set"`
 	Value     msgpack.RawMessage `msgpack:"data"`
@@ -66,7 +68,7 @@
 	DeleteKey string             `msgpack:"drop"`
 }
 
-// WatchResponse is the answer to a watch: all changes up to Revision.
+// WatchResponse is the response to a watch request. It has all changes of the watched keys up to Revision.
 type WatchResponse struct {
 	Revision uint64       `msgpack:"ledger"`
 	Events   []WatchEvent `msgpack:"news"`
--- a/internal/protocol/machines.go
+++ b/internal/protocol/machines.go
@@ -2,27 +2,27 @@
 
 import "slices"
 
-// MachineType is a type of machine that the cloud rents out.
+// MachineType describes a type of machine that the cloud rents out.
 type MachineType struct {
 	Name     string  `msgpack:"label"`
 	CPUs     float64 `msgpack:"vcpus"`
 	GPUs     float64 `msgpack:"accelerators"`
 	MemoryGB float64 `msgpack:"memory_gb"`
-	// CacheGB is the space for images.
+	// CacheGB is the disk space for images.
 	CacheGB          float64 `msgpack:"local_gb"`
 	FetchGBPerSecond float64 `msgpack:"fetch_gb_per_s"`
 	HourlyPrice      float64 `msgpack:"hourly"`
 	HourlySpotPrice  float64 `msgpack:"spot_price"`
-	// BootSeconds is the usual time from the rental to the first heartbeat.
+	// BootSeconds is the typical time from the rental to the first heartbeat.
 	BootSeconds float64 `msgpack:"startup_s"`
 	// Zones are the zones in which the type can be rented.
 	Zones []string `msgpack:"parishes"`
 }
 
-// capacityTolerance makes up for rounding when the resources of tasks fill a machine exactly.
+// capacityTolerance compensates for floating-point rounding when tasks use a resource of a machine up exactly.
 const capacityTolerance = 1e-9
 
-// TaskCapacity returns how many tasks of the job an empty machine of this type can hold.
+// TaskCapacity returns the number of tasks of job j that an empty machine of this type can run.
 func (t *MachineType) TaskCapacity(j *Job) int {
 	tasks := MaxTasks
 	for _, resource := range []struct{ available, requested float64 }{
@@ -37,7 +37,7 @@
 	return tasks
 }
 
-// AllowedBy reports whether the job may use this type in at least one zone.
+// AllowedBy reports whether job j may use this type in at least one zone.
 func (t *MachineType) AllowedBy(j *Job) bool {
 	if len(j.MachineTypes) > 0 && !slices.Contains(j.MachineTypes, t.Name) {
 		return false
@@ -45,13 +45,13 @@
 	return j.Zone == "" || slices.Contains(t.Zones, j.Zone)
 }
 
-// MachineTypes is the cloud's list of machine types, with the current prices.
+// MachineTypes is the cloud's list of machine types with their current prices.
 type MachineTypes struct {
 	Types []MachineType `msgpack:"breeds"`
 }
 
-// Rental is a request to rent machines. The cloud answers a repeated request id with the machines of the first request,
-// so an id must never be used for another request.
+// Rental is a request to rent machines. RequestID makes it idempotent: the cloud answers a repeated ID with the
+// machines of the first request, so an ID must never be reused for a different request.
 type Rental struct {
 	RequestID   string `msgpack:"hire"`
 	MachineType string `msgpack:"breed"`
@@ -60,29 +60,29 @@
 	Count       int    `msgpack:"how_many"`
 }
 
-// MachineNames is a list of machines: those that were rented, or those to release.
+// MachineNames lists machines: in the response to a [Rental] those rented, in a release request those to release.
 type MachineNames struct {
 	Machines []string `msgpack:"rigs"`
 }
 
-// The limits of requests to the cloud.
+// Limits of requests to the cloud.
 const (
 	MaxMachinesPerRental  = 50
 	MaxMachinesPerRelease = 100
 	MaxMachinesPerPage    = 500
 )
 
-// MachineState is the state of a machine in the cloud's list.
+// MachineState is the state of a machine according to the cloud.
 type MachineState string
 
-// The states of machines.
+// States of machines.
 const (
 	MachineStarting MachineState = "starting"
 	MachineRunning  MachineState = "running"
-	MachineFailed   MachineState = "failed" // stopped by itself; listed until it is released
+	MachineFailed   MachineState = "failed" // has stopped by itself; the cloud lists it until it is released
 )
 
-// ListedMachine is a machine in the cloud's list.
+// ListedMachine is an entry in the cloud's list of machines.
 type ListedMachine struct {
 	Name  string       `msgpack:"name_id"`
 	Addr  string       `msgpack:"endpoint"`
@@ -90,11 +90,12 @@
 	Zone  string       `msgpack:"parish"`
 	Spot  bool         `msgpack:"lendable"`
 	State MachineState `msgpack:"standing"`
-	// AgeSeconds is the time from the rental to the moment that the list describes.
+	// AgeSeconds is the time since the rental, as of the moment whose state the list shows.
 	AgeSeconds float64 `msgpack:"age_s"`
 }
 
-// MachineList is a page of the cloud's list, which lags behind the machines and may be older than the page before.
+// MachineList is one page of the cloud's list of machines. The list lags behind the actual state of the machines, and a
+// page may show an older state than the page before it.
 type MachineList struct {
 	Machines []ListedMachine `msgpack:"rigs"`
 	More     bool            `msgpack:"truncated"`
--- a/internal/protocol/peercodec.go
+++ b/internal/protocol/peercodec.go
@@ -6,7 +6,7 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Limits of what the decoder accepts from a peer.
+// Limits that the decoder enforces on messages from other controllers.
 const (
 	maxCBORNesting       = 16
 	maxCBORArrayElements = 1 << 16
@@ -22,7 +22,7 @@
 	}.DecMode())
 )
 
-// must returns v. It panics on an error, which constant options cannot cause.
+// must returns v and panics if err is not nil. It is used for constant options only, which cannot cause an error.
 func must[T any](v T, err error) T {
 	if err != nil {
 		panic(err)
@@ -30,7 +30,7 @@
 	return v
 }
 
-// EncodePeerMessage sets the message's version and returns the message as CBOR.
+// EncodePeerMessage sets m.Version to [PeerProtocolVersion] and returns the CBOR encoding of m.
 func EncodePeerMessage(m *PeerMessage) ([]byte, error) {
 	m.Version = PeerProtocolVersion
 	raw, err := cborEncMode.Marshal(m)
@@ -40,12 +40,12 @@
 	return raw, nil
 }
 
-// DecodePeerMessage decodes and validates a message of another controller. It does not validate the opinions, which a
-// controller may reject without the rest of the message (see [CheckOpinions]).
+// DecodePeerMessage decodes and validates a message from another controller. It does not validate the opinions, because
+// a controller may reject those and still use the rest of the message (see [CheckOpinions]).
 func DecodePeerMessage(raw []byte) (*PeerMessage, error) {
 	var m PeerMessage
 	if err := cborDecMode.Unmarshal(raw, &m); err != nil {
-		return nil, undecodable(fmt.Errorf("peer message: %w", err))
+		return nil, decodeError(fmt.Errorf("peer message: %w", err))
 	}
 	if err := m.validate(); err != nil {
 		return nil, err
@@ -66,7 +66,8 @@
 	return m.validateIntents()
 }
 
-// validateMachines checks the lists of machines, which must be of one length if more than the names are given.
+// validateMachines checks the number of machines, and that the lists of incarnations and sequences are either both
+// empty or both as long as the list of machine names.
 func (m *PeerMessage) validateMachines() error {
 	machines, incarnations, sequences := len(m.Machines), len(m.MachineIncarnations), len(m.HeartbeatSequences)
 	if machines > MaxMachinesPerMessage {
@@ -79,8 +80,8 @@
 	return nil
 }
 
-// validateIntents checks the fields about cancellation intents. They decide whether a controller counts toward a
-// quorum, so a malformed message must never pass for agreement.
+// validateIntents checks the fields that concern cancellation intents. They decide whether a controller counts toward a
+// quorum, so a malformed message must never be taken for an acknowledgment.
 func (m *PeerMessage) validateIntents() error {
 	withoutIncarnation := m.Incarnation == 0 && (m.Recovered || len(m.Intents) > 0 || m.AckedIntents > 0)
 	overflow := m.IntentOffset+uint64(len(m.Intents)) < m.IntentOffset
--- a/internal/protocol/peermessage_test.go
+++ b/internal/protocol/peermessage_test.go
@@ -15,15 +15,16 @@
 	"pinebay/internal/testutil"
 )
 
-// TestPeerMessages: valid messages survive the wire, and messages of another version are rejected.
-func TestPeerMessages(t *testing.T) {
+// TestPeerMessageRoundTrip checks that random valid messages are the same after encoding and decoding, and that
+// messages of another version are rejected.
+func TestPeerMessageRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := PeerMessage{
 			Kind:           PeerMessageKind(rapid.IntRange(int(PeerHeartbeat), int(PeerReply)).Draw(t, "kind")),
 			ID:             rapid.Uint64().Draw(t, "id"),
-			From:           word().Draw(t, "from"),
+			From:           drawName().Draw(t, "from"),
 			Term:           rapid.Uint64().Draw(t, "term"),
-			Leader:         word().Draw(t, "leader"),
+			Leader:         drawName().Draw(t, "leader"),
 			StoreReachable: rapid.Bool().Draw(t, "store reachable"),
 		}
 		if rapid.Bool().Draw(t, "status") {
@@ -63,7 +64,8 @@
 	})
 }
 
-// TestMalformedIntents: a malformed message must never pass for agreement.
+// TestMalformedIntents checks that messages with inconsistent intents are rejected: a malformed message must never be
+// taken for an acknowledgment. A message without any fields about intents is accepted.
 func TestMalformedIntents(t *testing.T) {
 	for name, m := range map[string]PeerMessage{
 		"no incarnation but recovered": {Recovered: true},
@@ -87,7 +89,7 @@
 			t.Errorf("%s: %v", name, err)
 		}
 	}
-	// A message of an older version is accepted, without any fields about intents.
+	// Controllers of an older version send no fields about intents.
 	old, err := cborEncMode.Marshal(
 		map[int]any{1: PeerProtocolVersion, 2: PeerHeartbeat, 3: 7, 4: "n", 5: 3, 6: "n", 7: true},
 	)
@@ -99,9 +101,9 @@
 	}
 }
 
-// TestPeerMessagesAsInProduction: every message between controllers is decoded from, and encoded to, the bytes of the
-// version in production.
-func TestPeerMessagesAsInProduction(t *testing.T) {
+// TestPeerMessageProductionEncoding checks that messages between controllers are encoded to exactly the bytes that the
+// version in production sends, and that those bytes are decoded correctly.
+func TestPeerMessageProductionEncoding(t *testing.T) {
 	for name, want := range map[string]PeerMessage{
 		"beat": {
 			Kind:             PeerHeartbeat,
@@ -150,9 +152,9 @@
 	}
 }
 
-// TestUnchangedHeartbeatLists: a list of unchanged heartbeats is accepted only with an incarnation and a sequence for
-// each machine, and with no more machines than a message may name.
-func TestUnchangedHeartbeatLists(t *testing.T) {
+// TestUnchangedHeartbeatListLengths checks that a list of unchanged heartbeats is accepted only with an incarnation and
+// a sequence for each machine, and with at most MaxMachinesPerMessage machines.
+func TestUnchangedHeartbeatListLengths(t *testing.T) {
 	const tooMany = MaxMachinesPerMessage + 1
 	for name, x := range map[string]struct {
 		machines, incarnations, sequences int
@@ -183,8 +185,8 @@
 	}
 }
 
-// TestSplitMachineNames: names in any number and length are split into messages that their receiver accepts, and none
-// is lost.
+// TestSplitMachineNames checks that any number of names of any length is split into messages that the receiver accepts,
+// and that no name is lost.
 func TestSplitMachineNames(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var names []string
@@ -210,7 +212,8 @@
 	})
 }
 
-// TestMalformedOpinions: opinions that no controller can hold are rejected, and others are not.
+// TestMalformedOpinions checks that opinions with impossible or inconsistent values are rejected, and valid ones are
+// not.
 func TestMalformedOpinions(t *testing.T) {
 	good := PeerOpinion{
 		Controller:         "n-1",
--- a/internal/protocol/peeropinion.go
+++ b/internal/protocol/peeropinion.go
@@ -2,25 +2,27 @@
 
 import "math"
 
-// PeerOpinion is the sender's view of another controller, in a heartbeat.
+// PeerOpinion is the view that the sender of a heartbeat has of another controller.
 type PeerOpinion struct {
 	Controller  string `cbor:"1,keyasint"`
 	Incarnation uint64 `cbor:"2,keyasint,omitempty"`
 	Refutations uint64 `cbor:"3,keyasint,omitempty"`
-	// HeardAgoMS is the time since the last sign of life, in milliseconds, or -1 if there was none.
+	// HeardAgoMS is the time in milliseconds since the sender last received a sign of life from the controller, or -1
+	// if it never did.
 	HeardAgoMS     int64   `cbor:"4,keyasint"`
 	Suspected      bool    `cbor:"5,keyasint,omitempty"`
 	SuspectedForMS int64   `cbor:"6,keyasint,omitempty"`
 	Phi            float64 `cbor:"7,keyasint,omitempty"`
 	Failed         bool    `cbor:"8,keyasint,omitempty"`
-	// UnreachableThrough are the peers that could not reach the controller either.
+	// UnreachableThrough lists the other controllers whose probes did not reach this one.
 	UnreachableThrough []string `cbor:"9,keyasint,omitempty"`
 }
 
-// MaxOpinions is the limit of the opinions in a message, and of the controllers that each of them names.
+// MaxOpinions is the maximum number of opinions in a message, and of controllers in UnreachableThrough of each opinion.
 const MaxOpinions = 256
 
-// CheckOpinions returns an error that matches [ErrMalformed] if any of the opinions is one that no controller can hold.
+// CheckOpinions returns an error that matches [ErrMalformed] if there are too many opinions, or if the values of one
+// are impossible or inconsistent.
 func CheckOpinions(opinions []PeerOpinion) error {
 	if len(opinions) > MaxOpinions {
 		return Malformed("%d opinions", len(opinions))
@@ -41,7 +43,7 @@
 		return false
 	case o.SuspectedForMS < 0, o.SuspectedForMS > math.MaxInt32:
 		return false
-	case !isAmount(o.Phi):
+	case !isFiniteNonNegative(o.Phi):
 		return false
 	case o.Failed && !o.Suspected:
 		return false
--- a/internal/protocol/submission.go
+++ b/internal/protocol/submission.go
@@ -7,10 +7,12 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// maxNameBytes is the limit of names that users choose. It leaves most of a stored value to the rest of the record.
+// maxNameBytes is the maximum length of the names that users choose. The limit leaves most of the size limit of a
+// stored value to the rest of a job's record.
 const maxNameBytes = 200
 
-// submission is a job as it is received: pointers tell a missing field from one with the zero value.
+// submission is a job as a user submits it. Its fields are pointers, so that a missing field can be distinguished from
+// a zero value.
 type submission struct {
 	ID                        *string   `msgpack:"name_id"`
 	Class                     *string   `msgpack:"docket"`
@@ -32,12 +34,12 @@
 	CheckpointIntervalSeconds *float64  `msgpack:"bookmark_s"`
 	SaveSeconds               *float64  `msgpack:"stow_s"`
 	DeadlineSeconds           *float64  `msgpack:"due_s"`
-	// Dependencies is decoded separately, so that an error names the field.
+	// Dependencies is decoded separately, so that an error can name the field.
 	Dependencies msgpack.RawMessage `msgpack:"awaits"`
 }
 
-// DecodeJob decodes and validates a submission. An error about a field is a [*MalformedError] that names it; the
-// fields are validated in a fixed order, and the first one at fault is reported.
+// DecodeJob decodes and validates a submitted job. If a field is invalid, it returns a [*MalformedError] that names the
+// field. Fields are validated in a fixed order, and only the first invalid one is reported.
 func DecodeJob(raw []byte) (*Job, error) {
 	var s submission
 	if err := Decode(raw, &s); err != nil {
@@ -45,8 +47,8 @@
 	}
 	for _, validate := range []func() error{
 		s.validateNames,
-		s.validateKind,
-		s.validateAmounts,
+		s.validateShape,
+		s.validateNumbers,
 		s.validateFlags,
 		s.validatePlacement,
 	} {
@@ -61,7 +63,7 @@
 	return s.job(dependencies), nil
 }
 
-// validateNames checks the fields that must be names.
+// validateNames checks that all required strings are present and not too long.
 func (s *submission) validateNames() error {
 	names := []struct {
 		field string
@@ -85,8 +87,9 @@
 	return nil
 }
 
-// validateKind checks the id, the shape, the priority and the number of tasks, of which all names are present.
-func (s *submission) validateKind() error {
+// validateShape checks the job ID, the shape, the priority and the number of tasks. The caller has checked with
+// validateNames that the strings are present.
+func (s *submission) validateShape() error {
 	if !ValidJobID(*s.ID) {
 		return malformedField("name_id", "not a job id")
 	}
@@ -104,9 +107,9 @@
 	return nil
 }
 
-// validateAmounts checks resources and durations.
-func (s *submission) validateAmounts() error {
-	amounts := []struct {
+// validateNumbers checks that resources and durations are finite and not negative. Only the deadline may be missing.
+func (s *submission) validateNumbers() error {
+	numbers := []struct {
 		field string
 		value *float64
 	}{
@@ -118,21 +121,21 @@
 		{"bookmark_s", s.CheckpointIntervalSeconds},
 		{"stow_s", s.SaveSeconds},
 	}
-	for _, amount := range amounts {
-		if amount.value == nil || !isAmount(*amount.value) {
-			return malformedField(amount.field, "missing or not an amount")
+	for _, number := range numbers {
+		if number.value == nil || !isFiniteNonNegative(*number.value) {
+			return malformedField(number.field, "missing or not an amount")
 		}
 	}
-	if s.DeadlineSeconds != nil && !isAmount(*s.DeadlineSeconds) {
+	if s.DeadlineSeconds != nil && !isFiniteNonNegative(*s.DeadlineSeconds) {
 		return malformedField("due_s", "not an amount")
 	}
 	return nil
 }
 
-// isAmount reports whether a number is finite and not negative. NaN is not.
-func isAmount(x float64) bool { return x >= 0 && !math.IsInf(x, 0) }
+// isFiniteNonNegative reports whether x is finite and not negative. It returns false for NaN.
+func isFiniteNonNegative(x float64) bool { return x >= 0 && !math.IsInf(x, 0) }
 
-// validateFlags checks that all flags are present.
+// validateFlags checks that all required booleans are present.
 func (s *submission) validateFlags() error {
 	flags := []struct {
 		field string
@@ -150,7 +153,7 @@
 	return nil
 }
 
-// validatePlacement checks the optional limits on machine types and zones.
+// validatePlacement checks the optional restrictions on machine types and zones.
 func (s *submission) validatePlacement() error {
 	if s.MachineTypes != nil && len(*s.MachineTypes) == 0 {
 		return malformedField("breeds", "empty")
@@ -161,7 +164,8 @@
 	return nil
 }
 
-// decodeDependencies decodes a list of job ids, which it returns sorted and each once. A missing list is empty.
+// decodeDependencies decodes a list of job IDs and returns it sorted and without duplicates. A missing field counts as
+// an empty list.
 func decodeDependencies(raw []byte) ([]string, error) {
 	if len(raw) == 0 {
 		return nil, nil
@@ -181,7 +185,7 @@
 
 func malformedDependencies() error { return malformedField("awaits", "not a list of job ids") }
 
-// job returns the job of a valid submission.
+// job converts a submission that has passed validation.
 func (s *submission) job(dependencies []string) *Job {
 	return &Job{
 		ID:                        *s.ID,
@@ -208,7 +212,7 @@
 	}
 }
 
-// valueOrZero returns the value of an optional field, or the zero value if the field is missing.
+// valueOrZero returns the value of an optional field, or the zero value of its type if the field is missing.
 func valueOrZero[T any](value *T) T {
 	if value == nil {
 		var zero T
--- a/internal/protocol/submission_test.go
+++ b/internal/protocol/submission_test.go
@@ -12,41 +12,43 @@
 
 var priorities = []Priority{PriorityCritical, PriorityUrgent, PriorityNormal, PriorityBestEffort}
 
-func word() *rapid.Generator[string] { return rapid.StringMatching(`[a-z][a-z0-9-]{0,20}`) }
+// drawName returns a generator of valid names.
+func drawName() *rapid.Generator[string] { return rapid.StringMatching(`[a-z][a-z0-9-]{0,20}`) }
 
-func amount() *rapid.Generator[float64] { return rapid.Float64Range(0, 1e6) }
+// drawNumber returns a generator of valid resource amounts and durations.
+func drawNumber() *rapid.Generator[float64] { return rapid.Float64Range(0, 1e6) }
 
-// randomJob draws a valid job.
-func randomJob(t *rapid.T) Job {
+// drawJob draws a random valid job.
+func drawJob(t *rapid.T) Job {
 	j := Job{
 		ID:                        "j-" + rapid.StringMatching(`[0-9]{6}`).Draw(t, "id"),
-		Class:                     word().Draw(t, "class"),
-		Team:                      word().Draw(t, "team"),
+		Class:                     drawName().Draw(t, "class"),
+		Team:                      drawName().Draw(t, "team"),
 		Shape:                     rapid.SampledFrom([]Shape{Array, Gang, Service}).Draw(t, "shape"),
 		Priority:                  rapid.SampledFrom(priorities).Draw(t, "priority"),
 		TaskCount:                 rapid.IntRange(1, MaxTasks).Draw(t, "tasks"),
-		CPUs:                      amount().Draw(t, "cpus"),
-		GPUs:                      amount().Draw(t, "gpus"),
-		MemoryGB:                  amount().Draw(t, "mem"),
-		Image:                     word().Draw(t, "image"),
-		ImageGB:                   amount().Draw(t, "gb"),
+		CPUs:                      drawNumber().Draw(t, "cpus"),
+		GPUs:                      drawNumber().Draw(t, "gpus"),
+		MemoryGB:                  drawNumber().Draw(t, "mem"),
+		Image:                     drawName().Draw(t, "image"),
+		ImageGB:                   drawNumber().Draw(t, "gb"),
 		SameZone:                  rapid.Bool().Draw(t, "same"),
 		Spread:                    rapid.Bool().Draw(t, "spread"),
 		SpotAllowed:               rapid.Bool().Draw(t, "spot"),
-		EstimateSeconds:           amount().Draw(t, "est"),
-		CheckpointIntervalSeconds: amount().Draw(t, "cp"),
-		SaveSeconds:               amount().Draw(t, "save"),
+		EstimateSeconds:           drawNumber().Draw(t, "est"),
+		CheckpointIntervalSeconds: drawNumber().Draw(t, "cp"),
+		SaveSeconds:               drawNumber().Draw(t, "save"),
 	}
 	if rapid.Bool().Draw(t, "limited") {
-		j.MachineTypes = rapid.SliceOfN(word(), 1, 4).Draw(t, "types")
-		j.Zone = word().Draw(t, "zone")
+		j.MachineTypes = rapid.SliceOfN(drawName(), 1, 4).Draw(t, "types")
+		j.Zone = drawName().Draw(t, "zone")
 		j.DeadlineSeconds = rapid.Float64Range(1, 1e6).Draw(t, "due")
 	}
 	return j
 }
 
-// asMap returns the fields of a job by their names on the wire.
-func asMap(t *rapid.T, j Job) map[string]any {
+// wireFields returns the fields of a job by their wire names.
+func wireFields(t *rapid.T, j Job) map[string]any {
 	t.Helper()
 	raw, err := Encode(j)
 	if err != nil {
@@ -59,10 +61,12 @@
 	return m
 }
 
-func TestJobSurvivesTheWire(t *testing.T) {
+// TestJobRoundTrip checks that random jobs are the same after encoding and decoding. Unknown fields are ignored, and
+// null counts as a missing optional field.
+func TestJobRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		j := randomJob(t)
-		m := asMap(t, j)
+		j := drawJob(t)
+		m := wireFields(t, j)
 		m["from_the_future"] = []any{map[string]any{"x": 1}, nil} // unknown fields are ignored
 		if rapid.Bool().Draw(t, "nulls") && j.MachineTypes == nil {
 			m["breeds"], m["parish"], m["due_s"] = nil, nil, nil
@@ -81,10 +85,12 @@
 	})
 }
 
-func TestBadSubmissionsAreMalformed(t *testing.T) {
+// TestInvalidSubmissionsAreMalformed checks that a submission with an invalid or missing required field is rejected
+// with an error that matches ErrMalformed.
+func TestInvalidSubmissionsAreMalformed(t *testing.T) {
 	optional := map[string]bool{"breeds": true, "parish": true, "due_s": true}
 	rapid.Check(t, func(t *rapid.T) {
-		m := asMap(t, randomJob(t))
+		m := wireFields(t, drawJob(t))
 		var fields []string
 		for f := range m {
 			if !optional[f] {
@@ -117,8 +123,9 @@
 	})
 }
 
-// TestErrorsOfSubmissions: the text of each error is part of the response to the user, and the error names the field.
-func TestErrorsOfSubmissions(t *testing.T) {
+// TestSubmissionErrors checks the text of each validation error, which is part of the response to the user, and that
+// the error names the field.
+func TestSubmissionErrors(t *testing.T) {
 	valid := Job{
 		ID:        "j-1",
 		Class:     "c",
@@ -176,9 +183,9 @@
 	}
 }
 
-// TestDependenciesOfSubmissions: dependencies are decoded each once; null and a missing list are none, and an error
-// names the field.
-func TestDependenciesOfSubmissions(t *testing.T) {
+// TestSubmissionDependencies checks that dependencies are decoded without duplicates, that null and an empty list mean
+// no dependencies, and that an error names the field.
+func TestSubmissionDependencies(t *testing.T) {
 	job := Job{ID: "j-1", Class: "c", Team: "red", Shape: Array, Priority: "normal", TaskCount: 1, CPUs: 1, Image: "i"}
 	for name, x := range map[string]struct {
 		awaits any
--- a/internal/protocol/task.go
+++ b/internal/protocol/task.go
@@ -5,43 +5,43 @@
 	"strings"
 )
 
-// TaskState is the state of a task on its machine.
+// TaskState is the state of a task on the machine that runs it.
 type TaskState string
 
-// The states of tasks.
+// States of tasks.
 const (
-	TaskFetching TaskState = "fetching"  // the image is not on the machine yet
-	TaskWaiting  TaskState = "gathering" // a gang's task, waiting for the other tasks of its attempt
+	TaskFetching TaskState = "fetching"  // the machine is still fetching the image
+	TaskWaiting  TaskState = "gathering" // a task of a gang that waits until the other tasks of the attempt are ready
 	TaskRunning  TaskState = "running"
-	TaskSaving   TaskState = "saving" // stopping, and saving a checkpoint first
+	TaskSaving   TaskState = "saving" // saving a checkpoint before it stops
 	TaskExited   TaskState = "exited"
 )
 
-// ExitCause is the reason for which a task exited.
+// ExitCause is the reason why a task exited.
 type ExitCause string
 
-// The causes of exits.
+// Causes of exits.
 const (
 	CauseDone         ExitCause = "done"
-	CauseStopped      ExitCause = "halted"     // by a command
-	CausePeerLost     ExitCause = "peers"      // another task of its gang is gone
-	CauseIncomplete   ExitCause = "incomplete" // its gang was not complete in time
+	CauseStopped      ExitCause = "halted"     // stopped by a command
+	CausePeerLost     ExitCause = "peers"      // another task of the gang was lost
+	CauseIncomplete   ExitCause = "incomplete" // the tasks of the gang were not all ready in time
 	CauseError        ExitCause = "error"
-	CauseNoCapacity   ExitCause = "full"    // start refused: not enough free resources
+	CauseNoCapacity   ExitCause = "full"    // start refused: the machine does not have enough free resources
 	CauseOtherAttempt ExitCause = "in_use"  // start refused: another attempt of the task is on the machine
 	CauseUnknownTask  ExitCause = "no_such" // start refused: no such job or task
 )
 
-// TaskID identifies a task by its job and its index within the job.
+// TaskID identifies a task by the ID of its job and its index within the job.
 type TaskID struct {
 	JobID string
 	Index int
 }
 
-// String returns the task's name on the wire, such as "j-000412/3".
+// String returns the name of the task on the wire, such as "j-000412/3".
 func (t TaskID) String() string { return t.JobID + "/" + strconv.Itoa(t.Index) }
 
-// ParseTaskID parses a task's name on the wire.
+// ParseTaskID parses the name of a task on the wire. It is the inverse of [TaskID.String].
 func ParseTaskID(name string) (TaskID, error) {
 	job, number, ok := strings.Cut(name, "/")
 	if ok {
@@ -53,7 +53,7 @@
 	return TaskID{}, Malformed("task %q", name)
 }
 
-// TaskStatus is the status of one attempt of a task, as its worker reports it.
+// TaskStatus is the status of one attempt of a task as the worker reports it.
 type TaskStatus struct {
 	TaskName        string    `msgpack:"piece"`
 	Attempt         uint64    `msgpack:"try"`
