--- a/cmd/loadtest/main.go
+++ b/cmd/loadtest/main.go
@@ -1,6 +1,6 @@
-// Command loadtest measures what the built controllers cost at several sizes of a deployment, with
-// hollow workers that speak the real protocol, while invariants are checked for every start and
-// every reply.
+// Command loadtest measures the resource usage, message rates and latencies of the controllers at several sizes of a
+// deployment. It simulates workers that speak the real protocol, and checks invariants for every task start and every
+// reply. See package loadtest for what it does.
 package main
 
 import (
@@ -20,14 +20,14 @@
 
 // Exit statuses.
 const (
-	statusFailed = 1
-	statusUsage  = 2
+	exitFailure = 1
+	exitUsage   = 2
 )
 
-// errUsage is wrapped by errors about flags and arguments.
+// errUsage is wrapped by all errors about flags and arguments.
 var errUsage = errors.New("usage")
 
-// workerCommand is the hidden command by which a load test starts workers as processes.
+// workerCommand is the hidden subcommand with which a load test starts worker processes.
 const workerCommand = "worker"
 
 func main() {
@@ -39,9 +39,9 @@
 	}
 	fmt.Fprintln(os.Stderr, "loadtest:", strings.ReplaceAll(err.Error(), "\n", " "))
 	if errors.Is(err, loadtest.ErrInvalidConfig) || errors.Is(err, errUsage) {
-		os.Exit(statusUsage)
+		os.Exit(exitUsage)
 	}
-	os.Exit(statusFailed)
+	os.Exit(exitFailure)
 }
 
 func newCommand() *cobra.Command {
@@ -50,7 +50,7 @@
 	var faults []string
 	cmd := &cobra.Command{
 		Use:           "loadtest",
-		Short:         "Measure controllers at several sizes of a deployment",
+		Short:         "Measure the controllers at several sizes of a deployment",
 		SilenceErrors: true,
 		SilenceUsage:  true,
 		Args: func(_ *cobra.Command, args []string) error {
@@ -60,28 +60,28 @@
 			return nil
 		},
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			cfg.Faults = faultsOf(faults)
+			cfg.Faults = toFaults(faults)
 			return run(cmd, cfg, out)
 		},
 	}
 	f := flagSet{cmd.Flags()}
 	addConfigFlags(f, cfg)
 	addFaultsFlag(f, &faults)
-	f.text(&out.json, "json", "file for the result")
-	addPictureFlag(f, &out)
+	f.text(&out.jsonFile, "json", "file for the result (JSON)")
+	addPlotFlag(f, &out)
 	cmd.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return fmt.Errorf("%w: %w", errUsage, err) })
 	cmd.AddCommand(newTablesCommand(), newCapacityCommand(), newWorkerCommand())
 	return cmd
 }
 
-// run runs a load test and writes its result, as far as it got.
+// run runs a load test and writes its result. If the test ends early, it writes what was measured up to then.
 func run(cmd *cobra.Command, cfg *loadtest.Config, out output) error {
 	if err := cfg.Validate(); err != nil {
 		return err
 	}
 	self, err := os.Executable()
 	if err != nil {
-		return fmt.Errorf("own program: %w", err)
+		return fmt.Errorf("find the path of this executable: %w", err)
 	}
 	cfg.WorkerProgram, cfg.WorkerArgs = self, []string{workerCommand}
 	log := slog.New(slog.NewTextHandler(os.Stderr, nil))
@@ -99,7 +99,7 @@
 		Hidden: true,
 		Args:   cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			cfg, err := loadtest.WorkerFromEnvironment()
+			cfg, err := loadtest.WorkerConfigFromEnv()
 			if err != nil {
 				return err
 			}
--- a/cmd/loadtest/main_test.go
+++ b/cmd/loadtest/main_test.go
@@ -11,16 +11,16 @@
 	"pinebay/internal/loadtest"
 )
 
-// TestBadInput: whatever can't be run is refused with one line that names what is wrong, and
-// counts as wrong use.
-func TestBadInput(t *testing.T) {
-	odd := filepath.Join(t.TempDir(), "result.json")
-	if err := os.WriteFile(odd, []byte("sizes: none"), 0o600); err != nil {
+// TestInvalidUsage checks that invalid flags, arguments and files are rejected with a single-line error that names what
+// is invalid, and that the error counts as a usage or configuration error.
+func TestInvalidUsage(t *testing.T) {
+	invalid := filepath.Join(t.TempDir(), "result.json")
+	if err := os.WriteFile(invalid, []byte("sizes: none"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	for _, x := range []struct {
-		args  []string
-		names string
+		args     []string
+		wantText string
 	}{
 		{[]string{"--moons", "3"}, "moons"},
 		{[]string{"extra"}, "extra"},
@@ -32,9 +32,9 @@
 		{[]string{"--program", os.Args[0], "--sizes", "2000000"}, "workers"},
 		{[]string{"tables"}, "result"},
 		{[]string{"tables", "/nowhere.json"}, "nowhere"},
-		{[]string{"tables", odd}, "result.json"},
-		{[]string{"capacity", odd}, "--at"},
-		{[]string{"capacity", "--at", "10", odd}, "result.json"},
+		{[]string{"tables", invalid}, "result.json"},
+		{[]string{"capacity", invalid}, "--at"},
+		{[]string{"capacity", "--at", "10", invalid}, "result.json"},
 		{[]string{"capacity", "--at", "10"}, "result"},
 	} {
 		cmd := newCommand()
@@ -42,7 +42,7 @@
 		cmd.SetOut(&bytes.Buffer{})
 		err := cmd.ExecuteContext(t.Context())
 		if !errors.Is(err, errUsage) && !errors.Is(err, loadtest.ErrInvalidConfig) ||
-			!strings.Contains(err.Error(), x.names) ||
+			!strings.Contains(err.Error(), x.wantText) ||
 			strings.Contains(err.Error(), "\n") {
 			t.Errorf("%v: %v", x.args, err)
 		}
--- a/cmd/loadtest/results.go
+++ b/cmd/loadtest/results.go
@@ -8,13 +8,13 @@
 	"pinebay/internal/loadtest"
 )
 
-// newTablesCommand returns the command that writes the tables of kept results again.
+// newTablesCommand returns the subcommand that writes the tables of results that were saved in files.
 func newTablesCommand() *cobra.Command {
 	var out output
 	cmd := &cobra.Command{
 		Use:   "tables RESULT...",
-		Short: "Write the tables of results that were kept",
-		Args:  requireArgs(func(n int) bool { return n > 0 }, "no result is named"),
+		Short: "Write the tables of saved results",
+		Args:  requireArgs(func(n int) bool { return n > 0 }, "want at least one result file"),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			for _, path := range args {
 				if err := writeTables(cmd, path, out); err != nil {
@@ -24,7 +24,7 @@
 			return nil
 		},
 	}
-	addPictureFlag(flagSet{cmd.Flags()}, &out)
+	addPlotFlag(flagSet{cmd.Flags()}, &out)
 	return cmd
 }
 
@@ -39,16 +39,16 @@
 	return writeResult(cmd, result, out)
 }
 
-// newCapacityCommand returns the command that extrapolates a result to a size.
+// newCapacityCommand returns the subcommand that estimates the metrics at a size from the slopes of a saved result.
 func newCapacityCommand() *cobra.Command {
 	var size int
 	cmd := &cobra.Command{
 		Use:   "capacity --at SIZE RESULT",
-		Short: "Write what each figure is at a size, according to its slope",
-		Args:  requireArgs(func(n int) bool { return n == 1 }, "one result is to be named"),
+		Short: "Estimate each metric at a size from the slopes of a saved result",
+		Args:  requireArgs(func(n int) bool { return n == 1 }, "want exactly one result file"),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			if size < 1 {
-				return fmt.Errorf("%w: --at %d is not a size", errUsage, size)
+				return fmt.Errorf("%w: --at: %d is not a size, want at least 1", errUsage, size)
 			}
 			result, err := readResult(args[0])
 			if err != nil {
@@ -57,21 +57,21 @@
 			return result.WriteCapacity(cmd.OutOrStdout(), size)
 		},
 	}
-	flagSet{cmd.Flags()}.integer(&size, "at", "the size")
+	flagSet{cmd.Flags()}.integer(&size, "at", "the size for which to estimate the metrics")
 	return cmd
 }
 
-// requireArgs returns a check of the number of arguments.
-func requireArgs(valid func(n int) bool, complaint string) cobra.PositionalArgs {
+// requireArgs returns a check that the number of arguments is valid. The message says which number is.
+func requireArgs(valid func(n int) bool, message string) cobra.PositionalArgs {
 	return func(_ *cobra.Command, args []string) error {
 		if !valid(len(args)) {
-			return fmt.Errorf("%w: %s", errUsage, complaint)
+			return fmt.Errorf("%w: %s", errUsage, message)
 		}
 		return nil
 	}
 }
 
-// readResult reads a result. A file that is none is wrong use.
+// readResult reads a result from a file. Any failure counts as a usage error.
 func readResult(path string) (*loadtest.Result, error) {
 	result, err := loadtest.ReadResult(path)
 	if err != nil {
@@ -84,13 +84,13 @@
 	if err := result.WriteTables(cmd.OutOrStdout()); err != nil {
 		return err
 	}
-	if out.json != "" {
-		if err := result.WriteJSON(out.json); err != nil {
+	if out.jsonFile != "" {
+		if err := result.WriteJSON(out.jsonFile); err != nil {
 			return err
 		}
 	}
-	if out.picture != "" {
-		return result.WritePlots(out.picture, loadtest.PlottedFigures())
+	if out.plotFile != "" {
+		return result.WritePlots(out.plotFile, loadtest.PlottedMetrics())
 	}
 	return nil
 }
--- a/internal/loadtest/config.go
+++ b/internal/loadtest/config.go
@@ -14,98 +14,98 @@
 	"pinebay/internal/config"
 )
 
-// ErrInvalidConfig is wrapped by every error that the configuration of a load test causes.
+// ErrInvalidConfig is wrapped by all errors that are caused by the configuration of a load test.
 var ErrInvalidConfig = errors.New("configuration")
 
-// Dimension is what differs between the sizes of a load test.
-type Dimension string
+// ScalingParameter is the parameter of the load that a load test varies: each size is a value of it.
+type ScalingParameter string
 
-// Dimensions.
+// Parameters that can be varied.
 const (
-	Workers     Dimension = "workers" // and with them, in proportion, tasks, starts and jobs
-	Starts      Dimension = "starts"
-	Teams       Dimension = "teams"
-	Tasks       Dimension = "tasks"
-	Controllers Dimension = "controllers"
+	VaryWorkers     ScalingParameter = "workers" // tasks, starts and jobs grow in proportion
+	VaryStarts      ScalingParameter = "starts"
+	VaryTeams       ScalingParameter = "teams"
+	VaryTasks       ScalingParameter = "tasks"
+	VaryControllers ScalingParameter = "controllers"
 )
 
-var dimensions = []Dimension{Workers, Starts, Teams, Tasks, Controllers}
+var scalingParameters = []ScalingParameter{VaryWorkers, VaryStarts, VaryTeams, VaryTasks, VaryControllers}
 
-// Load is what one size asks of the controllers.
+// Load describes the deployment and the work that the controllers handle at one size.
 type Load struct {
-	Controllers    int     `json:"controllers"`
-	Workers        int     `json:"workers"`
-	Teams          int     `json:"teams"`
-	TasksPerWorker float64 `json:"tasks_per_worker"`
-	StartsPerS     float64 `json:"starts_per_s"`    // task starts, without those of urgent jobs and pipelines
-	ArrayTasks     int     `json:"array_tasks"`     // of each array; arrays make most of the starts
-	GangShare      float64 `json:"gang_share"`      // of the starts
-	GangTasks      int     `json:"gang_tasks"`      // of the largest gang
-	UrgentPerS     float64 `json:"urgent_per_s"`    // urgent jobs of a single task
-	CancelShare    float64 `json:"cancel_share"`    // of the arrays
-	PipelinesPerS  float64 `json:"pipelines_per_s"` // each of three arrays that depend on one another
-	TeamsAtLimit   bool    `json:"teams_at_limit"`  // teams have limits and ask for more
-	Overcommit     float64 `json:"overcommit"`      // with TeamsAtLimit: how many times its limit a team asks for
-	Zones          int     `json:"zones"`
+	Controllers         int     `json:"controllers"`
+	Workers             int     `json:"workers"`
+	Teams               int     `json:"teams"`
+	TasksPerWorker      float64 `json:"tasks_per_worker"`
+	StartsPerSecond     float64 `json:"starts_per_s"`    // task starts, not counting urgent jobs and pipelines
+	ArrayTasks          int     `json:"array_tasks"`     // per array; most starts are those of arrays
+	GangShare           float64 `json:"gang_share"`      // share of the starts that are tasks of gangs
+	GangTasks           int     `json:"gang_tasks"`      // in the largest gang
+	UrgentJobsPerSecond float64 `json:"urgent_per_s"`    // urgent jobs have a single task
+	CancelShare         float64 `json:"cancel_share"`    // share of the arrays that are cancelled
+	PipelinesPerSecond  float64 `json:"pipelines_per_s"` // each is a chain of three dependent arrays
+	TeamsAtLimit        bool    `json:"teams_at_limit"`  // teams have limits, and request more
+	Overcommit          float64 `json:"overcommit"`      // with TeamsAtLimit: requested resources relative to the limit
+	Zones               int     `json:"zones"`
 }
 
 // Config is the configuration of a load test.
 type Config struct {
-	Program string    // path of the controller's executable
-	Vary    Dimension // what the sizes are sizes of
-	Sizes   []int
-	// Load is the load of every size, but for what Vary names. If that is Workers, the rates belong
-	// to Load.Workers and follow the size.
+	ControllerProgram string           // path of the controller executable
+	Vary              ScalingParameter // the parameter whose values are in Sizes
+	Sizes             []int
+	// Load is the load at every size, except for the parameter Vary. If that is VaryWorkers, the rates apply to
+	// Load.Workers workers and are scaled in proportion to the size.
 	Load Load
 
-	HeartbeatInterval time.Duration // of the workers
-	Lease             time.Duration // of the workers
-	MeanRunTime       time.Duration // of tasks, those of services excepted
+	HeartbeatInterval time.Duration // interval between two heartbeats of a worker
+	Lease             time.Duration // duration of a worker's lease
+	MeanRunTime       time.Duration // of all tasks except those of services
 
-	Warmup      time.Duration // between the first arrivals and the measurement
+	Warmup      time.Duration // between the first submissions of jobs other than services and the measurement
 	MeasureTime time.Duration
-	Slices      int     // of the measured time; they show the spread of a figure
-	Faults      []Fault // injected after the measurement, one after the other
+	Slices      int     // number of slices of MeasureTime; they show how much a metric varies
+	Faults      []Fault // faults to inject after the measurement, one at a time
 	Seed        uint64
 
-	// The limits of the settings. The models of the key-value store and the cloud enforce theirs; a
-	// controller's use of processor and memory is only measured.
+	// Limits in the controllers' settings. The models of the key-value store and the cloud enforce theirs. The CPU and
+	// memory usage of a controller is only measured.
 	Quota config.Quota
 	Store config.StoreLimits
 	Cloud config.Cloud
 
-	// WorkerProcesses is the number of workers, beside the hollow ones, that are processes of their
-	// own: of WorkerProgram, started with WorkerArgs.
+	// WorkerProcesses is the number of workers, in addition to the hollow ones, that run as processes of their own.
+	// Each runs WorkerProgram with WorkerArgs.
 	WorkerProcesses int
 	WorkerProgram   string
 	WorkerArgs      []string
 
-	Port      int    // the first of the loopback ports
-	LogDir    string // for the controllers' logs; empty: they are discarded
-	Ownership bool   // the controllers shard the machines
+	FirstPort int    // the first of the loopback ports that the test uses
+	LogDir    string // directory for the controllers' logs; if empty, they are discarded
+	Ownership bool   // run the controllers with shard ownership enabled
 }
 
-// DefaultConfig returns the proportions of a large deployment, 18,000 workers with 240,000 tasks
-// and 3,000 starts a second, at sizes that a single machine can bear.
+// DefaultConfig returns a configuration with the proportions of a large deployment (18,000 workers with 240,000 tasks
+// and 3,000 task starts per second), scaled down to sizes that a single machine can run.
 func DefaultConfig() *Config {
 	return &Config{
-		Program: "target/pinebay",
-		Vary:    Workers,
-		Sizes:   []int{250, 500, 750, 1000},
+		ControllerProgram: "target/pinebay",
+		Vary:              VaryWorkers,
+		Sizes:             []int{250, 500, 750, 1000},
 		Load: Load{
-			Controllers:    3,
-			Workers:        18_000,
-			Teams:          200,
-			Zones:          3,
-			TasksPerWorker: 240_000. / 18_000,
-			StartsPerS:     3000,
-			ArrayTasks:     500,
-			GangShare:      0.1,
-			GangTasks:      64,
-			UrgentPerS:     10,
-			PipelinesPerS:  30,
-			CancelShare:    0.03,
-			Overcommit:     1.5,
+			Controllers:         3,
+			Workers:             18_000,
+			Teams:               200,
+			Zones:               3,
+			TasksPerWorker:      240_000. / 18_000,
+			StartsPerSecond:     3000,
+			ArrayTasks:          500,
+			GangShare:           0.1,
+			GangTasks:           64,
+			UrgentJobsPerSecond: 10,
+			PipelinesPerSecond:  30,
+			CancelShare:         0.03,
+			Overcommit:          1.5,
 		},
 		HeartbeatInterval: 5 * time.Second,
 		Lease:             29 * time.Second,
@@ -118,53 +118,54 @@
 		Store:             config.StoreLimits{RPS: 600, WriteRPS: 180, ValueKB: 8, TxnOps: 16},
 		Cloud:             config.Cloud{RPS: 4, ListLagSeconds: 8},
 		WorkerProcesses:   3,
-		Port:              21_000,
+		FirstPort:         21_000,
 	}
 }
 
-// loadAt returns the load of one size.
+// loadAt returns the load at a size.
 func (c *Config) loadAt(size int) Load {
 	l := c.Load
 	switch c.Vary {
-	case Workers:
+	case VaryWorkers:
 		factor := float64(size) / float64(l.Workers)
 		l.Workers = size
-		l.StartsPerS *= factor
-		l.UrgentPerS *= factor
-		l.PipelinesPerS *= factor
-	case Starts:
-		l.StartsPerS = float64(size)
-	case Teams:
+		l.StartsPerSecond *= factor
+		l.UrgentJobsPerSecond *= factor
+		l.PipelinesPerSecond *= factor
+	case VaryStarts:
+		l.StartsPerSecond = float64(size)
+	case VaryTeams:
 		l.Teams = size
-	case Tasks:
+	case VaryTasks:
 		l.TasksPerWorker = float64(size)
-	case Controllers:
+	case VaryControllers:
 		l.Controllers = size
 	}
 	return l
 }
 
-// Bounds of a configuration.
+// Limits on the values of a configuration.
 const (
 	maxProcesses = 200
 	maxWorkers   = 1 << 20
-	minSlices    = 2 // with fewer, a figure has no spread
+	minSlices    = 2 // a single value does not show how much a metric varies
 	minPort      = 1024
 	maxPort      = 1<<16 - 1
 )
 
-// What a load test takes of the host, as measured, and the share of the host that it may take.
+// Resources of the host that a load test uses, as measured. hostMemoryShare is the share of the host's memory that it
+// may use.
 const (
 	workerBytes      = 80 << 10
 	taskBytes        = 1 << 10
 	controllerBytes  = 512 << 20
-	socketsPerWorker = 1.25 // its own connection, and now and then one for commands
+	socketsPerWorker = 1.25 // one connection for heartbeats, and sometimes one for commands
 	reservedSockets  = 512
 	hostMemoryShare  = 0.5
 )
 
-// Validate returns an error that wraps ErrInvalidConfig if the configuration is not valid or the
-// host cannot bear the load. It names the setting and its bounds in one line.
+// Validate returns an error that wraps [ErrInvalidConfig] if the configuration is not valid or the host does not have
+// enough resources for the load. The error is a single line that names the setting and its limits.
 func (c *Config) Validate() error {
 	checks := []func() error{c.validateProgram, c.validateSizes, c.validateFaults, c.validateTimes, c.validatePorts}
 	for _, check := range checks {
@@ -184,18 +185,18 @@
 }
 
 func (c *Config) validateProgram() error {
-	if info, err := os.Stat(c.Program); err != nil || info.IsDir() || info.Mode()&0o111 == 0 {
-		return fmt.Errorf("program %q is not an executable file; build it first", c.Program)
+	if info, err := os.Stat(c.ControllerProgram); err != nil || info.IsDir() || info.Mode()&0o111 == 0 {
+		return fmt.Errorf("program %q is not an executable file; build the controller first", c.ControllerProgram)
 	}
 	return nil
 }
 
 func (c *Config) validateSizes() error {
-	if !slices.Contains(dimensions, c.Vary) {
-		return fmt.Errorf("vary %q is none of %v", c.Vary, dimensions)
+	if !slices.Contains(scalingParameters, c.Vary) {
+		return fmt.Errorf("vary: unknown parameter %q, want one of %v", c.Vary, scalingParameters)
 	}
 	if len(c.Sizes) == 0 {
-		return errors.New("no sizes")
+		return errors.New("sizes: want at least one")
 	}
 	return nil
 }
@@ -203,7 +204,7 @@
 func (c *Config) validateFaults() error {
 	for _, f := range c.Faults {
 		if _, ok := injectors[f]; !ok {
-			return fmt.Errorf("trouble %q is none of %v", f, FaultNames())
+			return fmt.Errorf("unknown fault %q, want one of %v", f, FaultNames())
 		}
 	}
 	return nil
@@ -214,7 +215,7 @@
 		name  string
 		value time.Duration
 	}{
-		{"report interval", c.HeartbeatInterval},
+		{"heartbeat interval", c.HeartbeatInterval},
 		{"lease", c.Lease},
 		{"run time", c.MeanRunTime},
 		{"measured time", c.MeasureTime},
@@ -224,18 +225,22 @@
 		}
 	}
 	if c.Lease < 2*c.HeartbeatInterval {
-		return fmt.Errorf("lease: %v is shorter than two reports of %v", c.Lease, c.HeartbeatInterval)
+		return fmt.Errorf("lease: %v is shorter than two heartbeat intervals of %v", c.Lease, c.HeartbeatInterval)
 	}
 	if c.Slices < minSlices {
-		return fmt.Errorf("slices: %d are too few to show the spread, at least %d are needed", c.Slices, minSlices)
+		return fmt.Errorf(
+			"slices: %d is too few to show how much a metric varies, want at least %d",
+			c.Slices,
+			minSlices,
+		)
 	}
 	return nil
 }
 
 func (c *Config) validatePorts() error {
-	last := c.Port + sharedPorts + portsPerController*maxProcesses
-	if c.Port < minPort || last > maxPort {
-		return fmt.Errorf("port: %d to %d are not between %d and %d", c.Port, last, minPort, maxPort)
+	last := c.FirstPort + sharedPorts + portsPerController*maxProcesses
+	if c.FirstPort < minPort || last > maxPort {
+		return fmt.Errorf("port: the ports %d to %d are not all between %d and %d", c.FirstPort, last, minPort, maxPort)
 	}
 	return nil
 }
@@ -245,29 +250,33 @@
 	case l.Workers < 1 || l.Workers > maxWorkers:
 		return fmt.Errorf("%d workers, want 1 to %d", l.Workers, maxWorkers)
 	case l.Controllers < 1 || c.WorkerProcesses < 0 || l.Controllers+c.WorkerProcesses > maxProcesses:
-		const message = "%d controllers and %d worker processes, want 1 to %d processes in all"
+		const message = "%d controllers and %d worker processes, want 1 to %d processes in total"
 		return fmt.Errorf(message, l.Controllers, c.WorkerProcesses, maxProcesses)
 	case l.Teams < 1:
 		return fmt.Errorf("%d teams, want at least one", l.Teams)
 	case l.Zones < 1:
 		return fmt.Errorf("%d zones, want at least one", l.Zones)
 	case l.ArrayTasks < 1 || l.GangTasks < 1:
-		return fmt.Errorf("%d tasks an array and %d a gang, want at least one", l.ArrayTasks, l.GangTasks)
+		return fmt.Errorf(
+			"%d tasks per array and %d tasks in the largest gang, want at least one each",
+			l.ArrayTasks,
+			l.GangTasks,
+		)
 	}
 	return nil
 }
 
 func validateRates(l Load) error {
-	if !(l.TasksPerWorker > 0) { // true for NaN, too
-		return fmt.Errorf("%g tasks a worker, want more than none", l.TasksPerWorker)
+	if !(l.TasksPerWorker > 0) { // negated so that NaN is rejected too
+		return fmt.Errorf("%g tasks per worker, want more than 0", l.TasksPerWorker)
 	}
 	for _, r := range []struct {
 		name       string
 		value, max float64
 	}{
-		{"starts a second", l.StartsPerS, math.MaxFloat64},
-		{"urgent jobs a second", l.UrgentPerS, math.MaxFloat64},
-		{"pipelines a second", l.PipelinesPerS, math.MaxFloat64},
+		{"starts per second", l.StartsPerSecond, math.MaxFloat64},
+		{"urgent jobs per second", l.UrgentJobsPerSecond, math.MaxFloat64},
+		{"pipelines per second", l.PipelinesPerSecond, math.MaxFloat64},
 		{"share of gangs", l.GangShare, 1},
 		{"share of cancelled arrays", l.CancelShare, 1},
 	} {
@@ -275,23 +284,23 @@
 			return fmt.Errorf("%s: %g is not between 0 and %g", r.name, r.value, r.max)
 		}
 	}
-	if l.TeamsAtLimit && !(l.Overcommit > 1) { // true for NaN, too
-		return fmt.Errorf("teams at their limits ask for more than them, not for %g times as much", l.Overcommit)
+	if l.TeamsAtLimit && !(l.Overcommit > 1) { // negated so that NaN is rejected too
+		return fmt.Errorf("overcommit: %g, want more than 1 if teams are to exceed their limits", l.Overcommit)
 	}
 	return nil
 }
 
-// validateHost refuses a load that the host cannot bear.
+// validateHost checks that the host has enough memory and sockets for the load.
 func validateHost(l Load) error {
 	if err := validateMemory(l); err != nil {
 		return err
 	}
 	var limit unix.Rlimit
 	if err := unix.Getrlimit(unix.RLIMIT_NOFILE, &limit); err != nil {
-		return fmt.Errorf("read the limit of sockets: %w", err)
+		return fmt.Errorf("read the limit on open files: %w", err)
 	}
 	if sockets := uint64(float64(l.Workers)*socketsPerWorker) + reservedSockets; sockets > limit.Cur {
-		return fmt.Errorf("needs about %d sockets, more than ulimit -n allows: %d", sockets, limit.Cur)
+		return fmt.Errorf("needs about %d sockets, but ulimit -n allows only %d open files", sockets, limit.Cur)
 	}
 	return nil
 }
@@ -306,17 +315,21 @@
 		return fmt.Errorf("read the host's memory: %w", err)
 	}
 	if info.MemTotal == nil {
-		return errors.New("the host's memory is not known")
+		return errors.New("the total memory of the host is unknown: /proc/meminfo has no MemTotal")
 	}
 	tasks := float64(l.Workers) * l.TasksPerWorker
 	need := float64(l.Workers)*workerBytes + tasks*taskBytes + float64(l.Controllers)*controllerBytes
 	if limit := float64(*info.MemTotal) * kib * hostMemoryShare; need > limit {
-		return fmt.Errorf("needs about %.0f MB of memory, more than %.0f MB, half of the host's", need/mib, limit/mib)
+		return fmt.Errorf(
+			"needs about %.0f MB of memory, more than %.0f MB, which is half of the host's memory",
+			need/mib,
+			limit/mib,
+		)
 	}
 	return nil
 }
 
-// Bytes.
+// Units of memory, in bytes.
 const (
 	kib = 1 << 10
 	mib = 1 << 20
--- a/internal/loadtest/controllers.go
+++ b/internal/loadtest/controllers.go
@@ -17,13 +17,13 @@
 	"pinebay/internal/config"
 )
 
-// Messages that the controllers log, by which the load test follows them.
+// Log messages of the controllers that the load test evaluates.
 const (
-	logStepTimes   = "step times"   // of the package timing
-	logRecordsRead = "records read" // of the package leader, when it has read all records
+	logStepTimes   = "step times"   // logged by package timing
+	logRecordsRead = "records read" // logged by package leader when a new leader has read all records
 )
 
-// controllerProcess is a controller that runs as a process of the built program.
+// controllerProcess is a controller that runs as a process of the built program. It can be killed and started again.
 type controllerProcess struct {
 	name         string
 	addr         string
@@ -32,16 +32,16 @@
 	featureFlags []string
 	log          io.Writer
 
-	mu            sync.Mutex
-	process       *process // nil before the first start
-	killed        bool     // since the last start
-	steps         map[string]stepTimes
-	recordsReadAt time.Time // the last time
+	mu              sync.Mutex
+	process         *process // nil before the first start
+	killed          bool     // killed by the load test since the last start
+	stepTimesByKind map[string]stepTimes
+	recordsReadAt   time.Time // time of the last logRecordsRead message
 }
 
-// controllerSettings returns the settings of one controller.
+// controllerSettings returns the settings of the controller with the given number.
 func controllerSettings(c *Config, l Load, teams []config.Team, number int) *config.Settings {
-	const leasesToCancel, leasesToWaitForGang = 4, 3
+	const cancelTimeoutLeases, gangWaitLeases = 4, 3
 	zones := zoneNames(l.Zones)
 	s := &config.Settings{
 		Name:       controllerName(number),
@@ -57,9 +57,9 @@
 			Workers: config.Workers{
 				HeartbeatSeconds: c.HeartbeatInterval.Seconds(),
 				LeaseSeconds:     c.Lease.Seconds(),
-				GangWaitSeconds:  leasesToWaitForGang * c.Lease.Seconds(),
+				GangWaitSeconds:  gangWaitLeases * c.Lease.Seconds(),
 				GangPeerSeconds:  5,
-				CancelSeconds:    leasesToCancel * c.Lease.Seconds(),
+				CancelSeconds:    cancelTimeoutLeases * c.Lease.Seconds(),
 			},
 			Store:      c.Store,
 			Cloud:      c.Cloud,
@@ -88,19 +88,20 @@
 	return names
 }
 
-// newController writes a controller's settings file to a directory. It starts nothing yet.
-func newController(c *Config, dir string, s *config.Settings) (*controllerProcess, error) {
+// newControllerProcess writes the settings file of a controller to dir and opens its log file, if logs are kept. It
+// does not start the process.
+func newControllerProcess(c *Config, dir string, s *config.Settings) (*controllerProcess, error) {
 	raw, err := toml.Marshal(s)
 	if err != nil {
 		return nil, fmt.Errorf("encode the settings of %s: %w", s.Name, err)
 	}
 	p := &controllerProcess{
-		name:         s.Name,
-		addr:         s.ListenAddr,
-		program:      c.Program,
-		settingsPath: filepath.Join(dir, s.Name+".toml"),
-		log:          io.Discard,
-		steps:        map[string]stepTimes{},
+		name:            s.Name,
+		addr:            s.ListenAddr,
+		program:         c.ControllerProgram,
+		settingsPath:    filepath.Join(dir, s.Name+".toml"),
+		log:             io.Discard,
+		stepTimesByKind: map[string]stepTimes{},
 	}
 	if err := os.WriteFile(p.settingsPath, raw, 0o600); err != nil {
 		return nil, fmt.Errorf("write the settings of %s: %w", s.Name, err)
@@ -118,12 +119,12 @@
 	return p, nil
 }
 
-// start starts the controller, for the first time or again after kill.
+// start starts the process, for the first time or after kill.
 func (p *controllerProcess) start() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	args := append(p.featureFlags, "--step-times", "--config", p.settingsPath)
-	//nolint:noctx // kill ends it, so that checkInvariants knows why it has exited
+	//nolint:noctx // kill ends it, so that exitedUnexpectedly can tell a kill from a crash
 	cmd := exec.Command(p.program, args...)
 	stderr, err := cmd.StderrPipe()
 	if err != nil {
@@ -137,14 +138,14 @@
 	return nil
 }
 
-// readLog copies the controller's log and picks out what the load test follows.
+// readLog copies the controller's log to p.log and evaluates the messages that the load test uses.
 func (p *controllerProcess) readLog(stderr io.Reader) {
 	const maxLineBytes = 1 << 20
 	lines := bufio.NewScanner(stderr)
 	lines.Buffer(nil, maxLineBytes)
 	for lines.Scan() {
 		line := lines.Text()
-		_, _ = fmt.Fprintln(p.log, line) // a log that is not complete does not end the load test
+		_, _ = fmt.Fprintln(p.log, line) // an incomplete log must not end the load test
 		switch {
 		case hasMessage(line, logStepTimes):
 			p.addStepTimes(line)
@@ -156,40 +157,41 @@
 	}
 }
 
-// hasMessage reports whether a log line has the message, which must be of several words.
+// hasMessage reports whether a logfmt line has the given message. The message must consist of several words, because
+// only then is it quoted in the line.
 func hasMessage(line, message string) bool { return strings.Contains(line, `msg="`+message+`"`) }
 
 func (p *controllerProcess) addStepTimes(line string) {
 	kind, times := parseStepTimes(line)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.steps[kind] = p.steps[kind].plus(times)
+	p.stepTimesByKind[kind] = p.stepTimesByKind[kind].merge(times)
 }
 
-func (p *controllerProcess) resetSteps() {
+func (p *controllerProcess) resetStepTimes() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.steps = map[string]stepTimes{}
+	p.stepTimesByKind = map[string]stepTimes{}
 }
 
-// addStepsTo adds the step times since the last reset to a sum.
-func (p *controllerProcess) addStepsTo(sum map[string]stepTimes) {
+// addStepTimesTo merges the step times since the last reset into sum.
+func (p *controllerProcess) addStepTimesTo(sum map[string]stepTimes) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for kind, times := range p.steps {
-		sum[kind] = sum[kind].plus(times)
+	for kind, times := range p.stepTimesByKind {
+		sum[kind] = sum[kind].merge(times)
 	}
 }
 
-// recordsReadSince returns when the controller, as a new leader, last read all records, and false
-// if that was not after the given time.
+// recordsReadSince returns the time at which the controller, as a new leader, last finished reading all records. It
+// returns false if that was not after the given time.
 func (p *controllerProcess) recordsReadSince(since time.Time) (time.Time, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.recordsReadAt, p.recordsReadAt.After(since)
 }
 
-// signal sends a signal to the process, if it runs.
+// signal sends a signal to the process. It does nothing if the process has not been started or has exited.
 func (p *controllerProcess) signal(sig os.Signal) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -202,7 +204,7 @@
 	return nil
 }
 
-// kill kills the process and waits until it has exited.
+// kill kills the process, if it has been started, and waits until it has exited.
 func (p *controllerProcess) kill() {
 	p.mu.Lock()
 	running := p.process
@@ -213,7 +215,7 @@
 	}
 }
 
-// exitedUnexpectedly reports whether the process has exited without having been killed.
+// exitedUnexpectedly reports whether the process has exited although kill was not called.
 func (p *controllerProcess) exitedUnexpectedly() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/loadtest/faults.go
+++ b/internal/loadtest/faults.go
@@ -9,40 +9,40 @@
 	"pinebay/internal/simulation"
 )
 
-// Fault is something that is broken for a while.
+// Fault is a kind of temporary failure that a load test injects.
 type Fault string
 
-// Faults.
+// Faults that can be injected.
 const (
 	KillLeader       Fault = "kill-leader"
 	FreezeLeader     Fault = "freeze-leader"
-	KillOwner        Fault = "kill-owner"   // a follower, which owns a shard of the machines
-	FreezeOwner      Fault = "freeze-owner" // a follower, which owns a shard of the machines
-	SilentWorkers    Fault = "silent-workers"
-	AllWorkersSilent Fault = "all-back" // all of them return at once
+	KillOwner        Fault = "kill-owner"     // kills a follower, which owns a shard of the machines
+	FreezeOwner      Fault = "freeze-owner"   // suspends a follower, which owns a shard of the machines
+	SilentWorkers    Fault = "silent-workers" // the heartbeats of every tenth hollow worker are lost
+	AllWorkersSilent Fault = "all-back"       // the heartbeats of all hollow workers are lost; all return at once
 	StateOutage      Fault = "state-outage"
 )
 
-// injector breaks something and returns what repairs it.
-type injector func(*run) (repair func() error, err error)
+// injector injects a fault. It returns a function that ends the fault.
+type injector func(*sizeRun) (repair func() error, err error)
 
 var injectors = map[Fault]injector{
-	KillLeader:       func(r *run) (func() error, error) { return kill(r.leader()) },
-	FreezeLeader:     func(r *run) (func() error, error) { return freeze(r.leader()) },
-	KillOwner:        func(r *run) (func() error, error) { return kill(r.follower()) },
-	FreezeOwner:      func(r *run) (func() error, error) { return freeze(r.follower()) },
-	SilentWorkers:    muteSomeWorkers,
-	AllWorkersSilent: muteAllWorkers,
-	StateOutage:      stopStore,
+	KillLeader:       func(r *sizeRun) (func() error, error) { return killController(r.leader()) },
+	FreezeLeader:     func(r *sizeRun) (func() error, error) { return freezeController(r.leader()) },
+	KillOwner:        func(r *sizeRun) (func() error, error) { return killController(r.follower()) },
+	FreezeOwner:      func(r *sizeRun) (func() error, error) { return freezeController(r.follower()) },
+	SilentWorkers:    dropSomeHeartbeats,
+	AllWorkersSilent: dropAllHeartbeats,
+	StateOutage:      startStoreOutage,
 }
 
-// FaultNames lists all faults.
+// FaultNames returns the names of all faults in alphabetical order.
 func FaultNames() []Fault { return slices.Sorted(maps.Keys(injectors)) }
 
 func noRepair() error { return nil }
 
-// kill kills a controller; the repair starts it again. A nil controller is left out.
-func kill(p *controllerProcess) (func() error, error) {
+// killController kills a controller; the repair starts it again. It does nothing if p is nil.
+func killController(p *controllerProcess) (func() error, error) {
 	if p == nil {
 		return noRepair, nil
 	}
@@ -50,48 +50,48 @@
 	return p.start, nil
 }
 
-// freeze stops a controller's process; the repair lets it go on. A nil controller is left out.
-func freeze(p *controllerProcess) (func() error, error) {
+// freezeController suspends a controller's process with SIGSTOP; the repair resumes it. It does nothing if p is nil.
+func freezeController(p *controllerProcess) (func() error, error) {
 	if p == nil {
 		return noRepair, nil
 	}
 	return func() error { return p.signal(syscall.SIGCONT) }, p.signal(syscall.SIGSTOP)
 }
 
-func muteSomeWorkers(r *run) (func() error, error) {
-	const part = 10
-	return r.muteWorkers(func(i int) bool { return i%part == 0 }), nil
+func dropSomeHeartbeats(r *sizeRun) (func() error, error) {
+	const divisor = 10
+	return r.dropHeartbeats(func(i int) bool { return i%divisor == 0 }), nil
 }
 
-func muteAllWorkers(r *run) (func() error, error) {
-	return r.muteWorkers(func(int) bool { return true }), nil
+func dropAllHeartbeats(r *sizeRun) (func() error, error) {
+	return r.dropHeartbeats(func(int) bool { return true }), nil
 }
 
-// muteWorkers loses the heartbeats of some hollow workers, by their place in the order of their
-// addresses, until the repair.
-func (r *run) muteWorkers(includes func(i int) bool) (repair func() error) {
+// dropHeartbeats drops the heartbeats of the selected hollow workers until the repair. The function includes selects a
+// worker by its index in the list of all hollow workers, sorted by address.
+func (r *sizeRun) dropHeartbeats(includes func(i int) bool) (repair func() error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	var muted []*simulation.Agent
+	var affected []*simulation.Agent
 	for i, host := range slices.Sorted(maps.Keys(r.agents)) {
 		if includes(i) {
 			a := r.agents[host]
 			a.HeartbeatsLost = true
-			muted = append(muted, a)
+			affected = append(affected, a)
 		}
 	}
 	return func() error {
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		for _, a := range muted {
+		for _, a := range affected {
 			a.HeartbeatsLost = false
 		}
 		return nil
 	}
 }
 
-// stopStore lets the key-value store refuse all requests until the repair.
-func stopStore(r *run) (func() error, error) {
+// startStoreOutage makes the model of the key-value store reject all requests until the repair.
+func startStoreOutage(r *sizeRun) (func() error, error) {
 	r.store.SetOutage(true)
 	return func() error {
 		r.store.SetOutage(false)
@@ -100,24 +100,25 @@
 }
 
 const (
-	// repliesInTransit is how long replies may take that were sent before a fault began.
-	repliesInTransit = 100 * time.Millisecond
-	// recoveryLeases is for how many leases the workers' return is awaited.
-	recoveryLeases = 6
+	// replyTransitTime is how long a reply that was sent before a fault began may take to arrive. Replies are counted
+	// only after that.
+	replyTransitTime = 100 * time.Millisecond
+	// recoveryTimeoutLeases limits how long awaitReplies waits, as a multiple of the lease duration.
+	recoveryTimeoutLeases = 6
 )
 
-// injectFault breaks something for half a lease, repairs it, and observes the recovery.
-func (r *run) injectFault(f Fault) (FaultResult, error) {
+// injectFault injects a fault, ends it after half a lease, and measures the recovery.
+func (r *sizeRun) injectFault(f Fault) (FaultResult, error) {
 	r.log.Info("fault injected", "fault", f)
 	duration := r.cfg.Lease / 2
-	result := FaultResult{Fault: f, DurationS: duration.Seconds()}
-	r.resetTimes()
+	result := FaultResult{Fault: f, DurationSeconds: duration.Seconds()}
+	r.resetLatenciesAndStepTimes()
 	began := time.Now()
 	repair, err := injectors[f](r)
 	if err != nil {
 		return result, err
 	}
-	if err := r.sleep(repliesInTransit); err != nil {
+	if err := r.sleep(replyTransitTime); err != nil {
 		return result, err
 	}
 	replies := r.countReplies()
@@ -128,48 +129,48 @@
 		return result, err
 	}
 	if workers, firstAt := replies.count(); workers > 0 {
-		result.FirstReplyS = firstAt.Sub(began).Seconds()
-		result.MostRepliedS = time.Since(began).Seconds()
+		result.FirstReplySeconds = firstAt.Sub(began).Seconds()
+		result.MostRepliesSeconds = time.Since(began).Seconds()
 	}
-	// Consequences such as expired leases show within a lease.
+	// Consequences of the fault, such as expired leases, show within the duration of a lease.
 	if err := r.sleep(max(duration, r.cfg.Lease) + r.cfg.Lease/2); err != nil {
 		return result, err
 	}
 	for _, p := range r.controllers {
 		if at, ok := p.recordsReadSince(began); ok {
-			result.RecoveryS = max(result.RecoveryS, at.Sub(began).Seconds())
+			result.RecordsReadSeconds = max(result.RecordsReadSeconds, at.Sub(began).Seconds())
 		}
 	}
-	result.Times, result.Steps = r.meter.Times(), r.combinedStepTimes()
+	result.Latencies, result.StepTimes = r.meter.Latencies(), r.combinedStepTimes()
 	return result, <-repaired
 }
 
-// awaitReplies waits until nearly all hollow workers had a reply, or for the time that they have to
-// return.
-func (r *run) awaitReplies(replies *replyCounter) error {
-	_, err := r.waitUntil("workers replied to", recoveryLeases*r.cfg.Lease, func() bool {
+// awaitReplies waits until sufficientShare of the hollow workers had a reply to a heartbeat, or until the timeout for
+// the recovery.
+func (r *sizeRun) awaitReplies(replies *replyCounter) error {
+	_, err := r.waitUntil("heartbeats answered", recoveryTimeoutLeases*r.cfg.Lease, func() bool {
 		workers, _ := replies.count()
 		r.mu.Lock()
 		all := len(r.agents)
 		r.mu.Unlock()
-		return float64(workers) >= nearlyAll*float64(all)
+		return float64(workers) >= sufficientShare*float64(all)
 	})
 	return err
 }
 
-// resetTimes drops the latencies and step times that were collected so far.
-func (r *run) resetTimes() {
-	r.meter.ResetTimes()
+// resetLatenciesAndStepTimes discards the latencies and step times that were collected so far.
+func (r *sizeRun) resetLatenciesAndStepTimes() {
+	r.meter.ResetLatencies()
 	for _, p := range r.controllers {
-		p.resetSteps()
+		p.resetStepTimes()
 	}
 }
 
-// combinedStepTimes returns the step times of all controllers together.
-func (r *run) combinedStepTimes() map[string]stepTimes {
+// combinedStepTimes returns the merged step times of all controllers.
+func (r *sizeRun) combinedStepTimes() map[string]stepTimes {
 	sum := map[string]stepTimes{}
 	for _, p := range r.controllers {
-		p.addStepsTo(sum)
+		p.addStepTimesTo(sum)
 	}
 	return sum
 }
--- a/internal/loadtest/load.go
+++ b/internal/loadtest/load.go
@@ -11,30 +11,30 @@
 	"pinebay/internal/simulation"
 )
 
-// Classes of jobs.
+// Classes of the jobs that the simulated users submit.
 const (
-	classService = "standing" // services, which run all the time
+	classService = "standing" // services, which run during the whole test
 	classArray   = "array"
 	classGang    = "gang"
 	classUrgent  = "urgent"
 )
 
-// urgentTeam has no limit, so that only the scheduler can delay its jobs.
+// urgentTeam is the team of urgent jobs and pipelines. It has no limit, so that only the scheduler can delay its jobs.
 const urgentTeam = "urgent"
 
-// What users do.
+// Parameters of the simulated users.
 const (
 	pollInterval    = 5 * time.Second
 	retryInterval   = time.Second
-	serviceShare    = 0.5 // of the tasks that are to run
+	serviceShare    = 0.5 // share of the intended running tasks that belong to services
 	tasksPerService = 96
-	// cancelRunTimeDivisor is the part of a run time after which a user cancels an array.
+	// cancelRunTimeDivisor sets when a user cancels an array: after MeanRunTime divided by it.
 	cancelRunTimeDivisor = 2
 )
 
 func teamName(i int) string { return fmt.Sprintf("team-%03d", i) }
 
-// newTeams returns the teams, which have limits if they are to reach them.
+// newTeams returns the teams. They have limits only if the load has TeamsAtLimit.
 func newTeams(l Load) []config.Team {
 	teams := []config.Team{{Name: urgentTeam}}
 	for i := range l.Teams {
@@ -47,11 +47,11 @@
 	return teams
 }
 
-// tasksPerTeam is each team's share of the tasks that are to run.
+// tasksPerTeam returns the number of tasks that each team is intended to run at a time.
 func (l Load) tasksPerTeam() float64 { return float64(l.Workers) * l.TasksPerWorker / float64(l.Teams) }
 
-// newJob returns a new job with a random image.
-func (r *run) newJob(class string, shape protocol.Shape, tasks int, team string) protocol.Job {
+// newJob returns a job with a new ID and a random image.
+func (r *sizeRun) newJob(class string, shape protocol.Shape, tasks int, team string) protocol.Job {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.jobCount++
@@ -70,14 +70,14 @@
 	}
 }
 
-func (r *run) randomTeam() string {
+func (r *sizeRun) randomTeam() string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return teamName(r.rng.IntN(r.load.Teams))
 }
 
-// submitServices submits the services of all teams.
-func (r *run) submitServices() {
+// submitServices starts to submit the services of all teams.
+func (r *sizeRun) submitServices() {
 	perTeam := int(r.load.tasksPerTeam() * serviceShare)
 	for team := range r.load.Teams {
 		for left := perTeam; left > 0; left -= tasksPerService {
@@ -88,8 +88,8 @@
 	}
 }
 
-// submitArrivals begins to submit arrays, gangs, urgent jobs and pipelines until the run ends.
-func (r *run) submitArrivals() {
+// submitArrivals starts goroutines that submit arrays, gangs, urgent jobs and pipelines until the run ends.
+func (r *sizeRun) submitArrivals() {
 	if r.load.TeamsAtLimit {
 		for team := range r.load.Teams {
 			r.keepTeamOverLimit(teamName(team))
@@ -97,55 +97,56 @@
 	} else {
 		r.submitAtRates()
 	}
-	r.atRate(r.load.UrgentPerS, func() { r.runUserJob(r.newUrgent()) })
-	r.atRate(r.load.PipelinesPerS, r.submitPipeline)
+	r.callAtRate(r.load.UrgentJobsPerSecond, func() { r.runUserJob(r.newUrgentJob()) })
+	r.callAtRate(r.load.PipelinesPerSecond, r.submitPipeline)
 }
 
-// submitAtRates begins to submit arrays and gangs at the rates of the load, and as many arrays at
-// once as run at a time when the load is steady.
-func (r *run) submitAtRates() {
-	submitArray := func() { r.runUserJob(r.newArray(r.randomTeam())) }
-	submitGang := func() { r.runUserJob(r.newGang(r.randomTeam())) }
-	arraysPerS := r.load.StartsPerS * (1 - r.load.GangShare) / float64(r.load.ArrayTasks)
-	for range int(arraysPerS * r.cfg.MeanRunTime.Seconds()) {
+// submitAtRates starts goroutines that submit arrays and gangs at the rates of the load. In addition, it submits at
+// once as many arrays as run at a time when the load is steady.
+func (r *sizeRun) submitAtRates() {
+	submitArray := func() { r.runUserJob(r.newArrayJob(r.randomTeam())) }
+	submitGang := func() { r.runUserJob(r.newGangJob(r.randomTeam())) }
+	arraysPerSecond := r.load.StartsPerSecond * (1 - r.load.GangShare) / float64(r.load.ArrayTasks)
+	for range int(arraysPerSecond * r.cfg.MeanRunTime.Seconds()) {
 		r.wg.Go(submitArray)
 	}
-	r.atRate(arraysPerS, submitArray)
-	r.atRate(r.load.StartsPerS*r.load.GangShare/r.load.meanGangTasks(), submitGang)
+	r.callAtRate(arraysPerSecond, submitArray)
+	r.callAtRate(r.load.StartsPerSecond*r.load.GangShare/r.load.meanGangTasks(), submitGang)
 }
 
-// keepTeamOverLimit begins to keep a team's demand above its limit.
-func (r *run) keepTeamOverLimit(team string) {
+// keepTeamOverLimit starts goroutines that submit arrays for a team, each one when the one before has ended, so that
+// the team always requests more than its limit.
+func (r *sizeRun) keepTeamOverLimit(team string) {
 	wanted := r.load.tasksPerTeam() * (r.load.Overcommit - serviceShare)
 	for range max(1, int(wanted)/r.load.ArrayTasks) {
 		r.wg.Go(func() {
 			for r.ctx.Err() == nil {
-				r.runUserJob(r.newArray(team))
+				r.runUserJob(r.newArrayJob(team))
 			}
 		})
 	}
 }
 
-// atRate begins to call f at a rate a second, each call in a goroutine of its own.
-func (r *run) atRate(perSecond float64, f func()) {
+// callAtRate starts to call f perSecond times per second, each time in a new goroutine, until the run ends.
+func (r *sizeRun) callAtRate(perSecond float64, f func()) {
 	if perSecond <= 0 {
 		return
 	}
 	interval := time.Duration(float64(time.Second) / perSecond)
-	r.wg.Go(func() { every(r.ctx, interval, func() { r.wg.Go(f) }) })
+	r.wg.Go(func() { callPeriodically(r.ctx, interval, func() { r.wg.Go(f) }) })
 }
 
-func (r *run) newArray(team string) protocol.Job {
+func (r *sizeRun) newArrayJob(team string) protocol.Job {
 	return r.newJob(classArray, protocol.Array, r.load.ArrayTasks, team)
 }
 
-func (r *run) newUrgent() protocol.Job {
+func (r *sizeRun) newUrgentJob() protocol.Job {
 	j := r.newJob(classUrgent, protocol.Array, 1, urgentTeam)
 	j.Priority = "urgent"
 	return j
 }
 
-// gangSizes are powers of two up to the largest gang.
+// gangSizes returns the numbers of tasks that gangs can have: powers of two from 2 up to GangTasks.
 func (l Load) gangSizes() (sizes []int) {
 	for n := 2; n <= max(2, l.GangTasks); n *= 2 {
 		sizes = append(sizes, n)
@@ -162,20 +163,20 @@
 	return float64(sum) / float64(len(sizes))
 }
 
-func (r *run) newGang(team string) protocol.Job {
+func (r *sizeRun) newGangJob(team string) protocol.Job {
 	r.mu.Lock()
 	sizes := r.load.gangSizes()
 	n := sizes[r.rng.IntN(len(sizes))]
 	r.mu.Unlock()
 	j := r.newJob(classGang, protocol.Gang, n, team)
 	j.SameZone = true
-	j.MachineTypes = []string{hollowWorkerType} // workers that are processes know nothing of a gang's other tasks
+	j.MachineTypes = []string{hollowWorkerType} // worker processes have no information about the other tasks of a gang
 	j.CheckpointIntervalSeconds, j.SaveSeconds = r.cfg.MeanRunTime.Seconds()/4, 1
 	return j
 }
 
-// runUserJob submits a job and polls it until it is final. Some arrays are cancelled meanwhile.
-func (r *run) runUserJob(j protocol.Job) {
+// runUserJob submits a job and polls its status until it is final. A random share of the arrays is cancelled meanwhile.
+func (r *sizeRun) runUserJob(j protocol.Job) {
 	r.mu.Lock()
 	r.world.Jobs[j.ID] = &j
 	cancels := j.Class == classArray && r.rng.Float64() < r.load.CancelShare
@@ -190,8 +191,8 @@
 	r.pollUntilFinal(j.ID)
 }
 
-// pollUntilFinal queries an accepted job until it is final.
-func (r *run) pollUntilFinal(id string) {
+// pollUntilFinal queries the status of an accepted job until it is final or the run ends.
+func (r *sizeRun) pollUntilFinal(id string) {
 	for r.sleep(pollInterval) == nil {
 		if r.isFinalAfter(simulation.RequestQuery, id) {
 			return
@@ -199,15 +200,16 @@
 	}
 }
 
-// isFinalAfter sends a request about a job to any controller, and reports whether the answer shows
-// a final state.
-func (r *run) isFinalAfter(request, id string) bool {
-	status, answer := r.users.Request(r.ctx, r.randomController(), request, id, nil)
-	return status == http.StatusOK && answer.State.Final()
+// isFinalAfter sends a request about a job to a random controller, and reports whether the response shows a final
+// state.
+func (r *sizeRun) isFinalAfter(request, id string) bool {
+	status, response := r.users.Request(r.ctx, r.randomController(), request, id, nil)
+	return status == http.StatusOK && response.State.Final()
 }
 
-// submit submits a job until it is accepted, and reports whether it was.
-func (r *run) submit(j *protocol.Job) bool {
+// submit repeats the submission of a job until it is accepted or the run ends, and reports whether it was accepted. A
+// controller that rejects the job as invalid ends the run.
+func (r *sizeRun) submit(j *protocol.Job) bool {
 	for r.ctx.Err() == nil {
 		status, _ := r.users.Request(r.ctx, r.randomController(), simulation.RequestSubmit, j.ID, j)
 		switch status {
@@ -216,7 +218,7 @@
 			r.recordAccepted(j)
 			return true
 		case http.StatusBadRequest, http.StatusUnprocessableEntity:
-			r.fail(fmt.Errorf("%s was refused with status %d", j.ID, status))
+			r.fail(fmt.Errorf("submission of %s was rejected with status %d", j.ID, status))
 			return false
 		}
 		if r.sleep(retryInterval) != nil {
@@ -226,8 +228,8 @@
 	return false
 }
 
-// cancelJob repeats a cancellation until the job is final.
-func (r *run) cancelJob(id string) {
+// cancelJob repeats the cancellation of a job until the response shows a final state or the run ends.
+func (r *sizeRun) cancelJob(id string) {
 	for r.ctx.Err() == nil {
 		if r.isFinalAfter(simulation.RequestCancel, id) || r.sleep(retryInterval) != nil {
 			return
@@ -235,21 +237,22 @@
 	}
 }
 
-func (r *run) randomController() string {
+func (r *sizeRun) randomController() string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.controllers[r.rng.IntN(len(r.controllers))].addr
 }
 
-// startedBefore marks in acceptedAt a job that was started before its user had the answer, or a
-// second time.
-const startedBefore = -1
+// startedBeforeAccepted is the value in acceptedAt for a job whose first task started before the user received the
+// response to the submission, or started a second time.
+const startedBeforeAccepted = -1
 
-// recordAccepted notes when a job was accepted, unless it has started already.
-func (r *run) recordAccepted(j *protocol.Job) {
+// recordAccepted records when a job was accepted. If its first task has started already, it records a start latency of
+// zero instead.
+func (r *sizeRun) recordAccepted(j *protocol.Job) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if at, ok := r.acceptedAt[j.ID]; ok && at == startedBefore {
+	if at, ok := r.acceptedAt[j.ID]; ok && at == startedBeforeAccepted {
 		delete(r.acceptedAt, j.ID)
 		r.meter.RecordLatency(startLatencyOf(j.Class), 0)
 		return
@@ -257,9 +260,9 @@
 	r.acceptedAt[j.ID] = r.now()
 }
 
-// recordTaskStart records the start latency of a job when its first task starts: since the end of
-// its last dependency, or since it was accepted. The world's model calls it, with mu held.
-func (r *run) recordTaskStart(now time.Duration, id protocol.TaskID) {
+// recordTaskStart records the start latency of a job when its first task starts: the time since its last dependency was
+// done or, for a job without dependencies, since it was accepted. The model of the workers calls it with mu held.
+func (r *sizeRun) recordTaskStart(now time.Duration, id protocol.TaskID) {
 	if id.Index != 0 {
 		return
 	}
@@ -271,22 +274,22 @@
 	at, ok := r.acceptedAt[id.JobID]
 	switch {
 	case !ok:
-		r.acceptedAt[id.JobID] = startedBefore
-	case at != startedBefore:
+		r.acceptedAt[id.JobID] = startedBeforeAccepted
+	case at != startedBeforeAccepted:
 		delete(r.acceptedAt, id.JobID)
 		r.meter.RecordLatency(startLatencyOf(r.world.Jobs[id.JobID].Class), now-at)
 	}
 }
 
-func startLatencyOf(class string) Latency {
+func startLatencyOf(class string) LatencyKind {
 	if class == classUrgent {
 		return UrgentStart
 	}
 	return TaskStart
 }
 
-// recordUserReply records how long a user waited for an answer.
-func (r *run) recordUserReply(kind string, took time.Duration, status int) {
+// recordUserReply counts a response to a user and records its latency.
+func (r *sizeRun) recordUserReply(kind string, took time.Duration, status int) {
 	r.meter.CountMessage(LinkUsers, fmt.Sprintf("%s %d", kind, status))
 	switch kind {
 	case simulation.RequestSubmit:
@@ -298,8 +301,8 @@
 	}
 }
 
-// allTasksDone reports whether all tasks of a job have succeeded.
-func (r *run) allTasksDone(id string) bool {
+// allTasksDone reports whether all tasks of a job are done.
+func (r *sizeRun) allTasksDone(id string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	j := r.world.Jobs[id]
@@ -311,8 +314,8 @@
 	return true
 }
 
-// recordCancelled notes when a user learned that a job is cancelled.
-func (r *run) recordCancelled(id string, at time.Duration) {
+// recordCancelled records when a user was told that a job is cancelled.
+func (r *sizeRun) recordCancelled(id string, at time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.world.Cancelled[id] = at
--- a/internal/loadtest/loadtest.go
+++ b/internal/loadtest/loadtest.go
@@ -8,23 +8,23 @@
 	"time"
 )
 
-// Run tests all sizes, one after the other. The first error ends it, a violated invariant with
-// ErrInvariantViolated; the result then holds what was measured until that.
+// Run tests all sizes, one after the other. It stops at the first error and returns it together with the results so
+// far. The error of a violated invariant wraps [ErrInvariantViolated].
 func Run(ctx context.Context, cfg *Config, log *slog.Logger) (*Result, error) {
 	result := &Result{
-		At:                time.Now().UTC().Truncate(time.Second),
-		Vary:              cfg.Vary,
-		Seed:              cfg.Seed,
-		HeartbeatInterval: cfg.HeartbeatInterval.String(),
-		Lease:             cfg.Lease.String(),
-		RunTimeS:          cfg.MeanRunTime.Seconds(),
-		StateLimits:       [2]float64{cfg.Store.RPS, cfg.Store.WriteRPS},
+		StartedAt:          time.Now().UTC().Truncate(time.Second),
+		Vary:               cfg.Vary,
+		Seed:               cfg.Seed,
+		HeartbeatInterval:  cfg.HeartbeatInterval.String(),
+		Lease:              cfg.Lease.String(),
+		MeanRunTimeSeconds: cfg.MeanRunTime.Seconds(),
+		StoreLimits:        [2]float64{cfg.Store.RPS, cfg.Store.WriteRPS},
 	}
 	defer func() { result.Slopes = fitSlopes(result.Sizes) }()
 	for _, size := range cfg.Sizes {
 		log.Info("size started", "vary", cfg.Vary, "size", size)
-		one, err := runSize(ctx, cfg, size, log)
-		result.Sizes = append(result.Sizes, one)
+		sizeResult, err := runSize(ctx, cfg, size, log)
+		result.Sizes = append(result.Sizes, sizeResult)
 		if err != nil {
 			return result, fmt.Errorf("%s %d: %w", cfg.Vary, size, err)
 		}
@@ -32,7 +32,7 @@
 	return result, nil
 }
 
-// runSize tests one size.
+// runSize tests one size. Result has what was measured even if it returns an error.
 func runSize(ctx context.Context, cfg *Config, size int, log *slog.Logger) (result SizeResult, err error) {
 	result = SizeResult{Size: size, Load: cfg.loadAt(size)}
 	defer func() {
@@ -45,7 +45,7 @@
 		return result, err
 	}
 	defer remove()
-	r, err := newRun(ctx, cfg, result.Load, dir, log)
+	r, err := newSizeRun(ctx, cfg, result.Load, dir, log)
 	if err != nil {
 		return result, err
 	}
@@ -64,19 +64,20 @@
 	return result, err
 }
 
-// How long execute waits for each stage.
+// Limits on how long execute waits for each stage.
 const (
 	leaderTimeout = time.Minute
-	// warmupTimeoutFactor is in warm-up times, for the workers' registration and for the services.
+	// warmupTimeoutFactor sets the timeout for the registration of the workers and that for the start of the services,
+	// as multiples of the warm-up time.
 	warmupTimeoutFactor = 20
 )
 
-// nearlyAll is the share of workers, or tasks, that counts as all: some may be missing for other
-// reasons than the load.
-const nearlyAll = 0.95
+// sufficientShare is the share of the workers, or tasks, that execute and awaitReplies wait for. It is less than 1
+// because some may be missing for reasons other than the load.
+const sufficientShare = 0.95
 
-// execute starts everything, waits until the load is steady, measures, and injects the faults.
-func (r *run) execute(result *SizeResult) error {
+// execute starts all components, waits until the load is steady, measures, and then injects the faults.
+func (r *sizeRun) execute(result *SizeResult) error {
 	if err := r.start(); err != nil {
 		return err
 	}
@@ -96,42 +97,42 @@
 		return err
 	}
 	for _, f := range r.cfg.Faults {
-		one, err := r.injectFault(f)
+		faultResult, err := r.injectFault(f)
 		if err != nil {
 			return fmt.Errorf("fault %s: %w", f, err)
 		}
-		result.Faults = append(result.Faults, one)
+		result.Faults = append(result.Faults, faultResult)
 	}
 	return nil
 }
 
-// awaitWorkers waits until a leader is elected and nearly all workers had a reply to a heartbeat.
-func (r *run) awaitWorkers() error {
+// awaitWorkers waits until a leader is elected and sufficientShare of the workers had a reply to a heartbeat.
+func (r *sizeRun) awaitWorkers() error {
 	ok, err := r.waitUntil("leader elected", leaderTimeout, func() bool { return r.leader() != nil })
 	if err != nil {
 		return err
 	}
 	if !ok {
-		return errors.New("nobody leads within a minute")
+		return errors.New("no leader was elected within a minute")
 	}
 	replies := r.countReplies()
 	ok, err = r.waitUntil("workers registered", warmupTimeoutFactor*r.cfg.Warmup, func() bool {
 		workers, _ := replies.count()
-		return float64(workers) >= nearlyAll*float64(r.load.Workers)
+		return float64(workers) >= sufficientShare*float64(r.load.Workers)
 	})
 	if err != nil {
 		return err
 	}
 	if !ok {
-		return errors.New("most workers were not heard in time")
+		return errors.New("too few workers were registered in time")
 	}
 	return nil
 }
 
-// awaitServices waits until nearly all tasks of services run. It returns false if they do not in
-// time; the test goes on then.
-func (r *run) awaitServices() (bool, error) {
-	wanted := int(nearlyAll * serviceShare * float64(r.load.Workers) * r.load.TasksPerWorker)
+// awaitServices waits until sufficientShare of the tasks of services run. If they do not within the timeout, it returns
+// false without an error, and the test continues.
+func (r *sizeRun) awaitServices() (bool, error) {
+	wanted := int(sufficientShare * serviceShare * float64(r.load.Workers) * r.load.TasksPerWorker)
 	running, err := r.waitUntil("services running", warmupTimeoutFactor*r.cfg.Warmup, func() bool {
 		return r.tasksOnMachines() >= wanted
 	})
@@ -142,7 +143,7 @@
 	return running, nil
 }
 
-func (r *run) tasksOnMachines() int {
+func (r *sizeRun) tasksOnMachines() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.world.TasksOnMachines()
--- a/internal/loadtest/loadtest_test.go
+++ b/internal/loadtest/loadtest_test.go
@@ -20,14 +20,14 @@
 	"pinebay/internal/testutil"
 )
 
-// TestMain runs the tests or, with a configuration in the environment, a worker that one of them has
-// started.
+// TestMain runs the tests. If the environment has the configuration of a worker, this process was started by one of the
+// tests and runs that worker instead.
 func TestMain(m *testing.M) {
 	if os.Getenv(WorkerEnvVar) == "" {
 		testutil.Main(m)
 		return
 	}
-	cfg, err := WorkerFromEnvironment()
+	cfg, err := WorkerConfigFromEnv()
 	if err == nil {
 		err = RunWorker(context.Background(), cfg)
 	}
@@ -36,30 +36,30 @@
 	}
 }
 
-// tinyConfig returns a load test of the built program that takes seconds.
-func tinyConfig(t *testing.T) *Config {
+// smallConfig builds the controller and returns the configuration of a load test that takes only seconds.
+func smallConfig(t *testing.T) *Config {
 	t.Helper()
 	self, err := os.Executable()
 	if err != nil {
 		t.Fatal(err)
 	}
 	cfg := DefaultConfig()
-	cfg.Program = buildController(t)
+	cfg.ControllerProgram = buildController(t)
 	cfg.Sizes = []int{6, 8, 10, 12}
 	cfg.Load = Load{
-		Controllers:    3,
-		Workers:        10,
-		Teams:          2,
-		Zones:          2,
-		TasksPerWorker: 4,
-		StartsPerS:     10,
-		ArrayTasks:     5,
-		GangShare:      0.2,
-		GangTasks:      2,
-		UrgentPerS:     2,
-		PipelinesPerS:  1,
-		CancelShare:    0.2,
-		Overcommit:     1.5,
+		Controllers:         3,
+		Workers:             10,
+		Teams:               2,
+		Zones:               2,
+		TasksPerWorker:      4,
+		StartsPerSecond:     10,
+		ArrayTasks:          5,
+		GangShare:           0.2,
+		GangTasks:           2,
+		UrgentJobsPerSecond: 2,
+		PipelinesPerSecond:  1,
+		CancelShare:         0.2,
+		Overcommit:          1.5,
 	}
 	cfg.HeartbeatInterval = 300 * time.Millisecond
 	cfg.Lease = 3 * time.Second
@@ -69,7 +69,7 @@
 	cfg.Slices = 2
 	cfg.Quota = config.Quota{CoreShare: 1, RAMMB: 256, MaxSockets: 500}
 	cfg.WorkerProcesses, cfg.WorkerProgram = 2, self
-	cfg.Port = freePort(t)
+	cfg.FirstPort = freePort(t)
 	return cfg
 }
 
@@ -83,7 +83,7 @@
 	return program
 }
 
-// freePort returns a port from which on several are likely to be free.
+// freePort returns the first of 20 consecutive ports that are likely to be free.
 func freePort(t *testing.T) int {
 	t.Helper()
 	for port := 23_000; port < 30_000; port += 500 {
@@ -96,7 +96,7 @@
 				free = false
 				break
 			}
-			_ = l.Close() // only to see that the port is free
+			_ = l.Close() // opened only to see whether the port is free
 		}
 		if free {
 			return port
@@ -106,7 +106,7 @@
 	return 0
 }
 
-// checkNoProcesses checks that no controller and no worker is left.
+// checkNoProcesses checks that no process of a controller or worker is left running.
 func checkNoProcesses(t *testing.T, cfg *Config) {
 	t.Helper()
 	processes, err := procfs.AllProcs()
@@ -117,21 +117,21 @@
 	for _, p := range processes {
 		path, err := p.Executable()
 		if err != nil {
-			continue // it has exited, or is somebody else's
+			continue // the process has exited, or belongs to another user
 		}
-		if path == cfg.Program || path == cfg.WorkerProgram && p.PID != os.Getpid() {
+		if path == cfg.ControllerProgram || path == cfg.WorkerProgram && p.PID != os.Getpid() {
 			left++
 		}
 	}
 	if left > 0 {
-		t.Errorf("%d processes are left", left)
+		t.Errorf("%d processes are still running", left)
 	}
 }
 
-// TestTinyRun tests four sizes with real processes: everything is counted, slopes are fitted, no
-// invariant is violated and no process is left.
-func TestTinyRun(t *testing.T) {
-	cfg := tinyConfig(t)
+// TestSmallRun runs a load test of four sizes with real processes. It checks that all metrics are measured, slopes are
+// fitted, no invariant is violated, and no process is left running.
+func TestSmallRun(t *testing.T) {
+	cfg := smallConfig(t)
 	cfg.Faults = []Fault{KillLeader}
 	if err := cfg.Validate(); err != nil {
 		t.Fatal(err)
@@ -152,23 +152,23 @@
 			)
 		}
 		for _, name := range []string{
-			figHeartbeats,
-			figStateRequests,
-			figLeaderMemory,
-			figFollowerSockets,
-			figWorkerBytes,
-			figProcessMemory,
+			metricHeartbeats,
+			metricStateRequests,
+			metricLeaderMemory,
+			metricFollowerSockets,
+			metricWorkerBytes,
+			metricProcessMemory,
 		} {
-			if s.Figures[name].Mean <= 0 {
+			if s.Metrics[name].Mean <= 0 {
 				t.Errorf("%d workers: %s is missing", s.Size, name)
 			}
 		}
-		if s.Steps["report"].Count == 0 || s.Steps["heartbeat"].Count == 0 {
-			t.Errorf("%d workers: no step times: %v", s.Size, s.Steps)
+		if s.StepTimes["report"].Count == 0 || s.StepTimes["heartbeat"].Count == 0 {
+			t.Errorf("%d workers: no step times: %v", s.Size, s.StepTimes)
 		}
 		for _, f := range s.Faults {
-			if f.RecoveryS <= 0 {
-				t.Errorf("%d workers: the new leader was not seen to read the records", s.Size)
+			if f.RecordsReadSeconds <= 0 {
+				t.Errorf("%d workers: no new leader logged that it had read the records", s.Size)
 			}
 		}
 	}
@@ -179,11 +179,11 @@
 	checkRoundTrip(t, result)
 }
 
-// TestShardOwnersAsProcesses lets real processes shard the machines, and kills and freezes the leader
-// and owners: no invariant is violated, an ownership epoch is in force on every controller, and no
-// process is left. Nothing depends on how long anything takes.
-func TestShardOwnersAsProcesses(t *testing.T) {
-	cfg := tinyConfig(t)
+// TestShardOwnership runs real processes with shard ownership, and kills and freezes the leader and owners. It checks
+// that no invariant is violated, an ownership epoch is active on every controller, and no process is left running. None
+// of its checks depends on timing.
+func TestShardOwnership(t *testing.T) {
+	cfg := smallConfig(t)
 	cfg.Sizes, cfg.Ownership, cfg.LogDir = []int{12}, true, t.TempDir()
 	cfg.Faults = []Fault{FreezeOwner, KillOwner, FreezeLeader, KillLeader}
 	result, err := Run(t.Context(), cfg, slog.New(slog.DiscardHandler))
@@ -207,7 +207,7 @@
 		}
 		epochs := strings.Count(string(text), "ownership epoch active")
 		if epochs == 0 {
-			t.Errorf("no epoch is in force on %s", filepath.Base(path))
+			t.Errorf("no ownership epoch became active on %s", filepath.Base(path))
 		}
 		handovers = max(handovers, epochs-1)
 	}
@@ -215,7 +215,8 @@
 	checkNoProcesses(t, cfg)
 }
 
-// checkRoundTrip writes a result and reads it again: its tables are the same.
+// checkRoundTrip checks that a result has the same tables after it is written to a file and read again. It also checks
+// the capacity table and the plots.
 func checkRoundTrip(t *testing.T, result *Result) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "result.json")
@@ -231,7 +232,7 @@
 		t.Fatal(err)
 	}
 	if a.String() != b.String() || !strings.Contains(a.String(), "for each of workers") {
-		t.Errorf("tables differ, or have no slopes:\n%s", b.String())
+		t.Errorf("tables differ after reading, or have no slopes:\n%s", b.String())
 	}
 	var capacity strings.Builder
 	if err := result.WriteCapacity(
@@ -244,17 +245,17 @@
 	if err := (&Result{}).WriteCapacity(&capacity, 10); !errors.Is(err, ErrInvalidConfig) {
 		t.Errorf("capacity without slopes: %v", err)
 	}
-	if err := result.WritePlots(filepath.Join(t.TempDir(), "picture.png"), PlottedFigures()); err != nil {
+	if err := result.WritePlots(filepath.Join(t.TempDir(), "picture.png"), PlottedMetrics()); err != nil {
 		t.Error(err)
 	}
 }
 
-// TestInvariantViolationEndsTheRun: a violated invariant, here a quota that the controllers do not
-// know, ends the run, and nothing is left.
-func TestInvariantViolationEndsTheRun(t *testing.T) {
-	cfg := tinyConfig(t)
+// TestInvariantViolationEndsRun checks that a violated invariant ends the run and that no process is left running. To
+// cause a violation, the checker is given team quotas that the controllers do not know.
+func TestInvariantViolationEndsRun(t *testing.T) {
+	cfg := smallConfig(t)
 	dir := t.TempDir()
-	r, err := newRun(t.Context(), cfg, cfg.loadAt(6), dir, slog.New(slog.DiscardHandler))
+	r, err := newSizeRun(t.Context(), cfg, cfg.loadAt(6), dir, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -270,9 +271,9 @@
 	checkNoProcesses(t, cfg)
 }
 
-// TestInterruptLeavesNothing: a run whose context ends kills its processes.
-func TestInterruptLeavesNothing(t *testing.T) {
-	cfg := tinyConfig(t)
+// TestInterruptKillsProcesses checks that all processes are killed when the context of a run is cancelled.
+func TestInterruptKillsProcesses(t *testing.T) {
+	cfg := smallConfig(t)
 	ctx, cancel := context.WithCancel(t.Context())
 	time.AfterFunc(time.Second, cancel)
 	if _, err := Run(ctx, cfg, slog.New(slog.DiscardHandler)); !errors.Is(err, context.Canceled) {
@@ -281,9 +282,9 @@
 	checkNoProcesses(t, cfg)
 }
 
-// TestPortTaken: a port that is taken is an error of the configuration.
-func TestPortTaken(t *testing.T) {
-	cfg := tinyConfig(t)
+// TestPortInUse checks that a port that is already in use causes a configuration error.
+func TestPortInUse(t *testing.T) {
+	cfg := smallConfig(t)
 	l, err := new(net.ListenConfig).Listen(t.Context(), "tcp4", cfg.storeAddr())
 	if err != nil {
 		t.Fatal(err)
--- a/internal/loadtest/measure.go
+++ b/internal/loadtest/measure.go
@@ -9,49 +9,55 @@
 	"pinebay/internal/simulation"
 )
 
-// Names of figures.
+// Names of metrics in results. They end with the unit, if there is one. They must not change, so that results remain
+// comparable.
 const (
-	figLeaderCPU       = "leader cpu (cores)"
-	figLeaderMemory    = "leader memory (MB)"
-	figLeaderSockets   = "leader sockets"
-	figLeaderBytes     = "leader traffic (KB/s)"
-	figFollowerCPU     = "follower cpu (cores)"
-	figFollowerMemory  = "follower memory (MB)"
-	figFollowerSockets = "follower sockets"
-	figFollowerBytes   = "follower traffic (KB/s)"
-	figModelsCPU       = "models cpu (cores)"
-	figHeartbeats      = "reports (1/s)"
-	figCommands        = "commands (1/s)"
-	figStarts          = "starts (1/s)"
-	figAccepted        = "jobs accepted (1/s)"
-	figStateRequests   = "state requests (1/s)"
-	figStateWrites     = "state writes (1/s)"
-	figStateRefused    = "state refusals (1/s)"
-	figStateBytes      = "state traffic (KB/s)"
-	figStateKeys       = "state keys"
-	figCloudRequests   = "cloud requests (1/s)"
-	figUserRequests    = "user requests (1/s)"
-	figWorkerMessages  = "worker messages (1/s)"
-	figWorkerBytes     = "worker traffic (KB/s)"
-	figProcessCPU      = "worker process cpu (cores)"
-	figProcessMemory   = "worker process memory (MB)"
+	metricLeaderCPU       = "leader cpu (cores)"
+	metricLeaderMemory    = "leader memory (MB)"
+	metricLeaderSockets   = "leader sockets"
+	metricLeaderBytes     = "leader traffic (KB/s)"
+	metricFollowerCPU     = "follower cpu (cores)"
+	metricFollowerMemory  = "follower memory (MB)"
+	metricFollowerSockets = "follower sockets"
+	metricFollowerBytes   = "follower traffic (KB/s)"
+	metricModelsCPU       = "models cpu (cores)"
+	metricHeartbeats      = "reports (1/s)"
+	metricCommands        = "commands (1/s)"
+	metricStarts          = "starts (1/s)"
+	metricAccepted        = "jobs accepted (1/s)"
+	metricStateRequests   = "state requests (1/s)"
+	metricStateWrites     = "state writes (1/s)"
+	metricStateRefused    = "state refusals (1/s)"
+	metricStateBytes      = "state traffic (KB/s)"
+	metricStateKeys       = "state keys"
+	metricCloudRequests   = "cloud requests (1/s)"
+	metricUserRequests    = "user requests (1/s)"
+	metricWorkerMessages  = "worker messages (1/s)"
+	metricWorkerBytes     = "worker traffic (KB/s)"
+	metricProcessCPU      = "worker process cpu (cores)"
+	metricProcessMemory   = "worker process memory (MB)"
 )
 
-// controllerFigures are the names of a controller's figures.
-type controllerFigures struct{ cpu, memory, sockets, bytes string }
+// controllerMetrics has the names of the metrics of a controller.
+type controllerMetrics struct{ cpu, memory, sockets, bytes string }
 
 var (
-	leaderFigures   = controllerFigures{figLeaderCPU, figLeaderMemory, figLeaderSockets, figLeaderBytes}
-	followerFigures = controllerFigures{figFollowerCPU, figFollowerMemory, figFollowerSockets, figFollowerBytes}
+	leaderMetrics   = controllerMetrics{metricLeaderCPU, metricLeaderMemory, metricLeaderSockets, metricLeaderBytes}
+	followerMetrics = controllerMetrics{
+		metricFollowerCPU,
+		metricFollowerMemory,
+		metricFollowerSockets,
+		metricFollowerBytes,
+	}
 )
 
-// sample is every counter at one moment.
+// sample is a snapshot of all counters.
 type sample struct {
 	at              time.Time
 	leader          string
 	controllers     map[string]resourceUsage
 	workerProcesses []resourceUsage
-	models          resourceUsage // of this process, in which all models run
+	models          resourceUsage // of this process, which runs all models
 	store           simulation.StoreUsage
 	bytes           [linkCount]int64
 	messages        [linkCount]int64
@@ -65,9 +71,9 @@
 
 func (s *sample) workerBytes() int64 { return s.bytes[LinkHeartbeats] + s.bytes[LinkCommands] }
 
-// measure takes samples at the bounds of the slices and fills in what they show.
-func (r *run) measure(result *SizeResult) error {
-	r.resetTimes()
+// measure takes a sample at the beginning and the end of each time slice and adds the measurements to the result.
+func (r *sizeRun) measure(result *SizeResult) error {
+	r.resetLatenciesAndStepTimes()
 	samples := make([]sample, 0, r.cfg.Slices+1)
 	for i := range r.cfg.Slices + 1 {
 		if i > 0 {
@@ -81,14 +87,14 @@
 		}
 		samples = append(samples, s)
 	}
-	result.Figures = r.figures(samples)
-	result.Messages = messageRates(&samples[0], &samples[len(samples)-1])
-	result.Times, result.Steps = r.meter.Times(), r.combinedStepTimes()
+	result.Metrics = r.metrics(samples)
+	result.MessageRates = messageRates(&samples[0], &samples[len(samples)-1])
+	result.Latencies, result.StepTimes = r.meter.Latencies(), r.combinedStepTimes()
 	return nil
 }
 
 // sample reads all counters.
-func (r *run) sample() (sample, error) {
+func (r *sizeRun) sample() (sample, error) {
 	s := sample{
 		at:             time.Now(),
 		controllers:    map[string]resourceUsage{},
@@ -109,8 +115,8 @@
 	return s, nil
 }
 
-// sampleProcesses reads the usage of all processes.
-func (r *run) sampleProcesses(s *sample) error {
+// sampleProcesses reads the resource usage of all processes.
+func (r *sizeRun) sampleProcesses(s *sample) error {
 	if p := r.leader(); p != nil {
 		s.leader = p.name
 	}
@@ -121,7 +127,7 @@
 		}
 		s.controllers[p.name] = usage
 	}
-	for _, pid := range r.workerPIDs() {
+	for _, pid := range r.workerProcessPIDs() {
 		usage, err := readUsage(pid)
 		if err != nil {
 			return err
@@ -133,18 +139,17 @@
 	return err
 }
 
-// workerPIDs returns the process IDs of the workers that are processes, in the order of their
-// machines.
-func (r *run) workerPIDs() (pids []int) {
+// workerProcessPIDs returns the process IDs of the worker processes, sorted by the names of their machines.
+func (r *sizeRun) workerProcessPIDs() (pids []int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, machine := range slices.Sorted(maps.Keys(r.processes)) {
-		pids = append(pids, r.processes[machine].pid())
+	for _, machine := range slices.Sorted(maps.Keys(r.workerProcesses)) {
+		pids = append(pids, r.workerProcesses[machine].pid())
 	}
 	return pids
 }
 
-// messageRates returns the messages a second of each kind between two samples.
+// messageRates returns the number of messages per second between two samples, by kind.
 func messageRates(from, to *sample) map[string]float64 {
 	seconds := to.at.Sub(from.at).Seconds()
 	rates := map[string]float64{}
@@ -156,87 +161,90 @@
 	return rates
 }
 
-// figures returns the figures of the slices between the samples.
-func (r *run) figures(samples []sample) map[string]Figure {
-	values := figureValues{}
+// metrics returns the metrics over the time slices between the samples, by name.
+func (r *sizeRun) metrics(samples []sample) map[string]Metric {
+	values := metricValues{}
 	for i := range samples[1:] {
-		s := slice{values: values, from: &samples[i], to: &samples[i+1]}
+		s := timeSlice{values: values, from: &samples[i], to: &samples[i+1]}
 		s.seconds = s.to.at.Sub(s.from.at).Seconds()
 		s.addControllers()
 		s.addWorkerProcesses()
 		s.addRates()
-		s.addWorkers(r.load.Workers)
+		s.addPerWorkerRates(r.load.Workers)
 	}
-	figures := map[string]Figure{}
+	metrics := map[string]Metric{}
 	for name, v := range values {
-		figures[name] = newFigure(v)
+		metrics[name] = newMetric(v)
 	}
-	return figures
+	return metrics
 }
 
-// figureValues are the values of figures, by name.
-type figureValues map[string][]float64
+// metricValues has the values of each metric, by name: one for each time slice and, if the metric is that of processes,
+// each process.
+type metricValues map[string][]float64
 
-// slice is the time between two samples. It adds the values of its figures.
-type slice struct {
-	values   figureValues
+// timeSlice is the time between two samples. Its methods compute the metrics over that time and add them to values.
+type timeSlice struct {
+	values   metricValues
 	from, to *sample
 	seconds  float64
 }
 
-func (s *slice) add(name string, value float64) { s.values[name] = append(s.values[name], value) }
+func (s *timeSlice) add(name string, value float64) { s.values[name] = append(s.values[name], value) }
 
-// addRate adds how much a counter has grown in a second.
-func (s *slice) addRate(name string, from, to int64) { s.add(name, float64(to-from)/s.seconds) }
+// addRate adds the increase of a counter per second.
+func (s *timeSlice) addRate(name string, from, to int64) { s.add(name, float64(to-from)/s.seconds) }
 
-// addByteRate adds how much a counter of bytes has grown in a second, in kilobytes.
-func (s *slice) addByteRate(name string, from, to int64) { s.add(name, float64(to-from)/s.seconds/kib) }
+// addByteRate adds the increase of a byte counter in kilobytes per second.
+func (s *timeSlice) addByteRate(name string, from, to int64) {
+	s.add(name, float64(to-from)/s.seconds/kib)
+}
 
-func (s *slice) addControllers() {
+func (s *timeSlice) addControllers() {
 	for name, after := range s.to.controllers {
 		before, ok := s.from.controllers[name]
 		if !ok || after.CPUSeconds < before.CPUSeconds {
-			continue // it was restarted meanwhile
+			continue // it was restarted during the slice
 		}
-		figures := followerFigures
+		metrics := followerMetrics
 		if name == s.to.leader {
-			figures = leaderFigures
+			metrics = leaderMetrics
 		}
-		s.add(figures.cpu, (after.CPUSeconds-before.CPUSeconds)/s.seconds)
-		s.add(figures.memory, after.MemoryMB)
-		s.add(figures.sockets, float64(after.Sockets))
-		s.add(figures.bytes, float64(after.Bytes-before.Bytes)/s.seconds/kib)
+		s.add(metrics.cpu, (after.CPUSeconds-before.CPUSeconds)/s.seconds)
+		s.add(metrics.memory, after.MemoryMB)
+		s.add(metrics.sockets, float64(after.Sockets))
+		s.add(metrics.bytes, float64(after.Bytes-before.Bytes)/s.seconds/kib)
 	}
 }
 
-func (s *slice) addWorkerProcesses() {
+func (s *timeSlice) addWorkerProcesses() {
 	for i, after := range s.to.workerProcesses {
 		if i < len(s.from.workerProcesses) {
-			s.add(figProcessCPU, (after.CPUSeconds-s.from.workerProcesses[i].CPUSeconds)/s.seconds)
-			s.add(figProcessMemory, after.MemoryMB)
+			s.add(metricProcessCPU, (after.CPUSeconds-s.from.workerProcesses[i].CPUSeconds)/s.seconds)
+			s.add(metricProcessMemory, after.MemoryMB)
 		}
 	}
 }
 
-func (s *slice) addRates() {
+func (s *timeSlice) addRates() {
 	from, to := s.from, s.to
-	s.add(figModelsCPU, (to.models.CPUSeconds-from.models.CPUSeconds)/s.seconds)
-	s.addRate(figHeartbeats, from.replies, to.replies)
-	s.addRate(figCommands, from.messages[LinkCommands], to.messages[LinkCommands])
-	s.addRate(figStarts, int64(from.starts), int64(to.starts))
-	s.addRate(figAccepted, from.acceptedJobs, to.acceptedJobs)
-	s.addRate(figStateRequests, int64(from.store.Requests), int64(to.store.Requests))
-	s.addRate(figStateWrites, int64(from.store.Writes), int64(to.store.Writes))
-	s.addRate(figStateRefused, int64(from.store.Refused), int64(to.store.Refused))
-	s.addByteRate(figStateBytes, from.bytes[LinkState], to.bytes[LinkState])
-	s.add(figStateKeys, float64(to.store.Keys))
-	s.addRate(figCloudRequests, from.messages[LinkCloud], to.messages[LinkCloud])
-	s.addRate(figUserRequests, from.messages[LinkUsers], to.messages[LinkUsers])
+	s.add(metricModelsCPU, (to.models.CPUSeconds-from.models.CPUSeconds)/s.seconds)
+	s.addRate(metricHeartbeats, from.replies, to.replies)
+	s.addRate(metricCommands, from.messages[LinkCommands], to.messages[LinkCommands])
+	s.addRate(metricStarts, int64(from.starts), int64(to.starts))
+	s.addRate(metricAccepted, from.acceptedJobs, to.acceptedJobs)
+	s.addRate(metricStateRequests, int64(from.store.Requests), int64(to.store.Requests))
+	s.addRate(metricStateWrites, int64(from.store.Writes), int64(to.store.Writes))
+	s.addRate(metricStateRefused, int64(from.store.Refused), int64(to.store.Refused))
+	s.addByteRate(metricStateBytes, from.bytes[LinkState], to.bytes[LinkState])
+	s.add(metricStateKeys, float64(to.store.Keys))
+	s.addRate(metricCloudRequests, from.messages[LinkCloud], to.messages[LinkCloud])
+	s.addRate(metricUserRequests, from.messages[LinkUsers], to.messages[LinkUsers])
 }
 
-// addWorkers adds the figures that are given for one worker.
-func (s *slice) addWorkers(workers int) {
+// addPerWorkerRates adds the rates per worker.
+func (s *timeSlice) addPerWorkerRates(workers int) {
 	perWorker := s.seconds * float64(workers)
-	s.add(figWorkerMessages, float64(s.to.workerMessages()-s.from.workerMessages())/perWorker)
-	s.add(figWorkerBytes, float64(s.to.workerBytes()-s.from.workerBytes())/perWorker/kib)
+	s.add(metricWorkerMessages, float64(s.to.workerMessages()-s.from.workerMessages())/perWorker)
+	s.add(metricWorkerBytes, float64(s.to.workerBytes()-s.from.workerBytes())/perWorker/kib)
 }
--- a/internal/loadtest/meter.go
+++ b/internal/loadtest/meter.go
@@ -14,42 +14,42 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Link is a kind of connection.
+// Link is a group of connections whose messages and bytes are counted together.
 type Link int
 
-// Links.
+// Links between the parts of a load test.
 const (
-	LinkHeartbeats Link = iota // workers to controllers
-	LinkCommands               // controllers to workers
+	LinkHeartbeats Link = iota // from workers to controllers
+	LinkCommands               // from controllers to workers
 	LinkState
 	LinkCloud
 	LinkUsers
-	LinkObserver // workers that are processes, to the model that checks them
+	LinkObserver // from worker processes to the model that checks their tasks
 	linkCount
 )
 
-// linkNames stand in kept results.
+// linkNames are the names of the links in results. They must not change, so that kept results remain comparable.
 var linkNames = [linkCount]string{"reports", "commands", "state", "cloud", "users", "observer"}
 
-// String returns the name in results.
+// String returns the name of the link in results.
 func (l Link) String() string { return linkNames[l] }
 
-// Latency is something whose duration is measured.
-type Latency int
+// LatencyKind is a kind of operation whose latency is measured.
+type LatencyKind int
 
-// Latencies.
+// Kinds of operations whose latency is measured.
 const (
-	HeartbeatReply Latency = iota
+	HeartbeatReply LatencyKind = iota
 	SubmissionReply
 	QueryReply
 	CancellationReply
 	UrgentStart
 	TaskStart
-	UnblockedStart // since the end of a job's last dependency
+	UnblockedStart // from the end of a job's last dependency to its first task start
 	latencyCount
 )
 
-// latencyNames stand in kept results.
+// latencyNames are the names of the latencies in results. They must not change, so that kept results remain comparable.
 var latencyNames = [latencyCount]string{
 	"report",
 	"submission",
@@ -60,49 +60,50 @@
 	"freed to started",
 }
 
-// String returns the name in results.
-func (l Latency) String() string { return latencyNames[l] }
+// String returns the name of the latency in results.
+func (l LatencyKind) String() string { return latencyNames[l] }
 
-// The resolution of latencies: longer ones count as the longest.
+// Range and precision of the latency histograms. Longer latencies are recorded as maxLatencyMicros.
 const (
 	maxLatencyMicros  = int64(10 * time.Minute / time.Microsecond)
 	significantDigits = 3
 )
 
-// Meter counts messages and bytes on links, and collects latencies. It is safe for concurrent use.
+// Meter counts messages and bytes on links, and records latencies. It is safe for concurrent use.
 type Meter struct {
 	bytes    [linkCount]atomic.Int64
 	messages [linkCount]atomic.Int64
 
 	mu             sync.Mutex
-	messagesByKind map[string]int64 // by link and path
-	times          [latencyCount]*hdrhistogram.Histogram
+	messagesByKind map[string]int64 // by link and kind, such as "cloud GET /machines"
+	histograms     [latencyCount]*hdrhistogram.Histogram
 }
 
-// NewMeter returns a meter that has counted nothing.
+// NewMeter returns a meter without any counts or latencies.
 func NewMeter() *Meter {
 	m := &Meter{messagesByKind: map[string]int64{}}
-	m.ResetTimes()
+	m.ResetLatencies()
 	return m
 }
 
-// ResetTimes drops the latencies that were collected. Counters are kept.
-func (m *Meter) ResetTimes() {
+// ResetLatencies discards the recorded latencies. It does not reset the counters.
+func (m *Meter) ResetLatencies() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	for i := range m.times {
-		m.times[i] = hdrhistogram.New(1, maxLatencyMicros, significantDigits)
+	for i := range m.histograms {
+		m.histograms[i] = hdrhistogram.New(1, maxLatencyMicros, significantDigits)
 	}
 }
 
-// RecordLatency adds a duration to a latency's distribution.
-func (m *Meter) RecordLatency(l Latency, d time.Duration) {
+// RecordLatency records a duration as a latency of the given kind.
+func (m *Meter) RecordLatency(l LatencyKind, d time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	_ = m.times[l].RecordValue(min(max(1, d.Microseconds()), maxLatencyMicros)) // within the range
+	// RecordValue fails only for a value outside the histogram's range.
+	_ = m.histograms[l].RecordValue(min(max(1, d.Microseconds()), maxLatencyMicros))
 }
 
-// CountMessage counts a message of a kind on a link.
+// CountMessage counts a message of the given kind on a link.
 func (m *Meter) CountMessage(l Link, kind string) {
 	m.messages[l].Add(1)
 	m.mu.Lock()
@@ -110,29 +111,29 @@
 	m.mu.Unlock()
 }
 
-// Times returns the distributions since the last reset, by the names of the latencies.
-func (m *Meter) Times() map[string]Times {
+// Latencies returns summaries of the latencies since the last reset, by name.
+func (m *Meter) Latencies() map[string]LatencySummary {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	out := map[string]Times{}
-	for i, h := range m.times {
+	out := map[string]LatencySummary{}
+	for i, h := range m.histograms {
 		if h.TotalCount() > 0 {
-			out[Latency(i).String()] = newTimes(h)
+			out[LatencyKind(i).String()] = newLatencySummary(h)
 		}
 	}
 	return out
 }
 
-// Times is the distribution of a latency, in milliseconds.
-type Times struct {
+// LatencySummary summarizes the distribution of a latency. Its durations are in milliseconds.
+type LatencySummary struct {
 	Count int64   `json:"count"`
 	P50   float64 `json:"p50_ms"`
 	P99   float64 `json:"p99_ms"`
 	Max   float64 `json:"max_ms"`
 }
 
-func newTimes(h *hdrhistogram.Histogram) Times {
-	return Times{
+func newLatencySummary(h *hdrhistogram.Histogram) LatencySummary {
+	return LatencySummary{
 		Count: h.TotalCount(),
 		P50:   float64(h.ValueAtQuantile(50)) / microsPerMilli,
 		P99:   float64(h.ValueAtQuantile(99)) / microsPerMilli,
@@ -140,14 +141,14 @@
 	}
 }
 
-// messageCounts copies the messages by kind.
+// messageCounts returns a copy of the message counts by kind.
 func (m *Meter) messageCounts() map[string]int64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return maps.Clone(m.messagesByKind)
 }
 
-// handler counts the requests of a service on a link.
+// handler returns a handler that counts each request as a message on a link and passes it on to next.
 func (m *Meter) handler(l Link, next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		m.CountMessage(l, requestKind(r))
@@ -155,7 +156,8 @@
 	})
 }
 
-// requestKind names a request by its method and the first part of its path.
+// requestKind returns the kind of a request: its method and the first segment of its path. Requests that extend a lease
+// are a kind of their own.
 func requestKind(r *http.Request) string {
 	first, rest, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/")
 	if strings.HasSuffix(rest, "extend") {
@@ -164,13 +166,13 @@
 	return r.Method + " /" + first
 }
 
-// meteredListener counts the bytes on the connections that it accepts.
+// meteredListener is a listener that counts the bytes on the connections that it accepts.
 type meteredListener struct {
 	net.Listener
 	bytes *atomic.Int64
 }
 
-// Accept returns the next connection.
+// Accept implements net.Listener.
 func (l meteredListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err != nil {
@@ -179,7 +181,7 @@
 	return &meteredConn{Conn: c, bytes: l.bytes}, nil
 }
 
-// meteredConn counts the bytes that it reads and writes.
+// meteredConn is a connection that counts the bytes that it reads and writes.
 type meteredConn struct {
 	net.Conn
 	bytes *atomic.Int64
@@ -199,19 +201,19 @@
 	return n, err
 }
 
-// meteredNetwork dials from an IP address of its own and counts the bytes. It implements
-// transport.Network.
+// meteredNetwork implements transport.Network for clients. It dials from the given IP address and counts the bytes on
+// its connections.
 type meteredNetwork struct {
 	from  net.IP
 	bytes *atomic.Int64
 }
 
-// Listen is not supported: users and workers only call.
+// Listen is not supported: users and workers use the network for outgoing connections only.
 func (n meteredNetwork) Listen(context.Context, string) (net.Listener, error) {
 	return nil, errors.ErrUnsupported
 }
 
-// Dial connects to an address.
+// Dial connects to addr from the IP address of n.
 func (n meteredNetwork) Dial(ctx context.Context, addr string) (net.Conn, error) {
 	d := net.Dialer{LocalAddr: &net.TCPAddr{IP: n.from}, KeepAlive: -1}
 	c, err := d.DialContext(ctx, "tcp4", addr)
--- a/internal/loadtest/models.go
+++ b/internal/loadtest/models.go
@@ -12,36 +12,37 @@
 	"pinebay/internal/simulation"
 )
 
-// ErrInvariantViolated is wrapped when an invariant of the scheduler does not hold.
-var ErrInvariantViolated = errors.New("a rule was broken")
+// ErrInvariantViolated is wrapped by errors that report a violated invariant of the scheduler.
+var ErrInvariantViolated = errors.New("invariant violated")
 
-// Names of machine types.
+// Names of the machine types.
 const (
 	hollowWorkerType  = "hollow"
 	workerProcessType = "process"
 )
 
-// What tasks and machines are like. All tasks request the same. A machine has capacity for a fifth
-// more tasks than it is meant to run.
+// Properties of tasks and machines. All tasks request the same resources. Because of capacityFactor, a machine has room
+// for a fifth more tasks than it is intended to run.
 const (
-	taskCPUs       = 2
-	taskMemoryGB   = 4
-	capacityFactor = 1.2
-	machineGPUs    = 2
-	imageGB        = 1
-	imageCount     = 30
-	fetchGBPerS    = 100
-	fetchTime      = 50 * time.Millisecond
-	hourlyPrice    = 10
-	// bootSeconds is so long that idle machines are kept: the number of machines must not change.
+	taskCPUs         = 2
+	taskMemoryGB     = 4
+	capacityFactor   = 1.2
+	machineGPUs      = 2
+	imageGB          = 1
+	imageCount       = 30
+	fetchGBPerSecond = 100
+	fetchTime        = 50 * time.Millisecond
+	hourlyPrice      = 10
+	// bootSeconds is so long that the controllers keep idle machines: the number of machines must not change during a
+	// test.
 	bootSeconds = 3600
 )
 
-// modelInterval is the interval at which models are advanced and invariants checked.
+// modelInterval is the interval at which the models are advanced and the invariants are checked.
 const modelInterval = 20 * time.Millisecond
 
-// newMachineTypes returns the type of hollow workers and, if there are any, that of workers that are
-// processes.
+// newMachineTypes returns the machine type of hollow workers and, if there are worker processes, theirs as the second
+// one.
 func newMachineTypes(cfg *Config, load Load) []protocol.MachineType {
 	tasks := float64(int(load.TasksPerWorker*capacityFactor + 1))
 	hollow := protocol.MachineType{
@@ -50,7 +51,7 @@
 		GPUs:             machineGPUs,
 		MemoryGB:         tasks * taskMemoryGB,
 		CacheGB:          imageCount * imageGB,
-		FetchGBPerSecond: fetchGBPerS,
+		FetchGBPerSecond: fetchGBPerSecond,
 		HourlyPrice:      hourlyPrice,
 		HourlySpotPrice:  hourlyPrice / 2,
 		BootSeconds:      bootSeconds,
@@ -65,12 +66,12 @@
 	return types
 }
 
-// newWorld returns the model of the workers, which checks the invariants of tasks.
-func (r *run) newWorld() *simulation.World {
-	const leasesToCancel = 4
-	world := simulation.NewWorld(leasesToCancel*r.cfg.Lease, fetchTime, r.cfg.MeanRunTime)
-	// The reply to a cancellation and the last command sent before it may be on their way for as
-	// long as a direct command may take.
+// newWorld returns the model of the workers, which also checks the invariants that concern tasks.
+func (r *sizeRun) newWorld() *simulation.World {
+	const cancelTimeoutLeases = 4
+	world := simulation.NewWorld(cancelTimeoutLeases*r.cfg.Lease, fetchTime, r.cfg.MeanRunTime)
+	// The response to a cancellation, and the last command that was sent before it, may each be in transit for as long
+	// as a command that a controller sends directly to a worker.
 	world.CommandTransitTime = r.cfg.HeartbeatInterval
 	world.RunTimeOf = r.runTime
 	world.OnStart = r.recordTaskStart
@@ -80,16 +81,17 @@
 	return world
 }
 
-// runTime is between a half and one and a half times the mean, and always the same for a task.
-func (r *run) runTime(id protocol.TaskID) time.Duration {
-	const parts = 1 << 10
+// runTime returns the run time of a task: between 0.5 and 1.5 times the mean, and always the same for the same task.
+func (r *sizeRun) runTime(id protocol.TaskID) time.Duration {
+	const buckets = 1 << 10
 	h := fnv.New32a()
-	_, _ = fmt.Fprint(h, id.JobID, id.Index) // a hash does not fail
-	return r.cfg.MeanRunTime/2 + r.cfg.MeanRunTime*time.Duration(h.Sum32()%parts)/parts
+	_, _ = fmt.Fprint(h, id.JobID, id.Index) // writing to a hash cannot fail
+	return r.cfg.MeanRunTime/2 + r.cfg.MeanRunTime*time.Duration(h.Sum32()%buckets)/buckets
 }
 
-// newCloud returns the model of the cloud. It lends no machines but those that the run starts.
-func (r *run) newCloud() *simulation.Cloud {
+// newCloud returns the model of the cloud. Controllers cannot rent machines from it; it has only those that the run
+// starts itself.
+func (r *sizeRun) newCloud() *simulation.Cloud {
 	cloud := simulation.NewCloud(&r.mu, r.now)
 	cloud.Types, cloud.ListLag = r.machineTypes, config.Seconds(r.cfg.Cloud.ListLagSeconds)
 	cloud.Capacity = func(protocol.Rental) int { return 0 }
@@ -104,9 +106,9 @@
 	return cloud
 }
 
-// advanceModels advances the models and checks the invariants until the run ends.
-func (r *run) advanceModels() {
-	every(r.ctx, modelInterval, func() {
+// advanceModels periodically advances the models and checks the invariants until the run ends.
+func (r *sizeRun) advanceModels() {
+	callPeriodically(r.ctx, modelInterval, func() {
 		now := r.now()
 		r.store.Advance(now)
 		r.mu.Lock()
@@ -118,8 +120,8 @@
 	})
 }
 
-// every calls f at an interval until the context ends.
-func every(ctx context.Context, interval time.Duration, f func()) {
+// callPeriodically calls f at the given interval until the context ends.
+func callPeriodically(ctx context.Context, interval time.Duration, f func()) {
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
 	for {
@@ -132,24 +134,24 @@
 	}
 }
 
-// checkInvariants returns an error if a controller has exited by itself or an invariant of the
-// scheduler does not hold.
-func (r *run) checkInvariants() error {
+// checkInvariants returns an error if a controller has exited unexpectedly or an invariant of the scheduler is
+// violated.
+func (r *sizeRun) checkInvariants() error {
 	r.mu.Lock()
 	violations := append([]string{}, r.world.Violations...)
 	lateStarts := r.world.LateStarts
 	r.mu.Unlock()
 	violations = append(violations, r.checker.Violations()...)
 	if lateStarts > 0 {
-		violations = append(violations, fmt.Sprintf("%d starts after a confirmed cancellation", lateStarts))
+		violations = append(violations, fmt.Sprintf("%d task starts after a confirmed cancellation", lateStarts))
 	}
 	for _, p := range r.controllers {
 		if p.exitedUnexpectedly() {
-			return fmt.Errorf("%s ended by itself", p.name)
+			return fmt.Errorf("%s exited unexpectedly", p.name)
 		}
 	}
 	if len(violations) > 0 {
-		return fmt.Errorf("%w: %s (%d in all)", ErrInvariantViolated, violations[0], len(violations))
+		return fmt.Errorf("%w: %s (%d violations in total)", ErrInvariantViolated, violations[0], len(violations))
 	}
 	return nil
 }
--- a/internal/loadtest/pipelines.go
+++ b/internal/loadtest/pipelines.go
@@ -4,16 +4,16 @@
 	"pinebay/internal/protocol"
 )
 
-// classPipeline is the class of jobs that depend on others.
+// classPipeline is the class of the jobs of pipelines. A pipeline is a chain of jobs that each depend on the one
+// before.
 const classPipeline = "pipeline"
 
-// pipelineTasks are the numbers of tasks of a pipeline's stages. Each stage depends on the one
-// before.
+// pipelineTasks has the number of tasks of each stage of a pipeline. A stage is a job that depends on the stage before.
 var pipelineTasks = []int{8, 8, 2}
 
-// submitPipeline submits the stages of a pipeline, each once the one before is accepted, and polls
-// them until they are final. The last one is urgent and has a deadline.
-func (r *run) submitPipeline() {
+// submitPipeline submits the stages of a pipeline, each when the one before has been accepted, and polls them until
+// they are final. The last stage is urgent and has a deadline.
+func (r *sizeRun) submitPipeline() {
 	var dependencies []string
 	for i, tasks := range pipelineTasks {
 		j := r.newJob(classPipeline, protocol.Array, tasks, urgentTeam)
@@ -33,8 +33,8 @@
 	}
 }
 
-// dependencies returns the jobs on which a job depends.
-func (r *run) dependencies(id string) []string {
+// dependencies returns the IDs of the jobs on which a job depends.
+func (r *sizeRun) dependencies(id string) []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if j := r.world.Jobs[id]; j != nil {
--- a/internal/loadtest/plots.go
+++ b/internal/loadtest/plots.go
@@ -13,7 +13,7 @@
 	"gonum.org/v1/plot/vg/vgimg"
 )
 
-// The layout of the plots in the image.
+// Layout of the plots in the image.
 const (
 	plotColumns = 2
 	plotWidth   = 12 * vg.Centimeter
@@ -25,20 +25,27 @@
 	lineColor  = color.RGBA{R: 200, A: 255}
 )
 
-// PlottedFigures are the names of the figures that are plotted.
-func PlottedFigures() []string {
-	return []string{figLeaderCPU, figFollowerCPU, figLeaderMemory, figLeaderSockets, figStateWrites, figWorkerBytes}
+// PlottedMetrics returns the names of the metrics that the load test plots.
+func PlottedMetrics() []string {
+	return []string{
+		metricLeaderCPU,
+		metricFollowerCPU,
+		metricLeaderMemory,
+		metricLeaderSockets,
+		metricStateWrites,
+		metricWorkerBytes,
+	}
 }
 
-// WritePlots writes a PNG file in which each of the named figures is plotted over the sizes, with
-// its slope.
-func (r *Result) WritePlots(path string, figures []string) error {
-	rows := (len(figures) + plotColumns - 1) / plotColumns
+// WritePlots writes a PNG file with a plot of each of the named metrics against the size, with the fitted line if there
+// is one.
+func (r *Result) WritePlots(path string, metrics []string) error {
+	rows := (len(metrics) + plotColumns - 1) / plotColumns
 	canvas := vgimg.New(plotColumns*plotWidth, vg.Length(rows)*plotHeight)
 	area := draw.New(canvas)
 	tiles := draw.Tiles{Rows: rows, Cols: plotColumns, PadX: vg.Millimeter, PadY: vg.Millimeter}
-	for i, name := range figures {
-		p, err := r.plotFigure(name)
+	for i, name := range metrics {
+		p, err := r.plotMetric(name)
 		if err != nil {
 			return err
 		}
@@ -56,20 +63,20 @@
 		return err
 	}
 	if _, err := content.WriteTo(f); err != nil {
-		_ = f.Close() // the first error counts
+		_ = f.Close() // the write error is the one to report
 		return err
 	}
 	return f.Close()
 }
 
-func (r *Result) plotFigure(name string) (*plot.Plot, error) {
+func (r *Result) plotMetric(name string) (*plot.Plot, error) {
 	p := plot.New()
 	p.Title.Text = name
 	p.X.Label.Text = string(r.Vary)
 	p.X.Min, p.Y.Min = 0, 0
 	var points plotter.XYs
 	for _, s := range r.Sizes {
-		if f, ok := s.Figures[name]; ok {
+		if f, ok := s.Metrics[name]; ok {
 			points = append(points, plotter.XY{X: float64(s.Size), Y: f.Mean})
 		}
 	}
@@ -80,7 +87,7 @@
 	scatter.Color = pointColor
 	p.Add(plotter.NewGrid(), scatter)
 	for _, s := range r.Slopes {
-		if s.Figure == name {
+		if s.Metric == name {
 			line := plotter.NewFunction(func(x float64) float64 { return s.Intercept + s.Slope*x })
 			line.Color = lineColor
 			p.Add(line)
--- a/internal/loadtest/ports.go
+++ b/internal/loadtest/ports.go
@@ -5,17 +5,19 @@
 	"net"
 )
 
-// The loopback ports, from Config.Port on. The controllers' follow after the shared ones.
+// Offsets of the loopback ports from Config.FirstPort. sharedPorts is the number of ports that do not belong to a
+// single controller; the ports of the controllers follow them.
 const (
 	storePort = iota
 	cloudPort
-	hollowWorkersPort
-	workerProcessesPort
+	hollowWorkerPort
+	workerProcessPort
 	observerPort
 	sharedPorts
 )
 
-// portsPerController are one for clients and one for the mesh.
+// portsPerController is the number of ports of a controller: one for users and workers, and one for the mesh, the
+// connections between controllers.
 const portsPerController = 2
 
 func (c *Config) storeAddr() string { return c.loopbackAddr(storePort) }
@@ -32,21 +34,21 @@
 	return c.loopbackAddr(sharedPorts + portsPerController*number + 1)
 }
 
-func (c *Config) loopbackAddr(port int) string { return fmt.Sprintf("127.0.0.1:%d", c.Port+port) }
+func (c *Config) loopbackAddr(port int) string { return fmt.Sprintf("127.0.0.1:%d", c.FirstPort+port) }
 
-// hollowWorkerAddr is the address of a hollow worker. Each has an IP address of its own, and one
-// listener serves them all.
+// hollowWorkerAddr returns the address of a hollow worker. Each hollow worker has its own IP address, and a single
+// listener serves all of them.
 func (c *Config) hollowWorkerAddr(number int) string {
-	return fmt.Sprintf("%s:%d", hollowWorkerIP(number), c.Port+hollowWorkersPort)
+	return fmt.Sprintf("%s:%d", hollowWorkerIP(number), c.FirstPort+hollowWorkerPort)
 }
 
-// workerProcessAddr is the address of a worker that is a process of its own.
+// workerProcessAddr returns the address of a worker process.
 func (c *Config) workerProcessAddr(number int) string {
-	return fmt.Sprintf("127.200.0.%d:%d", number+1, c.Port+workerProcessesPort)
+	return fmt.Sprintf("127.200.0.%d:%d", number+1, c.FirstPort+workerProcessPort)
 }
 
-// hollowWorkerIP returns an address of the loopback device, 127.1.0.1 and above. Those that end in
-// 0 or 255 are left out.
+// hollowWorkerIP returns the IP address of a hollow worker on the loopback device, from 127.1.0.1 upwards. Addresses
+// that end in 0 or 255 are not used.
 func hollowWorkerIP(number int) net.IP {
 	const perOctet = 250
 	return net.IPv4(127, 1+byte(number/perOctet/perOctet), byte(number/perOctet%perOctet), byte(1+number%perOctet))
--- a/internal/loadtest/ports_test.go
+++ b/internal/loadtest/ports_test.go
@@ -4,7 +4,7 @@
 	"testing"
 )
 
-// TestWorkerAddresses: every hollow worker has a loopback address of its own.
+// TestWorkerAddresses checks that every hollow worker has a distinct loopback address that does not end in 0 or 255.
 func TestWorkerAddresses(t *testing.T) {
 	seen := map[string]bool{}
 	for i := range 20_000 {
--- a/internal/loadtest/process.go
+++ b/internal/loadtest/process.go
@@ -9,14 +9,14 @@
 	"github.com/prometheus/procfs"
 )
 
-// process is a child process. It is killed when this process ends, however that ends.
+// process is a child process. The kernel kills it when this process ends in any way, including a crash.
 type process struct {
 	cmd    *exec.Cmd
-	exited chan struct{} // closed when it has exited
+	exited chan struct{} // closed when the process has exited
 }
 
-// startProcess starts a command and waits for it in the background, after readOutput, if that is
-// not nil, has returned.
+// startProcess starts a command. In the background it calls readOutput, if that is not nil, and then waits for the
+// process to exit.
 func startProcess(cmd *exec.Cmd, readOutput func()) (*process, error) {
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	if err := cmd.Start(); err != nil {
@@ -27,7 +27,7 @@
 		if readOutput != nil {
 			readOutput()
 		}
-		_ = cmd.Wait() // whether it should have exited is decided by checkInvariants, whatever its status
+		_ = cmd.Wait() // the exit status does not matter: checkInvariants finds out whether the exit was expected
 		close(p.exited)
 	}()
 	return p, nil
@@ -35,7 +35,7 @@
 
 // kill kills the process and waits until it has exited.
 func (p *process) kill() {
-	_ = p.cmd.Process.Kill() // fails if it has exited already
+	_ = p.cmd.Process.Kill() // fails only if the process has already exited
 	<-p.exited
 }
 
@@ -50,19 +50,20 @@
 
 func (p *process) pid() int { return p.cmd.Process.Pid }
 
-// resourceUsage is what a process has used since its start, and what it holds now.
+// resourceUsage is the resource usage of a process: CPUSeconds and Bytes since its start, MemoryMB and Sockets at
+// present.
 type resourceUsage struct {
 	CPUSeconds float64
 	MemoryMB   float64
 	Sockets    int
-	Bytes      uint64 // read and written, by any system call
+	Bytes      uint64 // read and written by system calls of any kind
 }
 
-// readUsage reads a process's counters.
+// readUsage reads the resource usage of a process from /proc.
 func readUsage(pid int) (resourceUsage, error) {
 	usage, err := readProcUsage(pid)
 	if err != nil {
-		return resourceUsage{}, fmt.Errorf("read the usage of process %d: %w", pid, err)
+		return resourceUsage{}, fmt.Errorf("read the resource usage of process %d: %w", pid, err)
 	}
 	return usage, nil
 }
--- a/internal/loadtest/replies.go
+++ b/internal/loadtest/replies.go
@@ -7,22 +7,22 @@
 	"pinebay/internal/simulation"
 )
 
-// replyCounter counts the hollow workers that had a reply to a heartbeat since its creation.
+// replyCounter counts the distinct hollow workers that received a reply to a heartbeat since its creation.
 type replyCounter struct {
 	mu      sync.Mutex
 	firstAt time.Time
 	workers map[*simulation.Agent]bool
 }
 
-// countReplies begins to count anew.
-func (r *run) countReplies() *replyCounter {
+// countReplies installs and returns a new counter, which starts at zero.
+func (r *sizeRun) countReplies() *replyCounter {
 	c := &replyCounter{workers: map[*simulation.Agent]bool{}}
 	r.replies.Store(c)
 	return c
 }
 
-// recordHeartbeatReply counts a reply to a worker's heartbeat.
-func (r *run) recordHeartbeatReply(worker *simulation.Agent) {
+// recordHeartbeatReply counts a reply to a heartbeat of a hollow worker.
+func (r *sizeRun) recordHeartbeatReply(worker *simulation.Agent) {
 	r.replyCount.Add(1)
 	if c := r.replies.Load(); c != nil {
 		c.add(worker)
@@ -38,7 +38,7 @@
 	c.workers[worker] = true
 }
 
-// count returns how many workers had a reply, and when the first one had.
+// count returns the number of workers that received a reply, and the time at which the first one did.
 func (c *replyCounter) count() (workers int, firstAt time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/loadtest/run.go
+++ b/internal/loadtest/run.go
@@ -19,57 +19,57 @@
 	"pinebay/internal/transport"
 )
 
-// run is the test of one size: controller processes, and models of everything around them. Models
-// are called from many goroutines; mu guards those that do not lock themselves.
-type run struct {
+// sizeRun is the test of one size. It has the controller processes and the models of everything with which they
+// interact. The models are called from many goroutines; mu guards those that have no lock of their own.
+type sizeRun struct {
 	cfg          *Config
 	load         Load
 	log          *slog.Logger
-	ctx          context.Context // ends with the run; its cause is why
+	ctx          context.Context // done when the run ends; its cause is the reason for the end
 	stop         context.CancelCauseFunc
 	wg           sync.WaitGroup
 	startedAt    time.Time
 	teams        []config.Team
-	machineTypes []protocol.MachineType // of hollow workers, and of workers that are processes
+	machineTypes []protocol.MachineType // that of hollow workers, then that of worker processes
 
 	controllers []*controllerProcess
 	store       *simulation.Store
 	cloud       *simulation.Cloud
 	checker     *simulation.AnswerChecker
 	users       *simulation.UserClient
-	environment *simulation.Environment // of the hollow workers
+	environment *simulation.Environment // shared by the hollow workers
 
 	meter        *Meter
 	replies      atomic.Pointer[replyCounter]
-	replyCount   atomic.Int64 // replies to heartbeats
+	replyCount   atomic.Int64 // replies to heartbeats of hollow workers
 	acceptedJobs atomic.Int64
 
-	mu          sync.Mutex // guards the fields below
-	rng         *rand.Rand
-	world       *simulation.World
-	agents      map[string]*simulation.Agent // of hollow workers, by IP address
-	workerHosts map[string]string            // the IP addresses of hollow workers, by machine
-	processes   map[string]*process          // workers that are processes, by machine; nil after the end
-	acceptedAt  map[string]time.Duration     // jobs of which no task has started yet
-	jobCount    int
+	mu              sync.Mutex // guards the fields below
+	rng             *rand.Rand
+	world           *simulation.World
+	agents          map[string]*simulation.Agent // hollow workers by IP address
+	workerHosts     map[string]string            // IP addresses of hollow workers by machine
+	workerProcesses map[string]*process          // by machine; nil after shutdown
+	acceptedAt      map[string]time.Duration     // when jobs were accepted whose first task has not started yet
+	jobCount        int
 }
 
-// newRun prepares a run, with settings files in dir, but starts nothing.
-func newRun(ctx context.Context, cfg *Config, load Load, dir string, log *slog.Logger) (*run, error) {
-	r := &run{
-		cfg:          cfg,
-		load:         load,
-		log:          log,
-		startedAt:    time.Now(),
-		teams:        newTeams(load),
-		machineTypes: newMachineTypes(cfg, load),
-		store:        simulation.NewStore(),
-		meter:        NewMeter(),
-		rng:          rand.New(rand.NewPCG(cfg.Seed, uint64(load.Workers))),
-		agents:       map[string]*simulation.Agent{},
-		workerHosts:  map[string]string{},
-		processes:    map[string]*process{},
-		acceptedAt:   map[string]time.Duration{},
+// newSizeRun prepares a run and writes the settings files of the controllers to dir. It does not start anything.
+func newSizeRun(ctx context.Context, cfg *Config, load Load, dir string, log *slog.Logger) (*sizeRun, error) {
+	r := &sizeRun{
+		cfg:             cfg,
+		load:            load,
+		log:             log,
+		startedAt:       time.Now(),
+		teams:           newTeams(load),
+		machineTypes:    newMachineTypes(cfg, load),
+		store:           simulation.NewStore(),
+		meter:           NewMeter(),
+		rng:             rand.New(rand.NewPCG(cfg.Seed, uint64(load.Workers))),
+		agents:          map[string]*simulation.Agent{},
+		workerHosts:     map[string]string{},
+		workerProcesses: map[string]*process{},
+		acceptedAt:      map[string]time.Duration{},
 	}
 	r.ctx, r.stop = context.WithCancelCause(ctx)
 	r.store.SetLimits(cfg.Store)
@@ -86,7 +86,7 @@
 		OnError:           r.fail,
 	}
 	for number := range load.Controllers {
-		p, err := newController(cfg, dir, controllerSettings(cfg, load, r.teams, number))
+		p, err := newControllerProcess(cfg, dir, controllerSettings(cfg, load, r.teams, number))
 		if err != nil {
 			return nil, err
 		}
@@ -99,7 +99,7 @@
 	return r, nil
 }
 
-func (r *run) newUsers() *simulation.UserClient {
+func (r *sizeRun) newUsers() *simulation.UserClient {
 	const connections, idleTimeout = 256, time.Minute
 	network := meteredNetwork{from: []byte{127, 0, 0, 1}, bytes: &r.meter.bytes[LinkUsers]}
 	return &simulation.UserClient{
@@ -111,8 +111,8 @@
 	}
 }
 
-// start starts the services, the controllers and the workers.
-func (r *run) start() error {
+// start starts the HTTP services of the models, the controllers and the workers.
+func (r *sizeRun) start() error {
 	for _, s := range []struct {
 		link    Link
 		addr    string
@@ -120,7 +120,7 @@
 	}{
 		{LinkState, r.cfg.storeAddr(), r.store},
 		{LinkCloud, r.cfg.cloudAddr(), r.cloud},
-		{LinkCommands, fmt.Sprintf("0.0.0.0:%d", r.cfg.Port+hollowWorkersPort), http.HandlerFunc(r.serveCommands)},
+		{LinkCommands, fmt.Sprintf("0.0.0.0:%d", r.cfg.FirstPort+hollowWorkerPort), http.HandlerFunc(r.serveCommands)},
 		{LinkObserver, r.cfg.observerAddr(), http.HandlerFunc(r.serveObserver)},
 	} {
 		if err := r.serve(s.link, s.addr, s.handler); err != nil {
@@ -145,13 +145,13 @@
 	return nil
 }
 
-// shutdown ends everything and waits for it.
-func (r *run) shutdown() {
+// shutdown ends the run, kills all processes, and waits until all goroutines of the run have returned.
+func (r *sizeRun) shutdown() {
 	r.stop(context.Canceled)
 	r.mu.Lock()
 	r.cloud.Close()
-	processes := r.processes
-	r.processes = nil
+	processes := r.workerProcesses
+	r.workerProcesses = nil
 	r.mu.Unlock()
 	for _, p := range processes {
 		p.kill()
@@ -162,23 +162,23 @@
 	r.wg.Wait()
 }
 
-// fail ends the run with an error. Only the first one counts.
-func (r *run) fail(err error) { r.stop(err) }
+// fail ends the run with an error. Only the first call has an effect.
+func (r *sizeRun) fail(err error) { r.stop(err) }
 
-// cause returns why the run has ended, or nil if it has not.
-func (r *run) cause() error { return context.Cause(r.ctx) }
+// cause returns the error with which the run has ended, or nil if it is still running.
+func (r *sizeRun) cause() error { return context.Cause(r.ctx) }
 
-// now is the time since the start of the run, on the models' clock.
-func (r *run) now() time.Duration { return time.Since(r.startedAt) }
+// now returns the time of the models: the time since the start of the run.
+func (r *sizeRun) now() time.Duration { return time.Since(r.startedAt) }
 
-// randomDuration returns a time up to limit. The caller holds mu.
-func (r *run) randomDuration(limit time.Duration) time.Duration {
+// randomDuration returns a random duration between 0 and limit. The caller must hold mu.
+func (r *sizeRun) randomDuration(limit time.Duration) time.Duration {
 	return time.Duration(r.rng.Float64() * float64(limit))
 }
 
-// leader returns the controller that holds the leader's lease, or nil if the key-value store names
-// none.
-func (r *run) leader() *controllerProcess {
+// leader returns the controller that is the leader according to the record in the key-value store, or nil if there is
+// no leader.
+func (r *sizeRun) leader() *controllerProcess {
 	pair := r.store.Get(storage.LeaderKey)
 	var record storage.LeaderRecord
 	if pair.Revision == 0 || protocol.Decode(pair.Value, &record) != nil {
@@ -192,8 +192,8 @@
 	return nil
 }
 
-// follower returns a controller that does not lead, or nil if no leader is known.
-func (r *run) follower() *controllerProcess {
+// follower returns a controller that is not the leader, or nil if there is no leader or no other controller.
+func (r *sizeRun) follower() *controllerProcess {
 	leader := r.leader()
 	if leader == nil {
 		return nil
@@ -206,8 +206,8 @@
 	return nil
 }
 
-// sleep waits for a time. It returns why the run has ended if it ends meanwhile.
-func (r *run) sleep(d time.Duration) error {
+// sleep pauses for the duration d. If the run ends before that, sleep returns the cause at once.
+func (r *sizeRun) sleep(d time.Duration) error {
 	select {
 	case <-time.After(d):
 		return nil
@@ -216,9 +216,9 @@
 	}
 }
 
-// waitUntil polls a condition until it holds, and returns false if it does not in time. It returns
-// why the run has ended if it ends meanwhile.
-func (r *run) waitUntil(condition string, timeout time.Duration, holds func() bool) (bool, error) {
+// waitUntil polls a condition until it holds or the timeout has passed, and reports whether it holds. If the run ends
+// before that, waitUntil returns the cause as an error. The name of the condition is used in the log only.
+func (r *sizeRun) waitUntil(condition string, timeout time.Duration, holds func() bool) (bool, error) {
 	const interval = 50 * time.Millisecond
 	deadline := time.Now().Add(timeout)
 	for time.Now().Before(deadline) {
@@ -233,11 +233,11 @@
 	return false, nil
 }
 
-// tempDir returns a directory for the settings files, and a function that removes it.
+// tempDir creates a temporary directory for the settings files, and returns it with a function that removes it.
 func tempDir() (string, func(), error) {
 	dir, err := os.MkdirTemp("", "pinebay-scale-")
 	if err != nil {
-		return "", nil, fmt.Errorf("directory for settings: %w", err)
+		return "", nil, fmt.Errorf("create a directory for settings files: %w", err)
 	}
 	return dir, func() { _ = os.RemoveAll(dir) }, nil
 }
--- a/internal/loadtest/slopes_test.go
+++ b/internal/loadtest/slopes_test.go
@@ -6,29 +6,31 @@
 	"pgregory.net/rapid"
 )
 
-// TestSlopes: the line is found that points lie on, however many there are and wherever they are, and
-// its standard error from points beside it.
-func TestSlopes(t *testing.T) {
+// TestFitSlopes checks that fitSlopes finds the line through points that lie exactly on it and, for points that
+// alternate above and below a line, a slope within a few standard errors of that line's slope. It also checks that no
+// line is fitted to too few sizes.
+func TestFitSlopes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		slope, at := rapid.Float64Range(-5, 5).Draw(t, "slope"), rapid.Float64Range(1, 100).Draw(t, "at none")
-		off := rapid.Float64Range(0, 10).Draw(t, "off")
+		slope, intercept := rapid.Float64Range(-5, 5).Draw(t, "slope"), rapid.Float64Range(1, 100).Draw(t, "at none")
+		noise := rapid.Float64Range(0, 10).Draw(t, "off")
 		var sizes []SizeResult
 		for i := range rapid.IntRange(minSizes, 9).Draw(t, "sizes") {
 			size := (i + 1) * 100
-			y := at + slope*float64(size) + off*float64(1-2*(i%2))
-			sizes = append(sizes, SizeResult{Size: size, Figures: map[string]Figure{"f": {Mean: y}}})
+			y := intercept + slope*float64(size) + noise*float64(1-2*(i%2))
+			sizes = append(sizes, SizeResult{Size: size, Metrics: map[string]Metric{"f": {Mean: y}}})
 		}
 		got := fitSlopes(sizes)
 		if len(got) != 1 {
 			t.Fatalf("%d slopes", len(got))
 		}
-		const near = 1e-6
-		if off < near && (got[0].Slope-slope > near || slope-got[0].Slope > near || got[0].StandardError > near) {
+		const tolerance = 1e-6
+		if noise < tolerance &&
+			(got[0].Slope-slope > tolerance || slope-got[0].Slope > tolerance || got[0].StandardError > tolerance) {
 			t.Errorf("slope %g, want %g; error %g", got[0].Slope, slope, got[0].StandardError)
 		}
-		// Five standard errors, and what rounding leaves.
-		if d := got[0].Slope - slope; off > near &&
-			(d > 5*got[0].StandardError+near || -d > 5*got[0].StandardError+near) {
+		// Allow for five standard errors plus rounding errors.
+		if d := got[0].Slope - slope; noise > tolerance &&
+			(d > 5*got[0].StandardError+tolerance || -d > 5*got[0].StandardError+tolerance) {
 			t.Errorf("slope %g is %g standard errors from %g", got[0].Slope, d/got[0].StandardError, slope)
 		}
 	})
--- a/internal/loadtest/steptimes.go
+++ b/internal/loadtest/steptimes.go
@@ -9,16 +9,17 @@
 
 const microsPerMilli = 1000
 
-// stepTimes are the times of one kind of step of the controllers' actors, as logged at intervals.
+// stepTimes summarizes the durations of one kind of step of the controllers' actors. The controllers log them once per
+// interval.
 type stepTimes struct {
 	Count  int64   `json:"count"`
-	MeanMS float64 `json:"mean_ms"` // of all intervals
-	P99MS  float64 `json:"p99_ms"`  // of the worst interval
+	MeanMS float64 `json:"mean_ms"` // over all intervals
+	P99MS  float64 `json:"p99_ms"`  // of the interval in which it was highest
 	MaxMS  float64 `json:"max_ms"`
 }
 
-// plus returns the times of both together.
-func (s stepTimes) plus(o stepTimes) stepTimes {
+// merge returns the combination of s and o.
+func (s stepTimes) merge(o stepTimes) stepTimes {
 	if total := s.Count + o.Count; total > 0 {
 		s.MeanMS = (s.MeanMS*float64(s.Count) + o.MeanMS*float64(o.Count)) / float64(total)
 	}
@@ -28,13 +29,13 @@
 	return s
 }
 
-// parseStepTimes reads a log line of step times.
+// parseStepTimes parses a log line with the step times of one kind of step.
 func parseStepTimes(line string) (kind string, times stepTimes) {
 	d := logfmt.NewDecoder(strings.NewReader(line))
 	for d.ScanRecord() {
 		for d.ScanKeyval() {
 			value := string(d.Value())
-			number, _ := strconv.ParseFloat(value, 64) // 0 for the keys that are no numbers
+			number, _ := strconv.ParseFloat(value, 64) // 0 for values that are not numbers
 			switch string(d.Key()) {
 			case "kind":
 				kind = value
--- a/internal/loadtest/tables.go
+++ b/internal/loadtest/tables.go
@@ -9,17 +9,17 @@
 	"text/tabwriter"
 )
 
-// tableWriter writes tables in Markdown, with aligned columns.
+// tableWriter writes Markdown tables with aligned columns.
 type tableWriter struct {
 	out *tabwriter.Writer
-	err error // the first
+	err error // the first write error
 }
 
 func newTableWriter(out io.Writer) *tableWriter {
 	return &tableWriter{out: tabwriter.NewWriter(out, 0, 0, 1, ' ', 0)}
 }
 
-// header begins a table.
+// header starts a table with the given column titles.
 func (t *tableWriter) header(cells ...string) {
 	t.write("\n")
 	t.row(cells...)
@@ -36,7 +36,7 @@
 	}
 }
 
-// flush writes what is buffered and returns the first error.
+// flush writes all buffered text and returns the first error.
 func (t *tableWriter) flush() error {
 	if t.err == nil {
 		t.err = t.out.Flush()
@@ -47,50 +47,51 @@
 	return nil
 }
 
-// WriteTables writes the result as tables in Markdown.
+// WriteTables writes the result as Markdown tables.
 func (r *Result) WriteTables(out io.Writer) error {
 	t := newTableWriter(out)
-	r.writeFigures(t)
+	r.writeMetrics(t)
 	r.writeTimes(t)
 	r.writeFaults(t)
 	r.writeSlopes(t)
 	return t.flush()
 }
 
-// writeBySize writes a row with a cell for each size.
-func (r *Result) writeBySize(t *tableWriter, first string, cell func(*SizeResult) string) {
-	t.row(r.cellsBySize(first, cell)...)
+// writeBySize writes a row with a label and a cell for each size.
+func (r *Result) writeBySize(t *tableWriter, label string, cell func(*SizeResult) string) {
+	t.row(r.cellsBySize(label, cell)...)
 }
 
-func (r *Result) cellsBySize(first string, cell func(*SizeResult) string) []string {
-	cells := []string{first}
+func (r *Result) cellsBySize(label string, cell func(*SizeResult) string) []string {
+	cells := []string{label}
 	for i := range r.Sizes {
 		cells = append(cells, cell(&r.Sizes[i]))
 	}
 	return cells
 }
 
-// writeHeaderBySize begins a table with a column for each size.
-func (r *Result) writeHeaderBySize(t *tableWriter, first string) {
-	t.header(r.cellsBySize(first, func(s *SizeResult) string { return fmt.Sprintf("%s %d", r.Vary, s.Size) })...)
+// writeHeaderBySize starts a table with a column for each size.
+func (r *Result) writeHeaderBySize(t *tableWriter, label string) {
+	t.header(r.cellsBySize(label, func(s *SizeResult) string { return fmt.Sprintf("%s %d", r.Vary, s.Size) })...)
 }
 
-// sortedKeys returns the keys that any of the sizes has.
-func sortedKeys[V any](sizes []SizeResult, of func(*SizeResult) map[string]V) []string {
+// sortedKeys returns the keys that occur in the map of at least one size, sorted. The function mapOf returns the map of
+// a size.
+func sortedKeys[V any](sizes []SizeResult, mapOf func(*SizeResult) map[string]V) []string {
 	all := map[string]bool{}
 	for i := range sizes {
-		for key := range of(&sizes[i]) {
+		for key := range mapOf(&sizes[i]) {
 			all[key] = true
 		}
 	}
 	return slices.Sorted(maps.Keys(all))
 }
 
-func (r *Result) writeFigures(t *tableWriter) {
+func (r *Result) writeMetrics(t *tableWriter) {
 	r.writeHeaderBySize(t, "figure (mean, least to most of the slices)")
-	for _, name := range sortedKeys(r.Sizes, func(s *SizeResult) map[string]Figure { return s.Figures }) {
+	for _, name := range sortedKeys(r.Sizes, func(s *SizeResult) map[string]Metric { return s.Metrics }) {
 		r.writeBySize(t, name, func(s *SizeResult) string {
-			f := s.Figures[name]
+			f := s.Metrics[name]
 			return fmt.Sprintf("%.4g (%.3g to %.3g)", f.Mean, f.Min, f.Max)
 		})
 	}
@@ -99,26 +100,26 @@
 func (r *Result) writeTimes(t *tableWriter) {
 	const format = "%.4g, %.4g, %.4g (%d)"
 	r.writeHeaderBySize(t, "time in ms (half, 99 of 100, longest)")
-	for _, name := range sortedKeys(r.Sizes, func(s *SizeResult) map[string]Times { return s.Times }) {
+	for _, name := range sortedKeys(r.Sizes, func(s *SizeResult) map[string]LatencySummary { return s.Latencies }) {
 		r.writeBySize(t, name, func(s *SizeResult) string {
-			times := s.Times[name]
+			times := s.Latencies[name]
 			return fmt.Sprintf(format, times.P50, times.P99, times.Max, times.Count)
 		})
 	}
-	for _, kind := range sortedKeys(r.Sizes, func(s *SizeResult) map[string]stepTimes { return s.Steps }) {
+	for _, kind := range sortedKeys(r.Sizes, func(s *SizeResult) map[string]stepTimes { return s.StepTimes }) {
 		r.writeBySize(t, "step "+kind+" (mean)", func(s *SizeResult) string {
-			times := s.Steps[kind]
+			times := s.StepTimes[kind]
 			return fmt.Sprintf(format, times.MeanMS, times.P99MS, times.MaxMS, times.Count)
 		})
 	}
 }
 
 func (r *Result) writeFaults(t *tableWriter) {
-	begun := false
+	headerWritten := false
 	for _, s := range r.Sizes {
 		for i := range s.Faults {
-			if !begun {
-				begun = true
+			if !headerWritten {
+				headerWritten = true
 				t.header(
 					"size",
 					"trouble",
@@ -137,19 +138,19 @@
 	}
 }
 
-// cells are the cells of a fault's row.
+// cells returns the cells of the table row for the fault.
 func (f *FaultResult) cells(size int) []string {
-	latency := func(l Latency) string {
-		times := f.Times[l.String()]
+	latency := func(l LatencyKind) string {
+		times := f.Latencies[l.String()]
 		return fmt.Sprintf("%.4g, %.4g", times.P99, times.Max)
 	}
-	peerHeartbeat, cycle := f.Steps["heartbeat"], f.Steps["cycle"]
+	peerHeartbeat, cycle := f.StepTimes["heartbeat"], f.StepTimes["cycle"]
 	return []string{
 		fmt.Sprint(size),
 		string(f.Fault),
-		fmt.Sprintf("%.3g", f.FirstReplyS),
-		fmt.Sprintf("%.3g", f.MostRepliedS),
-		fmt.Sprintf("%.3g", f.RecoveryS),
+		fmt.Sprintf("%.3g", f.FirstReplySeconds),
+		fmt.Sprintf("%.3g", f.MostRepliesSeconds),
+		fmt.Sprintf("%.3g", f.RecordsReadSeconds),
 		latency(HeartbeatReply),
 		latency(QueryReply),
 		latency(UrgentStart),
@@ -167,24 +168,24 @@
 	t.header("figure", "at none", perUnit, "standard error", "R2", "farthest off the line")
 	for _, s := range r.Slopes {
 		t.row(
-			s.Figure,
+			s.Metric,
 			fmt.Sprintf("%.4g", s.Intercept),
 			fmt.Sprintf("%.4g", s.Slope),
 			fmt.Sprintf("%.2g", s.StandardError),
 			fmt.Sprintf("%.3f", s.R2),
-			fmt.Sprintf("%.0f%%", percent*s.WorstResidual),
+			fmt.Sprintf("%.0f%%", percent*s.MaxRelativeResidual),
 		)
 	}
 }
 
-// spreadErrors is how many standard errors of a slope the spread is to each side.
-const spreadErrors = 2
+// spreadStandardErrors is the width of the spread to each side of an estimate, in standard errors of the slope.
+const spreadStandardErrors = 2
 
-// WriteCapacity writes a table of what each figure is at a size according to its slope, with the
-// spread, and whether so large a size was measured.
+// WriteCapacity writes a table with an estimate of each metric at the given size. The estimate is the value of the
+// fitted line; the table also has its spread, and says whether it is an extrapolation beyond the measured sizes.
 func (r *Result) WriteCapacity(out io.Writer, size int) error {
 	if len(r.Slopes) == 0 {
-		return fmt.Errorf("%w: no slopes: at least %d sizes are needed", ErrInvalidConfig, minSizes)
+		return fmt.Errorf("%w: the result has no slopes, which need at least %d sizes", ErrInvalidConfig, minSizes)
 	}
 	largest := 0
 	for _, s := range r.Sizes {
@@ -207,12 +208,12 @@
 	)
 	for _, s := range r.Slopes {
 		t.row(
-			s.Figure,
-			fmt.Sprintf("%.4g", r.Sizes[len(r.Sizes)-1].Figures[s.Figure].Mean),
+			s.Metric,
+			fmt.Sprintf("%.4g", r.Sizes[len(r.Sizes)-1].Metrics[s.Metric].Mean),
 			fmt.Sprintf("%.4g", s.Intercept),
 			fmt.Sprintf("%.4g", s.Slope),
 			fmt.Sprintf("%.4g", s.Intercept+s.Slope*float64(size)),
-			fmt.Sprintf("%.2g", spreadErrors*s.StandardError*float64(size)),
+			fmt.Sprintf("%.2g", spreadStandardErrors*s.StandardError*float64(size)),
 			fmt.Sprintf("%.3f", s.R2),
 			basis,
 		)
--- a/internal/loadtest/workerprocess.go
+++ b/internal/loadtest/workerprocess.go
@@ -21,42 +21,43 @@
 	"pinebay/internal/transport"
 )
 
-// WorkerEnvVar is the environment variable that holds the configuration of a worker's process.
+// WorkerEnvVar is the environment variable that holds the configuration of a worker process, in JSON.
 const WorkerEnvVar = "PINEBAY_SCALE_WORKER"
 
-// Paths of the observer: the service by which workers that are processes look up jobs and report
-// their tasks to the model that checks the invariants.
+// URL paths of the observer, the service of the load test from which worker processes get the descriptions of jobs, and
+// to which they report the status of their tasks, so that the invariants are checked for them too.
 const (
 	jobsPath     = "/jobs/"
 	observedPath = "/observed"
 )
 
-// WorkerConfig is the configuration of a worker that is a process of its own.
+// WorkerConfig is the configuration of a worker process. Report is the interval between heartbeats, Lease is the
+// duration of the lease, and RunTime is the mean run time of tasks.
 type WorkerConfig struct {
 	Name, Addr, Zone string
 	Type             protocol.MachineType
 	Controllers      []simulation.Controller
 	Report, Lease    time.Duration
 	RunTime          time.Duration
-	Observer         string // address
+	Observer         string // address of the observer
 	Seed             uint64
 }
 
-// WorkerFromEnvironment returns the configuration in the environment variable.
-func WorkerFromEnvironment() (*WorkerConfig, error) {
+// WorkerConfigFromEnv decodes the configuration in the environment variable [WorkerEnvVar].
+func WorkerConfigFromEnv() (*WorkerConfig, error) {
 	var cfg WorkerConfig
 	if err := json.Unmarshal([]byte(os.Getenv(WorkerEnvVar)), &cfg); err != nil {
-		return nil, fmt.Errorf("%w: variable %s: %w", ErrInvalidConfig, WorkerEnvVar, err)
+		return nil, fmt.Errorf("%w: environment variable %s: %w", ErrInvalidConfig, WorkerEnvVar, err)
 	}
 	if len(cfg.Controllers) == 0 {
-		return nil, fmt.Errorf("%w: variable %s names no controllers", ErrInvalidConfig, WorkerEnvVar)
+		return nil, fmt.Errorf("%w: environment variable %s lists no controllers", ErrInvalidConfig, WorkerEnvVar)
 	}
 	return &cfg, nil
 }
 
-// RunWorker runs a worker until the context ends: it sends heartbeats and serves commands over
-// sockets of its own. Its tasks run nothing. Every change of them is reported to the observer before
-// a controller learns of it.
+// RunWorker runs a worker until the context ends. The worker sends heartbeats and accepts commands over sockets of its
+// own, and simulates its tasks. It reports every change of a task's status to the observer before it reports it to a
+// controller.
 func RunWorker(ctx context.Context, cfg *WorkerConfig) error {
 	ctx, stop := context.WithCancelCause(ctx)
 	defer stop(nil)
@@ -96,12 +97,13 @@
 	return nil
 }
 
-// workerProcess is the state of a worker that is a process of its own.
+// workerProcess is the state of a worker in its own process.
 type workerProcess struct {
 	ctx      context.Context
 	stop     context.CancelCauseFunc
 	observer string // URL
-	// observerCtx does not end: the observer must learn of the tasks' last changes.
+	// observerCtx is not cancelled with ctx, because the last changes of the tasks must still be reported to the
+	// observer.
 	observerCtx context.Context
 	client      *http.Client
 	startedAt   time.Time
@@ -113,9 +115,10 @@
 
 func (w *workerProcess) now() time.Duration { return time.Since(w.startedAt) }
 
-// advanceModel advances the tasks until the process ends. It reports starts at once.
+// advanceModel periodically advances the simulated tasks until the process ends. It reports task starts to the observer
+// at once.
 func (w *workerProcess) advanceModel() {
-	every(w.ctx, modelInterval, func() {
+	callPeriodically(w.ctx, modelInterval, func() {
 		w.mu.Lock()
 		defer w.mu.Unlock()
 		starts := w.world.Starts
@@ -126,7 +129,7 @@
 	})
 }
 
-// lookUpJob asks the observer for a job. It returns nil if there is none.
+// lookUpJob gets the description of a job from the observer. It returns nil if the job is unknown.
 func (w *workerProcess) lookUpJob(id string) *protocol.Job {
 	status, body, err := w.call(http.MethodGet, jobsPath+id, nil)
 	if err != nil {
@@ -140,8 +143,8 @@
 	return &j
 }
 
-// reportToObserver reports the worker's tasks. Without an observer no invariant is checked, so the
-// worker ends if that fails.
+// reportToObserver reports the status of the worker's tasks to the observer. If that fails, the worker stops, because
+// the invariants cannot be checked without these reports.
 func (w *workerProcess) reportToObserver(heartbeat *protocol.WorkerHeartbeat) {
 	raw, err := json.Marshal(heartbeat)
 	if err != nil {
@@ -153,8 +156,8 @@
 	}
 }
 
-// call sends a request to the observer.
-func (w *workerProcess) call(method, path string, body []byte) (status int, answer []byte, err error) {
+// call sends a request to the observer and returns the status and the body of the response.
+func (w *workerProcess) call(method, path string, body []byte) (status int, response []byte, err error) {
 	req, err := http.NewRequestWithContext(w.observerCtx, method, w.observer+path, bytes.NewReader(body))
 	if err != nil {
 		return 0, nil, err
@@ -164,15 +167,15 @@
 	if err != nil {
 		return 0, nil, err
 	}
-	defer func() { _ = res.Body.Close() }() // it has been read
-	answer, err = io.ReadAll(res.Body)
-	return res.StatusCode, answer, err
+	defer func() { _ = res.Body.Close() }() // the body has been read
+	response, err = io.ReadAll(res.Body)
+	return res.StatusCode, response, err
 }
 
-// serveObserver serves the workers that are processes.
-func (r *run) serveObserver(w http.ResponseWriter, req *http.Request) {
+// serveObserver serves the requests of worker processes to the observer.
+func (r *sizeRun) serveObserver(w http.ResponseWriter, req *http.Request) {
 	if req.URL.Path == observedPath {
-		r.serveObserved(w, req)
+		r.serveTaskStatus(w, req)
 		return
 	}
 	r.mu.Lock()
@@ -182,11 +185,11 @@
 		w.WriteHeader(http.StatusNotFound)
 		return
 	}
-	_ = json.NewEncoder(w).Encode(j) // fails if the worker is gone, which needs no job then
+	_ = json.NewEncoder(w).Encode(j) // fails only if the worker is gone, which then does not need the job
 }
 
-// serveObserved takes over the tasks that a worker reports into the world's model.
-func (r *run) serveObserved(w http.ResponseWriter, req *http.Request) {
+// serveTaskStatus applies the task status that a worker process reports to the model of the workers.
+func (r *sizeRun) serveTaskStatus(w http.ResponseWriter, req *http.Request) {
 	raw, err := io.ReadAll(req.Body)
 	var heartbeat protocol.WorkerHeartbeat
 	if err != nil || json.Unmarshal(raw, &heartbeat) != nil {
@@ -198,8 +201,8 @@
 	r.world.ApplyHeartbeat(r.now(), &heartbeat)
 }
 
-// startWorkerProcess starts the worker of a machine as a process. The caller holds mu.
-func (r *run) startWorkerProcess(m protocol.ListedMachine) {
+// startWorkerProcess starts the worker of a machine as a process. The caller must hold mu.
+func (r *sizeRun) startWorkerProcess(m protocol.ListedMachine) {
 	machineType := r.machineTypes[1]
 	cfg := WorkerConfig{
 		Name:        m.Name,
@@ -211,7 +214,7 @@
 		Lease:       r.cfg.Lease,
 		RunTime:     r.cfg.MeanRunTime,
 		Observer:    r.cfg.observerAddr(),
-		Seed:        r.cfg.Seed + uint64(len(r.processes)),
+		Seed:        r.cfg.Seed + uint64(len(r.workerProcesses)),
 	}
 	raw, err := json.Marshal(cfg)
 	if err != nil {
@@ -227,5 +230,5 @@
 		r.fail(fmt.Errorf("worker %s: %w", m.Name, err))
 		return
 	}
-	r.processes[m.Name] = p
+	r.workerProcesses[m.Name] = p
 }
--- a/internal/loadtest/workers.go
+++ b/internal/loadtest/workers.go
@@ -13,11 +13,11 @@
 	"pinebay/internal/transport"
 )
 
-// How a worker calls controllers.
+// Parameters of the connections from a worker to the controllers.
 const (
 	workerConnectionsPerHost = 1
 	workerConnections        = 2
-	// idleConnectionTimeout is longer than the interval between two heartbeats.
+	// idleConnectionTimeout is longer than the interval between two heartbeats, so that connections are reused.
 	idleConnectionTimeout = 5 * time.Minute
 )
 
@@ -25,8 +25,8 @@
 	return transport.NewClient(network, workerConnectionsPerHost, workerConnections, idleConnectionTimeout)
 }
 
-// startWorker starts the worker of a machine. The cloud's model calls it, with mu held.
-func (r *run) startWorker(m protocol.ListedMachine) {
+// startWorker starts the worker of a machine. The model of the cloud calls it with mu held.
+func (r *sizeRun) startWorker(m protocol.ListedMachine) {
 	if m.Type == workerProcessType {
 		r.startWorkerProcess(m)
 		return
@@ -55,8 +55,9 @@
 	})
 }
 
-// stagger spreads the first heartbeats of the workers over one interval.
-func (r *run) stagger(a *simulation.Agent) {
+// stagger delays the first heartbeat of a worker by a random time, so that the heartbeats of all workers are spread
+// over one heartbeat interval.
+func (r *sizeRun) stagger(a *simulation.Agent) {
 	r.mu.Lock()
 	pause := r.randomDuration(r.cfg.HeartbeatInterval)
 	r.mu.Unlock()
@@ -66,11 +67,11 @@
 	}
 }
 
-// stopWorker ends the worker of a machine. The cloud's model calls it, with mu held.
-func (r *run) stopWorker(machine string) {
-	if p := r.processes[machine]; p != nil {
-		_ = p.cmd.Process.Kill() // fails if it has exited already
-		delete(r.processes, machine)
+// stopWorker stops the worker of a machine. The model of the cloud calls it with mu held.
+func (r *sizeRun) stopWorker(machine string) {
+	if p := r.workerProcesses[machine]; p != nil {
+		_ = p.cmd.Process.Kill() // fails only if the process has already exited
+		delete(r.workerProcesses, machine)
 	}
 	host := r.workerHosts[machine]
 	if a := r.agents[host]; a != nil {
@@ -81,8 +82,8 @@
 	r.world.RemoveMachine(machine)
 }
 
-// serveCommands passes a command on to the hollow worker at whose address it has arrived.
-func (r *run) serveCommands(w http.ResponseWriter, req *http.Request) {
+// serveCommands passes a request with commands to the hollow worker that has the IP address to which it was sent.
+func (r *sizeRun) serveCommands(w http.ResponseWriter, req *http.Request) {
 	local, ok := req.Context().Value(http.LocalAddrContextKey).(*net.TCPAddr)
 	if !ok || !local.IP.IsLoopback() {
 		w.WriteHeader(http.StatusForbidden)
@@ -92,25 +93,29 @@
 	a := r.agents[local.IP.String()]
 	r.mu.Unlock()
 	if a == nil {
-		panic(http.ErrAbortHandler) // the machine is gone: it does not answer
+		panic(http.ErrAbortHandler) // the machine is gone: close the connection without a response
 	}
 	a.ServeHTTP(w, req)
 }
 
-// serve runs an HTTP service at an address until the run ends. An address that is not free is an
-// error of the configuration.
-func (r *run) serve(link Link, addr string, handler http.Handler) error {
+// serve runs an HTTP server at an address until the run ends. If it cannot listen there, for example because the port
+// is in use, the error wraps [ErrInvalidConfig].
+func (r *sizeRun) serve(link Link, addr string, handler http.Handler) error {
 	l, err := new(net.ListenConfig).Listen(r.ctx, "tcp4", addr)
 	if err != nil {
 		return fmt.Errorf("%w: %w", ErrInvalidConfig, err)
 	}
 	srv := newServer(r.meter.handler(link, handler))
-	r.wg.Go(func() { _ = srv.Serve(meteredListener{l, &r.meter.bytes[link]}) }) // it ends with Close
-	context.AfterFunc(r.ctx, func() { _ = srv.Close() })                        // nobody is left to be told
+	r.wg.Go(func() { _ = srv.Serve(meteredListener{l, &r.meter.bytes[link]}) }) // returns when srv is closed
+	context.AfterFunc(
+		r.ctx,
+		func() { _ = srv.Close() },
+	) // the run has ended: there is nothing to report an error to
 	return nil
 }
 
-// newServer returns an HTTP server that does not log: clients that break connections are normal.
+// newServer returns an HTTP server that does not log errors, because broken client connections are normal in a load
+// test.
 func newServer(handler http.Handler) *http.Server {
 	return &http.Server{
 		Handler:           handler,
