--- a/internal/simulation/agent.go
+++ b/internal/simulation/agent.go
@@ -13,50 +13,52 @@
 )
 
 const (
-	// minChangeInterval is the minimum time between two heartbeats if the second is sent because of a change.
+	// minChangeInterval is the minimum time between a heartbeat and the next one if a state change triggers the latter.
 	minChangeInterval = 500 * time.Millisecond
-	// maxRedirectDelay is the maximum time until a worker follows a redirect.
+	// maxRedirectDelay limits the random delay before a worker follows a redirect.
 	maxRedirectDelay = 500 * time.Millisecond
-	// resumeDelay lets a machine that no longer hangs notice first whether its lease has expired.
+	// resumeDelay is the minimum time between the end of a hang and the next message that the machine handles, so that
+	// it first notices whether its lease has expired.
 	resumeDelay = 60 * time.Millisecond
 )
 
-// Controller is the name of a controller and the address at which workers and users reach it.
+// Controller identifies a controller by its name and the address that workers and users connect to.
 type Controller struct{ Name, Addr string }
 
-// Environment is what the workers of a simulation share.
+// Environment holds what all agents of a simulation share.
 type Environment struct {
-	Lock              sync.Locker // guards the world
+	Lock              sync.Locker // guards the World
 	Now               func() time.Duration
 	Random            *random.Source
 	Controllers       []Controller
 	HeartbeatInterval time.Duration
-	// OnError is called for responses that no controller should ever send.
+	// OnError is called for responses that violate the protocol, such as malformed ones.
 	OnError func(error)
 }
 
-// Agent is the process of a worker: it sends heartbeats and executes commands, for a machine that is a model.
+// Agent is the network side of a worker: it sends the heartbeats of a modeled machine over HTTP and passes commands on
+// to the model.
 type Agent struct {
 	*Environment
 	Worker *Worker
 	Addr   string
 	Client *transport.Client
-	// HeartbeatsLost says that no heartbeat reaches a controller. It is guarded by Lock.
+	// HeartbeatsLost makes every heartbeat time out without reaching a controller. It is guarded by Lock.
 	HeartbeatsLost bool
 	// OnHeartbeat, if set, is called with Lock held for each heartbeat that is sent.
 	OnHeartbeat func(*protocol.WorkerHeartbeat)
-	// OnReply, if set, is called for each reply with the time that it took.
+	// OnReply, if set, is called for each reply with its round-trip time.
 	OnReply func(took time.Duration, status int)
-	// OnTaskStatus, if set, is called with Lock held before any status of the tasks is sent.
+	// OnTaskStatus, if set, is called with Lock held before task statuses are sent in a heartbeat or a response.
 	OnTaskStatus func(*protocol.WorkerHeartbeat)
 
 	ctx    context.Context
 	cancel context.CancelFunc
-	resume chan struct{} // closed when the machine no longer hangs
-	wake   chan struct{} // has an element when something has changed
+	resume chan struct{} // closed when the machine stops hanging
+	wake   chan struct{} // buffers one notification of a state change
 }
 
-// NewAgent returns an agent, which ends with ctx or Stop.
+// NewAgent returns an agent that runs until ctx is done or Stop is called.
 func NewAgent(ctx context.Context, env *Environment, w *Worker, addr string, client *transport.Client) *Agent {
 	a := &Agent{
 		Environment: env,
@@ -74,7 +76,7 @@
 // Stop ends the agent.
 func (a *Agent) Stop() { a.cancel() }
 
-// Done is closed when the agent has been stopped.
+// Done returns a channel that is closed when the agent is stopped.
 func (a *Agent) Done() <-chan struct{} { return a.ctx.Done() }
 
 func (a *Agent) wakeUp() {
@@ -84,18 +86,20 @@
 	}
 }
 
-// Hang makes the machine execute nothing until Resume. The caller holds Lock.
+// Hang suspends the machine until Resume is called: it neither runs tasks nor handles messages. The caller holds Lock.
 func (a *Agent) Hang() { a.Worker.Hung = true }
 
-// Resume ends what Hang began. Commands that were delayed by it arrive within the grace period. The caller holds Lock.
+// Resume ends a hang. Commands that were delayed by it may still arrive within the grace period, see
+// Worker.LateCommandsAllowedUntil. The caller holds Lock.
 func (a *Agent) Resume(grace time.Duration) {
-	a.Worker.Hung, a.Worker.ExcusedUntil = false, a.Now()+grace
+	a.Worker.Hung, a.Worker.LateCommandsAllowedUntil = false, a.Now()+grace
 	close(a.resume)
 	a.resume = make(chan struct{})
 }
 
-// waitUntilAwake waits until the machine does not hang. It returns true with Lock held, or false without it if the
-// agent has ended. Activities with different purposes resume one after the other.
+// waitUntilAwake waits while the machine hangs. It returns true with Lock held, or false without Lock if the agent was
+// stopped. The random delay after a hang is derived from purpose, so that activities with different purposes resume at
+// different moments and in the same order in every run.
 func (a *Agent) waitUntilAwake(purpose string) bool {
 	for {
 		a.Lock.Lock()
@@ -113,7 +117,7 @@
 	}
 }
 
-// pause waits, and reports whether the agent still runs.
+// pause waits for d and reports whether the agent is still running.
 func (a *Agent) pause(d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -125,7 +129,7 @@
 	}
 }
 
-// ServeHTTP executes requests that are sent to the worker's address.
+// ServeHTTP handles requests that are sent to the worker's address.
 func (a *Agent) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	raw, err := io.ReadAll(r.Body)
 	if err != nil || !a.waitUntilAwake(r.URL.Path+string(raw)) {
@@ -136,7 +140,7 @@
 	writeResponse(w, status, body)
 }
 
-// handleRequest executes a request. The caller holds Lock.
+// handleRequest handles a probe or a batch of commands and returns the response. The caller holds Lock.
 func (a *Agent) handleRequest(path string, raw []byte) (int, any) {
 	if path == "/inspect" {
 		return http.StatusOK, a.nextHeartbeat()
@@ -154,7 +158,7 @@
 	return http.StatusOK, heartbeat
 }
 
-// nextHeartbeat returns the next heartbeat. The caller holds Lock.
+// nextHeartbeat returns the next heartbeat to send. The caller holds Lock.
 func (a *Agent) nextHeartbeat() *protocol.WorkerHeartbeat {
 	heartbeat := a.Worker.NextHeartbeat()
 	heartbeat.Addr = a.Addr
@@ -168,20 +172,21 @@
 	}
 }
 
-// Run sends heartbeats until the agent ends, first to the controller with the given index.
-func (a *Agent) Run(at int) {
+// Run sends heartbeats until the agent is stopped. The first one goes to the controller with the given index.
+func (a *Agent) Run(index int) {
 	for a.ctx.Err() == nil {
 		a.waitForHeartbeat()
 		redirected := true
 		for redirected && a.ctx.Err() == nil {
-			if at, redirected = a.sendHeartbeat(at); redirected {
+			if index, redirected = a.sendHeartbeat(index); redirected {
 				a.pause(a.Random.UpTo("redirect "+a.Worker.Name, maxRedirectDelay))
 			}
 		}
 	}
 }
 
-// waitForHeartbeat waits until a heartbeat is due, because of the time or of a change.
+// waitForHeartbeat waits until the next heartbeat is due: when its randomized interval has passed, or earlier if the
+// state of the machine has changed.
 func (a *Agent) waitForHeartbeat() {
 	due := a.HeartbeatInterval*3/4 + a.Random.UpTo("report "+a.Worker.Name, a.HeartbeatInterval/2)
 	timer := time.NewTimer(due)
@@ -206,11 +211,12 @@
 	}
 }
 
-// sendHeartbeat sends a heartbeat to a controller. It returns the controller for the next one, and whether the reply
-// named that controller: then the worker does not wait until its next heartbeat is due.
-func (a *Agent) sendHeartbeat(at int) (next int, redirected bool) {
+// sendHeartbeat sends a heartbeat to the controller with the given index. It returns the index of the controller for
+// the next heartbeat. redirected reports whether a redirect named that controller; the next heartbeat is then sent
+// without waiting for the interval.
+func (a *Agent) sendHeartbeat(index int) (next int, redirected bool) {
 	if !a.waitUntilAwake("report") {
-		return at, false
+		return index, false
 	}
 	heartbeat := a.nextHeartbeat()
 	sent, incarnation, lost := a.Now(), a.Worker.Incarnation, a.HeartbeatsLost
@@ -220,12 +226,12 @@
 	a.Lock.Unlock()
 	if lost {
 		a.pause(protocol.HeartbeatTimeout)
-		return a.nextController(at), false
+		return a.nextController(index), false
 	}
-	url := "http://" + a.Controllers[at].Addr + "/v1/report"
+	url := "http://" + a.Controllers[index].Addr + "/v1/report"
 	status, raw, err := a.Client.Do(a.ctx, protocol.HeartbeatTimeout, http.MethodPost, url, heartbeat)
 	if err != nil {
-		return a.nextController(at), false
+		return a.nextController(index), false
 	}
 	if a.OnReply != nil {
 		a.OnReply(a.Now()-sent, status)
@@ -233,22 +239,23 @@
 	switch status {
 	case http.StatusOK:
 		a.handleReply(raw, sent, incarnation)
-		return at, false
+		return index, false
 	case http.StatusMisdirectedRequest:
-		if to, ok := a.redirectTarget(raw); ok && to != at {
+		if to, ok := a.redirectTarget(raw); ok && to != index {
 			return to, true
 		}
 	}
-	return a.nextController(at), false
+	return a.nextController(index), false
 }
 
-// nextController pauses, and returns the controller after the given one.
-func (a *Agent) nextController(at int) int {
+// nextController waits for the retry delay and returns the index of the controller that follows the given one.
+func (a *Agent) nextController(index int) int {
 	a.pause(protocol.HeartbeatRetryDelay)
-	return (at + 1) % len(a.Controllers)
+	return (index + 1) % len(a.Controllers)
 }
 
-// handleReply executes the reply to a heartbeat that was sent at the given time by the given incarnation.
+// handleReply handles the reply to a heartbeat. sent and incarnation are the time at which the heartbeat was sent and
+// the worker's incarnation then. A reply that is older than the heartbeat timeout is dropped.
 func (a *Agent) handleReply(raw []byte, sent time.Duration, incarnation uint64) {
 	var reply protocol.WorkerHeartbeatReply
 	if err := protocol.Decode(raw, &reply); err != nil {
@@ -267,7 +274,7 @@
 	a.Worker.Changed = a.Worker.Changed || a.Worker.FencingToken != old
 }
 
-// redirectTarget returns the controller that a reply names.
+// redirectTarget returns the index of the controller that a redirect names, or false if it names none that is known.
 func (a *Agent) redirectTarget(raw []byte) (int, bool) {
 	var redirect protocol.Redirect
 	if err := protocol.Decode(raw, &redirect); err != nil {
--- a/internal/simulation/answerchecker.go
+++ b/internal/simulation/answerchecker.go
@@ -9,37 +9,39 @@
 	"pinebay/internal/protocol"
 )
 
-// The kinds of users' requests.
+// Kinds of user requests.
 const (
 	RequestSubmit = "submission"
 	RequestQuery  = "question"
 	RequestCancel = "cancellation"
 )
 
-// AnswerChecker checks the answers that users get, from any controller. It remembers every answer that later ones must
-// agree with, and records a violation for each that breaks a rule of the protocol. It is safe for concurrent use.
+// AnswerChecker checks that the answers of all controllers to users are consistent with each other and with the rules
+// of the protocol. It keeps what users have been told so far and records a violation for each answer that contradicts
+// it. It is safe for concurrent use.
 type AnswerChecker struct {
-	// AllTasksDone returns whether all tasks of a job are done.
+	// AllTasksDone reports whether all tasks of a job have completed.
 	AllTasksDone func(id string) bool
 	// OnCancelled is called when a user is told for the first time that a job is cancelled.
 	OnCancelled func(id string, at time.Duration)
 	// Dependencies, if set, returns the dependencies of a job.
 	Dependencies func(id string) []string
-	// CancelTimeout is how long a job may still be called queued after a user was told that a dependency is cancelled.
+	// CancelTimeout limits how long a job may be reported in another state after a user was told that one of its
+	// dependencies is cancelled.
 	CancelTimeout time.Duration
-	// BindingAnswers is the number of answers with a status of a job.
+	// BindingAnswers is the number of answers that contained the status of a job.
 	BindingAnswers int
 
 	mu              sync.Mutex
 	submitted       map[string]bool
 	cancelRequested map[string]bool
-	accepted        map[string]time.Duration // when a user was first told so
+	accepted        map[string]time.Duration // time of the first answer that shows the job as accepted
 	finals          map[string]finalAnswer
-	answered        map[string]time.Duration // when a request about the job was last answered
+	answered        map[string]time.Duration // time of the last answer with the job's status
 	violations      []string
 }
 
-// finalAnswer is the first answer with a final state.
+// finalAnswer is the first answer that gave a job a final state.
 type finalAnswer struct {
 	state protocol.JobState
 	at    time.Duration
@@ -58,7 +60,7 @@
 	}
 }
 
-// RecordRequest records that a user sends a request.
+// RecordRequest records that a user is about to send a request. It must be called before the request is sent.
 func (c *AnswerChecker) RecordRequest(kind, id string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -70,8 +72,9 @@
 	}
 }
 
-// RecordAnswer checks the answer to a request about a job. An answer must agree with those that users had received when
-// the request was sent; and two different final states never agree.
+// RecordAnswer checks and records the answer to a request about a job. An answer must be consistent with every answer
+// that users had received by the time the request was sent. Two answers with different final states are a violation in
+// any order.
 func (c *AnswerChecker) RecordAnswer(
 	kind, id string,
 	sent, now time.Duration,
@@ -109,7 +112,7 @@
 	c.recordFinal(id, now, answer.State)
 }
 
-// checkState checks the state of a job in an answer. The caller holds c.mu.
+// checkState checks the job state in an answer against earlier answers. The caller holds c.mu.
 func (c *AnswerChecker) checkState(
 	kind, id string,
 	sent, now time.Duration,
@@ -121,15 +124,15 @@
 	case ended && state != final.state && (final.at <= sent || state.Final()):
 		violation("went_back", "a %s got %s after %s", kind, state, final.state)
 	case state == protocol.JobCancelled && !c.cancellationRequested(id):
-		violation("went_back", "cancelled, though nobody asked for it")
+		violation("went_back", "cancelled without a request to cancel it or a dependency")
 	case state != protocol.JobCancelled && c.orphaned(id, now):
-		violation("orphaned", "a %s got %s long after a job before it was cancelled", kind, state)
+		violation("orphaned", "a %s got %s although a dependency was cancelled long before", kind, state)
 	case state == protocol.JobDone && !c.AllTasksDone(id):
 		violation("not_done", "a %s got done", kind)
 	}
 }
 
-// recordFinal remembers the first answer with a final state. The caller holds c.mu.
+// recordFinal records the state if it is the first final one of the job. The caller holds c.mu.
 func (c *AnswerChecker) recordFinal(id string, now time.Duration, state protocol.JobState) {
 	if _, ended := c.finals[id]; ended || !state.Final() {
 		return
@@ -140,19 +143,20 @@
 	}
 }
 
-// walkDependencies calls visit for a job and all its direct and indirect dependencies, until visit returns false.
+// walkDependencies calls visit for a job and for each of its direct and indirect dependencies until visit returns
+// false.
 func (c *AnswerChecker) walkDependencies(id string, visit func(id string) bool) {
 	seen := map[string]bool{id: true}
 	for stack := []string{id}; len(stack) > 0; {
-		at := stack[len(stack)-1]
+		current := stack[len(stack)-1]
 		stack = stack[:len(stack)-1]
-		if !visit(at) {
+		if !visit(current) {
 			return
 		}
 		if c.Dependencies == nil {
 			continue
 		}
-		for _, dependency := range c.Dependencies(at) {
+		for _, dependency := range c.Dependencies(current) {
 			if !seen[dependency] {
 				seen[dependency] = true
 				stack = append(stack, dependency)
@@ -161,27 +165,29 @@
 	}
 }
 
-// cancellationRequested returns whether a user has asked to cancel a job or one of its dependencies.
+// cancellationRequested reports whether a user has asked to cancel a job or one of its dependencies.
 func (c *AnswerChecker) cancellationRequested(id string) (requested bool) {
-	c.walkDependencies(id, func(at string) bool {
-		requested = requested || c.cancelRequested[at]
+	c.walkDependencies(id, func(job string) bool {
+		requested = requested || c.cancelRequested[job]
 		return !requested
 	})
 	return requested
 }
 
-// orphaned returns whether a user was told long ago that a dependency of a job is cancelled.
+// orphaned reports whether more than CancelTimeout has passed since a user was told that a dependency of a job is
+// cancelled. The job itself must be cancelled by then.
 func (c *AnswerChecker) orphaned(id string, now time.Duration) (orphaned bool) {
-	c.walkDependencies(id, func(at string) bool {
-		final, ended := c.finals[at]
+	c.walkDependencies(id, func(job string) bool {
+		final, ended := c.finals[job]
 		cancelled := ended && final.state == protocol.JobCancelled && now > final.at+c.CancelTimeout
-		orphaned = orphaned || at != id && cancelled
+		orphaned = orphaned || job != id && cancelled
 		return !orphaned
 	})
 	return orphaned
 }
 
-// Unanswered returns the accepted jobs about which no request was answered since the given time.
+// Unanswered returns the accepted jobs without a final state for which no answer with a status was received since the
+// given time.
 func (c *AnswerChecker) Unanswered(since time.Duration) (ids []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -193,7 +199,7 @@
 	return ids
 }
 
-// FinalState returns the final state of a job, if a user was told one.
+// FinalState returns the final state of a job, and false if no user was told one yet.
 func (c *AnswerChecker) FinalState(id string) (protocol.JobState, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -201,7 +207,7 @@
 	return final.state, ok
 }
 
-// Violations returns the violations so far.
+// Violations returns the violations that were found so far.
 func (c *AnswerChecker) Violations() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/simulation/answerchecker_test.go
+++ b/internal/simulation/answerchecker_test.go
@@ -8,7 +8,7 @@
 	"pinebay/internal/protocol"
 )
 
-// TestAnswerCheckerFindsEveryViolation checks short histories of answers, each of which breaks one rule or none.
+// TestAnswerCheckerFindsEveryViolation runs short histories of answers, each of which violates one rule or none.
 func TestAnswerCheckerFindsEveryViolation(t *testing.T) {
 	type step struct {
 		kind      string
@@ -22,7 +22,7 @@
 		done      bool
 		violation string
 	}{
-		"a job's life": {
+		"accepted, running, done": {
 			steps: []step{
 				{RequestSubmit, 0, 1, 201, q},
 				{RequestQuery, 2, 3, 200, r},
@@ -47,7 +47,7 @@
 			},
 			done: true,
 		},
-		"asked before it was told": {
+		"query sent before the cancellation was confirmed": {
 			steps: []step{
 				{RequestSubmit, 0, 1, 201, q},
 				{RequestCancel, 2, 3, 200, c},
@@ -88,7 +88,7 @@
 			},
 			violation: "forgotten",
 		},
-		"nobody's job": {
+		"job that was never submitted": {
 			steps: []step{
 				{RequestQuery, 0, 1, 200, q},
 			},
@@ -118,7 +118,7 @@
 			},
 			violation: "went_back",
 		},
-		"both at once": {
+		"done and cancelled in concurrent answers": {
 			steps: []step{
 				{RequestSubmit, 0, 1, 201, q},
 				{RequestCancel, 2, 4, 200, c},
@@ -127,7 +127,7 @@
 			done:      true,
 			violation: "went_back",
 		},
-		"cancelled by nobody": {
+		"cancelled without a request": {
 			steps: []step{
 				{RequestSubmit, 0, 1, 201, q},
 				{RequestQuery, 2, 3, 200, c},
@@ -151,13 +151,13 @@
 			t.Errorf("%s: %v, want %q", name, l.violations, h.violation)
 		}
 		if f, _ := l.FinalState("j-1"); (f == c) != (len(cancelled) == 1) {
-			t.Errorf("%s: final %q, told that cancelled: %v", name, f, cancelled)
+			t.Errorf("%s: final state %q, but OnCancelled was called for %v", name, f, cancelled)
 		}
 	}
 }
 
-// TestAnswerCheckerFindsOrphans plays histories of a chain of three jobs, of which the first is cancelled or done.
-func TestAnswerCheckerFindsOrphans(t *testing.T) {
+// TestAnswerCheckerFindsOrphanedJobs runs histories of three jobs that depend on each other in a chain.
+func TestAnswerCheckerFindsOrphanedJobs(t *testing.T) {
 	const q, d, c = protocol.JobQueued, protocol.JobDone, protocol.JobCancelled
 	dependencies := map[string][]string{"j-2": {"j-1"}, "j-3": {"j-2"}}
 	type answer struct {
@@ -190,7 +190,7 @@
 			},
 			violation: "orphaned",
 		},
-		"accepted when it is late": {
+		"submitted after its dependency was cancelled": {
 			steps: []answer{
 				{RequestCancel, "j-2", 10, c},
 				{RequestSubmit, "j-3", 90, c},
@@ -202,14 +202,14 @@
 				{RequestQuery, "j-3", 90, q},
 			},
 		},
-		"cancelled by nobody": {
+		"cancelled without a request": {
 			steps: []answer{
 				{RequestQuery, "j-1", 10, d},
 				{RequestQuery, "j-3", 90, c},
 			},
 			violation: "went_back",
 		},
-		"a dependent job is no dependency": {
+		"cancellation of a dependent job only": {
 			steps: []answer{
 				{RequestCancel, "j-3", 10, c},
 				{RequestQuery, "j-1", 90, c},
@@ -235,7 +235,7 @@
 	}
 }
 
-// runCommand returns a batch with one command that starts a task.
+// runCommand returns a batch with one command to start a task.
 func runCommand(taskName string, attempt uint64) protocol.CommandBatch {
 	return protocol.CommandBatch{
 		Incarnation: 1,
@@ -243,8 +243,8 @@
 	}
 }
 
-// TestWorldFindsTasksStartedTooEarly: a task starts while a dependency of its job has tasks that are not done, and once
-// all are.
+// TestWorldFindsTasksStartedTooEarly checks that a start is reported if a dependency of the job still has unfinished
+// tasks, and not once all of them are done.
 func TestWorldFindsTasksStartedTooEarly(t *testing.T) {
 	kind := &protocol.MachineType{Name: "g8", CPUs: 8, GPUs: 8, MemoryGB: 64}
 	for done := range 3 {
@@ -267,12 +267,12 @@
 		}
 		early := len(w.Violations) == 1 && strings.HasPrefix(w.Violations[0], "too_early")
 		if w.Starts != 1 || early != (done < 2) {
-			t.Errorf("with %d of 2 tasks done: %d starts, %v", done, w.Starts, w.Violations)
+			t.Errorf("with %d of 2 tasks done: %d starts, violations %v", done, w.Starts, w.Violations)
 		}
 	}
 }
 
-// TestWorldFindsEveryViolation breaks each rule about tasks once.
+// TestWorldFindsEveryViolation violates each rule about tasks once.
 func TestWorldFindsEveryViolation(t *testing.T) {
 	kind := &protocol.MachineType{Name: "g8", CPUs: 8, GPUs: 8, MemoryGB: 64}
 	for name, h := range map[string]struct {
@@ -322,7 +322,7 @@
 			cancel:    true,
 			violation: "ran_cancelled",
 		},
-		"hung meantime": {
+		"cancelled while hung": {
 			job:       protocol.Job{TaskCount: 1},
 			runs:      []string{"a1 0"},
 			cancel:    true,
--- a/internal/simulation/cloud.go
+++ b/internal/simulation/cloud.go
@@ -12,31 +12,31 @@
 	"pinebay/internal/protocol"
 )
 
-// Cloud is a model of the cloud. Its methods, ServeHTTP aside, are called with its lock held, and it calls its
-// functions with the lock held.
+// Cloud is a model of the cloud service that rents out machines. All methods except ServeHTTP must be called with the
+// lock held. The function fields are called with the lock held.
 type Cloud struct {
 	Types []protocol.MachineType
-	// ListLag is the time by which the list of machines is late.
+	// ListLag is the age of the data in the list of machines.
 	ListLag time.Duration
-	// Capacity returns the number of machines that a rental gets.
+	// Capacity returns the number of machines that are available for a rental.
 	Capacity func(protocol.Rental) int
-	// BootTime returns the time until a machine is up.
+	// BootTime returns the time between the rental of a machine and the start of its worker.
 	BootTime func(name string) time.Duration
 	// Address returns the address of the worker on the machine with the given number.
 	Address func(number int) string
-	// StartWorker is called when a machine is up, and StopWorker when it is gone.
+	// StartWorker is called when a machine has booted, and StopWorker when a booted machine is removed.
 	StartWorker func(protocol.ListedMachine)
 	StopWorker  func(name string)
 
 	lock     sync.Locker
 	now      func() time.Duration
-	machines []*rentedMachine // in the order of their names
+	machines []*rentedMachine // sorted by name; includes removed machines
 	byName   map[string]*rentedMachine
-	requests map[string][]string // names of the machines, by the id of the request
+	requests map[string][]string // names of the machines that were rented, by request id
 	closed   bool
 }
 
-// rentedMachine is a machine that is or was rented.
+// rentedMachine is a machine that is rented or was removed.
 type rentedMachine struct {
 	protocol.ListedMachine
 	rentedAt time.Duration
@@ -45,15 +45,15 @@
 	goneAt   time.Duration
 }
 
-// NewCloud returns a cloud without machines, guarded by the given lock.
+// NewCloud returns a cloud without machines that is guarded by the given lock.
 func NewCloud(lock sync.Locker, now func() time.Duration) *Cloud {
 	return &Cloud{lock: lock, now: now, byName: map[string]*rentedMachine{}, requests: map[string][]string{}}
 }
 
-// Close makes sure that no further machine comes up.
+// Close prevents machines that are still booting from starting their workers.
 func (c *Cloud) Close() { c.closed = true }
 
-// Count returns the number of machines in a zone, or in all zones if zone is empty.
+// Count returns the number of machines, including booting ones, in a zone, or in all zones if zone is empty.
 func (c *Cloud) Count(zone string) int {
 	n := 0
 	for _, m := range c.byName {
@@ -64,7 +64,7 @@
 	return n
 }
 
-// ServeHTTP serves the cloud's interface.
+// ServeHTTP serves the HTTP API of the cloud.
 func (c *Cloud) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	raw, err := io.ReadAll(r.Body)
 	if err != nil {
@@ -113,7 +113,7 @@
 	return http.StatusOK, protocol.MachineNames{Machines: release.Machines}
 }
 
-// list returns a page of the list as it was ListLag ago.
+// list returns a page of machines whose names follow from, as of ListLag ago.
 func (c *Cloud) list(from, limit string) (page protocol.MachineList) {
 	maxMachines := protocol.MaxMachinesPerPage
 	if n, err := strconv.Atoi(limit); err == nil {
@@ -134,7 +134,7 @@
 	return page
 }
 
-// listed returns the machine as the list has it.
+// listed returns the list entry of a machine.
 func (m *rentedMachine) listed(now time.Duration) protocol.ListedMachine {
 	listed := m.ListedMachine
 	listed.State = protocol.MachineStarting
@@ -145,7 +145,7 @@
 	return listed
 }
 
-// rent rents machines. A repeated request gets the machines of the first one.
+// rent rents machines and returns their names. It is idempotent: a repeated request gets the machines of the first one.
 func (c *Cloud) rent(rental protocol.Rental) []string {
 	if names, ok := c.requests[rental.RequestID]; ok {
 		return names
@@ -166,7 +166,7 @@
 	return names
 }
 
-// Start adds a machine that is up and listed, without a rental.
+// Start adds a machine without a rental. The machine is running and listed immediately.
 func (c *Cloud) Start(machineType, zone string, spot bool) {
 	m := c.add(machineType, zone, spot)
 	m.rentedAt -= c.ListLag
@@ -198,7 +198,7 @@
 	c.StartWorker(m.ListedMachine)
 }
 
-// Remove takes a machine away, if it is there.
+// Remove removes a machine. It does nothing if the machine does not exist or was removed before.
 func (c *Cloud) Remove(name string) {
 	m := c.byName[name]
 	if m == nil || m.gone {
--- a/internal/simulation/cluster_check_test.go
+++ b/internal/simulation/cluster_check_test.go
@@ -11,21 +11,21 @@
 	"pinebay/internal/protocol"
 )
 
-// runningJobs returns the jobs with a running task, except those that users were told are over.
+// runningJobs returns the jobs with a running task, except those for which a user was told a final state.
 func (c *cluster) runningJobs() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	on := map[string]bool{}
+	running := map[string]bool{}
 	for _, m := range c.world.Workers {
 		for _, t := range m.Tasks {
 			if t.State == protocol.TaskRunning {
-				on[t.ID.JobID] = true
+				running[t.ID.JobID] = true
 			}
 		}
 	}
 	var ids []string
-	for id := range on {
-		if _, over := c.answers.FinalState(id); !over {
+	for id := range running {
+		if _, final := c.answers.FinalState(id); !final {
 			ids = append(ids, id)
 		}
 	}
@@ -33,7 +33,7 @@
 	return ids
 }
 
-// workersWithJob returns the workers on which a job has tasks. The caller holds c.mu.
+// workersWithJob returns the workers whose machines are occupied by tasks of a job. The caller holds c.mu.
 func (c *cluster) workersWithJob(id string) (workers []*workerProcess) {
 	for _, m := range c.world.sortedWorkers() {
 		for _, t := range m.Tasks {
@@ -46,44 +46,45 @@
 	return workers
 }
 
-// checkViolations fails the test for each violation, and shows the end of the log if the test is verbose.
+// checkViolations reports the first violations that the oracles have found as test errors. If the test has failed and
+// is verbose, it also prints the end of the log.
 func (c *cluster) checkViolations() {
 	c.t.Helper()
 	c.mu.Lock()
-	broken := append(append([]string{}, c.world.Violations...), c.answers.violations...)
-	late := c.world.LateStarts
+	allViolations := append(append([]string{}, c.world.Violations...), c.answers.violations...)
+	lateStarts := c.world.LateStarts
 	c.mu.Unlock()
-	for i, b := range broken {
+	for i, violation := range allViolations {
 		if i < 4 {
-			c.t.Error(b)
+			c.t.Error(violation)
 		}
 	}
-	if late > 0 {
-		c.t.Errorf("%d starts after a confirmed cancellation", late)
+	if lateStarts > 0 {
+		c.t.Errorf("%d start commands were executed after the cancellation was confirmed", lateStarts)
 	}
 	if c.t.Failed() && testing.Verbose() {
-		all := strings.Split(c.logs.String(), "\n")
-		c.t.Log(strings.Join(all[max(0, len(all)-400):], "\n"))
+		lines := strings.Split(c.logs.String(), "\n")
+		c.t.Log(strings.Join(lines[max(0, len(lines)-400):], "\n"))
 	}
 }
 
-// checkAllServed checks, some time after the last fault, that no job is forgotten or left waiting: queries about each
-// accepted job are answered, and each is over, or a service that runs.
+// checkAllServed checks that no job was lost or is stuck: queries about every accepted job are answered, and every job
+// has a final state or is a running service. It must be called some time after the last fault.
 func (c *cluster) checkAllServed() {
 	c.t.Helper()
 	if ids := c.answers.Unanswered(c.now() - 75*time.Second); len(ids) > 0 {
-		c.t.Errorf("no answer for 75 s about %v", ids)
+		c.t.Errorf("no query was answered for 75 s about jobs %v", ids)
 	}
 	running := c.runningJobs()
 	for _, id := range c.jobIDs {
-		_, over := c.answers.FinalState(id)
-		if !over && (c.world.Jobs[id].Shape != protocol.Service || !slices.Contains(running, id)) {
-			c.t.Errorf("%s %s is left waiting", c.world.Jobs[id].Shape, id)
+		_, final := c.answers.FinalState(id)
+		if !final && (c.world.Jobs[id].Shape != protocol.Service || !slices.Contains(running, id)) {
+			c.t.Errorf("%s %s is neither running nor in a final state", c.world.Jobs[id].Shape, id)
 		}
 	}
 }
 
-// runScenario runs f on a new cluster in simulated time, and checks for violations after it.
+// runScenario runs f on a new cluster in simulated time and then checks for violations.
 func runScenario(
 	t *testing.T,
 	seed uint64,
@@ -101,18 +102,18 @@
 	})
 }
 
-// TestQuietCluster: without any faults, real controllers serve everything.
-func TestQuietCluster(t *testing.T) {
+// TestClusterWithoutFaults checks that a cluster without faults serves all jobs and keeps its first leader.
+func TestClusterWithoutFaults(t *testing.T) {
 	runScenario(t, 1, 3, fastTimings, func(c *cluster) {
 		time.Sleep(5 * time.Second)
 		c.submitMixture(9)
 		time.Sleep(240 * time.Second)
 		c.checkAllServed()
 		if c.world.Starts < 15 {
-			t.Errorf("only %d starts", c.world.Starts)
+			t.Errorf("only %d tasks were started, want at least 15", c.world.Starts)
 		}
 		if c.term() != 1 {
-			t.Errorf("term %d without any trouble", c.term())
+			t.Errorf("term is %d without any fault, want 1", c.term())
 		}
 	})
 }
--- a/internal/simulation/cluster_cloud_test.go
+++ b/internal/simulation/cluster_cloud_test.go
@@ -8,7 +8,7 @@
 	"pinebay/internal/protocol"
 )
 
-// newCloud returns the cloud of the cluster.
+// newCloud returns the model of the cloud for the cluster.
 func (c *cluster) newCloud() *Cloud {
 	cloud := NewCloud(&c.mu, c.now)
 	cloud.Types, cloud.ListLag = c.types, config.Seconds(c.cfg.Cloud.ListLagSeconds)
@@ -19,14 +19,14 @@
 	return cloud
 }
 
-// rentalCapacity returns the number of machines that a rental gets. The caller holds c.mu.
-func (c *cluster) rentalCapacity(q protocol.Rental) int {
-	if c.deadZones[q.Zone] {
+// rentalCapacity returns the number of machines that are available for a rental. The caller holds c.mu.
+func (c *cluster) rentalCapacity(rental protocol.Rental) int {
+	if c.zonesWithoutRentals[rental.Zone] {
 		return 0
 	}
-	most := min(q.Count, c.cloudCapacity-len(c.workers))
+	available := min(rental.Count, c.cloudCapacity-len(c.workers))
 	if c.zoneCapacity == 0 {
-		return most
+		return available
 	}
-	return min(most, c.zoneCapacity-c.cloud.Count(q.Zone))
+	return min(available, c.zoneCapacity-c.cloud.Count(rental.Zone))
 }
--- a/internal/simulation/cluster_test.go
+++ b/internal/simulation/cluster_test.go
@@ -21,9 +21,9 @@
 	"pinebay/internal/transport"
 )
 
-// cluster is a deployment of real controllers in simulated time, with models of everything around them on an in-memory
-// network. Its oracles are the world, which checks every start and cancellation of a task, and answers, which checks
-// every answer to a user.
+// cluster is a deployment of real controllers in simulated time. They communicate over an in-memory network with models
+// of the key-value store, the cloud, workers and users. world checks every start and cancellation of a task, and
+// answers checks every answer to a user.
 type cluster struct {
 	t           *testing.T
 	start       time.Time
@@ -35,31 +35,31 @@
 	types       []protocol.MachineType
 	log         *slog.Logger
 	logs        *bytes.Buffer
-	logWriter   *lockedWriter // writes to logs, and guards it
+	logWriter   *lockedWriter // writes to logs and guards it
 	users       *UserClient
 	ctx         context.Context
 	stop        context.CancelFunc
 	wg          sync.WaitGroup
 
-	mu                sync.Mutex // guards what follows
+	mu                sync.Mutex // guards the fields below
 	random            *random.Source
 	world             *World
 	workers           map[string]*workerProcess
 	cloud             *Cloud
 	bootTime          func(machine string) time.Duration
 	onHeartbeat       func(r *protocol.WorkerHeartbeat) // called for each heartbeat that is sent
-	blockedLinks      map[string]int                    // "from>to": the number of reasons to block it
+	blockedLinks      map[string]int                    // number of faults that block a link, by "from>to"
 	jobIDs            []string
 	queryAfterAnswers bool
 	occurred          map[string]int // see recordOccurrence
-	// features returns what is enabled at a controller.
-	features      func(node int) daemon.Features
-	deadZones     map[string]bool // zones in which nothing can be rented
-	cloudCapacity int             // the number of machines that can be rented
-	zoneCapacity  int             // the number of them in one zone; 0: no limit
+	// features returns the features that are enabled at the controller with the given index.
+	features            func(node int) daemon.Features
+	zonesWithoutRentals map[string]bool // zones in which no machines can be rented
+	cloudCapacity       int             // limit on the number of machines
+	zoneCapacity        int             // limit on the number of machines in a zone; 0: no limit
 }
 
-// controller is a controller of the cluster. Its process ends and starts again.
+// controller is a controller of the cluster. Its process may be stopped and started again.
 type controller struct {
 	name, ip string
 	host     *Host
@@ -77,7 +77,7 @@
 	usersHost = "10.3.0.1"
 )
 
-// fastTimings and slowTimings are the timings of workers in different deployments.
+// fastTimings and slowTimings are the worker settings of two deployments, with short and long timeouts.
 var (
 	fastTimings = config.Workers{
 		HeartbeatSeconds: 1,
@@ -95,7 +95,7 @@
 	}
 )
 
-// newCluster starts a cluster. The options change its settings before it starts.
+// newCluster starts a cluster. Options are applied before it starts.
 func newCluster(
 	t *testing.T,
 	seed uint64,
@@ -105,20 +105,20 @@
 ) *cluster {
 	t.Helper()
 	c := &cluster{
-		t:             t,
-		start:         time.Now(),
-		net:           NewNetwork(seed),
-		store:         NewStore(),
-		random:        random.New(seed),
-		cfg:           clusterSettings(controllers, timings),
-		types:         clusterMachineTypes(),
-		logs:          &bytes.Buffer{},
-		workers:       map[string]*workerProcess{},
-		blockedLinks:  map[string]int{},
-		occurred:      map[string]int{},
-		features:      func(int) daemon.Features { return daemon.Features{} },
-		deadZones:     map[string]bool{},
-		cloudCapacity: 12,
+		t:                   t,
+		start:               time.Now(),
+		net:                 NewNetwork(seed),
+		store:               NewStore(),
+		random:              random.New(seed),
+		cfg:                 clusterSettings(controllers, timings),
+		types:               clusterMachineTypes(),
+		logs:                &bytes.Buffer{},
+		workers:             map[string]*workerProcess{},
+		blockedLinks:        map[string]int{},
+		occurred:            map[string]int{},
+		features:            func(int) daemon.Features { return daemon.Features{} },
+		zonesWithoutRentals: map[string]bool{},
+		cloudCapacity:       12,
 	}
 	for _, option := range options {
 		option(c)
@@ -141,13 +141,13 @@
 	}
 	for _, n := range c.controllers {
 		c.startController(n)
-		time.Sleep(ms) // whom it reaches must not depend on which of them listens first
+		time.Sleep(ms) // which peers a controller reaches first must not depend on the order of goroutines
 	}
 	c.spawn(c.advanceModels)
 	return c
 }
 
-// clusterSettings returns the settings that all controllers of a cluster share.
+// clusterSettings returns the deployment settings that all controllers of a cluster share.
 func clusterSettings(controllers int, timings config.Workers) config.Deployment {
 	return config.Deployment{
 		Controllers:      controllers,
@@ -162,7 +162,7 @@
 	}
 }
 
-// clusterMachineTypes returns the only machine type of a cluster.
+// clusterMachineTypes returns the machine types of a cluster, which has one.
 func clusterMachineTypes() []protocol.MachineType {
 	return []protocol.MachineType{{
 		Name:             "g8",
@@ -178,7 +178,7 @@
 	}}
 }
 
-// logLevel returns the level of the variable LOG_LEVEL.
+// logLevel returns the level that the environment variable LOG_LEVEL selects.
 func logLevel() slog.Level {
 	if os.Getenv("LOG_LEVEL") == "debug" {
 		return slog.LevelDebug
@@ -186,7 +186,7 @@
 	return slog.LevelInfo
 }
 
-// startModels starts everything that controllers talk to.
+// startModels starts the models that controllers communicate with.
 func (c *cluster) startModels(cancelTimeout time.Duration) {
 	c.t.Helper()
 	c.world = NewWorld(cancelTimeout, time.Second, 80*time.Second)
@@ -211,7 +211,7 @@
 	c.serve(cloudAddr, c.cloud)
 }
 
-// advanceModels lets time pass for the models until the cluster ends.
+// advanceModels updates the models to the current time every 50 ms until the cluster is shut down.
 func (c *cluster) advanceModels() {
 	for c.ctx.Err() == nil {
 		time.Sleep(50 * ms)
@@ -222,13 +222,13 @@
 	}
 }
 
-// controllerName returns the name of a controller by its index.
+// controllerName returns the name of the controller with the given index.
 func controllerName(i int) string { return fmt.Sprintf("n-%d", i) }
 
-// controllerIP returns the host of a controller by its index.
+// controllerIP returns the IP address of the controller with the given index.
 func controllerIP(i int) string { return fmt.Sprintf("10.0.0.%d", i+1) }
 
-// controllerSettings returns the settings of a controller by its index.
+// controllerSettings returns the settings of the controller with the given index.
 func (c *cluster) controllerSettings(i int) config.Settings {
 	settings := config.Settings{
 		Name:       controllerName(i),
@@ -264,7 +264,7 @@
 	return w.w.Write(p)
 }
 
-// logCount returns how often a text occurs in the log so far.
+// logCount returns the number of occurrences of a text in the log so far.
 func (c *cluster) logCount(text string) int {
 	c.logWriter.mu.Lock()
 	defer c.logWriter.mu.Unlock()
@@ -280,16 +280,16 @@
 	}()
 }
 
-// now returns the simulated time since the start.
+// now returns the simulated time since the start of the cluster.
 func (c *cluster) now() time.Duration { return time.Since(c.start) }
 
-// randomDuration returns a random duration up to d. Like all random numbers of the cluster it depends on the purpose
+// randomDuration returns a random duration below d. Like all random numbers of the cluster, it depends on the purpose
 // and not on the order of calls.
 func (c *cluster) randomDuration(purpose string, d time.Duration) time.Duration {
 	return c.random.UpTo(purpose, d)
 }
 
-// randomInt returns a random number below n.
+// randomInt returns a random integer in [0, n).
 func (c *cluster) randomInt(purpose string, n int) int { return c.random.For(purpose).IntN(n) }
 
 // chance returns true with the given probability.
@@ -297,21 +297,22 @@
 	return c.random.For(purpose).Float64() < share
 }
 
-// recordOccurrence records that something has occurred that a scenario may demand.
+// recordOccurrence counts an event. Scenarios check these counts to make sure that they have exercised what they are
+// meant to test.
 func (c *cluster) recordOccurrence(what string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.occurred[what]++
 }
 
-// occurrences returns how often something has occurred.
+// occurrences returns the count of an event.
 func (c *cluster) occurrences(what string) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.occurred[what]
 }
 
-// serve runs an HTTP server of a model.
+// serve runs an HTTP server for a model.
 func (c *cluster) serve(addr string, h http.Handler) {
 	c.t.Helper()
 	host := c.net.Host(HostOf(addr))
@@ -336,28 +337,29 @@
 	n.process = process
 	c.spawn(func() {
 		if err := process.Run(ctx); err != nil && ctx.Err() == nil {
-			c.t.Errorf("%s ended: %v", n.name, err)
+			c.t.Errorf("controller %s ended unexpectedly: %v", n.name, err)
 		}
 	})
 }
 
-// crash ends the process of a controller, and starts it again after a while.
-func (c *cluster) crash(n *controller, back time.Duration) {
+// crash kills the process of a controller and starts it again after downtime. It does nothing while the controller
+// is down.
+func (c *cluster) crash(n *controller, downtime time.Duration) {
 	if !n.up {
 		return
 	}
 	c.recordOccurrence("crash")
 	n.up = false
-	n.stop() // before its listeners are gone, or it would say that it ended by itself
+	n.stop() // before its listeners are closed; otherwise Run would report their loss as an error
 	n.host.Kill()
-	time.AfterFunc(back+c.randomDuration("back "+n.name, ms), func() {
+	time.AfterFunc(downtime+c.randomDuration("back "+n.name, ms), func() {
 		if c.ctx.Err() == nil {
 			c.startController(n)
 		}
 	})
 }
 
-// shutDown ends everything, and waits for what is still under way.
+// shutDown stops the cluster and waits for its goroutines.
 func (c *cluster) shutDown() {
 	c.stop()
 	for _, n := range c.controllers {
@@ -371,10 +373,10 @@
 	c.mu.Unlock()
 	c.net.Close()
 	c.wg.Wait()
-	time.Sleep(time.Minute) // what still waits for its time
+	time.Sleep(time.Minute) // let pending timers expire
 }
 
-// leader returns the controller that holds the leader's key, or held it last.
+// leader returns the controller that is recorded as the leader or, if there is none, as the leader of the last term.
 func (c *cluster) leader() *controller {
 	p := c.store.Get(storage.LeaderKey)
 	if p.Revision == 0 {
@@ -406,7 +408,7 @@
 	return rec.Term
 }
 
-// others returns all controllers but one.
+// others returns all controllers except n.
 func (c *cluster) others(n *controller) (out []*controller) {
 	for _, o := range c.controllers {
 		if o != n {
@@ -416,7 +418,8 @@
 	return out
 }
 
-// blockLink holds back what one host sends to another. "*" stands for every host. The returned function ends that.
+// blockLink blocks one direction of the link between two hosts; "*" stands for all hosts. Blocked packets are queued.
+// The returned function unblocks the link.
 func (c *cluster) blockLink(from, to string) func() {
 	change := func(by int) {
 		c.mu.Lock()
@@ -431,20 +434,20 @@
 		defer c.mu.Unlock()
 		for _, r := range c.workers {
 			if r.ip == from || r.ip == to {
-				r.model.ExcusedUntil = c.now() + s // what was held back arrives now
+				r.model.LateCommandsAllowedUntil = c.now() + s // queued commands arrive now
 			}
 		}
 	}
 }
 
-// isolateFrom blocks the links between a controller and others in both directions. The returned function ends that.
+// isolateFrom blocks the links between a controller and others in both directions. The returned function unblocks them.
 func (c *cluster) isolateFrom(n *controller, others ...*controller) func() {
-	var ends []func()
+	var unblocks []func()
 	for _, o := range others {
-		ends = append(ends, c.blockLink(n.ip, o.ip), c.blockLink(o.ip, n.ip))
+		unblocks = append(unblocks, c.blockLink(n.ip, o.ip), c.blockLink(o.ip, n.ip))
 	}
 	return func() {
-		for _, f := range ends {
+		for _, f := range unblocks {
 			f()
 		}
 	}
--- a/internal/simulation/cluster_user_test.go
+++ b/internal/simulation/cluster_user_test.go
@@ -7,7 +7,7 @@
 	"pinebay/internal/protocol"
 )
 
-// allTasksDone reports whether all tasks of a job are done.
+// allTasksDone reports whether all tasks of a job have completed.
 func (c *cluster) allTasksDone(id string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -37,7 +37,7 @@
 	c.occurred["cancelled"]++
 }
 
-// request sends a user's request to a controller, and has the answer checked.
+// request sends a user request to a controller and checks the answer.
 func (c *cluster) request(n *controller, kind, id string) (int, protocol.JobStatus) {
 	c.mu.Lock()
 	job := c.world.Jobs[id]
@@ -45,14 +45,15 @@
 	return c.users.Request(c.ctx, n.ip+":8080", kind, id, job)
 }
 
-// requestAndVerify is like request. With queryAfterAnswers, once a job was accepted, done or cancelled, all controllers
-// are queried about it several times within milliseconds, and get its submission again.
+// requestAndVerify is like request. If queryAfterAnswers is set and the answer shows that the job was accepted or has a
+// final state, it also queries all controllers about the job several times within milliseconds and submits it again to
+// each, so that inconsistent answers of different controllers are found.
 func (c *cluster) requestAndVerify(n *controller, kind, id string) (int, protocol.JobStatus) {
 	status, st := c.request(n, kind, id)
 	c.mu.Lock()
-	looks := c.queryAfterAnswers && (kind != RequestQuery || st.State.Final()) && (status == 200 || status == 201)
+	verify := c.queryAfterAnswers && (kind != RequestQuery || st.State.Final()) && (status == 200 || status == 201)
 	c.mu.Unlock()
-	if looks {
+	if verify {
 		c.recordOccurrence("looks")
 		for _, o := range c.controllers {
 			for i := range 3 {
@@ -70,25 +71,25 @@
 	return status, st
 }
 
-// anyController returns the controller that a load balancer chooses for a request about a job.
+// anyController returns a random controller for a request about a job, as a load balancer would.
 func (c *cluster) anyController(id string) *controller {
 	return c.controllers[c.randomInt("any "+id, len(c.controllers))]
 }
 
-// submit has a user submit a job and query it until it is over. The user repeats requests that fail.
+// submit starts a user who submits a job and queries it until it has a final state. The user retries failed requests.
 func (c *cluster) submit(j protocol.Job) { c.submitAfter(j, nil, nil) }
 
-// submitAfter is like submit for a job that is submitted once others are accepted. accepted, if not nil, is closed when
-// the job is accepted.
-func (c *cluster) submitAfter(j protocol.Job, others []chan struct{}, accepted chan struct{}) {
+// submitAfter is like submit, but the job is submitted only after all of the dependencies channels are closed.
+// accepted, if not nil, is closed when the job has been accepted.
+func (c *cluster) submitAfter(j protocol.Job, dependencies []chan struct{}, accepted chan struct{}) {
 	c.mu.Lock()
 	c.world.Jobs[j.ID] = &j
 	c.jobIDs = append(c.jobIDs, j.ID)
 	c.mu.Unlock()
 	c.spawn(func() {
-		for _, other := range others {
+		for _, dependency := range dependencies {
 			select {
-			case <-other:
+			case <-dependency:
 			case <-c.ctx.Done():
 				return
 			}
@@ -111,10 +112,10 @@
 	})
 }
 
-// pollInBackground has a user query an accepted job until it is over.
+// pollInBackground starts a user who queries an accepted job until it has a final state.
 func (c *cluster) pollInBackground(id string) { c.spawn(func() { c.pollUntilFinal(id) }) }
 
-// pollUntilFinal has a user query a job until it is over.
+// pollUntilFinal queries a job every few seconds until an answer has a final state.
 func (c *cluster) pollUntilFinal(id string) {
 	for c.ctx.Err() == nil {
 		if status, st := c.requestAndVerify(c.anyController(id), RequestQuery, id); status == 200 && st.State.Final() {
@@ -124,13 +125,13 @@
 	}
 }
 
-// cancelUntilFinal has a user cancel a job at the given controllers until one says that the job is over, or until the
-// time is up. It returns whether the user was told that the job is cancelled.
-func (c *cluster) cancelUntilFinal(id string, at []*controller, within time.Duration) bool {
+// cancelUntilFinal sends requests to cancel a job to random ones of the target controllers until an answer has a final
+// state, for at most within. It reports whether an answer confirmed the cancellation.
+func (c *cluster) cancelUntilFinal(id string, targets []*controller, within time.Duration) bool {
 	end := c.now() + within
 	for c.ctx.Err() == nil && c.now() < end {
 		if status, st := c.requestAndVerify(
-			at[c.randomInt("cancel "+id, len(at))],
+			targets[c.randomInt("cancel "+id, len(targets))],
 			RequestCancel,
 			id,
 		); status == 200 &&
@@ -142,7 +143,7 @@
 	return false
 }
 
-// newJob returns a job of a shape with a new id.
+// newJob returns a job with a new id.
 func (c *cluster) newJob(shape protocol.Shape, tasks int, gpus float64) protocol.Job {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -171,7 +172,7 @@
 	return j
 }
 
-// submitMixture submits n jobs of all shapes.
+// submitMixture submits n jobs: services, arrays and gangs in turn.
 func (c *cluster) submitMixture(n int) {
 	for i := range n {
 		switch i % 3 {
--- a/internal/simulation/cluster_worker_test.go
+++ b/internal/simulation/cluster_worker_test.go
@@ -11,7 +11,7 @@
 	"pinebay/internal/transport"
 )
 
-// workerProcess is a machine of the cluster with the process of its worker.
+// workerProcess is a machine of the cluster, with the model and the agent of its worker.
 type workerProcess struct {
 	*Agent
 	cluster *cluster
@@ -21,7 +21,7 @@
 	host    *Host
 }
 
-// startWorker starts the worker of a machine. The caller holds c.mu.
+// startWorker starts the worker of a machine that has booted. The caller holds c.mu.
 func (c *cluster) startWorker(m protocol.ListedMachine) {
 	r := &workerProcess{cluster: c, machine: m, ip: HostOf(m.Addr)}
 	r.model = c.world.AddMachine(
@@ -35,9 +35,9 @@
 	c.workers[m.Name] = r
 	r.host = c.net.Host(r.ip)
 	r.Agent = NewAgent(c.ctx, c.environment(), r.model, m.Addr, transport.NewClient(r.host, 2, 4, time.Minute))
-	r.OnHeartbeat = func(rep *protocol.WorkerHeartbeat) {
+	r.OnHeartbeat = func(heartbeat *protocol.WorkerHeartbeat) {
 		if c.onHeartbeat != nil {
-			c.onHeartbeat(rep)
+			c.onHeartbeat(heartbeat)
 		}
 		if r.HeartbeatsLost {
 			c.occurred["mute"]++
@@ -58,7 +58,7 @@
 	c.spawn(func() { r.Run(at) })
 }
 
-// stopWorker ends the worker of a machine. The caller holds c.mu.
+// stopWorker stops the worker of a machine that was removed. The caller holds c.mu.
 func (c *cluster) stopWorker(name string) {
 	if r := c.workers[name]; r != nil {
 		r.Stop()
@@ -67,9 +67,9 @@
 	c.world.RemoveMachine(name)
 }
 
-// environment returns what the workers share.
+// environment returns the environment that the agents of all workers share.
 func (c *cluster) environment() *Environment {
-	s := &Environment{
+	env := &Environment{
 		Lock:              &c.mu,
 		Now:               c.now,
 		Random:            c.random.Named("workers"),
@@ -77,12 +77,12 @@
 		OnError:           func(err error) { c.t.Error(err) },
 	}
 	for _, n := range c.controllers {
-		s.Controllers = append(s.Controllers, Controller{Name: n.name, Addr: n.ip + ":8080"})
+		env.Controllers = append(env.Controllers, Controller{Name: n.name, Addr: n.ip + ":8080"})
 	}
-	return s
+	return env
 }
 
-// hang makes the machine execute nothing for a while. The caller holds the cluster's lock.
+// hang suspends the machine for a while. The caller holds the mu of the cluster.
 func (r *workerProcess) hang(d time.Duration) {
 	r.Hang()
 	r.cluster.occurred["hang"]++
@@ -93,15 +93,15 @@
 	})
 }
 
-// deliverCopy sends a copy of a heartbeat to a controller, and drops the reply.
-func (c *cluster) deliverCopy(rep *protocol.WorkerHeartbeat, to *controller) {
+// deliverCopy sends a copy of a heartbeat to a controller and discards the reply.
+func (c *cluster) deliverCopy(heartbeat *protocol.WorkerHeartbeat, to *controller) {
 	client := transport.NewClient(c.net.Host("10.1.9.9"), 4, 4, time.Second)
 	if status, _, err := client.Do(
 		c.ctx,
 		protocol.HeartbeatTimeout,
 		http.MethodPost,
 		"http://"+to.ip+":8080/v1/report",
-		rep,
+		heartbeat,
 	); err == nil &&
 		status == http.StatusOK {
 		c.recordOccurrence("late report taken")
--- a/internal/simulation/repeat_test.go
+++ b/internal/simulation/determinism_test.go
@@ -12,21 +12,22 @@
 	"pinebay/internal/testutil"
 )
 
-// packetArrival is a packet that was delivered, with a hash of its content.
+// packetArrival is the delivery of a packet, with a hash of its content.
 type packetArrival struct {
 	at       time.Duration
 	from, to string
 	content  uint64
 }
 
-// newArrival returns the arrival of a packet.
+// newArrival returns the arrival of a packet with the given content.
 func newArrival(at time.Duration, from, to string, data []byte) packetArrival {
 	h := fnv.New64a()
 	_, _ = h.Write(data)
 	return packetArrival{at, from, to, h.Sum64()}
 }
 
-// recordArrivals runs steps for a while, and returns all packets that were delivered.
+// recordArrivals runs the steps of a scenario and returns the packets that were delivered until 90 s after the last
+// step, sorted by time.
 func recordArrivals(
 	t *testing.T,
 	seed uint64,
@@ -45,7 +46,7 @@
 		time.Sleep(90 * s)
 		c.net.Tap(nil)
 	}, options...)
-	// What arrives at the very same moment arrives in no order.
+	// The order of packets that arrive at the same moment is not defined; sort them.
 	slices.SortStableFunc(all, func(a, b packetArrival) int {
 		if a.at != b.at {
 			return int(a.at - b.at)
@@ -58,16 +59,16 @@
 	return all
 }
 
-// TestSameSeedSameRun: two runs with the same seed are the same, packet by packet and to the nanosecond. Failures that
-// cannot be repeated cannot be examined; before, random numbers depended on the order of goroutines, and so did which
-// request got an idle connection, which one passed a limit first, and which of two messages at one moment was handled
-// first.
+// TestSameSeedSameRun checks that two runs with the same seed deliver the same packets at the same nanosecond, so that
+// failures can be reproduced. Runs used to differ because the order of goroutines determined the random numbers, which
+// request got an idle connection, which request passed a rate limit first, and which of two simultaneous messages was
+// handled first.
 //
-// Two causes of difference are left, and these scenarios avoid them: net/http may repeat a query whose controller ends,
-// and a reply that a leader gives in the step that ends its term may be sent or not.
+// Two causes of differences are left, and these scenarios avoid them: net/http may retry a query whose controller
+// stops, and a reply that a leader returns in the step that ends its term may or may not be sent.
 func TestSameSeedSameRun(t *testing.T) {
 	rng := rand.New(rand.NewPCG(testutil.Seed(), 9))
-	drawn, _ := randomScenario(rng)
+	randomSteps, _ := randomScenario(rng)
 	for _, x := range []scenario{
 		{
 			name:        "zone lost and back",
@@ -94,7 +95,7 @@
 			name:        "drawn",
 			controllers: 3,
 			timings:     slowTimings,
-			steps:       drawn,
+			steps:       randomSteps,
 		},
 	} {
 		t.Run(x.name, func(t *testing.T) {
@@ -103,11 +104,21 @@
 			again := recordArrivals(t, 77, x.controllers, x.timings, x.steps, x.options...)
 			for i := range min(len(first), len(again)) {
 				if first[i] != again[i] {
-					t.Fatalf("packet %d of %d: %+v, and in another run %+v", i, len(first), first[i], again[i])
+					t.Fatalf(
+						"packet %d of %d is %+v in the first run and %+v in the second",
+						i,
+						len(first),
+						first[i],
+						again[i],
+					)
 				}
 			}
 			if len(first) != len(again) || len(first) < 1000 {
-				t.Errorf("%d packets, and in another run %d", len(first), len(again))
+				t.Errorf(
+					"%d packets in the first run and %d in the second, want the same and at least 1000",
+					len(first),
+					len(again),
+				)
 			}
 		})
 	}
--- a/internal/simulation/failoveroracle.go
+++ b/internal/simulation/failoveroracle.go
@@ -8,7 +8,7 @@
 	"pinebay/internal/storage"
 )
 
-// FreeMachine is the free capacity of a machine.
+// FreeMachine describes the zone and the free resources of a machine.
 type FreeMachine struct {
 	Zone string
 	Free machineregistry.Resources
@@ -17,19 +17,19 @@
 // WaitingJob is a job that waits for capacity after the failure of a zone.
 type WaitingJob struct {
 	ID                      string
-	Position, PriorityLevel int // in the recovery order
+	Position, PriorityLevel int // position in the recovery order, and priority level among jobs of the same position
 	Resources               machineregistry.Resources
-	// Tasks is the number of tasks that must be placed together, and 1 if they start one by one.
+	// Tasks is the number of tasks that must be placed together: 1 if tasks may start one by one.
 	Tasks int
-	// SameZone says that all tasks must be in one zone.
+	// SameZone requires all tasks to be in one zone.
 	SameZone bool
 	// MaxPerZone is the number of tasks that may still be placed in each zone.
 	MaxPerZone map[string]int
-	// ExcludedMachines must not get the job, because of an earlier attempt of it there.
+	// ExcludedMachines are machines that must not run the job because an earlier attempt of it ran there.
 	ExcludedMachines map[string]bool
 }
 
-// before reports whether a job comes before another one in the recovery order.
+// before reports whether the job precedes another one in the recovery order.
 func (j WaitingJob) before(o WaitingJob) bool {
 	if j.Position != o.Position {
 		return j.Position < o.Position
@@ -37,38 +37,42 @@
 	return j.PriorityLevel < o.PriorityLevel
 }
 
-// PlacedTask is a task that was placed.
+// PlacedTask is a task that a scheduling cycle placed on a machine.
 type PlacedTask struct {
 	Job     WaitingJob
 	Machine string
-	// WithinQuota says that the task is within the guaranteed quota of its team, and so need not wait for other jobs.
+	// WithinQuota marks a task within the guaranteed quota of its team. Such a task may precede jobs that come earlier
+	// in the recovery order.
 	WithinQuota bool
 }
 
-// RecoveryOrderOracle checks that jobs are restarted in the recovery order: no task is placed in capacity that a job
-// before it could use.
+// RecoveryOrderOracle checks that jobs are restarted in the recovery order: no task may use capacity that would allow
+// an earlier job, which still waits, to start.
 type RecoveryOrderOracle struct{ Violations []string }
 
-// CheckCycle checks one scheduling cycle: the tasks that were placed, the jobs that still wait, and the capacity that
-// is free after the cycle.
+// CheckCycle checks one scheduling cycle. placed are the tasks that it placed, waiting the jobs that still wait after
+// it, and machines the free resources after it, by machine name.
 func (o *RecoveryOrderOracle) CheckCycle(placed []PlacedTask, waiting []WaitingJob, machines map[string]FreeMachine) {
 	for _, job := range waiting {
-		before := maps.Clone(machines) // without the tasks that should have waited
-		usedBy := ""
+		withoutLaterJobs := maps.Clone(machines) // free resources if later jobs had not been placed
+		placedInstead := ""
 		for _, task := range placed {
-			if machine, ok := before[task.Machine]; ok && job.before(task.Job) && !task.WithinQuota {
+			if machine, ok := withoutLaterJobs[task.Machine]; ok && job.before(task.Job) && !task.WithinQuota {
 				machine.Free = machine.Free.Plus(task.Job.Resources)
-				before[task.Machine] = machine
-				usedBy = task.Job.ID
+				withoutLaterJobs[task.Machine] = machine
+				placedInstead = task.Job.ID
 			}
 		}
-		if usedBy != "" && job.fits(before) && !job.fits(machines) {
-			o.Violations = append(o.Violations, fmt.Sprintf("%s waits, and %s was placed in its room", job.ID, usedBy))
+		if placedInstead != "" && job.fits(withoutLaterJobs) && !job.fits(machines) {
+			o.Violations = append(
+				o.Violations,
+				fmt.Sprintf("%s waits, and later job %s got its capacity", job.ID, placedInstead),
+			)
 		}
 	}
 }
 
-// fits reports whether the job's tasks fit on the machines.
+// fits reports whether the tasks of the job fit into the free resources of the machines.
 func (j WaitingJob) fits(machines map[string]FreeMachine) bool {
 	perZone := map[string]int{}
 	for name, machine := range machines {
@@ -91,24 +95,25 @@
 	return !j.SameZone && total >= j.Tasks
 }
 
-// LenderObservation is what is known of a lender when a loan of it is first recorded.
+// LenderObservation describes the lender and the borrower of a loan when the loan is first recorded.
 type LenderObservation struct {
-	LenderLevel, BorrowerLevel int // priority levels
-	// ProtectedByQuota says that the lender's task is within the guaranteed quota of its team.
+	LenderLevel, BorrowerLevel int // priority levels; a higher number is a lower priority, and 0 is critical
+	// ProtectedByQuota says that the lender's task is within the guaranteed quota of its team and must not be lent.
 	ProtectedByQuota bool
 }
 
-// LoanOracle checks the records of loans: no task attempt is lent twice, no protected lender lends, and every loan
-// ends.
+// LoanOracle checks the loan records of zone failover. In a loan, a lender's task is stopped so that its resources go
+// to a borrower of higher priority. No task attempt may be lent twice, no protected task may be lent, and every loan
+// must end.
 type LoanOracle struct {
 	Violations    []string
 	LoanCount     int
-	LostSeconds   float64 // of work that lenders lost
+	LostSeconds   float64 // work that lenders lost, in seconds
 	open          map[taskAttempt]storage.LoanRow
 	firstRecorded map[taskAttempt]loanNumber
 }
 
-// loanNumber identifies a loan by the term of its leader and its number within the term.
+// loanNumber identifies a loan by the term of the leader that recorded it and its number within that term.
 type loanNumber [2]uint64
 
 // taskAttempt identifies an attempt of a lender's task.
@@ -118,20 +123,21 @@
 	attempt uint64
 }
 
-// NewLoanOracle returns an oracle that has seen no records.
+// NewLoanOracle returns an oracle without any recorded loans.
 func NewLoanOracle() *LoanOracle {
 	return &LoanOracle{open: map[taskAttempt]storage.LoanRow{}, firstRecorded: map[taskAttempt]loanNumber{}}
 }
 
-// CheckRecords checks all loans that are recorded now. observe returns what is known of the lender of a new loan.
+// CheckRecords checks the loans that are currently recorded. It must be called with all of them each time. observe
+// describes the lender and the borrower of a loan and is called once for each new loan.
 func (o *LoanOracle) CheckRecords(rows []storage.LoanRow, observe func(storage.LoanRow) LenderObservation) {
-	now := map[taskAttempt]storage.LoanRow{}
+	current := map[taskAttempt]storage.LoanRow{}
 	for _, row := range rows {
 		task := taskAttempt{row.Lender, row.Task, row.Attempt}
-		if _, twice := now[task]; twice {
-			o.addViolation("lent twice at a time: %+v", row)
+		if _, duplicate := current[task]; duplicate {
+			o.addViolation("lent twice at the same time: %+v", row)
 		}
-		now[task] = row
+		current[task] = row
 		number := loanNumber{row.Term, row.Number}
 		if known, ok := o.firstRecorded[task]; ok {
 			o.checkRepeatedLoan(row, known, task)
@@ -144,28 +150,29 @@
 		o.LostSeconds += row.LostSeconds
 		lender := observe(row)
 		if lender.LenderLevel <= lender.BorrowerLevel || lender.LenderLevel == 0 || lender.ProtectedByQuota {
-			o.addViolation("a protected lender: %+v, %+v", row, lender)
+			o.addViolation("loan of a protected lender: %+v, %+v", row, lender)
 		}
 	}
-	o.open = now
+	o.open = current
 }
 
-// checkRepeatedLoan checks a loan of an attempt that has lent before. Only a leader of a later term may lend it again,
-// if the earlier leader ended before it used the loan: otherwise the attempt was stopped, and never runs again.
+// checkRepeatedLoan checks a loan of a task attempt that was lent before, as the loan known. Only a leader of a later
+// term may lend the attempt again, because the earlier leader may have ended before it used the loan. If it had used
+// the loan, the attempt would have been stopped and would never run again.
 func (o *LoanOracle) checkRepeatedLoan(row storage.LoanRow, known loanNumber, task taskAttempt) {
 	_, open := o.open[task]
 	switch same := known == (loanNumber{row.Term, row.Number}); {
 	case same && !open:
-		o.addViolation("opened again after its end: %+v", row)
+		o.addViolation("loan recorded again after its end: %+v", row)
 	case !same && row.Term <= known[0]:
-		o.addViolation("lent twice: %+v, first as %v", row, known)
+		o.addViolation("lent twice: %+v, first in loan %v", row, known)
 	}
 }
 
-// CheckAllClosed checks that all loans have ended.
+// CheckAllClosed checks that no loan is open.
 func (o *LoanOracle) CheckAllClosed() {
 	for _, row := range o.open {
-		o.addViolation("never closed: %+v", row)
+		o.addViolation("loan was never closed: %+v", row)
 	}
 }
 
--- a/internal/simulation/failuredetection_test.go
+++ b/internal/simulation/failuredetection_test.go
@@ -7,14 +7,15 @@
 	"pinebay/internal/daemon"
 )
 
-// withOwnership enables failure detection and ownership at the controllers that a function selects.
+// withOwnership returns an option that enables failure detection and ownership at the controllers for which on returns
+// true.
 func withOwnership(on func(node int) bool) func(*cluster) {
 	return func(c *cluster) {
 		c.features = func(node int) daemon.Features { return daemon.Features{Ownership: on(node)} }
 	}
 }
 
-// Lines of the log.
+// Texts in log lines of the failure detector.
 const (
 	logDetectorDecision = `msg="failure detector decision"`
 	logSuspected        = "is suspected"
@@ -22,14 +23,14 @@
 	logReturned         = "is back as"
 )
 
-// blockLeaderLink blocks the link between the leader and one other controller.
+// blockLeaderLink blocks the link between the leader and one other controller in both directions.
 func blockLeaderLink(c *cluster) func() {
 	c.recordOccurrence("link")
 	return c.isolateFrom(c.leader(), firstFollower(c))
 }
 
-// TestFailureDetection runs failures, and what only looks like one, under all oracles: the log has the suspicions and
-// verdicts, and nothing else follows from them.
+// TestFailureDetection runs scenarios with real failures and with faults that only look like one, such as a blocked
+// link or a slow controller. It checks the suspicions and verdicts in the log, and that no oracle finds a violation.
 func TestFailureDetection(t *testing.T) {
 	scenarios := []scenario{
 		{
@@ -139,7 +140,7 @@
 	}
 	runScenarios(t, 700, scenarios, func(c *cluster, x *scenario) {
 		c.startJobs(9)
-		time.Sleep(60 * s) // until all count for majorities
+		time.Sleep(60 * s) // until all controllers count toward a majority
 		c.runSteps(x.steps)
 		time.Sleep(4 * time.Minute)
 		c.checkAllServed()
--- a/internal/simulation/faults_test.go
+++ b/internal/simulation/faults_test.go
@@ -8,22 +8,22 @@
 	"pinebay/internal/protocol"
 )
 
-// fault injects a fault into a cluster. The returned function, if not nil, repairs it.
-type fault func(c *cluster) (mend func())
+// fault injects a fault into a cluster. The returned function, if not nil, ends the fault.
+type fault func(c *cluster) (repair func())
 
-// during is a step that injects a fault for a while.
-func during(d time.Duration, what fault) func(c *cluster) {
+// during returns a step that injects a fault and ends it after d.
+func during(d time.Duration, inject fault) func(c *cluster) {
 	return func(c *cluster) {
-		mend := what(c)
+		repair := inject(c)
 		time.AfterFunc(d, func() {
-			if c.ctx.Err() == nil && mend != nil {
-				mend()
+			if c.ctx.Err() == nil && repair != nil {
+				repair()
 			}
 		})
 	}
 }
 
-// refuseLeader makes the key-value store refuse the leader alone.
+// refuseLeader makes the key-value store refuse the requests of the leader only.
 func refuseLeader(c *cluster) func() {
 	n := c.leader()
 	c.recordOccurrence("refused")
@@ -31,14 +31,15 @@
 	return func() { c.store.SetRefused(n.ip, false) }
 }
 
-// storeOutage makes the key-value store serve nobody.
+// storeOutage makes the key-value store unavailable to all controllers.
 func storeOutage(c *cluster) func() {
 	c.recordOccurrence("outage")
 	c.store.SetOutage(true)
 	return func() { c.store.SetOutage(false) }
 }
 
-// isolateLeader cuts the leader off from the key-value store and the other controllers, but not from workers and users.
+// isolateLeader partitions the leader from the key-value store and the other controllers, but not from workers and
+// users.
 func isolateLeader(c *cluster) func() {
 	n := c.leader()
 	c.recordOccurrence("apart")
@@ -54,46 +55,47 @@
 	return func() { heal(); a(); b() }
 }
 
-// crashLeader is a step that crashes the leader.
-func crashLeader(back time.Duration) func(c *cluster) {
-	return func(c *cluster) { c.crash(c.leader(), back) }
+// crashLeader returns a step that crashes the leader.
+func crashLeader(downtime time.Duration) func(c *cluster) {
+	return func(c *cluster) { c.crash(c.leader(), downtime) }
 }
 
-// crashAllControllers is a step that crashes all controllers. They come back one after the other.
-func crashAllControllers(back time.Duration) func(c *cluster) {
+// crashAllControllers returns a step that crashes all controllers. They start again at intervals of 100 ms.
+func crashAllControllers(downtime time.Duration) func(c *cluster) {
 	return func(c *cluster) {
 		for i, n := range c.controllers {
-			c.crash(n, back+time.Duration(i)*100*ms)
+			c.crash(n, downtime+time.Duration(i)*100*ms)
 		}
 	}
 }
 
-// isolateZone cuts the workers of a zone and one controller off from everything else.
+// isolateZone partitions zone a, with its workers and one controller, from everything else. Its workers reach only that
+// controller.
 func isolateZone(c *cluster) func() {
 	c.recordOccurrence("zone")
 	n := c.controllers[0]
-	var ends []func()
+	var unblocks []func()
 	for _, o := range c.others(n) {
-		ends = append(ends, c.isolateFrom(n, o))
+		unblocks = append(unblocks, c.isolateFrom(n, o))
 	}
-	both := func(a, b string) { ends = append(ends, c.blockLink(a, b), c.blockLink(b, a)) }
+	blockBoth := func(a, b string) { unblocks = append(unblocks, c.blockLink(a, b), c.blockLink(b, a)) }
 	for _, out := range []string{HostOf(stateAddr), HostOf(cloudAddr), usersHost} {
-		both(n.ip, out)
+		blockBoth(n.ip, out)
 	}
 	for _, r := range c.selectWorkers(99, func(r *workerProcess) bool { return r.machine.Zone == "a" }) {
 		for _, o := range c.others(n) {
-			both(r.ip, o.ip)
+			blockBoth(r.ip, o.ip)
 		}
 	}
 	return func() {
-		for _, f := range ends {
+		for _, f := range unblocks {
 			f()
 		}
 	}
 }
 
-// slowController makes a controller short of processor time: everything that it sends and receives is delayed, such as
-// heartbeats and the renewals of its lease.
+// slowController simulates a controller that is short of CPU time: every packet that it sends or receives is delayed,
+// including heartbeats and the renewals of its lease.
 func slowController(by time.Duration, which func(c *cluster) *controller) fault {
 	return func(c *cluster) func() {
 		n := which(c)
@@ -107,21 +109,23 @@
 	}
 }
 
-// hopsInFlight is the number of messages of a slow controller between a cancellation and the last start that it cannot
-// prevent: a heartbeat that is already under way and its reply, the one with the news, and the command.
+// hopsInFlight is the number of delayed messages between a cancellation and the last start command that a slow
+// controller may send in spite of it: a heartbeat that is already under way, its reply, the heartbeat with the
+// cancellation, and the command.
 const hopsInFlight = 4
 
-// setCommandTransitTime sets how long a start may be under way after the cancellation of its job.
+// setCommandTransitTime sets the World.CommandTransitTime of the cluster.
 func (c *cluster) setCommandTransitTime(d time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.world.CommandTransitTime = d
 }
 
-// firstFollower returns a controller that does not lead.
+// firstFollower returns the first controller that is not the leader.
 func firstFollower(c *cluster) *controller { return c.others(c.leader())[0] }
 
-// selectWorkers returns up to n workers that a function selects, or any if it is nil, in the order of their names.
+// selectWorkers returns the first n workers by name for which a function returns true. A nil function selects all
+// workers.
 func (c *cluster) selectWorkers(n int, which func(*workerProcess) bool) (out []*workerProcess) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -141,7 +145,7 @@
 // hasTasks reports whether a worker has tasks.
 func hasTasks(r *workerProcess) bool { return len(r.model.Tasks) > 0 }
 
-// loseHeartbeats drops the heartbeats of n workers. Commands that are sent to their addresses arrive.
+// loseHeartbeats drops the heartbeats of n workers with tasks. Commands that are sent to their addresses still arrive.
 func loseHeartbeats(n int) fault {
 	return func(c *cluster) func() {
 		workers := c.selectWorkers(n, hasTasks)
@@ -157,23 +161,24 @@
 	}
 }
 
-// holdReplies holds back everything that is sent to n workers. Their heartbeats arrive, and commands are executed late.
+// holdReplies blocks all packets to n workers with tasks. Their heartbeats still arrive, and commands are executed
+// late.
 func holdReplies(n int) fault {
 	return func(c *cluster) func() {
-		var ends []func()
+		var unblocks []func()
 		for _, r := range c.selectWorkers(n, hasTasks) {
 			c.recordOccurrence("deaf")
-			ends = append(ends, c.blockLink("*", r.ip))
+			unblocks = append(unblocks, c.blockLink("*", r.ip))
 		}
 		return func() {
-			for _, f := range ends {
+			for _, f := range unblocks {
 				f()
 			}
 		}
 	}
 }
 
-// hangWorkers is a step that makes n workers execute nothing for a while.
+// hangWorkers returns a step that suspends n machines with tasks for a while.
 func hangWorkers(n int, d time.Duration) func(c *cluster) {
 	return func(c *cluster) {
 		workers := c.selectWorkers(n, hasTasks)
@@ -187,8 +192,8 @@
 	}
 }
 
-// faultyWrites gives a share of the transactions another outcome.
-func faultyWrites(share float64, fate func(c *cluster, transaction string) Outcome) fault {
+// faultyWrites replaces the outcome of a random share of the transactions.
+func faultyWrites(share float64, outcome func(c *cluster, transaction string) Outcome) fault {
 	return func(c *cluster) func() {
 		c.store.SetOutcomes(func(host string, txn *protocol.Txn) Outcome {
 			name := host
@@ -199,32 +204,32 @@
 				return Outcome{Reply: true}
 			}
 			c.recordOccurrence("write")
-			return fate(c, name)
+			return outcome(c, name)
 		})
 		return func() { c.store.SetOutcomes(nil) }
 	}
 }
 
-// delayedWrites applies a share of the transactions late, after newer ones, and never answers them.
+// delayedWrites makes the store apply a share of the transactions late, after newer ones, and never answer them.
 func delayedWrites(share float64) fault {
 	return faultyWrites(share, func(c *cluster, name string) Outcome {
 		return Outcome{Delay: 2*time.Second + c.randomDuration("late "+name, 10*time.Second)}
 	})
 }
 
-// lostReplies loses the answers to a share of the transactions, which are applied at once.
-func lostReplies(share float64) fault { //nolint:unparam // a share, as the other faults have
+// lostReplies makes the store apply a share of the transactions at once but never answer them.
+func lostReplies(share float64) fault { //nolint:unparam // has the same signature as the other faults
 	return faultyWrites(share, func(*cluster, string) Outcome { return Outcome{} })
 }
 
-// slowWrites delays the answers to a share of the transactions.
-func slowWrites(share float64, most time.Duration) fault {
+// slowWrites makes the store apply a share of the transactions at once but answer them late.
+func slowWrites(share float64, maxDelay time.Duration) fault {
 	return faultyWrites(share, func(c *cluster, name string) Outcome {
-		return Outcome{Reply: true, Delay: c.randomDuration("late "+name, most)}
+		return Outcome{Reply: true, Delay: c.randomDuration("late "+name, maxDelay)}
 	})
 }
 
-// duplicateHeartbeats delivers copies of a share of the heartbeats, up to long after them.
+// duplicateHeartbeats delivers copies of a share of the heartbeats to random controllers, up to 2.5 lease times later.
 func duplicateHeartbeats(share float64) fault {
 	return func(c *cluster) func() {
 		return c.watchHeartbeats(func(r *protocol.WorkerHeartbeat) {
@@ -241,11 +246,11 @@
 	}
 }
 
-// replayToNextLeader keeps copies of a share of the heartbeats, and delivers them to every controller some time after a
-// new term begins.
-func replayToNextLeader(share float64, after time.Duration) fault { //nolint:unparam // as the other faults
+// replayToNextLeader keeps copies of a share of the heartbeats and delivers them to all controllers a while after the
+// next term has begun.
+func replayToNextLeader(share float64, after time.Duration) fault { //nolint:unparam // same signature as other faults
 	return func(c *cluster) func() {
-		var kept []*protocol.WorkerHeartbeat
+		var copies []*protocol.WorkerHeartbeat
 		term := c.term()
 		c.spawn(func() {
 			for c.ctx.Err() == nil {
@@ -254,8 +259,8 @@
 					term = now
 					time.Sleep(after)
 					c.mu.Lock()
-					out := kept
-					kept = nil
+					out := copies
+					copies = nil
 					c.mu.Unlock()
 					for _, r := range out {
 						for _, n := range c.controllers {
@@ -266,14 +271,14 @@
 			}
 		})
 		return c.watchHeartbeats(func(r *protocol.WorkerHeartbeat) {
-			if c.chance(fmt.Sprint("keep ", r.Machine, r.Incarnation, r.Sequence), share) && len(kept) < 60 {
-				kept = append(kept, r)
+			if c.chance(fmt.Sprint("keep ", r.Machine, r.Incarnation, r.Sequence), share) && len(copies) < 60 {
+				copies = append(copies, r)
 			}
 		})
 	}
 }
 
-// watchHeartbeats calls f with c.mu held for each heartbeat. The returned function ends that.
+// watchHeartbeats calls f with c.mu held for each heartbeat that is sent, until the returned function is called.
 func (c *cluster) watchHeartbeats(f func(*protocol.WorkerHeartbeat)) func() {
 	set := func(f func(*protocol.WorkerHeartbeat)) {
 		c.mu.Lock()
@@ -284,7 +289,7 @@
 	return func() { set(nil) }
 }
 
-// queryAfterAnswers makes users verify answers at all controllers, see requestAndVerify.
+// queryAfterAnswers makes users verify answers with all controllers, see requestAndVerify.
 func queryAfterAnswers(c *cluster) func() {
 	set := func(on bool) {
 		c.mu.Lock()
@@ -295,7 +300,8 @@
 	return func() { set(false) }
 }
 
-// cancelJobs is a step that has users cancel n running jobs. With hang, a worker of each hangs right after.
+// cancelJobs returns a step in which users cancel up to n running jobs. If hang is not 0, a machine of each job hangs
+// for that time shortly afterwards.
 func cancelJobs(n int, hang time.Duration) func(c *cluster) {
 	return func(c *cluster) {
 		for _, id := range c.runningJobs()[:min(n, len(c.runningJobs()))] {
@@ -316,27 +322,33 @@
 	}
 }
 
-// submissionStorm is a step that submits four jobs of one task a second, and cancels a quarter of them.
+// submissionStorm returns a step that submits four single-task jobs per second and cancels a quarter of them.
 func submissionStorm(d time.Duration) func(c *cluster) {
 	return func(c *cluster) {
 		c.spawn(func() {
-			time.Sleep(c.randomDuration("storm", 50*ms)) // so that other steps don't submit at the same moments
+			time.Sleep(c.randomDuration("storm", 50*ms)) // avoid submitting at the same moments as other steps
 			for end := c.now() + d; c.now() < end; time.Sleep(250 * ms) {
 				j := c.newJob(protocol.Array, 1, 1)
 				c.mu.Lock()
 				c.world.RunTimes[j.ID] = 3*time.Second + c.randomDuration("run time "+j.ID, 4*time.Second)
-				off, wait := c.chance("call off "+j.ID, 0.25), c.randomDuration("call off after "+j.ID, 8*time.Second)
+				cancelled, delay := c.chance(
+					"call off "+j.ID,
+					0.25,
+				), c.randomDuration(
+					"call off after "+j.ID,
+					8*time.Second,
+				)
 				c.mu.Unlock()
 				c.submit(j)
-				if off {
-					time.AfterFunc(wait, func() { c.cancelUntilFinal(j.ID, c.controllers, time.Minute) })
+				if cancelled {
+					time.AfterFunc(delay, func() { c.cancelUntilFinal(j.ID, c.controllers, time.Minute) })
 				}
 			}
 		})
 	}
 }
 
-// staggeredCompletions is a step that submits n jobs whose tasks complete far apart.
+// staggeredCompletions returns a step that submits n jobs whose tasks complete at different times, seconds apart.
 func staggeredCompletions(n int) func(c *cluster) {
 	return func(c *cluster) {
 		for i := range n {
@@ -349,8 +361,8 @@
 	}
 }
 
-// cancelAtCompletion is a step that submits n jobs, each of which is cancelled, queried and submitted again as its last
-// task completes.
+// cancelAtCompletion returns a step that submits n jobs. Each is cancelled, queried and submitted again shortly after
+// its task has completed.
 func cancelAtCompletion(n int) func(c *cluster) {
 	return func(c *cluster) {
 		for range n {
@@ -373,7 +385,8 @@
 	}
 }
 
-// overload is a step that submits n jobs of all priorities, more than there is capacity for, some of them for one zone.
+// overload returns a step that submits n arrays and gangs of all priorities, some of them restricted to one zone. With
+// enough of them, they exceed the capacity of the cluster.
 func overload(n int) func(c *cluster) {
 	return func(c *cluster) {
 		for i := range n {
@@ -392,7 +405,7 @@
 	}
 }
 
-// loseMachines is a step that takes n machines away without notice.
+// loseMachines returns a step that removes n machines with tasks without notice.
 func loseMachines(n int) func(c *cluster) {
 	return func(c *cluster) {
 		for _, r := range c.selectWorkers(n, hasTasks) {
@@ -404,7 +417,7 @@
 	}
 }
 
-// fastBoots makes new machines come up within a second or two.
+// fastBoots shortens the boot time of new machines to between 0.5 and 1.5 s.
 func fastBoots(c *cluster) func() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/simulation/host.go
+++ b/internal/simulation/host.go
@@ -9,39 +9,40 @@
 	"sync"
 )
 
-// errRefused is the error of dialing an address on which nobody listens.
-var errRefused = errors.New("refused")
+// errConnRefused is the error of dialing an address that has no listener.
+var errConnRefused = errors.New("refused")
 
-// maxPendingConns is the limit of connections that wait for Accept.
+// maxPendingConns limits the connections of a listener that wait for Accept.
 const maxPendingConns = 1024
 
-// firstPort is the number before the first local port of a dialed connection.
-const firstPort = 10000
+// portBase is added to the number of a dialed connection, which starts at 1, to get its local port.
+const portBase = 10000
 
-// Host is the access of one process to the network. It implements transport.Network.
+// Host gives one process access to the network. It implements transport.Network. A process that is started again needs
+// a new Host.
 type Host struct {
 	net  *Network
 	name string
 
 	mu        sync.Mutex
-	dead      bool
+	killed    bool
 	conns     map[*conn]bool
 	listeners []*listener
 }
 
-// Host returns access for a process on the host of that name.
+// Host returns a Host for a new process on the host with the given name.
 func (n *Network) Host(name string) *Host { return &Host{net: n, name: name, conns: map[*conn]bool{}} }
 
-// HostOf returns the host of an address.
+// HostOf returns the host part of an address.
 func HostOf(address string) string {
 	host, _, _ := strings.Cut(address, ":")
 	return host
 }
 
-// Kill closes the connections and listeners of the process, and prevents new ones.
+// Kill closes all connections and listeners of the process and prevents new ones.
 func (h *Host) Kill() {
 	h.mu.Lock()
-	h.dead = true
+	h.killed = true
 	conns, listeners := h.conns, h.listeners
 	h.conns, h.listeners = map[*conn]bool{}, nil
 	h.mu.Unlock()
@@ -53,11 +54,11 @@
 	}
 }
 
-// register adds a connection to those of the process, and reports whether the process is alive.
+// register records a connection of the process. It returns false if the process was killed.
 func (h *Host) register(c *conn) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.dead {
+	if h.killed {
 		return false
 	}
 	h.conns[c] = true
@@ -79,7 +80,7 @@
 		select {
 		case <-old.closed:
 		default:
-			return nil, fmt.Errorf("listen on %s: in use", address)
+			return nil, fmt.Errorf("listen on %s: address already in use", address)
 		}
 	}
 	h.net.listeners[address] = l
@@ -89,16 +90,16 @@
 	return l, nil
 }
 
-// Dial connects to an address once the link is not blocked. It takes no time by itself: it must not matter which of two
-// requests uses an idle connection and which one opens another.
+// Dial connects to an address. It waits while the link is blocked and takes no time otherwise, so that a run does not
+// depend on which of two concurrent requests gets an idle connection and which one dials.
 func (h *Host) Dial(ctx context.Context, address string) (net.Conn, error) {
 	to := HostOf(address)
-	if _, ok := h.net.waitUntilPassable(h.name, to, ctx.Done()); !ok {
+	if _, ok := h.net.waitUntilUnblocked(h.name, to, ctx.Done()); !ok {
 		return nil, fmt.Errorf("dial %s: %w", address, context.DeadlineExceeded)
 	}
 	l, local := h.net.route(h.name, address)
 	if l == nil {
-		return nil, fmt.Errorf("dial %s: %w", address, errRefused)
+		return nil, fmt.Errorf("dial %s: %w", address, errConnRefused)
 	}
 	callerEnd, callerNetwork := net.Pipe()
 	listenerEnd, listenerNetwork := net.Pipe()
@@ -108,7 +109,7 @@
 		for _, c := range []net.Conn{callerEnd, listenerEnd, callerNetwork, listenerNetwork} {
 			_ = c.Close()
 		}
-		return nil, fmt.Errorf("dial %s: %w", address, errRefused)
+		return nil, fmt.Errorf("dial %s: %w", address, errConnRefused)
 	}
 	if !h.register(caller) || !l.host.register(accepted) {
 		return refuse()
@@ -118,29 +119,29 @@
 		return refuse()
 	case l.queue <- accepted:
 	}
-	go h.net.carry(callerNetwork, listenerNetwork, h.name, to)
-	go h.net.carry(listenerNetwork, callerNetwork, to, h.name)
+	go h.net.forward(callerNetwork, listenerNetwork, h.name, to)
+	go h.net.forward(listenerNetwork, callerNetwork, to, h.name)
 	return caller, nil
 }
 
-// route returns the listener on an address, or nil, and a new local address of the caller.
+// route returns the listener on an address, or nil if there is none, and an unused local address for the caller.
 func (n *Network) route(caller, address string) (*listener, addr) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.ports++
-	return n.listeners[address], addr(fmt.Sprintf("%s:%d", caller, firstPort+n.ports))
+	return n.listeners[address], addr(fmt.Sprintf("%s:%d", caller, portBase+n.ports))
 }
 
 // addr is the address of a listener or of one end of a connection.
 type addr string
 
-// Network returns the name of the network.
+// Network returns the name of the network, "tcp".
 func (a addr) Network() string { return "tcp" }
 
 // String returns the address as host:port.
 func (a addr) String() string { return string(a) }
 
-// listener accepts the connections to an address.
+// listener accepts connections to an address.
 type listener struct {
 	host   *Host
 	addr   addr
@@ -162,7 +163,7 @@
 // Addr returns the address that the listener listens on.
 func (l *listener) Addr() net.Addr { return l.addr }
 
-// Close ends the listener. It may be called more than once.
+// Close stops the listener. It may be called more than once.
 func (l *listener) Close() error {
 	l.once.Do(func() { close(l.closed) })
 	return nil
@@ -181,7 +182,7 @@
 // RemoteAddr returns the address of the other end.
 func (c *conn) RemoteAddr() net.Addr { return c.remote }
 
-// Close closes this end. The other end is closed once everything that was sent has arrived there.
+// Close closes this end. The other end is closed after all data that was sent before has been delivered.
 func (c *conn) Close() error {
 	if h := c.host; h != nil {
 		h.mu.Lock()
--- a/internal/simulation/intents_test.go
+++ b/internal/simulation/intents_test.go
@@ -8,8 +8,8 @@
 	"pinebay/internal/protocol"
 )
 
-// TestCancellationWithoutQuorumIsRefusedAtOnce: a controller that reaches the key-value store but none of the other
-// controllers tells users of cancellations at once to retry.
+// TestCancellationWithoutQuorumIsRefusedAtOnce checks that a controller which reaches the key-value store but no other
+// controller rejects cancellations immediately, so that the user retries at another controller.
 func TestCancellationWithoutQuorumIsRefusedAtOnce(t *testing.T) {
 	runScenario(t, 10, 3, fastTimings, func(c *cluster) {
 		c.startJobs(6)
@@ -18,23 +18,23 @@
 		time.Sleep(4 * s)
 		id, sent := c.runningJobs()[0], c.now()
 		if status, _ := c.request(n, RequestCancel, id); status != 503 || c.now()-sent > 100*ms {
-			t.Errorf("%d after %v", status, c.now()-sent)
+			t.Errorf("cancellation without a quorum: status %d after %v, want 503 within 100ms", status, c.now()-sent)
 		}
 		if !c.cancelUntilFinal(id, c.others(n), 2*s) {
-			t.Error("the others could not cancel it")
+			t.Error("the other controllers could not cancel the job")
 		}
 		if status, _ := c.request(n, RequestQuery, id); status != 503 {
-			t.Errorf("news of it, alone: %d", status)
+			t.Errorf("query of the cancelled job without a quorum: status %d, want 503", status)
 		}
 		heal()
 		time.Sleep(4 * s)
 		if status, st := c.request(n, RequestCancel, id); status != 200 || st.State != protocol.JobCancelled {
-			t.Errorf("together again: %d %v", status, st)
+			t.Errorf("cancellation after the partition: status %d, %v, want 200 and cancelled", status, st)
 		}
 	})
 }
 
-// endOutage ends an outage, and checks some minutes later that all jobs are served.
+// endOutage ends an outage of the key-value store and checks four minutes later that all jobs are served.
 func (c *cluster) endOutage() {
 	c.t.Helper()
 	c.store.SetOutage(false)
@@ -42,10 +42,11 @@
 	c.checkAllServed()
 }
 
-// TestForgottenIntents: the leader cannot reach the key-value store, and does not learn of a cancellation; the
-// controller that confirmed it crashes, and the only other one with its intent is restarted and then reaches the leader
-// again. The leader must not continue on the word of the latter.
-func TestForgottenIntents(t *testing.T) {
+// TestIntentsLostByRestart checks that a leader does not rely on a controller that has lost its intents by a restart.
+// The leader is partitioned and does not learn of a cancellation. The controller that confirmed it crashes, and the
+// only other controller with the intent is restarted, and so loses it, before it reaches the leader again. The leader
+// must not keep tasks running on the agreement of that controller.
+func TestIntentsLostByRestart(t *testing.T) {
 	runScenario(t, 8, 3, fastTimings, func(c *cluster) {
 		c.startJobs(12)
 		old := c.leader()
@@ -53,7 +54,7 @@
 		heal := isolateLeader(c)
 		time.Sleep(200 * ms)
 		if c.cancelRunning(6, []*controller{n}, 400*ms) == 0 {
-			t.Error("nothing was cancelled: the scenario shows nothing")
+			t.Error("no job was cancelled, so the test did not exercise lost intents")
 		}
 		c.store.SetOutage(true)
 		c.crash(n, 90*s)
@@ -65,47 +66,48 @@
 	})
 }
 
-// TestLeaderWithoutRecords: the leader crashes, jobs are cancelled, and the key-value store fails just as the next
-// leader has won its term and read nothing yet. It keeps tasks alive with the other controllers' agreement, but not
-// those for which it has intents.
+// TestLeaderWithoutRecords checks a leader that has read no records. The leader crashes, jobs are cancelled, and the
+// key-value store fails just when the next leader has won its term. With the agreement of the other controllers, the
+// new leader must keep tasks alive, but not those of jobs with cancellation intents.
 func TestLeaderWithoutRecords(t *testing.T) {
 	runScenario(t, 9, 3, fastTimings, func(c *cluster) {
 		c.startJobs(12)
 		old, term := c.leader(), c.term()
 		c.crash(old, 90*s)
-		told := make(chan int, 1)
-		time.AfterFunc(100*ms, func() { told <- c.cancelRunning(6, c.others(old), 400*ms) })
+		confirmed := make(chan int, 1)
+		time.AfterFunc(100*ms, func() { confirmed <- c.cancelRunning(6, c.others(old), 400*ms) })
 		for c.term() == term && c.ctx.Err() == nil {
 			time.Sleep(ms)
 		}
 		c.store.SetOutage(true)
-		if <-told == 0 {
-			t.Error("nothing was cancelled: the scenario shows nothing")
+		if <-confirmed == 0 {
+			t.Error("no job was cancelled, so the test did not exercise intents")
 		}
 		time.Sleep(60 * s)
 		if n := len(c.runningJobs()); n == 0 {
-			t.Error("nothing was kept alive: the scenario shows nothing")
+			t.Error("no job was kept running by the new leader")
 		}
 		c.endOutage()
 	})
 }
 
-// TestLateCancellationNeedsNewIntent: the transaction of a cancellation is applied long after its intent, when
-// the leader runs the job again; the key-value store refuses the leader by then, and fails for all right after another
-// controller has read of the cancellation and told the user. That controller announces a new intent first.
+// TestLateCancellationNeedsNewIntent checks that a controller announces a new intent before it confirms a cancellation
+// whose intent has expired. The transaction of the cancellation is applied so late that the leader has started the job
+// again. Then the key-value store refuses the leader, another controller reads the cancellation and confirms it to the
+// user, and the store fails for all controllers. Only the new intent makes the leader end the tasks.
 func TestLateCancellationNeedsNewIntent(t *testing.T) {
 	runScenario(t, 7, 3, fastTimings, func(c *cluster) {
 		c.startJobs(12)
 		old := c.leader()
 		late := 8 * s
-		mend := faultyWrites(1, func(*cluster, string) Outcome { return Outcome{Delay: late} })(c)
+		repair := faultyWrites(1, func(*cluster, string) Outcome { return Outcome{Delay: late} })(c)
 		ids := c.runningJobs()[:4]
 		for _, id := range ids {
 			c.spawn(func() { c.request(c.others(old)[0], RequestCancel, id) })
 		}
 		time.Sleep(s)
-		mend()
-		time.Sleep(late - 2*s) // the intents are over for the leader; the jobs run again
+		repair()
+		time.Sleep(late - 2*s) // the intents have expired at the leader, and the jobs run again
 		again := 0
 		for _, id := range c.runningJobs() {
 			if slices.Contains(ids, id) {
@@ -113,7 +115,7 @@
 			}
 		}
 		if again == 0 {
-			t.Error("no job ran again: the scenario shows nothing")
+			t.Error("no job was started again, so the test did not exercise a late cancellation")
 		}
 		c.store.SetRefused(old.ip, true)
 		time.Sleep(1500 * ms)
@@ -121,7 +123,7 @@
 			c.request(c.others(old)[0], RequestQuery, id)
 		}
 		if c.occurrences("cancelled") == 0 {
-			t.Error("no cancellation was told: the scenario shows nothing")
+			t.Error("no cancellation was confirmed to a user, so the test did not exercise new intents")
 		}
 		c.store.SetOutage(true)
 		time.Sleep(60 * s)
@@ -130,10 +132,17 @@
 	})
 }
 
-// TestFencingWithoutLeader: the leader crashes right after a cancellation was confirmed, and the others in the outage
-// that follows, while a machine with one of the job's tasks hangs. Nobody can lead, so nobody knows of the placement;
-// the machine is released because nobody hears from it.
+// TestFencingWithoutLeader checks that silent machines are fenced while there is no leader. The leader crashes right
+// after a cancellation was confirmed, and the other controllers crash in the outage of the key-value store that
+// follows, while a machine with a task of the job hangs. No controller can lead or knows the placement, so the machine
+// must be released only because it sends no heartbeats.
 func TestFencingWithoutLeader(t *testing.T) {
-	g := storeGap{before: 1700 * ms, outage: 1.5, crash: true, after: "killed", worker: "hung"}
+	g := storeFailure{
+		refusal:        1700 * ms,
+		outageFactor:   1.5,
+		leaderCrashes:  true,
+		confirmerFault: "killed",
+		workerFault:    "hung",
+	}
 	runScenario(t, 5054, 3, slowTimings, g.run)
 }
--- a/internal/simulation/mirrored.go
+++ b/internal/simulation/mirrored.go
@@ -6,8 +6,8 @@
 	"pinebay/internal/protocol"
 )
 
-// AddMirrored adds a machine whose worker runs in another process. That process passes the status of its tasks to
-// ApplyHeartbeat before any controller gets it, so that the rules are checked for them too.
+// AddMirrored adds a machine whose worker runs in another process. Each heartbeat of that worker must be passed to
+// ApplyHeartbeat before a controller receives it, so that the rules are also checked for its tasks.
 func (w *World) AddMirrored(now time.Duration, name, zone string, machineType *protocol.MachineType) *Worker {
 	m := w.AddMachine(now, name, zone, false, machineType, 0)
 	m.mirrored = true
@@ -15,7 +15,8 @@
 	return m
 }
 
-// ApplyHeartbeat applies the status of the tasks of a mirrored worker.
+// ApplyHeartbeat updates the tasks of a mirrored worker from a heartbeat. Tasks that the heartbeat does not list have
+// ended.
 func (w *World) ApplyHeartbeat(now time.Duration, heartbeat *protocol.WorkerHeartbeat) {
 	m := w.Workers[heartbeat.Machine]
 	if m == nil || !m.mirrored {
@@ -38,19 +39,19 @@
 	}
 }
 
-// applyTaskStatus applies the status of a task.
+// applyTaskStatus updates a task of a mirrored worker, or adds it if its attempt is new.
 func (m *Worker) applyTaskStatus(now time.Duration, id protocol.TaskID, status *protocol.TaskStatus) {
 	w := m.World
 	j := w.Jobs[id.JobID]
 	if j == nil {
-		return // its start was refused for that reason
+		return // the worker refused to start a task of an unknown job
 	}
 	t := m.Tasks[id]
 	if t == nil || t.Attempt != status.Attempt {
 		if t != nil {
 			m.setTaskState(t, protocol.TaskExited)
 		}
-		t = &Task{ID: id, Attempt: status.Attempt, State: protocol.TaskFetching, Since: now, worker: m}
+		t = &Task{ID: id, Attempt: status.Attempt, State: protocol.TaskFetching, StateSince: now, worker: m}
 		m.Tasks[id] = t
 	}
 	after := Task{State: status.State}
--- a/internal/simulation/occupancy.go
+++ b/internal/simulation/occupancy.go
@@ -7,21 +7,22 @@
 	"pinebay/internal/protocol"
 )
 
-// occupancy counts the tasks that are on machines, so that a rule is checked without iterating over all machines.
+// occupancy counts the tasks on all machines by several keys, so that a rule can be checked without a scan of the
+// machines.
 type occupancy struct {
-	tasks map[protocol.TaskID]int       // attempts of a task
-	zones map[string]map[string]int     // tasks of a job, by zone
-	teams map[string]*teamUsage         // resources of the tasks of a team
-	gangs map[gangAttempt]map[int]*Task // tasks that wait for each other or run, by index
+	tasks map[protocol.TaskID]int       // number of attempts of a task
+	zones map[string]map[string]int     // number of tasks by job and zone
+	teams map[string]*teamUsage         // usage by team
+	gangs map[gangAttempt]map[int]*Task // tasks that have joined their gang, by index
 }
 
-// teamUsage is what the tasks of a team on machines use.
+// teamUsage is the number and the total resources of a team's tasks on machines.
 type teamUsage struct {
 	tasks     int
 	resources Resources
 }
 
-// gangAttempt identifies the tasks of a gang that run together.
+// gangAttempt identifies an attempt to run a gang. Its tasks run together.
 type gangAttempt struct {
 	job     string
 	attempt uint64
@@ -36,7 +37,7 @@
 	}
 }
 
-// usage returns the resources that a team's tasks use.
+// usage returns the resources that the tasks of a team use.
 func (o *occupancy) usage(team string) Resources {
 	if u := o.teams[team]; u != nil {
 		return u.resources
@@ -44,7 +45,7 @@
 	return Resources{}
 }
 
-// add counts a task that gets onto its machine.
+// add counts a task that has started to occupy its machine.
 func (o *occupancy) add(id protocol.TaskID, j *protocol.Job, zone string) {
 	o.tasks[id]++
 	if o.zones[j.ID] == nil {
@@ -60,7 +61,7 @@
 	u.resources = u.resources.plus(resourcesOf(j))
 }
 
-// remove ends the count of a task.
+// remove reverses add for a task that no longer occupies its machine.
 func (o *occupancy) remove(id protocol.TaskID, j *protocol.Job, zone string) {
 	if o.tasks[id]--; o.tasks[id] == 0 {
 		delete(o.tasks, id)
@@ -76,11 +77,11 @@
 	u.tasks--
 	u.resources = u.resources.minus(resourcesOf(j))
 	if u.tasks == 0 {
-		u.resources = Resources{} // no rounding error outlives the tasks
+		u.resources = Resources{} // discard accumulated rounding errors
 	}
 }
 
-// joinGang counts a task of a gang that waits for the others or runs.
+// joinGang records that a task of a gang waits for the other tasks or runs.
 func (o *occupancy) joinGang(t *Task) {
 	key := gangAttempt{t.ID.JobID, t.Attempt}
 	if o.gangs[key] == nil {
@@ -89,7 +90,7 @@
 	o.gangs[key][t.ID.Index] = t
 }
 
-// leaveGang ends the count of a task of a gang.
+// leaveGang reverses joinGang. It does nothing if another task with the same index has joined since.
 func (o *occupancy) leaveGang(t *Task) {
 	key := gangAttempt{t.ID.JobID, t.Attempt}
 	if o.gangs[key][t.ID.Index] == t {
@@ -100,7 +101,7 @@
 	}
 }
 
-// gang returns the tasks of an attempt that wait for each other or run, in order.
+// gang returns the tasks that have joined an attempt of a gang, sorted by index.
 func (o *occupancy) gang(job string, attempt uint64) []*Task {
 	var tasks []*Task
 	for _, t := range o.gangs[gangAttempt{job, attempt}] {
@@ -110,7 +111,7 @@
 	return tasks
 }
 
-// gangComplete reports whether all tasks of a gang's attempt wait for each other or run.
+// gangComplete reports whether all tasks of a gang have joined an attempt.
 func (o *occupancy) gangComplete(j *protocol.Job, attempt uint64) bool {
 	return len(o.gangs[gangAttempt{j.ID, attempt}]) == j.TaskCount
 }
--- a/internal/simulation/owners_test.go
+++ b/internal/simulation/ownership_test.go
@@ -10,15 +10,15 @@
 	"pinebay/internal/storage"
 )
 
-// Lines of the log.
+// Messages in the log.
 const (
 	logEpochInEffect = "ownership epoch active"
 	logEpochEnded    = "ownership lost"
 )
 
-// standstill makes a controller look as if it were paused: nothing that it sends arrives, and nothing reaches it, until
-// all of it arrives at once.
-func standstill(which func(*cluster) *controller) fault {
+// pauseController makes a controller appear paused: all packets from and to it are queued, and delivered when the fault
+// ends.
+func pauseController(which func(*cluster) *controller) fault {
 	return func(c *cluster) func() {
 		n := which(c)
 		c.recordOccurrence("standstill")
@@ -30,16 +30,16 @@
 // currentLeader returns the leader.
 func currentLeader(c *cluster) *controller { return c.leader() }
 
-// secondFollower returns a controller that does not lead, and another one than firstFollower.
+// secondFollower returns the second controller that is not the leader.
 func secondFollower(c *cluster) *controller { return c.others(c.leader())[1] }
 
-// crashFollower is a step that crashes a controller that does not lead.
-func crashFollower(back time.Duration) func(*cluster) {
-	return func(c *cluster) { c.crash(firstFollower(c), back) }
+// crashFollower returns a step that crashes the first controller that is not the leader.
+func crashFollower(downtime time.Duration) func(*cluster) {
+	return func(c *cluster) { c.crash(firstFollower(c), downtime) }
 }
 
-// atOnce combines several steps into one.
-func atOnce(steps ...func(*cluster)) func(*cluster) {
+// combine returns a step that runs several steps at the same time.
+func combine(steps ...func(*cluster)) func(*cluster) {
 	return func(c *cluster) {
 		for _, do := range steps {
 			do(c)
@@ -47,15 +47,16 @@
 	}
 }
 
-// ownershipWrites gives the transactions that change the ownership of machines another outcome.
-func ownershipWrites(fate Outcome) fault {
+// faultyOwnershipWrites replaces the outcome of all transactions that write the ownership record.
+func faultyOwnershipWrites(outcome Outcome) fault {
 	return func(c *cluster) func() {
-		c.store.SetOutcomes(outcomeForKey(c, storage.OwnershipKey, fate))
+		c.store.SetOutcomes(outcomeForKey(c, storage.OwnershipKey, outcome))
 		return func() { c.store.SetOutcomes(nil) }
 	}
 }
 
-// ownerScenarios are failures of controllers that own machines.
+// ownerScenarios are failures of controllers that own machines, which means that they serve the connections of the
+// workers on these machines.
 var ownerScenarios = []scenario{
 	{
 		name:        "quiet",
@@ -102,7 +103,7 @@
 		controllers: 5,
 		timings:     fastTimings,
 		steps: []step{
-			{0, atOnce(crashLeader(25*s), crashFollower(25*s))},
+			{0, combine(crashLeader(25*s), crashFollower(25*s))},
 			{3 * s, cancelJobs(3, 0)},
 		},
 		occurred: []string{"crash", "cancelled"},
@@ -113,7 +114,7 @@
 		controllers: 3,
 		timings:     fastTimings,
 		steps: []step{
-			{0, during(20*s, standstill(firstFollower))},
+			{0, during(20*s, pauseController(firstFollower))},
 			{200 * ms, cancelJobs(3, 0)},
 			{4 * s, cancelJobs(3, 0)},
 			{19900 * ms, cancelJobs(2, 0)},
@@ -126,7 +127,7 @@
 		controllers: 5,
 		timings:     slowTimings,
 		steps: []step{
-			{0, during(60*s, standstill(firstFollower))},
+			{0, during(60*s, pauseController(firstFollower))},
 			{200 * ms, cancelJobs(3, 0)},
 			{30 * s, cancelJobs(3, 0)},
 		},
@@ -138,7 +139,7 @@
 		controllers: 3,
 		timings:     fastTimings,
 		steps: []step{
-			{0, during(25*s, standstill(currentLeader))},
+			{0, during(25*s, pauseController(currentLeader))},
 			{1 * s, cancelJobs(3, 0)},
 			{10 * s, cancelJobs(3, 0)},
 		},
@@ -150,9 +151,9 @@
 		controllers: 3,
 		timings:     fastTimings,
 		steps: []step{
-			{0, during(12*s, standstill(firstFollower))},
-			{25 * s, during(12*s, standstill(firstFollower))},
-			{50 * s, during(12*s, standstill(firstFollower))},
+			{0, during(12*s, pauseController(firstFollower))},
+			{25 * s, during(12*s, pauseController(firstFollower))},
+			{50 * s, during(12*s, pauseController(firstFollower))},
 			{52 * s, cancelJobs(3, 0)},
 		},
 		occurred: []string{"standstill", "cancelled"},
@@ -194,7 +195,7 @@
 		controllers: 3,
 		timings:     fastTimings,
 		steps: []step{
-			{0, during(30*s, ownershipWrites(Outcome{}))},
+			{0, during(30*s, faultyOwnershipWrites(Outcome{}))},
 			{0, crashFollower(25 * s)},
 			{5 * s, cancelJobs(2, 0)},
 		},
@@ -206,7 +207,7 @@
 		controllers: 3,
 		timings:     fastTimings,
 		steps: []step{
-			{0, during(12*s, ownershipWrites(Outcome{Delay: 9 * s}))},
+			{0, during(12*s, faultyOwnershipWrites(Outcome{Delay: 9 * s}))},
 			{0, crashFollower(25 * s)},
 			{6 * s, crashLeader(5 * s)},
 			{7 * s, cancelJobs(2, 0)},
@@ -243,7 +244,7 @@
 		timings:     fastTimings,
 		steps: []step{
 			{0, during(50*s, storeOutage)},
-			{2 * s, during(20*s, standstill(firstFollower))},
+			{2 * s, during(20*s, pauseController(firstFollower))},
 			{3 * s, cancelJobs(3, 0)},
 		},
 		occurred: []string{"outage", "standstill"},
@@ -303,7 +304,7 @@
 			{0, pipelines(12)},
 			{3 * s, crashFollower(5 * s)},
 			{12 * s, crashLeader(5 * s)},
-			{20 * s, during(15*s, standstill(secondFollower))},
+			{20 * s, during(15*s, pauseController(secondFollower))},
 			{24 * s, cancelJobs(3, 0)},
 		},
 		occurred: []string{"pipeline", "crash"},
@@ -326,22 +327,23 @@
 	},
 }
 
-// TestOwners runs failures of owners under all oracles: no rule is broken, no confirmed cancellation misses its time,
-// no final answer changes, and all jobs are served in the end. Verdicts take effect by the record.
+// TestOwners checks failures of owners: no rule may be violated, every confirmed cancellation must take effect in time,
+// no final state may change, and all jobs must be served in the end. A verdict takes effect through the ownership
+// record.
 func TestOwners(t *testing.T) {
 	runScenarios(t, 900, ownerScenarios, func(c *cluster, x *scenario) {
-		time.Sleep(60 * s) // until all count for majorities, and own machines
+		time.Sleep(60 * s) // until all controllers count toward a majority and own machines
 		c.runToCompletion(x.steps, x.occurred)
 		c.checkOwnership()
 		c.checkLog(x)
 		if c.logCount(logEpochInEffect) == 0 {
-			c.t.Errorf("the log does not say %q", logEpochInEffect)
+			c.t.Errorf("the log does not contain %q", logEpochInEffect)
 		}
 	}, withOwnership(everywhere))
 }
 
-// TestOwnersWithMixedSettings: if the feature is enabled at some controllers only, or during an upgrade, those without
-// it own nothing and serve as before.
+// TestOwnersWithMixedSettings checks clusters in which ownership is enabled at only some controllers or during an
+// upgrade. Controllers without it own no machines and work as before.
 func TestOwnersWithMixedSettings(t *testing.T) {
 	one := func(node int) bool { return node == 1 }
 	two := func(node int) bool { return node > 0 }
@@ -387,9 +389,11 @@
 	runScenarios(t, 940, scenarios, func(c *cluster, x *scenario) { c.runToCompletion(x.steps, nil) })
 }
 
-// TestOwnersTakeTheLoad: with owners, the leader gets heartbeats of its own machines, and those of others only if
-// something has changed; without, it gets all. No rule depends on that: it is the purpose of ownership.
-func TestOwnersTakeTheLoad(t *testing.T) {
+// TestOwnersReduceLeaderLoad checks that ownership reduces the number of packets from workers to the leader. With
+// owners, the leader receives the heartbeats of its own machines, and those of other machines only if their state has
+// changed; without owners, it receives all of them. This is the purpose of ownership, although no rule of the protocol
+// depends on it.
+func TestOwnersReduceLeaderLoad(t *testing.T) {
 	const machines = 12
 	connections := func(options ...func(*cluster)) (leader, most int) {
 		runScenario(t, 950, 3, fastTimings, func(c *cluster) {
@@ -415,8 +419,8 @@
 	}
 	without, _ := connections()
 	with, most := connections(withOwnership(everywhere))
-	t.Logf("heartbeats to the leader in a minute, of at most %d machines: %d without owners, %d with; "+
-		"most to one controller %d",
+	t.Logf("packets of workers to the leader per minute, of at most %d machines: %d without owners, %d with; "+
+		"maximum of all controllers %d",
 		machines,
 		without,
 		with,
@@ -424,7 +428,7 @@
 	)
 	if with > without*2/3 || most > without*2/3 {
 		t.Errorf(
-			"reports to the leader in a minute: %d without owners, %d with; most to one controller %d",
+			"packets of workers to the leader per minute: %d without owners, %d with; maximum of all controllers %d",
 			without,
 			with,
 			most,
@@ -432,9 +436,10 @@
 	}
 }
 
-// TestOwnersThatShutDown: all controllers but the leader are stopped one after the other, and come back. Their workers
-// have moved before they end: nobody sends them heartbeats any more, no lease expires, and no task is started again.
-func TestOwnersThatShutDown(t *testing.T) {
+// TestOwnerDrain checks that a controller which is stopped gracefully hands over its workers first. All controllers
+// except the leader are drained, stopped and started again, one after the other. After a drain, no worker may send
+// packets to the controller. No lease may expire, so no task is started again.
+func TestOwnerDrain(t *testing.T) {
 	runScenario(t, 970, 5, fastTimings, func(c *cluster) {
 		time.Sleep(60 * s)
 		c.startJobs(9)
@@ -444,7 +449,7 @@
 			before := c.workerPacketsTo(n)
 			time.Sleep(2 * s)
 			if got := c.workerPacketsTo(n) - before; got > 0 {
-				t.Errorf("%s gets %d packets of workers after it has left", n.name, got)
+				t.Errorf("%s received %d packets from workers after it was drained", n.name, got)
 			}
 			c.crash(n, 5*s)
 			time.Sleep(60 * s)
@@ -452,12 +457,12 @@
 		c.mu.Lock()
 		for name, r := range c.workers {
 			if r.model.Incarnation > 1 {
-				t.Errorf("the lease of %s has ended", name)
+				t.Errorf("the lease of %s has expired", name)
 			}
 		}
 		c.mu.Unlock()
 		if n := c.logCount("drain completed"); n != 4 {
-			t.Errorf("%d of 4 controllers were drained", n)
+			t.Errorf("%d controllers were drained, want 4", n)
 		}
 		c.checkOwnership()
 		time.Sleep(4 * time.Minute)
@@ -465,8 +470,9 @@
 	}, withOwnership(everywhere))
 }
 
-// TestVerdictTakesEffectOnce: two controllers reach the verdict at the same time, and the record of one of them alone
-// takes effect: epochs follow one another, and each has one set of owners on every controller.
+// TestVerdictTakesEffectOnce checks that only one ownership record takes effect if several controllers reach a verdict
+// about a crashed controller at the same time: each epoch must have the same owners at every controller, and the
+// crashed controller must not be among them.
 func TestVerdictTakesEffectOnce(t *testing.T) {
 	runScenario(t, 960, 5, fastTimings, func(c *cluster) {
 		c.startJobs(9)
@@ -486,7 +492,7 @@
 			_, rest, _ := strings.Cut(line, "epoch=")
 			epoch, rest, _ := strings.Cut(rest, " ")
 			if was, ok := owners[epoch]; ok && was != rest {
-				t.Errorf("epoch %s is %q on one controller and %q on another", epoch, was, rest)
+				t.Errorf("epoch %s is %q at one controller and %q at another", epoch, was, rest)
 			}
 			owners[epoch] = rest
 			if strings.Contains(rest, "verdict: controller "+n.name) {
@@ -494,7 +500,7 @@
 			}
 		}
 		if verdicts == 0 || verdicts > 4 {
-			t.Errorf("the verdict is in force on %d of 4 controllers that are left", verdicts)
+			t.Errorf("the verdict took effect %d times, want 1 to 4 times at the remaining 4 controllers", verdicts)
 		}
 		for epoch, what := range owners {
 			if strings.Contains(what, "verdict: controller "+n.name) &&
@@ -507,7 +513,8 @@
 	}, withOwnership(everywhere))
 }
 
-// checkOwnership checks each ownership record: its writer led when it was written, and epochs follow one another.
+// checkOwnership checks that each ownership record was written by the leader of the term at that time, and that epochs
+// increase by one.
 func (c *cluster) checkOwnership() {
 	c.t.Helper()
 	terms, _ := c.store.ChangesSince(storage.TermKey, 0)
@@ -516,7 +523,7 @@
 	for _, e := range records {
 		rec, err := storage.DecodeOwnership(e.Value)
 		if err != nil {
-			c.t.Errorf("ownership record: %v", err)
+			c.t.Errorf("decode ownership record: %v", err)
 			continue
 		}
 		term := uint64(0)
@@ -526,13 +533,13 @@
 			}
 			r, err := storage.DecodeTerm(at.Value)
 			if err != nil {
-				c.t.Errorf("term record: %v", err)
+				c.t.Errorf("decode term record: %v", err)
 			}
 			term = r.Term
 		}
 		if rec.Term != term || rec.Epoch != epoch+1 {
 			c.t.Errorf(
-				"epoch %d of term %d came into force in term %d after epoch %d",
+				"epoch %d, written for term %d, took effect in term %d after epoch %d",
 				rec.Epoch,
 				rec.Term,
 				term,
@@ -543,13 +550,13 @@
 	}
 }
 
-// outcomeForKey returns a function that gives the transactions that write a key another outcome.
-func outcomeForKey(c *cluster, key string, fate Outcome) func(string, *protocol.Txn) Outcome {
+// outcomeForKey returns a function for Store.SetOutcomes that replaces the outcome of transactions that write a key.
+func outcomeForKey(c *cluster, key string, outcome Outcome) func(string, *protocol.Txn) Outcome {
 	return func(_ string, txn *protocol.Txn) Outcome {
 		for _, op := range txn.Then {
 			if op.PutKey == key {
 				c.recordOccurrence("ownership write")
-				return fate
+				return outcome
 			}
 		}
 		return Outcome{Reply: true}
--- a/internal/simulation/pipeline_test.go
+++ b/internal/simulation/pipeline_test.go
@@ -15,15 +15,15 @@
 	"pinebay/internal/testutil"
 )
 
-// pipeline submits the jobs of a pipeline, each once its dependencies are accepted: an array, two arrays after it, a
-// gang after one of these, and at the end an urgent array with a deadline. With earlier, the first job depends on that
-// one.
+// pipeline submits the jobs of a pipeline, each after its dependencies have been accepted, and returns their ids: an
+// array, two arrays that depend on it, a gang that depends on one of these, and an urgent array with a deadline that
+// depends on the gang and the other array. If earlier is not empty, the first job depends on that job.
 func (c *cluster) pipeline(earlier string) (ids []string) {
 	type stage struct {
-		shape  protocol.Shape
-		tasks  int
-		prio   protocol.Priority
-		awaits []int
+		shape        protocol.Shape
+		tasks        int
+		priority     protocol.Priority
+		dependencies []int
 	}
 	stages := []stage{
 		{protocol.Array, 2, "best_effort", nil},
@@ -35,14 +35,14 @@
 	var accepted []chan struct{}
 	for i, st := range stages {
 		j := c.newJob(st.shape, st.tasks, 0)
-		j.Priority, j.EstimateSeconds, j.DeadlineSeconds = st.prio, 5, 0
+		j.Priority, j.EstimateSeconds, j.DeadlineSeconds = st.priority, 5, 0
 		if i == len(stages)-1 {
 			j.DeadlineSeconds = 120
 		}
 		var before []chan struct{}
-		for _, need := range st.awaits {
-			j.Dependencies = append(j.Dependencies, ids[need])
-			before = append(before, accepted[need])
+		for _, index := range st.dependencies {
+			j.Dependencies = append(j.Dependencies, ids[index])
+			before = append(before, accepted[index])
 		}
 		if i == 0 && earlier != "" {
 			j.Dependencies = []string{earlier}
@@ -56,8 +56,8 @@
 	return ids
 }
 
-// pipelines is a step that submits n pipelines, one a second, some after a job that runs. Some of their jobs are
-// cancelled.
+// pipelines returns a step that submits n pipelines, about one per second. Some of them depend on a running job, and
+// some of their jobs are cancelled.
 func pipelines(n int) func(*cluster) {
 	return func(c *cluster) {
 		c.spawn(func() {
@@ -81,7 +81,7 @@
 	}
 }
 
-// runningArray returns an array with a running task, or "".
+// runningArray returns the id of an array with a running task, or "" if there is none.
 func (c *cluster) runningArray() string {
 	for _, id := range c.runningJobs() {
 		c.mu.Lock()
@@ -94,35 +94,37 @@
 	return ""
 }
 
-// productionLevel starts all controllers with the feature level of the version in production.
+// productionLevel is an option that starts all controllers with the feature level of the version in production.
 func productionLevel(c *cluster) {
 	c.features = func(int) daemon.Features { return daemon.Features{PinProductionLevel: true} }
 }
 
-// upgrade is a step that restarts controllers with the new feature level, in the given order.
-func upgrade(order []int, every, back time.Duration) func(*cluster) {
+// upgrade returns a step that restarts controllers with the current feature level in the given order, one per interval.
+func upgrade(order []int, interval, downtime time.Duration) func(*cluster) {
 	return func(c *cluster) {
 		for i, node := range order {
 			n := c.controllers[node%len(c.controllers)]
-			time.AfterFunc(time.Duration(i)*every, func() {
+			time.AfterFunc(time.Duration(i)*interval, func() {
 				n.features.PinProductionLevel = false
 				c.recordOccurrence("upgraded")
-				c.crash(n, back)
+				c.crash(n, downtime)
 			})
 		}
 	}
 }
 
-// nextLimits are limits of the key-value store that apply after an upgrade.
+// nextLimits are the lower limits of the key-value store that apply after an upgrade.
 var nextLimits = config.FutureStoreLimits{WriteRPS: 20, ValueKB: 1, TxnOps: 5}
 
-// announceLowerLimits makes the key-value store enforce its limits, and announces lower ones in the settings.
+// announceLowerLimits is an option that makes the key-value store enforce its limits and announces lower ones in the
+// settings.
 func announceLowerLimits(c *cluster) {
 	c.cfg.Store = config.StoreLimits{RPS: 150, WriteRPS: 40, ValueKB: 8, TxnOps: 16, Next: nextLimits}
 	c.store.SetLimits(c.cfg.Store)
 }
 
-// lowerLimitsOnceUpgraded lowers the limits once all controllers have recorded the new feature level.
+// lowerLimitsOnceUpgraded is a step that lowers the limits of the key-value store once all controllers have recorded a
+// feature level.
 func lowerLimitsOnceUpgraded(c *cluster) {
 	c.spawn(func() {
 		for c.ctx.Err() == nil && c.levelsRecorded() < len(c.controllers) {
@@ -139,7 +141,7 @@
 	return len(pairs)
 }
 
-// pipelineScenarios combine pipelines with faults around cancellations, completions and failovers.
+// pipelineScenarios are scenarios that combine pipelines with faults during cancellations, completions and failovers.
 var pipelineScenarios = []scenario{
 	{
 		name:        "quiet",
@@ -291,8 +293,9 @@
 	},
 }
 
-// TestPipelineScenarios runs pipelines with faults: no task starts before all dependencies of its job are done, no job
-// is orphaned, no other rule is broken, and all are over in the end.
+// TestPipelineScenarios runs pipelines with faults. No task may start before all dependencies of its job are done, no
+// job may stay queued after a dependency was cancelled, no other rule may be violated, and all jobs must be served in
+// the end.
 func TestPipelineScenarios(t *testing.T) {
 	runScenarios(t, 800, pipelineScenarios, func(c *cluster, x *scenario) {
 		c.runToCompletion(x.steps, x.occurred)
@@ -300,8 +303,8 @@
 	})
 }
 
-// TestLimitsBelowTheSettings: the limits of the key-value store are lower than the settings say. Transactions and
-// values that are rejected are made smaller, and everything is recorded in the end.
+// TestLimitsBelowTheSettings checks that controllers work with a key-value store whose limits are lower than the
+// settings say. Transactions and values that the store rejects must be made smaller until everything is recorded.
 func TestLimitsBelowTheSettings(t *testing.T) {
 	runScenario(t, 880, 3, fastTimings, func(c *cluster) {
 		c.startJobs(9)
@@ -314,50 +317,51 @@
 		)
 		c.checkRecords()
 		if c.store.Usage().TooLarge == 0 {
-			t.Error("nothing was refused for its size: the scenario shows nothing")
+			t.Error("no transaction was rejected for its size, so the test did not exercise the limits")
 		}
 	}, announceLowerLimits)
 }
 
-// checkRecords checks that no job has a live record that users were told is over.
+// checkRecords checks that no live record is left of a job for which a user was told a final state.
 func (c *cluster) checkRecords() {
 	c.t.Helper()
 	pairs, _ := c.store.List(storage.LiveJobPrefix)
 	for _, p := range pairs {
 		id := strings.TrimPrefix(p.Key, storage.LiveJobPrefix)
-		if standing, over := c.answers.FinalState(id); over {
-			c.t.Errorf("%s is %s and its live record is left", id, standing)
+		if state, ended := c.answers.FinalState(id); ended {
+			c.t.Errorf("%s is %s, but its live record still exists", id, state)
 		}
 	}
 }
 
-// maxTooLarge is the number of transactions that may be rejected for their size between the fall of the limits, when
-// the last controller has recorded its level, and the moment at which the level is final.
-const maxTooLarge = 12
+// maxTooLargeTxns limits the transactions that may be rejected for their size in the time between the reduction of the
+// limits, which happens when the last controller has recorded its feature level, and the moment when the level is
+// final.
+const maxTooLargeTxns = 12
 
-// checkUpgraded checks that the feature level is final, that no placement page of the old layout is left, and that
-// hardly any transaction was rejected for its size.
+// checkUpgraded checks that the current feature level is recorded, that no placement page of the old layout is left,
+// and that at most maxTooLargeTxns transactions were rejected for their size.
 func (c *cluster) checkUpgraded() {
 	c.t.Helper()
 	c.checkRecords()
 	term := c.store.Get(storage.TermKey)
 	if rec, err := storage.DecodeTerm(term.Value); err != nil || rec.FeatureLevel != int(featurelevel.Current) {
-		c.t.Errorf("the term's record: %+v, %v", rec, err)
+		c.t.Errorf("term record without the current feature level: %+v, error %v", rec, err)
 	}
 	pairs, _ := c.store.List(storage.PlacementPrefix)
 	for _, p := range pairs {
 		if name, err := storage.ParsePageKey(p.Key, 1); err != nil || !name.Layout.Compact {
-			c.t.Errorf("%s is left: %v", p.Key, err)
+			c.t.Errorf("placement page %s of the old layout is left, error %v", p.Key, err)
 		}
 	}
-	if use := c.store.Usage(); use.TooLarge > maxTooLarge {
-		c.t.Errorf("%d transactions were refused for their size", use.TooLarge)
+	if usage := c.store.Usage(); usage.TooLarge > maxTooLargeTxns {
+		c.t.Errorf("%d transactions were rejected for their size", usage.TooLarge)
 	}
 }
 
-// TestUpgradeScenarios runs upgrades: controllers come back with the new feature level in every order, with faults, and
-// the limits of the key-value store fall once the last has recorded it. Pipelines are rejected until the level is
-// final, and served then; no rule is broken.
+// TestUpgradeScenarios checks upgrades. Controllers restart with the new feature level in various orders and with
+// faults, and the limits of the key-value store are lowered once the last controller has recorded its level. Pipelines
+// are rejected until the level is final and must be served then, and no rule may be violated.
 func TestUpgradeScenarios(t *testing.T) {
 	upgraded := []string{"upgraded", "limits", "pipeline"}
 	up, down := []int{0, 1, 2}, []int{2, 1, 0}
@@ -520,7 +524,7 @@
 	}, productionLevel, announceLowerLimits)
 }
 
-// TestRandomUpgrades runs upgrades in random orders with random faults, and pipelines throughout.
+// TestRandomUpgrades checks upgrades in random orders with random faults while pipelines are submitted.
 func TestRandomUpgrades(t *testing.T) {
 	for seed := testutil.Seed(); seed < testutil.Seed()+6; seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
--- a/internal/simulation/records_test.go
+++ b/internal/simulation/records_test.go
@@ -11,7 +11,7 @@
 	"pinebay/internal/storage"
 )
 
-// jobsInWrite returns the jobs whose placements a transaction records.
+// jobsInWrite returns the ids of the jobs whose placements a transaction records.
 func jobsInWrite(t *protocol.Txn) (jobs []string) {
 	for _, op := range t.Then {
 		if id, _, ok := strings.Cut(
@@ -25,8 +25,8 @@
 	return jobs
 }
 
-// faultySharedWrites gives a share of the transactions that record placements of several jobs another outcome.
-func faultySharedWrites(share float64, fate func(c *cluster, transaction string) Outcome) fault {
+// faultySharedWrites replaces the outcome of a random share of the transactions that record placements of several jobs.
+func faultySharedWrites(share float64, outcome func(c *cluster, transaction string) Outcome) fault {
 	return func(c *cluster) func() {
 		c.store.SetOutcomes(func(host string, txn *protocol.Txn) Outcome {
 			jobs := jobsInWrite(txn)
@@ -35,32 +35,33 @@
 				return Outcome{Reply: true}
 			}
 			c.recordOccurrence("shared")
-			return fate(c, name)
+			return outcome(c, name)
 		})
 		return func() { c.store.SetOutcomes(nil) }
 	}
 }
 
-// loseReply applies a transaction and never answers it.
+// loseReply returns the outcome of a transaction that is applied but never answered.
 func loseReply(*cluster, string) Outcome { return Outcome{} }
 
-// delayWrite applies a transaction late, and never answers it.
+// delayWrite returns the outcome of a transaction that is applied late and never answered.
 func delayWrite(c *cluster, name string) Outcome {
 	return Outcome{Delay: 2*s + c.randomDuration("late "+name, 10*s)}
 }
 
-// delayReply applies a transaction and answers it late.
+// delayReply returns the outcome of a transaction that is applied at once and answered late.
 func delayReply(c *cluster, name string) Outcome {
 	return Outcome{Reply: true, Delay: c.randomDuration("late "+name, 800*ms)}
 }
 
-// smallStoreLimits makes the key-value store enforce small limits.
+// smallStoreLimits configures small rate limits of the key-value store and makes it enforce them.
 func smallStoreLimits(c *cluster) {
 	c.cfg.Store = config.StoreLimits{RPS: 60, WriteRPS: 15, ValueKB: 8, TxnOps: 16}
 	c.store.SetLimits(c.cfg.Store)
 }
 
-// submitBatches is a step that submits several arrays at a time, so that their placements are recorded together.
+// submitBatches returns a step that submits n batches of four arrays, so that the placements of several jobs are
+// recorded in one transaction.
 func submitBatches(n int) func(*cluster) {
 	return func(c *cluster) {
 		for range n {
@@ -76,8 +77,8 @@
 	}
 }
 
-// TestSharedRecords runs each outcome of a transaction that records the placements of several jobs: no rule is broken,
-// and every job is served in the end.
+// TestSharedRecords runs scenarios with every outcome of a transaction that records the placements of several jobs. No
+// rule may be violated, and every job must be served in the end.
 func TestSharedRecords(t *testing.T) {
 	scenarios := []scenario{
 		{
@@ -170,8 +171,9 @@
 	runScenarios(t, 600, scenarios, func(c *cluster, x *scenario) { c.runToCompletion(x.steps, x.occurred) })
 }
 
-// TestRecordThatIsAlwaysRejected: the key-value store rejects every transaction that records one particular job. That
-// job waits; those that shared its transactions do not.
+// TestRecordThatIsAlwaysRejected checks that a job which cannot be recorded does not affect others. The key-value store
+// rejects every transaction that records that job. The job must wait, and jobs that shared transactions with it must
+// not.
 func TestRecordThatIsAlwaysRejected(t *testing.T) {
 	runScenario(t, 620, 3, fastTimings, func(c *cluster) {
 		c.startJobs(9)
@@ -190,20 +192,20 @@
 		submitBatches(6)(c)
 		time.Sleep(3 * time.Minute)
 		if c.occurrences("shared") == 0 {
-			t.Error("the job was in no transaction with others: the scenario shows nothing")
+			t.Error("the job shared no transaction with other jobs, so the test did not exercise shared records")
 		}
 		if c.term() != 1 {
-			t.Errorf("term %d: the job has cost the leader its term", c.term())
+			t.Errorf("term is %d, want 1: the rejected job has ended the term of the leader", c.term())
 		}
 		c.jobIDs = slices.DeleteFunc(c.jobIDs, func(id string) bool { return id == bad.ID })
 		c.checkAllServed()
-		if _, over := c.answers.FinalState(bad.ID); over {
-			t.Error("a job is over that could not be recorded")
+		if _, ended := c.answers.FinalState(bad.ID); ended {
+			t.Error("the job has a final state although it could not be recorded")
 		}
 		c.store.SetOutcomes(nil)
 		time.Sleep(3 * time.Minute)
-		if _, over := c.answers.FinalState(bad.ID); !over {
-			t.Error("the job is not served although it can be recorded now")
+		if _, ended := c.answers.FinalState(bad.ID); !ended {
+			t.Error("the job has no final state although it can be recorded now")
 		}
 	})
 }
--- a/internal/simulation/resources.go
+++ b/internal/simulation/resources.go
@@ -2,13 +2,13 @@
 
 import "pinebay/internal/protocol"
 
-// resourceTolerance makes up for rounding when tasks reach a limit exactly.
+// resourceTolerance allows for rounding errors when the resources of tasks add up to exactly a limit.
 const resourceTolerance = 1e-6
 
-// Resources are those of a machine, of tasks or of a team's limit.
+// Resources are the resources of a machine or of tasks, or the limit of a team.
 type Resources struct{ CPUs, GPUs, MemoryGB float64 }
 
-// resourcesOf returns the resources of a task of a job.
+// resourcesOf returns the resources that one task of a job needs.
 func resourcesOf(job *protocol.Job) Resources {
 	return Resources{CPUs: job.CPUs, GPUs: job.GPUs, MemoryGB: job.MemoryGB}
 }
@@ -21,7 +21,7 @@
 	return Resources{CPUs: r.CPUs - other.CPUs, GPUs: r.GPUs - other.GPUs, MemoryGB: r.MemoryGB - other.MemoryGB}
 }
 
-// fitsIn reports whether the resources are available in a capacity.
+// fitsIn reports whether the resources do not exceed a capacity.
 func (r Resources) fitsIn(capacity Resources) bool {
 	return r.CPUs <= capacity.CPUs+resourceTolerance &&
 		r.GPUs <= capacity.GPUs+resourceTolerance &&
--- a/internal/simulation/response.go
+++ b/internal/simulation/response.go
@@ -6,7 +6,8 @@
 	"pinebay/internal/protocol"
 )
 
-// writeResponse writes a response. Errors of the connection are ignored: a client that has lost a response asks again.
+// writeResponse writes a response with an encoded body. Write errors are ignored because a client that does not receive
+// a response repeats its request.
 func writeResponse(w http.ResponseWriter, status int, body any) {
 	raw, err := protocol.Encode(body)
 	if err != nil {
@@ -16,7 +17,7 @@
 	_, _ = w.Write(raw)
 }
 
-// writeError writes a response with an error.
+// writeError writes an error response.
 func writeError(w http.ResponseWriter, status int, message string) {
 	writeResponse(w, status, protocol.ErrorResponse{Error: message})
 }
--- a/internal/simulation/rules.go
+++ b/internal/simulation/rules.go
@@ -7,12 +7,13 @@
 	"pinebay/internal/protocol"
 )
 
-// addViolation records that a rule of the protocol was broken.
+// addViolation records a violation of a rule of the protocol. Messages begin with the name of the rule.
 func (w *World) addViolation(format string, args ...any) {
 	w.Violations = append(w.Violations, fmt.Sprintf(format, args...))
 }
 
-// checkStart checks the rules for a task that gets onto its machine.
+// checkStart checks all rules for a task that starts to occupy its machine. It must be called before the task is
+// counted.
 func (w *World) checkStart(now time.Duration, m *Worker, t *Task, job *protocol.Job) {
 	w.Starts++
 	for _, dependency := range job.Dependencies {
@@ -24,21 +25,21 @@
 		w.OnStart(now, t.ID)
 	}
 	if at, ok := w.Cancelled[job.ID]; ok && now > at+w.CancelTimeout {
-		w.addViolation("ran_cancelled: %s started %v after its cancellation", t.ID, now-at)
+		w.addViolation("ran_cancelled: %s started %v after the cancellation of its job", t.ID, now-at)
 	}
 	w.checkPlace(m, t, job)
 	w.checkQuota(job)
 }
 
-// checkPlace checks that a task may be on a machine beside the other tasks of its job.
+// checkPlace checks that a task may run on a machine, given the zones of the other tasks of its job.
 func (w *World) checkPlace(m *Worker, t *Task, job *protocol.Job) {
 	if m.Spot && !job.SpotAllowed || job.Zone != "" && job.Zone != m.Zone {
-		w.addViolation("wrong_place: %s on %s", t.ID, m.Name)
+		w.addViolation("wrong_place: %s on %s, whose zone or spot status its job does not allow", t.ID, m.Name)
 	}
-	if w.occupied.tasks[t.ID] > 0 {
-		w.addViolation("ran_twice: %s on %s and elsewhere", t.ID, m.Name)
+	if w.onMachines.tasks[t.ID] > 0 {
+		w.addViolation("ran_twice: %s on %s and on another machine", t.ID, m.Name)
 	}
-	tasksByZone := w.occupied.zones[job.ID]
+	tasksByZone := w.onMachines.zones[job.ID]
 	elsewhere := 0
 	for zone, n := range tasksByZone {
 		if zone != m.Zone {
@@ -46,16 +47,16 @@
 		}
 	}
 	if job.SameZone && elsewhere > 0 {
-		w.addViolation("wrong_place: %s is in several zones", job.ID)
+		w.addViolation("wrong_place: %s has tasks in several zones", job.ID)
 	}
 	if here := tasksByZone[m.Zone] + 1; job.Spread && here > (job.TaskCount+1)/2 {
 		w.addViolation("wrong_place: %s has %d tasks in %s", job.ID, here, m.Zone)
 	}
 }
 
-// checkQuota checks that a team stays within its limits with one more task of a job.
+// checkQuota checks that the team of a job stays within its limits with one more task of the job.
 func (w *World) checkQuota(job *protocol.Job) {
-	used, limits := w.occupied.usage(job.Team).plus(resourcesOf(job)), w.TeamLimits[job.Team]
+	used, limits := w.onMachines.usage(job.Team).plus(resourcesOf(job)), w.TeamLimits[job.Team]
 	for _, resource := range []struct{ used, limit float64 }{{used.CPUs, limits.CPUs}, {used.GPUs, limits.GPUs}} {
 		if resource.limit > 0 && resource.used > resource.limit+resourceTolerance {
 			w.addViolation("quota: %s uses %v of %v", job.Team, resource.used, resource.limit)
@@ -63,16 +64,17 @@
 	}
 }
 
-// checkCancelled checks that no task of a job is on a machine long after its user was told that it is cancelled.
+// checkCancelled checks that no task of a job occupies a machine more than CancelTimeout after a user was told that the
+// job is cancelled.
 func (w *World) checkCancelled(now time.Duration) {
 	for id, at := range w.Cancelled {
-		if now <= at+w.CancelTimeout || len(w.occupied.zones[id]) == 0 {
+		if now <= at+w.CancelTimeout || len(w.onMachines.zones[id]) == 0 {
 			continue
 		}
 		for _, m := range w.Workers {
 			for _, t := range m.Tasks {
 				if t.ID.JobID == id && t.OnMachine() {
-					w.addViolation("ran_cancelled: %s is on %s %v after", t.ID, m.Name, now-at)
+					w.addViolation("ran_cancelled: %s is on %s %v after its cancellation", t.ID, m.Name, now-at)
 				}
 			}
 		}
--- a/internal/simulation/scenario_test.go
+++ b/internal/simulation/scenario_test.go
@@ -7,23 +7,24 @@
 	"pinebay/internal/config"
 )
 
-// defaultControllers is the number of controllers of scenarios that name none.
+// defaultControllers is the number of controllers in scenarios that do not set it.
 const defaultControllers = 3
 
-// scenario is a sequence of faults and users' requests on a cluster.
+// scenario is a sequence of faults and user requests on a cluster.
 type scenario struct {
 	name        string
 	controllers int // 0: defaultControllers
 	timings     config.Workers
 	steps       []step
-	// occurred names occurrences that must be recorded, since without them the scenario shows nothing.
+	// occurred lists events that must be recorded; without them the scenario does not exercise what it is meant to
+	// test.
 	occurred []string
-	// logged are texts that the log must contain, and notLogged such that it must not.
+	// logged are texts that the log must contain, and notLogged texts that it must not contain.
 	logged, notLogged []string
 	options           []func(*cluster)
 }
 
-// run runs f on a cluster as the scenario describes it, in simulated time.
+// run runs f on a cluster with the settings of the scenario in simulated time.
 func (x *scenario) run(t *testing.T, seed uint64, f func(c *cluster), options ...func(*cluster)) {
 	t.Helper()
 	controllers := x.controllers
@@ -33,7 +34,7 @@
 	runScenario(t, seed, controllers, x.timings, f, slices.Concat(x.options, options)...)
 }
 
-// runScenarios runs f for each scenario as a parallel subtest. The seeds count up from the first one.
+// runScenarios runs f for each scenario as a parallel subtest. The seed of scenario i is firstSeed + i.
 func runScenarios(
 	t *testing.T,
 	firstSeed uint64,
@@ -51,17 +52,17 @@
 	}
 }
 
-// checkLog checks that the log has the texts that the scenario demands, and none that it excludes.
+// checkLog checks that the log contains all of x.logged and none of x.notLogged.
 func (c *cluster) checkLog(x *scenario) {
 	c.t.Helper()
 	for _, text := range x.logged {
 		if c.logCount(text) == 0 {
-			c.t.Errorf("the log does not say %q", text)
+			c.t.Errorf("the log does not contain %q", text)
 		}
 	}
 	for _, text := range x.notLogged {
 		if c.logCount(text) > 0 {
-			c.t.Errorf("the log says %q", text)
+			c.t.Errorf("the log contains %q", text)
 		}
 	}
 }
--- a/internal/simulation/scenarios_test.go
+++ b/internal/simulation/scenarios_test.go
@@ -10,59 +10,67 @@
 	"pinebay/internal/testutil"
 )
 
-// startJobs submits jobs and waits until they run.
+// startJobs submits jobs of all shapes and waits until they run. It fails the test if fewer than half of them do.
 func (c *cluster) startJobs(jobs int) {
 	time.Sleep(5 * time.Second)
 	c.submitMixture(jobs)
 	time.Sleep(35 * time.Second)
 	if n := len(c.runningJobs()); n < jobs/2 {
-		c.t.Fatalf("only %d of %d jobs run", n, jobs)
+		c.t.Fatalf("only %d of %d jobs are running, want at least half", n, jobs)
 	}
 }
 
-// cancelRunning has users cancel up to n running jobs at the given controllers, and returns how many were told that
-// their job is cancelled.
-func (c *cluster) cancelRunning(n int, at []*controller, within time.Duration) int {
+// cancelRunning cancels up to n running jobs at the target controllers and returns the number of cancellations that
+// were confirmed.
+func (c *cluster) cancelRunning(n int, targets []*controller, within time.Duration) int {
 	ids := c.runningJobs()
-	told := make(chan bool, len(ids))
+	confirmed := make(chan bool, len(ids))
 	ids = ids[:min(n, len(ids))]
 	for _, id := range ids {
-		c.spawn(func() { told <- c.cancelUntilFinal(id, at, within) })
+		c.spawn(func() { confirmed <- c.cancelUntilFinal(id, targets, within) })
 	}
 	count := 0
 	for range ids {
-		if <-told {
+		if <-confirmed {
 			count++
 		}
 	}
 	return count
 }
 
-// storeGap is a scenario in which the key-value store refuses the leader alone, another controller confirms
-// cancellations, and then the store serves nobody for longer than a cancellation may take.
-type storeGap struct {
-	before                time.Duration // from the refusal to the outage
-	outage                float64       // in times that a cancellation may take
-	crash                 bool          // the leader ends, instead of being refused
-	after                 string        // what becomes of the controllers that confirmed
-	leader                string        // what else becomes of the leader, or instead of the refusal
-	cancellationsExpected bool          // there is surely time to confirm some
-	worker                string        // what becomes of machines of cancelled jobs
+// storeFailure is a scenario in which the key-value store first refuses the leader only, while other controllers
+// confirm cancellations, and then is unavailable to all, in most cases for longer than a cancellation may take.
+type storeFailure struct {
+	refusal       time.Duration // time from the refusal to the outage
+	outageFactor  float64       // duration of the outage as a multiple of the time that a cancellation may take
+	leaderCrashes bool          // the leader crashes instead of being refused
+	// confirmerFault is the fault of the controllers that confirmed cancellations, if any: "killed", "one killed",
+	// "back at once" for a quick restart of one of them, or "cut" for a partition of one from the other controllers.
+	confirmerFault string
+	// leaderFault is another fault of the leader, if any: "cut" for a partition from the other controllers or, instead
+	// of the refusal, "apart" for a partition from the store and the other controllers.
+	leaderFault           string
+	cancellationsExpected bool // there is enough time to confirm cancellations
+	// workerFault is the fault of machines with tasks of cancelled jobs, if any: "hung", "mute" if their heartbeats are
+	// lost, or "deaf" if all packets to them are held back.
+	workerFault string
 }
 
-func (g storeGap) String() string {
+// String describes the scenario in the log of a test.
+func (g storeFailure) String() string {
 	return fmt.Sprintf(
-		"%v before, %.1f, crash %v, confirmers %q, leader %q, workers %q",
-		g.before,
-		g.outage,
-		g.crash,
-		g.after,
-		g.leader,
-		g.worker,
+		"refusal=%v outage_factor=%.1f leader_crashes=%v confirmer_fault=%q leader_fault=%q worker_fault=%q",
+		g.refusal,
+		g.outageFactor,
+		g.leaderCrashes,
+		g.confirmerFault,
+		g.leaderFault,
+		g.workerFault,
 	)
 }
 
-func (g storeGap) run(c *cluster) {
+// run runs the scenario on a cluster.
+func (g storeFailure) run(c *cluster) {
 	c.startJobs(12)
 	cancel := config.Seconds(c.cfg.Workers.CancelSeconds)
 	old := c.leader()
@@ -70,23 +78,23 @@
 	others := c.others(old)
 	heal := func() {}
 	switch {
-	case g.crash:
+	case g.leaderCrashes:
 		c.crash(old, 6*time.Second)
-	case g.leader == "apart":
+	case g.leaderFault == "apart":
 		heal = isolateLeader(c)
 	default:
 		c.store.SetRefused(old.ip, true)
 	}
-	time.Sleep(g.before / 2)
-	told := c.cancelRunning(6, others, g.before/2)
-	var deaf []*workerProcess
+	time.Sleep(g.refusal / 2)
+	confirmed := c.cancelRunning(6, others, g.refusal/2)
+	var unreachable []*workerProcess
 	c.mu.Lock()
 	for id := range c.world.Cancelled {
 		workers := c.workersWithJob(id)
 		if len(workers) == 0 {
 			continue
 		}
-		switch r := workers[0]; g.worker {
+		switch r := workers[0]; g.workerFault {
 		case "hung":
 			if !r.model.Hung {
 				r.hang(cancel * 3 / 2)
@@ -95,15 +103,15 @@
 			r.HeartbeatsLost = true
 			time.AfterFunc(cancel*3/2, func() { c.mu.Lock(); r.HeartbeatsLost = false; c.mu.Unlock() })
 		case "deaf":
-			deaf = append(deaf, r)
+			unreachable = append(unreachable, r)
 		}
 	}
 	c.mu.Unlock()
-	for _, r := range deaf {
+	for _, r := range unreachable {
 		time.AfterFunc(cancel*3/2, c.blockLink("*", r.ip))
 	}
 	c.store.SetOutage(true)
-	switch g.after {
+	switch g.confirmerFault {
 	case "killed":
 		for _, n := range others {
 			c.crash(n, 6*time.Second)
@@ -113,113 +121,172 @@
 	case "back at once":
 		c.crash(others[0], 200*ms)
 	case "cut":
-		h, also := heal, c.isolateFrom(others[0], c.others(others[0])...)
-		heal = func() { h(); also() }
+		healFirst, healSecond := heal, c.isolateFrom(others[0], c.others(others[0])...)
+		heal = func() { healFirst(); healSecond() }
 	}
-	if g.leader == "cut" {
-		h, also := heal, c.isolateFrom(old, others...)
-		heal = func() { h(); also() }
+	if g.leaderFault == "cut" {
+		healFirst, healSecond := heal, c.isolateFrom(old, others...)
+		heal = func() { healFirst(); healSecond() }
 	}
-	time.Sleep(time.Duration(float64(cancel) * g.outage))
+	time.Sleep(time.Duration(float64(cancel) * g.outageFactor))
 	c.store.SetOutage(false)
 	time.Sleep(3 * time.Second)
 	c.store.SetRefused(old.ip, false)
 	heal()
 	time.Sleep(2 * cancel)
-	if told == 0 && g.cancellationsExpected {
-		c.t.Errorf("no cancellation was confirmed: the scenario did not take place (term %d to %d)", term, c.term())
+	if confirmed == 0 && g.cancellationsExpected {
+		c.t.Errorf("no cancellation was confirmed, so the test did not exercise any (terms %d to %d)", term, c.term())
 	}
 	time.Sleep(4 * cancel)
 	c.checkAllServed()
 }
 
-// TestCancelledWhileLeaderCannotReachStore runs store gaps with other faults. The intents that a quorum holds are what
-// ends the tasks: without them the first rows fail with ran_cancelled.
+// TestCancelledWhileLeaderCannotReachStore checks that tasks of cancelled jobs end in time although the leader cannot
+// read the cancellations, in combination with other faults. The intents that a quorum of controllers holds make this
+// work: without them, the first rows fail with ran_cancelled.
 func TestCancelledWhileLeaderCannotReachStore(t *testing.T) {
 	rows := []struct {
 		controllers int
 		w           config.Workers
-		storeGap
+		storeFailure
 	}{
-		{3, fastTimings, storeGap{before: 2 * time.Second, outage: 1.3, cancellationsExpected: true}},
-		{5, fastTimings, storeGap{before: 2 * time.Second, outage: 1.3, cancellationsExpected: true}},
-		{3, slowTimings, storeGap{before: 2600 * ms, outage: 1.3, cancellationsExpected: true}},
-		{3, fastTimings, storeGap{before: 2 * time.Second, outage: 0.9, cancellationsExpected: true}},
-		{3, fastTimings, storeGap{before: time.Second, outage: 2, cancellationsExpected: true}},
-		{3, fastTimings, storeGap{before: 20 * time.Second, outage: 1.3, cancellationsExpected: true}},
-		{3, fastTimings, storeGap{before: 2 * time.Second, outage: 1.3, crash: true}},
+		{3, fastTimings, storeFailure{refusal: 2 * time.Second, outageFactor: 1.3, cancellationsExpected: true}},
+		{5, fastTimings, storeFailure{refusal: 2 * time.Second, outageFactor: 1.3, cancellationsExpected: true}},
+		{3, slowTimings, storeFailure{refusal: 2600 * ms, outageFactor: 1.3, cancellationsExpected: true}},
+		{3, fastTimings, storeFailure{refusal: 2 * time.Second, outageFactor: 0.9, cancellationsExpected: true}},
+		{3, fastTimings, storeFailure{refusal: time.Second, outageFactor: 2, cancellationsExpected: true}},
+		{3, fastTimings, storeFailure{refusal: 20 * time.Second, outageFactor: 1.3, cancellationsExpected: true}},
+		{3, fastTimings, storeFailure{refusal: 2 * time.Second, outageFactor: 1.3, leaderCrashes: true}},
 		{
 			3,
 			fastTimings,
-			storeGap{before: 2 * time.Second, outage: 1.3, after: "one killed", cancellationsExpected: true},
+			storeFailure{
+				refusal:               2 * time.Second,
+				outageFactor:          1.3,
+				confirmerFault:        "one killed",
+				cancellationsExpected: true,
+			},
+		},
+		{
+			3,
+			fastTimings,
+			storeFailure{
+				refusal:               2 * time.Second,
+				outageFactor:          1.3,
+				confirmerFault:        "back at once",
+				cancellationsExpected: true,
+			},
+		},
+		{
+			3,
+			slowTimings,
+			storeFailure{refusal: 2600 * ms, outageFactor: 1.3, confirmerFault: "killed", cancellationsExpected: true},
+		},
+		{
+			3,
+			fastTimings,
+			storeFailure{
+				refusal:               2 * time.Second,
+				outageFactor:          1.3,
+				confirmerFault:        "cut",
+				cancellationsExpected: true,
+			},
 		},
 		{
 			3,
 			fastTimings,
-			storeGap{before: 2 * time.Second, outage: 1.3, after: "back at once", cancellationsExpected: true},
+			storeFailure{refusal: 2 * time.Second, outageFactor: 1.3, leaderFault: "cut", cancellationsExpected: true},
 		},
-		{3, slowTimings, storeGap{before: 2600 * ms, outage: 1.3, after: "killed", cancellationsExpected: true}},
-		{3, fastTimings, storeGap{before: 2 * time.Second, outage: 1.3, after: "cut", cancellationsExpected: true}},
-		{3, fastTimings, storeGap{before: 2 * time.Second, outage: 1.3, leader: "cut", cancellationsExpected: true}},
 		{
 			5,
 			slowTimings,
-			storeGap{before: 2600 * ms, outage: 1.3, leader: "cut", after: "one killed", cancellationsExpected: true},
+			storeFailure{
+				refusal:               2600 * ms,
+				outageFactor:          1.3,
+				leaderFault:           "cut",
+				confirmerFault:        "one killed",
+				cancellationsExpected: true,
+			},
 		},
 		{
 			3,
 			fastTimings,
-			storeGap{
-				before:                2 * time.Second,
-				outage:                1.3,
-				leader:                "cut",
-				after:                 "back at once",
+			storeFailure{
+				refusal:               2 * time.Second,
+				outageFactor:          1.3,
+				leaderFault:           "cut",
+				confirmerFault:        "back at once",
 				cancellationsExpected: true,
 			},
 		},
-		{3, fastTimings, storeGap{before: 2 * time.Second, outage: 1.3, worker: "hung", cancellationsExpected: true}},
-		{3, slowTimings, storeGap{before: 2600 * ms, outage: 1.3, worker: "deaf", cancellationsExpected: true}},
-		{3, fastTimings, storeGap{before: 2 * time.Second, outage: 1.3, worker: "mute", cancellationsExpected: true}},
-		{3, fastTimings, storeGap{before: time.Second, outage: 1.5, leader: "apart", cancellationsExpected: true}},
+		{
+			3,
+			fastTimings,
+			storeFailure{refusal: 2 * time.Second, outageFactor: 1.3, workerFault: "hung", cancellationsExpected: true},
+		},
+		{
+			3,
+			slowTimings,
+			storeFailure{refusal: 2600 * ms, outageFactor: 1.3, workerFault: "deaf", cancellationsExpected: true},
+		},
+		{
+			3,
+			fastTimings,
+			storeFailure{refusal: 2 * time.Second, outageFactor: 1.3, workerFault: "mute", cancellationsExpected: true},
+		},
+		{
+			3,
+			fastTimings,
+			storeFailure{refusal: time.Second, outageFactor: 1.5, leaderFault: "apart", cancellationsExpected: true},
+		},
 		{
 			5,
 			fastTimings,
-			storeGap{
-				before:                time.Second,
-				outage:                1.5,
-				leader:                "apart",
-				after:                 "one killed",
+			storeFailure{
+				refusal:               time.Second,
+				outageFactor:          1.5,
+				leaderFault:           "apart",
+				confirmerFault:        "one killed",
 				cancellationsExpected: true,
 			},
 		},
-		{3, fastTimings, storeGap{before: 600 * ms, outage: 1.5, crash: true, cancellationsExpected: true}},
+		{
+			3,
+			fastTimings,
+			storeFailure{refusal: 600 * ms, outageFactor: 1.5, leaderCrashes: true, cancellationsExpected: true},
+		},
 	}
 	for i, r := range rows {
 		t.Run(fmt.Sprint(i), func(t *testing.T) {
 			t.Parallel()
-			t.Log(r.storeGap)
+			t.Log(r.storeFailure)
 			runScenario(t, uint64(i+1), r.controllers, r.w, r.run)
 		})
 	}
 }
 
-// randomStoreGap returns a random store gap.
-func randomStoreGap(rng *rand.Rand) storeGap {
+// randomStoreFailure returns a random store failure.
+func randomStoreFailure(rng *rand.Rand) storeFailure {
 	pick := func(words ...string) string { return words[rng.IntN(len(words))] }
-	return storeGap{
-		before: time.Duration(1000+rng.IntN(4000)) * ms, outage: 0.8 + rng.Float64(), crash: rng.IntN(5) == 0,
-		after:  pick("", "", "one killed", "killed", "back at once", "cut"),
-		leader: pick("", "", "cut"), worker: pick("", "", "hung", "mute", "deaf"),
+	return storeFailure{
+		refusal: time.Duration(
+			1000+rng.IntN(4000),
+		) * ms,
+		outageFactor:   0.8 + rng.Float64(),
+		leaderCrashes:  rng.IntN(5) == 0,
+		confirmerFault: pick("", "", "one killed", "killed", "back at once", "cut"),
+		leaderFault:    pick("", "", "cut"),
+		workerFault:    pick("", "", "hung", "mute", "deaf"),
 	}
 }
 
-// TestRandomStoreGaps runs random store gaps.
-func TestRandomStoreGaps(t *testing.T) {
+// TestRandomStoreFailures checks random store failures.
+func TestRandomStoreFailures(t *testing.T) {
 	for seed := testutil.Seed(); seed < testutil.Seed()+6; seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			rng := rand.New(rand.NewPCG(seed, 5))
-			g := randomStoreGap(rng)
+			g := randomStoreFailure(rng)
 			t.Log(g)
 			runScenario(
 				t,
@@ -232,10 +299,10 @@
 	}
 }
 
-// s is a second in the tables of scenarios.
+// s abbreviates time.Second in tables of scenarios.
 const s = time.Second
 
-// scenarios are combinations of faults that have led to violations before.
+// scenarios are combinations of faults that led to violations in earlier versions.
 var scenarios = []scenario{
 	{
 		name:    "close looks",
@@ -520,15 +587,16 @@
 	},
 }
 
-// TestScenarios runs every scenario.
+// TestScenarios checks that no scenario leads to a violation and that all jobs are served in the end.
 func TestScenarios(t *testing.T) {
 	runScenarios(t, 100, scenarios, func(c *cluster, x *scenario) { c.runToCompletion(x.steps, x.occurred) })
 }
 
-// TestLeasesOutliveRestartsInAnOutage: in an outage of the key-value store, the leader and another controller crash and
-// come back. The third one renews the leases, and workers find it in time, wherever they go first. Leases expired when
-// the others, just started, claimed for a moment to reach the store, when connections to them hung for as long as a
-// heartbeat may take, and when workers went from one to the next.
+// TestLeasesOutliveRestartsInAnOutage checks that no worker lease expires if the leader and another controller crash
+// and restart during an outage of the key-value store. The third controller renews the leases, and workers must find it
+// in time, whichever controller they contact first. Leases used to expire because restarted controllers claimed for a
+// moment that they reach the store, because connections to crashed controllers hung until the heartbeat timeout, and
+// because workers moved from one controller to the next.
 func TestLeasesOutliveRestartsInAnOutage(t *testing.T) {
 	for seed := uint64(1); seed <= 4; seed++ {
 		runScenario(t, seed, 3, fastTimings, func(c *cluster) {
@@ -548,7 +616,7 @@
 			}
 			c.mu.Unlock()
 			if ended > 0 {
-				t.Errorf("seed %d: leases of %d of %d machines ended", seed, ended, len(c.workers))
+				t.Errorf("seed %d: the leases of %d of %d machines have expired", seed, ended, len(c.workers))
 			}
 			c.store.SetOutage(false)
 			c.endOutage()
--- a/internal/simulation/starvation_test.go
+++ b/internal/simulation/starvation_test.go
@@ -11,8 +11,8 @@
 	"pinebay/internal/testutil"
 )
 
-// starvationScenarios have controllers that are short of processor time. Leases, terms and freshness must be checked
-// when they are relied upon, since timers and replies may be late.
+// starvationScenarios are scenarios with controllers that are short of CPU time. Timers and replies may be late then,
+// so controllers must check leases, terms and the age of data at the moment when they rely on them.
 var starvationScenarios = []scenario{
 	{
 		name:    "a slow leader, cancellations, then a crash",
@@ -62,12 +62,12 @@
 	},
 }
 
-// TestStarvation runs every scenario of starvation.
+// TestStarvation checks all starvation scenarios.
 func TestStarvation(t *testing.T) {
 	runScenarios(t, 300, starvationScenarios, func(c *cluster, x *scenario) { c.runToCompletion(x.steps, x.occurred) })
 }
 
-// TestRandomStarvation combines slow controllers with random faults.
+// TestRandomStarvation checks random scenarios in which a controller is slow.
 func TestRandomStarvation(t *testing.T) {
 	for seed := testutil.Seed(); seed < testutil.Seed()+6; seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -89,27 +89,27 @@
 	}
 }
 
-// TestMessagesOfAHeartbeat: without faults, controllers send each other heartbeats at their interval, each in one
-// packet with one for its reply, and nothing else.
-func TestMessagesOfAHeartbeat(t *testing.T) {
+// TestPacketsPerHeartbeat checks that controllers without faults send each other only heartbeats at their interval,
+// with one packet for each heartbeat and one for its reply.
+func TestPacketsPerHeartbeat(t *testing.T) {
 	runScenario(t, 21, 3, fastTimings, func(c *cluster) {
 		time.Sleep(20 * s)
 		before := c.peerPackets()
 		const span = 60 * s
 		time.Sleep(span)
 		got := c.peerPackets() - before
-		beat := daemon.Times(&c.cfg).HeartbeatInterval
-		// The leader sends to both followers with every beat, the followers to both others
-		// with every other one.
-		heartbeats := int(span/beat)*2 + int(span/(2*beat))*4
+		interval := daemon.Times(&c.cfg).HeartbeatInterval
+		// The leader sends a heartbeat to both followers in every interval; each follower sends one to both other
+		// controllers in every second interval.
+		heartbeats := int(span/interval)*2 + int(span/(2*interval))*4
 		t.Logf("%d packets for %d heartbeats", got, heartbeats)
-		if most := 2 * heartbeats * 21 / 20; got > most || got < heartbeats {
-			t.Errorf("%d packets between controllers for %d heartbeats, want %d at most", got, heartbeats, most)
+		if maxPackets := 2 * heartbeats * 21 / 20; got > maxPackets || got < heartbeats {
+			t.Errorf("%d packets between controllers for %d heartbeats, want at most %d", got, heartbeats, maxPackets)
 		}
 	})
 }
 
-// peerPackets returns the number of packets that controllers have sent each other.
+// peerPackets returns the number of packets that controllers have sent to each other.
 func (c *cluster) peerPackets() (n int) {
 	for _, a := range c.controllers {
 		for _, b := range c.others(a) {
@@ -119,15 +119,15 @@
 	return n
 }
 
-// TestSubmissionsDuringFailover: while a new leader reads the records and waits for its machines, submissions to the
-// other controllers are accepted all the same.
+// TestSubmissionsDuringFailover checks that controllers accept submissions while a new leader is elected, reads the
+// records and waits for heartbeats of its machines.
 func TestSubmissionsDuringFailover(t *testing.T) {
 	runScenario(t, 22, 3, fastTimings, func(c *cluster) {
 		c.startJobs(12)
 		old, term := c.leader(), c.term()
 		c.crash(old, 60*s)
 		rest := c.others(old)
-		sent, shed := 0, 0
+		sent, rejected := 0, 0
 		for end := c.now() + 20*s; c.now() < end; time.Sleep(100 * ms) {
 			j := c.newJob("array", 1, 1)
 			c.mu.Lock()
@@ -136,18 +136,18 @@
 			c.mu.Unlock()
 			sent++
 			if status, _ := c.request(rest[sent%2], RequestSubmit, j.ID); status != 200 && status != 201 {
-				shed++
+				rejected++
 				c.submit(j)
 				continue
 			}
 			c.pollInBackground(j.ID)
 		}
-		t.Logf("%d of %d submissions shed", shed, sent)
+		t.Logf("%d of %d submissions rejected", rejected, sent)
 		if c.term() == term {
-			t.Error("nobody took over: the test shows nothing")
+			t.Error("no other controller took over, so the test did not exercise a failover")
 		}
-		if most := sent / 50; shed > most {
-			t.Errorf("%d of %d submissions shed, want %d at most", shed, sent, most)
+		if maxRejected := sent / 50; rejected > maxRejected {
+			t.Errorf("%d of %d submissions rejected, want at most %d", rejected, sent, maxRejected)
 		}
 		time.Sleep(4 * time.Minute)
 		c.checkAllServed()
--- a/internal/simulation/store.go
+++ b/internal/simulation/store.go
@@ -14,17 +14,18 @@
 	"pinebay/internal/protocol"
 )
 
-// maxEvents is the number of changes that the store keeps for watches.
+// maxEvents is the number of recent changes that the store keeps for watches.
 const maxEvents = 10_000
 
-// Store is a model of the key-value store. It is safe for concurrent use; its exported fields are set before it is
-// used, or while nothing uses it.
+// Store is a model of the key-value store. Its methods are safe for concurrent use. The exported fields must not be set
+// while the store is in use.
 type Store struct {
-	// Unavailable makes every request get a 503.
+	// Unavailable makes the store reject every request with status 503.
 	Unavailable bool
-	// MaxValue, if set, is the limit of values above which Oversized counts them. They are stored all the same.
+	// MaxValue, if set, is the size in bytes above which Oversized counts a value. Larger values are stored
+	// nevertheless.
 	MaxValue int
-	// Oversized is the number of values above MaxValue.
+	// Oversized is the number of values that exceeded MaxValue.
 	Oversized int
 
 	mu            sync.Mutex
@@ -33,19 +34,19 @@
 	keys          *btree.Map[string, entry]
 	leases        map[uint64]*lease
 	lastLeaseID   uint64
-	events        []event       // the last changes, in the order of their revisions
-	changed       chan struct{} // closed when there is a change, or a host is served again
+	events        []event       // recent changes, sorted by revision
+	changed       chan struct{} // closed when a key or the availability for a host changes
 	refused       map[string]bool
-	decideOutcome func(host string, txn *protocol.Txn) Outcome // nil: all are applied and answered
-	limits        *storeLimits                                 // nil: none
+	decideOutcome func(host string, txn *protocol.Txn) Outcome // nil: every transaction is applied and answered at once
+	limits        *storeLimits                                 // nil: no limits
 	usage         StoreUsage
 }
 
-// entry is the value of a key.
+// entry is what is stored for a key.
 type entry struct {
 	value    []byte
 	revision uint64
-	lease    uint64 // 0: none
+	lease    uint64 // 0: not attached to a lease
 }
 
 // lease is a lease that has not expired.
@@ -68,7 +69,7 @@
 	}
 }
 
-// Advance sets the time, and ends the leases that have expired.
+// Advance sets the time and ends leases that have expired. Leases do not expire while the store is unavailable.
 func (s *Store) Advance(now time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -83,7 +84,7 @@
 	}
 }
 
-// GrantLease grants a lease, and returns its id.
+// GrantLease grants a lease and returns its id.
 func (s *Store) GrantLease(ttl time.Duration) uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -92,7 +93,7 @@
 	return s.lastLeaseID
 }
 
-// renewLease extends or ends a lease, and reports whether it existed.
+// renewLease extends a lease, or ends it if extend is false. It reports whether the lease existed.
 func (s *Store) renewLease(id uint64, extend bool) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -125,7 +126,7 @@
 	s.notifyWatches()
 }
 
-// Get returns a key. Its revision is 0 if it does not exist.
+// Get returns a key with its value. The revision is 0 if the key does not exist.
 func (s *Store) Get(key string) protocol.KeyValue {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -133,13 +134,14 @@
 	return protocol.KeyValue{Key: key, Value: e.value, Revision: e.revision, LeaseID: e.lease}
 }
 
-// List returns all keys with a prefix, and the revision.
+// List returns all keys with a prefix, and the revision of the store.
 func (s *Store) List(prefix string) ([]protocol.KeyValue, uint64) {
 	page := s.page(prefix, "", math.MaxInt, math.MaxInt)
 	return page.Items, page.Revision
 }
 
-// page returns the keys with a prefix that come after another one, up to a number and a size.
+// page returns the keys with a prefix that come after the key from. It returns at most maxItems keys and about maxBytes
+// bytes, but at least one key if there is one.
 func (s *Store) page(prefix, from string, maxItems, maxBytes int) (page protocol.KeyValuePage) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -162,9 +164,9 @@
 	return page
 }
 
-// Txn applies a transaction. failed lists the comparisons that do not hold, and is empty if the transaction was
-// applied. noLease says that it was rejected because a lease of it has expired.
-func (s *Store) Txn(txn protocol.Txn) (revision uint64, failed []string, noLease bool) {
+// Txn applies a transaction if all of its comparisons hold. failed lists the keys whose comparisons do not hold.
+// leaseExpired reports whether the transaction was rejected because one of its leases does not exist any more.
+func (s *Store) Txn(txn protocol.Txn) (revision uint64, failed []string, leaseExpired bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, op := range txn.Then {
@@ -211,7 +213,8 @@
 	s.appendEvent(key, protocol.WatchEvent{DeleteKey: key, Revision: s.revision})
 }
 
-// appendEvent keeps a change for watches, and drops the oldest ones from time to time. The caller holds s.mu.
+// appendEvent records a change for watches. It discards the oldest changes once twice maxEvents are recorded. The
+// caller holds s.mu.
 func (s *Store) appendEvent(key string, change protocol.WatchEvent) {
 	s.events = append(s.events, event{revision: s.revision, change: change, key: key})
 	if len(s.events) >= 2*maxEvents {
@@ -219,14 +222,14 @@
 	}
 }
 
-// compacted reports whether changes after a revision are no longer kept.
+// compacted reports whether changes after a revision have been discarded.
 func (s *Store) compacted(revision uint64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.events) >= maxEvents && revision+1 < s.events[0].revision
 }
 
-// ChangesSince returns the changes of keys with a prefix after a revision, and the current revision.
+// ChangesSince returns the changes of keys with a prefix after a revision, and the current revision of the store.
 func (s *Store) ChangesSince(prefix string, revision uint64) ([]protocol.WatchEvent, uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -240,7 +243,7 @@
 	return changes, s.revision
 }
 
-// notifyWatches wakes open watches. The caller holds s.mu.
+// notifyWatches makes open watches check for changes. The caller holds s.mu.
 func (s *Store) notifyWatches() {
 	close(s.changed)
 	s.changed = make(chan struct{})
--- a/internal/simulation/store_faults.go
+++ b/internal/simulation/store_faults.go
@@ -6,25 +6,25 @@
 	"pinebay/internal/protocol"
 )
 
-// Outcome is what happens to a transaction.
+// Outcome determines what the store does with a transaction. The zero Outcome applies it at once and never answers it.
 type Outcome struct {
-	// Reply says whether the transaction is answered.
+	// Reply makes the store answer the transaction.
 	Reply bool
-	// Delay is the time until the answer is sent, or without Reply the time until the transaction is applied.
+	// Delay is the time before the answer is sent. Without Reply, it is the time before the transaction is applied.
 	Delay time.Duration
-	// Rejected transactions are answered as malformed and not applied.
+	// Rejected makes the store reject the transaction as malformed, without applying it.
 	Rejected bool
 }
 
-// SetOutcomes sets the function that decides what happens to each transaction of a host. With nil, all are applied and
-// answered at once.
+// SetOutcomes sets the function that decides the outcome of each transaction that a host sends. With nil, every
+// transaction is applied and answered at once.
 func (s *Store) SetOutcomes(decide func(host string, txn *protocol.Txn) Outcome) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.decideOutcome = decide
 }
 
-// outcomeOf returns what happens to a transaction.
+// outcomeOf returns the outcome of a transaction.
 func (s *Store) outcomeOf(host string, txn *protocol.Txn) Outcome {
 	s.mu.Lock()
 	decide := s.decideOutcome
@@ -35,7 +35,7 @@
 	return decide(host, txn)
 }
 
-// SetOutage begins or ends an outage for all hosts. After an outage, all leases have their full time again.
+// SetOutage begins or ends an outage for all hosts. The end of an outage renews all leases.
 func (s *Store) SetOutage(unavailable bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -48,7 +48,7 @@
 	s.notifyWatches()
 }
 
-// SetRefused begins or ends the refusal of one host. Its leases expire meanwhile.
+// SetRefused begins or ends the refusal of all requests of one host. Leases of that host may expire meanwhile.
 func (s *Store) SetRefused(host string, refused bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -56,7 +56,7 @@
 	s.notifyWatches()
 }
 
-// serves reports whether a host is served.
+// serves reports whether the store accepts requests of a host.
 func (s *Store) serves(host string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/simulation/store_http.go
+++ b/internal/simulation/store_http.go
@@ -11,7 +11,7 @@
 	"pinebay/internal/protocol"
 )
 
-// Limits of a page of keys.
+// Limits on the size of a page of keys.
 const (
 	maxPageItems = 1000
 	maxPageBytes = 512 << 10
@@ -19,7 +19,7 @@
 
 const noSuchLease = "no such lease"
 
-// ServeHTTP serves the interface of the key-value store.
+// ServeHTTP serves the HTTP API of the key-value store.
 func (s *Store) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	host := HostOf(r.RemoteAddr)
 	if !s.serves(host) {
@@ -69,7 +69,7 @@
 	writeResponse(w, http.StatusOK, pair)
 }
 
-// serveTxn applies a transaction, unless another outcome was set for it.
+// serveTxn handles a transaction according to the limits and to the outcome that was set for it.
 func (s *Store) serveTxn(w http.ResponseWriter, r *http.Request, host string, body []byte) {
 	var txn protocol.Txn
 	if err := protocol.Decode(body, &txn); err != nil {
@@ -96,7 +96,7 @@
 	}
 }
 
-// applyWithoutReply applies a transaction after a delay.
+// applyWithoutReply applies a transaction after a delay and sends no answer.
 func (s *Store) applyWithoutReply(txn protocol.Txn, delay time.Duration) {
 	if delay > 0 {
 		time.AfterFunc(delay, func() { s.Txn(txn) })
@@ -105,14 +105,14 @@
 	s.Txn(txn)
 }
 
-// applyWithReply applies a transaction at once, and replies after a delay.
+// applyWithReply applies a transaction at once and answers it after a delay.
 func (s *Store) applyWithReply(w http.ResponseWriter, txn protocol.Txn, delay time.Duration) {
-	revision, failed, noLease := s.Txn(txn)
+	revision, failed, leaseExpired := s.Txn(txn)
 	if delay > 0 {
 		time.Sleep(delay)
 	}
 	switch {
-	case noLease:
+	case leaseExpired:
 		writeError(w, http.StatusBadRequest, noSuchLease)
 	case len(failed) > 0:
 		writeResponse(w, http.StatusConflict, protocol.TxnResult{Revision: revision, FailedKeys: failed})
@@ -160,8 +160,8 @@
 	writeResponse(w, http.StatusOK, s.waitForChanges(r, host, query.Get("prefix"), from, block))
 }
 
-// waitForChanges returns the changes after a revision when there are any, or when the time is up. While the host is not
-// served, the watch stays open.
+// waitForChanges returns the changes after a revision as soon as there are any, or an empty response after block. It
+// does not return while the store is unavailable to the host.
 func (s *Store) waitForChanges(
 	r *http.Request,
 	host, prefix string,
--- a/internal/simulation/store_limits.go
+++ b/internal/simulation/store_limits.go
@@ -11,23 +11,25 @@
 )
 
 const (
-	// comparesPerOp is the number of comparisons that a transaction may have for each operation that it may have.
+	// comparesPerOp is the ratio of the limit on comparisons of a transaction to the limit on its operations.
 	comparesPerOp = 4
-	// maxJSONGrowth is the factor by which a value may be larger in JSON than in MessagePack.
+	// maxJSONGrowth is the maximum ratio of the size of a value in JSON to its size in MessagePack.
 	maxJSONGrowth = 4
 	bytesPerKB    = 1024
 )
 
-// StoreUsage counts the requests to a store.
+// StoreUsage counts the requests to a store and its keys.
 type StoreUsage struct {
+	// Requests counts all requests except those of hosts that the store is unavailable to, Writes the operations of
+	// transactions that were admitted, and Refused the requests that were rejected because of a rate limit.
 	Requests, Writes, Refused int
 	// TooLarge is the number of transactions that were rejected for their size.
 	TooLarge int
-	// Keys is the number of keys at the moment.
+	// Keys is the current number of keys.
 	Keys int
 }
 
-// Usage returns the counts of requests so far.
+// Usage returns the counts so far.
 func (s *Store) Usage() StoreUsage {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -36,14 +38,15 @@
 	return usage
 }
 
-// storeLimits are the limits of the settings. Rates allow bursts of one second's worth.
+// storeLimits are the limits that the store enforces. Rate limits allow bursts of as many requests as one second
+// allows.
 type storeLimits struct {
 	requests, writes *rate.Limiter
-	operations       int // of a transaction
+	operations       int // per transaction
 	valueBytes       int
 }
 
-// SetLimits makes the store enforce limits. Without them there are none.
+// SetLimits makes the store enforce limits. A store has no limits until it is called.
 func (s *Store) SetLimits(limits config.StoreLimits) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -55,7 +58,7 @@
 	}
 }
 
-// admitRequest counts a request, and reports whether it is within the rate.
+// admitRequest counts a request and reports whether it is within the rate limit.
 func (s *Store) admitRequest() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -67,7 +70,7 @@
 	return ok
 }
 
-// admitWrites counts the operations of a transaction, and reports whether they are within the rate.
+// admitWrites reports whether the n operations of a transaction are within the rate limit, and counts them if they are.
 func (s *Store) admitWrites(n int) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -80,7 +83,7 @@
 	return ok
 }
 
-// withinSize reports whether a transaction keeps to the limits on its size.
+// withinSize reports whether a transaction is within the size limits, and counts it if it is not.
 func (s *Store) withinSize(txn *protocol.Txn) bool {
 	s.mu.Lock()
 	limits := s.limits
@@ -94,13 +97,13 @@
 	return false
 }
 
-// allow reports whether a transaction keeps to the limits on its size.
+// allow reports whether a transaction is within the size limits.
 func (limits *storeLimits) allow(txn *protocol.Txn) bool {
 	if len(txn.Then) > limits.operations || len(txn.If) > comparesPerOp*limits.operations {
 		return false
 	}
 	for i := range txn.Then {
-		// The limit counts the size in JSON. Most values are too short to exceed it and need not be converted.
+		// The limit applies to the size in JSON. Most values are too short to exceed it and need not be converted.
 		value := txn.Then[i].Value
 		if len(value) > limits.valueBytes/maxJSONGrowth && jsonSize(value) > limits.valueBytes {
 			return false
@@ -109,7 +112,7 @@
 	return true
 }
 
-// jsonSize returns the size of a value as the limits count it.
+// jsonSize returns the size of a MessagePack value in JSON, which is the size that the limits apply to.
 func jsonSize(raw []byte) int {
 	var v any
 	if err := protocol.DecodeAny(raw, &v); err != nil {
--- a/internal/simulation/system_outside_test.go
+++ b/internal/simulation/system_environment_test.go
@@ -11,7 +11,7 @@
 	"pinebay/internal/storage"
 )
 
-// encode returns v as MessagePack.
+// encode returns the MessagePack encoding of v.
 func (s *simulatedSystem) encode(v any) []byte {
 	raw, err := protocol.Encode(v)
 	if err != nil {
@@ -20,7 +20,7 @@
 	return raw
 }
 
-// encodeTerm returns the record of a term.
+// encodeTerm returns the encoding of a term record.
 func (s *simulatedSystem) encodeTerm(rec storage.TermRecord) []byte {
 	raw, err := storage.EncodeTerm(rec)
 	if err != nil {
@@ -29,7 +29,7 @@
 	return raw
 }
 
-// callCloud executes a request to the cloud.
+// callCloud executes a request to the cloud and passes the result to the leader later.
 func (s *simulatedSystem) callCloud(l *leaderInstance, e autoscaler.Effect) {
 	switch e := e.(type) {
 	case autoscaler.ListMachines:
@@ -58,29 +58,30 @@
 			for _, n := range e.Machines {
 				if s.world.Workers[n] != nil {
 					s.world.RemoveMachine(n)
-					s.removedAt[n] = s.now - time.Hour // not listed any more
+					s.removedAt[n] = s.now - time.Hour // so that it is not listed any more
 				}
 			}
 			s.step(l, scheduler.ScaleInResult{Machines: e.Machines, Succeeded: true})
 		})
 	default:
-		s.t.Fatalf("unknown effect %T", e)
+		s.t.Fatalf("unknown autoscaler effect %T", e)
 	}
 }
 
-// write executes a transaction as the leader does, over a network that may lose the request or the answer, or repeat
-// the request.
+// write executes a transaction and passes its outcome to the leader. The request may be lost, delayed or duplicated,
+// and the answer may be lost. uncertain says that an earlier try may have been applied: if the comparisons fail then,
+// the value of the key to verify shows whether the transaction was applied, as in the real driver of the leader.
 func (s *simulatedSystem) write(l *leaderInstance, w scheduler.Write, uncertain bool) {
-	d := 5*ms + s.randomDuration(20*ms)
+	latency := 5*ms + s.randomDuration(20*ms)
 	if s.chance(0.05) {
 		late := s.randomDuration(40 * time.Second)
-		s.callAfter(late, func() { s.store.Txn(w.Txn) }) // a late copy
+		s.callAfter(late, func() { s.store.Txn(w.Txn) }) // a delayed duplicate
 	}
 	if s.chance(0.05) {
-		s.callAfter(time.Second, func() { s.write(l, w, true) }) // never arrived, as far as we know
+		s.callAfter(time.Second, func() { s.write(l, w, true) }) // the request was lost; the leader cannot tell
 		return
 	}
-	s.callAfter(d, func() {
+	s.callAfter(latency, func() {
 		rev, failed, _ := s.store.Txn(w.Txn)
 		if s.chance(0.05) {
 			s.callAfter(time.Second, func() { s.write(l, w, true) }) // the answer was lost
@@ -105,14 +106,15 @@
 			out.Succeeded = rec.Write == w.Name && (w.Name != "" || p.Revision == 0)
 			out.Revision = p.Revision
 		}
-		s.callAfter(d, func() { s.step(l, out) })
+		s.callAfter(latency, func() { s.step(l, out) })
 	})
 }
 
-// unreachable reports whether a machine is cut off.
+// unreachable reports whether a machine is partitioned from the leaders.
 func (s *simulatedSystem) unreachable(name string) bool { return s.now < s.unreachableUntil[name] }
 
-// sendCommands sends commands to a machine, over a network that may lose, delay or repeat them.
+// sendCommands sends a batch of commands to a machine and passes the result to the leader. The batch may be lost,
+// delayed or duplicated, and the answer may be lost.
 func (s *simulatedSystem) sendCommands(l *leaderInstance, o scheduler.SendCommandBatch) {
 	deliver := func(answer bool) {
 		m := s.world.Workers[o.Machine]
@@ -131,23 +133,23 @@
 		s.callAfter(1500*ms, func() { s.step(l, scheduler.CommandBatchResult{Machine: o.Machine}) })
 	}
 	if s.chance(0.1) {
-		s.callAfter(s.randomDuration(60*time.Second), func() { deliver(false) }) // a late copy
+		s.callAfter(s.randomDuration(60*time.Second), func() { deliver(false) }) // a delayed duplicate
 	}
 	switch {
 	case s.world.Workers[o.Machine] == nil:
 		lost()
 	case s.unreachable(o.Machine) || s.chance(0.04):
-		s.callAfter(s.randomDuration(60*time.Second), func() { deliver(false) }) // held back, executed late
+		s.callAfter(s.randomDuration(60*time.Second), func() { deliver(false) }) // delayed and executed late
 		lost()
 	case s.chance(0.04):
-		s.callAfter(5*ms, func() { deliver(false) }) // executed, the answer lost
+		s.callAfter(5*ms, func() { deliver(false) }) // executed, but the answer is lost
 		lost()
 	default:
 		s.callAfter(5*ms, func() { deliver(true) })
 	}
 }
 
-// listMachines returns the list of the cloud, in which machines that are gone stay for a while.
+// listMachines returns the list of machines. Removed machines stay listed for 8 s.
 func (s *simulatedSystem) listMachines() []protocol.ListedMachine {
 	var out []protocol.ListedMachine
 	for _, m := range s.world.sortedWorkers() {
@@ -165,7 +167,7 @@
 	return out
 }
 
-// rentMachines rents up to three machines, of which some never come up.
+// rentMachines rents up to three machines and returns their names. Some of them never boot.
 func (s *simulatedSystem) rentMachines(r protocol.Rental) []string {
 	if names, ok := s.rentals[r.RequestID]; ok {
 		return names
@@ -179,7 +181,7 @@
 		name := fmt.Sprintf("host-%06d", s.rentedCount)
 		names = append(names, name)
 		if s.chance(0.05) {
-			continue // never comes up
+			continue // never boots
 		}
 		s.callAfter(2*time.Second+s.randomDuration(10*time.Second), func() {
 			s.world.AddMachine(
@@ -197,7 +199,8 @@
 	return names
 }
 
-// scheduleHeartbeats has a worker send heartbeats regularly, to a leader of any term.
+// scheduleHeartbeats sends a heartbeat of a worker and schedules the next ones. Most go to the current leader, some to
+// a random leader of any term, and some are lost, duplicated or not answered.
 func (s *simulatedSystem) scheduleHeartbeats(name string) {
 	m := s.world.Workers[name]
 	if m == nil {
@@ -216,7 +219,7 @@
 		l = s.leaders[s.rng.IntN(len(s.leaders))]
 	}
 	r := m.NextHeartbeat()
-	sent, session := s.now, m.Incarnation
+	sent, incarnation := s.now, m.Incarnation
 	if s.chance(0.05) {
 		s.callAfter(
 			s.randomDuration(30*time.Second),
@@ -226,15 +229,15 @@
 	if s.unreachable(name) && s.chance(0.7) || s.chance(0.03) {
 		return
 	}
-	muted := s.unreachable(name) || s.chance(0.03)
+	replyLost := s.unreachable(name) || s.chance(0.03)
 	s.callAfter(5*ms, func() {
 		s.step(l, scheduler.HeartbeatReceived{Heartbeat: r, ReplyTo: func(a protocol.WorkerHeartbeatReply) {
-			if muted {
+			if replyLost {
 				return
 			}
 			s.callAfter(5*ms, func() {
 				if s.world.Workers[name] == m {
-					m.HandleReply(s.now, sent, session, a)
+					m.HandleReply(s.now, sent, incarnation, a)
 				}
 			})
 		}})
--- a/internal/simulation/system_test.go
+++ b/internal/simulation/system_test.go
@@ -16,8 +16,9 @@
 	"pinebay/internal/storage"
 )
 
-// simulatedSystem is a whole service in simulated time, on one goroutine: schedulers of several terms, of which deposed
-// ones may go on for a while, with the models, on a network that loses, delays and copies messages.
+// simulatedSystem runs the schedulers of successive terms against the models in simulated time on a single goroutine.
+// The scheduler of a deposed leader may continue for a while. Messages may be lost, delayed or duplicated. Other parts
+// of a controller, such as elections and the API, are not run; the system stands in for them.
 type simulatedSystem struct {
 	t                *testing.T
 	rng              *rand.Rand
@@ -32,33 +33,33 @@
 	term             uint64
 	rentals          map[string][]string
 	rentedCount      int
-	removedAt        map[string]time.Duration // names that left, and when
+	removedAt        map[string]time.Duration // when machines were removed, by name
 	answeredStates   map[string]protocol.JobState
 	accepted         map[string]bool
 	faultsEnded      bool
-	unreachableUntil map[string]time.Duration // machines behind a cut, and until when
+	unreachableUntil map[string]time.Duration // end of the partition of a machine, by name
 }
 
-// leaderInstance is the scheduler of one term.
+// leaderInstance is the leader of one term.
 type leaderInstance struct {
-	core     *scheduler.Scheduler
+	sched    *scheduler.Scheduler
 	revision uint64
 	stopped  bool
 }
 
-// timedCall is a function to call at a time. Calls at the same time are made in the order of their sequence.
+// timedCall is a scheduled function call. Calls at the same time are made in the order of their sequence numbers.
 type timedCall struct {
 	at       time.Duration
 	sequence int
 	f        func()
 }
 
-// compareCalls orders calls by their times, and those at the same time by their sequence.
+// compareCalls compares calls by time, then by sequence number.
 func compareCalls(a, b timedCall) int {
 	return cmp.Or(cmp.Compare(a.at, b.at), cmp.Compare(a.sequence, b.sequence))
 }
 
-// callAfter calls f after a duration.
+// callAfter schedules a call of f after d.
 func (s *simulatedSystem) callAfter(d time.Duration, f func()) {
 	s.lastSequence++
 	call := timedCall{at: s.now + d, sequence: s.lastSequence, f: f}
@@ -69,12 +70,12 @@
 // chance returns true with the given probability, and false once the faults have ended.
 func (s *simulatedSystem) chance(p float64) bool { return !s.faultsEnded && s.rng.Float64() < p }
 
-// randomDuration returns a random duration up to d.
+// randomDuration returns a random duration below d.
 func (s *simulatedSystem) randomDuration(d time.Duration) time.Duration {
 	return time.Duration(s.rng.Float64() * float64(d))
 }
 
-// ms is a millisecond in the tables of scenarios.
+// ms abbreviates time.Millisecond in tables of scenarios.
 const ms = time.Millisecond
 
 // newSimulatedSystem returns a system without a leader.
@@ -117,14 +118,14 @@
 	return s
 }
 
-// takeOver begins a new term, as an election does.
+// takeOver begins a new term with a new leader, as an election does. Leaders of earlier terms stop now or within 15 s.
 func (s *simulatedSystem) takeOver() {
 	rev, failed, _ := s.store.Txn(protocol.Txn{
 		If:   []protocol.Compare{{Key: storage.TermKey, Revision: s.store.Get(storage.TermKey).Revision}},
 		Then: []protocol.Op{{PutKey: storage.TermKey, Value: s.encodeTerm(storage.TermRecord{Term: s.term + 1})}},
 	})
 	if failed != nil {
-		s.t.Fatalf("claim failed: %v", failed)
+		s.t.Fatalf("the transaction that begins a term failed its comparisons: %v", failed)
 	}
 	s.term++
 	for _, l := range s.leaders {
@@ -136,10 +137,10 @@
 	}
 	live, liveRev := s.store.List(storage.LiveJobPrefix)
 	pages, _ := s.store.List(storage.PlacementPrefix)
-	warm, _ := s.store.List(storage.ImageHintPrefix)
+	images, _ := s.store.List(storage.ImageHintPrefix)
 	l := &leaderInstance{revision: liveRev}
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
-	l.core = scheduler.New(s.now, scheduler.Options{
+	l.sched = scheduler.New(s.now, scheduler.Options{
 		Config: s.cfg,
 		Log:    log,
 		Term:   scheduler.Term{Number: s.term, Revision: rev},
@@ -147,7 +148,7 @@
 			MachineTypes: s.types,
 			LiveJobs:     live,
 			Pages:        pages,
-			Images:       warm,
+			Images:       images,
 		},
 		WallClockMS: s.now.Milliseconds(),
 	})
@@ -155,7 +156,8 @@
 	s.tickLeader(l)
 }
 
-// tickLeader has a leader read the changes of live jobs, and tick, from now on.
+// tickLeader passes the changes of live job records and a tick to a leader, and repeats that every 100 ms until the
+// leader stops.
 func (s *simulatedSystem) tickLeader(l *leaderInstance) {
 	if l.stopped {
 		return
@@ -177,17 +179,17 @@
 	s.callAfter(100*ms, func() { s.tickLeader(l) })
 }
 
-// step has a leader handle an event, unless its instance has stopped.
+// step passes an event to a leader and applies the effects. It does nothing if the leader has stopped.
 func (s *simulatedSystem) step(l *leaderInstance, e scheduler.Event) {
 	if l.stopped {
 		return
 	}
-	for _, e := range l.core.Step(s.now, e) {
+	for _, e := range l.sched.Step(s.now, e) {
 		s.applyEffect(l, e)
 	}
 }
 
-// applyEffect carries out what a leader has decided.
+// applyEffect carries out an effect that a leader has returned.
 func (s *simulatedSystem) applyEffect(l *leaderInstance, e scheduler.Effect) {
 	switch e := e.(type) {
 	case scheduler.HeartbeatReply:
@@ -211,11 +213,11 @@
 	case scheduler.CloudRequest:
 		s.callCloud(l, e.Effect)
 	default:
-		s.t.Fatalf("unknown effect %T", e)
+		s.t.Fatalf("unknown scheduler effect %T", e)
 	}
 }
 
-// run makes the calls of the next time.
+// run makes the scheduled calls of the next period of length d.
 func (s *simulatedSystem) run(d time.Duration) {
 	end := s.now + d
 	for len(s.queue) > 0 && s.queue[0].at <= end {
@@ -227,16 +229,16 @@
 	s.now = end
 }
 
-// advanceModels lets time pass for the models.
+// advanceModels updates the models to the current time, and repeats that every 50 ms.
 func (s *simulatedSystem) advanceModels() {
 	s.store.Advance(s.now)
 	s.world.Advance(s.now)
 	s.callAfter(50*ms, s.advanceModels)
 }
 
-// TestWholeSystem runs the system with random faults and checks the protocol's rules: no task on two machines or in a
-// wrong place, nothing on a machine long after its cancellation, no limit exceeded, no final state changed, and nothing
-// forgotten in the end.
+// TestWholeSystem runs the system with random faults and checks the rules of the protocol: no task runs on two machines
+// or in the wrong place, no task occupies a machine long after its cancellation, no limit is exceeded, no final state
+// changes, and no job is lost or unfinished at the end.
 func TestWholeSystem(t *testing.T) {
 	for seed := uint64(1); seed <= 30; seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -260,7 +262,7 @@
 				}
 			}
 			if s.store.Oversized > 0 {
-				t.Errorf("%d values over the limit", s.store.Oversized)
+				t.Errorf("%d values exceeded the size limit", s.store.Oversized)
 			}
 			left := 0
 			for id := range s.accepted {
@@ -268,7 +270,7 @@
 				if !s.answeredStates[id].Final() && j.Shape != protocol.Service {
 					left++
 					t.Logf(
-						"not over: %s %s tasks %d gpus %v team %s zone %v spread %v",
+						"not finished: %s %s tasks=%d gpus=%v team=%s same_zone=%v spread=%v",
 						id,
 						j.Shape,
 						j.TaskCount,
@@ -280,10 +282,10 @@
 				}
 			}
 			if left > 0 {
-				t.Errorf("%d of %d jobs are not over long after the last trouble", left, len(s.accepted))
+				t.Errorf("%d of %d jobs are not finished long after the last fault", left, len(s.accepted))
 			}
 			if s.world.Starts < 30 {
-				t.Errorf("only %d starts: the day shows nothing", s.world.Starts)
+				t.Errorf("only %d tasks were started, want at least 30", s.world.Starts)
 			}
 		})
 	}
--- a/internal/simulation/system_users_test.go
+++ b/internal/simulation/system_users_test.go
@@ -8,7 +8,7 @@
 	"pinebay/internal/storage"
 )
 
-// submitJob submits a job, queries it, and may cancel it.
+// submitJob submits a random job, starts to query it, and may cancel it later.
 func (s *simulatedSystem) submitJob(n int) {
 	id := fmt.Sprintf("j-%06d", n)
 	shape := []protocol.Shape{protocol.Array, protocol.Gang, protocol.Service}[s.rng.IntN(3)]
@@ -19,7 +19,7 @@
 		Image: fmt.Sprintf("img-%d", s.rng.IntN(3)), ImageGB: 4, SpotAllowed: s.rng.IntN(2) == 0,
 	}
 	if s.rng.IntN(8) == 0 {
-		j.TaskCount = 20 + s.rng.IntN(20) // several pages
+		j.TaskCount = 20 + s.rng.IntN(20) // needs several placement pages
 		j.GPUs = 1
 	}
 	switch s.rng.IntN(3) {
@@ -42,7 +42,7 @@
 		},
 	})
 	if failed != nil {
-		s.t.Fatalf("submission failed: %v", failed)
+		s.t.Fatalf("the transaction of a submission failed its comparisons: %v", failed)
 	}
 	s.accepted[id] = true
 	s.queryRecords(id)
@@ -51,7 +51,7 @@
 	}
 }
 
-// cancelJob cancels a job, if it is live.
+// cancelJob cancels a job. It does nothing if the job has ended.
 func (s *simulatedSystem) cancelJob(id string) {
 	p := s.store.Get(storage.LiveJobKey(id))
 	if p.Revision == 0 {
@@ -69,9 +69,10 @@
 	}
 }
 
-// queryRecords reads the records of a job as a user's query does.
+// queryRecords reads the records of a job as a query of a user does and checks the state against earlier ones. It
+// repeats that until the state is final.
 func (s *simulatedSystem) queryRecords(id string) {
-	standing := protocol.JobQueued
+	state := protocol.JobQueued
 	if s.store.Get(storage.LiveJobKey(id)).Revision == 0 {
 		p := s.store.Get(storage.EndedJobKey(id))
 		if p.Revision == 0 {
@@ -82,38 +83,38 @@
 		if err := protocol.Decode(p.Value, &rec); err != nil {
 			s.t.Fatal(err)
 		}
-		standing = rec.State
+		state = rec.State
 	}
-	if old := s.answeredStates[id]; old.Final() && standing != old {
-		s.world.addViolation("went_back: %s from %s to %s", id, old, standing)
+	if old := s.answeredStates[id]; old.Final() && state != old {
+		s.world.addViolation("went_back: %s from %s to %s", id, old, state)
 	}
-	s.answeredStates[id] = standing
-	if standing == protocol.JobDone {
+	s.answeredStates[id] = state
+	if state == protocol.JobDone {
 		for i := range s.world.Jobs[id].TaskCount {
 			if !s.world.Done[protocol.TaskID{JobID: id, Index: i}] {
 				s.world.addViolation("not_done: %s/%d", id, i)
 			}
 		}
 	}
-	if !standing.Final() {
+	if !state.Final() {
 		s.callAfter(time.Second+s.randomDuration(time.Second), func() { s.queryRecords(id) })
 	}
 }
 
-// injectFault injects faults at random times.
+// injectFault injects a random fault and schedules the next one, until the faults end.
 func (s *simulatedSystem) injectFault() {
 	s.callAfter(s.randomDuration(6*time.Second), s.injectFault)
 	if s.faultsEnded {
 		return
 	}
-	ws := s.world.sortedWorkers()
-	if len(ws) == 0 {
+	workers := s.world.sortedWorkers()
+	if len(workers) == 0 {
 		return
 	}
-	m := ws[s.rng.IntN(len(ws))]
+	m := workers[s.rng.IntN(len(workers))]
 	switch s.rng.IntN(5) {
 	case 0:
-		s.world.RemoveMachine(m.Name) // dies, and stays listed for a while
+		s.world.RemoveMachine(m.Name) // fails, and stays listed for a while
 		s.removedAt[m.Name] = s.now
 	case 1:
 		s.unreachableUntil[m.Name] = s.now + s.randomDuration(20*time.Second)
