--- a/internal/simulation/traffic_test.go
+++ b/internal/simulation/traffic_test.go
@@ -12,19 +12,20 @@
 	"time"
 )
 
-// trafficDirVariable names the folder in which TestRecordTraffic leaves one file a scenario. Two folders, recorded
-// before and after a change that should not change behaviour, are compared with diff -r: the first line that
-// differs names the interface and the second. docs/architecture.md says how to use it.
+// trafficDirVariable is the environment variable that names the directory in which TestRecordTraffic writes one file
+// per scenario. To verify that a change preserves behavior, record one directory before and one after it and compare
+// them with diff -r: the first different line shows the interface and the second of the run. docs/architecture.md
+// describes the procedure.
 const trafficDirVariable = "PINEBAY_TRAFFIC_DIR"
 
-// trafficScenarios returns scenarios with failover, outages of the key-value store, a refused leader, cancellations,
-// pipelines, mixed feature levels, zone failover and ownership. Most repeat to the byte; see TestSameSeedSameRun for
-// the two known causes of difference.
+// trafficScenarios returns scenarios that cover failover, outages of the key-value store, a refused leader,
+// cancellations, pipelines, mixed feature levels, zone failover and ownership. The traffic of most is identical in
+// every run; see TestSameSeedSameRun for the two known causes of differences.
 func trafficScenarios() []scenario {
-	everyoneOwns := []func(*cluster){withOwnership(everywhere)}
+	ownership := []func(*cluster){withOwnership(everywhere)}
 	zoneFailover := []func(*cluster){withZoneFailover(everywhere)}
-	upgrading := []func(*cluster){productionLevel, announceLowerLimits}
-	oneOwns := []func(*cluster){withOwnership(func(node int) bool { return node == 1 })}
+	upgradeOptions := []func(*cluster){productionLevel, announceLowerLimits}
+	partialOwnership := []func(*cluster){withOwnership(func(node int) bool { return node == 1 })}
 	return []scenario{
 		{
 			name:        "quiet",
@@ -188,7 +189,7 @@
 				{0, upgrade([]int{0, 1, 2}, 10*s, 5*s)},
 				{34 * s, pipelines(8)},
 			},
-			options: upgrading,
+			options: upgradeOptions,
 		},
 		{
 			name:        "zone-return",
@@ -219,7 +220,7 @@
 				{30 * s, submissionStorm(20 * s)},
 				{40 * s, cancelJobs(3, 0)},
 			},
-			options: everyoneOwns,
+			options: ownership,
 		},
 		{
 			name:        "owners-follower-crash",
@@ -229,7 +230,7 @@
 				{20 * s, crashFollower(25 * s)},
 				{21 * s, cancelJobs(2, 0)},
 			},
-			options: everyoneOwns,
+			options: ownership,
 		},
 		{
 			name:        "owners-link-cut",
@@ -239,7 +240,7 @@
 				{20 * s, during(20*s, blockLeaderLink)},
 				{21 * s, cancelJobs(3, 0)},
 			},
-			options: everyoneOwns,
+			options: ownership,
 		},
 		{
 			name:        "owners-mixed",
@@ -249,12 +250,12 @@
 				{20 * s, cancelJobs(3, 0)},
 				{25 * s, crashLeader(20 * s)},
 			},
-			options: oneOwns,
+			options: partialOwnership,
 		},
 	}
 }
 
-// interfaceOf names the interface that a packet goes over.
+// interfaceOf returns the name of the interface that a packet between two hosts belongs to.
 func interfaceOf(from, to string) string {
 	for _, host := range []string{from, to} {
 		switch host {
@@ -272,8 +273,8 @@
 	return "workers"
 }
 
-// digestTraffic returns a line for each second and interface: the number of packets that were delivered, and a digest
-// of the time, the hosts and the content of each.
+// digestTraffic returns one line for each second and interface, with the number of delivered packets and a digest of
+// the times, hosts and contents of these packets.
 func digestTraffic(all []packetArrival) string {
 	type slot struct {
 		second time.Duration
@@ -283,7 +284,7 @@
 		packets int
 		sum     uint64
 	}
-	const prime = 1099511628211 // of FNV
+	const prime = 1099511628211 // 64-bit FNV prime
 	slots := map[slot]*digest{}
 	var order []slot
 	for _, a := range all {
@@ -319,8 +320,8 @@
 	return out.String()
 }
 
-// TestRecordTraffic records the traffic of every scenario for a comparison of two commits. It is left out without the
-// variable that names the folder: by itself a record is neither right nor wrong.
+// TestRecordTraffic records the traffic of every scenario to compare two commits. It is skipped unless the environment
+// variable for the directory is set, because a single recording has no expected content.
 func TestRecordTraffic(t *testing.T) {
 	dir := os.Getenv(trafficDirVariable)
 	if dir == "" {
@@ -340,8 +341,8 @@
 	}
 }
 
-// TestTrafficDigestFindsOneByte: the digest of a run in which one byte of one packet is another differs in that line
-// and in no other.
+// TestTrafficDigestFindsOneByte checks that a change of one byte in one packet changes exactly one line of the digest,
+// the one for the second and the interface of that packet.
 func TestTrafficDigestFindsOneByte(t *testing.T) {
 	record := func(change int) []string {
 		var packets int
@@ -363,7 +364,7 @@
 	const changed = 213
 	before, after := record(0), record(changed)
 	if len(before) != len(after) || len(before) < 40 {
-		t.Fatalf("%d lines and %d lines", len(before), len(after))
+		t.Fatalf("digests have %d and %d lines, want the same number and at least 40", len(before), len(after))
 	}
 	var different []int
 	for i := range before {
@@ -372,9 +373,9 @@
 		}
 	}
 	if len(different) != 1 || !strings.HasPrefix(before[different[0]], "  10 s ") {
-		t.Errorf("lines that differ: %v", different)
+		t.Errorf("different lines: %v, want only one for second 10", different)
 	}
 	if again := record(0); !slices.Equal(before, again) {
-		t.Error("the same traffic has another digest")
+		t.Error("two digests of the same traffic differ")
 	}
 }
--- a/internal/simulation/user.go
+++ b/internal/simulation/user.go
@@ -9,25 +9,25 @@
 	"pinebay/internal/transport"
 )
 
-// How long users wait for responses.
+// Timeouts of user requests.
 const (
 	queryTimeout  = 2 * time.Second
 	submitTimeout = 5 * time.Second
 )
 
-// UserClient sends users' requests, and has every answer checked.
+// UserClient sends user requests to controllers and passes every answer to an AnswerChecker.
 type UserClient struct {
 	Client  *transport.Client
 	Checker *AnswerChecker
 	Now     func() time.Duration
-	// OnAnswer, if set, is called for each answer with the time that it took.
+	// OnAnswer, if set, is called for each answer with its round-trip time.
 	OnAnswer func(kind string, took time.Duration, status int)
 	// OnError is called for malformed answers.
 	OnError func(error)
 }
 
-// Request sends a request about a job to a controller's address. A submission needs the job itself. The status is 0 if
-// there was no answer.
+// Request sends a request about a job to a controller at addr and returns the HTTP status and the job status of the
+// answer. job is only needed for a submission. The HTTP status is 0 if there was no answer.
 func (u *UserClient) Request(ctx context.Context, addr, kind, id string, job *protocol.Job) (int, protocol.JobStatus) {
 	method, path, timeout := http.MethodGet, "/submissions/"+id, queryTimeout
 	var body any
--- a/internal/simulation/worker.go
+++ b/internal/simulation/worker.go
@@ -11,27 +11,27 @@
 
 // Task is an attempt of a task on a worker.
 type Task struct {
-	ID      protocol.TaskID
-	Attempt uint64
-	State   protocol.TaskState
-	Cause   protocol.ExitCause
-	Saved   bool
-	Since   time.Duration // when it entered its state
+	ID            protocol.TaskID
+	Attempt       uint64
+	State         protocol.TaskState
+	Cause         protocol.ExitCause
+	HasCheckpoint bool
+	StateSince    time.Duration // when the task entered its state
 
 	worker *Worker
 }
 
-// OnMachine reports whether the task counts as being on its machine.
+// OnMachine reports whether the task occupies its machine. It does not while its image is fetched.
 func (t *Task) OnMachine() bool {
 	return t.State != protocol.TaskExited && t.State != protocol.TaskFetching
 }
 
-// inRunningGang reports whether a task of a gang waits for the others or runs with them.
-func (t *Task) inRunningGang() bool {
+// hasJoinedGang reports whether a task of a gang waits for the other tasks or runs.
+func (t *Task) hasJoinedGang() bool {
 	return t.State == protocol.TaskWaiting || t.State == protocol.TaskRunning
 }
 
-// Worker is a model of a machine with its worker. Its methods are called by one goroutine at a time.
+// Worker is a model of a machine and its worker process. It is not safe for concurrent use.
 type Worker struct {
 	Name, Type, Zone      string
 	Spot                  bool
@@ -40,21 +40,21 @@
 	FencingToken          uint64
 	Tasks                 map[protocol.TaskID]*Task
 	LeaseTimeout          time.Duration
-	// FailsTasks makes every task fail as it starts.
+	// FailsTasks makes every task fail when it starts.
 	FailsTasks bool
-	// Hung machines execute nothing, and may resume later.
+	// Hung is set while the machine is suspended. It neither runs tasks nor handles messages then.
 	Hung bool
-	// ExcusedUntil is the time until which commands may arrive that were delayed for long, because the machine hung or
-	// was unreachable.
-	ExcusedUntil time.Duration
-	// Changed says that a heartbeat is due because of a change. OnChange, if set, is called when it becomes true.
+	// LateCommandsAllowedUntil is the time until which commands may arrive that were delayed because the machine was
+	// hung or unreachable. Starts of jobs that were cancelled before that time do not count as World.LateStarts.
+	LateCommandsAllowedUntil time.Duration
+	// Changed says that a heartbeat is due because of a state change. OnChange, if set, is called after it is set.
 	Changed  bool
 	OnChange func()
 	World    *World
 
-	answeredSentAt time.Duration // when the last answered heartbeat was sent
-	nextDueAt      time.Duration // when something happens next on the machine by itself
-	mirrored       bool          // the worker runs in another process
+	lastAnsweredSentAt time.Duration // when the last heartbeat that was answered was sent
+	nextDueAt          time.Duration // time of the next timed state change, see nextDue
+	mirrored           bool          // the worker runs in another process, see World.AddMirrored
 }
 
 // markChanged makes a heartbeat due.
@@ -65,7 +65,7 @@
 	}
 }
 
-// NextHeartbeat returns the worker's next heartbeat.
+// NextHeartbeat returns the next heartbeat to send, with a new sequence number.
 func (m *Worker) NextHeartbeat() *protocol.WorkerHeartbeat {
 	m.Sequence++
 	heartbeat := m.PeekHeartbeat()
@@ -73,7 +73,7 @@
 	return heartbeat
 }
 
-// PeekHeartbeat returns the content of the next heartbeat without sending it.
+// PeekHeartbeat returns a heartbeat with the current state and the sequence number of the last heartbeat.
 func (m *Worker) PeekHeartbeat() *protocol.WorkerHeartbeat {
 	heartbeat := &protocol.WorkerHeartbeat{
 		Machine:      m.Name,
@@ -91,13 +91,13 @@
 			Attempt:         t.Attempt,
 			State:           t.State,
 			Cause:           t.Cause,
-			CheckpointSaved: t.Saved,
+			CheckpointSaved: t.HasCheckpoint,
 		})
 	}
 	return heartbeat
 }
 
-// sortedTasks returns the tasks in the order of their ids.
+// sortedTasks returns the tasks sorted by id.
 func (m *Worker) sortedTasks() []*Task {
 	tasks := make([]*Task, 0, len(m.Tasks))
 	for _, t := range m.Tasks {
@@ -109,18 +109,19 @@
 	return tasks
 }
 
-// HandleReply executes the reply to a heartbeat that was sent at the given time by the given incarnation.
+// HandleReply executes the commands in the reply to a heartbeat and renews the worker's lease. sent and incarnation are
+// those of the heartbeat. A reply from a deposed leader or to an earlier incarnation is ignored.
 func (m *Worker) HandleReply(now, sent time.Duration, incarnation uint64, reply protocol.WorkerHeartbeatReply) {
 	if reply.FencingToken < m.FencingToken || incarnation != m.Incarnation {
 		return
 	}
 	m.FencingToken = reply.FencingToken
-	m.answeredSentAt = max(m.answeredSentAt, sent)
+	m.lastAnsweredSentAt = max(m.lastAnsweredSentAt, sent)
 	m.execute(now, reply.Commands)
 }
 
-// HandleCommands executes commands that were sent to the worker's address. It returns the heartbeat for the response,
-// and whether the commands were executed.
+// HandleCommands executes commands that were sent to the worker's address. It returns the heartbeat for the response
+// and whether the commands were executed. Commands of a deposed leader or for another incarnation are not.
 func (m *Worker) HandleCommands(now time.Duration, batch protocol.CommandBatch) (*protocol.WorkerHeartbeat, bool) {
 	if batch.FencingToken < m.FencingToken || batch.Incarnation != m.Incarnation {
 		return m.NextHeartbeat(), false
@@ -157,7 +158,8 @@
 	}
 }
 
-// stop stops a task, which saves a checkpoint if it can and the grace period allows it.
+// stop stops a task. A running task saves a checkpoint first if its job supports that and the grace period is long
+// enough.
 func (m *Worker) stop(now time.Duration, t *Task, graceSeconds *float64) {
 	job := m.World.Jobs[t.ID.JobID]
 	grace := 0.0
@@ -167,55 +169,55 @@
 	switch {
 	case t.State == protocol.TaskRunning && job.CheckpointIntervalSeconds > 0 && grace >= job.SaveSeconds:
 		m.setTaskState(t, protocol.TaskSaving)
-		t.Since = now
+		t.StateSince = now
 	case t.State != protocol.TaskSaving || grace == 0:
 		m.exit(now, t, protocol.CauseStopped)
 	}
 }
 
-// setTaskState changes a task's state, and counts the task accordingly.
+// setTaskState sets the state of a task and updates World.onMachines.
 func (m *Worker) setTaskState(t *Task, state protocol.TaskState) {
-	on, met := t.OnMachine(), t.inRunningGang()
+	wasOnMachine, wasInGang := t.OnMachine(), t.hasJoinedGang()
 	t.State = state
 	j := m.World.Jobs[t.ID.JobID]
 	if j == nil {
-		return // its start was refused
+		return // the worker refused to start a task of an unknown job
 	}
 	switch {
-	case !on && t.OnMachine():
-		m.World.occupied.add(t.ID, j, m.Zone)
-	case on && !t.OnMachine():
-		m.World.occupied.remove(t.ID, j, m.Zone)
+	case !wasOnMachine && t.OnMachine():
+		m.World.onMachines.add(t.ID, j, m.Zone)
+	case wasOnMachine && !t.OnMachine():
+		m.World.onMachines.remove(t.ID, j, m.Zone)
 	}
-	if j.Shape != protocol.Gang || met == t.inRunningGang() {
+	if j.Shape != protocol.Gang || wasInGang == t.hasJoinedGang() {
 		return
 	}
-	if met {
-		m.World.occupied.leaveGang(t)
+	if wasInGang {
+		m.World.onMachines.leaveGang(t)
 	} else {
-		m.World.occupied.joinGang(t)
+		m.World.onMachines.joinGang(t)
 	}
-	for _, o := range m.World.occupied.gang(j.ID, t.Attempt) {
+	for _, o := range m.World.onMachines.gang(j.ID, t.Attempt) {
 		if o.worker != m {
-			m.World.schedule(o.worker) // its task may start, or must end, because of this one
+			m.World.schedule(o.worker) // the other task may now start or have to end
 		}
 	}
 }
 
-// transition changes a task's state, and makes a heartbeat due.
+// transition moves a task to a state at the given time and makes a heartbeat due.
 func (m *Worker) transition(now time.Duration, t *Task, state protocol.TaskState) {
 	m.setTaskState(t, state)
-	t.Since = now
+	t.StateSince = now
 	m.markChanged()
 }
 
-// exit ends a task, whose status the worker reports until it is told to forget it.
+// exit ends a task. The worker reports the status of the task until it is told to forget it.
 func (m *Worker) exit(now time.Duration, t *Task, cause protocol.ExitCause) {
 	t.Cause = cause
 	m.transition(now, t, protocol.TaskExited)
 }
 
-// killAllTasks ends all tasks, of which the worker then knows nothing.
+// killAllTasks ends all tasks and discards their statuses.
 func (m *Worker) killAllTasks() {
 	for _, t := range m.sortedTasks() {
 		m.setTaskState(t, protocol.TaskExited)
@@ -223,16 +225,17 @@
 	m.Tasks = map[protocol.TaskID]*Task{}
 }
 
-// run starts an attempt of a task. other is another attempt of it on the machine, or nil.
+// run executes a command to start an attempt of a task. other is another attempt of the task on the machine, or nil.
 func (m *Worker) run(now time.Duration, id protocol.TaskID, attempt uint64, other *Task) {
-	t := &Task{ID: id, Attempt: attempt, State: protocol.TaskFetching, Since: now, worker: m}
+	t := &Task{ID: id, Attempt: attempt, State: protocol.TaskFetching, StateSince: now, worker: m}
 	m.markChanged()
 	j := m.World.job(id.JobID)
-	if at, ok := m.World.Cancelled[id.JobID]; ok && now > at+m.World.CommandTransitTime && m.ExcusedUntil <= at {
+	if at, ok := m.World.Cancelled[id.JobID]; ok && now > at+m.World.CommandTransitTime &&
+		m.LateCommandsAllowedUntil <= at {
 		m.World.LateStarts++
 	}
 	if other != nil && other.State != protocol.TaskExited {
-		return // refused; the status of the other attempt stays
+		return // refused; the status of the other attempt is reported
 	}
 	m.Tasks[id] = t
 	if j == nil || id.Index >= j.TaskCount {
@@ -244,7 +247,7 @@
 	}
 }
 
-// fits reports whether a task fits on the machine beside the others.
+// fits reports whether the machine has enough free resources for a task.
 func (m *Worker) fits(t *Task, job *protocol.Job) bool {
 	used := resourcesOf(job)
 	for _, other := range m.Tasks {
@@ -256,12 +259,12 @@
 	return used.fitsIn(m.Capacity)
 }
 
-// advance lets time pass on the machine.
+// advance updates the machine to the given time. If the lease has expired, the worker restarts without tasks.
 func (m *Worker) advance(now time.Duration) {
-	if now-m.answeredSentAt > m.LeaseTimeout {
+	if now-m.lastAnsweredSentAt > m.LeaseTimeout {
 		m.killAllTasks()
 		m.Incarnation++
-		m.Sequence, m.answeredSentAt = 0, now
+		m.Sequence, m.lastAnsweredSentAt = 0, now
 		m.markChanged()
 	}
 	for _, t := range m.sortedTasks() {
@@ -270,39 +273,39 @@
 	m.World.schedule(m)
 }
 
-// advanceTask lets time pass for a task.
+// advanceTask updates a task to the given time.
 func (m *Worker) advanceTask(now time.Duration, t *Task) {
 	w := m.World
 	job := w.Jobs[t.ID.JobID]
 	switch t.State {
 	case protocol.TaskFetching:
-		if now-t.Since >= w.FetchTime {
-			m.begin(now, t, job)
+		if now-t.StateSince >= w.FetchTime {
+			m.start(now, t, job)
 		}
 	case protocol.TaskWaiting:
-		if w.occupied.gangComplete(job, t.Attempt) {
+		if w.onMachines.gangComplete(job, t.Attempt) {
 			m.transition(now, t, protocol.TaskRunning)
-		} else if now-t.Since > w.gangWaitTimeout() {
+		} else if now-t.StateSince > w.gangWaitTimeout() {
 			m.exit(now, t, protocol.CauseIncomplete)
 		}
 	case protocol.TaskRunning:
-		if job.Shape == protocol.Gang && !w.occupied.gangComplete(job, t.Attempt) {
+		if job.Shape == protocol.Gang && !w.onMachines.gangComplete(job, t.Attempt) {
 			m.exit(now, t, protocol.CausePeerLost)
 			return
 		}
-		if job.Shape != protocol.Service && now-t.Since >= w.runTime(t.ID) {
+		if job.Shape != protocol.Service && now-t.StateSince >= w.runTime(t.ID) {
 			m.complete(now, t, job)
 		}
 	case protocol.TaskSaving:
-		if now-t.Since >= time.Duration(job.SaveSeconds*float64(time.Second)) {
-			t.Saved = true
+		if now-t.StateSince >= time.Duration(job.SaveSeconds*float64(time.Second)) {
+			t.HasCheckpoint = true
 			m.exit(now, t, protocol.CauseStopped)
 		}
 	}
 }
 
-// begin starts a task whose image has been fetched.
-func (m *Worker) begin(now time.Duration, t *Task, job *protocol.Job) {
+// start starts a task whose image has been fetched.
+func (m *Worker) start(now time.Duration, t *Task, job *protocol.Job) {
 	m.World.checkStart(now, m, t, job)
 	switch {
 	case m.FailsTasks:
@@ -316,7 +319,7 @@
 	}
 }
 
-// complete completes a task, or all tasks of a gang together.
+// complete completes a task, or all tasks of its gang together.
 func (m *Worker) complete(now time.Duration, t *Task, job *protocol.Job) {
 	w := m.World
 	if job.Shape != protocol.Gang {
@@ -330,43 +333,43 @@
 	w.finishGang(now, job.ID, t.Attempt)
 }
 
-// gangWaitTimeout returns how long a task waits for the others of its gang.
+// gangWaitTimeout returns how long a task waits for the other tasks of its gang.
 func (w *World) gangWaitTimeout() time.Duration { return 10*w.FetchTime + 10*time.Second }
 
-// nextDue returns when something can happen next on the machine by itself.
+// nextDue returns the time of the next state change on the machine that is caused by the passage of time.
 func (m *Worker) nextDue() time.Duration {
 	if m.mirrored {
 		return math.MaxInt64
 	}
-	due := m.answeredSentAt + m.LeaseTimeout + 1
+	due := m.lastAnsweredSentAt + m.LeaseTimeout + 1
 	for _, t := range m.Tasks {
 		due = min(due, m.taskDue(t))
 	}
 	return due
 }
 
-// taskDue returns when something can happen next to a task by itself.
+// taskDue returns the time of the next state change of a task that is caused by the passage of time.
 func (m *Worker) taskDue(t *Task) time.Duration {
 	w := m.World
 	j := w.Jobs[t.ID.JobID]
 	switch t.State {
 	case protocol.TaskFetching:
-		return t.Since + w.FetchTime
+		return t.StateSince + w.FetchTime
 	case protocol.TaskWaiting:
-		if w.occupied.gangComplete(j, t.Attempt) {
-			return t.Since
+		if w.onMachines.gangComplete(j, t.Attempt) {
+			return t.StateSince
 		}
-		return t.Since + w.gangWaitTimeout() + 1
+		return t.StateSince + w.gangWaitTimeout() + 1
 	case protocol.TaskRunning:
 		switch {
 		case j.Shape == protocol.Service:
-		case j.Shape == protocol.Gang && !w.occupied.gangComplete(j, t.Attempt):
-			return t.Since
+		case j.Shape == protocol.Gang && !w.onMachines.gangComplete(j, t.Attempt):
+			return t.StateSince
 		default:
-			return t.Since + w.runTime(t.ID)
+			return t.StateSince + w.runTime(t.ID)
 		}
 	case protocol.TaskSaving:
-		return t.Since + time.Duration(j.SaveSeconds*float64(time.Second))
+		return t.StateSince + time.Duration(j.SaveSeconds*float64(time.Second))
 	}
 	return math.MaxInt64
 }
--- a/internal/simulation/world.go
+++ b/internal/simulation/world.go
@@ -9,43 +9,44 @@
 	"pinebay/internal/protocol"
 )
 
-// World is what workers share: jobs and gangs, and the check of the protocol's rules. Its methods and those of its
-// workers are called by one goroutine at a time. The cost of a step grows with the tasks of the workers on which
-// something is due, not with the number of workers.
+// World holds the workers and the jobs of a simulation, and checks the rules of the protocol for every task. World and
+// its workers are not safe for concurrent use. The cost of Advance depends on the number of tasks of the workers that
+// are due and not on the total number of workers.
 type World struct {
 	Jobs    map[string]*protocol.Job
 	Workers map[string]*Worker
 	Done    map[protocol.TaskID]bool
-	DoneAt  map[string]time.Duration // when the last task of a job completed
+	DoneAt  map[string]time.Duration // time of the latest completion of a task, by job
 	// Cancelled has the times at which users were told that their jobs are cancelled.
-	Cancelled     map[string]time.Duration
+	Cancelled map[string]time.Duration
+	// CancelTimeout limits how long tasks of a cancelled job may occupy a machine after a user was told.
 	CancelTimeout time.Duration
 	TeamLimits    map[string]Resources // CPUs and GPUs of a team; 0: no limit
 	FetchTime     time.Duration
 	RunTime       time.Duration
-	RunTimes      map[string]time.Duration // of jobs with another run time
-	// RunTimeOf, if set, returns the run time of a task, instead of RunTime and RunTimes.
+	RunTimes      map[string]time.Duration // overrides RunTime by job, see runTime
+	// RunTimeOf, if set, returns the run time of a task and replaces RunTime and RunTimes.
 	RunTimeOf func(protocol.TaskID) time.Duration
-	// Starts is the number of tasks that got onto a machine.
+	// Starts is the number of task starts, each counted when the task began to occupy a machine.
 	Starts int
-	// LateStarts is the number of commands to start a task that were executed after the cancellation of its job was
-	// confirmed, on machines to which no command was delayed since.
+	// LateStarts is the number of start commands that were executed after a user was told that the job is cancelled.
+	// Commands within CommandTransitTime and those to machines that were hung or unreachable since do not count.
 	LateStarts int
-	// CommandTransitTime is how long a command may be under way after the cancellation of its job: the time of the news
-	// to a slow controller, and of its last command to a worker.
+	// CommandTransitTime is how long after the cancellation of a job a start command may still arrive: the time that a
+	// slow controller needs to learn of the cancellation plus the delay of its last command to a worker.
 	CommandTransitTime time.Duration
-	// LookupJob, if set, returns a job that is not among Jobs, or nil.
+	// LookupJob, if set, returns a job that is not in Jobs, or nil if there is no such job.
 	LookupJob func(id string) *protocol.Job
-	// OnStart, if set, is called for each task that gets onto a machine.
+	// OnStart, if set, is called for each task that starts to occupy a machine.
 	OnStart func(now time.Duration, id protocol.TaskID)
-	// Violations are the rules that were broken so far.
+	// Violations describes the violations that were found so far.
 	Violations []string
 
-	occupied occupancy
-	agenda   *btree.BTreeG[*Worker] // by nextDueAt, then by name
+	onMachines occupancy
+	dueQueue   *btree.BTreeG[*Worker] // sorted by nextDueAt, then by name
 }
 
-// NewWorld returns a world without machines or jobs.
+// NewWorld returns a World without machines or jobs. Its parameters are CancelTimeout, FetchTime and RunTime.
 func NewWorld(cancel, fetch, run time.Duration) *World {
 	return &World{
 		Jobs:          map[string]*protocol.Job{},
@@ -58,12 +59,12 @@
 		FetchTime:     fetch,
 		RunTime:       run,
 		RunTimes:      map[string]time.Duration{},
-		occupied:      newOccupancy(),
-		agenda:        btree.NewBTreeGOptions(lessByDueTime, btree.Options{NoLocks: true}),
+		onMachines:    newOccupancy(),
+		dueQueue:      btree.NewBTreeGOptions(lessByDueTime, btree.Options{NoLocks: true}),
 	}
 }
 
-// lessByDueTime orders workers by when something is due on them.
+// lessByDueTime reports whether a is due before b. Workers that are due at the same time are ordered by name.
 func lessByDueTime(a, b *Worker) bool {
 	if a.nextDueAt != b.nextDueAt {
 		return a.nextDueAt < b.nextDueAt
@@ -71,7 +72,7 @@
 	return a.Name < b.Name
 }
 
-// AddMachine adds a machine that is up.
+// AddMachine adds a running machine and returns its worker.
 func (w *World) AddMachine(
 	now time.Duration,
 	name, zone string,
@@ -80,23 +81,23 @@
 	lease time.Duration,
 ) *Worker {
 	m := &Worker{
-		Name:           name,
-		Type:           machineType.Name,
-		Zone:           zone,
-		Spot:           spot,
-		Capacity:       Resources{CPUs: machineType.CPUs, GPUs: machineType.GPUs, MemoryGB: machineType.MemoryGB},
-		Incarnation:    1,
-		Tasks:          map[protocol.TaskID]*Task{},
-		LeaseTimeout:   lease,
-		World:          w,
-		answeredSentAt: now,
+		Name:               name,
+		Type:               machineType.Name,
+		Zone:               zone,
+		Spot:               spot,
+		Capacity:           Resources{CPUs: machineType.CPUs, GPUs: machineType.GPUs, MemoryGB: machineType.MemoryGB},
+		Incarnation:        1,
+		Tasks:              map[protocol.TaskID]*Task{},
+		LeaseTimeout:       lease,
+		World:              w,
+		lastAnsweredSentAt: now,
 	}
 	w.Workers[name] = m
 	w.schedule(m)
 	return m
 }
 
-// job returns a job's description, or nil if there is no such job.
+// job returns a job, or nil if there is no such job.
 func (w *World) job(id string) *protocol.Job {
 	j := w.Jobs[id]
 	if j == nil && w.LookupJob != nil {
@@ -107,31 +108,31 @@
 	return j
 }
 
-// RemoveMachine removes a machine with everything on it.
+// RemoveMachine removes a machine and kills its tasks. It does nothing if there is no such machine.
 func (w *World) RemoveMachine(name string) {
 	m := w.Workers[name]
 	if m == nil {
 		return
 	}
 	m.killAllTasks()
-	w.agenda.Delete(m)
+	w.dueQueue.Delete(m)
 	delete(w.Workers, name)
 }
 
-// schedule updates when something is due on a worker.
+// schedule updates the position of a worker in dueQueue.
 func (w *World) schedule(m *Worker) {
 	if w.Workers[m.Name] != m {
-		return // the machine was removed; requests to it may still arrive
+		return // requests to a machine may still arrive after its removal
 	}
-	w.agenda.Delete(m)
+	w.dueQueue.Delete(m)
 	m.nextDueAt = m.nextDue()
-	w.agenda.Set(m)
+	w.dueQueue.Set(m)
 }
 
-// Advance lets time pass on all machines, and checks the rules at each start.
+// Advance updates all machines to the given time, except hung ones, and checks the rules of the protocol.
 func (w *World) Advance(now time.Duration) {
 	var due []*Worker
-	w.agenda.Scan(func(m *Worker) bool {
+	w.dueQueue.Scan(func(m *Worker) bool {
 		if m.nextDueAt <= now {
 			due = append(due, m)
 		}
@@ -146,7 +147,8 @@
 	w.checkCancelled(now)
 }
 
-// runTime returns the run time of a task. The tasks of a job with a run time of its own end one after the other.
+// runTime returns the run time of a task. The tasks of a job in RunTimes end one after the other: task i runs i+1 times
+// as long as the first one.
 func (w *World) runTime(id protocol.TaskID) time.Duration {
 	if w.RunTimeOf != nil {
 		return w.RunTimeOf(id)
@@ -157,14 +159,14 @@
 	return w.RunTime
 }
 
-// finishGang ends the tasks of a gang that is done.
+// finishGang ends all tasks of an attempt of a gang that has completed.
 func (w *World) finishGang(now time.Duration, job string, attempt uint64) {
-	for _, t := range w.occupied.gang(job, attempt) {
+	for _, t := range w.onMachines.gang(job, attempt) {
 		t.worker.exit(now, t, protocol.CauseDone)
 	}
 }
 
-// sortedWorkers returns the workers in the order of their names.
+// sortedWorkers returns the workers sorted by name.
 func (w *World) sortedWorkers() []*Worker {
 	var workers []*Worker
 	for _, m := range w.Workers {
@@ -174,7 +176,7 @@
 	return workers
 }
 
-// recordCompletion records that a task has completed.
+// recordCompletion records the time at which a task has first completed.
 func (w *World) recordCompletion(now time.Duration, id protocol.TaskID) {
 	if !w.Done[id] {
 		w.Done[id] = true
@@ -182,7 +184,7 @@
 	}
 }
 
-// UnblockedAt returns when the last dependency of a job was done, or false if the job has none.
+// UnblockedAt returns the time at which the last dependency of a job was done, or false if the job has no dependencies.
 func (w *World) UnblockedAt(j *protocol.Job) (at time.Duration, ok bool) {
 	for _, dependency := range j.Dependencies {
 		at = max(at, w.DoneAt[dependency])
@@ -204,10 +206,10 @@
 	return true
 }
 
-// TasksOnMachines returns the number of tasks that are on machines.
+// TasksOnMachines returns the number of tasks that occupy a machine.
 func (w *World) TasksOnMachines() int {
 	n := 0
-	for _, u := range w.occupied.teams {
+	for _, u := range w.onMachines.teams {
 		n += u.tasks
 	}
 	return n
--- a/internal/simulation/figures_test.go
+++ b/internal/simulation/zonefailover_cost_test.go
@@ -9,7 +9,7 @@
 	"pinebay/internal/protocol"
 )
 
-// zoneLosses are the kinds of losses that are measured.
+// zoneLosses are the zone failures whose cost is measured.
 var zoneLosses = []struct {
 	name string
 	do   func(c *cluster)
@@ -24,27 +24,29 @@
 	}},
 }
 
-// lossCost is the cost of a loss by the shape of jobs: the task-seconds that were lost, and when the shape had
-// recovered.
+// lossCost adds up the cost of zone failures, partly by the shape of jobs.
 type lossCost struct {
-	down        map[protocol.Shape]float64
-	recoveredAt map[protocol.Shape]time.Duration
-	lent        int
-	lostS       float64 // by lenders
-	starts      int
+	lostTaskSeconds   map[protocol.Shape]float64       // sum of missing tasks over time
+	recoveredAt       map[protocol.Shape]time.Duration // time until no task was missing any more
+	loanCount         int
+	lenderLostSeconds float64 // work that lenders lost
+	starts            int
 }
 
-// TestZoneFailoverFigures measures the cost of losing a zone with and without zone failover. It checks nothing, and
-// runs only with PINEBAY_FIGURES set.
+// TestZoneFailoverFigures measures the cost of zone failures with and without zone failover. It checks nothing and is
+// skipped unless PINEBAY_FIGURES is set.
 func TestZoneFailoverFigures(t *testing.T) {
 	if os.Getenv("PINEBAY_FIGURES") == "" {
-		t.Skip("a measurement: set PINEBAY_FIGURES")
+		t.Skip("measurement; set PINEBAY_FIGURES to run it")
 	}
 	const seeds = 5
 	for _, loss := range zoneLosses {
 		for _, on := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%s, on %v", loss.name, on), func(t *testing.T) {
-				sum := lossCost{down: map[protocol.Shape]float64{}, recoveredAt: map[protocol.Shape]time.Duration{}}
+				sum := lossCost{
+					lostTaskSeconds: map[protocol.Shape]float64{},
+					recoveredAt:     map[protocol.Shape]time.Duration{},
+				}
 				for seed := uint64(1); seed <= seeds; seed++ {
 					runScenario(
 						t,
@@ -57,11 +59,11 @@
 				}
 				for _, shape := range []protocol.Shape{protocol.Service, protocol.Gang, protocol.Array} {
 					t.Logf(
-						"FIGURE %-10s on=%-5v %-7s down %6.0f s, whole after %5.0f s",
+						"FIGURE %-10s on=%-5v %-7s lost %6.0f task-seconds, recovered after %5.0f s",
 						loss.name,
 						on,
 						shape,
-						sum.down[shape]/seeds,
+						sum.lostTaskSeconds[shape]/seeds,
 						sum.recoveredAt[shape].Seconds()/seeds,
 					)
 				}
@@ -69,8 +71,8 @@
 					"FIGURE %-10s on=%-5v %.1f loans, %.0f s lost by lenders, %.0f starts",
 					loss.name,
 					on,
-					float64(sum.lent)/seeds,
-					sum.lostS/seeds,
+					float64(sum.loanCount)/seeds,
+					sum.lenderLostSeconds/seeds,
 					float64(sum.starts)/seeds,
 				)
 			})
@@ -78,7 +80,7 @@
 	}
 }
 
-// measureLoss runs a loss and adds up its cost.
+// measureLoss runs a zone failure and adds its cost to sum.
 func (c *cluster) measureLoss(loss func(*cluster), sum *lossCost) {
 	loans := c.watchLoans()
 	time.Sleep(5 * s)
@@ -96,7 +98,7 @@
 		time.Sleep(time.Second)
 		for shape, n := range before {
 			if missing := n - c.runningByShape()[shape]; missing > 0 {
-				sum.down[shape] += float64(missing)
+				sum.lostTaskSeconds[shape] += float64(missing)
 				last[shape] = c.now() - from
 			}
 		}
@@ -106,12 +108,12 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	sum.lent += loans.LoanCount
-	sum.lostS += loans.LostSeconds
+	sum.loanCount += loans.LoanCount
+	sum.lenderLostSeconds += loans.LostSeconds
 	sum.starts += c.world.Starts - starts
 }
 
-// runningByShape returns the number of tasks that run or are done, by the shape of their jobs.
+// runningByShape returns the number of tasks that are running or done, by the shape of their jobs.
 func (c *cluster) runningByShape() map[protocol.Shape]int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/simulation/zonefailover_test.go
+++ b/internal/simulation/zonefailover_test.go
@@ -16,7 +16,8 @@
 	"pinebay/internal/testutil"
 )
 
-// withZoneFailover enables zone failover at the controllers that a function selects.
+// withZoneFailover returns an option that enables zone failover at the controllers for which on returns true. It also
+// shortens boot times and limits the capacity of each zone.
 func withZoneFailover(on func(node int) bool) func(*cluster) {
 	return func(c *cluster) {
 		c.features = func(node int) daemon.Features {
@@ -36,23 +37,21 @@
 // everywhere selects all controllers.
 func everywhere(int) bool { return true }
 
-// withSingleZone leaves one zone in the settings and the cloud.
+// withSingleZone removes all zones but one from the settings and the cloud.
 func withSingleZone(c *cluster) {
 	c.cfg.Zones = []string{"a"}
 	c.types[0].Zones = []string{"a"}
 }
 
-// Troubles of a zone.
-
-// inZone returns a function that selects the workers of a zone.
+// inZone returns a function that selects the workers in a zone.
 func inZone(zone string) func(*workerProcess) bool {
 	return func(r *workerProcess) bool { return r.machine.Zone == zone }
 }
 
-// zoneOfGangs stands for the zone in which most tasks of gangs run.
+// zoneOfGangs is a placeholder for the zone in which most tasks of gangs run when the fault begins.
 const zoneOfGangs = "of gangs"
 
-// resolveZone returns the zone that a scenario names.
+// resolveZone returns the zone that a scenario names, after resolving zoneOfGangs.
 func (c *cluster) resolveZone(zone string) string {
 	if zone != zoneOfGangs {
 		return zone
@@ -73,16 +72,17 @@
 	return "b"
 }
 
-// silenceZone blocks all links of the machines of a zone. Only a share of the machines is still there when that ends.
+// silenceZone blocks all links of the machines in a zone and prevents rentals there. When the fault ends, only the
+// given share of the machines is left.
 func silenceZone(zone string, share float64) fault {
 	return func(c *cluster) func() {
 		c.recordOccurrence("zone silent")
 		zone := c.resolveZone(zone)
 		workers := c.selectWorkers(99, inZone(zone))
-		c.setZoneDead(zone, true)
-		var ends []func()
+		c.setRentalsBlocked(zone, true)
+		var unblocks []func()
 		for _, r := range workers {
-			ends = append(ends, c.blockLink("*", r.ip), c.blockLink(r.ip, "*"))
+			unblocks = append(unblocks, c.blockLink("*", r.ip), c.blockLink(r.ip, "*"))
 		}
 		return func() {
 			c.mu.Lock()
@@ -92,38 +92,39 @@
 				}
 			}
 			c.mu.Unlock()
-			c.setZoneDead(zone, false)
-			for _, f := range ends {
+			c.setRentalsBlocked(zone, false)
+			for _, f := range unblocks {
 				f()
 			}
 		}
 	}
 }
 
-// killZone takes all machines of a zone away, and rents out none there until that ends.
+// killZone removes all machines in a zone and prevents rentals there until the fault ends.
 func killZone(zone string) fault {
 	return func(c *cluster) func() {
 		c.recordOccurrence("zone dead")
 		zone := c.resolveZone(zone)
-		c.setZoneDead(zone, true)
+		c.setRentalsBlocked(zone, true)
 		for _, r := range c.selectWorkers(99, inZone(zone)) {
 			c.mu.Lock()
 			c.cloud.Remove(r.machine.Name)
 			c.mu.Unlock()
 		}
-		return func() { c.setZoneDead(zone, false) }
+		return func() { c.setRentalsBlocked(zone, false) }
 	}
 }
 
-// setZoneDead sets whether machines can be rented in a zone.
-func (c *cluster) setZoneDead(zone string, dead bool) {
+// setRentalsBlocked sets whether rentals of machines in a zone are rejected.
+func (c *cluster) setRentalsBlocked(zone string, blocked bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.deadZones[zone] = dead
+	c.zonesWithoutRentals[zone] = blocked
 }
 
-// crashLeaderOnLoan is a step that makes the leader crash when it writes a loan, before or after the write is applied.
-func crashLeaderOnLoan(carriedOut bool) func(c *cluster) {
+// crashLeaderOnLoan returns a step that makes the leader crash when it first writes a loan. applied says whether the
+// write is applied before the crash.
+func crashLeaderOnLoan(applied bool) func(c *cluster) {
 	return func(c *cluster) {
 		done := false
 		c.store.SetOutcomes(func(_ string, t *protocol.Txn) Outcome {
@@ -135,8 +136,8 @@
 			}
 			done = true
 			c.occurred["crash on loan"]++
-			time.AfterFunc(0, crashLeaderAtOnce(c))
-			if carriedOut {
+			time.AfterFunc(0, crashLeaderFunc(c))
+			if applied {
 				return Outcome{}
 			}
 			return Outcome{Delay: 10 * time.Minute}
@@ -144,10 +145,10 @@
 	}
 }
 
-// crashLeaderAtOnce returns a function that crashes the leader.
-func crashLeaderAtOnce(c *cluster) func() { return func() { c.crash(c.leader(), 5*s) } }
+// crashLeaderFunc returns a function that crashes the leader for 5 s.
+func crashLeaderFunc(c *cluster) func() { return func() { c.crash(c.leader(), 5*s) } }
 
-// writesLoan says whether an operation records a loan.
+// writesLoan reports whether an operation records a loan.
 func writesLoan(op protocol.Op) bool {
 	if !strings.HasPrefix(op.PutKey, storage.ZoneFailoverPrefix) {
 		return false
@@ -156,10 +157,8 @@
 	return protocol.Decode(op.Value, &rec) == nil && len(rec.Loans) > 0
 }
 
-// Jobs.
-
-// submitZoneJobs fills the fleet: critical replicas over both zones, urgent gangs in one, and lower
-// arrays of both teams that save or not.
+// submitZoneJobs fills the machines with jobs: critical services that are spread over both zones, urgent single-zone
+// gangs, and low-priority arrays of both teams, with and without checkpoints.
 func submitZoneJobs(c *cluster) {
 	for i := range 3 {
 		j := c.newJob(protocol.Service, 1+i, 2)
@@ -174,7 +173,7 @@
 	c.submitArrays(6)
 }
 
-// submitArrays submits arrays of the lowest priority.
+// submitArrays submits n arrays of the lowest priority.
 func (c *cluster) submitArrays(n int) {
 	for i := range n {
 		j := c.newJob(protocol.Array, 4, 2)
@@ -189,10 +188,10 @@
 	}
 }
 
-// lowPriorityArrays submits arrays as a step of a scenario.
+// lowPriorityArrays returns a step that submits n arrays of the lowest priority.
 func lowPriorityArrays(n int) func(*cluster) { return func(c *cluster) { c.submitArrays(n) } }
 
-// watchLoans has the oracle of loans look at the records.
+// watchLoans returns a LoanOracle that checks the zone failover records every 20 ms.
 func (c *cluster) watchLoans() *LoanOracle {
 	o := NewLoanOracle()
 	c.spawn(func() {
@@ -204,13 +203,14 @@
 	return o
 }
 
+// observeLoans passes the recorded loans to an oracle.
 func (c *cluster) observeLoans(o *LoanOracle) {
 	var rows []storage.LoanRow
 	pairs, _ := c.store.List(storage.ZoneFailoverPrefix)
 	for _, p := range pairs {
 		rec, err := storage.DecodeZoneFailover(p)
 		if err != nil {
-			c.t.Errorf("zone return record: %v", err)
+			c.t.Errorf("decode zone failover record: %v", err)
 			continue
 		}
 		rows = append(rows, rec.Loans...)
@@ -226,7 +226,7 @@
 	c.occurred["loan"] = o.LoanCount
 }
 
-// checkLoans demands that all loans have ended, and that no rule on lending was broken.
+// checkLoans checks that all loans have ended and that the oracle has found no violation.
 func (c *cluster) checkLoans(loans *LoanOracle) {
 	c.t.Helper()
 	on := c.leader().features.ZoneFailover != nil
@@ -234,21 +234,22 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if on {
-		loans.CheckAllClosed() // a leader without it leaves the records alone
+		loans.CheckAllClosed() // a leader without zone failover does not close loans
 	}
-	for _, broken := range loans.Violations {
-		c.t.Error(broken)
+	for _, violation := range loans.Violations {
+		c.t.Error(violation)
 	}
-	c.t.Logf("%d loans, %d machines fenced for a return", loans.LoanCount, fenced)
+	c.t.Logf("%d loans, %d machines fenced and returned to the cloud", loans.LoanCount, fenced)
 }
 
-// runZoneScenario plays a scenario of a zone's loss under all oracles.
+// runZoneScenario runs a scenario with a zone failure and checks all oracles. Each of occurred must be a recorded event
+// or occur in the log.
 func runZoneScenario(
 	t *testing.T,
 	seed uint64,
 	w config.Workers,
 	steps []step,
-	happened []string,
+	occurred []string,
 	options ...func(*cluster),
 ) {
 	t.Helper()
@@ -260,18 +261,18 @@
 		c.runSteps(steps)
 		time.Sleep(
 			20*config.Seconds(c.cfg.Workers.CancelSeconds) + 2*time.Minute,
-		) // until what is never repaid is written off
+		) // until loans that are not repaid are written off
 		c.checkAllServed()
 		c.checkLoans(loans)
-		for _, what := range happened {
+		for _, what := range occurred {
 			if c.occurrences(what) == 0 && c.logCount(what) == 0 {
-				t.Errorf("%s did not happen", what)
+				t.Errorf("%q is neither a recorded event nor in the log, so the scenario did not exercise it", what)
 			}
 		}
 	}, options...)
 }
 
-// zoneScenarios are losses of a zone, with other faults.
+// zoneScenarios are zone failures, some combined with other faults.
 var zoneScenarios = []scenario{
 	{
 		name:    "cut off and back",
@@ -299,8 +300,8 @@
 		},
 		occurred: []string{"zone dead"},
 	},
-	// How many machines the second cut finds depends on how many the first has cost; that a flap
-	// is told as one is TestZoneStates' to show.
+	// The number of machines that the second failure affects depends on how many the first one has cost. TestZoneStates
+	// checks that a flap is detected as one.
 	{
 		name:    "flaps twice in a minute",
 		timings: fastTimings,
@@ -426,7 +427,7 @@
 	},
 }
 
-// hangZone is a step that makes all machines of a zone execute nothing for a while.
+// hangZone returns a step that suspends all machines in a zone for a while.
 func hangZone(zone string, d time.Duration) func(c *cluster) {
 	return func(c *cluster) {
 		workers := c.selectWorkers(99, inZone(zone))
@@ -440,7 +441,7 @@
 	}
 }
 
-// TestZoneFailover runs every loss of a zone.
+// TestZoneFailover checks all scenarios with zone failures.
 func TestZoneFailover(t *testing.T) {
 	for i, m := range zoneScenarios {
 		t.Run(m.name, func(t *testing.T) {
@@ -450,8 +451,8 @@
 	}
 }
 
-// TestZoneFailoverMixed: controllers with and without the flag in one set break no rule, and neither does a leader with
-// it after one without it.
+// TestZoneFailoverMixed checks that no rule is violated if zone failover is enabled at only one of the controllers,
+// including when a leader with it follows one without it.
 func TestZoneFailoverMixed(t *testing.T) {
 	for _, on := range []int{0, 1, 2} {
 		t.Run(fmt.Sprint(on), func(t *testing.T) {
@@ -474,8 +475,8 @@
 	}
 }
 
-// TestZoneFailoverTeamLimits: as long as the tasks of a lost zone are not known to have ended, they count toward the
-// limit of their team, which no task elsewhere may exceed.
+// TestZoneFailoverTeamLimits checks that no team exceeds its limit during a zone failure. Tasks in the lost zone count
+// toward the limit until they are known to have ended.
 func TestZoneFailoverTeamLimits(t *testing.T) {
 	limits := func(c *cluster) {
 		c.cfg.Teams = []config.Team{{Name: "red", MaxGPUs: 32}, {Name: "blue", GuaranteedGPUs: 8, MaxGPUs: 24}}
@@ -484,7 +485,7 @@
 	runZoneScenario(t, 455, fastTimings, steps, []string{"is lost"}, withZoneFailover(everywhere), limits)
 }
 
-// TestZoneFailoverSingleZone: with a single zone in the settings nothing changes, and the log says so.
+// TestZoneFailoverSingleZone checks that zone failover does nothing and logs this if the settings have a single zone.
 func TestZoneFailoverSingleZone(t *testing.T) {
 	runScenario(t, 450, 3, fastTimings, func(c *cluster) {
 		c.startJobs(9)
@@ -494,29 +495,31 @@
 		time.Sleep(4 * time.Minute)
 		c.checkAllServed()
 		if c.logCount("a single zone, nothing to do") == 0 || c.logCount("is lost") > 0 {
-			t.Error("the log does not say that there is nothing to do")
+			t.Error(
+				"the log does not say that there is nothing to do, or says that the zone is lost",
+			)
 		}
 	}, withZoneFailover(everywhere), withSingleZone)
 }
 
-// randomZoneLoss returns a loss of a zone with two to four other faults.
+// randomZoneLoss returns steps with a random zone failure and other random faults.
 func randomZoneLoss(rng *rand.Rand) []step {
 	zone := []string{"a", "b"}[rng.IntN(2)]
-	away := time.Duration(10+rng.IntN(70)) * s
+	duration := time.Duration(10+rng.IntN(70)) * s
 	loss := []func(*cluster){
-		during(away, silenceZone(zone, 1)),
-		during(away, silenceZone(zone, 0.5)),
-		during(away, killZone(zone)),
+		during(duration, silenceZone(zone, 1)),
+		during(duration, silenceZone(zone, 0.5)),
+		during(duration, killZone(zone)),
 	}[rng.IntN(3)]
 	steps := []step{{0, loss}, {3 * s, lowPriorityArrays(3 + rng.IntN(4))}}
 	if rng.IntN(2) == 0 {
-		steps = append(steps, step{away + time.Duration(5+rng.IntN(20))*s, during(25*s, silenceZone(zone, 1))})
+		steps = append(steps, step{duration + time.Duration(5+rng.IntN(20))*s, during(25*s, silenceZone(zone, 1))})
 	}
-	drawn, _ := randomScenario(rng)
-	return append(steps, drawn[:min(len(drawn), 2+rng.IntN(3))]...)
+	randomSteps, _ := randomScenario(rng)
+	return append(steps, randomSteps[:min(len(randomSteps), 2+rng.IntN(3))]...)
 }
 
-// TestRandomZoneLosses combines losses of a zone with other random faults.
+// TestRandomZoneLosses checks random zone failures combined with other random faults.
 func TestRandomZoneLosses(t *testing.T) {
 	for seed := testutil.Seed(); seed < testutil.Seed()+6; seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
