--- a/internal/coordination/cancellation/exchange.go
+++ b/internal/coordination/cancellation/exchange.go
@@ -24,9 +24,9 @@
 // incarnations can still be processed.
 const maxPeerIncarnations = 4
 
-// Holders returns the number of controllers, including this one, that are certain to hold all intents up to a sequence
-// number. The returned channel is closed when that number may have changed.
-func (l *IntentLog) Holders(sequence uint64) (int, <-chan struct{}) {
+// HolderCount returns the number of controllers, including this one, that are certain to hold all intents up to a
+// sequence number. The returned channel is closed when that number may have changed.
+func (l *IntentLog) HolderCount(sequence uint64) (int, <-chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	n := 1
--- a/internal/coordination/cancellation/exchange_test.go
+++ b/internal/coordination/cancellation/exchange_test.go
@@ -162,7 +162,7 @@
 		}
 		for _, name := range names {
 			l, other := p.logs[name], p.logs[otherOf[name]]
-			if held, _ := l.Holders(l.sequence()); held != 2 && len(other.entries) < p.limit {
+			if held, _ := l.HolderCount(l.sequence()); held != 2 && len(other.entries) < p.limit {
 				t.Fatalf("%d controllers hold all intents of %s, want 2: %+v", held, name, l.peers[otherOf[name]])
 			}
 		}
@@ -193,7 +193,7 @@
 		if complete := exchangeHeartbeat(b, a, "b", "a").Complete; complete != (n == messages) {
 			t.Fatalf("complete: %v after %d of %d messages", complete, n, messages)
 		}
-		if held, _ := a.Holders(last.Sequence); held > 1 {
+		if held, _ := a.HolderCount(last.Sequence); held > 1 {
 			t.Fatalf("the last of %d intents counts as held by the peer after %d messages", intents, n)
 		}
 	}
@@ -201,7 +201,7 @@
 		t.Errorf("%d of %d intents received after %d messages", n, intents, messages)
 	}
 	exchangeHeartbeat(a, b, "a", "b")
-	if held, _ := a.Holders(last.Sequence); held != 2 {
+	if held, _ := a.HolderCount(last.Sequence); held != 2 {
 		t.Errorf("%d controllers hold the last intent, want 2", held)
 	}
 }
--- a/internal/coordination/cancellation/intentlog_test.go
+++ b/internal/coordination/cancellation/intentlog_test.go
@@ -38,7 +38,7 @@
 	if got := l.Receive(3*time.Second, &protocol.PeerMessage{From: "b"}, true); got.Complete || got.Recovered {
 		t.Errorf("message of a peer without intents: got %+v, want neither complete nor recovered", got)
 	}
-	if held, _ := l.Holders(first.Sequence); held != 1 {
+	if held, _ := l.HolderCount(first.Sequence); held != 1 {
 		t.Errorf("%d controllers count as holding an unacknowledged intent, want 1", held)
 	}
 	if jobs := l.NewestByJob(expired); len(jobs) > 0 || l.HasIntent(expired, "j-1") || len(l.newestLocal) > 0 {
--- a/internal/coordination/election/candidacy.go
+++ b/internal/coordination/election/candidacy.go
@@ -118,5 +118,5 @@
 	e.role, e.leaseID, e.renewalInFlight = roleFollower, 0, false
 	e.leaderHeardAt = now
 	clear(e.ackedAt)
-	clear(e.intentsReceivedAt)
+	clear(e.intentsCompleteAsOf)
 }
--- a/internal/coordination/election/election.go
+++ b/internal/coordination/election/election.go
@@ -84,20 +84,20 @@
 	claimSentAt            time.Duration
 	storeChangesKnownUntil time.Duration            // 0 if no changes are known
 	ackedAt                map[string]time.Duration // when the latest heartbeat acknowledged by the peer was sent
-	intentsReceivedAt      map[string]time.Duration // same, for replies that completed the peer's intents
+	intentsCompleteAsOf    map[string]time.Duration // same, for replies that completed the peer's intents
 }
 
 // New returns an Election in the follower role that knows neither a term nor a leader.
 func New(now time.Duration, self string, peers []string, timing Timing) *Election {
 	return &Election{
-		self:              self,
-		peers:             peers,
-		timing:            timing,
-		startedAt:         now,
-		leaderHeardAt:     now,
-		peerHeardAt:       map[string]time.Duration{},
-		ackedAt:           map[string]time.Duration{},
-		intentsReceivedAt: map[string]time.Duration{},
+		self:                self,
+		peers:               peers,
+		timing:              timing,
+		startedAt:           now,
+		leaderHeardAt:       now,
+		peerHeardAt:         map[string]time.Duration{},
+		ackedAt:             map[string]time.Duration{},
+		intentsCompleteAsOf: map[string]time.Duration{},
 	}
 }
 
--- a/internal/coordination/election/election_test.go
+++ b/internal/coordination/election/election_test.go
@@ -119,10 +119,10 @@
 				Leader:         rapid.SampledFrom([]string{"", "", "", "", "c"}).Draw(t, "leader"),
 			}
 			if rapid.IntRange(0, 4).Draw(t, "never") != 0 {
-				p.IntentsReceivedAt = now - time.Duration(rapid.IntRange(0, 6000).Draw(t, "intents received"))*ms
+				p.IntentsCompleteAsOf = now - time.Duration(rapid.IntRange(0, 6000).Draw(t, "intents received"))*ms
 			}
 			statuses[name] = p
-			if p.IntentsReceivedAt > 0 && now-p.IntentsReceivedAt <= testTiming.RenewalHorizon {
+			if p.IntentsCompleteAsOf > 0 && now-p.IntentsCompleteAsOf <= testTiming.RenewalHorizon {
 				known++
 			}
 			if now-p.SentAt <= testTiming.LeaderTimeout/2 {
--- a/internal/coordination/election/handlers.go
+++ b/internal/coordination/election/handlers.go
@@ -34,7 +34,7 @@
 	if e.role == roleLeader && h.Reply && h.Term == e.term && h.Leader == e.self {
 		e.ackedAt[h.From] = max(e.ackedAt[h.From], h.SentAt)
 		if h.IntentsComplete && (h.Recovered || e.lostIntentsResolved(h.IncarnationSince)) {
-			e.intentsReceivedAt[h.From] = max(e.intentsReceivedAt[h.From], h.SentAt)
+			e.intentsCompleteAsOf[h.From] = max(e.intentsCompleteAsOf[h.From], h.SentAt)
 		}
 	}
 	if e.role != roleLeader && !h.Reply && h.Term == e.term && h.Leader == h.From {
@@ -87,7 +87,7 @@
 	e.leaderKeyMissing, e.leaderKeyTerm = false, r.Term
 	e.claimAt = 0
 	clear(e.ackedAt)
-	clear(e.intentsReceivedAt)
+	clear(e.intentsCompleteAsOf)
 	e.emit(BecomeLeader{Term: r.Term, Revision: r.Revision, FeatureLevel: r.FeatureLevel})
 }
 
--- a/internal/coordination/election/quorum.go
+++ b/internal/coordination/election/quorum.go
@@ -28,7 +28,7 @@
 	if now < e.startedAt+e.timing.RecoveryPeriod && !e.lostIntentsResolved(e.startedAt) {
 		return e.storeChangesKnownUntil // this controller may lack intents itself, so no quorum may include it
 	}
-	return max(e.storeChangesKnownUntil, e.quorumContactTime(now, e.intentsReceivedAt))
+	return max(e.storeChangesKnownUntil, e.quorumContactTime(now, e.intentsCompleteAsOf))
 }
 
 // quorumContactTime returns the latest time such that a quorum, which includes this controller, was heard from at or
--- a/internal/coordination/election/standby.go
+++ b/internal/coordination/election/standby.go
@@ -8,9 +8,9 @@
 	SentAt         time.Duration
 	StoreReachable bool
 	Leader         string // "" if the peer knows no leader
-	// IntentsReceivedAt is when this controller sent the latest heartbeat whose reply completed the peer's cancellation
-	// intents while the peer lacked none that are still relevant. It is 0 if there is no such reply.
-	IntentsReceivedAt time.Duration
+	// IntentsCompleteAsOf is when this controller sent the latest heartbeat whose reply completed the peer's
+	// cancellation intents while the peer lacked none that are still relevant. It is 0 if there is no such reply.
+	IntentsCompleteAsOf time.Duration
 }
 
 // GroupStatus is what a controller knows about itself and its peers at one point in time. It determines what the
@@ -53,7 +53,7 @@
 	known := 1
 	for _, name := range g.Peers {
 		p, ok := g.Statuses[name]
-		if ok && p.IntentsReceivedAt > 0 && g.Now-p.IntentsReceivedAt <= g.Timing.RenewalHorizon {
+		if ok && p.IntentsCompleteAsOf > 0 && g.Now-p.IntentsCompleteAsOf <= g.Timing.RenewalHorizon {
 			known++
 		}
 	}
--- a/internal/coordination/fencing/events.go
+++ b/internal/coordination/fencing/events.go
@@ -53,8 +53,8 @@
 	ListMachines struct{}
 
 	// QueryPeers requests that every peer be asked which of the machines it has heard from. The caller evaluates the
-	// replies with StillSilent and reports the result as SilenceConfirmed. If the result is not certain, the query is
-	// repeated at the next Assessment.
+	// replies with UnreachableMachines and reports the result as SilenceConfirmed. If the result is not certain, the
+	// query is repeated at the next Assessment.
 	QueryPeers struct{ Machines []string }
 
 	// ReleaseMachines requests that machines be returned to the cloud. Those that were released are reported as
--- a/internal/coordination/fencing/fencer_test.go
+++ b/internal/coordination/fencing/fencer_test.go
@@ -284,7 +284,7 @@
 		},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			silent, certain := StillSilent(machines, test.replies)
+			silent, certain := UnreachableMachines(machines, test.replies)
 			if certain != test.certain || !slices.Equal(silent, test.silent) {
 				t.Errorf("silent %v, certain %v, want %v, %v", silent, certain, test.silent, test.certain)
 			}
@@ -319,7 +319,7 @@
 		heard = append(heard, names[i])
 	}
 	replies := []PeerReply{{Answered: true, Heard: heard}, {Answered: true, Heard: heard[:1]}}
-	silent, certain := StillSilent(asked, replies)
+	silent, certain := UnreachableMachines(asked, replies)
 	if !certain || len(silent) != machines/4 {
 		t.Fatalf("%d machines are silent, want %d", len(silent), machines/4)
 	}
--- a/internal/coordination/fencing/peerreply.go
+++ b/internal/coordination/fencing/peerreply.go
@@ -13,9 +13,9 @@
 	InQuorum bool
 }
 
-// StillSilent returns the machines that no peer has heard from. certain is false if a peer in the quorum did not
-// answer: a machine that is alive but reports to that peer only would otherwise be released.
-func StillSilent(machines []string, replies []PeerReply) (silent []string, certain bool) {
+// UnreachableMachines returns the machines that no peer has heard from. certain is false if a peer in the quorum did
+// not answer: a machine that is alive but reports to that peer only would otherwise be released.
+func UnreachableMachines(machines []string, replies []PeerReply) (silent []string, certain bool) {
 	heard := map[string]bool{}
 	for _, r := range replies {
 		if !r.Answered && r.InQuorum {
--- a/internal/coordination/ownership/assigner.go
+++ b/internal/coordination/ownership/assigner.go
@@ -93,7 +93,7 @@
 	case Verdict:
 		a.handleVerdict(now, e)
 		return a.proposeRecord(now)
-	case OwnIncarnation:
+	case LocalIncarnation:
 		a.incarnation = e.Incarnation
 	case Leadership:
 		if e.Leading && !a.leading {
--- a/internal/coordination/ownership/assigner_test.go
+++ b/internal/coordination/ownership/assigner_test.go
@@ -32,7 +32,7 @@
 
 func newLeadingAssigner(peers ...string) *leadingAssigner {
 	l := &leadingAssigner{Assigner: New("a", peers, testTiming)}
-	l.step(OwnIncarnation{Incarnation: failuredetector.Incarnation{Process: 1}})
+	l.step(LocalIncarnation{Incarnation: failuredetector.Incarnation{Process: 1}})
 	l.step(RecordRead{})
 	l.step(Leadership{Leading: true})
 	return l
--- a/internal/coordination/ownership/events.go
+++ b/internal/coordination/ownership/events.go
@@ -22,8 +22,8 @@
 		Reason string
 	}
 
-	// OwnIncarnation reports the incarnation of this controller.
-	OwnIncarnation struct{ Incarnation failuredetector.Incarnation }
+	// LocalIncarnation reports the incarnation of this controller.
+	LocalIncarnation struct{ Incarnation failuredetector.Incarnation }
 
 	// Leadership reports whether this controller is the leader, has read the records, and may use ownership.
 	Leadership struct{ Leading bool }
@@ -49,13 +49,13 @@
 	AdoptRecord struct{ Record Record }
 )
 
-func (Tick) event()           {}
-func (PeerHeartbeat) event()  {}
-func (Verdict) event()        {}
-func (OwnIncarnation) event() {}
-func (Leadership) event()     {}
-func (RecordRead) event()     {}
-func (WriteDone) event()      {}
+func (Tick) event()             {}
+func (PeerHeartbeat) event()    {}
+func (Verdict) event()          {}
+func (LocalIncarnation) event() {}
+func (Leadership) event()       {}
+func (RecordRead) event()       {}
+func (WriteDone) event()        {}
 
 func (WriteRecord) effect() {}
 func (AdoptRecord) effect() {}
--- a/internal/coordination/ownership/heartbeatfilter.go
+++ b/internal/coordination/ownership/heartbeatfilter.go
@@ -76,8 +76,8 @@
 	return hash.Sum64()
 }
 
-// Forwarded records that the leader has answered a heartbeat.
-func (f *HeartbeatFilter) Forwarded(now time.Duration, h *protocol.WorkerHeartbeat) {
+// RecordForwarded records that the leader has answered a heartbeat.
+func (f *HeartbeatFilter) RecordForwarded(now time.Duration, h *protocol.WorkerHeartbeat) {
 	f.forwarded[h.Machine] = &forwardedHeartbeat{
 		forwardedAt:        now,
 		incarnation:        h.Incarnation,
@@ -88,8 +88,8 @@
 	delete(f.unchanged, h.Machine)
 }
 
-// AnsweredLocally records that the owner has answered a heartbeat itself.
-func (f *HeartbeatFilter) AnsweredLocally(h *protocol.WorkerHeartbeat) {
+// RecordLocalReply records that the owner has answered a heartbeat itself.
+func (f *HeartbeatFilter) RecordLocalReply(h *protocol.WorkerHeartbeat) {
 	f.unchanged[h.Machine] = UnchangedHeartbeat{Machine: h.Machine, Incarnation: h.Incarnation, Sequence: h.Sequence}
 }
 
--- a/internal/coordination/ownership/heartbeatfilter_test.go
+++ b/internal/coordination/ownership/heartbeatfilter_test.go
@@ -70,7 +70,7 @@
 			if !f.MustForward(0, testHeartbeat(nil), testTerm) {
 				t.Fatal("the first heartbeat need not be forwarded")
 			}
-			f.Forwarded(0, testHeartbeat(nil))
+			f.RecordForwarded(0, testHeartbeat(nil))
 			if test.requested {
 				f.ForwardNext([]string{"m1", "unknown"})
 			}
@@ -88,7 +88,7 @@
 	f := NewHeartbeatFilter(testRefreshInterval)
 	exited := testHeartbeat(func(h *protocol.WorkerHeartbeat) { h.Tasks[0].State = protocol.TaskExited })
 	f.MustForward(0, exited, testTerm)
-	f.Forwarded(0, exited)
+	f.RecordForwarded(0, exited)
 	if !f.MustForward(time.Second, exited, testTerm) {
 		t.Error("a repeated heartbeat with an exited task need not be forwarded")
 	}
@@ -97,8 +97,8 @@
 // TestTakeUnchanged checks that the latest heartbeat of each machine that the owner answered is returned exactly once.
 func TestTakeUnchanged(t *testing.T) {
 	f := NewHeartbeatFilter(testRefreshInterval)
-	f.Forwarded(0, testHeartbeat(nil))
-	f.AnsweredLocally(testHeartbeat(func(h *protocol.WorkerHeartbeat) { h.Sequence = 11 }))
+	f.RecordForwarded(0, testHeartbeat(nil))
+	f.RecordLocalReply(testHeartbeat(func(h *protocol.WorkerHeartbeat) { h.Sequence = 11 }))
 	want := []UnchangedHeartbeat{{Machine: "m1", Incarnation: 2, Sequence: 11}}
 	if got := f.TakeUnchanged(); !slices.Equal(got, want) {
 		t.Errorf("TakeUnchanged() = %v, want %v", got, want)
--- a/internal/daemon/fencing.go
+++ b/internal/daemon/fencing.go
@@ -64,7 +64,7 @@
 		})
 	case fencing.QueryPeers:
 		a.tasks.Go(func() {
-			silent, certain := fencing.StillSilent(e.Machines, a.queryPeers(ctx, e.Machines))
+			silent, certain := fencing.UnreachableMachines(e.Machines, a.queryPeers(ctx, e.Machines))
 			if !certain {
 				a.log.Info("fencing postponed", "machine_count", len(e.Machines), "reason", "no answer from a peer")
 				return // retried after the next assessment
--- a/internal/daemon/intentannouncer.go
+++ b/internal/daemon/intentannouncer.go
@@ -55,7 +55,7 @@
 	ctx, cancel := context.WithTimeout(ctx, a.times.LeaderTimeout/2)
 	defer cancel()
 	for {
-		holders, changed := a.intents.Holders(own.Sequence)
+		holders, changed := a.intents.HolderCount(own.Sequence)
 		if election.IsQuorum(holders, len(a.heartbeatTriggers)) {
 			return a.start.Add(own.CreatedAt), nil
 		}
--- a/internal/daemon/ownerheartbeats.go
+++ b/internal/daemon/ownerheartbeats.go
@@ -136,14 +136,14 @@
 func (o *machineOwner) answered(heartbeat *protocol.WorkerHeartbeat) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.heartbeats.AnsweredLocally(heartbeat)
+	o.heartbeats.RecordLocalReply(heartbeat)
 }
 
 // forwarded records that the leader has answered a forwarded heartbeat.
 func (o *machineOwner) forwarded(heartbeat *protocol.WorkerHeartbeat) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.heartbeats.Forwarded(o.now(), heartbeat)
+	o.heartbeats.RecordForwarded(o.now(), heartbeat)
 }
 
 // sendDigests regularly reports to the leader the machines whose heartbeats this controller has answered, until ctx
--- a/internal/daemon/ownership.go
+++ b/internal/daemon/ownership.go
@@ -60,7 +60,7 @@
 	a.mailbox.Run(ctx, times.TickInterval, step, func() {
 		l := a.localLeader.Load()
 		step(ownership.Leadership{Leading: l != nil && l.Ready() && a.api.FeatureLevel() >= featurelevel.Pipelines})
-		step(ownership.OwnIncarnation{Incarnation: a.detector.incarnation()})
+		step(ownership.LocalIncarnation{Incarnation: a.detector.incarnation()})
 		step(ownership.Tick{})
 	})
 }
--- a/internal/daemon/peertable.go
+++ b/internal/daemon/peertable.go
@@ -52,13 +52,13 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	s := election.PeerStatus{
-		SentAt:            sent,
-		StoreReachable:    r.StoreReachable,
-		Leader:            r.Leader,
-		IntentsReceivedAt: t.statuses[r.From].IntentsReceivedAt,
+		SentAt:              sent,
+		StoreReachable:      r.StoreReachable,
+		Leader:              r.Leader,
+		IntentsCompleteAsOf: t.statuses[r.From].IntentsCompleteAsOf,
 	}
 	if received.Complete && received.Recovered {
-		s.IntentsReceivedAt = sent
+		s.IntentsCompleteAsOf = sent
 	}
 	t.statuses[r.From] = s
 }
