--- a/internal/coordination/candidates/index.go
+++ b/internal/coordination/candidates/index.go
@@ -169,8 +169,8 @@
 	return x
 }
 
-// Of returns the candidate of a machine if the machine accepts tasks now, or nil.
-func (ix *Index) Of(now time.Duration, m *machineregistry.Machine) *Candidate {
+// CandidateFor returns the candidate of a machine if the machine accepts tasks now, or nil.
+func (ix *Index) CandidateFor(now time.Duration, m *machineregistry.Machine) *Candidate {
 	x := ix.Indexed(m)
 	if x == nil || !ix.registry.Schedulable(now, m) {
 		return nil
@@ -181,7 +181,7 @@
 // All returns the candidates of all machines that accept tasks now, in name order.
 func (ix *Index) All(now time.Duration) (list []*Candidate) {
 	ix.registry.Each(func(m *machineregistry.Machine) {
-		if x := ix.Of(now, m); x != nil {
+		if x := ix.CandidateFor(now, m); x != nil {
 			list = append(list, x)
 		}
 	})
--- a/internal/coordination/candidates/index_test.go
+++ b/internal/coordination/candidates/index_test.go
@@ -63,7 +63,7 @@
 func TestRefreshUndoesTheCycle(t *testing.T) {
 	ix, registry := newTestIndex(t, "m2", "m1")
 	checkNames(t, ix.All(0), "m1", "m2")
-	x := ix.Of(0, registry.Machine("m1"))
+	x := ix.CandidateFor(0, registry.Machine("m1"))
 	ix.SetFree(x, machineregistry.Resources{CPUs: 1})
 	ix.ClaimNomination(x)
 	ix.HoldHeadroom(x, Headroom{Resources: capacity})
@@ -83,7 +83,7 @@
 	later := time.Minute
 	heartbeat(registry, later, "m2", 2)
 	x := ix.Indexed(registry.Machine("m1"))
-	if x == nil || ix.Of(later, x.Machine) != nil || ix.CheckSchedulable(later, x) {
+	if x == nil || ix.CandidateFor(later, x.Machine) != nil || ix.CheckSchedulable(later, x) {
 		t.Error("machine without recent heartbeats accepts tasks")
 	}
 	ix.RemoveUnschedulable(later)
@@ -99,14 +99,14 @@
 // TestStaleIndexIsRebuilt checks that Refresh rebuilds a stale index from the registry alone.
 func TestStaleIndexIsRebuilt(t *testing.T) {
 	ix, registry := newTestIndex(t, "m1", "m2")
-	old := ix.Of(0, registry.Machine("m1"))
+	old := ix.CandidateFor(0, registry.Machine("m1"))
 	ix.Machines.Remove(old.Entry)
 	ix.Refresh(0)
 	checkNames(t, ix.All(0), "m2")
 	ix.MarkStale()
 	ix.Refresh(0)
 	checkNames(t, ix.All(0), "m1", "m2")
-	if ix.Of(0, registry.Machine("m1")) == old {
+	if ix.CandidateFor(0, registry.Machine("m1")) == old {
 		t.Error("rebuild kept the old candidate")
 	}
 }
@@ -115,7 +115,7 @@
 // the index.
 func TestVerify(t *testing.T) {
 	ix, registry := newTestIndex(t, "m1", "m2", "m3")
-	ix.Machines.Remove(ix.Of(0, registry.Machine("m2")).Entry)
+	ix.Machines.Remove(ix.CandidateFor(0, registry.Machine("m2")).Entry)
 	for range registry.Len() {
 		ix.Verify(0)
 	}
@@ -130,7 +130,7 @@
 
 func TestFreeBeyondHeadroom(t *testing.T) {
 	ix, registry := newTestIndex(t, "m1")
-	x := ix.Of(0, registry.Machine("m1"))
+	x := ix.CandidateFor(0, registry.Machine("m1"))
 	held := machineregistry.Resources{GPUs: 3}
 	ix.HoldHeadroom(x, Headroom{Priority: 1, StartLatencySeconds: 20, RecoveryPosition: 2, Resources: held})
 	for _, test := range []struct {
--- a/internal/coordination/leader/effects.go
+++ b/internal/coordination/leader/effects.go
@@ -137,12 +137,12 @@
 		return previousAttempt{}, err
 	}
 	if record.Revision == 0 {
-		return previousAttempt{succeeded: w.Name == ""}, nil // a write without a name deletes its record
+		return previousAttempt{succeeded: w.VerifyName == ""}, nil // a write without a name deletes its record
 	}
 	var named struct {
 		Write string `msgpack:"w"`
 	}
-	succeeded := protocol.Decode(record.Value, &named) == nil && named.Write == w.Name
+	succeeded := protocol.Decode(record.Value, &named) == nil && named.Write == w.VerifyName
 	return previousAttempt{succeeded: succeeded, revision: record.Revision}, nil
 }
 
--- a/internal/coordination/leader/term.go
+++ b/internal/coordination/leader/term.go
@@ -100,8 +100,8 @@
 	records := scheduler.RecoveredRecords{
 		MachineTypes:      loaded.types,
 		LiveJobs:          loaded.liveJobs,
-		Pages:             loaded.pages,
-		Images:            loaded.images,
+		PlacementPages:    loaded.pages,
+		ImageHints:        loaded.images,
 		ZoneFailoverPages: loaded.zones,
 	}
 	t.scheduler = scheduler.New(now, scheduler.Options{
--- a/internal/coordination/leader/write_test.go
+++ b/internal/coordination/leader/write_test.go
@@ -101,7 +101,7 @@
 				return next
 			})
 			l := newWriteOnlyLeader(t, store)
-			w := scheduler.Write{ID: writeID, Txn: row.txn, VerifyKey: key, Name: row.writeName}
+			w := scheduler.Write{ID: writeID, Txn: row.txn, VerifyKey: key, VerifyName: row.writeName}
 			l.write(t.Context(), w, l.deps.Store.Admit(writeBudget(w.Priority), &w.Txn))
 			messages := l.mailbox.Drain()
 			if len(messages) != 1 || len(outcomes) != 0 {
--- a/internal/coordination/placement/budget.go
+++ b/internal/coordination/placement/budget.go
@@ -65,9 +65,11 @@
 	return true
 }
 
-// CapacityMayBeFree records that capacity may have been freed, so that searches that found no victims may be
+// InvalidateFailedSearches records that capacity may have been freed, so that searches that found no victims may be
 // repeated.
-func (b *PreemptionBudget) CapacityMayBeFree() { b.capacityEvents++ }
+func (b *PreemptionBudget) InvalidateFailedSearches() { b.capacityEvents++ }
 
-// NoVictims records that a search found no victims.
-func (b *PreemptionBudget) NoVictims(key SearchKey) { b.failedSearches[key] = b.capacityEvents }
+// RecordFailedSearch records that a search found no victims.
+func (b *PreemptionBudget) RecordFailedSearch(key SearchKey) {
+	b.failedSearches[key] = b.capacityEvents
+}
--- a/internal/coordination/placement/consolidation.go
+++ b/internal/coordination/placement/consolidation.go
@@ -10,9 +10,9 @@
 	"pinebay/internal/protocol"
 )
 
-// StartCountsAfter is the time that a task must run for its start to count. By the protocol, a start does not count
+// MinCountedRunTime is the time that a task must run for its start to count. By the protocol, a start does not count
 // if a command ends the task earlier. Consolidation therefore does not move tasks that have run for less.
-const StartCountsAfter = 30 * time.Second
+const MinCountedRunTime = 30 * time.Second
 
 // maxConsolidatedUtilization is the highest utilization at which a machine may be drained.
 const maxConsolidatedUtilization = 0.5
@@ -70,7 +70,7 @@
 			c.cursor = m.Name
 			return false
 		}
-		if x := c.rules.Candidates.Of(now, m); x != nil && c.drainable(now, x) {
+		if x := c.rules.Candidates.CandidateFor(now, m); x != nil && c.drainable(now, x) {
 			list = append(list, x)
 		}
 		return true
@@ -96,7 +96,7 @@
 func (c *Consolidator) movable(now time.Duration, pl *machineregistry.Placement) bool {
 	j := c.rules.Jobs[pl.Task.JobID]
 	return j != nil && !j.Ended && !j.WriteInFlight && j.Spec.Shape == protocol.Service &&
-		!pl.Stopping && pl.State == protocol.TaskRunning && now-pl.StateSince >= StartCountsAfter
+		!pl.Stopping && pl.State == protocol.TaskRunning && now-pl.StateSince >= MinCountedRunTime
 }
 
 // fitsElsewhere reports whether all placements of a machine fit on better utilized machines of its zone that have the
@@ -130,7 +130,7 @@
 		if examined++; examined > MaxExaminedMachines {
 			return false
 		}
-		x := c.rules.Candidates.Of(now, m)
+		x := c.rules.Candidates.CandidateFor(now, m)
 		if x == nil || x == from || !c.isTarget(now, x, from, pl) || !pl.Resources.Fits(x.Free.Minus(claimed[x])) {
 			return true
 		}
--- a/internal/coordination/placement/consolidation_test.go
+++ b/internal/coordination/placement/consolidation_test.go
@@ -107,7 +107,7 @@
 		wantDrained string
 	}{
 		{name: "moves to the fuller machine", gpus: [2]float64{1, 4}, now: time.Minute, wantDrained: "m0"},
-		{name: "not before starts count", gpus: [2]float64{1, 4}, now: StartCountsAfter - time.Second},
+		{name: "not before starts count", gpus: [2]float64{1, 4}, now: MinCountedRunTime - time.Second},
 		{name: "no capacity elsewhere", gpus: [2]float64{3, 6}, now: time.Minute},
 		{name: "both are well used", gpus: [2]float64{5, 5}, now: time.Minute},
 		{name: "other zone", gpus: [2]float64{1, 4}, otherZone: true, now: time.Minute},
--- a/internal/coordination/placement/gangorder.go
+++ b/internal/coordination/placement/gangorder.go
@@ -16,10 +16,10 @@
 	priority    int
 }
 
-// OrderGangsByDeadline reorders the gangs of each class, team and priority among themselves in a list that is in
+// OrderGangsByObjective reorders the gangs of each class, team and priority among themselves in a list that is in
 // scheduling order: gangs that can still meet a service-level objective go first. If gangs were ordered by age alone,
 // an overloaded fleet would spend its capacity on gangs that are already late, until every gang is late.
-func OrderGangsByDeadline(now time.Duration, waiting []*jobstate.Job, objectives []config.Objective) {
+func OrderGangsByObjective(now time.Duration, waiting []*jobstate.Job, objectives []config.Objective) {
 	positions := map[gangGroup][]int{}
 	for i, j := range waiting {
 		if j.Spec.Shape == protocol.Gang {
--- a/internal/coordination/placement/gangorder_test.go
+++ b/internal/coordination/placement/gangorder_test.go
@@ -10,9 +10,9 @@
 	"pinebay/internal/protocol"
 )
 
-// TestOrderGangsByDeadline checks that gangs of a group are reordered by the objective that they can still meet, and
+// TestOrderGangsByObjective checks that gangs of a group are reordered by the objective that they can still meet, and
 // that other jobs keep their positions.
-func TestOrderGangsByDeadline(t *testing.T) {
+func TestOrderGangsByObjective(t *testing.T) {
 	const now = time.Hour
 	objectives := []config.Objective{
 		{Kind: config.ObjectiveStartLatency, Class: "big", WithinSeconds: 20},
@@ -36,7 +36,7 @@
 		gang("can-start", "big", 10*time.Second),
 		gang("starving", "big", 121*time.Second),
 	}
-	OrderGangsByDeadline(now, waiting, objectives)
+	OrderGangsByObjective(now, waiting, objectives)
 	var order []string
 	for _, j := range waiting {
 		order = append(order, j.Spec.ID)
--- a/internal/coordination/placement/nomination.go
+++ b/internal/coordination/placement/nomination.go
@@ -27,7 +27,7 @@
 			delete(j.NominatedMachines, m)
 			continue
 		}
-		if x := r.Candidates.Of(now, m); x != nil {
+		if x := r.Candidates.CandidateFor(now, m); x != nil {
 			list = append(list, x)
 		}
 	}
--- a/internal/coordination/placement/placement_test.go
+++ b/internal/coordination/placement/placement_test.go
@@ -50,7 +50,7 @@
 		Jobs:       map[string]*jobstate.Job{},
 	}
 	r.Candidates.Refresh(0)
-	return r, r.Candidates.Of(0, machines.Machine("m1"))
+	return r, r.Candidates.CandidateFor(0, machines.Machine("m1"))
 }
 
 // newTestJob returns an array job with one task.
@@ -307,11 +307,11 @@
 	if !b.Admit(j, key, 4) {
 		t.Error("first search not admitted")
 	}
-	b.NoVictims(key)
+	b.RecordFailedSearch(key)
 	if b.Admit(j, key, 4) {
 		t.Error("failed search repeated although no capacity was freed")
 	}
-	b.CapacityMayBeFree()
+	b.InvalidateFailedSearches()
 	if !b.Admit(j, key, 4) {
 		t.Error("search not admitted after capacity may have been freed")
 	}
--- a/internal/coordination/placement/rules.go
+++ b/internal/coordination/placement/rules.go
@@ -60,9 +60,9 @@
 // Score returns the score of a feasible candidate for a task, in seconds; lower is better. It is the sum of the time
 // until the image is available, the delay of other fetches, the packing score, and penalties for risks.
 func (r *Rules) Score(now time.Duration, j *jobstate.Job, x *candidates.Candidate, l *ZoneLimits) float64 {
-	yielding := r.YieldingFetches(j)
-	fetch := r.Machines.FetchTimeWithout(now, x.Machine, &j.Spec, yielding)
-	score := fetch.Seconds() + r.Machines.FetchDelayWithout(now, x.Machine, &j.Spec, yielding).Seconds()
+	preemptible := r.PreemptibleFetches(j)
+	fetch := r.Machines.FetchTimeWithout(now, x.Machine, &j.Spec, preemptible)
+	score := fetch.Seconds() + r.Machines.FetchDelayWithout(now, x.Machine, &j.Spec, preemptible).Seconds()
 	score += r.packingScore(j, x, fetch)
 	if j.Spec.Spread && l.TasksPerZone != nil {
 		score += float64(l.TasksPerZone[x.Machine.Zone]) / float64(j.Spec.TaskCount)
@@ -109,23 +109,23 @@
 	return t.BootSeconds
 }
 
-// yieldingPriorityGap is the number of priority levels by which a fetching task must be less important than a job
-// with a start latency objective to be preempted for it.
-const yieldingPriorityGap = 2
+// fetchPreemptionPriorityGap is the number of priority levels by which a fetching task must be less important than a
+// job with a start latency objective to be preempted for it.
+const fetchPreemptionPriorityGap = 2
 
-// YieldingFetches returns a function that selects the placements that may be preempted so that the job fetches its
+// PreemptibleFetches returns a function that selects the placements that may be preempted so that the job fetches its
 // image at the full rate, or nil if the job is a gang or has no start latency objective. Only array tasks of much
 // lower priority that are still fetching are selected, as they lose nothing but the fetch. Without this, when many
 // jobs are submitted at once, array tasks are placed first, and service replicas that share the fetch rate with them
 // take twice as long to start.
-func (r *Rules) YieldingFetches(j *jobstate.Job) func(*machineregistry.Placement) bool {
+func (r *Rules) PreemptibleFetches(j *jobstate.Job) func(*machineregistry.Placement) bool {
 	if j.Spec.Shape == protocol.Gang || !r.StartLatency.Has(j.Spec.Class) {
 		return nil
 	}
 	return func(pl *machineregistry.Placement) bool {
 		// A placement adopted from an earlier term may be running without having been reported yet; it is selected
 		// only once it is reported as fetching.
-		return pl.PriorityLevel >= j.EffectivePriority+yieldingPriorityGap &&
+		return pl.PriorityLevel >= j.EffectivePriority+fetchPreemptionPriorityGap &&
 			pl.Job != nil && pl.Job.Shape == protocol.Array && pl.Job.Image != j.Spec.Image &&
 			(!pl.StartAllowed || pl.State == protocol.TaskFetching)
 	}
--- a/internal/coordination/placement/victims.go
+++ b/internal/coordination/placement/victims.go
@@ -102,7 +102,7 @@
 	s.finder.budget.spend(1)
 	s.finder.Examined++
 	rules := s.finder.rules
-	x := rules.Candidates.Of(s.now, m)
+	x := rules.Candidates.CandidateFor(s.now, m)
 	if x == nil || !s.canMakeRoom(x) {
 		return
 	}
--- a/internal/coordination/scheduler/allocate.go
+++ b/internal/coordination/scheduler/allocate.go
@@ -103,7 +103,7 @@
 
 // undoAllocation returns capacity that was set aside, so that later jobs of the cycle can use it.
 func (s *Scheduler) undoAllocation(j *jobstate.Job, allocated allocation) {
-	s.preemption.CapacityMayBeFree()
+	s.preemption.InvalidateFailedSearches()
 	for _, a := range allocated {
 		s.candidates.SetFree(a.candidate, a.candidate.Free.Plus(j.TaskResources))
 	}
--- a/internal/coordination/scheduler/cancelleddependents.go
+++ b/internal/coordination/scheduler/cancelleddependents.go
@@ -94,7 +94,7 @@
 		}
 		s.writeCancelledDependents()
 	}
-	write := Write{ID: id, Txn: txn, Priority: PriorityCompletion, VerifyKey: txn.Then[1].PutKey, Name: name}
+	write := Write{ID: id, Txn: txn, Priority: PriorityCompletion, VerifyKey: txn.Then[1].PutKey, VerifyName: name}
 	s.submitPages(write, onOutcome)
 }
 
--- a/internal/coordination/scheduler/cycle.go
+++ b/internal/coordination/scheduler/cycle.go
@@ -19,7 +19,7 @@
 	s.rules.Cycle = s.cycle.count
 	s.candidates.Refresh(now)
 	waiting := s.schedulableJobs(now)
-	placement.OrderGangsByDeadline(now, waiting, s.cfg.Objectives)
+	placement.OrderGangsByObjective(now, waiting, s.cfg.Objectives)
 	s.holdHeadroom(now)
 	s.preemption.BeginCycle()
 	if s.zoneFailover.InFailover() {
@@ -52,7 +52,7 @@
 	for j, ok := queue.Next(); ok; j, ok = queue.Next() {
 		j.LastTriedCycle = s.cycle.count
 		if len(j.NominatedMachines) > 0 {
-			s.preemption.CapacityMayBeFree() // later jobs may use the nominated machines that this job does not need
+			s.preemption.InvalidateFailedSearches() // later jobs may use the nominated machines that this job does not need
 		}
 		pending := j.PendingTasks()
 		if pending == 0 {
--- a/internal/coordination/scheduler/dependencies_test.go
+++ b/internal/coordination/scheduler/dependencies_test.go
@@ -266,7 +266,7 @@
 				record(dependentJob("j-3", "normal", 1, "j-1")),
 				record(dependentJob("j-4", "normal", 1, "j-3")),
 			},
-			Pages: []protocol.KeyValue{{Key: started.Key(), Value: page, Revision: 4}},
+			PlacementPages: []protocol.KeyValue{{Key: started.Key(), Value: page, Revision: 4}},
 		},
 	})
 	var read []string
--- a/internal/coordination/scheduler/effects.go
+++ b/internal/coordination/scheduler/effects.go
@@ -38,10 +38,10 @@
 type Write struct {
 	ID  uint64
 	Txn protocol.Txn
-	// VerifyKey is a key whose record contains Name if the transaction was committed.
-	VerifyKey string
-	Name      string
-	Priority  WritePriority
+	// VerifyKey is a key whose record contains VerifyName if the transaction was committed.
+	VerifyKey  string
+	VerifyName string
+	Priority   WritePriority
 	// Splittable is set if the transaction contains records of several jobs, which may be written separately.
 	Splittable bool
 }
--- a/internal/coordination/scheduler/events.go
+++ b/internal/coordination/scheduler/events.go
@@ -33,8 +33,8 @@
 
 // UnchangedHeartbeat identifies the most recent heartbeat of a machine.
 type UnchangedHeartbeat struct {
-	Machine          string
-	Incarnation, Seq uint64
+	Machine               string
+	Incarnation, Sequence uint64
 }
 
 // JobAccepted reports the live record of a job, which is new or has changed.
--- a/internal/coordination/scheduler/featurelevel.go
+++ b/internal/coordination/scheduler/featurelevel.go
@@ -42,7 +42,7 @@
 		If:   []protocol.Compare{s.writes.termUnchanged()},
 		Then: []protocol.Op{{PutKey: storage.TermKey, Value: value}},
 	}
-	write := Write{ID: id, Txn: txn, Priority: PriorityStart, VerifyKey: storage.TermKey, Name: name}
+	write := Write{ID: id, Txn: txn, Priority: PriorityStart, VerifyKey: storage.TermKey, VerifyName: name}
 	s.submit(write, s.levelWritten)
 }
 
--- a/internal/coordination/scheduler/featurelevel_test.go
+++ b/internal/coordination/scheduler/featurelevel_test.go
@@ -47,7 +47,7 @@
 	}
 	rec, err := storage.DecodeTerm(s.inFlight[0].Txn.Then[0].Value)
 	if err != nil || rec.Term != 5 || rec.FeatureLevel != int(featurelevel.Pipelines) ||
-		rec.WriteName != s.inFlight[0].Name {
+		rec.WriteName != s.inFlight[0].VerifyName {
 		t.Fatalf("term record %+v, error %v", rec, err)
 	}
 	s.cycleWithHeartbeats()
@@ -260,9 +260,9 @@
 		Log:    s.scheduler.log,
 		Term:   Term{Number: 6, Revision: 2, FeatureLevel: s.scheduler.recordLimits.Level()},
 		Records: RecoveredRecords{
-			MachineTypes: []protocol.MachineType{*s.scheduler.machines.MachineType("g8")},
-			LiveJobs:     []protocol.KeyValue{{Key: storage.LiveJobKey("j-1"), Value: raw, Revision: 5}},
-			Pages:        pages,
+			MachineTypes:   []protocol.MachineType{*s.scheduler.machines.MachineType("g8")},
+			LiveJobs:       []protocol.KeyValue{{Key: storage.LiveJobKey("j-1"), Value: raw, Revision: 5}},
+			PlacementPages: pages,
 		},
 	})
 	return next.jobs["j-1"]
--- a/internal/coordination/scheduler/heartbeats.go
+++ b/internal/coordination/scheduler/heartbeats.go
@@ -40,7 +40,7 @@
 func (s *Scheduler) handleUnchangedHeartbeats(now time.Duration, e UnchangedHeartbeats) {
 	var forward []string
 	for _, h := range e.Heartbeats {
-		if !s.machines.HandleUnchangedHeartbeat(now, h.Machine, h.Incarnation, h.Seq) {
+		if !s.machines.HandleUnchangedHeartbeat(now, h.Machine, h.Incarnation, h.Sequence) {
 			forward = append(forward, h.Machine)
 		}
 	}
--- a/internal/coordination/scheduler/imagehints.go
+++ b/internal/coordination/scheduler/imagehints.go
@@ -47,7 +47,7 @@
 		s.imageHints.Written(change, outcome.Succeeded)
 	}
 	id, _ := s.writes.nextID()
-	write := Write{ID: id, Txn: txn, Priority: PriorityMaintenance, VerifyKey: storage.TermKey, Name: "-"}
+	write := Write{ID: id, Txn: txn, Priority: PriorityMaintenance, VerifyKey: storage.TermKey, VerifyName: "-"}
 	s.submit(write, onOutcome)
 }
 
--- a/internal/coordination/scheduler/jobcompletion.go
+++ b/internal/coordination/scheduler/jobcompletion.go
@@ -57,7 +57,7 @@
 	if s.dependencies.HasDependents(j.Spec.ID) {
 		priority = PriorityUnblock
 	}
-	s.submit(Write{ID: id, Txn: txn, Priority: priority, VerifyKey: ended, Name: name}, onOutcome)
+	s.submit(Write{ID: id, Txn: txn, Priority: priority, VerifyKey: ended, VerifyName: name}, onOutcome)
 }
 
 // applyCompletion applies the outcome of the transaction that records the end of a job.
--- a/internal/coordination/scheduler/largefleet_test.go
+++ b/internal/coordination/scheduler/largefleet_test.go
@@ -38,7 +38,10 @@
 			r.LiveJobs,
 			protocol.KeyValue{Key: storage.LiveJobKey(id), Value: live, Revision: uint64(i + 10)},
 		)
-		r.Pages = append(r.Pages, protocol.KeyValue{Key: originalPageKey(id), Value: page, Revision: uint64(i + 10)})
+		r.PlacementPages = append(
+			r.PlacementPages,
+			protocol.KeyValue{Key: originalPageKey(id), Value: page, Revision: uint64(i + 10)},
+		)
 	}
 	return r
 }
--- a/internal/coordination/scheduler/lifecycle.go
+++ b/internal/coordination/scheduler/lifecycle.go
@@ -120,7 +120,7 @@
 // requeueTask makes a task pending again whose placement ended before the task was done. A gang restarts as a whole.
 func (s *Scheduler) requeueTask(now time.Duration, j *jobstate.Job, pl *machineregistry.Placement, lost bool) {
 	task := pl.Task.Index
-	j.StartCounted = j.StartCounted || j.LastTaskStart > 0 && now-j.LastTaskStart >= placement.StartCountsAfter
+	j.StartCounted = j.StartCounted || j.LastTaskStart > 0 && now-j.LastTaskStart >= placement.MinCountedRunTime
 	j.LastTaskStart = 0
 	j.SetTask(task, jobstate.TaskPending)
 	j.MarkDirty(task, now) // the worker can forget the attempt only after its outcome is recorded
@@ -195,7 +195,7 @@
 	pl *machineregistry.Placement,
 	graceSeconds float64,
 ) {
-	s.preemption.CapacityMayBeFree()
+	s.preemption.InvalidateFailedSearches()
 	if s.machines.Stop(now, pl, graceSeconds) && !pl.StartAllowed && j.WriteInFlight {
 		// A write in flight may still record this placement. That is harmless: the placement was never started, and a
 		// later write replaces the record.
--- a/internal/coordination/scheduler/placementwriter.go
+++ b/internal/coordination/scheduler/placementwriter.go
@@ -131,7 +131,7 @@
 		Txn:        txn,
 		Priority:   priority,
 		VerifyKey:  txn.Then[0].PutKey,
-		Name:       name,
+		VerifyName: name,
 		Splittable: len(batch) > 1,
 	}
 	s.submitPages(write, onOutcome)
--- a/internal/coordination/scheduler/preempt.go
+++ b/internal/coordination/scheduler/preempt.go
@@ -40,7 +40,8 @@
 	if left <= 0 && j.HasRun[task] {
 		left = objective // a lost replica should be replaced within the same time
 	}
-	if left <= 0 || s.machines.FetchTimeWithout(now, candidate.Machine, &j.Spec, s.rules.YieldingFetches(j)) <= left {
+	if left <= 0 ||
+		s.machines.FetchTimeWithout(now, candidate.Machine, &j.Spec, s.rules.PreemptibleFetches(j)) <= left {
 		return false
 	}
 	for _, nominated := range s.rules.Nominated(now, j) {
@@ -88,7 +89,7 @@
 	best, victims := s.finder.CheapestPreemption(now, j, limits, maxFetchTime, victimPriority)
 	if best == nil {
 		if maxFetchTime == anyFetchTime && s.searchIsRepresentative(j) {
-			s.preemption.NoVictims(key)
+			s.preemption.RecordFailedSearch(key)
 		}
 		return false
 	}
@@ -148,10 +149,10 @@
 	return math.MaxInt64
 }
 
-// stopCompetingFetches stops the fetches on a candidate that yield to the fetch for a task of the job.
+// stopCompetingFetches stops the fetches on a candidate that may be preempted for the fetch of a task of the job.
 func (s *Scheduler) stopCompetingFetches(now time.Duration, j *jobstate.Job, candidate *candidates.Candidate) {
-	yields := s.rules.YieldingFetches(j)
-	if yields == nil ||
+	preemptible := s.rules.PreemptibleFetches(j)
+	if preemptible == nil ||
 		s.machines.FetchTime(
 			now,
 			candidate.Machine,
@@ -160,12 +161,12 @@
 			now,
 			candidate.Machine,
 			&j.Spec,
-			yields,
+			preemptible,
 		) {
 		return
 	}
 	for _, pl := range placement.PlacementsOn(candidate.Machine) {
-		if other := s.jobs[pl.Task.JobID]; other != nil && !pl.Stopping && yields(pl) {
+		if other := s.jobs[pl.Task.JobID]; other != nil && !pl.Stopping && preemptible(pl) {
 			s.log.Info(
 				"fetching task preempted",
 				"task", pl.Task,
--- a/internal/coordination/scheduler/recovery_test.go
+++ b/internal/coordination/scheduler/recovery_test.go
@@ -42,7 +42,7 @@
 		Term:   Term{Number: 6, Revision: 2},
 		Records: RecoveredRecords{
 			MachineTypes: []protocol.MachineType{*h.scheduler.machines.MachineType("g8")},
-			Images:       hints,
+			ImageHints:   hints,
 		},
 	})
 	for _, m := range []string{"m1", "m2", "m3"} {
@@ -190,7 +190,7 @@
 		Records: RecoveredRecords{
 			MachineTypes: []protocol.MachineType{*h.scheduler.machines.MachineType("g8")},
 			LiveJobs:     live,
-			Images:       hints,
+			ImageHints:   hints,
 		},
 		WallClockMS: h.now.Milliseconds(),
 	})
--- a/internal/coordination/scheduler/scheduler.go
+++ b/internal/coordination/scheduler/scheduler.go
@@ -78,8 +78,8 @@
 type RecoveredRecords struct {
 	MachineTypes      []protocol.MachineType
 	LiveJobs          []protocol.KeyValue
-	Pages             []protocol.KeyValue // placement pages
-	Images            []protocol.KeyValue // image hints: which images are cached on which machines
+	PlacementPages    []protocol.KeyValue
+	ImageHints        []protocol.KeyValue // which images are cached on which machines
 	ZoneFailoverPages []protocol.KeyValue
 }
 
@@ -109,10 +109,10 @@
 	s := newScheduler(now, options)
 	records := options.Records
 	s.machines.SetMachineTypes(records.MachineTypes)
-	s.recoverImageHints(records.Images)
-	s.recoverLiveJobs(now, records.LiveJobs, jobsWithPlacementPages(records.Pages))
+	s.recoverImageHints(records.ImageHints)
+	s.recoverLiveJobs(now, records.LiveJobs, jobsWithPlacementPages(records.PlacementPages))
 	s.forecast.DropInheritedArrivals()
-	s.recoverPlacementPages(now, records.Pages)
+	s.recoverPlacementPages(now, records.PlacementPages)
 	s.resumeInterrupted(now)
 	if options.RecoveryOrder != nil {
 		s.startZoneFailover(now, options.RecoveryOrder, records.ZoneFailoverPages)
--- a/internal/coordination/scheduler/zonefailoverwriter.go
+++ b/internal/coordination/scheduler/zonefailoverwriter.go
@@ -27,7 +27,7 @@
 		If:   append([]protocol.Compare{s.writes.termUnchanged()}, write.If...),
 		Then: write.Then,
 	}
-	s.submit(Write{ID: id, Txn: txn, VerifyKey: write.VerifyKey, Name: write.VerifyName}, onOutcome)
+	s.submit(Write{ID: id, Txn: txn, VerifyKey: write.VerifyKey, VerifyName: write.VerifyName}, onOutcome)
 }
 
 // failoverRecordsWritten handles the outcome of a write of zone failover records.
--- a/internal/coordination/scheduler/zoneloans_test.go
+++ b/internal/coordination/scheduler/zoneloans_test.go
@@ -129,7 +129,7 @@
 				*h.scheduler.machines.MachineType("g8"),
 			},
 			LiveJobs: []protocol.KeyValue{{Key: storage.LiveJobKey(low.ID), Value: live, Revision: 1}},
-			Pages: []protocol.KeyValue{
+			PlacementPages: []protocol.KeyValue{
 				{Key: originalPageKey(low.ID), Value: raw, Revision: 2},
 			},
 			ZoneFailoverPages: []protocol.KeyValue{next.records[storage.ZoneFailoverKey(0)]},
--- a/internal/daemon/ownerheartbeats.go
+++ b/internal/daemon/ownerheartbeats.go
@@ -228,7 +228,7 @@
 		machines[i] = scheduler.UnchangedHeartbeat{
 			Machine:     m.Machines[i],
 			Incarnation: m.MachineIncarnations[i],
-			Seq:         m.HeartbeatSequences[i],
+			Sequence:    m.HeartbeatSequences[i],
 		}
 	}
 	wanted, ok := l.UnchangedHeartbeats(ctx, machines)
--- a/internal/simulation/system_environment_test.go
+++ b/internal/simulation/system_environment_test.go
@@ -103,7 +103,7 @@
 					s.t.Fatal(err)
 				}
 			}
-			out.Succeeded = rec.Write == w.Name && (w.Name != "" || p.Revision == 0)
+			out.Succeeded = rec.Write == w.VerifyName && (w.VerifyName != "" || p.Revision == 0)
 			out.Revision = p.Revision
 		}
 		s.callAfter(latency, func() { s.step(l, out) })
--- a/internal/simulation/system_test.go
+++ b/internal/simulation/system_test.go
@@ -145,10 +145,10 @@
 		Log:    log,
 		Term:   scheduler.Term{Number: s.term, Revision: rev},
 		Records: scheduler.RecoveredRecords{
-			MachineTypes: s.types,
-			LiveJobs:     live,
-			Pages:        pages,
-			Images:       images,
+			MachineTypes:   s.types,
+			LiveJobs:       live,
+			PlacementPages: pages,
+			ImageHints:     images,
 		},
 		WallClockMS: s.now.Milliseconds(),
 	})
