--- a/internal/coordination/api/jobindex.go
+++ b/internal/coordination/api/jobindex.go
@@ -168,7 +168,7 @@
 // known yet. An empty result means that all outcomes are known.
 func (x *jobIndex) unreadDependencies(id string) []string {
 	for {
-		unknown := x.graph.UnknownOutcomesBefore(id, maxFinalReads)
+		unknown := x.graph.UnresolvedDependencies(id, maxFinalReads)
 		learned := false
 		for _, dependencyID := range unknown {
 			if final, ok := x.finals.get(dependencyID); ok {
--- a/internal/coordination/autoscaler/autoscaler.go
+++ b/internal/coordination/autoscaler/autoscaler.go
@@ -40,8 +40,8 @@
 // ScaleIn releases machines. Its outcome is passed to [Autoscaler.HandleScaleIn].
 type ScaleIn struct{ Machines []string }
 
-// ListMachines reads the cloud's list of machines. Its outcome is passed to [Autoscaler.HandleList] or
-// [Autoscaler.HandleListFailure].
+// ListMachines reads the cloud's list of machines. Its outcome is passed to [Autoscaler.HandleMachineList] or
+// [Autoscaler.HandleMachineListFailure].
 type ListMachines struct{}
 
 func (ScaleOut) effect()     {}
--- a/internal/coordination/autoscaler/autoscaler_test.go
+++ b/internal/coordination/autoscaler/autoscaler_test.go
@@ -79,7 +79,7 @@
 	if got := rentals(scaler.Plan(1*s, demands)); got != nil {
 		t.Errorf("rented before the machine list is known: %v", got)
 	}
-	scaler.HandleList(2*s, 1*s, nil)
+	scaler.HandleMachineList(2*s, 1*s, nil)
 	got := rentals(scaler.Plan(2*s, demands))
 	if n := totalCount(got); n != 3 {
 		t.Errorf("10 tasks of 2 GPUs: rented %v, want 3 machines", got)
@@ -125,7 +125,7 @@
 		{protocol.Job{GPUs: 8, CheckpointIntervalSeconds: 10}, false},
 	} {
 		scaler, _ := setup()
-		scaler.HandleList(1, 0, nil)
+		scaler.HandleMachineList(1, 0, nil)
 		got := rentals(scaler.Plan(2, []Demand{{Job: &test.job, Count: 1}}))
 		if len(got) != 1 || got[0].Spot != test.spot {
 			t.Errorf("job %+v: rented %v", test.job, got)
@@ -139,15 +139,15 @@
 func TestListProvesOnlyLaterAbsence(t *testing.T) {
 	scaler, registry := setup()
 	m1 := []protocol.ListedMachine{{Name: "m1", Addr: "x", Type: "g8", Zone: "a", State: protocol.MachineRunning}}
-	scaler.HandleList(10*s, 9*s, m1)
-	if terminated := scaler.HandleList(19*s, 18*s, nil); terminated != nil {
+	scaler.HandleMachineList(10*s, 9*s, m1)
+	if terminated := scaler.HandleMachineList(19*s, 18*s, nil); terminated != nil {
 		t.Errorf("a stale list proved that %v are terminated", terminated)
 	}
 	sendHeartbeat(registry, 25*s, "m1", "a", 1)
-	if terminated := scaler.HandleList(30*s, 29*s, nil); terminated != nil {
+	if terminated := scaler.HandleMachineList(30*s, 29*s, nil); terminated != nil {
 		t.Errorf("machines that send heartbeats count as terminated: %v", terminated)
 	}
-	if terminated := scaler.HandleList(50*s, 49*s, nil); len(terminated) != 1 {
+	if terminated := scaler.HandleMachineList(50*s, 49*s, nil); len(terminated) != 1 {
 		t.Errorf("terminated machines %v, want m1", terminated)
 	}
 }
@@ -156,7 +156,7 @@
 // fenced after the timeout, unless so many are silent at once that their zone counts as unreachable.
 func TestScaleIn(t *testing.T) {
 	scaler, registry := setup()
-	scaler.HandleList(
+	scaler.HandleMachineList(
 		1*s,
 		0,
 		[]protocol.ListedMachine{{Name: "bad", Addr: "x", Type: "g8", Zone: "a", State: protocol.MachineFailed}},
@@ -166,7 +166,7 @@
 	}
 	scaler.HandleScaleIn(2*s, []string{"bad"}, true)
 	registry.Remove(2*s, "bad")
-	scaler.HandleList(
+	scaler.HandleMachineList(
 		3*s,
 		2*s,
 		[]protocol.ListedMachine{{Name: "bad", Type: "g8", Zone: "a", State: protocol.MachineRunning}},
@@ -190,7 +190,7 @@
 		{300, 60, 0, 60},
 	} {
 		scaler, registry := setup()
-		scaler.HandleList(1*s, 0, nil)
+		scaler.HandleMachineList(1*s, 0, nil)
 		sendAll := func(now time.Duration, from int, seq uint64) {
 			for i := from; i < test.machines; i++ {
 				sendHeartbeat(registry, now, fmt.Sprintf("m%03d", i), "a", seq)
@@ -221,7 +221,7 @@
 		registry := machineregistry.New(3, w)
 		scaler := New(3, testCloudSettings, w, registry)
 		registry.SetMachineTypes([]protocol.MachineType{testMachineType})
-		scaler.HandleList(1*s, 0, nil)
+		scaler.HandleMachineList(1*s, 0, nil)
 		const n = 200
 		for i := range n {
 			zone, now := "a", 10*s+config.Seconds(1.25*w.HeartbeatSeconds*float64(i)/n)
@@ -262,7 +262,7 @@
 	t.Helper()
 	scaler, registry := setup()
 	scaler.SetZonePolicies(policies)
-	scaler.HandleList(1*s, 0, nil)
+	scaler.HandleMachineList(1*s, 0, nil)
 	for i := range 9 {
 		sendHeartbeat(registry, 10*s, fmt.Sprintf("m%d", i), "a", 1)
 	}
@@ -318,7 +318,7 @@
 		{protocol.Gang, 10, true, 1},
 	} {
 		scaler, registry := setup()
-		scaler.HandleList(2*s, 1*s, nil)
+		scaler.HandleMachineList(2*s, 1*s, nil)
 		sendHeartbeat(registry, 2*s, "m1", "a", 1)
 		low := &protocol.Job{
 			ID:                        "j-1",
@@ -351,7 +351,7 @@
 // when the leader loses its connection to all workers. In that situation the headroom of all zones was once released.
 func TestSilentHeadroomStays(t *testing.T) {
 	scaler, registry := setup()
-	scaler.HandleList(1*s, 0, nil)
+	scaler.HandleMachineList(1*s, 0, nil)
 	demands := []Demand{{Job: &protocol.Job{ID: "j-1", GPUs: 8}, Count: 6, Headroom: true}}
 	for i := range 6 {
 		sendHeartbeat(registry, 100*s, fmt.Sprintf("m%d", i), "a", 1)
@@ -371,7 +371,7 @@
 // ProbeOnly.
 func TestZonePolicies(t *testing.T) {
 	scaler, _ := setup()
-	scaler.HandleList(1*s, 0, nil)
+	scaler.HandleMachineList(1*s, 0, nil)
 	requestsPerZone := func(policy ZonePolicy, now time.Duration) map[string]int {
 		scaler.SetZonePolicies(map[string]ZonePolicy{"a": policy})
 		counts := map[string]int{}
@@ -400,7 +400,7 @@
 // are not fenced before NoFencingUntil.
 func TestSilentMachinesUnderAPolicy(t *testing.T) {
 	scaler, registry := setup()
-	scaler.HandleList(1*s, 0, nil)
+	scaler.HandleMachineList(1*s, 0, nil)
 	for i := range 4 {
 		sendHeartbeat(registry, 10*s, fmt.Sprintf("m%d", i), "a", 1)
 	}
--- a/internal/coordination/autoscaler/machinelist.go
+++ b/internal/coordination/autoscaler/machinelist.go
@@ -35,9 +35,9 @@
 	return ok
 }
 
-// HandleList adds the machines of a complete list, requested at the given time, to the registry. It returns the
+// HandleMachineList adds the machines of a complete list, requested at the given time, to the registry. It returns the
 // machines that the list proves to be terminated, sorted by name. The caller must remove them from the registry.
-func (a *Autoscaler) HandleList(
+func (a *Autoscaler) HandleMachineList(
 	now, requestedAt time.Duration,
 	list []protocol.ListedMachine,
 ) (terminated []string) {
@@ -54,8 +54,8 @@
 	return terminated
 }
 
-// HandleListFailure records that a list could not be read. A later Plan requests it again.
-func (a *Autoscaler) HandleListFailure() { a.list.requestInFlight = false }
+// HandleMachineListFailure records that a list could not be read. A later Plan requests it again.
+func (a *Autoscaler) HandleMachineListFailure() { a.list.requestInFlight = false }
 
 // addListed updates the registry with one entry of a list.
 func (a *Autoscaler) addListed(now time.Duration, l *protocol.ListedMachine) {
@@ -71,7 +71,7 @@
 	m := a.registry.Machine(l.Name)
 	if m == nil {
 		m = a.registry.GetOrCreate(now, l.Name)
-		m.RentedAt = now - config.Seconds(l.AgeSeconds)
+		m.RequestedAt = now - config.Seconds(l.AgeSeconds)
 	}
 	if !m.Registered {
 		m.Addr, m.Type, m.Zone, m.Spot = l.Addr, l.Type, l.Zone, l.Spot
--- a/internal/coordination/autoscaler/ratelimit_test.go
+++ b/internal/coordination/autoscaler/ratelimit_test.go
@@ -19,7 +19,7 @@
 	for _, rps := range []float64{1, 2, 4, 24} {
 		scaler, _ := setup()
 		scaler.cloudSettings.RPS = rps
-		scaler.HandleList(1*s, 0, nil)
+		scaler.HandleMachineList(1*s, 0, nil)
 		demands := []Demand{{Job: &protocol.Job{ID: "j-1", GPUs: 8}, Count: manyMachines}}
 		perPlan := protocol.MaxMachinesPerRental * max(1, int(rps/2))
 		total, plans, names := 0, 0, map[string]bool{}
@@ -48,7 +48,7 @@
 func TestManyReleases(t *testing.T) {
 	scaler, registry := setup()
 	scaler.cloudSettings.RPS = 4
-	scaler.HandleList(1*s, 0, nil)
+	scaler.HandleMachineList(1*s, 0, nil)
 	overdue := map[string]bool{}
 	for i := range manyMachines {
 		name := fmt.Sprintf("m%04d", i)
--- a/internal/coordination/autoscaler/reference_test.go
+++ b/internal/coordination/autoscaler/reference_test.go
@@ -43,7 +43,7 @@
 func TestPackingMatchesFullScan(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		scaler, registry := setup()
-		scaler.HandleList(time.Second, 0, nil)
+		scaler.HandleMachineList(time.Second, 0, nil)
 		for i := range rapid.IntRange(0, 25).Draw(t, "machines") {
 			m := registry.GetOrCreate(0, fmt.Sprintf("m%02d", i))
 			m.Type, m.Zone, m.Spot = "g8", rapid.SampledFrom([]string{"a", "b"}).
--- a/internal/coordination/autoscaler/scalein.go
+++ b/internal/coordination/autoscaler/scalein.go
@@ -94,7 +94,7 @@
 // bootTimedOut reports whether a machine that has not registered should be given up. The cloud charges for it until it
 // is released.
 func (a *Autoscaler) bootTimedOut(now time.Duration, m *machineregistry.Machine, boot time.Duration) bool {
-	if now-m.RentedAt <= bootTimeoutFactor*boot || now-m.LastHeartbeat <= boot {
+	if now-m.RequestedAt <= bootTimeoutFactor*boot || now-m.LastHeartbeat <= boot {
 		return false
 	}
 	return m.PlacementCount() == 0 || now >= a.zonePolicies[m.Zone].NoFencingUntil
@@ -102,5 +102,5 @@
 
 // isIdle reports whether an empty machine has been idle long enough to be released.
 func isIdle(now time.Duration, m *machineregistry.Machine, boot time.Duration) bool {
-	return now-m.IdleSince > boot/idleBootDivisor && now-m.RentedAt > minRentalTime
+	return now-m.IdleSince > boot/idleBootDivisor && now-m.RequestedAt > minRentalTime
 }
--- a/internal/coordination/autoscaler/scaleout.go
+++ b/internal/coordination/autoscaler/scaleout.go
@@ -54,7 +54,7 @@
 	delete(a.pendingRentals, outcome.RequestID)
 	for _, name := range outcome.Machines {
 		m := a.registry.GetOrCreate(now, name)
-		m.RentedAt = outcome.RequestedAt
+		m.RequestedAt = outcome.RequestedAt
 		if !m.Registered {
 			m.Type, m.Zone, m.Spot = rental.pool.machineType, rental.pool.zone, rental.pool.spot
 		}
--- a/internal/coordination/demand/demand_test.go
+++ b/internal/coordination/demand/demand_test.go
@@ -39,7 +39,7 @@
 	f = NewForecast(0)
 	for range 60 {
 		now += 10 * time.Second
-		f.Arrived(job, now)
+		f.RecordArrival(job, now)
 	}
 	return f, now
 }
@@ -61,7 +61,7 @@
 func TestBurstCountsLittle(t *testing.T) {
 	f := NewForecast(0)
 	for range 100 {
-		f.Arrived(testJob(1), time.Second)
+		f.RecordArrival(testJob(1), time.Second)
 	}
 	if got := f.ExpectedArrivals(time.Second, "serve", testBoot); got > 2*maxBurstArrivals {
 		t.Errorf("%v expected arrivals after a burst of 100", got)
@@ -75,8 +75,8 @@
 	for _, rate := range old.Rates() {
 		next.Inherit(rate)
 	}
-	next.Arrived(testJob(2), now) // the job has not ended, and the previous leader has counted it
-	next.DropInheritedArrivals()
+	next.RecordArrival(testJob(2), now) // the job has not ended, and the previous leader has counted it
+	next.DropRecoveredArrivals()
 	if got := next.ExpectedArrivals(now, "serve", testBoot); math.Abs(got-want) > want/10 {
 		t.Errorf("%v expected arrivals after the handover, want about %v", got, want)
 	}
--- a/internal/coordination/demand/forecast.go
+++ b/internal/coordination/demand/forecast.go
@@ -72,8 +72,8 @@
 	return c
 }
 
-// Arrived records the arrival of a job that may start.
-func (f *Forecast) Arrived(job *protocol.Job, at time.Duration) {
+// RecordArrival records the arrival of a job that may start.
+func (f *Forecast) RecordArrival(job *protocol.Job, at time.Duration) {
 	c := f.getOrCreateClass(job.Class)
 	c.arrivals = append(c.arrivals, at)
 	c.newestJob = job
@@ -91,9 +91,9 @@
 	c.meanTasks = rate.MeanTasks
 }
 
-// DropInheritedArrivals drops the arrivals recorded in this term for classes whose statistics were inherited. These are
+// DropRecoveredArrivals drops the arrivals recorded in this term for classes whose statistics were inherited. These are
 // the arrivals of recovered jobs, which the previous leader has already counted.
-func (f *Forecast) DropInheritedArrivals() {
+func (f *Forecast) DropRecoveredArrivals() {
 	for _, c := range f.classes {
 		if c.hasInherited {
 			c.arrivals = nil
--- a/internal/coordination/dependency/graph.go
+++ b/internal/coordination/dependency/graph.go
@@ -140,9 +140,9 @@
 	return NoDeadline
 }
 
-// UnknownOutcomesBefore returns up to limit direct and indirect dependencies of a job whose final state has to be
+// UnresolvedDependencies returns up to limit direct and indirect dependencies of a job whose final state has to be
 // read.
-func (g *Graph) UnknownOutcomesBefore(id string, limit int) (ids []string) {
+func (g *Graph) UnresolvedDependencies(id string, limit int) (ids []string) {
 	n := g.nodes[id]
 	if n == nil || g.unknownOutcomes == 0 {
 		return nil
--- a/internal/coordination/dependency/graph_test.go
+++ b/internal/coordination/dependency/graph_test.go
@@ -177,7 +177,7 @@
 	if c := g.EndWithUnknownOutcome("a"); !slices.Equal(c.UnknownOutcomes, []string{"a"}) {
 		t.Fatalf("unknown outcomes: %v", c.UnknownOutcomes)
 	}
-	if got := g.UnknownOutcomesBefore("c", 9); !slices.Equal(got, []string{"a"}) {
+	if got := g.UnresolvedDependencies("c", 9); !slices.Equal(got, []string{"a"}) {
 		t.Fatalf("unknown outcomes before the last job: %v", got)
 	}
 	if c := g.End("a", Cancelled); !slices.Equal(c.Cancelled, []string{"b", "c"}) || g.CancelledBy("c") != "a" {
--- a/internal/coordination/imagehints/imagehints.go
+++ b/internal/coordination/imagehints/imagehints.go
@@ -3,7 +3,7 @@
 // A new leader reads the records, so that it does not place tasks on machines that have to fetch an image while other
 // machines have it cached. The records are hints: correctness does not depend on them, and their writes have the lowest
 // priority. The package does no I/O: the scheduler submits the change that [Writer.Next] returns and reports its
-// outcome to [Writer.Written].
+// outcome to [Writer.HandleOutcome].
 package imagehints
 
 import (
@@ -106,8 +106,8 @@
 	return change, w.inFlight
 }
 
-// Written applies the outcome of a change. A failed change is retried by a later Next.
-func (w *Writer) Written(change Change, succeeded bool) {
+// HandleOutcome applies the outcome of a change. A failed change is retried by a later Next.
+func (w *Writer) HandleOutcome(change Change, succeeded bool) {
 	w.inFlight = false
 	if !succeeded {
 		return
--- a/internal/coordination/imagehints/imagehints_test.go
+++ b/internal/coordination/imagehints/imagehints_test.go
@@ -66,7 +66,7 @@
 			t.Errorf("change returned: %v, but next write due: %v", ok, writer.Due(now+Interval))
 		}
 		if ok {
-			writer.Written(change, true)
+			writer.HandleOutcome(change, true)
 		}
 		return keysOf(change)
 	}
@@ -98,7 +98,7 @@
 		if !ok || len(change.Ops) != 1 {
 			t.Fatalf("attempt %d: change %v, want one operation", attempt, change)
 		}
-		writer.Written(change, false)
+		writer.HandleOutcome(change, false)
 	}
 }
 
--- a/internal/coordination/machineregistry/commands.go
+++ b/internal/coordination/machineregistry/commands.go
@@ -216,15 +216,15 @@
 	return m.Registered && !m.Relayed && m.Addr != "" && !m.commands.inFlight && now >= m.commands.retryAt
 }
 
-// CommandSent records that a direct command has been sent to the machine. No other is sent until CommandAnswered is
-// called.
-func (r *Registry) CommandSent(m *Machine) { m.commands.inFlight = true }
+// RecordCommandSent records that a direct command has been sent to the machine. No other is sent until
+// RecordCommandResult is called.
+func (r *Registry) RecordCommandSent(m *Machine) { m.commands.inFlight = true }
 
-// CommandAnswered records the outcome of a direct command. After a success, unconfirmed commands are repeated only
+// RecordCommandResult records the outcome of a direct command. After a success, unconfirmed commands are repeated only
 // after a pause, so that a heartbeat can confirm them first. After a failure, the next attempt is made at about the
 // time of the next heartbeat. A machine that is no longer sending heartbeats is retried less often: otherwise, if
 // hundreds of machines are unreachable, they would delay commands to the others.
-func (r *Registry) CommandAnswered(now time.Duration, m *Machine, ok bool) {
+func (r *Registry) RecordCommandResult(now time.Duration, m *Machine, ok bool) {
 	const repeatsPerHeartbeat = 4
 	m.commands.inFlight = false
 	heartbeat := r.workerSettings.HeartbeatSeconds
--- a/internal/coordination/machineregistry/commands_test.go
+++ b/internal/coordination/machineregistry/commands_test.go
@@ -161,7 +161,7 @@
 	if len(registry.MachinesToCommand(now)) != 1 || len(registry.TakeDueCommands(now, m)) != 1 {
 		t.Fatal("first run command not sent")
 	}
-	registry.CommandAnswered(now, m, true)
+	registry.RecordCommandResult(now, m, true)
 	if now += 10 * time.Millisecond; len(registry.MachinesToCommand(now)) != 0 {
 		t.Error("run command repeated immediately")
 	}
@@ -170,11 +170,11 @@
 		t.Error("new start delayed by the pause after the last command")
 	}
 	// The same applies to a start that becomes due while a command is in flight.
-	registry.CommandSent(m)
+	registry.RecordCommandSent(m)
 	third := newTestPlacement(3, 1)
 	mustReserve(t, registry, now, third)
 	registry.AllowStart(third)
-	registry.CommandAnswered(now, m, true)
+	registry.RecordCommandResult(now, m, true)
 	if len(registry.MachinesToCommand(now)) != 1 {
 		t.Error("new start delayed by the pause after the command that was in flight")
 	}
--- a/internal/coordination/machineregistry/images.go
+++ b/internal/coordination/machineregistry/images.go
@@ -99,12 +99,12 @@
 
 // FetchTime estimates how long it takes until a machine has the job's image.
 func (r *Registry) FetchTime(now time.Duration, m *Machine, j *protocol.Job) time.Duration {
-	return r.FetchTimeWithout(now, m, j, nil)
+	return r.FetchTimeIfEvicted(now, m, j, nil)
 }
 
-// FetchTimeWithout is like FetchTime, but assumes that the placements for which evicted returns true end. If evicted
+// FetchTimeIfEvicted is like FetchTime, but assumes that the placements for which evicted returns true end. If evicted
 // is nil, none ends.
-func (r *Registry) FetchTimeWithout(
+func (r *Registry) FetchTimeIfEvicted(
 	now time.Duration,
 	m *Machine,
 	j *protocol.Job,
@@ -126,9 +126,9 @@
 	return config.Seconds(j.ImageGB / t.FetchGBPerSecond * float64(fetches))
 }
 
-// FetchDelayWithout estimates the total delay that a fetch of the job's image would cause to the other fetches on the
+// FetchDelayIfEvicted estimates the total delay that a fetch of the job's image would cause to the other fetches on the
 // machine, which share its fetch rate. It assumes that the placements for which evicted returns true end.
-func (r *Registry) FetchDelayWithout(
+func (r *Registry) FetchDelayIfEvicted(
 	now time.Duration,
 	m *Machine,
 	j *protocol.Job,
--- a/internal/coordination/machineregistry/machine.go
+++ b/internal/coordination/machineregistry/machine.go
@@ -7,7 +7,7 @@
 )
 
 // Machine is a worker machine. Other packages may read its fields freely. They change its conditions and its
-// nomination only through the methods of Machine and Registry. They set Relayed and RentedAt directly, and its
+// nomination only through the methods of Machine and Registry. They set Relayed and RequestedAt directly, and its
 // identity and location, as given by the cloud, until the machine is registered.
 //
 // A machine is created unregistered, from a request to the cloud, the cloud's list of machines, or a record. Its
@@ -34,7 +34,7 @@
 	Registered          bool
 	Relayed             bool          // heartbeats arrive through another controller
 	LastHeartbeat       time.Duration // or the time when the machine became known
-	RentedAt            time.Duration // time of the request to the cloud, as far as known
+	RequestedAt         time.Duration // time of the request to the cloud, as far as known
 	IdleSince           time.Duration // end of the last placement
 
 	// Conditions that prevent new placements; see the type's comment.
--- a/internal/coordination/machineregistry/registry.go
+++ b/internal/coordination/machineregistry/registry.go
@@ -105,7 +105,7 @@
 	m := &Machine{
 		Name:          name,
 		LastHeartbeat: now,
-		RentedAt:      now,
+		RequestedAt:   now,
 		IdleSince:     now,
 		FailedJobs:    map[string]bool{},
 		placements:    map[protocol.TaskID]*Placement{},
--- a/internal/coordination/placement/rules.go
+++ b/internal/coordination/placement/rules.go
@@ -61,8 +61,8 @@
 // until the image is available, the delay of other fetches, the packing score, and penalties for risks.
 func (r *Rules) Score(now time.Duration, j *jobstate.Job, x *candidates.Candidate, l *ZoneLimits) float64 {
 	preemptible := r.PreemptibleFetches(j)
-	fetch := r.Machines.FetchTimeWithout(now, x.Machine, &j.Spec, preemptible)
-	score := fetch.Seconds() + r.Machines.FetchDelayWithout(now, x.Machine, &j.Spec, preemptible).Seconds()
+	fetch := r.Machines.FetchTimeIfEvicted(now, x.Machine, &j.Spec, preemptible)
+	score := fetch.Seconds() + r.Machines.FetchDelayIfEvicted(now, x.Machine, &j.Spec, preemptible).Seconds()
 	score += r.packingScore(j, x, fetch)
 	if j.Spec.Spread && l.TasksPerZone != nil {
 		score += float64(l.TasksPerZone[x.Machine.Zone]) / float64(j.Spec.TaskCount)
--- a/internal/coordination/scheduler/cloudevents.go
+++ b/internal/coordination/scheduler/cloudevents.go
@@ -10,7 +10,7 @@
 // handleMachinesListed reconciles the registry with the list of machines in the cloud.
 func (s *Scheduler) handleMachinesListed(now time.Duration, e MachinesListed) {
 	if e.Failed {
-		s.autoscaler.HandleListFailure()
+		s.autoscaler.HandleMachineListFailure()
 		return
 	}
 	if s.prober.enqueueListed(e.Machines) {
@@ -18,12 +18,12 @@
 	}
 	for i := range e.Machines {
 		if e.Machines[i].State == protocol.MachineFailed {
-			s.zoneFailover.NoteDepartedMachine(e.Machines[i].Name)
+			s.zoneFailover.RecordDepartedMachine(e.Machines[i].Name)
 		}
 	}
-	for _, name := range s.autoscaler.HandleList(now, e.RequestedAt, e.Machines) {
+	for _, name := range s.autoscaler.HandleMachineList(now, e.RequestedAt, e.Machines) {
 		s.log.Info("machine no longer listed", "machine", name)
-		s.zoneFailover.NoteDepartedMachine(name)
+		s.zoneFailover.RecordDepartedMachine(name)
 		s.removeMachine(now, name)
 	}
 }
--- a/internal/coordination/scheduler/dependencies.go
+++ b/internal/coordination/scheduler/dependencies.go
@@ -105,7 +105,7 @@
 	}
 	s.log.Debug("job unblocked", "job", j.Spec.ID, "class", j.Spec.Class, "waited", now-j.WaitingSince)
 	j.Unblock(now)
-	s.forecast.Arrived(&j.Spec, now)
+	s.forecast.RecordArrival(&j.Spec, now)
 	s.cycle.due = true
 }
 
--- a/internal/coordination/scheduler/heartbeats.go
+++ b/internal/coordination/scheduler/heartbeats.go
@@ -61,7 +61,7 @@
 	if e.Heartbeat != nil && e.Heartbeat.Machine == e.Machine {
 		s.applyHeartbeat(now, e.Heartbeat)
 	}
-	s.machines.CommandAnswered(now, m, e.Acknowledged || e.Heartbeat != nil)
+	s.machines.RecordCommandResult(now, m, e.Acknowledged || e.Heartbeat != nil)
 	if e.Heartbeat == nil {
 		m.MarkUnresponsive(now + config.Seconds(2*s.cfg.Workers.HeartbeatSeconds))
 	}
@@ -108,7 +108,7 @@
 		if len(commands) == 0 {
 			continue
 		}
-		s.machines.CommandSent(m)
+		s.machines.RecordCommandSent(m)
 		s.emit(SendCommandBatch{
 			Machine: m.Name,
 			Addr:    m.Addr,
--- a/internal/coordination/scheduler/imagehints.go
+++ b/internal/coordination/scheduler/imagehints.go
@@ -44,7 +44,7 @@
 		if outcome.Malformed {
 			s.shrinkTransactions(&txn)
 		}
-		s.imageHints.Written(change, outcome.Succeeded)
+		s.imageHints.HandleOutcome(change, outcome.Succeeded)
 	}
 	id, _ := s.writes.nextID()
 	write := Write{ID: id, Txn: txn, Priority: PriorityMaintenance, VerifyKey: storage.TermKey, VerifyName: "-"}
--- a/internal/coordination/scheduler/lifecycle.go
+++ b/internal/coordination/scheduler/lifecycle.go
@@ -40,7 +40,7 @@
 	if j.Blocked {
 		return // a blocked job counts as an arrival once it is unblocked
 	}
-	s.forecast.Arrived(&j.Spec, since)
+	s.forecast.RecordArrival(&j.Spec, since)
 	s.cycle.due = true
 }
 
--- a/internal/coordination/scheduler/preempt.go
+++ b/internal/coordination/scheduler/preempt.go
@@ -41,7 +41,7 @@
 		left = objective // a lost replica should be replaced within the same time
 	}
 	if left <= 0 ||
-		s.machines.FetchTimeWithout(now, candidate.Machine, &j.Spec, s.rules.PreemptibleFetches(j)) <= left {
+		s.machines.FetchTimeIfEvicted(now, candidate.Machine, &j.Spec, s.rules.PreemptibleFetches(j)) <= left {
 		return false
 	}
 	for _, nominated := range s.rules.Nominated(now, j) {
@@ -157,7 +157,7 @@
 			now,
 			candidate.Machine,
 			&j.Spec,
-		) == s.machines.FetchTimeWithout(
+		) == s.machines.FetchTimeIfEvicted(
 			now,
 			candidate.Machine,
 			&j.Spec,
--- a/internal/coordination/scheduler/scheduler.go
+++ b/internal/coordination/scheduler/scheduler.go
@@ -111,7 +111,7 @@
 	s.machines.SetMachineTypes(records.MachineTypes)
 	s.recoverImageHints(records.ImageHints)
 	s.recoverLiveJobs(now, records.LiveJobs, jobsWithPlacementPages(records.PlacementPages))
-	s.forecast.DropInheritedArrivals()
+	s.forecast.DropRecoveredArrivals()
 	s.recoverPlacementPages(now, records.PlacementPages)
 	s.resumeInterrupted(now)
 	if options.RecoveryOrder != nil {
--- a/internal/coordination/scheduler/zonefailover.go
+++ b/internal/coordination/scheduler/zonefailover.go
@@ -29,7 +29,7 @@
 		TermStartedAt: s.term.startedAt,
 		TermStartedMS: s.term.startedMS,
 	})
-	if s.zoneFailover.WatchesZones() {
+	if s.zoneFailover.HasMultipleZones() {
 		s.zoneFailover.Restore(now, pages)
 		s.recoverDisplacedJobs()
 	}
@@ -90,7 +90,7 @@
 // updateZoneStates updates the states of the zones and acts on the changes.
 func (s *Scheduler) updateZoneStates(now time.Duration, jobs []*jobstate.Job) {
 	failover := s.zoneFailover
-	if failover == nil || !failover.WatchesZones() {
+	if failover == nil || !failover.HasMultipleZones() {
 		return
 	}
 	for _, zone := range failover.UpdateZones(now) {
@@ -99,7 +99,7 @@
 	failover.CloseFinishedLoans(now)
 	s.autoscaler.SetZonePolicies(failover.ZonePolicies(now))
 	s.fenceLostMachines(now, jobs)
-	failover.EndFailover(now)
+	failover.ResetAfterFailover(now)
 }
 
 // probeZone probes all machines of a returning zone, instead of waiting until their workers have found the leader.
@@ -131,7 +131,7 @@
 		if startable+len(movable) == 0 {
 			continue
 		}
-		round.FenceFor(&zonefailover.Displaced{
+		round.FenceFor(&zonefailover.DisplacedJob{
 			Borrower:   s.borrowerOf(j),
 			Startable:  startable,
 			Unfinished: j.PendingTasks() + len(j.Placements),
--- a/internal/coordination/scheduler/zonefailover_test.go
+++ b/internal/coordination/scheduler/zonefailover_test.go
@@ -141,7 +141,7 @@
 			}
 		}
 	}
-	if s.zoneFailover.WatchesZones() || s.zoneFailover.InFailover() {
+	if s.zoneFailover.HasMultipleZones() || s.zoneFailover.InFailover() {
 		t.Error("a single zone is monitored")
 	}
 }
--- a/internal/coordination/scheduler/zoneharness_test.go
+++ b/internal/coordination/scheduler/zoneharness_test.go
@@ -424,7 +424,7 @@
 	t.Helper()
 	for range 60 {
 		h.runSecond()
-		if countDecisions[zonefailover.LoanMade](h.decisions) > 0 {
+		if countDecisions[zonefailover.LoanOpened](h.decisions) > 0 {
 			return
 		}
 	}
--- a/internal/coordination/scheduler/zoneloans_test.go
+++ b/internal/coordination/scheduler/zoneloans_test.go
@@ -63,7 +63,7 @@
 	before := h.placedAttempts()
 	h.unanswered = func(w Write) bool { return strings.HasPrefix(w.VerifyKey, storage.ZoneFailoverPrefix) }
 	h.runSeconds(60)
-	if countDecisions[zonefailover.LoanMade](h.decisions) == 0 {
+	if countDecisions[zonefailover.LoanOpened](h.decisions) == 0 {
 		t.Fatal("no loan was opened")
 	}
 	for placed := range before {
@@ -202,7 +202,11 @@
 	h.scheduler.jobs["j-0"].Spec.Zone = "" // from now on the gang may run in any zone
 	h.loseZone()
 	h.runSeconds(60)
-	if countDecisions[zonefailover.LoanMade](h.decisions)+countDecisions[zonefailover.MachineFenced](h.decisions) > 0 ||
+	if countDecisions[zonefailover.LoanOpened](
+		h.decisions,
+	)+countDecisions[zonefailover.MachineFenced](
+		h.decisions,
+	) > 0 ||
 		len(h.stops) > 0 {
 		t.Fatalf("capacity was taken for half of a gang:\n%s", strings.Join(h.describeDecisions(), "\n"))
 	}
@@ -232,7 +236,7 @@
 	h.scheduler.zoneFailover.MarkDisplaced("j-8", "a")
 	h.scheduler.jobs["j-8"].UnschedulableCycles = gangHoldCycles
 	h.runSecond()
-	if countDecisions[zonefailover.LoanMade](h.decisions) == 0 {
+	if countDecisions[zonefailover.LoanOpened](h.decisions) == 0 {
 		t.Fatalf("no capacity was lent:\n%s", strings.Join(h.describeDecisions(), "\n"))
 	}
 	if h.scheduler.jobs["j-9"].PlacedTasks() > 0 {
@@ -255,7 +259,7 @@
 	h.scheduler.zoneFailover.MarkDisplaced("j-8", "a")
 	before := h.placedAttempts()
 	h.runSeconds(8)
-	if countDecisions[zonefailover.LoanMade](h.decisions) > 0 {
+	if countDecisions[zonefailover.LoanOpened](h.decisions) > 0 {
 		t.Errorf("capacity was lent:\n%s", strings.Join(h.describeDecisions(), "\n"))
 	}
 	for placed := range before {
@@ -302,7 +306,7 @@
 		h.scheduler.zoneFailover.Monitor().Restore(zonefailover.Zone{Name: "a", State: zonefailover.Lost, Since: h.now})
 		h.scheduler.zoneFailover.MarkDisplaced("j-8", "a")
 		h.runSeconds(5)
-		if got := countDecisions[zonefailover.LoanMade](h.decisions) > 0; got != tc.lends {
+		if got := countDecisions[zonefailover.LoanOpened](h.decisions) > 0; got != tc.lends {
 			t.Errorf(
 				"guarantee %v: lent %v, want %v\n%s",
 				tc.guarantee,
--- a/internal/coordination/zonefailover/decisions.go
+++ b/internal/coordination/zonefailover/decisions.go
@@ -21,8 +21,8 @@
 		// ZoneCount is the number of zones. With a single zone, failover has nothing to do.
 		ZoneCount int
 	}
-	// LoanMade reports that a loan was opened.
-	LoanMade struct{ Loan }
+	// LoanOpened reports that a loan was opened.
+	LoanOpened struct{ Loan }
 	// LoanEnded reports the outcome of a loan.
 	LoanEnded struct {
 		Loan
@@ -40,7 +40,7 @@
 
 func (ZoneChanged) decision()           {}
 func (RecoveryOrderInEffect) decision() {}
-func (LoanMade) decision()              {}
+func (LoanOpened) decision()            {}
 func (LoanEnded) decision()             {}
 func (MachineFenced) decision()         {}
 func (RecordIgnored) decision()         {}
@@ -66,7 +66,7 @@
 }
 
 // Describe implements Decision.
-func (d LoanMade) Describe() string { return "loan " + d.String() }
+func (d LoanOpened) Describe() string { return "loan " + d.String() }
 
 // Describe implements Decision.
 func (d LoanEnded) Describe() string { return fmt.Sprintf("loan %s: %s", d.Loan, d.Outcome) }
--- a/internal/coordination/zonefailover/fencing.go
+++ b/internal/coordination/zonefailover/fencing.go
@@ -82,8 +82,8 @@
 	return movable
 }
 
-// Displaced is a job with tasks in a lost zone or pending tasks.
-type Displaced struct {
+// DisplacedJob is a job with tasks in a lost zone or pending tasks.
+type DisplacedJob struct {
 	Borrower
 	// Startable is the number of pending tasks that the team's quota allows to start.
 	Startable int
@@ -95,7 +95,7 @@
 
 // FenceFor fences machines with movable tasks of a job, as far as there is capacity elsewhere for these tasks in
 // addition to the job's pending ones.
-func (r *FencingRound) FenceFor(job *Displaced) {
+func (r *FencingRound) FenceFor(job *DisplacedJob) {
 	pending := min(job.Startable, maxPendingConsidered)
 	allOrNothing := job.Job.Shape == protocol.Gang || job.Job.SameZone
 	wanted := pending + len(job.Movable)
--- a/internal/coordination/zonefailover/fencing_test.go
+++ b/internal/coordination/zonefailover/fencing_test.go
@@ -52,7 +52,7 @@
 	m.monitor.Restore(Zone{Name: "a", State: Lost, Since: time.Minute})
 	round := m.NewFencingRound(now, nil)
 	job := &protocol.Job{ID: "j-1", Shape: protocol.Array, TaskCount: 1}
-	round.FenceFor(&Displaced{
+	round.FenceFor(&DisplacedJob{
 		Borrower:   Borrower{Job: job, MaxInZone: 1, InZone: map[string]int{"a": 1}},
 		Unfinished: 1,
 		Movable:    []*machineregistry.Placement{{Machine: "m", Zone: "a"}},
--- a/internal/coordination/zonefailover/loans.go
+++ b/internal/coordination/zonefailover/loans.go
@@ -52,7 +52,7 @@
 		m.awaitingPreemption[loan.Lender] = true
 		m.loansByJob[loan.Lender.Job]++
 		m.records.addLoan(loan.Lender, limits.LoansPerPage)
-		m.addDecision(LoanMade{Loan: loan})
+		m.addDecision(LoanOpened{Loan: loan})
 	}
 	return nil
 }
--- a/internal/coordination/zonefailover/manager.go
+++ b/internal/coordination/zonefailover/manager.go
@@ -96,13 +96,13 @@
 // Ledger returns the ledger of open loans.
 func (m *Manager) Ledger() *Ledger { return m.ledger }
 
-// WatchesZones reports whether there are several zones. Only then can the loss of a zone be distinguished from a
+// HasMultipleZones reports whether there are several zones. Only then can the loss of a zone be distinguished from a
 // failure of this controller's own network, and work move elsewhere.
-func (m *Manager) WatchesZones() bool { return len(m.options.Zones) > 1 }
+func (m *Manager) HasMultipleZones() bool { return len(m.options.Zones) > 1 }
 
 // InFailover reports whether any zone is lost or returning. It returns false for a nil Manager.
 func (m *Manager) InFailover() bool {
-	return m != nil && m.WatchesZones() && m.monitor.AnyInState(Lost, Returning)
+	return m != nil && m.HasMultipleZones() && m.monitor.AnyInState(Lost, Returning)
 }
 
 // IsZoneLost reports whether a zone is lost. It returns false for a nil Manager.
@@ -147,8 +147,8 @@
 	delete(m.nextSearchAt, jobID)
 }
 
-// EndFailover resets the displaced jobs and the loan counts per job once all zones are available.
-func (m *Manager) EndFailover(now time.Duration) {
+// ResetAfterFailover resets the displaced jobs and the loan counts per job once all zones are available.
+func (m *Manager) ResetAfterFailover(now time.Duration) {
 	if m.monitor.AnyInState(Suspected, Lost, Returning) {
 		return
 	}
--- a/internal/coordination/zonefailover/manager_test.go
+++ b/internal/coordination/zonefailover/manager_test.go
@@ -61,7 +61,7 @@
 	var m *Manager
 	m.MarkDisplaced("j-1", "a")
 	m.ForgetJob("j-1")
-	m.NoteDepartedMachine("m")
+	m.RecordDepartedMachine("m")
 	m.RedistributeLoans(testLimits)
 	zones := []string{"b", "a"}
 	m.SortZonesByState(zones)
--- a/internal/coordination/zonefailover/zonestates.go
+++ b/internal/coordination/zonefailover/zonestates.go
@@ -119,9 +119,9 @@
 	}
 }
 
-// NoteDepartedMachine records that a machine failed or left the cloud's list without being released. That is evidence
+// RecordDepartedMachine records that a machine failed or left the cloud's list without being released. That is evidence
 // while its zone is not available. It does nothing for a nil Manager.
-func (m *Manager) NoteDepartedMachine(name string) {
+func (m *Manager) RecordDepartedMachine(name string) {
 	if m == nil {
 		return
 	}
