--- a/internal/coordination/leader/leader.go
+++ b/internal/coordination/leader/leader.go
@@ -25,8 +25,8 @@
 type Leadership interface {
 	// Confirmed reports whether this controller is the confirmed leader of the term at this moment.
 	Confirmed() bool
-	// JobsKnownUpTo reports that the leader has received all changes to the accepted jobs up to the given time.
-	JobsKnownUpTo(at time.Duration)
+	// JobWatchProgress reports that the leader has received all changes to the accepted jobs up to the given time.
+	JobWatchProgress(at time.Duration)
 	// StepDown gives up the term for the given reason.
 	StepDown(reason scheduler.StepDown)
 }
@@ -65,9 +65,9 @@
 	Deployment *config.Deployment
 	// WatchTimeout limits how long one watch request to the store waits for a change.
 	WatchTimeout time.Duration
-	// ConfirmWithin is how long a cancellation intent remains valid. A cancellation that has not been confirmed within
+	// IntentValidity is how long a cancellation intent remains valid. A cancellation that has not been confirmed within
 	// this time needs a new intent.
-	ConfirmWithin time.Duration
+	IntentValidity time.Duration
 	// ZoneFailover is the order in which work is recovered after the loss of a zone; nil disables zone failover.
 	ZoneFailover *zonefailover.RecoveryOrder
 	// Timing records the duration of steps; nil disables the recording.
@@ -175,7 +175,7 @@
 
 // AddCancellationIntent tells the leader that a user may soon be told that the job is cancelled.
 func (l *Leader) AddCancellationIntent(job string, at time.Duration) {
-	l.mailbox.Send(scheduler.CancellationIntent{ID: job, ValidUntil: at + l.options.ConfirmWithin})
+	l.mailbox.Send(scheduler.CancellationIntent{ID: job, ValidUntil: at + l.options.IntentValidity})
 }
 
 // FinaliseLevel requests that the leader make a feature level final.
--- a/internal/coordination/leader/leader_test.go
+++ b/internal/coordination/leader/leader_test.go
@@ -94,7 +94,7 @@
 }
 
 func (f fakeLeadership) Confirmed() bool                    { return !f.unconfirmed.Load() }
-func (f fakeLeadership) JobsKnownUpTo(time.Duration)        {}
+func (f fakeLeadership) JobWatchProgress(time.Duration)     {}
 func (f fakeLeadership) StepDown(reason scheduler.StepDown) { f.stepDowns <- reason }
 
 // noIntents is a CancellationIntents without intents.
--- a/internal/coordination/leader/recovery.go
+++ b/internal/coordination/leader/recovery.go
@@ -67,7 +67,7 @@
 // reportWatchProgress reports that all changes up to the given time have been processed or are queued in the mailbox.
 func (l *Leader) reportWatchProgress(at time.Duration) {
 	l.mailbox.Send(scheduler.WatchProgress{At: at})
-	l.deps.Leadership.JobsKnownUpTo(at)
+	l.deps.Leadership.JobWatchProgress(at)
 }
 
 // watchJobs watches the accepted jobs. Its requests have a short timeout, because only a response proves that there
--- a/internal/coordination/leader/term.go
+++ b/internal/coordination/leader/term.go
@@ -119,7 +119,7 @@
 	)
 	intents := t.deps.Intents.NewestByJob(now)
 	for _, job := range slices.Sorted(maps.Keys(intents)) {
-		validUntil := intents[job] + t.options.ConfirmWithin
+		validUntil := intents[job] + t.options.IntentValidity
 		t.step(ctx, now, scheduler.CancellationIntent{ID: job, ValidUntil: validUntil})
 	}
 	for _, event := range t.bufferedEvents {
--- a/internal/coordination/placementrecords/decode.go
+++ b/internal/coordination/placementrecords/decode.go
@@ -66,8 +66,8 @@
 	return cmp.Compare(a.TasksPerPage, b.TasksPerPage)
 }
 
-// Counts reports whether the page is the valid one for a task, which no page of higher precedence covers.
-func (p *StoredPage) Counts(task int) bool {
+// ValidFor reports whether the page is the valid one for a task, which no page of higher precedence covers.
+func (p *StoredPage) ValidFor(task int) bool {
 	return !slices.ContainsFunc(p.narrower, func(id storage.PageID) bool {
 		return task >= id.FirstTask() && task < id.EndTask()
 	})
--- a/internal/coordination/placementrecords/deletion.go
+++ b/internal/coordination/placementrecords/deletion.go
@@ -51,8 +51,8 @@
 	d.job.Pages.RemoveFirstSuperseded(d.superseded)
 }
 
-// ForgetUnstored removes the pages of an ended job that have no stored record.
-func ForgetUnstored(j *jobstate.Job, recorded func(*machineregistry.Placement)) {
+// RemoveUnstoredPages removes the pages of an ended job that have no stored record.
+func RemoveUnstoredPages(j *jobstate.Job, recorded func(*machineregistry.Placement)) {
 	if len(j.Pages.Superseded()) > 0 {
 		return // superseded pages may still be valid for the tasks of pages without a record
 	}
--- a/internal/coordination/placementrecords/limits.go
+++ b/internal/coordination/placementrecords/limits.go
@@ -85,7 +85,7 @@
 // NewJobLayout returns the page layout for new jobs.
 func (l *Limits) NewJobLayout() storage.PageLayout {
 	if l.level < featurelevel.Pipelines {
-		return storage.PageLayout{TasksPerPage: storage.OriginalPageTasks(l.settings.ValueKB)}
+		return storage.PageLayout{TasksPerPage: storage.OriginalTasksPerPage(l.settings.ValueKB)}
 	}
 	return storage.PageLayout{TasksPerPage: storage.CompactTasksPerPage(l.current.ValueKB), Compact: true}
 }
--- a/internal/coordination/placementrecords/placementrecords_test.go
+++ b/internal/coordination/placementrecords/placementrecords_test.go
@@ -155,7 +155,7 @@
 	j.Pages.Narrow()
 	j.Pages.Page(0).Revision = 30
 	recorded := func(*machineregistry.Placement) {}
-	ForgetUnstored(j, recorded)
+	RemoveUnstoredPages(j, recorded)
 	if got := len(j.Pages.Numbers()); got != 5 {
 		t.Errorf("got %d pages while superseded ones are stored, want 5", got)
 	}
@@ -171,7 +171,7 @@
 		t.Errorf("second transaction deletes %v", ops)
 	}
 	deletion.Commit(recorded)
-	ForgetUnstored(j, recorded)
+	RemoveUnstoredPages(j, recorded)
 	if got := j.Pages.Numbers(); len(got) != 0 {
 		t.Errorf("pages %v are left", got)
 	}
@@ -206,7 +206,7 @@
 		stored := byJob["j-1"][i]
 		var validFor []int
 		for task := range 8 {
-			if stored.Counts(task) {
+			if stored.ValidFor(task) {
 				validFor = append(validFor, task)
 			}
 		}
--- a/internal/coordination/scheduler/featurelevel_test.go
+++ b/internal/coordination/scheduler/featurelevel_test.go
@@ -112,7 +112,7 @@
 // applyPage applies what a page records of its tasks. If several pages cover a task, the one written last counts.
 func applyPage(t *rapid.T, known map[int]string, pair protocol.KeyValue) {
 	t.Helper()
-	name, err := storage.ParsePageKey(pair.Key, storage.OriginalPageTasks(4))
+	name, err := storage.ParsePageKey(pair.Key, storage.OriginalTasksPerPage(4))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/coordination/scheduler/harness_test.go
+++ b/internal/coordination/scheduler/harness_test.go
@@ -92,7 +92,7 @@
 func originalPageKey(id string) string {
 	return storage.PageID{
 		Job:    id,
-		Layout: storage.PageLayout{TasksPerPage: storage.OriginalPageTasks(8)},
+		Layout: storage.PageLayout{TasksPerPage: storage.OriginalTasksPerPage(8)},
 	}.Key()
 }
 
--- a/internal/coordination/scheduler/jobcompletion.go
+++ b/internal/coordination/scheduler/jobcompletion.go
@@ -103,7 +103,7 @@
 	if !j.Ended || j.WriteInFlight || len(j.Placements) > 0 || s.writes.paused {
 		return
 	}
-	placementrecords.ForgetUnstored(j, s.machines.MarkOutcomeRecorded)
+	placementrecords.RemoveUnstoredPages(j, s.machines.MarkOutcomeRecorded)
 	txn := protocol.Txn{If: []protocol.Compare{s.writes.termUnchanged()}}
 	deletion := placementrecords.AppendDeletion(&txn, j, s.recordLimits.MaxOperations())
 	if len(txn.Then) == 0 {
--- a/internal/coordination/scheduler/recovery.go
+++ b/internal/coordination/scheduler/recovery.go
@@ -17,7 +17,7 @@
 	onError := func(record protocol.KeyValue, err error) {
 		s.log.Error("malformed placement page", "key", record.Key, "error", err)
 	}
-	byJob := placementrecords.Decode(records, storage.OriginalPageTasks(s.cfg.Store.ValueKB), onError)
+	byJob := placementrecords.Decode(records, storage.OriginalTasksPerPage(s.cfg.Store.ValueKB), onError)
 	for _, id := range slices.Sorted(maps.Keys(byJob)) {
 		s.recoverJobPages(now, id, byJob[id])
 	}
@@ -64,13 +64,13 @@
 func (s *Scheduler) recoverTasks(now time.Duration, j *jobstate.Job, page *placementrecords.StoredPage) {
 	for _, done := range page.Record.DoneRanges {
 		for task := done[0]; task <= done[1]; task++ {
-			if page.Counts(task) {
+			if page.ValidFor(task) {
 				j.SetTask(task, jobstate.TaskDone)
 			}
 		}
 	}
 	for _, stored := range page.Record.Placements {
-		if stored.Task < j.TaskCount() && j.Placements[stored.Task] == nil && page.Counts(stored.Task) {
+		if stored.Task < j.TaskCount() && j.Placements[stored.Task] == nil && page.ValidFor(stored.Task) {
 			s.recoverPlacement(now, j, stored, page.Record.Zones[stored.Zone])
 		}
 	}
--- a/internal/daemon/controller.go
+++ b/internal/daemon/controller.go
@@ -119,7 +119,7 @@
 		leaderState: &leaderState{},
 		cfg:         cfg,
 		features:    features,
-		times:       Times(d),
+		times:       ElectionTiming(d),
 		start:       time.Now(),
 		log:         log.With("controller", cfg.Name),
 		random:      source,
--- a/internal/daemon/environment.go
+++ b/internal/daemon/environment.go
@@ -46,7 +46,7 @@
 // process that started during an outage claimed to reach the store, its peers would stop renewing leases without a
 // leader.
 func (e *environment) storeReachable() bool {
-	return e.store.Answered() && e.store.SinceLastAnswer() < e.times.LeaderTimeout/2
+	return e.store.HasResponded() && e.store.SinceLastResponse() < e.times.LeaderTimeout/2
 }
 
 // cancellationRequested reports whether a user may have been told that the job is cancelled.
--- a/internal/daemon/leadership.go
+++ b/internal/daemon/leadership.go
@@ -123,11 +123,11 @@
 		Log:        a.log,
 		Now:        a.now,
 	}, leader.Options{
-		Deployment:    &a.cfg.Deployment,
-		WatchTimeout:  a.times.LeaderTimeout / 2,
-		ConfirmWithin: a.times.CancellationTimeout,
-		ZoneFailover:  a.features.ZoneFailover,
-		Timing:        a.features.Timing,
+		Deployment:     &a.cfg.Deployment,
+		WatchTimeout:   a.times.LeaderTimeout / 2,
+		IntentValidity: a.times.CancellationTimeout,
+		ZoneFailover:   a.features.ZoneFailover,
+		Timing:         a.features.Timing,
 	}, scheduler.Term{
 		Number:       won.Term,
 		Revision:     won.Revision,
@@ -150,8 +150,8 @@
 	return v.Leading && v.Term == t.term && t.now() < v.ConfirmedUntil
 }
 
-// JobsKnownUpTo implements leader.Leadership.
-func (t *electedTerm) JobsKnownUpTo(at time.Duration) {
+// JobWatchProgress implements leader.Leadership.
+func (t *electedTerm) JobWatchProgress(at time.Duration) {
 	t.mailbox.Send(election.WatchProgress{Term: t.term, UpTo: at})
 }
 
--- a/internal/daemon/peertable.go
+++ b/internal/daemon/peertable.go
@@ -148,7 +148,7 @@
 // isolatedFromStore reports whether the key-value store does not answer this controller but probably answers others:
 // either a peer has had an answer well after the last one to this controller, or no peer is in contact at all.
 func (t *peerTable) isolatedFromStore() bool {
-	silent := t.store.SinceLastAnswer()
+	silent := t.store.SinceLastResponse()
 	if silent <= t.times.LeaderTimeout {
 		return false
 	}
--- a/internal/daemon/readiness.go
+++ b/internal/daemon/readiness.go
@@ -29,7 +29,7 @@
 // while, so that a long time without an answer means that the store is not reachable.
 func (r *readiness) probeStore(ctx context.Context) {
 	for ctx.Err() == nil {
-		if r.store.SinceLastAnswer() > r.times.LeaderTimeout/4 {
+		if r.store.SinceLastResponse() > r.times.LeaderTimeout/4 {
 			if _, err := r.store.Get(ctx, storage.BudgetUrgent, storage.LeaderKey); err != nil {
 				r.log.Debug("failed to probe key-value store", "error", err)
 			}
--- a/internal/daemon/times.go
+++ b/internal/daemon/times.go
@@ -14,9 +14,9 @@
 // minLeaseTTL is the minimum TTL of the leader's lease, for very short settings.
 const minLeaseTTL = 100 * time.Millisecond
 
-// Times derives the election's timing from the settings. All intervals are fractions of the workers' lease, or of the
-// cancellation time limit if that is short.
-func Times(d *config.Deployment) election.Timing {
+// ElectionTiming derives the election's timing from the settings. All intervals are fractions of the workers' lease, or
+// of the cancellation time limit if that is short.
+func ElectionTiming(d *config.Deployment) election.Timing {
 	lease, cancel := config.Seconds(d.Workers.LeaseSeconds), config.Seconds(d.Workers.CancelSeconds)
 	base := min(lease, cancel/4)
 	t := election.Timing{
--- a/internal/daemon/times_test.go
+++ b/internal/daemon/times_test.go
@@ -21,7 +21,7 @@
 		var d config.Deployment
 		d.Workers.LeaseSeconds = rapid.Float64Range(1, 60).Draw(t, "lease")
 		d.Workers.CancelSeconds = d.Workers.LeaseSeconds * rapid.Float64Range(1.5, 10).Draw(t, "cancel")
-		timing := Times(&d)
+		timing := ElectionTiming(&d)
 		lease, cancel := config.Seconds(d.Workers.LeaseSeconds), config.Seconds(d.Workers.CancelSeconds)
 		switch {
 		case timing.RenewalHorizon+lease > cancel-cancel/8+time.Millisecond:
--- a/internal/simulation/starvation_test.go
+++ b/internal/simulation/starvation_test.go
@@ -98,7 +98,7 @@
 		const span = 60 * s
 		time.Sleep(span)
 		got := c.peerPackets() - before
-		interval := daemon.Times(&c.cfg).HeartbeatInterval
+		interval := daemon.ElectionTiming(&c.cfg).HeartbeatInterval
 		// The leader sends a heartbeat to both followers in every interval; each follower sends one to both other
 		// controllers in every second interval.
 		heartbeats := int(span/interval)*2 + int(span/(2*interval))*4
--- a/internal/storage/client.go
+++ b/internal/storage/client.go
@@ -78,13 +78,13 @@
 	return c
 }
 
-// SinceLastAnswer returns the time since the last response of the store.
-func (c *Client) SinceLastAnswer() time.Duration {
+// SinceLastResponse returns the time since the last response of the store.
+func (c *Client) SinceLastResponse() time.Duration {
 	return time.Since(c.start) - time.Duration(c.lastResponse.Load())
 }
 
-// Answered reports whether the store has ever responded to this process.
-func (c *Client) Answered() bool { return c.lastResponse.Load() > 0 }
+// HasResponded reports whether the store has ever responded to this process.
+func (c *Client) HasResponded() bool { return c.lastResponse.Load() > 0 }
 
 // call sends a request as soon as its budget allows.
 func (c *Client) call(
--- a/internal/storage/compatibility_test.go
+++ b/internal/storage/compatibility_test.go
@@ -103,7 +103,7 @@
 		GPUs:     1,
 		MemoryGB: 64,
 	}
-	layout := storage.PageLayout{TasksPerPage: storage.OriginalPageTasks(8)}
+	layout := storage.PageLayout{TasksPerPage: storage.OriginalTasksPerPage(8)}
 	raw := testutil.Production(t, "page")
 	got, err := storage.DecodePage(protocol.KeyValue{Value: raw}, layout)
 	if err != nil || !reflect.DeepEqual(*got, want) {
--- a/internal/storage/placementpages.go
+++ b/internal/storage/placementpages.go
@@ -110,9 +110,9 @@
 	pageFillShare = 0.75
 )
 
-// OriginalPageTasks returns the number of tasks on a page of the original layout. A full page is well within the value
-// limit.
-func OriginalPageTasks(valueKB float64) int {
+// OriginalTasksPerPage returns the number of tasks on a page of the original layout. A full page is well within the
+// value limit.
+func OriginalTasksPerPage(valueKB float64) int {
 	return max(1, int(valueKB*BytesPerKiB*pageFillShare/MaxPlacementBytes))
 }
 
--- a/internal/storage/records.go
+++ b/internal/storage/records.go
@@ -77,7 +77,7 @@
 
 // MachinesPerImageHint returns the number of machines that one record covers. A machine takes up to twice the space of
 // a placement.
-func MachinesPerImageHint(valueKB float64) int { return max(1, OriginalPageTasks(valueKB)/2) }
+func MachinesPerImageHint(valueKB float64) int { return max(1, OriginalTasksPerPage(valueKB)/2) }
 
 // ImageHintKey returns the key of an image hint record.
 func ImageHintKey(page int) string { return fmt.Sprintf("%s%04d", ImageHintPrefix, page) }
--- a/internal/storage/storage_test.go
+++ b/internal/storage/storage_test.go
@@ -124,7 +124,7 @@
 func TestFullPagesFitValueLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		valueKB := rapid.SampledFrom([]float64{1, 2, 8, 64}).Draw(t, "kb")
-		layout := storage.PageLayout{TasksPerPage: storage.OriginalPageTasks(valueKB)}
+		layout := storage.PageLayout{TasksPerPage: storage.OriginalTasksPerPage(valueKB)}
 		if rapid.Bool().Draw(t, "compact") {
 			layout = storage.PageLayout{TasksPerPage: storage.CompactTasksPerPage(valueKB), Compact: true}
 		}
@@ -165,7 +165,7 @@
 			t.Fatalf("%d bytes are estimated as %d: %v", len(encoded), size, err)
 		}
 		id := storage.PageID{Job: "j-000001", Layout: layout, Number: 17}
-		parsed, err := storage.ParsePageKey(id.Key(), storage.OriginalPageTasks(valueKB))
+		parsed, err := storage.ParsePageKey(id.Key(), storage.OriginalTasksPerPage(valueKB))
 		if err != nil || parsed != id {
 			t.Fatalf("%s is parsed as %+v: %v", id.Key(), parsed, err)
 		}
@@ -255,24 +255,24 @@
 	}
 }
 
-// TestAnsweredOnlyAfterResponse checks that Answered is false until the store has responded to a request other than by
-// being unavailable.
-func TestAnsweredOnlyAfterResponse(t *testing.T) {
+// TestHasRespondedOnlyAfterResponse checks that HasResponded is false until the store has responded to a request other
+// than by being unavailable.
+func TestHasRespondedOnlyAfterResponse(t *testing.T) {
 	status := http.StatusServiceUnavailable
 	c := newTestClient(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(status) }))
-	if c.Answered() {
-		t.Error("Answered is true before the first request")
+	if c.HasResponded() {
+		t.Error("HasResponded is true before the first request")
 	}
 	if _, err := c.Get(
 		context.Background(),
 		storage.BudgetUrgent,
 		"k",
 	); !errors.Is(err, storage.ErrUnavailable) ||
-		c.Answered() {
+		c.HasResponded() {
 		t.Errorf("a response of an unavailable store counts: %v", err)
 	}
 	status = http.StatusNotFound
-	if _, err := c.Get(context.Background(), storage.BudgetUrgent, "k"); err != nil || !c.Answered() {
+	if _, err := c.Get(context.Background(), storage.BudgetUrgent, "k"); err != nil || !c.HasResponded() {
 		t.Errorf("a response does not count: %v", err)
 	}
 }
