--- a/internal/coordination/autoscaler/autoscaler.go
+++ b/internal/coordination/autoscaler/autoscaler.go
@@ -35,7 +35,7 @@
 type Effect interface{ effect() }
 
 // ScaleOut rents machines. Its outcome is passed to [Autoscaler.HandleScaleOut].
-type ScaleOut struct{ Rental protocol.Rental }
+type ScaleOut struct{ Rental protocol.RentalRequest }
 
 // ScaleIn releases machines. Its outcome is passed to [Autoscaler.HandleScaleIn].
 type ScaleIn struct{ Machines []string }
--- a/internal/coordination/autoscaler/autoscaler_test.go
+++ b/internal/coordination/autoscaler/autoscaler_test.go
@@ -50,7 +50,7 @@
 	})
 }
 
-func rentals(effects []Effect) (out []protocol.Rental) {
+func rentals(effects []Effect) (out []protocol.RentalRequest) {
 	for _, e := range effects {
 		if r, ok := e.(ScaleOut); ok {
 			out = append(out, r.Rental)
@@ -105,7 +105,7 @@
 	}
 }
 
-func totalCount(requests []protocol.Rental) int {
+func totalCount(requests []protocol.RentalRequest) int {
 	n := 0
 	for _, r := range requests {
 		n += r.Count
--- a/internal/coordination/autoscaler/scaleout.go
+++ b/internal/coordination/autoscaler/scaleout.go
@@ -190,7 +190,7 @@
 	// The term makes the request ID unique across leaders and restarts.
 	id := fmt.Sprintf("r-%d-%d", a.term, a.requestSeq)
 	a.pendingRentals[id] = pendingRental{pool: pool, count: count}
-	return ScaleOut{Rental: protocol.Rental{
+	return ScaleOut{Rental: protocol.RentalRequest{
 		RequestID:   id,
 		MachineType: pool.machineType,
 		Zone:        pool.zone,
--- a/internal/coordination/leader/cloud.go
+++ b/internal/coordination/leader/cloud.go
@@ -147,7 +147,7 @@
 
 // Rent rents machines and returns their names. It returns ErrRentalRefused if the cloud refuses the rental. After any
 // other error the machines may have been rented.
-func (c *CloudClient) Rent(ctx context.Context, slot CallSlot, r protocol.Rental) ([]string, error) {
+func (c *CloudClient) Rent(ctx context.Context, slot CallSlot, r protocol.RentalRequest) ([]string, error) {
 	var out protocol.MachineNames
 	err := c.call(ctx, slot, http.MethodPost, "/machines", r, &out)
 	var refusal *CloudError
--- a/internal/coordination/leader/cloud_test.go
+++ b/internal/coordination/leader/cloud_test.go
@@ -28,7 +28,7 @@
 	model.Address = func(number int) string { return fmt.Sprintf("10.1.%d.%d:9000", number/250, number%250) }
 	model.StartWorker, model.StopWorker = func(protocol.ListedMachine) {}, func(string) {}
 	for range machines {
-		model.Start("g8", "a", false)
+		model.AddRunningMachine("g8", "a", false)
 	}
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		calls.Add(1)
@@ -76,7 +76,7 @@
 			defer srv.Close()
 			addr := strings.TrimPrefix(srv.URL, "http://")
 			c := NewCloudClient(transport.TCP{}, addr, config.Cloud{RPS: 1e6, ListLagSeconds: 10})
-			names, err := c.Rent(t.Context(), c.Reserve(), protocol.Rental{})
+			names, err := c.Rent(t.Context(), c.Reserve(), protocol.RentalRequest{})
 			if errors.Is(err, ErrRentalRefused) != row.refused || (err != nil) != row.failed ||
 				row.failed == (len(names) > 0) {
 				t.Errorf("machines %v, error %v", names, err)
--- a/internal/coordination/placement/victims.go
+++ b/internal/coordination/placement/victims.go
@@ -186,7 +186,7 @@
 	const jobAgeWeight = 10
 	lost := (now - pl.StateSince).Seconds()
 	if pl.Job != nil && pl.Job.CheckpointIntervalSeconds > 0 {
-		lost = pl.Job.SaveSeconds
+		lost = pl.Job.CheckpointSaveSeconds
 	}
 	return 1 + lost*pl.Resources.DominantShare(x.Capacity()) + r.jobAge(now, pl).Seconds()/jobAgeWeight
 }
--- a/internal/coordination/scheduler/borrowing.go
+++ b/internal/coordination/scheduler/borrowing.go
@@ -79,7 +79,7 @@
 ) {
 	save := 0.0
 	for _, lender := range choice.Lenders {
-		save = max(save, s.jobs[lender.Job].Spec.SaveSeconds+s.cfg.Workers.GangPeerSeconds)
+		save = max(save, s.jobs[lender.Job].Spec.CheckpointSaveSeconds+s.cfg.Workers.GangPeerSeconds)
 	}
 	until := now + config.Seconds(save+3*s.cfg.Workers.HeartbeatSeconds) + 2*CycleInterval
 	for _, candidate := range all {
--- a/internal/coordination/scheduler/cycle_bench_test.go
+++ b/internal/coordination/scheduler/cycle_bench_test.go
@@ -30,7 +30,7 @@
 			tasks > 1
 		j.SpotAllowed = shape == protocol.Array
 		if shape != protocol.Service {
-			j.CheckpointIntervalSeconds, j.SaveSeconds = 10, 2
+			j.CheckpointIntervalSeconds, j.CheckpointSaveSeconds = 10, 2
 		}
 		h.addJob(j)
 	}
--- a/internal/coordination/scheduler/fullscan_test.go
+++ b/internal/coordination/scheduler/fullscan_test.go
@@ -237,7 +237,7 @@
 		j.Zone = "b"
 	}
 	if j.Shape != protocol.Service && p.chance(0.6) {
-		j.CheckpointIntervalSeconds, j.SaveSeconds = 10, 2
+		j.CheckpointIntervalSeconds, j.CheckpointSaveSeconds = 10, 2
 	}
 	j.EstimateSeconds = 30
 	p.jobs = append(p.jobs, j.ID)
--- a/internal/coordination/scheduler/lifecycle.go
+++ b/internal/coordination/scheduler/lifecycle.go
@@ -260,8 +260,8 @@
 // task saves no checkpoints or cannot save one within the given duration.
 func (s *Scheduler) checkpointGrace(j *jobstate.Job, within time.Duration) float64 {
 	if j.Spec.CheckpointIntervalSeconds == 0 ||
-		config.Seconds(j.Spec.SaveSeconds+s.cfg.Workers.HeartbeatSeconds) >= within {
+		config.Seconds(j.Spec.CheckpointSaveSeconds+s.cfg.Workers.HeartbeatSeconds) >= within {
 		return 0
 	}
-	return j.Spec.SaveSeconds + s.cfg.Workers.GangPeerSeconds
+	return j.Spec.CheckpointSaveSeconds + s.cfg.Workers.GangPeerSeconds
 }
--- a/internal/coordination/scheduler/preempt.go
+++ b/internal/coordination/scheduler/preempt.go
@@ -129,7 +129,7 @@
 		"machine", victim.Machine,
 		"preemptor", preemptor,
 	)
-	if victim.Job != nil && victim.Job.SaveSeconds >= victim.Job.CheckpointIntervalSeconds/2 {
+	if victim.Job != nil && victim.Job.CheckpointSaveSeconds >= victim.Job.CheckpointIntervalSeconds/2 {
 		checkpointAllowance = 0 // saving would take about as long as redoing the work that is lost without it
 	}
 	s.evict(now, victim, checkpointAllowance)
--- a/internal/coordination/scheduler/preempt_test.go
+++ b/internal/coordination/scheduler/preempt_test.go
@@ -23,7 +23,7 @@
 		h.setObjectives([]config.Objective{{Kind: "wait", Class: "quick", WithinSeconds: tc.objective, Fraction: 0.9}})
 		h.heartbeat("m1", "a", false)
 		low := jobSpec("j-1", protocol.Array, "normal", 1, 8)
-		low.CheckpointIntervalSeconds, low.SaveSeconds = tc.checkpoint, 2
+		low.CheckpointIntervalSeconds, low.CheckpointSaveSeconds = tc.checkpoint, 2
 		h.addJob(low)
 		h.runCycle()
 		id := protocol.TaskID{JobID: "j-1"}
@@ -83,7 +83,7 @@
 	h.setObjectives([]config.Objective{{Kind: "wait", Class: "quick", WithinSeconds: 12, Fraction: 0.9}})
 	h.heartbeat("m1", "a", false)
 	low := jobSpec("j-1", protocol.Gang, "urgent", 1, 8)
-	low.CheckpointIntervalSeconds, low.SaveSeconds = 30, 3
+	low.CheckpointIntervalSeconds, low.CheckpointSaveSeconds = 30, 3
 	h.addJob(low)
 	h.runCycle()
 	id := protocol.TaskID{JobID: "j-1"}
@@ -265,7 +265,7 @@
 		h.setObjectives([]config.Objective{{Kind: "wait", Class: "quick", WithinSeconds: 12, Fraction: 0.9}})
 		h.heartbeat("m1", "a", false)
 		low := jobSpec("j-2", protocol.Array, "normal", 1, 4)
-		low.CheckpointIntervalSeconds, low.SaveSeconds = 10, 2
+		low.CheckpointIntervalSeconds, low.CheckpointSaveSeconds = 10, 2
 		h.addJob(low)
 		h.runCycle()
 		two := protocol.TaskID{JobID: "j-2"}
@@ -390,7 +390,7 @@
 		h.runCycle()
 		h.heartbeat("m2", "a", false)
 		low := jobSpec("j-2", protocol.Array, "normal", 8, 1)
-		low.CheckpointIntervalSeconds, low.SaveSeconds = 10, 2
+		low.CheckpointIntervalSeconds, low.CheckpointSaveSeconds = 10, 2
 		h.addJob(low)
 		h.runCycle()
 		if n := h.startedTasks("j-2"); n != tc.tasks {
--- a/internal/coordination/scheduler/zoneharness_test.go
+++ b/internal/coordination/scheduler/zoneharness_test.go
@@ -326,11 +326,11 @@
 	return r
 }
 
-func (h *zoneHarness) freeCapacities() map[string]simulation.FreeMachine {
-	free := map[string]simulation.FreeMachine{}
+func (h *zoneHarness) freeCapacities() map[string]simulation.FreeCapacity {
+	free := map[string]simulation.FreeCapacity{}
 	h.scheduler.machines.Each(func(m *machineregistry.Machine) {
 		if h.scheduler.machines.Schedulable(h.now, m) && m.NominatedJob == "" {
-			free[m.Name] = simulation.FreeMachine{Zone: m.Zone, Free: h.scheduler.machines.FreeCapacity(m)}
+			free[m.Name] = simulation.FreeCapacity{Zone: m.Zone, Free: h.scheduler.machines.FreeCapacity(m)}
 		}
 	})
 	return free
@@ -402,7 +402,7 @@
 		j.Spread = shape == protocol.Service && rapid.Bool().Draw(t, "spread")
 		j.SameZone = shape == protocol.Gang && rapid.Bool().Draw(t, "same")
 		if rapid.Bool().Draw(t, "saves") {
-			j.CheckpointIntervalSeconds, j.SaveSeconds = 10, 2
+			j.CheckpointIntervalSeconds, j.CheckpointSaveSeconds = 10, 2
 		}
 		gpus -= j.TaskCount * int(j.GPUs)
 		h.step(
--- a/internal/coordination/zonefailover/loans.go
+++ b/internal/coordination/zonefailover/loans.go
@@ -110,7 +110,7 @@
 func lostWorkSeconds(now time.Duration, placement *machineregistry.Placement) float64 {
 	ran := (now - placement.StateSince).Seconds()
 	if placement.Job != nil && placement.Job.CheckpointIntervalSeconds > 0 {
-		return min(placement.Job.SaveSeconds, ran)
+		return min(placement.Job.CheckpointSaveSeconds, ran)
 	}
 	return ran
 }
--- a/internal/daemon/failuredetection.go
+++ b/internal/daemon/failuredetection.go
@@ -174,7 +174,7 @@
 		HealthScore: max(0, m.HealthScore),
 		Voting:      m.Recovered,
 	}
-	if err := protocol.CheckOpinions(m.Opinions); err != nil {
+	if err := protocol.ValidateOpinions(m.Opinions); err != nil {
 		a.malformedLogLimit.Do(func() { a.log.Info("malformed peer opinions", "peer", m.From, "error", err) })
 	} else {
 		heard.Opinions = decodeOpinions(m.Opinions)
--- a/internal/loadtest/load.go
+++ b/internal/loadtest/load.go
@@ -171,7 +171,7 @@
 	j := r.newJob(classGang, protocol.Gang, n, team)
 	j.SameZone = true
 	j.MachineTypes = []string{hollowWorkerType} // worker processes have no information about the other tasks of a gang
-	j.CheckpointIntervalSeconds, j.SaveSeconds = r.cfg.MeanRunTime.Seconds()/4, 1
+	j.CheckpointIntervalSeconds, j.CheckpointSaveSeconds = r.cfg.MeanRunTime.Seconds()/4, 1
 	return j
 }
 
--- a/internal/loadtest/loadtest.go
+++ b/internal/loadtest/loadtest.go
@@ -60,7 +60,7 @@
 	r.mu.Lock()
 	result.Starts = r.world.Starts
 	r.mu.Unlock()
-	result.CheckedReplies = r.checker.BindingAnswers
+	result.CheckedReplies = r.checker.StatusAnswers
 	return result, err
 }
 
--- a/internal/loadtest/models.go
+++ b/internal/loadtest/models.go
@@ -94,7 +94,7 @@
 func (r *sizeRun) newCloud() *simulation.Cloud {
 	cloud := simulation.NewCloud(&r.mu, r.now)
 	cloud.Types, cloud.ListLag = r.machineTypes, config.Seconds(r.cfg.Cloud.ListLagSeconds)
-	cloud.Capacity = func(protocol.Rental) int { return 0 }
+	cloud.Capacity = func(protocol.RentalRequest) int { return 0 }
 	cloud.BootTime = func(string) time.Duration { return 0 }
 	cloud.Address = func(number int) string {
 		if process := number - r.load.Workers; process > 0 {
--- a/internal/loadtest/run.go
+++ b/internal/loadtest/run.go
@@ -137,10 +137,10 @@
 	defer r.mu.Unlock()
 	zones := zoneNames(r.load.Zones)
 	for i := range r.load.Workers {
-		r.cloud.Start(hollowWorkerType, zones[i%len(zones)], false)
+		r.cloud.AddRunningMachine(hollowWorkerType, zones[i%len(zones)], false)
 	}
 	for i := range r.cfg.WorkerProcesses {
-		r.cloud.Start(workerProcessType, zones[i%len(zones)], false)
+		r.cloud.AddRunningMachine(workerProcessType, zones[i%len(zones)], false)
 	}
 	return nil
 }
--- a/internal/loadtest/workerprocess.go
+++ b/internal/loadtest/workerprocess.go
@@ -221,7 +221,7 @@
 		r.fail(fmt.Errorf("encode the configuration of worker %s: %w", m.Name, err))
 		return
 	}
-	r.world.AddMirrored(r.now(), m.Name, m.Zone, &machineType)
+	r.world.AddRemoteWorker(r.now(), m.Name, m.Zone, &machineType)
 	//nolint:noctx // stopWorker ends it
 	cmd := exec.Command(r.cfg.WorkerProgram, r.cfg.WorkerArgs...)
 	cmd.Env = append(os.Environ(), WorkerEnvVar+"="+string(raw))
--- a/internal/loadtest/workerprocess_test.go
+++ b/internal/loadtest/workerprocess_test.go
@@ -47,8 +47,8 @@
 	} {
 		w := simulation.NewWorld(10*second, second, second)
 		w.Jobs["j-1"] = &protocol.Job{ID: "j-1", Shape: protocol.Array, TaskCount: 1, CPUs: 1}
-		w.AddMirrored(0, "a", "zone", machineType)
-		w.AddMirrored(0, "b", "zone", machineType)
+		w.AddRemoteWorker(0, "a", "zone", machineType)
+		w.AddRemoteWorker(0, "b", "zone", machineType)
 		x.steps(w)
 		if len(w.Violations) != x.violations || w.TasksOnMachines() != x.onMachines {
 			t.Errorf("%s: violations %v, %d tasks on machines", name, w.Violations, w.TasksOnMachines())
--- a/internal/protocol/codec.go
+++ b/internal/protocol/codec.go
@@ -32,18 +32,18 @@
 // MessagePack map that fits v.
 func Decode(raw []byte, v any) error {
 	if !IsMap(raw) {
-		return Malformed("not a map")
+		return NewMalformedError("not a map")
 	}
-	return DecodeAny(raw, v)
+	return DecodeValue(raw, v)
 }
 
-// DecodeAny decodes raw into v. It returns an error that matches [ErrMalformed] unless raw consists of exactly one
+// DecodeValue decodes raw into v. It returns an error that matches [ErrMalformed] unless raw consists of exactly one
 // MessagePack value, of any type that fits v.
-func DecodeAny(raw []byte, v any) (err error) {
+func DecodeValue(raw []byte, v any) (err error) {
 	// The msgpack decoder may panic on malformed input, and input from outside must never crash the process.
 	defer func() {
 		if r := recover(); r != nil {
-			err = Malformed("%v", r)
+			err = NewMalformedError("%v", r)
 		}
 	}()
 	dec := msgpack.GetDecoder()
@@ -53,7 +53,7 @@
 		return decodeError(err)
 	}
 	if _, err := dec.PeekCode(); !errors.Is(err, io.EOF) {
-		return Malformed("bytes after the value")
+		return NewMalformedError("bytes after the value")
 	}
 	return nil
 }
--- a/internal/protocol/doc.go
+++ b/internal/protocol/doc.go
@@ -61,7 +61,7 @@
 //	stamp                  Revision (of a key)
 //	standing               State
 //	startup_s              BootSeconds
-//	stow_s                 SaveSeconds
+//	stow_s                 CheckpointSaveSeconds
 //	tally                  Sequence
 //	tenancy                LeaseID
 //	truncated              More
--- a/internal/protocol/errors.go
+++ b/internal/protocol/errors.go
@@ -34,8 +34,8 @@
 // Unwrap returns the error that the decoder returned, or nil.
 func (e *MalformedError) Unwrap() error { return e.Err }
 
-// Malformed returns a [MalformedError] that concerns a whole message.
-func Malformed(format string, args ...any) error {
+// NewMalformedError returns a [MalformedError] that concerns a whole message.
+func NewMalformedError(format string, args ...any) error {
 	return &MalformedError{Reason: fmt.Sprintf(format, args...)}
 }
 
--- a/internal/protocol/heartbeat.go
+++ b/internal/protocol/heartbeat.go
@@ -31,7 +31,7 @@
 	}
 	if heartbeat.Machine == "" || heartbeat.Addr == "" || heartbeat.Type == "" || heartbeat.Zone == "" ||
 		heartbeat.Incarnation == 0 {
-		return nil, Malformed("report without machine, address, type, zone or session")
+		return nil, NewMalformedError("report without machine, address, type, zone or session")
 	}
 	return &heartbeat, nil
 }
--- a/internal/protocol/job.go
+++ b/internal/protocol/job.go
@@ -71,8 +71,8 @@
 	// CheckpointIntervalSeconds is the progress, in run time, between two checkpoints of a task, or 0 if the tasks save
 	// none.
 	CheckpointIntervalSeconds float64 `msgpack:"bookmark_s"`
-	// SaveSeconds is the time that a task needs for saving a checkpoint when it is stopped.
-	SaveSeconds float64 `msgpack:"stow_s"`
+	// CheckpointSaveSeconds is the time that a task needs for saving a checkpoint when it is stopped.
+	CheckpointSaveSeconds float64 `msgpack:"stow_s"`
 	// DeadlineSeconds is the time from the submission to the deadline of the job, or 0 if it has no deadline.
 	DeadlineSeconds float64 `msgpack:"due_s,omitempty"`
 	// Dependencies are the IDs of the jobs that must be done before any task of this job starts.
--- a/internal/protocol/machines.go
+++ b/internal/protocol/machines.go
@@ -50,9 +50,9 @@
 	Types []MachineType `msgpack:"breeds"`
 }
 
-// Rental is a request to rent machines. RequestID makes it idempotent: the cloud answers a repeated ID with the
+// RentalRequest is a request to rent machines. RequestID makes it idempotent: the cloud answers a repeated ID with the
 // machines of the first request, so an ID must never be reused for a different request.
-type Rental struct {
+type RentalRequest struct {
 	RequestID   string `msgpack:"hire"`
 	MachineType string `msgpack:"breed"`
 	Zone        string `msgpack:"parish"`
@@ -60,7 +60,8 @@
 	Count       int    `msgpack:"how_many"`
 }
 
-// MachineNames lists machines: in the response to a [Rental] those rented, in a release request those to release.
+// MachineNames lists machines: in the response to a [RentalRequest] those rented, in a release request those to
+// release.
 type MachineNames struct {
 	Machines []string `msgpack:"rigs"`
 }
--- a/internal/protocol/peercodec.go
+++ b/internal/protocol/peercodec.go
@@ -41,7 +41,7 @@
 }
 
 // DecodePeerMessage decodes and validates a message from another controller. It does not validate the opinions, because
-// a controller may reject those and still use the rest of the message (see [CheckOpinions]).
+// a controller may reject those and still use the rest of the message (see [ValidateOpinions]).
 func DecodePeerMessage(raw []byte) (*PeerMessage, error) {
 	var m PeerMessage
 	if err := cborDecMode.Unmarshal(raw, &m); err != nil {
@@ -55,10 +55,10 @@
 
 func (m *PeerMessage) validate() error {
 	if m.Version != PeerProtocolVersion {
-		return Malformed("peer message of version %d", m.Version)
+		return NewMalformedError("peer message of version %d", m.Version)
 	}
 	if m.Kind < PeerHeartbeat || m.Kind > PeerUnchangedHeartbeats || m.From == "" {
-		return Malformed("peer message of kind %d from %q", m.Kind, m.From)
+		return NewMalformedError("peer message of kind %d from %q", m.Kind, m.From)
 	}
 	if err := m.validateMachines(); err != nil {
 		return err
@@ -71,10 +71,10 @@
 func (m *PeerMessage) validateMachines() error {
 	machines, incarnations, sequences := len(m.Machines), len(m.MachineIncarnations), len(m.HeartbeatSequences)
 	if machines > MaxMachinesPerMessage {
-		return Malformed("peer message with %d machines", machines)
+		return NewMalformedError("peer message with %d machines", machines)
 	}
 	if incarnations != sequences || incarnations > 0 && incarnations != machines {
-		return Malformed("peer message with %d machines, %d incarnations and %d sequences",
+		return NewMalformedError("peer message with %d machines, %d incarnations and %d sequences",
 			machines, incarnations, sequences)
 	}
 	return nil
@@ -86,11 +86,11 @@
 	withoutIncarnation := m.Incarnation == 0 && (m.Recovered || len(m.Intents) > 0 || m.AckedIntents > 0)
 	overflow := m.IntentOffset+uint64(len(m.Intents)) < m.IntentOffset
 	if len(m.Intents) > MaxIntentsPerMessage || withoutIncarnation || overflow || m.ExpiredIntents > m.IntentOffset {
-		return Malformed("peer message with invalid intents from %q", m.From)
+		return NewMalformedError("peer message with invalid intents from %q", m.From)
 	}
 	for _, intent := range m.Intents {
 		if !ValidJobID(intent.JobID) {
-			return Malformed("peer message with an intent for %.80q", intent.JobID)
+			return NewMalformedError("peer message with an intent for %.80q", intent.JobID)
 		}
 	}
 	return nil
--- a/internal/protocol/peermessage_test.go
+++ b/internal/protocol/peermessage_test.go
@@ -141,7 +141,7 @@
 		"report": {Kind: PeerForwardedHeartbeat, ID: 11, From: "bothy-2", Body: []byte{0x80}},
 		"heard":  {Kind: PeerLiveMachinesQuery, ID: 12, From: "bothy-2", Machines: []string{"host-000231"}},
 	} {
-		raw := testutil.Production(t, name)
+		raw := testutil.ProductionFixture(t, name)
 		written, err := EncodePeerMessage(&want)
 		if err != nil || !bytes.Equal(written, raw) {
 			t.Errorf("%s is encoded as %x, want %x, %v", name, written, raw, err)
@@ -225,7 +225,7 @@
 		Failed:             true,
 		UnreachableThrough: []string{"n-2"},
 	}
-	if err := CheckOpinions([]PeerOpinion{good, {Controller: "n-2", HeardAgoMS: -1}}); err != nil {
+	if err := ValidateOpinions([]PeerOpinion{good, {Controller: "n-2", HeardAgoMS: -1}}); err != nil {
 		t.Error(err)
 	}
 	for name, change := range map[string]func(*PeerOpinion){
@@ -241,11 +241,11 @@
 	} {
 		bad := good
 		change(&bad)
-		if CheckOpinions([]PeerOpinion{bad}) == nil {
+		if ValidateOpinions([]PeerOpinion{bad}) == nil {
 			t.Errorf("%s: accepted", name)
 		}
 	}
-	if CheckOpinions(make([]PeerOpinion, MaxOpinions+1)) == nil {
+	if ValidateOpinions(make([]PeerOpinion, MaxOpinions+1)) == nil {
 		t.Error("too many: accepted")
 	}
 }
--- a/internal/protocol/peeropinion.go
+++ b/internal/protocol/peeropinion.go
@@ -21,15 +21,15 @@
 // MaxOpinions is the maximum number of opinions in a message, and of controllers in UnreachableThrough of each opinion.
 const MaxOpinions = 256
 
-// CheckOpinions returns an error that matches [ErrMalformed] if there are too many opinions, or if the values of one
+// ValidateOpinions returns an error that matches [ErrMalformed] if there are too many opinions, or if the values of one
 // are impossible or inconsistent.
-func CheckOpinions(opinions []PeerOpinion) error {
+func ValidateOpinions(opinions []PeerOpinion) error {
 	if len(opinions) > MaxOpinions {
-		return Malformed("%d opinions", len(opinions))
+		return NewMalformedError("%d opinions", len(opinions))
 	}
 	for i := range opinions {
 		if !opinions[i].valid() {
-			return Malformed("opinion of %q", opinions[i].Controller)
+			return NewMalformedError("opinion of %q", opinions[i].Controller)
 		}
 	}
 	return nil
--- a/internal/protocol/submission.go
+++ b/internal/protocol/submission.go
@@ -32,7 +32,7 @@
 	SpotAllowed               *bool     `msgpack:"lendable"`
 	EstimateSeconds           *float64  `msgpack:"reckon_s"`
 	CheckpointIntervalSeconds *float64  `msgpack:"bookmark_s"`
-	SaveSeconds               *float64  `msgpack:"stow_s"`
+	CheckpointSaveSeconds     *float64  `msgpack:"stow_s"`
 	DeadlineSeconds           *float64  `msgpack:"due_s"`
 	// Dependencies is decoded separately, so that an error can name the field.
 	Dependencies msgpack.RawMessage `msgpack:"awaits"`
@@ -119,7 +119,7 @@
 		{"size_gb", s.ImageGB},
 		{"reckon_s", s.EstimateSeconds},
 		{"bookmark_s", s.CheckpointIntervalSeconds},
-		{"stow_s", s.SaveSeconds},
+		{"stow_s", s.CheckpointSaveSeconds},
 	}
 	for _, number := range numbers {
 		if number.value == nil || !isFiniteNonNegative(*number.value) {
@@ -171,7 +171,7 @@
 		return nil, nil
 	}
 	var ids []string
-	if err := DecodeAny(raw, &ids); err != nil {
+	if err := DecodeValue(raw, &ids); err != nil {
 		return nil, malformedDependencies()
 	}
 	for _, id := range ids {
@@ -206,7 +206,7 @@
 		SpotAllowed:               *s.SpotAllowed,
 		EstimateSeconds:           *s.EstimateSeconds,
 		CheckpointIntervalSeconds: *s.CheckpointIntervalSeconds,
-		SaveSeconds:               *s.SaveSeconds,
+		CheckpointSaveSeconds:     *s.CheckpointSaveSeconds,
 		DeadlineSeconds:           valueOrZero(s.DeadlineSeconds),
 		Dependencies:              dependencies,
 	}
--- a/internal/protocol/submission_test.go
+++ b/internal/protocol/submission_test.go
@@ -37,7 +37,7 @@
 		SpotAllowed:               rapid.Bool().Draw(t, "spot"),
 		EstimateSeconds:           drawNumber().Draw(t, "est"),
 		CheckpointIntervalSeconds: drawNumber().Draw(t, "cp"),
-		SaveSeconds:               drawNumber().Draw(t, "save"),
+		CheckpointSaveSeconds:     drawNumber().Draw(t, "save"),
 	}
 	if rapid.Bool().Draw(t, "limited") {
 		j.MachineTypes = rapid.SliceOfN(drawName(), 1, 4).Draw(t, "types")
@@ -55,7 +55,7 @@
 		t.Fatal(err)
 	}
 	var m map[string]any
-	if err := DecodeAny(raw, &m); err != nil {
+	if err := DecodeValue(raw, &m); err != nil {
 		t.Fatal(err)
 	}
 	return m
@@ -164,7 +164,7 @@
 				t.Fatal(err)
 			}
 			var fields map[string]any
-			if err := DecodeAny(raw, &fields); err != nil {
+			if err := DecodeValue(raw, &fields); err != nil {
 				t.Fatal(err)
 			}
 			fields[x.field] = x.value
@@ -207,7 +207,7 @@
 			t.Fatal(err)
 		}
 		var fields map[string]any
-		if err := DecodeAny(raw, &fields); err != nil {
+		if err := DecodeValue(raw, &fields); err != nil {
 			t.Fatal(err)
 		}
 		fields["awaits"] = x.awaits
--- a/internal/protocol/task.go
+++ b/internal/protocol/task.go
@@ -50,7 +50,7 @@
 			return TaskID{JobID: job, Index: index}, nil
 		}
 	}
-	return TaskID{}, Malformed("task %q", name)
+	return TaskID{}, NewMalformedError("task %q", name)
 }
 
 // TaskStatus is the status of one attempt of a task as the worker reports it.
--- a/internal/random/random.go
+++ b/internal/random/random.go
@@ -24,8 +24,8 @@
 // NewSystemSeeded returns a source with a random seed.
 func NewSystemSeeded() *Source { return New(rand.Uint64()) }
 
-// Named returns an independent source for a component. Its seed is derived from the seed of s and the name.
-func (s *Source) Named(name string) *Source { return New(s.seed ^ hash(name)) }
+// Derive returns an independent source for a component. Its seed is derived from the seed of s and the name.
+func (s *Source) Derive(name string) *Source { return New(s.seed ^ hash(name)) }
 
 // For returns a generator for a purpose at the current time. It returns the same sequence of numbers whenever it is
 // called for the same purpose at the same time.
--- a/internal/random/random_test.go
+++ b/internal/random/random_test.go
@@ -31,7 +31,7 @@
 	if first[0] == first[1] || first[0] == first[2] || first[1] == first[2] {
 		t.Errorf("numbers %v do not depend on purpose and time", first)
 	}
-	if draw(New(1).Named("n-0"))[0] == draw(New(1).Named("n-1"))[0] {
+	if draw(New(1).Derive("n-0"))[0] == draw(New(1).Derive("n-1"))[0] {
 		t.Error("sources with different names draw the same number")
 	}
 }
--- a/internal/simulation/answerchecker.go
+++ b/internal/simulation/answerchecker.go
@@ -29,8 +29,8 @@
 	// CancelTimeout limits how long a job may be reported in another state after a user was told that one of its
 	// dependencies is cancelled.
 	CancelTimeout time.Duration
-	// BindingAnswers is the number of answers that contained the status of a job.
-	BindingAnswers int
+	// StatusAnswers is the number of answers that contained the status of a job.
+	StatusAnswers int
 
 	mu              sync.Mutex
 	submitted       map[string]bool
@@ -99,7 +99,7 @@
 	default:
 		return
 	}
-	c.BindingAnswers++
+	c.StatusAnswers++
 	c.answered[id] = now
 	if !c.submitted[id] {
 		violation("invented", "a %s got %d", kind, status)
--- a/internal/simulation/cloud.go
+++ b/internal/simulation/cloud.go
@@ -19,7 +19,7 @@
 	// ListLag is the age of the data in the list of machines.
 	ListLag time.Duration
 	// Capacity returns the number of machines that are available for a rental.
-	Capacity func(protocol.Rental) int
+	Capacity func(protocol.RentalRequest) int
 	// BootTime returns the time between the rental of a machine and the start of its worker.
 	BootTime func(name string) time.Duration
 	// Address returns the address of the worker on the machine with the given number.
@@ -91,7 +91,7 @@
 }
 
 func (c *Cloud) handleRental(raw []byte) (int, any) {
-	var rental protocol.Rental
+	var rental protocol.RentalRequest
 	if err := protocol.Decode(raw, &rental); err != nil {
 		return badRequest(err)
 	}
@@ -146,7 +146,7 @@
 }
 
 // rent rents machines and returns their names. It is idempotent: a repeated request gets the machines of the first one.
-func (c *Cloud) rent(rental protocol.Rental) []string {
+func (c *Cloud) rent(rental protocol.RentalRequest) []string {
 	if names, ok := c.requests[rental.RequestID]; ok {
 		return names
 	}
@@ -166,8 +166,8 @@
 	return names
 }
 
-// Start adds a machine without a rental. The machine is running and listed immediately.
-func (c *Cloud) Start(machineType, zone string, spot bool) {
+// AddRunningMachine adds a machine without a rental. The machine is running and listed immediately.
+func (c *Cloud) AddRunningMachine(machineType, zone string, spot bool) {
 	m := c.add(machineType, zone, spot)
 	m.rentedAt -= c.ListLag
 	c.bringUp(m)
--- a/internal/simulation/cluster_cloud_test.go
+++ b/internal/simulation/cluster_cloud_test.go
@@ -20,7 +20,7 @@
 }
 
 // rentalCapacity returns the number of machines that are available for a rental. The caller holds c.mu.
-func (c *cluster) rentalCapacity(rental protocol.Rental) int {
+func (c *cluster) rentalCapacity(rental protocol.RentalRequest) int {
 	if c.zonesWithoutRentals[rental.Zone] {
 		return 0
 	}
--- a/internal/simulation/cluster_test.go
+++ b/internal/simulation/cluster_test.go
@@ -333,7 +333,7 @@
 	n.host = c.net.Host(n.ip)
 	ctx, stop := context.WithCancel(c.ctx)
 	n.stop, n.up = stop, true
-	process := daemon.New(n.host, c.random.Named(fmt.Sprint(n.name, c.now())), &n.settings, n.features, c.log)
+	process := daemon.New(n.host, c.random.Derive(fmt.Sprint(n.name, c.now())), &n.settings, n.features, c.log)
 	n.process = process
 	c.spawn(func() {
 		if err := process.Run(ctx); err != nil && ctx.Err() == nil {
--- a/internal/simulation/cluster_worker_test.go
+++ b/internal/simulation/cluster_worker_test.go
@@ -72,7 +72,7 @@
 	env := &Environment{
 		Lock:              &c.mu,
 		Now:               c.now,
-		Random:            c.random.Named("workers"),
+		Random:            c.random.Derive("workers"),
 		HeartbeatInterval: config.Seconds(c.cfg.Workers.HeartbeatSeconds),
 		OnError:           func(err error) { c.t.Error(err) },
 	}
--- a/internal/simulation/failoveroracle.go
+++ b/internal/simulation/failoveroracle.go
@@ -8,8 +8,8 @@
 	"pinebay/internal/storage"
 )
 
-// FreeMachine describes the zone and the free resources of a machine.
-type FreeMachine struct {
+// FreeCapacity describes the zone and the free resources of a machine.
+type FreeCapacity struct {
 	Zone string
 	Free machineregistry.Resources
 }
@@ -52,7 +52,7 @@
 
 // CheckCycle checks one scheduling cycle. placed are the tasks that it placed, waiting the jobs that still wait after
 // it, and machines the free resources after it, by machine name.
-func (o *RecoveryOrderOracle) CheckCycle(placed []PlacedTask, waiting []WaitingJob, machines map[string]FreeMachine) {
+func (o *RecoveryOrderOracle) CheckCycle(placed []PlacedTask, waiting []WaitingJob, machines map[string]FreeCapacity) {
 	for _, job := range waiting {
 		withoutLaterJobs := maps.Clone(machines) // free resources if later jobs had not been placed
 		placedInstead := ""
@@ -73,7 +73,7 @@
 }
 
 // fits reports whether the tasks of the job fit into the free resources of the machines.
-func (j WaitingJob) fits(machines map[string]FreeMachine) bool {
+func (j WaitingJob) fits(machines map[string]FreeCapacity) bool {
 	perZone := map[string]int{}
 	for name, machine := range machines {
 		if j.ExcludedMachines[name] {
--- a/internal/simulation/failoveroracle_test.go
+++ b/internal/simulation/failoveroracle_test.go
@@ -22,7 +22,7 @@
 			MaxPerZone:    map[string]int{"b": 2},
 		}
 	}
-	machines := map[string]FreeMachine{"m1": {"b", gpus(1)}, "m2": {"b", gpus(0)}, "m3": {"c", gpus(0)}}
+	machines := map[string]FreeCapacity{"m1": {"b", gpus(1)}, "m2": {"b", gpus(0)}, "m3": {"c", gpus(0)}}
 	late := job("late", 1, 0, 1, 4)
 	for _, row := range []struct {
 		name     string
--- a/internal/simulation/faults_test.go
+++ b/internal/simulation/faults_test.go
@@ -395,7 +395,7 @@
 			j.Zone = []string{"", "a", "b"}[i%3]
 			j.SameZone = j.Shape == protocol.Gang && i%2 == 0
 			if i%3 != 0 {
-				j.CheckpointIntervalSeconds, j.SaveSeconds = 5, 1
+				j.CheckpointIntervalSeconds, j.CheckpointSaveSeconds = 5, 1
 			}
 			c.mu.Lock()
 			c.world.RunTimes[j.ID] = 10 * time.Second
--- a/internal/simulation/network.go
+++ b/internal/simulation/network.go
@@ -33,7 +33,7 @@
 // NewNetwork returns a network without listeners. The seed determines the delays of packets.
 func NewNetwork(seed uint64) *Network {
 	return &Network{
-		random:     random.New(seed).Named("network"),
+		random:     random.New(seed).Derive("network"),
 		done:       make(chan struct{}),
 		listeners:  map[string]*listener{},
 		blocked:    func(string, string) bool { return false },
--- a/internal/simulation/mirrored.go
+++ b/internal/simulation/remoteworker.go
@@ -6,20 +6,20 @@
 	"pinebay/internal/protocol"
 )
 
-// AddMirrored adds a machine whose worker runs in another process. Each heartbeat of that worker must be passed to
+// AddRemoteWorker adds a machine whose worker runs in another process. Each heartbeat of that worker must be passed to
 // ApplyHeartbeat before a controller receives it, so that the rules are also checked for its tasks.
-func (w *World) AddMirrored(now time.Duration, name, zone string, machineType *protocol.MachineType) *Worker {
+func (w *World) AddRemoteWorker(now time.Duration, name, zone string, machineType *protocol.MachineType) *Worker {
 	m := w.AddMachine(now, name, zone, false, machineType, 0)
-	m.mirrored = true
+	m.remote = true
 	w.schedule(m)
 	return m
 }
 
-// ApplyHeartbeat updates the tasks of a mirrored worker from a heartbeat. Tasks that the heartbeat does not list have
+// ApplyHeartbeat updates the tasks of a remote worker from a heartbeat. Tasks that the heartbeat does not list have
 // ended.
 func (w *World) ApplyHeartbeat(now time.Duration, heartbeat *protocol.WorkerHeartbeat) {
 	m := w.Workers[heartbeat.Machine]
-	if m == nil || !m.mirrored {
+	if m == nil || !m.remote {
 		return
 	}
 	listed := map[protocol.TaskID]bool{}
@@ -39,7 +39,7 @@
 	}
 }
 
-// applyTaskStatus updates a task of a mirrored worker, or adds it if its attempt is new.
+// applyTaskStatus updates a task of a remote worker, or adds it if its attempt is new.
 func (m *Worker) applyTaskStatus(now time.Duration, id protocol.TaskID, status *protocol.TaskStatus) {
 	w := m.World
 	j := w.Jobs[id.JobID]
--- a/internal/simulation/store_limits.go
+++ b/internal/simulation/store_limits.go
@@ -115,7 +115,7 @@
 // jsonSize returns the size of a MessagePack value in JSON, which is the size that the limits apply to.
 func jsonSize(raw []byte) int {
 	var v any
-	if err := protocol.DecodeAny(raw, &v); err != nil {
+	if err := protocol.DecodeValue(raw, &v); err != nil {
 		return len(raw)
 	}
 	out, err := json.Marshal(v)
--- a/internal/simulation/system_environment_test.go
+++ b/internal/simulation/system_environment_test.go
@@ -168,7 +168,7 @@
 }
 
 // rentMachines rents up to three machines and returns their names. Some of them never boot.
-func (s *simulatedSystem) rentMachines(r protocol.Rental) []string {
+func (s *simulatedSystem) rentMachines(r protocol.RentalRequest) []string {
 	if names, ok := s.rentals[r.RequestID]; ok {
 		return names
 	}
--- a/internal/simulation/system_users_test.go
+++ b/internal/simulation/system_users_test.go
@@ -29,7 +29,7 @@
 		j.Spread = true
 	}
 	if shape != protocol.Service && s.rng.IntN(2) == 0 {
-		j.CheckpointIntervalSeconds, j.SaveSeconds = 2, 1
+		j.CheckpointIntervalSeconds, j.CheckpointSaveSeconds = 2, 1
 	}
 	s.world.Jobs[id] = &j
 	_, failed, _ := s.store.Txn(protocol.Txn{
--- a/internal/simulation/worker.go
+++ b/internal/simulation/worker.go
@@ -54,7 +54,7 @@
 
 	lastAnsweredSentAt time.Duration // when the last heartbeat that was answered was sent
 	nextDueAt          time.Duration // time of the next timed state change, see nextDue
-	mirrored           bool          // the worker runs in another process, see World.AddMirrored
+	remote             bool          // the worker runs in another process, see World.AddRemoteWorker
 }
 
 // markChanged makes a heartbeat due.
@@ -167,7 +167,7 @@
 		grace = *graceSeconds
 	}
 	switch {
-	case t.State == protocol.TaskRunning && job.CheckpointIntervalSeconds > 0 && grace >= job.SaveSeconds:
+	case t.State == protocol.TaskRunning && job.CheckpointIntervalSeconds > 0 && grace >= job.CheckpointSaveSeconds:
 		m.setTaskState(t, protocol.TaskSaving)
 		t.StateSince = now
 	case t.State != protocol.TaskSaving || grace == 0:
@@ -297,7 +297,7 @@
 			m.complete(now, t, job)
 		}
 	case protocol.TaskSaving:
-		if now-t.StateSince >= time.Duration(job.SaveSeconds*float64(time.Second)) {
+		if now-t.StateSince >= time.Duration(job.CheckpointSaveSeconds*float64(time.Second)) {
 			t.HasCheckpoint = true
 			m.exit(now, t, protocol.CauseStopped)
 		}
@@ -338,7 +338,7 @@
 
 // nextDue returns the time of the next state change on the machine that is caused by the passage of time.
 func (m *Worker) nextDue() time.Duration {
-	if m.mirrored {
+	if m.remote {
 		return math.MaxInt64
 	}
 	due := m.lastAnsweredSentAt + m.LeaseTimeout + 1
@@ -369,7 +369,7 @@
 			return t.StateSince + w.runTime(t.ID)
 		}
 	case protocol.TaskSaving:
-		return t.StateSince + time.Duration(j.SaveSeconds*float64(time.Second))
+		return t.StateSince + time.Duration(j.CheckpointSaveSeconds*float64(time.Second))
 	}
 	return math.MaxInt64
 }
--- a/internal/simulation/zonefailover_test.go
+++ b/internal/simulation/zonefailover_test.go
@@ -167,7 +167,7 @@
 	}
 	for i := range 3 {
 		j := c.newJob(protocol.Gang, 1+i%2, 8)
-		j.Priority, j.SameZone, j.CheckpointIntervalSeconds, j.SaveSeconds, j.Team = "urgent", true, 5, 1, "red"
+		j.Priority, j.SameZone, j.CheckpointIntervalSeconds, j.CheckpointSaveSeconds, j.Team = "urgent", true, 5, 1, "red"
 		c.submit(j)
 	}
 	c.submitArrays(6)
@@ -179,7 +179,7 @@
 		j := c.newJob(protocol.Array, 4, 2)
 		j.Priority = "best_effort"
 		if i%2 == 0 {
-			j.CheckpointIntervalSeconds, j.SaveSeconds = 5, 1
+			j.CheckpointIntervalSeconds, j.CheckpointSaveSeconds = 5, 1
 		}
 		c.mu.Lock()
 		c.world.RunTimes[j.ID] = 15 * s
--- a/internal/storage/compatibility_test.go
+++ b/internal/storage/compatibility_test.go
@@ -31,7 +31,7 @@
 		SpotAllowed:               true,
 		EstimateSeconds:           240,
 		CheckpointIntervalSeconds: 30,
-		SaveSeconds:               4,
+		CheckpointSaveSeconds:     4,
 		DeadlineSeconds:           900,
 	}
 	for name, want := range map[string]any{
@@ -76,7 +76,7 @@
 			}},
 		},
 	} {
-		raw := testutil.Production(t, name)
+		raw := testutil.ProductionFixture(t, name)
 		got := reflect.New(reflect.TypeOf(want).Elem()).Interface()
 		if err := protocol.Decode(raw, got); err != nil || !reflect.DeepEqual(got, want) {
 			t.Errorf("%s is decoded as %+v: %v", name, got, err)
@@ -104,7 +104,7 @@
 		MemoryGB: 64,
 	}
 	layout := storage.PageLayout{TasksPerPage: storage.OriginalTasksPerPage(8)}
-	raw := testutil.Production(t, "page")
+	raw := testutil.ProductionFixture(t, "page")
 	got, err := storage.DecodePage(protocol.KeyValue{Value: raw}, layout)
 	if err != nil || !reflect.DeepEqual(*got, want) {
 		t.Errorf("decoded as %+v: %v", got, err)
@@ -122,7 +122,7 @@
 // the production version, which expects the term to be a number, must fail to decode the record, so that it can't claim
 // a term.
 func TestProductionTerm(t *testing.T) {
-	raw, withoutLevel := testutil.Production(
+	raw, withoutLevel := testutil.ProductionFixture(
 		t,
 		"term",
 	), storage.TermRecord{
--- a/internal/storage/storage_test.go
+++ b/internal/storage/storage_test.go
@@ -153,7 +153,7 @@
 			t.Fatal(err)
 		}
 		var v any
-		if err := protocol.DecodeAny(raw, &v); err != nil {
+		if err := protocol.DecodeValue(raw, &v); err != nil {
 			t.Fatal(err)
 		}
 		encoded, err := json.Marshal(v)
--- a/internal/storage/valuelimit.go
+++ b/internal/storage/valuelimit.go
@@ -15,7 +15,7 @@
 // colon.
 func JSONSize(raw []byte) (int, error) {
 	var value any
-	if err := protocol.DecodeAny(raw, &value); err != nil {
+	if err := protocol.DecodeValue(raw, &value); err != nil {
 		return 0, err
 	}
 	encoded, err := json.Marshal(value)
--- a/internal/testutil/testutil.go
+++ b/internal/testutil/testutil.go
@@ -38,9 +38,9 @@
 	}
 }
 
-// Production returns a message or record as encoded by the version in production. It is stored in hexadecimal in the
-// directory testdata/production of the package under test.
-func Production(tb testing.TB, name string) []byte {
+// ProductionFixture returns a message or record as encoded by the version in production. It is stored in hexadecimal in
+// the directory testdata/production of the package under test.
+func ProductionFixture(tb testing.TB, name string) []byte {
 	tb.Helper()
 	text, err := os.ReadFile(filepath.Join("testdata", "production", name+".hex"))
 	if err != nil {
--- a/internal/transport/frame.go
+++ b/internal/transport/frame.go
@@ -17,7 +17,7 @@
 // WriteFrame writes raw as one frame with a single call of w.Write.
 func WriteFrame(w io.Writer, raw []byte) error {
 	if len(raw) > maxFrameBytes {
-		return protocol.Malformed("frame of %d bytes", len(raw))
+		return protocol.NewMalformedError("frame of %d bytes", len(raw))
 	}
 	frame := make([]byte, 0, frameHeaderBytes+len(raw))
 	frame = binary.BigEndian.AppendUint32(frame, uint32(len(raw)))
@@ -34,7 +34,7 @@
 	}
 	n := binary.BigEndian.Uint32(header[:])
 	if n == 0 || n > maxFrameBytes {
-		return nil, protocol.Malformed("frame of %d bytes", n)
+		return nil, protocol.NewMalformedError("frame of %d bytes", n)
 	}
 	raw := make([]byte, n)
 	_, err := io.ReadFull(r, raw)
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -15,14 +15,14 @@
 func ReadBody(w http.ResponseWriter, r *http.Request) ([]byte, error) {
 	if r.ContentLength > protocol.MaxBodyBytes {
 		w.Header().Set("Connection", "close")
-		return nil, protocol.Malformed("body of %d bytes", r.ContentLength)
+		return nil, protocol.NewMalformedError("body of %d bytes", r.ContentLength)
 	}
 	raw, err := io.ReadAll(http.MaxBytesReader(w, r.Body, protocol.MaxBodyBytes))
 	if err != nil {
 		var tooLarge *http.MaxBytesError
 		if errors.As(err, &tooLarge) {
 			w.Header().Set("Connection", "close")
-			return nil, protocol.Malformed("body too long")
+			return nil, protocol.NewMalformedError("body too long")
 		}
 		return nil, fmt.Errorf("read body: %w", err)
 	}
