--- a/internal/coordination/scheduler/cycle.go
+++ b/internal/coordination/scheduler/cycle.go
@@ -52,7 +52,8 @@
 	for j, ok := queue.Next(); ok; j, ok = queue.Next() {
 		j.LastTriedCycle = s.cycle.count
 		if len(j.NominatedMachines) > 0 {
-			s.preemption.InvalidateFailedSearches() // later jobs may use the nominated machines that this job does not need
+			// Later jobs may use the nominated machines that this job does not need.
+			s.preemption.InvalidateFailedSearches()
 		}
 		pending := j.PendingTasks()
 		if pending == 0 {
--- a/internal/simulation/zonefailover_test.go
+++ b/internal/simulation/zonefailover_test.go
@@ -167,7 +167,8 @@
 	}
 	for i := range 3 {
 		j := c.newJob(protocol.Gang, 1+i%2, 8)
-		j.Priority, j.SameZone, j.CheckpointIntervalSeconds, j.CheckpointSaveSeconds, j.Team = "urgent", true, 5, 1, "red"
+		j.Priority, j.SameZone, j.Team = "urgent", true, "red"
+		j.CheckpointIntervalSeconds, j.CheckpointSaveSeconds = 5, 1
 		c.submit(j)
 	}
 	c.submitArrays(6)
