--- a/internal/coordination/api/jobreader.go
+++ b/internal/coordination/api/jobreader.go
@@ -28,10 +28,10 @@
 	finals         *finalStates
 	index          *jobIndex // used only by the goroutine in answerBatches
 
-	mu                sync.Mutex
-	waiting           []*jobQuery
-	running           bool      // set while a goroutine is in answerBatches
-	leaderSilentUntil time.Time // the leader did not answer and is not asked until then
+	mu                 sync.Mutex
+	waiting            []*jobQuery
+	running            bool      // set while a goroutine is in answerBatches
+	leaderBackoffUntil time.Time // the leader did not answer and is not asked until then
 }
 
 // jobQuery is a query in a batch, and its result.
@@ -141,7 +141,7 @@
 		r.waiting, r.running = nil, false
 		return nil, false
 	}
-	return batch, !time.Now().Before(r.leaderSilentUntil)
+	return batch, !time.Now().Before(r.leaderBackoffUntil)
 }
 
 // answerBatch answers the queries of a batch with one message to the leader and one read of the key-value store.
@@ -175,7 +175,7 @@
 	statuses, ok := r.leaderStatuses(ctx, ids)
 	if !ok {
 		r.mu.Lock()
-		r.leaderSilentUntil = time.Now().Add(storage.MaxQueueTime)
+		r.leaderBackoffUntil = time.Now().Add(storage.MaxQueueTime)
 		r.mu.Unlock()
 	}
 	return statuses
--- a/internal/coordination/autoscaler/autoscaler.go
+++ b/internal/coordination/autoscaler/autoscaler.go
@@ -1,5 +1,5 @@
-// Package autoscaler decides which machines to rent from the cloud and which to release, and fences silent machines by
-// releasing them.
+// Package autoscaler decides which machines to rent from the cloud and which to release, and fences unreachable
+// machines by releasing them.
 //
 // An [Autoscaler] only makes decisions: [Autoscaler.Plan] returns [Effect] values, which the caller carries out, and
 // the caller reports the outcome of each to one of the Handle methods. The package does no I/O and reads no clock
@@ -54,9 +54,9 @@
 	NoScaleOut bool
 	// ProbeOnly allows one starting machine at a time in the zone, to find out whether more would register.
 	ProbeOnly bool
-	// IgnoreSilent excludes silent machines in the zone from the available capacity.
-	IgnoreSilent bool
-	// NoFencingUntil is the time until which machines in the zone are not fenced for being silent, because zone
+	// IgnoreUnreachable excludes unreachable machines in the zone from the available capacity.
+	IgnoreUnreachable bool
+	// NoFencingUntil is the time until which machines in the zone are not fenced for being unreachable, because zone
 	// failover decides about them. Machines with overdue cancelled tasks are fenced regardless.
 	NoFencingUntil time.Duration
 }
@@ -80,8 +80,8 @@
 	// startingByZone is the number of machines per zone that have been rented and have not registered yet. It is
 	// maintained only while zone policies are set.
 	startingByZone map[string]int
-	// unreachableUntil is, for each zone in which many machines fell silent at once, the time until which the zone
-	// counts as unreachable.
+	// unreachableUntil is, for each zone in which many machines became unreachable at once, the time until which the
+	// zone counts as unreachable.
 	unreachableUntil map[string]time.Duration
 
 	binBuffer []bin // of the last plan, kept to avoid an allocation
@@ -126,7 +126,7 @@
 		a.list.requestInFlight, a.list.lastRequest = true, now
 		effects = append(effects, ListMachines{})
 	}
-	a.fenceSilent(now)
+	a.fenceUnreachable(now)
 	var used map[string]bool
 	if a.HasMachineList() {
 		var scaleOuts []Effect
--- a/internal/coordination/autoscaler/autoscaler_test.go
+++ b/internal/coordination/autoscaler/autoscaler_test.go
@@ -133,8 +133,8 @@
 	}
 }
 
-// TestListProvesOnlyLaterAbsence checks that a machine counts as terminated only if it is silent and missing from a
-// list that describes a later state than a list that contained it. Lists lag, and one may describe an earlier state
+// TestListProvesOnlyLaterAbsence checks that a machine counts as terminated only if it is unreachable and missing from
+// a list that describes a later state than a list that contained it. Lists lag, and one may describe an earlier state
 // than the one before.
 func TestListProvesOnlyLaterAbsence(t *testing.T) {
 	scaler, registry := setup()
@@ -152,8 +152,8 @@
 	}
 }
 
-// TestScaleIn checks that idle machines, failed ones and those that never register are released. Silent machines are
-// fenced after the timeout, unless so many are silent at once that their zone counts as unreachable.
+// TestScaleIn checks that idle machines, failed ones and those that never register are released. Unreachable machines
+// are fenced after the timeout, unless so many are unreachable at once that their zone counts as unreachable.
 func TestScaleIn(t *testing.T) {
 	scaler, registry := setup()
 	scaler.HandleMachineList(
@@ -182,7 +182,7 @@
 		t.Errorf("released %v, want the machine that never registered", got)
 	}
 
-	for _, test := range []struct{ machines, silent, reconnected, want int }{
+	for _, test := range []struct{ machines, unreachable, reconnected, want int }{
 		{12, 1, 0, 1},
 		{12, 3, 0, 3},
 		{12, 8, 0, 0},
@@ -197,21 +197,27 @@
 			}
 		}
 		sendAll(10*s, 0, 1)
-		sendAll(16*s, test.silent, 2)
+		sendAll(16*s, test.unreachable, 2)
 		if got := releasedMachines(scaler.Plan(16*s, nil)); got != nil {
-			t.Errorf("%d of %d silent for less than the timeout: fenced %v", test.silent, test.machines, got)
+			t.Errorf("%d of %d unreachable for less than the timeout: fenced %v", test.unreachable, test.machines, got)
 		}
-		sendAll(18*s, test.silent-test.reconnected, 3)
+		sendAll(18*s, test.unreachable-test.reconnected, 3)
 		if got := releasedMachines(scaler.Plan(18*s, nil)); len(got) != test.want {
-			t.Errorf("%d of %d silent, %d reconnected: fenced %v", test.silent, test.machines, test.reconnected, got)
+			t.Errorf(
+				"%d of %d unreachable, %d reconnected: fenced %v",
+				test.unreachable,
+				test.machines,
+				test.reconnected,
+				got,
+			)
 		}
 	}
 }
 
-// TestSilentZoneIsNotFenced checks that no machine of a zone is fenced when the whole zone loses its connection,
-// whatever the intervals in the settings. Its machines then fall silent one after the other, each when its next
+// TestUnreachableZoneIsNotFenced checks that no machine of a zone is fenced when the whole zone loses its connection,
+// whatever the intervals in the settings. Its machines then become unreachable one after the other, each when its next
 // heartbeat is due, so the first could be fenced before the others show that the zone is unreachable.
-func TestSilentZoneIsNotFenced(t *testing.T) {
+func TestUnreachableZoneIsNotFenced(t *testing.T) {
 	for _, w := range []config.Workers{
 		{HeartbeatSeconds: 1, LeaseSeconds: 10, CancelSeconds: 40},
 		{HeartbeatSeconds: 5, LeaseSeconds: 29, CancelSeconds: 59},
@@ -347,9 +353,10 @@
 	}
 }
 
-// TestSilentHeadroomStays checks that idle machines are neither released nor replaced while they are briefly silent, as
-// when the leader loses its connection to all workers. In that situation the headroom of all zones was once released.
-func TestSilentHeadroomStays(t *testing.T) {
+// TestUnreachableHeadroomStays checks that idle machines are neither released nor replaced while they are briefly
+// unreachable, as when the leader loses its connection to all workers. In that situation the headroom of all zones was
+// once released.
+func TestUnreachableHeadroomStays(t *testing.T) {
 	scaler, registry := setup()
 	scaler.HandleMachineList(1*s, 0, nil)
 	demands := []Demand{{Job: &protocol.Job{ID: "j-1", GPUs: 8}, Count: 6, Headroom: true}}
@@ -396,22 +403,22 @@
 	}
 }
 
-// TestSilentMachinesUnderAPolicy checks that silent machines do not count as capacity in a zone with IgnoreSilent, and
-// are not fenced before NoFencingUntil.
-func TestSilentMachinesUnderAPolicy(t *testing.T) {
+// TestUnreachableMachinesUnderAPolicy checks that unreachable machines do not count as capacity in a zone with
+// IgnoreUnreachable, and are not fenced before NoFencingUntil.
+func TestUnreachableMachinesUnderAPolicy(t *testing.T) {
 	scaler, registry := setup()
 	scaler.HandleMachineList(1*s, 0, nil)
 	for i := range 4 {
 		sendHeartbeat(registry, 10*s, fmt.Sprintf("m%d", i), "a", 1)
 	}
-	scaler.SetZonePolicies(map[string]ZonePolicy{"a": {IgnoreSilent: true, NoFencingUntil: 60 * s}})
+	scaler.SetZonePolicies(map[string]ZonePolicy{"a": {IgnoreUnreachable: true, NoFencingUntil: 60 * s}})
 	for now := 11 * s; now < 60*s; now += s {
 		effects := scaler.Plan(now, []Demand{{Job: &protocol.Job{ID: "j-1", GPUs: 8}, Count: 1}})
 		if got := releasedMachines(effects); len(got) > 0 {
 			t.Fatalf("fenced %v at %v", got, now)
 		}
 		if got := rentals(effects); now == 20*s && scaler.pendingRentals["r-3-1"].count != 1 {
-			t.Errorf("silent machines counted as capacity: rented %v", got)
+			t.Errorf("unreachable machines counted as capacity: rented %v", got)
 		}
 	}
 	if got := releasedMachines(scaler.Plan(120*s, nil)); len(got) == 0 {
--- a/internal/coordination/autoscaler/machinelist.go
+++ b/internal/coordination/autoscaler/machinelist.go
@@ -22,7 +22,7 @@
 
 // releaseRetentionFactor is the time for which released machines are remembered, as a multiple of the time that a
 // cancellation may take. Messages may be delayed by minutes. If one arrives even later, it adds the machine again,
-// which is then silent and is released once more.
+// which is then unreachable and is released once more.
 const releaseRetentionFactor = 20
 
 // HasMachineList reports whether a complete list has arrived in this term. Before that, the autoscaler does not know
--- a/internal/coordination/autoscaler/packing.go
+++ b/internal/coordination/autoscaler/packing.go
@@ -107,7 +107,7 @@
 	}
 }
 
-// addMachine adds a bin for a machine, unless the machine is about to leave, is quarantined, or is silent and not
+// addMachine adds a bin for a machine, unless the machine is about to leave, is quarantined, or is unreachable and not
 // expected to reconnect.
 func (p *packing) addMachine(m *machineregistry.Machine) {
 	t := p.registry.MachineType(m.Type)
@@ -115,7 +115,7 @@
 		return
 	}
 	p.machinesPerZone[m.Zone]++
-	if m.Registered && p.now-m.LastHeartbeat > p.registry.SilenceTimeout() && !p.expectsReconnect(m.Zone) {
+	if m.Registered && p.now-m.LastHeartbeat > p.registry.UnreachableTimeout() && !p.expectsReconnect(m.Zone) {
 		return
 	}
 	p.bins = append(p.bins, bin{
@@ -127,10 +127,10 @@
 	})
 }
 
-// expectsReconnect reports whether the silent machines of a zone are likely to reconnect, because the zone as a whole
-// is unreachable.
+// expectsReconnect reports whether the unreachable machines of a zone are likely to reconnect, because the zone as a
+// whole is unreachable.
 func (p *packing) expectsReconnect(zone string) bool {
-	return p.now < p.autoscaler.unreachableUntil[zone] && !p.autoscaler.zonePolicies[zone].IgnoreSilent
+	return p.now < p.autoscaler.unreachableUntil[zone] && !p.autoscaler.zonePolicies[zone].IgnoreUnreachable
 }
 
 func emptyBin(pool machinePool, t *protocol.MachineType) bin {
--- a/internal/coordination/autoscaler/scalein.go
+++ b/internal/coordination/autoscaler/scalein.go
@@ -87,7 +87,7 @@
 		return a.bootTimedOut(now, m, boot)
 	default:
 		return empty && !used[m.Name] && a.HasMachineList() && isIdle(now, m, boot) &&
-			now-m.LastHeartbeat <= a.registry.SilenceTimeout()
+			now-m.LastHeartbeat <= a.registry.UnreachableTimeout()
 	}
 }
 
--- a/internal/coordination/candidates/index_test.go
+++ b/internal/coordination/candidates/index_test.go
@@ -76,9 +76,9 @@
 	}
 }
 
-// TestSilentMachine checks that a machine that misses heartbeats after Refresh is removed from the index once a
+// TestUnreachableMachine checks that a machine that misses heartbeats after Refresh is removed from the index once a
 // search has found it, and returns with its next heartbeat.
-func TestSilentMachine(t *testing.T) {
+func TestUnreachableMachine(t *testing.T) {
 	ix, registry := newTestIndex(t, "m1", "m2")
 	later := time.Minute
 	heartbeat(registry, later, "m2", 2)
--- a/internal/coordination/election/candidacy.go
+++ b/internal/coordination/election/candidacy.go
@@ -10,8 +10,8 @@
 	// heartbeat.
 	peerHeardIntervals = 3
 	// stableQuorumIntervals is the number of heartbeat intervals for which a quorum must have been reachable before
-	// this controller may replace a silent leader. A shorter contact does not rule out that this controller is the one
-	// that is partitioned.
+	// this controller may replace a leader that it has no contact with. A shorter contact does not rule out that this
+	// controller is the one that is partitioned.
 	stableQuorumIntervals = 3
 	// leaderReconnectIntervals is the number of heartbeat intervals that a follower waits for a disconnected leader. A
 	// live leader reconnects within one.
@@ -86,11 +86,11 @@
 	}
 }
 
-// mayReplaceLeader reports whether a silent leader may be replaced. A leader whose key is still in the store counts as
-// failed only while this controller reaches a quorum: otherwise it is more likely that this controller is partitioned,
-// or that all controllers are partitioned from each other while the leader still serves the workers and keeps its key.
-// Without this check, the leadership changed hands repeatedly for as long as connections between controllers were
-// refused. A leader that has really failed loses its key when the lease expires.
+// mayReplaceLeader reports whether the leader may be replaced after contact with it was lost. A leader whose key is
+// still in the store counts as failed only while this controller reaches a quorum: otherwise it is more likely that
+// this controller is partitioned, or that all controllers are partitioned from each other while the leader still serves
+// the workers and keeps its key. Without this check, the leadership changed hands repeatedly for as long as connections
+// between controllers were refused. A leader that has really failed loses its key when the lease expires.
 func (e *Election) mayReplaceLeader(now time.Duration) bool {
 	if e.leaderKeyMissing || e.leader == "" || e.leader == e.self {
 		return true
--- a/internal/coordination/election/election.go
+++ b/internal/coordination/election/election.go
@@ -25,7 +25,7 @@
 type Timing struct {
 	// HeartbeatInterval is the time between two heartbeats to the same peer, and between two Ticks.
 	HeartbeatInterval time.Duration
-	// LeaderTimeout is how long a leader must have been silent before it may be replaced.
+	// LeaderTimeout is how long there must have been no contact with a leader before it may be replaced.
 	LeaderTimeout time.Duration
 	// LeaseTTL is the time to live of the lease that holds the leader key.
 	LeaseTTL time.Duration
@@ -105,7 +105,7 @@
 // that a view taken before is out of date.
 type View struct {
 	Term    uint64
-	Leader  string // "" if unknown or silent
+	Leader  string // "" if unknown or not in contact
 	Leading bool   // whether this controller is the leader
 	// ConfirmedUntil is set on the leader: the time at which its leadership ceases to be confirmed.
 	ConfirmedUntil time.Duration
--- a/internal/coordination/failuredetector/accrual.go
+++ b/internal/coordination/failuredetector/accrual.go
@@ -6,8 +6,8 @@
 )
 
 // accrualDetector is an adaptive failure detector for one peer. From the intervals between the peer's heartbeats it
-// computes phi, a measure of how unlikely the current silence is. It implements the phi accrual detector of Hayashibara
-// et al. (2004), with normally distributed intervals.
+// computes phi, a measure of how unlikely the time since the last heartbeat is. It implements the phi accrual detector
+// of Hayashibara et al. (2004), with normally distributed intervals.
 type accrualDetector struct {
 	lastHeardAt   time.Duration
 	lastReachedAt time.Duration // when it was last known to be alive through another controller
@@ -20,10 +20,10 @@
 const (
 	// maxSamples is the number of intervals in the sample window.
 	maxSamples = 64
-	// phiThreshold is the phi at which a peer becomes suspected. It corresponds to a silence with a probability of
-	// 10^-8.
+	// phiThreshold is the phi at which a peer becomes suspected. It corresponds to a time without contact that has a
+	// probability of 10^-8.
 	phiThreshold = 8
-	// maxPhi is the upper bound of phi, used for silences whose probability is practically zero.
+	// maxPhi is the upper bound of phi, used for times whose probability is practically zero.
 	maxPhi = 100
 	// minStdDev is the lower bound of the standard deviation, as a fraction of the heartbeat interval. Even a peer that
 	// has been punctual for a while may be late.
@@ -63,8 +63,8 @@
 // lastAliveAt returns the latest time at which the peer was known to be alive.
 func (a *accrualDetector) lastAliveAt() time.Duration { return max(a.lastHeardAt, a.lastReachedAt) }
 
-// phi returns the negative decimal logarithm of the probability that a live peer stays silent until now. slack is added
-// to the expected interval, because an observer that is itself delayed receives every heartbeat late.
+// phi returns the negative decimal logarithm of the probability that a live peer sends no heartbeat until now. slack is
+// added to the expected interval, because an observer that is itself delayed receives every heartbeat late.
 func (a *accrualDetector) phi(now, interval, slack time.Duration) float64 {
 	mean, variance := interval.Seconds(), 0.0
 	if n := float64(len(a.intervals)); n > 0 {
--- a/internal/coordination/failuredetector/accrual_test.go
+++ b/internal/coordination/failuredetector/accrual_test.go
@@ -28,8 +28,8 @@
 	}
 }
 
-// TestPhiIsMonotonicAndBounded checks that phi increases with the silence and stays within its bounds for any sequence
-// of intervals.
+// TestPhiIsMonotonicAndBounded checks that phi increases with the time without contact and stays within its bounds for
+// any sequence of intervals.
 func TestPhiIsMonotonicAndBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var a accrualDetector
@@ -39,8 +39,8 @@
 			a.recordHeartbeat(now, testTickInterval)
 		}
 		last := -1.0
-		for silence := time.Duration(0); silence < 10*time.Minute; silence += time.Second {
-			phi := a.phi(a.lastHeardAt+silence, testTickInterval, 0)
+		for sinceContact := time.Duration(0); sinceContact < 10*time.Minute; sinceContact += time.Second {
+			phi := a.phi(a.lastHeardAt+sinceContact, testTickInterval, 0)
 			if phi < last || phi < 0 || phi > maxPhi {
 				t.Fatalf("phi fell or left its bounds: %v, previously %v", phi, last)
 			}
--- a/internal/coordination/failuredetector/decision.go
+++ b/internal/coordination/failuredetector/decision.go
@@ -12,11 +12,11 @@
 
 // Suspected reports that this controller has started to suspect another one.
 type Suspected struct {
-	Controller  string
-	Incarnation Incarnation
-	SilentFor   time.Duration
-	Phi         float64
-	HealthScore int // health score of the observer
+	Controller       string
+	Incarnation      Incarnation
+	SinceLastContact time.Duration
+	Phi              float64
+	HealthScore      int // health score of the observer
 }
 
 // SuspicionCleared reports that a suspicion has ended, because the controller was heard from directly or reached
@@ -54,8 +54,8 @@
 
 // Describe implements Decision.
 func (d Suspected) Describe() string {
-	return fmt.Sprintf("controller %s (%s) is suspected: silent for %v, phi %.1f, own timers %s",
-		d.Controller, d.Incarnation, roundToMillisecond(d.SilentFor), d.Phi, describeHealthScore(d.HealthScore))
+	return fmt.Sprintf("controller %s (%s) is suspected: no contact for %v, phi %.1f, own timers %s",
+		d.Controller, d.Incarnation, roundToMillisecond(d.SinceLastContact), d.Phi, describeHealthScore(d.HealthScore))
 }
 
 // Describe implements Decision.
--- a/internal/coordination/failuredetector/detector.go
+++ b/internal/coordination/failuredetector/detector.go
@@ -1,9 +1,9 @@
 // Package failuredetector decides whether other controllers have failed.
 //
 // Each controller monitors the heartbeats of the others with an adaptive detector (see accrualDetector). A controller
-// that has become silent is suspected: its peers are asked to probe it, and the suspicion is sent to all controllers in
-// the heartbeats. A verdict is reached once a quorum considers the same incarnation failed. A suspicion alone only
-// causes probes, and a verdict takes effect only through the ownership record.
+// that is no longer in contact is suspected: its peers are asked to probe it, and the suspicion is sent to all
+// controllers in the heartbeats. A verdict is reached once a quorum considers the same incarnation failed. A suspicion
+// alone only causes probes, and a verdict takes effect only through the ownership record.
 //
 // Detector is a pure state machine: it performs no I/O, reads no clock and is not safe for concurrent use. The caller
 // passes each event to Step and carries out the effects in the order in which they were returned. After each Tick, it
@@ -42,7 +42,7 @@
 	// HeardAgo is how long ago the observer last heard from the controller directly. It is negative if it never has.
 	HeardAgo time.Duration
 	// Suspected reports whether the observer suspects the controller. If so, SuspectedFor is for how long it has, and
-	// Phi is a measure of how unlikely the current silence is.
+	// Phi is a measure of how unlikely the time since the last contact is.
 	Suspected    bool
 	SuspectedFor time.Duration
 	Phi          float64
@@ -155,7 +155,7 @@
 		p := d.peers[name]
 		switch {
 		case !p.everHeard:
-			// A peer that has never been heard from cannot be silent.
+			// A peer that has never been heard from cannot lose contact.
 		case !p.suspected && d.phi(now, p) >= phiThreshold:
 			d.suspect(now, name, p)
 		case p.suspected:
--- a/internal/coordination/failuredetector/detector_test.go
+++ b/internal/coordination/failuredetector/detector_test.go
@@ -224,10 +224,10 @@
 		t.Error("no heartbeat of n-0 was recorded")
 	}
 
-	const silence = 5 * time.Minute
-	limit := (controllers - 2) * int(2*silence/testTiming.SuspicionTimeout)
-	if probes := countProbes(silence); probes == 0 || probes > limit {
-		t.Errorf("%d probes in %v, want between 1 and %d", probes, silence, limit)
+	const outage = 5 * time.Minute
+	limit := (controllers - 2) * int(2*outage/testTiming.SuspicionTimeout)
+	if probes := countProbes(outage); probes == 0 || probes > limit {
+		t.Errorf("%d probes in %v, want between 1 and %d", probes, outage, limit)
 	}
 	if n := len(observer.Opinions(c.now)); n != controllers-1 {
 		t.Errorf("%d opinions, want %d", n, controllers-1)
--- a/internal/coordination/failuredetector/suspicion.go
+++ b/internal/coordination/failuredetector/suspicion.go
@@ -7,11 +7,11 @@
 	p.suspected, p.suspectedSince, p.failed = true, now, false
 	clear(p.unreachableThrough)
 	d.emitDecision(Suspected{
-		Controller:  name,
-		Incarnation: p.incarnation,
-		SilentFor:   now - p.accrual.lastHeardAt,
-		Phi:         d.phi(now, p),
-		HealthScore: d.healthScore,
+		Controller:       name,
+		Incarnation:      p.incarnation,
+		SinceLastContact: now - p.accrual.lastHeardAt,
+		Phi:              d.phi(now, p),
+		HealthScore:      d.healthScore,
 	})
 	d.requestProbes(now, name, p)
 }
--- a/internal/coordination/fencing/events.go
+++ b/internal/coordination/fencing/events.go
@@ -29,8 +29,8 @@
 	// MachinesListed reports the cloud's list of machines.
 	MachinesListed struct{ Machines []protocol.ListedMachine }
 
-	// SilenceConfirmed lists machines that none of the peers has heard from either.
-	SilenceConfirmed struct{ Machines []string }
+	// UnreachableConfirmed lists machines that none of the peers has heard from either.
+	UnreachableConfirmed struct{ Machines []string }
 
 	// MachinesReleased lists machines whose release the cloud has accepted.
 	MachinesReleased struct{ Machines []string }
@@ -53,8 +53,8 @@
 	ListMachines struct{}
 
 	// QueryPeers requests that every peer be asked which of the machines it has heard from. The caller evaluates the
-	// replies with UnreachableMachines and reports the result as SilenceConfirmed. If the result is not certain, the
-	// query is repeated at the next Assessment.
+	// replies with UnreachableMachines and reports the result as UnreachableConfirmed. If the result is not certain,
+	// the query is repeated at the next Assessment.
 	QueryPeers struct{ Machines []string }
 
 	// ReleaseMachines requests that machines be returned to the cloud. Those that were released are reported as
@@ -68,12 +68,12 @@
 	}
 )
 
-func (Assessment) event()        {}
-func (HeartbeatReceived) event() {}
-func (MachinesListed) event()    {}
-func (SilenceConfirmed) event()  {}
-func (MachinesReleased) event()  {}
-func (PeerQuery) event()         {}
+func (Assessment) event()           {}
+func (HeartbeatReceived) event()    {}
+func (MachinesListed) event()       {}
+func (UnreachableConfirmed) event() {}
+func (MachinesReleased) event()     {}
+func (PeerQuery) event()            {}
 
 func (ListMachines) effect()    {}
 func (QueryPeers) effect()      {}
--- a/internal/coordination/fencing/fencer.go
+++ b/internal/coordination/fencing/fencer.go
@@ -1,21 +1,21 @@
-// Package fencing returns silent machines to the cloud while no controller can lead.
+// Package fencing returns unreachable machines to the cloud while no controller can lead.
 //
 // A task of a cancelled job must have ended within the time limit for cancellations. Normally the leader enforces this
-// by releasing a silent machine that may still run such a task. During an outage of the store, no leader can be
+// by releasing an unreachable machine that may still run such a task. During an outage of the store, no leader can be
 // elected, and no other controller knows where tasks are placed. Yet a hung machine resumes its tasks when it recovers,
 // however late that is. Therefore, once no leader could be elected for a while and the deadline of a cancellation may
 // be near, every machine is released that the cloud lists as running and that no controller has heard from. Unless it
-// hangs, a machine that has been silent for that long has already lost its tasks, because its lease has expired.
+// hangs, a machine that has been unreachable for that long has already lost its tasks, because its lease has expired.
 // Releasing it costs no more than booting a machine again.
 //
 // Fencer is a pure state machine: it performs no I/O, reads no clock and is not safe for concurrent use. The caller
 // passes each event to Step and carries out the returned effects. A release is the following sequence; if any effect
 // fails, the next Assessment starts over:
 //
-//	event               effect
-//	Assessment          ListMachines
-//	MachinesListed      QueryPeers
-//	SilenceConfirmed    ReleaseMachines
+//	event                   effect
+//	Assessment              ListMachines
+//	MachinesListed          QueryPeers
+//	UnreachableConfirmed    ReleaseMachines
 //	MachinesReleased
 package fencing
 
@@ -28,8 +28,8 @@
 
 // Timing holds the intervals of the fencer, all of which are derived from the configuration.
 type Timing struct {
-	// GracePeriod is how long there must have been no leader, and how long a machine must have been silent, before the
-	// machine is released. A healthy worker finds another controller within this time.
+	// GracePeriod is how long there must have been no leader, and how long a machine must have been unreachable, before
+	// the machine is released. A healthy worker finds another controller within this time.
 	GracePeriod time.Duration
 	// MinIntentAge is the minimum age of a cancellation intent that justifies a release. A leader would have fenced the
 	// machine by then.
@@ -68,17 +68,17 @@
 	case HeartbeatReceived:
 		f.recordHeartbeat(now, e.Heartbeat)
 	case MachinesListed:
-		if silent := f.silentMachines(now, e.Machines); f.mayRelease && len(silent) > 0 {
-			return []Effect{QueryPeers{Machines: silent}}
+		if unreachable := f.unreachableMachines(now, e.Machines); f.mayRelease && len(unreachable) > 0 {
+			return []Effect{QueryPeers{Machines: unreachable}}
 		}
-	case SilenceConfirmed:
+	case UnreachableConfirmed:
 		// Heartbeats may have arrived while the peers were queried.
-		silent := slices.DeleteFunc(
+		unreachable := slices.DeleteFunc(
 			slices.Clone(e.Machines),
 			func(name string) bool { return f.heardRecently(now, name) },
 		)
-		if f.mayRelease && len(silent) > 0 {
-			return []Effect{ReleaseMachines{Machines: silent}}
+		if f.mayRelease && len(unreachable) > 0 {
+			return []Effect{ReleaseMachines{Machines: unreachable}}
 		}
 	case MachinesReleased:
 		for _, name := range e.Machines {
@@ -126,9 +126,9 @@
 	return ok && now-last.receivedAt <= f.timing.GracePeriod
 }
 
-// silentMachines returns the machines that are running according to the cloud, have not been released, and have not
-// been heard from recently by this controller.
-func (f *Fencer) silentMachines(now time.Duration, list []protocol.ListedMachine) (names []string) {
+// unreachableMachines returns the machines that are running according to the cloud, have not been released, and have
+// not been heard from recently by this controller.
+func (f *Fencer) unreachableMachines(now time.Duration, list []protocol.ListedMachine) (names []string) {
 	for i := range list {
 		name := list[i].Name
 		_, released := f.releasedAt[name]
--- a/internal/coordination/fencing/fencer_test.go
+++ b/internal/coordination/fencing/fencer_test.go
@@ -116,7 +116,7 @@
 	if effects := f.Step(testGracePeriod+2, machineList("m1")); effects != nil {
 		t.Errorf("effects %v for a machine list requested before there was a leader", effects)
 	}
-	if effects := f.Step(testGracePeriod+2, SilenceConfirmed{Machines: []string{"m1"}}); effects != nil {
+	if effects := f.Step(testGracePeriod+2, UnreachableConfirmed{Machines: []string{"m1"}}); effects != nil {
 		t.Errorf("effects %v for peer replies requested before there was a leader", effects)
 	}
 	if requestsMachineList(f, testGracePeriod+3, leaderless) {
@@ -199,9 +199,10 @@
 	}
 }
 
-// TestOnlySilentMachinesAreReleased draws random heartbeats, peer queries, machine lists and releases. It checks that a
-// machine is released only if it has been silent for the grace period and is listed as running, and only once.
-func TestOnlySilentMachinesAreReleased(t *testing.T) {
+// TestOnlyUnreachableMachinesAreReleased draws random heartbeats, peer queries, machine lists and releases. It checks
+// that a machine is released only if it has been unreachable for the grace period and is listed as running, and only
+// once.
+func TestOnlyUnreachableMachinesAreReleased(t *testing.T) {
 	names := []string{"m1", "m2", "m3", "starting", "failed"}
 	released := 0
 	rapid.Check(t, func(t *rapid.T) {
@@ -224,12 +225,12 @@
 				if len(effects) == 0 {
 					break
 				}
-				silent := requireQuery(t, effects)
+				unreachable := requireQuery(t, effects)
 				m.apply(effects)
 				if rapid.Bool().Draw(t, "heartbeat meanwhile") {
-					m.heartbeat(silent[0])
+					m.heartbeat(unreachable[0])
 				}
-				m.apply(m.fencer.Step(m.now, SilenceConfirmed{Machines: silent}))
+				m.apply(m.fencer.Step(m.now, UnreachableConfirmed{Machines: unreachable}))
 			case 3:
 				reply := make(chan []string, 1)
 				for _, effect := range m.fencer.Step(m.now, PeerQuery{Machines: names, Reply: reply}) {
@@ -257,22 +258,22 @@
 func TestUnansweredPeerDefersRelease(t *testing.T) {
 	machines := []string{"a", "b", "c"}
 	for _, test := range []struct {
-		name    string
-		replies []PeerReply
-		silent  []string
-		certain bool
+		name        string
+		replies     []PeerReply
+		unreachable []string
+		certain     bool
 	}{
 		{
-			name:    "all answer",
-			replies: []PeerReply{{Answered: true, Heard: []string{"b"}, InQuorum: true}, {Answered: true}},
-			silent:  []string{"a", "c"},
-			certain: true,
+			name:        "all answer",
+			replies:     []PeerReply{{Answered: true, Heard: []string{"b"}, InQuorum: true}, {Answered: true}},
+			unreachable: []string{"a", "c"},
+			certain:     true,
 		},
 		{
-			name:    "failed peer",
-			replies: []PeerReply{{Answered: true, Heard: []string{"a"}}, {}},
-			silent:  []string{"b", "c"},
-			certain: true,
+			name:        "failed peer",
+			replies:     []PeerReply{{Answered: true, Heard: []string{"a"}}, {}},
+			unreachable: []string{"b", "c"},
+			certain:     true,
 		},
 		{
 			name:    "peer in the quorum does not answer",
@@ -284,17 +285,23 @@
 		},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			silent, certain := UnreachableMachines(machines, test.replies)
-			if certain != test.certain || !slices.Equal(silent, test.silent) {
-				t.Errorf("silent %v, certain %v, want %v, %v", silent, certain, test.silent, test.certain)
+			unreachable, certain := UnreachableMachines(machines, test.replies)
+			if certain != test.certain || !slices.Equal(unreachable, test.unreachable) {
+				t.Errorf(
+					"unreachable %v, certain %v, want %v, %v",
+					unreachable,
+					certain,
+					test.unreachable,
+					test.certain,
+				)
 			}
 		})
 	}
 }
 
-// TestManySilentMachines checks with thousands of machines that the peers are queried about exactly those that this
-// controller has not heard from, and that exactly those are released that no peer has heard from either.
-func TestManySilentMachines(t *testing.T) {
+// TestManyUnreachableMachines checks with thousands of machines that the peers are queried about exactly those that
+// this controller has not heard from, and that exactly those are released that no peer has heard from either.
+func TestManyUnreachableMachines(t *testing.T) {
 	const machines = 4000
 	f := newTestFencer()
 	var names []string
@@ -319,11 +326,11 @@
 		heard = append(heard, names[i])
 	}
 	replies := []PeerReply{{Answered: true, Heard: heard}, {Answered: true, Heard: heard[:1]}}
-	silent, certain := UnreachableMachines(asked, replies)
-	if !certain || len(silent) != machines/4 {
-		t.Fatalf("%d machines are silent, want %d", len(silent), machines/4)
+	unreachable, certain := UnreachableMachines(asked, replies)
+	if !certain || len(unreachable) != machines/4 {
+		t.Fatalf("%d machines are unreachable, want %d", len(unreachable), machines/4)
 	}
-	effects := f.Step(now, SilenceConfirmed{Machines: silent})
+	effects := f.Step(now, UnreachableConfirmed{Machines: unreachable})
 	if len(effects) != 1 {
 		t.Fatalf("%d effects, want one ReleaseMachines", len(effects))
 	}
--- a/internal/coordination/fencing/peerreply.go
+++ b/internal/coordination/fencing/peerreply.go
@@ -15,7 +15,7 @@
 
 // UnreachableMachines returns the machines that no peer has heard from. certain is false if a peer in the quorum did
 // not answer: a machine that is alive but reports to that peer only would otherwise be released.
-func UnreachableMachines(machines []string, replies []PeerReply) (silent []string, certain bool) {
+func UnreachableMachines(machines []string, replies []PeerReply) (unreachable []string, certain bool) {
 	heard := map[string]bool{}
 	for _, r := range replies {
 		if !r.Answered && r.InQuorum {
--- a/internal/coordination/leader/term.go
+++ b/internal/coordination/leader/term.go
@@ -167,8 +167,8 @@
 }
 
 // ensureConfirmed reports whether the term is still confirmed, and ends the term if it is not. After a suspension of
-// the process during which its clocks continued, all machines would seem silent and all leases expired. By then another
-// controller may lead, so this one must not act on any of that.
+// the process during which its clocks continued, all machines would seem unreachable and all leases expired. By then
+// another controller may lead, so this one must not act on any of that.
 func (t *termLoop) ensureConfirmed(ctx context.Context) bool {
 	if t.deps.Leadership.Confirmed() {
 		return true
--- a/internal/coordination/machineregistry/commands.go
+++ b/internal/coordination/machineregistry/commands.go
@@ -232,7 +232,7 @@
 	case ok && m.commands.newCommandDue:
 	case ok:
 		m.commands.retryAt = now + config.Seconds(heartbeat/repeatsPerHeartbeat)
-	case now-m.LastHeartbeat > r.SilenceTimeout():
+	case now-m.LastHeartbeat > r.UnreachableTimeout():
 		m.commands.retryAt = now + config.Seconds(r.workerSettings.LeaseSeconds/2)
 	default:
 		m.commands.retryAt = now + config.Seconds(heartbeat)
--- a/internal/coordination/machineregistry/registry.go
+++ b/internal/coordination/machineregistry/registry.go
@@ -158,12 +158,12 @@
 // Schedulable reports whether new tasks may be placed on the machine now.
 func (r *Registry) Schedulable(now time.Duration, m *Machine) bool {
 	return m.Registered && !m.InterruptionNotice && !m.Terminating && !m.Quarantined && len(m.unknownTasks) == 0 &&
-		now >= m.UnresponsiveUntil && now-m.LastHeartbeat < r.SilenceTimeout()
+		now >= m.UnresponsiveUntil && now-m.LastHeartbeat < r.UnreachableTimeout()
 }
 
-// SilenceTimeout returns the time without heartbeats after which a machine is not schedulable: 2.5 heartbeat
+// UnreachableTimeout returns the time without heartbeats after which a machine is not schedulable: 2.5 heartbeat
 // intervals, but at most half a lease.
-func (r *Registry) SilenceTimeout() time.Duration {
+func (r *Registry) UnreachableTimeout() time.Duration {
 	const heartbeats = 2.5
 	return config.Seconds(min(r.workerSettings.LeaseSeconds/2, heartbeats*r.workerSettings.HeartbeatSeconds))
 }
--- a/internal/coordination/ownership/assigner.go
+++ b/internal/coordination/ownership/assigner.go
@@ -180,8 +180,8 @@
 	return members
 }
 
-// desiredMember returns the entry that a peer should have, and whether it should have one. A silent owner keeps its
-// machines until there is a verdict on it.
+// desiredMember returns the entry that a peer should have, and whether it should have one. An owner that is not in
+// contact keeps its machines until there is a verdict on it.
 func (a *Assigner) desiredMember(now time.Duration, name string) (Member, bool) {
 	p := a.peers[name]
 	current, owns := findMember(a.record.Members, name)
--- a/internal/coordination/ownership/assigner_test.go
+++ b/internal/coordination/ownership/assigner_test.go
@@ -79,8 +79,8 @@
 }
 
 // TestOwnersFollowHeartbeatsAndVerdicts checks that a controller owns machines once it was heard from, keeps them while
-// it is silent, and loses them only through a verdict on its incarnation. It owns machines again as another
-// incarnation, after a delay that grows with each failure.
+// there is no contact with it, and loses them only through a verdict on its incarnation. It owns machines again as
+// another incarnation, after a delay that grows with each failure.
 func TestOwnersFollowHeartbeatsAndVerdicts(t *testing.T) {
 	l := newLeadingAssigner("b", "c")
 	b, c := member("b", 2, 0), member("c", 3, 0)
@@ -88,7 +88,7 @@
 	l.requireOwners(t, "a", "b", "c")
 	l.runWithHeartbeats(time.Minute, b)
 	if len(l.written) != 1 {
-		t.Fatalf("%d epochs, want 1, since silence alone must not start an epoch: %+v", len(l.written), l.written)
+		t.Fatalf("%d epochs, want 1, since lost contact alone must not start an epoch: %+v", len(l.written), l.written)
 	}
 
 	var delays []time.Duration
--- a/internal/coordination/scheduler/cancellation_test.go
+++ b/internal/coordination/scheduler/cancellation_test.go
@@ -67,8 +67,8 @@
 	}
 }
 
-// TestCancelledTasksHaveFencingDeadline checks that silent machines of cancelled jobs are fenced well before the tasks
-// must be gone. Tasks of jobs that are done or were stopped for other reasons have no deadline.
+// TestCancelledTasksHaveFencingDeadline checks that unreachable machines of cancelled jobs are fenced well before the
+// tasks must be gone. Tasks of jobs that are done or were stopped for other reasons have no deadline.
 func TestCancelledTasksHaveFencingDeadline(t *testing.T) {
 	h := newHarness(nil, "a")
 	h.heartbeat("m1", "a", false)
--- a/internal/coordination/scheduler/candidateindex_test.go
+++ b/internal/coordination/scheduler/candidateindex_test.go
@@ -118,8 +118,8 @@
 	}
 }
 
-// TestIndexMatchesRegistry checks that the index agrees with the registry after machines were added, fell silent,
-// returned as another incarnation or were lost, and after machine types changed.
+// TestIndexMatchesRegistry checks that the index agrees with the registry after machines were added, became
+// unreachable, returned as another incarnation or were lost, and after machine types changed.
 func TestIndexMatchesRegistry(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := newSchedulerPair(
--- a/internal/coordination/scheduler/fleet_bench_test.go
+++ b/internal/coordination/scheduler/fleet_bench_test.go
@@ -291,7 +291,7 @@
 				h.now += CycleInterval
 				h.scheduler.Step(h.now, Tick{})
 				b.StopTimer()
-				h.heartbeatAll() // otherwise the machines would count as silent
+				h.heartbeatAll() // otherwise the machines would count as unreachable
 				b.StartTimer()
 			}
 		})
--- a/internal/coordination/scheduler/fullscan_test.go
+++ b/internal/coordination/scheduler/fullscan_test.go
@@ -113,14 +113,14 @@
 // schedulerPair holds two schedulers that receive the same events. One of them uses the index, the other one examines
 // all machines.
 type schedulerPair struct {
-	t         *rapid.T
-	rng       *rand.Rand
-	harnesses [2]*harness
-	effects   [2][]string
-	jobs      []string
-	machines  []string
-	silent    map[string]bool // machines that send no heartbeats
-	round     int
+	t           *rapid.T
+	rng         *rand.Rand
+	harnesses   [2]*harness
+	effects     [2][]string
+	jobs        []string
+	machines    []string
+	unreachable map[string]bool // machines that send no heartbeats
+	round       int
 }
 
 func newSchedulerPair(
@@ -130,7 +130,7 @@
 	objectives []config.Objective,
 	zoneFailover bool,
 ) *schedulerPair {
-	p := &schedulerPair{t: t, rng: rand.New(rand.NewPCG(seed, 5)), silent: map[string]bool{}}
+	p := &schedulerPair{t: t, rng: rand.New(rand.NewPCG(seed, 5)), unreachable: map[string]bool{}}
 	for i := range p.harnesses {
 		h := newHarness(teams, "a", "b", "c")
 		h.setObjectives(objectives)
@@ -301,16 +301,16 @@
 		p.applyToBoth("cancellation", func(h *harness) { h.apply(JobEnded{ID: id}) })
 	case p.chance(0.1) && len(p.machines) > 0:
 		name := p.machines[p.rng.IntN(len(p.machines))]
-		p.silent[name] = !p.silent[name]
+		p.unreachable[name] = !p.unreachable[name]
 	case p.chance(0.05) && len(p.machines) > 4:
 		name := p.machines[p.rng.IntN(len(p.machines))]
-		p.silent[name] = true
+		p.unreachable[name] = true
 		p.applyToBoth("loss of "+name, func(h *harness) {
 			h.apply(ScaleInResult{Machines: []string{name}, Succeeded: true})
 		})
 	}
 	for _, name := range p.machines {
-		if !p.silent[name] && p.chance(0.7) {
+		if !p.unreachable[name] && p.chance(0.7) {
 			p.heartbeat(name)
 		}
 	}
@@ -323,8 +323,8 @@
 
 // TestIndexMatchesFullScan checks, for random sequences of events, that placements and preemptions with the index are
 // exactly those that examining every machine leads to. The sequences cover teams with quotas; machines that are added,
-// fall silent, return and are lost; images that are cached, being fetched and missing; capacity held for gangs and as
-// headroom; and nominated machines.
+// become unreachable, return and are lost; images that are cached, being fetched and missing; capacity held for gangs
+// and as headroom; and nominated machines.
 func TestIndexMatchesFullScan(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		teams := []config.Team{{Name: "red"}, {Name: "blue"}, {Name: "green"}}
--- a/internal/coordination/scheduler/heartbeats.go
+++ b/internal/coordination/scheduler/heartbeats.go
@@ -137,7 +137,7 @@
 	direct, relayed := 0, 0
 	s.machines.Each(func(m *machineregistry.Machine) {
 		switch {
-		case !m.Registered || now-m.LastHeartbeat > s.machines.SilenceTimeout():
+		case !m.Registered || now-m.LastHeartbeat > s.machines.UnreachableTimeout():
 		case m.Relayed:
 			relayed++
 		default:
--- a/internal/coordination/scheduler/utilization.go
+++ b/internal/coordination/scheduler/utilization.go
@@ -12,12 +12,12 @@
 
 // utilization summarizes the use of the machines. Capacity is measured in whole machines.
 type utilization struct {
-	registered, empty, booting, silent int
-	free                               float64
-	arrays                             float64 // used by job arrays, which can be preempted
-	onDemand                           int     // machines that are not spot instances
-	onDemandFree                       float64
-	onDemandByClass                    map[string]float64
+	registered, empty, booting, unreachable int
+	free                                    float64
+	arrays                                  float64 // used by job arrays, which can be preempted
+	onDemand                                int     // machines that are not spot instances
+	onDemandFree                            float64
+	onDemandByClass                         map[string]float64
 }
 
 // logUtilization logs the use of the machines and the demand for capacity if debug logging is enabled.
@@ -31,7 +31,7 @@
 		"up", u.registered,
 		"empty", u.empty,
 		"booting", u.booting,
-		"silent", u.silent,
+		"silent", u.unreachable,
 		"free", u.free,
 		"arrays", u.arrays,
 		"ordinary", u.onDemand,
@@ -49,8 +49,8 @@
 		return
 	case m.PlacementCount() == 0:
 		u.empty++
-	case now-m.LastHeartbeat > s.machines.SilenceTimeout():
-		u.silent++
+	case now-m.LastHeartbeat > s.machines.UnreachableTimeout():
+		u.unreachable++
 	}
 	u.registered++
 	capacity := machineregistry.CapacityOf(machineType)
--- a/internal/coordination/scheduler/zoneharness_test.go
+++ b/internal/coordination/scheduler/zoneharness_test.go
@@ -25,7 +25,7 @@
 type zoneHarness struct {
 	*harness
 	order          *zonefailover.RecoveryOrder
-	silent         map[string]bool // machines whose heartbeats do not arrive
+	unreachable    map[string]bool // machines whose heartbeats do not arrive
 	incarnation    map[string]uint64
 	decisions      []zonefailover.Decision
 	records        map[string]protocol.KeyValue // stored records of zone failover
@@ -40,7 +40,7 @@
 	h := &zoneHarness{
 		harness:     newHarness(teams, "a", "b"),
 		order:       order,
-		silent:      map[string]bool{},
+		unreachable: map[string]bool{},
 		incarnation: map[string]uint64{},
 		records:     map[string]protocol.KeyValue{},
 		loanOracle:  simulation.NewLoanOracle(),
@@ -89,7 +89,7 @@
 		case Write:
 			h.write(o)
 		case SendCommandBatch:
-			if h.silent[o.Machine] || h.tasks[o.Machine] == nil {
+			if h.unreachable[o.Machine] || h.tasks[o.Machine] == nil {
 				h.step(CommandBatchResult{Machine: o.Machine})
 				continue
 			}
@@ -128,7 +128,7 @@
 
 func (h *zoneHarness) removeMachine(name string) {
 	delete(h.tasks, name)
-	delete(h.silent, name)
+	delete(h.unreachable, name)
 }
 
 // write commits a transaction, or keeps it for the next second if the state service does not answer yet.
@@ -197,7 +197,7 @@
 	}
 	h.advanceTasks()
 	for _, name := range h.machineNames() {
-		if !h.silent[name] {
+		if !h.unreachable[name] {
 			h.step(HeartbeatReceived{ReplyTo: name, Heartbeat: h.heartbeatOf(name)})
 		}
 	}
@@ -228,7 +228,7 @@
 			if _, stopped := h.stops[id]; stopped && t.State != protocol.TaskExited {
 				t.State, t.Cause = protocol.TaskExited, protocol.CauseStopped
 				delete(h.stops, id)
-			} else if t.State == protocol.TaskFetching && !h.silent[name] {
+			} else if t.State == protocol.TaskFetching && !h.unreachable[name] {
 				t.State = protocol.TaskRunning
 			}
 			tasks[id] = t
@@ -336,25 +336,25 @@
 	return free
 }
 
-// loseZone silences the machines of zone a.
+// loseZone makes the machines of zone a unreachable.
 func (h *zoneHarness) loseZone() {
 	for name, zone := range h.zoneOf {
 		if zone == "a" && h.tasks[name] != nil {
-			h.silent[name] = true
+			h.unreachable[name] = true
 		}
 	}
 }
 
-// restoreZone lets the silent machines that the predicate selects send heartbeats again. They return as new
+// restoreZone lets the unreachable machines that the predicate selects send heartbeats again. They return as new
 // incarnations without tasks.
 func (h *zoneHarness) restoreZone(which func(i int) bool) {
 	i := 0
 	for _, name := range h.machineNames() {
-		if !h.silent[name] {
+		if !h.unreachable[name] {
 			continue
 		}
 		if i++; which(i) {
-			delete(h.silent, name)
+			delete(h.unreachable, name)
 			h.incarnation[name]++
 			h.incarnation[name] = max(2, h.incarnation[name])
 			h.tasks[name] = map[protocol.TaskID]protocol.TaskStatus{}
--- a/internal/coordination/zonefailover/fencing.go
+++ b/internal/coordination/zonefailover/fencing.go
@@ -54,10 +54,10 @@
 	return max(1, n/fenceDivisor)
 }
 
-// lostMachineGracePeriod returns how long a machine of a lost zone must be silent before it may be fenced: until its
-// leases have certainly expired, and at least one boot time. Moving work costs about as much, for fetching the image
-// elsewhere and for booting a machine when the zone returns. Waiting for as long as moving costs is at most twice as
-// expensive as the best choice in hindsight.
+// lostMachineGracePeriod returns how long a machine of a lost zone must be unreachable before it may be fenced: until
+// its leases have certainly expired, and at least one boot time. Moving work costs about as much, for fetching the
+// image elsewhere and for booting a machine when the zone returns. Waiting for as long as moving costs is at most twice
+// as expensive as the best choice in hindsight.
 func (m *Manager) lostMachineGracePeriod() time.Duration {
 	period := m.MaxLeaseLifetime()
 	for _, t := range m.options.Machines.MachineTypes() {
@@ -71,7 +71,7 @@
 	return r.machinesRemaining <= 0 || r.searchesRemaining <= 0
 }
 
-// Movable returns the placements on machines of lost zones that have been silent for longer than the grace period.
+// Movable returns the placements on machines of lost zones that have been unreachable for longer than the grace period.
 func (r *FencingRound) Movable(placements []*machineregistry.Placement) (movable []*machineregistry.Placement) {
 	for _, placement := range placements {
 		machine := r.manager.options.Machines.Machine(placement.Machine)
--- a/internal/coordination/zonefailover/fencing_test.go
+++ b/internal/coordination/zonefailover/fencing_test.go
@@ -8,16 +8,16 @@
 	"pinebay/internal/protocol"
 )
 
-// TestMovable checks that only tasks on machines of lost zones that have been silent for longer than the grace period
-// are movable.
+// TestMovable checks that only tasks on machines of lost zones that have been unreachable for longer than the grace
+// period are movable.
 func TestMovable(t *testing.T) {
 	const gracePeriod = 30 * time.Second // a boot time longer than the lifetime of leases
 	for _, test := range []struct {
-		name    string
-		state   State
-		silence time.Duration
-		known   bool
-		want    bool
+		name           string
+		state          State
+		sinceHeartbeat time.Duration
+		known          bool
+		want           bool
 	}{
 		{"the zone is available", Available, 2 * gracePeriod, true, false},
 		{"the zone is suspected", Suspected, 2 * gracePeriod, true, false},
@@ -33,7 +33,7 @@
 				m.options.Machines.GetOrCreate(time.Minute, "m").Zone = "a"
 			}
 			m.monitor.Restore(Zone{Name: "a", State: test.state, Since: time.Minute})
-			round := m.NewFencingRound(time.Minute+test.silence, nil)
+			round := m.NewFencingRound(time.Minute+test.sinceHeartbeat, nil)
 			placement := &machineregistry.Placement{Machine: "m", Zone: "a"}
 			if got := len(round.Movable([]*machineregistry.Placement{placement})) == 1; got != test.want {
 				t.Errorf("movable: %v, want %v", got, test.want)
--- a/internal/coordination/zonefailover/manager_test.go
+++ b/internal/coordination/zonefailover/manager_test.go
@@ -276,14 +276,14 @@
 			NoFencingUntil: since + 2*maxLease,
 		}},
 		{"lost", Lost, alive, since + 2*lease, autoscaler.ZonePolicy{
-			NoScaleOut:     true,
-			IgnoreSilent:   true,
-			NoFencingUntil: since + 12*lease,
+			NoScaleOut:        true,
+			IgnoreUnreachable: true,
+			NoFencingUntil:    since + 12*lease,
 		}},
 		{"lost for long", Lost, alive, since + 2*lease + 1, autoscaler.ZonePolicy{
-			ProbeOnly:      true,
-			IgnoreSilent:   true,
-			NoFencingUntil: since + 12*lease,
+			ProbeOnly:         true,
+			IgnoreUnreachable: true,
+			NoFencingUntil:    since + 12*lease,
 		}},
 		{
 			"all of its machines have failed",
--- a/internal/coordination/zonefailover/monitor.go
+++ b/internal/coordination/zonefailover/monitor.go
@@ -13,10 +13,10 @@
 const (
 	// Available means that the zone is trusted to run tasks.
 	Available State = iota
-	// Suspected means that most of the zone's machines are silent, but their tasks may still run.
+	// Suspected means that most of the zone's machines are unreachable, but their tasks may still run.
 	Suspected
-	// Lost means that most of the zone's machines have been silent for so long that none of their leases can be renewed
-	// any more.
+	// Lost means that most of the zone's machines have been unreachable for so long that none of their leases can be
+	// renewed any more.
 	Lost
 	// Returning means that machines send heartbeats again, or that the zone has had no machines for a long time. The
 	// zone is not trusted yet.
@@ -34,13 +34,13 @@
 }
 
 // Observation holds the machine counts of a zone at one time. A machine that has sent no heartbeat in this term counts
-// as neither reachable nor silent until the silence timeout has passed.
+// as neither reachable nor unreachable until UnreachableTimeout of the registry has passed.
 type Observation struct {
 	Zone         string
 	Machines     int // running, or may hold tasks
 	Reachable    int // heartbeats arrive at any controller
-	Silent       int // no heartbeat for longer than the silence timeout
-	LeaseExpired int // silent for so long that no lease on it can be renewed any more
+	Unreachable  int // no heartbeat for longer than UnreachableTimeout of the registry
+	LeaseExpired int // unreachable for so long that no lease on it can be renewed any more
 	Departed     int // failed or left the cloud's list since the zone was last available
 	Booting      int // rented, no heartbeat yet
 }
@@ -48,7 +48,7 @@
 // Evidence holds the facts from which a zone's state was derived.
 type Evidence struct {
 	Observation
-	// OtherMachines and OtherReachable count the machines of all other zones. If those are silent as well, this
+	// OtherMachines and OtherReachable count the machines of all other zones. If those are unreachable as well, this
 	// controller's own network has failed.
 	OtherMachines, OtherReachable int
 }
@@ -56,14 +56,15 @@
 // String returns a description of the evidence for logs.
 func (e Evidence) String() string {
 	return fmt.Sprintf(
-		"%d machines, %d reachable, %d silent, %d with expired leases, %d departed; %d of %d reachable elsewhere",
-		e.Machines, e.Reachable, e.Silent, e.LeaseExpired, e.Departed, e.OtherReachable, e.OtherMachines,
+		"%d machines, %d reachable, %d unreachable, %d with expired leases, %d departed; %d of %d reachable elsewhere",
+		e.Machines, e.Reachable, e.Unreachable, e.LeaseExpired, e.Departed, e.OtherReachable, e.OtherMachines,
 	)
 }
 
-// mostlySilent reports whether most of the zone's machines are silent while machines in other zones are reachable.
-func (e Evidence) mostlySilent() bool {
-	return e.Machines >= minMachinesToSuspect && float64(e.Silent) > suspectFraction*float64(e.Machines) &&
+// mostlyUnreachable reports whether most of the zone's machines are unreachable while machines in other zones are
+// reachable.
+func (e Evidence) mostlyUnreachable() bool {
+	return e.Machines >= minMachinesToSuspect && float64(e.Unreachable) > suspectFraction*float64(e.Machines) &&
 		e.otherZonesReachable()
 }
 
@@ -75,14 +76,14 @@
 
 // Fractions of a zone's machines that determine its state.
 const (
-	suspectFraction = 1. / 2 // a zone with more silent machines becomes suspected
-	clearFraction   = 1. / 4 // a suspected zone with at most this many silent machines is cleared
+	suspectFraction = 1. / 2 // a zone with more unreachable machines becomes suspected
+	clearFraction   = 1. / 4 // a suspected zone with at most this many unreachable machines is cleared
 	lostFraction    = 3. / 4 // a suspected zone with at least this many expired leases becomes lost
 	relapseFraction = 1. / 2 // a returning zone with fewer reachable machines, relative to the peak, has relapsed
 )
 
-// minMachinesToSuspect is the minimum number of machines in a zone for their silence to be evidence about the zone. In
-// smaller zones, silent machines are fenced individually.
+// minMachinesToSuspect is the minimum number of machines in a zone for their missing heartbeats to be evidence about
+// the zone. In smaller zones, unreachable machines are fenced individually.
 const minMachinesToSuspect = 3
 
 // The hold time is how long a returning zone is observed before it is trusted. NewMonitor sets the base hold time.
@@ -118,7 +119,7 @@
 }
 
 // Monitor derives the states of the zones from the heartbeats of their machines. A state determines only where capacity
-// should be prepared: silence alone never proves that a task has ended.
+// should be prepared: missing heartbeats alone never prove that a task has ended.
 type Monitor struct {
 	baseHold time.Duration
 	zones    map[string]*Zone
@@ -213,7 +214,7 @@
 func (m *Monitor) nextState(now time.Duration, z *Zone) State {
 	switch z.State {
 	case Available:
-		if z.Evidence.mostlySilent() {
+		if z.Evidence.mostlyUnreachable() {
 			return Suspected
 		}
 	case Suspected:
@@ -230,12 +231,12 @@
 func (z *Zone) afterSuspected() State {
 	e, machines := z.Evidence, float64(z.Evidence.Machines)
 	switch {
-	case float64(e.Silent) <= clearFraction*machines && e.Reachable > 0:
+	case float64(e.Unreachable) <= clearFraction*machines && e.Reachable > 0:
 		if z.recentlyLost {
 			return Returning
 		}
 		return Available
-	case e.mostlySilent() && float64(e.LeaseExpired) >= lostFraction*machines:
+	case e.mostlyUnreachable() && float64(e.LeaseExpired) >= lostFraction*machines:
 		return Lost
 	case e.Machines == 0 && e.Departed > 0:
 		return Lost // all machines have failed
--- a/internal/coordination/zonefailover/monitor_test.go
+++ b/internal/coordination/zonefailover/monitor_test.go
@@ -19,12 +19,12 @@
 // TestZoneStates checks the states of zone a for sequences of observations of zones a and b.
 func TestZoneStates(t *testing.T) {
 	reachable := Observation{Zone: "a", Machines: 10, Reachable: 10}
-	silent := Observation{Zone: "a", Machines: 10, Silent: 10}
-	expired := Observation{Zone: "a", Machines: 10, Silent: 10, LeaseExpired: 10}
-	halfReachable := Observation{Zone: "a", Machines: 10, Reachable: 5, Silent: 5, LeaseExpired: 5}
-	someSilent := Observation{Zone: "a", Machines: 10, Reachable: 6, Silent: 4, LeaseExpired: 4}
+	unreachable := Observation{Zone: "a", Machines: 10, Unreachable: 10}
+	expired := Observation{Zone: "a", Machines: 10, Unreachable: 10, LeaseExpired: 10}
+	halfReachable := Observation{Zone: "a", Machines: 10, Reachable: 5, Unreachable: 5, LeaseExpired: 5}
+	someUnreachable := Observation{Zone: "a", Machines: 10, Reachable: 6, Unreachable: 4, LeaseExpired: 4}
 	noHeartbeatYet := Observation{Zone: "a", Machines: 10}
-	ownNetworkDown := Observation{Zone: "b", Machines: 10, Reachable: 2, Silent: 8}
+	ownNetworkDown := Observation{Zone: "b", Machines: 10, Reachable: 2, Unreachable: 8}
 	type row struct {
 		a, b  Observation
 		after time.Duration
@@ -35,20 +35,20 @@
 		rows []row
 	}{
 		{"lost and back", []row{
-			{silent, otherZone, 1, Suspected},
+			{unreachable, otherZone, 1, Suspected},
 			{expired, otherZone, 1, Lost},
 			{reachable, otherZone, 1, Returning},
 			{reachable, otherZone, hold - 1, Returning},
 			{reachable, otherZone, 2, Available},
 		}},
-		{"silent for a moment", []row{{silent, otherZone, 1, Suspected}, {reachable, otherZone, 1, Available}}},
+		{"silent for a moment", []row{{unreachable, otherZone, 1, Suspected}, {reachable, otherZone, 1, Available}}},
 		{"our own network", []row{{expired, ownNetworkDown, 1, Available}, {expired, ownNetworkDown, hold, Available}}},
 		{"suspected, then our own network", []row{
-			{silent, otherZone, 1, Suspected},
+			{unreachable, otherZone, 1, Suspected},
 			{expired, ownNetworkDown, 1, Suspected},
 			{expired, otherZone, 1, Lost},
 		}},
-		{"a few machines", []row{{someSilent, otherZone, 1, Available}}},
+		{"a few machines", []row{{someUnreachable, otherZone, 1, Available}}},
 		{"half of it", []row{
 			{expired, otherZone, 1, Suspected},
 			{expired, otherZone, 1, Lost},
@@ -56,13 +56,13 @@
 			{halfReachable, otherZone, hold, Available},
 		}},
 		{"all of it is gone", []row{
-			{silent, otherZone, 1, Suspected},
+			{unreachable, otherZone, 1, Suspected},
 			{Observation{Zone: "a", Departed: 3}, otherZone, 1, Lost},
 			{Observation{Zone: "a", Departed: 3}, otherZone, hold, Lost},
 			{reachable, otherZone, 1, Returning},
 		}},
 		{"empty for long", []row{
-			{silent, otherZone, 1, Suspected},
+			{unreachable, otherZone, 1, Suspected},
 			{expired, otherZone, 1, Lost},
 			{Observation{Zone: "a"}, otherZone, emptyZoneHolds*hold - 1, Lost},
 			{Observation{Zone: "a", Booting: 1}, otherZone, 1, Returning},
@@ -70,32 +70,35 @@
 			{reachable, otherZone, 1, Available},
 		}},
 		{"empty, and nothing is wanted there", []row{
-			{silent, otherZone, 1, Suspected},
+			{unreachable, otherZone, 1, Suspected},
 			{expired, otherZone, 1, Lost},
 			{Observation{Zone: "a"}, otherZone, emptyZoneHolds * hold, Returning},
 			{Observation{Zone: "a"}, otherZone, hold - 1, Returning},
 			{Observation{Zone: "a"}, otherZone, 1, Available},
 		}},
 		{"silent machines are no empty zone", []row{
-			{silent, otherZone, 1, Suspected},
+			{unreachable, otherZone, 1, Suspected},
 			{expired, otherZone, 1, Lost},
 			{expired, otherZone, 2 * emptyZoneHolds * hold, Lost},
 			{Observation{Zone: "a"}, otherZone, emptyZoneHolds*hold - 1, Lost},
 		}},
 		{"all of it was returned to the cloud", []row{
-			{silent, otherZone, 1, Suspected},
+			{unreachable, otherZone, 1, Suspected},
 			{Observation{Zone: "a"}, otherZone, 1, Available},
 		}},
-		{"its tasks still run", []row{{silent, otherZone, 1, Suspected}, {silent, otherZone, hold, Suspected}}},
+		{"its tasks still run", []row{
+			{unreachable, otherZone, 1, Suspected},
+			{unreachable, otherZone, hold, Suspected},
+		}},
 		{"a new leader has not heard it yet", []row{
 			{noHeartbeatYet, otherZone, 1, Available},
 			{noHeartbeatYet, otherZone, hold, Available},
 		}},
 		{"it flaps", []row{
-			{silent, otherZone, 1, Suspected},
+			{unreachable, otherZone, 1, Suspected},
 			{expired, otherZone, 1, Lost},
 			{reachable, otherZone, 1, Returning},
-			{silent, otherZone, 1, Suspected},
+			{unreachable, otherZone, 1, Suspected},
 			{reachable, otherZone, 1, Returning},
 			{reachable, otherZone, hold + 1, Returning},
 			{reachable, otherZone, hold, Available},
@@ -131,8 +134,8 @@
 			for _, zone := range []string{"a", "b"} {
 				o := Observation{Zone: zone, Machines: rapid.IntRange(0, 8).Draw(t, "machines")}
 				o.Reachable = rapid.IntRange(0, o.Machines).Draw(t, "heard")
-				o.Silent = o.Machines - o.Reachable
-				o.LeaseExpired = rapid.IntRange(0, o.Silent).Draw(t, "expired")
+				o.Unreachable = o.Machines - o.Reachable
+				o.LeaseExpired = rapid.IntRange(0, o.Unreachable).Draw(t, "expired")
 				observations = append(observations, o)
 			}
 			for _, c := range m.Observe(now, observations) {
--- a/internal/coordination/zonefailover/zonestates.go
+++ b/internal/coordination/zonefailover/zonestates.go
@@ -47,7 +47,7 @@
 	for _, zone := range m.departedMachines {
 		observations[index[zone]].Departed++
 	}
-	silenceTimeout, leaseLifetime := m.options.Machines.SilenceTimeout(), m.MaxLeaseLifetime()
+	unreachableTimeout, leaseLifetime := m.options.Machines.UnreachableTimeout(), m.MaxLeaseLifetime()
 	m.options.Machines.Each(func(machine *machineregistry.Machine) {
 		i, ok := index[machine.Zone]
 		if !ok || machine.Terminating {
@@ -59,22 +59,22 @@
 			return
 		}
 		o.Machines++
-		switch silence := now - machine.LastHeartbeat; {
-		case machine.Registered && silence <= silenceTimeout:
+		switch sinceHeartbeat := now - machine.LastHeartbeat; {
+		case machine.Registered && sinceHeartbeat <= unreachableTimeout:
 			o.Reachable++
-		case silence > leaseLifetime:
-			o.Silent++
+		case sinceHeartbeat > leaseLifetime:
+			o.Unreachable++
 			o.LeaseExpired++
-		case silence > silenceTimeout:
-			o.Silent++
+		case sinceHeartbeat > unreachableTimeout:
+			o.Unreachable++
 		}
 	})
 	return observations
 }
 
-// MaxLeaseLifetime returns the silence after which no lease on a machine can be renewed any more. A controller that
-// renews leases without the leader's knowledge stops within half a lease, and the last lease then takes its time to
-// expire.
+// MaxLeaseLifetime returns the time without heartbeats after which no lease on a machine can be renewed any more. A
+// controller that renews leases without the leader's knowledge stops within half a lease, and the last lease then takes
+// its time to expire.
 func (m *Manager) MaxLeaseLifetime() time.Duration {
 	workers := m.options.Settings.Workers
 	return config.Seconds(workers.LeaseSeconds*3/2 + workers.HeartbeatSeconds)
@@ -112,10 +112,10 @@
 	}
 	probe := now-zone.Since > probeLostZoneLeases*lease
 	return autoscaler.ZonePolicy{
-		NoScaleOut:     !probe,
-		ProbeOnly:      probe,
-		IgnoreSilent:   true,
-		NoFencingUntil: zone.Since + retainLostZoneLeases*lease,
+		NoScaleOut:        !probe,
+		ProbeOnly:         probe,
+		IgnoreUnreachable: true,
+		NoFencingUntil:    zone.Since + retainLostZoneLeases*lease,
 	}
 }
 
--- a/internal/daemon/fencing.go
+++ b/internal/daemon/fencing.go
@@ -11,7 +11,7 @@
 	"pinebay/internal/protocol"
 )
 
-// fencingActor fences machines without a leader: it releases silent machines to the cloud while no leader can be
+// fencingActor fences machines without a leader: it releases unreachable machines to the cloud while no leader can be
 // elected.
 type fencingActor struct {
 	*environment
@@ -64,15 +64,15 @@
 		})
 	case fencing.QueryPeers:
 		a.tasks.Go(func() {
-			silent, certain := fencing.UnreachableMachines(e.Machines, a.queryPeers(ctx, e.Machines))
+			unreachable, certain := fencing.UnreachableMachines(e.Machines, a.queryPeers(ctx, e.Machines))
 			if !certain {
 				a.log.Info("fencing postponed", "machine_count", len(e.Machines), "reason", "no answer from a peer")
 				return // retried after the next assessment
 			}
-			a.mailbox.Send(fencing.SilenceConfirmed{Machines: silent})
+			a.mailbox.Send(fencing.UnreachableConfirmed{Machines: unreachable})
 		})
 	case fencing.ReleaseMachines:
-		a.tasks.Go(func() { a.releaseSilentMachines(ctx, e.Machines) })
+		a.tasks.Go(func() { a.releaseUnreachableMachines(ctx, e.Machines) })
 	case fencing.AnswerPeer:
 		e.Reply <- e.Heard
 	}
@@ -101,9 +101,9 @@
 	return reply
 }
 
-// releaseSilentMachines releases machines to the cloud. It stops at the first failure; the remaining machines are
+// releaseUnreachableMachines releases machines to the cloud. It stops at the first failure; the remaining machines are
 // released after a later assessment.
-func (a *fencingActor) releaseSilentMachines(ctx context.Context, machines []string) {
+func (a *fencingActor) releaseUnreachableMachines(ctx context.Context, machines []string) {
 	for machineNames := range slices.Chunk(machines, protocol.MaxMachinesPerRelease) {
 		a.log.Info("fencing machines without a leader", "machines", machineNames)
 		if err := a.cloud.Release(ctx, a.cloud.Reserve(), machineNames); err != nil {
--- a/internal/daemon/peertable.go
+++ b/internal/daemon/peertable.go
@@ -148,11 +148,11 @@
 // isolatedFromStore reports whether the key-value store does not answer this controller but probably answers others:
 // either a peer has had an answer well after the last one to this controller, or no peer is in contact at all.
 func (t *peerTable) isolatedFromStore() bool {
-	silent := t.store.SinceLastResponse()
-	if silent <= t.times.LeaderTimeout {
+	sinceResponse := t.store.SinceLastResponse()
+	if sinceResponse <= t.times.LeaderTimeout {
 		return false
 	}
-	last := t.now() - silent
+	last := t.now() - sinceResponse
 	return time.Duration(t.storeReachableAt.Load()) > last+t.times.LeaderTimeout ||
 		t.now()-time.Duration(t.lastContactAt.Load()) > t.times.LeaderTimeout
 }
--- a/internal/loadtest/faults.go
+++ b/internal/loadtest/faults.go
@@ -14,26 +14,26 @@
 
 // Faults that can be injected.
 const (
-	KillLeader       Fault = "kill-leader"
-	FreezeLeader     Fault = "freeze-leader"
-	KillOwner        Fault = "kill-owner"     // kills a follower, which owns a shard of the machines
-	FreezeOwner      Fault = "freeze-owner"   // suspends a follower, which owns a shard of the machines
-	SilentWorkers    Fault = "silent-workers" // the heartbeats of every tenth hollow worker are lost
-	AllWorkersSilent Fault = "all-back"       // the heartbeats of all hollow workers are lost; all return at once
-	StateOutage      Fault = "state-outage"
+	KillLeader            Fault = "kill-leader"
+	FreezeLeader          Fault = "freeze-leader"
+	KillOwner             Fault = "kill-owner"     // kills a follower, which owns a shard of the machines
+	FreezeOwner           Fault = "freeze-owner"   // suspends a follower, which owns a shard of the machines
+	UnreachableWorkers    Fault = "silent-workers" // the heartbeats of every tenth hollow worker are lost
+	AllWorkersUnreachable Fault = "all-back"       // the heartbeats of all hollow workers are lost; all return at once
+	StateOutage           Fault = "state-outage"
 )
 
 // injector injects a fault. It returns a function that ends the fault.
 type injector func(*sizeRun) (repair func() error, err error)
 
 var injectors = map[Fault]injector{
-	KillLeader:       func(r *sizeRun) (func() error, error) { return killController(r.leader()) },
-	FreezeLeader:     func(r *sizeRun) (func() error, error) { return freezeController(r.leader()) },
-	KillOwner:        func(r *sizeRun) (func() error, error) { return killController(r.follower()) },
-	FreezeOwner:      func(r *sizeRun) (func() error, error) { return freezeController(r.follower()) },
-	SilentWorkers:    dropSomeHeartbeats,
-	AllWorkersSilent: dropAllHeartbeats,
-	StateOutage:      startStoreOutage,
+	KillLeader:            func(r *sizeRun) (func() error, error) { return killController(r.leader()) },
+	FreezeLeader:          func(r *sizeRun) (func() error, error) { return freezeController(r.leader()) },
+	KillOwner:             func(r *sizeRun) (func() error, error) { return killController(r.follower()) },
+	FreezeOwner:           func(r *sizeRun) (func() error, error) { return freezeController(r.follower()) },
+	UnreachableWorkers:    dropSomeHeartbeats,
+	AllWorkersUnreachable: dropAllHeartbeats,
+	StateOutage:           startStoreOutage,
 }
 
 // FaultNames returns the names of all faults in alphabetical order.
--- a/internal/simulation/determinism_test.go
+++ b/internal/simulation/determinism_test.go
@@ -76,7 +76,7 @@
 			timings:     fastTimings,
 			steps: []step{
 				{0, lowPriorityArrays(8)},
-				{8 * s, during(40*s, silenceZone("b", 1))},
+				{8 * s, during(40*s, disconnectZone("b", 1))},
 			},
 			options: []func(*cluster){withZoneFailover(everywhere)},
 		},
--- a/internal/simulation/intents_test.go
+++ b/internal/simulation/intents_test.go
@@ -132,8 +132,8 @@
 	})
 }
 
-// TestFencingWithoutLeader checks that silent machines are fenced while there is no leader. The leader crashes right
-// after a cancellation was confirmed, and the other controllers crash in the outage of the key-value store that
+// TestFencingWithoutLeader checks that unreachable machines are fenced while there is no leader. The leader crashes
+// right after a cancellation was confirmed, and the other controllers crash in the outage of the key-value store that
 // follows, while a machine with a task of the job hangs. No controller can lead or knows the placement, so the machine
 // must be released only because it sends no heartbeats.
 func TestFencingWithoutLeader(t *testing.T) {
--- a/internal/simulation/traffic_test.go
+++ b/internal/simulation/traffic_test.go
@@ -197,7 +197,7 @@
 			timings:     fastTimings,
 			steps: []step{
 				{0, lowPriorityArrays(8)},
-				{8 * s, during(40*s, silenceZone("b", 1))},
+				{8 * s, during(40*s, disconnectZone("b", 1))},
 			},
 			options: zoneFailover,
 		},
@@ -207,7 +207,7 @@
 			timings:     fastTimings,
 			steps: []step{
 				{0, lowPriorityArrays(8)},
-				{8 * s, during(40*s, silenceZone("b", 1))},
+				{8 * s, during(40*s, disconnectZone("b", 1))},
 				{20 * s, crashLeader(5 * s)},
 			},
 			options: zoneFailover,
--- a/internal/simulation/zonefailover_cost_test.go
+++ b/internal/simulation/zonefailover_cost_test.go
@@ -14,13 +14,13 @@
 	name string
 	do   func(c *cluster)
 }{
-	{"cut 60 s", during(60*s, silenceZone(zoneOfGangs, 1))},
-	{"cut 100 s", during(100*s, silenceZone(zoneOfGangs, 1))},
+	{"cut 60 s", during(60*s, disconnectZone(zoneOfGangs, 1))},
+	{"cut 100 s", during(100*s, disconnectZone(zoneOfGangs, 1))},
 	{"dead", during(100*s, killZone(zoneOfGangs))},
-	{"halved", during(60*s, silenceZone(zoneOfGangs, 0.5))},
+	{"halved", during(60*s, disconnectZone(zoneOfGangs, 0.5))},
 	{"flapping", func(c *cluster) {
-		during(20*s, silenceZone("b", 1))(c)
-		time.AfterFunc(26*s, func() { during(20*s, silenceZone("b", 1))(c) })
+		during(20*s, disconnectZone("b", 1))(c)
+		time.AfterFunc(26*s, func() { during(20*s, disconnectZone("b", 1))(c) })
 	}},
 }
 
--- a/internal/simulation/zonefailover_test.go
+++ b/internal/simulation/zonefailover_test.go
@@ -72,9 +72,9 @@
 	return "b"
 }
 
-// silenceZone blocks all links of the machines in a zone and prevents rentals there. When the fault ends, only the
+// disconnectZone blocks all links of the machines in a zone and prevents rentals there. When the fault ends, only the
 // given share of the machines is left.
-func silenceZone(zone string, share float64) fault {
+func disconnectZone(zone string, share float64) fault {
 	return func(c *cluster) func() {
 		c.recordOccurrence("zone silent")
 		zone := c.resolveZone(zone)
@@ -280,7 +280,7 @@
 		timings: fastTimings,
 		steps: []step{
 			{0, lowPriorityArrays(12)},
-			{8 * s, during(60*s, silenceZone(zoneOfGangs, 1))},
+			{8 * s, during(60*s, disconnectZone(zoneOfGangs, 1))},
 		},
 		occurred: []string{
 			"zone silent",
@@ -307,9 +307,9 @@
 		name:    "flaps twice in a minute",
 		timings: fastTimings,
 		steps: []step{
-			{0, during(25*s, silenceZone("b", 1))},
+			{0, during(25*s, disconnectZone("b", 1))},
 			{5 * s, lowPriorityArrays(4)},
-			{35 * s, during(20*s, silenceZone("b", 1))},
+			{35 * s, during(20*s, disconnectZone("b", 1))},
 		},
 		occurred: []string{"is lost", "is returning"},
 	},
@@ -317,7 +317,7 @@
 		name:    "back with half of its machines",
 		timings: fastTimings,
 		steps: []step{
-			{0, during(50*s, silenceZone("b", 0.5))},
+			{0, during(50*s, disconnectZone("b", 0.5))},
 			{10 * s, lowPriorityArrays(6)},
 		},
 		occurred: []string{"is lost", "is returning", "returning and is available"},
@@ -326,7 +326,7 @@
 		name:    "back while the leader changes",
 		timings: fastTimings,
 		steps: []step{
-			{0, during(50*s, silenceZone("b", 1))},
+			{0, during(50*s, disconnectZone("b", 1))},
 			{10 * s, lowPriorityArrays(4)},
 			{49 * s, crashLeader(5 * s)},
 			{52 * s, crashLeader(300 * ms)},
@@ -339,7 +339,7 @@
 		steps: []step{
 			{0, crashLeaderOnLoan(false)},
 			{0, lowPriorityArrays(12)},
-			{8 * s, during(80*s, silenceZone(zoneOfGangs, 1))},
+			{8 * s, during(80*s, disconnectZone(zoneOfGangs, 1))},
 		},
 		occurred: []string{"is lost", "crash on loan"},
 	},
@@ -349,7 +349,7 @@
 		steps: []step{
 			{0, crashLeaderOnLoan(true)},
 			{0, lowPriorityArrays(12)},
-			{8 * s, during(80*s, silenceZone(zoneOfGangs, 1))},
+			{8 * s, during(80*s, disconnectZone(zoneOfGangs, 1))},
 		},
 		occurred: []string{"is lost", "crash on loan"},
 	},
@@ -357,7 +357,7 @@
 		name:    "the state service is out during the loss",
 		timings: fastTimings,
 		steps: []step{
-			{0, during(60*s, silenceZone("b", 1))},
+			{0, during(60*s, disconnectZone("b", 1))},
 			{10 * s, during(25*s, storeOutage)},
 			{40 * s, lowPriorityArrays(4)},
 		},
@@ -367,10 +367,10 @@
 		name:    "both zones in turn",
 		timings: fastTimings,
 		steps: []step{
-			{0, during(22*s, silenceZone("b", 1))},
+			{0, during(22*s, disconnectZone("b", 1))},
 			{5 * s, lowPriorityArrays(4)},
 			{60 * s, lowPriorityArrays(4)},
-			{70 * s, during(40*s, silenceZone("a", 1))},
+			{70 * s, during(40*s, disconnectZone("a", 1))},
 		},
 		occurred: []string{"zone b was suspected and is lost", "zone a was suspected and is lost"},
 	},
@@ -378,7 +378,7 @@
 		name:    "cancelled lenders and borrowers",
 		timings: fastTimings,
 		steps: []step{
-			{0, during(60*s, silenceZone(zoneOfGangs, 1))},
+			{0, during(60*s, disconnectZone(zoneOfGangs, 1))},
 			{5 * s, lowPriorityArrays(4)},
 			{18 * s, cancelJobs(3, 0)},
 			{22 * s, cancelJobs(3, 0)},
@@ -401,7 +401,7 @@
 		timings: fastTimings,
 		steps: []step{
 			{0, overload(14)},
-			{10 * s, during(50*s, silenceZone("b", 1))},
+			{10 * s, during(50*s, disconnectZone("b", 1))},
 			{20 * s, cancelJobs(2, 0)},
 		},
 		occurred: []string{"is lost"},
@@ -410,7 +410,7 @@
 		name:    "slowly",
 		timings: slowTimings,
 		steps: []step{
-			{0, during(130*s, silenceZone("b", 1))},
+			{0, during(130*s, disconnectZone("b", 1))},
 			{5 * s, lowPriorityArrays(6)},
 			{140 * s, cancelJobs(3, 0)},
 		},
@@ -459,7 +459,7 @@
 		t.Run(fmt.Sprint(on), func(t *testing.T) {
 			t.Parallel()
 			steps := []step{
-				{0, during(70*s, silenceZone("b", 1))},
+				{0, during(70*s, disconnectZone("b", 1))},
 				{5 * s, lowPriorityArrays(4)},
 				{25 * s, crashLeader(8 * s)},
 				{45 * s, crashLeader(8 * s)},
@@ -482,7 +482,7 @@
 	limits := func(c *cluster) {
 		c.cfg.Teams = []config.Team{{Name: "red", MaxGPUs: 32}, {Name: "blue", GuaranteedGPUs: 8, MaxGPUs: 24}}
 	}
-	steps := []step{{0, overload(14)}, {10 * s, during(50*s, silenceZone("b", 1))}, {20 * s, cancelJobs(2, 0)}}
+	steps := []step{{0, overload(14)}, {10 * s, during(50*s, disconnectZone("b", 1))}, {20 * s, cancelJobs(2, 0)}}
 	runZoneScenario(t, 455, fastTimings, steps, []string{"is lost"}, withZoneFailover(everywhere), limits)
 }
 
@@ -490,7 +490,7 @@
 func TestZoneFailoverSingleZone(t *testing.T) {
 	runScenario(t, 450, 3, fastTimings, func(c *cluster) {
 		c.startJobs(9)
-		heal := silenceZone("a", 1)(c)
+		heal := disconnectZone("a", 1)(c)
 		time.Sleep(20 * s)
 		heal()
 		time.Sleep(4 * time.Minute)
@@ -508,13 +508,13 @@
 	zone := []string{"a", "b"}[rng.IntN(2)]
 	duration := time.Duration(10+rng.IntN(70)) * s
 	loss := []func(*cluster){
-		during(duration, silenceZone(zone, 1)),
-		during(duration, silenceZone(zone, 0.5)),
+		during(duration, disconnectZone(zone, 1)),
+		during(duration, disconnectZone(zone, 0.5)),
 		during(duration, killZone(zone)),
 	}[rng.IntN(3)]
 	steps := []step{{0, loss}, {3 * s, lowPriorityArrays(3 + rng.IntN(4))}}
 	if rng.IntN(2) == 0 {
-		steps = append(steps, step{duration + time.Duration(5+rng.IntN(20))*s, during(25*s, silenceZone(zone, 1))})
+		steps = append(steps, step{duration + time.Duration(5+rng.IntN(20))*s, during(25*s, disconnectZone(zone, 1))})
 	}
 	randomSteps, _ := randomScenario(rng)
 	return append(steps, randomSteps[:min(len(randomSteps), 2+rng.IntN(3))]...)
--- a/internal/transport/mesh_test.go
+++ b/internal/transport/mesh_test.go
@@ -129,9 +129,9 @@
 		_, err := a.Call(t.Context(), "b", protocol.PeerMessage{Kind: protocol.PeerStatusQuery})
 		other <- err
 	}()
-	silent := <-accepted
-	t.Cleanup(func() { _ = silent.Close() })
-	if _, err := ReadFrame(silent); err != nil {
+	unanswered := <-accepted
+	t.Cleanup(func() { _ = unanswered.Close() })
+	if _, err := ReadFrame(unanswered); err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(t.Context())
@@ -140,7 +140,7 @@
 		_, err := a.Call(ctx, "b", protocol.PeerMessage{Kind: protocol.PeerHeartbeat})
 		first <- err
 	}()
-	if _, err := ReadFrame(silent); err != nil {
+	if _, err := ReadFrame(unanswered); err != nil {
 		t.Fatal(err)
 	}
 	cancel()
@@ -150,7 +150,7 @@
 	if err := <-other; !errors.Is(err, ErrPeerUnreachable) {
 		t.Errorf("error of the other call: %v", err)
 	}
-	if _, err := ReadFrame(silent); err == nil {
+	if _, err := ReadFrame(unanswered); err == nil {
 		t.Error("the connection is still open")
 	}
 }
