--- a/internal/coordination/election/candidacy.go
+++ b/internal/coordination/election/candidacy.go
@@ -6,9 +6,9 @@
 )
 
 const (
-	// peerHeardIntervals is the number of heartbeat intervals for which a peer counts as reachable after its last
+	// peerContactIntervals is the number of heartbeat intervals for which a peer counts as reachable after its last
 	// heartbeat.
-	peerHeardIntervals = 3
+	peerContactIntervals = 3
 	// stableQuorumIntervals is the number of heartbeat intervals for which a quorum must have been reachable before
 	// this controller may replace a leader that it has no contact with. A shorter contact does not rule out that this
 	// controller is the one that is partitioned.
@@ -51,7 +51,7 @@
 
 func (e *Election) tickFollower(now time.Duration) {
 	e.trackQuorum(now)
-	if e.claimAt == 0 && (now-e.leaderHeardAt > e.timing.LeaderTimeout || e.leaderKeyMissing) {
+	if e.claimAt == 0 && (now-e.leaderContactAt > e.timing.LeaderTimeout || e.leaderKeyMissing) {
 		e.scheduleClaim(now)
 	}
 	if e.claimAt != 0 && now >= max(e.claimAt, e.noClaimBefore) && e.mayReplaceLeader(now) {
@@ -65,10 +65,10 @@
 // network partition, the one to the leader may be the last.
 func (e *Election) trackQuorum(now time.Duration) {
 	switch {
-	case !e.quorumHeardAfter(now, 0):
-		e.quorumHeardSince = 0
-	case e.quorumHeardSince == 0:
-		e.quorumHeardSince = now
+	case !e.quorumContactAfter(now, 0):
+		e.quorumContactSince = 0
+	case e.quorumContactSince == 0:
+		e.quorumContactSince = now
 	}
 }
 
@@ -96,27 +96,27 @@
 		return true
 	}
 	stable := stableQuorumIntervals * e.timing.HeartbeatInterval
-	return e.quorumHeardSince != 0 && now-e.quorumHeardSince >= stable &&
-		e.quorumHeardAfter(now, e.leaderDisconnectedAt+e.timing.HeartbeatInterval/2)
+	return e.quorumContactSince != 0 && now-e.quorumContactSince >= stable &&
+		e.quorumContactAfter(now, e.leaderDisconnectedAt+e.timing.HeartbeatInterval/2)
 }
 
-// quorumHeardAfter reports whether a quorum, which includes this controller, has been heard from recently and after the
-// given time.
-func (e *Election) quorumHeardAfter(now, after time.Duration) bool {
-	heard := 1
-	for _, at := range e.peerHeardAt {
-		if now-at <= peerHeardIntervals*e.timing.HeartbeatInterval && at > after {
-			heard++
+// quorumContactAfter reports whether a quorum, which includes this controller, has been in contact recently and after
+// the given time.
+func (e *Election) quorumContactAfter(now, after time.Duration) bool {
+	inContact := 1
+	for _, at := range e.peerContactAt {
+		if now-at <= peerContactIntervals*e.timing.HeartbeatInterval && at > after {
+			inContact++
 		}
 	}
-	return IsQuorum(heard, len(e.peers))
+	return IsQuorum(inContact, len(e.peers))
 }
 
 // stepDown turns the leader into a follower.
 func (e *Election) stepDown(now time.Duration) {
 	e.emit(StepDown{Term: e.term, LeaseID: e.leaseID})
 	e.role, e.leaseID, e.renewalInFlight = roleFollower, 0, false
-	e.leaderHeardAt = now
+	e.leaderContactAt = now
 	clear(e.ackedAt)
 	clear(e.intentsCompleteAsOf)
 }
--- a/internal/coordination/election/election.go
+++ b/internal/coordination/election/election.go
@@ -68,10 +68,10 @@
 	effects   []Effect // to be returned by the current Step
 
 	// Follower state.
-	leaderHeardAt        time.Duration
+	leaderContactAt      time.Duration
 	leaderDisconnectedAt time.Duration
-	peerHeardAt          map[string]time.Duration // excludes peers that have disconnected
-	quorumHeardSince     time.Duration            // 0 if no quorum is reachable
+	peerContactAt        map[string]time.Duration // excludes peers that have disconnected
+	quorumContactSince   time.Duration            // 0 if no quorum is reachable
 	leaderKeyTerm        uint64                   // the highest term seen in the leader key
 	leaderKeyMissing     bool
 	claimAt              time.Duration // 0 if no claim is scheduled
@@ -94,8 +94,8 @@
 		peers:               peers,
 		timing:              timing,
 		startedAt:           now,
-		leaderHeardAt:       now,
-		peerHeardAt:         map[string]time.Duration{},
+		leaderContactAt:     now,
+		peerContactAt:       map[string]time.Duration{},
 		ackedAt:             map[string]time.Duration{},
 		intentsCompleteAsOf: map[string]time.Duration{},
 	}
@@ -123,7 +123,7 @@
 		if at := e.cancellationsKnownUntil(now); at > 0 {
 			v.MayRenewUntil = at + e.timing.RenewalHorizon
 		}
-	case e.leader == e.self || now-e.leaderHeardAt > e.timing.LeaderTimeout:
+	case e.leader == e.self || now-e.leaderContactAt > e.timing.LeaderTimeout:
 		v.Leader = ""
 	}
 	return v
--- a/internal/coordination/election/election_test.go
+++ b/internal/coordination/election/election_test.go
@@ -101,7 +101,7 @@
 }
 
 // TestRenewalWithoutLeaderNeedsQuorum checks when leases may be renewed without a leader. A peer that reaches the store
-// or knows a leader forbids it. Otherwise it takes a quorum that was heard from recently, and a quorum that has
+// or knows a leader forbids it. Otherwise it takes a quorum that was recently in contact, and a quorum that has
 // delivered all of its intents within the renewal horizon.
 func TestRenewalWithoutLeaderNeedsQuorum(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
--- a/internal/coordination/election/handlers.go
+++ b/internal/coordination/election/handlers.go
@@ -27,7 +27,7 @@
 }
 
 func (e *Election) handleHeartbeat(now time.Duration, h PeerHeartbeat) {
-	e.peerHeardAt[h.From] = now
+	e.peerContactAt[h.From] = now
 	if h.Term > e.term {
 		e.adoptTerm(now, h.Term, h.Leader)
 	}
@@ -38,13 +38,13 @@
 		}
 	}
 	if e.role != roleLeader && !h.Reply && h.Term == e.term && h.Leader == h.From {
-		e.leader, e.leaderHeardAt = h.From, now
+		e.leader, e.leaderContactAt = h.From, now
 		e.claimAt = 0
 	}
 }
 
 func (e *Election) handleDisconnect(now time.Duration, d PeerDisconnected) {
-	delete(e.peerHeardAt, d.Peer)
+	delete(e.peerContactAt, d.Peer)
 	if e.role == roleFollower && d.Peer == e.leader {
 		e.leaderDisconnectedAt = now
 		e.scheduleClaim(now + leaderReconnectIntervals*e.timing.HeartbeatInterval)
@@ -59,7 +59,7 @@
 	if e.role == roleLeader && term > e.term {
 		e.stepDown(now)
 	}
-	e.term, e.leader, e.leaderHeardAt = term, leader, now
+	e.term, e.leader, e.leaderContactAt = term, leader, now
 	e.leaderKeyMissing = e.leaderKeyMissing && term <= e.leaderKeyTerm
 	e.claimAt = 0
 }
--- a/internal/coordination/election/quorum.go
+++ b/internal/coordination/election/quorum.go
@@ -31,14 +31,14 @@
 	return max(e.storeChangesKnownUntil, e.quorumContactTime(now, e.intentsCompleteAsOf))
 }
 
-// quorumContactTime returns the latest time such that a quorum, which includes this controller, was heard from at or
-// after it. heardAt holds the time of the last contact with each peer. The result is 0 if there is no quorum.
-func (e *Election) quorumContactTime(now time.Duration, heardAt map[string]time.Duration) time.Duration {
+// quorumContactTime returns the latest time such that a quorum, which includes this controller, was in contact at or
+// after it. contactAt holds the time of the last contact with each peer. The result is 0 if there is no quorum.
+func (e *Election) quorumContactTime(now time.Duration, contactAt map[string]time.Duration) time.Duration {
 	needed := (len(e.peers) + 1) / 2
 	if needed == 0 {
 		return now // this controller alone is a quorum
 	}
-	if times := slices.Sorted(maps.Values(heardAt)); len(times) >= needed {
+	if times := slices.Sorted(maps.Values(contactAt)); len(times) >= needed {
 		return times[len(times)-needed]
 	}
 	return 0
--- a/internal/coordination/failuredetector/accrual.go
+++ b/internal/coordination/failuredetector/accrual.go
@@ -9,7 +9,7 @@
 // computes phi, a measure of how unlikely the time since the last heartbeat is. It implements the phi accrual detector
 // of Hayashibara et al. (2004), with normally distributed intervals.
 type accrualDetector struct {
-	lastHeardAt   time.Duration
+	lastContactAt time.Duration
 	lastReachedAt time.Duration // when it was last known to be alive through another controller
 	intervals     []float64     // the latest intervals between heartbeats, in seconds
 	nextIndex     int           // index in intervals that is overwritten next
@@ -36,14 +36,14 @@
 // recordHeartbeat records a heartbeat. It ignores a heartbeat that arrives less than a quarter of the interval after
 // another, such as a reply next to a heartbeat, because that says nothing about the rate at which the peer sends.
 func (a *accrualDetector) recordHeartbeat(now, interval time.Duration) {
-	gap := now - a.lastHeardAt
+	gap := now - a.lastContactAt
 	if gap < interval/4 {
 		return
 	}
-	if a.lastHeardAt > 0 {
+	if a.lastContactAt > 0 {
 		a.addInterval(min(gap, maxSampleInterval*interval).Seconds())
 	}
-	a.lastHeardAt = now
+	a.lastContactAt = now
 }
 
 func (a *accrualDetector) addInterval(seconds float64) {
@@ -61,7 +61,7 @@
 }
 
 // lastAliveAt returns the latest time at which the peer was known to be alive.
-func (a *accrualDetector) lastAliveAt() time.Duration { return max(a.lastHeardAt, a.lastReachedAt) }
+func (a *accrualDetector) lastAliveAt() time.Duration { return max(a.lastContactAt, a.lastReachedAt) }
 
 // phi returns the negative decimal logarithm of the probability that a live peer sends no heartbeat until now. slack is
 // added to the expected interval, because an observer that is itself delayed receives every heartbeat late.
--- a/internal/coordination/failuredetector/accrual_test.go
+++ b/internal/coordination/failuredetector/accrual_test.go
@@ -16,7 +16,7 @@
 		// The intervals alternate between one and six ticks.
 		uneven.recordHeartbeat(time.Duration(1+7*(i/2)+i%2)*testTickInterval, testTickInterval)
 	}
-	even.lastHeardAt, uneven.lastHeardAt = time.Minute, time.Minute
+	even.lastContactAt, uneven.lastContactAt = time.Minute, time.Minute
 	at := time.Minute + 8*testTickInterval
 	evenPhi, unevenPhi := even.phi(at, testTickInterval, 0), uneven.phi(at, testTickInterval, 0)
 	if evenPhi <= unevenPhi || unevenPhi >= phiThreshold {
@@ -40,7 +40,7 @@
 		}
 		last := -1.0
 		for sinceContact := time.Duration(0); sinceContact < 10*time.Minute; sinceContact += time.Second {
-			phi := a.phi(a.lastHeardAt+sinceContact, testTickInterval, 0)
+			phi := a.phi(a.lastContactAt+sinceContact, testTickInterval, 0)
 			if phi < last || phi < 0 || phi > maxPhi {
 				t.Fatalf("phi fell or left its bounds: %v, previously %v", phi, last)
 			}
--- a/internal/coordination/failuredetector/decision.go
+++ b/internal/coordination/failuredetector/decision.go
@@ -19,13 +19,13 @@
 	HealthScore      int // health score of the observer
 }
 
-// SuspicionCleared reports that a suspicion has ended, because the controller was heard from directly or reached
-// through a peer.
+// SuspicionCleared reports that a suspicion has ended, because there was direct contact with the controller or it was
+// reached through a peer.
 type SuspicionCleared struct {
 	Controller     string
 	Incarnation    Incarnation
 	SuspectedFor   time.Duration
-	ReachedThrough string // "" if the observer heard from it directly
+	ReachedThrough string // "" if the observer had direct contact with it
 }
 
 // Observation is the contribution of one controller to a verdict.
@@ -43,7 +43,7 @@
 	Evidence    []Observation
 }
 
-// Rejoined reports that a controller was heard from again, after a verdict on an earlier incarnation of it.
+// Rejoined reports that contact with a controller was restored after a verdict on an earlier incarnation of it.
 type Rejoined struct {
 	Controller                     string
 	Incarnation, FailedIncarnation Incarnation
@@ -60,7 +60,7 @@
 
 // Describe implements Decision.
 func (d SuspicionCleared) Describe() string {
-	how := "it was heard"
+	how := "contact was restored"
 	if d.ReachedThrough != "" {
 		how = "it was reached through " + d.ReachedThrough
 	}
@@ -80,7 +80,7 @@
 
 func (o Observation) describe() string {
 	return fmt.Sprintf("%s heard it %v ago, phi %.1f, not reached through %s, own timers %s",
-		o.Observer, roundToMillisecond(o.Opinion.HeardAgo), o.Opinion.Phi,
+		o.Observer, roundToMillisecond(o.Opinion.SinceLastContact), o.Opinion.Phi,
 		strings.Join(o.Opinion.UnreachableThrough, " and "), describeHealthScore(o.HealthScore))
 }
 
--- a/internal/coordination/failuredetector/detector.go
+++ b/internal/coordination/failuredetector/detector.go
@@ -33,14 +33,15 @@
 	Process, Refutations uint64
 }
 
-// neverHeard is the value of HeardAgo if the observer has never heard from the controller.
-const neverHeard = -1
+// noContact is the value of SinceLastContact if the observer never had contact with the controller.
+const noContact = -1
 
 // Opinion is what one controller, the observer, believes about another.
 type Opinion struct {
 	Incarnation Incarnation
-	// HeardAgo is how long ago the observer last heard from the controller directly. It is negative if it never has.
-	HeardAgo time.Duration
+	// SinceLastContact is the time since the observer last had direct contact with the controller. It is negative if
+	// there was none.
+	SinceLastContact time.Duration
 	// Suspected reports whether the observer suspects the controller. If so, SuspectedFor is for how long it has, and
 	// Phi is a measure of how unlikely the time since the last contact is.
 	Suspected    bool
@@ -55,7 +56,7 @@
 // peer is the state kept for one other controller.
 type peer struct {
 	accrual     accrualDetector
-	everHeard   bool // whether it was ever heard from; if so, incarnation is set
+	hadContact  bool // whether there was ever contact with it; if so, incarnation is set
 	incarnation Incarnation
 	voting      bool
 	healthScore int
@@ -95,7 +96,7 @@
 		lastTick:    now,
 	}
 	for _, name := range d.peerNames {
-		d.peers[name] = &peer{accrual: accrualDetector{lastHeardAt: now}, unreachableThrough: map[string]bool{}}
+		d.peers[name] = &peer{accrual: accrualDetector{lastContactAt: now}, unreachableThrough: map[string]bool{}}
 	}
 	return d
 }
@@ -135,9 +136,9 @@
 }
 
 func (d *Detector) opinionOf(now time.Duration, p *peer) Opinion {
-	o := Opinion{Incarnation: p.incarnation, HeardAgo: neverHeard, Suspected: p.suspected, Failed: p.failed}
-	if p.everHeard {
-		o.HeardAgo = now - p.accrual.lastHeardAt
+	o := Opinion{Incarnation: p.incarnation, SinceLastContact: noContact, Suspected: p.suspected, Failed: p.failed}
+	if p.hadContact {
+		o.SinceLastContact = now - p.accrual.lastContactAt
 	}
 	if p.suspected {
 		o.SuspectedFor, o.Phi = now-p.suspectedSince, d.phi(now, p)
@@ -154,8 +155,8 @@
 	for _, name := range d.peerNames {
 		p := d.peers[name]
 		switch {
-		case !p.everHeard:
-			// A peer that has never been heard from cannot lose contact.
+		case !p.hadContact:
+			// Contact with a peer cannot be lost before the first one.
 		case !p.suspected && d.phi(now, p) >= phiThreshold:
 			d.suspect(now, name, p)
 		case p.suspected:
@@ -166,23 +167,23 @@
 }
 
 // handleHeartbeat processes a peer's heartbeat. It ignores heartbeats from unknown controllers, from versions without
-// incarnations, and from incarnations older than the latest one heard from.
+// incarnations, and from incarnations older than the latest known one.
 func (d *Detector) handleHeartbeat(now time.Duration, h PeerHeartbeat) {
 	p := d.peers[h.Peer]
 	if p == nil || h.Incarnation.Process == 0 {
 		return
 	}
-	sameProcess := p.everHeard && h.Incarnation.Process == p.incarnation.Process
+	sameProcess := p.hadContact && h.Incarnation.Process == p.incarnation.Process
 	if sameProcess && h.Incarnation.Refutations < p.incarnation.Refutations {
 		return
 	}
-	if p.everHeard && !sameProcess {
+	if p.hadContact && !sameProcess {
 		p.accrual = accrualDetector{}
 	}
 	d.updateIncarnation(h.Peer, p, h.Incarnation)
 	d.clearSuspicion(now, h.Peer, p, "")
 	p.accrual.recordHeartbeat(now, d.timing.TickInterval)
-	p.everHeard, p.voting, p.healthScore = true, h.Voting, h.HealthScore
+	p.hadContact, p.voting, p.healthScore = true, h.Voting, h.HealthScore
 	p.opinions, p.opinionsReceivedAt = h.Opinions, now
 	if o, ok := h.Opinions[d.self]; ok && o.Suspected && o.Incarnation == d.incarnation {
 		d.incarnation.Refutations++
--- a/internal/coordination/failuredetector/detector_test.go
+++ b/internal/coordination/failuredetector/detector_test.go
@@ -188,7 +188,7 @@
 
 // TestProbeCostIsLinear checks that the number of probes grows linearly with the number of controllers, however long a
 // suspicion lasts: a target is probed twice per suspicion timeout through each other controller. There are no probes
-// while all controllers are heard from.
+// while all controllers are in contact.
 func TestProbeCostIsLinear(t *testing.T) {
 	const controllers = 36
 	c := newCluster(controllers)
@@ -197,7 +197,7 @@
 	heartbeat := func(from string) {
 		observer.Step(c.now, PeerHeartbeat{Peer: from, Incarnation: c.detectors[from].Incarnation(), Voting: true})
 	}
-	// countProbes advances the time, during which the observer hears from all controllers except n-0.
+	// countProbes advances the time, during which the observer receives heartbeats from all controllers except n-0.
 	countProbes := func(d time.Duration) (probes int) {
 		for end := c.now + d; c.now < end; {
 			c.now += testTickInterval
@@ -213,14 +213,14 @@
 		return probes
 	}
 
-	lastHeardAt := observer.peers["n-0"].accrual.lastHeardAt
+	lastContactAt := observer.peers["n-0"].accrual.lastContactAt
 	for range 20 {
 		if probes := countProbes(testTickInterval); probes > 0 {
-			t.Errorf("%d probes while all controllers are heard from, want 0", probes)
+			t.Errorf("%d probes while all controllers are in contact, want 0", probes)
 		}
 		heartbeat("n-0")
 	}
-	if observer.peers["n-0"].accrual.lastHeardAt == lastHeardAt {
+	if observer.peers["n-0"].accrual.lastContactAt == lastContactAt {
 		t.Error("no heartbeat of n-0 was recorded")
 	}
 
@@ -264,7 +264,7 @@
 			before := *p
 			c.now += testTickInterval / 2
 			c.step("n-1", test.event)
-			if p.incarnation != before.incarnation || p.accrual.lastHeardAt != before.accrual.lastHeardAt ||
+			if p.incarnation != before.incarnation || p.accrual.lastContactAt != before.accrual.lastContactAt ||
 				p.suspected || len(p.unreachableThrough) > 0 {
 				t.Errorf("peer state changed to %+v, was %+v", *p, before)
 			}
--- a/internal/coordination/failuredetector/suspicion.go
+++ b/internal/coordination/failuredetector/suspicion.go
@@ -9,7 +9,7 @@
 	d.emitDecision(Suspected{
 		Controller:       name,
 		Incarnation:      p.incarnation,
-		SinceLastContact: now - p.accrual.lastHeardAt,
+		SinceLastContact: now - p.accrual.lastContactAt,
 		Phi:              d.phi(now, p),
 		HealthScore:      d.healthScore,
 	})
@@ -32,7 +32,7 @@
 	p.probedAt = now
 	var through []string
 	for _, name := range d.peerNames {
-		if o := d.peers[name]; name != target && o.everHeard && !o.suspected {
+		if o := d.peers[name]; name != target && o.hadContact && !o.suspected {
 			through = append(through, name)
 		}
 	}
@@ -55,8 +55,8 @@
 	p.accrual.lastReachedAt = now
 }
 
-// clearSuspicion ends a suspicion because the controller was heard from, or reached through a peer. An incarnation with
-// a verdict remains suspected, so that it learns of the verdict and continues as a new incarnation.
+// clearSuspicion ends a suspicion because there was contact with the controller, or it was reached through a peer. An
+// incarnation with a verdict remains suspected, so that it learns of the verdict and continues as a new incarnation.
 func (d *Detector) clearSuspicion(now time.Duration, name string, p *peer, through string) {
 	if !p.suspected || p.verdictReached {
 		return
@@ -71,22 +71,22 @@
 	clear(p.unreachableThrough)
 }
 
-// applyRefutations ends suspicions that a peer has refuted, because it recently heard from a later incarnation of the
-// suspected controller.
+// applyRefutations ends suspicions that a peer has refuted, because it recently had contact with a later incarnation of
+// the suspected controller.
 func (d *Detector) applyRefutations(now time.Duration, h PeerHeartbeat) {
 	for _, name := range d.peerNames {
 		p, o := d.peers[name], h.Opinions[name]
 		refuted := o.Incarnation.Process == p.incarnation.Process &&
 			o.Incarnation.Refutations > p.incarnation.Refutations
-		if name != h.Peer && p.suspected && refuted && d.heardRecently(o) {
+		if name != h.Peer && p.suspected && refuted && d.hadRecentContact(o) {
 			d.updateIncarnation(name, p, o.Incarnation)
 			d.clearSuspicion(now, name, p, h.Peer)
-			p.accrual.lastReachedAt = now - o.HeardAgo
+			p.accrual.lastReachedAt = now - o.SinceLastContact
 		}
 	}
 }
 
-// heardRecently reports whether the observer had recently heard from the controller directly.
-func (d *Detector) heardRecently(o Opinion) bool {
-	return o.HeardAgo >= 0 && o.HeardAgo <= d.timing.OpinionTTL
+// hadRecentContact reports whether the observer recently had direct contact with the controller.
+func (d *Detector) hadRecentContact(o Opinion) bool {
+	return o.SinceLastContact >= 0 && o.SinceLastContact <= d.timing.OpinionTTL
 }
--- a/internal/coordination/failuredetector/verdict.go
+++ b/internal/coordination/failuredetector/verdict.go
@@ -9,14 +9,14 @@
 )
 
 // evaluateVerdict reaches a verdict on a peer if a quorum of all controllers considers the same incarnation failed and
-// no voting controller has heard from it recently. Only controllers that vote and whose opinions are recent are
+// no voting controller had recent contact with it. Only controllers that vote and whose opinions are recent are
 // counted.
 func (d *Detector) evaluateVerdict(now time.Duration, name string, p *peer) {
 	if !p.failed || !d.voting || p.verdictReached {
 		return
 	}
-	evidence, heard := d.collectEvidence(now, name, p)
-	if heard || !election.IsQuorum(len(evidence), len(d.peerNames)) {
+	evidence, inContact := d.collectEvidence(now, name, p)
+	if inContact || !election.IsQuorum(len(evidence), len(d.peerNames)) {
 		return
 	}
 	p.verdictReached = true
@@ -28,9 +28,9 @@
 	})
 }
 
-// collectEvidence returns the opinions that the current incarnation of a peer has failed, sorted by observer. heard is
-// true if a controller has recently heard from the peer, which rules out a verdict.
-func (d *Detector) collectEvidence(now time.Duration, name string, p *peer) (evidence []Observation, heard bool) {
+// collectEvidence returns the opinions that the current incarnation of a peer has failed, sorted by observer.
+// inContact is true if a controller recently had contact with the peer, which rules out a verdict.
+func (d *Detector) collectEvidence(now time.Duration, name string, p *peer) (evidence []Observation, inContact bool) {
 	evidence = append(evidence, Observation{Observer: d.self, HealthScore: d.healthScore, Opinion: d.opinionOf(now, p)})
 	for _, other := range d.peerNames {
 		o := d.peers[other]
@@ -41,7 +41,7 @@
 		switch {
 		case opinion.Incarnation == p.incarnation && opinion.Failed:
 			evidence = append(evidence, Observation{Observer: other, HealthScore: o.healthScore, Opinion: opinion})
-		case d.heardRecently(opinion) && !opinion.Suspected:
+		case d.hadRecentContact(opinion) && !opinion.Suspected:
 			return nil, true
 		}
 	}
--- a/internal/coordination/fencing/events.go
+++ b/internal/coordination/fencing/events.go
@@ -29,14 +29,14 @@
 	// MachinesListed reports the cloud's list of machines.
 	MachinesListed struct{ Machines []protocol.ListedMachine }
 
-	// UnreachableConfirmed lists machines that none of the peers has heard from either.
+	// UnreachableConfirmed lists machines that none of the peers has received a recent heartbeat from either.
 	UnreachableConfirmed struct{ Machines []string }
 
 	// MachinesReleased lists machines whose release the cloud has accepted.
 	MachinesReleased struct{ Machines []string }
 
-	// PeerQuery is a peer's question which of the machines this controller has recently heard from. Reply must have
-	// buffer space for one answer.
+	// PeerQuery is a peer's question which of the machines this controller has recently received heartbeats from. Reply
+	// must have buffer space for one answer.
 	PeerQuery struct {
 		Machines []string
 		Reply    chan<- []string
@@ -52,9 +52,9 @@
 	// repeated at the next Assessment.
 	ListMachines struct{}
 
-	// QueryPeers requests that every peer be asked which of the machines it has heard from. The caller evaluates the
-	// replies with UnreachableMachines and reports the result as UnreachableConfirmed. If the result is not certain,
-	// the query is repeated at the next Assessment.
+	// QueryPeers requests that every peer be asked which of the machines it has recently received heartbeats from. The
+	// caller evaluates the replies with UnreachableMachines and reports the result as UnreachableConfirmed. If the
+	// result is not certain, the query is repeated at the next Assessment.
 	QueryPeers struct{ Machines []string }
 
 	// ReleaseMachines requests that machines be returned to the cloud. Those that were released are reported as
@@ -63,8 +63,8 @@
 
 	// AnswerPeer is the answer to a PeerQuery.
 	AnswerPeer struct {
-		Heard []string
-		Reply chan<- []string
+		LiveMachines []string
+		Reply        chan<- []string
 	}
 )
 
--- a/internal/coordination/fencing/fencer.go
+++ b/internal/coordination/fencing/fencer.go
@@ -4,9 +4,9 @@
 // by releasing an unreachable machine that may still run such a task. During an outage of the store, no leader can be
 // elected, and no other controller knows where tasks are placed. Yet a hung machine resumes its tasks when it recovers,
 // however late that is. Therefore, once no leader could be elected for a while and the deadline of a cancellation may
-// be near, every machine is released that the cloud lists as running and that no controller has heard from. Unless it
-// hangs, a machine that has been unreachable for that long has already lost its tasks, because its lease has expired.
-// Releasing it costs no more than booting a machine again.
+// be near, every machine is released that the cloud lists as running and that no controller has received a heartbeat
+// from. Unless it hangs, a machine that has been unreachable for that long has already lost its tasks, because its
+// lease has expired. Releasing it costs no more than booting a machine again.
 //
 // Fencer is a pure state machine: it performs no I/O, reads no clock and is not safe for concurrent use. The caller
 // passes each event to Step and carries out the returned effects. A release is the following sequence; if any effect
@@ -75,7 +75,7 @@
 		// Heartbeats may have arrived while the peers were queried.
 		unreachable := slices.DeleteFunc(
 			slices.Clone(e.Machines),
-			func(name string) bool { return f.heardRecently(now, name) },
+			func(name string) bool { return f.hasRecentHeartbeat(now, name) },
 		)
 		if f.mayRelease && len(unreachable) > 0 {
 			return []Effect{ReleaseMachines{Machines: unreachable}}
@@ -85,11 +85,11 @@
 			f.releasedAt[name] = now
 		}
 	case PeerQuery:
-		heard := slices.DeleteFunc(
+		live := slices.DeleteFunc(
 			slices.Clone(e.Machines),
-			func(name string) bool { return !f.heardRecently(now, name) },
+			func(name string) bool { return !f.hasRecentHeartbeat(now, name) },
 		)
-		return []Effect{AnswerPeer{Heard: heard, Reply: e.Reply}}
+		return []Effect{AnswerPeer{LiveMachines: live, Reply: e.Reply}}
 	}
 	return nil
 }
@@ -120,19 +120,19 @@
 	}
 }
 
-// heardRecently reports whether a heartbeat of the machine was received within the grace period.
-func (f *Fencer) heardRecently(now time.Duration, name string) bool {
+// hasRecentHeartbeat reports whether a heartbeat of the machine was received within the grace period.
+func (f *Fencer) hasRecentHeartbeat(now time.Duration, name string) bool {
 	last, ok := f.lastHeartbeats[name]
 	return ok && now-last.receivedAt <= f.timing.GracePeriod
 }
 
 // unreachableMachines returns the machines that are running according to the cloud, have not been released, and have
-// not been heard from recently by this controller.
+// sent no recent heartbeat to this controller.
 func (f *Fencer) unreachableMachines(now time.Duration, list []protocol.ListedMachine) (names []string) {
 	for i := range list {
 		name := list[i].Name
 		_, released := f.releasedAt[name]
-		if list[i].State == protocol.MachineRunning && !released && !f.heardRecently(now, name) {
+		if list[i].State == protocol.MachineRunning && !released && !f.hasRecentHeartbeat(now, name) {
 			names = append(names, name)
 		}
 	}
--- a/internal/coordination/fencing/fencer_test.go
+++ b/internal/coordination/fencing/fencer_test.go
@@ -144,7 +144,7 @@
 	fencer          *Fencer
 	now             time.Duration
 	sequence        uint64
-	heardAt         map[string]time.Duration
+	lastHeartbeatAt map[string]time.Duration
 	released        map[string]bool
 	leaderlessSince time.Duration // negative while there is a leader
 }
@@ -152,7 +152,7 @@
 // heartbeat delivers a new heartbeat of a machine.
 func (m *releaseModel) heartbeat(machine string) {
 	m.sequence++
-	m.heardAt[machine] = m.now
+	m.lastHeartbeatAt[machine] = m.now
 	m.apply(m.fencer.Step(m.now, heartbeat(machine, 1, m.sequence)))
 }
 
@@ -166,9 +166,9 @@
 	m.apply(m.fencer.Step(m.now, Assessment{Leaderless: leaderless, Recovering: true}))
 }
 
-func (m *releaseModel) heardRecently(machine string) bool {
-	at, heard := m.heardAt[machine]
-	return heard && m.now-at <= testGracePeriod
+func (m *releaseModel) hasRecentHeartbeat(machine string) bool {
+	at, ok := m.lastHeartbeatAt[machine]
+	return ok && m.now-at <= testGracePeriod
 }
 
 // apply checks effects against the model and carries out releases.
@@ -181,9 +181,9 @@
 		case ReleaseMachines:
 			m.requireGracePeriod()
 			for _, name := range e.Machines {
-				if name == "starting" || name == "failed" || m.released[name] || m.heardRecently(name) {
+				if name == "starting" || name == "failed" || m.released[name] || m.hasRecentHeartbeat(name) {
 					m.t.Fatalf("%s released at %v; last heartbeats: %v, already released: %v",
-						name, m.now, m.heardAt, m.released)
+						name, m.now, m.lastHeartbeatAt, m.released)
 				}
 				m.released[name] = true
 			}
@@ -209,7 +209,7 @@
 		m := &releaseModel{
 			t:               t,
 			fencer:          newTestFencer(),
-			heardAt:         map[string]time.Duration{},
+			lastHeartbeatAt: map[string]time.Duration{},
 			released:        map[string]bool{},
 			leaderlessSince: -1,
 		}
@@ -238,9 +238,9 @@
 					if !ok {
 						t.Fatalf("effect %T for a PeerQuery, want AnswerPeer", effect)
 					}
-					for _, name := range answer.Heard {
-						if !m.heardRecently(name) {
-							t.Fatalf("%s is reported as recently heard from at %v", name, m.now)
+					for _, name := range answer.LiveMachines {
+						if !m.hasRecentHeartbeat(name) {
+							t.Fatalf("%s is reported as having sent a recent heartbeat at %v", name, m.now)
 						}
 					}
 				}
@@ -265,23 +265,23 @@
 	}{
 		{
 			name:        "all answer",
-			replies:     []PeerReply{{Answered: true, Heard: []string{"b"}, InQuorum: true}, {Answered: true}},
+			replies:     []PeerReply{{Answered: true, LiveMachines: []string{"b"}, InQuorum: true}, {Answered: true}},
 			unreachable: []string{"a", "c"},
 			certain:     true,
 		},
 		{
 			name:        "failed peer",
-			replies:     []PeerReply{{Answered: true, Heard: []string{"a"}}, {}},
+			replies:     []PeerReply{{Answered: true, LiveMachines: []string{"a"}}, {}},
 			unreachable: []string{"b", "c"},
 			certain:     true,
 		},
 		{
 			name:    "peer in the quorum does not answer",
-			replies: []PeerReply{{Answered: true, Heard: []string{"a"}}, {InQuorum: true}},
+			replies: []PeerReply{{Answered: true, LiveMachines: []string{"a"}}, {InQuorum: true}},
 		},
 		{
 			name:    "peer in the quorum answers in part",
-			replies: []PeerReply{{Heard: []string{"a"}, InQuorum: true}},
+			replies: []PeerReply{{LiveMachines: []string{"a"}, InQuorum: true}},
 		},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -300,7 +300,8 @@
 }
 
 // TestManyUnreachableMachines checks with thousands of machines that the peers are queried about exactly those that
-// this controller has not heard from, and that exactly those are released that no peer has heard from either.
+// this controller has received no heartbeat from, and that exactly those are released that no peer has received one
+// from either.
 func TestManyUnreachableMachines(t *testing.T) {
 	const machines = 4000
 	f := newTestFencer()
@@ -321,11 +322,12 @@
 	if len(asked) != machines/2 {
 		t.Fatalf("queries peers about %d machines, want %d", len(asked), machines/2)
 	}
-	var heard []string // one peer hears a quarter of all machines, the other only the first of these
+	// One peer receives heartbeats from a quarter of all machines, the other only from the first of these.
+	var live []string
 	for i := 1; i < machines; i += 4 {
-		heard = append(heard, names[i])
+		live = append(live, names[i])
 	}
-	replies := []PeerReply{{Answered: true, Heard: heard}, {Answered: true, Heard: heard[:1]}}
+	replies := []PeerReply{{Answered: true, LiveMachines: live}, {Answered: true, LiveMachines: live[:1]}}
 	unreachable, certain := UnreachableMachines(asked, replies)
 	if !certain || len(unreachable) != machines/4 {
 		t.Fatalf("%d machines are unreachable, want %d", len(unreachable), machines/4)
--- a/internal/coordination/leader/term.go
+++ b/internal/coordination/leader/term.go
@@ -181,7 +181,7 @@
 }
 
 // heartbeatBuffer holds the newest heartbeat of each machine that arrived before the records were loaded, in the order
-// in which the machines were first heard from.
+// in which the first heartbeats of the machines arrived.
 type heartbeatBuffer struct {
 	heartbeats []scheduler.HeartbeatReceived
 	index      map[string]int
--- a/internal/coordination/ownership/assigner.go
+++ b/internal/coordination/ownership/assigner.go
@@ -50,9 +50,9 @@
 
 // peer is the state kept for one other controller.
 type peer struct {
-	incarnation failuredetector.Incarnation
-	canOwn      bool
-	heardAt     time.Duration // 0 if never heard from
+	incarnation   failuredetector.Incarnation
+	canOwn        bool
+	lastContactAt time.Duration // 0 if there was no contact
 
 	recentVerdicts     int
 	verdictsExpireAt   time.Duration // when the recent verdicts are forgotten
@@ -113,7 +113,7 @@
 	if p == nil {
 		return
 	}
-	p.incarnation, p.canOwn, p.heardAt = h.Member.Incarnation, h.CanOwn, now
+	p.incarnation, p.canOwn, p.lastContactAt = h.Member.Incarnation, h.CanOwn, now
 }
 
 // handleVerdict excludes a controller whose incarnation has failed. The controller can own machines again as another
@@ -185,7 +185,7 @@
 func (a *Assigner) desiredMember(now time.Duration, name string) (Member, bool) {
 	p := a.peers[name]
 	current, owns := findMember(a.record.Members, name)
-	recent := p.heardAt > 0 && now-p.heardAt <= a.timing.PeerTimeout
+	recent := p.lastContactAt > 0 && now-p.lastContactAt <= a.timing.PeerTimeout
 	switch {
 	case recent && p.canOwn && owns && current.Incarnation.Process == p.incarnation.Process &&
 		!p.failedIncarnations[current.Incarnation]:
--- a/internal/coordination/ownership/assigner_test.go
+++ b/internal/coordination/ownership/assigner_test.go
@@ -78,8 +78,8 @@
 	return names
 }
 
-// TestOwnersFollowHeartbeatsAndVerdicts checks that a controller owns machines once it was heard from, keeps them while
-// there is no contact with it, and loses them only through a verdict on its incarnation. It owns machines again as
+// TestOwnersFollowHeartbeatsAndVerdicts checks that a controller owns machines after the first contact with it, keeps
+// them while contact is lost, and loses them only through a verdict on its incarnation. It owns machines again as
 // another incarnation, after a delay that grows with each failure.
 func TestOwnersFollowHeartbeatsAndVerdicts(t *testing.T) {
 	l := newLeadingAssigner("b", "c")
--- a/internal/daemon/claim_test.go
+++ b/internal/daemon/claim_test.go
@@ -30,7 +30,7 @@
 }
 
 // TestClaims checks that a claim wins a term above every known term, and that it loses to a leader that the claimant
-// has not heard of yet.
+// does not know of yet.
 func TestClaims(t *testing.T) {
 	store := simulation.NewStore()
 	first, _ := newTestElectionActor(t, "n-0", store)
--- a/internal/daemon/failuredetection.go
+++ b/internal/daemon/failuredetection.go
@@ -82,15 +82,15 @@
 	opinions := d.Opinions(now)
 	for _, name := range slices.Sorted(maps.Keys(opinions)) {
 		o := opinions[name]
-		heardAgoMS := o.HeardAgo.Milliseconds()
-		if o.HeardAgo < 0 {
-			heardAgoMS = -1
+		sinceLastContactMS := o.SinceLastContact.Milliseconds()
+		if o.SinceLastContact < 0 {
+			sinceLastContactMS = -1
 		}
 		out.opinions = append(out.opinions, protocol.PeerOpinion{
 			Controller:         name,
 			Incarnation:        o.Incarnation.Process,
 			Refutations:        o.Incarnation.Refutations,
-			HeardAgoMS:         heardAgoMS,
+			SinceLastContactMS: sinceLastContactMS,
 			Suspected:          o.Suspected,
 			SuspectedForMS:     o.SuspectedFor.Milliseconds(),
 			Phi:                o.Phi,
@@ -168,7 +168,7 @@
 	if a == nil || m.Incarnation == 0 {
 		return
 	}
-	heard := failuredetector.PeerHeartbeat{
+	heartbeat := failuredetector.PeerHeartbeat{
 		Peer:        m.From,
 		Incarnation: failuredetector.Incarnation{Process: m.Incarnation, Refutations: m.Refutations},
 		HealthScore: max(0, m.HealthScore),
@@ -177,21 +177,21 @@
 	if err := protocol.ValidateOpinions(m.Opinions); err != nil {
 		a.malformedLogLimit.Do(func() { a.log.Info("malformed peer opinions", "peer", m.From, "error", err) })
 	} else {
-		heard.Opinions = decodeOpinions(m.Opinions)
+		heartbeat.Opinions = decodeOpinions(m.Opinions)
 	}
-	a.mailbox.Send(heard)
+	a.mailbox.Send(heartbeat)
 }
 
 func decodeOpinions(list []protocol.PeerOpinion) map[string]failuredetector.Opinion {
 	out := make(map[string]failuredetector.Opinion, len(list))
 	for _, o := range list {
-		heardAgo := time.Duration(o.HeardAgoMS) * time.Millisecond
-		if o.HeardAgoMS < 0 {
-			heardAgo = -1
+		sinceLastContact := time.Duration(o.SinceLastContactMS) * time.Millisecond
+		if o.SinceLastContactMS < 0 {
+			sinceLastContact = -1
 		}
 		out[o.Controller] = failuredetector.Opinion{
 			Incarnation:        failuredetector.Incarnation{Process: o.Incarnation, Refutations: o.Refutations},
-			HeardAgo:           heardAgo,
+			SinceLastContact:   sinceLastContact,
 			Suspected:          o.Suspected,
 			SuspectedFor:       time.Duration(o.SuspectedForMS) * time.Millisecond,
 			Phi:                o.Phi,
--- a/internal/daemon/fencing.go
+++ b/internal/daemon/fencing.go
@@ -74,7 +74,7 @@
 	case fencing.ReleaseMachines:
 		a.tasks.Go(func() { a.releaseUnreachableMachines(ctx, e.Machines) })
 	case fencing.AnswerPeer:
-		e.Reply <- e.Heard
+		e.Reply <- e.LiveMachines
 	}
 }
 
@@ -96,7 +96,7 @@
 			reply.Answered = false
 			return reply
 		}
-		reply.Heard = append(reply.Heard, r.Machines...)
+		reply.LiveMachines = append(reply.LiveMachines, r.Machines...)
 	}
 	return reply
 }
@@ -119,8 +119,8 @@
 	reply := make(chan []string, 1)
 	a.mailbox.Send(fencing.PeerQuery{Machines: machines, Reply: reply})
 	select {
-	case heard := <-reply:
-		return heard
+	case live := <-reply:
+		return live
 	case <-time.After(a.times.LeaderTimeout / 2):
 		return nil // the actor has stopped
 	}
--- a/internal/protocol/peermessage_test.go
+++ b/internal/protocol/peermessage_test.go
@@ -218,20 +218,20 @@
 	good := PeerOpinion{
 		Controller:         "n-1",
 		Incarnation:        5,
-		HeardAgoMS:         1200,
+		SinceLastContactMS: 1200,
 		Suspected:          true,
 		SuspectedForMS:     300,
 		Phi:                9.5,
 		Failed:             true,
 		UnreachableThrough: []string{"n-2"},
 	}
-	if err := ValidateOpinions([]PeerOpinion{good, {Controller: "n-2", HeardAgoMS: -1}}); err != nil {
+	if err := ValidateOpinions([]PeerOpinion{good, {Controller: "n-2", SinceLastContactMS: -1}}); err != nil {
 		t.Error(err)
 	}
 	for name, change := range map[string]func(*PeerOpinion){
 		"nobody":                    func(o *PeerOpinion) { o.Controller = "" },
-		"heard in the future":       func(o *PeerOpinion) { o.HeardAgoMS = -2 },
-		"too long ago":              func(o *PeerOpinion) { o.HeardAgoMS = math.MaxInt64 },
+		"heard in the future":       func(o *PeerOpinion) { o.SinceLastContactMS = -2 },
+		"too long ago":              func(o *PeerOpinion) { o.SinceLastContactMS = math.MaxInt64 },
 		"suspected in the future":   func(o *PeerOpinion) { o.SuspectedForMS = -1 },
 		"no phi":                    func(o *PeerOpinion) { o.Phi = math.NaN() },
 		"infinite phi":              func(o *PeerOpinion) { o.Phi = math.Inf(1) },
--- a/internal/protocol/peeropinion.go
+++ b/internal/protocol/peeropinion.go
@@ -7,13 +7,13 @@
 	Controller  string `cbor:"1,keyasint"`
 	Incarnation uint64 `cbor:"2,keyasint,omitempty"`
 	Refutations uint64 `cbor:"3,keyasint,omitempty"`
-	// HeardAgoMS is the time in milliseconds since the sender last received a sign of life from the controller, or -1
-	// if it never did.
-	HeardAgoMS     int64   `cbor:"4,keyasint"`
-	Suspected      bool    `cbor:"5,keyasint,omitempty"`
-	SuspectedForMS int64   `cbor:"6,keyasint,omitempty"`
-	Phi            float64 `cbor:"7,keyasint,omitempty"`
-	Failed         bool    `cbor:"8,keyasint,omitempty"`
+	// SinceLastContactMS is the time in milliseconds since the sender last had contact with the controller, or -1 if it
+	// never had.
+	SinceLastContactMS int64   `cbor:"4,keyasint"`
+	Suspected          bool    `cbor:"5,keyasint,omitempty"`
+	SuspectedForMS     int64   `cbor:"6,keyasint,omitempty"`
+	Phi                float64 `cbor:"7,keyasint,omitempty"`
+	Failed             bool    `cbor:"8,keyasint,omitempty"`
 	// UnreachableThrough lists the other controllers whose probes did not reach this one.
 	UnreachableThrough []string `cbor:"9,keyasint,omitempty"`
 }
@@ -39,7 +39,7 @@
 	switch {
 	case o.Controller == "", len(o.UnreachableThrough) > MaxOpinions:
 		return false
-	case o.HeardAgoMS < -1, o.HeardAgoMS > math.MaxInt32:
+	case o.SinceLastContactMS < -1, o.SinceLastContactMS > math.MaxInt32:
 		return false
 	case o.SuspectedForMS < 0, o.SuspectedForMS > math.MaxInt32:
 		return false
@@ -47,7 +47,7 @@
 		return false
 	case o.Failed && !o.Suspected:
 		return false
-	case o.HeardAgoMS >= 0 && o.Incarnation == 0:
+	case o.SinceLastContactMS >= 0 && o.Incarnation == 0:
 		return false
 	}
 	return true
