--- a/internal/coordination/scheduler/cancellation.go
+++ b/internal/coordination/scheduler/cancellation.go
@@ -9,8 +9,8 @@
 )
 
 // handleCancellationIntent stops a job whose user may be told that it is cancelled before the leader can read the
-// cancellation from the state service, which may be unreachable. Nobody needs the results of its tasks by then. If the
-// job turns out not to be cancelled, it is placed again.
+// cancellation from the key-value store, which may be unreachable. Nobody needs the results of its tasks by then. If
+// the job turns out not to be cancelled, it is placed again.
 func (s *Scheduler) handleCancellationIntent(now time.Duration, e CancellationIntent) {
 	s.cancellationIntents[e.ID] = max(s.cancellationIntents[e.ID], e.ValidUntil)
 	j := s.jobs[e.ID]
--- a/internal/coordination/scheduler/cancelleddependents.go
+++ b/internal/coordination/scheduler/cancelleddependents.go
@@ -27,7 +27,8 @@
 	return j
 }
 
-// writeCancelledDependents records the ends of cancelled dependents, as far as the state service has capacity for them.
+// writeCancelledDependents records the ends of cancelled dependents, as far as the key-value store has capacity for
+// them.
 func (s *Scheduler) writeCancelledDependents() {
 	for !s.cancelledDependents.empty() && s.mayWriteCompletions() {
 		id, name := s.writes.nextID()
--- a/internal/coordination/scheduler/cycleclock.go
+++ b/internal/coordination/scheduler/cycleclock.go
@@ -84,7 +84,7 @@
 }
 
 // writeRecords writes the records that starts wait for, then the ends of cancelled dependents, then completed tasks, as
-// far as the state service has capacity for them.
+// far as the key-value store has capacity for them.
 func (s *Scheduler) writeRecords(now time.Duration) {
 	s.recordStarts(now)
 	s.writeCancelledDependents()
--- a/internal/coordination/scheduler/dependencies.go
+++ b/internal/coordination/scheduler/dependencies.go
@@ -66,7 +66,7 @@
 	case protocol.JobCancelled:
 		s.dependencyEnded(now, e.ID, dependency.Cancelled)
 	default:
-		// Either the job is live and the watch has not delivered it yet, or the state service did not answer.
+		// Either the job is live and the watch has not delivered it yet, or the key-value store did not answer.
 		s.delayedCalls.add(now+CycleInterval/4, func(time.Duration) { s.requestFinalState(e.ID) })
 	}
 }
--- a/internal/coordination/scheduler/largefleet_test.go
+++ b/internal/coordination/scheduler/largefleet_test.go
@@ -146,7 +146,7 @@
 }
 
 // TestLedgerOfManyLoans checks that the ledger handles far more loans than fit into one transaction, whereas it used to
-// refuse the excess. Loans are recorded one transaction at a time, each of a size that the state service accepts. All
+// refuse the excess. Loans are recorded one transaction at a time, each of a size that the key-value store accepts. All
 // lenders of a job are preempted together, and only after all of its loans are recorded. The next leader recovers every
 // loan. After all loans have ended, only the first page is left.
 func TestLedgerOfManyLoans(t *testing.T) {
--- a/internal/coordination/scheduler/scheduler.go
+++ b/internal/coordination/scheduler/scheduler.go
@@ -1,10 +1,10 @@
 // Package scheduler implements the leader's scheduler as a deterministic state machine. It accepts jobs, places their
-// tasks on machines, records each placement in the state service before the task may start, and reacts to heartbeats,
+// tasks on machines, records each placement in the key-value store before the task may start, and reacts to heartbeats,
 // failures, cancellations and lost zones.
 //
 // A [Scheduler] does no I/O and reads no clock: [Scheduler.Step] takes an event and the current time and returns the
 // effects that the caller has to carry out. It is not safe for concurrent use. A Scheduler serves one term; a new
-// leader builds another one from the records in the state service.
+// leader builds another one from the records in the key-value store.
 package scheduler
 
 import (
@@ -74,7 +74,7 @@
 }
 
 // RecoveredRecords holds what a new leader has read before it starts: the price list of the cloud and the records of
-// the state service.
+// the key-value store.
 type RecoveredRecords struct {
 	MachineTypes      []protocol.MachineType
 	LiveJobs          []protocol.KeyValue
--- a/internal/coordination/scheduler/zoneharness_test.go
+++ b/internal/coordination/scheduler/zoneharness_test.go
@@ -32,8 +32,8 @@
 	orderOracle    simulation.RecoveryOrderOracle
 	loanOracle     *simulation.LoanOracle
 	excluded       map[string]map[string]bool // by job, machines that it could not use in the last cycle
-	unanswered     func(Write) bool           // selects writes that the state service does not answer yet
-	delayedAnswers []func()                   // answers of the cloud and the state service that arrive after the cycle
+	unanswered     func(Write) bool           // selects writes that the key-value store does not answer yet
+	delayedAnswers []func()                   // answers of the cloud and the store that arrive after the cycle
 }
 
 func newZoneHarness(order *zonefailover.RecoveryOrder, teams ...config.Team) *zoneHarness {
@@ -131,7 +131,7 @@
 	delete(h.unreachable, name)
 }
 
-// write commits a transaction, or keeps it for the next second if the state service does not answer yet.
+// write commits a transaction, or keeps it for the next second if the key-value store does not answer yet.
 func (h *zoneHarness) write(w Write) {
 	if h.unanswered != nil && h.unanswered(w) {
 		h.delayedAnswers = append(h.delayedAnswers, func() { h.write(w) })
