--- a/internal/coordination/autoscaler/autoscaler_test.go
+++ b/internal/coordination/autoscaler/autoscaler_test.go
@@ -50,7 +50,7 @@
 	})
 }
 
-func rentals(effects []Effect) (out []protocol.Rental) {
+func rentals(effects []Effect) (out []protocol.RentalRequest) {
 	for _, e := range effects {
 		if r, ok := e.(ScaleOut); ok {
 			out = append(out, r.Rental)
@@ -79,7 +79,7 @@
 	if got := rentals(scaler.Plan(1*s, demands)); got != nil {
 		t.Errorf("rented before the machine list is known: %v", got)
 	}
-	scaler.HandleList(2*s, 1*s, nil)
+	scaler.HandleMachineList(2*s, 1*s, nil)
 	got := rentals(scaler.Plan(2*s, demands))
 	if n := totalCount(got); n != 3 {
 		t.Errorf("10 tasks of 2 GPUs: rented %v, want 3 machines", got)
@@ -105,7 +105,7 @@
 	}
 }
 
-func totalCount(requests []protocol.Rental) int {
+func totalCount(requests []protocol.RentalRequest) int {
 	n := 0
 	for _, r := range requests {
 		n += r.Count
@@ -125,7 +125,7 @@
 		{protocol.Job{GPUs: 8, CheckpointIntervalSeconds: 10}, false},
 	} {
 		scaler, _ := setup()
-		scaler.HandleList(1, 0, nil)
+		scaler.HandleMachineList(1, 0, nil)
 		got := rentals(scaler.Plan(2, []Demand{{Job: &test.job, Count: 1}}))
 		if len(got) != 1 || got[0].Spot != test.spot {
 			t.Errorf("job %+v: rented %v", test.job, got)
@@ -133,30 +133,30 @@
 	}
 }
 
-// TestListProvesOnlyLaterAbsence checks that a machine counts as terminated only if it is silent and missing from a
-// list that describes a later state than a list that contained it. Lists lag, and one may describe an earlier state
+// TestListProvesOnlyLaterAbsence checks that a machine counts as terminated only if it is unreachable and missing from
+// a list that describes a later state than a list that contained it. Lists lag, and one may describe an earlier state
 // than the one before.
 func TestListProvesOnlyLaterAbsence(t *testing.T) {
 	scaler, registry := setup()
 	m1 := []protocol.ListedMachine{{Name: "m1", Addr: "x", Type: "g8", Zone: "a", State: protocol.MachineRunning}}
-	scaler.HandleList(10*s, 9*s, m1)
-	if terminated := scaler.HandleList(19*s, 18*s, nil); terminated != nil {
+	scaler.HandleMachineList(10*s, 9*s, m1)
+	if terminated := scaler.HandleMachineList(19*s, 18*s, nil); terminated != nil {
 		t.Errorf("a stale list proved that %v are terminated", terminated)
 	}
 	sendHeartbeat(registry, 25*s, "m1", "a", 1)
-	if terminated := scaler.HandleList(30*s, 29*s, nil); terminated != nil {
+	if terminated := scaler.HandleMachineList(30*s, 29*s, nil); terminated != nil {
 		t.Errorf("machines that send heartbeats count as terminated: %v", terminated)
 	}
-	if terminated := scaler.HandleList(50*s, 49*s, nil); len(terminated) != 1 {
+	if terminated := scaler.HandleMachineList(50*s, 49*s, nil); len(terminated) != 1 {
 		t.Errorf("terminated machines %v, want m1", terminated)
 	}
 }
 
-// TestScaleIn checks that idle machines, failed ones and those that never register are released. Silent machines are
-// fenced after the timeout, unless so many are silent at once that their zone counts as unreachable.
+// TestScaleIn checks that idle machines, failed ones and those that never register are released. Unreachable machines
+// are fenced after the timeout, unless so many are unreachable at once that their zone counts as unreachable.
 func TestScaleIn(t *testing.T) {
 	scaler, registry := setup()
-	scaler.HandleList(
+	scaler.HandleMachineList(
 		1*s,
 		0,
 		[]protocol.ListedMachine{{Name: "bad", Addr: "x", Type: "g8", Zone: "a", State: protocol.MachineFailed}},
@@ -166,7 +166,7 @@
 	}
 	scaler.HandleScaleIn(2*s, []string{"bad"}, true)
 	registry.Remove(2*s, "bad")
-	scaler.HandleList(
+	scaler.HandleMachineList(
 		3*s,
 		2*s,
 		[]protocol.ListedMachine{{Name: "bad", Type: "g8", Zone: "a", State: protocol.MachineRunning}},
@@ -182,7 +182,7 @@
 		t.Errorf("released %v, want the machine that never registered", got)
 	}
 
-	for _, test := range []struct{ machines, silent, reconnected, want int }{
+	for _, test := range []struct{ machines, unreachable, reconnected, want int }{
 		{12, 1, 0, 1},
 		{12, 3, 0, 3},
 		{12, 8, 0, 0},
@@ -190,28 +190,34 @@
 		{300, 60, 0, 60},
 	} {
 		scaler, registry := setup()
-		scaler.HandleList(1*s, 0, nil)
+		scaler.HandleMachineList(1*s, 0, nil)
 		sendAll := func(now time.Duration, from int, seq uint64) {
 			for i := from; i < test.machines; i++ {
 				sendHeartbeat(registry, now, fmt.Sprintf("m%03d", i), "a", seq)
 			}
 		}
 		sendAll(10*s, 0, 1)
-		sendAll(16*s, test.silent, 2)
+		sendAll(16*s, test.unreachable, 2)
 		if got := releasedMachines(scaler.Plan(16*s, nil)); got != nil {
-			t.Errorf("%d of %d silent for less than the timeout: fenced %v", test.silent, test.machines, got)
+			t.Errorf("%d of %d unreachable for less than the timeout: fenced %v", test.unreachable, test.machines, got)
 		}
-		sendAll(18*s, test.silent-test.reconnected, 3)
+		sendAll(18*s, test.unreachable-test.reconnected, 3)
 		if got := releasedMachines(scaler.Plan(18*s, nil)); len(got) != test.want {
-			t.Errorf("%d of %d silent, %d reconnected: fenced %v", test.silent, test.machines, test.reconnected, got)
+			t.Errorf(
+				"%d of %d unreachable, %d reconnected: fenced %v",
+				test.unreachable,
+				test.machines,
+				test.reconnected,
+				got,
+			)
 		}
 	}
 }
 
-// TestSilentZoneIsNotFenced checks that no machine of a zone is fenced when the whole zone loses its connection,
-// whatever the intervals in the settings. Its machines then fall silent one after the other, each when its next
+// TestUnreachableZoneIsNotFenced checks that no machine of a zone is fenced when the whole zone loses its connection,
+// whatever the intervals in the settings. Its machines then become unreachable one after the other, each when its next
 // heartbeat is due, so the first could be fenced before the others show that the zone is unreachable.
-func TestSilentZoneIsNotFenced(t *testing.T) {
+func TestUnreachableZoneIsNotFenced(t *testing.T) {
 	for _, w := range []config.Workers{
 		{HeartbeatSeconds: 1, LeaseSeconds: 10, CancelSeconds: 40},
 		{HeartbeatSeconds: 5, LeaseSeconds: 29, CancelSeconds: 59},
@@ -221,7 +227,7 @@
 		registry := machineregistry.New(3, w)
 		scaler := New(3, testCloudSettings, w, registry)
 		registry.SetMachineTypes([]protocol.MachineType{testMachineType})
-		scaler.HandleList(1*s, 0, nil)
+		scaler.HandleMachineList(1*s, 0, nil)
 		const n = 200
 		for i := range n {
 			zone, now := "a", 10*s+config.Seconds(1.25*w.HeartbeatSeconds*float64(i)/n)
@@ -262,7 +268,7 @@
 	t.Helper()
 	scaler, registry := setup()
 	scaler.SetZonePolicies(policies)
-	scaler.HandleList(1*s, 0, nil)
+	scaler.HandleMachineList(1*s, 0, nil)
 	for i := range 9 {
 		sendHeartbeat(registry, 10*s, fmt.Sprintf("m%d", i), "a", 1)
 	}
@@ -318,7 +324,7 @@
 		{protocol.Gang, 10, true, 1},
 	} {
 		scaler, registry := setup()
-		scaler.HandleList(2*s, 1*s, nil)
+		scaler.HandleMachineList(2*s, 1*s, nil)
 		sendHeartbeat(registry, 2*s, "m1", "a", 1)
 		low := &protocol.Job{
 			ID:                        "j-1",
@@ -347,11 +353,12 @@
 	}
 }
 
-// TestSilentHeadroomStays checks that idle machines are neither released nor replaced while they are briefly silent, as
-// when the leader loses its connection to all workers. In that situation the headroom of all zones was once released.
-func TestSilentHeadroomStays(t *testing.T) {
+// TestUnreachableHeadroomStays checks that idle machines are neither released nor replaced while they are briefly
+// unreachable, as when the leader loses its connection to all workers. In that situation the headroom of all zones was
+// once released.
+func TestUnreachableHeadroomStays(t *testing.T) {
 	scaler, registry := setup()
-	scaler.HandleList(1*s, 0, nil)
+	scaler.HandleMachineList(1*s, 0, nil)
 	demands := []Demand{{Job: &protocol.Job{ID: "j-1", GPUs: 8}, Count: 6, Headroom: true}}
 	for i := range 6 {
 		sendHeartbeat(registry, 100*s, fmt.Sprintf("m%d", i), "a", 1)
@@ -371,7 +378,7 @@
 // ProbeOnly.
 func TestZonePolicies(t *testing.T) {
 	scaler, _ := setup()
-	scaler.HandleList(1*s, 0, nil)
+	scaler.HandleMachineList(1*s, 0, nil)
 	requestsPerZone := func(policy ZonePolicy, now time.Duration) map[string]int {
 		scaler.SetZonePolicies(map[string]ZonePolicy{"a": policy})
 		counts := map[string]int{}
@@ -396,22 +403,22 @@
 	}
 }
 
-// TestSilentMachinesUnderAPolicy checks that silent machines do not count as capacity in a zone with IgnoreSilent, and
-// are not fenced before NoFencingUntil.
-func TestSilentMachinesUnderAPolicy(t *testing.T) {
+// TestUnreachableMachinesUnderAPolicy checks that unreachable machines do not count as capacity in a zone with
+// IgnoreUnreachable, and are not fenced before NoFencingUntil.
+func TestUnreachableMachinesUnderAPolicy(t *testing.T) {
 	scaler, registry := setup()
-	scaler.HandleList(1*s, 0, nil)
+	scaler.HandleMachineList(1*s, 0, nil)
 	for i := range 4 {
 		sendHeartbeat(registry, 10*s, fmt.Sprintf("m%d", i), "a", 1)
 	}
-	scaler.SetZonePolicies(map[string]ZonePolicy{"a": {IgnoreSilent: true, NoFencingUntil: 60 * s}})
+	scaler.SetZonePolicies(map[string]ZonePolicy{"a": {IgnoreUnreachable: true, NoFencingUntil: 60 * s}})
 	for now := 11 * s; now < 60*s; now += s {
 		effects := scaler.Plan(now, []Demand{{Job: &protocol.Job{ID: "j-1", GPUs: 8}, Count: 1}})
 		if got := releasedMachines(effects); len(got) > 0 {
 			t.Fatalf("fenced %v at %v", got, now)
 		}
 		if got := rentals(effects); now == 20*s && scaler.pendingRentals["r-3-1"].count != 1 {
-			t.Errorf("silent machines counted as capacity: rented %v", got)
+			t.Errorf("unreachable machines counted as capacity: rented %v", got)
 		}
 	}
 	if got := releasedMachines(scaler.Plan(120*s, nil)); len(got) == 0 {
--- a/internal/coordination/autoscaler/scaleout.go
+++ b/internal/coordination/autoscaler/scaleout.go
@@ -54,7 +54,7 @@
 	delete(a.pendingRentals, outcome.RequestID)
 	for _, name := range outcome.Machines {
 		m := a.registry.GetOrCreate(now, name)
-		m.RentedAt = outcome.RequestedAt
+		m.RequestedAt = outcome.RequestedAt
 		if !m.Registered {
 			m.Type, m.Zone, m.Spot = rental.pool.machineType, rental.pool.zone, rental.pool.spot
 		}
@@ -190,7 +190,7 @@
 	// The term makes the request ID unique across leaders and restarts.
 	id := fmt.Sprintf("r-%d-%d", a.term, a.requestSeq)
 	a.pendingRentals[id] = pendingRental{pool: pool, count: count}
-	return ScaleOut{Rental: protocol.Rental{
+	return ScaleOut{Rental: protocol.RentalRequest{
 		RequestID:   id,
 		MachineType: pool.machineType,
 		Zone:        pool.zone,
--- a/internal/coordination/election/election.go
+++ b/internal/coordination/election/election.go
@@ -25,7 +25,7 @@
 type Timing struct {
 	// HeartbeatInterval is the time between two heartbeats to the same peer, and between two Ticks.
 	HeartbeatInterval time.Duration
-	// LeaderTimeout is how long a leader must have been silent before it may be replaced.
+	// LeaderTimeout is how long there must have been no contact with a leader before it may be replaced.
 	LeaderTimeout time.Duration
 	// LeaseTTL is the time to live of the lease that holds the leader key.
 	LeaseTTL time.Duration
@@ -68,10 +68,10 @@
 	effects   []Effect // to be returned by the current Step
 
 	// Follower state.
-	leaderHeardAt        time.Duration
+	leaderContactAt      time.Duration
 	leaderDisconnectedAt time.Duration
-	peerHeardAt          map[string]time.Duration // excludes peers that have disconnected
-	quorumHeardSince     time.Duration            // 0 if no quorum is reachable
+	peerContactAt        map[string]time.Duration // excludes peers that have disconnected
+	quorumContactSince   time.Duration            // 0 if no quorum is reachable
 	leaderKeyTerm        uint64                   // the highest term seen in the leader key
 	leaderKeyMissing     bool
 	claimAt              time.Duration // 0 if no claim is scheduled
@@ -84,20 +84,20 @@
 	claimSentAt            time.Duration
 	storeChangesKnownUntil time.Duration            // 0 if no changes are known
 	ackedAt                map[string]time.Duration // when the latest heartbeat acknowledged by the peer was sent
-	intentsReceivedAt      map[string]time.Duration // same, for replies that completed the peer's intents
+	intentsCompleteAsOf    map[string]time.Duration // same, for replies that completed the peer's intents
 }
 
 // New returns an Election in the follower role that knows neither a term nor a leader.
 func New(now time.Duration, self string, peers []string, timing Timing) *Election {
 	return &Election{
-		self:              self,
-		peers:             peers,
-		timing:            timing,
-		startedAt:         now,
-		leaderHeardAt:     now,
-		peerHeardAt:       map[string]time.Duration{},
-		ackedAt:           map[string]time.Duration{},
-		intentsReceivedAt: map[string]time.Duration{},
+		self:                self,
+		peers:               peers,
+		timing:              timing,
+		startedAt:           now,
+		leaderContactAt:     now,
+		peerContactAt:       map[string]time.Duration{},
+		ackedAt:             map[string]time.Duration{},
+		intentsCompleteAsOf: map[string]time.Duration{},
 	}
 }
 
@@ -105,7 +105,7 @@
 // that a view taken before is out of date.
 type View struct {
 	Term    uint64
-	Leader  string // "" if unknown or silent
+	Leader  string // "" if unknown or not in contact
 	Leading bool   // whether this controller is the leader
 	// ConfirmedUntil is set on the leader: the time at which its leadership ceases to be confirmed.
 	ConfirmedUntil time.Duration
@@ -123,7 +123,7 @@
 		if at := e.cancellationsKnownUntil(now); at > 0 {
 			v.MayRenewUntil = at + e.timing.RenewalHorizon
 		}
-	case e.leader == e.self || now-e.leaderHeardAt > e.timing.LeaderTimeout:
+	case e.leader == e.self || now-e.leaderContactAt > e.timing.LeaderTimeout:
 		v.Leader = ""
 	}
 	return v
--- a/internal/coordination/leader/term.go
+++ b/internal/coordination/leader/term.go
@@ -100,8 +100,8 @@
 	records := scheduler.RecoveredRecords{
 		MachineTypes:      loaded.types,
 		LiveJobs:          loaded.liveJobs,
-		Pages:             loaded.pages,
-		Images:            loaded.images,
+		PlacementPages:    loaded.pages,
+		ImageHints:        loaded.images,
 		ZoneFailoverPages: loaded.zones,
 	}
 	t.scheduler = scheduler.New(now, scheduler.Options{
@@ -119,7 +119,7 @@
 	)
 	intents := t.deps.Intents.NewestByJob(now)
 	for _, job := range slices.Sorted(maps.Keys(intents)) {
-		validUntil := intents[job] + t.options.ConfirmWithin
+		validUntil := intents[job] + t.options.IntentValidity
 		t.step(ctx, now, scheduler.CancellationIntent{ID: job, ValidUntil: validUntil})
 	}
 	for _, event := range t.bufferedEvents {
@@ -167,8 +167,8 @@
 }
 
 // ensureConfirmed reports whether the term is still confirmed, and ends the term if it is not. After a suspension of
-// the process during which its clocks continued, all machines would seem silent and all leases expired. By then another
-// controller may lead, so this one must not act on any of that.
+// the process during which its clocks continued, all machines would seem unreachable and all leases expired. By then
+// another controller may lead, so this one must not act on any of that.
 func (t *termLoop) ensureConfirmed(ctx context.Context) bool {
 	if t.deps.Leadership.Confirmed() {
 		return true
@@ -181,7 +181,7 @@
 }
 
 // heartbeatBuffer holds the newest heartbeat of each machine that arrived before the records were loaded, in the order
-// in which the machines were first heard from.
+// in which the first heartbeats of the machines arrived.
 type heartbeatBuffer struct {
 	heartbeats []scheduler.HeartbeatReceived
 	index      map[string]int
--- a/internal/coordination/scheduler/heartbeats.go
+++ b/internal/coordination/scheduler/heartbeats.go
@@ -40,7 +40,7 @@
 func (s *Scheduler) handleUnchangedHeartbeats(now time.Duration, e UnchangedHeartbeats) {
 	var forward []string
 	for _, h := range e.Heartbeats {
-		if !s.machines.HandleUnchangedHeartbeat(now, h.Machine, h.Incarnation, h.Seq) {
+		if !s.machines.HandleUnchangedHeartbeat(now, h.Machine, h.Incarnation, h.Sequence) {
 			forward = append(forward, h.Machine)
 		}
 	}
@@ -61,7 +61,7 @@
 	if e.Heartbeat != nil && e.Heartbeat.Machine == e.Machine {
 		s.applyHeartbeat(now, e.Heartbeat)
 	}
-	s.machines.CommandAnswered(now, m, e.Acknowledged || e.Heartbeat != nil)
+	s.machines.RecordCommandResult(now, m, e.Acknowledged || e.Heartbeat != nil)
 	if e.Heartbeat == nil {
 		m.MarkUnresponsive(now + config.Seconds(2*s.cfg.Workers.HeartbeatSeconds))
 	}
@@ -108,7 +108,7 @@
 		if len(commands) == 0 {
 			continue
 		}
-		s.machines.CommandSent(m)
+		s.machines.RecordCommandSent(m)
 		s.emit(SendCommandBatch{
 			Machine: m.Name,
 			Addr:    m.Addr,
@@ -137,7 +137,7 @@
 	direct, relayed := 0, 0
 	s.machines.Each(func(m *machineregistry.Machine) {
 		switch {
-		case !m.Registered || now-m.LastHeartbeat > s.machines.SilenceTimeout():
+		case !m.Registered || now-m.LastHeartbeat > s.machines.UnreachableTimeout():
 		case m.Relayed:
 			relayed++
 		default:
--- a/internal/coordination/scheduler/jobcompletion.go
+++ b/internal/coordination/scheduler/jobcompletion.go
@@ -57,7 +57,7 @@
 	if s.dependencies.HasDependents(j.Spec.ID) {
 		priority = PriorityUnblock
 	}
-	s.submit(Write{ID: id, Txn: txn, Priority: priority, VerifyKey: ended, Name: name}, onOutcome)
+	s.submit(Write{ID: id, Txn: txn, Priority: priority, VerifyKey: ended, VerifyName: name}, onOutcome)
 }
 
 // applyCompletion applies the outcome of the transaction that records the end of a job.
@@ -103,7 +103,7 @@
 	if !j.Ended || j.WriteInFlight || len(j.Placements) > 0 || s.writes.paused {
 		return
 	}
-	placementrecords.ForgetUnstored(j, s.machines.MarkOutcomeRecorded)
+	placementrecords.RemoveUnstoredPages(j, s.machines.MarkOutcomeRecorded)
 	txn := protocol.Txn{If: []protocol.Compare{s.writes.termUnchanged()}}
 	deletion := placementrecords.AppendDeletion(&txn, j, s.recordLimits.MaxOperations())
 	if len(txn.Then) == 0 {
--- a/internal/coordination/scheduler/largefleet_test.go
+++ b/internal/coordination/scheduler/largefleet_test.go
@@ -38,7 +38,10 @@
 			r.LiveJobs,
 			protocol.KeyValue{Key: storage.LiveJobKey(id), Value: live, Revision: uint64(i + 10)},
 		)
-		r.Pages = append(r.Pages, protocol.KeyValue{Key: originalPageKey(id), Value: page, Revision: uint64(i + 10)})
+		r.PlacementPages = append(
+			r.PlacementPages,
+			protocol.KeyValue{Key: originalPageKey(id), Value: page, Revision: uint64(i + 10)},
+		)
 	}
 	return r
 }
@@ -143,7 +146,7 @@
 }
 
 // TestLedgerOfManyLoans checks that the ledger handles far more loans than fit into one transaction, whereas it used to
-// refuse the excess. Loans are recorded one transaction at a time, each of a size that the state service accepts. All
+// refuse the excess. Loans are recorded one transaction at a time, each of a size that the key-value store accepts. All
 // lenders of a job are preempted together, and only after all of its loans are recorded. The next leader recovers every
 // loan. After all loans have ended, only the first page is left.
 func TestLedgerOfManyLoans(t *testing.T) {
--- a/internal/coordination/scheduler/lifecycle.go
+++ b/internal/coordination/scheduler/lifecycle.go
@@ -40,7 +40,7 @@
 	if j.Blocked {
 		return // a blocked job counts as an arrival once it is unblocked
 	}
-	s.forecast.Arrived(&j.Spec, since)
+	s.forecast.RecordArrival(&j.Spec, since)
 	s.cycle.due = true
 }
 
@@ -120,7 +120,7 @@
 // requeueTask makes a task pending again whose placement ended before the task was done. A gang restarts as a whole.
 func (s *Scheduler) requeueTask(now time.Duration, j *jobstate.Job, pl *machineregistry.Placement, lost bool) {
 	task := pl.Task.Index
-	j.StartCounted = j.StartCounted || j.LastTaskStart > 0 && now-j.LastTaskStart >= placement.StartCountsAfter
+	j.StartCounted = j.StartCounted || j.LastTaskStart > 0 && now-j.LastTaskStart >= placement.MinCountedRunTime
 	j.LastTaskStart = 0
 	j.SetTask(task, jobstate.TaskPending)
 	j.MarkDirty(task, now) // the worker can forget the attempt only after its outcome is recorded
@@ -195,7 +195,7 @@
 	pl *machineregistry.Placement,
 	graceSeconds float64,
 ) {
-	s.preemption.CapacityMayBeFree()
+	s.preemption.InvalidateFailedSearches()
 	if s.machines.Stop(now, pl, graceSeconds) && !pl.StartAllowed && j.WriteInFlight {
 		// A write in flight may still record this placement. That is harmless: the placement was never started, and a
 		// later write replaces the record.
@@ -260,8 +260,8 @@
 // task saves no checkpoints or cannot save one within the given duration.
 func (s *Scheduler) checkpointGrace(j *jobstate.Job, within time.Duration) float64 {
 	if j.Spec.CheckpointIntervalSeconds == 0 ||
-		config.Seconds(j.Spec.SaveSeconds+s.cfg.Workers.HeartbeatSeconds) >= within {
+		config.Seconds(j.Spec.CheckpointSaveSeconds+s.cfg.Workers.HeartbeatSeconds) >= within {
 		return 0
 	}
-	return j.Spec.SaveSeconds + s.cfg.Workers.GangPeerSeconds
+	return j.Spec.CheckpointSaveSeconds + s.cfg.Workers.GangPeerSeconds
 }
--- a/internal/coordination/scheduler/scheduler.go
+++ b/internal/coordination/scheduler/scheduler.go
@@ -1,10 +1,10 @@
 // Package scheduler implements the leader's scheduler as a deterministic state machine. It accepts jobs, places their
-// tasks on machines, records each placement in the state service before the task may start, and reacts to heartbeats,
+// tasks on machines, records each placement in the key-value store before the task may start, and reacts to heartbeats,
 // failures, cancellations and lost zones.
 //
 // A [Scheduler] does no I/O and reads no clock: [Scheduler.Step] takes an event and the current time and returns the
 // effects that the caller has to carry out. It is not safe for concurrent use. A Scheduler serves one term; a new
-// leader builds another one from the records in the state service.
+// leader builds another one from the records in the key-value store.
 package scheduler
 
 import (
@@ -74,12 +74,12 @@
 }
 
 // RecoveredRecords holds what a new leader has read before it starts: the price list of the cloud and the records of
-// the state service.
+// the key-value store.
 type RecoveredRecords struct {
 	MachineTypes      []protocol.MachineType
 	LiveJobs          []protocol.KeyValue
-	Pages             []protocol.KeyValue // placement pages
-	Images            []protocol.KeyValue // image hints: which images are cached on which machines
+	PlacementPages    []protocol.KeyValue
+	ImageHints        []protocol.KeyValue // which images are cached on which machines
 	ZoneFailoverPages []protocol.KeyValue
 }
 
@@ -109,10 +109,10 @@
 	s := newScheduler(now, options)
 	records := options.Records
 	s.machines.SetMachineTypes(records.MachineTypes)
-	s.recoverImageHints(records.Images)
-	s.recoverLiveJobs(now, records.LiveJobs, jobsWithPlacementPages(records.Pages))
-	s.forecast.DropInheritedArrivals()
-	s.recoverPlacementPages(now, records.Pages)
+	s.recoverImageHints(records.ImageHints)
+	s.recoverLiveJobs(now, records.LiveJobs, jobsWithPlacementPages(records.PlacementPages))
+	s.forecast.DropRecoveredArrivals()
+	s.recoverPlacementPages(now, records.PlacementPages)
 	s.resumeInterrupted(now)
 	if options.RecoveryOrder != nil {
 		s.startZoneFailover(now, options.RecoveryOrder, records.ZoneFailoverPages)
--- a/internal/coordination/scheduler/zoneharness_test.go
+++ b/internal/coordination/scheduler/zoneharness_test.go
@@ -25,22 +25,22 @@
 type zoneHarness struct {
 	*harness
 	order          *zonefailover.RecoveryOrder
-	silent         map[string]bool // machines whose heartbeats do not arrive
+	unreachable    map[string]bool // machines whose heartbeats do not arrive
 	incarnation    map[string]uint64
 	decisions      []zonefailover.Decision
 	records        map[string]protocol.KeyValue // stored records of zone failover
 	orderOracle    simulation.RecoveryOrderOracle
 	loanOracle     *simulation.LoanOracle
 	excluded       map[string]map[string]bool // by job, machines that it could not use in the last cycle
-	unanswered     func(Write) bool           // selects writes that the state service does not answer yet
-	delayedAnswers []func()                   // answers of the cloud and the state service that arrive after the cycle
+	unanswered     func(Write) bool           // selects writes that the key-value store does not answer yet
+	delayedAnswers []func()                   // answers of the cloud and the store that arrive after the cycle
 }
 
 func newZoneHarness(order *zonefailover.RecoveryOrder, teams ...config.Team) *zoneHarness {
 	h := &zoneHarness{
 		harness:     newHarness(teams, "a", "b"),
 		order:       order,
-		silent:      map[string]bool{},
+		unreachable: map[string]bool{},
 		incarnation: map[string]uint64{},
 		records:     map[string]protocol.KeyValue{},
 		loanOracle:  simulation.NewLoanOracle(),
@@ -89,7 +89,7 @@
 		case Write:
 			h.write(o)
 		case SendCommandBatch:
-			if h.silent[o.Machine] || h.tasks[o.Machine] == nil {
+			if h.unreachable[o.Machine] || h.tasks[o.Machine] == nil {
 				h.step(CommandBatchResult{Machine: o.Machine})
 				continue
 			}
@@ -128,10 +128,10 @@
 
 func (h *zoneHarness) removeMachine(name string) {
 	delete(h.tasks, name)
-	delete(h.silent, name)
+	delete(h.unreachable, name)
 }
 
-// write commits a transaction, or keeps it for the next second if the state service does not answer yet.
+// write commits a transaction, or keeps it for the next second if the key-value store does not answer yet.
 func (h *zoneHarness) write(w Write) {
 	if h.unanswered != nil && h.unanswered(w) {
 		h.delayedAnswers = append(h.delayedAnswers, func() { h.write(w) })
@@ -197,7 +197,7 @@
 	}
 	h.advanceTasks()
 	for _, name := range h.machineNames() {
-		if !h.silent[name] {
+		if !h.unreachable[name] {
 			h.step(HeartbeatReceived{ReplyTo: name, Heartbeat: h.heartbeatOf(name)})
 		}
 	}
@@ -228,7 +228,7 @@
 			if _, stopped := h.stops[id]; stopped && t.State != protocol.TaskExited {
 				t.State, t.Cause = protocol.TaskExited, protocol.CauseStopped
 				delete(h.stops, id)
-			} else if t.State == protocol.TaskFetching && !h.silent[name] {
+			} else if t.State == protocol.TaskFetching && !h.unreachable[name] {
 				t.State = protocol.TaskRunning
 			}
 			tasks[id] = t
@@ -326,35 +326,35 @@
 	return r
 }
 
-func (h *zoneHarness) freeCapacities() map[string]simulation.FreeMachine {
-	free := map[string]simulation.FreeMachine{}
+func (h *zoneHarness) freeCapacities() map[string]simulation.FreeCapacity {
+	free := map[string]simulation.FreeCapacity{}
 	h.scheduler.machines.Each(func(m *machineregistry.Machine) {
 		if h.scheduler.machines.Schedulable(h.now, m) && m.NominatedJob == "" {
-			free[m.Name] = simulation.FreeMachine{Zone: m.Zone, Free: h.scheduler.machines.FreeCapacity(m)}
+			free[m.Name] = simulation.FreeCapacity{Zone: m.Zone, Free: h.scheduler.machines.FreeCapacity(m)}
 		}
 	})
 	return free
 }
 
-// loseZone silences the machines of zone a.
+// loseZone makes the machines of zone a unreachable.
 func (h *zoneHarness) loseZone() {
 	for name, zone := range h.zoneOf {
 		if zone == "a" && h.tasks[name] != nil {
-			h.silent[name] = true
+			h.unreachable[name] = true
 		}
 	}
 }
 
-// restoreZone lets the silent machines that the predicate selects send heartbeats again. They return as new
+// restoreZone lets the unreachable machines that the predicate selects send heartbeats again. They return as new
 // incarnations without tasks.
 func (h *zoneHarness) restoreZone(which func(i int) bool) {
 	i := 0
 	for _, name := range h.machineNames() {
-		if !h.silent[name] {
+		if !h.unreachable[name] {
 			continue
 		}
 		if i++; which(i) {
-			delete(h.silent, name)
+			delete(h.unreachable, name)
 			h.incarnation[name]++
 			h.incarnation[name] = max(2, h.incarnation[name])
 			h.tasks[name] = map[protocol.TaskID]protocol.TaskStatus{}
@@ -402,7 +402,7 @@
 		j.Spread = shape == protocol.Service && rapid.Bool().Draw(t, "spread")
 		j.SameZone = shape == protocol.Gang && rapid.Bool().Draw(t, "same")
 		if rapid.Bool().Draw(t, "saves") {
-			j.CheckpointIntervalSeconds, j.SaveSeconds = 10, 2
+			j.CheckpointIntervalSeconds, j.CheckpointSaveSeconds = 10, 2
 		}
 		gpus -= j.TaskCount * int(j.GPUs)
 		h.step(
@@ -424,7 +424,7 @@
 	t.Helper()
 	for range 60 {
 		h.runSecond()
-		if countDecisions[zonefailover.LoanMade](h.decisions) > 0 {
+		if countDecisions[zonefailover.LoanOpened](h.decisions) > 0 {
 			return
 		}
 	}
--- a/internal/coordination/zonefailover/fencing.go
+++ b/internal/coordination/zonefailover/fencing.go
@@ -54,10 +54,10 @@
 	return max(1, n/fenceDivisor)
 }
 
-// lostMachineGracePeriod returns how long a machine of a lost zone must be silent before it may be fenced: until its
-// leases have certainly expired, and at least one boot time. Moving work costs about as much, for fetching the image
-// elsewhere and for booting a machine when the zone returns. Waiting for as long as moving costs is at most twice as
-// expensive as the best choice in hindsight.
+// lostMachineGracePeriod returns how long a machine of a lost zone must be unreachable before it may be fenced: until
+// its leases have certainly expired, and at least one boot time. Moving work costs about as much, for fetching the
+// image elsewhere and for booting a machine when the zone returns. Waiting for as long as moving costs is at most twice
+// as expensive as the best choice in hindsight.
 func (m *Manager) lostMachineGracePeriod() time.Duration {
 	period := m.MaxLeaseLifetime()
 	for _, t := range m.options.Machines.MachineTypes() {
@@ -71,7 +71,7 @@
 	return r.machinesRemaining <= 0 || r.searchesRemaining <= 0
 }
 
-// Movable returns the placements on machines of lost zones that have been silent for longer than the grace period.
+// Movable returns the placements on machines of lost zones that have been unreachable for longer than the grace period.
 func (r *FencingRound) Movable(placements []*machineregistry.Placement) (movable []*machineregistry.Placement) {
 	for _, placement := range placements {
 		machine := r.manager.options.Machines.Machine(placement.Machine)
@@ -82,8 +82,8 @@
 	return movable
 }
 
-// Displaced is a job with tasks in a lost zone or pending tasks.
-type Displaced struct {
+// DisplacedJob is a job with tasks in a lost zone or pending tasks.
+type DisplacedJob struct {
 	Borrower
 	// Startable is the number of pending tasks that the team's quota allows to start.
 	Startable int
@@ -95,7 +95,7 @@
 
 // FenceFor fences machines with movable tasks of a job, as far as there is capacity elsewhere for these tasks in
 // addition to the job's pending ones.
-func (r *FencingRound) FenceFor(job *Displaced) {
+func (r *FencingRound) FenceFor(job *DisplacedJob) {
 	pending := min(job.Startable, maxPendingConsidered)
 	allOrNothing := job.Job.Shape == protocol.Gang || job.Job.SameZone
 	wanted := pending + len(job.Movable)
--- a/internal/coordination/zonefailover/loans.go
+++ b/internal/coordination/zonefailover/loans.go
@@ -52,7 +52,7 @@
 		m.awaitingPreemption[loan.Lender] = true
 		m.loansByJob[loan.Lender.Job]++
 		m.records.addLoan(loan.Lender, limits.LoansPerPage)
-		m.addDecision(LoanMade{Loan: loan})
+		m.addDecision(LoanOpened{Loan: loan})
 	}
 	return nil
 }
@@ -110,7 +110,7 @@
 func lostWorkSeconds(now time.Duration, placement *machineregistry.Placement) float64 {
 	ran := (now - placement.StateSince).Seconds()
 	if placement.Job != nil && placement.Job.CheckpointIntervalSeconds > 0 {
-		return min(placement.Job.SaveSeconds, ran)
+		return min(placement.Job.CheckpointSaveSeconds, ran)
 	}
 	return ran
 }
