--- a/cmd/pinebay/main_test.go
+++ b/cmd/pinebay/main_test.go
@@ -32,7 +32,7 @@
 		cmd.SetArgs(x.args)
 		err := cmd.Execute()
 		if !errors.Is(err, errUsage) || !strings.Contains(err.Error(), x.want) {
-			t.Errorf("arguments %v: error %v", x.args, err)
+			t.Errorf("arguments %v: error %v, want a usage error that names the problem", x.args, err)
 		}
 	}
 	for _, flag := range []string{"--help", "--version"} {
@@ -41,7 +41,7 @@
 		cmd.SetOut(&out)
 		cmd.SetArgs([]string{flag})
 		if err := cmd.Execute(); err != nil || !strings.Contains(out.String(), "pinebay") {
-			t.Errorf("%s: error %v, output %q", flag, err, out.String())
+			t.Errorf("%s: error %v, output %q, want no error and the name of the program", flag, err, out.String())
 		}
 	}
 	if _, err := newLogger(nil, "loud"); err == nil {
@@ -73,7 +73,7 @@
 		features, err := row.flags.features(cfg)
 		switch {
 		case (features.ZoneFailover != nil) != row.wantEnabled, (err != nil) != (row.want != ""):
-			t.Errorf("%+v: features %v, error %v", row.flags, features, err)
+			t.Errorf("%+v: features %v, error %v, want those of the test case", row.flags, features, err)
 		case err != nil && (!strings.Contains(err.Error(), row.want) || strings.Contains(err.Error(), "\n")):
 			t.Errorf("%+v: error %v, want one line with %q", row.flags, err, row.want)
 		}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -51,8 +51,8 @@
 	Quota            Quota       `toml:"quota"`
 }
 
-// Team is a team with its guaranteed quota and its quota limit for CPUs and GPUs. A value of 0 means that there is
-// none.
+// Team is a team with its guaranteed quota and its quota limit for CPUs and GPUs. A value of 0 means that there is no
+// guarantee or no limit.
 type Team struct {
 	Name           string  `toml:"name"`
 	GuaranteedCPUs float64 `toml:"cpus"`
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -111,10 +111,10 @@
 		_, err := Parse([]byte(strings.Replace(validSettings, row.from, row.to, 1)))
 		switch {
 		case row.field == "" && err != nil:
-			t.Errorf("%s: error %v", row.to, err)
+			t.Errorf("%s: error %v, want none", row.to, err)
 		case row.field == "":
 		case err == nil || !strings.Contains(err.Error(), row.field) || strings.Contains(err.Error(), "\n"):
-			t.Errorf("%s: error %v", row.to, err)
+			t.Errorf("%s: error %v, want one line that names the field", row.to, err)
 		}
 	}
 }
--- a/internal/coordination/api/dependencies_test.go
+++ b/internal/coordination/api/dependencies_test.go
@@ -63,7 +63,7 @@
 	service.Shape = protocol.Service
 	for _, j := range []protocol.Job{arrayJob("j-1"), arrayJob("j-2"), service, arrayJob("j-4")} {
 		if code, _, _ := s.call(0, "POST", "/submissions", encodeJob(t, j)); code != http.StatusCreated {
-			t.Fatalf("%s: %d", j.ID, code)
+			t.Fatalf("submission of %s: status %d, want 201", j.ID, code)
 		}
 	}
 	s.endJob("j-2", storage.EndedJobRecord{State: protocol.JobDone, DoneTasks: 2})
@@ -129,13 +129,13 @@
 	code, _, h := s.call(0, "POST", "/submissions", encodeJob(t, dependentJob("j-2", "j-1")))
 	if code != http.StatusServiceUnavailable || h.Get("Retry-After") == "" ||
 		s.store.Get(storage.LiveJobKey("j-2")).Revision != 0 {
-		t.Errorf("before the feature level: %d %v", code, h)
+		t.Errorf("before the feature level: status %d, header %v, want 503 with Retry-After and no record", code, h)
 	}
 	s.servers[0].SetFeatureLevel(featurelevel.Pipelines)
 	s.store.Unavailable = true
 	code, _, h = s.call(0, "POST", "/submissions", encodeJob(t, dependentJob("j-2", "j-1")))
 	if code != http.StatusServiceUnavailable || h.Get("Retry-After") == "" {
-		t.Errorf("during an outage: %d %v", code, h)
+		t.Errorf("during an outage: status %d, header %v, want 503 with Retry-After", code, h)
 	}
 }
 
@@ -184,7 +184,15 @@
 					dependentJob(id, dependencies[id]...),
 				); code != 201 ||
 					st.State != want {
-					rt.Fatalf("%s after %v: %d %s %s, want %s", id, dependencies[id], code, st.State, message, want)
+					rt.Fatalf(
+						"submission of %s after %v: status %d, state %s, error %q, want 201 and %s",
+						id,
+						dependencies[id],
+						code,
+						st.State,
+						message,
+						want,
+					)
 				}
 				ids = append(ids, id)
 				continue
@@ -222,7 +230,14 @@
 					want = protocol.JobQueued
 				}
 				if code, st, _ := s.call(1-c, "GET", "/submissions/"+id, nil); code != 200 || st.State != want {
-					rt.Fatalf("%s after %v: %d %s, want %s", id, dependencies[id], code, st.State, want)
+					rt.Fatalf(
+						"query of %s after %v: status %d, state %s, want 200 and %s",
+						id,
+						dependencies[id],
+						code,
+						st.State,
+						want,
+					)
 				}
 			}
 		}
@@ -241,7 +256,7 @@
 	s.announceErr = errors.New("no quorum")
 	for _, id := range []string{"j-2", "j-3"} {
 		if code, st, _ := s.call(1, "GET", "/submissions/"+id, nil); code != 200 || st.State != protocol.JobCancelled {
-			t.Errorf("%s: %d %s", id, code, st.State)
+			t.Errorf("query of %s: status %d, state %s, want 200 and cancelled", id, code, st.State)
 		}
 	}
 }
--- a/internal/coordination/api/feasibility.go
+++ b/internal/coordination/api/feasibility.go
@@ -5,7 +5,8 @@
 	"pinebay/internal/protocol"
 )
 
-// quotaTolerance allows for rounding errors when the resources of the tasks add up to exactly the team's limit.
+// quotaTolerance, in CPUs or GPUs, allows for rounding errors when the resources of the tasks add up to exactly the
+// team's limit.
 const quotaTolerance = 1e-6
 
 // checkFeasible returns an error if a job could not run even with all machines free.
--- a/internal/coordination/api/finalstates.go
+++ b/internal/coordination/api/finalstates.go
@@ -27,7 +27,7 @@
 	}, nil
 }
 
-// evictionDivisor determines how many entries a full cache evicts: about the limit divided by it.
+// evictionDivisor divides the limit of a full cache to get the approximate number of entries to evict.
 const evictionDivisor = 8
 
 // finalStates caches the outcomes of ended jobs, which never change. It is safe for concurrent use.
--- a/internal/coordination/api/server_test.go
+++ b/internal/coordination/api/server_test.go
@@ -107,6 +107,7 @@
 	return w
 }
 
+// status returns the job status in a response, or the zero value if the response is an error.
 func (s *testCluster) status(w *httptest.ResponseRecorder) (st protocol.JobStatus) {
 	s.t.Helper()
 	if w.Code < 300 {
@@ -171,19 +172,23 @@
 			case 0:
 				code, st, _ := s.call(controller, "POST", "/submissions", raw)
 				if want := map[bool]int{false: 201, true: 200}[accepted]; code != want {
-					rt.Fatalf("submission: %d, want %d", code, want)
+					rt.Fatalf("submission: status %d, want %d", code, want)
 				}
 				checkAnswer(code, st)
 			case 1:
 				code, st, _ := s.call(controller, "GET", "/submissions/j-000001", nil)
 				if !accepted && code != http.StatusNotFound {
-					rt.Fatalf("a job that was never submitted: %d", code)
+					rt.Fatalf("query of a job that was never submitted: status %d, want 404", code)
 				}
 				checkAnswer(code, st)
 			case 2:
 				code, st, _ := s.call(controller, "POST", "/submissions/j-000001/withdraw", nil)
 				if !accepted && code != http.StatusNotFound || accepted && (code != 200 || !st.State.Final()) {
-					rt.Fatalf("cancellation: %d %+v", code, st)
+					rt.Fatalf(
+						"cancellation: status %d, job %+v, want 404 before submission, then 200 and a final state",
+						code,
+						st,
+					)
 				}
 				checkAnswer(code, st)
 			case 3:
@@ -255,7 +260,7 @@
 	s.announceErr = errors.New("no quorum")
 	code, _, h := s.call(0, "POST", "/submissions/j-000001/withdraw", nil)
 	if code != http.StatusServiceUnavailable || h.Get("Retry-After") == "" {
-		t.Errorf("a cancellation without a quorum: %d %v", code, h)
+		t.Errorf("cancellation without a quorum: status %d, header %v, want 503 with Retry-After", code, h)
 	}
 	if s.store.Get(storage.LiveJobKey(j.ID)).Revision == 0 {
 		t.Error("a cancellation without a quorum was recorded")
@@ -263,17 +268,21 @@
 	s.announceErr = nil
 	code, st, _ := s.call(0, "POST", "/submissions/j-000001/withdraw", nil)
 	if code != 200 || st.State != protocol.JobCancelled {
-		t.Errorf("a cancellation with a quorum: %d %+v", code, st)
+		t.Errorf("cancellation with a quorum: status %d, job %+v, want 200 and cancelled", code, st)
 	}
 	s.announceErr = errors.New("no quorum")
 	if code, _, _ := s.call(1, "GET", "/submissions/j-000001", nil); code != http.StatusServiceUnavailable {
-		t.Errorf("a query on another controller without a quorum: %d", code)
+		t.Errorf("query on another controller without a quorum: status %d, want 503", code)
 	}
 	if code, st, _ := s.call(0, "GET", "/submissions/j-000001", nil); code != 200 || st.State != protocol.JobCancelled {
-		t.Errorf("a query after the user was told of the cancellation: %d %+v", code, st)
+		t.Errorf(
+			"query after a user was told of the cancellation: status %d, job %+v, want 200 and cancelled",
+			code,
+			st,
+		)
 	}
 	if code, _, _ := s.call(0, "POST", "/submissions/j-000002/withdraw", nil); code != http.StatusNotFound {
-		t.Errorf("a job that was never submitted: %d", code)
+		t.Errorf("job that was never submitted: status %d, want 404", code)
 	}
 }
 
@@ -289,14 +298,14 @@
 	} {
 		code, _, h := s.call(0, x[0], x[1], encodeJob(t, arrayJob("j-000001")))
 		if code != http.StatusServiceUnavailable || h.Get("Retry-After") == "" {
-			t.Errorf("%v: status %d with header %v", x, code, h)
+			t.Errorf("%v: status %d with header %v, want 503 with Retry-After", x, code, h)
 		}
 	}
 }
 
 // TestOverloadIsAnsweredWithRetryAfter checks a burst of submissions that exceeds the write rate of the key-value store
-// within the time after which users retry. The excess submissions must not be held but told to retry, and every
-// accepted job must have been recorded.
+// within the time after which users retry. The excess submissions must be answered with a Retry-After header instead of
+// being held, and every accepted job must have been recorded.
 func TestOverloadIsAnsweredWithRetryAfter(t *testing.T) {
 	const users = 100
 	// This write rate allows one write, and the next one much later.
@@ -327,7 +336,7 @@
 				t.Errorf("%s: no Retry-After header", a.id)
 			}
 		default:
-			t.Errorf("%s: status %d", a.id, a.code)
+			t.Errorf("%s: status %d, want 201 or 503", a.id, a.code)
 		}
 	}
 	if accepted != 1 {
@@ -391,6 +400,6 @@
 		})
 	}
 	if code, _, _ := s.call(0, http.MethodGet, "/submissions/j-9999", nil); code != http.StatusNotFound {
-		t.Errorf("a job that was never submitted: %d", code)
+		t.Errorf("job that was never submitted: status %d, want 404", code)
 	}
 }
--- a/internal/coordination/api/submission.go
+++ b/internal/coordination/api/submission.go
@@ -119,7 +119,7 @@
 }
 
 // knownTypes returns the machine types that are listed in names, each once and in the order of types. It drops unknown
-// names and duplicates so that records stay small whatever a user submits.
+// names and duplicates so that records stay small regardless of what a user submits.
 func knownTypes(types []protocol.MachineType, names []string) []string {
 	var known []string
 	for _, machineType := range types {
--- a/internal/daemon/allocations_test.go
+++ b/internal/daemon/allocations_test.go
@@ -15,7 +15,7 @@
 )
 
 // TestHeartbeatAllocations limits the allocations for a heartbeat that is answered with an error or a redirect.
-// Thousands of machines send their heartbeats to whichever controller they know.
+// Thousands of machines send their heartbeats to any controller that they know.
 func TestHeartbeatAllocations(t *testing.T) {
 	// The count includes the test's own request and response recorder. The race detector adds one allocation.
 	const maxAllocations = 51
@@ -52,7 +52,7 @@
 			t.Logf("%v allocations per heartbeat", allocations)
 			if status != row.status || allocations > row.maxAllocations {
 				t.Errorf(
-					"status %d with %v allocations per heartbeat, want at most %v",
+					"status %d with %v allocations per heartbeat, want the status in the test case and at most %v",
 					status,
 					allocations,
 					row.maxAllocations,
--- a/internal/daemon/claim.go
+++ b/internal/daemon/claim.go
@@ -31,8 +31,9 @@
 	return result
 }
 
-// tryClaim reads the term and the leader key, and writes a higher term on the condition that neither has changed. It
-// does not compete with a leader that was elected above e.AboveTerm, but reports that leader to the election.
+// tryClaim reads the term and the leader key, and writes a higher term on the condition that neither has changed. If
+// another controller leads in a term above e.AboveTerm, tryClaim does not compete with it, but reports that leader to
+// the election.
 func (a *electionActor) tryClaim(ctx context.Context, e election.Claim) (election.ClaimResult, error) {
 	sent := a.now()
 	var current leadershipRecords
@@ -56,8 +57,8 @@
 	if err != nil {
 		return election.ClaimResult{}, err
 	}
-	// A worker can hold a token of a later term than the record's only if the store has lost that record. Claim a term
-	// above every term that this controller has seen, even then.
+	// A worker can hold a token of a later term than the term record has only if the store has lost the record of the
+	// later term. Even then, claim a term above every term that this controller has seen.
 	term := max(current.term.Term, e.AboveTerm) + 1
 	revision, err := a.writeClaim(ctx, current, term, lease)
 	if err != nil {
@@ -85,7 +86,7 @@
 }
 
 // finalLevelUnsupported reports whether the final feature level is newer than the levels that this version supports, in
-// which case it must not lead. The first such level is logged.
+// which case this controller must not lead. This is logged only once.
 func (a *electionActor) finalLevelUnsupported(term storage.TermRecord) bool {
 	own := a.features.featureLevel()
 	if term.FeatureLevel <= int(own) {
--- a/internal/daemon/controller.go
+++ b/internal/daemon/controller.go
@@ -32,9 +32,10 @@
 	commandSocketShare = 1. / 16 // concurrent commands to workers, and as many idle connections
 )
 
+// Limits of the HTTP server for users and workers.
 const (
-	maxHeaderBytes = 8 << 10
-	minIdleTimeout = 30 * time.Second
+	maxHeaderBytes = 8 << 10          // size of the header of a request
+	minIdleTimeout = 30 * time.Second // minimum time for which an idle connection is kept open
 )
 
 // Controller is one controller process of the scheduler.
--- a/internal/daemon/environment.go
+++ b/internal/daemon/environment.go
@@ -43,8 +43,7 @@
 func (e *environment) now() time.Duration { return time.Since(e.start) }
 
 // storeReachable reports whether the key-value store has answered recently. It is false until the first answer: if a
-// process that started during an outage claimed to reach the store, its peers would stop renewing leases without a
-// leader.
+// process that started during an outage claimed to reach the store, its peers would stop renewing leases on standby.
 func (e *environment) storeReachable() bool {
 	return e.store.HasResponded() && e.store.SinceLastResponse() < e.times.LeaderTimeout/2
 }
@@ -54,8 +53,8 @@
 	return e.intents.HasIntent(e.now(), job)
 }
 
-// mayRenewAsLeader reports whether this controller leads and may renew leases, because it knows of every cancellation
-// that a user may have been told of.
+// mayRenewAsLeader reports whether this controller leads and may renew leases. A leader may renew leases only while it
+// knows of every cancellation that a user may have been told of.
 func (e *environment) mayRenewAsLeader() bool {
 	v := e.view.Load()
 	return v.Leading && e.now() < v.MayRenewUntil
--- a/internal/daemon/failuredetection.go
+++ b/internal/daemon/failuredetection.go
@@ -119,8 +119,8 @@
 	}
 }
 
-// probeThrough asks a peer whether it can reach the target. A failed request is ignored, as it says nothing about the
-// target.
+// probeThrough asks a peer whether it can reach the target. A failed request is ignored, because it does not show
+// whether the peer can reach the target.
 func (a *failureDetectorActor) probeThrough(ctx context.Context, target, through string) {
 	r, err := a.mesh.Call(ctx, through, protocol.PeerMessage{Kind: protocol.PeerStatusQuery, ProbeTarget: target})
 	if err != nil || r.TargetReached == nil {
@@ -135,8 +135,8 @@
 // probe ends before the peer's own call times out.
 const probeTimeoutDivisor = 2
 
-// handleProbe answers whether this controller can reach the target of a probe. Any reply counts, including that of a
-// controller without failure detection.
+// handleProbe answers whether this controller can reach the target of a probe. Any reply of the target counts,
+// including that of a controller without failure detection.
 func (a *failureDetectorActor) handleProbe(m *protocol.PeerMessage, reply *protocol.PeerMessage) {
 	if a == nil || m.ProbeTarget == "" || m.ProbeTarget == a.cfg.Name {
 		return
--- a/internal/daemon/featurelevels.go
+++ b/internal/daemon/featurelevels.go
@@ -60,7 +60,7 @@
 	a.mailbox.Send(featurelevel.Finalised{Level: level})
 }
 
-// logMissing logs the controllers that do not support this version's level yet, when their list has changed.
+// logMissing logs the controllers that do not support this version's level yet, if the list of them has changed.
 func (a *featureLevelActor) logMissing() {
 	missing := a.gate.Missing()
 	if !slices.Equal(missing, a.missing) && a.gate.Final() < a.features.featureLevel() {
--- a/internal/daemon/fencing.go
+++ b/internal/daemon/fencing.go
@@ -11,8 +11,8 @@
 	"pinebay/internal/protocol"
 )
 
-// fencingActor fences machines without a leader: it releases unreachable machines to the cloud while no leader can be
-// elected.
+// fencingActor performs fencing without a leader: while no leader can be elected, it releases unreachable machines to
+// the cloud.
 type fencingActor struct {
 	*environment
 	mailbox *actor.Mailbox[fencing.Event]
@@ -114,7 +114,7 @@
 	}
 }
 
-// liveMachines returns those of the machines in a peer's query that send heartbeats to this controller.
+// liveMachines returns the machines in a peer's query that send heartbeats to this controller.
 func (a *fencingActor) liveMachines(machines []string) []string {
 	reply := make(chan []string, 1)
 	a.mailbox.Send(fencing.PeerQuery{Machines: machines, Reply: reply})
--- a/internal/daemon/heartbeatrouting.go
+++ b/internal/daemon/heartbeatrouting.go
@@ -15,7 +15,7 @@
 }
 
 // leaderless reports whether this controller knows of no running leader. A controller that has been elected counts as
-// having none until its own leader runs.
+// leaderless until its own leader runs.
 func (v leadershipView) leaderless() bool {
 	return !v.leadsHere && (v.leader == "" || v.leader == v.self)
 }
@@ -40,12 +40,12 @@
 	ownerReachable bool
 }
 
-// heartbeatAction says how a worker's heartbeat is handled.
+// heartbeatAction is a way to handle a worker's heartbeat.
 type heartbeatAction int
 
 const (
-	// rejectHeartbeat redirects the worker to a controller that renews leases on standby, or asks it to retry if there
-	// is none.
+	// rejectHeartbeat redirects the worker to a controller that renews leases on standby, or asks the worker to retry
+	// if there is none.
 	rejectHeartbeat heartbeatAction = iota
 	// renewOnStandby renews the worker's lease without a leader.
 	renewOnStandby
--- a/internal/daemon/heartbeatrouting_test.go
+++ b/internal/daemon/heartbeatrouting_test.go
@@ -98,8 +98,9 @@
 	}
 }
 
-// TestHeartbeatRouteInvariants checks, for all combinations of inputs, that only a controller that may renew leases
-// does so.
+// TestHeartbeatRouteInvariants checks, for all combinations of inputs, that a heartbeat is answered only by a
+// controller that may answer it, and is sent only to another controller that is known and, if it is an owner,
+// reachable.
 func TestHeartbeatRouteInvariants(t *testing.T) {
 	bools := []bool{false, true}
 	names := []string{"", "n-0", "n-1"}
@@ -130,7 +131,7 @@
 				case got.action == sendToLeader && (got.controller == v.self || got.controller == ""):
 					t.Errorf("%s: sent to a leader that is unknown or this controller", state)
 				case v.rejectsBeforeReading() && got.action != rejectHeartbeat:
-					t.Errorf("%s: rejected before reading, but not after", state)
+					t.Errorf("%s: rejected before reading, but routed otherwise after reading", state)
 				}
 			}
 		}
@@ -138,7 +139,7 @@
 }
 
 // TestHeartbeatsRejectedBeforeReading checks that, without a leader, the body of a heartbeat is read only if the
-// heartbeat may have to be answered, or shows fencing that a machine is alive.
+// heartbeat may have to be answered, or may have to be passed to fencing as a sign that its machine is alive.
 func TestHeartbeatsRejectedBeforeReading(t *testing.T) {
 	for _, row := range []struct {
 		name string
--- a/internal/daemon/heartbeats.go
+++ b/internal/daemon/heartbeats.go
@@ -23,7 +23,7 @@
 	heartbeat *protocol.WorkerHeartbeat
 	raw       []byte         // the encoded heartbeat, as received
 	leader    *leader.Leader // local leader when the request arrived; nil if none
-	view      *election.View // view at the same time
+	view      *election.View // view when the request arrived
 	epoch     uint64         // active ownership epoch; 0 if none
 }
 
@@ -44,7 +44,7 @@
 //   - The local leader is read before the view. The election publishes a view before it starts or stops the leader, so
 //     the view is at least as new as the leader. If there is no local leader but the view names this controller, its
 //     leader is about to start or has just stopped, and there is no leader for now.
-//   - Whether this controller renews leases on standby is read after the local leader was found to be absent, with a
+//   - Whether this controller renews leases on standby is read after the local leader was found to be absent, from a
 //     newer view.
 //   - All of this is read before the body, because most heartbeats without a leader are rejected without reading it. A
 //     slow body does not extend a lease: leases are renewed from the time at which the worker sent its heartbeat.
@@ -115,7 +115,8 @@
 func (h *workerHeartbeats) execute(ctx context.Context, route heartbeatRoute, req heartbeatRequest) {
 	switch route.action {
 	case rejectHeartbeat:
-		// The worker's lease may be about to expire, so spare it trying every controller.
+		// The worker's lease may be about to expire: name a controller that can renew it, if one is known, instead of
+		// leaving the worker to try every controller.
 		h.redirect(req.w, h.peers.standbyRenewer())
 	case renewOnStandby:
 		h.renewOnStandby(req)
@@ -131,7 +132,7 @@
 }
 
 // renewOnStandby renews the worker's lease with the fencing token that it already has, while no leader can be elected.
-// Tasks whose users may have been told that they are cancelled are stopped.
+// The reply stops the tasks of every job that a user may have been told is cancelled.
 func (h *workerHeartbeats) renewOnStandby(req heartbeatRequest) {
 	transport.WriteResponse(req.w, http.StatusOK, protocol.WorkerHeartbeatReply{
 		FencingToken: req.heartbeat.FencingToken,
@@ -234,8 +235,8 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), heartbeatTimeout)
 	defer cancel()
-	// An owner forwards heartbeats of machines that may well be able to reach this controller. Without an ownership
-	// epoch, the heartbeat was relayed for a machine that cannot.
+	// A heartbeat with an ownership epoch was forwarded by an owner, whose machines may well be able to reach this
+	// controller. A heartbeat without one was relayed because its machine cannot.
 	relayed := m.OwnershipEpoch == 0
 	reply, ok := h.askLocalLeader(ctx, l, heartbeat, relayed)
 	if !ok {
--- a/internal/daemon/intentannouncer.go
+++ b/internal/daemon/intentannouncer.go
@@ -67,7 +67,8 @@
 	}
 }
 
-// merge adds the intents of a peer's message to this controller's, and passes new ones to the local leader, if any.
+// merge adds the intents of a peer's message to this controller's, and passes new ones to the local leader, if there is
+// one. reply is set if the message is a reply to this controller.
 func (a *intentAnnouncer) merge(m *protocol.PeerMessage, reply bool) cancellation.ReceiveResult {
 	now := a.now()
 	received := a.intents.Receive(now, m, reply)
--- a/internal/daemon/leadership.go
+++ b/internal/daemon/leadership.go
@@ -138,7 +138,7 @@
 	return l
 }
 
-// electedTerm connects a leader to the election and the term in which it was elected.
+// electedTerm connects a leader to the election and to the term that the leader was started for.
 type electedTerm struct {
 	*electionActor
 	term uint64
--- a/internal/daemon/ownerheartbeats.go
+++ b/internal/daemon/ownerheartbeats.go
@@ -205,7 +205,7 @@
 const maxDigestMachines = protocol.MaxMachinesPerMessage
 
 // handleDigest passes an owner's digest to the local leader. It does not acknowledge a digest of another epoch, or of a
-// controller that owns nothing in the current epoch, which makes the sender stop answering as an owner.
+// process that is not an owner in the current epoch. Without an acknowledgment the sender stops answering as an owner.
 func (o *machineOwner) handleDigest(m, reply *protocol.PeerMessage) {
 	if o == nil {
 		return
--- a/internal/daemon/ownership.go
+++ b/internal/daemon/ownership.go
@@ -32,7 +32,7 @@
 	tasks    sync.WaitGroup // writes in progress
 }
 
-// leaderEpoch is the active ownership epoch of a leader; 0 if there is none.
+// leaderEpoch holds the active ownership epoch that a leader has reported; epoch is 0 if none is active.
 type leaderEpoch struct {
 	leader string
 	epoch  uint64
@@ -115,8 +115,8 @@
 	if err != nil {
 		return err
 	}
-	// The revisions let only one of two controllers with the same verdict succeed, and make a transaction fail that is
-	// applied late.
+	// Because of the compared revisions, only one of two controllers with the same verdict succeeds, and a transaction
+	// that is applied late fails.
 	outcome, err := a.store.Txn(ctx, storage.BudgetPlacement, protocol.Txn{
 		If: []protocol.Compare{
 			{Key: storage.TermKey, Revision: term.Revision},
@@ -144,8 +144,8 @@
 		owners = append(owners, m.Controller)
 	}
 	a.log.Info("ownership epoch active", "epoch", r.Epoch, "owners", owners, "reason", r.Reason)
-	if _, now := table.Member(a.cfg.Name); old != nil && !now {
-		if _, before := old.Member(a.cfg.Name); before {
+	if _, ownsNow := table.Member(a.cfg.Name); old != nil && !ownsNow {
+		if _, ownedBefore := old.Member(a.cfg.Name); ownedBefore {
 			a.log.Info("ownership lost", "epoch", old.Epoch, "new_epoch", r.Epoch)
 		}
 	}
@@ -249,7 +249,7 @@
 	}
 }
 
-// handlePeerHeartbeat processes what a peer's heartbeat, or its reply to one, says about ownership.
+// handlePeerHeartbeat processes the fields about ownership in a peer's heartbeat or in its reply to one.
 func (a *ownershipActor) handlePeerHeartbeat(m *protocol.PeerMessage) {
 	if a == nil || m.Incarnation == 0 {
 		return
--- a/internal/daemon/peers.go
+++ b/internal/daemon/peers.go
@@ -25,9 +25,9 @@
 	election        *electionActor
 	fencing         *fencingActor
 	levels          *featureLevelActor
-	ownership       *ownershipActor // nil if ownership is disabled
-	owner           *machineOwner   // nil if ownership is disabled
-	detector        *failureDetectorActor
+	ownership       *ownershipActor       // nil if ownership is disabled
+	owner           *machineOwner         // nil if ownership is disabled
+	detector        *failureDetectorActor // nil if ownership is disabled
 	intentAnnouncer *intentAnnouncer
 	workers         *workerHeartbeats
 }
@@ -95,8 +95,8 @@
 	x.ownership.handlePeerHeartbeat(m)
 }
 
-// fill sets the fields that heartbeats and replies to them have in common. incarnation is the incarnation of the peer
-// as its message says; 0 means the incarnation that replied last.
+// fill sets the fields that heartbeats and replies to them have in common. incarnation is the peer's incarnation
+// according to its message; 0 stands for the incarnation that replied last.
 func (x *peerExchange) fill(m *protocol.PeerMessage, peer string, incarnation uint64, now time.Duration) {
 	m.StoreReachable = x.storeReachable()
 	m.RenewsLeases = x.peers.renewsOnStandby()
--- a/internal/daemon/peertable.go
+++ b/internal/daemon/peertable.go
@@ -16,7 +16,7 @@
 type peerTable struct {
 	*environment
 	lastContactAt    atomic.Int64 // time of the last message of any peer, on the controller's clock
-	storeReachableAt atomic.Int64 // time of the last message of a peer that the key-value store answers
+	storeReachableAt atomic.Int64 // time of the last message of a peer that reported the store as reachable
 
 	mu              sync.Mutex // guards the fields below
 	statuses        map[string]election.PeerStatus
@@ -46,8 +46,8 @@
 	}
 }
 
-// recordReply records the reply to a heartbeat that was sent at the given time. received says whether this controller
-// now has all intents of the peer.
+// recordReply records the reply to a heartbeat that was sent at the given time. received is the result of processing
+// the intents in the reply; it shows whether this controller now has all intents of the peer.
 func (t *peerTable) recordReply(r *protocol.PeerMessage, sent time.Duration, received cancellation.ReceiveResult) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -85,7 +85,8 @@
 	}
 }
 
-// renewsOnStandby reports whether this controller renews leases without a leader.
+// renewsOnStandby reports whether this controller renews leases on standby: it may do so, and no leader runs in this
+// process.
 func (t *peerTable) renewsOnStandby() bool {
 	return t.localLeader.Load() == nil && t.mayRenewOnStandby()
 }
@@ -146,7 +147,8 @@
 }
 
 // isolatedFromStore reports whether the key-value store does not answer this controller but probably answers others:
-// either a peer has had an answer well after the last one to this controller, or no peer is in contact at all.
+// either a peer reported the store as reachable more than the leader timeout after the last answer to this controller,
+// or no peer has sent a message within the leader timeout.
 func (t *peerTable) isolatedFromStore() bool {
 	sinceResponse := t.store.SinceLastResponse()
 	if sinceResponse <= t.times.LeaderTimeout {
--- a/internal/daemon/redirects.go
+++ b/internal/daemon/redirects.go
@@ -18,7 +18,8 @@
 	expiredAt time.Duration // when expire last removed entries
 }
 
-// redirectEntry records when a machine was last seen, and since when its heartbeats are relayed; 0 if they are not.
+// redirectEntry records when a machine was last seen, and since when its heartbeats are relayed; relayedSince is 0 if
+// they are not.
 type redirectEntry struct{ lastSeen, relayedSince time.Duration }
 
 // retentionLeases is how long a redirected machine is remembered, as a multiple of the lease duration.
@@ -30,9 +31,9 @@
 }
 
 // shouldRelay records that a machine has sent a heartbeat here instead of to the target, and reports whether this
-// controller should relay or answer the heartbeat instead of redirecting the machine. answeredByTarget says that the
-// target has answered the machine before: the machine would not have come here if it could still reach the target. A
-// change of target forgets all machines.
+// controller should relay or answer the heartbeat instead of redirecting the machine. answeredByTarget is set if the
+// target has answered the machine before: such a machine would not have come here if it could still reach the target.
+// All machines are forgotten when the target changes.
 func (t *redirectTracker) shouldRelay(machine, target string, answeredByTarget bool, now time.Duration) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/daemon/redirects_test.go
+++ b/internal/daemon/redirects_test.go
@@ -10,8 +10,8 @@
 // leases had long to run, a second redirect had cost half of a large fleet its tasks. Machines are redirected again
 // after a while, and when the leader changes.
 func TestRedirectTracker(t *testing.T) {
-	tr := newRedirectTracker(10 * time.Second)
-	for i, x := range []struct {
+	tracker := newRedirectTracker(10 * time.Second)
+	for i, row := range []struct {
 		machine, leader string
 		answered        bool
 		at              time.Duration
@@ -28,8 +28,8 @@
 		{"m1", "b", false, 41 * time.Second, false},
 		{"m1", "b", false, 46 * time.Second, true},
 	} {
-		if got := tr.shouldRelay(x.machine, x.leader, x.answered, x.at); got != x.relay {
-			t.Errorf("step %d: %+v: relayed %v", i, x, got)
+		if got := tracker.shouldRelay(row.machine, row.leader, row.answered, row.at); got != row.relay {
+			t.Errorf("step %d: %+v: shouldRelay returned %v, want the value of relay", i, row, got)
 		}
 	}
 }
--- a/internal/daemon/times.go
+++ b/internal/daemon/times.go
@@ -11,7 +11,7 @@
 	"pinebay/internal/coordination/ownership"
 )
 
-// minLeaseTTL is the minimum TTL of the leader's lease, for very short settings.
+// minLeaseTTL is the minimum TTL of the leader's lease. It applies only if the settings contain very short times.
 const minLeaseTTL = 100 * time.Millisecond
 
 // ElectionTiming derives the election's timing from the settings. All intervals are fractions of the workers' lease, or
--- a/internal/daemon/times_test.go
+++ b/internal/daemon/times_test.go
@@ -13,9 +13,9 @@
 
 func TestMain(m *testing.M) { testutil.Main(m) }
 
-// TestTimesFitCancellationLimit checks that, for all settings, a lease that was renewed without knowing of a
+// TestTimesFitCancellationLimit checks that, for all settings, a lease that a controller renewed without knowing of a
 // cancellation expires before the task must have ended, with an eighth of the time limit to spare, and that a
-// controller that has lost intents in a restart does not count as recovered before that.
+// controller that has lost intents in a restart does not count as recovered before such leases have expired.
 func TestTimesFitCancellationLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var d config.Deployment
@@ -34,21 +34,27 @@
 		case timing.ConfirmationTimeout > timing.RenewalHorizon,
 			timing.ConfirmationTimeout < 4*timing.HeartbeatInterval-time.Millisecond:
 			t.Errorf(
-				"confirmation timeout %v, renewal horizon %v, heartbeat interval %v",
+				"confirmation timeout %v is above the renewal horizon %v or below 4 heartbeat intervals of %v",
 				timing.ConfirmationTimeout,
 				timing.RenewalHorizon,
 				timing.HeartbeatInterval,
 			)
 		case timing.RecoveryPeriod < lease+timing.RenewalHorizon+timing.LeaderTimeout:
-			t.Errorf("recovery period %v is too short", timing.RecoveryPeriod)
+			t.Errorf(
+				"recovery period %v, want at least lease plus renewal horizon plus leader timeout",
+				timing.RecoveryPeriod,
+			)
 		case intentRetention(&d, timing) < cancel+timing.RecoveryPeriod:
-			t.Errorf("intent retention %v is too short", intentRetention(&d, timing))
+			t.Errorf(
+				"intent retention %v, want at least cancellation limit plus recovery period",
+				intentRetention(&d, timing),
+			)
 		}
 	})
 }
 
 // TestHeartbeatInterval checks that a follower sends fewer heartbeats than the leader, and that every controller sends
-// all of them while there is no leader. A peer must count towards a quorum even if one of its heartbeats is lost.
+// as many as a leader while there is none. A peer must count towards a quorum even if one of its heartbeats is lost.
 func TestHeartbeatInterval(t *testing.T) {
 	exchange := &peerExchange{environment: &environment{
 		times: election.Timing{HeartbeatInterval: 100 * time.Millisecond, LeaderTimeout: 800 * time.Millisecond},
@@ -66,6 +72,6 @@
 		}
 	}
 	if 2*followerHeartbeatFactor*exchange.times.HeartbeatInterval > exchange.times.LeaderTimeout/2 {
-		t.Error("a follower no longer counts after one lost heartbeat")
+		t.Error("a follower no longer counts towards a quorum after one lost heartbeat")
 	}
 }
--- a/internal/protocol/codec_test.go
+++ b/internal/protocol/codec_test.go
@@ -50,7 +50,7 @@
 			t.Fatal(err)
 		}
 		if err := Decode(raw, &Job{}); !errors.Is(err, ErrMalformed) {
-			t.Errorf("%v: %v", v, err)
+			t.Errorf("decoding %v: error %v, want one that matches ErrMalformed", v, err)
 		}
 	}
 	raw, err := Encode(map[string]any{})
@@ -58,6 +58,6 @@
 		t.Fatal(err)
 	}
 	if err := Decode(append(raw, 0xc0), &Job{}); !errors.Is(err, ErrMalformed) {
-		t.Errorf("bytes after the map: %v", err)
+		t.Errorf("bytes after the map: error %v, want one that matches ErrMalformed", err)
 	}
 }
--- a/internal/protocol/heartbeat_test.go
+++ b/internal/protocol/heartbeat_test.go
@@ -14,17 +14,17 @@
 func TestWorkerHeartbeatRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := WorkerHeartbeat{
-			Machine:      drawName().Draw(t, "m"),
-			Addr:         drawName().Draw(t, "a"),
-			Type:         drawName().Draw(t, "t"),
-			Zone:         drawName().Draw(t, "z"),
+			Machine:      nameGenerator().Draw(t, "m"),
+			Addr:         nameGenerator().Draw(t, "a"),
+			Type:         nameGenerator().Draw(t, "t"),
+			Zone:         nameGenerator().Draw(t, "z"),
 			Spot:         rapid.Bool().Draw(t, "spot"),
 			Incarnation:  rapid.Uint64Min(1).Draw(t, "s"),
 			Sequence:     rapid.Uint64().Draw(t, "q"),
 			FencingToken: rapid.Uint64().Draw(t, "token"),
 		}
 		if rapid.Bool().Draw(t, "notice") {
-			n := drawNumber().Draw(t, "n")
+			n := numberGenerator().Draw(t, "n")
 			r.InterruptionNoticeSeconds = &n
 		}
 		for i := range rapid.IntRange(0, 5).Draw(t, "tasks") {
@@ -60,12 +60,12 @@
 			rapid.IntRange(0, MaxTasks-1).Draw(t, "task"),
 		}
 		if got, err := ParseTaskID(id.String()); err != nil || got != id {
-			t.Fatalf("%v: %v %v", id, got, err)
+			t.Fatalf("name of %v parsed as %v, error %v", id, got, err)
 		}
 	})
 	for _, s := range []string{"", "j-1", "j-1/", "j-1/-1", "j-1/x", "x/1", "j-1/100000", "j-/1"} {
 		if _, err := ParseTaskID(s); !errors.Is(err, ErrMalformed) {
-			t.Errorf("%q: %v", s, err)
+			t.Errorf("parsing %q: error %v, want one that matches ErrMalformed", s, err)
 		}
 	}
 }
--- a/internal/protocol/job.go
+++ b/internal/protocol/job.go
@@ -64,7 +64,7 @@
 	SameZone bool `msgpack:"same_place"`
 	// Spread requires that no zone has more than half of the tasks, rounded up.
 	Spread bool `msgpack:"spread"`
-	// SpotAllowed says that the job may use spot machines.
+	// SpotAllowed is set if the job may use spot machines.
 	SpotAllowed bool `msgpack:"lendable"`
 	// EstimateSeconds is the user's estimate of a task's run time. It does not include fetching the image.
 	EstimateSeconds float64 `msgpack:"reckon_s"`
@@ -124,7 +124,7 @@
 	State        JobState `msgpack:"standing" cbor:"2,keyasint"`
 	DoneTasks    int      `msgpack:"done"     cbor:"3,keyasint"`
 	RunningTasks int      `msgpack:"running"  cbor:"4,keyasint"`
-	// Unblocked says that all dependencies of the job are durably recorded as done. It is sent between controllers
+	// Unblocked is set if all dependencies of the job are durably recorded as done. It is sent between controllers
 	// only.
 	Unblocked bool `msgpack:"-" cbor:"5,keyasint,omitempty"`
 }
--- a/internal/protocol/machines.go
+++ b/internal/protocol/machines.go
@@ -60,8 +60,8 @@
 	Count       int    `msgpack:"how_many"`
 }
 
-// MachineNames lists machines: in the response to a [RentalRequest] those rented, in a release request those to
-// release.
+// MachineNames lists the rented machines in the response to a [RentalRequest], and the machines to release in a release
+// request.
 type MachineNames struct {
 	Machines []string `msgpack:"rigs"`
 }
--- a/internal/protocol/peercodec.go
+++ b/internal/protocol/peercodec.go
@@ -41,7 +41,7 @@
 }
 
 // DecodePeerMessage decodes and validates a message from another controller. It does not validate the opinions, because
-// a controller may reject those and still use the rest of the message (see [ValidateOpinions]).
+// a controller may reject the opinions and still use the rest of the message (see [ValidateOpinions]).
 func DecodePeerMessage(raw []byte) (*PeerMessage, error) {
 	var m PeerMessage
 	if err := cborDecMode.Unmarshal(raw, &m); err != nil {
--- a/internal/protocol/peermessage.go
+++ b/internal/protocol/peermessage.go
@@ -10,7 +10,7 @@
 // Kinds of messages between controllers. All kinds except PeerReply are requests; the response to a request is a
 // PeerReply with the same ID.
 const (
-	// PeerHeartbeat says which controller the sender regards as the leader, and whether the sender can reach the
+	// PeerHeartbeat reports which controller the sender regards as the leader, and whether the sender can reach the
 	// key-value store.
 	PeerHeartbeat PeerMessageKind = 1
 	// PeerStatusQuery asks the leader for the status of jobs. If ProbeTarget is set, it is a probe instead.
@@ -36,9 +36,9 @@
 	From   string `cbor:"4,keyasint"`
 	Term   uint64 `cbor:"5,keyasint,omitempty"`
 	Leader string `cbor:"6,keyasint,omitempty"`
-	// StoreReachable says that the sender can reach the key-value store.
+	// StoreReachable is set if the sender can reach the key-value store.
 	StoreReachable bool `cbor:"7,keyasint,omitempty"`
-	// RenewsLeases says that the sender renews the leases of workers while there is no leader.
+	// RenewsLeases is set if the sender renews the leases of workers on standby, that is, while there is no leader.
 	RenewsLeases bool `cbor:"22,keyasint,omitempty"`
 
 	// JobID and Status are the request and the reply of a status query for one job, JobIDs and Statuses those of a
@@ -59,19 +59,18 @@
 
 	// Incarnation distinguishes the sending process from earlier processes of the same controller.
 	Incarnation uint64 `cbor:"11,keyasint,omitempty"`
-	// Recovered says that the sender lacks no intent that is still relevant: all those that may have been lost with an
-	// earlier process of this controller no longer matter.
+	// Recovered is set if the sender lacks no intent that is still relevant: the intents that may have been lost with
+	// an earlier process of the sender's controller are not relevant any more.
 	Recovered bool `cbor:"12,keyasint,omitempty"`
 	// Intents is a part of the sender's list of cancellation intents. The list has the intents of the sender's
 	// incarnation in their order. IntentOffset is the number of intents before this part, ExpiredIntents is the number
-	// of intents at the beginning of the list that have expired, and MoreIntents says that the list continues after
+	// of intents at the beginning of the list that have expired, and MoreIntents is set if the list continues after
 	// this part.
 	IntentOffset   uint64               `cbor:"13,keyasint,omitempty"`
 	ExpiredIntents uint64               `cbor:"18,keyasint,omitempty"`
 	Intents        []CancellationIntent `cbor:"14,keyasint,omitempty"`
 	MoreIntents    bool                 `cbor:"15,keyasint,omitempty"`
-	// AckedIntents is the number of intents that the sender has stored of those that the receiver announced in its
-	// incarnation AckedIncarnation.
+	// AckedIntents is the number of intents of the receiver's incarnation AckedIncarnation that the sender has stored.
 	AckedIncarnation uint64 `cbor:"16,keyasint,omitempty"`
 	AckedIntents     uint64 `cbor:"17,keyasint,omitempty"`
 
@@ -87,9 +86,9 @@
 	ProbeTarget   string `cbor:"26,keyasint,omitempty"`
 	TargetReached *bool  `cbor:"27,keyasint,omitempty"`
 
-	// The following fields are used only if shard ownership is enabled. CanOwn says that the sender can own machines.
-	// OwnershipEpoch is the epoch in effect in heartbeats of the leader, and the epoch of the owner in messages that an
-	// owner forwards.
+	// The following fields are used only if ownership is enabled. CanOwn is set if the sender can own machines.
+	// OwnershipEpoch is the active epoch in heartbeats of the leader, and the owner's epoch in the digests and
+	// forwarded heartbeats of an owner.
 	CanOwn         bool   `cbor:"29,keyasint,omitempty"`
 	OwnershipEpoch uint64 `cbor:"30,keyasint,omitempty"`
 	// MachineIncarnations and HeartbeatSequences identify, in PeerUnchangedHeartbeats, the last heartbeat of each
--- a/internal/protocol/peermessage_test.go
+++ b/internal/protocol/peermessage_test.go
@@ -22,9 +22,9 @@
 		m := PeerMessage{
 			Kind:           PeerMessageKind(rapid.IntRange(int(PeerHeartbeat), int(PeerReply)).Draw(t, "kind")),
 			ID:             rapid.Uint64().Draw(t, "id"),
-			From:           drawName().Draw(t, "from"),
+			From:           nameGenerator().Draw(t, "from"),
 			Term:           rapid.Uint64().Draw(t, "term"),
-			Leader:         drawName().Draw(t, "leader"),
+			Leader:         nameGenerator().Draw(t, "leader"),
 			StoreReachable: rapid.Bool().Draw(t, "store reachable"),
 		}
 		if rapid.Bool().Draw(t, "status") {
@@ -51,7 +51,7 @@
 		}
 		got, err := DecodePeerMessage(raw)
 		if err != nil || !reflect.DeepEqual(*got, m) {
-			t.Fatalf("got %+v %v, want %+v", got, err, m)
+			t.Fatalf("got %+v, error %v, want %+v", got, err, m)
 		}
 		m.Version = PeerProtocolVersion + 1
 		other, err := cborEncMode.Marshal(m)
@@ -59,7 +59,7 @@
 			t.Fatal(err)
 		}
 		if _, err := DecodePeerMessage(other); !errors.Is(err, ErrMalformed) {
-			t.Fatalf("another version: %v", err)
+			t.Fatalf("message of another version: error %v, want one that matches ErrMalformed", err)
 		}
 	})
 }
@@ -86,7 +86,7 @@
 			t.Fatal(err)
 		}
 		if _, err := DecodePeerMessage(raw); !errors.Is(err, ErrMalformed) {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("%s: error %v, want one that matches ErrMalformed", name, err)
 		}
 	}
 	// Controllers of an older version send no fields about intents.
@@ -97,7 +97,7 @@
 		t.Fatal(err)
 	}
 	if m, err := DecodePeerMessage(old); err != nil || m.Incarnation != 0 || m.Term != 3 || !m.StoreReachable {
-		t.Errorf("a heartbeat of an older version: %+v %v", m, err)
+		t.Errorf("heartbeat of an older version decoded as %+v, error %v, want only its own fields set", m, err)
 	}
 }
 
@@ -144,10 +144,10 @@
 		raw := testutil.ProductionFixture(t, name)
 		written, err := EncodePeerMessage(&want)
 		if err != nil || !bytes.Equal(written, raw) {
-			t.Errorf("%s is encoded as %x, want %x, %v", name, written, raw, err)
+			t.Errorf("%s is encoded as %x, want %x, error %v", name, written, raw, err)
 		}
 		if got, err := DecodePeerMessage(raw); err != nil || !reflect.DeepEqual(*got, want) {
-			t.Errorf("%s is decoded as %+v: %v", name, got, err)
+			t.Errorf("%s is decoded as %+v, error %v, want the message that was encoded", name, got, err)
 		}
 	}
 }
@@ -180,7 +180,7 @@
 			t.Fatal(err)
 		}
 		if _, err := DecodePeerMessage(raw); (err == nil) != x.ok {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("%s: error %v, want none only if the test case is ok", name, err)
 		}
 	}
 }
@@ -199,7 +199,12 @@
 				&PeerMessage{Version: PeerProtocolVersion, Kind: PeerLiveMachinesQuery, From: "n-0", Machines: list},
 			)
 			if err != nil || len(raw) > MaxBodyBytes {
-				t.Fatalf("%d names in %d bytes: %v", len(list), len(raw), err)
+				t.Fatalf(
+					"message with %d names has %d bytes, error %v, want at most MaxBodyBytes",
+					len(list),
+					len(raw),
+					err,
+				)
 			}
 			if _, err := DecodePeerMessage(raw); err != nil {
 				t.Fatal(err)
@@ -207,7 +212,7 @@
 			all = append(all, list...)
 		}
 		if !slices.Equal(all, names) {
-			t.Fatalf("%d of %d names", len(all), len(names))
+			t.Fatalf("%d of %d names are in the messages, want all in their order", len(all), len(names))
 		}
 	})
 }
@@ -242,10 +247,10 @@
 		bad := good
 		change(&bad)
 		if ValidateOpinions([]PeerOpinion{bad}) == nil {
-			t.Errorf("%s: accepted", name)
+			t.Errorf("%s: accepted, want an error", name)
 		}
 	}
 	if ValidateOpinions(make([]PeerOpinion, MaxOpinions+1)) == nil {
-		t.Error("too many: accepted")
+		t.Error("more than MaxOpinions opinions: accepted, want an error")
 	}
 }
--- a/internal/protocol/submission_test.go
+++ b/internal/protocol/submission_test.go
@@ -12,36 +12,36 @@
 
 var priorities = []Priority{PriorityCritical, PriorityUrgent, PriorityNormal, PriorityBestEffort}
 
-// drawName returns a generator of valid names.
-func drawName() *rapid.Generator[string] { return rapid.StringMatching(`[a-z][a-z0-9-]{0,20}`) }
+// nameGenerator returns a generator of valid names.
+func nameGenerator() *rapid.Generator[string] { return rapid.StringMatching(`[a-z][a-z0-9-]{0,20}`) }
 
-// drawNumber returns a generator of valid resource amounts and durations.
-func drawNumber() *rapid.Generator[float64] { return rapid.Float64Range(0, 1e6) }
+// numberGenerator returns a generator of valid resource amounts and durations.
+func numberGenerator() *rapid.Generator[float64] { return rapid.Float64Range(0, 1e6) }
 
 // drawJob draws a random valid job.
 func drawJob(t *rapid.T) Job {
 	j := Job{
 		ID:                        "j-" + rapid.StringMatching(`[0-9]{6}`).Draw(t, "id"),
-		Class:                     drawName().Draw(t, "class"),
-		Team:                      drawName().Draw(t, "team"),
+		Class:                     nameGenerator().Draw(t, "class"),
+		Team:                      nameGenerator().Draw(t, "team"),
 		Shape:                     rapid.SampledFrom([]Shape{Array, Gang, Service}).Draw(t, "shape"),
 		Priority:                  rapid.SampledFrom(priorities).Draw(t, "priority"),
 		TaskCount:                 rapid.IntRange(1, MaxTasks).Draw(t, "tasks"),
-		CPUs:                      drawNumber().Draw(t, "cpus"),
-		GPUs:                      drawNumber().Draw(t, "gpus"),
-		MemoryGB:                  drawNumber().Draw(t, "mem"),
-		Image:                     drawName().Draw(t, "image"),
-		ImageGB:                   drawNumber().Draw(t, "gb"),
+		CPUs:                      numberGenerator().Draw(t, "cpus"),
+		GPUs:                      numberGenerator().Draw(t, "gpus"),
+		MemoryGB:                  numberGenerator().Draw(t, "mem"),
+		Image:                     nameGenerator().Draw(t, "image"),
+		ImageGB:                   numberGenerator().Draw(t, "gb"),
 		SameZone:                  rapid.Bool().Draw(t, "same"),
 		Spread:                    rapid.Bool().Draw(t, "spread"),
 		SpotAllowed:               rapid.Bool().Draw(t, "spot"),
-		EstimateSeconds:           drawNumber().Draw(t, "est"),
-		CheckpointIntervalSeconds: drawNumber().Draw(t, "cp"),
-		CheckpointSaveSeconds:     drawNumber().Draw(t, "save"),
+		EstimateSeconds:           numberGenerator().Draw(t, "est"),
+		CheckpointIntervalSeconds: numberGenerator().Draw(t, "cp"),
+		CheckpointSaveSeconds:     numberGenerator().Draw(t, "save"),
 	}
 	if rapid.Bool().Draw(t, "limited") {
-		j.MachineTypes = rapid.SliceOfN(drawName(), 1, 4).Draw(t, "types")
-		j.Zone = drawName().Draw(t, "zone")
+		j.MachineTypes = rapid.SliceOfN(nameGenerator(), 1, 4).Draw(t, "types")
+		j.Zone = nameGenerator().Draw(t, "zone")
 		j.DeadlineSeconds = rapid.Float64Range(1, 1e6).Draw(t, "due")
 	}
 	return j
@@ -77,7 +77,7 @@
 		}
 		got, err := DecodeJob(raw)
 		if err != nil {
-			t.Fatalf("%v: %v", m, err)
+			t.Fatalf("decoding %v: %v", m, err)
 		}
 		if !reflect.DeepEqual(*got, j) {
 			t.Fatalf("got %+v, want %+v", *got, j)
@@ -118,7 +118,7 @@
 			t.Fatal(err)
 		}
 		if _, err := DecodeJob(raw); !errors.Is(err, ErrMalformed) {
-			t.Fatalf("field %s with %s: %v", f, kind, err)
+			t.Fatalf("field %s with %s: error %v, want one that matches ErrMalformed", f, kind, err)
 		}
 	})
 }
@@ -217,13 +217,13 @@
 		got, err := DecodeJob(raw)
 		if x.bad {
 			if err == nil || !strings.Contains(err.Error(), "awaits") {
-				t.Errorf("%s: %v", name, err)
+				t.Errorf("%s: error %v, want one that names the field awaits", name, err)
 			}
 			continue
 		}
 		if err != nil || len(got.Dependencies) != len(x.want) ||
 			len(x.want) > 0 && !reflect.DeepEqual(got.Dependencies, x.want) {
-			t.Errorf("%s: %v, %v", name, got, err)
+			t.Errorf("%s: decoded as %+v, error %v, want the dependencies in the test case", name, got, err)
 		}
 	}
 }
--- a/internal/timing/timing.go
+++ b/internal/timing/timing.go
@@ -29,7 +29,7 @@
 	significantDigits = 3
 )
 
-// Recorder collects durations in a histogram for each kind. A nil Recorder records nothing and costs nothing.
+// Recorder collects durations in a histogram for each kind. A nil Recorder records and allocates nothing.
 type Recorder struct {
 	mu         sync.Mutex
 	histograms map[Kind]*hdrhistogram.Histogram
--- a/internal/timing/timing_test.go
+++ b/internal/timing/timing_test.go
@@ -26,6 +26,6 @@
 	}
 	var disabled *Recorder
 	if n := testing.AllocsPerRun(100, func() { disabled.Record(Cycle, time.Second) }); n > 0 {
-		t.Errorf("%v allocations with a nil recorder", n)
+		t.Errorf("%v allocations with a nil recorder, want 0", n)
 	}
 }
--- a/internal/transport/frame_test.go
+++ b/internal/transport/frame_test.go
@@ -43,9 +43,9 @@
 		}
 	})
 	if err := WriteFrame(io.Discard, make([]byte, maxFrameBytes+1)); !errors.Is(err, protocol.ErrMalformed) {
-		t.Errorf("writing a frame that is too long: %v", err)
+		t.Errorf("writing a frame that is too long: error %v, want one that matches ErrMalformed", err)
 	}
 	if _, err := ReadFrame(bytes.NewReader([]byte{0xff, 0xff, 0xff, 0xff, 1})); !errors.Is(err, protocol.ErrMalformed) {
-		t.Errorf("reading a length that is too long: %v", err)
+		t.Errorf("reading a length that is too long: error %v, want one that matches ErrMalformed", err)
 	}
 }
--- a/internal/transport/mesh.go
+++ b/internal/transport/mesh.go
@@ -147,7 +147,7 @@
 	}
 }
 
-// writeFrameWithDeadline writes a frame, and fails if that is not finished by the deadline.
+// writeFrameWithDeadline writes a frame, and fails if the write is not finished by the deadline.
 func writeFrameWithDeadline(conn net.Conn, deadline time.Time, raw []byte) error {
 	if err := conn.SetWriteDeadline(deadline); err != nil {
 		return err
--- a/internal/transport/mesh_test.go
+++ b/internal/transport/mesh_test.go
@@ -67,7 +67,7 @@
 	a := newCaller("a", l.Addr())
 	r, err := a.Call(ctx, "b", protocol.PeerMessage{Kind: protocol.PeerHeartbeat, Term: 4})
 	if err != nil || r.Term != 5 || r.From != "b" {
-		t.Fatalf("reply %+v, error %v", r, err)
+		t.Fatalf("reply %+v, error %v, want a reply from b in term 5", r, err)
 	}
 	if err := a.peers["b"].conn.Close(); err != nil {
 		t.Error(err)
@@ -145,10 +145,10 @@
 	}
 	cancel()
 	if err := <-first; !errors.Is(err, context.Canceled) {
-		t.Errorf("error of the cancelled call: %v", err)
+		t.Errorf("error of the cancelled call: %v, want context.Canceled", err)
 	}
 	if err := <-other; !errors.Is(err, ErrPeerUnreachable) {
-		t.Errorf("error of the other call: %v", err)
+		t.Errorf("error of the other call: %v, want ErrPeerUnreachable", err)
 	}
 	if _, err := ReadFrame(unanswered); err == nil {
 		t.Error("the connection is still open")
--- a/internal/transport/peer.go
+++ b/internal/transport/peer.go
@@ -28,7 +28,7 @@
 	return &peer{addr: addr, pending: map[uint64]chan *protocol.PeerMessage{}}
 }
 
-// connect opens the connection if there is none. While it is dialing, other calls fail immediately.
+// connect opens the connection if there is none. While one call is dialing, other calls fail immediately.
 func (p *peer) connect(ctx context.Context, network Network, timeout time.Duration) error {
 	p.mu.Lock()
 	if p.conn != nil {
--- a/internal/transport/server_test.go
+++ b/internal/transport/server_test.go
@@ -34,7 +34,7 @@
 			raw, err := ReadBody(w, r)
 			if x.want == "" {
 				if err != nil || len(raw) != x.bytes {
-					t.Errorf("read %d bytes, error %v", len(raw), err)
+					t.Errorf("read %d bytes, error %v, want the whole body", len(raw), err)
 				}
 				return
 			}
