--- a/internal/coordination/cancellation/exchange.go
+++ b/internal/coordination/cancellation/exchange.go
@@ -75,8 +75,9 @@
 	NewIntents []protocol.CancellationIntent
 }
 
-// Receive processes a message from a peer. reply is true if the message replies to one of this controller, and hence is
-// not older than that one. Only replies prove which process of the peer is running and what it holds.
+// Receive processes a message from a peer. reply is true if the message is the reply to a message of this controller,
+// and hence was sent after that message. Only replies prove which process of the peer is running and which intents it
+// holds.
 func (l *IntentLog) Receive(now time.Duration, m *protocol.PeerMessage, reply bool) ReceiveResult {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -136,8 +137,9 @@
 }
 
 // recordReceived records up to which sequence number this controller holds the peer's intents, and reports whether it
-// now holds all of them. If unexpired intents that precede the message are missing here, the peer believes that it is
-// talking to an earlier process of this controller. The intents of the message must not be acknowledged then.
+// now holds all of them. If this controller lacks unexpired intents that precede those of the message, the peer has
+// addressed the message to an earlier process of this controller. The intents of the message must not be acknowledged
+// then.
 func (p *peer) recordReceived(m *protocol.PeerMessage, end uint64) (complete bool) {
 	received := p.receivedByIncarnation[m.Incarnation]
 	if m.IntentOffset > m.ExpiredIntents && received < m.IntentOffset {
--- a/internal/coordination/election/candidacy.go
+++ b/internal/coordination/election/candidacy.go
@@ -14,7 +14,7 @@
 	// controller is the one that is partitioned.
 	stableQuorumIntervals = 3
 	// leaderReconnectIntervals is the number of heartbeat intervals that a follower waits for a disconnected leader. A
-	// live leader reconnects within one.
+	// live leader reconnects within one interval.
 	leaderReconnectIntervals = 2
 	// renewalsPerTTL is the number of lease renewals that the leader sends during one time to live of the lease.
 	renewalsPerTTL = 3
@@ -61,8 +61,9 @@
 	}
 }
 
-// trackQuorum records since when a quorum has been reachable without interruption. When connections come back after a
-// network partition, the one to the leader may be the last.
+// trackQuorum records since when a quorum has been reachable without interruption. A quorum that has only just become
+// reachable does not justify a claim: when connections are restored after a network partition, the connection to the
+// leader may be the last one.
 func (e *Election) trackQuorum(now time.Duration) {
 	switch {
 	case !e.quorumContactAfter(now, 0):
--- a/internal/coordination/election/election.go
+++ b/internal/coordination/election/election.go
@@ -41,7 +41,7 @@
 	// process of the same name held. It ends when every task has ended whose lease was last renewed by a controller
 	// that did not know those intents.
 	RecoveryPeriod time.Duration
-	// CandidateDelay is the delay between the claims of two candidates that become ready together.
+	// CandidateDelay is the delay between the claims of candidates of consecutive ranks that become ready together.
 	CandidateDelay time.Duration
 }
 
@@ -84,7 +84,8 @@
 	claimSentAt            time.Duration
 	storeChangesKnownUntil time.Duration            // 0 if no changes are known
 	ackedAt                map[string]time.Duration // when the latest heartbeat acknowledged by the peer was sent
-	intentsCompleteAsOf    map[string]time.Duration // same, for replies that completed the peer's intents
+	// intentsCompleteAsOf is when the latest heartbeat was sent whose reply completed the peer's intents.
+	intentsCompleteAsOf map[string]time.Duration
 }
 
 // New returns an Election in the follower role that knows neither a term nor a leader.
--- a/internal/coordination/election/election_test.go
+++ b/internal/coordination/election/election_test.go
@@ -92,10 +92,10 @@
 		e := c.elections[c.leaders()[0]]
 		resumedAt := c.now + testTiming.ConfirmationTimeout
 		if v := e.View(c.now); !v.Leading || v.ConfirmedUntil <= c.now || v.ConfirmedUntil > resumedAt {
-			t.Fatalf("view at %v: %+v", c.now, v)
+			t.Fatalf("view at %v: %+v, want leadership confirmed for at most the confirmation timeout", c.now, v)
 		}
 		if v := e.View(resumedAt); v.ConfirmedUntil > resumedAt {
-			t.Fatalf("view at %v, after a suspension: %+v", resumedAt, v)
+			t.Fatalf("view at %v, after a suspension: %+v, want unconfirmed leadership", resumedAt, v)
 		}
 	})
 }
@@ -214,7 +214,7 @@
 			e.Step(at, acknowledgement(false, true, now, at))
 			e.Step(at, Tick{})
 			if v := e.View(at); !v.Leading || v.MayRenewUntil != sentAt+testTiming.RenewalHorizon {
-				t.Fatalf("at %v: view %+v", at, v)
+				t.Fatalf("at %v: view %+v, want leadership with an unchanged end of renewals", at, v)
 			}
 		}
 	})
@@ -228,7 +228,7 @@
 	e.Step(0, LeaderKey{})
 	e.Step(since, Tick{})
 	if e.role != roleCandidate {
-		t.Fatal("no claim")
+		t.Fatal("the controller did not claim the leadership although the leader key is missing")
 	}
 	e.Step(since, ClaimResult{Won: true, Term: 1, Revision: 1, LeaseID: 7, SentAt: since})
 	return e
--- a/internal/coordination/election/quorum.go
+++ b/internal/coordination/election/quorum.go
@@ -21,9 +21,9 @@
 }
 
 // cancellationsKnownUntil returns the time up to which this controller is certain to know every cancellation that was
-// confirmed to a user, or 0 if there is none. It is certain if it has seen the changes in the store up to that time, or
-// if a quorum whose members lack no intents has delivered all of its intents: a cancellation is confirmed only after a
-// quorum holds its intent, and any two quorums intersect.
+// confirmed to a user, or 0 if there is no such time. It is certain if it has seen the changes in the store up to that
+// time, or if a quorum whose members lack no intents has delivered all of its intents: a cancellation is confirmed only
+// after a quorum holds its intent, and any two quorums intersect.
 func (e *Election) cancellationsKnownUntil(now time.Duration) time.Duration {
 	if now < e.startedAt+e.timing.RecoveryPeriod && !e.lostIntentsResolved(e.startedAt) {
 		return e.storeChangesKnownUntil // this controller may lack intents itself, so no quorum may include it
--- a/internal/coordination/election/standby.go
+++ b/internal/coordination/election/standby.go
@@ -32,13 +32,13 @@
 // MayRenewLeases reports whether this controller may renew workers' leases without a leader. If the leader fails during
 // a store outage, no successor can be elected, and every task would be killed when its lease expires.
 //
-// A quorum that includes this controller must have just reported that it reaches neither the store nor a leader, which
-// means that no other controller can do better. In addition, a quorum must have recently delivered all of its
-// cancellation intents. A quorum holds the intent of a job before a user is told that the job is cancelled, so the
-// intents of any quorum together identify every task that must be stopped. On that basis, leases may be renewed until
-// the renewal horizon ends. A recently started controller lacks the intents of its earlier process, so it is not
-// counted until every task has ended whose lease was last renewed without knowledge of those intents. Workers are sent
-// no commands other than to stop those tasks, and a lease is never taken as proof that a task has ended.
+// A quorum that includes this controller must have just reported that it reaches neither the store nor a leader, so no
+// leader can be elected. In addition, a quorum must have recently delivered all of its cancellation intents. A quorum
+// holds the intent of a job before a user is told that the job is cancelled, so the intents of any quorum together
+// identify every task that must be stopped. On that basis, leases may be renewed until the renewal horizon ends. A
+// recently started controller lacks the intents of its earlier process, so it is not counted until every task has ended
+// whose lease was last renewed without knowledge of those intents. The only commands sent to workers are to stop tasks
+// that the intents identify, and a lease is never taken as proof that a task has ended.
 func (g GroupStatus) MayRenewLeases() bool {
 	return len(g.Peers) > 0 && g.KnowsCancellations() && g.Leaderless("")
 }
--- a/internal/coordination/failuredetector/accrual.go
+++ b/internal/coordination/failuredetector/accrual.go
@@ -10,7 +10,7 @@
 // of Hayashibara et al. (2004), with normally distributed intervals.
 type accrualDetector struct {
 	lastContactAt time.Duration
-	lastReachedAt time.Duration // when it was last known to be alive through another controller
+	lastReachedAt time.Duration // when the peer was last known to be alive through another controller
 	intervals     []float64     // the latest intervals between heartbeats, in seconds
 	nextIndex     int           // index in intervals that is overwritten next
 	sum           float64
@@ -28,13 +28,13 @@
 	// minStdDev is the lower bound of the standard deviation, as a fraction of the heartbeat interval. Even a peer that
 	// has been punctual for a while may be late.
 	minStdDev = 0.25
-	// maxSampleInterval is the upper bound of a sample, in heartbeat intervals. Without it, one long outage would make
-	// the detector blind for dozens of heartbeats.
+	// maxSampleInterval is the upper bound of a sample, in heartbeat intervals. Without it, one long outage would keep
+	// the detector from noticing a failure for dozens of heartbeats.
 	maxSampleInterval = 8
 )
 
 // recordHeartbeat records a heartbeat. It ignores a heartbeat that arrives less than a quarter of the interval after
-// another, such as a reply next to a heartbeat, because that says nothing about the rate at which the peer sends.
+// another, such as a reply next to a heartbeat, because such a gap does not reflect the rate at which the peer sends.
 func (a *accrualDetector) recordHeartbeat(now, interval time.Duration) {
 	gap := now - a.lastContactAt
 	if gap < interval/4 {
--- a/internal/coordination/failuredetector/detector.go
+++ b/internal/coordination/failuredetector/detector.go
@@ -42,8 +42,8 @@
 	// SinceLastContact is the time since the observer last had direct contact with the controller. It is negative if
 	// there was none.
 	SinceLastContact time.Duration
-	// Suspected reports whether the observer suspects the controller. If so, SuspectedFor is for how long it has, and
-	// Phi is a measure of how unlikely the time since the last contact is.
+	// Suspected reports whether the observer suspects the controller. If so, SuspectedFor is the duration of the
+	// suspicion, and Phi is a measure of how unlikely the time since the last contact is.
 	Suspected    bool
 	SuspectedFor time.Duration
 	Phi          float64
@@ -120,10 +120,10 @@
 func (d *Detector) Incarnation() Incarnation { return d.incarnation }
 
 // HealthScore returns a measure of how late the ticks of this process are. It is 0 while they are punctual and rises
-// with each late one.
+// with each late tick.
 func (d *Detector) HealthScore() int { return d.healthScore }
 
-// SetVoting sets whether this process counts towards quorums. It must not do so shortly after its start.
+// SetVoting sets whether this process counts towards quorums. A process must not vote shortly after its start.
 func (d *Detector) SetVoting(voting bool) { d.voting = voting }
 
 // Opinions returns this controller's opinion of each other controller.
--- a/internal/coordination/featurelevel/gate_test.go
+++ b/internal/coordination/featurelevel/gate_test.go
@@ -42,12 +42,12 @@
 				g.Step(0, PeerHeartbeat{Controller: name, Level: stated[name]})
 			case 2:
 				records := drawRecords(t, append(slices.Clone(controllers), "stranger"))
-				held := slices.ContainsFunc(controllers, func(name string) bool {
+				blocked := slices.ContainsFunc(controllers, func(name string) bool {
 					level, ok := stated[name]
 					return records[name].Level < Pipelines || ok && level < Pipelines
 				})
 				got := finalisedLevel(g.Step(0, RecordsListed{Controllers: records}))
-				if want := leading && !held; (got == Pipelines) != want {
+				if want := leading && !blocked; (got == Pipelines) != want {
 					t.Fatalf("leading %v, recorded %v, stated %v: finalised level %d, want Pipelines finalised: %v",
 						leading, records, stated, got, want)
 				}
--- a/internal/coordination/fencing/fencer.go
+++ b/internal/coordination/fencing/fencer.go
@@ -34,8 +34,8 @@
 	// MinIntentAge is the minimum age of a cancellation intent that justifies a release. A leader would have fenced the
 	// machine by then.
 	MinIntentAge time.Duration
-	// Retention is how long heartbeats are remembered, as well as released machines, which outdated machine lists still
-	// contain.
+	// Retention is how long heartbeats and released machines are remembered. Released machines are remembered because
+	// outdated machine lists still contain them.
 	Retention time.Duration
 }
 
--- a/internal/coordination/leader/cloud_test.go
+++ b/internal/coordination/leader/cloud_test.go
@@ -56,7 +56,7 @@
 
 // TestRentalRefusals checks that a rental that the cloud refuses is distinguished from one whose outcome is unknown.
 func TestRentalRefusals(t *testing.T) {
-	for _, row := range []struct {
+	for _, test := range []struct {
 		name    string
 		status  int
 		body    any
@@ -69,20 +69,20 @@
 		{"out of order", http.StatusServiceUnavailable, protocol.ErrorResponse{Error: "maintenance"}, false, true},
 		{"over the rate", http.StatusTooManyRequests, protocol.ErrorResponse{}, false, true},
 	} {
-		t.Run(row.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-				transport.WriteResponse(w, row.status, row.body)
+				transport.WriteResponse(w, test.status, test.body)
 			}))
 			defer srv.Close()
 			addr := strings.TrimPrefix(srv.URL, "http://")
 			c := NewCloudClient(transport.TCP{}, addr, config.Cloud{RPS: 1e6, ListLagSeconds: 10})
 			names, err := c.Rent(t.Context(), c.Reserve(), protocol.RentalRequest{})
-			if errors.Is(err, ErrRentalRefused) != row.refused || (err != nil) != row.failed ||
-				row.failed == (len(names) > 0) {
+			if errors.Is(err, ErrRentalRefused) != test.refused || (err != nil) != test.failed ||
+				test.failed == (len(names) > 0) {
 				t.Errorf("machines %v, error %v", names, err)
 			}
 			var got *CloudError
-			if row.failed && (!errors.As(err, &got) || got.Status != row.status || got.Path != "/machines") {
+			if test.failed && (!errors.As(err, &got) || got.Status != test.status || got.Path != "/machines") {
 				t.Errorf("%v does not describe the cloud's response", err)
 			}
 		})
--- a/internal/coordination/leader/effects.go
+++ b/internal/coordination/leader/effects.go
@@ -71,9 +71,9 @@
 	}
 }
 
-// write repeats a transaction until its outcome is known. If an attempt got no response, the failed comparison of a
-// later attempt may be caused by the earlier one; the record, which contains the name of the write, shows whether it
-// is. Each attempt needs a new admission to its budget.
+// write repeats a transaction until its outcome is known. If an attempt got no response, a comparison of a later
+// attempt may fail because the earlier one succeeded; the record, which contains the name of the write, shows whether
+// the earlier one did. Each attempt needs a new admission to its budget.
 func (l *Leader) write(ctx context.Context, w scheduler.Write, admission storage.Admission) {
 	budget := writeBudget(w.Priority)
 	outcomeUnknown := false // an earlier attempt got no response
@@ -210,11 +210,11 @@
 
 func (l *Leader) listMachines(ctx context.Context, slot CallSlot) {
 	requestedAt := l.deps.Now()
-	ms, err := l.deps.Cloud.List(ctx, slot)
+	machines, err := l.deps.Cloud.List(ctx, slot)
 	if err != nil {
 		l.log.Info("failed to list machines", "error", err)
 	}
-	l.mailbox.Send(scheduler.MachinesListed{RequestedAt: requestedAt, Machines: ms, Failed: err != nil})
+	l.mailbox.Send(scheduler.MachinesListed{RequestedAt: requestedAt, Machines: machines, Failed: err != nil})
 }
 
 func (l *Leader) rentMachines(ctx context.Context, e autoscaler.ScaleOut, slot CallSlot) {
--- a/internal/coordination/leader/leader_test.go
+++ b/internal/coordination/leader/leader_test.go
@@ -74,15 +74,15 @@
 		Sequence:    1,
 	}
 	if a, ok := l.Heartbeat(ctx, r, false); !ok || protocol.TermOfToken(a.FencingToken) != 3 {
-		t.Fatalf("reply while the term is confirmed: %+v, %v", a, ok)
+		t.Fatalf("reply while the term is confirmed: %+v, %v; want a token of term 3", a, ok)
 	}
 	unconfirmed.Store(true)
 	r.Sequence = 2
 	if a, ok := l.Heartbeat(ctx, r, false); ok {
-		t.Errorf("reply while the term is unconfirmed: %+v", a)
+		t.Errorf("reply while the term is unconfirmed: %+v, want none", a)
 	}
 	if d := <-stepDowns; d.TransferLeadership || d.LaterTerm != 0 {
-		t.Errorf("stepped down with %+v", d)
+		t.Errorf("stepped down with %+v, want neither a transfer of leadership nor a later term", d)
 	}
 	l.Wait() // no goroutine of the term is left
 }
--- a/internal/coordination/leader/term.go
+++ b/internal/coordination/leader/term.go
@@ -81,7 +81,7 @@
 		return
 	}
 	if reply, ok := m.ReplyTo.(chan protocol.WorkerHeartbeatReply); ok {
-		// Jobs whose users may have been told that they are cancelled must end in any case.
+		// A job must end in any case if its user may have been told that it is cancelled.
 		reply <- protocol.WorkerHeartbeatReply{
 			FencingToken: protocol.FencingToken(t.term.Number, 0),
 			Commands: m.Heartbeat.StopCommands(func(job string) bool {
@@ -94,8 +94,8 @@
 }
 
 // startScheduler creates the scheduler from the loaded records and passes it the events that have arrived since loading
-// began: first the cancellation intents, then the changes to jobs, and last the heartbeats, as those may cause it to
-// act.
+// began: first the cancellation intents, then the changes to jobs, and last the heartbeats, because these may cause the
+// scheduler to act.
 func (t *termLoop) startScheduler(ctx context.Context, now time.Duration, loaded loadedRecords) {
 	records := scheduler.RecoveredRecords{
 		MachineTypes:      loaded.types,
@@ -168,7 +168,7 @@
 
 // ensureConfirmed reports whether the term is still confirmed, and ends the term if it is not. After a suspension of
 // the process during which its clocks continued, all machines would seem unreachable and all leases expired. By then
-// another controller may lead, so this one must not act on any of that.
+// another controller may lead, so this one must not act on these observations.
 func (t *termLoop) ensureConfirmed(ctx context.Context) bool {
 	if t.deps.Leadership.Confirmed() {
 		return true
--- a/internal/coordination/leader/write_test.go
+++ b/internal/coordination/leader/write_test.go
@@ -35,7 +35,7 @@
 		If:   []protocol.Compare{{Key: key, Revision: 1}},
 		Then: []protocol.Op{{DeleteKey: key}},
 	}
-	for _, row := range []struct {
+	for _, test := range []struct {
 		name      string
 		existing  []byte // value of the record before the write, or nil
 		txn       protocol.Txn
@@ -89,27 +89,27 @@
 			scheduler.TransactionOutcome{Malformed: true},
 		},
 	} {
-		t.Run(row.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			store := simulation.NewStore()
-			if row.existing != nil {
-				store.Txn(protocol.Txn{Then: []protocol.Op{{PutKey: key, Value: row.existing}}})
+			if test.existing != nil {
+				store.Txn(protocol.Txn{Then: []protocol.Op{{PutKey: key, Value: test.existing}}})
 			}
-			outcomes := row.outcomes
+			outcomes := test.outcomes
 			store.SetOutcomes(func(string, *protocol.Txn) simulation.Outcome {
 				next := outcomes[0]
 				outcomes = outcomes[1:]
 				return next
 			})
 			l := newWriteOnlyLeader(t, store)
-			w := scheduler.Write{ID: writeID, Txn: row.txn, VerifyKey: key, VerifyName: row.writeName}
+			w := scheduler.Write{ID: writeID, Txn: test.txn, VerifyKey: key, VerifyName: test.writeName}
 			l.write(t.Context(), w, l.deps.Store.Admit(writeBudget(w.Priority), &w.Txn))
 			messages := l.mailbox.Drain()
 			if len(messages) != 1 || len(outcomes) != 0 {
 				t.Fatalf("got %d messages with %d outcomes left, want 1 and 0", len(messages), len(outcomes))
 			}
-			row.want.WriteID = writeID
-			if !reflect.DeepEqual(messages[0], row.want) {
-				t.Errorf("got %+v, want %+v", messages[0], row.want)
+			test.want.WriteID = writeID
+			if !reflect.DeepEqual(messages[0], test.want) {
+				t.Errorf("got %+v, want %+v", messages[0], test.want)
 			}
 		})
 	}
--- a/internal/coordination/ownership/assigner.go
+++ b/internal/coordination/ownership/assigner.go
@@ -1,9 +1,9 @@
 // Package ownership decides which controller serves the connections of which workers.
 //
 // The leader maintains a single record in the store. It contains an epoch, the controllers that own machines together
-// with their incarnations, and the reason why the epoch began. Nothing but this record is authoritative. An owner
-// answers workers on behalf of the leader and makes no decisions, so a wrong verdict on an owner costs reconnections
-// but violates no guarantee.
+// with their incarnations, and the reason why the epoch began. Only this record is authoritative. An owner answers
+// workers on behalf of the leader and makes no decisions, so a wrong verdict on an owner costs reconnections but
+// violates no guarantee.
 //
 //   - Assigner maintains the record.
 //   - Table maps machines to owners in one epoch.
@@ -29,17 +29,18 @@
 	// PeerTimeout is how long the latest heartbeat of a peer is valid.
 	PeerTimeout time.Duration
 	// RejoinDelay is how long a controller may not own machines after a verdict on it. The delay doubles with each
-	// further verdict, up to maxRejoinDoublings times. The verdicts are forgotten if no other one follows within twice
-	// the last delay after that delay has ended.
+	// further verdict, up to maxRejoinDoublings times. The verdicts are forgotten if no further one follows within
+	// twice the last delay, counted from the end of that delay.
 	RejoinDelay time.Duration
 }
 
+// maxRejoinDoublings is the maximum number of times that the rejoin delay is doubled.
 const maxRejoinDoublings = 6
 
 // defaultReason is the reason recorded for an epoch that began for a cause other than a verdict.
 const defaultReason = "controllers have come, or begun anew"
 
-// Record is the content of the ownership record, which determines who owns machines. Epoch is 0 if there is none.
+// Record is the content of the ownership record, which determines who owns machines. Epoch is 0 if there is no record.
 type Record struct {
 	Epoch   uint64
 	Members []Member // sorted by name
@@ -60,7 +61,7 @@
 	failedIncarnations map[failuredetector.Incarnation]bool
 }
 
-// Assigner is the state machine of a single controller. Only the leader's proposes records.
+// Assigner is the state machine of a single controller. Only the assigner of the leader proposes records.
 type Assigner struct {
 	self          string
 	timing        Timing
--- a/internal/coordination/ownership/heartbeatfilter.go
+++ b/internal/coordination/ownership/heartbeatfilter.go
@@ -51,7 +51,7 @@
 func (f *HeartbeatFilter) MustForward(now time.Duration, h *protocol.WorkerHeartbeat, term uint64) bool {
 	if term != f.term {
 		f.term = term
-		clear(f.forwarded) // the new leader has received none of them
+		clear(f.forwarded) // the new leader has received none of these heartbeats
 		clear(f.unchanged)
 	}
 	last := f.forwarded[h.Machine]
@@ -113,7 +113,7 @@
 	}
 }
 
-// Expire drops machines for which nothing was forwarded for a long time. They now report to other controllers.
+// Expire drops machines for which no heartbeat was forwarded for a long time. They now report to other controllers.
 func (f *HeartbeatFilter) Expire(now time.Duration) {
 	maps.DeleteFunc(f.forwarded, func(_ string, last *forwardedHeartbeat) bool {
 		return now-last.forwardedAt > 2*f.refreshInterval
--- a/internal/coordination/ownership/ownerstatus.go
+++ b/internal/coordination/ownership/ownerstatus.go
@@ -27,9 +27,9 @@
 }
 
 // MayAnswer reports whether the controller may answer workers as an owner. It must be an owner in the epoch that the
-// leader uses, the leader must have recently acknowledged which machines it answered, and it must know every
-// cancellation. A process that resumes after a suspension fails these conditions, because all of its information is too
-// old.
+// leader uses, the leader must have recently acknowledged the controller's digest of unchanged heartbeats, and the
+// controller must know every cancellation. A process that resumes after a suspension fails these conditions, because
+// all of its information is too old.
 func (s OwnerStatus) MayAnswer() bool {
 	if s.Table == nil || s.Leader == "" || s.Leader == s.Controller || s.LeaderEpoch != s.Table.Epoch {
 		return false
--- a/internal/coordination/ownership/table_test.go
+++ b/internal/coordination/ownership/table_test.go
@@ -34,7 +34,7 @@
 	}
 	for owner, n := range counts {
 		if n < machines/len(members)*3/4 || n > machines/len(members)*5/4 {
-			t.Errorf("%s owns %d of %d machines", owner, n, machines)
+			t.Errorf("%s owns %d of %d machines, want an even distribution", owner, n, machines)
 		}
 	}
 	if owner := NewTable(1, nil).Owner("host-000001"); owner != "" {
--- a/internal/coordination/placementpages/placementpages.go
+++ b/internal/coordination/placementpages/placementpages.go
@@ -140,7 +140,7 @@
 // RemoveFirstSuperseded removes the first count superseded pages, which have been deleted.
 func (s *Set) RemoveFirstSuperseded(count int) { s.superseded = s.superseded[count:] }
 
-// CanNarrow reports whether the pages can be narrowed. Those of the original layout can't, because their keys don't
+// CanNarrow reports whether the pages can be narrowed. Pages of the original layout can't, because their keys don't
 // contain the number of tasks per page.
 func (s *Set) CanNarrow() bool { return s.layout.Compact && s.layout.TasksPerPage > 1 }
 
--- a/internal/coordination/placementpages/placementpages_test.go
+++ b/internal/coordination/placementpages/placementpages_test.go
@@ -56,17 +56,17 @@
 	set.Page(1).UnrecordedExits = []*machineregistry.Placement{exit}
 	set.Narrow()
 	if got := set.Layout(); got != (storage.PageLayout{TasksPerPage: 4, Compact: true}) {
-		t.Fatalf("got layout %+v", got)
+		t.Fatalf("got layout %+v, want the compact one with 4 tasks per page", got)
 	}
 	if got := set.Dirty(); !slices.Equal(got, []int{2, 3}) {
 		t.Errorf("dirty pages %v, want those that replace page 1", got)
 	}
 	if got := set.PageOf(13).UnrecordedExits; len(got) != 1 || got[0] != exit {
-		t.Errorf("got exits %v on the page of task 13", got)
+		t.Errorf("got exits %v on the page of task 13, want only the exit of that task", got)
 	}
 	for _, number := range set.Numbers() {
 		if page := set.Page(number); page.Revision != 0 || page.HighestAttempt != uint64(1+number/2) {
-			t.Errorf("page %d: %+v", number, page)
+			t.Errorf("page %d: %+v, want no revision and the highest attempt of the page it replaces", number, page)
 		}
 	}
 	if got := len(set.Superseded()); got != 3 {
@@ -113,11 +113,11 @@
 	}
 	set.RemoveSuperseded(old)
 	if got := set.Superseded(); len(got) != 2 || got[0].ID.Number != 1 {
-		t.Errorf("superseded pages %v", got)
+		t.Errorf("superseded pages %v, want pages 1 and 2", got)
 	}
 	set.RemoveFirstSuperseded(2)
 	if got := set.Superseded(); len(got) != 0 {
-		t.Errorf("superseded pages %v", got)
+		t.Errorf("superseded pages %v, want none", got)
 	}
 }
 
--- a/internal/coordination/placementrecords/deletion.go
+++ b/internal/coordination/placementrecords/deletion.go
@@ -12,7 +12,7 @@
 type Deletion struct {
 	job        *jobstate.Job
 	pages      []int
-	superseded int // number of superseded pages, from the first one on
+	superseded int // number of superseded pages to delete, starting with the first
 }
 
 // AppendDeletion adds the deletion of a job's pages to a transaction, up to a total of maxOperations operations.
--- a/internal/coordination/placementrecords/jobwrite.go
+++ b/internal/coordination/placementrecords/jobwrite.go
@@ -15,7 +15,7 @@
 	Job *jobstate.Job
 
 	pages []int
-	size  int // upper bound of the total size of the records of the pages
+	size  int // upper bound of the total size of the records of the pages, in bytes
 	// starting are the placements that may start once this write has succeeded.
 	starting []*machineregistry.Placement
 	// replaced are superseded pages that are not valid for any task after this write. They are deleted with it.
@@ -56,7 +56,7 @@
 // Pages returns the number of pages that are written.
 func (w *JobWrite) Pages() int { return len(w.pages) }
 
-// Size returns an upper bound of the total size of the records.
+// Size returns an upper bound of the total size of the records, in bytes.
 func (w *JobWrite) Size() int { return w.size }
 
 // CoversAllStarts reports whether the write includes all starts of the job that wait for their records.
--- a/internal/coordination/placementrecords/limits.go
+++ b/internal/coordination/placementrecords/limits.go
@@ -98,9 +98,9 @@
 	return layout
 }
 
-// ShrinkTransactions halves the maximum number of operations after the key-value store has rejected a transaction as
-// malformed, because the store may allow fewer operations than the settings say. It reports whether the number could be
-// reduced.
+// ShrinkTransactions limits transactions to half the given number of operations, after the key-value store has rejected
+// a transaction with that number as malformed: the store may allow fewer operations than the settings say. It reports
+// whether the limit could be reduced.
 func (l *Limits) ShrinkTransactions(operations int) bool {
 	if operations <= MinOperations {
 		return false
--- a/internal/coordination/placementrecords/placementrecords_test.go
+++ b/internal/coordination/placementrecords/placementrecords_test.go
@@ -56,7 +56,7 @@
 	j.Pages.Page(0).UnrecordedExits = []*machineregistry.Placement{exit}
 	write := NewJobWrite(j, 2)
 	if write.Operations() != 2 || write.CoversAllStarts() {
-		t.Fatalf("got %d operations, covers all starts: %v", write.Operations(), write.CoversAllStarts())
+		t.Fatalf("got %d operations, covers all starts: %v, want 2, false", write.Operations(), write.CoversAllStarts())
 	}
 	var txn protocol.Txn
 	if err := write.AppendTo(&txn, "5.1"); err != nil {
@@ -71,7 +71,7 @@
 	}
 	write.Begin()
 	if !j.WriteInFlight || !slices.Equal(j.Pages.Dirty(), []int{2}) {
-		t.Errorf("in flight: %v, dirty pages %v", j.WriteInFlight, j.Pages.Dirty())
+		t.Errorf("in flight: %v, dirty pages %v; want true and page 2", j.WriteInFlight, j.Pages.Dirty())
 	}
 	late := &machineregistry.Placement{Task: protocol.TaskID{JobID: "j-1", Index: 4}}
 	j.Pages.Page(0).UnrecordedExits = append(j.Pages.Page(0).UnrecordedExits, late)
@@ -82,12 +82,12 @@
 		t.Errorf("recorded exits %v, want only the one before the write", recorded)
 	}
 	if page := j.Pages.Page(0); page.Revision != 9 || len(page.UnrecordedExits) != 1 || j.WriteInFlight {
-		t.Errorf("page %+v, in flight: %v", page, j.WriteInFlight)
+		t.Errorf("page %+v, in flight: %v; want revision 9, one exit and no write", page, j.WriteInFlight)
 	}
 	write.MarkStartsRecorded()
 	for task, pl := range j.Placements {
 		if pl.Recorded != (task < 16) {
-			t.Errorf("task %d: recorded is %v", task, pl.Recorded)
+			t.Errorf("task %d: recorded is %v, want true only for the tasks of the first two pages", task, pl.Recorded)
 		}
 	}
 }
@@ -168,12 +168,12 @@
 	txn = protocol.Txn{}
 	deletion = AppendDeletion(&txn, j, 10)
 	if _, ops := keysOf(&txn); !slices.Equal(ops, []string{"place/j-1/w8.0002", "place/j-1/w4.0000"}) {
-		t.Errorf("second transaction deletes %v", ops)
+		t.Errorf("second transaction deletes %v, want the last superseded page and the stored one", ops)
 	}
 	deletion.Commit(recorded)
 	RemoveUnstoredPages(j, recorded)
 	if got := j.Pages.Numbers(); len(got) != 0 {
-		t.Errorf("pages %v are left", got)
+		t.Errorf("pages %v are left, want none", got)
 	}
 }
 
@@ -193,7 +193,7 @@
 	records := []protocol.KeyValue{page(8, 0, false), page(8, 0, true), malformed, page(4, 1, true)}
 	byJob := Decode(records, 8, func(record protocol.KeyValue, _ error) { errors = append(errors, record.Key) })
 	if !slices.Equal(errors, []string{malformed.Key}) {
-		t.Errorf("got errors for %v", errors)
+		t.Errorf("got errors for %v, want only the malformed page", errors)
 	}
 	for i, want := range []struct {
 		key      string
@@ -233,21 +233,21 @@
 	}
 	limits := NewLimits(settings, featurelevel.Baseline)
 	if got := limits.NewJobLayout(); got != (storage.PageLayout{TasksPerPage: 96}) {
-		t.Errorf("got layout %+v at the baseline level", got)
+		t.Errorf("got layout %+v at the baseline level, want the original one with 96 tasks per page", got)
 	}
 	if limits.MaxOperations() != 16 || limits.PagesPerTransaction() != 6 {
-		t.Errorf("got %d operations, %d pages", limits.MaxOperations(), limits.PagesPerTransaction())
+		t.Errorf("got %d operations, %d pages; want 16 and 6", limits.MaxOperations(), limits.PagesPerTransaction())
 	}
 	limits.SetLevel(featurelevel.Pipelines)
 	if got := limits.NewJobLayout(); got != (storage.PageLayout{TasksPerPage: 48, Compact: true}) {
-		t.Errorf("got layout %+v", got)
+		t.Errorf("got layout %+v, want the compact one with 48 tasks per page", got)
 	}
 	if got := limits.LayoutAtMost(10).TasksPerPage; got != 10 {
 		t.Errorf("got %d tasks per page, want 10 as on the stored pages", got)
 	}
 	if limits.ValueKB() != 2 || limits.MaxOperations() != 5 || limits.PagesPerTransaction() != 5 {
 		t.Errorf(
-			"got %v KiB, %d operations, %d pages",
+			"got %v KiB, %d operations, %d pages; want 2, 5 and 5",
 			limits.ValueKB(),
 			limits.MaxOperations(),
 			limits.PagesPerTransaction(),
--- a/internal/storage/budgets.go
+++ b/internal/storage/budgets.go
@@ -19,7 +19,7 @@
 	BudgetPlacement                 // placements by the leader
 	BudgetAcceptance                // submissions and cancellations of jobs
 	BudgetPoll                      // queries by users
-	BudgetMaintenance               // deletions of obsolete records, and hints
+	BudgetMaintenance               // deletions of obsolete records, and image hints
 	BudgetCompletion                // ends of tasks and jobs; uses the writes that BudgetPlacement leaves of its share
 )
 
@@ -80,8 +80,8 @@
 const MaxQueueTime = time.Second
 
 // admit waits until the budget allows a request. Requests on behalf of users fail immediately if they would wait too
-// long, so that the user retries instead of being kept waiting. The text of the request distinguishes it from others
-// that are waiting.
+// long, so that the user retries instead of being kept waiting. The parameter request identifies the request among
+// others that are waiting, so that their random pauses differ.
 func (c *Client) admit(ctx context.Context, budget Budget, request string, writes int) error {
 	if budget == BudgetCompletion {
 		return c.admitCompletion(ctx, request, writes)
@@ -106,9 +106,11 @@
 
 const (
 	// completionMaxWait is how long a completion waits for writes that placements leave unused. After that it competes
-	// with placements, as long as no more than the fraction completionMaxBacklog of one second's writes is reserved
-	// already: the end of a job waits for the record of its last tasks, and its user waits for the end of the job.
-	completionMaxWait    = time.Second
+	// with placements, because the end of a job waits for the record of its last tasks, and its user waits for the end
+	// of the job.
+	completionMaxWait = time.Second
+	// completionMaxBacklog limits this competition. It is the fraction of one second's placement writes that may be
+	// reserved in advance; while as many are reserved, completions get only their minimum share.
 	completionMaxBacklog = 0.1
 )
 
@@ -131,7 +133,7 @@
 }
 
 // reserveCompletion reserves writes of the placement budget in advance, and reports whether it did. If the writes that
-// are already reserved exceed the permitted backlog, it reserves no more than the minimum share of completions.
+// are already reserved reach the permitted backlog, it reserves no more than the minimum share of completions.
 func (c *Client) reserveCompletion(writes int) bool {
 	c.completionMu.Lock()
 	defer c.completionMu.Unlock()
--- a/internal/storage/compatibility_test.go
+++ b/internal/storage/compatibility_test.go
@@ -114,7 +114,7 @@
 	}
 	if key := (storage.PageID{Job: "j-000412", Layout: layout, Number: 3}).Key(); key != "place/j-000412/0003" ||
 		layout.TasksPerPage != 96 {
-		t.Errorf("key %q, %d tasks per page", key, layout.TasksPerPage)
+		t.Errorf("key %q, %d tasks per page; want place/j-000412/0003 and 96", key, layout.TasksPerPage)
 	}
 }
 
--- a/internal/storage/doc.go
+++ b/internal/storage/doc.go
@@ -21,7 +21,7 @@
 //	ownership                  OwnershipRecord, the controllers that own shards of the machines
 //	zone-return/NNNN           ZoneFailoverRecord, the states of zones and the open loans of capacity
 //
-// The tags of the fields:
+// The tags of the fields, except tags that are the name of the field in lower case:
 //
 //	record               tag          field
 //	------------------   ----------   --------------------------------------------------------
@@ -58,6 +58,7 @@
 //
 // # Requests
 //
-// The error of a request tells whether it was executed. After [ErrUnavailable] it was not, and may be retried; after
-// [ErrOutcomeUnknown] it may have been; after a [RejectedError] it was not, and retrying will not succeed.
+// The error of a request indicates whether the request was executed. After [ErrUnavailable] it was not, and may be
+// retried; after [ErrOutcomeUnknown] it may have been; after a [RejectedError] it was not, and retrying will not
+// succeed.
 package storage
--- a/internal/storage/featurelevels.go
+++ b/internal/storage/featurelevels.go
@@ -18,9 +18,9 @@
 }
 
 // DecodeFeatureLevel decodes a record, and returns it with the controller that its key names.
-func DecodeFeatureLevel(p protocol.KeyValue) (controller string, record FeatureLevelRecord, err error) {
-	if err := protocol.Decode(p.Value, &record); err != nil {
-		return "", record, decodeError(p.Key, err)
+func DecodeFeatureLevel(stored protocol.KeyValue) (controller string, record FeatureLevelRecord, err error) {
+	if err := protocol.Decode(stored.Value, &record); err != nil {
+		return "", record, decodeError(stored.Key, err)
 	}
-	return strings.TrimPrefix(p.Key, FeatureLevelPrefix), record, nil
+	return strings.TrimPrefix(stored.Key, FeatureLevelPrefix), record, nil
 }
--- a/internal/storage/reads.go
+++ b/internal/storage/reads.go
@@ -69,8 +69,8 @@
 }
 
 // Changes returns the changes to keys with a prefix after a revision. The error is ErrCompacted if the changes have
-// been compacted or are too large for one response. In both cases the keys must be listed again, which is done page by
-// page.
+// been compacted or are too large for one response. In both cases the keys must be listed again; a list is read page by
+// page, so its size is not limited.
 func (c *Client) Changes(
 	ctx context.Context,
 	budget Budget,
--- a/internal/storage/records.go
+++ b/internal/storage/records.go
@@ -6,8 +6,8 @@
 	"pinebay/internal/protocol"
 )
 
-// Keys and key prefixes of the records. Those of feature levels, ownership and zone failover are defined with the
-// records.
+// Keys and key prefixes of the records. The keys of feature levels, ownership and zone failover are defined next to
+// their record types.
 const (
 	LeaderKey       = "leader"
 	TermKey         = "term"
--- a/internal/storage/storage_test.go
+++ b/internal/storage/storage_test.go
@@ -60,29 +60,29 @@
 		}
 		outcome, err := c.Txn(ctx, storage.BudgetAcceptance, txn)
 		if err != nil || !outcome.Succeeded || outcome.Revision != uint64(i+1) {
-			t.Fatalf("transaction: %+v, %v", outcome, err)
+			t.Fatalf("transaction: %+v, %v; want success at the next revision", outcome, err)
 		}
 		if i == 0 {
 			outcome, err := c.Txn(ctx, storage.BudgetAcceptance, txn)
 			if err != nil || outcome.Succeeded || !reflect.DeepEqual(outcome.FailedKeys, []string{"live/j-0000"}) {
-				t.Fatalf("repeated transaction: %+v, %v", outcome, err)
+				t.Fatalf("repeated transaction: %+v, %v; want a failed comparison of live/j-0000", outcome, err)
 			}
 		}
 	}
 	all, revision, err := c.List(ctx, "live/")
 	if err != nil || len(all) != 1203 || revision != 1203 {
-		t.Fatalf("listed %d keys at revision %d: %v", len(all), revision, err)
+		t.Fatalf("listed %d keys at revision %d, want 1203 at 1203: %v", len(all), revision, err)
 	}
 	p, err := c.Get(ctx, storage.BudgetPoll, "live/j-0007")
 	if err != nil || p.Revision != 8 {
-		t.Fatalf("get an existing key: %+v, %v", p, err)
+		t.Fatalf("get an existing key: %+v, %v; want revision 8", p, err)
 	}
 	if p, err = c.Get(ctx, storage.BudgetPoll, "live/none"); err != nil || p.Revision != 0 {
-		t.Fatalf("get a missing key: %+v, %v", p, err)
+		t.Fatalf("get a missing key: %+v, %v; want revision 0", p, err)
 	}
 	response, err := c.Watch(ctx, "live/", 1200, 0)
 	if err != nil || len(response.Events) != 3 || response.Events[0].PutKey != "live/j-1200" {
-		t.Fatalf("watch: %+v, %v", response, err)
+		t.Fatalf("watch: %+v, %v; want three events, the first for live/j-1200", response, err)
 	}
 }
 
@@ -115,7 +115,7 @@
 		_, _ = w.Write([]byte("\xc1 nonsense"))
 	}))
 	if _, err := c.Get(context.Background(), storage.BudgetPoll, "x"); !errors.Is(err, protocol.ErrMalformed) {
-		t.Errorf("malformed response: %v", err)
+		t.Errorf("malformed response: got %v, want ErrMalformed", err)
 	}
 }
 
@@ -332,7 +332,7 @@
 			protocol.KeyValue{Key: storage.ZoneFailoverKey(0), Value: raw},
 		); (err == nil) ||
 			errors.Is(err, storage.ErrNewerFormat) != (rec.Format > storage.ZoneFailoverFormat) {
-			t.Fatalf("format %d: %v", rec.Format, err)
+			t.Fatalf("format %d: got %v, want an error, and ErrNewerFormat only for a newer format", rec.Format, err)
 		}
 	})
 }
@@ -403,7 +403,7 @@
 		}
 		placements.Wait()
 		if took := time.Since(began); took > 700*time.Millisecond {
-			t.Errorf("a burst of placements took %v while completions are waiting", took)
+			t.Errorf("a burst of placements took %v while completions are waiting, want at most 700 ms", took)
 		}
 		cancel()
 		wg.Wait()
@@ -433,9 +433,9 @@
 		err,
 		storage.ErrCompacted,
 	) {
-		t.Errorf("changes: %v", err)
+		t.Errorf("changes: got %v, want ErrCompacted", err)
 	}
 	if _, err := c.Watch(t.Context(), storage.LiveJobPrefix, 0, time.Second); !errors.Is(err, storage.ErrCompacted) {
-		t.Errorf("watch: %v", err)
+		t.Errorf("watch: got %v, want ErrCompacted", err)
 	}
 }
--- a/internal/storage/terms.go
+++ b/internal/storage/terms.go
@@ -12,8 +12,8 @@
 	Controller string
 	// ClaimID distinguishes this attempt to become leader from other attempts of the same controller for the same term.
 	ClaimID string
-	// FeatureLevel is the final feature level. Records that are written from then on may be unreadable for processes of
-	// a lower level.
+	// FeatureLevel is the final feature level. Once it is recorded, records may be written that processes of a lower
+	// level cannot read.
 	FeatureLevel int
 	// WriteName is the name of the transaction that raised the level, by which its writer recognizes it.
 	WriteName string
--- a/internal/storage/zonefailover.go
+++ b/internal/storage/zonefailover.go
@@ -31,7 +31,7 @@
 	Name     string
 	State    int
 	SinceMS  int64 // Unix time in milliseconds
-	Flaps    int
+	Flaps    int   // number of relapses that have not decayed yet
 }
 
 // LoanRow is an open loan of a task's capacity to a job. It is encoded as an array.
@@ -47,7 +47,7 @@
 	Zone         string
 	LostSeconds  float64 // work that the lender loses
 	CreatedMS    int64   // Unix time in milliseconds
-	ExpiresMS    int64
+	ExpiresMS    int64   // Unix time in milliseconds
 }
 
 // loanBytes is an upper bound of the size of a stored loan with names of usual length, in JSON, the encoding in which
