--- a/cmd/loadtest/main_test.go
+++ b/cmd/loadtest/main_test.go
@@ -44,7 +44,7 @@
 		if !errors.Is(err, errUsage) && !errors.Is(err, loadtest.ErrInvalidConfig) ||
 			!strings.Contains(err.Error(), x.wantText) ||
 			strings.Contains(err.Error(), "\n") {
-			t.Errorf("%v: %v", x.args, err)
+			t.Errorf("%v: error %v, want a single line that names what is invalid", x.args, err)
 		}
 	}
 }
--- a/cmd/loadtest/results.go
+++ b/cmd/loadtest/results.go
@@ -61,7 +61,7 @@
 	return cmd
 }
 
-// requireArgs returns a check that the number of arguments is valid. The message says which number is.
+// requireArgs returns a check that the number of arguments is valid. The message names the valid numbers.
 func requireArgs(valid func(n int) bool, message string) cobra.PositionalArgs {
 	return func(_ *cobra.Command, args []string) error {
 		if !valid(len(args)) {
--- a/internal/coordination/autoscaler/autoscaler_test.go
+++ b/internal/coordination/autoscaler/autoscaler_test.go
@@ -128,7 +128,11 @@
 		scaler.HandleMachineList(1, 0, nil)
 		got := rentals(scaler.Plan(2, []Demand{{Job: &test.job, Count: 1}}))
 		if len(got) != 1 || got[0].Spot != test.spot {
-			t.Errorf("job %+v: rented %v", test.job, got)
+			t.Errorf(
+				"job %+v: rented %v, want one machine, a spot one only if allowed and checkpoints are saved",
+				test.job,
+				got,
+			)
 		}
 	}
 }
@@ -141,7 +145,7 @@
 	m1 := []protocol.ListedMachine{{Name: "m1", Addr: "x", Type: "g8", Zone: "a", State: protocol.MachineRunning}}
 	scaler.HandleMachineList(10*s, 9*s, m1)
 	if terminated := scaler.HandleMachineList(19*s, 18*s, nil); terminated != nil {
-		t.Errorf("a stale list proved that %v are terminated", terminated)
+		t.Errorf("after a stale list, %v count as terminated, want none", terminated)
 	}
 	sendHeartbeat(registry, 25*s, "m1", "a", 1)
 	if terminated := scaler.HandleMachineList(30*s, 29*s, nil); terminated != nil {
@@ -199,12 +203,17 @@
 		sendAll(10*s, 0, 1)
 		sendAll(16*s, test.unreachable, 2)
 		if got := releasedMachines(scaler.Plan(16*s, nil)); got != nil {
-			t.Errorf("%d of %d unreachable for less than the timeout: fenced %v", test.unreachable, test.machines, got)
+			t.Errorf(
+				"%d of %d unreachable for less than the timeout: fenced %v, want none",
+				test.unreachable,
+				test.machines,
+				got,
+			)
 		}
 		sendAll(18*s, test.unreachable-test.reconnected, 3)
 		if got := releasedMachines(scaler.Plan(18*s, nil)); len(got) != test.want {
 			t.Errorf(
-				"%d of %d unreachable, %d reconnected: fenced %v",
+				"%d of %d unreachable, %d reconnected: fenced %v, want all, or none if the whole zone is",
 				test.unreachable,
 				test.machines,
 				test.reconnected,
@@ -243,7 +252,7 @@
 			for _, name := range releasedMachines(scaler.Plan(now, nil)) {
 				if registry.Machine(name).Zone == "a" {
 					t.Fatalf(
-						"heartbeat interval %v s, lease %v s: %s fenced at %v",
+						"heartbeat interval %v s, lease %v s: %s of the unreachable zone fenced at %v, want none",
 						w.HeartbeatSeconds,
 						w.LeaseSeconds,
 						name,
@@ -285,7 +294,7 @@
 	for now := 11 * s; now < 30*s; now += s {
 		got := releasedMachines(scaler.Plan(now, nil))
 		if (now < 20*s) != (len(got) == 0) {
-			t.Fatalf("released %v at %v", got, now)
+			t.Fatalf("released %v at %v, want none before 20 s and m3 from then on", got, now)
 		}
 		if len(got) > 0 {
 			if len(got) != 1 || got[0] != "m3" {
@@ -303,7 +312,7 @@
 		scaler.HandleScaleIn(time.Duration(i)*10*s, []string{fmt.Sprintf("m%d", i)}, true)
 	}
 	if n := len(scaler.list.releasedAt); n > 100 || !scaler.RecentlyReleased("m999") {
-		t.Errorf("%d released machines remembered", n)
+		t.Errorf("%d released machines remembered, want at most 100, among them the last one", n)
 	}
 }
 
@@ -348,7 +357,7 @@
 		if n := totalCount(
 			rentals(scaler.Plan(3*s, []Demand{{Job: high, Count: 1, Headroom: true, MustBeFree: test.mustBeFree}})),
 		); n != test.want {
-			t.Errorf("%+v: rented %d machines", test, n)
+			t.Errorf("%+v: rented %d machines, want the number in the row", test, n)
 		}
 	}
 }
@@ -366,10 +375,10 @@
 	for now := 101 * s; now < 110*s; now += s {
 		effects := scaler.Plan(now, demands)
 		if got := releasedMachines(effects); got != nil {
-			t.Errorf("at %v: released %v", now, got)
+			t.Errorf("at %v: released %v, want no idle machine released", now, got)
 		}
 		if got := rentals(effects); got != nil {
-			t.Errorf("at %v: rented %v", now, got)
+			t.Errorf("at %v: rented %v, want no idle machine replaced", now, got)
 		}
 	}
 }
@@ -415,10 +424,10 @@
 	for now := 11 * s; now < 60*s; now += s {
 		effects := scaler.Plan(now, []Demand{{Job: &protocol.Job{ID: "j-1", GPUs: 8}, Count: 1}})
 		if got := releasedMachines(effects); len(got) > 0 {
-			t.Fatalf("fenced %v at %v", got, now)
+			t.Fatalf("fenced %v at %v, want none before NoFencingUntil", got, now)
 		}
 		if got := rentals(effects); now == 20*s && scaler.pendingRentals["r-3-1"].count != 1 {
-			t.Errorf("unreachable machines counted as capacity: rented %v", got)
+			t.Errorf("unreachable machines count as capacity: rented %v, want one machine", got)
 		}
 	}
 	if got := releasedMachines(scaler.Plan(120*s, nil)); len(got) == 0 {
--- a/internal/coordination/autoscaler/fencing.go
+++ b/internal/coordination/autoscaler/fencing.go
@@ -44,8 +44,8 @@
 	fenced := map[string]int{}
 	for _, m := range overdue {
 		if now < a.unreachableUntil[m.Zone] {
-			quota := max(1, zones[m.Zone].machines/unreachableFencingDivisor)
-			if now-m.LastHeartbeat < unreachableFencingLeases*lease || fenced[m.Zone] >= quota {
+			limit := max(1, zones[m.Zone].machines/unreachableFencingDivisor)
+			if now-m.LastHeartbeat < unreachableFencingLeases*lease || fenced[m.Zone] >= limit {
 				continue
 			}
 			fenced[m.Zone]++
--- a/internal/coordination/autoscaler/ratelimit_test.go
+++ b/internal/coordination/autoscaler/ratelimit_test.go
@@ -38,7 +38,13 @@
 			plans++
 		}
 		if total != manyMachines {
-			t.Errorf("%v calls per second: %d of %d machines rented after %d plans", rps, total, manyMachines, plans)
+			t.Errorf(
+				"%v calls per second: %d of %d machines rented after %d plans, want all",
+				rps,
+				total,
+				manyMachines,
+				plans,
+			)
 		}
 	}
 }
@@ -73,7 +79,7 @@
 	for now := 12 * s; len(released) < manyMachines && now < time.Hour; now += s {
 		for _, e := range scaler.Plan(now, nil) {
 			if r, ok := e.(ScaleIn); ok && len(r.Machines) > protocol.MaxMachinesPerRelease {
-				t.Fatalf("%d machines in one release call", len(r.Machines))
+				t.Fatalf("%d machines in one release call, more than the cloud accepts", len(r.Machines))
 			}
 		}
 		names := scaler.releasing
@@ -90,7 +96,7 @@
 		}
 	}
 	if len(released) != manyMachines {
-		t.Errorf("%d of %d machines released", len(released), manyMachines)
+		t.Errorf("%d of %d machines released, want all", len(released), manyMachines)
 	}
 }
 
--- a/internal/coordination/autoscaler/scalein.go
+++ b/internal/coordination/autoscaler/scalein.go
@@ -13,7 +13,7 @@
 const (
 	// bootTimeoutFactor is the number of boot times after which a machine that has not registered is given up.
 	bootTimeoutFactor = 4
-	// idleBootDivisor determines how long an idle machine is kept: its boot time divided by idleBootDivisor.
+	// idleBootDivisor sets how long an idle machine is kept: its boot time divided by idleBootDivisor.
 	idleBootDivisor = 8
 	// minRentalTime is the shortest time that the cloud charges for.
 	minRentalTime = time.Minute
--- a/internal/coordination/autoscaler/scaleout.go
+++ b/internal/coordination/autoscaler/scaleout.go
@@ -69,8 +69,8 @@
 	a.backoff[rental.pool] = backoff
 }
 
-// CanScaleOut reports whether machines for the job can be rented in the zone, as far as recent refusals and the zone
-// policies show.
+// CanScaleOut reports whether machines for the job can be rented in the zone, judged by recent refusals and the zone
+// policies.
 func (a *Autoscaler) CanScaleOut(
 	now time.Duration,
 	j *protocol.Job,
@@ -113,8 +113,8 @@
 	}
 }
 
-// zoneScarcityWeight makes zones with fewer machines slightly cheaper, so that machines of equal price are spread over
-// the zones.
+// zoneScarcityWeight is the relative increase of the cost of a pool for each machine in its zone. It makes zones with
+// fewer machines slightly cheaper, so that machines of equal price are spread over the zones.
 const zoneScarcityWeight = 1e-3
 
 // choosePool returns the suitable pool with the lowest price per task, and false if no pool is suitable. Among pools of
--- a/internal/coordination/demand/demand_test.go
+++ b/internal/coordination/demand/demand_test.go
@@ -51,10 +51,10 @@
 		t.Errorf("%v expected arrivals, want between %v and 1.5 times that", got, perBoot)
 	}
 	if got := f.ExpectedArrivals(now, "other", testBoot); got != 0 {
-		t.Errorf("%v expected arrivals of a class without arrivals", got)
+		t.Errorf("%v expected arrivals of a class without arrivals, want 0", got)
 	}
 	if got := f.ExpectedArrivals(now+time.Hour, "serve", testBoot); got != 0 {
-		t.Errorf("%v expected arrivals of a class whose last job arrived an hour ago", got)
+		t.Errorf("%v expected arrivals of a class whose last job arrived an hour ago, want 0", got)
 	}
 }
 
@@ -64,7 +64,7 @@
 		f.RecordArrival(testJob(1), time.Second)
 	}
 	if got := f.ExpectedArrivals(time.Second, "serve", testBoot); got > 2*maxBurstArrivals {
-		t.Errorf("%v expected arrivals after a burst of 100", got)
+		t.Errorf("%v expected arrivals after a burst of 100, want at most twice maxBurstArrivals", got)
 	}
 }
 
@@ -116,7 +116,7 @@
 			for _, d := range demands {
 				if d.Job != job || d.Count == 0 || !d.Headroom || d.MustBeFree != test.mustBeFree ||
 					(d.Zone != "") != test.spread {
-					t.Errorf("unexpected demand %+v", d)
+					t.Errorf("demand %+v does not match the job and the row", d)
 				}
 			}
 		})
--- a/internal/coordination/demand/forecast.go
+++ b/internal/coordination/demand/forecast.go
@@ -20,14 +20,15 @@
 	arrivalDecayBoots = 3
 	// dropAfterTimeConstants is the age, in time constants, after which an arrival is dropped.
 	dropAfterTimeConstants = 4
-	// A burst lasts one burstBootDivisor-th of the boot time, and only its first maxBurstArrivals arrivals count.
+	// A burst lasts for the boot time divided by burstBootDivisor from its first arrival on. Only its first
+	// maxBurstArrivals arrivals count.
 	burstBootDivisor = 8
 	maxBurstArrivals = 2
 	// arrivalMargin is the factor by which the expected arrivals are increased, because arrival rates vary.
 	arrivalMargin = 1.2
 	// minExpectedArrivals is the expected number of arrivals below which no headroom is kept.
 	minExpectedArrivals = 0.1
-	// meanTasksWindow is the window, in jobs, of the exponential moving average of the number of tasks per job.
+	// meanTasksWindow is the window, in jobs, of the exponential moving average of the tasks per job.
 	meanTasksWindow = 8
 )
 
@@ -158,8 +159,9 @@
 	return sum
 }
 
-// bootAndStart considers the suitable machine type on which a task of the job starts soonest. It returns the type's
-// boot time and its time to boot and to fetch the image, in seconds. The latter is infinite if no type is suitable.
+// bootAndStart finds the suitable machine type on which a task of the job starts soonest. It returns the boot time of
+// this type, and the start time, which is the time to boot and to fetch the image, both in seconds. The start time is
+// infinite if no type is suitable.
 func bootAndStart(types map[string]*protocol.MachineType, job *protocol.Job) (boot, start float64) {
 	start = math.Inf(1)
 	for _, t := range types {
@@ -173,8 +175,9 @@
 	return boot, start
 }
 
-// noTimeToPreempt reports whether the start latency objective leaves no time to preempt other tasks first. That is so
-// if even a fetch of the image alone, at the slowest rate to be expected, takes longer than the objective.
+// noTimeToPreempt reports whether the start latency objective leaves no time to preempt other tasks first, because a
+// fetch of the image alone, at the slowest rate to be expected, takes longer than the objective. Both times are in
+// seconds.
 func noTimeToPreempt(objective, fetch float64) bool {
 	return objective < fetch*machineregistry.SlowFetchFactor
 }
--- a/internal/coordination/imagehints/imagehints.go
+++ b/internal/coordination/imagehints/imagehints.go
@@ -29,7 +29,7 @@
 	Arrivals []storage.ClassArrivals
 }
 
-// Limits holds the maximum sizes of records and transactions.
+// Limits holds the maximum size of a record and the maximum number of operations in a transaction.
 type Limits struct {
 	ValueKB       float64
 	MaxOperations int
@@ -86,7 +86,7 @@
 }
 
 // Next returns the changes to the stored records, up to half of the operations that a transaction may hold. It returns
-// false if there is nothing to write. Otherwise the caller must report the outcome to Written.
+// false if no record has changed. Otherwise the caller must report the outcome to HandleOutcome.
 func (w *Writer) Next(now time.Duration, hints Hints, limits Limits) (change Change, ok bool) {
 	w.lastAttempt = now
 	pages := encodePages(hints, limits.ValueKB)
--- a/internal/coordination/imagehints/imagehints_test.go
+++ b/internal/coordination/imagehints/imagehints_test.go
@@ -63,7 +63,7 @@
 		}
 		change, ok := writer.Next(now, hints, limits)
 		if ok == writer.Due(now+Interval) {
-			t.Errorf("change returned: %v, but next write due: %v", ok, writer.Due(now+Interval))
+			t.Errorf("change returned: %v, next write due: %v, want exactly one of them", ok, writer.Due(now+Interval))
 		}
 		if ok {
 			writer.HandleOutcome(change, true)
@@ -80,7 +80,7 @@
 		t.Errorf("wrote %v, want %v", written, want)
 	}
 	if got := write(hints); len(got) > 0 {
-		t.Errorf("wrote %v although nothing has changed", got)
+		t.Errorf("wrote %v although no record has changed", got)
 	}
 	if got := write(fleetHints(machines, "b")); !slices.Equal(got, want[:2]) {
 		t.Errorf("wrote %v after a change, want %v", got, want[:2])
@@ -115,7 +115,7 @@
 	}
 	if len(got.Images) != 3 || got.Images["host-000001"][0].Image != "a" ||
 		!slices.Equal(got.Arrivals, hints.Arrivals) {
-		t.Errorf("recovered %+v", got)
+		t.Errorf("recovered %+v, want the hints that were written", got)
 	}
 	if change, ok := next.Next(0, Hints{}, Limits{ValueKB: 8, MaxOperations: 16}); !ok ||
 		change.Ops[0].DeleteKey != stored.Key {
@@ -130,10 +130,10 @@
 			t.Fatal(err)
 		}
 		if _, err := next.Recover(protocol.KeyValue{Key: "warm/0001", Value: value}); err == nil {
-			t.Errorf("%s: no error", name)
+			t.Errorf("%s: Recover returned no error", name)
 		}
 	}
 	if _, err := next.Recover(protocol.KeyValue{Key: "warm/0001", Value: []byte("x")}); err == nil {
-		t.Error("undecodable record: no error")
+		t.Error("undecodable record: Recover returned no error")
 	}
 }
--- a/internal/coordination/zonefailover/borrowing.go
+++ b/internal/coordination/zonefailover/borrowing.go
@@ -11,14 +11,14 @@
 )
 
 const (
-	// searchesPerCore is the number of capacity searches per cycle for one whole CPU core, which does other work as
-	// well. A search among a hundred full machines takes a core one to two milliseconds.
+	// searchesPerCore is the maximum number of capacity searches per cycle and CPU core of the controller's quota. A
+	// search among a hundred full machines takes a core one to two milliseconds, and the core does other work as well.
 	searchesPerCore = 100
 	// minSearches is the minimum number of capacity searches per cycle, however small the controller's CPU share is.
 	minSearches = 2
 	// searchRetryCycles is the number of cycles after which a search is repeated for a job that found no capacity.
 	searchRetryCycles = 3
-	// disruptionHeartbeats is the cost of preempting tasks of one more job, as a multiple of the heartbeat interval.
+	// disruptionHeartbeats is the cost of preempting tasks of one more job, in heartbeat intervals.
 	disruptionHeartbeats = 3
 )
 
@@ -32,8 +32,8 @@
 	InZone    map[string]int            // number of placed tasks by zone
 }
 
-// MayBorrow reports whether a job may borrow capacity, because it lost tasks with a zone that is not available again.
-// It returns false for a nil Manager.
+// MayBorrow reports whether a job may borrow capacity: it must have lost tasks with a zone that is not available again
+// yet. The method returns false for a nil Manager.
 func (m *Manager) MayBorrow(jobID string) bool {
 	if m == nil {
 		return false
@@ -42,12 +42,14 @@
 	return displaced && m.monitor.State(zone) != Available
 }
 
-// MaySearch reports whether a capacity search is allowed for a job now. After a failed search the next one is delayed.
+// MaySearch reports whether a capacity search is allowed for a job now. After a failed search, DelaySearch delays the
+// next one.
 func (m *Manager) MaySearch(now time.Duration, jobID string) bool {
 	return now >= m.nextSearchAt[jobID]
 }
 
-// AcquireSearch reports whether a capacity search for a job is within the budget of the current cycle, and counts it.
+// AcquireSearch reports whether a capacity search for a job is allowed now and within the budget of the current cycle.
+// It counts an allowed search toward the budget.
 func (m *Manager) AcquireSearch(now time.Duration, jobID string) bool {
 	if !m.MaySearch(now, jobID) {
 		return false
@@ -143,8 +145,8 @@
 	return b
 }
 
-// isLendable reports whether the capacity of a placement may be lent. Capacity of jobs with the highest priority and
-// capacity that is already lent may not.
+// isLendable reports whether the capacity of a placement may be lent: its job must be active and not of the highest
+// priority, and the capacity must not be lent already.
 func (m *Manager) isLendable(placement *machineregistry.Placement) bool {
 	return placement.PriorityLevel > 0 && m.options.Jobs.IsActive(placement.Task.JobID) &&
 		!m.ledger.IsLent(attemptOf(placement))
--- a/internal/coordination/zonefailover/fencing.go
+++ b/internal/coordination/zonefailover/fencing.go
@@ -55,9 +55,9 @@
 }
 
 // lostMachineGracePeriod returns how long a machine of a lost zone must be unreachable before it may be fenced: until
-// its leases have certainly expired, and at least one boot time. Moving work costs about as much, for fetching the
-// image elsewhere and for booting a machine when the zone returns. Waiting for as long as moving costs is at most twice
-// as expensive as the best choice in hindsight.
+// its leases have certainly expired, and at least one boot time. Moving work costs about one boot time as well, because
+// the image is fetched elsewhere and a machine is booted when the zone returns. To wait for as long as a move costs is
+// at most twice as expensive as the best choice in hindsight.
 func (m *Manager) lostMachineGracePeriod() time.Duration {
 	period := m.MaxLeaseLifetime()
 	for _, t := range m.options.Machines.MachineTypes() {
--- a/internal/coordination/zonefailover/ledger_test.go
+++ b/internal/coordination/zonefailover/ledger_test.go
@@ -26,7 +26,7 @@
 			if rapid.Bool().Draw(t, "close") {
 				lender := task()
 				if _, ok := l.Close(lender); ok != open[lender] {
-					t.Fatalf("closing %v returned %v", lender, ok)
+					t.Fatalf("closing the loan of %v returned %v, want the opposite", lender, ok)
 				}
 				delete(open, lender)
 				continue
@@ -57,7 +57,7 @@
 		}
 		loans := l.Loans()
 		if len(loans) != len(open) || l.Len() != len(open) {
-			t.Fatalf("%d loans listed, %d are open", len(loans), len(open))
+			t.Fatalf("%d loans listed, want the %d open ones", len(loans), len(open))
 		}
 		owed := 0.0
 		for i, loan := range loans {
@@ -69,7 +69,7 @@
 			owed += debt
 		}
 		if owed != float64(3*len(open)) {
-			t.Fatalf("total debt %v for %d loans", owed, len(open))
+			t.Fatalf("total debt %v, want 3 for each of %d loans", owed, len(open))
 		}
 	})
 }
--- a/internal/coordination/zonefailover/lenders.go
+++ b/internal/coordination/zonefailover/lenders.go
@@ -12,8 +12,8 @@
 type Lender struct {
 	Task TaskAttempt
 	Need machineregistry.Resources
-	Cost float64 // work lost by preemption, in seconds
-	// Gang means that preempting one lender of the job preempts all of them. Their costs add up.
+	Cost float64 // of preempting the task, in seconds; mainly the work that it loses
+	// Gang is set for a task of a gang: preempting one lender of the job preempts all of them, and their costs add up.
 	Gang bool
 }
 
@@ -41,8 +41,8 @@
 	return r
 }
 
-// minLenderShare is the lower bound of a lender's share of the requested capacity. It bounds the price of lenders that
-// free almost nothing of what is requested.
+// minLenderShare is the lower bound of the share of the requested capacity by which a lender's cost is divided to get
+// its price. It bounds the price of lenders that free almost nothing of what is requested.
 const minLenderShare = 1e-3
 
 // Pick is a machine chosen for one task.
@@ -52,7 +52,7 @@
 type Choice struct {
 	Picks   []Pick
 	Lenders []TaskAttempt
-	Cost    float64
+	Cost    float64 // of all starts and preemptions, in seconds
 }
 
 // ChooseLenders picks machines for as many of the requested tasks as possible. It places one task after another at the
@@ -75,7 +75,7 @@
 	free          []machineregistry.Resources // remaining free resources by offer
 	zoneRemaining map[string]int              // number of tasks that each zone may still take
 	preempted     map[TaskAttempt]bool
-	disruptedJobs map[string]bool // jobs that already lend
+	disruptedJobs map[string]bool // jobs with preempted tasks
 	gangs         map[string][]gangMember
 	choice        Choice
 }
@@ -208,7 +208,7 @@
 	return chosen
 }
 
-// preemptionCost returns the work lost by preempting a lender, including its gang, in seconds.
+// preemptionCost returns the cost of preempting a lender, including its gang, in seconds.
 func (s *lenderSearch) preemptionCost(lender Lender) float64 {
 	if !lender.Gang {
 		return lender.Cost
--- a/internal/coordination/zonefailover/lenders_test.go
+++ b/internal/coordination/zonefailover/lenders_test.go
@@ -90,7 +90,8 @@
 	all := []int{}
 	perZone := map[string][]int{}
 	for _, o := range offers {
-		// r.Tasks variables represent the possible starts on this machine, whose capacity must suffice for all of them.
+		// Each of r.Tasks variables represents one possible start on this machine. Its capacity must suffice for all
+		// starts that the solver chooses.
 		var lits, amounts []int
 		for range r.Tasks {
 			start := variable(o.StartCost)
@@ -98,7 +99,7 @@
 			perZone[o.Zone] = append(perZone[o.Zone], start)
 			lits, amounts = append(lits, -start), append(amounts, int(r.Need.GPUs))
 		}
-		atLeast := r.Tasks*int(r.Need.GPUs) - int(o.Free.GPUs) // omitted starts and freed capacity
+		atLeast := r.Tasks*int(r.Need.GPUs) - int(o.Free.GPUs) // GPUs that omitted starts and preemptions must free
 		for _, l := range o.Lenders {
 			lits, amounts = append(lits, preempted[l.Task]), append(amounts, int(l.Need.GPUs))
 		}
@@ -155,7 +156,7 @@
 		}
 	}
 	t.Logf(
-		"%d cases with capacity: cost %.0f, optimum %.0f (%.1f%% more); %d of %d cases missed",
+		"%d cases with capacity: cost %.0f, optimum %.0f (%.1f%% more); tasks left without capacity in %d of %d cases",
 		solved,
 		totalCost,
 		totalOptimum,
@@ -164,7 +165,12 @@
 		solved+missed,
 	)
 	if totalCost > 1.08*totalOptimum || missed > cases/50 {
-		t.Errorf("total cost %.0f with an optimum of %.0f, %d cases missed", totalCost, totalOptimum, missed)
+		t.Errorf(
+			"total cost %.0f, want at most 8%% more than %.0f; tasks without capacity in %d cases, want at most 2%%",
+			totalCost,
+			totalOptimum,
+			missed,
+		)
 	}
 }
 
--- a/internal/coordination/zonefailover/loans.go
+++ b/internal/coordination/zonefailover/loans.go
@@ -13,7 +13,7 @@
 
 // LenderState is the current state of a task whose capacity is or may be lent.
 type LenderState struct {
-	// Ended means that the task is done or that its job has ended.
+	// Ended is set if the task is done or its job has ended.
 	Ended bool
 	// Placement is the task's current placement, or nil.
 	Placement *machineregistry.Placement
--- a/internal/coordination/zonefailover/manager.go
+++ b/internal/coordination/zonefailover/manager.go
@@ -44,8 +44,8 @@
 
 // Manager owns the state of zone failover in one leader's term and makes its decisions.
 //
-// The feature is optional. A nil *Manager means that it is off: the methods that document it accept a nil receiver and
-// behave as if no zone could be lost.
+// Zone failover is optional, and a nil *Manager means that it is off. The methods whose comments mention a nil Manager
+// accept one and behave as if no zone could be lost.
 type Manager struct {
 	options Options
 	order   *RecoveryOrder
@@ -56,10 +56,10 @@
 	lastLoanNumber uint64
 	// awaitingPreemption is the set of lenders of loans made in this term that have not been preempted yet.
 	awaitingPreemption map[TaskAttempt]bool
-	// departedMachines maps machines that failed or left the cloud's list while their zone was not available to that
-	// zone.
+	// departedMachines holds the zone of each machine that failed or left the cloud's list while the zone was not
+	// available, by machine name.
 	departedMachines map[string]string
-	// loansByJob is the number of loans made by each job since all zones were last available.
+	// loansByJob is the number of loans in which each job was the lender since all zones were last available.
 	loansByJob map[string]int
 	// displacedJobs maps each job that lost tasks with a zone to that zone.
 	displacedJobs map[string]string
--- a/internal/coordination/zonefailover/monitor.go
+++ b/internal/coordination/zonefailover/monitor.go
@@ -48,8 +48,8 @@
 // Evidence holds the facts from which a zone's state was derived.
 type Evidence struct {
 	Observation
-	// OtherMachines and OtherReachable count the machines of all other zones. If those are unreachable as well, this
-	// controller's own network has failed.
+	// OtherMachines and OtherReachable count the machines of all other zones. If most of these machines are unreachable
+	// as well, this controller's own network has failed.
 	OtherMachines, OtherReachable int
 }
 
@@ -78,7 +78,7 @@
 const (
 	suspectFraction = 1. / 2 // a zone with more unreachable machines becomes suspected
 	clearFraction   = 1. / 4 // a suspected zone with at most this many unreachable machines is cleared
-	lostFraction    = 3. / 4 // a suspected zone with at least this many expired leases becomes lost
+	lostFraction    = 3. / 4 // a suspected zone with expired leases on at least this many machines becomes lost
 	relapseFraction = 1. / 2 // a returning zone with fewer reachable machines, relative to the peak, has relapsed
 )
 
@@ -86,7 +86,8 @@
 // the zone. In smaller zones, unreachable machines are fenced individually.
 const minMachinesToSuspect = 3
 
-// The hold time is how long a returning zone is observed before it is trusted. NewMonitor sets the base hold time.
+// The hold time is how long a returning zone is observed before it is trusted. NewMonitor sets the base hold time. A
+// flap is a relapse: a zone that was recently lost becomes suspected again.
 const (
 	maxHoldDoublings = 3 // each flap doubles the hold time, at most this many times
 	flapDecayHolds   = 8 // number of base hold times after which a flap is forgotten
--- a/internal/coordination/zonefailover/recoverysort.go
+++ b/internal/coordination/zonefailover/recoverysort.go
@@ -95,8 +95,8 @@
 	return m.options.Settings.Workers.LeaseSeconds
 }
 
-// SortZonesByState sorts zones so that available ones come first. The sort is stable. Among zones with equally little
-// capacity, a job must not wait for capacity in a lost one. It does nothing for a nil Manager.
+// SortZonesByState sorts zones so that available ones come first, because among zones with equally little capacity, a
+// job must not wait for capacity in a lost one. The sort is stable. The method does nothing for a nil Manager.
 func (m *Manager) SortZonesByState(zones []string) {
 	if m == nil {
 		return
--- a/internal/coordination/zonefailover/zonestates.go
+++ b/internal/coordination/zonefailover/zonestates.go
@@ -14,7 +14,7 @@
 	// elsewhere. Such machines still have the images cached when the zone returns.
 	retainLostZoneLeases = 12
 	// probeLostZoneLeases is the time, in leases, after which machines may be rented in a lost zone, one at a time, if
-	// pending tasks can run nowhere else. Without that, the return of a zone without machines would never be noticed.
+	// pending tasks can run nowhere else. Otherwise the return of a zone without machines would never be noticed.
 	probeLostZoneLeases = 2
 )
 
@@ -73,8 +73,8 @@
 }
 
 // MaxLeaseLifetime returns the time without heartbeats after which no lease on a machine can be renewed any more. A
-// controller that renews leases without the leader's knowledge stops within half a lease, and the last lease then takes
-// its time to expire.
+// controller that renews leases without the leader's knowledge stops within half a lease, and the last lease that it
+// renewed expires one lease later.
 func (m *Manager) MaxLeaseLifetime() time.Duration {
 	workers := m.options.Settings.Workers
 	return config.Seconds(workers.LeaseSeconds*3/2 + workers.HeartbeatSeconds)
@@ -119,8 +119,8 @@
 	}
 }
 
-// RecordDepartedMachine records that a machine failed or left the cloud's list without being released. That is evidence
-// while its zone is not available. It does nothing for a nil Manager.
+// RecordDepartedMachine records that a machine failed or left the cloud's list without being released, which is
+// evidence against its zone while the zone is not available. The method does nothing for a nil Manager.
 func (m *Manager) RecordDepartedMachine(name string) {
 	if m == nil {
 		return
--- a/internal/loadtest/config.go
+++ b/internal/loadtest/config.go
@@ -153,8 +153,8 @@
 	maxPort      = 1<<16 - 1
 )
 
-// Resources of the host that a load test uses, as measured. hostMemoryShare is the share of the host's memory that it
-// may use.
+// Resources of the host that a load test uses, as measured: memory in bytes for each worker, task and controller, and
+// sockets. hostMemoryShare is the share of the host's memory that a load test may use.
 const (
 	workerBytes      = 80 << 10
 	taskBytes        = 1 << 10
--- a/internal/loadtest/config_test.go
+++ b/internal/loadtest/config_test.go
@@ -42,7 +42,7 @@
 		x.change(cfg)
 		if err := cfg.Validate(); !errors.Is(err, ErrInvalidConfig) || !strings.Contains(err.Error(), x.wantText) ||
 			strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("%s: error %v, want a single line that names the setting", name, err)
 		}
 	}
 }
@@ -56,7 +56,7 @@
 		t.Errorf("%+v", l)
 	}
 	if sizes := (Load{GangTasks: 64}).gangSizes(); len(sizes) != 6 || sizes[5] != 64 {
-		t.Errorf("gang sizes %v", sizes)
+		t.Errorf("gang sizes %v, want six, up to 64", sizes)
 	}
 	if startLatencyOf(classUrgent) != UrgentStart || startLatencyOf(classArray) != TaskStart {
 		t.Error("start latencies of urgent jobs are not recorded separately")
--- a/internal/loadtest/load.go
+++ b/internal/loadtest/load.go
@@ -114,8 +114,8 @@
 	r.callAtRate(r.load.StartsPerSecond*r.load.GangShare/r.load.meanGangTasks(), submitGang)
 }
 
-// keepTeamOverLimit starts goroutines that submit arrays for a team, each one when the one before has ended, so that
-// the team always requests more than its limit.
+// keepTeamOverLimit starts goroutines that each submit one array after the other for a team, so that the team always
+// requests more than its limit.
 func (r *sizeRun) keepTeamOverLimit(team string) {
 	wanted := r.load.tasksPerTeam() * (r.load.Overcommit - serviceShare)
 	for range max(1, int(wanted)/r.load.ArrayTasks) {
@@ -244,7 +244,7 @@
 }
 
 // startedBeforeAccepted is the value in acceptedAt for a job whose first task started before the user received the
-// response to the submission, or started a second time.
+// response to the submission, or whose first task started again later.
 const startedBeforeAccepted = -1
 
 // recordAccepted records when a job was accepted. If its first task has started already, it records a start latency of
--- a/internal/loadtest/loadtest.go
+++ b/internal/loadtest/loadtest.go
@@ -67,8 +67,8 @@
 // Limits on how long execute waits for each stage.
 const (
 	leaderTimeout = time.Minute
-	// warmupTimeoutFactor sets the timeout for the registration of the workers and that for the start of the services,
-	// as multiples of the warm-up time.
+	// warmupTimeoutFactor is the timeout for the registration of the workers, and again for the start of the services,
+	// as a multiple of the warm-up time.
 	warmupTimeoutFactor = 20
 )
 
--- a/internal/loadtest/loadtest_test.go
+++ b/internal/loadtest/loadtest_test.go
@@ -143,7 +143,7 @@
 	for _, s := range result.Sizes {
 		if !s.ServicesRunning || s.Starts == 0 || s.CheckedReplies == 0 || len(s.Faults) != 1 {
 			t.Errorf(
-				"%d workers: services running %v, %d starts, %d replies checked, %d faults",
+				"%d workers: services running %v, %d starts, %d replies checked, %d faults, want true, some, some, 1",
 				s.Size,
 				s.ServicesRunning,
 				s.Starts,
@@ -160,7 +160,7 @@
 			metricProcessMemory,
 		} {
 			if s.Metrics[name].Mean <= 0 {
-				t.Errorf("%d workers: %s is missing", s.Size, name)
+				t.Errorf("%d workers: metric %s is missing or not positive", s.Size, name)
 			}
 		}
 		if s.StepTimes["report"].Count == 0 || s.StepTimes["heartbeat"].Count == 0 {
@@ -173,7 +173,7 @@
 		}
 	}
 	if len(result.Slopes) == 0 {
-		t.Error("no slopes from four sizes")
+		t.Error("no slopes were fitted to four sizes")
 	}
 	checkNoProcesses(t, cfg)
 	checkRoundTrip(t, result)
@@ -192,12 +192,17 @@
 	}
 	for _, s := range result.Sizes {
 		if s.Starts == 0 || s.CheckedReplies == 0 || len(s.Faults) != len(cfg.Faults) {
-			t.Errorf("%d starts, %d replies checked, %d faults", s.Starts, s.CheckedReplies, len(s.Faults))
+			t.Errorf(
+				"%d starts, %d replies checked, %d faults; want some, some and 4",
+				s.Starts,
+				s.CheckedReplies,
+				len(s.Faults),
+			)
 		}
 	}
 	logs, err := filepath.Glob(filepath.Join(cfg.LogDir, "*.log"))
 	if err != nil || len(logs) != cfg.Load.Controllers {
-		t.Fatalf("%d logs, %v", len(logs), err)
+		t.Fatalf("%d logs, error %v, want one log per controller", len(logs), err)
 	}
 	handovers := 0
 	for _, path := range logs {
@@ -240,10 +245,10 @@
 		1000,
 	); err != nil ||
 		!strings.Contains(capacity.String(), "extrapolated, 83.3 times") {
-		t.Errorf("capacity: %v\n%s", err, capacity.String())
+		t.Errorf("capacity: error %v, want an extrapolation by 83.3 times:\n%s", err, capacity.String())
 	}
 	if err := (&Result{}).WriteCapacity(&capacity, 10); !errors.Is(err, ErrInvalidConfig) {
-		t.Errorf("capacity without slopes: %v", err)
+		t.Errorf("capacity without slopes: error %v, want ErrInvalidConfig", err)
 	}
 	if err := result.WritePlots(filepath.Join(t.TempDir(), "picture.png"), PlottedMetrics()); err != nil {
 		t.Error(err)
@@ -266,7 +271,7 @@
 	err = r.execute(&result)
 	r.shutdown()
 	if !errors.Is(err, ErrInvariantViolated) || !strings.Contains(err.Error(), "quota") {
-		t.Errorf("ended with %v", err)
+		t.Errorf("ended with %v, want a violated quota", err)
 	}
 	checkNoProcesses(t, cfg)
 }
@@ -277,7 +282,7 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	time.AfterFunc(time.Second, cancel)
 	if _, err := Run(ctx, cfg, slog.New(slog.DiscardHandler)); !errors.Is(err, context.Canceled) {
-		t.Errorf("ended with %v", err)
+		t.Errorf("ended with %v, want context.Canceled", err)
 	}
 	checkNoProcesses(t, cfg)
 }
@@ -291,7 +296,7 @@
 	}
 	defer func() { _ = l.Close() }()
 	if _, err := Run(t.Context(), cfg, slog.New(slog.DiscardHandler)); !errors.Is(err, ErrInvalidConfig) {
-		t.Errorf("ended with %v", err)
+		t.Errorf("ended with %v, want ErrInvalidConfig", err)
 	}
 	checkNoProcesses(t, cfg)
 }
--- a/internal/loadtest/measure.go
+++ b/internal/loadtest/measure.go
@@ -179,8 +179,8 @@
 	return metrics
 }
 
-// metricValues has the values of each metric, by name: one for each time slice and, if the metric is that of processes,
-// each process.
+// metricValues has the values of each metric, by name. A metric has one value for each time slice; a metric of
+// processes has one for each time slice and process.
 type metricValues map[string][]float64
 
 // timeSlice is the time between two samples. Its methods compute the metrics over that time and add them to values.
@@ -204,7 +204,7 @@
 	for name, after := range s.to.controllers {
 		before, ok := s.from.controllers[name]
 		if !ok || after.CPUSeconds < before.CPUSeconds {
-			continue // it was restarted during the slice
+			continue // the controller was restarted during the slice
 		}
 		metrics := followerMetrics
 		if name == s.to.leader {
--- a/internal/loadtest/models.go
+++ b/internal/loadtest/models.go
@@ -41,8 +41,7 @@
 // modelInterval is the interval at which the models are advanced and the invariants are checked.
 const modelInterval = 20 * time.Millisecond
 
-// newMachineTypes returns the machine type of hollow workers and, if there are worker processes, theirs as the second
-// one.
+// newMachineTypes returns the machine type of hollow workers and, if there are worker processes, a second one for them.
 func newMachineTypes(cfg *Config, load Load) []protocol.MachineType {
 	tasks := float64(int(load.TasksPerWorker*capacityFactor + 1))
 	hollow := protocol.MachineType{
@@ -70,8 +69,8 @@
 func (r *sizeRun) newWorld() *simulation.World {
 	const cancelTimeoutLeases = 4
 	world := simulation.NewWorld(cancelTimeoutLeases*r.cfg.Lease, fetchTime, r.cfg.MeanRunTime)
-	// The response to a cancellation, and the last command that was sent before it, may each be in transit for as long
-	// as a command that a controller sends directly to a worker.
+	// The response to a cancellation may be in transit for as long as a command that a controller sends directly to a
+	// worker, and so may the last command that was sent before that response.
 	world.CommandTransitTime = r.cfg.HeartbeatInterval
 	world.RunTimeOf = r.runTime
 	world.OnStart = r.recordTaskStart
@@ -89,8 +88,8 @@
 	return r.cfg.MeanRunTime/2 + r.cfg.MeanRunTime*time.Duration(h.Sum32()%buckets)/buckets
 }
 
-// newCloud returns the model of the cloud. Controllers cannot rent machines from it; it has only those that the run
-// starts itself.
+// newCloud returns the model of the cloud. It has only the machines that the run adds itself: controllers cannot rent
+// any.
 func (r *sizeRun) newCloud() *simulation.Cloud {
 	cloud := simulation.NewCloud(&r.mu, r.now)
 	cloud.Types, cloud.ListLag = r.machineTypes, config.Seconds(r.cfg.Cloud.ListLagSeconds)
--- a/internal/loadtest/ports_test.go
+++ b/internal/loadtest/ports_test.go
@@ -10,7 +10,7 @@
 	for i := range 20_000 {
 		ip := hollowWorkerIP(i + 1)
 		if !ip.IsLoopback() || seen[ip.String()] || ip.To4()[3] == 0 || ip.To4()[3] == 255 {
-			t.Fatalf("worker %d has %s", i, ip)
+			t.Fatalf("worker %d has %s, want a new loopback address that does not end in 0 or 255", i, ip)
 		}
 		seen[ip.String()] = true
 	}
--- a/internal/loadtest/result.go
+++ b/internal/loadtest/result.go
@@ -26,7 +26,7 @@
 type SizeResult struct {
 	Size int  `json:"size"`
 	Load Load `json:"load"`
-	// ServicesRunning says that sufficientShare of the tasks of services were running before the measurement.
+	// ServicesRunning is set if sufficientShare of the tasks of services were running before the measurement.
 	ServicesRunning bool `json:"filled"`
 	// StopReason is the error that ended the test of this size early, or empty if there was none.
 	StopReason string `json:"stopped,omitempty"`
--- a/internal/loadtest/slopes_test.go
+++ b/internal/loadtest/slopes_test.go
@@ -21,20 +21,25 @@
 		}
 		got := fitSlopes(sizes)
 		if len(got) != 1 {
-			t.Fatalf("%d slopes", len(got))
+			t.Fatalf("%d slopes, want 1", len(got))
 		}
 		const tolerance = 1e-6
 		if noise < tolerance &&
 			(got[0].Slope-slope > tolerance || slope-got[0].Slope > tolerance || got[0].StandardError > tolerance) {
-			t.Errorf("slope %g, want %g; error %g", got[0].Slope, slope, got[0].StandardError)
+			t.Errorf("slope %g, want %g; standard error %g, want 0", got[0].Slope, slope, got[0].StandardError)
 		}
 		// Allow for five standard errors plus rounding errors.
 		if d := got[0].Slope - slope; noise > tolerance &&
 			(d > 5*got[0].StandardError+tolerance || -d > 5*got[0].StandardError+tolerance) {
-			t.Errorf("slope %g is %g standard errors from %g", got[0].Slope, d/got[0].StandardError, slope)
+			t.Errorf(
+				"slope %g is %g standard errors from %g, want at most 5",
+				got[0].Slope,
+				d/got[0].StandardError,
+				slope,
+			)
 		}
 	})
 	if few := fitSlopes(make([]SizeResult, minSizes-1)); few != nil {
-		t.Errorf("slopes from too few sizes: %v", few)
+		t.Errorf("slopes from too few sizes: %v, want none", few)
 	}
 }
--- a/internal/loadtest/tables.go
+++ b/internal/loadtest/tables.go
@@ -182,7 +182,8 @@
 const spreadStandardErrors = 2
 
 // WriteCapacity writes a table with an estimate of each metric at the given size. The estimate is the value of the
-// fitted line; the table also has its spread, and says whether it is an extrapolation beyond the measured sizes.
+// fitted line. The table also has the spread of the estimate and, as its basis, whether the size is within the measured
+// sizes or extrapolated beyond them.
 func (r *Result) WriteCapacity(out io.Writer, size int) error {
 	if len(r.Slopes) == 0 {
 		return fmt.Errorf("%w: the result has no slopes, which need at least %d sizes", ErrInvalidConfig, minSizes)
--- a/internal/loadtest/workerprocess.go
+++ b/internal/loadtest/workerprocess.go
@@ -24,8 +24,8 @@
 // WorkerEnvVar is the environment variable that holds the configuration of a worker process, in JSON.
 const WorkerEnvVar = "PINEBAY_SCALE_WORKER"
 
-// URL paths of the observer, the service of the load test from which worker processes get the descriptions of jobs, and
-// to which they report the status of their tasks, so that the invariants are checked for them too.
+// URL paths of the observer, a service of the load test. Worker processes get the descriptions of jobs from it and
+// report the status of their tasks to it, so that the invariants are checked for these tasks too.
 const (
 	jobsPath     = "/jobs/"
 	observedPath = "/observed"
@@ -185,7 +185,7 @@
 		w.WriteHeader(http.StatusNotFound)
 		return
 	}
-	_ = json.NewEncoder(w).Encode(j) // fails only if the worker is gone, which then does not need the job
+	_ = json.NewEncoder(w).Encode(j) // fails only if the worker is gone, and then it needs no job
 }
 
 // serveTaskStatus applies the task status that a worker process reports to the model of the workers.
--- a/internal/loadtest/workerprocess_test.go
+++ b/internal/loadtest/workerprocess_test.go
@@ -51,7 +51,12 @@
 		w.AddRemoteWorker(0, "b", "zone", machineType)
 		x.steps(w)
 		if len(w.Violations) != x.violations || w.TasksOnMachines() != x.onMachines {
-			t.Errorf("%s: violations %v, %d tasks on machines", name, w.Violations, w.TasksOnMachines())
+			t.Errorf(
+				"%s: violations %v, %d tasks on machines, want the numbers in the row",
+				name,
+				w.Violations,
+				w.TasksOnMachines(),
+			)
 		}
 	}
 }
--- a/internal/loadtest/workers.go
+++ b/internal/loadtest/workers.go
@@ -82,7 +82,7 @@
 	r.world.RemoveMachine(machine)
 }
 
-// serveCommands passes a request with commands to the hollow worker that has the IP address to which it was sent.
+// serveCommands passes a request with commands to the hollow worker at the IP address to which the request was sent.
 func (r *sizeRun) serveCommands(w http.ResponseWriter, req *http.Request) {
 	local, ok := req.Context().Value(http.LocalAddrContextKey).(*net.TCPAddr)
 	if !ok || !local.IP.IsLoopback() {
--- a/internal/simulation/agent.go
+++ b/internal/simulation/agent.go
@@ -13,7 +13,7 @@
 )
 
 const (
-	// minChangeInterval is the minimum time between a heartbeat and the next one if a state change triggers the latter.
+	// minChangeInterval is the minimum time between a heartbeat and a following one that a state change triggers.
 	minChangeInterval = 500 * time.Millisecond
 	// maxRedirectDelay limits the random delay before a worker follows a redirect.
 	maxRedirectDelay = 500 * time.Millisecond
--- a/internal/simulation/answerchecker_test.go
+++ b/internal/simulation/answerchecker_test.go
@@ -136,30 +136,42 @@
 		},
 	} {
 		var cancelled []string
-		l := NewAnswerChecker(
+		checker := NewAnswerChecker(
 			func(string) bool { return h.done },
 			func(id string, _ time.Duration) { cancelled = append(cancelled, id) },
 		)
 		for _, s := range h.steps {
-			l.RecordRequest(s.kind, "j-1")
-			l.RecordAnswer(s.kind, "j-1", time.Duration(s.sent)*time.Second, time.Duration(s.now)*time.Second, s.status,
-				protocol.JobStatus{ID: "j-1", State: s.state})
+			checker.RecordRequest(s.kind, "j-1")
+			checker.RecordAnswer(
+				s.kind,
+				"j-1",
+				time.Duration(s.sent)*time.Second,
+				time.Duration(s.now)*time.Second,
+				s.status,
+				protocol.JobStatus{ID: "j-1", State: s.state},
+			)
 		}
 		switch {
-		case h.violation == "" && len(l.violations) > 0, h.violation != "" && len(l.violations) != 1,
-			h.violation != "" && !strings.HasPrefix(l.violations[0], h.violation):
-			t.Errorf("%s: %v, want %q", name, l.violations, h.violation)
+		case h.violation == "" && len(checker.violations) > 0, h.violation != "" && len(checker.violations) != 1,
+			h.violation != "" && !strings.HasPrefix(checker.violations[0], h.violation):
+			t.Errorf(
+				"%s: violations %v, want one that begins with %q, or none if that is empty",
+				name,
+				checker.violations,
+				h.violation,
+			)
 		}
-		if f, _ := l.FinalState("j-1"); (f == c) != (len(cancelled) == 1) {
+		if f, _ := checker.FinalState("j-1"); (f == c) != (len(cancelled) == 1) {
 			t.Errorf("%s: final state %q, but OnCancelled was called for %v", name, f, cancelled)
 		}
 	}
 }
 
-// TestAnswerCheckerFindsOrphanedJobs runs histories of three jobs that depend on each other in a chain.
+// TestAnswerCheckerFindsOrphanedJobs runs histories of three jobs that depend on each other in a chain. The checker
+// must find a violation if a dependency was cancelled and a job is in another state more than CancelTimeout later.
 func TestAnswerCheckerFindsOrphanedJobs(t *testing.T) {
 	const q, d, c = protocol.JobQueued, protocol.JobDone, protocol.JobCancelled
-	dependencies := map[string][]string{"j-2": {"j-1"}, "j-3": {"j-2"}}
+	dependsOn := map[string][]string{"j-2": {"j-1"}, "j-3": {"j-2"}}
 	type answer struct {
 		kind, id string
 		at       int
@@ -217,20 +229,26 @@
 			violation: "went_back",
 		},
 	} {
-		l := NewAnswerChecker(func(string) bool { return true }, func(string, time.Duration) {})
-		l.Dependencies, l.CancelTimeout = func(id string) []string { return dependencies[id] }, 40*time.Second
+		checker := NewAnswerChecker(func(string) bool { return true }, func(string, time.Duration) {})
+		checker.Dependencies, checker.CancelTimeout = func(id string) []string { return dependsOn[id] }, 40*time.Second
 		for _, id := range []string{"j-1", "j-2", "j-3"} {
-			l.RecordRequest(RequestSubmit, id)
-			l.RecordAnswer(RequestSubmit, id, 0, 0, 201, protocol.JobStatus{ID: id, State: q})
+			checker.RecordRequest(RequestSubmit, id)
+			checker.RecordAnswer(RequestSubmit, id, 0, 0, 201, protocol.JobStatus{ID: id, State: q})
 		}
 		for _, a := range h.steps {
-			l.RecordRequest(a.kind, a.id)
+			checker.RecordRequest(a.kind, a.id)
 			at := time.Duration(a.at) * time.Second
-			l.RecordAnswer(a.kind, a.id, at, at, 200, protocol.JobStatus{ID: a.id, State: a.state})
+			checker.RecordAnswer(a.kind, a.id, at, at, 200, protocol.JobStatus{ID: a.id, State: a.state})
 		}
-		if h.violation == "" && len(l.violations) > 0 ||
-			h.violation != "" && (len(l.violations) != 1 || !strings.HasPrefix(l.violations[0], h.violation)) {
-			t.Errorf("%s: %v, want %q", name, l.violations, h.violation)
+		if h.violation == "" && len(checker.violations) > 0 ||
+			h.violation != "" &&
+				(len(checker.violations) != 1 || !strings.HasPrefix(checker.violations[0], h.violation)) {
+			t.Errorf(
+				"%s: violations %v, want one that begins with %q, or none if that is empty",
+				name,
+				checker.violations,
+				h.violation,
+			)
 		}
 	}
 }
@@ -267,7 +285,12 @@
 		}
 		early := len(w.Violations) == 1 && strings.HasPrefix(w.Violations[0], "too_early")
 		if w.Starts != 1 || early != (done < 2) {
-			t.Errorf("with %d of 2 tasks done: %d starts, violations %v", done, w.Starts, w.Violations)
+			t.Errorf(
+				"with %d of 2 tasks done: %d starts, want 1; violations %v, want too_early unless both are done",
+				done,
+				w.Starts,
+				w.Violations,
+			)
 		}
 	}
 }
@@ -349,13 +372,18 @@
 		w.Workers["a1"].Hung = h.hang
 		w.Advance(13 * time.Second)
 		if len(w.Violations) > 0 && h.violation == "" {
-			t.Errorf("%s: %v", name, w.Violations)
+			t.Errorf("%s: violations %v, want none", name, w.Violations)
 		}
 		w.Workers["a1"].Hung = false
 		w.Advance(14 * time.Second)
 		if (h.violation == "") != (len(w.Violations) == 0) ||
 			h.violation != "" && !strings.HasPrefix(w.Violations[0], h.violation) {
-			t.Errorf("%s: %v, want %q", name, w.Violations, h.violation)
+			t.Errorf(
+				"%s: violations %v, want the first to begin with %q, or none if that is empty",
+				name,
+				w.Violations,
+				h.violation,
+			)
 		}
 	}
 }
--- a/internal/simulation/cloud.go
+++ b/internal/simulation/cloud.go
@@ -32,7 +32,7 @@
 	now      func() time.Duration
 	machines []*rentedMachine // sorted by name; includes removed machines
 	byName   map[string]*rentedMachine
-	requests map[string][]string // names of the machines that were rented, by request id
+	requests map[string][]string // names of the machines that were rented, by request ID
 	closed   bool
 }
 
@@ -113,7 +113,7 @@
 	return http.StatusOK, protocol.MachineNames{Machines: release.Machines}
 }
 
-// list returns a page of machines whose names follow from, as of ListLag ago.
+// list returns a page of the machines whose names sort after from, as of ListLag ago.
 func (c *Cloud) list(from, limit string) (page protocol.MachineList) {
 	maxMachines := protocol.MaxMachinesPerPage
 	if n, err := strconv.Atoi(limit); err == nil {
--- a/internal/simulation/cluster_user_test.go
+++ b/internal/simulation/cluster_user_test.go
@@ -143,7 +143,7 @@
 	return false
 }
 
-// newJob returns a job with a new id.
+// newJob returns a job with a new ID.
 func (c *cluster) newJob(shape protocol.Shape, tasks int, gpus float64) protocol.Job {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/simulation/failoveroracle.go
+++ b/internal/simulation/failoveroracle.go
@@ -98,7 +98,7 @@
 // LenderObservation describes the lender and the borrower of a loan when the loan is first recorded.
 type LenderObservation struct {
 	LenderLevel, BorrowerLevel int // priority levels; a higher number is a lower priority, and 0 is critical
-	// ProtectedByQuota says that the lender's task is within the guaranteed quota of its team and must not be lent.
+	// ProtectedByQuota is set if the lender's task is within the guaranteed quota of its team and must not be lent.
 	ProtectedByQuota bool
 }
 
@@ -156,9 +156,9 @@
 	o.open = current
 }
 
-// checkRepeatedLoan checks a loan of a task attempt that was lent before, as the loan known. Only a leader of a later
-// term may lend the attempt again, because the earlier leader may have ended before it used the loan. If it had used
-// the loan, the attempt would have been stopped and would never run again.
+// checkRepeatedLoan checks a loan of a task attempt that was lent before, in the loan with the number known. Only a
+// leader of a later term may lend the attempt again, because the earlier leader may have ended before it used the loan.
+// If the earlier leader had used the loan, the attempt would have been stopped and would never run again.
 func (o *LoanOracle) checkRepeatedLoan(row storage.LoanRow, known loanNumber, task taskAttempt) {
 	_, open := o.open[task]
 	switch same := known == (loanNumber{row.Term, row.Number}); {
--- a/internal/simulation/failoveroracle_test.go
+++ b/internal/simulation/failoveroracle_test.go
@@ -73,7 +73,7 @@
 		var o RecoveryOrderOracle
 		o.CheckCycle(row.starts, []WaitingJob{row.waits}, machines)
 		if (len(o.Violations) > 0) != row.violated {
-			t.Errorf("%s: %v", row.name, o.Violations)
+			t.Errorf("%s: violations %v, want some only if the row is violated", row.name, o.Violations)
 		}
 	}
 }
@@ -111,7 +111,7 @@
 		}
 		o.CheckAllClosed()
 		if got := strings.Join(o.Violations, "; "); (got == "") != (x.want == "") || !strings.Contains(got, x.want) {
-			t.Errorf("%s: %q, want %q", x.name, got, x.want)
+			t.Errorf("%s: violations %q, want %q among them, or none if that is empty", x.name, got, x.want)
 		}
 	}
 }
--- a/internal/simulation/failuredetection_test.go
+++ b/internal/simulation/failuredetection_test.go
@@ -7,8 +7,8 @@
 	"pinebay/internal/daemon"
 )
 
-// withOwnership returns an option that enables failure detection and ownership at the controllers for which on returns
-// true.
+// withOwnership returns an option that enables failure detection and ownership at the controllers that the function on
+// selects by index.
 func withOwnership(on func(node int) bool) func(*cluster) {
 	return func(c *cluster) {
 		c.features = func(node int) daemon.Features { return daemon.Features{Ownership: on(node)} }
--- a/internal/simulation/faults_test.go
+++ b/internal/simulation/faults_test.go
@@ -43,7 +43,7 @@
 func isolateLeader(c *cluster) func() {
 	n := c.leader()
 	c.recordOccurrence("apart")
-	heal, a, b := c.isolateFrom(
+	unblockPeers, unblockToStore, unblockFromStore := c.isolateFrom(
 		n,
 		c.others(n)...), c.blockLink(
 		n.ip,
@@ -52,7 +52,7 @@
 		HostOf(stateAddr),
 		n.ip,
 	)
-	return func() { heal(); a(); b() }
+	return func() { unblockPeers(); unblockToStore(); unblockFromStore() }
 }
 
 // crashLeader returns a step that crashes the leader.
--- a/internal/simulation/intents_test.go
+++ b/internal/simulation/intents_test.go
@@ -14,7 +14,7 @@
 	runScenario(t, 10, 3, fastTimings, func(c *cluster) {
 		c.startJobs(6)
 		n := c.others(c.leader())[0]
-		heal := c.isolateFrom(n, c.others(n)...)
+		repair := c.isolateFrom(n, c.others(n)...)
 		time.Sleep(4 * s)
 		id, sent := c.runningJobs()[0], c.now()
 		if status, _ := c.request(n, RequestCancel, id); status != 503 || c.now()-sent > 100*ms {
@@ -26,7 +26,7 @@
 		if status, _ := c.request(n, RequestQuery, id); status != 503 {
 			t.Errorf("query of the cancelled job without a quorum: status %d, want 503", status)
 		}
-		heal()
+		repair()
 		time.Sleep(4 * s)
 		if status, st := c.request(n, RequestCancel, id); status != 200 || st.State != protocol.JobCancelled {
 			t.Errorf("cancellation after the partition: status %d, %v, want 200 and cancelled", status, st)
@@ -43,15 +43,15 @@
 }
 
 // TestIntentsLostByRestart checks that a leader does not rely on a controller that has lost its intents by a restart.
-// The leader is partitioned and does not learn of a cancellation. The controller that confirmed it crashes, and the
-// only other controller with the intent is restarted, and so loses it, before it reaches the leader again. The leader
-// must not keep tasks running on the agreement of that controller.
+// The leader is partitioned and does not learn of a cancellation. The controller that confirmed it crashes. The only
+// other controller with the intent loses it by a restart before it reaches the leader again. The leader must not keep
+// tasks running on the agreement of the restarted controller.
 func TestIntentsLostByRestart(t *testing.T) {
 	runScenario(t, 8, 3, fastTimings, func(c *cluster) {
 		c.startJobs(12)
 		old := c.leader()
 		n, p := c.others(old)[0], c.others(old)[1]
-		heal := isolateLeader(c)
+		repair := isolateLeader(c)
 		time.Sleep(200 * ms)
 		if c.cancelRunning(6, []*controller{n}, 400*ms) == 0 {
 			t.Error("no job was cancelled, so the test did not exercise lost intents")
@@ -60,7 +60,7 @@
 		c.crash(n, 90*s)
 		c.crash(p, 200*ms)
 		time.Sleep(500 * ms)
-		heal()
+		repair()
 		time.Sleep(60 * s)
 		c.endOutage()
 	})
@@ -68,7 +68,7 @@
 
 // TestLeaderWithoutRecords checks a leader that has read no records. The leader crashes, jobs are cancelled, and the
 // key-value store fails just when the next leader has won its term. With the agreement of the other controllers, the
-// new leader must keep tasks alive, but not those of jobs with cancellation intents.
+// new leader must keep tasks running, except those of jobs with cancellation intents.
 func TestLeaderWithoutRecords(t *testing.T) {
 	runScenario(t, 9, 3, fastTimings, func(c *cluster) {
 		c.startJobs(12)
--- a/internal/simulation/ownership_test.go
+++ b/internal/simulation/ownership_test.go
@@ -395,7 +395,7 @@
 // depends on it.
 func TestOwnersReduceLeaderLoad(t *testing.T) {
 	const machines = 12
-	connections := func(options ...func(*cluster)) (leader, most int) {
+	measurePackets := func(options ...func(*cluster)) (leader, most int) {
 		runScenario(t, 950, 3, fastTimings, func(c *cluster) {
 			c.startJobs(9)
 			for range 6 {
@@ -417,8 +417,8 @@
 		}, options...)
 		return leader, most
 	}
-	without, _ := connections()
-	with, most := connections(withOwnership(everywhere))
+	without, _ := measurePackets()
+	with, most := measurePackets(withOwnership(everywhere))
 	t.Logf("packets of workers to the leader per minute, of at most %d machines: %d without owners, %d with; "+
 		"maximum of all controllers %d",
 		machines,
@@ -428,7 +428,7 @@
 	)
 	if with > without*2/3 || most > without*2/3 {
 		t.Errorf(
-			"packets of workers to the leader per minute: %d without owners, %d with; maximum of all controllers %d",
+			"packets per minute to the leader without owners: %d; with: %d, maximum %d, want at most 2/3 of the first",
 			without,
 			with,
 			most,
@@ -491,8 +491,8 @@
 			}
 			_, rest, _ := strings.Cut(line, "epoch=")
 			epoch, rest, _ := strings.Cut(rest, " ")
-			if was, ok := owners[epoch]; ok && was != rest {
-				t.Errorf("epoch %s is %q at one controller and %q at another", epoch, was, rest)
+			if previous, ok := owners[epoch]; ok && previous != rest {
+				t.Errorf("epoch %s is %q at one controller and %q at another", epoch, previous, rest)
 			}
 			owners[epoch] = rest
 			if strings.Contains(rest, "verdict: controller "+n.name) {
--- a/internal/simulation/pipeline_test.go
+++ b/internal/simulation/pipeline_test.go
@@ -15,7 +15,7 @@
 	"pinebay/internal/testutil"
 )
 
-// pipeline submits the jobs of a pipeline, each after its dependencies have been accepted, and returns their ids: an
+// pipeline submits the jobs of a pipeline, each after its dependencies have been accepted, and returns their IDs: an
 // array, two arrays that depend on it, a gang that depends on one of these, and an urgent array with a deadline that
 // depends on the gang and the other array. If earlier is not empty, the first job depends on that job.
 func (c *cluster) pipeline(earlier string) (ids []string) {
@@ -81,7 +81,7 @@
 	}
 }
 
-// runningArray returns the id of an array with a running task, or "" if there is none.
+// runningArray returns the ID of an array with a running task, or "" if there is none.
 func (c *cluster) runningArray() string {
 	for _, id := range c.runningJobs() {
 		c.mu.Lock()
@@ -334,9 +334,9 @@
 	}
 }
 
-// maxTooLargeTxns limits the transactions that may be rejected for their size in the time between the reduction of the
-// limits, which happens when the last controller has recorded its feature level, and the moment when the level is
-// final.
+// maxTooLargeTxns is the maximum number of transactions that may be rejected for their size during an upgrade. The
+// limits are lowered when the last controller has recorded its feature level, and transactions may be too large until
+// the level is final.
 const maxTooLargeTxns = 12
 
 // checkUpgraded checks that the current feature level is recorded, that no placement page of the old layout is left,
--- a/internal/simulation/records_test.go
+++ b/internal/simulation/records_test.go
@@ -11,7 +11,7 @@
 	"pinebay/internal/storage"
 )
 
-// jobsInWrite returns the ids of the jobs whose placements a transaction records.
+// jobsInWrite returns the IDs of the jobs whose placements a transaction records.
 func jobsInWrite(t *protocol.Txn) (jobs []string) {
 	for _, op := range t.Then {
 		if id, _, ok := strings.Cut(
--- a/internal/simulation/scenarios_test.go
+++ b/internal/simulation/scenarios_test.go
@@ -76,12 +76,12 @@
 	old := c.leader()
 	term := c.term()
 	others := c.others(old)
-	heal := func() {}
+	repair := func() {}
 	switch {
 	case g.leaderCrashes:
 		c.crash(old, 6*time.Second)
 	case g.leaderFault == "apart":
-		heal = isolateLeader(c)
+		repair = isolateLeader(c)
 	default:
 		c.store.SetRefused(old.ip, true)
 	}
@@ -121,18 +121,18 @@
 	case "back at once":
 		c.crash(others[0], 200*ms)
 	case "cut":
-		healFirst, healSecond := heal, c.isolateFrom(others[0], c.others(others[0])...)
-		heal = func() { healFirst(); healSecond() }
+		repairFirst, repairSecond := repair, c.isolateFrom(others[0], c.others(others[0])...)
+		repair = func() { repairFirst(); repairSecond() }
 	}
 	if g.leaderFault == "cut" {
-		healFirst, healSecond := heal, c.isolateFrom(old, others...)
-		heal = func() { healFirst(); healSecond() }
+		repairFirst, repairSecond := repair, c.isolateFrom(old, others...)
+		repair = func() { repairFirst(); repairSecond() }
 	}
 	time.Sleep(time.Duration(float64(cancel) * g.outageFactor))
 	c.store.SetOutage(false)
 	time.Sleep(3 * time.Second)
 	c.store.SetRefused(old.ip, false)
-	heal()
+	repair()
 	time.Sleep(2 * cancel)
 	if confirmed == 0 && g.cancellationsExpected {
 		c.t.Errorf("no cancellation was confirmed, so the test did not exercise any (terms %d to %d)", term, c.term())
--- a/internal/simulation/store.go
+++ b/internal/simulation/store.go
@@ -84,7 +84,7 @@
 	}
 }
 
-// GrantLease grants a lease and returns its id.
+// GrantLease grants a lease and returns its ID.
 func (s *Store) GrantLease(ttl time.Duration) uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/simulation/system_environment_test.go
+++ b/internal/simulation/system_environment_test.go
@@ -69,8 +69,8 @@
 }
 
 // write executes a transaction and passes its outcome to the leader. The request may be lost, delayed or duplicated,
-// and the answer may be lost. uncertain says that an earlier try may have been applied: if the comparisons fail then,
-// the value of the key to verify shows whether the transaction was applied, as in the real driver of the leader.
+// and the answer may be lost. uncertain is set if an earlier try may have been applied. If the comparisons fail in that
+// case, the value of the key to verify shows whether the transaction was applied, as in the real driver of the leader.
 func (s *simulatedSystem) write(l *leaderInstance, w scheduler.Write, uncertain bool) {
 	latency := 5*ms + s.randomDuration(20*ms)
 	if s.chance(0.05) {
--- a/internal/simulation/system_users_test.go
+++ b/internal/simulation/system_users_test.go
@@ -114,7 +114,7 @@
 	m := workers[s.rng.IntN(len(workers))]
 	switch s.rng.IntN(5) {
 	case 0:
-		s.world.RemoveMachine(m.Name) // fails, and stays listed for a while
+		s.world.RemoveMachine(m.Name) // the machine fails, and stays listed for a while
 		s.removedAt[m.Name] = s.now
 	case 1:
 		s.unreachableUntil[m.Name] = s.now + s.randomDuration(20*time.Second)
--- a/internal/simulation/worker.go
+++ b/internal/simulation/worker.go
@@ -47,14 +47,15 @@
 	// LateCommandsAllowedUntil is the time until which commands may arrive that were delayed because the machine was
 	// hung or unreachable. Starts of jobs that were cancelled before that time do not count as World.LateStarts.
 	LateCommandsAllowedUntil time.Duration
-	// Changed says that a heartbeat is due because of a state change. OnChange, if set, is called after it is set.
+	// Changed is set while a heartbeat is due because of a state change. OnChange, if set, is called when a state
+	// change sets Changed.
 	Changed  bool
 	OnChange func()
 	World    *World
 
-	lastAnsweredSentAt time.Duration // when the last heartbeat that was answered was sent
-	nextDueAt          time.Duration // time of the next timed state change, see nextDue
-	remote             bool          // the worker runs in another process, see World.AddRemoteWorker
+	leaseStart time.Duration // send time of the last heartbeat that was answered
+	nextDueAt  time.Duration // time of the next timed state change, see nextDue
+	remote     bool          // the worker runs in another process, see World.AddRemoteWorker
 }
 
 // markChanged makes a heartbeat due.
@@ -97,7 +98,7 @@
 	return heartbeat
 }
 
-// sortedTasks returns the tasks sorted by id.
+// sortedTasks returns the tasks sorted by ID.
 func (m *Worker) sortedTasks() []*Task {
 	tasks := make([]*Task, 0, len(m.Tasks))
 	for _, t := range m.Tasks {
@@ -116,7 +117,7 @@
 		return
 	}
 	m.FencingToken = reply.FencingToken
-	m.lastAnsweredSentAt = max(m.lastAnsweredSentAt, sent)
+	m.leaseStart = max(m.leaseStart, sent)
 	m.execute(now, reply.Commands)
 }
 
@@ -261,10 +262,10 @@
 
 // advance updates the machine to the given time. If the lease has expired, the worker restarts without tasks.
 func (m *Worker) advance(now time.Duration) {
-	if now-m.lastAnsweredSentAt > m.LeaseTimeout {
+	if now-m.leaseStart > m.LeaseTimeout {
 		m.killAllTasks()
 		m.Incarnation++
-		m.Sequence, m.lastAnsweredSentAt = 0, now
+		m.Sequence, m.leaseStart = 0, now
 		m.markChanged()
 	}
 	for _, t := range m.sortedTasks() {
@@ -341,7 +342,7 @@
 	if m.remote {
 		return math.MaxInt64
 	}
-	due := m.lastAnsweredSentAt + m.LeaseTimeout + 1
+	due := m.leaseStart + m.LeaseTimeout + 1
 	for _, t := range m.Tasks {
 		due = min(due, m.taskDue(t))
 	}
--- a/internal/simulation/world.go
+++ b/internal/simulation/world.go
@@ -30,7 +30,8 @@
 	// Starts is the number of task starts, each counted when the task began to occupy a machine.
 	Starts int
 	// LateStarts is the number of start commands that were executed after a user was told that the job is cancelled.
-	// Commands within CommandTransitTime and those to machines that were hung or unreachable since do not count.
+	// Commands within CommandTransitTime, and commands to machines that have been hung or unreachable since the
+	// cancellation, do not count.
 	LateStarts int
 	// CommandTransitTime is how long after the cancellation of a job a start command may still arrive: the time that a
 	// slow controller needs to learn of the cancellation plus the delay of its last command to a worker.
@@ -81,16 +82,16 @@
 	lease time.Duration,
 ) *Worker {
 	m := &Worker{
-		Name:               name,
-		Type:               machineType.Name,
-		Zone:               zone,
-		Spot:               spot,
-		Capacity:           Resources{CPUs: machineType.CPUs, GPUs: machineType.GPUs, MemoryGB: machineType.MemoryGB},
-		Incarnation:        1,
-		Tasks:              map[protocol.TaskID]*Task{},
-		LeaseTimeout:       lease,
-		World:              w,
-		lastAnsweredSentAt: now,
+		Name:         name,
+		Type:         machineType.Name,
+		Zone:         zone,
+		Spot:         spot,
+		Capacity:     Resources{CPUs: machineType.CPUs, GPUs: machineType.GPUs, MemoryGB: machineType.MemoryGB},
+		Incarnation:  1,
+		Tasks:        map[protocol.TaskID]*Task{},
+		LeaseTimeout: lease,
+		World:        w,
+		leaseStart:   now,
 	}
 	w.Workers[name] = m
 	w.schedule(m)
--- a/internal/simulation/zonefailover_cost_test.go
+++ b/internal/simulation/zonefailover_cost_test.go
@@ -26,7 +26,7 @@
 
 // lossCost adds up the cost of zone failures, partly by the shape of jobs.
 type lossCost struct {
-	lostTaskSeconds   map[protocol.Shape]float64       // sum of missing tasks over time
+	lostTaskSeconds   map[protocol.Shape]float64       // missing tasks, summed over time, in task-seconds
 	recoveredAt       map[protocol.Shape]time.Duration // time until no task was missing any more
 	loanCount         int
 	lenderLostSeconds float64 // work that lenders lost
--- a/internal/simulation/zonefailover_test.go
+++ b/internal/simulation/zonefailover_test.go
@@ -16,8 +16,8 @@
 	"pinebay/internal/testutil"
 )
 
-// withZoneFailover returns an option that enables zone failover at the controllers for which on returns true. It also
-// shortens boot times and limits the capacity of each zone.
+// withZoneFailover returns an option that enables zone failover at the controllers that the function on selects by
+// index. The option also shortens boot times and limits the capacity of each zone.
 func withZoneFailover(on func(node int) bool) func(*cluster) {
 	return func(c *cluster) {
 		c.features = func(node int) daemon.Features {
@@ -122,7 +122,7 @@
 	c.zonesWithoutRentals[zone] = blocked
 }
 
-// crashLeaderOnLoan returns a step that makes the leader crash when it first writes a loan. applied says whether the
+// crashLeaderOnLoan returns a step that makes the leader crash when it first writes a loan. If applied is set, the
 // write is applied before the crash.
 func crashLeaderOnLoan(applied bool) func(c *cluster) {
 	return func(c *cluster) {
@@ -490,9 +490,9 @@
 func TestZoneFailoverSingleZone(t *testing.T) {
 	runScenario(t, 450, 3, fastTimings, func(c *cluster) {
 		c.startJobs(9)
-		heal := disconnectZone("a", 1)(c)
+		repair := disconnectZone("a", 1)(c)
 		time.Sleep(20 * s)
-		heal()
+		repair()
 		time.Sleep(4 * time.Minute)
 		c.checkAllServed()
 		if c.logCount("a single zone, nothing to do") == 0 || c.logCount("is lost") > 0 {
