--- a/internal/coordination/candidates/candidate.go
+++ b/internal/coordination/candidates/candidate.go
@@ -28,8 +28,8 @@
 // Headroom is capacity that is held back for expected jobs of a class. It is withheld from jobs of one priority whose
 // start is less urgent.
 type Headroom struct {
-	// Priority is the priority of the jobs from which the capacity is withheld. Jobs of the class's own priority
-	// could not be preempted for the expected jobs later.
+	// Priority is the priority of the jobs from which the capacity is withheld. The capacity is withheld at least
+	// from jobs of the class's own priority, because these could not be preempted for the expected jobs later.
 	Priority int
 	// StartLatencySeconds is the start latency objective of the class.
 	StartLatencySeconds float64
--- a/internal/coordination/candidates/index.go
+++ b/internal/coordination/candidates/index.go
@@ -15,8 +15,8 @@
 	"pinebay/internal/coordination/machineregistry"
 )
 
-// verifiedFraction is the inverse of the share of the machines that one call of Verify checks.
-const verifiedFraction = 64
+// verifyCallsPerPass is the number of calls of Verify in which all machines are checked once.
+const verifyCallsPerPass = 64
 
 // Index is an index of candidates. The candidate of a machine is stored in the machine's SchedulerData and stays
 // there while the machine accepts no tasks and is not indexed.
@@ -81,7 +81,7 @@
 func (ix *Index) Verify(now time.Duration) {
 	from := ix.verifyCursor
 	ix.verifyCursor = ""
-	remaining := 1 + ix.registry.Len()/verifiedFraction
+	remaining := 1 + ix.registry.Len()/verifyCallsPerPass
 	ix.registry.EachFrom(from, func(m *machineregistry.Machine) bool {
 		if remaining--; remaining < 0 {
 			ix.verifyCursor = m.Name
--- a/internal/coordination/dependency/graph.go
+++ b/internal/coordination/dependency/graph.go
@@ -23,7 +23,7 @@
 	Live
 	// Done is the state of a job that has ended successfully.
 	Done
-	// Cancelled is the state of a job that was cancelled, either itself or because a dependency was cancelled.
+	// Cancelled is the state of a job that was cancelled, either directly or because a dependency was cancelled.
 	Cancelled
 )
 
@@ -68,7 +68,7 @@
 	inPipeline             bool            // has or had dependencies or dependents
 	priority               int             // highest priority among the job and its dependents
 	dependentsByPriority   [Priorities]int // number of dependents with each priority
-	earliestDependentStart time.Duration   // earliest latest start among the dependents
+	earliestDependentStart time.Duration   // earliest of the latest starts of the dependents
 	latestStart            time.Duration   // latest start that meets all deadlines depending on the job
 	cancelledBy            string          // the cancelled job that caused the cancellation
 }
@@ -228,7 +228,7 @@
 	return c
 }
 
-// Unblock removes the dependencies of a job that are all known from another source to be done.
+// Unblock removes all dependencies of a job. The caller must know from another source that all of them are done.
 func (g *Graph) Unblock(id string) (c Change) {
 	n := g.nodes[id]
 	if n == nil || len(n.dependencies) == 0 || n.state != Live {
--- a/internal/coordination/dependency/graph_test.go
+++ b/internal/coordination/dependency/graph_test.go
@@ -120,7 +120,12 @@
 				continue
 			}
 			if got := g.State(id); (got == Cancelled) != cancelledByDependency || got == Done || got == UnknownOutcome {
-				t.Fatalf("%s is in state %d, cancelled %v", id, got, cancelledByDependency)
+				t.Fatalf(
+					"%s is in state %d, want Cancelled or Live; cancelled by a dependency: %v",
+					id,
+					got,
+					cancelledByDependency,
+				)
 			}
 			if cancelled[id] != cancelledByDependency {
 				t.Fatalf("%s reported as cancelled: %v, want %v", id, cancelled[id], cancelledByDependency)
@@ -132,7 +137,7 @@
 				t.Fatalf("%s has %d open dependencies, want %d", id, got, open)
 			}
 			if unblocked[id] && open > 0 {
-				t.Fatalf("%s was unblocked with %d open dependencies", id, open)
+				t.Fatalf("%s was unblocked with %d open dependencies, want none", id, open)
 			}
 			if got, ok := g.Priority(id); !ok || got != r.priority(id) {
 				t.Fatalf("%s has priority %d, want %d", id, got, r.priority(id))
@@ -175,13 +180,17 @@
 	g.Add(Job{ID: "b", Dependencies: []string{"a"}, Deadline: NoDeadline})
 	g.Add(Job{ID: "c", Dependencies: []string{"b"}, Deadline: NoDeadline})
 	if c := g.EndWithUnknownOutcome("a"); !slices.Equal(c.UnknownOutcomes, []string{"a"}) {
-		t.Fatalf("unknown outcomes: %v", c.UnknownOutcomes)
+		t.Fatalf("unknown outcomes: %v, want a", c.UnknownOutcomes)
 	}
 	if got := g.UnresolvedDependencies("c", 9); !slices.Equal(got, []string{"a"}) {
-		t.Fatalf("unknown outcomes before the last job: %v", got)
+		t.Fatalf("unresolved dependencies of the last job: %v, want a", got)
 	}
 	if c := g.End("a", Cancelled); !slices.Equal(c.Cancelled, []string{"b", "c"}) || g.CancelledBy("c") != "a" {
-		t.Errorf("cancelled dependents: %v, cancelled by %q", c.Cancelled, g.CancelledBy("c"))
+		t.Errorf(
+			"cancelled dependents: %v, c cancelled by %q, want b and c, cancelled by a",
+			c.Cancelled,
+			g.CancelledBy("c"),
+		)
 	}
 }
 
@@ -210,10 +219,14 @@
 		t.Errorf("adding the last job of the chain reprioritises %d jobs, want %d", len(c.Reprioritised), n+1)
 	}
 	if c := chain.End("j-00000", Done); len(c.Unblocked) != 1 || len(c.Reprioritised) != 0 {
-		t.Errorf("end of the first job unblocks %d and reprioritises %d jobs", len(c.Unblocked), len(c.Reprioritised))
+		t.Errorf(
+			"end of the first job unblocks %d and reprioritises %d jobs, want 1 and 0",
+			len(c.Unblocked),
+			len(c.Reprioritised),
+		)
 	}
 	if c := star.End("hub", Done); len(c.Unblocked) != n {
-		t.Errorf("end of the common dependency unblocks %d jobs", len(c.Unblocked))
+		t.Errorf("end of the common dependency unblocks %d jobs, want all dependents", len(c.Unblocked))
 	}
 	layers := New()
 	for layer := range 100 {
--- a/internal/coordination/fairshare/queue_test.go
+++ b/internal/coordination/fairshare/queue_test.go
@@ -66,7 +66,7 @@
 			}
 		}
 		if got, ok := queue.Next(); ok {
-			t.Errorf("%s is returned twice", got.id)
+			t.Errorf("%s is returned after all jobs were returned once", got.id)
 		}
 	})
 }
@@ -128,7 +128,7 @@
 			got = append(got, j)
 		}
 		if !slices.Equal(got, waiting) {
-			t.Errorf("%s: jobs in the order %v", name, got)
+			t.Errorf("%s: jobs in the order %v, want their original order", name, got)
 		}
 	}
 }
@@ -222,10 +222,10 @@
 				t.Errorf("%d more tasks within the guarantee, want %d", got, test.withinGuarantee)
 			}
 			if got := quotas.WithinGuarantee("red", task); got != (test.withinGuarantee > 0) {
-				t.Errorf("WithinGuarantee returned %v", got)
+				t.Errorf("WithinGuarantee returned %v, want the opposite", got)
 			}
 			if got := quotas.ExceedsGuarantee("red"); got != test.exceedsGuarantee {
-				t.Errorf("ExceedsGuarantee returned %v", got)
+				t.Errorf("ExceedsGuarantee returned %v, want the opposite", got)
 			}
 			if got := quotas.WeightedUsage("red"); got != test.weightedUsage {
 				t.Errorf("weighted usage %v, want %v", got, test.weightedUsage)
--- a/internal/coordination/jobstate/job.go
+++ b/internal/coordination/jobstate/job.go
@@ -102,7 +102,8 @@
 
 	// BackoffUntil is the time before which no task of the job starts, after failures.
 	BackoffUntil time.Duration
-	Failures     int
+	// Failures is the number of failures that determine the backoff. A start of a task reduces it by one.
+	Failures int
 	// FailedOn holds the machines on which tasks of the job have failed.
 	FailedOn map[string]bool
 
--- a/internal/coordination/jobstate/job_test.go
+++ b/internal/coordination/jobstate/job_test.go
@@ -88,7 +88,12 @@
 	j.Bind(time.Second, pl)
 	if j.TaskState(1) != TaskPlaced || j.Placements[1] != pl ||
 		!slices.Equal(j.Unstarted, []*machineregistry.Placement{pl}) {
-		t.Errorf("task 1 is %v, placements %v, unstarted %v", j.TaskState(1), j.Placements, j.Unstarted)
+		t.Errorf(
+			"task 1 is %v, placements %v, unstarted %v, want it placed and unstarted",
+			j.TaskState(1),
+			j.Placements,
+			j.Unstarted,
+		)
 	}
 	if q.Starts.Next(time.Second, nil) != j {
 		t.Error("the start is not queued")
@@ -109,7 +114,12 @@
 	j.RestorePlacement(newTestPlacement(j, 0))
 	j.RestorePlacement(newTestPlacement(j, 1))
 	if j.TaskState(0) != TaskDone || j.TaskState(1) != TaskPlaced || len(j.Placements) != 2 {
-		t.Errorf("states %v and %v, %d placements", j.TaskState(0), j.TaskState(1), len(j.Placements))
+		t.Errorf(
+			"states %v and %v, %d placements, want done, placed and 2",
+			j.TaskState(0),
+			j.TaskState(1),
+			len(j.Placements),
+		)
 	}
 }
 
@@ -124,7 +134,7 @@
 	}
 	second.Reprioritise(0, time.Minute)
 	if got := q.Pending.Items(); !slices.Equal(got, []*Job{second, first}) {
-		t.Errorf("pending jobs are in the order %s, %s", got[0].Spec.ID, got[1].Spec.ID)
+		t.Errorf("pending jobs are in the order %s, %s, want j-2, j-1", got[0].Spec.ID, got[1].Spec.ID)
 	}
 	if got := q.Fetching.Items(); !slices.Equal(got, []*Job{second, first}) {
 		t.Errorf("%d fetching jobs, want both in the new order", len(got))
@@ -141,7 +151,12 @@
 	q.Add(j)
 	j.MarkEnded()
 	if !j.Ended || j.LiveRevision != 0 || q.Pending.Len() != 0 {
-		t.Errorf("ended: %v, live revision %d, %d pending jobs", j.Ended, j.LiveRevision, q.Pending.Len())
+		t.Errorf(
+			"ended: %v, live revision %d, %d pending jobs, want true, 0 and 0",
+			j.Ended,
+			j.LiveRevision,
+			q.Pending.Len(),
+		)
 	}
 }
 
@@ -165,10 +180,10 @@
 	}
 	jobs[1].WriteInFlight = true // the job is queued again after that write
 	if got := ids(2 * time.Second); !slices.Equal(got, []string{"j-1", "j-3"}) {
-		t.Errorf("got %v up to two seconds", got)
+		t.Errorf("got %v up to two seconds, want j-1 and j-3", got)
 	}
 	if got := ids(time.Minute); !slices.Equal(got, []string{"j-4"}) {
-		t.Errorf("got %v up to a minute", got)
+		t.Errorf("got %v up to a minute, want j-4", got)
 	}
 }
 
@@ -180,11 +195,19 @@
 		j.FailedOn[machine] = true
 	}
 	if j.LikelyFaulty() || len(j.AvoidedMachines()) != 2 {
-		t.Errorf("failed on two machines: faulty %v, avoided machines %v", j.LikelyFaulty(), j.AvoidedMachines())
+		t.Errorf(
+			"failed on two machines: faulty %v, avoided machines %v, want false and both",
+			j.LikelyFaulty(),
+			j.AvoidedMachines(),
+		)
 	}
 	j.FailedOn["m3"] = true
 	if !j.LikelyFaulty() || len(j.AvoidedMachines()) != 0 {
-		t.Errorf("failed on three machines: faulty %v, avoided machines %v", j.LikelyFaulty(), j.AvoidedMachines())
+		t.Errorf(
+			"failed on three machines: faulty %v, avoided machines %v, want true and none",
+			j.LikelyFaulty(),
+			j.AvoidedMachines(),
+		)
 	}
 	j.SetTask(0, TaskDone)
 	if j.LikelyFaulty() {
--- a/internal/coordination/jobstate/pages.go
+++ b/internal/coordination/jobstate/pages.go
@@ -76,8 +76,8 @@
 	return size
 }
 
-// PagesToWrite returns the numbers of the next pages to write in ascending order, at most limit of them. Pages that
-// starts depend on are chosen first.
+// PagesToWrite returns the numbers of the next pages to write in ascending order, at most limit of them. Pages of
+// placements that may start once they are recorded are chosen first.
 func (j *Job) PagesToWrite(limit int) []int {
 	var numbers []int
 	add := func(number int) {
--- a/internal/coordination/jobstate/queues.go
+++ b/internal/coordination/jobstate/queues.go
@@ -107,8 +107,8 @@
 }
 
 // NextCompletion removes and returns the first job in the queue of completions, or nil if none was queued at or before
-// the given time. It drops jobs that no longer need such a write. A job with another write in flight is dropped too,
-// and is queued again after that write.
+// the given time. It drops jobs that need no write of completions any more. A job with another write in flight is
+// dropped, too, and is queued again after that write.
 func (q *Queues) NextCompletion(before time.Duration) *Job {
 	for len(q.completions) > 0 && q.completions[0].completionQueuedAt <= before {
 		j := q.completions[0]
--- a/internal/coordination/jobstate/startqueue_test.go
+++ b/internal/coordination/jobstate/startqueue_test.go
@@ -30,7 +30,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		q := NewStartQueue()
 		now, created := time.Duration(0), 0
-		waiting := map[*Job]int{} // number of other jobs that may still be dequeued before it
+		waiting := map[*Job]int{} // number of other jobs that may still be dequeued before each job
 		for range rapid.IntRange(1, 300).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 3).Draw(t, "pause")) * time.Second
 			for range rapid.IntRange(0, 2).Draw(t, "new") {
@@ -45,7 +45,7 @@
 			oldestFirst := q.oldestIsNext()
 			j := q.Next(now, nil)
 			if (j == nil) != (len(waiting) == 0) {
-				t.Fatalf("next job is %v with %d jobs waiting", j, len(waiting))
+				t.Fatalf("next job is %v with %d jobs waiting, want nil only if none is", j, len(waiting))
 			}
 			if j == nil {
 				continue
@@ -88,7 +88,7 @@
 		q.Dequeue(j)
 		if j.Spec.Team == "blue" {
 			if dequeued > oldestFirstInterval {
-				t.Errorf("dequeued after %d jobs of the other team", dequeued)
+				t.Errorf("dequeued after %d jobs of the other team, want after 4 at most", dequeued)
 			}
 			return
 		}
--- a/internal/coordination/machineindex/index.go
+++ b/internal/coordination/machineindex/index.go
@@ -55,7 +55,7 @@
 type pool[T any] struct {
 	id       Pool
 	capacity machineregistry.Resources
-	buckets  []*bucket[T] // never empty ones; sorted by compareBucketKeys
+	buckets  []*bucket[T] // none is empty; sorted by compareBucketKeys
 }
 
 // bucket holds the machines of a pool whose free amount of each resource is in the same range.
--- a/internal/coordination/machineindex/index_test.go
+++ b/internal/coordination/machineindex/index_test.go
@@ -121,7 +121,7 @@
 			t.Fatalf("MayFit returned %v, want %v", mayFit, fits)
 		}
 		if x.Len() != size || !complete {
-			t.Fatalf("%d machines, want %d; complete %v", x.Len(), size, complete)
+			t.Fatalf("%d machines, want %d; search complete %v, want true", x.Len(), size, complete)
 		}
 		switch {
 		case want == nil && best.Found:
@@ -167,7 +167,13 @@
 				return m.score(BestFit, need), true
 			})
 			if examined > maxExamined || best.Found != (name != "full") {
-				t.Errorf("%s, %d machines: %d examined, found %v", name, n, examined, best.Found)
+				t.Errorf(
+					"%s, %d machines: %d examined, want 40 at most; found %v, want one unless all are full",
+					name,
+					n,
+					examined,
+					best.Found,
+				)
 			}
 		}
 	}
--- a/internal/coordination/machineregistry/commands.go
+++ b/internal/coordination/machineregistry/commands.go
@@ -14,9 +14,9 @@
 // limit of the protocol.
 const maxCommandsPerBatch = 400
 
-// commandState is the state of command delivery to one machine. It holds no commands: those that are due are derived
-// from the machine's placements, unknown tasks and exited tasks, and a command stays due until a heartbeat shows that
-// it was executed.
+// commandState is the state of command delivery to one machine. It holds no commands: the commands that are due are
+// derived from the machine's placements, unknown tasks and exited tasks, and a command stays due until a heartbeat
+// shows that it was executed.
 type commandState struct {
 	inFlight bool          // a direct command has not been answered yet
 	retryAt  time.Duration // earliest time of the next direct command
--- a/internal/coordination/machineregistry/commands_test.go
+++ b/internal/coordination/machineregistry/commands_test.go
@@ -38,7 +38,12 @@
 		commands := registry.TakeDueCommands(now, m)
 		raw, err := protocol.Encode(protocol.WorkerHeartbeatReply{FencingToken: 1, Commands: commands})
 		if err != nil || len(raw) > protocol.MaxBodyBytes {
-			t.Fatalf("%d commands in %d bytes: %v", len(commands), len(raw), err)
+			t.Fatalf(
+				"%d commands in %d bytes, error %v, want a reply within the size limit",
+				len(commands),
+				len(raw),
+				err,
+			)
 		}
 		for _, c := range commands {
 			if c.Verb != protocol.VerbRun || started[c.TaskName] {
@@ -68,11 +73,11 @@
 	pl := newTestPlacement(1, 1)
 	mustReserve(t, registry, 0, pl)
 	if got := verbsOf(registry.TakeDueCommands(0, m)); got != "" {
-		t.Errorf("commands before the placement is recorded: %q", got)
+		t.Errorf("commands before the placement is recorded: %q, want none", got)
 	}
 	registry.AllowStart(pl)
 	if got := verbsOf(registry.TakeDueCommands(0, m)); got != "run " {
-		t.Errorf("commands after the placement is recorded: %q", got)
+		t.Errorf("commands after the placement is recorded: %q, want run", got)
 	}
 	exit := testExit(1, protocol.CauseStopped)
 	runToken := registry.FencingToken(m)
@@ -80,7 +85,7 @@
 	now := time.Hour
 	registry.HandleHeartbeat(now, testHeartbeat(1, 3, runToken, exit))
 	if got := verbsOf(registry.TakeDueCommands(now, m)); got != "" {
-		t.Errorf("commands before the outcome is recorded: %q", got)
+		t.Errorf("commands before the outcome is recorded: %q, want none", got)
 	}
 	again := newTestPlacement(1, 1)
 	again.Attempt = 2
@@ -89,11 +94,16 @@
 	}
 	registry.MarkOutcomeRecorded(pl)
 	if got := verbsOf(registry.TakeDueCommands(now, m)); got != "" || registry.FencingToken(m) <= runToken {
-		t.Errorf("commands after the outcome record: %q, token %d after %d", got, registry.FencingToken(m), runToken)
+		t.Errorf(
+			"commands after the outcome is recorded: %q, token %d, want none and a token above %d",
+			got,
+			registry.FencingToken(m),
+			runToken,
+		)
 	}
 	registry.HandleHeartbeat(now+1, testHeartbeat(1, 4, registry.FencingToken(m), exit))
 	if got := verbsOf(registry.TakeDueCommands(now+1, m)); got != "forget " {
-		t.Errorf("commands after the worker has reported the new token: %q", got)
+		t.Errorf("commands after the worker has reported the new token: %q, want forget", got)
 	}
 	if !registry.Reserve(now+2, []*Placement{again}) {
 		t.Error("new attempt not reserved after the old one was forgotten")
@@ -119,13 +129,13 @@
 		t.Fatal("placement terminated although its run command may be in transit")
 	}
 	if got := verbsOf(registry.TakeDueCommands(2, m)); got != "stop " || registry.FencingToken(m) <= runToken {
-		t.Errorf("commands %q with token %d after %d", got, registry.FencingToken(m), runToken)
+		t.Errorf("commands %q with token %d, want stop with a token above %d", got, registry.FencingToken(m), runToken)
 	}
 	if got := heartbeat(3, 2, runToken); len(got) != 0 || pl.Terminated {
 		t.Error("placement terminated after absence with the token of its run command")
 	}
 	if got := heartbeat(4, 3, registry.FencingToken(m)); len(got) != 1 || !got[0].Lost || !pl.Terminated {
-		t.Errorf("observations after absence with a higher token: %v", got)
+		t.Errorf("observations after absence with a higher token: %v, want the placement lost", got)
 	}
 
 	adopted := newTestPlacement(3, 1)
@@ -136,7 +146,7 @@
 		t.Error("placement terminated after absence with a token of an earlier leader")
 	}
 	if got := heartbeat(7, 5, registry.FencingToken(m)); len(got) != 1 {
-		t.Errorf("observations after absence with a token of this leader: %v", got)
+		t.Errorf("observations after absence with a token of this leader: %v, want one", got)
 	}
 
 	neverSent := newTestPlacement(2, 1)
--- a/internal/coordination/machineregistry/heartbeat_test.go
+++ b/internal/coordination/machineregistry/heartbeat_test.go
@@ -38,7 +38,7 @@
 	pl := &Placement{Task: protocol.TaskID{JobID: "j-1"}, Attempt: 1, Machine: "m1", Incarnation: 2, StartAllowed: true}
 	registry.Adopt(now, pl)
 	if registry.HandleUnchangedHeartbeat(now, "m1", 2, 7) || pl.Terminated {
-		t.Errorf("accepted although a command is due, or placement terminated (%v)", pl.Terminated)
+		t.Errorf("accepted although a command is due, or placement terminated (%v), want neither", pl.Terminated)
 	}
 }
 
@@ -77,7 +77,12 @@
 		observations := x.event(registry)
 		terminated := len(observations) == 1 && observations[0].Placement == pl && pl.Terminated
 		if terminated != x.terminated || pl.Terminated != x.terminated {
-			t.Errorf("%s: terminated %v, observations %v", x.name, terminated, observations)
+			t.Errorf(
+				"%s: terminated %v, observations %v, want the placement and the observations to match the case",
+				x.name,
+				terminated,
+				observations,
+			)
 		}
 	}
 }
--- a/internal/coordination/machineregistry/images_test.go
+++ b/internal/coordination/machineregistry/images_test.go
@@ -34,12 +34,17 @@
 	end(20*time.Second, 2)
 	start(30*time.Second, 3, "new", 4) // evicts one image
 	if now := 40 * time.Second; !cached(now, "old") || cached(now, "short") || !cached(now, "new") {
-		t.Errorf("cached: old %v, short %v, new %v", cached(now, "old"), cached(now, "short"), cached(now, "new"))
+		t.Errorf(
+			"cached: old %v, short %v, new %v, want all but short",
+			cached(now, "old"),
+			cached(now, "short"),
+			cached(now, "new"),
+		)
 	}
 	end(50*time.Second, 3)
 	end(60*time.Second, 1)
 	start(70*time.Second, 4, "next", 4)
 	if now := 80 * time.Second; !cached(now, "old") || cached(now, "new") {
-		t.Errorf("cached: old (last used) %v, new %v", cached(now, "old"), cached(now, "new"))
+		t.Errorf("cached: old (last used) %v, new %v, want only old", cached(now, "old"), cached(now, "new"))
 	}
 }
--- a/internal/coordination/machineregistry/machine.go
+++ b/internal/coordination/machineregistry/machine.go
@@ -11,8 +11,8 @@
 // identity and location, as given by the cloud, until the machine is registered.
 //
 // A machine is created unregistered, from a request to the cloud, the cloud's list of machines, or a record. Its
-// first heartbeat registers it. From then on, Registry.Schedulable reports whether it accepts new tasks. It does not
-// while heartbeats are missing, while it lists tasks that should not run there, or under one of these conditions:
+// first heartbeat registers it. From then on, Registry.Schedulable reports whether it accepts new tasks. It accepts
+// none while heartbeats are missing, while it lists tasks that should not run there, or under one of these conditions:
 //   - unresponsive: it did not execute a command, or its worker restarted; ends after a time;
 //   - quarantined: tasks of several jobs have failed on it; permanent;
 //   - interrupted: the cloud has sent an interruption notice; permanent;
--- a/internal/coordination/machineregistry/registry_test.go
+++ b/internal/coordination/machineregistry/registry_test.go
@@ -112,7 +112,7 @@
 				}
 				used := reservedGPUs()
 				if ok := registry.Reserve(now, placements); ok != (used+sum <= testMachineType.GPUs+1e-9) {
-					t.Fatalf("reservation of %v GPUs with %v in use: %v", sum, used, ok)
+					t.Fatalf("reservation of %v GPUs with %v in use: succeeded %v, want the opposite", sum, used, ok)
 				} else if ok {
 					for _, pl := range placements {
 						reserved[pl.Task.Index] = pl
--- a/internal/coordination/machineregistry/usage.go
+++ b/internal/coordination/machineregistry/usage.go
@@ -10,7 +10,7 @@
 	total          Resources
 	stopping       placementUsage                 // placements that are being stopped
 	byPriority     [PriorityLevels]placementUsage // placements of each priority level
-	checkpointable [PriorityLevels]placementUsage // those of each priority level that can save a checkpoint
+	checkpointable [PriorityLevels]placementUsage // placements of each level that can save a checkpoint
 }
 
 // placementUsage is the number and the total resources of a set of placements.
@@ -33,7 +33,8 @@
 }
 
 // PreemptibleResources returns an upper bound of the resources that become free if all placements at the given level
-// and at less important levels end, along with all placements that are already being stopped.
+// and at less important levels end, along with all placements that are already being stopped. Placements that belong to
+// both groups are counted twice.
 func (m *Machine) PreemptibleResources(level int) Resources {
 	sum := m.usage.stopping.resources
 	for l := max(0, level); l < PriorityLevels; l++ {
--- a/internal/coordination/placement/consolidation.go
+++ b/internal/coordination/placement/consolidation.go
@@ -34,8 +34,8 @@
 	return &Consolidator{rules: rules, interval: interval}
 }
 
-// Next returns the least utilized machine whose placements all fit on other machines, or nil if there is none or the
-// interval since the last one is not over.
+// Next returns the least utilized machine whose placements all fit on other machines. It returns nil if there is none
+// or if the interval since it last returned a machine has not passed.
 func (c *Consolidator) Next(now time.Duration) *machineregistry.Machine {
 	if now-c.lastSelected < c.interval {
 		return nil
--- a/internal/coordination/placement/finder.go
+++ b/internal/coordination/placement/finder.go
@@ -172,7 +172,7 @@
 	lowest := math.Inf(1)
 	f.rules.Candidates.Machines.EachPool(func(p machineindex.Pool) { lowest = min(lowest, q.PoolScore(p)) })
 	if !f.rules.StartLatency.Has(j.Spec.Class) {
-		lowest++ // see packingScore
+		lowest++ // the packing score of a machine with the image is 1 then (see packingScore)
 	}
 	return lowest
 }
@@ -262,9 +262,9 @@
 }
 
 // boundPreferringPackedMachines returns the score bound of machines without the job's image, not counting one fetch
-// of it, for a job whose score rises as free capacity grows. The exception is a machine whose other fetches delay
-// this one beyond the start latency objective: its fetch takes at least objective/SlowFetchFactor, and its packing
-// score can be as low as -1.
+// of it, for a job whose score rises as free capacity grows. The exception is a machine on which other fetches delay
+// the job's fetch beyond the start latency objective: that fetch takes at least objective/SlowFetchFactor, and the
+// packing score of the machine can be as low as -1.
 func (f *Finder) boundPreferringPackedMachines(j *jobstate.Job) scoreBound {
 	delayed := math.Inf(1)
 	objective := f.rules.StartLatency.Seconds(j.Spec.Class)
--- a/internal/coordination/placement/nomination.go
+++ b/internal/coordination/placement/nomination.go
@@ -36,9 +36,9 @@
 }
 
 // NominatedForOther reports whether a machine is nominated for another job whose claim takes precedence. A job that
-// is scheduled before the nominated one in this cycle may take the capacity: if every gang kept what was preempted
-// for it, several gangs could each hold a part of the capacity that one of them needs. A job that has found capacity
-// elsewhere has no claim any more.
+// is scheduled before the nominated one in this cycle may take the capacity: if every gang kept the capacity that was
+// preempted for it, several gangs could each hold a part of the capacity that one of them needs. A job that has found
+// capacity elsewhere has no claim any more.
 func (r *Rules) NominatedForOther(now time.Duration, m *machineregistry.Machine, id string) bool {
 	if m.NominatedJob == "" || m.NominatedJob == id || now >= m.NominatedUntil {
 		return false
--- a/internal/coordination/placement/placement_test.go
+++ b/internal/coordination/placement/placement_test.go
@@ -145,7 +145,7 @@
 			r.Cycle, r.Jobs["j-2"] = cycle, f.other
 			test.change(f)
 			if got := r.Feasible(0, f.job, x, f.limits); got != test.want {
-				t.Errorf("Feasible returned %v", got)
+				t.Errorf("Feasible returned %v, want the opposite", got)
 			}
 		})
 	}
@@ -157,16 +157,16 @@
 	j.Placements[0] = &machineregistry.Placement{Zone: "a"}
 	j.Placements[1] = &machineregistry.Placement{Zone: "a"}
 	if l := ZoneLimitsOf(j); !l.Allows("a") || !l.Allows("b") || l.TasksPerZone["a"] != 2 {
-		t.Errorf("no constraint: %+v", l)
+		t.Errorf("no constraint: %+v, want both zones allowed and two tasks in zone a", l)
 	}
 	j.Spec.Spread = true
 	j.Placements[2] = &machineregistry.Placement{Zone: "a"}
 	if l := ZoneLimitsOf(j); l.MaxTasksPerZone != 3 || l.Allows("a") || !l.Allows("b") {
-		t.Errorf("spread: %+v", l)
+		t.Errorf("spread: %+v, want zone a full with 3 tasks and zone b allowed", l)
 	}
 	j.Spec.Spread, j.Spec.SameZone = false, true
 	if l := ZoneLimitsOf(j); !l.Allows("a") || l.Allows("b") {
-		t.Errorf("same zone: %+v", l)
+		t.Errorf("same zone: %+v, want only zone a allowed", l)
 	}
 }
 
@@ -178,10 +178,10 @@
 		{Kind: "finished", Class: "batch", WithinSeconds: 5},
 	})
 	if got := s.Seconds("quick"); got != 12 || !s.Has("quick") {
-		t.Errorf("quick: %v", got)
+		t.Errorf("objective of quick: %v s, want the strictest, 12 s", got)
 	}
 	if got := s.Seconds("batch"); !math.IsInf(got, 1) || s.Has("batch") {
-		t.Errorf("batch: %v", got)
+		t.Errorf("objective of batch: %v s, want none", got)
 	}
 }
 
--- a/internal/coordination/placement/rules.go
+++ b/internal/coordination/placement/rules.go
@@ -52,7 +52,8 @@
 	return !r.NominatedForOther(now, x.Machine, j.Spec.ID)
 }
 
-// AllowsMachine reports whether a job allows the machine type of a candidate, and spot machines if it is one.
+// AllowsMachine reports whether a job allows the machine type of a candidate and, if the candidate is a spot machine,
+// allows spot machines.
 func AllowsMachine(spec *protocol.Job, x *candidates.Candidate) bool {
 	return (!x.Machine.Spot || spec.SpotAllowed) && x.Type.AllowedBy(spec)
 }
@@ -71,14 +72,14 @@
 		score += spotScore(j, x.Type)
 	}
 	if j.FailedOn[x.Machine.Name] {
-		score += failedOnMachineBoots * x.Type.BootSeconds
+		score += failedMachinePenaltyBoots * x.Type.BootSeconds
 	}
 	return score + float64(len(x.Machine.FailedJobs))*x.Type.BootSeconds + r.Zones.RiskPenalty(j, x.Machine.Zone)
 }
 
-// failedOnMachineBoots is the score penalty for a machine on which a task of the job has failed, as a multiple of the
-// machine's boot time.
-const failedOnMachineBoots = 10
+// failedMachinePenaltyBoots is the score penalty for a machine on which a task of the job has failed, as a multiple of
+// the machine's boot time.
+const failedMachinePenaltyBoots = 10
 
 // packingScore returns the part of the score that rates how a task packs onto a machine. It normally prefers the
 // machine with the least capacity left. If the image takes long to fetch, it prefers the machine with the most
--- a/internal/coordination/placement/victims.go
+++ b/internal/coordination/placement/victims.go
@@ -13,7 +13,7 @@
 )
 
 // CheapestPreemption returns the candidate on which preempting placements for a task of the job costs least, and the
-// victims there. It considers only candidates that have the task's image within maxFetchTime. Placements of the job's
+// victims there. It considers only candidates that can have the image within maxFetchTime. Placements of the job's
 // own team are preempted only at level victimPriority or less important levels, which have higher numbers.
 //
 // It examines machines with placements at these levels (at any level if the job's team is within its guaranteed
@@ -129,8 +129,8 @@
 }
 
 // SelectVictims selects the placements on a candidate to be preempted for a task of the job, and returns the cost of
-// that, in seconds of work that is lost or has to be placed again. It returns false if the task would not fit even
-// then, or needs no preemption.
+// preempting them, in seconds of work that is lost or has to be placed again. It returns false if the task would not
+// fit even after the preemption, or needs none.
 func (r *Rules) SelectVictims(
 	now time.Duration,
 	j *jobstate.Job,
@@ -183,12 +183,12 @@
 // placement's share of the machine, plus a term for the age of the job. An old job has probably been passed over or
 // preempted before and is more likely to miss its objective.
 func (r *Rules) preemptionCost(now time.Duration, pl *machineregistry.Placement, x *candidates.Candidate) float64 {
-	const jobAgeWeight = 10
+	const jobAgePerCost = 10 // seconds of job age that add one second to the cost
 	lost := (now - pl.StateSince).Seconds()
 	if pl.Job != nil && pl.Job.CheckpointIntervalSeconds > 0 {
 		lost = pl.Job.CheckpointSaveSeconds
 	}
-	return 1 + lost*pl.Resources.DominantShare(x.Capacity()) + r.jobAge(now, pl).Seconds()/jobAgeWeight
+	return 1 + lost*pl.Resources.DominantShare(x.Capacity()) + r.jobAge(now, pl).Seconds()/jobAgePerCost
 }
 
 // mayPreempt reports whether a placement may be preempted for a job. Placements of the job's own team may be
--- a/internal/coordination/scheduler/allocate.go
+++ b/internal/coordination/scheduler/allocate.go
@@ -153,8 +153,8 @@
 }
 
 // holdForGang holds capacity for a gang that does not fit as a whole, so that later jobs of the cycle cannot use it:
-// the capacity that was allocated and, for each missing task, the machine with the most free capacity. Every
-// gangHoldCycles+1 cycles it holds nothing, so that smaller jobs can backfill.
+// the capacity that was allocated and, for each missing task, the machine with the most free capacity. In every
+// (gangHoldCycles+1)th cycle it holds no capacity, so that smaller jobs can backfill.
 func (s *Scheduler) holdForGang(
 	now time.Duration,
 	j *jobstate.Job,
--- a/internal/coordination/scheduler/allocate_test.go
+++ b/internal/coordination/scheduler/allocate_test.go
@@ -63,7 +63,13 @@
 			}
 			zones[id.JobID][zone[m]]++
 			if spot[m] && !j.SpotAllowed || j.Zone != "" && j.Zone != zone[m] {
-				t.Fatalf("%v was placed on %s in zone %s, spot %v", id, m, zone[m], spot[m])
+				t.Fatalf(
+					"%v was placed on %s in zone %s (spot %v), which its job does not allow",
+					id,
+					m,
+					zone[m],
+					spot[m],
+				)
 			}
 		}
 		for m, u := range used {
@@ -77,14 +83,14 @@
 		for id, j := range jobs {
 			n := h.startedTasks(id)
 			if j.Shape == protocol.Gang && n != 0 && n != j.TaskCount {
-				t.Fatalf("gang %s: %d of %d tasks started", id, n, j.TaskCount)
+				t.Fatalf("gang %s: %d of %d tasks started, want all or none", id, n, j.TaskCount)
 			}
 			if j.SameZone && len(zones[id]) > 1 {
-				t.Fatalf("tasks of %s run in several zones: %v", id, zones[id])
+				t.Fatalf("tasks of %s run in several zones: %v, want one", id, zones[id])
 			}
 			for z, n := range zones[id] {
 				if j.Spread && n > (j.TaskCount+1)/2 {
-					t.Fatalf("%s runs %d of %d tasks in zone %s", id, n, j.TaskCount, z)
+					t.Fatalf("%s runs %d of %d tasks in zone %s, want at most half, rounded up", id, n, j.TaskCount, z)
 				}
 			}
 		}
@@ -107,7 +113,7 @@
 		h.heartbeat("m1", "a", false)
 		h.runCycle()
 		if got, want := h.startedTasks("j-2"), cycle > gangHoldCycles; (got == 1) != want {
-			t.Fatalf("cycle %d: %d backfilling tasks started", cycle, got)
+			t.Fatalf("cycle %d: %d backfilling tasks started, want 1 only in the cycle after the hold", cycle, got)
 		}
 	}
 	if h.startedTasks("j-1") != 0 {
@@ -169,18 +175,22 @@
 	done := 0
 	for range 30 {
 		h.runCycle()
-		by := map[string][]protocol.TaskStatus{}
+		exits := map[string][]protocol.TaskStatus{} // by machine
 		for id, c := range h.runs {
-			by[h.machineOf[id]] = append(by[h.machineOf[id]], exitedTask(id, c.Attempt, protocol.CauseDone))
+			exits[h.machineOf[id]] = append(exits[h.machineOf[id]], exitedTask(id, c.Attempt, protocol.CauseDone))
 			done++
 		}
 		clear(h.runs)
 		for i := range 10 {
 			m := fmt.Sprintf("m%d", i)
-			h.heartbeat(m, "a", false, by[m]...)
+			h.heartbeat(m, "a", false, exits[m]...)
 		}
 	}
 	if s, ok := h.scheduler.Status("j-1"); !ok || s.DoneTasks != done || done < 30*80/2 {
-		t.Errorf("status %+v, %d tasks reported as done", s, done)
+		t.Errorf(
+			"status %+v, %d tasks reported as done, want the same number and at least half of the slots used",
+			s,
+			done,
+		)
 	}
 }
--- a/internal/coordination/scheduler/borrowing.go
+++ b/internal/coordination/scheduler/borrowing.go
@@ -35,8 +35,9 @@
 	return s.mayBorrow(j) && len(s.rules.Nominated(now, j)) > 0
 }
 
-// borrowCapacity searches for capacity for up to n tasks of a job that has lost them with a zone. It returns false only
-// if the loans cannot be recorded, in which case the job has to get its capacity by ordinary preemption.
+// borrowCapacity searches for capacity that a job can borrow for up to n of the tasks that it has lost with a zone. It
+// returns false only if the loans cannot be recorded, in which case the job has to get its capacity by ordinary
+// preemption.
 func (s *Scheduler) borrowCapacity(now time.Duration, j *jobstate.Job, limits *placement.ZoneLimits, n int) bool {
 	n -= len(s.rules.Nominated(now, j)) // already lent but not free yet
 	if n <= 0 {
@@ -77,11 +78,11 @@
 	limits *placement.ZoneLimits,
 	choice zonefailover.Choice,
 ) {
-	save := 0.0
+	saveSeconds := 0.0
 	for _, lender := range choice.Lenders {
-		save = max(save, s.jobs[lender.Job].Spec.CheckpointSaveSeconds+s.cfg.Workers.GangPeerSeconds)
+		saveSeconds = max(saveSeconds, s.jobs[lender.Job].Spec.CheckpointSaveSeconds+s.cfg.Workers.GangPeerSeconds)
 	}
-	until := now + config.Seconds(save+3*s.cfg.Workers.HeartbeatSeconds) + 2*CycleInterval
+	until := now + config.Seconds(saveSeconds+3*s.cfg.Workers.HeartbeatSeconds) + 2*CycleInterval
 	for _, candidate := range all {
 		if !slices.ContainsFunc(
 			choice.Picks,
--- a/internal/coordination/scheduler/cancellation.go
+++ b/internal/coordination/scheduler/cancellation.go
@@ -9,8 +9,8 @@
 )
 
 // handleCancellationIntent stops a job whose user may be told that it is cancelled before the leader can read the
-// cancellation from the key-value store, which may be unreachable. Nobody needs the results of its tasks by then. If
-// the job turns out not to be cancelled, it is placed again.
+// cancellation from the key-value store, which may be unreachable. The results of the job's tasks are not needed any
+// more. If the job turns out not to be cancelled, it is placed again.
 func (s *Scheduler) handleCancellationIntent(now time.Duration, e CancellationIntent) {
 	s.cancellationIntents[e.ID] = max(s.cancellationIntents[e.ID], e.ValidUntil)
 	j := s.jobs[e.ID]
@@ -28,14 +28,15 @@
 	}
 }
 
-// fencingDeadline returns the time at which machines have to be fenced that may still run tasks of a job that is
-// cancelled now. That is after half of the allowed time; the other half is reserved for the release of the machines and
-// for a failover to another leader.
+// fencingDeadline returns the time at which to fence the machines that may still run tasks of a job that is cancelled
+// now. It leaves half of the time allowed for a cancellation to the release of the machines and to a failover to
+// another leader.
 func (s *Scheduler) fencingDeadline(now time.Duration) time.Duration {
 	return now + config.Seconds(s.cfg.Workers.CancelSeconds/2)
 }
 
-// setFencingDeadline sets the time by which the tasks of a job must be gone. Deadlines that are already set stay.
+// setFencingDeadline sets the time at which machines that may still run tasks of a job are fenced. Deadlines that are
+// already set are kept.
 func (s *Scheduler) setFencingDeadline(j *jobstate.Job, deadline time.Duration) {
 	for _, pl := range j.Placements {
 		if pl.FenceAt == 0 {
@@ -65,7 +66,7 @@
 func (s *Scheduler) handleJobEnded(now time.Duration, id string) {
 	j := s.jobs[id]
 	if j == nil || j.Ended || j.Ending {
-		return // the outcome of the leader's own write ends it
+		return // the job is ended when the outcome of the leader's own write is known
 	}
 	s.endJob(now, j)
 }
--- a/internal/coordination/scheduler/cancellation_test.go
+++ b/internal/coordination/scheduler/cancellation_test.go
@@ -78,17 +78,17 @@
 	h.runCycle()
 	h.apply(CancellationIntent{ID: "j-1", ValidUntil: h.now})
 	h.apply(JobEnded{ID: "j-2"})
-	deadlines := map[string]bool{}
-	by := h.scheduler.fencingDeadline(h.now)
+	withDeadline := map[string]bool{}
+	deadline := h.scheduler.fencingDeadline(h.now)
 	h.scheduler.machines.Machine("m1").EachPlacement(func(pl *machineregistry.Placement) {
-		if pl.FenceAt == by {
-			deadlines[pl.Task.JobID] = true
+		if pl.FenceAt == deadline {
+			withDeadline[pl.Task.JobID] = true
 		}
 	})
-	if !deadlines["j-1"] || !deadlines["j-2"] || deadlines["j-3"] {
-		t.Errorf("jobs with the fencing deadline %v: %v", by, deadlines)
+	if !withDeadline["j-1"] || !withDeadline["j-2"] || withDeadline["j-3"] {
+		t.Errorf("jobs with the fencing deadline %v: %v, want j-1 and j-2", deadline, withDeadline)
 	}
-	if m := h.scheduler.machines.Machine("m1"); m.FencingDue(by-1) || !m.FencingDue(by) {
+	if m := h.scheduler.machines.Machine("m1"); m.FencingDue(deadline-1) || !m.FencingDue(deadline) {
 		t.Error("the machine is not due for fencing exactly at the deadline of its tasks")
 	}
 }
--- a/internal/coordination/scheduler/cancelleddependents.go
+++ b/internal/coordination/scheduler/cancelleddependents.go
@@ -11,8 +11,8 @@
 )
 
 // cancelledDependents is the queue of jobs that were cancelled together with a dependency and whose ends have yet to be
-// recorded. They count as cancelled even without a record, because every controller derives that from the dependency;
-// the record spares controllers the derivation.
+// recorded. They count as cancelled even without a record, because every controller derives their cancellation from the
+// dependency. The record saves controllers that derivation.
 type cancelledDependents struct{ jobs []*jobstate.Job }
 
 func (q *cancelledDependents) empty() bool { return len(q.jobs) == 0 }
@@ -100,7 +100,7 @@
 }
 
 // handleConcurrentEnds ends the jobs whose records were changed by another transaction, which made the leader's
-// transaction fail. It returns false if that was not the reason for the failure; the leader has then stepped down.
+// transaction fail. It returns false if the transaction failed for another reason; the leader has then stepped down.
 func (s *Scheduler) handleConcurrentEnds(now time.Duration, jobs []*jobstate.Job, outcome TransactionOutcome) bool {
 	ended := false
 	for _, j := range jobs {
--- a/internal/coordination/scheduler/candidateindex_test.go
+++ b/internal/coordination/scheduler/candidateindex_test.go
@@ -17,11 +17,11 @@
 func (h *harness) indexErrors() (wrong int) {
 	h.scheduler.machines.Each(func(m *machineregistry.Machine) {
 		candidate, ok := m.SchedulerData.(*candidates.Candidate)
-		open := h.scheduler.machines.Schedulable(h.now, m)
+		schedulable := h.scheduler.machines.Schedulable(h.now, m)
 		switch {
-		case !ok || open && !h.scheduler.candidates.Machines.Has(candidate.Entry):
+		case !ok || schedulable && !h.scheduler.candidates.Machines.Has(candidate.Entry):
 			wrong++
-		case open && candidate.Free != h.scheduler.machines.FreeCapacity(m):
+		case schedulable && candidate.Free != h.scheduler.machines.FreeCapacity(m):
 			wrong++
 		}
 	})
--- a/internal/coordination/scheduler/cloudevents.go
+++ b/internal/coordination/scheduler/cloudevents.go
@@ -39,7 +39,7 @@
 	})
 }
 
-// handleScaleIn removes the machines that the cloud has taken back. Nothing runs on them any longer.
+// handleScaleIn removes the machines that the cloud has taken back. No task runs on them any more.
 func (s *Scheduler) handleScaleIn(now time.Duration, e ScaleInResult) {
 	s.autoscaler.HandleScaleIn(now, e.Machines, e.Succeeded)
 	if !e.Succeeded {
--- a/internal/coordination/scheduler/completion_test.go
+++ b/internal/coordination/scheduler/completion_test.go
@@ -123,15 +123,20 @@
 		s.step(TransactionOutcome{WriteID: w.ID, Succeeded: true, Revision: s.revision})
 	}
 	if len(order) != jobs || !slices.IsSorted(order) {
-		t.Errorf("%d of %d jobs' completions recorded, in the order %v", len(order), jobs, order)
+		t.Errorf(
+			"%d of %d jobs' completions recorded, want all; in the order %v, want it sorted",
+			len(order),
+			jobs,
+			order,
+		)
 	}
 	if s.scheduler.writes.pagesInFlight[PriorityCompletion] != 0 {
-		t.Errorf("%d pages still count as in flight", s.scheduler.writes.pagesInFlight[PriorityCompletion])
+		t.Errorf("%d pages still count as in flight, want none", s.scheduler.writes.pagesInFlight[PriorityCompletion])
 	}
 }
 
-// TestPagesOfStartsAreWrittenFirst checks that, if a job has many pages to write, the pages that starts wait for are
-// written first.
+// TestPagesOfStartsAreWrittenFirst checks that, if a job has many pages to write, the pages of placements that wait to
+// start are written first.
 func TestPagesOfStartsAreWrittenFirst(t *testing.T) {
 	j := jobstate.New(jobSpec("j-1", protocol.Array, "normal", 100, 1), 1, 0, 0, storage.PageLayout{TasksPerPage: 10})
 	for task := range 100 {
--- a/internal/coordination/scheduler/costs_test.go
+++ b/internal/coordination/scheduler/costs_test.go
@@ -49,7 +49,7 @@
 	}
 }
 
-// TestCyclesForManyTriggers checks that cycles keep their minimum interval, however many relevant events arrive.
+// TestCyclesForManyTriggers checks that cycles keep their minimum interval, no matter how many relevant events arrive.
 func TestCyclesForManyTriggers(t *testing.T) {
 	h := largeHarness(50)
 	before, from := h.scheduler.cycle.count, h.now
--- a/internal/coordination/scheduler/cycleclock.go
+++ b/internal/coordination/scheduler/cycleclock.go
@@ -29,8 +29,8 @@
 }
 
 // planDue reports whether the next cycle should also plan capacity. Planning has an interval of its own: in a large
-// fleet a relevant event precedes every cycle, and if planning waited for a cycle without one, machines would not be
-// scaled or fenced for minutes.
+// fleet a relevant event precedes every cycle, and if planning waited for a cycle without such an event, machines would
+// not be scaled or fenced for minutes.
 func (c *cycleClock) planDue(now time.Duration) bool { return now-c.lastPlanAt >= CycleInterval }
 
 // cycleDue reports whether a relevant event has occurred and the pause after the last cycle has elapsed.
@@ -83,8 +83,8 @@
 	s.writeImageHints(now)
 }
 
-// writeRecords writes the records that starts wait for, then the ends of cancelled dependents, then completed tasks, as
-// far as the key-value store has capacity for them.
+// writeRecords writes first the placements that must be recorded before their tasks may start, then the ends of
+// cancelled dependents, then completed tasks, as far as the key-value store has capacity for them.
 func (s *Scheduler) writeRecords(now time.Duration) {
 	s.recordStarts(now)
 	s.writeCancelledDependents()
--- a/internal/coordination/scheduler/dependencies.go
+++ b/internal/coordination/scheduler/dependencies.go
@@ -58,7 +58,7 @@
 	}
 }
 
-// handleFinalState applies the final state of a dependency. If there is none, it is read again later.
+// handleFinalState applies the final state of a dependency. If no final state was read, the read is repeated later.
 func (s *Scheduler) handleFinalState(now time.Duration, e FinalStateRead) {
 	switch e.State {
 	case protocol.JobDone:
@@ -110,7 +110,7 @@
 }
 
 // reprioritise sets the effective priority and the latest start of a job, which depend on the job itself and on its
-// dependents. Its running tasks are not interrupted and count with the new priority.
+// dependents. The running tasks of the job are not interrupted and get the new priority, too.
 func (s *Scheduler) reprioritise(j *jobstate.Job) {
 	if j == nil || j.Ended {
 		return
--- a/internal/coordination/scheduler/dependencies_test.go
+++ b/internal/coordination/scheduler/dependencies_test.go
@@ -179,7 +179,7 @@
 	for i := 1; i <= n+1; i++ {
 		if id := fmt.Sprintf("j-%d", i); ended[storage.EndedJobKey(id)] != "j-0" || s.scheduler.jobs[id] != nil {
 			t.Errorf(
-				"%s: recorded as cancelled with %q, still known %v",
+				"%s: recorded as cancelled with %q, still known %v, want j-0 and not known",
 				id,
 				ended[storage.EndedJobKey(id)],
 				s.scheduler.jobs[id] != nil,
@@ -187,7 +187,7 @@
 		}
 	}
 	if s.scheduler.dependencies.Len() != 0 {
-		t.Errorf("%d jobs remain in the graph", s.scheduler.dependencies.Len())
+		t.Errorf("%d jobs remain in the graph, want none", s.scheduler.dependencies.Len())
 	}
 }
 
@@ -288,7 +288,7 @@
 	); !ok || !status.Unblocked || h.scheduler.jobs["j-2"].Blocked ||
 		h.startedTasks("j-3")+h.startedTasks("j-4") > 0 {
 		t.Errorf(
-			"started job: %+v %v; the others started %d tasks",
+			"started job: %+v, known %v, want it known and unblocked; the others started %d tasks, want none",
 			status,
 			ok,
 			h.startedTasks("j-3")+h.startedTasks("j-4"),
@@ -342,7 +342,7 @@
 	largeCycle, largeEnd := costs(50_000)
 	if largeCycle > smallCycle+2*maxForecastJobs || largeEnd > smallEnd+10 {
 		t.Errorf(
-			"allocations with 50,000 blocked jobs: %v per cycle, %v per end; with 10: %v, %v",
+			"allocations with 50,000 blocked jobs: %v per cycle, %v per end, want about as many as with 10: %v, %v",
 			largeCycle,
 			largeEnd,
 			smallCycle,
@@ -369,11 +369,11 @@
 	}
 	h.runCycle()
 	if got := forecast(); len(got) > 0 {
-		t.Fatalf("forecast before the dependency runs: %v", got)
+		t.Fatalf("forecast before the dependency runs: %v, want none", got)
 	}
 	h.heartbeat("m1", "a", false, runningTask(protocol.TaskID{JobID: "j-1"}, 1))
 	if got := forecast(); len(got) > 0 {
-		t.Fatalf("forecast long before the dependency ends: %v", got)
+		t.Fatalf("forecast long before the dependency ends: %v, want none", got)
 	}
 	h.now += 25 * time.Second
 	if got := forecast(); !slices.Equal(got, []string{"j-2"}) {
--- a/internal/coordination/scheduler/failure_test.go
+++ b/internal/coordination/scheduler/failure_test.go
@@ -115,7 +115,7 @@
 	h.runCycle()
 	if len(h.transactions) != n || len(h.scheduler.jobs) != 0 {
 		t.Errorf(
-			"%d writes after the end of the job, %d jobs not removed",
+			"%d writes after the end of the job, %d jobs not removed, want none of both",
 			len(h.transactions)-n,
 			len(h.scheduler.jobs),
 		)
@@ -196,6 +196,10 @@
 		h.heartbeat("m2", "a", false)
 	}
 	if len(failed) > 4 || ran != 40 {
-		t.Errorf("%d tasks failed on the broken machine, %d ran on the other one", len(failed), ran)
+		t.Errorf(
+			"%d tasks failed on the broken machine, %d ran on the other one, want at most 4 and exactly 40",
+			len(failed),
+			ran,
+		)
 	}
 }
--- a/internal/coordination/scheduler/featurelevel_test.go
+++ b/internal/coordination/scheduler/featurelevel_test.go
@@ -48,7 +48,7 @@
 	rec, err := storage.DecodeTerm(s.inFlight[0].Txn.Then[0].Value)
 	if err != nil || rec.Term != 5 || rec.FeatureLevel != int(featurelevel.Pipelines) ||
 		rec.WriteName != s.inFlight[0].VerifyName {
-		t.Fatalf("term record %+v, error %v", rec, err)
+		t.Fatalf("term record %+v, error %v, want the new feature level in term 5", rec, err)
 	}
 	s.cycleWithHeartbeats()
 	if len(s.inFlight) != 1 {
@@ -69,7 +69,7 @@
 		}
 		for _, op := range w.Txn.Then {
 			if op.PutKey != "" && !strings.Contains(op.PutKey, "/w") {
-				t.Errorf("%s is written in the original layout", op.PutKey)
+				t.Errorf("%s is written in the original layout, want the compact one", op.PutKey)
 			}
 		}
 	}
@@ -269,7 +269,7 @@
 }
 
 // TestRecoveryAcrossPageLayouts checks that a new leader recovers the tasks of a job as they were last recorded,
-// whatever part of its pages has been replaced, and that no attempt number is used twice. Eventually, no page of
+// no matter which of its pages have been replaced, and that no attempt number is used twice. Eventually, no page of
 // another layout is left.
 func TestRecoveryAcrossPageLayouts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
--- a/internal/coordination/scheduler/fleet_bench_test.go
+++ b/internal/coordination/scheduler/fleet_bench_test.go
@@ -27,8 +27,8 @@
 	longestCycle time.Duration // longest step that ran a cycle
 }
 
-// machineSlots is the number of tasks that fit on a machine. serviceSlots is the number of those slots that are
-// occupied by services throughout a benchmark.
+// machineSlots is the number of tasks that fit on a machine. serviceSlots is the number of these slots that are
+// occupied by services throughout a benchmark. imageCount is the number of different images that the jobs use.
 const (
 	machineSlots = 16
 	serviceSlots = 10
--- a/internal/coordination/scheduler/harness_test.go
+++ b/internal/coordination/scheduler/harness_test.go
@@ -23,8 +23,8 @@
 	revision     uint64
 	sequences    map[string]uint64
 	runs         map[protocol.TaskID]protocol.Command
-	machineOf    map[protocol.TaskID]string // machine that each run command was sent to
-	stops        map[protocol.TaskID]float64
+	machineOf    map[protocol.TaskID]string  // machine that each run command was sent to
+	stops        map[protocol.TaskID]float64 // grace period of each stop command, in seconds
 	transactions []protocol.Txn
 	tasks        map[string]map[protocol.TaskID]protocol.TaskStatus // by machine
 	tokens       map[string]uint64
--- a/internal/coordination/scheduler/heartbeats.go
+++ b/internal/coordination/scheduler/heartbeats.go
@@ -77,8 +77,8 @@
 	return true
 }
 
-// applyHeartbeat applies a heartbeat, whichever way it was received. It returns no machine if the machine was released
-// or if a later term has begun. newer is set if the heartbeat is newer than the last one applied.
+// applyHeartbeat applies a heartbeat, regardless of how it was received. It returns no machine if the machine was
+// released or if a later term has begun. newer is set if the heartbeat is newer than the last one applied.
 func (s *Scheduler) applyHeartbeat(
 	now time.Duration, heartbeat *protocol.WorkerHeartbeat,
 ) (m *machineregistry.Machine, newer bool) {
--- a/internal/coordination/scheduler/jobcompletion.go
+++ b/internal/coordination/scheduler/jobcompletion.go
@@ -84,8 +84,9 @@
 	s.endJob(now, j)
 }
 
-// endedConcurrently reports whether a write failed because the job has ended concurrently. For any other reason, either
-// another controller leads or the state of this leader is wrong: it steps down, and a new term reads all records again.
+// endedConcurrently reports whether a write failed because the job has ended concurrently. If the write failed for
+// another reason, either another controller leads or the state of this leader is wrong. This leader then steps down,
+// and a new term reads all records again.
 func (s *Scheduler) endedConcurrently(j *jobstate.Job, outcome TransactionOutcome) bool {
 	if slices.Contains(outcome.FailedKeys, storage.TermKey) {
 		s.emit(StepDown{Reason: "the term has changed"})
--- a/internal/coordination/scheduler/largefleet_test.go
+++ b/internal/coordination/scheduler/largefleet_test.go
@@ -123,7 +123,11 @@
 	for i := range largeFleetSize {
 		switch n := probed[machineName(i)]; {
 		case n > 1, i%2 == 1 && n != 1:
-			t.Fatalf("%s was probed %d times", machineName(i), n)
+			t.Fatalf(
+				"%s was probed %d times, want once without a heartbeat and at most once otherwise",
+				machineName(i),
+				n,
+			)
 		case i%2 == 0 && n == 1:
 			probedEarly--
 		}
@@ -141,7 +145,7 @@
 		}
 	}
 	if len(h.runs) > 0 {
-		t.Errorf("%d tasks were started again", len(h.runs))
+		t.Errorf("%d tasks were started again, want none", len(h.runs))
 	}
 }
 
@@ -197,7 +201,7 @@
 		}
 		return false
 	}
-	held := func() map[zonefailover.TaskAttempt]bool {
+	readRecordedLenders := func() map[zonefailover.TaskAttempt]bool {
 		tasks := map[zonefailover.TaskAttempt]bool{}
 		for _, p := range recorded {
 			rec, err := storage.DecodeZoneFailover(p)
@@ -213,7 +217,7 @@
 	transactions := 0
 	for write() {
 		transactions++
-		recordedLenders, open := held(), map[string]bool{}
+		recordedLenders, open := readRecordedLenders(), map[string]bool{}
 		for i := range loans {
 			if z.AwaitsPreemption(lender(i)) {
 				open[borrower(i)] = true
@@ -234,7 +238,11 @@
 		}
 	}
 	if waiting > 0 || transactions < 2 {
-		t.Errorf("%d lenders still await preemption after %d transactions", waiting, transactions)
+		t.Errorf(
+			"%d lenders still await preemption after %d transactions, want none after at least 2",
+			waiting,
+			transactions,
+		)
 	}
 	h.records = recorded
 	h.startTerm(7)
--- a/internal/coordination/scheduler/lifecycle.go
+++ b/internal/coordination/scheduler/lifecycle.go
@@ -117,7 +117,8 @@
 	}
 }
 
-// requeueTask makes a task pending again whose placement ended before the task was done. A gang restarts as a whole.
+// requeueTask makes a task pending again after its placement ended before the task was done. A gang restarts as a
+// whole.
 func (s *Scheduler) requeueTask(now time.Duration, j *jobstate.Job, pl *machineregistry.Placement, lost bool) {
 	task := pl.Task.Index
 	j.StartCounted = j.StartCounted || j.LastTaskStart > 0 && now-j.LastTaskStart >= placement.MinCountedRunTime
@@ -146,7 +147,7 @@
 	case protocol.CauseError:
 		s.taskReturnedError(now, j, pl)
 	case protocol.CauseNoCapacity, protocol.CauseOtherAttempt:
-		// The machine holds something that the registry does not know about.
+		// The worker holds capacity or another attempt of the task that the registry does not know about.
 		if m := s.machines.Machine(pl.Machine); m != nil {
 			m.MarkUnresponsive(max(m.UnresponsiveUntil, now+config.Seconds(2*s.cfg.Workers.HeartbeatSeconds)))
 		}
@@ -159,8 +160,9 @@
 	}
 }
 
-// taskReturnedError counts an error of a task against both its job and its machine. If the job fails on every machine,
-// the error is attributed to the job: the job backs off, and the machines are cleared.
+// taskReturnedError counts an error of a task against both its job and its machine. If the job has failed on so many
+// machines that it is likely to be faulty, the errors are attributed to the job alone: the job backs off, and they no
+// longer count against the machines.
 func (s *Scheduler) taskReturnedError(now time.Duration, j *jobstate.Job, pl *machineregistry.Placement) {
 	j.Failures++
 	j.FailedOn[pl.Machine] = true
--- a/internal/coordination/scheduler/placementwriter.go
+++ b/internal/coordination/scheduler/placementwriter.go
@@ -19,8 +19,8 @@
 	recordBackoff = CycleInterval / 8
 )
 
-// recordStarts writes the placements that starts wait for, in queue order, as many as the key-value store can write
-// soon. A transaction contains the placements of several jobs.
+// recordStarts writes the placements that must be recorded before their tasks may start, in queue order, as many as the
+// key-value store can write soon. A transaction contains the placements of several jobs.
 func (s *Scheduler) recordStarts(now time.Duration) {
 	for !s.writes.paused {
 		free := s.recordLimits.MaxStartPages() - s.writes.pagesInFlight[PriorityStart]
@@ -223,7 +223,7 @@
 	s.requeue(now, write)
 }
 
-// requeue queues a write again that was not committed.
+// requeue reverts a write that was not committed and queues its job again.
 func (s *Scheduler) requeue(now time.Duration, write *placementrecords.JobWrite) {
 	j := write.Job
 	write.Revert()
--- a/internal/coordination/scheduler/placementwriter_test.go
+++ b/internal/coordination/scheduler/placementwriter_test.go
@@ -48,7 +48,7 @@
 	s.step(outcome)
 }
 
-// startWrites returns the writes in flight that starts wait for.
+// startWrites returns the writes in flight of placements that must be recorded before their tasks may start.
 func (s *manualStore) startWrites() (open []Write) {
 	for _, w := range s.inFlight {
 		if w.Priority == PriorityStart {
@@ -109,7 +109,11 @@
 			t.Fatalf("%d operations and %d conditions exceed the limits", len(w.Txn.Then), len(w.Txn.If))
 		}
 		if w.Splittable != (len(jobsOfWrite(w)) > 1) {
-			t.Fatalf("splittable %v with jobs %v", w.Splittable, jobsOfWrite(w))
+			t.Fatalf(
+				"splittable %v with jobs %v, want splittable exactly if there are several",
+				w.Splittable,
+				jobsOfWrite(w),
+			)
 		}
 		if w.Splittable {
 			shared++
@@ -160,7 +164,7 @@
 	t.Helper()
 	again := s.startWrites()
 	if len(again) != 1 || !slices.Equal(jobsOfWrite(again[0]), []string{"j-000", "j-002", "j-003"}) {
-		t.Fatalf("writes in flight: %v, want one of the other three jobs", again)
+		t.Fatalf("writes in flight: %v, want a single one with the other three jobs", again)
 	}
 	s.answer(TransactionOutcome{WriteID: again[0].ID, Succeeded: true})
 }
@@ -203,7 +207,7 @@
 			s.step(Tick{})
 		}
 		if got := s.now - last; got < 2*pause-recordBackoff/2 {
-			t.Errorf("attempt %d after %v, the previous one after %v", attempt, got, pause)
+			t.Errorf("attempt %d after a pause of %v, want about twice the previous pause of %v", attempt, got, pause)
 		} else {
 			last, pause = s.now, got
 		}
@@ -234,7 +238,7 @@
 	for range 4 {
 		for _, alone := range s.startWrites() {
 			if len(jobsOfWrite(alone)) != 1 {
-				t.Fatalf("several jobs in one transaction again: %v", jobsOfWrite(alone))
+				t.Fatalf("several jobs in one transaction again: %v, want one", jobsOfWrite(alone))
 			}
 			if id := jobsOfWrite(alone)[0]; id != "j-002" {
 				succeeded[id] = true
--- a/internal/coordination/scheduler/preempt.go
+++ b/internal/coordination/scheduler/preempt.go
@@ -103,8 +103,8 @@
 	}
 	s.candidates.ClaimNomination(best)
 	limits.TasksPerZone[best.Machine.Zone]++
-	stopped := config.Seconds(longestGrace + 3*s.cfg.Workers.HeartbeatSeconds)
-	s.rules.Nominate(best.Machine, j, now+stopped+CycleInterval)
+	timeToStop := config.Seconds(longestGrace + 3*s.cfg.Workers.HeartbeatSeconds)
+	s.rules.Nominate(best.Machine, j, now+timeToStop+CycleInterval)
 	return true
 }
 
--- a/internal/coordination/scheduler/preempt_test.go
+++ b/internal/coordination/scheduler/preempt_test.go
@@ -96,7 +96,7 @@
 		h.heartbeat("m1", "a", false, runningTask(id, 1))
 	}
 	if _, stopped := h.stops[id]; !stopped {
-		t.Fatal("nothing was preempted")
+		t.Fatal("j-1 was not preempted for j-2")
 	}
 	h.runCycle()
 	saved := exitedTask(id, 1, protocol.CauseStopped)
@@ -292,9 +292,9 @@
 	}
 }
 
-// TestSlowFetchesAreNotSwapped checks that two tasks are not moved to the machine of the other one while both machines
-// fetch the same image more slowly than their machine type states. The fetch would start over there, because the other
-// task would have left. Only after one of the fetches is known to be complete does the other task move to that machine.
+// TestSlowFetchesAreNotSwapped checks that two tasks do not swap machines while both machines fetch the same image more
+// slowly than their machine type states. Both fetches would start over, because a fetch is aborted when the task that
+// needs it leaves. Only after one of the fetches is known to be complete does the other task move to that machine.
 func TestSlowFetchesAreNotSwapped(t *testing.T) {
 	h := newHarness([]config.Team{{Name: "red"}}, "a")
 	h.setObjectives([]config.Objective{{Kind: "wait", Class: "quick", WithinSeconds: 40, Fraction: 0.9}})
--- a/internal/coordination/scheduler/prober.go
+++ b/internal/coordination/scheduler/prober.go
@@ -14,11 +14,11 @@
 	probeInterval = time.Second
 )
 
-// prober asks machines that existed before the term for a heartbeat. Nothing can be placed on a machine before its
-// first heartbeat, and its worker may still be waiting for an answer from the previous leader, for most of a lease if
-// that leader stopped answering. A controller with a small share of a core probes only a few machines at a time:
-// sending hundreds of probes at once delayed its other work by seconds, while most machines sent a heartbeat without
-// being probed.
+// prober asks machines that existed before the term for a heartbeat. No task can be placed on a machine before its
+// first heartbeat. Without a probe, that can take most of a lease: if the previous leader has stopped answering, the
+// worker may still be waiting for its answer. A controller with a small share of a core probes only a few machines at a
+// time: sending hundreds of probes at once delayed its other work by seconds, while most machines sent a heartbeat
+// without being probed.
 type prober struct {
 	machinesListed bool    // the first machine list of the term has arrived
 	queue          []Probe // probes to be sent
--- a/internal/coordination/scheduler/recovery_test.go
+++ b/internal/coordination/scheduler/recovery_test.go
@@ -139,11 +139,11 @@
 			}
 		}
 		if transferred != tc.transferred {
-			t.Errorf("%d of 6 relayed: leadership transferred %v", tc.relayed, transferred)
+			t.Errorf("%d of 6 relayed: leadership transferred %v, want the opposite", tc.relayed, transferred)
 		}
 		if direct != 0 || h.startedTasks("j-1") == 0 {
 			t.Errorf(
-				"%d commands sent directly to an unreachable machine, %d tasks started",
+				"%d commands sent directly to an unreachable machine, want none; %d tasks started, want some",
 				direct,
 				h.startedTasks("j-1"),
 			)
@@ -196,7 +196,7 @@
 	})
 	got := next.forecast.ExpectedArrivals(0, "quick", boot)
 	if want == 0 || got < want/3 || got > want*1.2 {
-		t.Errorf("%v jobs expected after the failover, %v before", got, want)
+		t.Errorf("%v jobs expected after the failover, want a third to 120%% of the %v before", got, want)
 	}
 }
 
@@ -236,7 +236,7 @@
 	h.runCycle()
 	h.apply(ProbeReply{Heartbeat: r})
 	if n := h.startedTasks("j-1"); n != 16 {
-		t.Errorf("%d of 16 tasks started on two machines", n)
+		t.Errorf("%d of 16 tasks started on two machines, want all", n)
 	}
 }
 
--- a/internal/coordination/scheduler/starvation_test.go
+++ b/internal/coordination/scheduler/starvation_test.go
@@ -36,7 +36,7 @@
 		}
 		for _, team := range teams {
 			if used := h.scheduler.machines.TeamUsage(team.Name).GPUs / 8; used != rounds {
-				t.Errorf("%s has %v of %d machines for %d teams", team.Name, used, rounds*n, n)
+				t.Errorf("%s has %v of %d machines for %d teams, want an equal share", team.Name, used, rounds*n, n)
 			}
 		}
 	})
@@ -83,7 +83,7 @@
 			h.runFetchingTasks()
 		}
 		if len(h.stops) != n {
-			t.Errorf("tasks were preempted for %d of %d jobs", len(h.stops), n)
+			t.Errorf("tasks were preempted for %d of %d jobs, want all", len(h.stops), n)
 		}
 	})
 }
--- a/internal/coordination/scheduler/zonefailover.go
+++ b/internal/coordination/scheduler/zonefailover.go
@@ -111,8 +111,8 @@
 	})
 }
 
-// fenceLostMachines fences machines of lost zones whose tasks would find capacity elsewhere, in the order of the given
-// jobs.
+// fenceLostMachines goes through the given jobs in order and fences the machines of lost zones whose tasks would find
+// capacity elsewhere.
 func (s *Scheduler) fenceLostMachines(now time.Duration, jobs []*jobstate.Job) {
 	if !s.zoneFailover.Monitor().AnyInState(zonefailover.Lost) {
 		return
--- a/internal/coordination/scheduler/zonefailover_test.go
+++ b/internal/coordination/scheduler/zonefailover_test.go
@@ -16,7 +16,7 @@
 const maxRandomLoans = 30
 
 // TestZoneFailoverRandom checks random workloads that lose a zone of which a random part returns: work recovers in the
-// recovery order, no task lends that must not, none lends twice, and every loan ends.
+// recovery order, a task lends only if it may and never twice, and every loan ends.
 func TestZoneFailoverRandom(t *testing.T) {
 	opened, fenced, lost := 0, 0, 0
 	rapid.Check(t, func(t *rapid.T) {
@@ -67,7 +67,7 @@
 			t.Fatalf("%s\n%s", broken[0], strings.Join(h.describeDecisions(), "\n"))
 		}
 		if n := len(h.storedLoans()); n > 0 {
-			t.Fatalf("%d loans are still recorded", n)
+			t.Fatalf("%d loans are still recorded, want none", n)
 		}
 	})
 	if opened == 0 {
@@ -146,8 +146,8 @@
 	}
 }
 
-// TestZoneFailoverOffCostsNothing checks that, without the flag, no decision is made and nothing is written, whatever
-// happens to a zone.
+// TestZoneFailoverOffCostsNothing checks that, without the flag, no decision is made and no record is written even if a
+// zone is lost.
 func TestZoneFailoverOffCostsNothing(t *testing.T) {
 	h := newLendingHarness(t, 2)
 	h.scheduler.zoneFailover = nil
--- a/internal/coordination/scheduler/zonefailoverwriter.go
+++ b/internal/coordination/scheduler/zonefailoverwriter.go
@@ -56,7 +56,7 @@
 		}
 		lender, borrower := s.jobs[loan.Lender.Job], s.jobs[loan.Borrower]
 		if lender == nil || borrower == nil || s.startForbidden(borrower) {
-			continue // the loan is closed as not taken or with the end of one of its jobs
+			continue // the loan is closed later, as not taken or because one of its jobs has ended
 		}
 		pl := lender.Placements[loan.Lender.Task]
 		if pl == nil || pl.Attempt != loan.Lender.Attempt || pl.Stopping {
--- a/internal/coordination/scheduler/zoneharness_test.go
+++ b/internal/coordination/scheduler/zoneharness_test.go
@@ -251,8 +251,8 @@
 	return placed
 }
 
-// startsSince returns the tasks placed since before, given the usage of each team at that time. Tasks that fit into the
-// guaranteed quota of their team need not wait for other teams.
+// startsSince returns the tasks with placements that are not in before, given the usage of each team when before was
+// collected. Tasks that fit into the guaranteed quota of their team need not wait for other teams.
 func (h *zoneHarness) startsSince(
 	before map[placedAttempt]bool,
 	used map[string]machineregistry.Resources,
--- a/internal/coordination/scheduler/zoneloans_test.go
+++ b/internal/coordination/scheduler/zoneloans_test.go
@@ -31,7 +31,7 @@
 	}
 	h.runSeconds(4)
 	if n, want := len(h.placedAttempts()), 1+5*tasks; n != want {
-		t.Fatalf("%d of %d tasks are placed", n, want)
+		t.Fatalf("%d of %d tasks are placed, want all", n, want)
 	}
 	h.loseZone()
 	return h
@@ -213,7 +213,7 @@
 	h.restoreZone(func(int) bool { return true })
 	h.runSeconds(5)
 	if got := h.scheduler.jobs["j-0"].PlacedTasks(); got != 2 {
-		t.Errorf("%d of 2 tasks are placed when the zone is back", got)
+		t.Errorf("%d of 2 tasks are placed when the zone is back, want both", got)
 	}
 }
 
@@ -244,7 +244,7 @@
 	}
 	h.runSeconds(5)
 	if got := h.scheduler.jobs["j-8"].PlacedTasks(); got != 2 {
-		t.Errorf("%d of 2 tasks of the gang are placed", got)
+		t.Errorf("%d of 2 tasks of the gang are placed, want both", got)
 	}
 }
 
@@ -296,7 +296,7 @@
 			h.runSeconds(2)
 		}
 		if used := h.scheduler.machines.TeamUsage("red").GPUs; used != 10 {
-			t.Fatalf("red uses %v of 10 GPUs", used)
+			t.Fatalf("red uses %v GPUs, want 10", used)
 		}
 		h.loseZone()
 		h.runSeconds(20)
